--- a/crates/decision/src/message.rs
+++ b/crates/decision/src/message.rs
@@ -327,3 +327,6 @@
         _ => return None,
     })
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/decision/tests/stored_state.rs
@@ -0,0 +1,102 @@
+//! The state that a process hands to its successor, and what two processes of one node tell each other. The successor
+//! may be of another build: what the build before this test wrote must be read, and written under the same names.
+
+mod common;
+
+use common::{entry, settings, Stand, KEYED_ALL, MS, S, SAFE};
+use saffronpaddle_decision::interface::*;
+use saffronpaddle_decision::{Gateway, Kept};
+use serde_json::Value;
+
+const NARROW: &str = include_str!("fixtures/state_narrow.json");
+const WIDE: &str = include_str!("fixtures/state_wide.json");
+const TWINS: &str = include_str!("fixtures/twins.jsonl");
+
+/// What a node knows after some seconds of service: attempts out, failures, a cold server, customers with ceilings.
+fn busy(settings: Settings) -> Stand {
+    let (me, gateways) = (settings.me, settings.gateways);
+    let mut stand = Stand::with_servers(11, settings, 5 * S, 4);
+    let cold = ServerEntry { started: Some(stand.now), ..entry(9) };
+    stand.servers(ListKind::Changes, vec![cold]);
+    for round in 0..40_u64 {
+        let class = if round % 3 == 0 { KEYED_ALL } else { SAFE };
+        let plan = usize::try_from(round % 4).expect("small");
+        let spread = if round % 5 == 0 { 1 } else { gateways };
+        stand.request_of(class, plan, (round % 7, me, spread), 3 * S);
+        stand.pass(90 * MS);
+        if round % 2 == 0 && !stand.out.is_empty() {
+            let id = stand.out[0].0.clone();
+            let outcome = if round % 8 == 0 { Outcome::Error } else { Outcome::Ok };
+            stand.end(&id, outcome);
+        }
+        if round % 10 == 3 && gateways > 1 {
+            let peer = GatewayId((me.0 + 1) % gateways);
+            stand.event(Event::Peer { from: peer, bytes: vec![2, 0, 9, 0, 0, 0, 1, 0, 0, 0, 0, 8, 0] });
+        }
+    }
+    stand
+}
+
+/// Numbers as they are, so that a fixture's text says all.
+fn state(settings: &Settings) -> Value {
+    serde_json::to_value(busy(settings.clone()).gateway.keep()).expect("it is JSON")
+}
+
+fn cases() -> [(&'static str, Settings, &'static str); 2] {
+    let wide = Settings { fenced: true, ..settings(1, 300) };
+    [("narrow", settings(0, 3), NARROW), ("wide", wide, WIDE)]
+}
+
+#[test]
+fn a_state_has_the_names_and_values_of_the_fixture() {
+    for (name, settings, fixture) in cases() {
+        let now = state(&settings);
+        let then: Value = serde_json::from_str(fixture).expect("a fixture of JSON");
+        assert!(now == then, "{name}:\n{now:#}");
+    }
+}
+
+#[test]
+fn a_state_of_the_build_before_is_read_whole_and_kept_on() {
+    for (name, settings, fixture) in cases() {
+        let then: Value = serde_json::from_str(fixture).expect("a fixture of JSON");
+        let kept: Kept = serde_json::from_str(fixture).expect("the state is read");
+        assert_eq!(serde_json::to_value(&kept).expect("it is JSON"), then, "{name}: nothing is passed over");
+        let sizes = (then["stores"].as_array().map(Vec::len), then["servers"].as_array().map(Vec::len));
+        assert_eq!((Some(kept.size().0), Some(kept.size().1)), sizes, "{name}");
+        let mut gateway = Gateway::new(11, settings.clone(), 20 * S).expect("sound settings");
+        gateway.resume(kept, 1);
+        let after = serde_json::to_value(gateway.keep()).expect("it is JSON");
+        for field in ["born", "newcomer", "stores", "parts", "latency", "typical", "aims", "retries", "out"] {
+            assert_eq!(after[field], then[field], "{name}: {field}");
+        }
+    }
+}
+
+#[test]
+fn what_two_processes_tell_each_other_has_the_form_of_the_fixture() {
+    let terms = TwinTerms { plan: PlanId(2), units: 1.5, set: (GatewayId(4), 3) };
+    let out = |first| {
+        Twin::Out(TwinOut {
+            id: RequestId("rq".into()),
+            attempt: AttemptNo(1),
+            server: ServerId(8),
+            customer: CustomerId(9),
+            class: ClassId(0),
+            due: 10,
+            sent: 11,
+            places: 2.0,
+            first,
+        })
+    };
+    let end = Twin::In { id: RequestId("rq".into()), attempt: AttemptNo(1) };
+    let told = [out(None), out(Some(terms)), end];
+    let text: String =
+        told.iter().map(|twin| serde_json::to_string(twin).expect("it is JSON") + "\n").collect();
+    assert_eq!(text, TWINS, "\n{text}");
+    let read: Vec<Twin> = TWINS.lines().map(|line| serde_json::from_str(line).expect("it is read")).collect();
+    assert_eq!(read, told);
+    // A build before told nothing of a first attempt's terms.
+    let older = TWINS.lines().next().expect("a line").replace(",\"first\":null", "");
+    assert_eq!(serde_json::from_str::<Twin>(&older).expect("it is read"), told[0]);
+}
