--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -14,7 +14,7 @@
     Verdict, Violation, Violations, WaitsFor,
 };
 use saffronpaddle_admin::{End, Tally};
-use saffronpaddle_decision::interface::{
+use saffronpaddle_policy::interface::{
     Action, AttemptNo, Event as ModuleEvent, Micros, Outcome, RequestId, ServerId,
 };
 use std::collections::{BTreeSet, HashMap, VecDeque};
--- a/crates/exchange/src/exchange/attempts.rs
+++ b/crates/exchange/src/exchange/attempts.rs
@@ -3,7 +3,7 @@
 use super::{Commands, Exchange};
 use crate::table::{Ran, Stage, State};
 use crate::{Bug, Bugs, Command, Invariant, LinkId, Module, Ticket, Verdict};
-use saffronpaddle_decision::interface::{
+use saffronpaddle_policy::interface::{
     AttemptNo, Effect, Event as ModuleEvent, Group, Micros, Outcome, RequestId,
 };
 use std::hash::Hash;
--- a/crates/exchange/src/exchange/checks.rs
+++ b/crates/exchange/src/exchange/checks.rs
@@ -3,7 +3,7 @@
 use super::Exchange;
 use crate::table::{Alarms, Stage, State};
 use crate::{Bugs, LinkId, Module};
-use saffronpaddle_decision::interface::Outcome;
+use saffronpaddle_policy::interface::Outcome;
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
 
--- a/crates/exchange/src/exchange/choice.rs
+++ b/crates/exchange/src/exchange/choice.rs
@@ -4,7 +4,7 @@
 use crate::guard::{self, Facts};
 use crate::table::{Link, Out, Stage, State};
 use crate::{Bug, Bugs, Command, LinkId, Module, Verdict};
-use saffronpaddle_decision::interface::{Effect, Group, Micros, Outcome, RequestId, ServerId};
+use saffronpaddle_policy::interface::{Effect, Group, Micros, Outcome, RequestId, ServerId};
 use std::hash::Hash;
 
 impl<A: Copy + Eq + Hash, M: Module, B: Bugs> Exchange<A, M, B> {
--- a/crates/exchange/src/exchange/connections.rs
+++ b/crates/exchange/src/exchange/connections.rs
@@ -3,7 +3,7 @@
 use super::{Commands, Exchange};
 use crate::table::{Link, Stage, State};
 use crate::{Bug, Bugs, Command, LinkId, Module};
-use saffronpaddle_decision::interface::{Micros, Outcome, RequestId, ServerId};
+use saffronpaddle_policy::interface::{Micros, Outcome, RequestId, ServerId};
 use std::hash::Hash;
 
 impl<A: Copy + Eq + Hash, M: Module, B: Bugs> Exchange<A, M, B> {
--- a/crates/exchange/src/exchange/requests.rs
+++ b/crates/exchange/src/exchange/requests.rs
@@ -4,7 +4,7 @@
 use crate::table::Row;
 use crate::{Bug, Bugs, Command, Invariant, Module, Ticket, Verdict};
 use saffronpaddle_admin::End;
-use saffronpaddle_decision::interface::{Effect, Event as ModuleEvent, Group, Micros, RequestId};
+use saffronpaddle_policy::interface::{Effect, Event as ModuleEvent, Group, Micros, RequestId};
 use std::hash::Hash;
 
 impl<A: Copy + Eq + Hash, M: Module, B: Bugs> Exchange<A, M, B> {
--- a/crates/exchange/src/exchange/servers.rs
+++ b/crates/exchange/src/exchange/servers.rs
@@ -3,7 +3,7 @@
 use super::{Commands, Exchange};
 use crate::table::{Place, State};
 use crate::{Bug, Bugs, LinkId, Module};
-use saffronpaddle_decision::interface::{
+use saffronpaddle_policy::interface::{
     Event as ModuleEvent, ListKind, Outcome, RequestId, ServerEntry, ServerId, Standing,
 };
 use std::collections::BTreeSet;
--- a/crates/exchange/src/exchange/time.rs
+++ b/crates/exchange/src/exchange/time.rs
@@ -2,7 +2,7 @@
 
 use super::{Commands, Exchange};
 use crate::{Bug, Bugs, LinkId, Module, Verdict};
-use saffronpaddle_decision::interface::{Micros, Outcome, RequestId};
+use saffronpaddle_policy::interface::{Micros, Outcome, RequestId};
 use std::hash::Hash;
 
 impl<A: Copy + Eq + Hash, M: Module, B: Bugs> Exchange<A, M, B> {
--- a/crates/exchange/src/guard.rs
+++ b/crates/exchange/src/guard.rs
@@ -5,7 +5,7 @@
 //! body, and closes. What carries the work may have less time than
 //! the work: a request's time is never longer than its process has, and an attempt's never longer than its request has.
 
-use saffronpaddle_decision::interface::Micros;
+use saffronpaddle_policy::interface::Micros;
 
 /// All that a step depends on.
 #[derive(Clone, Copy, Debug)]
--- a/crates/exchange/src/invariants.rs
+++ b/crates/exchange/src/invariants.rs
@@ -3,7 +3,7 @@
 //! The guard keeps steps from being taken; this looks, by other means, at what was done. A violation is counted and told, and
 //! never stops the process.
 
-use saffronpaddle_decision::interface::RequestId;
+use saffronpaddle_policy::interface::RequestId;
 
 /// Something that must hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -24,7 +24,7 @@
 pub use invariants::{Invariant, Violation, Violations};
 pub use open::{OpenRequest, WaitsFor};
 
-use saffronpaddle_decision::interface::{
+use saffronpaddle_policy::interface::{
     Action, Effect, Event as ModuleEvent, Micros, Outcome, RequestId, ServerEntry, ServerId,
 };
 
@@ -34,9 +34,9 @@
     fn handle(&mut self, now: Micros, event: ModuleEvent, actions: &mut Vec<Action>);
 }
 
-impl Module for saffronpaddle_decision::Gateway {
+impl Module for saffronpaddle_policy::Gateway {
     fn handle(&mut self, now: Micros, event: ModuleEvent, actions: &mut Vec<Action>) {
-        saffronpaddle_decision::Gateway::handle(self, now, event, actions);
+        saffronpaddle_policy::Gateway::handle(self, now, event, actions);
     }
 }
 
--- a/crates/exchange/src/open.rs
+++ b/crates/exchange/src/open.rs
@@ -2,7 +2,7 @@
 
 use crate::table::{Row, Stage, State};
 use crate::LinkId;
-use saffronpaddle_decision::interface::{Micros, RequestId, ServerId};
+use saffronpaddle_policy::interface::{Micros, RequestId, ServerId};
 use std::fmt;
 
 /// A request that has no final answer yet.
--- a/crates/exchange/src/table.rs
+++ b/crates/exchange/src/table.rs
@@ -1,7 +1,7 @@
 //! What an exchange keeps of requests, attempts, connections and servers.
 
 use crate::{LinkId, Ticket};
-use saffronpaddle_decision::interface::{CellId, Effect, Micros, Outcome, RequestId, ServerId, ZoneId};
+use saffronpaddle_policy::interface::{CellId, Effect, Micros, Outcome, RequestId, ServerId, ZoneId};
 use std::collections::{BTreeSet, HashMap};
 use std::hash::{BuildHasherDefault, Hasher};
 
--- a/crates/explore/src/main.rs
+++ b/crates/explore/src/main.rs
@@ -2,12 +2,12 @@
 
 use anyhow::{bail, Context, Result};
 use lexopt::prelude::*;
-use saffronpaddle_decision::interface::{Effect, Group};
 use saffronpaddle_exchange::Bug;
 use saffronpaddle_explore::nodes::{self, Play};
 use saffronpaddle_explore::search::{search, Found, Limits};
 use saffronpaddle_explore::world::{Anything, Inside, Setup};
 use saffronpaddle_explore::{chart, planted, setups, walk};
+use saffronpaddle_policy::interface::{Effect, Group};
 use std::time::Instant;
 
 const USAGE: &str = "\
--- a/crates/explore/src/nodes.rs
+++ b/crates/explore/src/nodes.rs
@@ -2,13 +2,13 @@
 //! changes, datagrams that are lost. Everything follows from the seed; the ledger of the fleet rig judges it.
 
 use anyhow::Result;
-use saffronpaddle_decision::interface::{
+use saffronpaddle_exchange::{Bounds, Bug, Command, Event, Exchange, LinkId, Ticket, Verdict};
+use saffronpaddle_policy::interface::{
     Action, CellId, ClassId, CustomerId, Event as ModuleEvent, GatewayId, Micros, Outcome, PlanId, RequestId,
     ServerEntry, ServerId, Standing, ZoneId,
 };
-use saffronpaddle_decision::setup::{self, Named};
-use saffronpaddle_decision::Gateway;
-use saffronpaddle_exchange::{Bounds, Bug, Command, Event, Exchange, LinkId, Ticket, Verdict};
+use saffronpaddle_policy::setup::{self, Named};
+use saffronpaddle_policy::Gateway;
 use saffronpaddle_standins::ledger::{self, Answer, Asked, Ledger, Repeats, Unanswered};
 use saffronpaddle_standins::settings::Fleet;
 use std::cmp::Reverse;
--- a/crates/explore/src/setups.rs
+++ b/crates/explore/src/setups.rs
@@ -1,11 +1,11 @@
 //! The worlds that are visited: small enough to be visited whole, each for something.
 
 use crate::world::{class, Change, Copies, Real, Setup};
-use saffronpaddle_decision::interface::{
+use saffronpaddle_exchange::Bounds;
+use saffronpaddle_policy::interface::{
     Allowed, Ceiling, Class, Discovery, Effect, GatewayId, Group, Micros, Plan, Rules, Settings, ZoneId,
 };
-use saffronpaddle_decision::Gateway;
-use saffronpaddle_exchange::Bounds;
+use saffronpaddle_policy::Gateway;
 
 /// Keyed, dropped in the cell of the first attempt for two steps.
 const KEYED: Effect = Effect::Keyed { group: Group::Cell, window: 2 };
--- a/crates/explore/src/world.rs
+++ b/crates/explore/src/world.rs
@@ -1,11 +1,11 @@
 //! A small world round an exchange: clients, servers, wires and a clock, each of which may do anything that is possible
 //! at any time; and the ledger that judges what comes of it.
 
-use saffronpaddle_decision::interface::{
+use saffronpaddle_exchange::{Bounds, Bug, Command, Event, Exchange, LinkId, Module, Ticket, Verdict};
+use saffronpaddle_policy::interface::{
     Action as ModuleAction, AttemptNo, CellId, ClassId, CustomerId, Effect, Event as ModuleEvent, GatewayId,
     Group, Micros, Outcome, PlanId, RequestId, ServerEntry, ServerId, Standing, ZoneId,
 };
-use saffronpaddle_exchange::{Bounds, Bug, Command, Event, Exchange, LinkId, Module, Ticket, Verdict};
 use std::collections::BTreeMap;
 use std::fmt;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -34,7 +34,7 @@
 
 /// The decision module itself.
 #[derive(Clone)]
-pub struct Real(pub saffronpaddle_decision::Gateway);
+pub struct Real(pub saffronpaddle_policy::Gateway);
 
 impl Inside for Real {
     fn handle(&mut self, now: Micros, event: ModuleEvent, actions: &mut Vec<ModuleAction>) {
--- a/crates/explore/tests/explored.rs
+++ b/crates/explore/tests/explored.rs
@@ -2,12 +2,12 @@
 
 use proptest::prelude::ProptestConfig;
 use proptest::test_runner::FileFailurePersistence;
-use saffronpaddle_decision::interface::{Effect, Group};
 use saffronpaddle_exchange::Bug;
 use saffronpaddle_explore::nodes::{play, Play};
 use saffronpaddle_explore::search::{search, Limits};
 use saffronpaddle_explore::world::{Anything, Step};
 use saffronpaddle_explore::{chart, planted, setups, walk};
+use saffronpaddle_policy::interface::{Effect, Group};
 
 const THREADS: usize = 4;
 /// No world of CI is as small as this: one that is has lost its events.
--- a/crates/fleet/src/virtually/lists.rs
+++ b/crates/fleet/src/virtually/lists.rs
@@ -3,7 +3,7 @@
 
 use super::{Virtual, START, WAY};
 use crate::scenario::{Scenario, GROUP};
-use saffronpaddle_decision::interface::{CellId, ListKind, Micros, ServerEntry, ServerId, Standing, ZoneId};
+use saffronpaddle_policy::interface::{CellId, ListKind, Micros, ServerEntry, ServerId, Standing, ZoneId};
 use saffronpaddle_roster::{Doubt, Pace, Terms};
 use saffronpaddle_standins::discovery::{Back, Bearing, Calls, LINE_MOST};
 use saffronpaddle_standins::links::End;
--- a/crates/fleet/src/virtually/mod.rs
+++ b/crates/fleet/src/virtually/mod.rs
@@ -13,13 +13,13 @@
 use crate::windows;
 use anyhow::{ensure, Result};
 use lists::{Follower, Service};
-use saffronpaddle_decision::interface::{
+use saffronpaddle_operator::Operator;
+use saffronpaddle_policy::interface::{
     Action, AttemptNo, ClassId, CustomerId, Event, GatewayId, ListKind, Micros, Outcome, PlanId, RequestId,
     ServerEntry, ServerId,
 };
-use saffronpaddle_decision::setup::{self, Named};
-use saffronpaddle_decision::Gateway;
-use saffronpaddle_operator::Operator;
+use saffronpaddle_policy::setup::{self, Named};
+use saffronpaddle_policy::Gateway;
 use saffronpaddle_roster::Terms;
 use saffronpaddle_standins::ledger::{Answer, Asked, Ledger, Repeats, Unanswered};
 use saffronpaddle_standins::links::{End, Links, Which};
--- a/crates/fleet/src/virtually/servers.rs
+++ b/crates/fleet/src/virtually/servers.rs
@@ -2,7 +2,7 @@
 
 use super::{Comes, Virtual, START};
 use crate::scenario::{GROUP, SLOTS};
-use saffronpaddle_decision::interface::{AttemptNo, Micros, Outcome, RequestId};
+use saffronpaddle_policy::interface::{AttemptNo, Micros, Outcome, RequestId};
 use saffronpaddle_standins::links::End;
 use std::time::Duration;
 
--- a/crates/handover/src/link.rs
+++ b/crates/handover/src/link.rs
@@ -1,7 +1,7 @@
 //! One conversation of two processes.
 
 use crate::word::{Hello, State, Word, VERSION};
-use saffronpaddle_decision::interface::{GatewayId, Twin};
+use saffronpaddle_policy::interface::{GatewayId, Twin};
 use std::fmt;
 use std::time::Duration;
 
--- a/crates/handover/src/word.rs
+++ b/crates/handover/src/word.rs
@@ -1,7 +1,7 @@
 //! What is said, a line of JSON each.
 
-use saffronpaddle_decision::interface::{GatewayId, Twin};
-use saffronpaddle_decision::Kept;
+use saffronpaddle_policy::interface::{GatewayId, Twin};
+use saffronpaddle_policy::Kept;
 use serde::{Deserialize, Serialize};
 
 /// The form of what is said. A build speaks its own and understands all up to it; fields that it does not know it passes
--- a/crates/handover/tests/lines.rs
+++ b/crates/handover/tests/lines.rs
@@ -1,18 +1,18 @@
 //! The lines of a hand-over. The two processes may be of different builds, so each line of the build before this test
 //! must be read, and written letter by letter the same.
 
-use saffronpaddle_decision::interface::*;
 use saffronpaddle_handover::*;
+use saffronpaddle_policy::interface::*;
 use serde_json::Value;
 
 const LINES: &str = include_str!("fixtures/lines.jsonl");
-const STATE: &str = include_str!("../../decision/tests/fixtures/state_wide.json");
+const STATE: &str = include_str!("../../policy/tests/fixtures/state_wide.json");
 
 fn words() -> Vec<Word> {
     let state = State {
         version: VERSION,
         name: "n0".to_owned(),
-        module: saffronpaddle_decision::Kept::default(),
+        module: saffronpaddle_policy::Kept::default(),
         list: Some(serde_json::json!({"hosts": [1, 2]})),
     };
     let begun = TwinOut {
--- a/crates/handover/tests/overlap.rs
+++ b/crates/handover/tests/overlap.rs
@@ -3,9 +3,9 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::FileFailurePersistence;
-use saffronpaddle_decision::interface::*;
-use saffronpaddle_decision::Gateway;
 use saffronpaddle_handover::*;
+use saffronpaddle_policy::interface::*;
+use saffronpaddle_policy::Gateway;
 use std::time::Duration;
 
 const DEPTH: f64 = 6.0;
--- a/crates/hollow/src/audit.rs
+++ b/crates/hollow/src/audit.rs
@@ -3,9 +3,9 @@
 //! Danger that it guards against: rules that hold at a few processes and are broken by hundreds of nodes beside them, unseen, as
 //! sums count no request and no server. Off unless a process is told otherwise ([`Trial`]): a measurement pays for none of it.
 
-use saffronpaddle_decision::interface::{Micros, RequestId, Rules, ServerId};
 use saffronpaddle_exchange::{LinkId, Verdict};
 use saffronpaddle_node::config::{Health, List};
+use saffronpaddle_policy::interface::{Micros, RequestId, Rules, ServerId};
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, HashSet};
 
--- a/crates/hollow/src/node.rs
+++ b/crates/hollow/src/node.rs
@@ -1,9 +1,9 @@
 //! One hollow node: the exchange with the decision module inside, and what is kept beside them.
 
-use saffronpaddle_decision::interface::{Discovery, GatewayId, Micros, RequestId, Settings};
-use saffronpaddle_decision::Gateway;
 use saffronpaddle_exchange::{Bounds, Exchange, LinkId};
 use saffronpaddle_node::peers::Peers;
+use saffronpaddle_policy::interface::{Discovery, GatewayId, Micros, RequestId, Settings};
+use saffronpaddle_policy::Gateway;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/crates/hollow/src/shard.rs
+++ b/crates/hollow/src/shard.rs
@@ -22,15 +22,15 @@
 use crate::tenants::{Drawn, Tenants};
 use anyhow::{Context, Result};
 use nix::time::{clock_gettime, ClockId};
-use saffronpaddle_decision::interface::{
-    Action, ClassId, CustomerId, Event as ModuleEvent, GatewayId, Micros, Outcome, PlanId, RequestId,
-    Settings, ZoneId,
-};
-use saffronpaddle_decision::setup;
 use saffronpaddle_exchange::{Bounds, Command, Event, LinkId, Verdict};
 use saffronpaddle_node::config::{List, PeerAddresses};
 use saffronpaddle_node::listed::{server_entry, server_id};
 use saffronpaddle_node::peers::Peers;
+use saffronpaddle_policy::interface::{
+    Action, ClassId, CustomerId, Event as ModuleEvent, GatewayId, Micros, Outcome, PlanId, RequestId,
+    Settings, ZoneId,
+};
+use saffronpaddle_policy::setup;
 use saffronpaddle_roster::Entry;
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
--- a/crates/node/src/alarm.rs
+++ b/crates/node/src/alarm.rs
@@ -1,6 +1,6 @@
 //! An alarm for a machine that does no I/O and says when it wants to be looked at.
 
-use saffronpaddle_decision::interface::Micros;
+use saffronpaddle_policy::interface::Micros;
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::sync::Notify;
--- a/crates/node/src/clients/reply.rs
+++ b/crates/node/src/clients/reply.rs
@@ -6,7 +6,7 @@
 use hyper::header::{HeaderMap, HeaderValue, CONNECTION, RETRY_AFTER, SEC_WEBSOCKET_VERSION};
 use hyper::{Response, StatusCode};
 use saffronpaddle_admin::End;
-use saffronpaddle_decision::interface::ClassId;
+use saffronpaddle_policy::interface::ClassId;
 use saffronpaddle_sockets::upgrade;
 use std::time::Duration;
 use tracing::debug;
--- a/crates/node/src/clients/request.rs
+++ b/crates/node/src/clients/request.rs
@@ -5,10 +5,10 @@
 use bytes::Bytes;
 use hyper::header::HeaderMap;
 use hyper::{Method, StatusCode};
-use saffronpaddle_decision::interface::{
+use saffronpaddle_policy::interface::{
     ClassId, CustomerId, Effect, Event, GatewayId, PlanId, RequestId, Settings,
 };
-use saffronpaddle_decision::setup::Named;
+use saffronpaddle_policy::setup::Named;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
--- a/crates/node/src/clients/tests.rs
+++ b/crates/node/src/clients/tests.rs
@@ -3,7 +3,7 @@
 use crate::config::Config;
 use crate::handover::Links;
 use crate::upstream::Upstream;
-use saffronpaddle_decision::interface::CustomerId;
+use saffronpaddle_policy::interface::CustomerId;
 use saffronpaddle_standins::settings::{configuration, Fleet, Places};
 use std::io::Write;
 use tokio::io::AsyncReadExt;
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,7 +1,7 @@
 //! What the edge node is told at its start: `LB_*` and the JSON of `LB_CONFIG`, as typed values.
 
 use anyhow::{ensure, Context, Result};
-use saffronpaddle_decision::setup::{self, Named};
+use saffronpaddle_policy::setup::{self, Named};
 use saffronpaddle_roster::{Entry, Standing};
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -2,9 +2,9 @@
 
 use crate::config::List;
 use crate::node::Node;
-use saffronpaddle_decision::interface::{Event as ModuleEvent, GatewayId, Twin};
 use saffronpaddle_handover::{read, write, Do, Family, LinkNo, Role, State, Word, LINE_MOST, VERSION};
 use saffronpaddle_netio::Uninterrupted;
+use saffronpaddle_policy::interface::{Event as ModuleEvent, GatewayId, Twin};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::io;
--- a/crates/node/src/listed.rs
+++ b/crates/node/src/listed.rs
@@ -1,6 +1,6 @@
 //! What the decision module and the exchange are told of an app server on the list.
 
-use saffronpaddle_decision::interface::{CellId, ServerEntry, ServerId, Standing, ZoneId};
+use saffronpaddle_policy::interface::{CellId, ServerEntry, ServerId, Standing, ZoneId};
 use saffronpaddle_roster::Entry;
 use std::net::SocketAddr;
 
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -14,14 +14,14 @@
 use bytes::Bytes;
 use hyper::StatusCode;
 use saffronpaddle_admin::{End, Figures};
-use saffronpaddle_decision::interface::{
-    Action, ClassId, Event as ModuleEvent, GatewayId, Micros, RequestId, ServerEntry, Standing,
-};
-use saffronpaddle_decision::setup::Named;
-use saffronpaddle_decision::{Gateway, Kept};
 use saffronpaddle_exchange::{
     Bounds, Command, Event, Exchange, Invariant, OpenRequest, Ticket, Verdict, Violation,
 };
+use saffronpaddle_policy::interface::{
+    Action, ClassId, Event as ModuleEvent, GatewayId, Micros, RequestId, ServerEntry, Standing,
+};
+use saffronpaddle_policy::setup::Named;
+use saffronpaddle_policy::{Gateway, Kept};
 use saffronpaddle_roster::{Change, Entry, Merge, Source};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -3,8 +3,8 @@
 use crate::config::PeerAddresses;
 use crate::node::Node;
 use anyhow::{Context, Result};
-use saffronpaddle_decision::interface::GatewayId;
 use saffronpaddle_netio::{retry_interrupted, retry_shortage};
+use saffronpaddle_policy::interface::GatewayId;
 use socket2::{Domain, Socket, Type};
 use std::cell::Cell;
 use std::net::SocketAddr;
--- a/crates/node/src/upstream.rs
+++ b/crates/node/src/upstream.rs
@@ -15,9 +15,9 @@
 use hyper::rt::{Read, ReadBufCursor, Write};
 use hyper::{Method, Request, Response, StatusCode, Version};
 use hyper_util::rt::TokioIo;
-use saffronpaddle_decision::interface::{Effect, Outcome, RequestId, ServerId};
 use saffronpaddle_exchange::{Event, LinkId};
 use saffronpaddle_netio::{is_local_failure, is_quiet, Socket};
+use saffronpaddle_policy::interface::{Effect, Outcome, RequestId, ServerId};
 use saffronpaddle_sockets::upgrade::{self, Offer};
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
--- a/crates/decision/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! A small stand for the module: settings, and a keeper of the rules that knows nothing of its insides.
 #![allow(dead_code)]
 
-use saffronpaddle_decision::interface::*;
-use saffronpaddle_decision::Gateway;
+use saffronpaddle_policy::interface::*;
+use saffronpaddle_policy::Gateway;
 use std::collections::BTreeMap;
 
 pub const MS: Micros = 1_000;
--- a/crates/decision/tests/module.rs
+++ b/crates/policy/tests/module.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::*;
-use saffronpaddle_decision::control::inferred;
-use saffronpaddle_decision::interface::*;
-use saffronpaddle_decision::{Gateway, Kept};
+use saffronpaddle_policy::control::inferred;
+use saffronpaddle_policy::interface::*;
+use saffronpaddle_policy::{Gateway, Kept};
 use std::collections::BTreeMap;
 
 fn change_of(error: f64, change: f64) -> f64 {
--- a/crates/decision/tests/stored_state.rs
+++ b/crates/policy/tests/stored_state.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::{entry, settings, Stand, KEYED_ALL, MS, S, SAFE};
-use saffronpaddle_decision::interface::*;
-use saffronpaddle_decision::{Gateway, Kept};
+use saffronpaddle_policy::interface::*;
+use saffronpaddle_policy::{Gateway, Kept};
 use serde_json::Value;
 
 const NARROW: &str = include_str!("fixtures/state_narrow.json");
--- a/crates/decision/tests/walks.rs
+++ b/crates/policy/tests/walks.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{entry, sends, settings, Stand, KEYED_ALL, MS, S, SAFE};
-use saffronpaddle_decision::interface::*;
-use saffronpaddle_decision::{Gateway, Kept};
+use saffronpaddle_policy::interface::*;
+use saffronpaddle_policy::{Gateway, Kept};
 use std::collections::{BTreeMap, BTreeSet};
 
 const MANY: u64 = 40_000;
--- a/crates/simlink/src/main.rs
+++ b/crates/simlink/src/main.rs
@@ -2,11 +2,11 @@
 
 mod wire;
 
-use saffronpaddle_decision::interface::{
+use saffronpaddle_policy::interface::{
     Action, AttemptNo, CellId, ClassId, CustomerId, Event, GatewayId, ListKind, Outcome, PlanId, RequestId,
     ServerEntry, ServerId, Standing, ZoneId,
 };
-use saffronpaddle_decision::{setup, Gateway};
+use saffronpaddle_policy::{setup, Gateway};
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
--- a/crates/sockets/src/table.rs
+++ b/crates/sockets/src/table.rs
@@ -5,7 +5,7 @@
 //! nodes, so no node has to know of another's sockets: a client that comes back through another node is not shut out by
 //! its own ghost, and one that a killed node leaves behind counts nowhere at once.
 
-use saffronpaddle_decision::interface::{CustomerId, Micros, ServerId};
+use saffronpaddle_policy::interface::{CustomerId, Micros, ServerId};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
 use crate::frames::Side;
