--- a/crates/crowd/src/lib.rs
+++ b/crates/connection-eviction/src/lib.rs
@@ -7,7 +7,7 @@
 //! How many make way at once is [`Press`]'s matter; how long a request may have waited for its loop, [`Rounds`]'.
 //!
 //! ```
-//! use saffronpaddle_crowd::{Limits, Seat};
+//! use saffronpaddle_connection_eviction::{Limits, Seat};
 //! use std::time::Duration;
 //! let ms = Duration::from_millis;
 //! let silent = Seat { came: ms(0), last: ms(0), head: None, busy: false, asked: false };
--- a/crates/node/src/clients/connection.rs
+++ b/crates/node/src/clients/connection.rs
@@ -9,7 +9,7 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper_util::rt::TokioIo;
-use saffronpaddle_crowd::Limits;
+use saffronpaddle_connection_eviction::Limits;
 use std::convert::Infallible;
 use std::future::{poll_fn, Future};
 use std::rc::Rc;
--- a/crates/node/src/clients/connections.rs
+++ b/crates/node/src/clients/connections.rs
@@ -5,7 +5,7 @@
 use super::Standing;
 use crate::node::Node;
 use crate::seats::Seat;
-use saffronpaddle_crowd::{Limits, Press};
+use saffronpaddle_connection_eviction::{Limits, Press};
 use std::rc::Rc;
 use std::sync::Arc;
 use tokio::sync::{watch, Notify};
--- a/crates/node/src/clients/late.rs
+++ b/crates/node/src/clients/late.rs
@@ -1,7 +1,7 @@
 //! How late this thread's loop reads what has come, as its sleeps and rounds show.
 
 use super::LOOK_EVERY;
-use saffronpaddle_crowd::{rested, Rounds};
+use saffronpaddle_connection_eviction::{rested, Rounds};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/node/src/seats.rs
+++ b/crates/node/src/seats.rs
@@ -2,7 +2,7 @@
 
 use crate::clients::late;
 use crate::heads::Heads;
-use saffronpaddle_crowd::{rested, Seat as Seen};
+use saffronpaddle_connection_eviction::{rested, Seat as Seen};
 use saffronpaddle_netio::{has_ended, Socket};
 use std::io;
 use std::pin::Pin;
