--- a/crates/roster/tests/roster.rs
+++ b/crates/endpoints/tests/roster.rs
@@ -1,7 +1,7 @@
 //! The roster from etcd's revisions: each hard case by name.
 
-use saffronpaddle_roster::follower::Seen;
-use saffronpaddle_roster::*;
+use saffronpaddle_endpoints::follower::Seen;
+use saffronpaddle_endpoints::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/etcd/tests/client.rs
+++ b/crates/etcd/tests/client.rs
@@ -1,7 +1,7 @@
 //! The follower against the stand-in cluster: each break that it must survive.
 
+use saffronpaddle_endpoints::{Rules, Standing};
 use saffronpaddle_etcd::{follow, News, Settings, Timing};
-use saffronpaddle_roster::{Rules, Standing};
 use saffronpaddle_standins::etcd::Etcd;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
--- a/crates/fleet/src/virtually/lists.rs
+++ b/crates/fleet/src/virtually/lists.rs
@@ -1,10 +1,10 @@
-//! The list service in virtual time, and what each node's follower does; when it calls is decided by `saffronpaddle_roster`,
+//! The list service in virtual time, and what each node's follower does; when it calls is decided by `saffronpaddle_endpoints`,
 //! as in a process.
 
 use super::{Virtual, START, WAY};
 use crate::scenario::{Scenario, GROUP};
+use saffronpaddle_endpoints::{Doubt, Pace, Terms};
 use saffronpaddle_policy::interface::{CellId, ListKind, Micros, ServerEntry, ServerId, Standing, ZoneId};
-use saffronpaddle_roster::{Doubt, Pace, Terms};
 use saffronpaddle_standins::discovery::{Back, Bearing, Calls, LINE_MOST};
 use saffronpaddle_standins::links::End;
 use std::collections::BTreeSet;
--- a/crates/fleet/src/virtually/mod.rs
+++ b/crates/fleet/src/virtually/mod.rs
@@ -13,6 +13,7 @@
 use crate::windows;
 use anyhow::{ensure, Result};
 use lists::{Follower, Service};
+use saffronpaddle_endpoints::Terms;
 use saffronpaddle_operator::Operator;
 use saffronpaddle_policy::interface::{
     Action, AttemptNo, ClassId, CustomerId, Event, GatewayId, ListKind, Micros, Outcome, PlanId, RequestId,
@@ -20,7 +21,6 @@
 };
 use saffronpaddle_policy::setup::{self, Named};
 use saffronpaddle_policy::Gateway;
-use saffronpaddle_roster::Terms;
 use saffronpaddle_standins::ledger::{Answer, Asked, Ledger, Repeats, Unanswered};
 use saffronpaddle_standins::links::{End, Links, Which};
 use saffronpaddle_standins::load::{class_of, Counts, Customer, Patience};
--- a/crates/hollow/src/shard.rs
+++ b/crates/hollow/src/shard.rs
@@ -22,6 +22,7 @@
 use crate::tenants::{Drawn, Tenants};
 use anyhow::{Context, Result};
 use nix::time::{clock_gettime, ClockId};
+use saffronpaddle_endpoints::Entry;
 use saffronpaddle_exchange::{Bounds, Command, Event, LinkId, Verdict};
 use saffronpaddle_node::config::{List, PeerAddresses};
 use saffronpaddle_node::listed::{server_entry, server_id};
@@ -31,7 +32,6 @@
     Settings, ZoneId,
 };
 use saffronpaddle_policy::setup;
-use saffronpaddle_roster::Entry;
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,8 +1,8 @@
 //! What the edge node is told at its start: `LB_*` and the JSON of `LB_CONFIG`, as typed values.
 
 use anyhow::{ensure, Context, Result};
+use saffronpaddle_endpoints::{Entry, Standing};
 use saffronpaddle_policy::setup::{self, Named};
-use saffronpaddle_roster::{Entry, Standing};
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
--- a/crates/node/src/listed.rs
+++ b/crates/node/src/listed.rs
@@ -1,7 +1,7 @@
 //! What the decision module and the exchange are told of an app server on the list.
 
+use saffronpaddle_endpoints::Entry;
 use saffronpaddle_policy::interface::{CellId, ServerEntry, ServerId, Standing, ZoneId};
-use saffronpaddle_roster::Entry;
 use std::net::SocketAddr;
 
 /// A server's id, the same at every edge node: FNV-1a of its name.
@@ -19,9 +19,9 @@
         zone: ZoneId(zone.map_or(u32::MAX, |place| place as u32)),
         cell: CellId(entry.block),
         standing: match entry.standing {
-            saffronpaddle_roster::Standing::Ready => Standing::Ready,
-            saffronpaddle_roster::Standing::Draining => Standing::Draining,
-            saffronpaddle_roster::Standing::Gone => Standing::Gone,
+            saffronpaddle_endpoints::Standing::Ready => Standing::Ready,
+            saffronpaddle_endpoints::Standing::Draining => Standing::Draining,
+            saffronpaddle_endpoints::Standing::Gone => Standing::Gone,
         },
         size: entry.share,
         started: (entry.born_ms > 0).then_some(entry.born_ms.saturating_mul(1000)),
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -14,6 +14,7 @@
 use bytes::Bytes;
 use hyper::StatusCode;
 use saffronpaddle_admin::{End, Figures};
+use saffronpaddle_endpoints::{Change, Entry, Merge, Source};
 use saffronpaddle_exchange::{
     Bounds, Command, Event, Exchange, Invariant, OpenRequest, Ticket, Verdict, Violation,
 };
@@ -22,7 +23,6 @@
 };
 use saffronpaddle_policy::setup::Named;
 use saffronpaddle_policy::{Gateway, Kept};
-use saffronpaddle_roster::{Change, Entry, Merge, Source};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
--- a/crates/node/src/roster.rs
+++ b/crates/node/src/roster.rs
@@ -3,8 +3,8 @@
 use crate::config::List;
 use crate::discovery;
 use crate::node::Node;
+use saffronpaddle_endpoints::Terms;
 use saffronpaddle_operator::Etcd;
-use saffronpaddle_roster::Terms;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::sync::watch;
@@ -42,9 +42,9 @@
 #[cfg(feature = "etcd")]
 mod by_etcd {
     use super::{Etcd, List, Node, Rc};
+    use saffronpaddle_endpoints::{Change, Entry, Rules, Source};
     use saffronpaddle_etcd::client::NEWS_MOST;
     use saffronpaddle_etcd::{News, Settings, Timing};
-    use saffronpaddle_roster::{Change, Entry, Rules, Source};
     use std::collections::BTreeMap;
     use std::io;
     use std::sync::Arc;
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -17,8 +17,8 @@
 
 pub use reader::{Fault, Faults, Section};
 
+use saffronpaddle_endpoints::Terms;
 use saffronpaddle_lifecycle::readiness::Conditions;
-use saffronpaddle_roster::Terms;
 use saffronpaddle_sockets::table::Limits;
 use std::net::SocketAddr;
 use std::path::PathBuf;
