--- a/crates/policy/src/begun.rs
+++ b/crates/policy/src/begun.rs
@@ -1,6 +1,6 @@
 //! Rights that a server may have, as serde reads and writes them: builds before had them always.
 
-use saffronpaddle_warmup::Budget;
+use saffronpaddle_slow_start::Budget;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
 pub fn serialize<S: Serializer>(rights: &Option<Box<Budget>>, serializer: S) -> Result<S::Ok, S::Error> {
--- a/crates/policy/src/cold.rs
+++ b/crates/policy/src/cold.rs
@@ -2,14 +2,14 @@
 //!
 //! While warm servers tell what one can do, or have told it before all of them were replaced, each gateway earns sends by
 //! that (`credit`). Where it has seen hardly any warm one, as when a whole fleet starts, it does not know: then it goes by
-//! `saffronpaddle_warmup`.
+//! `saffronpaddle_slow_start`.
 
 use crate::control::{ADVICE, TICK};
 use crate::counts::Of;
 use crate::interface::*;
 use crate::message::{self, Message};
 use crate::state::{Attempt, Gateway, Out, Server};
-use saffronpaddle_warmup::{Answer, Gift, Rules as Warming, IDLE};
+use saffronpaddle_slow_start::{Answer, Gift, Rules as Warming, IDLE};
 
 const COLD_BLIND: f64 = 1.5; // sends a second of all gateways to a cold server while no warm one tells more
 const COLD_SAVED: f64 = 1.5; // sends to it that one gateway saves up, and for how many that is safe
--- a/crates/policy/src/message.rs
+++ b/crates/policy/src/message.rs
@@ -3,7 +3,7 @@
 use crate::interface::{ClassId, CustomerId, GatewayId, Micros, PlanId, ServerId};
 use crate::pooled::Pooled;
 use saffronpaddle_quota::{Lease, Said, Verdict, Wish};
-use saffronpaddle_warmup::Gift;
+use saffronpaddle_slow_start::Gift;
 
 const VERSION: u8 = 2;
 /// Version and kind; the least that a message holds.
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -10,7 +10,7 @@
 use crate::servers::Servers;
 use crate::words::Words;
 use saffronpaddle_quota::{Keeper, Memory};
-use saffronpaddle_warmup::{Budget, Natural};
+use saffronpaddle_slow_start::{Budget, Natural};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
--- a/crates/warmup/tests/exhaustive.rs
+++ b/crates/slow-start/tests/exhaustive.rs
@@ -3,7 +3,7 @@
 //! its life stays within what its answers earned and its turns allow, however the words went. Planted faults are found, each
 //! with a shortest course (`stateright`'s search by breadth).
 
-use saffronpaddle_warmup::{Answer, Budget, Gift, Micros, Natural, Rules};
+use saffronpaddle_slow_start::{Answer, Budget, Gift, Micros, Natural, Rules};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
--- a/crates/warmup/tests/fleet.rs
+++ b/crates/slow-start/tests/fleet.rs
@@ -3,7 +3,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::FileFailurePersistence;
-use saffronpaddle_warmup::{Answer, Budget, Gift, Micros, Natural, Rules, USED};
+use saffronpaddle_slow_start::{Answer, Budget, Gift, Micros, Natural, Rules, USED};
 use std::collections::{BinaryHeap, VecDeque};
 
 const MS: Micros = 1000;
