--- a/crates/bench/tests/size/fixture.rs
+++ b/crates/bench/tests/size/fixture.rs
@@ -20,7 +20,7 @@
 use saffronpaddle_standins::servers::{self, AppServer};
 use saffronpaddle_standins::settings::{configuration, Fleet, Places, Plan};
 use saffronpaddle_standins::World;
-use saffronpaddle_workset::{Set, SOUGHT, WHOLE};
+use saffronpaddle_subsetting::{Set, SOUGHT, WHOLE};
 use serde::de::DeserializeOwned;
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
--- a/crates/policy/src/servers.rs
+++ b/crates/policy/src/servers.rs
@@ -2,13 +2,13 @@
 //!
 //! Danger that it guards against: a walk over 40,000 servers at each tick, outcome, rumour and change of the list. All
 //! sums follow what changes, server by server: each is changed through [`Edit`], which takes it out of the sums and puts
-//! it back. A list of more than [`WHOLE`] servers is not all sent to (see `saffronpaddle-workset`): only servers that this
+//! it back. A list of more than [`WHOLE`] servers is not all sent to (see `saffronpaddle-subsetting`): only servers that this
 //! gateway holds are in those sums, and keep what is known of them.
 
 use crate::interface::*;
 use crate::message;
 use crate::state::Server;
-use saffronpaddle_workset::{Median, Set, SOUGHT, WHOLE};
+use saffronpaddle_subsetting::{Median, Set, SOUGHT, WHOLE};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::{Deref, DerefMut};
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/workset/tests/workset.rs
+++ b/crates/subsetting/tests/workset.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::FileFailurePersistence;
-use saffronpaddle_workset::{Median, Set, CARERS, SOUGHT, WHOLE};
+use saffronpaddle_subsetting::{Median, Set, CARERS, SOUGHT, WHOLE};
 
 /// Servers' numbers, as hashes of names are spread.
 fn servers(count: usize) -> Vec<u64> {
