--- a/compat/etcd-client/tests/drives.rs
+++ b/compat/etcd-client/tests/drives.rs
@@ -2,7 +2,7 @@
 //! fault of our own messages.
 
 use etcd_client::*;
-use saffronpaddle_standins::etcd::Etcd;
+use saffronpaddle_test_doubles::etcd::Etcd;
 use std::time::Duration;
 
 async fn connected(etcd: &Etcd) -> Client {
--- a/crates/bench/src/cost.rs
+++ b/crates/bench/src/cost.rs
@@ -3,10 +3,10 @@
 use crate::process::{self, Measured};
 use anyhow::{ensure, Context, Result};
 use lexopt::prelude::*;
-use saffronpaddle_standins::discovery::{Discovery, Entry};
-use saffronpaddle_standins::ledger::Bounds;
-use saffronpaddle_standins::wire::Wire;
-use saffronpaddle_standins::World;
+use saffronpaddle_test_doubles::discovery::{Discovery, Entry};
+use saffronpaddle_test_doubles::ledger::Bounds;
+use saffronpaddle_test_doubles::wire::Wire;
+use saffronpaddle_test_doubles::World;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/bench/src/idle.rs
+++ b/crates/bench/src/idle.rs
@@ -3,10 +3,10 @@
 use crate::process;
 use anyhow::{ensure, Result};
 use lexopt::prelude::*;
-use saffronpaddle_standins::discovery::Discovery;
-use saffronpaddle_standins::ledger::Bounds;
-use saffronpaddle_standins::wire::Wire;
-use saffronpaddle_standins::World;
+use saffronpaddle_test_doubles::discovery::Discovery;
+use saffronpaddle_test_doubles::ledger::Bounds;
+use saffronpaddle_test_doubles::wire::Wire;
+use saffronpaddle_test_doubles::World;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::net::TcpStream;
--- a/crates/bench/src/process.rs
+++ b/crates/bench/src/process.rs
@@ -3,8 +3,8 @@
 use anyhow::{Context, Result};
 use nix::sched::{sched_setaffinity, CpuSet};
 use nix::unistd::Pid;
-use saffronpaddle_standins::process::{cpu_seconds, memory};
-use saffronpaddle_standins::settings::{configuration, Fleet, Places, Plan};
+use saffronpaddle_test_doubles::process::{cpu_seconds, memory};
+use saffronpaddle_test_doubles::settings::{configuration, Fleet, Places, Plan};
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::path::{Path, PathBuf};
--- a/crates/bench/src/roster.rs
+++ b/crates/bench/src/roster.rs
@@ -4,11 +4,11 @@
 use crate::process;
 use anyhow::{ensure, Context, Result};
 use lexopt::prelude::*;
-use saffronpaddle_standins::discovery::Discovery;
-use saffronpaddle_standins::etcd::Etcd;
-use saffronpaddle_standins::ledger::Bounds;
-use saffronpaddle_standins::wire::Wire;
-use saffronpaddle_standins::World;
+use saffronpaddle_test_doubles::discovery::Discovery;
+use saffronpaddle_test_doubles::etcd::Etcd;
+use saffronpaddle_test_doubles::ledger::Bounds;
+use saffronpaddle_test_doubles::wire::Wire;
+use saffronpaddle_test_doubles::World;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
--- a/crates/bench/src/scale/real.rs
+++ b/crates/bench/src/scale/real.rs
@@ -4,9 +4,9 @@
 use anyhow::{ensure, Context, Result};
 use saffronpaddle_hollow::figures::Spans;
 use saffronpaddle_hollow::tenants::Tenants;
-use saffronpaddle_standins::settings::{configuration, Fleet, Places};
-use saffronpaddle_standins::wire::{Message, Wire};
-use saffronpaddle_standins::World;
+use saffronpaddle_test_doubles::settings::{configuration, Fleet, Places};
+use saffronpaddle_test_doubles::wire::{Message, Wire};
+use saffronpaddle_test_doubles::World;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -32,7 +32,7 @@
 pub async fn start(
     world: &Arc<World>, me: usize, settings: &Value, peers: &[SocketAddr], discovery: SocketAddr,
 ) -> Result<Real> {
-    let listen = saffronpaddle_standins::ports::unclaimed()?;
+    let listen = saffronpaddle_test_doubles::ports::unclaimed()?;
     let places = Places {
         name: format!("n{me}"),
         listen,
--- a/crates/bench/src/scale/service.rs
+++ b/crates/bench/src/scale/service.rs
@@ -3,8 +3,8 @@
 
 use anyhow::Result;
 use saffronpaddle_hollow::LIST_MOST;
-use saffronpaddle_standins::wire::Wire;
-use saffronpaddle_standins::World;
+use saffronpaddle_test_doubles::wire::Wire;
+use saffronpaddle_test_doubles::World;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -93,7 +93,7 @@
         let texts = (full, list.since(None).1.len());
         let list = Mutex::new(list);
         let service = Arc::new(Service { world, list, seq: watch::channel(1).0, texts });
-        let listener = TcpListener::bind(saffronpaddle_standins::ports::unclaimed()?).await?;
+        let listener = TcpListener::bind(saffronpaddle_test_doubles::ports::unclaimed()?).await?;
         let address = listener.local_addr()?;
         let serving = Arc::clone(&service);
         tokio::spawn(async move {
--- a/crates/bench/tests/size/list.rs
+++ b/crates/bench/tests/size/list.rs
@@ -1,8 +1,8 @@
 //! The list service of a fleet of hundreds, in the platform's protocol: each text is written once for all who ask for the same, and what is
 //! written to a real node is told to the ledger.
 
-use saffronpaddle_standins::wire::Wire;
-use saffronpaddle_standins::World;
+use saffronpaddle_test_doubles::wire::Wire;
+use saffronpaddle_test_doubles::World;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -110,7 +110,7 @@
 
     /// An address of it: for one real node, or for all hollow ones.
     pub async fn open(self: &Arc<Self>, node: Option<usize>) -> SocketAddr {
-        let listener = TcpListener::bind(saffronpaddle_standins::ports::unclaimed().expect("an address"));
+        let listener = TcpListener::bind(saffronpaddle_test_doubles::ports::unclaimed().expect("an address"));
         let listener = listener.await.expect("it can be had");
         let address = listener.local_addr().expect("it has one");
         let service = Arc::clone(self);
--- a/crates/bench/tests/size/main.rs
+++ b/crates/bench/tests/size/main.rs
@@ -5,7 +5,7 @@
 mod list;
 
 use fixture::{kept, lock, nodes_in, until, Fixture, Rig, NODES, REAL};
-use saffronpaddle_standins::links::{Fault, Which};
+use saffronpaddle_test_doubles::links::{Fault, Which};
 use std::future::Future;
 use std::sync::Mutex;
 use std::time::Duration;
--- a/crates/etcd/tests/client.rs
+++ b/crates/etcd/tests/client.rs
@@ -2,7 +2,7 @@
 
 use saffronpaddle_endpoints::{Rules, Standing};
 use saffronpaddle_etcd::{follow, News, Settings, Timing};
-use saffronpaddle_standins::etcd::Etcd;
+use saffronpaddle_test_doubles::etcd::Etcd;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc;
--- a/crates/explore/src/nodes.rs
+++ b/crates/explore/src/nodes.rs
@@ -9,8 +9,8 @@
 };
 use saffronpaddle_policy::setup::{self, Named};
 use saffronpaddle_policy::Gateway;
-use saffronpaddle_standins::ledger::{self, Answer, Asked, Ledger, Repeats, Unanswered};
-use saffronpaddle_standins::settings::Fleet;
+use saffronpaddle_test_doubles::ledger::{self, Answer, Asked, Ledger, Repeats, Unanswered};
+use saffronpaddle_test_doubles::settings::Fleet;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::hash::{DefaultHasher, Hash, Hasher};
--- a/crates/fleet/src/customers.rs
+++ b/crates/fleet/src/customers.rs
@@ -2,8 +2,8 @@
 //! for a fleet in virtual time.
 
 use crate::scenario::Scenario;
-use saffronpaddle_standins::load::Customer;
-use saffronpaddle_standins::settings::Fleet;
+use saffronpaddle_test_doubles::load::Customer;
+use saffronpaddle_test_doubles::settings::Fleet;
 
 /// Share of its quota that a usual customer uses, and that of each fifth one, which is beyond its quota.
 const USUAL: f64 = 0.7;
--- a/crates/fleet/src/ends.rs
+++ b/crates/fleet/src/ends.rs
@@ -2,7 +2,7 @@
 //! side that it has given a name; several with commas.
 
 use saffronpaddle_operator::Section;
-use saffronpaddle_standins::links::End;
+use saffronpaddle_test_doubles::links::End;
 use std::collections::BTreeSet;
 use toml::Value;
 
--- a/crates/fleet/src/instance.rs
+++ b/crates/fleet/src/instance.rs
@@ -5,7 +5,7 @@
 use command_fds::{CommandFdExt, FdMapping};
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
-use saffronpaddle_standins::process::{cpu_seconds, memory};
+use saffronpaddle_test_doubles::process::{cpu_seconds, memory};
 use std::net::{SocketAddr, TcpListener};
 use std::os::fd::OwnedFd;
 use std::path::{Path, PathBuf};
--- a/crates/fleet/src/report.rs
+++ b/crates/fleet/src/report.rs
@@ -1,9 +1,9 @@
 //! What a run showed, for people and as JSON.
 
 use crate::windows::{Of, Windows};
-use saffronpaddle_standins::discovery::Calls;
-use saffronpaddle_standins::ledger::{Breach, Verdict};
-use saffronpaddle_standins::load::Counts;
+use saffronpaddle_test_doubles::discovery::Calls;
+use saffronpaddle_test_doubles::ledger::{Breach, Verdict};
+use saffronpaddle_test_doubles::load::Counts;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::fmt;
--- a/crates/fleet/src/scenario.rs
+++ b/crates/fleet/src/scenario.rs
@@ -3,10 +3,10 @@
 
 use crate::ends::{ends, sides, Side};
 use saffronpaddle_operator::{Fault, Faults, Section};
-use saffronpaddle_standins::discovery::Back;
-use saffronpaddle_standins::links::{self, End, Which};
-use saffronpaddle_standins::load::Leaves;
-use saffronpaddle_standins::settings::Fleet;
+use saffronpaddle_test_doubles::discovery::Back;
+use saffronpaddle_test_doubles::links::{self, End, Which};
+use saffronpaddle_test_doubles::load::Leaves;
+use saffronpaddle_test_doubles::settings::Fleet;
 use std::collections::BTreeSet;
 use std::time::Duration;
 use toml::{Table, Value};
--- a/crates/fleet/src/virtually/mod.rs
+++ b/crates/fleet/src/virtually/mod.rs
@@ -21,10 +21,10 @@
 };
 use saffronpaddle_policy::setup::{self, Named};
 use saffronpaddle_policy::Gateway;
-use saffronpaddle_standins::ledger::{Answer, Asked, Ledger, Repeats, Unanswered};
-use saffronpaddle_standins::links::{End, Links, Which};
-use saffronpaddle_standins::load::{class_of, Counts, Customer, Patience};
-use saffronpaddle_standins::settings::Fleet;
+use saffronpaddle_test_doubles::ledger::{Answer, Asked, Ledger, Repeats, Unanswered};
+use saffronpaddle_test_doubles::links::{End, Links, Which};
+use saffronpaddle_test_doubles::load::{class_of, Counts, Customer, Patience};
+use saffronpaddle_test_doubles::settings::Fleet;
 use servers::{Flight, Server};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -79,7 +79,7 @@
     Leaves(usize, u32, Micros),
     GoesOn(usize),
     Lifts(u64),
-    HealsNext(Which, saffronpaddle_standins::links::Fault, Vec<End>, u64, Duration),
+    HealsNext(Which, saffronpaddle_test_doubles::links::Fault, Vec<End>, u64, Duration),
     ListUp,
     Discovered,
     Drained(usize, Duration),
--- a/crates/fleet/src/virtually/servers.rs
+++ b/crates/fleet/src/virtually/servers.rs
@@ -3,7 +3,7 @@
 use super::{Comes, Virtual, START};
 use crate::scenario::{GROUP, SLOTS};
 use saffronpaddle_policy::interface::{AttemptNo, Micros, Outcome, RequestId};
-use saffronpaddle_standins::links::End;
+use saffronpaddle_test_doubles::links::End;
 use std::time::Duration;
 
 pub(super) struct Server {
--- a/crates/fleet/src/ways.rs
+++ b/crates/fleet/src/ways.rs
@@ -4,7 +4,7 @@
 //! befall which links: where no step touches one it needs none, and nodes that no step tells apart share theirs.
 
 use crate::scenario::{Deed, Scenario};
-use saffronpaddle_standins::links::{End, Which};
+use saffronpaddle_test_doubles::links::{End, Which};
 use std::collections::BTreeMap;
 
 /// What one rule does to a node's link with a server: there, back, and who it is where nodes heal one by one.
--- a/crates/fleet/src/windows.rs
+++ b/crates/fleet/src/windows.rs
@@ -1,8 +1,8 @@
 //! A run second by second and side by side, from the ledger's entries.
 
 use crate::ends::Side;
-use saffronpaddle_standins::ledger::{Answer, Ledger};
-use saffronpaddle_standins::links::End;
+use saffronpaddle_test_doubles::ledger::{Answer, Ledger};
+use saffronpaddle_test_doubles::links::End;
 use serde_json::{json, Value};
 use std::time::Duration;
 
--- a/crates/node/src/clients/tests.rs
+++ b/crates/node/src/clients/tests.rs
@@ -4,7 +4,7 @@
 use crate::handover::Links;
 use crate::upstream::Upstream;
 use saffronpaddle_policy::interface::CustomerId;
-use saffronpaddle_standins::settings::{configuration, Fleet, Places};
+use saffronpaddle_test_doubles::settings::{configuration, Fleet, Places};
 use std::io::Write;
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
--- a/crates/node/tests/watchdog.rs
+++ b/crates/node/tests/watchdog.rs
@@ -1,7 +1,7 @@
 //! The watchdog of a node that is driven in process.
 
 use saffronpaddle_node::{Config, Edge, Manager, OperatorFile, Options, Word};
-use saffronpaddle_standins::settings::{configuration, Fleet, Places};
+use saffronpaddle_test_doubles::settings::{configuration, Fleet, Places};
 use std::os::unix::net::UnixDatagram;
 use std::path::Path;
 use std::time::{Duration, Instant};
--- a/crates/saffronpaddle/src/demo.rs
+++ b/crates/saffronpaddle/src/demo.rs
@@ -2,10 +2,10 @@
 
 use anyhow::{Context, Result};
 use saffronpaddle_node::{Config, Edge, Manager, Options, Word};
-use saffronpaddle_standins::discovery::{Discovery, Entry};
-use saffronpaddle_standins::servers::{AppServer, Spec};
-use saffronpaddle_standins::settings::{configuration, Fleet, Places};
-use saffronpaddle_standins::World;
+use saffronpaddle_test_doubles::discovery::{Discovery, Entry};
+use saffronpaddle_test_doubles::servers::{AppServer, Spec};
+use saffronpaddle_test_doubles::settings::{configuration, Fleet, Places};
+use saffronpaddle_test_doubles::World;
 use std::net::SocketAddr;
 use std::process::ExitCode;
 use std::sync::Arc;
--- a/crates/saffronpaddle/tests/admin.rs
+++ b/crates/saffronpaddle/tests/admin.rs
@@ -1,6 +1,6 @@
 //! The operators' address of a node as a process: calls, figures, and clients that are sent away.
 
-use saffronpaddle_standins::scripted::*;
+use saffronpaddle_test_doubles::scripted::*;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
--- a/crates/saffronpaddle/tests/bodies.rs
+++ b/crates/saffronpaddle/tests/bodies.rs
@@ -1,6 +1,6 @@
 //! Bodies that go by in pieces, both ways, on a node as a process.
 
-use saffronpaddle_standins::scripted::*;
+use saffronpaddle_test_doubles::scripted::*;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
 
--- a/crates/saffronpaddle/tests/command_line.rs
+++ b/crates/saffronpaddle/tests/command_line.rs
@@ -1,7 +1,7 @@
 //! The program as scripts and service managers call it: names of subcommands and options, exit codes, and the keys of
 //! the figures. All of these are other people's input: they are added to and never renamed.
 
-use saffronpaddle_standins::scripted::*;
+use saffronpaddle_test_doubles::scripted::*;
 use std::process::{Command, Output};
 
 /// Keys that `INFO` answers with, a line each, in order.
--- a/crates/saffronpaddle/tests/common/mod.rs
+++ b/crates/saffronpaddle/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! What the program's tests share.
 
 use saffronpaddle_fleet::{Options, Report, Scenario};
-use saffronpaddle_standins::scripted::program;
+use saffronpaddle_test_doubles::scripted::program;
 use std::path::PathBuf;
 use std::process::Command;
 use std::sync::{Condvar, Mutex, OnceLock, PoisonError};
--- a/crates/saffronpaddle/tests/crossings.rs
+++ b/crates/saffronpaddle/tests/crossings.rs
@@ -4,7 +4,7 @@
 //! Events order what happens. Where the machine alone knows when bytes have come, a node that is made to stand still finds
 //! them all at once as it goes on.
 
-use saffronpaddle_standins::scripted::*;
+use saffronpaddle_test_doubles::scripted::*;
 use std::io::{BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener};
 use std::thread;
--- a/crates/saffronpaddle/tests/crowd.rs
+++ b/crates/saffronpaddle/tests/crowd.rs
@@ -4,7 +4,7 @@
 //! How long something has waited at least is known where the node was made to stand still meanwhile; a slow machine makes the
 //! wait longer, and never shorter.
 
-use saffronpaddle_standins::scripted::*;
+use saffronpaddle_test_doubles::scripted::*;
 use std::io::Write;
 use std::net::{Shutdown, TcpStream};
 use std::thread;
--- a/crates/saffronpaddle/tests/edge.rs
+++ b/crates/saffronpaddle/tests/edge.rs
@@ -1,7 +1,7 @@
 //! The edge node over loopback sockets. Each test stands for something that can go wrong there; none asserts
 //! on speed.
 
-use saffronpaddle_standins::scripted::*;
+use saffronpaddle_test_doubles::scripted::*;
 use std::io::Write;
 use std::time::Instant;
 
--- a/crates/saffronpaddle/tests/etcd.rs
+++ b/crates/saffronpaddle/tests/etcd.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::fleet;
-use saffronpaddle_standins::etcd::Etcd;
-use saffronpaddle_standins::scripted::*;
+use saffronpaddle_test_doubles::etcd::Etcd;
+use saffronpaddle_test_doubles::scripted::*;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
--- a/crates/saffronpaddle/tests/failing_calls.rs
+++ b/crates/saffronpaddle/tests/failing_calls.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::shim;
-use saffronpaddle_standins::scripted::*;
+use saffronpaddle_test_doubles::scripted::*;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/crates/saffronpaddle/tests/interleavings.rs
+++ b/crates/saffronpaddle/tests/interleavings.rs
@@ -2,7 +2,7 @@
 //! two events as near to one another as a machine lets it, many times over and in both orders. Each test says what must
 //! hold whichever comes first.
 
-use saffronpaddle_standins::scripted::*;
+use saffronpaddle_test_doubles::scripted::*;
 use socket2::{Domain, SockRef, Socket, Type};
 use std::collections::HashSet;
 use std::io::{Read, Write};
--- a/crates/saffronpaddle/tests/life.rs
+++ b/crates/saffronpaddle/tests/life.rs
@@ -5,7 +5,7 @@
 
 use command_fds::{CommandFdExt, FdMapping};
 use common::fleet;
-use saffronpaddle_standins::scripted::*;
+use saffronpaddle_test_doubles::scripted::*;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::os::fd::OwnedFd;
--- a/crates/saffronpaddle/tests/shutdown.rs
+++ b/crates/saffronpaddle/tests/shutdown.rs
@@ -1,7 +1,7 @@
 //! Processes that are told to stop and killed later, as the platform does it: each request that was taken has its final
 //! answer before the kill, whatever servers do and however long its client would wait.
 
-use saffronpaddle_standins::scripted::*;
+use saffronpaddle_test_doubles::scripted::*;
 use std::thread;
 use std::time::{Duration, Instant};
 
--- a/crates/saffronpaddle/tests/sockets.rs
+++ b/crates/saffronpaddle/tests/sockets.rs
@@ -1,7 +1,7 @@
 //! WebSocket over loopback: a third party's codec (tungstenite) as client and as server, and raw bytes where no codec
 //! would say such a thing. Each test stands for a failure; none asserts on speed.
 
-use saffronpaddle_standins::scripted::*;
+use saffronpaddle_test_doubles::scripted::*;
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc::{self, Receiver};
--- a/crates/saffronpaddle/tests/told.rs
+++ b/crates/saffronpaddle/tests/told.rs
@@ -2,8 +2,8 @@
 //! change counts as told 6 s after the service had it and could be reached, whatever befell the calls before. Several
 //! processes, each one of a fleet of 300 whose nodes ask for their lists; what the machine itself held up is no fault of theirs.
 
-use saffronpaddle_standins::ports::unclaimed;
-use saffronpaddle_standins::scripted::*;
+use saffronpaddle_test_doubles::ports::unclaimed;
+use saffronpaddle_test_doubles::scripted::*;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
--- a/crates/saffronpaddle/tests/upgrade.rs
+++ b/crates/saffronpaddle/tests/upgrade.rs
@@ -1,7 +1,7 @@
 //! Upgrades in place: a second process of a node is started beside the first and takes over from it.
 
 use command_fds::{CommandFdExt, FdMapping};
-use saffronpaddle_standins::scripted::*;
+use saffronpaddle_test_doubles::scripted::*;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
 use std::os::fd::OwnedFd;
