--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -5,7 +5,7 @@
 //! are open, which attempt of each is out, on which connection, until when, and which connections stand idle. It asks a
 //! [`Module`] which server, whether to try again and what to turn away, and does not trust it: what would break a rule
 //! is not done, whatever the module says. The shell carries out [`Command`]s and tells what happened as [`Event`]s;
-//! `saffronpaddle-explore` does the same in a small world and visits all of its states.
+//! `saffronpaddle-model-checker` does the same in a small world and visits all of its states.
 //!
 //! The properties that hold are listed in `docs/properties.md`, by the names that the checker uses.
 #![forbid(unsafe_code)]
--- a/crates/explore/src/main.rs
+++ b/crates/model-checker/src/main.rs
@@ -1,24 +1,24 @@
-//! `saffronpaddle-explore`: what was visited, in which bounds, how long it took.
+//! `saffronpaddle-model-checker`: what was visited, in which bounds, how long it took.
 
 use anyhow::{bail, Context, Result};
 use lexopt::prelude::*;
 use saffronpaddle_exchange::Bug;
-use saffronpaddle_explore::nodes::{self, Play};
-use saffronpaddle_explore::search::{search, Found, Limits};
-use saffronpaddle_explore::world::{Anything, Inside, Setup};
-use saffronpaddle_explore::{chart, planted, setups, walk};
+use saffronpaddle_model_checker::nodes::{self, Play};
+use saffronpaddle_model_checker::search::{search, Found, Limits};
+use saffronpaddle_model_checker::world::{Anything, Inside, Setup};
+use saffronpaddle_model_checker::{chart, planted, setups, walk};
 use saffronpaddle_policy::interface::{Effect, Group};
 use std::time::Instant;
 
 const USAGE: &str = "\
-saffronpaddle-explore small            the worlds of CI, visited whole
-saffronpaddle-explore large            larger ones (minutes, gigabytes)
-saffronpaddle-explore real [--depth N] with the decision module inside, to a depth (12)
-saffronpaddle-explore world NAME [--bug BUG]   one world, with a fault planted
-saffronpaddle-explore bugs             all planted faults, and whether each is found
-saffronpaddle-explore gap              the known gap: a second copy that comes late
-saffronpaddle-explore walk [--seed N] [--walks N] [--steps N]   random walks through large worlds
-saffronpaddle-explore nodes [--seed N] [--runs N] [--tries N]   whole nodes in virtual time, judged by the ledger
+saffronpaddle-model-checker small            the worlds of CI, visited whole
+saffronpaddle-model-checker large            larger ones (minutes, gigabytes)
+saffronpaddle-model-checker real [--depth N] with the decision module inside, to a depth (12)
+saffronpaddle-model-checker world NAME [--bug BUG]   one world, with a fault planted
+saffronpaddle-model-checker bugs             all planted faults, and whether each is found
+saffronpaddle-model-checker gap              the known gap: a second copy that comes late
+saffronpaddle-model-checker walk [--seed N] [--walks N] [--steps N]   random walks through large worlds
+saffronpaddle-model-checker nodes [--seed N] [--runs N] [--tries N]   whole nodes in virtual time, judged by the ledger
 ";
 
 fn main() -> Result<()> {
@@ -87,7 +87,7 @@
                 taken += found.steps;
                 if let Some((trace, breach)) = &found.breach {
                     println!("seed {seed}, {} steps: {breach}", trace.len());
-                    bail!("replay with: saffronpaddle-explore walk --seed {seed} --walks 1 --steps {steps}");
+                    bail!("replay with: saffronpaddle-model-checker walk --seed {seed} --walks 1 --steps {steps}");
                 }
             }
             println!("{walks} walks from seed {seed}, {taken} steps: nothing is broken");
@@ -172,7 +172,7 @@
         );
         if !verdict.breaches.is_empty() || !played.tables.is_empty() || played.kept > 0 {
             println!("{:?}\n{:?}\n{} kept", verdict.breaches, played.tables, played.kept);
-            bail!("replay with: saffronpaddle-explore nodes --seed {seed} --runs 1 --tries {tries}");
+            bail!("replay with: saffronpaddle-model-checker nodes --seed {seed} --runs 1 --tries {tries}");
         }
     }
     Ok(())
--- a/crates/explore/tests/explored.rs
+++ b/crates/model-checker/tests/explored.rs
@@ -3,10 +3,10 @@
 use proptest::prelude::ProptestConfig;
 use proptest::test_runner::FileFailurePersistence;
 use saffronpaddle_exchange::Bug;
-use saffronpaddle_explore::nodes::{play, Play};
-use saffronpaddle_explore::search::{search, Limits};
-use saffronpaddle_explore::world::{Anything, Step};
-use saffronpaddle_explore::{chart, planted, setups, walk};
+use saffronpaddle_model_checker::nodes::{play, Play};
+use saffronpaddle_model_checker::search::{search, Limits};
+use saffronpaddle_model_checker::world::{Anything, Step};
+use saffronpaddle_model_checker::{chart, planted, setups, walk};
 use saffronpaddle_policy::interface::{Effect, Group};
 
 const THREADS: usize = 4;
@@ -33,7 +33,7 @@
         let drawn = chart::draw(&setup, Anything, Some(bug), &trace, &breach);
         assert!(drawn.contains("broken: "), "{drawn}");
         // The same steps without the fault break nothing: it is the fault that was found.
-        let mut sound = saffronpaddle_explore::world::World::new(&setup, Anything, None);
+        let mut sound = saffronpaddle_model_checker::world::World::new(&setup, Anything, None);
         for step in &trace {
             let possible = sound.steps(&setup).contains(step) || sound.left_alone(&setup) == Some(*step);
             if !possible {
@@ -72,7 +72,7 @@
     for seed in 0..60 {
         let found = walk::walk(&setups::wide(seed), Anything, seed, 3_000);
         let broken = found.breach.map(|(trace, breach)| format!("{breach} after {} steps", trace.len()));
-        assert_eq!(broken, None, "saffronpaddle-explore walk --seed {seed} --walks 1 --steps 3000");
+        assert_eq!(broken, None, "saffronpaddle-model-checker walk --seed {seed} --walks 1 --steps 3000");
     }
 }
 
@@ -93,7 +93,7 @@
 fn whole_nodes_in_virtual_time_keep_the_rules() {
     for seed in 1..=4 {
         let played = play(&Play::usual(seed)).expect("settings that make sense");
-        let again = format!("saffronpaddle-explore nodes --seed {seed} --runs 1");
+        let again = format!("saffronpaddle-model-checker nodes --seed {seed} --runs 1");
         assert_eq!(played.verdict.breaches, [], "{again}");
         assert_eq!((played.tables, played.kept), (Vec::new(), 0), "{again}");
         assert!(played.verdict.served > played.verdict.tries / 4, "{again}: {:?}", played.verdict);
@@ -136,7 +136,7 @@
         seed in 0_u64..1_000_000, choices in proptest::collection::vec(proptest::prelude::any::<u16>(), 0..600),
     ) {
         let setup = setups::wide(seed);
-        let mut world = saffronpaddle_explore::world::World::new(&setup, Anything, None);
+        let mut world = saffronpaddle_model_checker::world::World::new(&setup, Anything, None);
         for choice in choices {
             let steps = world.steps(&setup);
             let Some(step) = steps.get(usize::from(choice) % steps.len().max(1)).copied() else { break };
--- a/crates/saffronpaddle/tests/interleavings.rs
+++ b/crates/saffronpaddle/tests/interleavings.rs
@@ -304,7 +304,7 @@
 }
 
 /// A copy of the last answer that comes after the next request's first byte is no answer to that, where servers say
-/// whose it is. Where they don't, nobody could tell: `saffronpaddle-explore gap` shows it.
+/// whose it is. Where they don't, nobody could tell: `saffronpaddle-model-checker gap` shows it.
 #[test]
 fn a_second_copy_arrives_after_the_next_requests_first_byte() {
     let echoed = |id: &str| {
