--- a/crates/handover/tests/lines.rs
+++ b/crates/hot-restart/tests/lines.rs
@@ -1,7 +1,7 @@
 //! The lines of a hand-over. The two processes may be of different builds, so each line of the build before this test
 //! must be read, and written letter by letter the same.
 
-use saffronpaddle_handover::*;
+use saffronpaddle_hot_restart::*;
 use saffronpaddle_policy::interface::*;
 use serde_json::Value;
 
--- a/crates/handover/tests/overlap.rs
+++ b/crates/hot-restart/tests/overlap.rs
@@ -3,7 +3,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::FileFailurePersistence;
-use saffronpaddle_handover::*;
+use saffronpaddle_hot_restart::*;
 use saffronpaddle_policy::interface::*;
 use saffronpaddle_policy::Gateway;
 use std::time::Duration;
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -2,7 +2,7 @@
 
 use crate::config::List;
 use crate::node::Node;
-use saffronpaddle_handover::{read, write, Do, Family, LinkNo, Role, State, Word, LINE_MOST, VERSION};
+use saffronpaddle_hot_restart::{read, write, Do, Family, LinkNo, Role, State, Word, LINE_MOST, VERSION};
 use saffronpaddle_netio::Uninterrupted;
 use saffronpaddle_policy::interface::{Event as ModuleEvent, GatewayId, Twin};
 use std::cell::RefCell;
