--- a/crates/simlink/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -34,7 +34,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
-            eprintln!("saffronpaddle-simlink: {fault}");
+            eprintln!("saffronpaddle-simulator-adapter: {fault}");
             ExitCode::FAILURE
         }
     }
--- a/crates/simlink/tests/fixed_seed.rs
+++ b/crates/simulator-adapter/tests/fixed_seed.rs
@@ -59,7 +59,7 @@
 
 impl World {
     fn start(seed: u64, nodes: u64) -> World {
-        let mut child = Command::new(env!("CARGO_BIN_EXE_saffronpaddle-simlink"))
+        let mut child = Command::new(env!("CARGO_BIN_EXE_saffronpaddle-simulator-adapter"))
             .stdin(Stdio::piped())
             .stdout(Stdio::piped())
             .spawn()
--- a/crates/simlink/tests/link.rs
+++ b/crates/simulator-adapter/tests/link.rs
@@ -6,7 +6,7 @@
 const SETUP: &str = r#"{"balancers":2,"me":0,"zone":"a","zones":["a"],"unknown":[1],"periodUs":2000,"discovery":"automatic","ceilings":{"cancel":true,"probes":false,"mayTell":true,"secondCopies":false,"sendCap":3},"classes":[{"name":"read","aimUs":800000,"deadlineUs":3000000,"lateValue":0.0,"worth":3.0,"repeat":"read_like"}],"packages":[{"name":"p","rate":1.0,"storeSize":4.0,"price":1.0}],"rules":{"coldFrom":0.2,"coldUs":1000000,"fallMultiple":3.0,"overloadForUs":1000000},"extra":{"peerInPerS":60.0,"maxUnits":1}}"#;
 
 fn run(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_saffronpaddle-simlink"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_saffronpaddle-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
