--- a/crates/node/src/clients/reply.rs
+++ b/crates/node/src/clients/reply.rs
@@ -7,7 +7,7 @@
 use hyper::{Response, StatusCode};
 use saffronpaddle_admin::End;
 use saffronpaddle_policy::interface::ClassId;
-use saffronpaddle_sockets::upgrade;
+use saffronpaddle_websocket::upgrade;
 use std::time::Duration;
 use tracing::debug;
 
--- a/crates/node/src/clients/respond.rs
+++ b/crates/node/src/clients/respond.rs
@@ -18,7 +18,7 @@
 use saffronpaddle_admin::End;
 use saffronpaddle_exchange::Ticket;
 use saffronpaddle_policy::interface::{Effect, Event, RequestId};
-use saffronpaddle_sockets::upgrade::{self, Offer};
+use saffronpaddle_websocket::upgrade::{self, Offer};
 use std::collections::VecDeque;
 use std::rc::Rc;
 use std::sync::Arc;
--- a/crates/node/src/sockets.rs
+++ b/crates/node/src/sockets.rs
@@ -1,5 +1,5 @@
 //! WebSocket (RFC 6455): relays frames between a client and a server, as the table of sockets and the scanners of
-//! `saffronpaddle-sockets` have it. It makes no policy.
+//! `saffronpaddle-websocket` have it. It makes no policy.
 
 use crate::alarm::Alarm;
 use crate::node::Node;
@@ -7,9 +7,9 @@
 use hyper::header::{HeaderMap, HeaderValue};
 use saffronpaddle_netio::retry_interrupted;
 use saffronpaddle_policy::interface::{ClassId, CustomerId, Micros, ServerId};
-use saffronpaddle_sockets::frames::{self, Rules, Scanner, Seen, Side};
-use saffronpaddle_sockets::table::{Command, Shut, SocketId, Sockets};
-use saffronpaddle_sockets::upgrade::{self, Switch};
+use saffronpaddle_websocket::frames::{self, Rules, Scanner, Seen, Side};
+use saffronpaddle_websocket::table::{Command, Shut, SocketId, Sockets};
+use saffronpaddle_websocket::upgrade::{self, Switch};
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
--- a/crates/node/src/upstream.rs
+++ b/crates/node/src/upstream.rs
@@ -18,7 +18,7 @@
 use saffronpaddle_exchange::{Event, LinkId};
 use saffronpaddle_netio::{is_local_failure, is_quiet, Socket};
 use saffronpaddle_policy::interface::{Effect, Outcome, RequestId, ServerId};
-use saffronpaddle_sockets::upgrade::{self, Offer};
+use saffronpaddle_websocket::upgrade::{self, Offer};
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
 use std::future::Future;
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -19,7 +19,7 @@
 
 use saffronpaddle_endpoints::Terms;
 use saffronpaddle_lifecycle::readiness::Conditions;
-use saffronpaddle_sockets::table::Limits;
+use saffronpaddle_websocket::table::Limits;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
