--- a/crates/fleet/src/ends.rs
+++ b/crates/fleet/src/ends.rs
@@ -1,7 +1,7 @@
 //! How a scenario names the ends of links: `n3`, `n0-n11`, `s2`, `nodes`, `servers`, `list`, `counter`, `clients`, or a
 //! side that it has given a name; several with commas.
 
-use saffronpaddle_operator::Section;
+use saffronpaddle_operator_config::Section;
 use saffronpaddle_test_doubles::links::End;
 use std::collections::BTreeSet;
 use toml::Value;
--- a/crates/fleet/src/scenario.rs
+++ b/crates/fleet/src/scenario.rs
@@ -2,7 +2,7 @@
 //! operator file; a seed draws all that it leaves open, so that the same seed gives the same run of steps.
 
 use crate::ends::{ends, sides, Side};
-use saffronpaddle_operator::{Fault, Faults, Section};
+use saffronpaddle_operator_config::{Fault, Faults, Section};
 use saffronpaddle_test_doubles::discovery::Back;
 use saffronpaddle_test_doubles::links::{self, End, Which};
 use saffronpaddle_test_doubles::load::Leaves;
--- a/crates/fleet/src/virtually/mod.rs
+++ b/crates/fleet/src/virtually/mod.rs
@@ -14,7 +14,7 @@
 use anyhow::{ensure, Result};
 use lists::{Follower, Service};
 use saffronpaddle_endpoints::Terms;
-use saffronpaddle_operator::Operator;
+use saffronpaddle_operator_config::Operator;
 use saffronpaddle_policy::interface::{
     Action, AttemptNo, ClassId, CustomerId, Event, GatewayId, ListKind, Micros, Outcome, PlanId, RequestId,
     ServerEntry, ServerId,
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -132,7 +132,7 @@
     /// A node that may have so many connections to app servers open.
     pub fn new(
         seed: u64, named: Named, upstream: Upstream, bounds: (usize, Links), peers: Option<Peers>,
-        sockets: Option<saffronpaddle_operator::Sockets>, kept: Option<(Kept, u32)>,
+        sockets: Option<saffronpaddle_operator_config::Sockets>, kept: Option<(Kept, u32)>,
     ) -> anyhow::Result<Rc<Node>> {
         let (each_side, links) = bounds;
         let clock = Clock::start();
--- a/crates/node/src/roster.rs
+++ b/crates/node/src/roster.rs
@@ -4,7 +4,7 @@
 use crate::discovery;
 use crate::node::Node;
 use saffronpaddle_endpoints::Terms;
-use saffronpaddle_operator::Etcd;
+use saffronpaddle_operator_config::Etcd;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::sync::watch;
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -16,7 +16,7 @@
 use anyhow::{Context, Result};
 use saffronpaddle_lifecycle::{Lifecycle, Limits};
 use saffronpaddle_netio::retry_shortage;
-use saffronpaddle_operator::Operator;
+use saffronpaddle_operator_config::Operator;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
--- a/crates/node/src/sockets.rs
+++ b/crates/node/src/sockets.rs
@@ -61,7 +61,7 @@
 /// All sockets of a node.
 pub struct Front {
     pub class: ClassId,
-    says: saffronpaddle_operator::Sockets,
+    says: saffronpaddle_operator_config::Sockets,
     table: RefCell<Sockets>,
     relays: RefCell<HashMap<SocketId, Rc<Control>>>,
     /// Where each server was, as the list had it last.
@@ -87,7 +87,7 @@
 }
 
 impl Front {
-    pub fn new(class: ClassId, says: saffronpaddle_operator::Sockets, now: Micros) -> Front {
+    pub fn new(class: ClassId, says: saffronpaddle_operator_config::Sockets, now: Micros) -> Front {
         Front {
             class,
             table: RefCell::new(Sockets::new(says.limits.clone(), now)),
--- a/crates/node/tests/watchdog.rs
+++ b/crates/node/tests/watchdog.rs
@@ -25,7 +25,7 @@
     };
     let text = configuration(&places, &Fleet::usual(1).settings(0), None, 1);
     let config = Config::parse(Path::new("none"), &text).expect("a good configuration");
-    let says = saffronpaddle_operator::Operator::default();
+    let says = saffronpaddle_operator_config::Operator::default();
     let operator = Some(OperatorFile { path: "none".into(), says });
     let manager = Manager::at(notify.as_os_str(), Some(ALLOWED)).expect("an address");
     Options { config, operator, handed: None, meeting: None, manager }
--- a/crates/operator/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -4,7 +4,7 @@
 //! faults are told at once, each with its key. No input or output: the text comes in as an argument.
 //!
 //! ```
-//! let faults = saffronpaddle_operator::Operator::parse("[ready]\nlag = 5\nmemory_share = 7").unwrap_err();
+//! let faults = saffronpaddle_operator_config::Operator::parse("[ready]\nlag = 5\nmemory_share = 7").unwrap_err();
 //! assert_eq!(
 //!     faults.to_string(),
 //!     "ready.memory_share: must be a number from 0.1 to 1, not 7; ready.lag: unknown key"
--- a/crates/operator/tests/file.rs
+++ b/crates/operator-config/tests/file.rs
@@ -1,6 +1,6 @@
 //! The operator file, good and bad.
 
-use saffronpaddle_operator::Operator;
+use saffronpaddle_operator_config::Operator;
 
 const SHIPPED: &str = include_str!("../../../deploy/operator.toml");
 
--- a/crates/saffronpaddle/src/main.rs
+++ b/crates/saffronpaddle/src/main.rs
@@ -94,7 +94,7 @@
 fn check(mut arguments: lexopt::Parser) -> Result<ExitCode> {
     let path = PathBuf::from(arguments.value().context("check takes a file")?);
     let text = std::fs::read_to_string(&path).with_context(|| path.display().to_string())?;
-    match saffronpaddle_operator::Operator::parse(&text) {
+    match saffronpaddle_operator_config::Operator::parse(&text) {
         Ok(_) => {
             println!("{}: good", path.display());
             Ok(ExitCode::SUCCESS)
