--- a/crates/fleet/tests/virtual_at_size.rs
+++ b/crates/fleet-harness/tests/virtual_at_size.rs
@@ -1,7 +1,7 @@
 //! Hard cases of fleets of hundreds in virtual time. Each is quick; the figures that are asserted are derived, not measured, unless
 //! they say so.
 
-use saffronpaddle_fleet::{virtually, Report, Scenario};
+use saffronpaddle_fleet_harness::{virtually, Report, Scenario};
 
 const FENCED: &str = "[quotas]\nfenced = true\n";
 
--- a/crates/fleet/tests/virtual_replies.rs
+++ b/crates/fleet-harness/tests/virtual_replies.rs
@@ -1,7 +1,7 @@
 //! Fixed seeds of whole fleets in virtual time: the report of each is kept as a fixture. A change that is not meant to
 //! change what nodes decide must leave every figure as it is, to the last digit.
 
-use saffronpaddle_fleet::{virtually, Scenario};
+use saffronpaddle_fleet_harness::{virtually, Scenario};
 
 const CALM: &str = include_str!("../scenarios/calm.toml");
 const HALVES: &str = include_str!("../scenarios/halves.toml");
--- a/crates/fleet/tests/virtual_time.rs
+++ b/crates/fleet-harness/tests/virtual_time.rs
@@ -1,6 +1,6 @@
 //! Whole fleets in virtual time: the same seed is the same run, so figures can be asserted that real time would blur.
 
-use saffronpaddle_fleet::{virtually, Report, Scenario};
+use saffronpaddle_fleet_harness::{virtually, Report, Scenario};
 
 fn play(text: &str, seed: u64, operator: &str) -> Report {
     let scenario = Scenario::parse(text, seed).expect("a good scenario");
--- a/crates/saffronpaddle/src/fleet.rs
+++ b/crates/saffronpaddle/src/fleet.rs
@@ -2,9 +2,9 @@
 
 use anyhow::{Context, Result};
 use lexopt::prelude::*;
-use saffronpaddle_fleet::scenario::SHIPPED;
-use saffronpaddle_fleet::soak::{self, Plan, Size};
-use saffronpaddle_fleet::{Options, Overrides, Scenario};
+use saffronpaddle_fleet_harness::scenario::SHIPPED;
+use saffronpaddle_fleet_harness::soak::{self, Plan, Size};
+use saffronpaddle_fleet_harness::{Options, Overrides, Scenario};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
@@ -19,7 +19,7 @@
         }
     }
     anyhow::ensure!(!paths.is_empty(), "fleet counts takes logs, or folders of logs");
-    let counts = saffronpaddle_fleet::counts::Counts::read(&paths)?;
+    let counts = saffronpaddle_fleet_harness::counts::Counts::read(&paths)?;
     print!("{}", if csv { counts.csv() } else { counts.table() });
     Ok(ExitCode::SUCCESS)
 }
@@ -117,10 +117,10 @@
     let options = Options { program, seed, folder, operator, say: true, log_level: "info", preload: None };
     let report = match in_virtual_time {
         true => {
-            saffronpaddle_fleet::room::look(&scenario)?;
-            saffronpaddle_fleet::virtually::play(scenario, seed, &options.operator)?
+            saffronpaddle_fleet_harness::room::look(&scenario)?;
+            saffronpaddle_fleet_harness::virtually::play(scenario, seed, &options.operator)?
         }
-        false => saffronpaddle_fleet::run(scenario, &options, kept)?,
+        false => saffronpaddle_fleet_harness::run(scenario, &options, kept)?,
     };
     if let Some(path) = json {
         std::fs::write(&path, format!("{:#}\n", report.json()))
--- a/crates/saffronpaddle/tests/apart.rs
+++ b/crates/saffronpaddle/tests/apart.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use common::fleet_with;
-use saffronpaddle_fleet::Report;
+use saffronpaddle_fleet_harness::Report;
 
 const FENCED: &str = "[quotas]\nfenced = true\n";
 /// Units that who stands by may begin with: one try's for each customer.
--- a/crates/saffronpaddle/tests/cold.rs
+++ b/crates/saffronpaddle/tests/cold.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::fleet_with;
-use saffronpaddle_fleet::Report;
+use saffronpaddle_fleet_harness::Report;
 
 /// What makes a server fall is never reached, and no rule is broken.
 fn spared(report: &Report) {
--- a/crates/saffronpaddle/tests/common/mod.rs
+++ b/crates/saffronpaddle/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! What the program's tests share.
 
-use saffronpaddle_fleet::{Options, Report, Scenario};
+use saffronpaddle_fleet_harness::{Options, Report, Scenario};
 use saffronpaddle_test_doubles::scripted::program;
 use std::path::PathBuf;
 use std::process::Command;
@@ -70,5 +70,5 @@
     let (log_level, preload) = ("info", None);
     let options = Options { program: program(), seed: 1, folder, operator, say: false, log_level, preload };
     let _place = Place::taken();
-    saffronpaddle_fleet::run(scenario, &options, false).expect("it is played")
+    saffronpaddle_fleet_harness::run(scenario, &options, false).expect("it is played")
 }
--- a/crates/saffronpaddle/tests/life.rs
+++ b/crates/saffronpaddle/tests/life.rs
@@ -366,8 +366,10 @@
 }
 
 fn shipped(name: &str) -> &'static str {
-    let (_, text) =
-        saffronpaddle_fleet::scenario::SHIPPED.iter().find(|(other, _)| *other == name).expect("known");
+    let (_, text) = saffronpaddle_fleet_harness::scenario::SHIPPED
+        .iter()
+        .find(|(other, _)| *other == name)
+        .expect("known");
     text
 }
 
--- a/crates/saffronpaddle/tests/soak.rs
+++ b/crates/saffronpaddle/tests/soak.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::{soak_options, Place};
-use saffronpaddle_fleet::soak::{self, Plan, Size};
+use saffronpaddle_fleet_harness::soak::{self, Plan, Size};
 
 fn keeps_the_rules(seed: u64) {
     let options = soak_options(seed);
@@ -36,7 +36,7 @@
         for size in [Size::SHORT, Size::LONG] {
             let plan = Plan::draw(seed, size);
             assert_eq!(plan, Plan::draw(seed, size));
-            let scenario = saffronpaddle_fleet::Scenario::parse(&plan.text(), seed);
+            let scenario = saffronpaddle_fleet_harness::Scenario::parse(&plan.text(), seed);
             assert!(scenario.is_ok(), "seed {seed}: {scenario:?}");
         }
     }
--- a/crates/saffronpaddle/tests/terms.rs
+++ b/crates/saffronpaddle/tests/terms.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::fleet;
-use saffronpaddle_fleet::Report;
+use saffronpaddle_fleet_harness::Report;
 
 /// An answer may come half a second after its client's time; later, or never, its request is lost.
 fn play(tag: &str, text: &str) -> Report {
