--- a/crates/admin/src/desk.rs
+++ b/crates/admin/src/desk.rs
@@ -27,7 +27,12 @@
 
     /// A desk with room for so many, each for so long.
     pub fn new(most: usize, stay: Duration) -> Desk {
-        Desk { most: most.max(1), stay, next: 0, waiting: VecDeque::new() }
+        Desk {
+            most: most.max(1),
+            stay,
+            next: 0,
+            waiting: VecDeque::new(),
+        }
     }
 
     /// Somebody comes; who has to go for it, if there is no room.
@@ -35,7 +40,11 @@
         let caller = Caller(self.next);
         self.next += 1;
         let full = self.waiting.len() >= self.most;
-        let goes = if full { self.waiting.pop_front().map(|(_, caller)| caller) } else { None };
+        let goes = if full {
+            self.waiting.pop_front().map(|(_, caller)| caller)
+        } else {
+            None
+        };
         self.waiting.push_back((now, caller));
         (caller, goes)
     }
--- a/crates/admin/src/desk/tests.rs
+++ b/crates/admin/src/desk/tests.rs
@@ -2,7 +2,10 @@
 
 #[test]
 fn who_waits_longest_makes_way_and_who_stays_too_long_goes() {
-    let (ms, mut desk) = (Duration::from_millis, Desk::new(2, Duration::from_millis(100)));
+    let (ms, mut desk) = (
+        Duration::from_millis,
+        Desk::new(2, Duration::from_millis(100)),
+    );
     let (first, goes) = desk.comes(ms(0));
     assert_eq!(goes, None);
     let (second, goes) = desk.comes(ms(10));
@@ -10,7 +13,10 @@
     let (third, goes) = desk.comes(ms(20));
     assert_eq!(goes, Some(first));
     desk.goes(second);
-    assert_eq!((desk.len(), desk.until(), desk.stale(ms(119))), (1, Some(ms(120)), None));
+    assert_eq!(
+        (desk.len(), desk.until(), desk.stale(ms(119))),
+        (1, Some(ms(120)), None)
+    );
     assert_eq!(desk.stale(ms(120)), Some(third));
     assert!(desk.is_empty() && desk.until().is_none());
 }
--- a/crates/admin/src/figures.rs
+++ b/crates/admin/src/figures.rs
@@ -158,5 +158,8 @@
 
 /// A label's value as the text form has it.
 fn escaped(value: &str) -> String {
-    value.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n")
+    value
+        .replace('\\', "\\\\")
+        .replace('"', "\\\"")
+        .replace('\n', "\\n")
 }
--- a/crates/admin/src/line.rs
+++ b/crates/admin/src/line.rs
@@ -21,12 +21,19 @@
 
 impl Call {
     /// All calls, with the words that stand for them.
-    pub const ALL: [(&'static str, Call); 4] =
-        [("PING", Call::Ping), ("INFO", Call::Info), ("LAMEDUCK", Call::Lameduck), ("REJOIN", Call::Rejoin)];
+    pub const ALL: [(&'static str, Call); 4] = [
+        ("PING", Call::Ping),
+        ("INFO", Call::Info),
+        ("LAMEDUCK", Call::Lameduck),
+        ("REJOIN", Call::Rejoin),
+    ];
 
     /// The call that a word stands for, to the letter.
     pub fn named(word: &str) -> Option<Call> {
-        Call::ALL.iter().find(|(name, _)| *name == word).map(|(_, call)| *call)
+        Call::ALL
+            .iter()
+            .find(|(name, _)| *name == word)
+            .map(|(_, call)| *call)
     }
 }
 
--- a/crates/admin/tests/counts.rs
+++ b/crates/admin/tests/counts.rs
@@ -5,8 +5,10 @@
 use saffronpaddle_admin::{End, Figures, Line, Tally, LINE_MOST};
 
 fn told(text: &str, name: &str) -> u64 {
-    let line =
-        text.lines().find_map(|line| line.strip_prefix(name)).unwrap_or_else(|| panic!("{name}: {text}"));
+    let line = text
+        .lines()
+        .find_map(|line| line.strip_prefix(name))
+        .unwrap_or_else(|| panic!("{name}: {text}"));
     line.trim().parse().expect("a number")
 }
 
--- a/crates/bench/src/cost.rs
+++ b/crates/bench/src/cost.rs
@@ -18,7 +18,8 @@
 const CORE: usize = 0;
 
 pub fn measure(mut arguments: lexopt::Parser) -> Result<()> {
-    let (mut servers, mut connections, mut requests, mut rounds) = (10_usize, 16_usize, 40_000_u64, 3_usize);
+    let (mut servers, mut connections, mut requests, mut rounds) =
+        (10_usize, 16_usize, 40_000_u64, 3_usize);
     let mut against: Option<PathBuf> = None;
     while let Some(argument) = arguments.next()? {
         match argument {
@@ -30,8 +31,14 @@
             other => return Err(other.unexpected().into()),
         }
     }
-    ensure!(servers > 0 && connections > 0 && requests > 0 && rounds > 0, "nothing to measure");
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
+    ensure!(
+        servers > 0 && connections > 0 && requests > 0 && rounds > 0,
+        "nothing to measure"
+    );
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(2)
+        .enable_all()
+        .build()?;
     runtime.block_on(async {
         let world = World::begin(Bounds::default());
         let discovery = Discovery::new(Arc::clone(&world));
@@ -90,7 +97,11 @@
         tokio::spawn(async move {
             let mut wire = Wire::new(stream);
             while let Ok(Some(_)) = wire.message(&world).await {
-                if wire.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nranks").await.is_err() {
+                if wire
+                    .write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nranks")
+                    .await
+                    .is_err()
+                {
                     return;
                 }
             }
@@ -99,7 +110,12 @@
 }
 
 /// One round of requests, one at a time on each connection: µs of CPU that each cost the process.
-pub async fn round(world: &Arc<World>, process: &Measured, connections: usize, requests: u64) -> Result<f64> {
+pub async fn round(
+    world: &Arc<World>,
+    process: &Measured,
+    connections: usize,
+    requests: u64,
+) -> Result<f64> {
     process.pin(CORE)?;
     up(process).await?;
     // The first requests open connections; they count for nothing.
@@ -113,13 +129,21 @@
 pub async fn up(process: &Measured) -> Result<()> {
     let begun = Instant::now();
     while TcpStream::connect(process.address).await.is_err() {
-        ensure!(begun.elapsed() < Duration::from_secs(20), "it does not come up");
+        ensure!(
+            begun.elapsed() < Duration::from_secs(20),
+            "it does not come up"
+        );
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     Ok(())
 }
 
-async fn offer(world: &Arc<World>, address: SocketAddr, connections: usize, requests: u64) -> Result<()> {
+async fn offer(
+    world: &Arc<World>,
+    address: SocketAddr,
+    connections: usize,
+    requests: u64,
+) -> Result<()> {
     let left = Arc::new(AtomicU64::new(requests));
     let mut clients = tokio::task::JoinSet::new();
     for client in 0..connections {
--- a/crates/bench/src/idle.rs
+++ b/crates/bench/src/idle.rs
@@ -19,7 +19,10 @@
             other => return Err(other.unexpected().into()),
         }
     }
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(2)
+        .enable_all()
+        .build()?;
     runtime.block_on(async {
         let world = World::begin(Bounds::default());
         let discovery = Discovery::new(Arc::clone(&world));
@@ -30,14 +33,22 @@
             let begun = Instant::now();
             let node = process::node(&crate::program()?, &fleet, agent, &discovery.known())?;
             loop {
-                ensure!(begun.elapsed() < Duration::from_secs(20), "it does not come up");
+                ensure!(
+                    begun.elapsed() < Duration::from_secs(20),
+                    "it does not come up"
+                );
                 let Ok(stream) = TcpStream::connect(node.address).await else {
                     tokio::time::sleep(Duration::from_micros(200)).await;
                     continue;
                 };
                 let mut wire = Wire::new(stream);
-                wire.write(b"GET /-/ready HTTP/1.1\r\nHost: bench\r\n\r\n").await?;
-                if wire.message(&world).await?.is_some_and(|answer| answer.status() == 200) {
+                wire.write(b"GET /-/ready HTTP/1.1\r\nHost: bench\r\n\r\n")
+                    .await?;
+                if wire
+                    .message(&world)
+                    .await?
+                    .is_some_and(|answer| answer.status() == 200)
+                {
                     break;
                 }
             }
@@ -53,7 +64,10 @@
             "{starts} starts: exec to ready {first:.1} to {last:.1} ms, median {:.1}",
             spans[spans.len() / 2]
         );
-        println!("idle: {memory:.1} MB at most, {:.3}% of a core at most", spent * 100.0);
+        println!(
+            "idle: {memory:.1} MB at most, {:.3}% of a core at most",
+            spent * 100.0
+        );
         Ok(())
     })
 }
--- a/crates/bench/src/process.rs
+++ b/crates/bench/src/process.rs
@@ -22,13 +22,18 @@
 
 impl Measured {
     fn pid(&self) -> Result<Pid> {
-        Ok(Pid::from_raw(i32::try_from(self.child.id()).context("a process id")?))
+        Ok(Pid::from_raw(
+            i32::try_from(self.child.id()).context("a process id")?,
+        ))
     }
 
     /// CPU time of its main thread, in ns (`/proc/PID/schedstat`); it has no other that works.
     pub fn spent(&self) -> Result<u64> {
         let text = std::fs::read_to_string(format!("/proc/{}/schedstat", self.child.id()))?;
-        text.split(' ').next().and_then(|word| word.parse().ok()).context("schedstat")
+        text.split(' ')
+            .next()
+            .and_then(|word| word.parse().ok())
+            .context("schedstat")
     }
 
     /// CPU time in ns and runs of its threads so far, by their names (`/proc/PID/task/*/schedstat`). A thread that has ended
@@ -39,9 +44,13 @@
             let task = task?.path();
             // It may have ended meanwhile.
             let read = |file| std::fs::read_to_string(task.join(file));
-            let (Ok(name), Ok(text)) = (read("comm"), read("schedstat")) else { continue };
+            let (Ok(name), Ok(text)) = (read("comm"), read("schedstat")) else {
+                continue;
+            };
             let mut words = text.split_whitespace().map(str::parse::<u64>);
-            let (Some(Ok(spent)), Some(Ok(runs))) = (words.next(), words.nth(1)) else { continue };
+            let (Some(Ok(spent)), Some(Ok(runs))) = (words.next(), words.nth(1)) else {
+                continue;
+            };
             let sum = threads.entry(name.trim_end().to_owned()).or_insert((0, 0));
             *sum = (sum.0 + spent, sum.1 + runs);
         }
@@ -71,16 +80,28 @@
         // It may have ended by itself.
         let _ = self.child.kill();
         let _ = self.child.wait();
-        self.config.iter().for_each(|path| _ = std::fs::remove_file(path));
+        self.config
+            .iter()
+            .for_each(|path| _ = std::fs::remove_file(path));
         // Only some have one.
-        self.config.iter().for_each(|path| _ = std::fs::remove_file(path.with_extension("toml")));
+        self.config
+            .iter()
+            .for_each(|path| _ = std::fs::remove_file(path.with_extension("toml")));
     }
 }
 
 /// A fleet of one node whose customers' quotas bind nobody.
 pub fn unbound() -> Fleet {
-    let plan = Plan { name: "free", rate: 1e9, burst: 1e9, ceiling: None };
-    Fleet { plans: vec![plan], ..Fleet::usual(1) }
+    let plan = Plan {
+        name: "free",
+        rate: 1e9,
+        burst: 1e9,
+        ceiling: None,
+    };
+    Fleet {
+        plans: vec![plan],
+        ..Fleet::usual(1)
+    }
 }
 
 /// Starts one node that knows these servers.
@@ -90,20 +111,31 @@
 
 /// Starts one node with an operator file, which knows no servers.
 pub fn operated(
-    program: &Path, fleet: &Fleet, discovery: SocketAddr, operator: Option<&Path>,
+    program: &Path,
+    fleet: &Fleet,
+    discovery: SocketAddr,
+    operator: Option<&Path>,
 ) -> Result<Measured> {
     start(program, fleet, discovery, None, operator, DESCRIPTORS)
 }
 
 /// The same with so many descriptors.
 pub fn with_descriptors(
-    program: &Path, fleet: &Fleet, discovery: SocketAddr, operator: Option<&Path>, descriptors: usize,
+    program: &Path,
+    fleet: &Fleet,
+    discovery: SocketAddr,
+    operator: Option<&Path>,
+    descriptors: usize,
 ) -> Result<Measured> {
     start(program, fleet, discovery, None, operator, descriptors)
 }
 
 fn start(
-    program: &Path, fleet: &Fleet, discovery: SocketAddr, known: Option<&str>, operator: Option<&Path>,
+    program: &Path,
+    fleet: &Fleet,
+    discovery: SocketAddr,
+    known: Option<&str>,
+    operator: Option<&Path>,
     sockets: usize,
 ) -> Result<Measured> {
     let address = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
@@ -121,10 +153,20 @@
     let path = std::env::temp_dir().join(format!("saffronpaddle-bench-{}.json", address.port()));
     std::fs::write(&path, text)?;
     let mut command = Command::new(program);
-    operator.iter().for_each(|file| _ = command.arg("run").arg("--operator").arg(file));
-    command.env("LB_CONFIG", &path).stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::null());
+    operator
+        .iter()
+        .for_each(|file| _ = command.arg("run").arg("--operator").arg(file));
+    command
+        .env("LB_CONFIG", &path)
+        .stdin(Stdio::null())
+        .stdout(Stdio::null())
+        .stderr(Stdio::null());
     let child = command.spawn().context("the node")?;
-    Ok(Measured { child, address, config: Some(path) })
+    Ok(Measured {
+        child,
+        address,
+        config: Some(path),
+    })
 }
 
 /// Starts one of several nodes, with this configuration.
@@ -139,16 +181,31 @@
     )?;
     let mut command = Command::new(program);
     command.arg("run").arg("--operator").arg(&operator);
-    command.env("LB_CONFIG", &path).stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::null());
+    command
+        .env("LB_CONFIG", &path)
+        .stdin(Stdio::null())
+        .stdout(Stdio::null())
+        .stderr(Stdio::null());
     let child = command.spawn().context("the node")?;
-    Ok(Measured { child, address, config: Some(path) })
+    Ok(Measured {
+        child,
+        address,
+        config: Some(path),
+    })
 }
 
 /// Starts a bare relay before these servers, as a job of this program.
 pub fn relay(job: &str, servers: &[SocketAddr]) -> Result<Measured> {
     let address = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
     let mut command = Command::new(std::env::current_exe()?);
-    command.arg(job).arg(address.to_string()).args(servers.iter().map(SocketAddr::to_string));
+    command
+        .arg(job)
+        .arg(address.to_string())
+        .args(servers.iter().map(SocketAddr::to_string));
     let child = command.stdin(Stdio::null()).spawn().context("the relay")?;
-    Ok(Measured { child, address, config: None })
+    Ok(Measured {
+        child,
+        address,
+        config: None,
+    })
 }
--- a/crates/bench/src/relay.rs
+++ b/crates/bench/src/relay.rs
@@ -26,15 +26,23 @@
     let mut addresses = Vec::new();
     while let Some(argument) = arguments.next()? {
         match argument {
-            lexopt::Arg::Value(value) => addresses.push(lexopt::ValueExt::parse::<SocketAddr>(&value)?),
+            lexopt::Arg::Value(value) => {
+                addresses.push(lexopt::ValueExt::parse::<SocketAddr>(&value)?)
+            }
             other => return Err(other.unexpected().into()),
         }
     }
     let listen = *addresses.first().context("an address to listen at")?;
     let servers = addresses.split_off(1);
     let idle = servers.iter().map(|_| RefCell::default()).collect();
-    let pool = Rc::new(Pool { servers, idle, next: Cell::new(0) });
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let pool = Rc::new(Pool {
+        servers,
+        idle,
+        next: Cell::new(0),
+    });
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     LocalSet::new().block_on(&runtime, async {
         let listener = TcpListener::bind(listen).await?;
         loop {
@@ -44,7 +52,9 @@
             tokio::task::spawn_local(async move {
                 let service = service_fn(move |request| forward(Rc::clone(&pool), request));
                 // The client sees how it ended.
-                let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
+                let _ = http1::Builder::new()
+                    .serve_connection(TokioIo::new(stream), service)
+                    .await;
             });
         }
     })
@@ -53,7 +63,10 @@
 async fn forward(pool: Rc<Pool>, request: Request<Incoming>) -> Result<Response<Full<Bytes>>> {
     let place = pool.next.get() % pool.servers.len();
     pool.next.set(place + 1);
-    let kept = pool.idle[place].borrow_mut().pop().filter(|sender| sender.is_ready());
+    let kept = pool.idle[place]
+        .borrow_mut()
+        .pop()
+        .filter(|sender| sender.is_ready());
     let mut sender = match kept {
         Some(sender) => sender,
         None => {
@@ -69,7 +82,9 @@
     };
     let (head, body) = request.into_parts();
     let body = body.collect().await?.to_bytes();
-    let answer = sender.send_request(Request::from_parts(head, Full::new(body))).await?;
+    let answer = sender
+        .send_request(Request::from_parts(head, Full::new(body)))
+        .await?;
     let (head, body) = answer.into_parts();
     let body = body.collect().await?.to_bytes();
     pool.idle[place].borrow_mut().push(sender);
--- a/crates/bench/src/roster.rs
+++ b/crates/bench/src/roster.rs
@@ -24,7 +24,10 @@
             other => return Err(other.unexpected().into()),
         }
     }
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(2)
+        .enable_all()
+        .build()?;
     runtime.block_on(async {
         let world = World::begin(Bounds::default());
         let discovery = Discovery::new(Arc::clone(&world));
@@ -87,13 +90,18 @@
 type Rates = BTreeMap<String, (f64, f64)>;
 
 fn since(
-    before: &BTreeMap<String, (u64, u64)>, after: &BTreeMap<String, (u64, u64)>, over: Duration,
+    before: &BTreeMap<String, (u64, u64)>,
+    after: &BTreeMap<String, (u64, u64)>,
+    over: Duration,
 ) -> Rates {
     let over = over.as_secs_f64();
     let rate = |(name, (spent, runs)): (&String, &(u64, u64))| {
         let (spent_before, runs_before) = before.get(name).copied().unwrap_or_default();
         let spent = spent.saturating_sub(spent_before) as f64 / 1e9 / over;
-        (name.clone(), (spent, runs.saturating_sub(runs_before) as f64 / over))
+        (
+            name.clone(),
+            (spent, runs.saturating_sub(runs_before) as f64 / over),
+        )
     };
     after.iter().map(rate).collect()
 }
@@ -101,7 +109,8 @@
 async fn ready(world: &World, node: &process::Measured) -> bool {
     let asked = async {
         let mut wire = Wire::new(TcpStream::connect(node.address).await?);
-        wire.write(b"GET /-/ready HTTP/1.1\r\nHost: bench\r\n\r\n").await?;
+        wire.write(b"GET /-/ready HTTP/1.1\r\nHost: bench\r\n\r\n")
+            .await?;
         wire.message(world).await?.context("an answer")
     };
     asked.await.is_ok_and(|answer| answer.status() == 200)
--- a/crates/bench/src/scale/bounds.rs
+++ b/crates/bench/src/scale/bounds.rs
@@ -67,8 +67,15 @@
 /// Descriptors of a run beside those of its nodes.
 const DESCRIPTORS: usize = 1_000;
 
-fn within<T: PartialOrd + std::fmt::Display>(name: &str, of: T, (least, most): (T, T)) -> Result<()> {
-    ensure!(of >= least && of <= most, "{name} {of} is not from {least} to {most}");
+fn within<T: PartialOrd + std::fmt::Display>(
+    name: &str,
+    of: T,
+    (least, most): (T, T),
+) -> Result<()> {
+    ensure!(
+        of >= least && of <= most,
+        "{name} {of} is not from {least} to {most}"
+    );
     Ok(())
 }
 
@@ -116,7 +123,11 @@
             + self.servers as f64 * A_SERVER
             + self.nodes as f64 * A_PEER
             + (seen + self.tenants as f64 / self.running() as f64) * A_TENANT;
-        let table = if self.spread == 0 { 0.0 } else { self.tenants as f64 * 16.0 };
+        let table = if self.spread == 0 {
+            0.0
+        } else {
+            self.tenants as f64 * 16.0
+        };
         RUN + self.processes() as f64 * (A_PROCESS + 16.0 * self.tenants as f64 + table)
             + self.running() as f64 * node
     }
@@ -128,8 +139,18 @@
     pub fn check(&self) -> Result<()> {
         within("nodes", self.nodes, NODES)?;
         within("real", self.real, REAL)?;
-        ensure!(self.present <= self.nodes, "present {} is more than nodes {}", self.present, self.nodes);
-        ensure!(self.real <= self.running(), "real {} is more than nodes {}", self.real, self.running());
+        ensure!(
+            self.present <= self.nodes,
+            "present {} is more than nodes {}",
+            self.present,
+            self.nodes
+        );
+        ensure!(
+            self.real <= self.running(),
+            "real {} is more than nodes {}",
+            self.real,
+            self.running()
+        );
         within("servers", self.servers, SERVERS)?;
         within("tenants", self.tenants, TENANTS)?;
         within("tries", self.tries, TRIES)?;
@@ -139,7 +160,11 @@
         within("skew", self.skew, SKEW)?;
         within("seconds", self.seconds, SECONDS)?;
         let least = self.least();
-        ensure!(least < POINT, "two looks of {} s take {least:?}; a point may take {POINT:?}", self.seconds);
+        ensure!(
+            least < POINT,
+            "two looks of {} s take {least:?}; a point may take {POINT:?}",
+            self.seconds
+        );
         let (all, free) = machine()?;
         let (needed, most) = (self.bytes(), (all / 2.0).min(free));
         if needed > most {
--- a/crates/bench/src/scale/fit.rs
+++ b/crates/bench/src/scale/fit.rs
@@ -22,14 +22,26 @@
     if points.len() < 2 || spread <= 0.0 {
         return None;
     }
-    let slope = points.iter().map(|point| (point.0 - x) * (point.1 - y)).sum::<f64>() / spread;
+    let slope = points
+        .iter()
+        .map(|point| (point.0 - x) * (point.1 - y))
+        .sum::<f64>()
+        / spread;
     let at_zero = y - slope * x;
-    let rest: f64 = points.iter().map(|point| (point.1 - at_zero - slope * point.0).powi(2)).sum();
+    let rest: f64 = points
+        .iter()
+        .map(|point| (point.1 - at_zero - slope * point.0).powi(2))
+        .sum();
     let error = (points.len() > 2).then(|| (rest / (many - 2.0) / spread).sqrt());
     let step = |two: &[(f64, f64)]| (two[1].1 - two[0].1) / (two[1].0 - two[0].0);
     let mut steps = points.windows(2).map(step);
     let first = steps.next()?;
-    Some(Fit { slope, error, at_zero, ends: (first, steps.next_back().unwrap_or(first)) })
+    Some(Fit {
+        slope,
+        error,
+        at_zero,
+        ends: (first, steps.next_back().unwrap_or(first)),
+    })
 }
 
 #[cfg(test)]
--- a/crates/bench/src/scale/fit/tests.rs
+++ b/crates/bench/src/scale/fit/tests.rs
@@ -22,5 +22,8 @@
     assert_eq!(line(&[]), None);
     assert_eq!(line(&[(1.0, 1.0)]), None);
     assert_eq!(line(&[(1.0, 1.0), (1.0, 2.0)]), None);
-    assert_eq!(line(&[(1.0, 1.0), (2.0, 2.0)]).expect("two points").error, None);
+    assert_eq!(
+        line(&[(1.0, 1.0), (2.0, 2.0)]).expect("two points").error,
+        None
+    );
 }
--- a/crates/bench/src/scale/mod.rs
+++ b/crates/bench/src/scale/mod.rs
@@ -64,10 +64,30 @@
 }
 
 const SWEEPS: [(Sweep, &str, &[f64], &[f64]); 6] = [
-    (Sweep::Nodes, "nodes", &[30.0, 300.0, 1000.0, 2700.0], &[10.0, 30.0, 100.0]),
-    (Sweep::Servers, "servers", &[200.0, 2000.0, 10_000.0, 40_000.0], &[50.0, 200.0, 2000.0]),
-    (Sweep::Tenants, "tenants", &[1000.0, 10_000.0, 83_000.0], &[]),
-    (Sweep::Tries, "tries", &[1.0, 10.0, 40.0, 81.5, 160.0], &[1.0, 10.0, 40.0]),
+    (
+        Sweep::Nodes,
+        "nodes",
+        &[30.0, 300.0, 1000.0, 2700.0],
+        &[10.0, 30.0, 100.0],
+    ),
+    (
+        Sweep::Servers,
+        "servers",
+        &[200.0, 2000.0, 10_000.0, 40_000.0],
+        &[50.0, 200.0, 2000.0],
+    ),
+    (
+        Sweep::Tenants,
+        "tenants",
+        &[1000.0, 10_000.0, 83_000.0],
+        &[],
+    ),
+    (
+        Sweep::Tries,
+        "tries",
+        &[1.0, 10.0, 40.0, 81.5, 160.0],
+        &[1.0, 10.0, 40.0],
+    ),
     (Sweep::Changes, "changes", &[1.0, 10.0, 16.7, 50.0], &[]),
     (Sweep::Restart, "restart", &[0.01, 0.1, 0.5], &[]),
 ];
@@ -89,20 +109,39 @@
             seconds,
         };
         match self {
-            Sweep::Nodes => Point { tries: 4.0, changes: 0.4, ..base },
+            Sweep::Nodes => Point {
+                tries: 4.0,
+                changes: 0.4,
+                ..base
+            },
             // A few nodes of the size to design for, with as many tries as each has there at the peak.
-            Sweep::Servers => Point { nodes: 2700, present: 3, tries: 81.5, ..base },
+            Sweep::Servers => Point {
+                nodes: 2700,
+                present: 3,
+                tries: 81.5,
+                ..base
+            },
             // So many that a node meets in a look as many tenants as it keeps in mind at that size.
-            Sweep::Tenants => Point { nodes: 3, tries: 400.0, ..base },
+            Sweep::Tenants => Point {
+                nodes: 3,
+                tries: 400.0,
+                ..base
+            },
             Sweep::Tries => base,
-            Sweep::Changes => Point { servers: 2000, ..base },
+            Sweep::Changes => Point {
+                servers: 2000,
+                ..base
+            },
             Sweep::Restart => Point { nodes: 100, ..base },
         }
     }
 
     fn set(self, point: &mut Point, at: f64) -> Result<()> {
         let whole = || {
-            ensure!(at.fract() == 0.0 && at >= 0.0, "a point of this sweep is a whole number, not {at}");
+            ensure!(
+                at.fract() == 0.0 && at >= 0.0,
+                "a point of this sweep is a whole number, not {at}"
+            );
             Ok(at as usize)
         };
         match self {
@@ -137,7 +176,11 @@
             Long("points") => {
                 let text = arguments.value()?.string()?;
                 let points = text.split(',').map(|point| point.trim().parse());
-                at = Some(points.collect::<Result<_, _>>().with_context(|| format!("--points {text}"))?);
+                at = Some(
+                    points
+                        .collect::<Result<_, _>>()
+                        .with_context(|| format!("--points {text}"))?,
+                );
             }
             Long("seconds") => seconds = Some(arguments.value()?.parse()?),
             Long("csv") => csv = Some(PathBuf::from(arguments.value()?)),
@@ -148,8 +191,8 @@
                 other => bail!("--list {other}: agent or service"),
             },
             Long(
-                name @ ("nodes" | "present" | "servers" | "tenants" | "tries" | "changes" | "restart"
-                | "real" | "spread" | "skew"),
+                name @ ("nodes" | "present" | "servers" | "tenants" | "tries" | "changes"
+                | "restart" | "real" | "spread" | "skew"),
             ) => {
                 let name = name.to_owned();
                 others.push((name, arguments.value()?.string()?));
@@ -158,37 +201,59 @@
         }
     }
     ensure!(at.is_none() || sweep.is_some(), "--points needs --sweep");
-    let named = SWEEPS.iter().find(|(_, name, ..)| Some(*name) == sweep.as_deref());
+    let named = SWEEPS
+        .iter()
+        .find(|(_, name, ..)| Some(*name) == sweep.as_deref());
     if let Some(sweep) = sweep.as_ref().filter(|_| named.is_none()) {
         let names: Vec<&str> = SWEEPS.iter().map(|(_, name, ..)| *name).collect();
         bail!("--sweep {sweep}: one of {}", names.join(", "));
     }
-    let swept = others.iter().find(|(other, _)| Some(other.as_str()) == sweep.as_deref());
-    ensure!(swept.is_none(), "--{0} beside --sweep {0}: give --points", sweep.unwrap_or_default());
+    let swept = others
+        .iter()
+        .find(|(other, _)| Some(other.as_str()) == sweep.as_deref());
+    ensure!(
+        swept.is_none(),
+        "--{0} beside --sweep {0}: give --points",
+        sweep.unwrap_or_default()
+    );
     let seconds = seconds.unwrap_or(if quick { 2 } else { 5 });
     let mut points = Vec::new();
     for (of, name, whole, few) in named.map_or(&SWEEPS[..], std::slice::from_ref) {
         let usual = if quick { few } else { whole };
         let at = at.clone().unwrap_or_else(|| usual.to_vec());
-        ensure!(named.is_none() || !at.is_empty(), "--sweep {name} has no points here: give --points");
+        ensure!(
+            named.is_none() || !at.is_empty(),
+            "--sweep {name} has no points here: give --points"
+        );
         for at in at {
             let mut point = of.base(seconds);
             for (other, text) in &others {
                 set(&mut point, other, text).with_context(|| format!("--{other} {text}"))?;
             }
             of.set(&mut point, at)?;
-            point.check().with_context(|| format!("sweep {name}, point {at}"))?;
+            point
+                .check()
+                .with_context(|| format!("sweep {name}, point {at}"))?;
             ensure!(
-                !points.iter().any(|(of, other, _)| of == name && *other == at),
+                !points
+                    .iter()
+                    .any(|(of, other, _)| of == name && *other == at),
                 "point {at} is there twice"
             );
             points.push((*name, at, point));
         }
     }
     let least: Duration = points.iter().map(|(.., point)| point.least()).sum();
-    ensure!(least < ALL, "{} points take {least:?} at the least; all may take {ALL:?}", points.len());
+    ensure!(
+        least < ALL,
+        "{} points take {least:?} at the least; all may take {ALL:?}",
+        points.len()
+    );
     for path in [&csv, &plot].into_iter().flatten() {
-        let folder = path.parent().filter(|folder| !folder.as_os_str().is_empty()).unwrap_or(Path::new("."));
+        let folder = path
+            .parent()
+            .filter(|folder| !folder.as_os_str().is_empty())
+            .unwrap_or(Path::new("."));
         ensure!(
             folder.is_dir() && !path.is_dir(),
             "{} is not a file in a folder that is there",
@@ -198,7 +263,12 @@
     if points.iter().any(|(.., point)| point.real > 0) {
         crate::program()?;
     }
-    Ok(Asked { points, followed, csv, plot })
+    Ok(Asked {
+        points,
+        followed,
+        csv,
+        plot,
+    })
 }
 
 fn set(point: &mut Point, name: &str, text: &str) -> Result<()> {
@@ -230,7 +300,10 @@
     println!(
         "services: not carried by the program (there is one list of servers, and no services or routes)"
     );
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(3).enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(3)
+        .enable_all()
+        .build()?;
     let begun = Instant::now();
     let (mut rows, mut undone) = (Vec::new(), 0);
     for (sweep, at, point) in &asked.points {
@@ -241,7 +314,12 @@
             continue;
         }
         let took = Instant::now();
-        let mut of = Rows { sweep, at: *at, point, all: Vec::new() };
+        let mut of = Rows {
+            sweep,
+            at: *at,
+            point,
+            all: Vec::new(),
+        };
         let ran = runtime.block_on(async {
             tokio::time::timeout(left, run(&mut of, asked.followed, left))
                 .await
@@ -251,36 +329,81 @@
             Ok(()) => print(&of, took.elapsed()),
             Err(error) => {
                 println!("{sweep} {at}: not measured to its end: {error:#}");
-                of.add(Kind::Reckoned, ("not_measured", "point"), 1.0, &format!("{error:#}"));
+                of.add(
+                    Kind::Reckoned,
+                    ("not_measured", "point"),
+                    1.0,
+                    &format!("{error:#}"),
+                );
                 undone += 1;
             }
         }
         rows.extend(of.all);
         // What there is is kept, should the next point not end well.
-        asked.csv.as_deref().map_or(Ok(()), |path| report::write(path, &rows))?;
+        asked
+            .csv
+            .as_deref()
+            .map_or(Ok(()), |path| report::write(path, &rows))?;
     }
     report::print_slopes(&rows);
-    asked.plot.as_deref().map_or(Ok(()), |path| plot::draw(path, &rows))?;
-    ensure!(undone == 0, "{undone} of {} points were not measured", asked.points.len());
+    asked
+        .plot
+        .as_deref()
+        .map_or(Ok(()), |path| plot::draw(path, &rows))?;
+    ensure!(
+        undone == 0,
+        "{undone} of {} points were not measured",
+        asked.points.len()
+    );
     Ok(())
 }
 
 fn print(rows: &Rows, took: Duration) {
-    println!("{} {}: {:?} ({:.0} s)", rows.sweep, rows.at, rows.point, took.as_secs_f64());
-    for Row { kind, measure, unit, value, note, .. } in &rows.all {
-        println!("  {:<8} {measure:<26} {:>10} {unit:<12} {note}", kind.name(), report::figure(*value));
+    println!(
+        "{} {}: {:?} ({:.0} s)",
+        rows.sweep,
+        rows.at,
+        rows.point,
+        took.as_secs_f64()
+    );
+    for Row {
+        kind,
+        measure,
+        unit,
+        value,
+        note,
+        ..
+    } in &rows.all
+    {
+        println!(
+            "  {:<8} {measure:<26} {:>10} {unit:<12} {note}",
+            kind.name(),
+            report::figure(*value)
+        );
     }
 }
 
 fn unix_micros() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_micros() as u64
 }
 
 /// The fleet's settings, with the tenants' plans and the zones of the size to design for.
 fn fleet(point: &Point) -> Fleet {
-    let plan = |(name, (rate, burst)): (&'static str, (f64, f64))| Plan { name, rate, burst, ceiling: None };
+    let plan = |(name, (rate, burst)): (&'static str, (f64, f64))| Plan {
+        name,
+        rate,
+        burst,
+        ceiling: None,
+    };
     let plans = PLANS.into_iter().zip(plans()).map(plan).collect();
-    Fleet { plans, sites: SITES.to_vec(), ..Fleet::usual(point.nodes) }
+    Fleet {
+        plans,
+        sites: SITES.to_vec(),
+        ..Fleet::usual(point.nodes)
+    }
 }
 
 fn settings(fleet: &Fleet, me: usize, followed: bool) -> Json {
@@ -312,16 +435,21 @@
         servers.push(listener.local_addr()?);
         tokio::spawn(crate::cost::answer(Arc::clone(&world), listener));
     }
-    let (service, list) = Service::start(Arc::clone(&world), point.servers, &zones, &servers).await?;
-    let peers: Vec<SocketAddr> =
-        (0..point.nodes).map(|_| saffronpaddle_test_doubles::ports::unclaimed()).collect::<Result<_, _>>()?;
+    let (service, list) =
+        Service::start(Arc::clone(&world), point.servers, &zones, &servers).await?;
+    let peers: Vec<SocketAddr> = (0..point.nodes)
+        .map(|_| saffronpaddle_test_doubles::ports::unclaimed())
+        .collect::<Result<_, _>>()?;
     let (hollow, processes) = (point.hollow(), point.processes());
     let spec = |number: usize| {
         let from = |number: usize| point.real + hollow * number / processes;
         Spec {
             gateways: point.nodes as u32,
             present: point.running() as u32,
-            nodes: (from(number) as u32, (from(number + 1) - from(number)) as u32),
+            nodes: (
+                from(number) as u32,
+                (from(number + 1) - from(number)) as u32,
+            ),
             settings: settings(&fleet, 0, followed).to_string(),
             zones: zones.clone(),
             peers: peers.clone(),
@@ -330,9 +458,17 @@
             tenants: (point.tenants, point.skew),
             spread: point.spread as u32,
             tries: point.tries,
-            work: fleet.classes.iter().map(|class| class.work.as_micros() as u64).collect(),
+            work: fleet
+                .classes
+                .iter()
+                .map(|class| class.work.as_micros() as u64)
+                .collect(),
             classes: fleet.classes.iter().map(|class| class.share).collect(),
-            patience: fleet.classes.iter().map(|class| class.deadline.as_micros() as u64).collect(),
+            patience: fleet
+                .classes
+                .iter()
+                .map(|class| class.deadline.as_micros() as u64)
+                .collect(),
             seed: number as u64 + 1,
         }
     };
@@ -342,21 +478,36 @@
     for me in 0..point.real {
         real.push(real::start(&world, me, &settings(&fleet, me, followed), &peers, list).await?);
     }
-    let tenants =
-        Tenants::new(point.tenants, point.skew, (point.running() as u32, point.tries), point.spread as u32);
-    Ok(Rig { shards, real, servers, service, world, fleet, tenants })
+    let tenants = Tenants::new(
+        point.tenants,
+        point.skew,
+        (point.running() as u32, point.tries),
+        point.spread as u32,
+    );
+    Ok(Rig {
+        shards,
+        real,
+        servers,
+        service,
+        world,
+        fleet,
+        tenants,
+    })
 }
 
 /// CPU and memory of real processes.
 fn costs(real: &[Real]) -> Result<Vec<(f64, f64)>> {
-    real.iter().map(|real| Ok((real.process.spent()? as f64, real.process.memory()? as f64))).collect()
+    real.iter()
+        .map(|real| Ok((real.process.spent()? as f64, real.process.memory()? as f64)))
+        .collect()
 }
 
 async fn run(rows: &mut Rows<'_>, followed: bool, left: Duration) -> Result<()> {
     let point = rows.point;
     let mut rig = begin(point, followed, left).await?;
     let hollow = point.hollow();
-    let ask = |rig: &mut Rig, word: &str| tokio::task::block_in_place(|| rig.shards.ask::<Look>(word));
+    let ask =
+        |rig: &mut Rig, word: &str| tokio::task::block_in_place(|| rig.shards.ask::<Look>(word));
     let first: Vec<Vec<u64>> = tokio::task::block_in_place(|| rig.shards.ask("ready"))?;
     let mut spans = Spans::default();
     first.iter().flatten().for_each(|span| spans.add(*span));
@@ -379,7 +530,11 @@
         ""
     };
     rows.add(Kind::Reckoned, ("list_full", "B"), full as f64, note);
-    let note = if text < full { "without class, share and born_ms" } else { "" };
+    let note = if text < full {
+        "without class, share and born_ms"
+    } else {
+        ""
+    };
     rows.add(Kind::Reckoned, ("list_text", "B"), text as f64, note);
 
     // Idle.
@@ -393,9 +548,20 @@
     let idle = between(&began, &ended);
     if hollow > 0 {
         let bare: u64 = rig.shards.bare().iter().map(|look| look.memory).sum();
-        let memory = |looks: &[Look]| looks.iter().map(|look| look.memory).sum::<u64>().saturating_sub(bare);
+        let memory = |looks: &[Look]| {
+            looks
+                .iter()
+                .map(|look| look.memory)
+                .sum::<u64>()
+                .saturating_sub(bare)
+        };
         let each = memory(&ended) as f64 / hollow as f64 / 1e6;
-        rows.add(Kind::Hollow, ("memory_idle", "MB/node"), each, "resident, less the process without nodes");
+        rows.add(
+            Kind::Hollow,
+            ("memory_idle", "MB/node"),
+            each,
+            "resident, less the process without nodes",
+        );
         let each = 1.0 / hollow as f64 / span;
         rows.add(
             Kind::Hollow,
@@ -411,18 +577,37 @@
         );
     }
     for (before, after) in real_began.iter().zip(&real_ended) {
-        rows.add(Kind::Real, ("memory_idle", "MB/node"), after.1 / 1e6, "resident, the whole process");
-        rows.add(Kind::Real, ("cpu_idle", "% of a core"), (after.0 - before.0) / 1e7 / span, "");
+        rows.add(
+            Kind::Real,
+            ("memory_idle", "MB/node"),
+            after.1 / 1e6,
+            "resident, the whole process",
+        );
+        rows.add(
+            Kind::Real,
+            ("cpu_idle", "% of a core"),
+            (after.0 - before.0) / 1e7 / span,
+            "",
+        );
     }
 
     // Under load, while the list changes.
     let _: Vec<()> = tokio::task::block_in_place(|| rig.shards.ask("load"))?;
     let mut clients = Vec::new();
     let direct = (rig.servers[0], point.nodes);
-    let through = rig.real.iter().map(|real| (real.process.address, real.me)).chain([direct]);
+    let through = rig
+        .real
+        .iter()
+        .map(|real| (real.process.address, real.me))
+        .chain([direct]);
     let mut offers = tokio::task::JoinSet::new();
     for place in through.collect::<Vec<_>>() {
-        let of = Clients::new(Arc::clone(&rig.world), rig.fleet.clone(), rig.tenants.clone(), place);
+        let of = Clients::new(
+            Arc::clone(&rig.world),
+            rig.fleet.clone(),
+            rig.tenants.clone(),
+            place,
+        );
         if !rig.real.is_empty() {
             offers.spawn(Arc::clone(&of).offer(point.tries, point.settles() + window));
         }
@@ -450,8 +635,10 @@
         let acted: Vec<Acted> = tokio::task::block_in_place(|| rig.shards.ask(&word))?;
         let (mut last, mut all, mut unacted) = (Spans::default(), Spans::default(), 0);
         for change in 0..changes.len() {
-            let of: Option<Vec<u64>> =
-                acted.iter().map(|(last, _)| last.get(change).copied().flatten()).collect();
+            let of: Option<Vec<u64>> = acted
+                .iter()
+                .map(|(last, _)| last.get(change).copied().flatten())
+                .collect();
             match of {
                 Some(of) => last.add(of.into_iter().max().unwrap_or(0)),
                 None => unacted += 1,
@@ -462,10 +649,20 @@
             "{} changes until the last of {hollow} nodes had acted; {unacted} not by all",
             changes.len()
         );
-        rows.add(Kind::Hollow, ("change_last_p50", "ms"), ms(&last, 0.5), &note);
+        rows.add(
+            Kind::Hollow,
+            ("change_last_p50", "ms"),
+            ms(&last, 0.5),
+            &note,
+        );
         rows.add(Kind::Hollow, ("change_last_p99", "ms"), ms(&last, 0.99), "");
         rows.add(Kind::Hollow, ("change_last_max", "ms"), ms(&last, 1.0), "");
-        rows.add(Kind::Hollow, ("change_node_p50", "ms"), ms(&all, 0.5), "over all changes and nodes");
+        rows.add(
+            Kind::Hollow,
+            ("change_node_p50", "ms"),
+            ms(&all, 0.5),
+            "over all changes and nodes",
+        );
         rows.add(Kind::Hollow, ("change_node_p99", "ms"), ms(&all, 0.99), "");
     }
 
@@ -485,14 +682,24 @@
         let mut spans = Spans::default();
         again.iter().flatten().for_each(|span| spans.add(*span));
         let many = spans.many() as f64;
-        rows.add(Kind::Hollow, ("restarted", "nodes"), many, "at one stroke, one by one in each process");
+        rows.add(
+            Kind::Hollow,
+            ("restarted", "nodes"),
+            many,
+            "at one stroke, one by one in each process",
+        );
         rows.add(
             Kind::Hollow,
             ("restart_listed_p50", "ms"),
             ms(&spans, 0.5),
             "from a node's new start until it acted on the list",
         );
-        rows.add(Kind::Hollow, ("restart_listed_max", "ms"), ms(&spans, 1.0), "");
+        rows.add(
+            Kind::Hollow,
+            ("restart_listed_max", "ms"),
+            ms(&spans, 1.0),
+            "",
+        );
         let per = 1.0 / clock.elapsed().as_secs_f64() / hollow as f64;
         rows.add(
             Kind::Hollow,
@@ -521,7 +728,10 @@
     type Acted = (Vec<Option<u64>>, Vec<(u64, u64)>);
     let last = loop {
         let acted: Vec<Acted> = tokio::task::block_in_place(|| rig.shards.ask(&word))?;
-        let last: Option<Vec<u64>> = acted.iter().map(|(last, _)| last.first().copied().flatten()).collect();
+        let last: Option<Vec<u64>> = acted
+            .iter()
+            .map(|(last, _)| last.first().copied().flatten())
+            .collect();
         if last.is_some() || clock.elapsed() > ZONE.0 {
             break last.and_then(|last| last.into_iter().max());
         }
@@ -530,10 +740,23 @@
     let ended = tokio::task::block_in_place(|| rig.shards.ask::<Look>("look"))?;
     rig.service.change(lost.clone());
     let spent = between(&began, &ended).sums.on_lists;
-    let note = format!("{} servers drain in one version, until the last node has acted", lost.len());
-    rows.add(Kind::Hollow, ("zone_last", "ms"), last.map(|us| us as f64 / 1e3), &note);
+    let note = format!(
+        "{} servers drain in one version, until the last node has acted",
+        lost.len()
+    );
+    rows.add(
+        Kind::Hollow,
+        ("zone_last", "ms"),
+        last.map(|us| us as f64 / 1e3),
+        &note,
+    );
     let each = (spent.times > 0).then(|| spent.ns as f64 / 1e6 / spent.times as f64);
-    rows.add(Kind::Hollow, ("zone_decision", "ms"), each, "the decision's and exchange's CPU on that list");
+    rows.add(
+        Kind::Hollow,
+        ("zone_decision", "ms"),
+        each,
+        "the decision's and exchange's CPU on that list",
+    );
     Ok(())
 }
 
@@ -547,7 +770,10 @@
         tokio::time::sleep(at.saturating_sub(begun.elapsed())).await;
         let now = unix_micros();
         // Each server drains, and is ready again with the next change.
-        told.push((service.change([number / 2 % point.servers].into_iter()), now));
+        told.push((
+            service.change([number / 2 % point.servers].into_iter()),
+            now,
+        ));
     }
     told
 }
@@ -564,8 +790,17 @@
 
 impl Between {
     fn decision(&self) -> f64 {
-        let Sums { on_requests, on_wakes, on_words, on_lists, .. } = self.sums;
-        [on_requests, on_wakes, on_words, on_lists].iter().map(|spent| spent.ns as f64).sum()
+        let Sums {
+            on_requests,
+            on_wakes,
+            on_words,
+            on_lists,
+            ..
+        } = self.sums;
+        [on_requests, on_wakes, on_words, on_lists]
+            .iter()
+            .map(|spent| spent.ns as f64)
+            .sum()
     }
 }
 
@@ -602,10 +837,22 @@
         spent(&mut sums.on_words, to.on_words, from.on_words);
         spent(&mut sums.on_lists, to.on_lists, from.on_lists);
     }
-    Between { cpu_ns, busiest, sums, lag, added }
+    Between {
+        cpu_ns,
+        busiest,
+        sums,
+        lag,
+        added,
+    }
 }
 
-fn hollow_rows(rows: &mut Rows, (rig, ended): (&Rig, &[Look]), loaded: &Between, idle: &Between, span: f64) {
+fn hollow_rows(
+    rows: &mut Rows,
+    (rig, ended): (&Rig, &[Look]),
+    loaded: &Between,
+    idle: &Between,
+    span: f64,
+) {
     let point = rows.point;
     let hollow = point.hollow();
     if hollow == 0 {
@@ -629,10 +876,26 @@
     } else {
         "the machine does not keep up with this point: no figure of it is one of real time"
     };
-    hollow_row(rows, "keeps_up", "1 or 0", f64::from(u8::from(kept_up)), late);
-    let note = if shared { "of several nodes" } else { "each has a process of its own" };
+    hollow_row(
+        rows,
+        "keeps_up",
+        "1 or 0",
+        f64::from(u8::from(kept_up)),
+        late,
+    );
+    let note = if shared {
+        "of several nodes"
+    } else {
+        "each has a process of its own"
+    };
     hollow_row(rows, "busiest_process", "% of a core", busy * 100.0, note);
-    hollow_row(rows, "loop_lag_p50", "ms", lag(0.5) / 1e3, "timers are of 1 ms");
+    hollow_row(
+        rows,
+        "loop_lag_p50",
+        "ms",
+        lag(0.5) / 1e3,
+        "timers are of 1 ms",
+    );
     let note = match lag(0.99) > LATE {
         true if shared => "nodes of one process wait for one another, as processes would not",
         true => "later than a sweep: the decision holds the loop, as it would a process's",
@@ -640,13 +903,25 @@
     };
     hollow_row(rows, "loop_lag_p99", "ms", lag(0.99) / 1e3, note);
     hollow_row(rows, "offered", "/s/node", sums.offered as f64 * each, "");
-    hollow_row(rows, "done", "/s/node", sums.done() as f64 * each, "final answers");
+    hollow_row(
+        rows,
+        "done",
+        "/s/node",
+        sums.done() as f64 * each,
+        "final answers",
+    );
     let share = |of: u64| of as f64 / (sums.done() as f64).max(1.0);
     hollow_row(rows, "served_share", "of done", share(sums.served), "");
     hollow_row(rows, "refused_share", "of done", share(sums.refused), "");
     hollow_row(rows, "failed_share", "of done", share(sums.failed), "");
     let each_mb = memory.saturating_sub(bare) as f64 / hollow as f64 / 1e6;
-    hollow_row(rows, "memory_loaded", "MB/node", each_mb, "resident, less the process without nodes");
+    hollow_row(
+        rows,
+        "memory_loaded",
+        "MB/node",
+        each_mb,
+        "resident, less the process without nodes",
+    );
     hollow_row(
         rows,
         "cpu_loaded",
@@ -664,31 +939,99 @@
     let us = |spent: Spent| (spent.times > 0).then(|| spent.ns as f64 / 1e3 / spent.times as f64);
     if sums.offered > 0 {
         let all = (loaded.decision() - idle.decision()).max(0.0) / 1e3 / sums.offered as f64;
-        hollow_row(rows, "decision_try", "µs", all, "of all its entries, less idle, a try offered");
+        hollow_row(
+            rows,
+            "decision_try",
+            "µs",
+            all,
+            "of all its entries, less idle, a try offered",
+        );
         let own = sums.on_requests.ns as f64 / 1e3 / sums.offered as f64;
-        hollow_row(rows, "decision_try_own", "µs", own, "entries for requests alone, a try offered");
+        hollow_row(
+            rows,
+            "decision_try_own",
+            "µs",
+            own,
+            "entries for requests alone, a try offered",
+        );
     }
-    rows.add(Kind::Hollow, ("decision_wake", "µs"), us(sums.on_wakes), "one wake-up");
-    rows.add(Kind::Hollow, ("decision_word", "µs"), us(sums.on_words), "one datagram of a peer");
-    rows.add(Kind::Hollow, ("decision_list", "µs"), us(sums.on_lists), "one list or change, read already");
+    rows.add(
+        Kind::Hollow,
+        ("decision_wake", "µs"),
+        us(sums.on_wakes),
+        "one wake-up",
+    );
+    rows.add(
+        Kind::Hollow,
+        ("decision_word", "µs"),
+        us(sums.on_words),
+        "one datagram of a peer",
+    );
+    rows.add(
+        Kind::Hollow,
+        ("decision_list", "µs"),
+        us(sums.on_lists),
+        "one list or change, read already",
+    );
     let hollow_row = |rows: &mut Rows, name, unit, value: f64, note: &str| {
         rows.add(Kind::Hollow, (name, unit), value, note)
     };
-    hollow_row(rows, "wakes", "/s/node", sums.on_wakes.times as f64 * each, "");
-    hollow_row(rows, "words_sent", "/s/node", sums.sent.0 as f64 * each, "datagrams");
+    hollow_row(
+        rows,
+        "wakes",
+        "/s/node",
+        sums.on_wakes.times as f64 * each,
+        "",
+    );
+    hollow_row(
+        rows,
+        "words_sent",
+        "/s/node",
+        sums.sent.0 as f64 * each,
+        "datagrams",
+    );
     let over = if sums.taken.0 as f64 * each > INTAKE {
         "more than the 60 that the platform lets a node take"
     } else {
         ""
     };
-    hollow_row(rows, "words_taken", "/s/node", sums.taken.0 as f64 * each, over);
-    hollow_row(rows, "word_bytes_sent", "B/s/node", sums.sent.1 as f64 * each, "payload");
-    hollow_row(rows, "word_bytes_taken", "B/s/node", sums.taken.1 as f64 * each, "payload");
-    hollow_row(rows, "list_bytes", "B/s/node", sums.list.1 as f64 * each, "of the watch");
-    let both =
-        (sums.sent.0 + sums.taken.0) as f64 * HEADERS + (sums.sent.1 + sums.taken.1 + sums.list.1) as f64;
+    hollow_row(
+        rows,
+        "words_taken",
+        "/s/node",
+        sums.taken.0 as f64 * each,
+        over,
+    );
+    hollow_row(
+        rows,
+        "word_bytes_sent",
+        "B/s/node",
+        sums.sent.1 as f64 * each,
+        "payload",
+    );
+    hollow_row(
+        rows,
+        "word_bytes_taken",
+        "B/s/node",
+        sums.taken.1 as f64 * each,
+        "payload",
+    );
+    hollow_row(
+        rows,
+        "list_bytes",
+        "B/s/node",
+        sums.list.1 as f64 * each,
+        "of the watch",
+    );
+    let both = (sums.sent.0 + sums.taken.0) as f64 * HEADERS
+        + (sums.sent.1 + sums.taken.1 + sums.list.1) as f64;
     let note = "words both ways with 28 bytes of headers, and the list's bytes";
-    rows.add(Kind::Reckoned, ("control_bytes", "B/s/node"), both * each, note);
+    rows.add(
+        Kind::Reckoned,
+        ("control_bytes", "B/s/node"),
+        both * each,
+        note,
+    );
     if point.nodes > 1 && point.running() == point.nodes && sums.sent.0 > 0 {
         let others = (point.nodes - 1) as f64;
         let to_hollow = sums.sent.0 as f64 * (hollow as f64 - 1.0) / others;
@@ -700,8 +1043,18 @@
     let a_server = point.nodes as f64 / hollow as f64 / point.servers as f64;
     let note =
         "connections that the exchange of hollow nodes keeps, for all nodes; nothing is sent over them";
-    rows.add(Kind::Reckoned, ("connections", "/server"), links as f64 * a_server, note);
-    rows.add(Kind::Reckoned, ("handshakes", "/s/server"), sums.connects as f64 / span * a_server, "");
+    rows.add(
+        Kind::Reckoned,
+        ("connections", "/server"),
+        links as f64 * a_server,
+        note,
+    );
+    rows.add(
+        Kind::Reckoned,
+        ("handshakes", "/s/server"),
+        sums.connects as f64 / span * a_server,
+        "",
+    );
     if sums.attempts > 0 {
         let share = sums.connects as f64 / sums.attempts as f64;
         rows.add(
@@ -720,17 +1073,34 @@
         "servers, their names, stores and homes in the decision",
     );
     let note = "from due time to served answer, less the server's own work: quotas' words, handshakes, waiting, loop lag";
-    rows.add(Kind::Hollow, ("added_p50", "ms"), loaded.added.at(0.5).map(|us| us / 1e3), note);
-    rows.add(Kind::Hollow, ("added_p99", "ms"), loaded.added.at(0.99).map(|us| us / 1e3), "");
+    rows.add(
+        Kind::Hollow,
+        ("added_p50", "ms"),
+        loaded.added.at(0.5).map(|us| us / 1e3),
+        note,
+    );
+    rows.add(
+        Kind::Hollow,
+        ("added_p99", "ms"),
+        loaded.added.at(0.99).map(|us| us / 1e3),
+        "",
+    );
 }
 
 type Costs = Vec<(f64, f64)>;
 
 fn real_rows(rows: &mut Rows, seen: &[real::Seen], (began, ended): (&Costs, &Costs), span: f64) {
-    let Some((direct, through)) = seen.split_last() else { return };
+    let Some((direct, through)) = seen.split_last() else {
+        return;
+    };
     let ms = |spans: &Spans, share: f64| spans.at(share).map(|us| us / 1e3);
     for ((seen, before), after) in through.iter().zip(began).zip(ended) {
-        rows.add(Kind::Real, ("memory_loaded", "MB/node"), after.1 / 1e6, "resident, the whole process");
+        rows.add(
+            Kind::Real,
+            ("memory_loaded", "MB/node"),
+            after.1 / 1e6,
+            "resident, the whole process",
+        );
         rows.add(
             Kind::Real,
             ("cpu_loaded", "% of a core"),
@@ -746,15 +1116,36 @@
                 "all CPU of the process, a try",
             );
             let share = |of: u64| of as f64 / done as f64;
-            rows.add(Kind::Real, ("served_share", "of done"), share(seen.served), "");
-            rows.add(Kind::Real, ("refused_share", "of done"), share(seen.refused), "");
-            let note = if seen.failed > 0 { format!("statuses {:?}", seen.statuses) } else { String::new() };
-            rows.add(Kind::Real, ("failed_share", "of done"), share(seen.failed), &note);
+            rows.add(
+                Kind::Real,
+                ("served_share", "of done"),
+                share(seen.served),
+                "",
+            );
+            rows.add(
+                Kind::Real,
+                ("refused_share", "of done"),
+                share(seen.refused),
+                "",
+            );
+            let note = if seen.failed > 0 {
+                format!("statuses {:?}", seen.statuses)
+            } else {
+                String::new()
+            };
+            rows.add(
+                Kind::Real,
+                ("failed_share", "of done"),
+                share(seen.failed),
+                &note,
+            );
         }
-        for (share, [took, straight, added]) in
-            [(0.5, ["took_p50", "direct_p50", "added_p50"]), (0.99, ["took_p99", "direct_p99", "added_p99"])]
-        {
-            let (Some(took_ms), Some(direct_ms)) = (ms(&seen.took, share), ms(&direct.took, share)) else {
+        for (share, [took, straight, added]) in [
+            (0.5, ["took_p50", "direct_p50", "added_p50"]),
+            (0.99, ["took_p99", "direct_p99", "added_p99"]),
+        ] {
+            let (Some(took_ms), Some(direct_ms)) = (ms(&seen.took, share), ms(&direct.took, share))
+            else {
                 continue;
             };
             let note = format!("{} served tries; servers answer at once", seen.took.many());
--- a/crates/bench/src/scale/plot.rs
+++ b/crates/bench/src/scale/plot.rs
@@ -17,14 +17,19 @@
 pub fn draw(path: &Path, rows: &[Row]) -> Result<()> {
     let mut by: BTreeMap<Line, Vec<(f64, f64)>> = BTreeMap::new();
     for row in rows {
-        by.entry((row.sweep, row.measure, row.kind.name(), row.unit)).or_default().push((row.at, row.value));
+        by.entry((row.sweep, row.measure, row.kind.name(), row.unit))
+            .or_default()
+            .push((row.at, row.value));
     }
     by.retain(|_, points| points.len() > 1);
     let deep = by.len().div_ceil(BESIDE).max(1);
-    let root = SVGBackend::new(path, (PANEL.0 * BESIDE as u32, PANEL.1 * deep as u32)).into_drawing_area();
+    let root =
+        SVGBackend::new(path, (PANEL.0 * BESIDE as u32, PANEL.1 * deep as u32)).into_drawing_area();
     let failed = |error: &dyn std::fmt::Display| anyhow!("the plot: {error}");
     root.fill(&WHITE).map_err(|error| failed(&error))?;
-    for (panel, ((sweep, measure, kind, unit), points)) in root.split_evenly((deep, BESIDE)).iter().zip(&by) {
+    for (panel, ((sweep, measure, kind, unit), points)) in
+        root.split_evenly((deep, BESIDE)).iter().zip(&by)
+    {
         let most = |of: fn(&(f64, f64)) -> f64| points.iter().map(of).fold(0.0, f64::max);
         let (x, y) = (most(|point| point.0), most(|point| point.1));
         let least = points.iter().map(|point| point.1).fold(0.0, f64::min);
@@ -45,8 +50,12 @@
             .y_label_formatter(&|at| super::report::figure(*at))
             .draw()
             .map_err(|error| failed(&error))?;
-        chart.draw_series(LineSeries::new(points.iter().copied(), &BLUE)).map_err(|error| failed(&error))?;
-        let dots = points.iter().map(|point| Circle::new(*point, 3, BLUE.filled()));
+        chart
+            .draw_series(LineSeries::new(points.iter().copied(), &BLUE))
+            .map_err(|error| failed(&error))?;
+        let dots = points
+            .iter()
+            .map(|point| Circle::new(*point, 3, BLUE.filled()));
         chart.draw_series(dots).map_err(|error| failed(&error))?;
     }
     root.present().map_err(|error| failed(&error))
--- a/crates/bench/src/scale/real.rs
+++ b/crates/bench/src/scale/real.rs
@@ -30,7 +30,11 @@
 
 /// Starts one, and waits until it is ready.
 pub async fn start(
-    world: &Arc<World>, me: usize, settings: &Value, peers: &[SocketAddr], discovery: SocketAddr,
+    world: &Arc<World>,
+    me: usize,
+    settings: &Value,
+    peers: &[SocketAddr],
+    discovery: SocketAddr,
 ) -> Result<Real> {
     let listen = saffronpaddle_test_doubles::ports::unclaimed()?;
     let places = Places {
@@ -43,18 +47,33 @@
         memory_mb: MEMORY_MB,
     };
     let begun = Instant::now();
-    let process =
-        process::member(&crate::program()?, listen, &configuration(&places, settings, None, me as u64 + 1))?;
-    while !matches!(tokio::time::timeout(READY.0, ready(world, listen)).await, Ok(Ok(true))) {
-        ensure!(begun.elapsed() < READY.0, "a process of the program is not ready within {:?}", READY.0);
+    let process = process::member(
+        &crate::program()?,
+        listen,
+        &configuration(&places, settings, None, me as u64 + 1),
+    )?;
+    while !matches!(
+        tokio::time::timeout(READY.0, ready(world, listen)).await,
+        Ok(Ok(true))
+    ) {
+        ensure!(
+            begun.elapsed() < READY.0,
+            "a process of the program is not ready within {:?}",
+            READY.0
+        );
         tokio::time::sleep(READY.1).await;
     }
-    Ok(Real { process, me, ready_ms: begun.elapsed().as_secs_f64() * 1e3 })
+    Ok(Real {
+        process,
+        me,
+        ready_ms: begun.elapsed().as_secs_f64() * 1e3,
+    })
 }
 
 async fn ready(world: &World, address: SocketAddr) -> Result<bool> {
     let mut wire = Wire::new(TcpStream::connect(address).await?);
-    wire.write(b"GET /-/ready HTTP/1.1\r\nHost: bench\r\n\r\n").await?;
+    wire.write(b"GET /-/ready HTTP/1.1\r\nHost: bench\r\n\r\n")
+        .await?;
     Ok(wire.message(world).await?.context("an answer")?.status() == 200)
 }
 
@@ -88,10 +107,21 @@
 
 impl Clients {
     pub fn new(
-        world: Arc<World>, fleet: Fleet, tenants: Tenants, (address, me): (SocketAddr, usize),
+        world: Arc<World>,
+        fleet: Fleet,
+        tenants: Tenants,
+        (address, me): (SocketAddr, usize),
     ) -> Arc<Clients> {
         let (idle, seen) = (Mutex::default(), Mutex::default());
-        Arc::new(Clients { world, fleet, tenants, address, me: me as u32, idle, seen })
+        Arc::new(Clients {
+            world,
+            fleet,
+            tenants,
+            address,
+            me: me as u32,
+            idle,
+            seen,
+        })
     }
 
     /// Sends so many tries a second for a span; comes back when the last has its answer.
@@ -122,11 +152,17 @@
 
     fn head(&self, number: u64, class: usize, place: usize) -> String {
         let tenant = self.tenants.tenant(place);
-        let (class, plan) = (&self.fleet.classes[class], self.fleet.plans[tenant.plan].name);
+        let (class, plan) = (
+            &self.fleet.classes[class],
+            self.fleet.plans[tenant.plan].name,
+        );
         let (method, more, body) = if class.keyed {
             (
                 "POST",
-                format!("Idempotency-Key: {:x}-{number:032x}\r\nContent-Length: 8\r\n", self.me),
+                format!(
+                    "Idempotency-Key: {:x}-{number:032x}\r\nContent-Length: 8\r\n",
+                    self.me
+                ),
                 "time=1:1",
             )
         } else {
@@ -168,7 +204,11 @@
         let kept = lock(&self.idle).pop();
         if let Some(mut wire) = kept {
             let unread = wire.write(head.as_bytes()).await.is_err();
-            let answer = if unread { Ok(None) } else { wire.message(&self.world).await };
+            let answer = if unread {
+                Ok(None)
+            } else {
+                wire.message(&self.world).await
+            };
             if let Ok(Some(answer)) = answer {
                 return Ok(self.keep(wire, &answer));
             }
--- a/crates/bench/src/scale/report.rs
+++ b/crates/bench/src/scale/report.rs
@@ -51,12 +51,26 @@
 impl Rows<'_> {
     /// Adds a figure; one that there is not is left out.
     pub fn add(
-        &mut self, kind: Kind, (measure, unit): (&'static str, &'static str), value: impl Into<Option<f64>>,
+        &mut self,
+        kind: Kind,
+        (measure, unit): (&'static str, &'static str),
+        value: impl Into<Option<f64>>,
         note: &str,
     ) {
-        let Some(value) = value.into().filter(|value| value.is_finite()) else { return };
+        let Some(value) = value.into().filter(|value| value.is_finite()) else {
+            return;
+        };
         let (sweep, at, point, note) = (self.sweep, self.at, self.point.clone(), note.to_owned());
-        self.all.push(Row { sweep, at, point, kind, measure, unit, value, note });
+        self.all.push(Row {
+            sweep,
+            at,
+            point,
+            kind,
+            measure,
+            unit,
+            value,
+            note,
+        });
     }
 }
 
@@ -77,24 +91,51 @@
 /// one only its memory counts.
 pub fn slopes(rows: &[Row]) -> Vec<Slope> {
     let marked = |row: &&Row| row.measure == "keeps_up" && row.value == 0.0;
-    let late: Vec<(&str, f64)> = rows.iter().filter(marked).map(|row| (row.sweep, row.at)).collect();
-    let counts = |row: &&Row| row.measure.starts_with("memory") || !late.contains(&(row.sweep, row.at));
-    let rows = rows.iter().filter(|row| !MARKS.contains(&row.measure)).filter(counts);
+    let late: Vec<(&str, f64)> = rows
+        .iter()
+        .filter(marked)
+        .map(|row| (row.sweep, row.at))
+        .collect();
+    let counts =
+        |row: &&Row| row.measure.starts_with("memory") || !late.contains(&(row.sweep, row.at));
+    let rows = rows
+        .iter()
+        .filter(|row| !MARKS.contains(&row.measure))
+        .filter(counts);
     let mut by: BTreeMap<(&str, &str, &str), Vec<&Row>> = BTreeMap::new();
     for row in rows {
-        by.entry((row.sweep, row.measure, row.kind.name())).or_default().push(row);
+        by.entry((row.sweep, row.measure, row.kind.name()))
+            .or_default()
+            .push(row);
     }
     let slope = |rows: &Vec<&Row>| {
         let points: Vec<(f64, f64)> = rows.iter().map(|row| (row.at, row.value)).collect();
-        let Row { sweep, kind, measure, unit, .. } = **rows.first()?;
-        Some(Slope { sweep, kind, measure, unit, points: points.len(), fit: fit::line(&points)? })
+        let Row {
+            sweep,
+            kind,
+            measure,
+            unit,
+            ..
+        } = **rows.first()?;
+        Some(Slope {
+            sweep,
+            kind,
+            measure,
+            unit,
+            points: points.len(),
+            fit: fit::line(&points)?,
+        })
     };
     by.values().filter_map(slope).collect()
 }
 
 /// Four digits that count.
 pub fn figure(value: f64) -> String {
-    let digits = if value == 0.0 { 0 } else { (3 - value.abs().log10().floor() as i32).clamp(0, 9) as usize };
+    let digits = if value == 0.0 {
+        0
+    } else {
+        (3 - value.abs().log10().floor() as i32).clamp(0, 9) as usize
+    };
     format!("{value:.digits$}")
 }
 
@@ -122,8 +163,14 @@
     ])?;
     for row in rows {
         let point = &row.point;
-        let whole = [point.nodes, point.running(), point.real, point.servers, point.tenants]
-            .map(|figure| figure.to_string());
+        let whole = [
+            point.nodes,
+            point.running(),
+            point.real,
+            point.servers,
+            point.tenants,
+        ]
+        .map(|figure| figure.to_string());
         let rates = [point.tries, point.changes, point.restart].map(|figure| figure.to_string());
         let mut record = vec![row.sweep.to_owned(), row.at.to_string()];
         record.extend(whole);
@@ -158,14 +205,19 @@
     println!("slopes (least squares ± standard error; last segment's slope against the first's)");
     for slope in slopes(rows) {
         let fit = slope.fit;
-        let bend = if fit.ends.0 == 0.0 { f64::NAN } else { fit.ends.1 / fit.ends.0 };
+        let bend = if fit.ends.0 == 0.0 {
+            f64::NAN
+        } else {
+            fit.ends.1 / fit.ends.0
+        };
         println!(
             "  {:<8} {:<8} {:<26} {:>11.3e} ± {:>9} {} each; at zero {}; bend {:.2}",
             slope.sweep,
             slope.kind.name(),
             slope.measure,
             fit.slope,
-            fit.error.map_or("-".to_owned(), |error| format!("{error:.1e}")),
+            fit.error
+                .map_or("-".to_owned(), |error| format!("{error:.1e}")),
             slope.unit,
             figure(fit.at_zero),
             bend
--- a/crates/bench/src/scale/service.rs
+++ b/crates/bench/src/scale/service.rs
@@ -41,8 +41,17 @@
 
 impl List {
     fn host(&self, at: usize) -> String {
-        let Server { dial, site, block, health } = &self.servers[at];
-        let more = if self.short { "" } else { r#","class":"k","share":1.0,"born_ms":0"# };
+        let Server {
+            dial,
+            site,
+            block,
+            health,
+        } = &self.servers[at];
+        let more = if self.short {
+            ""
+        } else {
+            r#","class":"k","share":1.0,"born_ms":0"#
+        };
         format!(
             r#"{{"host":"s-{at}","dial":"{dial}","site":"{site}","block":{block},"health":"{health}"{more}}}"#
         )
@@ -50,17 +59,27 @@
 
     fn text(&self, whole: bool, hosts: impl Iterator<Item = usize>) -> String {
         let hosts: Vec<String> = hosts.map(|at| self.host(at)).collect();
-        format!(r#"{{"seq":{},"whole":{whole},"hosts":[{}]}}"#, self.seq, hosts.join(","))
+        format!(
+            r#"{{"seq":{},"whole":{whole},"hosts":[{}]}}"#,
+            self.seq,
+            hosts.join(",")
+        )
     }
 
     fn since(&mut self, from: Option<u64>) -> (u64, Arc<str>) {
         let Some(from) = from.filter(|from| (1..=self.seq).contains(from)) else {
             let seq = self.seq;
             let fresh = self.whole.take().filter(|(of, _)| *of == seq);
-            let kept = fresh.unwrap_or_else(|| (seq, self.text(true, 0..self.servers.len()).into()));
+            let kept =
+                fresh.unwrap_or_else(|| (seq, self.text(true, 0..self.servers.len()).into()));
             return self.whole.insert(kept).clone();
         };
-        let changed = self.changed.iter().skip(from as usize - 1).flatten().map(|at| (*at, ()));
+        let changed = self
+            .changed
+            .iter()
+            .skip(from as usize - 1)
+            .flatten()
+            .map(|at| (*at, ()));
         let changed: BTreeMap<usize, ()> = changed.collect();
         (self.seq, self.text(false, changed.into_keys()).into())
     }
@@ -77,7 +96,10 @@
 impl Service {
     /// A service with so many servers on its list, in these zones, found at these addresses in turn.
     pub async fn start(
-        world: Arc<World>, many: usize, zones: &[String], dials: &[SocketAddr],
+        world: Arc<World>,
+        many: usize,
+        zones: &[String],
+        dials: &[SocketAddr],
     ) -> Result<(Arc<Service>, SocketAddr)> {
         let server = |at: usize| Server {
             dial: dials[at % dials.len()],
@@ -86,13 +108,22 @@
             health: "ready",
         };
         let servers = (0..many).map(server).collect();
-        let mut list = List { seq: 1, servers, ..List::default() };
+        let mut list = List {
+            seq: 1,
+            servers,
+            ..List::default()
+        };
         let full = list.since(None).1.len();
         list.short = full > LIST_MOST;
         list.whole = None;
         let texts = (full, list.since(None).1.len());
         let list = Mutex::new(list);
-        let service = Arc::new(Service { world, list, seq: watch::channel(1).0, texts });
+        let service = Arc::new(Service {
+            world,
+            list,
+            seq: watch::channel(1).0,
+            texts,
+        });
         let listener = TcpListener::bind(saffronpaddle_test_doubles::ports::unclaimed()?).await?;
         let address = listener.local_addr()?;
         let serving = Arc::clone(&service);
@@ -118,7 +149,11 @@
             let servers: Vec<usize> = servers.collect();
             for at in &servers {
                 let health = &mut list.servers[*at].health;
-                *health = if *health == "ready" { "draining" } else { "ready" };
+                *health = if *health == "ready" {
+                    "draining"
+                } else {
+                    "ready"
+                };
             }
             list.changed.push(servers);
             list.seq
@@ -128,19 +163,31 @@
     }
 
     async fn serve(&self, mut wire: Wire) -> std::io::Result<()> {
-        let Some(request) = wire.message(&self.world).await? else { return Ok(()) };
-        let from = request.target().split(['?', '&']).find_map(|part| part.strip_prefix("from="));
+        let Some(request) = wire.message(&self.world).await? else {
+            return Ok(());
+        };
+        let from = request
+            .target()
+            .split(['?', '&'])
+            .find_map(|part| part.strip_prefix("from="));
         let mut from: Option<u64> = from.and_then(|from| from.parse().ok());
         let mut seq = self.seq.subscribe();
         let stream = &mut wire.stream;
-        stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
+        stream
+            .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+            .await?;
         let mut first = true;
-        let mut signs = interval_at(Instant::now() + SIGN_OF_LIFE.mul_f64(fastrand::f64()), SIGN_OF_LIFE);
+        let mut signs = interval_at(
+            Instant::now() + SIGN_OF_LIFE.mul_f64(fastrand::f64()),
+            SIGN_OF_LIFE,
+        );
         loop {
             let version = *seq.borrow_and_update();
             if std::mem::take(&mut first) || from != Some(version) {
                 let (version, text) = self.list().since(from);
-                stream.write_all(format!("{:x}\r\n{text}\n\r\n", text.len() + 1).as_bytes()).await?;
+                stream
+                    .write_all(format!("{:x}\r\n{text}\n\r\n", text.len() + 1).as_bytes())
+                    .await?;
                 from = Some(version);
             }
             tokio::select! {
--- a/crates/bench/src/scale/shards.rs
+++ b/crates/bench/src/scale/shards.rs
@@ -25,7 +25,11 @@
 }
 
 fn end(children: &Mutex<Vec<Child>>) {
-    for mut child in children.lock().unwrap_or_else(PoisonError::into_inner).drain(..) {
+    for mut child in children
+        .lock()
+        .unwrap_or_else(PoisonError::into_inner)
+        .drain(..)
+    {
         // It may have ended by itself.
         let _ = child.kill();
         let _ = child.wait();
@@ -49,18 +53,33 @@
                 end(&late);
             }
         });
-        let mut shards = Shards { shards: Vec::new(), children, _over: over };
+        let mut shards = Shards {
+            shards: Vec::new(),
+            children,
+            _over: over,
+        };
         for spec in specs {
             let mut command = Command::new(std::env::current_exe()?);
-            command.arg("hollow").stdin(Stdio::piped()).stdout(Stdio::piped());
+            command
+                .arg("hollow")
+                .stdin(Stdio::piped())
+                .stdout(Stdio::piped());
             let mut child = command.spawn().context("a process of hollow nodes")?;
             let (stdin, stdout) = (child.stdin.take(), child.stdout.take());
-            shards.children.lock().unwrap_or_else(PoisonError::into_inner).push(child);
+            shards
+                .children
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+                .push(child);
             let (mut stdin, stdout) = (stdin.context("its input")?, stdout.context("its output")?);
             writeln!(stdin, "{}", serde_json::to_string(spec)?)?;
             let mut stdout = BufReader::new(stdout);
             let bare = answer(&mut stdout)?;
-            shards.shards.push(Shard { stdin, stdout, bare });
+            shards.shards.push(Shard {
+                stdin,
+                stdout,
+                bare,
+            });
         }
         Ok(shards)
     }
@@ -68,9 +87,13 @@
     /// Tells all of them a word, and waits for their answers.
     pub fn ask<T: DeserializeOwned>(&mut self, word: &str) -> Result<Vec<T>> {
         for shard in &mut self.shards {
-            writeln!(shard.stdin, "{word}").context("a process of hollow nodes is over, or its time was")?;
+            writeln!(shard.stdin, "{word}")
+                .context("a process of hollow nodes is over, or its time was")?;
         }
-        self.shards.iter_mut().map(|shard| answer(&mut shard.stdout)).collect()
+        self.shards
+            .iter_mut()
+            .map(|shard| answer(&mut shard.stdout))
+            .collect()
     }
 
     /// How they were before they had any node.
@@ -82,6 +105,9 @@
 fn answer<T: DeserializeOwned>(stdout: &mut BufReader<ChildStdout>) -> Result<T> {
     let mut line = String::new();
     stdout.read_line(&mut line)?;
-    anyhow::ensure!(!line.is_empty(), "a process of hollow nodes is over, or its time was");
+    anyhow::ensure!(
+        !line.is_empty(),
+        "a process of hollow nodes is over, or its time was"
+    );
     serde_json::from_str(&line).context("what a process of hollow nodes said")
 }
--- a/crates/bench/src/size.rs
+++ b/crates/bench/src/size.rs
@@ -17,10 +17,19 @@
     println!("| instances | datagrams sent, a second each | received | most received | CPU, of a core each | CPU a try, all | idle memory | ready, median |");
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
     for size in SIZES {
-        let file =
-            std::env::temp_dir().join(format!("saffronpaddle-size-{}-{size}.json", std::process::id()));
+        let file = std::env::temp_dir().join(format!(
+            "saffronpaddle-size-{}-{size}.json",
+            std::process::id()
+        ));
         let mut command = Command::new(crate::program()?);
-        command.args(["fleet", "calm", "--instances", &size.to_string(), "--seconds", &seconds.to_string()]);
+        command.args([
+            "fleet",
+            "calm",
+            "--instances",
+            &size.to_string(),
+            "--seconds",
+            &seconds.to_string(),
+        ]);
         command.arg("--json").arg(&file).stdout(Stdio::null());
         let status = command.status().context("the fleet")?;
         let text = std::fs::read_to_string(&file).context("its report")?;
@@ -36,7 +45,11 @@
             figure("cpu_us_per_try"),
             figure("memory_idle_mb"),
             report["ready_ms"]["median"].as_f64().unwrap_or(f64::NAN),
-            if status.success() { "" } else { " rules broken" }
+            if status.success() {
+                ""
+            } else {
+                " rules broken"
+            }
         );
     }
     Ok(())
--- a/crates/bench/src/sockets.rs
+++ b/crates/bench/src/sockets.rs
@@ -33,7 +33,12 @@
 impl Seen {
     fn new() -> Seen {
         let [server_frames, client_closes, server_closes] = [const { Mutex::new(Vec::new()) }; 3];
-        Seen { begun: Instant::now(), server_frames, client_closes, server_closes }
+        Seen {
+            begun: Instant::now(),
+            server_frames,
+            client_closes,
+            server_closes,
+        }
     }
 
     fn now(&self) -> u64 {
@@ -42,7 +47,8 @@
 }
 
 pub fn measure(mut arguments: lexopt::Parser) -> Result<()> {
-    let (mut count, mut echoes, mut talkers, mut requests) = (9_800_usize, 40_000_u64, 16_usize, 20_000_u64);
+    let (mut count, mut echoes, mut talkers, mut requests) =
+        (9_800_usize, 40_000_u64, 16_usize, 20_000_u64);
     while let Some(argument) = arguments.next()? {
         match argument {
             Long("count") => count = arguments.value()?.parse()?,
@@ -52,8 +58,14 @@
             other => return Err(other.unexpected().into()),
         }
     }
-    ensure!(count > 0 && echoes > 0 && talkers > 0 && requests > 0, "nothing to measure");
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
+    ensure!(
+        count > 0 && echoes > 0 && talkers > 0 && requests > 0,
+        "nothing to measure"
+    );
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(2)
+        .enable_all()
+        .build()?;
     runtime.block_on(async {
         let world = World::begin(Bounds::default());
         let discovery = Discovery::new(Arc::clone(&world));
@@ -130,15 +142,21 @@
             );
             stream.write_all(yes.as_bytes()).await?;
             loop {
-                let Ok((first, payload)) = frame(&mut stream).await else { break };
+                let Ok((first, payload)) = frame(&mut stream).await else {
+                    break;
+                };
                 let now = seen.now();
                 if first & 0x0f == 8 {
                     lock(&seen.server_closes).push(now);
-                    stream.write_all(&[&[0x88, payload.len() as u8], &payload[..]].concat()).await?;
+                    stream
+                        .write_all(&[&[0x88, payload.len() as u8], &payload[..]].concat())
+                        .await?;
                     break;
                 }
                 lock(&seen.server_frames).push(now);
-                stream.write_all(&[&[first, payload.len() as u8], &payload[..]].concat()).await?;
+                stream
+                    .write_all(&[&[first, payload.len() as u8], &payload[..]].concat())
+                    .await?;
             }
             Ok::<(), anyhow::Error>(())
         });
@@ -146,7 +164,9 @@
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+    mutex
+        .lock()
+        .unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
 /// A frame of at most 125 bytes: its first byte, and its payload without a mask.
@@ -161,7 +181,10 @@
     }
     let mut payload = vec![0; length];
     stream.read_exact(&mut payload).await?;
-    payload.iter_mut().enumerate().for_each(|(at, byte)| *byte ^= mask[at % 4]);
+    payload
+        .iter_mut()
+        .enumerate()
+        .for_each(|(at, byte)| *byte ^= mask[at % 4]);
     Ok((head[0], payload))
 }
 
@@ -188,8 +211,9 @@
         }
     }
     let mut medians = Vec::new();
-    for (name, rounds) in
-        ["edge node", "bare relay of bytes", "bare relay of frames"].iter().zip(&mut figures)
+    for (name, rounds) in ["edge node", "bare relay of bytes", "bare relay of frames"]
+        .iter()
+        .zip(&mut figures)
     {
         rounds.sort_by(|one, other| one.0.total_cmp(&other.0));
         let (rate, p99, cpu) = rounds[rounds.len() / 2];
@@ -207,7 +231,12 @@
     Ok(())
 }
 
-async fn talk(process: &Measured, first: u64, talkers: usize, echoes: u64) -> Result<(f64, f64, f64)> {
+async fn talk(
+    process: &Measured,
+    first: u64,
+    talkers: usize,
+    echoes: u64,
+) -> Result<(f64, f64, f64)> {
     let mut streams = Vec::new();
     for talker in 0..talkers as u64 {
         streams.push(open(process.address, first + talker).await?);
@@ -220,7 +249,11 @@
         tasks.spawn(async move {
             let words = [&[0x82, 0x80 | 100, 0, 0, 0, 0][..], &[7; 100]].concat();
             let mut took = Vec::new();
-            while left.fetch_update(Ordering::Relaxed, Ordering::Relaxed, |left| left.checked_sub(1)).is_ok()
+            while left
+                .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |left| {
+                    left.checked_sub(1)
+                })
+                .is_ok()
             {
                 let sent = Instant::now();
                 stream.write_all(&words).await?;
@@ -235,7 +268,10 @@
     while let Some(took) = tasks.join_next().await {
         all.extend(took??);
     }
-    let (span, cpu) = (begun.elapsed().as_secs_f64(), (process.spent()? - before) as f64 / 1e3);
+    let (span, cpu) = (
+        begun.elapsed().as_secs_f64(),
+        (process.spent()? - before) as f64 / 1e3,
+    );
     all.sort_by(f64::total_cmp);
     let p99 = all.get(all.len() * 99 / 100).copied().context("echoes")?;
     Ok((echoes as f64 / span, p99, cpu / echoes as f64))
@@ -249,12 +285,16 @@
     while sockets.len() < count {
         let many = AT_ONCE.min(count - sockets.len());
         let first = sockets.len() as u64;
-        let opened = (0..many as u64).map(|number| tokio::spawn(open(node.address, first + number)));
+        let opened =
+            (0..many as u64).map(|number| tokio::spawn(open(node.address, first + number)));
         for task in opened.collect::<Vec<_>>() {
             sockets.push(task.await??);
         }
     }
-    println!("{count} sockets on one node, opened in {:.1} s", opening.elapsed().as_secs_f64());
+    println!(
+        "{count} sockets on one node, opened in {:.1} s",
+        opening.elapsed().as_secs_f64()
+    );
     tokio::time::sleep(Duration::from_secs(2)).await;
     let each = (node.memory()?.saturating_sub(before)) as f64 / count as f64;
     println!(
@@ -263,13 +303,19 @@
     );
     let spent = node.spent_all()?;
     tokio::time::sleep(Duration::from_secs(5)).await;
-    println!("  CPU while all are idle: {:.2}% of a core", (node.spent_all()? - spent) / 5.0 * 100.0);
+    println!(
+        "  CPU while all are idle: {:.2}% of a core",
+        (node.spent_all()? - spent) / 5.0 * 100.0
+    );
     Ok(sockets)
 }
 
 /// The drain of the server that holds all sockets.
 async fn drain(
-    sockets: Vec<TcpStream>, discovery: &Discovery, draining: Entry, seen: &Arc<Seen>,
+    sockets: Vec<TcpStream>,
+    discovery: &Discovery,
+    draining: Entry,
+    seen: &Arc<Seen>,
 ) -> Result<()> {
     let count = sockets.len();
     lock(&seen.server_frames).clear();
@@ -314,7 +360,9 @@
                 () = talk => {}
                 () = hear => {}
             }
-            let _ = stream.write_all(&frames::close(Side::Server, 1001, "", [0; 4])).await;
+            let _ = stream
+                .write_all(&frames::close(Side::Server, 1001, "", [0; 4]))
+                .await;
             let _ = stream.shutdown().await;
         });
     }
@@ -322,7 +370,12 @@
     let told = seen.now();
     discovery.change(vec![draining]);
     let all = async { while closing.join_next().await.is_some() {} };
-    ensure!(tokio::time::timeout(Duration::from_secs(30), all).await.is_ok(), "they do not close");
+    ensure!(
+        tokio::time::timeout(Duration::from_secs(30), all)
+            .await
+            .is_ok(),
+        "they do not close"
+    );
     tokio::time::sleep(Duration::from_millis(500)).await;
     let ms = |at: Option<&u64>| at.map_or(f64::NAN, |at| (*at as f64 - told as f64) / 1e3);
     let (clients, servers, frames) = (
@@ -346,13 +399,24 @@
         ms(servers.iter().max())
     );
     let late = frames.iter().filter(|at| **at > told + 250_000).count();
-    println!("  last data frame to the server {:.1}; after 250 ms: {late}", ms(frames.iter().max()));
-    ensure!(late == 0 && clients.len() == count, "sockets outlived the drain");
+    println!(
+        "  last data frame to the server {:.1}; after 250 ms: {late}",
+        ms(frames.iter().max())
+    );
+    ensure!(
+        late == 0 && clients.len() == count,
+        "sockets outlived the drain"
+    );
     Ok(())
 }
 
 fn rules() -> Rules {
-    Rules { frame_most: 1 << 20, message_most: 1 << 20, deflate: false, utf8: false }
+    Rules {
+        frame_most: 1 << 20,
+        message_most: 1 << 20,
+        deflate: false,
+        utf8: false,
+    }
 }
 
 /// A bare relay: bytes as they come, or, behind the heads, frames through the node's codec.
@@ -364,8 +428,12 @@
             other => return Err(other.unexpected().into()),
         }
     }
-    let [listen, server] = addresses[..] else { anyhow::bail!("where to listen, and the server") };
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let [listen, server] = addresses[..] else {
+        anyhow::bail!("where to listen, and the server")
+    };
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     runtime.block_on(async {
         let listener = TcpListener::bind(listen).await?;
         loop {
@@ -395,7 +463,9 @@
 }
 
 async fn scan(
-    side: Side, from: &mut tokio::net::tcp::OwnedReadHalf, to: &mut tokio::net::tcp::OwnedWriteHalf,
+    side: Side,
+    from: &mut tokio::net::tcp::OwnedReadHalf,
+    to: &mut tokio::net::tcp::OwnedWriteHalf,
 ) -> Result<()> {
     let mut scanner = Scanner::new(side, rules());
     let mut buffer = vec![0; 16 * 1024];
--- a/crates/bench/tests/size/fixture.rs
+++ b/crates/bench/tests/size/fixture.rs
@@ -106,7 +106,9 @@
             (0..cover.min(NODES) as u32).any(|place| (set.gateway(number, place) as usize) < REAL)
         };
         // A set may be half as large again as is sought.
-        lengths.into_iter().any(|length| *length <= WHOLE || real((SOUGHT * NODES).div_ceil(*length) * 3 / 2))
+        lengths
+            .into_iter()
+            .any(|length| *length <= WHOLE || real((SOUGHT * NODES).div_ceil(*length) * 3 / 2))
     }
 
     /// The servers of zone `z0`.
@@ -141,14 +143,28 @@
 impl Shard {
     fn start(spec: &Spec, fenced: bool, world: &World) -> Shard {
         let mut command = Command::new(env!("CARGO_BIN_EXE_saffronpaddle-bench"));
-        command.arg("hollow").stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::null());
+        command
+            .arg("hollow")
+            .stdin(Stdio::piped())
+            .stdout(Stdio::piped())
+            .stderr(Stdio::null());
         let mut child = command.spawn().expect("a process of hollow nodes starts");
-        let (stdin, stdout) = (child.stdin.take().expect("input"), child.stdout.take().expect("output"));
+        let (stdin, stdout) = (
+            child.stdin.take().expect("input"),
+            child.stdout.take().expect("output"),
+        );
         let mut line = serde_json::to_value(spec).expect("a spec is JSON");
         (line["audit"], line["fenced"]) = (true.into(), fenced.into());
         let (tenants, open) = Default::default();
         let stdout = BufReader::new(stdout);
-        let mut shard = Shard { stdin, stdout, offset: 0, tenants, open, _process: Ends(child) };
+        let mut shard = Shard {
+            stdin,
+            stdout,
+            offset: 0,
+            tenants,
+            open,
+            _process: Ends(child),
+        };
         let _: serde_json::Value = shard.ask(&line.to_string());
         let before = world.now();
         let first: Audited = shard.ask("audit");
@@ -192,7 +208,11 @@
                 shard.tenants.entry(*tenant).or_default().0 += 1;
                 shard.open.insert(id.clone(), *tenant);
                 let class = &fleet.classes[*class];
-                let repeats = if class.keyed { Repeats::Keyed } else { Repeats::Safe };
+                let repeats = if class.keyed {
+                    Repeats::Keyed
+                } else {
+                    Repeats::Safe
+                };
                 let asked = Asked {
                     id: id.clone(),
                     key: class.keyed.then(|| id.clone()),
@@ -233,25 +253,43 @@
     fn start(&self) {
         let mut command = Command::new(program());
         let file = |kind: &str| self.folder.join(format!("{}.{kind}", self.me));
-        command.arg("run").arg("--operator").arg(self.folder.join("operator.toml"));
+        command
+            .arg("run")
+            .arg("--operator")
+            .arg(self.folder.join("operator.toml"));
         for key in ["LB_NAME", "LB_LISTEN", "LB_DISCOVERY"] {
             command.env_remove(key);
         }
-        let log = std::fs::OpenOptions::new().create(true).append(true).open(file("log")).expect("a log");
-        command.env("LB_CONFIG", file("json")).stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
-        let child = command.spawn().expect("the program is built beside this test");
+        let log = std::fs::OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(file("log"))
+            .expect("a log");
+        command
+            .env("LB_CONFIG", file("json"))
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(log);
+        let child = command
+            .spawn()
+            .expect("the program is built beside this test");
         *lock(&self.process) = Some(Ends(child));
     }
 
     fn signal(&self, signal: Signal) {
         let process = lock(&self.process);
-        let pid = process.as_ref().map(|process| Pid::from_raw(process.0.id() as i32)).expect("it runs");
+        let pid = process
+            .as_ref()
+            .map(|process| Pid::from_raw(process.0.id() as i32))
+            .expect("it runs");
         kill(pid, signal).expect("it takes signals");
     }
 
     /// Whether it has ended by itself.
     fn ended(&self) -> bool {
-        lock(&self.process).as_mut().is_some_and(|process| !matches!(process.0.try_wait(), Ok(None)))
+        lock(&self.process)
+            .as_mut()
+            .is_some_and(|process| !matches!(process.0.try_wait(), Ok(None)))
     }
 }
 
@@ -284,7 +322,12 @@
 }
 
 /// One tenant's clients at real nodes, until they are told to rest and the last has its answer.
-async fn clients(front: Arc<Front>, fleet: Fleet, customer: Customer, mut rests: watch::Receiver<bool>) {
+async fn clients(
+    front: Arc<Front>,
+    fleet: Fleet,
+    customer: Customer,
+    mut rests: watch::Receiver<bool>,
+) {
     let mut random = fastrand::Rng::with_seed(customer.id);
     let mut all = JoinSet::new();
     loop {
@@ -292,7 +335,11 @@
             () = sleep(customer.gap(random.f64())) => {}
             _ = rests.wait_for(|rests| *rests) => break,
         }
-        let (front, customer, class) = (Arc::clone(&front), customer.clone(), class_of(&fleet, random.f64()));
+        let (front, customer, class) = (
+            Arc::clone(&front),
+            customer.clone(),
+            class_of(&fleet, random.f64()),
+        );
         all.spawn(async move { front.client(customer, class).await });
         while all.try_join_next().is_some() {}
     }
@@ -310,7 +357,9 @@
 
 /// Nodes of the fleet, real ones among them, whose zone is one of these.
 pub fn nodes_in(zones: &[&str]) -> HashSet<u32> {
-    (0..NODES as u32).filter(|node| zones.contains(&SITES[*node as usize % SITES.len()])).collect()
+    (0..NODES as u32)
+        .filter(|node| zones.contains(&SITES[*node as usize % SITES.len()]))
+        .collect()
 }
 
 impl Rig {
@@ -318,16 +367,35 @@
     pub async fn begin(tag: &str, fixture: Fixture) -> Rig {
         let (soft, hard) = getrlimit(Resource::RLIMIT_NOFILE).expect("the limit of descriptors");
         if soft < hard {
-            setrlimit(Resource::RLIMIT_NOFILE, hard, hard).expect("as many as this process may have");
+            setrlimit(Resource::RLIMIT_NOFILE, hard, hard)
+                .expect("as many as this process may have");
         }
-        let tenants = Tenants::new(fixture.tenants.0, fixture.tenants.1, (NODES as u32, fixture.tries), 0);
+        let tenants = Tenants::new(
+            fixture.tenants.0,
+            fixture.tenants.1,
+            (NODES as u32, fixture.tries),
+            0,
+        );
         let largest = tenants.tenant(0).plan;
         let plan = |(place, (rate, burst)): (usize, (f64, f64))| {
-            let times = if place == largest { fixture.ceiling.1 } else { fixture.ceiling.0 };
-            Plan { name: PLANS[place], rate, burst, ceiling: Some((rate * times, burst * times)) }
+            let times = if place == largest {
+                fixture.ceiling.1
+            } else {
+                fixture.ceiling.0
+            };
+            Plan {
+                name: PLANS[place],
+                rate,
+                burst,
+                ceiling: Some((rate * times, burst * times)),
+            }
         };
         let plans = plans().into_iter().enumerate().map(plan).collect();
-        let mut fleet = Fleet { plans, sites: SITES.to_vec(), ..Fleet::usual(NODES) };
+        let mut fleet = Fleet {
+            plans,
+            sites: SITES.to_vec(),
+            ..Fleet::usual(NODES)
+        };
         fleet.bounds.answer_slack = ANSWER_SLACK;
         let world = World::begin(fleet.bounds.clone());
 
@@ -335,38 +403,72 @@
         let mut listed = Vec::new();
         for at in 0..fixture.servers {
             let block = (at / 3) as u64;
-            let site = if fixture.of_zone().contains(&at) { 0 } else { 1 + at % (SITES.len() - 1) };
+            let site = if fixture.of_zone().contains(&at) {
+                0
+            } else {
+                1 + at % (SITES.len() - 1)
+            };
             let mut dial = None;
             if fixture.stands(at) {
-                let work = fleet.classes.iter().map(|class| (class.name.to_owned(), class.work)).collect();
+                let work = fleet
+                    .classes
+                    .iter()
+                    .map(|class| (class.name.to_owned(), class.work))
+                    .collect();
                 let cores = fixture.cores;
                 let slots = cores * SLOTS;
-                let spec = servers::Spec { name: format!("s-{at}"), block, cores, slots, work };
+                let spec = servers::Spec {
+                    name: format!("s-{at}"),
+                    block,
+                    cores,
+                    slots,
+                    work,
+                };
                 let server = AppServer::start(Arc::clone(&world), spec).expect("an app server");
                 dial = Some(server.address());
                 stands.insert(at, server);
             }
             let dial = dial.unwrap_or_else(|| unclaimed().expect("an address"));
             let stands = stands.contains_key(&at);
-            listed.push(Server { dial, site: SITES[site], block, health: "ready", born_ms: 0, stands });
+            listed.push(Server {
+                dial,
+                site: SITES[site],
+                block,
+                health: "ready",
+                born_ms: 0,
+                stands,
+            });
         }
         let list = Service::new(Arc::clone(&world), listed, REAL);
 
-        let peers: Vec<SocketAddr> = (0..NODES).map(|_| unclaimed().expect("an address")).collect();
+        let peers: Vec<SocketAddr> = (0..NODES)
+            .map(|_| unclaimed().expect("an address"))
+            .collect();
         let links = Arc::new(Links::default());
-        let network =
-            Network::start(peers.clone(), Arc::clone(&links)).await.expect("the network between nodes");
+        let network = Network::start(peers.clone(), Arc::clone(&links))
+            .await
+            .expect("the network between nodes");
         // Real nodes talk to all through relays, and all to them; hollow ones hear one another straight.
         let relays = network.peers_of(NODES - 1).expect("addresses");
-        let hollow_peers: Vec<SocketAddr> =
-            (0..NODES).map(|node| if node < REAL { relays[node] } else { peers[node] }).collect();
+        let hollow_peers: Vec<SocketAddr> = (0..NODES)
+            .map(|node| {
+                if node < REAL {
+                    relays[node]
+                } else {
+                    peers[node]
+                }
+            })
+            .collect();
         let shared = list.open(None).await;
         let of = |number: usize| HOLLOW * number / PROCESSES;
         let micros = |span: Duration| span.as_micros() as u64;
         let spec = |number: usize| Spec {
             gateways: NODES as u32,
             present: NODES as u32,
-            nodes: ((REAL + of(number)) as u32, (of(number + 1) - of(number)) as u32),
+            nodes: (
+                (REAL + of(number)) as u32,
+                (of(number + 1) - of(number)) as u32,
+            ),
             settings: fleet.settings(0).to_string(),
             zones: SITES.iter().map(|site| (*site).to_owned()).collect(),
             peers: hollow_peers.clone(),
@@ -375,9 +477,17 @@
             tenants: fixture.tenants,
             spread: 0,
             tries: fixture.tries,
-            work: fleet.classes.iter().map(|class| micros(class.work)).collect(),
+            work: fleet
+                .classes
+                .iter()
+                .map(|class| micros(class.work))
+                .collect(),
             classes: fleet.classes.iter().map(|class| class.share).collect(),
-            patience: fleet.classes.iter().map(|class| micros(class.deadline)).collect(),
+            patience: fleet
+                .classes
+                .iter()
+                .map(|class| micros(class.deadline))
+                .collect(),
             seed: number as u64 + 1,
         };
         let shards: Vec<Mutex<Shard>> = block_in_place(|| {
@@ -388,11 +498,15 @@
                         scope.spawn(move || Mutex::new(Shard::start(&spec, fenced, world)))
                     })
                     .collect();
-                starts.into_iter().map(|start| start.join().expect("it starts")).collect()
+                starts
+                    .into_iter()
+                    .map(|start| start.join().expect("it starts"))
+                    .collect()
             })
         });
 
-        let folder = std::env::temp_dir().join(format!("saffronpaddle-size-{}-{tag}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("saffronpaddle-size-{}-{tag}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         let operator = format!(
             "[ready]\nlist_within_ms = 0\npeers_within_ms = 0\n[servers]\nworking_set = true\n[quotas]\nfenced = {}\n",
@@ -413,12 +527,23 @@
             };
             let text = configuration(&places, &fleet.settings(me), None, me as u64 + 1);
             std::fs::write(folder.join(format!("{me}.json")), text).expect("a configuration");
-            let node = Node { address, folder: folder.clone(), me, process: Mutex::default() };
+            let node = Node {
+                address,
+                folder: folder.clone(),
+                me,
+                process: Mutex::default(),
+            };
             node.start();
             nodes.push(node);
         }
         let doors: Vec<SocketAddr> = nodes.iter().map(|node| node.address).collect();
-        let front = Front::new(Arc::clone(&world), fleet.clone(), &doors, 1, Leaves::default());
+        let front = Front::new(
+            Arc::clone(&world),
+            fleet.clone(),
+            &doors,
+            1,
+            Leaves::default(),
+        );
         Arc::clone(&front).watch().await;
         let rig = Rig {
             world,
@@ -446,17 +571,24 @@
     fn ask<T: DeserializeOwned + Send>(&self, word: &str) -> Vec<T> {
         block_in_place(|| {
             std::thread::scope(|scope| {
-                let asks: Vec<_> =
-                    self.shards.iter().map(|shard| scope.spawn(move || lock(shard).ask(word))).collect();
-                asks.into_iter().map(|ask| ask.join().expect("it answers")).collect()
+                let asks: Vec<_> = self
+                    .shards
+                    .iter()
+                    .map(|shard| scope.spawn(move || lock(shard).ask(word)))
+                    .collect();
+                asks.into_iter()
+                    .map(|ask| ask.join().expect("it answers"))
+                    .collect()
             })
         })
     }
 
     /// Waits until each node has a list, and each real one has been written this version.
     pub async fn all_listed(&self, seq: u64) {
-        until("each hollow node has a list", || self.ask::<usize>("unlisted").iter().sum::<usize>() == 0)
-            .await;
+        until("each hollow node has a list", || {
+            self.ask::<usize>("unlisted").iter().sum::<usize>() == 0
+        })
+        .await;
         until("each real node is open and has the list", || {
             self.front.open() == REAL && self.list.reached(seq, 0..REAL)
         })
@@ -469,7 +601,10 @@
         let word = format!("acted [[{seq},0]]");
         until("each node has acted on the list", || {
             let acted: Vec<Acted> = self.ask(&word);
-            acted.iter().all(|(last, _)| last.iter().all(Option::is_some)) && self.list.reached(seq, 0..REAL)
+            acted
+                .iter()
+                .all(|(last, _)| last.iter().all(Option::is_some))
+                && self.list.reached(seq, 0..REAL)
         })
         .await;
     }
@@ -488,14 +623,25 @@
             };
             self.fleet.limit(&mut self.world.ledger(), &customer);
             let rests = self.rests.subscribe();
-            self.offers.spawn(clients(Arc::clone(&self.front), self.fleet.clone(), customer, rests));
+            self.offers.spawn(clients(
+                Arc::clone(&self.front),
+                self.fleet.clone(),
+                customer,
+                rests,
+            ));
         }
-        let (world, fleet, shards, over) =
-            (Arc::clone(&self.world), self.fleet.clone(), Arc::clone(&self.shards), Arc::clone(&self.over));
+        let (world, fleet, shards, over) = (
+            Arc::clone(&self.world),
+            self.fleet.clone(),
+            Arc::clone(&self.shards),
+            Arc::clone(&self.over),
+        );
         self.pump = Some(std::thread::spawn(move || {
             while !over.load(Ordering::Relaxed) {
                 std::thread::sleep(AUDIT_EVERY);
-                shards.iter().for_each(|shard| _ = take_in(&world, &fleet, &mut lock(shard)));
+                shards
+                    .iter()
+                    .for_each(|shard| _ = take_in(&world, &fleet, &mut lock(shard)));
             }
         }));
         let _: Vec<()> = self.ask("load");
@@ -554,27 +700,39 @@
             .seen()
             .filter(|seen| seen.at >= since && at(seen.node))
             .fold((0, 0), |(tries, served), seen| {
-                (tries + 1, served + u64::from(seen.answer == Some(Answer::Served)))
+                (
+                    tries + 1,
+                    served + u64::from(seen.answer == Some(Answer::Served)),
+                )
             })
     }
 
     /// Waits until so many tries have begun in all.
     pub async fn offered(&self, many: u64) {
-        until("tries go on", || self.since(Duration::ZERO, |_| true).0 >= many).await;
+        until("tries go on", || {
+            self.since(Duration::ZERO, |_| true).0 >= many
+        })
+        .await;
     }
 
     /// Waits until so many tries that began since then were served, by real nodes and by hollow ones.
     pub async fn serves(&self, since: Duration, many: u64) {
         for real in [true, false] {
             let what = format!("{many} tries since {since:?} are served (real: {real})");
-            until(&what, || self.since(since, |node| (node < REAL) == real).1 >= many).await;
+            until(&what, || {
+                self.since(since, |node| (node < REAL) == real).1 >= many
+            })
+            .await;
         }
     }
 
     /// Processes of these servers end at once, and connections to them with them; what hollow nodes have written there is never
     /// answered.
     pub fn die(&self, servers: &[usize]) {
-        servers.iter().filter_map(|at| self.stands.get(at)).for_each(AppServer::kill);
+        servers
+            .iter()
+            .filter_map(|at| self.stands.get(at))
+            .for_each(AppServer::kill);
     }
 
     /// They start anew, cold, and are listed in one version.
@@ -589,7 +747,9 @@
             }
         }
         let born_ms = self.world.unix_ms();
-        self.list.change(servers, |server| (server.health, server.born_ms) = ("ready", born_ms))
+        self.list.change(servers, |server| {
+            (server.health, server.born_ms) = ("ready", born_ms)
+        })
     }
 
     /// Names of servers.
@@ -602,7 +762,13 @@
         let _: Vec<()> = self.ask("rest");
         self.rests.send_replace(true);
         while self.offers.join_next().await.is_some() {}
-        let longest = self.fleet.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
+        let longest = self
+            .fleet
+            .classes
+            .iter()
+            .map(|class| class.deadline)
+            .max()
+            .unwrap_or_default();
         let begun = Instant::now();
         while self.world.ledger().open() > 0 && begun.elapsed() < longest + LOOP_SLACK {
             sleep(LOOK).await;
@@ -617,12 +783,17 @@
             let mut shard = lock(shard);
             let audited = take_in(&self.world, &self.fleet, &mut shard);
             for (tenant, (tries, served)) in &shard.tenants {
-                let sums = if *tenant == largest { &mut hollow.largest } else { &mut hollow.others };
+                let sums = if *tenant == largest {
+                    &mut hollow.largest
+                } else {
+                    &mut hollow.others
+                };
                 (sums.0, sums.1) = (sums.0 + tries, sums.1 + served);
             }
             hollow.after_drain += audited.after_drain;
-            hollow.after_drain_most_ms =
-                hollow.after_drain_most_ms.max(audited.after_drain_most as f64 / 1e3);
+            hollow.after_drain_most_ms = hollow
+                .after_drain_most_ms
+                .max(audited.after_drain_most as f64 / 1e3);
             hollow.late += audited.late;
             hollow.lost += audited.lost;
             hollow.unheard += audited.unheard;
@@ -641,10 +812,20 @@
 /// 250 ms after its node was told that it is not ready, no cold server falls, and no ceiling is passed.
 pub fn kept((verdict, hollow): &(Verdict, Hollow)) {
     let breaches: Vec<&Breach> = verdict.breaches.iter().take(20).collect();
-    assert!(verdict.breaches.is_empty(), "{} breaches: {breaches:?}", verdict.breaches.len());
+    assert!(
+        verdict.breaches.is_empty(),
+        "{} breaches: {breaches:?}",
+        verdict.breaches.len()
+    );
     assert_eq!((hollow.late, hollow.lost), (0, 0), "{hollow:?}");
     assert_eq!(verdict.lost, 0, "{verdict:?}");
-    assert_eq!(verdict.unasked, 0, "no attempt that nobody asked for: {verdict:?}");
+    assert_eq!(
+        verdict.unasked, 0,
+        "no attempt that nobody asked for: {verdict:?}"
+    );
     assert!(verdict.cold_worst < 1.0, "{verdict:?}");
-    assert!(verdict.tries > 500 && verdict.served > 0, "it was used: {verdict:?}");
+    assert!(
+        verdict.tries > 500 && verdict.served > 0,
+        "it was used: {verdict:?}"
+    );
 }
--- a/crates/bench/tests/size/list.rs
+++ b/crates/bench/tests/size/list.rs
@@ -52,8 +52,19 @@
 
 impl List {
     fn host(&self, at: usize) -> String {
-        let Server { dial, site, block, health, born_ms, .. } = &self.servers[at];
-        let born = if *born_ms > 0 { format!(r#","born_ms":{born_ms}"#) } else { String::new() };
+        let Server {
+            dial,
+            site,
+            block,
+            health,
+            born_ms,
+            ..
+        } = &self.servers[at];
+        let born = if *born_ms > 0 {
+            format!(r#","born_ms":{born_ms}"#)
+        } else {
+            String::new()
+        };
         format!(
             r#"{{"host":"s-{at}","dial":"{dial}","site":"{site}","block":{block},"health":"{health}"{born}}}"#
         )
@@ -72,19 +83,38 @@
         let on: Vec<usize> = match from {
             None => {
                 let most = self.cut.unwrap_or(self.servers.len());
-                (0..most).filter(|at| self.servers[*at].health != "gone").collect()
+                (0..most)
+                    .filter(|at| self.servers[*at].health != "gone")
+                    .collect()
             }
             Some(from) => {
-                let changed = self.changed.iter().skip(from as usize - 1).flatten().copied();
+                let changed = self
+                    .changed
+                    .iter()
+                    .skip(from as usize - 1)
+                    .flatten()
+                    .copied();
                 changed.collect::<BTreeSet<usize>>().into_iter().collect()
             }
         };
         let hosts: Vec<String> = on.iter().map(|at| self.host(*at)).collect();
-        let text =
-            format!(r#"{{"seq":{},"whole":{},"hosts":[{}]}}"#, self.seq, from.is_none(), hosts.join(","));
+        let text = format!(
+            r#"{{"seq":{},"whole":{},"hosts":[{}]}}"#,
+            self.seq,
+            from.is_none(),
+            hosts.join(",")
+        );
         // Of a whole list the ledger is told of all, those that are left out as well.
-        let named = if from.is_none() { (0..self.servers.len()).collect() } else { on };
-        let text = Text { from, text: text.into(), named: Arc::new(named) };
+        let named = if from.is_none() {
+            (0..self.servers.len()).collect()
+        } else {
+            on
+        };
+        let text = Text {
+            from,
+            text: text.into(),
+            named: Arc::new(named),
+        };
         self.texts.push(text.clone());
         (self.seq, text)
     }
@@ -104,13 +134,23 @@
 
 impl Service {
     pub fn new(world: Arc<World>, servers: Vec<Server>, real: usize) -> Arc<Service> {
-        let list = Mutex::new(List { seq: 1, servers, ..List::default() });
-        Arc::new(Service { world, list, seq: watch::channel(1).0, written: Mutex::new(vec![0; real]) })
+        let list = Mutex::new(List {
+            seq: 1,
+            servers,
+            ..List::default()
+        });
+        Arc::new(Service {
+            world,
+            list,
+            seq: watch::channel(1).0,
+            written: Mutex::new(vec![0; real]),
+        })
     }
 
     /// An address of it: for one real node, or for all hollow ones.
     pub async fn open(self: &Arc<Self>, node: Option<usize>) -> SocketAddr {
-        let listener = TcpListener::bind(saffronpaddle_test_doubles::ports::unclaimed().expect("an address"));
+        let listener =
+            TcpListener::bind(saffronpaddle_test_doubles::ports::unclaimed().expect("an address"));
         let listener = listener.await.expect("it can be had");
         let address = listener.local_addr().expect("it has one");
         let service = Arc::clone(self);
@@ -165,24 +205,36 @@
     }
 
     async fn serve(&self, node: Option<usize>, mut wire: Wire) -> std::io::Result<()> {
-        let Some(request) = wire.message(&self.world).await? else { return Ok(()) };
-        let from = request.target().split(['?', '&']).find_map(|part| part.strip_prefix("from="));
+        let Some(request) = wire.message(&self.world).await? else {
+            return Ok(());
+        };
+        let from = request
+            .target()
+            .split(['?', '&'])
+            .find_map(|part| part.strip_prefix("from="));
         let mut from: Option<u64> = from.and_then(|from| from.parse().ok());
         let mut seq = self.seq.subscribe();
         let stream = &mut wire.stream;
-        stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
+        stream
+            .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+            .await?;
         let mut first = true;
         loop {
             let version = *seq.borrow_and_update();
             if std::mem::take(&mut first) || from != Some(version) {
                 let (version, Text { text, named, .. }) = lock(&self.list).since(from);
-                stream.write_all(format!("{:x}\r\n{text}\n\r\n", text.len() + 1).as_bytes()).await?;
+                stream
+                    .write_all(format!("{:x}\r\n{text}\n\r\n", text.len() + 1).as_bytes())
+                    .await?;
                 if let Some(node) = node {
                     self.tell(node, version, &named);
                 }
                 from = Some(version);
             }
-            if tokio::time::timeout(SIGN_OF_LIFE, seq.changed()).await.is_err() {
+            if tokio::time::timeout(SIGN_OF_LIFE, seq.changed())
+                .await
+                .is_err()
+            {
                 stream.write_all(b"1\r\n\n\r\n").await?;
             }
         }
@@ -192,10 +244,15 @@
     fn tell(&self, node: usize, version: u64, named: &[usize]) {
         let told: Vec<(usize, bool)> = {
             let list = lock(&self.list);
-            named.iter().filter(|at| list.servers[**at].stands).map(|at| (*at, list.ready(*at))).collect()
+            named
+                .iter()
+                .filter(|at| list.servers[**at].stands)
+                .map(|at| (*at, list.ready(*at)))
+                .collect()
         };
         let (now, mut ledger) = (self.world.now(), self.world.ledger());
-        told.into_iter().for_each(|(at, ready)| ledger.told(now, node, &format!("s-{at}"), ready));
+        told.into_iter()
+            .for_each(|(at, ready)| ledger.told(now, node, &format!("s-{at}"), ready));
         lock(&self.written)[node] = version;
     }
 }
--- a/crates/bench/tests/size/main.rs
+++ b/crates/bench/tests/size/main.rs
@@ -18,7 +18,10 @@
 
 fn played(test: impl Future<Output = ()>) {
     let _turn = lock(&TURN);
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(4).enable_all().build();
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(4)
+        .enable_all()
+        .build();
     let runtime = runtime.expect("a runtime");
     runtime.block_on(async { timeout(MOST, test).await.expect("its time is over") });
     // What the stand-ins still do is nobody's concern any more.
@@ -47,13 +50,20 @@
         };
         let begun = rig.world.now();
         rig.still(0, rig.still(1, stand)).await;
-        assert!(rig.world.now() - begun >= MS(5_000), "they stood still for 5 s");
+        assert!(
+            rig.world.now() - begun >= MS(5_000),
+            "they stood still for 5 s"
+        );
         let awake = rig.world.now();
         rig.serves(awake, 20).await;
         let judged = rig.judge().await;
         kept(&judged);
         let told = judged.0.drains;
-        assert_eq!(told, (drained.len() * REAL) as u64, "each node was told each drain");
+        assert_eq!(
+            told,
+            (drained.len() * REAL) as u64,
+            "each node was told each drain"
+        );
     });
 }
 
@@ -62,7 +72,12 @@
 #[test]
 fn a_zone_of_4400_servers_goes_within_200_ms_and_comes_back_cold() {
     played(async {
-        let sizes = Fixture { zone: 4_400, lengths: vec![8_800, 4_400], cores: 1, ..Fixture::of(8_800) };
+        let sizes = Fixture {
+            zone: 4_400,
+            lengths: vec![8_800, 4_400],
+            cores: 1,
+            ..Fixture::of(8_800)
+        };
         let mut rig = Rig::begin("zone", sizes).await;
         let zone: Vec<usize> = rig.fixture.of_zone().collect();
         rig.load();
@@ -70,7 +85,8 @@
         rig.befall(|faults| faults.silent = Rig::names(&zone));
         let (mut seq, begun) = (0, rig.world.now());
         for (step, part) in zone.chunks(400).enumerate() {
-            tokio::time::sleep((begun + MS(18) * step as u32).saturating_sub(rig.world.now())).await;
+            tokio::time::sleep((begun + MS(18) * step as u32).saturating_sub(rig.world.now()))
+                .await;
             rig.die(part);
             seq = rig.list.change(part, |server| server.health = "gone");
         }
@@ -84,7 +100,11 @@
         rig.serves(rig.world.now(), 40).await;
         let judged = rig.judge().await;
         kept(&judged);
-        assert!(judged.0.cold_worst > 0.0, "cold servers were sent to: {:?}", judged.0);
+        assert!(
+            judged.0.cold_worst > 0.0,
+            "cold servers were sent to: {:?}",
+            judged.0
+        );
         assert!(judged.0.served * 2 > judged.0.tries, "{:?}", judged.0);
     });
 }
@@ -94,21 +114,39 @@
 #[test]
 fn a_fifth_of_the_words_is_lost_and_no_ceiling_is_passed() {
     played(async {
-        let mut rig =
-            Rig::begin("lossy", Fixture { cores: 1, ceiling: (0.5, 0.5), ..Fixture::of(2_000) }).await;
+        let mut rig = Rig::begin(
+            "lossy",
+            Fixture {
+                cores: 1,
+                ceiling: (0.5, 0.5),
+                ..Fixture::of(2_000)
+            },
+        )
+        .await;
         let (real, all) = (Rig::ends(0..REAL as u32), Rig::ends(0..NODES as u32));
-        rig.lay(Which::Both(real, all), Fault { loss: 0.2, ..Fault::default() });
+        rig.lay(
+            Which::Both(real, all),
+            Fault {
+                loss: 0.2,
+                ..Fault::default()
+            },
+        );
         rig.befall(|faults| faults.loss = 0.2);
         rig.load();
         rig.serves(Duration::ZERO, 40).await;
         let servers: Vec<usize> = (0..200).collect();
-        let seq = rig.list.change(&servers, |server| server.health = "draining");
+        let seq = rig
+            .list
+            .change(&servers, |server| server.health = "draining");
         rig.acted(seq).await;
         tokio::time::sleep(MS(300)).await;
         rig.die(&servers[..100]);
-        let seq = rig.list.change(&servers[..100], |server| server.health = "gone");
+        let seq = rig
+            .list
+            .change(&servers[..100], |server| server.health = "gone");
         rig.acted(seq).await;
-        rig.list.change(&servers[100..], |server| server.health = "ready");
+        rig.list
+            .change(&servers[100..], |server| server.health = "ready");
         let seq = rig.start_cold(&servers[..100]);
         rig.acted(seq).await;
         rig.serves(rig.world.now(), 40).await;
@@ -124,17 +162,32 @@
 #[test]
 fn a_region_that_hears_nothing_of_the_others_passes_no_ceiling_with_them() {
     played(async {
-        let mut rig =
-            Rig::begin("region", Fixture { fenced: true, ceiling: (0.5, 0.5), ..Fixture::of(2_000) }).await;
+        let mut rig = Rig::begin(
+            "region",
+            Fixture {
+                fenced: true,
+                ceiling: (0.5, 0.5),
+                ..Fixture::of(2_000)
+            },
+        )
+        .await;
         let region = nodes_in(&["z0", "z1"]);
         let others = (0..NODES as u32).filter(|node| !region.contains(node));
         let sides = vec![Rig::ends(region.iter().copied()), Rig::ends(others)];
-        rig.lay(Which::Apart(sides), Fault { loss: 1.0, ..Fault::default() });
+        rig.lay(
+            Which::Apart(sides),
+            Fault {
+                loss: 1.0,
+                ..Fault::default()
+            },
+        );
         rig.befall(|faults| faults.apart = region.clone());
         rig.load();
         rig.serves(Duration::ZERO, 40).await;
         let drained: Vec<usize> = (0..200).collect();
-        let seq = rig.list.change(&drained, |server| server.health = "draining");
+        let seq = rig
+            .list
+            .change(&drained, |server| server.health = "draining");
         rig.acted(seq).await;
         let inside = |node: usize| region.contains(&(node as u32));
         let told = rig.world.now();
@@ -155,14 +208,24 @@
 #[test]
 fn a_hot_tenant_of_a_hundredth_of_all_traffic_passes_no_ceiling_and_starves_nobody() {
     played(async {
-        let hot = Fixture { tenants: (50, 2.5), tries: 6.0, ceiling: (1.25, 0.25), ..Fixture::of(2_000) };
+        let hot = Fixture {
+            tenants: (50, 2.5),
+            tries: 6.0,
+            ceiling: (1.25, 0.25),
+            ..Fixture::of(2_000)
+        };
         let mut rig = Rig::begin("hot", hot).await;
         let demand = rig.tenants.demand(0);
-        assert!((2_200.0..2_400.0).contains(&demand), "{demand} tries a second");
+        assert!(
+            (2_200.0..2_400.0).contains(&demand),
+            "{demand} tries a second"
+        );
         rig.load();
         rig.serves(Duration::ZERO, 40).await;
         let drained: Vec<usize> = (0..200).collect();
-        let seq = rig.list.change(&drained, |server| server.health = "draining");
+        let seq = rig
+            .list
+            .change(&drained, |server| server.health = "draining");
         rig.acted(seq).await;
         rig.serves(rig.world.now(), 40).await;
         // Its ceiling is a quarter of its quota, 819 a second and 3,277 at once. All that it asks for would pass that after some 6 s.
@@ -170,7 +233,11 @@
         let judged = rig.judge().await;
         kept(&judged);
         let ((tries, served), (others, of_others)) = (judged.1.largest, judged.1.others);
-        assert!(served > 0 && served < tries, "it is held back: {:?}", judged.1);
+        assert!(
+            served > 0 && served < tries,
+            "it is held back: {:?}",
+            judged.1
+        );
         assert!(of_others * 2 > others, "and starves nobody: {:?}", judged.1);
     });
 }
@@ -179,13 +246,22 @@
 #[test]
 fn three_hundred_nodes_restart_at_once_while_servers_change() {
     played(async {
-        let mut rig = Rig::begin("restart", Fixture { ceiling: (0.5, 0.5), ..Fixture::of(2_000) }).await;
+        let mut rig = Rig::begin(
+            "restart",
+            Fixture {
+                ceiling: (0.5, 0.5),
+                ..Fixture::of(2_000)
+            },
+        )
+        .await;
         rig.load();
         rig.serves(Duration::ZERO, 40).await;
         let servers: Vec<usize> = (0..400).collect();
         let mut changes = servers.chunks(40);
         let mut change = |list: &list::Service| {
-            changes.next().map_or(0, |part| list.change(part, |server| server.health = "draining"))
+            changes.next().map_or(0, |part| {
+                list.change(part, |server| server.health = "draining")
+            })
         };
         change(&rig.list);
         change(&rig.list);
@@ -220,7 +296,9 @@
         let stands = rack.iter().filter_map(|at| rig.stands.get(at));
         stands.for_each(|server| server.set(|temper| temper.silent = true));
         let drained: Vec<usize> = (0..200).collect();
-        let seq = rig.list.change(&drained, |server| server.health = "draining");
+        let seq = rig
+            .list
+            .change(&drained, |server| server.health = "draining");
         rig.acted(seq).await;
         rig.serves(rig.world.now(), 60).await;
         let judged = rig.judge().await;
@@ -234,7 +312,10 @@
 #[test]
 fn a_list_that_shrinks_to_a_tenth_by_mistake_is_believed_and_the_rest_serves() {
     played(async {
-        let sizes = Fixture { lengths: vec![8_000, 800], ..Fixture::of(8_000) };
+        let sizes = Fixture {
+            lengths: vec![8_000, 800],
+            ..Fixture::of(8_000)
+        };
         let mut rig = Rig::begin("tenth", sizes).await;
         rig.load();
         rig.serves(Duration::ZERO, 40).await;
@@ -244,14 +325,26 @@
         let seq = rig.list.cut(None);
         rig.acted(seq).await;
         let back = rig.world.now();
-        let before: Vec<usize> = rig.stands.range(800..).map(|(_, server)| server.met().1).collect();
+        let before: Vec<usize> = rig
+            .stands
+            .range(800..)
+            .map(|(_, server)| server.met().1)
+            .collect();
         rig.serves(back, 60).await;
         let after = rig.stands.range(800..).map(|(_, server)| server.met().1);
-        let again = before.iter().zip(after).filter(|(before, after)| after > before).count();
+        let again = before
+            .iter()
+            .zip(after)
+            .filter(|(before, after)| after > before)
+            .count();
         assert!(again > 0, "those that were left out are sent to again");
         let judged = rig.judge().await;
         kept(&judged);
-        assert!(judged.0.drains > 0, "what was left out was told: {:?}", judged.0);
+        assert!(
+            judged.0.drains > 0,
+            "what was left out was told: {:?}",
+            judged.0
+        );
         assert!(judged.0.served * 2 > judged.0.tries, "{:?}", judged.0);
     });
 }
@@ -261,18 +354,28 @@
 fn a_list_of_one_server_and_one_of_2000_both_serve() {
     played(async {
         for (servers, cores) in [(1, 400), (2_000, 4)] {
-            let size = Fixture { cores, tries: 1.5, ..Fixture::of(servers) };
+            let size = Fixture {
+                cores,
+                tries: 1.5,
+                ..Fixture::of(servers)
+            };
             let mut rig = Rig::begin(&format!("one-{servers}"), size).await;
             rig.load();
             rig.serves(Duration::ZERO, 60).await;
             // Half of them drain, of one none.
             let drained: Vec<usize> = (0..servers / 2).collect();
-            let seq = rig.list.change(&drained, |server| server.health = "draining");
+            let seq = rig
+                .list
+                .change(&drained, |server| server.health = "draining");
             rig.acted(seq).await;
             rig.serves(rig.world.now(), 20).await;
             let judged = rig.judge().await;
             kept(&judged);
-            assert!(judged.0.served * 2 > judged.0.tries, "{servers}: {:?}", judged.0);
+            assert!(
+                judged.0.served * 2 > judged.0.tries,
+                "{servers}: {:?}",
+                judged.0
+            );
         }
     });
 }
--- a/crates/connection-eviction/src/lib.rs
+++ b/crates/connection-eviction/src/lib.rs
@@ -86,19 +86,37 @@
     }
 
     /// Who makes way for one more, by place: who has been silent longest. Nobody who has a request being answered.
-    pub fn weakest<'a>(&self, now: Time, seats: impl IntoIterator<Item = &'a Seat>) -> Option<usize> {
-        self.make_way(now, seats, Way { must: 1, may: 0 }).first().copied()
+    pub fn weakest<'a>(
+        &self,
+        now: Time,
+        seats: impl IntoIterator<Item = &'a Seat>,
+    ) -> Option<usize> {
+        self.make_way(now, seats, Way { must: 1, may: 0 })
+            .first()
+            .copied()
     }
 
     /// Who makes way for several, by place: who has been silent longest first. Nobody who has a request being answered; and ahead
     /// of need nobody who may be a slow client that goes on.
-    pub fn make_way<'a>(&self, now: Time, seats: impl IntoIterator<Item = &'a Seat>, way: Way) -> Vec<usize> {
+    pub fn make_way<'a>(
+        &self,
+        now: Time,
+        seats: impl IntoIterator<Item = &'a Seat>,
+        way: Way,
+    ) -> Vec<usize> {
         let free = seats.into_iter().enumerate().filter(|(_, seat)| !seat.busy);
-        let mut free: Vec<_> = free.map(|(place, seat)| (self.silent(now, seat), place)).collect();
+        let mut free: Vec<_> = free
+            .map(|(place, seat)| (self.silent(now, seat), place))
+            .collect();
         free.sort_unstable_by_key(|(silent, place)| (std::cmp::Reverse(*silent), *place));
-        let spared =
-            |(at, (silent, _)): &(usize, (Duration, usize))| *at < way.must || *silent >= self.goes_on;
-        let going = free.into_iter().take(way.must.saturating_add(way.may)).enumerate().take_while(spared);
+        let spared = |(at, (silent, _)): &(usize, (Duration, usize))| {
+            *at < way.must || *silent >= self.goes_on
+        };
+        let going = free
+            .into_iter()
+            .take(way.must.saturating_add(way.may))
+            .enumerate()
+            .take_while(spared);
         going.map(|(_, (_, place))| place).collect()
     }
 }
--- a/crates/connection-eviction/src/press.rs
+++ b/crates/connection-eviction/src/press.rs
@@ -42,7 +42,10 @@
         }
         let soon = (self.now + self.before).min(most / SHARE);
         let must = needed.saturating_sub(going);
-        Way { must, may: soon.saturating_sub(going).saturating_sub(must) }
+        Way {
+            must,
+            may: soon.saturating_sub(going).saturating_sub(must),
+        }
     }
 }
 
--- a/crates/connection-eviction/src/rounds.rs
+++ b/crates/connection-eviction/src/rounds.rs
@@ -24,7 +24,10 @@
 
 impl Rounds {
     /// Of a loop that has not begun.
-    pub const NEW: Rounds = Rounds { since: Time::ZERO, slept: None };
+    pub const NEW: Rounds = Rounds {
+        since: Time::ZERO,
+        slept: None,
+    };
 
     /// It goes to sleep, with nothing left to do.
     pub fn sleeps(&mut self, now: Time) {
@@ -33,7 +36,9 @@
 
     /// It wakes; it never asks for longer sleeps than `longest`.
     pub fn wakes(&mut self, now: Time, longest: Duration) {
-        let Some(slept) = self.slept.take() else { return };
+        let Some(slept) = self.slept.take() else {
+            return;
+        };
         if (SLEPT..=longest).contains(&now.saturating_sub(slept)) {
             self.since = self.since.max(now);
         }
@@ -52,5 +57,7 @@
 
 /// How long what came after `since` may have rested by now, where that is long enough to count.
 pub fn rested(since: Time, now: Time) -> Duration {
-    Some(now.saturating_sub(since)).filter(|span| *span > ON_TIME).unwrap_or_default()
+    Some(now.saturating_sub(since))
+        .filter(|span| *span > ON_TIME)
+        .unwrap_or_default()
 }
--- a/crates/connection-eviction/src/tests.rs
+++ b/crates/connection-eviction/src/tests.rs
@@ -2,17 +2,31 @@
 use proptest::prelude::*;
 
 const MS: Duration = Duration::from_millis(1);
-const SEAT: Seat = Seat { came: Duration::ZERO, last: Duration::ZERO, head: None, busy: false, asked: false };
+const SEAT: Seat = Seat {
+    came: Duration::ZERO,
+    last: Duration::ZERO,
+    head: None,
+    busy: false,
+    asked: false,
+};
 
 #[test]
 fn a_head_has_its_time_from_its_first_byte_on_and_an_idle_connection_its_own() {
     let limits = Limits::USUAL;
     assert!(!limits.over(2199 * MS, &SEAT) && limits.over(2200 * MS, &SEAT));
     // It was idle for long, then began: the head's time counts from there.
-    let seat = Seat { last: 2100 * MS, head: Some(2100 * MS), asked: true, ..SEAT };
+    let seat = Seat {
+        last: 2100 * MS,
+        head: Some(2100 * MS),
+        asked: true,
+        ..SEAT
+    };
     assert!(!limits.over(5099 * MS, &seat) && limits.over(5100 * MS, &seat));
     // Dribbling buys no time.
-    let seat = Seat { last: 5099 * MS, ..seat };
+    let seat = Seat {
+        last: 5099 * MS,
+        ..seat
+    };
     assert!(limits.over(5100 * MS, &seat));
     assert!(!limits.over(60_000 * MS, &Seat { busy: true, ..seat }));
 }
@@ -46,10 +60,18 @@
         });
         // 200 a second that stop, half of them after some bytes, and 10 that go on.
         let head = (step % 2 == 0).then_some(now);
-        let fresh = Seat { came: now, last: now, head, busy: false, asked: false };
+        let fresh = Seat {
+            came: now,
+            last: now,
+            head,
+            busy: false,
+            asked: false,
+        };
         let good = step % 20 == 0;
         if seats.len() >= most {
-            let place = limits.weakest(now, seats.iter().map(|(_, seat)| seat)).expect("somebody is free");
+            let place = limits
+                .weakest(now, seats.iter().map(|(_, seat)| seat))
+                .expect("somebody is free");
             lost += usize::from(seats.remove(place).0);
         }
         seats.push((good, fresh));
@@ -140,8 +162,17 @@
         // 200 a second that stop, half of them after some bytes; 10 that go on; and now and then 300 at once that say nothing.
         let burst = if step % 200 == 100 { 300 } else { 0 };
         let head = (step % 2 == 0).then_some(now);
-        let fresh = Seat { came: now, last: now, head, busy: false, asked: false };
-        let silent = Seat { head: None, ..fresh };
+        let fresh = Seat {
+            came: now,
+            last: now,
+            head,
+            busy: false,
+            asked: false,
+        };
+        let silent = Seat {
+            head: None,
+            ..fresh
+        };
         let good = (step % 20 == 0, fresh);
         for (good, seat) in (0..burst).map(|_| (false, silent)).chain([good]) {
             press.came(now);
@@ -160,7 +191,10 @@
         }
     }
     // Each of the 80 that came two seconds or more before the end.
-    assert!(lost == 0 && done == 80 && batches > 50, "{lost} lost, {done} done, {batches} batches");
+    assert!(
+        lost == 0 && done == 80 && batches > 50,
+        "{lost} lost, {done} done, {batches} batches"
+    );
 }
 
 #[test]
@@ -168,16 +202,31 @@
     let mut press = Press::default();
     press.came(1000 * MS);
     assert_eq!(press.make_way(1000 * MS, 80, 79, 0), Way::default());
-    assert_eq!(press.make_way(1000 * MS, 80, 80, 0), Way { must: 1, may: 0 });
+    assert_eq!(
+        press.make_way(1000 * MS, 80, 80, 0),
+        Way { must: 1, may: 0 }
+    );
     assert_eq!(press.make_way(1000 * MS, 80, 80, 1), Way::default());
     // Half of the places went to another process: as many have to go.
-    assert_eq!(press.make_way(1000 * MS, 40, 80, 0), Way { must: 41, may: 0 });
+    assert_eq!(
+        press.make_way(1000 * MS, 40, 80, 0),
+        Way { must: 41, may: 0 }
+    );
     (0..9).for_each(|_| press.came(1050 * MS));
-    assert_eq!(press.make_way(1050 * MS, 80, 80, 0), Way { must: 1, may: 9 });
+    assert_eq!(
+        press.make_way(1050 * MS, 80, 80, 0),
+        Way { must: 1, may: 9 }
+    );
     (0..1000).for_each(|_| press.came(1090 * MS));
-    assert_eq!(press.make_way(1090 * MS, 80, 80, 5), Way { must: 0, may: 15 });
+    assert_eq!(
+        press.make_way(1090 * MS, 80, 80, 5),
+        Way { must: 0, may: 15 }
+    );
     // It is over.
-    assert_eq!(press.make_way(2000 * MS, 80, 80, 0), Way { must: 1, may: 0 });
+    assert_eq!(
+        press.make_way(2000 * MS, 80, 80, 0),
+        Way { must: 1, may: 0 }
+    );
 }
 
 #[test]
@@ -186,7 +235,10 @@
     let mut rounds = Rounds::NEW;
     rounds.sleeps(10 * MS);
     rounds.wakes(60 * MS, longest);
-    assert_eq!((rounds.since(), rested(rounds.since(), 64 * MS)), (60 * MS, Duration::ZERO));
+    assert_eq!(
+        (rounds.since(), rested(rounds.since(), 64 * MS)),
+        (60 * MS, Duration::ZERO)
+    );
     // A long turn of work.
     assert_eq!(rested(rounds.since(), 90 * MS), 30 * MS);
     // Something lay there already: it may have come at any time of that turn.
--- a/crates/endpoints/src/entry.rs
+++ b/crates/endpoints/src/entry.rs
@@ -56,15 +56,44 @@
 impl Kept {
     /// Keeps an entry, and its hall's name with those of the others.
     pub fn new(entry: &Entry, sites: &mut Sites) -> Kept {
-        let Entry { dial, block, share, born_ms, standing, .. } = *entry;
-        Kept { dial, site: sites.shared(&entry.site), block, share, born_ms, standing }
+        let Entry {
+            dial,
+            block,
+            share,
+            born_ms,
+            standing,
+            ..
+        } = *entry;
+        Kept {
+            dial,
+            site: sites.shared(&entry.site),
+            block,
+            share,
+            born_ms,
+            standing,
+        }
     }
 
     /// The whole entry.
     pub fn entry(&self, host: &Arc<str>) -> Entry {
-        let Kept { dial, block, share, born_ms, standing, .. } = *self;
+        let Kept {
+            dial,
+            block,
+            share,
+            born_ms,
+            standing,
+            ..
+        } = *self;
         let (host, site) = (Arc::clone(host), Arc::clone(&self.site));
-        Entry { host, dial, site, block, standing, share, born_ms }
+        Entry {
+            host,
+            dial,
+            site,
+            block,
+            standing,
+            share,
+            born_ms,
+        }
     }
 
     /// Its standing.
@@ -162,5 +191,13 @@
     }
     let (dial, site, block) = (value.dial, Arc::from(&*value.site), value.block);
     let (standing, share, born_ms) = (value.health, value.share, value.born_ms);
-    Ok(Entry { host: host.into(), dial, site, block, standing, share, born_ms })
+    Ok(Entry {
+        host: host.into(),
+        dial,
+        site,
+        block,
+        standing,
+        share,
+        born_ms,
+    })
 }
--- a/crates/endpoints/src/follower.rs
+++ b/crates/endpoints/src/follower.rs
@@ -67,7 +67,9 @@
 
 impl Default for Rules {
     fn default() -> Rules {
-        Rules { empty_after: Time::from_secs(30) }
+        Rules {
+            empty_after: Time::from_secs(30),
+        }
     }
 }
 
@@ -113,7 +115,9 @@
     /// Takes in a page of the range.
     pub fn page(&mut self, kvs: impl IntoIterator<Item = KeyValue>) {
         for kv in kvs {
-            let Some(host) = entry::host(&self.prefix, &kv.key) else { continue };
+            let Some(host) = entry::host(&self.prefix, &kv.key) else {
+                continue;
+            };
             let (host, read) = read(host, &kv, &mut self.sites);
             self.listed.insert(host, read);
         }
@@ -126,7 +130,12 @@
     match entry::read(host, &kv.value) {
         Ok(entry) => {
             let kept = Kept::new(&entry, sites);
-            let held = Held { entry: kept, create_revision, mod_revision, spoilt: false };
+            let held = Held {
+                entry: kept,
+                create_revision,
+                mod_revision,
+                spoilt: false,
+            };
             (entry.host, Ok(Box::new(held)))
         }
         Err(why) => (host.into(), Err((mod_revision, why))),
@@ -249,7 +258,11 @@
 
     /// A list of which no page has come.
     pub fn listing(&self) -> Listing {
-        Listing { prefix: self.prefix.clone(), sites: self.sites.clone(), listed: BTreeMap::new() }
+        Listing {
+            prefix: self.prefix.clone(),
+            sites: self.sites.clone(),
+            listed: BTreeMap::new(),
+        }
     }
 
     /// Takes in a range of which all pages have come.
@@ -257,7 +270,9 @@
         self.seen.ranges += 1;
         let first = self.revision.is_none();
         if let Some(known) = self.header {
-            let back = self.revision.is_some_and(|revision| header.revision < revision);
+            let back = self
+                .revision
+                .is_some_and(|revision| header.revision < revision);
             if header.cluster_id != known.cluster_id || back || header.raft_term < known.raft_term {
                 self.seen.replaced += 1;
                 self.logs.push(format!(
@@ -271,7 +286,11 @@
         }
         self.reconnected();
         (self.header, self.revision) = (Some(header), Some(header.revision));
-        let mut change = Change { entries: Vec::new(), told, whole: first };
+        let mut change = Change {
+            entries: Vec::new(),
+            told,
+            whole: first,
+        };
         let Listing { sites, listed, .. } = listing;
         // What it read goes by these names.
         self.sites = sites;
@@ -294,7 +313,9 @@
         if self.hosts.is_empty() {
             self.fill(listed, born, &mut change);
         } else {
-            listed.into_iter().for_each(|(host, read)| self.put(host, read, born, &mut change));
+            listed
+                .into_iter()
+                .for_each(|(host, read)| self.put(host, read, born, &mut change));
         }
         self.resolve(&mut change);
         change
@@ -303,9 +324,17 @@
     /// Takes in one response of the watch, or a fragment of one. Events of one response are one change. A drain or a
     /// removal in a fragment is told at once; everything else when the last fragment has come.
     pub fn events(
-        &mut self, header: Header, events: Vec<WatchEvent>, fragment: bool, told: Time, now: u64,
+        &mut self,
+        header: Header,
+        events: Vec<WatchEvent>,
+        fragment: bool,
+        told: Time,
+        now: u64,
     ) -> (Change, Next) {
-        let mut change = Change { told, ..Change::default() };
+        let mut change = Change {
+            told,
+            ..Change::default()
+        };
         match self.header(header) {
             Next::Continue => {}
             other => return (change, other),
@@ -314,8 +343,10 @@
             return (change, Next::Reread("nothing was ranged over yet"));
         };
         let count = events.len();
-        let events: Vec<WatchEvent> =
-            events.into_iter().filter(|event| event.kv.mod_revision > revision).collect();
+        let events: Vec<WatchEvent> = events
+            .into_iter()
+            .filter(|event| event.kv.mod_revision > revision)
+            .collect();
         self.seen.old += (count - events.len()) as u64;
         let begun = *self.fragments_told.get_or_insert(told);
         if fragment {
@@ -362,7 +393,8 @@
     /// Whether an empty list that is not believed yet has stayed so for long enough that a range should settle it;
     /// after that range [`Follower::believe`] is asked.
     pub fn doubts(&self, now: Time) -> bool {
-        self.emptied.is_some_and(|since| now.saturating_sub(since) >= self.rules.empty_after)
+        self.emptied
+            .is_some_and(|since| now.saturating_sub(since) >= self.rules.empty_after)
     }
 
     /// Believes that hosts are gone which were wiped at one stroke and which a range has just shown to be missing still,
@@ -373,13 +405,28 @@
         }
         self.emptied = None;
         if std::mem::take(&mut self.unlisted) {
-            self.logs.push("the prefix is empty, and was so from the start".to_owned());
-            let entries = self.hosts.iter().map(|(host, held)| held.entry.entry(host)).collect();
-            return Some(Change { entries, told: now, whole: true });
+            self.logs
+                .push("the prefix is empty, and was so from the start".to_owned());
+            let entries = self
+                .hosts
+                .iter()
+                .map(|(host, held)| held.entry.entry(host))
+                .collect();
+            return Some(Change {
+                entries,
+                told: now,
+                whole: true,
+            });
         }
         let wiped = std::mem::take(&mut self.wiped);
-        self.logs.push(format!("the wiped prefix stays so: {} servers are gone", wiped.len()));
-        let mut change = Change { told: now, ..Change::default() };
+        self.logs.push(format!(
+            "the wiped prefix stays so: {} servers are gone",
+            wiped.len()
+        ));
+        let mut change = Change {
+            told: now,
+            ..Change::default()
+        };
         wiped.iter().for_each(|host| self.remove(host, &mut change));
         Some(change)
     }
@@ -394,7 +441,11 @@
             ));
         }
         self.emptied.get_or_insert(told);
-        self.wiped.extend(wiped.into_iter().filter(|host| self.hosts.contains_key(host.as_str())));
+        self.wiped.extend(
+            wiped
+                .into_iter()
+                .filter(|host| self.hosts.contains_key(host.as_str())),
+        );
     }
 
     /// All events of a whole response, in order.
@@ -432,7 +483,9 @@
             let mut deleted = BTreeSet::new();
             let before = alive;
             for event in events {
-                let Some(host) = entry::host(&self.prefix, &event.kv.key) else { continue };
+                let Some(host) = entry::host(&self.prefix, &event.kv.key) else {
+                    continue;
+                };
                 let known = || self.hosts.contains_key(host) && !self.wiped.contains(host);
                 let was = touched.get(host).copied().unwrap_or_else(known);
                 touched.insert(host.to_owned(), !event.delete);
@@ -453,9 +506,16 @@
     /// A whole response, or the whole list, is there: what fragments told of drains gives way to it.
     fn resolve(&mut self, change: &mut Change) {
         let mut left = std::mem::take(&mut self.provisional);
-        change.entries.iter().for_each(|entry| _ = left.remove(&*entry.host));
-        let held = left.iter().filter_map(|host| self.hosts.get_key_value(host.as_str()));
-        change.entries.extend(held.map(|(host, held)| held.entry.entry(host)));
+        change
+            .entries
+            .iter()
+            .for_each(|entry| _ = left.remove(&*entry.host));
+        let held = left
+            .iter()
+            .filter_map(|host| self.hosts.get_key_value(host.as_str()));
+        change
+            .entries
+            .extend(held.map(|(host, held)| held.entry.entry(host)));
     }
 
     /// What of a fragment makes a server's standing more careful. Its removal too, unless it empties the list: the
@@ -463,21 +523,35 @@
     fn careful(&mut self, events: &[WatchEvent], change: &mut Change) {
         let mut careful: BTreeMap<&str, Standing> = BTreeMap::new();
         for event in events {
-            let Some(host) = entry::host(&self.prefix, &event.kv.key) else { continue };
+            let Some(host) = entry::host(&self.prefix, &event.kv.key) else {
+                continue;
+            };
             let read = entry::read(host, &event.kv.value).map(|entry| entry.standing);
-            let standing = if event.delete { Ok(Standing::Gone) } else { read };
+            let standing = if event.delete {
+                Ok(Standing::Gone)
+            } else {
+                read
+            };
             if let Ok(standing) = standing {
                 careful.insert(host, standing);
             }
         }
-        let gone = careful.values().filter(|standing| **standing == Standing::Gone).count();
+        let gone = careful
+            .values()
+            .filter(|standing| **standing == Standing::Gone)
+            .count();
         let wiped = gone >= self.hosts.len() && self.hosts.len() > 1;
         for (host, standing) in careful {
-            let Some((host, held)) = self.hosts.get_key_value(host) else { continue };
+            let Some((host, held)) = self.hosts.get_key_value(host) else {
+                continue;
+            };
             // A removal is told as a drain until the whole response is there.
             let standing = standing.min(Standing::Draining);
             if standing > held.entry.standing() && !wiped {
-                change.entries.push(Entry { standing, ..held.entry.entry(host) });
+                change.entries.push(Entry {
+                    standing,
+                    ..held.entry.entry(host)
+                });
                 self.provisional.insert(host.to_string());
             }
         }
@@ -486,7 +560,10 @@
     fn remove(&mut self, host: &str, change: &mut Change) {
         self.wiped.remove(host);
         if let Some((host, held)) = self.hosts.remove_entry(host) {
-            change.entries.push(Entry { standing: Standing::Gone, ..held.entry.entry(&host) });
+            change.entries.push(Entry {
+                standing: Standing::Gone,
+                ..held.entry.entry(&host)
+            });
         }
     }
 
@@ -514,7 +591,9 @@
     fn put(&mut self, host: Arc<str>, read: Listed, now: u64, change: &mut Change) {
         self.wiped.remove(&*host);
         let known = self.hosts.get(&host);
-        let revision = read.as_ref().map_or_else(|(revision, _)| *revision, |held| held.mod_revision);
+        let revision = read
+            .as_ref()
+            .map_or_else(|(revision, _)| *revision, |held| held.mod_revision);
         if known.is_some_and(|held| held.mod_revision == revision && !held.spoilt) {
             return;
         }
@@ -525,7 +604,11 @@
         // A key that was created anew without a start of its own is a process that has just started: cold.
         let anew = known.is_none_or(|known| known.create_revision != held.create_revision);
         if held.entry.born_ms() == 0 {
-            held.entry.begin(if anew { now } else { known.map_or(0, |known| known.entry.born_ms()) });
+            held.entry.begin(if anew {
+                now
+            } else {
+                known.map_or(0, |known| known.entry.born_ms())
+            });
         }
         if self.hosts.len() >= HOSTS_MOST && known.is_none() {
             return;
@@ -547,11 +630,21 @@
                 std::mem::replace(&mut held.spoilt, true)
             }
             None if self.unreadable.len() >= HOSTS_MOST => true,
-            None => self.unreadable.insert(host.to_owned(), mod_revision).is_some(),
+            None => self
+                .unreadable
+                .insert(host.to_owned(), mod_revision)
+                .is_some(),
         };
         if !told {
-            let then = if kept { "its last good entry stays" } else { "it is not listed" };
-            self.logs.push(format!("{}{host} can't be read ({why}): {then}", self.prefix));
+            let then = if kept {
+                "its last good entry stays"
+            } else {
+                "it is not listed"
+            };
+            self.logs.push(format!(
+                "{}{host} can't be read ({why}): {then}",
+                self.prefix
+            ));
         }
     }
 }
--- a/crates/endpoints/src/follower/tests.rs
+++ b/crates/endpoints/src/follower/tests.rs
@@ -11,9 +11,15 @@
 /// A zone that goes at one instant, each server by a revision of its own.
 #[test]
 fn changes_that_come_in_one_response_are_one_change_that_costs_what_it_names() {
-    const HEADER: Header = Header { cluster_id: 1, member_id: 1, revision: 10, raft_term: 1 };
-    let value =
-        |health: &str| format!(r#"{{"dial":"10.0.0.1:80","site":"a","health":"{health}"}}"#).into_bytes();
+    const HEADER: Header = Header {
+        cluster_id: 1,
+        member_id: 1,
+        revision: 10,
+        raft_term: 1,
+    };
+    let value = |health: &str| {
+        format!(r#"{{"dial":"10.0.0.1:80","site":"a","health":"{health}"}}"#).into_bytes()
+    };
     let kv = |number: usize, revision: i64, health: &str| KeyValue {
         key: format!("/board/s-{number}").into_bytes(),
         value: value(health),
@@ -22,12 +28,24 @@
     };
     let mut follower = Follower::new("/board/", Rules::default());
     let all: Vec<KeyValue> = (0..40_000).map(|number| kv(number, 2, "ready")).collect();
-    assert_eq!(follower.range(HEADER, &all, Time::ZERO, 0).entries.len(), 40_000);
+    assert_eq!(
+        follower.range(HEADER, &all, Time::ZERO, 0).entries.len(),
+        40_000
+    );
     let events = (0..4_400).map(|number| kv(number, 11 + number as i64, "draining"));
     let events = events.map(|kv| WatchEvent { delete: false, kv }).collect();
-    let header = Header { revision: 4_410, ..HEADER };
+    let header = Header {
+        revision: 4_410,
+        ..HEADER
+    };
     let (change, next) = follower.events(header, events, false, Time::ZERO, 0);
-    assert_eq!((change.entries.len(), change.whole, next), (4_400, false, Next::Continue));
-    assert!(change.entries.iter().all(|entry| entry.standing == Standing::Draining));
+    assert_eq!(
+        (change.entries.len(), change.whole, next),
+        (4_400, false, Next::Continue)
+    );
+    assert!(change
+        .entries
+        .iter()
+        .all(|entry| entry.standing == Standing::Draining));
     assert_eq!((follower.hosts(), follower.resume()), (40_000, Some(4_411)));
 }
--- a/crates/endpoints/src/merge.rs
+++ b/crates/endpoints/src/merge.rs
@@ -44,12 +44,20 @@
         if change.whole {
             // Who is not on the whole list is gone for this source, if it ever had a say.
             for (host, says) in &self.hosts {
-                if says[source as usize].as_ref().is_some_and(|kept| kept.standing() != Standing::Gone) {
+                if says[source as usize]
+                    .as_ref()
+                    .is_some_and(|kept| kept.standing() != Standing::Gone)
+                {
                     touched.insert(Arc::clone(host), None);
                 }
             }
         }
-        touched.extend(change.entries.into_iter().map(|entry| (Arc::clone(&entry.host), Some(entry))));
+        touched.extend(
+            change
+                .entries
+                .into_iter()
+                .map(|entry| (Arc::clone(&entry.host), Some(entry))),
+        );
         let mut entries = Vec::new();
         for (host, entry) in touched {
             let says = self.hosts.entry(Arc::clone(&host)).or_default();
@@ -64,12 +72,20 @@
             let standings: Vec<_> = says.iter().flatten().map(|kept| kept.standing()).collect();
             self.contradictions += u64::from(standings.windows(2).any(|two| two[0] != two[1]));
             // Guards memory: a host that nobody lists any more is forgotten.
-            if says.iter().flatten().all(|kept| kept.standing() == Standing::Gone) {
+            if says
+                .iter()
+                .flatten()
+                .all(|kept| kept.standing() == Standing::Gone)
+            {
                 self.hosts.remove(&host);
             }
             entries.extend(after.filter(|after| before.as_ref() != Some(after)));
         }
-        Change { entries, told: change.told, whole: false }
+        Change {
+            entries,
+            told: change.told,
+            whole: false,
+        }
     }
 
     /// How often sources were seen to contradict each other on a standing.
@@ -87,6 +103,12 @@
     let said = || says.iter().flatten().map(Box::as_ref);
     let standing = said().map(Kept::standing).max()?;
     let born_ms = said().map(Kept::born_ms).max().unwrap_or(0);
-    let place = said().find(|kept| kept.standing() != Standing::Gone).or(said().next())?;
-    Some(Entry { standing, born_ms, ..place.entry(host) })
+    let place = said()
+        .find(|kept| kept.standing() != Standing::Gone)
+        .or(said().next())?;
+    Some(Entry {
+        standing,
+        born_ms,
+        ..place.entry(host)
+    })
 }
--- a/crates/endpoints/src/objects.rs
+++ b/crates/endpoints/src/objects.rs
@@ -18,7 +18,9 @@
 impl fmt::Display for Unreadable {
     fn fmt(&self, to: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Unreadable::NoObject(byte) => write!(to, "{:?} where an object begins", char::from(*byte)),
+            Unreadable::NoObject(byte) => {
+                write!(to, "{:?} where an object begins", char::from(*byte))
+            }
             Unreadable::TooLong => to.write_str("an object has no end"),
         }
     }
@@ -40,7 +42,13 @@
 impl Objects {
     /// A stream of which nothing has come.
     pub fn new(most: usize) -> Objects {
-        Objects { most, kept: Vec::new(), depth: 0, inside_text: false, escaped: false }
+        Objects {
+            most,
+            kept: Vec::new(),
+            depth: 0,
+            inside_text: false,
+            escaped: false,
+        }
     }
 
     /// Takes the next object off the front of `bytes`; none where it has not ended yet, and all of them are kept then.
@@ -69,7 +77,11 @@
                 *bytes = rest;
                 self.kept.extend_from_slice(last);
                 let object = std::mem::take(&mut self.kept);
-                return if object.len() > self.most { Err(Unreadable::TooLong) } else { Ok(Some(object)) };
+                return if object.len() > self.most {
+                    Err(Unreadable::TooLong)
+                } else {
+                    Ok(Some(object))
+                };
             }
         }
         self.kept.extend_from_slice(bytes);
--- a/crates/endpoints/src/objects/tests.rs
+++ b/crates/endpoints/src/objects/tests.rs
@@ -18,7 +18,11 @@
     let stream = format!("\n\n{indented}\n\n{{\"seq\":5}}{{\"seq\":6}}\r\n");
     for piece in 1..=stream.len() {
         let all = read(stream.as_bytes(), piece).expect("it can be read");
-        assert_eq!(all, [indented, "{\"seq\":5}", "{\"seq\":6}"], "in pieces of {piece}");
+        assert_eq!(
+            all,
+            [indented, "{\"seq\":5}", "{\"seq\":6}"],
+            "in pieces of {piece}"
+        );
     }
 }
 
@@ -26,7 +30,10 @@
 fn what_is_no_object_or_has_no_end_is_told() {
     assert_eq!(read(b"\n noise", 3), Err(Unreadable::NoObject(b'n')));
     assert_eq!(read(b"{\"seq\":1}]", 100), Err(Unreadable::NoObject(b']')));
-    assert_eq!(read(&[b"{\"a\":\"", &[b'x'; 2000][..]].concat(), 100), Err(Unreadable::TooLong));
+    assert_eq!(
+        read(&[b"{\"a\":\"", &[b'x'; 2000][..]].concat(), 100),
+        Err(Unreadable::TooLong)
+    );
     assert_eq!(read(b"{\"seq\":1", 2), Ok(vec![]), "half an object is none");
 }
 
--- a/crates/endpoints/src/pace.rs
+++ b/crates/endpoints/src/pace.rs
@@ -50,7 +50,8 @@
     /// a fleet that starts at one stroke calls evenly.
     pub fn first_call(&self, (number, nodes): (u32, u32), draw: f64) -> Duration {
         let nodes = nodes.max(1);
-        let span = Duration::from_secs_f64(f64::from(nodes) / self.calls_per_s).min(self.first_within);
+        let span =
+            Duration::from_secs_f64(f64::from(nodes) / self.calls_per_s).min(self.first_within);
         span.mul_f64((f64::from(number % nodes) + draw.clamp(0.0, 1.0)) / f64::from(nodes))
     }
 }
@@ -64,7 +65,13 @@
 
 impl Doubt {
     /// A whole list has come, with so many servers, where so many were known; whether it is believed at this time.
-    pub fn believes(&mut self, now: Duration, listed: usize, known: usize, after: Duration) -> bool {
+    pub fn believes(
+        &mut self,
+        now: Duration,
+        listed: usize,
+        known: usize,
+        after: Duration,
+    ) -> bool {
         if listed > 0 || known < 2 {
             self.since = None;
             return true;
@@ -95,7 +102,10 @@
 }
 
 /// Those of an agent: eight calls are open at the most.
-const AGENT: Hedged = Hedged { every: Duration::from_millis(120), answer_within: Duration::from_millis(960) };
+const AGENT: Hedged = Hedged {
+    every: Duration::from_millis(120),
+    answer_within: Duration::from_millis(960),
+};
 /// Between the end of an agent's watch and the next call.
 const AGENT_PAUSE: Duration = Duration::from_millis(30);
 
@@ -121,18 +131,33 @@
 impl Pace {
     /// The pauses of a node in a fleet of so many: calls begin 4.5 s apart at the most, as long as one fails within that.
     pub fn of(nodes: u32) -> Self {
-        let share = |a_second: f64, most| Duration::from_secs_f64(f64::from(nodes) / a_second).min(most);
+        let share =
+            |a_second: f64, most| Duration::from_secs_f64(f64::from(nodes) / a_second).min(most);
         let first = share(FIRST_A_SECOND, MOST / 2).max(LEAST.0);
         let longest = share(LATER_A_SECOND, MOST_MEAN).max(LEAST.1).max(first);
         let ended = (first * 2).min(ENDED_MOST);
-        Pace { hedged: None, first, longest, next: first, ended, most: Some(MOST) }
+        Pace {
+            hedged: None,
+            first,
+            longest,
+            next: first,
+            ended,
+            most: Some(MOST),
+        }
     }
 
     /// Those of a node whose agent answers at once and at no cost: nobody else is kept waiting by its calls.
     pub fn agent() -> Self {
         let first = AGENT_PAUSE;
         let ended = first * 2;
-        Pace { hedged: Some(AGENT), first, longest: first, next: first, ended, most: None }
+        Pace {
+            hedged: Some(AGENT),
+            first,
+            longest: first,
+            next: first,
+            ended,
+            most: None,
+        }
     }
 
     /// Whether more calls go out while one is open, and how.
@@ -146,7 +171,14 @@
         let share = Duration::from_secs_f64(f64::from(nodes) / terms.calls_per_s);
         let first = share.max(LEAST.0);
         let longest = (first * 2).max(LEAST.1);
-        Pace { hedged: None, first, longest, next: first, ended: first * 2, most: None }
+        Pace {
+            hedged: None,
+            first,
+            longest,
+            next: first,
+            ended: first * 2,
+            most: None,
+        }
     }
 
     /// A call goes out: after how long another one goes out beside it, if it is neither answered nor given up, or has failed.
@@ -196,7 +228,9 @@
     pub fn pause(&mut self, draw: f64) -> Duration {
         let mean = self.next;
         let half = if mean == self.first { mean } else { mean / 2 };
-        let half = self.most.map_or(half, |most| half.min(most.saturating_sub(mean)));
+        let half = self
+            .most
+            .map_or(half, |most| half.min(most.saturating_sub(mean)));
         self.next = (self.next * 2).min(self.longest);
         mean - half + (half * 2).mul_f64(draw.clamp(0.0, 1.0))
     }
--- a/crates/endpoints/src/pace/tests.rs
+++ b/crates/endpoints/src/pace/tests.rs
@@ -26,7 +26,11 @@
             }
         }
         // The next one goes out beside it, unless it is answered by then.
-        let next = now + paces[node].beside(random.f64()).expect("calls go on").as_secs_f64();
+        let next = now
+            + paces[node]
+                .beside(random.f64())
+                .expect("calls go on")
+                .as_secs_f64();
         if next < answers[node] {
             due.push((next, node));
         }
@@ -41,7 +45,10 @@
     // It can answer each node of a large fleet once in 5 s.
     for nodes in [3, 30, 100, 300, 1000, 2700] {
         let after = comes_back(nodes, (f64::from(nodes) / 5.0).max(10.0), Pace::of);
-        assert!(after.is_some_and(|after| after < 30.0), "{nodes} nodes: {after:?} s");
+        assert!(
+            after.is_some_and(|after| after < 30.0),
+            "{nodes} nodes: {after:?} s"
+        );
     }
     // What a small fleet keeps to, kept to by a hundred: the line never gets short.
     assert!(comes_back(100, 20.0, |_| Pace::of(3)).is_none_or(|after| after > 60.0));
@@ -49,14 +56,24 @@
 
 fn terms() -> Terms {
     let s = Duration::from_secs;
-    Terms { calls_per_s: 25.0, first_within: s(60), answer_within: s(10), empty_after: s(30) }
+    Terms {
+        calls_per_s: 25.0,
+        first_within: s(60),
+        answer_within: s(10),
+        empty_after: s(30),
+    }
 }
 
 /// The most calls in any second of these.
 fn most(mut at: Vec<f64>) -> usize {
     at.sort_by(f64::total_cmp);
     (0..at.len())
-        .map(|place| at[place..].iter().take_while(|later| **later < at[place] + 1.0).count())
+        .map(|place| {
+            at[place..]
+                .iter()
+                .take_while(|later| **later < at[place] + 1.0)
+                .count()
+        })
         .max()
         .unwrap_or(0)
 }
@@ -65,7 +82,11 @@
 fn first_calls_of_a_fleet_that_starts_at_once_are_even() {
     let mut random = fastrand::Rng::with_seed(7);
     for nodes in [3, 30, 300, 1000] {
-        let calls = (0..nodes).map(|number| terms().first_call((number, nodes), random.f64()).as_secs_f64());
+        let calls = (0..nodes).map(|number| {
+            terms()
+                .first_call((number, nodes), random.f64())
+                .as_secs_f64()
+        });
         let calls: Vec<f64> = calls.collect();
         let last = calls.iter().copied().fold(0.0, f64::max);
         assert!(last <= f64::from(nodes) / 25.0, "{nodes} nodes: {last} s");
@@ -73,7 +94,10 @@
         assert!(most <= 27, "{nodes} nodes: {most} in a second");
     }
     // The span is what holds where the two can't both.
-    let soon = Terms { first_within: Duration::from_secs(4), ..terms() };
+    let soon = Terms {
+        first_within: Duration::from_secs(4),
+        ..terms()
+    };
     assert!(soon.first_call((999, 1000), 1.0) <= Duration::from_secs(4));
 }
 
@@ -115,7 +139,10 @@
     assert_eq!(doubt.asks_again(s(30)), Some(s(31)));
     assert!(!doubt.believes(s(30), 0, 5, s(30)));
     assert!(doubt.believes(s(31), 0, 5, s(30)));
-    assert!(doubt.believes(s(32), 3, 5, s(30)), "and one with servers at once");
+    assert!(
+        doubt.believes(s(32), 3, 5, s(30)),
+        "and one with servers at once"
+    );
     assert!(!doubt.believes(s(40), 0, 3, s(30)), "the doubt begins anew");
     assert!(doubt.believes(s(41), 0, 1, s(30)), "the last server may go");
 }
@@ -126,10 +153,22 @@
 fn an_agent_that_has_a_list_again_is_called_within_what_a_drain_allows() {
     let mut pace = Pace::agent();
     let hedged = pace.hedged().expect("several calls are open");
-    let pause = (0..50).map(|draw| pace.pause(f64::from(draw) / 50.0)).max().expect("some");
-    assert!(pause + hedged.every <= Duration::from_millis(200), "{pause:?} and {hedged:?}");
-    assert!(hedged.answer_within >= hedged.every * 4, "a slow agent gets its time");
-    assert!(Pace::of(300).hedged().is_none(), "a service that all share is not called so");
+    let pause = (0..50)
+        .map(|draw| pace.pause(f64::from(draw) / 50.0))
+        .max()
+        .expect("some");
+    assert!(
+        pause + hedged.every <= Duration::from_millis(200),
+        "{pause:?} and {hedged:?}"
+    );
+    assert!(
+        hedged.answer_within >= hedged.every * 4,
+        "a slow agent gets its time"
+    );
+    assert!(
+        Pace::of(300).hedged().is_none(),
+        "a service that all share is not called so"
+    );
 }
 
 /// The rule on drains counts from 6 s after a watch fell silent, of which a node needs 3 s to notice.
@@ -139,18 +178,32 @@
         for mut pace in [Pace::of(nodes), Pace::agent()] {
             // Calls had failed before that watch was opened.
             (0..5).for_each(|_| _ = pace.pause(1.0));
-            let longest = (0..=10).map(|draw| pace.ended(f64::from(draw) / 10.0)).max();
-            assert!(longest <= Some(Duration::from_secs(1)), "{nodes} nodes: {longest:?}");
+            let longest = (0..=10)
+                .map(|draw| pace.ended(f64::from(draw) / 10.0))
+                .max();
+            assert!(
+                longest <= Some(Duration::from_secs(1)),
+                "{nodes} nodes: {longest:?}"
+            );
         }
     }
     // The fleet is spread over that second all the same, and what fails then waits as long as ever.
     let mut pace = Pace::of(300);
-    assert!(pace.ended(1.0) == Duration::from_secs(1) && pace.ended(0.1) == Duration::from_millis(100));
+    assert!(
+        pace.ended(1.0) == Duration::from_secs(1) && pace.ended(0.1) == Duration::from_millis(100)
+    );
     // Longer is not allowed, however many they are: `calls_of_any_fleet_begin_in_time_for_what_counts_as_told`.
     let (least, most) = (pace.clone().pause(0.0), pace.clone().pause(1.0));
     assert_eq!((least, most), (Duration::ZERO, MOST), "the whole span");
-    assert!(pace.pause(0.5) >= MOST / 2 && pace.pause(0.5) >= MOST_MEAN, "{pace:?}");
-    assert_eq!(Pace::within(300, &terms()).ended(0.5), Duration::from_secs(12), "what is set is kept to");
+    assert!(
+        pace.pause(0.5) >= MOST / 2 && pace.pause(0.5) >= MOST_MEAN,
+        "{pace:?}"
+    );
+    assert_eq!(
+        Pace::within(300, &terms()).ended(0.5),
+        Duration::from_secs(12),
+        "what is set is kept to"
+    );
 }
 
 /// Soon, and no sooner: a small fleet before a service of its own size must not keep it from answering anybody.
@@ -159,9 +212,15 @@
     let mut pace = Pace::of(3);
     for _ in 0..8 {
         let pause = pace.pause(0.5);
-        assert!((Duration::from_secs(1)..=Duration::from_millis(1500)).contains(&pause), "{pause:?}");
+        assert!(
+            (Duration::from_secs(1)..=Duration::from_millis(1500)).contains(&pause),
+            "{pause:?}"
+        );
     }
-    assert!(pace.ended(1.0) <= Duration::from_secs(1), "a watch that was open is opened again at once");
+    assert!(
+        pace.ended(1.0) <= Duration::from_secs(1),
+        "a watch that was open is opened again at once"
+    );
     assert!(pace.pause(0.5) <= Duration::from_secs(1));
 }
 
@@ -229,7 +288,10 @@
         let most = most(at);
         println!("{nodes} nodes: {mean:.1} calls a second, {most} at the most");
         assert!(mean <= 1.1 * bound, "{nodes} nodes: {mean} a second");
-        assert!(most as f64 <= 1.5 * bound + 4.0 * bound.sqrt(), "{nodes} nodes: {most} in a second");
+        assert!(
+            most as f64 <= 1.5 * bound + 4.0 * bound.sqrt(),
+            "{nodes} nodes: {most} in a second"
+        );
     }
 }
 
@@ -241,11 +303,16 @@
     let mut random = fastrand::Rng::with_seed(seed);
     let mut paces: Vec<Pace> = (0..nodes).map(|_| Pace::of(nodes)).collect();
     // One node after the other gets the new address, as configurations are rolled out.
-    let mut due: Vec<(f64, usize)> = (0..nodes as usize).map(|node| (node as f64 * 0.4, node)).collect();
+    let mut due: Vec<(f64, usize)> = (0..nodes as usize)
+        .map(|node| (node as f64 * 0.4, node))
+        .collect();
     let (mut busy_until, mut answers) = (0.0_f64, vec![f64::INFINITY; paces.len()]);
     loop {
         due.sort_by(|a, b| b.0.total_cmp(&a.0));
-        let Some((now, node)) = due.pop().filter(|(now, _)| *now < f64::from(nodes) * 0.4 + within) else {
+        let Some((now, node)) = due
+            .pop()
+            .filter(|(now, _)| *now < f64::from(nodes) * 0.4 + within)
+        else {
             break;
         };
         if answers[node] <= now {
@@ -256,7 +323,13 @@
             busy_until = begins + round / f64::from(nodes);
             answers[node] = answers[node].min(busy_until);
         }
-        due.push((now + paces[node].beside(random.f64()).expect("calls go on").as_secs_f64(), node));
+        due.push((
+            now + paces[node]
+                .beside(random.f64())
+                .expect("calls go on")
+                .as_secs_f64(),
+            node,
+        ));
     }
     let in_time = |(node, at): &(usize, f64)| at - *node as f64 * 0.4 <= within;
     answers.into_iter().enumerate().filter(in_time).count()
@@ -268,8 +341,9 @@
 #[test]
 fn a_small_fleet_hears_a_small_service_in_time_after_a_move() {
     let late = |nodes: u32, round: f64| {
-        let late: usize =
-            (0..200).map(|seed| nodes as usize - answered_after_a_move(nodes, round, 4.0, seed)).sum();
+        let late: usize = (0..200)
+            .map(|seed| nodes as usize - answered_after_a_move(nodes, round, 4.0, seed))
+            .sum();
         late as f64 / f64::from(200 * nodes)
     };
     for (nodes, round, most) in [
@@ -283,7 +357,10 @@
         (6, 4.0, 0.06),
     ] {
         let share = late(nodes, round);
-        assert!(share <= most, "{nodes} nodes, each answered once in {round} s: {share} late");
+        assert!(
+            share <= most,
+            "{nodes} nodes, each answered once in {round} s: {share} late"
+        );
     }
 }
 
--- a/crates/etcd/src/client.rs
+++ b/crates/etcd/src/client.rs
@@ -4,7 +4,9 @@
 use crate::stamped::{Stamp, Stamped};
 use http::uri::PathAndQuery;
 use hyper_util::rt::TokioIo;
-use saffronpaddle_endpoints::{Change, Follower, Header, KeyValue, Listing, Next, Rules, WatchEvent};
+use saffronpaddle_endpoints::{
+    Change, Follower, Header, KeyValue, Listing, Next, Rules, WatchEvent,
+};
 use saffronpaddle_netio::Socket;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -104,23 +106,36 @@
 }
 
 fn left(why: impl Into<String>) -> Left {
-    Left { why: why.into(), reread: false, behind: false }
+    Left {
+        why: why.into(),
+        reread: false,
+        behind: false,
+    }
 }
 
 /// Follows the roster until nobody takes its news any more.
 pub async fn follow(settings: Settings, tell: mpsc::Sender<News>) {
     let born = Instant::now();
     let follower = Follower::new(settings.prefix.clone(), settings.rules);
-    let mut watcher = Watcher { settings, follower, tell, born };
+    let mut watcher = Watcher {
+        settings,
+        follower,
+        tell,
+        born,
+    };
     let members = watcher.settings.endpoints.len().max(1);
     // Danger: all edge nodes at the first member.
     let mut place = fastrand::usize(..members);
     let (mut pause, mut lags, mut reread) = (watcher.settings.timing.backoff.0, 0, true);
     let mut told = String::new();
     loop {
-        let Some(member) = watcher.settings.endpoints.get(place % members).copied() else { return };
+        let Some(member) = watcher.settings.endpoints.get(place % members).copied() else {
+            return;
+        };
         let before = (watcher.follower.resume(), watcher.follower.seen().ranges);
-        let Err(ended) = watcher.member(member, reread).await else { return };
+        let Err(ended) = watcher.member(member, reread).await else {
+            return;
+        };
         watcher.follower.reconnected();
         if before != (watcher.follower.resume(), watcher.follower.seen().ranges) {
             (pause, lags, reread) = (watcher.settings.timing.backoff.0, 0, false);
@@ -196,7 +211,9 @@
             if reread || self.follower.resume().is_none() {
                 let (header, listing) = self.range(&mut grpc, token.as_ref()).await?;
                 let read = stamp.take();
-                let change = self.follower.range_of(header, listing, self.at(read), unix_ms());
+                let change = self
+                    .follower
+                    .range_of(header, listing, self.at(read), unix_ms());
                 let believed = self.follower.believe(self.at(Instant::now()));
                 if self.told(change, read).await.is_err() {
                     return Ok(Unwanted);
@@ -207,17 +224,27 @@
                     }
                 }
             }
-            match self.watch(&mut grpc, token.as_ref(), &stamp, &timing).await? {
+            match self
+                .watch(&mut grpc, token.as_ref(), &stamp, &timing)
+                .await?
+            {
                 Ended::Unwanted => return Ok(Unwanted),
                 Ended::Reread => reread = true,
             }
         }
-        Err(Left { reread: true, ..left("its watch does not stand") })
+        Err(Left {
+            reread: true,
+            ..left("its watch does not stand")
+        })
     }
 
     async fn connect(&self, member: SocketAddr, stamp: &Stamp) -> Outcome<Channel> {
         #[cfg(feature = "tls")]
-        let scheme = if self.settings.tls.is_some() { "https" } else { "http" };
+        let scheme = if self.settings.tls.is_some() {
+            "https"
+        } else {
+            "http"
+        };
         #[cfg(not(feature = "tls"))]
         let scheme = "http";
         let timing = &self.settings.timing;
@@ -230,9 +257,12 @@
         let endpoint = match &self.settings.tls {
             Some((certificates, name)) => {
                 let certificates = tonic::transport::Certificate::from_pem(certificates);
-                let tls =
-                    tonic::transport::ClientTlsConfig::new().ca_certificate(certificates).domain_name(name);
-                endpoint.tls_config(tls).map_err(|error| left(error.to_string()))?
+                let tls = tonic::transport::ClientTlsConfig::new()
+                    .ca_certificate(certificates)
+                    .domain_name(name);
+                endpoint
+                    .tls_config(tls)
+                    .map_err(|error| left(error.to_string()))?
             }
             None => endpoint,
         };
@@ -246,7 +276,11 @@
                 Ok::<_, std::io::Error>(TokioIo::new(Stamped { stream, stamp }))
             }
         });
-        let connected = timeout(timing.answer_within, endpoint.connect_with_connector(connector)).await;
+        let connected = timeout(
+            timing.answer_within,
+            endpoint.connect_with_connector(connector),
+        )
+        .await;
         match connected {
             Ok(Ok(channel)) => Ok(channel),
             Ok(Err(_)) => Err(left("it can't be reached")),
@@ -255,19 +289,41 @@
     }
 
     async fn authenticate(&self, grpc: &mut Grpc<Channel>) -> Outcome<Option<Token>> {
-        let Some((name, password)) = &self.settings.user else { return Ok(None) };
-        let ask = api::AuthenticateRequest { name: name.clone(), password: password.clone() };
-        let answer: api::AuthenticateResponse = self.call(grpc, None, path::AUTHENTICATE, ask).await?;
-        Ok(Some(answer.token.parse().map_err(|_| left("its token is no text"))?))
+        let Some((name, password)) = &self.settings.user else {
+            return Ok(None);
+        };
+        let ask = api::AuthenticateRequest {
+            name: name.clone(),
+            password: password.clone(),
+        };
+        let answer: api::AuthenticateResponse =
+            self.call(grpc, None, path::AUTHENTICATE, ask).await?;
+        Ok(Some(
+            answer
+                .token
+                .parse()
+                .map_err(|_| left("its token is no text"))?,
+        ))
     }
 
     async fn call<A: prost::Message + 'static, B: prost::Message + Default + 'static>(
-        &self, grpc: &mut Grpc<Channel>, token: Option<&Token>, path: &'static str, ask: A,
+        &self,
+        grpc: &mut Grpc<Channel>,
+        token: Option<&Token>,
+        path: &'static str,
+        ask: A,
     ) -> Outcome<B> {
         let answered = async {
-            grpc.ready().await.map_err(|error| Status::unavailable(error.to_string()))?;
+            grpc.ready()
+                .await
+                .map_err(|error| Status::unavailable(error.to_string()))?;
             let request = signed(Request::new(ask), token);
-            grpc.unary(request, PathAndQuery::from_static(path), ProstCodec::default()).await
+            grpc.unary(
+                request,
+                PathAndQuery::from_static(path),
+                ProstCodec::default(),
+            )
+            .await
         };
         match timeout(self.settings.timing.answer_within, answered).await {
             Ok(answer) => Ok(answer?.into_inner()),
@@ -276,7 +332,11 @@
     }
 
     /// The whole prefix at one revision, linearizable, page by page.
-    async fn range(&self, grpc: &mut Grpc<Channel>, token: Option<&Token>) -> Outcome<(Header, Listing)> {
+    async fn range(
+        &self,
+        grpc: &mut Grpc<Channel>,
+        token: Option<&Token>,
+    ) -> Outcome<(Header, Listing)> {
         let mut tries = 0;
         'anew: loop {
             let (mut listing, mut found) = (self.follower.listing(), None::<Header>);
@@ -289,7 +349,9 @@
                     revision: found.map_or(0, |header| header.revision),
                     ..api::RangeRequest::default()
                 };
-                let answer = self.call::<_, api::RangeResponse>(grpc, token, path::RANGE, ask).await;
+                let answer = self
+                    .call::<_, api::RangeResponse>(grpc, token, path::RANGE, ask)
+                    .await;
                 let answer = match answer {
                     Ok(answer) => answer,
                     // Compacted between two pages.
@@ -299,7 +361,10 @@
                     }
                     Err(left) => return Err(left),
                 };
-                let header = answer.header.map(header).ok_or_else(|| left("a range without a header"))?;
+                let header = answer
+                    .header
+                    .map(header)
+                    .ok_or_else(|| left("a range without a header"))?;
                 let header = *found.get_or_insert(header);
                 let Some(last) = answer.kvs.last().map(|kv| kv.key.clone()) else {
                     return Ok((header, listing));
@@ -316,7 +381,11 @@
 
     /// Watches from where the follower resumes.
     async fn watch(
-        &mut self, grpc: &mut Grpc<Channel>, token: Option<&Token>, stamp: &Stamp, timing: &Timing,
+        &mut self,
+        grpc: &mut Grpc<Channel>,
+        token: Option<&Token>,
+        stamp: &Stamp,
+        timing: &Timing,
     ) -> Outcome<Ended> {
         let (ask, asks) = mpsc::channel(8);
         let create = api::WatchCreateRequest {
@@ -327,18 +396,28 @@
             fragment: true,
             ..api::WatchCreateRequest::default()
         };
-        let request = |request| api::WatchRequest { request: Some(request) };
+        let request = |request| api::WatchRequest {
+            request: Some(request),
+        };
         // It has room: nothing else was asked yet.
         let _ = ask.try_send(request(api::watch_request::Request::Create(create)));
         let opened = async {
-            grpc.ready().await.map_err(|error| Status::unavailable(error.to_string()))?;
+            grpc.ready()
+                .await
+                .map_err(|error| Status::unavailable(error.to_string()))?;
             let request = signed(Request::new(ReceiverStream::new(asks)), token);
-            grpc.streaming(request, PathAndQuery::from_static(path::WATCH), ProstCodec::default()).await
-        };
-        let mut answers: Streaming<api::WatchResponse> = match timeout(timing.answer_within, opened).await {
-            Ok(opened) => opened?.into_inner(),
-            Err(_) => return Err(left("its watch does not open")),
+            grpc.streaming(
+                request,
+                PathAndQuery::from_static(path::WATCH),
+                ProstCodec::default(),
+            )
+            .await
         };
+        let mut answers: Streaming<api::WatchResponse> =
+            match timeout(timing.answer_within, opened).await {
+                Ok(opened) => opened?.into_inner(),
+                Err(_) => return Err(left("its watch does not open")),
+            };
         let mut probe = interval(timing.probe_every);
         probe.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut heard = Instant::now();
@@ -371,12 +450,18 @@
             };
             heard = Instant::now();
             let read = stamp.take();
-            let header = answer.header.map(header).ok_or_else(|| left("a watch without a header"))?;
+            let header = answer
+                .header
+                .map(header)
+                .ok_or_else(|| left("a watch without a header"))?;
             let mut change = Change::default();
             let next = if answer.canceled && answer.compact_revision > 0 {
                 self.follower.compacted(answer.compact_revision)
             } else if answer.canceled {
-                return Err(left(format!("its watch was cancelled: {}", answer.cancel_reason)));
+                return Err(left(format!(
+                    "its watch was cancelled: {}",
+                    answer.cancel_reason
+                )));
             } else if answer.created {
                 self.follower.header(header)
             } else if answer.events.is_empty() && !answer.fragment {
@@ -385,7 +470,9 @@
                 let events = answer.events.into_iter().filter_map(watch_event).collect();
                 let told = self.at(read);
                 let next;
-                (change, next) = self.follower.events(header, events, answer.fragment, told, unix_ms());
+                (change, next) =
+                    self.follower
+                        .events(header, events, answer.fragment, told, unix_ms());
                 next
             };
             if !change.says_something() && self.tell(News::Alive).await.is_err() {
@@ -397,7 +484,12 @@
             match next {
                 Next::Continue => {}
                 Next::Reread(_) => return Ok(Ended::Reread),
-                Next::Leave(why) => return Err(Left { behind: true, ..left(why) }),
+                Next::Leave(why) => {
+                    return Err(Left {
+                        behind: true,
+                        ..left(why)
+                    })
+                }
             }
         }
     }
@@ -419,20 +511,47 @@
 }
 
 fn header(header: api::ResponseHeader) -> Header {
-    let api::ResponseHeader { cluster_id, member_id, revision, raft_term } = header;
-    Header { cluster_id, member_id, revision, raft_term }
+    let api::ResponseHeader {
+        cluster_id,
+        member_id,
+        revision,
+        raft_term,
+    } = header;
+    Header {
+        cluster_id,
+        member_id,
+        revision,
+        raft_term,
+    }
 }
 
 fn key_value(kv: api::KeyValue) -> KeyValue {
-    let api::KeyValue { key, value, create_revision, mod_revision, .. } = kv;
-    KeyValue { key, value, create_revision, mod_revision }
+    let api::KeyValue {
+        key,
+        value,
+        create_revision,
+        mod_revision,
+        ..
+    } = kv;
+    KeyValue {
+        key,
+        value,
+        create_revision,
+        mod_revision,
+    }
 }
 
 fn watch_event(event: api::Event) -> Option<WatchEvent> {
     let delete = event.r#type == api::EventType::Delete as i32;
-    event.kv.map(|kv| WatchEvent { delete, kv: key_value(kv) })
+    event.kv.map(|kv| WatchEvent {
+        delete,
+        kv: key_value(kv),
+    })
 }
 
 fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_millis() as u64
 }
--- a/crates/etcd/src/stamped.rs
+++ b/crates/etcd/src/stamped.rs
@@ -32,7 +32,11 @@
     /// came with those of the one before was read no later than the last read.
     pub fn take(&self) -> Instant {
         let mut reads = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        reads.first.take().or(reads.last).unwrap_or_else(Instant::now)
+        reads
+            .first
+            .take()
+            .or(reads.last)
+            .unwrap_or_else(Instant::now)
     }
 }
 
@@ -44,7 +48,9 @@
 
 impl AsyncRead for Stamped {
     fn poll_read(
-        mut self: Pin<&mut Self>, context: &mut Context<'_>, buffer: &mut ReadBuf<'_>,
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let before = buffer.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(context, buffer);
@@ -57,7 +63,9 @@
 
 impl AsyncWrite for Stamped {
     fn poll_write(
-        mut self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8],
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.stream).poll_write(context, bytes)
     }
