--- a/crates/etcd/tests/client.rs
+++ b/crates/etcd/tests/client.rs
@@ -21,7 +21,9 @@
 }
 
 fn value(health: &str, born_ms: u64) -> String {
-    format!(r#"{{"dial":"127.0.0.1:80","site":"a","block":1,"health":"{health}","born_ms":{born_ms}}}"#)
+    format!(
+        r#"{{"dial":"127.0.0.1:80","site":"a","block":1,"health":"{health}","born_ms":{born_ms}}}"#
+    )
 }
 
 fn key(host: &str) -> String {
@@ -55,11 +57,21 @@
             tls: None,
         };
         tokio::spawn(follow(settings, tell));
-        Roster { news, hosts: BTreeMap::new(), logs: Vec::new(), late: Duration::ZERO, changes: 0 }
+        Roster {
+            news,
+            hosts: BTreeMap::new(),
+            logs: Vec::new(),
+            late: Duration::ZERO,
+            changes: 0,
+        }
     }
 
     async fn next(&mut self) {
-        match timeout(PATIENCE, self.news.recv()).await.expect("news come").expect("it follows") {
+        match timeout(PATIENCE, self.news.recv())
+            .await
+            .expect("news come")
+            .expect("it follows")
+        {
             News::Changed { change, read } => {
                 self.late = self.late.max(read.elapsed());
                 self.changes += 1;
@@ -70,7 +82,8 @@
                     if entry.standing == Standing::Gone {
                         self.hosts.remove(&*entry.host);
                     } else {
-                        self.hosts.insert(entry.host.to_string(), (entry.standing, entry.born_ms));
+                        self.hosts
+                            .insert(entry.host.to_string(), (entry.standing, entry.born_ms));
                     }
                 }
             }
@@ -82,14 +95,22 @@
     async fn until(&mut self, what: &str, seen: impl Fn(&Roster) -> bool) {
         let begun = Instant::now();
         while !seen(self) {
-            assert!(begun.elapsed() < PATIENCE, "{what}: {:?} {:?}", self.hosts, self.logs);
+            assert!(
+                begun.elapsed() < PATIENCE,
+                "{what}: {:?} {:?}",
+                self.hosts,
+                self.logs
+            );
             self.next().await;
         }
     }
 
     async fn until_standing(&mut self, host: &str, standing: Option<Standing>) {
         let what = format!("{host} is {standing:?}");
-        self.until(&what, |roster| roster.hosts.get(host).map(|held| held.0) == standing).await;
+        self.until(&what, |roster| {
+            roster.hosts.get(host).map(|held| held.0) == standing
+        })
+        .await;
     }
 }
 
@@ -108,27 +129,38 @@
     let etcd = cluster(1).await;
     etcd.put("/other/x", "noise");
     let mut roster = Roster::follow(&etcd, HOUR);
-    roster.until("the list", |roster| roster.hosts.len() == 3).await;
+    roster
+        .until("the list", |roster| roster.hosts.len() == 3)
+        .await;
     etcd.put(&key("a"), &value("draining", 7));
     roster.until_standing("a", Some(Standing::Draining)).await;
     etcd.put_all(&[(&key("b"), None), (&key("d"), Some(&value("ready", 9)))]);
     let changes = roster.changes;
     roster.until_standing("d", Some(Standing::Ready)).await;
-    assert!(!roster.hosts.contains_key("b") && roster.changes == changes + 1, "one revision is one change");
+    assert!(
+        !roster.hosts.contains_key("b") && roster.changes == changes + 1,
+        "one revision is one change"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_stream_that_breaks_resumes_from_an_old_revision_without_a_range() {
     let etcd = cluster(3).await;
     let mut roster = Roster::follow(&etcd, HOUR);
-    roster.until("the list", |roster| roster.hosts.len() == 3).await;
+    roster
+        .until("the list", |roster| roster.hosts.len() == 3)
+        .await;
     let ranges: u64 = etcd.members.iter().map(|member| member.ranges()).sum();
     for round in 0..5 {
         // Changed while nobody watches.
         etcd.members.iter().for_each(|member| member.cut());
         let health = if round % 2 == 0 { "draining" } else { "ready" };
         etcd.put(&key("a"), &value(health, 7));
-        let standing = if round % 2 == 0 { Standing::Draining } else { Standing::Ready };
+        let standing = if round % 2 == 0 {
+            Standing::Draining
+        } else {
+            Standing::Ready
+        };
         roster.until_standing("a", Some(standing)).await;
     }
     let after: u64 = etcd.members.iter().map(|member| member.ranges()).sum();
@@ -140,28 +172,41 @@
 async fn compaction_past_the_revision_that_was_seen_is_survived() {
     let etcd = cluster(2).await;
     let mut roster = Roster::follow(&etcd, HOUR);
-    roster.until("the list", |roster| roster.hosts.len() == 3).await;
-    etcd.members.iter().for_each(|member| member.set(|faults| faults.refuses = true));
+    roster
+        .until("the list", |roster| roster.hosts.len() == 3)
+        .await;
+    etcd.members
+        .iter()
+        .for_each(|member| member.set(|faults| faults.refuses = true));
     etcd.members.iter().for_each(|member| member.cut());
     etcd.put(&key("a"), &value("draining", 7));
     etcd.delete(&key("b"));
     etcd.compact(etcd.put(&key("d"), &value("ready", 9)));
-    etcd.members.iter().for_each(|member| member.set(|faults| faults.refuses = false));
+    etcd.members
+        .iter()
+        .for_each(|member| member.set(|faults| faults.refuses = false));
     roster.until_standing("d", Some(Standing::Ready)).await;
     assert!(
         !roster.hosts.contains_key("b") && roster.hosts["a"].0 == Standing::Draining,
         "{:?}",
         roster.hosts
     );
-    assert!(roster.logs.iter().any(|line| line.contains("compacted")), "{:?}", roster.logs);
+    assert!(
+        roster.logs.iter().any(|line| line.contains("compacted")),
+        "{:?}",
+        roster.logs
+    );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_reconnect_between_a_drain_and_its_last_fragment_tells_the_drain_at_once_and_the_rest_later() {
+async fn a_reconnect_between_a_drain_and_its_last_fragment_tells_the_drain_at_once_and_the_rest_later(
+) {
     let etcd = cluster(1).await;
     let member = &etcd.members[0];
     let mut roster = Roster::follow(&etcd, HOUR);
-    roster.until("the list", |roster| roster.hosts.len() == 3).await;
+    roster
+        .until("the list", |roster| roster.hosts.len() == 3)
+        .await;
     member.set(|faults| {
         (faults.fragment_at, faults.cut_after_fragments) = (1, Some(1));
         faults.between_fragments = Duration::from_millis(50);
@@ -183,12 +228,16 @@
 async fn a_frame_cut_in_its_middle_loses_nothing() {
     let etcd = cluster(1).await;
     let mut roster = Roster::follow(&etcd, HOUR);
-    roster.until("the list", |roster| roster.hosts.len() == 3).await;
+    roster
+        .until("the list", |roster| roster.hosts.len() == 3)
+        .await;
     for bytes in (1..200).step_by(13) {
         etcd.members[0].set(|faults| faults.cut_after_bytes = Some(bytes));
         let born = 1000 + bytes;
         etcd.put(&key("a"), &value("ready", born));
-        roster.until("the change", |roster| roster.hosts["a"].1 == born).await;
+        roster
+            .until("the change", |roster| roster.hosts["a"].1 == born)
+            .await;
     }
 }
 
@@ -196,21 +245,29 @@
 async fn a_lease_that_expires_and_is_granted_anew_is_a_new_cold_server() {
     let etcd = cluster(1).await;
     let mut roster = Roster::follow(&etcd, HOUR);
-    roster.until("the list", |roster| roster.hosts.len() == 3).await;
+    roster
+        .until("the list", |roster| roster.hosts.len() == 3)
+        .await;
     etcd.put_leased(&key("l"), &value("ready", 0), Duration::from_millis(200));
     roster.until_standing("l", Some(Standing::Ready)).await;
     let first = roster.hosts["l"].1;
     roster.until_standing("l", None).await;
     etcd.put_leased(&key("l"), &value("ready", 0), Duration::from_secs(100));
     roster.until_standing("l", Some(Standing::Ready)).await;
-    assert!(first > 0 && roster.hosts["l"].1 > first, "it started later: {first}, {:?}", roster.hosts["l"]);
+    assert!(
+        first > 0 && roster.hosts["l"].1 > first,
+        "it started later: {first}, {:?}",
+        roster.hosts["l"]
+    );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn put_delete_and_put_of_one_key_come_to_the_last() {
     let etcd = cluster(1).await;
     let mut roster = Roster::follow(&etcd, HOUR);
-    roster.until("the list", |roster| roster.hosts.len() == 3).await;
+    roster
+        .until("the list", |roster| roster.hosts.len() == 3)
+        .await;
     etcd.members[0].set(|faults| faults.refuses = true);
     etcd.members[0].cut();
     etcd.put(&key("a"), &value("draining", 7));
@@ -218,8 +275,16 @@
     etcd.put(&key("a"), &value("ready", 0));
     let changes = roster.changes;
     etcd.members[0].set(|faults| faults.refuses = false);
-    roster.until("the new process", |roster| roster.hosts.get("a").is_some_and(|held| held.1 > 7)).await;
-    assert_eq!((roster.hosts["a"].0, roster.changes), (Standing::Ready, changes + 1), "all in one response");
+    roster
+        .until("the new process", |roster| {
+            roster.hosts.get("a").is_some_and(|held| held.1 > 7)
+        })
+        .await;
+    assert_eq!(
+        (roster.hosts["a"].0, roster.changes),
+        (Standing::Ready, changes + 1),
+        "all in one response"
+    );
 }
 
 /// The member that is followed freezes, the next one lags behind what is known: the third one is followed.
@@ -227,17 +292,26 @@
 async fn a_member_that_freezes_and_one_that_lags_are_left() {
     let etcd = cluster(3).await;
     let mut roster = Roster::follow(&etcd, HOUR);
-    roster.until("the list", |roster| roster.hosts.len() == 3).await;
+    roster
+        .until("the list", |roster| roster.hosts.len() == 3)
+        .await;
     let old = etcd.revision();
     etcd.put(&key("a"), &value("draining", 7));
     roster.until_standing("a", Some(Standing::Draining)).await;
-    let followed = etcd.members.iter().position(|member| member.watches() > 0).expect("one is followed");
+    let followed = etcd
+        .members
+        .iter()
+        .position(|member| member.watches() > 0)
+        .expect("one is followed");
     let (next, last) = ((followed + 1) % 3, (followed + 2) % 3);
     etcd.members[next].set(|faults| faults.stuck_at = Some(old));
     etcd.members[followed].set(|faults| faults.frozen = true);
     etcd.put(&key("b"), &value("draining", 7));
     roster.until_standing("b", Some(Standing::Draining)).await;
-    assert!(etcd.members[last].watches() > 0, "the third one is followed");
+    assert!(
+        etcd.members[last].watches() > 0,
+        "the third one is followed"
+    );
     assert_eq!(roster.hosts["a"].0, Standing::Draining, "nothing went back");
     let said = |what: &str| roster.logs.iter().any(|line| line.contains(what));
     assert!(said("silent") && said("lags"), "{:?}", roster.logs);
@@ -251,8 +325,16 @@
             etcd.put(&key("a"), &value("ready", 7));
         }
         let mut roster = Roster::follow(&etcd, HOUR);
-        roster.until("the list", |roster| roster.hosts.len() == 3).await;
-        etcd.restore(&[("/board/b", &value("draining", 7)), ("/board/z", &value("ready", 9))], recreated);
+        roster
+            .until("the list", |roster| roster.hosts.len() == 3)
+            .await;
+        etcd.restore(
+            &[
+                ("/board/b", &value("draining", 7)),
+                ("/board/z", &value("ready", 9)),
+            ],
+            recreated,
+        );
         roster.until_standing("z", Some(Standing::Ready)).await;
         let hosts: Vec<&String> = roster.hosts.keys().collect();
         assert_eq!(hosts, ["b", "z"], "recreated: {recreated}");
@@ -266,15 +348,24 @@
 async fn a_wiped_prefix_is_believed_only_once_it_has_lasted() {
     let etcd = cluster(1).await;
     let mut roster = Roster::follow(&etcd, Duration::from_millis(1500));
-    roster.until("the list", |roster| roster.hosts.len() == 3).await;
+    roster
+        .until("the list", |roster| roster.hosts.len() == 3)
+        .await;
     etcd.wipe("/board/");
     etcd.put("/board/b", &value("ready", 7));
     roster
-        .until("the doubt", |roster| roster.logs.iter().any(|line| line.contains("the prefix is empty")))
+        .until("the doubt", |roster| {
+            roster
+                .logs
+                .iter()
+                .any(|line| line.contains("the prefix is empty"))
+        })
         .await;
     assert_eq!(roster.hosts.len(), 3, "kept");
     let begun = Instant::now();
-    roster.until("it is believed", |roster| roster.hosts.len() == 1).await;
+    roster
+        .until("it is believed", |roster| roster.hosts.len() == 1)
+        .await;
     assert!(
         begun.elapsed() > Duration::from_millis(1000) && roster.hosts.contains_key("b"),
         "{:?}",
@@ -288,14 +379,26 @@
     etcd.protect("edge", "secret");
     let mut wrong = Roster::with(&etcd, HOUR, Some(("edge".to_owned(), "guess".to_owned())));
     wrong
-        .until("the refusal", |roster| roster.logs.iter().any(|line| line.contains("authentication failed")))
+        .until("the refusal", |roster| {
+            roster
+                .logs
+                .iter()
+                .any(|line| line.contains("authentication failed"))
+        })
         .await;
     assert!(wrong.hosts.is_empty());
     let mut none = Roster::follow(&etcd, HOUR);
-    none.until("the refusal", |roster| roster.logs.iter().any(|line| line.contains("invalid auth token")))
-        .await;
+    none.until("the refusal", |roster| {
+        roster
+            .logs
+            .iter()
+            .any(|line| line.contains("invalid auth token"))
+    })
+    .await;
     let mut right = Roster::with(&etcd, HOUR, Some(("edge".to_owned(), "secret".to_owned())));
-    right.until("the list", |roster| roster.hosts.len() == 3).await;
+    right
+        .until("the list", |roster| roster.hosts.len() == 3)
+        .await;
 }
 
 /// Ten thousand servers are read page by page, and ten thousand changes in a storm followed to the end.
@@ -306,14 +409,21 @@
         etcd.put(&key(&format!("s{number}")), &value("ready", 7));
     }
     let mut roster = Roster::follow(&etcd, HOUR);
-    roster.until("the list", |roster| roster.hosts.len() == 10_003).await;
+    roster
+        .until("the list", |roster| roster.hosts.len() == 10_003)
+        .await;
     assert!(etcd.members[0].ranges() >= 11, "in pages");
     for number in 0..10_000 {
         etcd.put(&key(&format!("s{number}")), &value("draining", 7));
     }
     roster
         .until("the storm's end", |roster| {
-            roster.hosts.values().filter(|held| held.0 == Standing::Draining).count() == 10_000
+            roster
+                .hosts
+                .values()
+                .filter(|held| held.0 == Standing::Draining)
+                .count()
+                == 10_000
         })
         .await;
 }
@@ -323,11 +433,17 @@
 async fn it_ends_when_nobody_takes_its_news() {
     let etcd = cluster(1).await;
     let mut roster = Roster::follow(&etcd, HOUR);
-    roster.until("the list", |roster| roster.hosts.len() == 3).await;
+    roster
+        .until("the list", |roster| roster.hosts.len() == 3)
+        .await;
     let connections = etcd.members[0].connections();
     drop(roster);
     tokio::time::sleep(Duration::from_millis(500)).await;
     etcd.members[0].cut();
     tokio::time::sleep(Duration::from_millis(500)).await;
-    assert_eq!(etcd.members[0].connections(), connections, "it does not come back");
+    assert_eq!(
+        etcd.members[0].connections(),
+        connections,
+        "it does not come back"
+    );
 }
--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -10,8 +10,8 @@
 
 use crate::table::{Alarms, ByNumber, Link, Place, Row};
 use crate::{
-    Bounds, Bug, Bugs, Command, Denial, Event, Invariant, LinkId, Module, OpenRequest, Sound, Ticket,
-    Verdict, Violation, Violations, WaitsFor,
+    Bounds, Bug, Bugs, Command, Denial, Event, Invariant, LinkId, Module, OpenRequest, Sound,
+    Ticket, Verdict, Violation, Violations, WaitsFor,
 };
 use saffronpaddle_admin::{End, Tally};
 use saffronpaddle_policy::interface::{
@@ -127,13 +127,16 @@
     /// The requests that have no final answer yet, in no order.
     pub fn open_requests(&self) -> impl Iterator<Item = OpenRequest> + '_ {
         let state = |link: LinkId| self.links.get(&link).map(|link| link.state);
-        self.rows.iter().filter(|(_, row)| row.open).map(move |(id, row)| OpenRequest {
-            id: id.clone(),
-            class: row.class,
-            deadline: row.deadline,
-            attempts: row.attempts,
-            waits_for: WaitsFor::of(row, state),
-        })
+        self.rows
+            .iter()
+            .filter(|(_, row)| row.open)
+            .map(move |(id, row)| OpenRequest {
+                id: id.clone(),
+                class: row.class,
+                deadline: row.deadline,
+                attempts: row.attempts,
+                waits_for: WaitsFor::of(row, state),
+            })
     }
 
     /// Other bounds on connections from now on; those beyond it go as they fall idle and room is wanted.
@@ -148,7 +151,9 @@
 
     /// How often an attempt was kept from its next step, by why.
     pub fn denials(&self) -> impl Iterator<Item = (Denial, u64)> + '_ {
-        Denial::ALL.into_iter().map(|denial| (denial, self.denials.get(&denial).copied().unwrap_or(0)))
+        Denial::ALL
+            .into_iter()
+            .map(|denial| (denial, self.denials.get(&denial).copied().unwrap_or(0)))
     }
 
     /// How often an invariant did not hold.
@@ -168,7 +173,8 @@
     /// The process ends now: whoever still waits is never answered.
     pub fn exits(&mut self) {
         for (id, row) in &self.rows {
-            self.violations.check(!row.open, Invariant::AnsweredBeforeExit, id);
+            self.violations
+                .check(!row.open, Invariant::AnsweredBeforeExit, id);
         }
     }
 
@@ -181,7 +187,10 @@
     /// When [`Event::Tick`] is due next.
     pub fn next_alarm(&self) -> Option<Micros> {
         let row = self.alarms.first().map(|(at, _)| *at);
-        let idle = self.idle.first().map(|(since, _)| since.saturating_add(self.bounds.idle_for));
+        let idle = self
+            .idle
+            .first()
+            .map(|(since, _)| since.saturating_add(self.bounds.idle_for));
         row.into_iter().chain(idle).min()
     }
 
@@ -190,7 +199,11 @@
         // What is past its time is so before anything that comes now. Danger: a late loop that still serves it.
         self.expire(now, commands);
         match event {
-            Event::Asked { effect, deadline, tell } => self.asked(now, effect, deadline, tell, commands),
+            Event::Asked {
+                effect,
+                deadline,
+                tell,
+            } => self.asked(now, effect, deadline, tell, commands),
             Event::ClientGone { id, ticket } => self.client_gone(&id, ticket),
             Event::Connected { link } => self.connected(now, link, commands),
             Event::ConnectFailed { link, lack } => self.connect_failed(link, lack),
@@ -198,7 +211,11 @@
             Event::Replied { link, outcome } => self.replied(now, link, outcome, commands),
             Event::Passing { link } => self.passing(now, link, commands),
             Event::Left { link } => self.left(link, commands),
-            Event::Whole { id, ticket, deadline } => self.whole(now, &id, ticket, deadline),
+            Event::Whole {
+                id,
+                ticket,
+                deadline,
+            } => self.whole(now, &id, ticket, deadline),
             Event::Upgraded { link } => self.upgraded(now, link, commands),
             Event::Broken { link } => self.broken(now, link, commands),
             Event::Gone { link } => self.gone(link, commands),
@@ -224,18 +241,28 @@
         let mut actions = Vec::new();
         while let Some(event) = self.pending.pop_front() {
             self.module.handle(now, event, &mut actions);
-            actions.drain(..).for_each(|action| self.apply(now, action, commands));
+            actions
+                .drain(..)
+                .for_each(|action| self.apply(now, action, commands));
         }
         self.release(commands);
     }
 
     fn apply(&mut self, now: Micros, action: Action, commands: &mut Commands<A>) {
         match action {
-            Action::Send { id, server, time_out } => self.send(now, &id, server, time_out, commands),
+            Action::Send {
+                id,
+                server,
+                time_out,
+            } => self.send(now, &id, server, time_out, commands),
             Action::Refuse { id, retry_in } => {
                 let may_refuse = self.rows.get(&id).is_some_and(Row::may_be_refused);
                 let kept = may_refuse || self.bugs.planted(Bug::RefusalAfterRun);
-                let verdict = if kept { Verdict::Refused(retry_in) } else { Verdict::Failed };
+                let verdict = if kept {
+                    Verdict::Refused(retry_in)
+                } else {
+                    Verdict::Failed
+                };
                 self.answer(now, &id, verdict, commands);
             }
             Action::Fail { id } => self.answer(now, &id, Verdict::Failed, commands),
--- a/crates/exchange/src/exchange/attempts.rs
+++ b/crates/exchange/src/exchange/attempts.rs
@@ -11,7 +11,11 @@
 impl<A: Copy + Eq + Hash, M: Module, B: Bugs> Exchange<A, M, B> {
     pub(super) fn connected(&mut self, now: Micros, link: LinkId, commands: &mut Commands<A>) {
         let Some(id) = self.on(link) else { return };
-        let Some(row) = self.links.get_mut(&link).filter(|row| row.state == State::Connecting) else {
+        let Some(row) = self
+            .links
+            .get_mut(&link)
+            .filter(|row| row.state == State::Connecting)
+        else {
             return;
         };
         row.state = State::Queued;
@@ -21,11 +25,17 @@
             self.park(now, link, commands);
             return self.ended(&id, Outcome::NotSent);
         }
-        commands.push(Command::Send { link, id: id.clone(), server });
+        commands.push(Command::Send {
+            link,
+            id: id.clone(),
+            server,
+        });
         if !self.bugs.planted(Bug::AlarmForgotten) {
             return self.stage(&id, Stage::On(link), None);
         }
-        let Some(row) = self.rows.get_mut(&id) else { return };
+        let Some(row) = self.rows.get_mut(&id) else {
+            return;
+        };
         if let (Some(out), Some(at)) = (row.out.as_mut(), row.alarm.take()) {
             out.limit = out.until;
             self.alarms.remove(&(at, id));
@@ -33,7 +43,11 @@
     }
 
     pub(super) fn connect_failed(&mut self, link: LinkId, lack: bool) {
-        if self.links.get(&link).is_none_or(|row| row.state != State::Connecting) {
+        if self
+            .links
+            .get(&link)
+            .is_none_or(|row| row.state != State::Connecting)
+        {
             return;
         }
         self.tally.connects_failed += u64::from(!lack);
@@ -43,15 +57,33 @@
         }
         if let Some(id) = id {
             // Guards against blaming a server for what is lacking here.
-            self.ended(&id, if lack { Outcome::NotSent } else { Outcome::Unreachable });
+            self.ended(
+                &id,
+                if lack {
+                    Outcome::NotSent
+                } else {
+                    Outcome::Unreachable
+                },
+            );
         }
     }
 
     /// The last look before the first byte. Guards drains, requests that were answered meanwhile, time that has passed,
     /// and the rest of one answer being read as the next.
-    pub(super) fn begin(&mut self, now: Micros, link: LinkId, quiet: bool, commands: &mut Commands<A>) {
-        let queued = self.links.get(&link).is_some_and(|row| row.state == State::Queued);
-        let Some(id) = self.on(link).filter(|_| queued) else { return };
+    pub(super) fn begin(
+        &mut self,
+        now: Micros,
+        link: LinkId,
+        quiet: bool,
+        commands: &mut Commands<A>,
+    ) {
+        let queued = self
+            .links
+            .get(&link)
+            .is_some_and(|row| row.state == State::Queued);
+        let Some(id) = self.on(link).filter(|_| queued) else {
+            return;
+        };
         if !self.fit(now, &id, link) {
             return self.give_up(&id, Outcome::Cancelled, commands);
         }
@@ -59,15 +91,23 @@
             return self.replace(now, &id, link, commands);
         }
         self.look_at_first_byte(now, &id, link);
-        let Some(row) = self.links.get_mut(&link) else { return };
+        let Some(row) = self.links.get_mut(&link) else {
+            return;
+        };
         row.state = State::Written;
-        let place =
-            self.places.get(&row.server).map_or_else(Default::default, |place| (place.zone, place.cell));
+        let place = self
+            .places
+            .get(&row.server)
+            .map_or_else(Default::default, |place| (place.zone, place.cell));
         if let Some(row) = self.rows.get_mut(&id) {
             row.spent = !row.whole;
             self.tally.relayed += u64::from(row.whole);
             if let Some(out) = row.out.as_mut() {
-                out.began = Some(Ran { zone: place.0, cell: place.1, at: now });
+                out.began = Some(Ran {
+                    zone: place.0,
+                    cell: place.1,
+                    at: now,
+                });
             }
         }
         commands.push(Command::Write { link });
@@ -75,11 +115,16 @@
 
     /// Looks at what is about to be written, from the tables alone: the guard has let it through.
     pub(super) fn look_at_first_byte(&mut self, now: Micros, id: &RequestId, link: LinkId) {
-        let (Some(row), Some(carrier)) = (self.rows.get(id), self.links.get(&link)) else { return };
+        let (Some(row), Some(carrier)) = (self.rows.get(id), self.links.get(&link)) else {
+            return;
+        };
         let place = self.places.get(&carrier.server);
         let in_time = now <= row.deadline.min(self.answer_by);
         let ready = place.is_some_and(|place| place.dial == carrier.dial);
-        let on_it = row.out.as_ref().is_some_and(|out| out.stage == Stage::On(link) && out.began.is_none());
+        let on_it = row
+            .out
+            .as_ref()
+            .is_some_and(|out| out.stage == Stage::On(link) && out.began.is_none());
         let once = row.open && on_it;
         let safely = match (row.ran, row.effect, place) {
             (None, ..) | (_, Effect::Safe, _) => true,
@@ -94,14 +139,21 @@
             _ => false,
         };
         self.violations.check(in_time, Invariant::SentInTime, id);
-        self.violations.check(ready, Invariant::SentToReadyServer, id);
+        self.violations
+            .check(ready, Invariant::SentToReadyServer, id);
         self.violations.check(once, Invariant::SentOnce, id);
         self.violations.check(safely, Invariant::RepeatedSafely, id);
     }
 
     /// A connection turned out bad before a byte was written: a kept one makes way for another, a new one speaks ill of
     /// its server.
-    pub(super) fn replace(&mut self, now: Micros, id: &RequestId, link: LinkId, commands: &mut Commands<A>) {
+    pub(super) fn replace(
+        &mut self,
+        now: Micros,
+        id: &RequestId,
+        link: LinkId,
+        commands: &mut Commands<A>,
+    ) {
         if !self.links.get(&link).is_some_and(|row| row.used) {
             return self.give_up(id, Outcome::TimedOut, commands);
         }
@@ -110,7 +162,11 @@
     }
 
     pub(super) fn replied(
-        &mut self, now: Micros, link: LinkId, outcome: Outcome, commands: &mut Commands<A>,
+        &mut self,
+        now: Micros,
+        link: LinkId,
+        outcome: Outcome,
+        commands: &mut Commands<A>,
     ) {
         let Some(id) = self.on(link) else {
             if self.bugs.planted(Bug::AnswerAfterCancel) && outcome == Outcome::Ok {
@@ -120,14 +176,24 @@
             }
             return;
         };
-        if self.links.get(&link).is_none_or(|row| row.state != State::Written) {
+        if self
+            .links
+            .get(&link)
+            .is_none_or(|row| row.state != State::Written)
+        {
             return;
         }
-        if self.rows.get(&id).is_some_and(|row| !row.whole) && !self.bugs.planted(Bug::EarlyAnswerKept) {
+        if self.rows.get(&id).is_some_and(|row| !row.whole)
+            && !self.bugs.planted(Bug::EarlyAnswerKept)
+        {
             // It was answered before it was whole: what is left of it must not pass for the next, and what serves it was
             // made for something else.
             self.close(link, commands);
-            let outcome = if outcome == Outcome::Ok { Outcome::Error } else { outcome };
+            let outcome = if outcome == Outcome::Ok {
+                Outcome::Error
+            } else {
+                outcome
+            };
             return self.ended(&id, outcome);
         }
         self.park(now, link, commands);
@@ -143,8 +209,13 @@
     /// The first bytes of an answer are there: it is the client's from now on, for as long as it takes.
     pub(super) fn passing(&mut self, now: Micros, link: LinkId, commands: &mut Commands<A>) {
         let Some(id) = self.on(link) else { return };
-        let written = self.links.get(&link).is_some_and(|row| row.state == State::Written);
-        let Some(row) = self.rows.get_mut(&id).filter(|_| written) else { return };
+        let written = self
+            .links
+            .get(&link)
+            .is_some_and(|row| row.state == State::Written);
+        let Some(row) = self.rows.get_mut(&id).filter(|_| written) else {
+            return;
+        };
         if !row.whole || !row.open {
             // Answered before it was whole, or nobody waits: there is nobody to pass it on to.
             return self.give_up(&id, Outcome::Broken, commands);
@@ -160,7 +231,10 @@
 
     /// The client of an answer that goes by has gone.
     pub(super) fn left(&mut self, link: LinkId, commands: &mut Commands<A>) {
-        if let Some(id) = self.on(link).filter(|id| self.rows.get(id).is_some_and(|row| row.passing)) {
+        if let Some(id) = self
+            .on(link)
+            .filter(|id| self.rows.get(id).is_some_and(|row| row.passing))
+        {
             self.give_up(&id, Outcome::Cancelled, commands);
         }
     }
@@ -168,7 +242,9 @@
     /// A request that came as it went is whole but for its last piece: its client's time begins, and the module has its say
     /// before that piece goes.
     pub(super) fn whole(&mut self, now: Micros, id: &RequestId, ticket: Ticket, deadline: Micros) {
-        let Some(row) = self.rows.get_mut(id) else { return };
+        let Some(row) = self.rows.get_mut(id) else {
+            return;
+        };
         if row.ticket != ticket || !row.open || row.whole {
             return;
         }
@@ -180,16 +256,29 @@
         }
         self.arm(id);
         let patience = deadline.saturating_sub(now);
-        self.pending.push_back(ModuleEvent::Whole { id: id.clone(), patience });
+        self.pending.push_back(ModuleEvent::Whole {
+            id: id.clone(),
+            patience,
+        });
         self.releasing = Some(id.clone());
     }
 
     /// Lets the last piece go, if the module has not ended the request.
     pub(super) fn release(&mut self, commands: &mut Commands<A>) {
-        let Some(id) = self.releasing.take() else { return };
-        let Some(row) = self.rows.get_mut(&id).filter(|row| row.open) else { return };
-        let Some(Stage::On(link)) = row.out.as_ref().map(|out| out.stage) else { return };
-        if self.links.get(&link).is_some_and(|row| row.state == State::Written) {
+        let Some(id) = self.releasing.take() else {
+            return;
+        };
+        let Some(row) = self.rows.get_mut(&id).filter(|row| row.open) else {
+            return;
+        };
+        let Some(Stage::On(link)) = row.out.as_ref().map(|out| out.stage) else {
+            return;
+        };
+        if self
+            .links
+            .get(&link)
+            .is_some_and(|row| row.state == State::Written)
+        {
             row.whole = true;
             self.tally.relayed += 1;
             commands.push(Command::Release { link });
@@ -199,7 +288,11 @@
     /// The connection leaves the exchange with the answer. Whoever has it closes it, if nobody waits for the answer.
     pub(super) fn upgraded(&mut self, now: Micros, link: LinkId, commands: &mut Commands<A>) {
         let Some(id) = self.on(link) else { return };
-        if self.links.get(&link).is_none_or(|row| row.state != State::Written) {
+        if self
+            .links
+            .get(&link)
+            .is_none_or(|row| row.state != State::Written)
+        {
             return;
         }
         self.links.remove(&link);
@@ -214,7 +307,9 @@
             Some(row) if row.used && self.bugs.planted(Bug::ResendAfterFirstByte) => {
                 self.replace(now, &id, link, commands);
             }
-            Some(row) if row.state == State::Written => self.give_up(&id, Outcome::Broken, commands),
+            Some(row) if row.state == State::Written => {
+                self.give_up(&id, Outcome::Broken, commands)
+            }
             _ => {}
         }
     }
@@ -222,9 +317,12 @@
     /// The attempt of a request is given up for such a reason. It ends when its connection is closed, so that no two
     /// attempts are ever out; of what was never written nothing can have run.
     pub(super) fn give_up(&mut self, id: &RequestId, why: Outcome, commands: &mut Commands<A>) {
-        let Some(out) = self.rows.get(id).and_then(|row| row.out.as_ref()) else { return };
+        let Some(out) = self.rows.get(id).and_then(|row| row.out.as_ref()) else {
+            return;
+        };
         // Of a request that is not whole nothing can have run.
-        let whole = self.rows.get(id).is_some_and(|row| row.whole) || self.bugs.planted(Bug::RunsBeforeWhole);
+        let whole = self.rows.get(id).is_some_and(|row| row.whole)
+            || self.bugs.planted(Bug::RunsBeforeWhole);
         let (stage, began, number) = (out.stage, out.began.is_some() && whole, out.number);
         let outcome = match why {
             _ if began => why,
@@ -234,7 +332,9 @@
         match stage {
             Stage::Ending(..) => {}
             Stage::Waiting(_) => self.ended(id, Outcome::NotSent),
-            Stage::On(link) if why == Outcome::Cancelled && self.bugs.planted(Bug::CancelWithoutClose) => {
+            Stage::On(link)
+                if why == Outcome::Cancelled && self.bugs.planted(Bug::CancelWithoutClose) =>
+            {
                 self.park(out.until, link, commands);
                 self.ended(id, outcome);
             }
@@ -251,11 +351,20 @@
     /// The attempt of a request is over, and its connection closed or free again.
     pub(super) fn ended(&mut self, id: &RequestId, outcome: Outcome) {
         let last = self.bugs.planted(Bug::WindowFromLastSend);
-        let Some(row) = self.rows.get_mut(id) else { return };
+        let Some(row) = self.rows.get_mut(id) else {
+            return;
+        };
         let Some(out) = row.out.take() else { return };
         self.tally.streaming -= u64::from(std::mem::take(&mut row.passing));
-        if !matches!(outcome, Outcome::Ok | Outcome::Full | Outcome::Unreachable | Outcome::NotSent) {
-            row.ran = if last { out.began.or(row.ran) } else { row.ran.or(out.began) };
+        if !matches!(
+            outcome,
+            Outcome::Ok | Outcome::Full | Outcome::Unreachable | Outcome::NotSent
+        ) {
+            row.ran = if last {
+                out.began.or(row.ran)
+            } else {
+                row.ran.or(out.began)
+            };
         }
         let closed = !row.open;
         self.tell_end(id, out.number, outcome, closed);
@@ -264,6 +373,11 @@
 
     pub(super) fn tell_end(&mut self, id: &RequestId, number: u32, outcome: Outcome, closed: bool) {
         let attempt = AttemptNo(number);
-        self.pending.push_back(ModuleEvent::Ended { id: id.clone(), attempt, outcome, closed });
+        self.pending.push_back(ModuleEvent::Ended {
+            id: id.clone(),
+            attempt,
+            outcome,
+            closed,
+        });
     }
 }
--- a/crates/exchange/src/exchange/checks.rs
+++ b/crates/exchange/src/exchange/checks.rs
@@ -17,7 +17,16 @@
         let mut rows: Vec<_> = self.rows.iter().collect();
         rows.sort_by_key(|(id, _)| *id);
         for (id, row) in rows {
-            (id, row.deadline, row.process_end, row.cut_short, row.open, row.attempts, row.ran, row.alarm)
+            (
+                id,
+                row.deadline,
+                row.process_end,
+                row.cut_short,
+                row.open,
+                row.attempts,
+                row.ran,
+                row.alarm,
+            )
                 .hash(hasher);
             (row.whole, row.spent, row.passing).hash(hasher);
             let Some(out) = &row.out else { continue };
@@ -47,10 +56,19 @@
     /// The first disagreement, in words.
     pub fn consistent(&self) -> Result<(), &'static str> {
         let said = |yes: bool, what| if yes { Ok(()) } else { Err(what) };
-        let alarms: Alarms =
-            self.rows.iter().filter_map(|(id, row)| Some((row.alarm?, id.clone()))).collect();
-        said(alarms == self.alarms, "the order of alarms is not that of the rows")?;
-        let due = self.rows.values().all(|row| row.alarm == row.due(self.bounds.overdue));
+        let alarms: Alarms = self
+            .rows
+            .iter()
+            .filter_map(|(id, row)| Some((row.alarm?, id.clone())))
+            .collect();
+        said(
+            alarms == self.alarms,
+            "the order of alarms is not that of the rows",
+        )?;
+        let due = self
+            .rows
+            .values()
+            .all(|row| row.alarm == row.due(self.bounds.overdue));
         said(due, "an alarm is not set as its row needs")?;
         let owed = self.rows.values().all(|row| row.open || row.out.is_some());
         said(owed, "a row is kept though nothing is owed")?;
@@ -58,13 +76,25 @@
             State::Idle(since) => Some((since, *link)),
             _ => None,
         });
-        said(idle.collect::<BTreeSet<_>>() == self.idle, "the order of idle connections is not theirs")?;
-        let at: BTreeSet<LinkId> =
-            self.places.values().flat_map(|place| place.idle.iter().copied()).collect();
+        said(
+            idle.collect::<BTreeSet<_>>() == self.idle,
+            "the order of idle connections is not theirs",
+        )?;
+        let at: BTreeSet<LinkId> = self
+            .places
+            .values()
+            .flat_map(|place| place.idle.iter().copied())
+            .collect();
         let same = at == self.idle.iter().map(|(_, link)| *link).collect();
-        said(same, "a server's idle connections are not those that are idle")?;
+        said(
+            same,
+            "a server's idle connections are not those that are idle",
+        )?;
         let led = self.idle.iter().all(|(_, link)| self.leads(*link));
         said(led, "a connection is kept that leads nowhere")?;
-        said(self.links.len() <= self.bounds.links, "there are more connections than may be")
+        said(
+            self.links.len() <= self.bounds.links,
+            "there are more connections than may be",
+        )
     }
 }
--- a/crates/exchange/src/exchange/choice.rs
+++ b/crates/exchange/src/exchange/choice.rs
@@ -10,26 +10,45 @@
 impl<A: Copy + Eq + Hash, M: Module, B: Bugs> Exchange<A, M, B> {
     /// Sends a request as the module has it, unless that would break a rule: then the attempt ends unsent at once.
     pub(super) fn send(
-        &mut self, now: Micros, id: &RequestId, server: ServerId, time_out: Option<Micros>,
+        &mut self,
+        now: Micros,
+        id: &RequestId,
+        server: ServerId,
+        time_out: Option<Micros>,
         commands: &mut Commands<A>,
     ) {
         // The module hears of each request that is answered or abandoned, and owes no such one anything.
-        let Some(row) = self.rows.get_mut(id).filter(|row| row.open) else { return };
+        let Some(row) = self.rows.get_mut(id).filter(|row| row.open) else {
+            return;
+        };
         let number = row.attempts;
         row.attempts += 1;
-        let until = time_out.map_or(row.deadline, |span| row.deadline.min(now.saturating_add(span)));
+        let until = time_out.map_or(row.deadline, |span| {
+            row.deadline.min(now.saturating_add(span))
+        });
         let attempt_out = row.out.is_some() && !self.bugs.planted(Bug::TwoAttemptsOut);
         let body_gone = row.spent && !self.bugs.planted(Bug::GoneBodySentAgain);
         if row.attempts > self.bounds.attempts {
             return self.end(now, id, Verdict::Failed, commands);
         }
-        let facts = Facts { attempt_out, body_gone, ..self.facts(now, until, id, server, true) };
+        let facts = Facts {
+            attempt_out,
+            body_gone,
+            ..self.facts(now, until, id, server, true)
+        };
         if !self.passes(&facts) {
             return self.tell_end(id, number, Outcome::NotSent, false);
         }
         let stage = Stage::Waiting(LinkId(u64::MAX));
         if let Some(row) = self.rows.get_mut(id) {
-            row.out = Some(Out { number, server, until, limit: until, began: None, stage });
+            row.out = Some(Out {
+                number,
+                server,
+                until,
+                limit: until,
+                began: None,
+                stage,
+            });
         }
         self.start(now, id, commands);
     }
@@ -37,7 +56,12 @@
     /// What the guard has to know of an attempt at a server: when it is chosen, or (`choice` is false) later. Whether another
     /// is out, and where the connection leads, is the caller's to say.
     pub(super) fn facts(
-        &self, now: Micros, until: Micros, id: &RequestId, server: ServerId, choice: bool,
+        &self,
+        now: Micros,
+        until: Micros,
+        id: &RequestId,
+        server: ServerId,
+        choice: bool,
     ) -> Facts {
         Facts {
             now,
@@ -52,10 +76,20 @@
     }
 
     /// Whether the effects of a request allow an attempt at a server. An effect must not happen twice.
-    pub(super) fn may_go(&self, now: Micros, id: &RequestId, server: ServerId, choice: bool) -> bool {
-        let Some(row) = self.rows.get(id) else { return false };
+    pub(super) fn may_go(
+        &self,
+        now: Micros,
+        id: &RequestId,
+        server: ServerId,
+        choice: bool,
+    ) -> bool {
+        let Some(row) = self.rows.get(id) else {
+            return false;
+        };
         let Some(ran) = row.ran else { return true };
-        let Some(place) = self.places.get(&server) else { return false };
+        let Some(place) = self.places.get(&server) else {
+            return false;
+        };
         match row.effect {
             Effect::Safe => true,
             Effect::Unsafe => self.bugs.planted(Bug::UnsafeResent),
@@ -74,21 +108,30 @@
 
     /// Finds a connection for the attempt that is out, or has one made.
     pub(super) fn start(&mut self, now: Micros, id: &RequestId, commands: &mut Commands<A>) {
-        let Some(out) = self.rows.get(id).and_then(|row| row.out.as_ref()) else { return };
+        let Some(out) = self.rows.get(id).and_then(|row| row.out.as_ref()) else {
+            return;
+        };
         let server = out.server;
         if let Some(link) = self.take_idle(now, server, commands) {
             self.tally.kept_used += 1;
             if let Some(row) = self.links.get_mut(&link) {
                 (row.state, row.of) = (State::Queued, Some(id.clone()));
             }
-            commands.push(Command::Send { link, id: id.clone(), server });
+            commands.push(Command::Send {
+                link,
+                id: id.clone(),
+                server,
+            });
             return self.stage(id, Stage::On(link), None);
         }
         let Some(dial) = self.places.get(&server).map(|place| place.dial) else {
             return self.ended(id, Outcome::NotSent);
         };
         let counted = if self.bugs.planted(Bug::IdleNotCounted) {
-            self.links.values().filter(|link| !matches!(link.state, State::Idle(_))).count()
+            self.links
+                .values()
+                .filter(|link| !matches!(link.state, State::Idle(_)))
+                .count()
         } else {
             self.links.len()
         };
@@ -99,15 +142,28 @@
         self.tally.connects += 1;
         let link = LinkId(self.next_link);
         let of = Some(id.clone());
-        let row = Link { server, dial, state: State::Connecting, used: false, gone: false, of };
+        let row = Link {
+            server,
+            dial,
+            state: State::Connecting,
+            used: false,
+            gone: false,
+            of,
+        };
         self.links.insert(link, row);
         commands.push(Command::Connect { link, dial });
-        self.stage(id, Stage::On(link), Some(now.saturating_add(self.bounds.connect_within)));
+        self.stage(
+            id,
+            Stage::On(link),
+            Some(now.saturating_add(self.bounds.connect_within)),
+        );
     }
 
     /// Makes room: the connection that has been idle longest is closed, and the attempt waits for that.
     pub(super) fn wait(&mut self, id: &RequestId, commands: &mut Commands<A>) {
-        let Some((_, oldest)) = self.idle.first().copied() else { return self.ended(id, Outcome::NotSent) };
+        let Some((_, oldest)) = self.idle.first().copied() else {
+            return self.ended(id, Outcome::NotSent);
+        };
         self.close_for(oldest, id, commands);
         self.stage(id, Stage::Waiting(oldest), None);
     }
@@ -131,8 +187,12 @@
     /// Whether the attempt on a connection may still begin: its request is open and in time, and the connection leads to
     /// its server, which is ready, where that is now.
     pub(super) fn fit(&mut self, now: Micros, id: &RequestId, link: LinkId) -> bool {
-        let Some(row) = self.rows.get(id) else { return false };
-        let Some(out) = row.out.as_ref() else { return false };
+        let Some(row) = self.rows.get(id) else {
+            return false;
+        };
+        let Some(out) = row.out.as_ref() else {
+            return false;
+        };
         let unchecked = self.bugs.planted(Bug::DrainCheckedBeforeConnectOnly);
         let facts = self.facts(now, out.until, id, out.server, false);
         let facts = Facts {
@@ -155,8 +215,12 @@
     /// Whether a connection reaches its server where that is now. Guards drains, and addresses that pass from one to
     /// another.
     pub(super) fn leads(&self, link: LinkId) -> bool {
-        let Some(link) = self.links.get(&link) else { return false };
+        let Some(link) = self.links.get(&link) else {
+            return false;
+        };
         let place = self.places.get(&link.server);
-        place.is_some_and(|place| place.dial == link.dial || self.bugs.planted(Bug::AddressNotCompared))
+        place.is_some_and(|place| {
+            place.dial == link.dial || self.bugs.planted(Bug::AddressNotCompared)
+        })
     }
 }
--- a/crates/exchange/src/exchange/connections.rs
+++ b/crates/exchange/src/exchange/connections.rs
@@ -9,17 +9,25 @@
 impl<A: Copy + Eq + Hash, M: Module, B: Bugs> Exchange<A, M, B> {
     /// The connection to a server that came back last and has settled, so that the others may grow old.
     pub(super) fn take_idle(
-        &mut self, now: Micros, server: ServerId, commands: &mut Commands<A>,
+        &mut self,
+        now: Micros,
+        server: ServerId,
+        commands: &mut Commands<A>,
     ) -> Option<LinkId> {
-        let settle = if self.bugs.planted(Bug::NoSettling) { 0 } else { self.bounds.settle };
+        let settle = if self.bugs.planted(Bug::NoSettling) {
+            0
+        } else {
+            self.bounds.settle
+        };
         loop {
             let place = self.places.get(&server)?;
             let since = |link: &LinkId| match self.links.get(link)?.state {
                 State::Idle(since) => Some(since),
                 _ => None,
             };
-            let settled =
-                |link: &&LinkId| since(link).is_none_or(|since| now >= since.saturating_add(settle));
+            let settled = |link: &&LinkId| {
+                since(link).is_none_or(|since| now >= since.saturating_add(settle))
+            };
             let link = *place.idle.iter().rev().find(settled)?;
             if since(&link).is_some_and(|since| now < since.saturating_add(self.bounds.idle_for)) {
                 self.unpark(link);
@@ -31,7 +39,9 @@
 
     /// Takes an idle connection out of the order.
     pub(super) fn unpark(&mut self, link: LinkId) {
-        let Some(row) = self.links.get(&link) else { return };
+        let Some(row) = self.links.get(&link) else {
+            return;
+        };
         if let State::Idle(since) = row.state {
             self.idle.remove(&(since, link));
             if let Some(place) = self.places.get_mut(&row.server) {
@@ -44,7 +54,9 @@
     pub(super) fn park(&mut self, now: Micros, link: LinkId, commands: &mut Commands<A>) {
         let fits = self.leads(link) && (!self.stopped || self.bugs.planted(Bug::KeptAfterStop));
         let most = self.bounds.idle_at_one;
-        let Some(row) = self.links.get_mut(&link) else { return };
+        let Some(row) = self.links.get_mut(&link) else {
+            return;
+        };
         match self.places.get_mut(&row.server) {
             Some(place) if fits && !row.gone && place.idle.len() < most => {
                 row.used |= row.state == State::Written;
@@ -58,7 +70,13 @@
 
     pub(super) fn close(&mut self, link: LinkId, commands: &mut Commands<A>) {
         self.unpark(link);
-        let Some(row) = self.links.get_mut(&link).filter(|row| row.state != State::Closing) else { return };
+        let Some(row) = self
+            .links
+            .get_mut(&link)
+            .filter(|row| row.state != State::Closing)
+        else {
+            return;
+        };
         (row.state, row.of) = (State::Closing, None);
         commands.push(Command::Close { link });
     }
@@ -81,11 +99,19 @@
     }
 
     pub(super) fn closed(&mut self, now: Micros, link: LinkId, commands: &mut Commands<A>) {
-        if self.links.get(&link).is_none_or(|row| row.state != State::Closing) {
+        if self
+            .links
+            .get(&link)
+            .is_none_or(|row| row.state != State::Closing)
+        {
             return;
         }
-        let Some(Link { of: Some(id), .. }) = self.links.remove(&link) else { return };
-        let Some(row) = self.rows.get(&id) else { return };
+        let Some(Link { of: Some(id), .. }) = self.links.remove(&link) else {
+            return;
+        };
+        let Some(row) = self.rows.get(&id) else {
+            return;
+        };
         match row.out.as_ref().map(|out| out.stage) {
             Some(Stage::Ending(other, outcome)) if other == link => self.ended(&id, outcome),
             Some(Stage::Waiting(other)) if other == link => {
--- a/crates/exchange/src/exchange/requests.rs
+++ b/crates/exchange/src/exchange/requests.rs
@@ -9,10 +9,23 @@
 
 impl<A: Copy + Eq + Hash, M: Module, B: Bugs> Exchange<A, M, B> {
     pub(super) fn asked(
-        &mut self, now: Micros, effect: Effect, deadline: Micros, mut tell: ModuleEvent,
+        &mut self,
+        now: Micros,
+        effect: Effect,
+        deadline: Micros,
+        mut tell: ModuleEvent,
         commands: &mut Commands<A>,
     ) {
-        let ModuleEvent::Request { id, class, whole, patience, .. } = &mut tell else { return };
+        let ModuleEvent::Request {
+            id,
+            class,
+            whole,
+            patience,
+            ..
+        } = &mut tell
+        else {
+            return;
+        };
         if self.knows(id) {
             return;
         }
@@ -24,7 +37,10 @@
         if now >= self.answer_by {
             // The process has no time left for it. Nothing of it has been sent, so that trying again is harmless.
             self.tally.ended(class, End::Throttled);
-            return commands.push(Command::Answer { id: id.clone(), verdict: Verdict::Refused(None) });
+            return commands.push(Command::Answer {
+                id: id.clone(),
+                verdict: Verdict::Refused(None),
+            });
         }
         let mut row = Row {
             ticket,
@@ -58,7 +74,9 @@
 
     /// Nobody waits for an answer any more. The module calls the attempt off, where that is allowed.
     pub(super) fn abandon(&mut self, id: &RequestId, answered: bool) {
-        let Some(row) = self.rows.get_mut(id).filter(|row| row.open) else { return };
+        let Some(row) = self.rows.get_mut(id).filter(|row| row.open) else {
+            return;
+        };
         row.open = false;
         if !answered {
             self.tally.ended(row.class, End::Gone);
@@ -67,44 +85,80 @@
             self.rows.remove(id);
             self.alarms.retain(|(_, other)| other != id);
         }
-        self.pending.push_back(ModuleEvent::Abandoned { id: id.clone() });
+        self.pending
+            .push_back(ModuleEvent::Abandoned { id: id.clone() });
         self.settle_row(id);
     }
 
     /// Answers a request, unless that has been done: an open row is the right to answer.
     pub(super) fn answer(
-        &mut self, now: Micros, id: &RequestId, verdict: Verdict, commands: &mut Commands<A>,
+        &mut self,
+        now: Micros,
+        id: &RequestId,
+        verdict: Verdict,
+        commands: &mut Commands<A>,
     ) {
-        let Some(row) = self.rows.get_mut(id).filter(|row| row.open) else { return };
-        self.violations.check(row.is_in_time(now, self.bounds.overdue), Invariant::AnsweredInTime, id);
+        let Some(row) = self.rows.get_mut(id).filter(|row| row.open) else {
+            return;
+        };
+        self.violations.check(
+            row.is_in_time(now, self.bounds.overdue),
+            Invariant::AnsweredInTime,
+            id,
+        );
         row.open = false;
         self.tally.ended(row.class, end_of(verdict));
-        commands.push(Command::Answer { id: id.clone(), verdict });
+        commands.push(Command::Answer {
+            id: id.clone(),
+            verdict,
+        });
         self.settle_row(id);
     }
 
     /// Ends a request, whatever the module says, which hears of it.
-    pub(super) fn end(&mut self, now: Micros, id: &RequestId, verdict: Verdict, commands: &mut Commands<A>) {
+    pub(super) fn end(
+        &mut self,
+        now: Micros,
+        id: &RequestId,
+        verdict: Verdict,
+        commands: &mut Commands<A>,
+    ) {
         if let Some(row) = self.rows.get(id).filter(|row| row.open) {
-            self.violations.check(row.is_in_time(now, self.bounds.overdue), Invariant::AnsweredInTime, id);
+            self.violations.check(
+                row.is_in_time(now, self.bounds.overdue),
+                Invariant::AnsweredInTime,
+                id,
+            );
             self.tally.ended(row.class, end_of(verdict));
         }
-        commands.push(Command::Answer { id: id.clone(), verdict });
+        commands.push(Command::Answer {
+            id: id.clone(),
+            verdict,
+        });
         self.abandon(id, true);
     }
 
     /// Sets a row's alarm anew, or lets go of a row of which nothing is owed any more.
     pub(super) fn settle_row(&mut self, id: &RequestId) {
-        if self.rows.get(id).is_some_and(|row| row.open || row.out.is_some()) {
+        if self
+            .rows
+            .get(id)
+            .is_some_and(|row| row.open || row.out.is_some())
+        {
             return self.arm(id);
         }
-        if let Some(Row { alarm: Some(at), .. }) = self.rows.remove(id) {
+        if let Some(Row {
+            alarm: Some(at), ..
+        }) = self.rows.remove(id)
+        {
             self.alarms.remove(&(at, id.clone()));
         }
     }
 
     pub(super) fn arm(&mut self, id: &RequestId) {
-        let Some(row) = self.rows.get_mut(id) else { return };
+        let Some(row) = self.rows.get_mut(id) else {
+            return;
+        };
         let due = row.due(self.bounds.overdue);
         if row.alarm == due {
             return;
@@ -129,7 +183,10 @@
         let began = self.out.as_ref().is_some_and(|out| out.began.is_some());
         let may_have_run = self.ran.is_some() || (began && self.whole);
         match self.effect {
-            Effect::Safe | Effect::Keyed { group: Group::All, .. } => true,
+            Effect::Safe
+            | Effect::Keyed {
+                group: Group::All, ..
+            } => true,
             Effect::Keyed { .. } | Effect::Unsafe => !may_have_run,
         }
     }
--- a/crates/exchange/src/exchange/servers.rs
+++ b/crates/exchange/src/exchange/servers.rs
@@ -12,7 +12,12 @@
 impl<A: Copy + Eq + Hash, M: Module, B: Bugs> Exchange<A, M, B> {
     /// Follows the list. Who is gone, or not on a whole list, and who moved, loses its idle connections and those that
     /// are being made.
-    pub(super) fn listed(&mut self, whole: bool, entries: Vec<(ServerEntry, A)>, commands: &mut Commands<A>) {
+    pub(super) fn listed(
+        &mut self,
+        whole: bool,
+        entries: Vec<(ServerEntry, A)>,
+        commands: &mut Commands<A>,
+    ) {
         let mut lost: Vec<ServerId> = Vec::new();
         if whole {
             let ready: BTreeSet<ServerId> = entries.iter().map(|(entry, _)| entry.server).collect();
@@ -27,24 +32,43 @@
             }
         }
         for server in &lost {
-            let idle = self.places.get(server).map(|place| place.idle.clone()).unwrap_or_default();
+            let idle = self
+                .places
+                .get(server)
+                .map(|place| place.idle.clone())
+                .unwrap_or_default();
             idle.into_iter().for_each(|link| self.close(link, commands));
             self.places.remove(server);
         }
         let mut told = Vec::with_capacity(entries.len());
         for (entry, dial) in entries {
             if entry.standing == Standing::Ready {
-                let fresh = Place { dial, zone: entry.zone, cell: entry.cell, idle: Vec::new() };
+                let fresh = Place {
+                    dial,
+                    zone: entry.zone,
+                    cell: entry.cell,
+                    idle: Vec::new(),
+                };
                 let place = self.places.entry(entry.server).or_insert(fresh);
                 (place.zone, place.cell) = (entry.zone, entry.cell);
             } else if let Some(place) = self.places.remove(&entry.server) {
                 // It stands on the list twice, and this is the later word.
-                place.idle.into_iter().for_each(|link| self.close(link, commands));
+                place
+                    .idle
+                    .into_iter()
+                    .for_each(|link| self.close(link, commands));
             }
             told.push(entry);
         }
-        let kind = if whole { ListKind::Complete } else { ListKind::Changes };
-        self.pending.push_back(ModuleEvent::Servers { kind, entries: told });
+        let kind = if whole {
+            ListKind::Complete
+        } else {
+            ListKind::Changes
+        };
+        self.pending.push_back(ModuleEvent::Servers {
+            kind,
+            entries: told,
+        });
         if !lost.is_empty() && !self.bugs.planted(Bug::DrainCheckedBeforeConnectOnly) {
             let made = self.links.iter().filter(|(link, row)| {
                 row.state == State::Connecting && lost.contains(&row.server) && !self.leads(**link)
@@ -52,7 +76,8 @@
             let mut made: Vec<LinkId> = made.map(|(link, _)| *link).collect();
             made.sort();
             let made: Vec<RequestId> = made.into_iter().filter_map(|link| self.on(link)).collect();
-            made.iter().for_each(|id| self.give_up(id, Outcome::Cancelled, commands));
+            made.iter()
+                .for_each(|id| self.give_up(id, Outcome::Cancelled, commands));
         }
     }
 }
--- a/crates/exchange/src/exchange/time.rs
+++ b/crates/exchange/src/exchange/time.rs
@@ -12,10 +12,16 @@
         if self.bugs.planted(Bug::EndForgotten) {
             return;
         }
-        let open: Vec<RequestId> =
-            self.rows.iter().filter(|(_, row)| row.open).map(|(id, _)| id.clone()).collect();
+        let open: Vec<RequestId> = self
+            .rows
+            .iter()
+            .filter(|(_, row)| row.open)
+            .map(|(id, _)| id.clone())
+            .collect();
         for id in open {
-            self.rows.entry(id.clone()).and_modify(|row| row.cut(self.answer_by));
+            self.rows
+                .entry(id.clone())
+                .and_modify(|row| row.cut(self.answer_by));
             self.arm(&id);
         }
     }
@@ -39,13 +45,18 @@
             let row = self.rows.get(id)?;
             let over = now >= row.answered_by(self.bounds.overdue);
             let refused = row.cut_short && row.open && row.may_be_refused();
-            let verdict = if refused { Verdict::Refused(None) } else { Verdict::Failed };
+            let verdict = if refused {
+                Verdict::Refused(None)
+            } else {
+                Verdict::Failed
+            };
             let wanted = row.open || self.bugs.planted(Bug::DeadlineRacedByReply);
             (over && wanted).then(|| (id.clone(), verdict))
         };
         let due = self.alarms.iter().take_while(|(at, _)| *at <= now);
         let due: Vec<(RequestId, Verdict)> = due.filter_map(|(_, id)| late(id)).collect();
-        due.iter().for_each(|(id, verdict)| self.end(now, id, *verdict, commands));
+        due.iter()
+            .for_each(|(id, verdict)| self.end(now, id, *verdict, commands));
     }
 
     pub(super) fn tick(&mut self, now: Micros, commands: &mut Commands<A>) {
--- a/crates/exchange/src/guard.rs
+++ b/crates/exchange/src/guard.rs
@@ -84,5 +84,8 @@
         Denial::ServerNotReady => !facts.server_ready,
         Denial::RepeatNotAllowed => !facts.repeat_allowed,
     };
-    Denial::ALL.into_iter().find(stands_in_the_way).map_or(Ok(()), Err)
+    Denial::ALL
+        .into_iter()
+        .find(stands_in_the_way)
+        .map_or(Ok(()), Err)
 }
--- a/crates/exchange/src/invariants.rs
+++ b/crates/exchange/src/invariants.rs
@@ -87,7 +87,10 @@
         }
         self.counts[invariant as usize] += 1;
         if self.untold.len() < KEPT_MOST {
-            self.untold.push(Violation { invariant, request: request.clone() });
+            self.untold.push(Violation {
+                invariant,
+                request: request.clone(),
+            });
         }
     }
 
--- a/crates/exchange/src/open.rs
+++ b/crates/exchange/src/open.rs
@@ -40,7 +40,9 @@
 impl WaitsFor {
     /// What a row waits for; `state` is that of the connection that its attempt is on.
     pub(crate) fn of(row: &Row, state: impl Fn(LinkId) -> Option<State>) -> WaitsFor {
-        let Some(out) = &row.out else { return WaitsFor::Decision };
+        let Some(out) = &row.out else {
+            return WaitsFor::Decision;
+        };
         match out.stage {
             Stage::Waiting(_) => WaitsFor::ConnectionSlot(out.server),
             Stage::Ending(..) => WaitsFor::Close(out.server),
--- a/crates/exchange/src/table.rs
+++ b/crates/exchange/src/table.rs
@@ -1,7 +1,9 @@
 //! What an exchange keeps of requests, attempts, connections and servers.
 
 use crate::{LinkId, Ticket};
-use saffronpaddle_policy::interface::{CellId, Effect, Micros, Outcome, RequestId, ServerId, ZoneId};
+use saffronpaddle_policy::interface::{
+    CellId, Effect, Micros, Outcome, RequestId, ServerId, ZoneId,
+};
 use std::collections::{BTreeSet, HashMap};
 use std::hash::{BuildHasherDefault, Hasher};
 
@@ -12,12 +14,16 @@
 
 impl Hasher for Numbers {
     fn write(&mut self, bytes: &[u8]) {
-        bytes.iter().for_each(|byte| self.write_u64(u64::from(*byte)));
+        bytes
+            .iter()
+            .for_each(|byte| self.write_u64(u64::from(*byte)));
     }
 
     fn write_u64(&mut self, number: u64) {
         // Fibonacci hashing; the table takes its bits from both ends.
-        self.0 = (self.0 ^ number).wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(29);
+        self.0 = (self.0 ^ number)
+            .wrapping_mul(0x9e37_79b9_7f4a_7c15)
+            .rotate_left(29);
     }
 
     fn finish(&self) -> u64 {
@@ -129,8 +135,13 @@
 impl Row {
     /// When something has to be done about it, if nothing happens.
     pub fn due(&self, overdue: Micros) -> Option<Micros> {
-        let attempt = self.out.as_ref().filter(|out| !matches!(out.stage, Stage::Ending(..)));
-        let attempt = attempt.map(|out| out.limit).filter(|limit| *limit < Micros::MAX);
+        let attempt = self
+            .out
+            .as_ref()
+            .filter(|out| !matches!(out.stage, Stage::Ending(..)));
+        let attempt = attempt
+            .map(|out| out.limit)
+            .filter(|limit| *limit < Micros::MAX);
         let last = self.open.then(|| self.answered_by(overdue));
         attempt.into_iter().chain(last).min()
     }
--- a/crates/fleet-harness/src/counts.rs
+++ b/crates/fleet-harness/src/counts.rs
@@ -56,7 +56,9 @@
 impl Counts {
     /// Takes a line of a log in; whether it was one of counts.
     pub fn line(&mut self, line: &str) -> bool {
-        let Some(fields) = Fields::read(line) else { return false };
+        let Some(fields) = Fields::read(line) else {
+            return false;
+        };
         self.nodes.entry(fields.node).or_default().take(fields);
         true
     }
@@ -79,14 +81,22 @@
                 }
             }
         }
-        anyhow::ensure!(!counts.nodes.is_empty(), "no line of counts (log.counts_every_ms is 0 by default)");
+        anyhow::ensure!(
+            !counts.nodes.is_empty(),
+            "no line of counts (log.counts_every_ms is 0 by default)"
+        );
         Ok(counts)
     }
 
     fn names(&self) -> Vec<&str> {
-        let lines = self.nodes.values().flat_map(|node| node.before.keys().chain(node.last.of.keys()));
-        let mut names: Vec<&str> =
-            lines.map(|name| &name[..]).filter(|name| !LEVELS.contains(name)).collect();
+        let lines = self
+            .nodes
+            .values()
+            .flat_map(|node| node.before.keys().chain(node.last.of.keys()));
+        let mut names: Vec<&str> = lines
+            .map(|name| &name[..])
+            .filter(|name| !LEVELS.contains(name))
+            .collect();
         names.sort_unstable();
         names.dedup();
         names
@@ -95,17 +105,32 @@
     /// A row a figure: its name, the sum, a node and second on the mean, at the median node, at the busiest tenth and at the
     /// busiest, and what share of the sum that tenth has.
     fn rows(&self) -> Vec<(String, [f64; 6])> {
-        let rate = |node: &Node, name: &str| node.of(name) as f64 / (node.ran_ms.max(1) as f64 / 1e3);
+        let rate =
+            |node: &Node, name: &str| node.of(name) as f64 / (node.ran_ms.max(1) as f64 / 1e3);
         let all = self.nodes.len();
         let tenth = all.div_ceil(BUSIEST);
         let row = |name: &str| {
-            let mut by: Vec<(f64, u64)> =
-                self.nodes.values().map(|node| (rate(node, name), node.of(name))).collect();
+            let mut by: Vec<(f64, u64)> = self
+                .nodes
+                .values()
+                .map(|node| (rate(node, name), node.of(name)))
+                .collect();
             by.sort_by(|a, b| b.0.total_cmp(&a.0));
             let sum: u64 = by.iter().map(|of| of.1).sum();
-            let mean = |of: &[(f64, u64)]| of.iter().map(|of| of.0).sum::<f64>() / of.len().max(1) as f64;
+            let mean =
+                |of: &[(f64, u64)]| of.iter().map(|of| of.0).sum::<f64>() / of.len().max(1) as f64;
             let top = by[..tenth].iter().map(|of| of.1).sum::<u64>() as f64 / (sum as f64).max(1.0);
-            (name.to_owned(), [sum as f64, mean(&by), by[all / 2].0, mean(&by[..tenth]), by[0].0, top])
+            (
+                name.to_owned(),
+                [
+                    sum as f64,
+                    mean(&by),
+                    by[all / 2].0,
+                    mean(&by[..tenth]),
+                    by[0].0,
+                    top,
+                ],
+            )
         };
         self.names().into_iter().map(row).collect()
     }
@@ -114,14 +139,23 @@
     pub fn table(&self) -> String {
         let seconds = self.nodes.values().map(|node| node.ran_ms).sum::<u64>() as f64 / 1e3;
         let mut text = format!("{} nodes, {seconds:.0} s of nodes\n", self.nodes.len());
-        let heads = ["sum", "a node and s", "median", "busiest tenth", "busiest", "share of these"];
+        let heads = [
+            "sum",
+            "a node and s",
+            "median",
+            "busiest tenth",
+            "busiest",
+            "share of these",
+        ];
         // Writing to a string does not fail.
         let _ = write!(text, "{:26}", "figure");
         heads.iter().for_each(|head| _ = write!(text, "{head:>15}"));
         text.push('\n');
         for (name, row) in self.rows() {
             let _ = write!(text, "{name:26}{:>15.0}", row[0]);
-            row[1..].iter().for_each(|value| _ = write!(text, "{value:>15.3}"));
+            row[1..]
+                .iter()
+                .for_each(|value| _ = write!(text, "{value:>15.3}"));
             text.push('\n');
         }
         text
--- a/crates/fleet-harness/src/counts/tests.rs
+++ b/crates/fleet-harness/src/counts/tests.rs
@@ -14,7 +14,14 @@
     let rows = counts.rows();
     assert_eq!(rows.len(), 1, "a level is no sum: {rows:?}");
     let (name, row) = &rows[0];
-    assert_eq!((&name[..], row[0]), ("asked", 41.0), "30 before the restart, 7 after it, 4 of the other");
+    assert_eq!(
+        (&name[..], row[0]),
+        ("asked", 41.0),
+        "30 before the restart, 7 after it, 4 of the other"
+    );
     assert_eq!(row[4], 37.0 / 4.0, "the busiest node, in 4 s");
-    assert_eq!(counts.csv(), "node,ran_ms,asked\r\n1,4000,37\r\n2,2000,4\r\n");
+    assert_eq!(
+        counts.csv(),
+        "node,ran_ms,asked\r\n1,4000,37\r\n2,2000,4\r\n"
+    );
 }
--- a/crates/fleet-harness/src/customers.rs
+++ b/crates/fleet-harness/src/customers.rs
@@ -15,7 +15,10 @@
     let usual = |place: usize| if place % 5 == 4 { GREEDY } else { USUAL };
     let plan = |place: usize| place % fleet.plans.len();
     let all = 0..scenario.customers;
-    let whole: f64 = all.clone().map(|place| fleet.plans[plan(place)].rate * usual(place)).sum();
+    let whole: f64 = all
+        .clone()
+        .map(|place| fleet.plans[plan(place)].rate * usual(place))
+        .sum();
     let (least, most) = scenario.spread;
     let customer = |place: usize| {
         let own = fleet.plans[plan(place)].rate;
--- a/crates/fleet-harness/src/ends.rs
+++ b/crates/fleet-harness/src/ends.rs
@@ -32,7 +32,9 @@
                 let (first, last) = (one(first, counts)?, one(last, counts)?);
                 match (first, last) {
                     (End::Node(first), End::Node(last)) => (first..=last).map(End::Node).collect(),
-                    (End::Server(first), End::Server(last)) => (first..=last).map(End::Server).collect(),
+                    (End::Server(first), End::Server(last)) => {
+                        (first..=last).map(End::Server).collect()
+                    }
                     _ => return None,
                 }
             }
@@ -68,11 +70,15 @@
         let named = text("has").and_then(|has| ends(has, counts, &all));
         match (text("name"), named) {
             (Some(name), Some(ends)) if known && !name.contains(',') => {
-                all.push(Side { name: name.to_owned(), ends });
-            }
-            _ => {
-                file.fault("side", "must have a name without commas, and what it has: instances and servers")
+                all.push(Side {
+                    name: name.to_owned(),
+                    ends,
+                });
             }
+            _ => file.fault(
+                "side",
+                "must have a name without commas, and what it has: instances and servers",
+            ),
         }
     }
     all
--- a/crates/fleet-harness/src/instance.rs
+++ b/crates/fleet-harness/src/instance.rs
@@ -87,8 +87,12 @@
     /// An instance that does not run yet. `listener` is kept here and handed over, or its address is bound by the
     /// instance itself.
     pub fn new(
-        number: usize, address: SocketAddr, listener: Option<TcpListener>, manager: Arc<Manager>,
-        program: &Path, folder: &Path,
+        number: usize,
+        address: SocketAddr,
+        listener: Option<TcpListener>,
+        manager: Arc<Manager>,
+        program: &Path,
+        folder: &Path,
     ) -> Instance {
         let (program, folder) = (program.to_owned(), folder.to_owned());
         let (turn, process, cost) = Default::default();
@@ -111,7 +115,10 @@
     }
 
     fn process(&self) -> Option<Arc<Process>> {
-        self.process.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.process
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone()
     }
 
     /// What it has cost.
@@ -127,8 +134,9 @@
     /// Waits until the process that runs has said a first word, if one does. Danger: a reload between its exec and its first
     /// instruction, of which no program knows.
     pub async fn speaks(&self) {
-        let silent =
-            |process: &Process| std::fs::metadata(self.log()).is_ok_and(|log| log.len() <= process.log_from);
+        let silent = |process: &Process| {
+            std::fs::metadata(self.log()).is_ok_and(|log| log.len() <= process.log_from)
+        };
         while self.process().is_some_and(|process| silent(&process)) {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
@@ -140,7 +148,9 @@
     }
 
     fn fault(&self, line: impl Into<String>) {
-        self.cost().faults.push(format!("instance {}: {}", self.number, line.into()));
+        self.cost()
+            .faults
+            .push(format!("instance {}: {}", self.number, line.into()));
     }
 
     fn log(&self) -> PathBuf {
@@ -149,7 +159,8 @@
 
     /// The last lines of its log, in one: why it ended stands there.
     fn last_words(&self) -> String {
-        let text = std::fs::read(self.log()).map(|bytes| String::from_utf8_lossy(&bytes).into_owned());
+        let text =
+            std::fs::read(self.log()).map(|bytes| String::from_utf8_lossy(&bytes).into_owned());
         let text = text.unwrap_or_default();
         let lines: Vec<&str> = text.lines().rev().take(LAST_LINES).collect();
         lines.into_iter().rev().collect::<Vec<_>>().join(" | ")
@@ -160,28 +171,52 @@
     /// # Errors
     /// It could not be started at all.
     pub async fn start(self: &Arc<Self>, ready_within: Duration) -> Result<()> {
-        let log = std::fs::OpenOptions::new().create(true).append(true).open(self.log())?;
+        let log = std::fs::OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(self.log())?;
         let log_from = log.metadata()?.len();
         let mut command = Command::new(&self.program);
         command.arg("run").env("LB_LOG", self.log_level);
         if self.operated {
-            command.arg("--operator").arg(self.folder.join("operator.toml"));
+            command
+                .arg("--operator")
+                .arg(self.folder.join("operator.toml"));
         }
         if let Some((library, plan)) = &self.preload {
             let seed = (self.number as u64 + 1) * (self.cost().processes + 1);
-            command.env("LD_PRELOAD", library).env("FAILING_CALLS", plan);
+            command
+                .env("LD_PRELOAD", library)
+                .env("FAILING_CALLS", plan);
             command.env("FAILING_SEED", seed.to_string());
         }
-        for key in ["LB_NAME", "LB_LISTEN", "LB_DISCOVERY", "LISTEN_FDS", "LISTEN_PID", "LISTEN_FDNAMES"] {
+        for key in [
+            "LB_NAME",
+            "LB_LISTEN",
+            "LB_DISCOVERY",
+            "LISTEN_FDS",
+            "LISTEN_PID",
+            "LISTEN_FDNAMES",
+        ] {
             command.env_remove(key);
         }
-        command.env("LB_CONFIG", self.configuration()).env("NOTIFY_SOCKET", &self.manager.address);
+        command
+            .env("LB_CONFIG", self.configuration())
+            .env("NOTIFY_SOCKET", &self.manager.address);
         command.env("WATCHDOG_USEC", "4000000");
-        command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
+        command
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(log);
         if let Some(listener) = &self.listener {
             let parent_fd = OwnedFd::from(listener.try_clone()?);
-            command.fd_mappings(vec![FdMapping { parent_fd, child_fd: 3 }])?;
-            command.env("LISTEN_FDS", "1").env("LISTEN_FDNAMES", "clients");
+            command.fd_mappings(vec![FdMapping {
+                parent_fd,
+                child_fd: 3,
+            }])?;
+            command
+                .env("LISTEN_FDS", "1")
+                .env("LISTEN_FDNAMES", "clients");
         }
         self.manager.forget();
         let begun = Instant::now();
@@ -189,9 +224,17 @@
         // Danger: instances that outlive a rig that was ended.
         command.kill_on_drop(true);
         let child = command.spawn().context("an instance is started")?;
-        let pid = child.id().and_then(|pid| i32::try_from(pid).ok()).context("it has ended already")?;
+        let pid = child
+            .id()
+            .and_then(|pid| i32::try_from(pid).ok())
+            .context("it has ended already")?;
         let child = tokio::sync::Mutex::new(child);
-        let process = Arc::new(Process { pid: Pid::from_raw(pid), child, told: Mutex::new(false), log_from });
+        let process = Arc::new(Process {
+            pid: Pid::from_raw(pid),
+            child,
+            told: Mutex::new(false),
+            log_from,
+        });
         *self.process.lock().unwrap_or_else(PoisonError::into_inner) = Some(Arc::clone(&process));
         {
             let mut cost = self.cost();
@@ -212,7 +255,10 @@
             Err(_) if *process.told.lock().unwrap_or_else(PoisonError::into_inner) => {}
             Err(_) => {
                 let status = self.manager.heard().status;
-                self.fault(format!("not ready in time: {status}; its log ends: {}", self.last_words()));
+                self.fault(format!(
+                    "not ready in time: {status}; its log ends: {}",
+                    self.last_words()
+                ));
             }
         }
         Ok(())
@@ -230,20 +276,27 @@
     }
 
     async fn answers_ready(&self) -> bool {
-        let Ok(mut stream) = tokio::net::TcpStream::connect(self.address).await else { return false };
+        let Ok(mut stream) = tokio::net::TcpStream::connect(self.address).await else {
+            return false;
+        };
         let asked = b"GET /-/ready HTTP/1.1\r\nHost: fleet\r\nConnection: close\r\n\r\n";
         let mut answer = String::new();
         let written = stream.write_all(asked).await.is_ok();
-        written && stream.read_to_string(&mut answer).await.is_ok() && answer.starts_with("HTTP/1.1 200")
+        written
+            && stream.read_to_string(&mut answer).await.is_ok()
+            && answer.starts_with("HTTP/1.1 200")
     }
 
     /// Lines of its log that tell of an invariant that did not hold. One that stood still by order answers late.
     pub fn violations(&self) -> Vec<String> {
-        let text = std::fs::read(self.log()).map(|bytes| String::from_utf8_lossy(&bytes).into_owned());
+        let text =
+            std::fs::read(self.log()).map(|bytes| String::from_utf8_lossy(&bytes).into_owned());
         let text = text.unwrap_or_default();
         let stood_still = self.stood_still.load(Ordering::Relaxed);
         let excused = |line: &&str| stood_still && line.contains("answered_in_time");
-        let violated = text.lines().filter(|line| line.contains("an invariant does not hold"));
+        let violated = text
+            .lines()
+            .filter(|line| line.contains("an invariant does not hold"));
         violated
             .filter(|line| !excused(line))
             .map(|line| format!("instance {}: {line}", self.number))
@@ -268,25 +321,34 @@
         };
         {
             let mut current = self.process.lock().unwrap_or_else(PoisonError::into_inner);
-            if current.as_ref().is_some_and(|current| Arc::ptr_eq(current, &process)) {
+            if current
+                .as_ref()
+                .is_some_and(|current| Arc::ptr_eq(current, &process))
+            {
                 *current = None;
             }
         }
         let told = *process.told.lock().unwrap_or_else(PoisonError::into_inner);
         match status {
             _ if !told => {
-                self.fault(format!("ended by itself: {status:?}; its log ends: {}", self.last_words()));
-            }
-            Some(status) if !status.success() && !killed(status) => {
-                self.fault(format!("ended badly: {status}; its log ends: {}", self.last_words()))
+                self.fault(format!(
+                    "ended by itself: {status:?}; its log ends: {}",
+                    self.last_words()
+                ));
             }
+            Some(status) if !status.success() && !killed(status) => self.fault(format!(
+                "ended badly: {status}; its log ends: {}",
+                self.last_words()
+            )),
             _ => {}
         }
     }
 
     /// Sends a signal to the process that runs, if one does.
     pub fn signal(&self, signal: Signal) -> bool {
-        let Some(process) = self.process() else { return false };
+        let Some(process) = self.process() else {
+            return false;
+        };
         if matches!(signal, Signal::SIGKILL | Signal::SIGTERM) {
             *process.told.lock().unwrap_or_else(PoisonError::into_inner) = true;
         }
@@ -295,7 +357,9 @@
 
     /// Tells the process that runs to stop, and waits until it has ended; a fault where that takes too long.
     pub async fn stop(&self) {
-        let Some(process) = self.process() else { return };
+        let Some(process) = self.process() else {
+            return;
+        };
         self.signal(Signal::SIGTERM);
         if timeout(END_WITHIN, ended(&process)).await.is_err() {
             self.fault("told to stop and did not end");
@@ -304,8 +368,15 @@
     }
 
     /// Tells the process that runs to stop, and kills it when its time is up. It may be held up once meanwhile.
-    pub async fn terminate(&self, killed_after: Duration, held_up_at: Option<Duration>, hold_up: Duration) {
-        let Some(process) = self.process() else { return };
+    pub async fn terminate(
+        &self,
+        killed_after: Duration,
+        held_up_at: Option<Duration>,
+        hold_up: Duration,
+    ) {
+        let Some(process) = self.process() else {
+            return;
+        };
         let begun = Instant::now();
         let ends = ended(&process);
         tokio::pin!(ends);
@@ -318,7 +389,10 @@
             tokio::time::sleep(hold_up).await;
             self.signal(Signal::SIGCONT);
         }
-        if timeout(killed_after.saturating_sub(begun.elapsed()), &mut ends).await.is_err() {
+        if timeout(killed_after.saturating_sub(begun.elapsed()), &mut ends)
+            .await
+            .is_err()
+        {
             self.signal(Signal::SIGKILL);
             ends.await;
         }
--- a/crates/fleet-harness/src/manager.rs
+++ b/crates/fleet-harness/src/manager.rs
@@ -44,7 +44,11 @@
         socket.set_nonblocking(true)?;
         let socket = UnixDatagram::from_std(socket)?;
         let (changed, _) = watch::channel(0);
-        let manager = Arc::new(Manager { address: format!("@{name}"), heard: Mutex::default(), changed });
+        let manager = Arc::new(Manager {
+            address: format!("@{name}"),
+            heard: Mutex::default(),
+            changed,
+        });
         let listener = Arc::clone(&manager);
         tokio::spawn(async move {
             let mut buffer = [0; 4096];
@@ -77,12 +81,18 @@
 
     /// What was heard so far.
     pub fn heard(&self) -> Heard {
-        self.heard.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.heard
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone()
     }
 
     /// A new process starts: readiness is awaited anew.
     pub fn forget(&self) {
-        self.heard.lock().unwrap_or_else(PoisonError::into_inner).ready = None;
+        self.heard
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .ready = None;
     }
 
     /// Comes back once the process has said that it is ready.
--- a/crates/fleet-harness/src/report.rs
+++ b/crates/fleet-harness/src/report.rs
@@ -77,9 +77,17 @@
     pub fn restarted(&self) -> (usize, usize) {
         let again = |row: &Row| row.processes.saturating_sub(1) as usize;
         let quick = |row: &Row| {
-            row.ready_ms.iter().rev().take(again(row)).filter(|ms| **ms <= AGAIN_WITHIN_MS).count()
+            row.ready_ms
+                .iter()
+                .rev()
+                .take(again(row))
+                .filter(|ms| **ms <= AGAIN_WITHIN_MS)
+                .count()
         };
-        (self.rows.iter().map(quick).sum(), self.rows.iter().map(again).sum())
+        (
+            self.rows.iter().map(quick).sum(),
+            self.rows.iter().map(again).sum(),
+        )
     }
 
     /// Breaches by their kind.
@@ -87,7 +95,9 @@
         let mut kinds = BTreeMap::new();
         for breach in &self.verdict.breaches {
             let name = format!("{breach:?}");
-            *kinds.entry(name.split('(').next().unwrap_or_default().to_owned()).or_default() += 1;
+            *kinds
+                .entry(name.split('(').next().unwrap_or_default().to_owned())
+                .or_default() += 1;
         }
         kinds
     }
@@ -104,14 +114,22 @@
 
     /// Most connections made to one app server in any second.
     pub fn handshakes_most(&self) -> usize {
-        self.met.iter().map(|(at, _)| most_in_a_second(at)).max().unwrap_or(0)
+        self.met
+            .iter()
+            .map(|(at, _)| most_in_a_second(at))
+            .max()
+            .unwrap_or(0)
     }
 
     /// When nodes had their first list, ms from the first call on, in order.
     pub fn first_lists(&self) -> Vec<f64> {
         let first = self.list.at.iter().min().copied().unwrap_or_default();
-        let mut all: Vec<f64> =
-            self.list.first.values().map(|at| at.saturating_sub(first).as_secs_f64() * 1e3).collect();
+        let mut all: Vec<f64> = self
+            .list
+            .first
+            .values()
+            .map(|at| at.saturating_sub(first).as_secs_f64() * 1e3)
+            .collect();
         all.sort_by(f64::total_cmp);
         all
     }
@@ -120,7 +138,11 @@
     pub fn within(&self, side: &str, from_s: usize, to_s: usize) -> Of {
         let windows = self.windows.iter().find(|windows| windows.side == side);
         let seconds = windows.map_or(&[][..], |windows| &windows.seconds);
-        seconds.iter().take(to_s).skip(from_s).fold(Of::default(), |all, of| all.and(of))
+        seconds
+            .iter()
+            .take(to_s)
+            .skip(from_s)
+            .fold(Of::default(), |all, of| all.and(of))
     }
 
     /// The table of seconds, by side.
@@ -129,7 +151,11 @@
     }
 
     fn ready(&self) -> Vec<f64> {
-        let mut all: Vec<f64> = self.rows.iter().flat_map(|row| row.ready_ms.iter().copied()).collect();
+        let mut all: Vec<f64> = self
+            .rows
+            .iter()
+            .flat_map(|row| row.ready_ms.iter().copied())
+            .collect();
         all.sort_by(f64::total_cmp);
         all
     }
@@ -140,13 +166,18 @@
 
     /// CPU µs of all instances together, a try.
     pub fn cpu_us_per_try(&self) -> f64 {
-        self.rows.iter().map(|row| row.cpu_s).sum::<f64>() * 1e6 / (self.verdict.tries.max(1) as f64)
+        self.rows.iter().map(|row| row.cpu_s).sum::<f64>() * 1e6
+            / (self.verdict.tries.max(1) as f64)
     }
 
     /// All of it as JSON.
     pub fn json(&self) -> Value {
         let verdict = &self.verdict;
-        let breaches: Vec<String> = verdict.breaches.iter().map(|breach| format!("{breach:?}")).collect();
+        let breaches: Vec<String> = verdict
+            .breaches
+            .iter()
+            .map(|breach| format!("{breach:?}"))
+            .collect();
         let ready = self.ready();
         json!({
             "scenario": self.scenario, "seed": self.seed, "seconds": self.seconds, "good": self.good(),
@@ -211,7 +242,10 @@
 /// What stands at these shares of sorted figures.
 pub(crate) fn at(sorted: &[f64], shares: &[f64]) -> Vec<f64> {
     let place = |share: f64| (sorted.len() as f64 * share) as usize;
-    shares.iter().map(|share| sorted.get(place(*share)).copied().unwrap_or(0.0)).collect()
+    shares
+        .iter()
+        .map(|share| sorted.get(place(*share)).copied().unwrap_or(0.0))
+        .collect()
 }
 
 /// Breaches that are shown one by one.
@@ -298,8 +332,11 @@
             all.tries,
             all.with_room as f64 / all.tries.max(1) as f64
         )?;
-        let decided: Vec<String> =
-            self.decided.iter().map(|(name, count)| format!("{name}={count}")).collect();
+        let decided: Vec<String> = self
+            .decided
+            .iter()
+            .map(|(name, count)| format!("{name}={count}"))
+            .collect();
         if !decided.is_empty() {
             writeln!(f, "decided: {}", decided.join(" "))?;
         }
@@ -307,12 +344,25 @@
             writeln!(f, "BROKEN {kind}: {count}")?;
         }
         let shown = |breach: &&Breach| format!("  {breach:?}");
-        for line in verdict.breaches.iter().take(SHOWN).map(|breach| shown(&breach)) {
+        for line in verdict
+            .breaches
+            .iter()
+            .take(SHOWN)
+            .map(|breach| shown(&breach))
+        {
             writeln!(f, "{line}")?;
         }
         for fault in &self.faults {
             writeln!(f, "FAULT {fault}")?;
         }
-        write!(f, "{}", if self.good() { "rules kept" } else { "RULES BROKEN" })
+        write!(
+            f,
+            "{}",
+            if self.good() {
+                "rules kept"
+            } else {
+                "RULES BROKEN"
+            }
+        )
     }
 }
--- a/crates/fleet-harness/src/rig.rs
+++ b/crates/fleet-harness/src/rig.rs
@@ -96,7 +96,12 @@
             let key = format!("{PREFIX}{}", entry.host);
             // Told to all from the write of the event on, whatever befalls their connections.
             for node in 0..self.instances {
-                self.world.ledger().told(self.world.now(), node, &entry.host, entry.health == "ready");
+                self.world.ledger().told(
+                    self.world.now(),
+                    node,
+                    &entry.host,
+                    entry.health == "ready",
+                );
             }
             match entry.health {
                 "gone" => _ = etcd.delete(&key),
@@ -115,7 +120,9 @@
     let folder = &options.folder;
     room::make(&scenario)?;
     std::fs::create_dir_all(folder).with_context(|| folder.display().to_string())?;
-    let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .enable_all()
+        .build()?;
     let report = runtime.block_on(play(scenario, options));
     // What the stand-ins still do is nobody's concern any more.
     runtime.shutdown_timeout(Duration::from_secs(1));
@@ -156,7 +163,11 @@
         let (was, is) = (before[instance.number], after[instance.number]);
         Row {
             processes: cost.processes,
-            ready_ms: cost.ready.iter().map(|span| span.as_secs_f64() * 1e3).collect(),
+            ready_ms: cost
+                .ready
+                .iter()
+                .map(|span| span.as_secs_f64() * 1e3)
+                .collect(),
             memory_idle_mb: cost.memory_idle as f64 / 1e6,
             memory_most_mb: cost.memory_most as f64 / 1e6,
             cpu_s: cost.cpu_before + cost.cpu_now,
@@ -164,15 +175,30 @@
             received_s: (is.1 - was.1) as f64 / seconds,
         }
     };
-    faults.extend(rig.instances.iter().flat_map(|instance| instance.cost().faults.clone()));
-    faults.extend(rig.instances.iter().flat_map(|instance| instance.violations()));
+    faults.extend(
+        rig.instances
+            .iter()
+            .flat_map(|instance| instance.cost().faults.clone()),
+    );
+    faults.extend(
+        rig.instances
+            .iter()
+            .flat_map(|instance| instance.violations()),
+    );
     faults.extend(rig.meddled());
-    let capacities: Vec<(String, f64)> =
-        rig.servers.iter().map(|server| (server.name().to_owned(), server.capacity())).collect();
+    let capacities: Vec<(String, f64)> = rig
+        .servers
+        .iter()
+        .map(|server| (server.name().to_owned(), server.capacity()))
+        .collect();
     let (verdict, could_s, windows) = {
         let ledger = rig.world.ledger();
         let could = ledger.could(&capacities, begun, begun + duration);
-        (ledger.judge(), could, windows::cut(&ledger, &rig.scenario.sides, begun))
+        (
+            ledger.judge(),
+            could,
+            windows::cut(&ledger, &rig.scenario.sides, begun),
+        )
     };
     Ok(Report {
         scenario: rig.scenario.name.clone(),
@@ -188,8 +214,16 @@
         met: rig.servers.iter().map(AppServer::met).collect(),
         too_long: rig.network.too_long(),
         peer_bytes: rig.network.bytes(),
-        processes: rig.instances.iter().map(|instance| instance.cost().processes).sum(),
-        reloads: rig.instances.iter().map(|instance| instance.manager.heard().reloads).sum(),
+        processes: rig
+            .instances
+            .iter()
+            .map(|instance| instance.cost().processes)
+            .sum(),
+        reloads: rig
+            .instances
+            .iter()
+            .map(|instance| instance.manager.heard().reloads)
+            .sum(),
         decided: Vec::new(),
         faults,
     })
@@ -202,7 +236,9 @@
         let discovery = Discovery::new(Arc::clone(&world));
         let servers = servers(&scenario, &fleet, &world, &discovery)?;
         let datagrams = (0..scenario.instances).map(|_| unclaimed());
-        let datagrams = datagrams.collect::<std::io::Result<Vec<_>>>().context("ports for datagrams")?;
+        let datagrams = datagrams
+            .collect::<std::io::Result<Vec<_>>>()
+            .context("ports for datagrams")?;
         let links = Arc::new(Links::default());
         let network = Network::start(datagrams.clone(), Arc::clone(&links)).await;
         let network = network.context("the network between instances")?;
@@ -219,25 +255,39 @@
         for (nodes, server) in relays {
             let (listen, target) = (unclaimed()?, &servers[server]);
             let ends = (End::Node(nodes[0]), End::Server(server));
-            Relay::start(&links, ends, listen, target.address()).await.context("a relay to a server")?;
-            nodes.iter().for_each(|node| discovery.redirect(*node, target.name(), listen));
+            Relay::start(&links, ends, listen, target.address())
+                .await
+                .context("a relay to a server")?;
+            nodes
+                .iter()
+                .for_each(|node| discovery.redirect(*node, target.name(), listen));
         }
         let mut operator = options.operator.clone();
         let etcd = match scenario.roster {
             Roster::Discovery => None,
-            _ => Some(Etcd::start(scenario.members).await.context("the etcd cluster")?),
+            _ => Some(
+                Etcd::start(scenario.members)
+                    .await
+                    .context("the etcd cluster")?,
+            ),
         };
         if let Some(etcd) = &etcd {
-            let endpoints: Vec<String> =
-                etcd.endpoints().iter().map(|address| format!("\"{address}\"")).collect();
+            let endpoints: Vec<String> = etcd
+                .endpoints()
+                .iter()
+                .map(|address| format!("\"{address}\""))
+                .collect();
             let instead = scenario.roster == Roster::Etcd;
             operator.push_str(&format!(
                 "\n[etcd]\nendpoints = [{}]\ninstead = {instead}\nprobe_every_ms = 200\nsilent_after_ms = 800\n",
                 endpoints.join(", ")
             ));
-            servers.iter().filter_map(|server| discovery.entry(server.name())).for_each(|entry| {
-                etcd.put(&format!("{PREFIX}{}", entry.host), &entry.value());
-            });
+            servers
+                .iter()
+                .filter_map(|server| discovery.entry(server.name()))
+                .for_each(|entry| {
+                    etcd.put(&format!("{PREFIX}{}", entry.host), &entry.value());
+                });
         }
         std::fs::write(options.folder.join("operator.toml"), operator)?;
         // Several runs of one process must not share their managers' names.
@@ -246,18 +296,29 @@
         for (number, peer_listen) in datagrams.into_iter().enumerate() {
             let listener = TcpListener::bind(unclaimed()?).context("a listener")?;
             let address = listener.local_addr()?;
-            let manager =
-                Manager::start(&format!("saffronpaddle-fleet-{}-{run}-{number}", std::process::id()))?;
+            let manager = Manager::start(&format!(
+                "saffronpaddle-fleet-{}-{run}-{number}",
+                std::process::id()
+            ))?;
             let listener = scenario.handed_over.then_some(listener);
-            let mut instance =
-                Instance::new(number, address, listener, manager, &options.program, &options.folder);
+            let mut instance = Instance::new(
+                number,
+                address,
+                listener,
+                manager,
+                &options.program,
+                &options.folder,
+            );
             (instance.operated, instance.log_level) = (scenario.operated, options.log_level);
             let plan = Some(scenario.failing_calls.clone()).filter(|plan| !plan.is_empty());
             instance.preload = options.preload.clone().zip(plan);
-            let (me, mut agent, mut door) = (End::Node(number), discovery.agent(number).await?, address);
+            let (me, mut agent, mut door) =
+                (End::Node(number), discovery.agent(number).await?, address);
             if ways.touches(me, End::List) {
                 let behind = std::mem::replace(&mut agent, unclaimed()?);
-                Relay::start(&links, (me, End::List), agent, behind).await.context("a relay to the list")?;
+                Relay::start(&links, (me, End::List), agent, behind)
+                    .await
+                    .context("a relay to the list")?;
             }
             if ways.touches(me, End::Clients) {
                 door = unclaimed()?;
@@ -275,7 +336,10 @@
                 sockets: scenario.sockets,
                 memory_mb: MEMORY_MB,
             };
-            let seed = options.seed.wrapping_add(number as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+            let seed = options
+                .seed
+                .wrapping_add(number as u64)
+                .wrapping_mul(0x9e37_79b9_7f4a_7c15);
             let settings = fleet.settings(number);
             let known = match scenario.known {
                 Known::Fresh => Some(discovery.known_to(number)),
@@ -287,14 +351,31 @@
             instances.push(Arc::new(instance));
         }
         let customers = customers(&scenario, &fleet, options.seed);
-        let front = Front::new(Arc::clone(&world), fleet, &doors, options.seed, scenario.leaves);
+        let front = Front::new(
+            Arc::clone(&world),
+            fleet,
+            &doors,
+            options.seed,
+            scenario.leaves,
+        );
         let roster = Lists {
             world: Arc::clone(&world),
             discovery: Arc::clone(&discovery),
             etcd,
             instances: scenario.instances,
         };
-        Ok(Rig { world, discovery, servers, links, network, front, instances, roster, customers, scenario })
+        Ok(Rig {
+            world,
+            discovery,
+            servers,
+            links,
+            network,
+            front,
+            instances,
+            roster,
+            customers,
+            scenario,
+        })
     }
 
     /// Starts all instances and waits until the front takes all of them for ready.
@@ -330,9 +411,15 @@
     fn meddled(&self) -> Option<String> {
         let strangers = self.network.strangers();
         let all = self.datagrams();
-        let (sent, received): (u64, u64) =
-            (all.iter().map(|(sent, _)| sent).sum(), all.iter().map(|(_, received)| received).sum());
-        let cut = self.scenario.steps.iter().any(|step| matches!(step.deed, Deed::Link(..)));
+        let (sent, received): (u64, u64) = (
+            all.iter().map(|(sent, _)| sent).sum(),
+            all.iter().map(|(_, received)| received).sum(),
+        );
+        let cut = self
+            .scenario
+            .steps
+            .iter()
+            .any(|step| matches!(step.deed, Deed::Link(..)));
         if strangers > 0 {
             return Some(format!(
                 "{strangers} datagrams came from strangers: another run meddles with this one"
@@ -343,7 +430,9 @@
     }
 
     fn datagrams(&self) -> Vec<(u64, u64)> {
-        (0..self.instances.len()).map(|node| self.network.counts(node)).collect()
+        (0..self.instances.len())
+            .map(|node| self.network.counts(node))
+            .collect()
     }
 
     /// Offers all customers' tries, and comes back when the last has ended.
@@ -363,7 +452,11 @@
         for step in &self.scenario.steps {
             sleep((begun + step.at).saturating_sub(self.world.now())).await;
             if say {
-                eprintln!("{:>7.2} s  {:?}", (self.world.now() - begun).as_secs_f64(), step.deed);
+                eprintln!(
+                    "{:>7.2} s  {:?}",
+                    (self.world.now() - begun).as_secs_f64(),
+                    step.deed
+                );
             }
             deeds.spawn(self.deed(step));
             while deeds.try_join_next().is_some() {}
@@ -374,11 +467,21 @@
     /// What one step does, by itself.
     fn deed(&self, step: &Step) -> impl std::future::Future<Output = ()> + Send + 'static {
         let (world, discovery) = (Arc::clone(&self.world), Arc::clone(&self.discovery));
-        let (links, front, roster) = (Arc::clone(&self.links), Arc::clone(&self.front), self.roster.clone());
+        let (links, front, roster) = (
+            Arc::clone(&self.links),
+            Arc::clone(&self.front),
+            self.roster.clone(),
+        );
         let (instances, servers) = (self.instances.clone(), self.servers.clone());
         let customers = self.customers.clone();
         let (within, lateness) = (self.scenario.ready_within, self.scenario.lateness);
-        let longest = self.scenario.fleet().classes.iter().map(|class| class.deadline).max();
+        let longest = self
+            .scenario
+            .fleet()
+            .classes
+            .iter()
+            .map(|class| class.deadline)
+            .max();
         let killed_after = longest.unwrap_or_default().min(DEADLINE_COUNTED) + KILL_GRACE;
         let deed = step.deed.clone();
         async move {
@@ -407,8 +510,12 @@
                 }
                 Deed::Restart(_) => {}
                 Deed::Terminate(who, how) if instances[who].runs() => {
-                    let late = front.ask_late(who, &customers, LATE_ASKERS, ASK_WITHIN).await;
-                    instances[who].terminate(killed_after, how.held_up_at, HOLD_UP).await;
+                    let late = front
+                        .ask_late(who, &customers, LATE_ASKERS, ASK_WITHIN)
+                        .await;
+                    instances[who]
+                        .terminate(killed_after, how.held_up_at, HOLD_UP)
+                        .await;
                     world.ledger().restarted(who);
                     late.join_all().await;
                     sleep(how.back_after).await;
@@ -437,8 +544,10 @@
                         front.killed_or_back(who);
                         if early {
                             // Whether or not it is ready by then.
-                            let _ =
-                                tokio::join!(sleep(lasts), timeout(lasts, start(&instances[who], within)));
+                            let _ = tokio::join!(
+                                sleep(lasts),
+                                timeout(lasts, start(&instances[who], within))
+                            );
                         } else {
                             start(&instances[who], within).await;
                         }
@@ -480,7 +589,8 @@
                     let mut clients = tokio::task::JoinSet::new();
                     for customer in customers {
                         let rate = customer.rate * (times - 1.0).max(0.0);
-                        clients.spawn(Arc::clone(&front).offer(Customer { rate, ..customer }, lasts));
+                        clients
+                            .spawn(Arc::clone(&front).offer(Customer { rate, ..customer }, lasts));
                     }
                     while clients.join_next().await.is_some() {}
                 }
@@ -500,11 +610,18 @@
                 Deed::Etcdfreeze(who, lasts) => {
                     let members = roster.etcd.iter().map(|etcd| etcd.members[who].clone());
                     let members: Vec<_> = members.collect();
-                    members.iter().for_each(|member| member.set(|faults| faults.frozen = true));
+                    members
+                        .iter()
+                        .for_each(|member| member.set(|faults| faults.frozen = true));
                     sleep(lasts).await;
-                    members.iter().for_each(|member| member.set(|faults| faults.frozen = false));
+                    members
+                        .iter()
+                        .for_each(|member| member.set(|faults| faults.frozen = false));
                 }
-                Deed::Etcdcompact => roster.etcd.iter().for_each(|etcd| etcd.compact(etcd.revision())),
+                Deed::Etcdcompact => roster
+                    .etcd
+                    .iter()
+                    .for_each(|etcd| etcd.compact(etcd.revision())),
                 Deed::Silent(who, lasts) => {
                     servers[who].set(|temper| temper.silent = true);
                     sleep(lasts).await;
@@ -521,9 +638,13 @@
                     servers[who].set(|temper| temper.errors = 0.0);
                 }
                 Deed::Slow(times, lasts) => {
-                    servers.iter().for_each(|server| server.set(|temper| temper.slow = times));
+                    servers
+                        .iter()
+                        .for_each(|server| server.set(|temper| temper.slow = times));
                     sleep(lasts).await;
-                    servers.iter().for_each(|server| server.set(|temper| temper.slow = 1.0));
+                    servers
+                        .iter()
+                        .for_each(|server| server.set(|temper| temper.slow = 1.0));
                 }
                 Deed::Undiscovered(lasts) => {
                     discovery.set_silent(true);
@@ -555,14 +676,21 @@
 
 async fn start(instance: &Arc<Instance>, within: Duration) {
     if let Err(error) = instance.start(within).await {
-        instance.cost().faults.push(format!("instance {}: {error:#}", instance.number));
+        instance
+            .cost()
+            .faults
+            .push(format!("instance {}: {error:#}", instance.number));
     }
 }
 
 fn list(roster: &Lists, server: &AppServer, health: &'static str, born_ms: Option<u64>) {
     if let Some(entry) = roster.discovery.entry(server.name()) {
         let born_ms = born_ms.unwrap_or(entry.born_ms);
-        roster.change(Entry { health, born_ms, ..entry });
+        roster.change(Entry {
+            health,
+            born_ms,
+            ..entry
+        });
     }
 }
 
@@ -582,7 +710,10 @@
 }
 
 fn servers(
-    scenario: &Scenario, fleet: &Fleet, world: &Arc<World>, discovery: &Discovery,
+    scenario: &Scenario,
+    fleet: &Fleet,
+    world: &Arc<World>,
+    discovery: &Discovery,
 ) -> Result<Vec<AppServer>> {
     let cores = scenario.cores_of(fleet);
     let mut servers = Vec::new();
@@ -593,7 +724,11 @@
             block: (number / GROUP) as u64,
             cores,
             slots: cores * SLOTS,
-            work: fleet.classes.iter().map(|class| (class.name.to_owned(), class.work)).collect(),
+            work: fleet
+                .classes
+                .iter()
+                .map(|class| (class.name.to_owned(), class.work))
+                .collect(),
         };
         let block = spec.block;
         let server = AppServer::start(Arc::clone(world), spec).context("an app server")?;
@@ -602,7 +737,9 @@
         if absent {
             server.kill();
         } else if scenario.cold {
-            world.ledger().cold(world.now(), server.name(), server.capacity());
+            world
+                .ledger()
+                .cold(world.now(), server.name(), server.capacity());
         }
         entries.push(Entry {
             host: server.name().to_owned(),
--- a/crates/fleet-harness/src/room.rs
+++ b/crates/fleet-harness/src/room.rs
@@ -30,7 +30,10 @@
         + scenario.instances * (EACH_INSTANCE + EACH_DOOR)
         + scenario.servers * (2 + EACH_SERVER.min(2 * scenario.instances))
         + relays * (1 + EACH_RELAY);
-    (descriptors as u64, scenario.instances as u64 * INSTANCE_BYTES + RIG_BYTES)
+    (
+        descriptors as u64,
+        scenario.instances as u64 * INSTANCE_BYTES + RIG_BYTES,
+    )
 }
 
 /// Makes room for a run: as many descriptors as this process may have.
@@ -86,7 +89,9 @@
 /// Bytes of memory that are free for new work; none where the machine does not tell (`proc(5)`, `MemAvailable`).
 fn available() -> Option<u64> {
     let text = std::fs::read_to_string("/proc/meminfo").ok()?;
-    let line = text.lines().find_map(|line| line.strip_prefix("MemAvailable:"))?;
+    let line = text
+        .lines()
+        .find_map(|line| line.strip_prefix("MemAvailable:"))?;
     Some(line.split_whitespace().next()?.parse::<u64>().ok()? * 1024)
 }
 
--- a/crates/fleet-harness/src/scenario.rs
+++ b/crates/fleet-harness/src/scenario.rs
@@ -235,7 +235,11 @@
 impl Said {
     /// No datagrams from or to one instance.
     fn cut(&self) -> Which {
-        let (one, others) = self.which.ends().into_iter().partition(|end| *end == End::Node(self.who));
+        let (one, others) = self
+            .which
+            .ends()
+            .into_iter()
+            .partition(|end| *end == End::Node(self.who));
         Which::Apart(vec![one, others])
     }
 
@@ -263,34 +267,82 @@
     ("reload", Whom::Instance, |said| Deed::Reload(said.who)),
     ("restart", Whom::Instance, |said| Deed::Restart(said.who)),
     ("terminate", Whom::Instance, |said| {
-        Deed::Terminate(said.who, Terminated { back_after: said.lasts, held_up_at: said.held_up_at })
+        Deed::Terminate(
+            said.who,
+            Terminated {
+                back_after: said.lasts,
+                held_up_at: said.held_up_at,
+            },
+        )
+    }),
+    ("kill", Whom::Instance, |said| {
+        Deed::Kill(said.who, said.lasts)
+    }),
+    ("kill-early", Whom::Instance, |said| {
+        Deed::Killearly(said.who, said.lasts)
+    }),
+    ("crowd", Whom::Instance, |said| {
+        Deed::Crowd(said.who, said.lasts)
     }),
-    ("kill", Whom::Instance, |said| Deed::Kill(said.who, said.lasts)),
-    ("kill-early", Whom::Instance, |said| Deed::Killearly(said.who, said.lasts)),
-    ("crowd", Whom::Instance, |said| Deed::Crowd(said.who, said.lasts)),
     ("join", Whom::Server, |said| Deed::Join(said.who)),
-    ("burst", Whom::All, |said| Deed::Burst(said.times, said.lasts)),
-    ("pause", Whom::Instance, |said| Deed::Pause(said.who, said.lasts)),
-    ("peers", Whom::All, |said| said.link(said.which.clone(), said.fault, None)),
-    ("cut", Whom::Instance, |said| said.link(said.cut(), LOST, Some(said.lasts))),
+    ("burst", Whom::All, |said| {
+        Deed::Burst(said.times, said.lasts)
+    }),
+    ("pause", Whom::Instance, |said| {
+        Deed::Pause(said.who, said.lasts)
+    }),
+    ("peers", Whom::All, |said| {
+        said.link(said.which.clone(), said.fault, None)
+    }),
+    ("cut", Whom::Instance, |said| {
+        said.link(said.cut(), LOST, Some(said.lasts))
+    }),
     ("link", Whom::All, |said| {
-        said.link(said.which.clone(), said.fault, (!said.forever).then_some(said.lasts))
+        said.link(
+            said.which.clone(),
+            said.fault,
+            (!said.forever).then_some(said.lasts),
+        )
+    }),
+    ("split", Whom::All, |said| {
+        said.link(
+            said.which.clone(),
+            LOST,
+            (!said.forever).then_some(said.lasts),
+        )
     }),
-    ("split", Whom::All, |said| said.link(said.which.clone(), LOST, (!said.forever).then_some(said.lasts))),
     ("list-down", Whom::All, |said| Deed::ListDown(said.lasts)),
     ("list-older", Whom::All, |_| Deed::ListBack(Back::Older)),
     ("list-empty", Whom::All, |_| Deed::ListBack(Back::Empty)),
-    ("list-renumbered", Whom::All, |_| Deed::ListBack(Back::Renumbered)),
-    ("drain", Whom::Server, |said| Deed::Drain(said.who, said.lasts)),
-    ("flip", Whom::Server, |said| Deed::Flip(said.who, said.lasts)),
-    ("crash", Whom::Server, |said| Deed::Crash(said.who, said.lasts)),
-    ("silent", Whom::Server, |said| Deed::Silent(said.who, said.lasts)),
-    ("resets", Whom::Server, |said| Deed::Resets(said.who, said.share, said.lasts)),
-    ("errors", Whom::Server, |said| Deed::Errors(said.who, said.share, said.lasts)),
+    ("list-renumbered", Whom::All, |_| {
+        Deed::ListBack(Back::Renumbered)
+    }),
+    ("drain", Whom::Server, |said| {
+        Deed::Drain(said.who, said.lasts)
+    }),
+    ("flip", Whom::Server, |said| {
+        Deed::Flip(said.who, said.lasts)
+    }),
+    ("crash", Whom::Server, |said| {
+        Deed::Crash(said.who, said.lasts)
+    }),
+    ("silent", Whom::Server, |said| {
+        Deed::Silent(said.who, said.lasts)
+    }),
+    ("resets", Whom::Server, |said| {
+        Deed::Resets(said.who, said.share, said.lasts)
+    }),
+    ("errors", Whom::Server, |said| {
+        Deed::Errors(said.who, said.share, said.lasts)
+    }),
     ("slow", Whom::All, |said| Deed::Slow(said.times, said.lasts)),
-    ("undiscovered", Whom::All, |said| Deed::Undiscovered(said.lasts)),
+    ("undiscovered", Whom::All, |said| {
+        Deed::Undiscovered(said.lasts)
+    }),
     ("etcd-cut", Whom::Member, |said| Deed::Etcdcut(said.who)),
-    ("etcd-freeze", Whom::Member, |said| Deed::Etcdfreeze(said.who, said.lasts)),
+    ("etcd-freeze", Whom::Member, |said| {
+        Deed::Etcdfreeze(said.who, said.lasts)
+    }),
     ("etcd-compact", Whom::All, |_| Deed::Etcdcompact),
 ];
 
@@ -322,13 +374,22 @@
     fn apply(&self, table: &mut Table) {
         let milliseconds = self.seconds.map(|seconds| i64::from(seconds) * 1000);
         let all = [
-            ("instances", self.instances.map(|count| Value::from(i64::from(count)))),
-            ("servers", self.servers.map(|count| Value::from(i64::from(count)))),
+            (
+                "instances",
+                self.instances.map(|count| Value::from(i64::from(count))),
+            ),
+            (
+                "servers",
+                self.servers.map(|count| Value::from(i64::from(count))),
+            ),
             ("rate", self.rate.map(Value::from)),
             ("duration_ms", milliseconds.map(Value::from)),
             ("roster", self.roster.clone().map(Value::from)),
         ];
-        table.extend(all.into_iter().filter_map(|(key, value)| Some((key.to_owned(), value?))));
+        table.extend(
+            all.into_iter()
+                .filter_map(|(key, value)| Some((key.to_owned(), value?))),
+        );
     }
 }
 
@@ -347,14 +408,19 @@
     /// All that is wrong with it.
     pub fn parse_with(text: &str, overrides: &Overrides, seed: u64) -> Result<Scenario, Faults> {
         let mut table = text.parse::<Table>().map_err(|error| {
-            Faults(vec![Fault { key: String::new(), reason: error.message().replace('\n', ", ") }])
+            Faults(vec![Fault {
+                key: String::new(),
+                reason: error.message().replace('\n', ", "),
+            }])
         })?;
         overrides.apply(&mut table);
         let mut random = fastrand::Rng::with_seed(seed);
         let (written, parted) = (table.remove("step"), table.remove("side"));
         let mut file = Section::whole(table);
         let mut scenario = Scenario {
-            name: file.parsed("name", "a text", |name| Some(name.to_owned())).unwrap_or_default(),
+            name: file
+                .parsed("name", "a text", |name| Some(name.to_owned()))
+                .unwrap_or_default(),
             instances: file.number("instances", 3, 1..=NODES_MOST) as usize,
             servers: file.number("servers", 12, 1..=SERVERS_MOST) as usize,
             customers: file.number("customers", 60, 1..=10_000) as usize,
@@ -370,7 +436,9 @@
             cores: file.number("cores", 0, 0..=1000) as usize,
             cold: file.flag("cold", false),
             lateness: file.span_ms("lateness_ms", 500, 0..=10_000),
-            roster: file.parsed("roster", "discovery, etcd or both", Roster::read).unwrap_or_default(),
+            roster: file
+                .parsed("roster", "discovery, etcd or both", Roster::read)
+                .unwrap_or_default(),
             members: file.number("members", 3, 1..=9) as usize,
             handed_over: file.flag("handed_over", true),
             operated: file.flag("operated", true),
@@ -396,8 +464,12 @@
                 file.figure("list_bytes_per_s", 0.0, 0.0..=1e9),
             ),
             list_turns_away: file.flag("list_turns_away", false),
-            operator: file.parsed("operator", "a text", |text| Some(text.to_owned())).unwrap_or_default(),
-            known: file.parsed("known", "fresh, nothing or stale", Known::read).unwrap_or_default(),
+            operator: file
+                .parsed("operator", "a text", |text| Some(text.to_owned()))
+                .unwrap_or_default(),
+            known: file
+                .parsed("known", "fresh, nothing or stale", Known::read)
+                .unwrap_or_default(),
             steps: Vec::new(),
         };
         if scenario.handed_over && !scenario.operated {
@@ -410,7 +482,9 @@
         let counts = (scenario.instances, scenario.servers);
         scenario.sides = sides(parted, counts, &mut file);
         let among = |text: &str| ends(text, counts, &scenario.sides);
-        let absent = file.parsed("absent", "instances and servers", among).unwrap_or_default();
+        let absent = file
+            .parsed("absent", "instances and servers", among)
+            .unwrap_or_default();
         scenario.absent_servers = absent.iter().filter_map(server).collect();
         scenario.absent = absent.into_iter().filter_map(node).collect();
         let mut faults = Vec::new();
@@ -429,7 +503,10 @@
             };
             let mut section = Section::whole(table);
             scenario.draw(&mut section, &mut random);
-            let key = |fault: Fault| Fault { key: format!("step[{place}].{}", fault.key), ..fault };
+            let key = |fault: Fault| Fault {
+                key: format!("step[{place}].{}", fault.key),
+                ..fault
+            };
             faults.extend(section.rest().into_iter().map(key));
         }
         let mut all = file.rest();
@@ -472,8 +549,15 @@
     /// The links that a step is about: `sides` that are apart, or all `from` some ends `to` others.
     fn which(&self, section: &mut Section) -> Which {
         let apart = section.parsed("sides", "names of sides, or each", |text| match text {
-            "each" => Some((0..self.instances).map(|node| BTreeSet::from([End::Node(node)])).collect()),
-            names => names.split(',').map(|name| self.ends(name.trim())).collect::<Option<Vec<_>>>(),
+            "each" => Some(
+                (0..self.instances)
+                    .map(|node| BTreeSet::from([End::Node(node)]))
+                    .collect(),
+            ),
+            names => names
+                .split(',')
+                .map(|name| self.ends(name.trim()))
+                .collect::<Option<Vec<_>>>(),
         });
         let nodes: BTreeSet<End> = (0..self.instances).map(End::Node).collect();
         let from = section.parsed("from", "ends of links", |text| self.ends(text));
@@ -507,7 +591,12 @@
         let fault = links::Fault {
             loss: section.figure("loss", 0.0, 0.0..=1.0),
             doubled: section.figure("doubled", 0.0, 0.0..=1.0),
-            delay: (section.span_ms_or_none("delay_least_ms", 0, 10_000).unwrap_or(delay / 4), delay),
+            delay: (
+                section
+                    .span_ms_or_none("delay_least_ms", 0, 10_000)
+                    .unwrap_or(delay / 4),
+                delay,
+            ),
             stalled: section.flag("stalled", false),
             reset: section.flag("reset", false),
             unheard: section.flag("unheard", false),
@@ -515,10 +604,13 @@
         let heal_gap = section.span_ms("heal_gap_ms", 0, 0..=60_000);
         let section_counts = section.has("count");
         let wanted = section.number("count", 1, 1..=SERVERS_MOST) as usize;
-        let fixed = section.has("who").then(|| section.number("who", 0, 0..=SERVERS_MOST) as usize);
+        let fixed = section
+            .has("who")
+            .then(|| section.number("who", 0, 0..=SERVERS_MOST) as usize);
         let which = self.which(section);
         let named = section.parsed("side", "instances or a side", |text| self.ends(text));
-        let named: Option<Vec<usize>> = named.map(|ends| ends.into_iter().filter_map(node).collect());
+        let named: Option<Vec<usize>> =
+            named.map(|ends| ends.into_iter().filter_map(node).collect());
         let Some((_, whom, does)) = deed else { return };
         let all = match whom {
             Whom::Instance => self.instances,
@@ -539,15 +631,31 @@
                 // All of a side, or so many of it.
                 (None, Some(named)) if whom == Whom::Instance => {
                     let most = if section_counts { wanted } else { named.len() };
-                    everyone.into_iter().filter(|who| named.contains(who)).take(most).collect()
+                    everyone
+                        .into_iter()
+                        .filter(|who| named.contains(who))
+                        .take(most)
+                        .collect()
                 }
                 _ => everyone.into_iter().take(wanted).collect(),
             };
             for (place, who) in chosen.into_iter().enumerate() {
                 let which = which.clone();
-                let deed =
-                    does(&Said { who, lasts, times, share, which, fault, forever, heal_gap, held_up_at });
-                self.steps.push(Step { at: begin + gap * place as u32, deed });
+                let deed = does(&Said {
+                    who,
+                    lasts,
+                    times,
+                    share,
+                    which,
+                    fault,
+                    forever,
+                    heal_gap,
+                    held_up_at,
+                });
+                self.steps.push(Step {
+                    at: begin + gap * place as u32,
+                    deed,
+                });
             }
             let Some(every) = every else { break };
             begin += every;
@@ -591,7 +699,10 @@
     ("short", include_str!("../scenarios/short.toml")),
     ("forty-cold", include_str!("../scenarios/forty-cold.toml")),
     ("cold-thirty", include_str!("../scenarios/cold-thirty.toml")),
-    ("cold-hundreds", include_str!("../scenarios/cold-hundreds.toml")),
+    (
+        "cold-hundreds",
+        include_str!("../scenarios/cold-hundreds.toml"),
+    ),
     ("calm", include_str!("../scenarios/calm.toml")),
     ("drains", include_str!("../scenarios/drains.toml")),
     ("etcd", include_str!("../scenarios/etcd.toml")),
--- a/crates/fleet-harness/src/scenario/tests.rs
+++ b/crates/fleet-harness/src/scenario/tests.rs
@@ -6,7 +6,10 @@
         let one = Scenario::parse(text, 7).unwrap_or_else(|faults| panic!("{name}: {faults}"));
         assert_eq!(one.name, name);
         assert_eq!(Ok(one.clone()), Scenario::parse(text, 7));
-        assert!(one.steps.windows(2).all(|two| two[0].at <= two[1].at), "in order");
+        assert!(
+            one.steps.windows(2).all(|two| two[0].at <= two[1].at),
+            "in order"
+        );
         let last = one.steps.last().map_or(Duration::ZERO, |step| step.at);
         assert!(last <= one.duration, "{name}: a step after the end");
     }
@@ -19,9 +22,13 @@
     let text =
         "instances = 0\n[[step]]\ndo = \"kil\"\n[[step]]\ndo = \"kill\"\nwho = 9\nwhen = 3\n[[step]]\n";
     let faults = Scenario::parse(text, 1).expect_err("it is bad").to_string();
-    for part in
-        ["instances: ", "step[0].do: ", "step[1].who: must be below 3", "step[1].when: unknown", "step[2].do"]
-    {
+    for part in [
+        "instances: ",
+        "step[0].do: ",
+        "step[1].who: must be below 3",
+        "step[1].when: unknown",
+        "step[2].do",
+    ] {
         assert!(faults.contains(part), "{part} in {faults}");
     }
 }
--- a/crates/fleet-harness/src/soak.rs
+++ b/crates/fleet-harness/src/soak.rs
@@ -24,9 +24,17 @@
 
 impl Size {
     /// A run that fits into a test.
-    pub const SHORT: Size = Size { instances: (10, 12), seconds: 14, faults: 14 };
+    pub const SHORT: Size = Size {
+        instances: (10, 12),
+        seconds: 14,
+        faults: 14,
+    };
     /// A run of the command.
-    pub const LONG: Size = Size { instances: (10, 40), seconds: 40, faults: 40 };
+    pub const LONG: Size = Size {
+        instances: (10, 40),
+        seconds: 40,
+        faults: 40,
+    };
 }
 
 /// One fleet, its load and its faults.
@@ -64,7 +72,8 @@
         let lateness = random.u64(0..=500);
         let leaves = [0.0, 0.1][random.usize(0..2)];
         let calls = FAILING_CALLS[random.usize(0..FAILING_CALLS.len())];
-        let mut header = format!("name = \"soak-{seed}\"\ninstances = {instances}\nservers = {servers}\n");
+        let mut header =
+            format!("name = \"soak-{seed}\"\ninstances = {instances}\nservers = {servers}\n");
         // Writing to a string does not fail.
         let _ = write!(
             header,
@@ -95,13 +104,25 @@
 
     /// The same without some of its faults.
     fn without(&self, from: usize, count: usize) -> Plan {
-        let steps = self.steps.iter().enumerate().filter(|(place, _)| !(from..from + count).contains(place));
-        Plan { header: self.header.clone(), steps: steps.map(|(_, step)| step.clone()).collect() }
+        let steps = self
+            .steps
+            .iter()
+            .enumerate()
+            .filter(|(place, _)| !(from..from + count).contains(place));
+        Plan {
+            header: self.header.clone(),
+            steps: steps.map(|(_, step)| step.clone()).collect(),
+        }
     }
 }
 
 /// Draws one fault; some bring others with them that overlap.
-fn draw_fault(random: &mut fastrand::Rng, at: u64, counts: (usize, usize), steps: &mut Vec<String>) {
+fn draw_fault(
+    random: &mut fastrand::Rng,
+    at: u64,
+    counts: (usize, usize),
+    steps: &mut Vec<String>,
+) {
     let (instances, servers) = counts;
     let (instance, server) = (random.usize(..instances), random.usize(..servers));
     let lasts = random.u64(300..4_000);
@@ -123,9 +144,18 @@
                 steps.push(step("silent", &hang));
             }
         }
-        5 => steps.push(step("kill", &of_instance(&format!("for_ms = {}\n", random.u64(50..1_500))))),
-        6 => steps.push(step("kill-early", &of_instance(&format!("for_ms = {}\n", random.u64(20..400))))),
-        7 => steps.push(step("pause", &of_instance(&format!("for_ms = {}\n", random.u64(150..5_000))))),
+        5 => steps.push(step(
+            "kill",
+            &of_instance(&format!("for_ms = {}\n", random.u64(50..1_500))),
+        )),
+        6 => steps.push(step(
+            "kill-early",
+            &of_instance(&format!("for_ms = {}\n", random.u64(20..400))),
+        )),
+        7 => steps.push(step(
+            "pause",
+            &of_instance(&format!("for_ms = {}\n", random.u64(150..5_000))),
+        )),
         8 => {
             for later in [0, 30, 90] {
                 let at = at + later;
@@ -148,7 +178,9 @@
             let half: Vec<String> = (0..instances / 2).map(|node| format!("n{node}")).collect();
             let one_way = random.bool();
             let from = half.join(",");
-            let more = format!("for_ms = {lasts}\nfrom = \"{from}\"\nstalled = true\none_way = {one_way}\n");
+            let more = format!(
+                "for_ms = {lasts}\nfrom = \"{from}\"\nstalled = true\none_way = {one_way}\n"
+            );
             steps.push(step("link", &more));
         }
         19 => {
@@ -161,7 +193,10 @@
         }
         _ => {
             let times = 1.5 + 2.0 * random.f64();
-            steps.push(step("slow", &format!("for_ms = {lasts}\ntimes = {times:.2}\n")));
+            steps.push(step(
+                "slow",
+                &format!("for_ms = {lasts}\ntimes = {times:.2}\n"),
+            ));
         }
     }
 }
@@ -219,10 +254,17 @@
         // Writing to a string does not fail.
         let _ = writeln!(told, "{breach:?}");
         let shown = format!("{breach:?}");
-        let id = shown.split('"').nth(1).and_then(|line| line.split([' ', ':']).next()).unwrap_or_default();
+        let id = shown
+            .split('"')
+            .nth(1)
+            .and_then(|line| line.split([' ', ':']).next())
+            .unwrap_or_default();
         let mut lines = lines_with(folder, id);
         lines.sort();
-        lines.iter().take(LINES_MOST).for_each(|line| told.push_str(line));
+        lines
+            .iter()
+            .take(LINES_MOST)
+            .for_each(|line| told.push_str(line));
     }
     told
 }
@@ -230,12 +272,19 @@
 /// The lines of a folder's logs that name a request, each with the instance's log in front.
 fn lines_with(folder: &Path, id: &str) -> Vec<String> {
     let mut found = Vec::new();
-    let Ok(files) = std::fs::read_dir(folder) else { return found };
-    for file in files.flatten().filter(|file| file.path().extension().is_some_and(|end| end == "log")) {
+    let Ok(files) = std::fs::read_dir(folder) else {
+        return found;
+    };
+    for file in files
+        .flatten()
+        .filter(|file| file.path().extension().is_some_and(|end| end == "log"))
+    {
         let text = std::fs::read(file.path()).unwrap_or_default();
         let name = file.file_name().to_string_lossy().into_owned();
         let text = String::from_utf8_lossy(&text).into_owned();
-        let of_it = text.lines().filter(|line| !id.is_empty() && line.contains(id));
+        let of_it = text
+            .lines()
+            .filter(|line| !id.is_empty() && line.contains(id));
         found.extend(of_it.map(|line| format!("  {line} ({name})\n")));
     }
     found
--- a/crates/fleet-harness/src/virtually/lists.rs
+++ b/crates/fleet-harness/src/virtually/lists.rs
@@ -4,7 +4,9 @@
 use super::{Virtual, START, WAY};
 use crate::scenario::{Scenario, GROUP};
 use saffronpaddle_endpoints::{Doubt, Pace, Terms};
-use saffronpaddle_policy::interface::{CellId, ListKind, Micros, ServerEntry, ServerId, Standing, ZoneId};
+use saffronpaddle_policy::interface::{
+    CellId, ListKind, Micros, ServerEntry, ServerId, Standing, ZoneId,
+};
 use saffronpaddle_test_doubles::discovery::{Back, Bearing, Calls, LINE_MOST};
 use saffronpaddle_test_doubles::links::End;
 use std::collections::BTreeSet;
@@ -46,12 +48,18 @@
     /// So many servers, all ready.
     fn whole(servers: usize, born: Option<Micros>) -> List {
         let entries = vec![(1, "ready", born); servers];
-        List { seq: 1, entries, by_version: (0..servers).map(|at| (1, at)).collect() }
+        List {
+            seq: 1,
+            entries,
+            by_version: (0..servers).map(|at| (1, at)).collect(),
+        }
     }
 
     fn write(&mut self, at: usize, health: &'static str) {
         self.seq += 1;
-        let Some(entry) = self.entries.get_mut(at) else { return };
+        let Some(entry) = self.entries.get_mut(at) else {
+            return;
+        };
         self.by_version.remove(&(entry.0, at));
         self.by_version.insert((self.seq, at));
         (entry.0, entry.1) = (self.seq, health);
@@ -87,9 +95,21 @@
         let (calls_per_s, bytes_per_s) = scenario.list_bears;
         let born = scenario.cold.then_some(START);
         let list = List::whole(scenario.servers, born);
-        let bears = Bearing { calls_per_s, bytes_per_s, turns_away: scenario.list_turns_away, down: false };
+        let bears = Bearing {
+            calls_per_s,
+            bytes_per_s,
+            turns_away: scenario.list_turns_away,
+            down: false,
+        };
         let first = list.clone();
-        Service { list, first, bears, silent: false, busy: 0, calls: Calls::default() }
+        Service {
+            list,
+            first,
+            bears,
+            silent: false,
+            busy: 0,
+            calls: Calls::default(),
+        }
     }
 
     pub fn back(&mut self, back: Back) {
@@ -110,11 +130,22 @@
     /// The entries since a version, and whether they are the whole list.
     fn since(&self, from: Option<u64>) -> (bool, Vec<Line>) {
         let from = from.filter(|from| *from <= self.list.seq);
-        let line = |(at, entry): (usize, &(u64, &'static str, Option<Micros>))| (at, entry.1, entry.2);
+        let line =
+            |(at, entry): (usize, &(u64, &'static str, Option<Micros>))| (at, entry.1, entry.2);
         let all = &self.list.entries;
         let entries = match from {
-            Some(from) => self.list.changed(from).into_iter().map(|at| line((at, &all[at]))).collect(),
-            None => all.iter().enumerate().filter(|(_, entry)| entry.1 != "gone").map(line).collect(),
+            Some(from) => self
+                .list
+                .changed(from)
+                .into_iter()
+                .map(|at| line((at, &all[at])))
+                .collect(),
+            None => all
+                .iter()
+                .enumerate()
+                .filter(|(_, entry)| entry.1 != "gone")
+                .map(line)
+                .collect(),
         };
         (from.is_none(), entries)
     }
@@ -134,7 +165,13 @@
     pub fn new(nodes: u32, terms: Option<&Terms>) -> Follower {
         // Without terms the address is the agent of the node's machine.
         let pace = terms.map_or_else(Pace::agent, |terms| Pace::within(nodes, terms));
-        Follower { seq: None, call: 0, watches: false, pace, doubt: Doubt::default() }
+        Follower {
+            seq: None,
+            call: 0,
+            watches: false,
+            pace,
+            doubt: Doubt::default(),
+        }
     }
 }
 
@@ -145,8 +182,14 @@
         let known = |(place, (server, health, born)): (usize, Line)| {
             let entry = entry(server, health, born);
             match stale {
-                true if place % 2 == 1 => ServerEntry { server: ServerId(GONE + place as u64), ..entry },
-                true => ServerEntry { started: None, ..entry },
+                true if place % 2 == 1 => ServerEntry {
+                    server: ServerId(GONE + place as u64),
+                    ..entry
+                },
+                true => ServerEntry {
+                    started: None,
+                    ..entry
+                },
                 false => entry,
             }
         };
@@ -207,7 +250,8 @@
             Comes::Answered(of) if of == call => {
                 self.nodes[at].follower.watches = true;
                 self.service.calls.open += 1;
-                self.service.calls.open_most = self.service.calls.open_most.max(self.service.calls.open);
+                self.service.calls.open_most =
+                    self.service.calls.open_most.max(self.service.calls.open);
                 self.told(at);
                 self.list_later(at, SIGN_OF_LIFE, Comes::Sign(call));
             }
@@ -219,11 +263,15 @@
             Comes::Sign(of) if of == call && self.nodes[at].follower.watches => {
                 // A list in doubt is asked for again when it is to be settled.
                 let terms = self.terms.as_ref();
-                let doubt =
-                    terms.and_then(|terms| self.nodes[at].follower.doubt.asks_again(terms.empty_after));
+                let doubt = terms
+                    .and_then(|terms| self.nodes[at].follower.doubt.asks_again(terms.empty_after));
                 let settled = doubt.is_some_and(|at| at <= self.since());
                 if !self.hears_list(at) || settled {
-                    let after = if settled { 0 } else { SILENT_FOR - SIGN_OF_LIFE };
+                    let after = if settled {
+                        0
+                    } else {
+                        SILENT_FOR - SIGN_OF_LIFE
+                    };
                     self.list_later(at, after, Comes::Ended(call, None));
                 } else {
                     self.list_later(at, SIGN_OF_LIFE, Comes::Sign(call));
@@ -249,8 +297,16 @@
     fn calls(&mut self, at: usize) {
         let call = self.nodes[at].follower.call;
         // Of an agent's calls that go out beside one another the first that is answered counts: one, given up that often, stands for them.
-        let every = self.nodes[at].follower.pace.hedged().map(|hedged| hedged.every);
-        let answers = self.terms.as_ref().map(|terms| terms.answer_within).or(every);
+        let every = self.nodes[at]
+            .follower
+            .pace
+            .hedged()
+            .map(|hedged| hedged.every);
+        let answers = self
+            .terms
+            .as_ref()
+            .map(|terms| terms.answer_within)
+            .or(every);
         let answers = answers.map_or(SILENT_FOR, |span| span.as_micros() as Micros);
         let way = self.random.u64(WAY);
         let there = self.links.on(End::Node(at), End::List);
@@ -262,7 +318,12 @@
         }
         let since = self.since();
         self.service.calls.at.push(since);
-        let Bearing { calls_per_s, bytes_per_s, turns_away, .. } = self.service.bears;
+        let Bearing {
+            calls_per_s,
+            bytes_per_s,
+            turns_away,
+            ..
+        } = self.service.bears;
         let (_, entries) = self.service.since(self.nodes[at].follower.seq);
         let bytes = entries.len() * BYTES.0 + BYTES.1;
         let share = |of: f64, a_second: f64| if a_second > 0.0 { of / a_second } else { 0.0 };
@@ -290,17 +351,34 @@
         self.service.calls.first.entry(at).or_insert(since);
         self.service.calls.bytes += (entries.len() * BYTES.0 + BYTES.1) as u64;
         for (server, health, _) in &entries {
-            self.ledger.told(since, at, &format!("s-{server}"), *health == "ready");
+            self.ledger
+                .told(since, at, &format!("s-{server}"), *health == "ready");
         }
         if let Some(terms) = self.terms.as_ref().filter(|_| whole) {
             let known = self.nodes[at].gateway.rotation().0;
-            if !self.nodes[at].follower.doubt.believes(since, entries.len(), known, terms.empty_after) {
+            if !self.nodes[at].follower.doubt.believes(
+                since,
+                entries.len(),
+                known,
+                terms.empty_after,
+            ) {
                 return;
             }
         }
         self.nodes[at].follower.seq = Some(self.service.list.seq);
-        let entries = entries.into_iter().map(|(server, health, born)| entry(server, health, born)).collect();
-        self.listed(at, if whole { ListKind::Complete } else { ListKind::Changes }, entries);
+        let entries = entries
+            .into_iter()
+            .map(|(server, health, born)| entry(server, health, born))
+            .collect();
+        self.listed(
+            at,
+            if whole {
+                ListKind::Complete
+            } else {
+                ListKind::Changes
+            },
+            entries,
+        );
     }
 }
 
--- a/crates/fleet-harness/src/virtually/mod.rs
+++ b/crates/fleet-harness/src/virtually/mod.rs
@@ -16,8 +16,8 @@
 use saffronpaddle_endpoints::Terms;
 use saffronpaddle_operator_config::Operator;
 use saffronpaddle_policy::interface::{
-    Action, AttemptNo, ClassId, CustomerId, Event, GatewayId, ListKind, Micros, Outcome, PlanId, RequestId,
-    ServerEntry, ServerId,
+    Action, AttemptNo, ClassId, CustomerId, Event, GatewayId, ListKind, Micros, Outcome, PlanId,
+    RequestId, ServerEntry, ServerId,
 };
 use saffronpaddle_policy::setup::{self, Named};
 use saffronpaddle_policy::Gateway;
@@ -79,7 +79,13 @@
     Leaves(usize, u32, Micros),
     GoesOn(usize),
     Lifts(u64),
-    HealsNext(Which, saffronpaddle_test_doubles::links::Fault, Vec<End>, u64, Duration),
+    HealsNext(
+        Which,
+        saffronpaddle_test_doubles::links::Fault,
+        Vec<End>,
+        u64,
+        Duration,
+    ),
     ListUp,
     Discovered,
     Drained(usize, Duration),
@@ -162,7 +168,8 @@
 /// The scenario asks for what there is not in virtual time, or the operator file is wrong.
 pub fn play(scenario: Scenario, seed: u64, operator: &str) -> Result<Report> {
     ensure!(
-        scenario.roster == Roster::Discovery && !scenario.steps.iter().any(|step| step.deed.of_processes()),
+        scenario.roster == Roster::Discovery
+            && !scenario.steps.iter().any(|step| step.deed.of_processes()),
         "there is no etcd in virtual time, and no step that needs processes"
     );
     ensure!(
@@ -179,7 +186,10 @@
 pub fn needs(scenario: &Scenario) -> u64 {
     let (nodes, servers) = (scenario.instances as f64, scenario.servers as f64);
     let fleet = Fleet::usual(scenario.instances);
-    let offered: f64 = customers(scenario, &fleet, 0).iter().map(|customer| customer.rate).sum();
+    let offered: f64 = customers(scenario, &fleet, 0)
+        .iter()
+        .map(|customer| customer.rate)
+        .sum();
     let tries = offered * scenario.duration.as_secs_f64() * TRIES;
     let node = NODE_BYTES + servers * SERVER_BYTES + nodes * PEER_BYTES;
     (nodes * node + tries * TRY_BYTES) as u64
@@ -192,7 +202,9 @@
         let fleet = Fleet::usual(scenario.instances);
         let customers = customers(&scenario, &fleet, seed);
         let mut ledger = Ledger::new(fleet.bounds.clone());
-        customers.iter().for_each(|customer| fleet.limit(&mut ledger, customer));
+        customers
+            .iter()
+            .for_each(|customer| fleet.limit(&mut ledger, customer));
         let mut run = Virtual {
             random: fastrand::Rng::with_seed(seed),
             now: START,
@@ -220,7 +232,8 @@
         };
         run.begin_servers();
         for at in 0..run.scenario.instances {
-            let mut named = setup::read(&run.fleet.settings(at).to_string()).map_err(anyhow::Error::msg)?;
+            let mut named =
+                setup::read(&run.fleet.settings(at).to_string()).map_err(anyhow::Error::msg)?;
             (named.settings.fenced, named.settings.spare_words) =
                 (says.quotas.fenced, says.quotas.spare_words);
             named.settings.working_set = says.servers.working_set;
@@ -258,12 +271,18 @@
     }
 
     fn run(&mut self) {
-        for at in (0..self.nodes.len()).filter(|at| !self.scenario.absent.contains(at)).collect::<Vec<_>>() {
+        for at in (0..self.nodes.len())
+            .filter(|at| !self.scenario.absent.contains(at))
+            .collect::<Vec<_>>()
+        {
             self.start(at);
         }
         for customer in 0..self.customers.len() {
             let after = self.customers[customer].gap(self.random.f64());
-            self.later(BEFORE + after.as_micros() as Micros, Comes::Arrival(customer));
+            self.later(
+                BEFORE + after.as_micros() as Micros,
+                Comes::Arrival(customer),
+            );
         }
         for step in 0..self.scenario.steps.len() {
             let at = self.scenario.steps[step].at.as_micros() as Micros;
@@ -282,7 +301,11 @@
     fn comes(&mut self, comes: Comes) {
         if let Some(at) = self.reader(&comes) {
             if let Some((_, unread)) = &mut self.nodes[at].still {
-                let full = unread.iter().filter(|comes| matches!(comes, Comes::Hears(..))).count() >= UNREAD;
+                let full = unread
+                    .iter()
+                    .filter(|comes| matches!(comes, Comes::Hears(..)))
+                    .count()
+                    >= UNREAD;
                 if !(full && matches!(comes, Comes::Hears(..))) {
                     unread.push(comes);
                 }
@@ -343,7 +366,10 @@
                 let rest: BTreeSet<End> = ends.iter().copied().collect();
                 let healed: BTreeSet<End> = which.ends().difference(&rest).copied().collect();
                 let number = self.links.lay(which.without(&healed), fault);
-                self.later(gap.as_micros() as Micros, Comes::HealsNext(which, fault, ends, number, gap));
+                self.later(
+                    gap.as_micros() as Micros,
+                    Comes::HealsNext(which, fault, ends, number, gap),
+                );
             }
             Comes::ListUp => self.service.bears.down = false,
             Comes::Discovered => self.service.silent = false,
@@ -378,7 +404,10 @@
     fn up(&mut self, at: usize) {
         self.processes += 1;
         let number = self.serial;
-        let (seed, terms) = (self.seed ^ (at as u64).wrapping_mul(0x9e37) ^ number, self.terms.clone());
+        let (seed, terms) = (
+            self.seed ^ (at as u64).wrapping_mul(0x9e37) ^ number,
+            self.terms.clone(),
+        );
         let (now, nodes) = (self.now, self.nodes.len() as u32);
         let node = &mut self.nodes[at];
         // The settings were good when the run began.
@@ -396,8 +425,13 @@
             Known::Stale => self.knows(at, true),
         }
         let draw = self.random.f64();
-        let first = terms.map_or(Duration::ZERO, |terms| terms.first_call((at as u32, nodes), draw));
-        self.later(first.as_micros() as Micros, Comes::List(at, life, lists::Comes::Call));
+        let first = terms.map_or(Duration::ZERO, |terms| {
+            terms.first_call((at as u32, nodes), draw)
+        });
+        self.later(
+            first.as_micros() as Micros,
+            Comes::List(at, life, lists::Comes::Call),
+        );
         let seen = if self.now < self.began { 0 } else { SEEN };
         self.later(seen, Comes::Opens(at, life, true));
     }
@@ -430,7 +464,9 @@
     }
 
     fn goes_on(&mut self, at: usize) {
-        let Some((stopped, unread)) = self.nodes[at].still.take() else { return };
+        let Some((stopped, unread)) = self.nodes[at].still.take() else {
+            return;
+        };
         let (now, stopped) = (self.since(), Duration::from_micros(stopped - START));
         self.ledger.resumed(now, at, stopped);
         unread.into_iter().for_each(|comes| self.comes(comes));
@@ -449,7 +485,12 @@
         let keyed = self.fleet.classes[class].keyed;
         let key = keyed.then(|| format!("k{}", self.serial));
         let patience = Patience::begin(self.since(), keyed);
-        self.tries(Client { customer, class, key, patience });
+        self.tries(Client {
+            customer,
+            class,
+            key,
+            patience,
+        });
         let gap = self.customers[customer].gap(self.random.f64());
         self.later(gap.as_micros() as Micros, Comes::Arrival(customer));
     }
@@ -468,7 +509,11 @@
         let asked = Asked {
             id: id.0.to_string(),
             key: client.key.clone(),
-            repeats: if class.keyed { Repeats::Keyed } else { Repeats::Safe },
+            repeats: if class.keyed {
+                Repeats::Keyed
+            } else {
+                Repeats::Safe
+            },
             node: at,
             customer: customer.id,
             units: 1.0,
@@ -490,12 +535,21 @@
             patience: class.deadline.as_micros() as Micros - DELIVERY,
             whole: true,
         };
-        self.nodes[at].waits.insert(id, Waiting { client, sent: 0, given_up: false });
+        self.nodes[at].waits.insert(
+            id,
+            Waiting {
+                client,
+                sent: 0,
+                given_up: false,
+            },
+        );
         self.tell(at, tell);
     }
 
     fn answered(&mut self, at: usize, id: &RequestId, answer: Answer, advice: Option<Micros>) {
-        let Some(mut waiting) = self.nodes[at].waits.remove(id) else { return };
+        let Some(mut waiting) = self.nodes[at].waits.remove(id) else {
+            return;
+        };
         if waiting.given_up {
             return;
         }
@@ -504,7 +558,11 @@
         if answer == Answer::Served {
             return;
         }
-        if let Some(pause) = waiting.client.patience.again(since, advice.map(Duration::from_micros)) {
+        if let Some(pause) = waiting
+            .client
+            .patience
+            .again(since, advice.map(Duration::from_micros))
+        {
             self.retries += 1;
             self.later(pause.as_micros() as Micros, Comes::Try(waiting.client));
         }
@@ -547,7 +605,9 @@
 
     /// An attempt that is out has ended.
     fn over(&mut self, at: usize, id: RequestId, outcome: Outcome) {
-        let Some((attempt, server)) = self.nodes[at].out.remove(&id) else { return };
+        let Some((attempt, server)) = self.nodes[at].out.remove(&id) else {
+            return;
+        };
         let now = self.now;
         match outcome {
             Outcome::Ok | Outcome::Full => _ = self.nodes[at].wires.insert(server, now),
@@ -557,17 +617,34 @@
             self.answered(at, &id, Answer::Served, None);
         }
         let closed = !self.nodes[at].waits.contains_key(&id);
-        self.tell(at, Event::Ended { id, attempt, outcome, closed });
+        self.tell(
+            at,
+            Event::Ended {
+                id,
+                attempt,
+                outcome,
+                closed,
+            },
+        );
     }
 
     fn sends(&mut self, at: usize, id: RequestId, to: ServerId) {
-        let Some(waiting) = self.nodes[at].waits.get_mut(&id) else { return };
+        let Some(waiting) = self.nodes[at].waits.get_mut(&id) else {
+            return;
+        };
         let attempt = AttemptNo(waiting.sent);
         waiting.sent += 1;
         let server = to.0 as usize;
         self.nodes[at].out.insert(id.clone(), (attempt, server));
         let (way, life) = (self.way(), self.nodes[at].life);
-        let flight = Flight { node: at, life, id, attempt, server, first: self.now + way };
+        let flight = Flight {
+            node: at,
+            life,
+            id,
+            attempt,
+            server,
+            first: self.now + way,
+        };
         self.fly(flight, way);
     }
 
@@ -607,7 +684,10 @@
             Deed::Restart(at) if self.nodes[at].runs => {
                 let life = self.nodes[at].life;
                 self.later(SEEN, Comes::Opens(at, life, false));
-                self.later(LEAVES, Comes::Leaves(at, life, self.now + LEAVES + FINISHES));
+                self.later(
+                    LEAVES,
+                    Comes::Leaves(at, life, self.now + LEAVES + FINISHES),
+                );
             }
             Deed::Kill(at, lasts) if self.nodes[at].runs => {
                 self.ends(at, Unanswered::Killed);
@@ -618,7 +698,10 @@
                 let ids: Vec<RequestId> = self.nodes[at].waits.keys().cloned().collect();
                 for id in ids {
                     self.ledger.unanswered(&id.0, Unanswered::Paused);
-                    self.nodes[at].waits.entry(id).and_modify(|waiting| waiting.given_up = true);
+                    self.nodes[at]
+                        .waits
+                        .entry(id)
+                        .and_modify(|waiting| waiting.given_up = true);
                 }
                 self.nodes[at].still = Some((self.now, Vec::new()));
                 let life = self.nodes[at].life;
@@ -628,7 +711,11 @@
                 self.later(us(lasts), Comes::GoesOn(at));
             }
             // The configuration stays the same here.
-            Deed::Start(_) | Deed::Restart(_) | Deed::Kill(..) | Deed::Pause(..) | Deed::Reload(_) => {}
+            Deed::Start(_)
+            | Deed::Restart(_)
+            | Deed::Kill(..)
+            | Deed::Pause(..)
+            | Deed::Reload(_) => {}
             Deed::Link(which, fault, lasts, heal_gap) => {
                 let number = self.links.lay(which.clone(), fault);
                 let Some(lasts) = lasts else { return };
@@ -636,7 +723,10 @@
                     return self.later(us(lasts), Comes::Lifts(number));
                 }
                 let ends: Vec<End> = which.ends().into_iter().rev().collect();
-                self.later(us(lasts), Comes::HealsNext(which, fault, ends, number, heal_gap));
+                self.later(
+                    us(lasts),
+                    Comes::HealsNext(which, fault, ends, number, heal_gap),
+                );
             }
             Deed::ListDown(lasts) => {
                 self.service.bears.down = true;
@@ -682,15 +772,21 @@
     }
 
     fn report(mut self) -> Report {
-        let (began, duration) = (Duration::from_micros(self.began - START), self.scenario.duration);
+        let (began, duration) = (
+            Duration::from_micros(self.began - START),
+            self.scenario.duration,
+        );
         let seconds = duration.as_secs_f64();
         for at in 0..self.nodes.len() {
             if self.nodes[at].runs {
                 self.count(at);
             }
         }
-        let capacities: Vec<(String, f64)> =
-            self.servers.iter().map(|server| (server.name.clone(), server.capacity())).collect();
+        let capacities: Vec<(String, f64)> = self
+            .servers
+            .iter()
+            .map(|server| (server.name.clone(), server.capacity()))
+            .collect();
         let row = |node: &Node| Row {
             ready_ms: Vec::new(),
             processes: 0,
--- a/crates/fleet-harness/src/virtually/servers.rs
+++ b/crates/fleet-harness/src/virtually/servers.rs
@@ -68,7 +68,12 @@
     pub(super) fn fly(&mut self, flight: Flight, way: Micros) {
         let (near, far) = (End::Node(flight.node), End::Server(flight.server));
         let there = self.links.on(near, far);
-        if there.reset || self.servers.get(flight.server).is_none_or(|server| !server.runs) {
+        if there.reset
+            || self
+                .servers
+                .get(flight.server)
+                .is_none_or(|server| !server.runs)
+        {
             return self.later(way, Comes::Replies(flight, Outcome::Unreachable));
         }
         let idle = self.nodes[flight.node].named.settings.conn_idle;
@@ -91,7 +96,8 @@
 
     fn is_out(&self, flight: &Flight) -> bool {
         let out = self.nodes[flight.node].out.get(&flight.id);
-        self.alive(flight.node, flight.life) && out.is_some_and(|(attempt, _)| *attempt == flight.attempt)
+        self.alive(flight.node, flight.life)
+            && out.is_some_and(|(attempt, _)| *attempt == flight.attempt)
     }
 
     pub(super) fn reaches(&mut self, flight: Flight) {
@@ -99,7 +105,10 @@
             return;
         }
         let (since, way) = (self.since(), self.way());
-        let Some(client) = self.nodes[flight.node].waits.get(&flight.id).map(|waiting| &waiting.client)
+        let Some(client) = self.nodes[flight.node]
+            .waits
+            .get(&flight.id)
+            .map(|waiting| &waiting.client)
         else {
             return;
         };
@@ -110,7 +119,8 @@
         }
         let work = mean * (0.5 + self.random.f64());
         let first = Duration::from_micros(flight.first - START);
-        self.ledger.arrived(since, first, &server.name, &flight.id.0, work);
+        self.ledger
+            .arrived(since, first, &server.name, &flight.id.0, work);
         server.requests += 1;
         if server.held >= SLOTS * server.cores.len() || self.ledger.fell(&server.name) {
             self.ledger.over(&flight.id.0);
@@ -120,9 +130,13 @@
         if server.silent {
             return;
         }
-        let Some(core) = server.cores.iter_mut().min() else { return };
+        let Some(core) = server.cores.iter_mut().min() else {
+            return;
+        };
         let begins = (*core).max(self.now);
-        let warmth = self.ledger.warmth(Duration::from_micros(begins - START), &server.name);
+        let warmth = self
+            .ledger
+            .warmth(Duration::from_micros(begins - START), &server.name);
         *core = begins + (work * self.slow / warmth * 1e6) as Micros;
         let (after, life) = (*core - self.now, server.life);
         self.later(after, Comes::Done(flight, life));
@@ -141,8 +155,14 @@
             return;
         }
         self.ledger.over(&flight.id.0);
-        let back = self.links.on(End::Server(flight.server), End::Node(flight.node));
-        let outcome = if back.reset { Outcome::Broken } else { Outcome::Ok };
+        let back = self
+            .links
+            .on(End::Server(flight.server), End::Node(flight.node));
+        let outcome = if back.reset {
+            Outcome::Broken
+        } else {
+            Outcome::Ok
+        };
         if !back.stalled {
             let way = way + back.way().as_micros() as Micros;
             self.later(way, Comes::Replies(flight, outcome));
@@ -169,11 +189,24 @@
         self.write(at, "gone");
         for node in 0..self.nodes.len() {
             self.nodes[node].wires.remove(&at);
-            let ids = self.nodes[node].out.iter().filter(|(_, (_, server))| *server == at);
-            for (id, attempt) in ids.map(|(id, (attempt, _))| (id.clone(), *attempt)).collect::<Vec<_>>() {
+            let ids = self.nodes[node]
+                .out
+                .iter()
+                .filter(|(_, (_, server))| *server == at);
+            for (id, attempt) in ids
+                .map(|(id, (attempt, _))| (id.clone(), *attempt))
+                .collect::<Vec<_>>()
+            {
                 self.ledger.over(&id.0);
                 let (life, first, way) = (self.nodes[node].life, self.now, self.way());
-                let flight = Flight { node, life, id, attempt, server: at, first };
+                let flight = Flight {
+                    node,
+                    life,
+                    id,
+                    attempt,
+                    server: at,
+                    first,
+                };
                 self.later(way, Comes::Replies(flight, Outcome::Broken));
             }
         }
--- a/crates/fleet-harness/src/ways.rs
+++ b/crates/fleet-harness/src/ways.rs
@@ -25,13 +25,22 @@
             Deed::Link(which, _, _, heal_gap) => Some((which.clone(), !heal_gap.is_zero())),
             _ => None,
         };
-        let rules = scenario.steps.iter().filter_map(|step| rule(&step.deed)).collect();
-        Ways { rules, counts: (scenario.instances, scenario.servers) }
+        let rules = scenario
+            .steps
+            .iter()
+            .filter_map(|step| rule(&step.deed))
+            .collect();
+        Ways {
+            rules,
+            counts: (scenario.instances, scenario.servers),
+        }
     }
 
     /// Whether a step touches the link between two ends, one way or the other.
     pub fn touches(&self, one: End, other: End) -> bool {
-        self.rules.iter().any(|(which, _)| which.has(one, other) || which.has(other, one))
+        self.rules
+            .iter()
+            .any(|(which, _)| which.has(one, other) || which.has(other, one))
     }
 
     /// The relays to app servers: nodes that share one, and the server.
@@ -43,9 +52,16 @@
             for node in (0..self.counts.0).filter(|node| self.touches(End::Node(*node), far)) {
                 let near = End::Node(node);
                 let sign = |(which, alone): &(Which, bool)| -> Sign {
-                    (which.has(near, far), which.has(far, near), alone.then_some(node))
+                    (
+                        which.has(near, far),
+                        which.has(far, near),
+                        alone.then_some(node),
+                    )
                 };
-                alike.entry(self.rules.iter().map(sign).collect()).or_default().push(node);
+                alike
+                    .entry(self.rules.iter().map(sign).collect())
+                    .or_default()
+                    .push(node);
             }
             relays.extend(alike.into_values().map(|nodes| (nodes, server)));
         }
--- a/crates/fleet-harness/src/windows.rs
+++ b/crates/fleet-harness/src/windows.rs
@@ -86,8 +86,12 @@
 /// Cuts a run into seconds, over all nodes and for each side.
 pub fn cut(ledger: &Ledger, sides: &[Side], begun: Duration) -> Vec<Windows> {
     let named = std::iter::once("all").chain(sides.iter().map(|side| &*side.name));
-    let mut all: Vec<Windows> =
-        named.map(|side| Windows { side: side.to_owned(), seconds: Vec::new() }).collect();
+    let mut all: Vec<Windows> = named
+        .map(|side| Windows {
+            side: side.to_owned(),
+            seconds: Vec::new(),
+        })
+        .collect();
     for seen in ledger.seen() {
         let on = |place: usize| place == 0 || sides[place - 1].ends.contains(&End::Node(seen.node));
         for (_, windows) in all.iter_mut().enumerate().filter(|(place, _)| on(*place)) {
@@ -105,7 +109,9 @@
                     None => {}
                 }
             }
-            let sent = seen.sent.and_then(|(at, beyond)| Some((at.checked_sub(begun)?, beyond)));
+            let sent = seen
+                .sent
+                .and_then(|(at, beyond)| Some((at.checked_sub(begun)?, beyond)));
             if let Some((at, beyond)) = sent {
                 if let Some(of) = windows.at(Some(at)) {
                     (of.units, of.beyond) = (of.units + seen.units, of.beyond + beyond);
@@ -118,12 +124,20 @@
 
 /// A table for people.
 pub fn table(all: &[Windows]) -> String {
-    let mut text = String::from("side      second  tries served refused failed with-room  units beyond\n");
+    let mut text =
+        String::from("side      second  tries served refused failed with-room  units beyond\n");
     for windows in all {
         for (second, of) in windows.seconds.iter().enumerate() {
             text.push_str(&format!(
                 "{:<10}{second:>6}{:>7}{:>7}{:>8}{:>7}{:>10}{:>7.0}{:>7.0}\n",
-                windows.side, of.tries, of.served, of.refused, of.failed, of.with_room, of.units, of.beyond
+                windows.side,
+                of.tries,
+                of.served,
+                of.refused,
+                of.failed,
+                of.with_room,
+                of.units,
+                of.beyond
             ));
         }
     }
--- a/crates/fleet-harness/tests/virtual_at_size.rs
+++ b/crates/fleet-harness/tests/virtual_at_size.rs
@@ -29,7 +29,10 @@
 fn keeps_to_the_whole(report: &Report, customers: usize) {
     assert!(report.good(), "{report}");
     let beyond = report.within("all", 0, report.offered_s).beyond;
-    assert!(beyond <= customers as f64, "{beyond} units beyond, {customers} customers\n{report}");
+    assert!(
+        beyond <= customers as f64,
+        "{beyond} units beyond, {customers} customers\n{report}"
+    );
 }
 
 #[test]
@@ -38,7 +41,10 @@
     let report = play(&(fleet(300, 1.5, 15, "") + split), 1, FENCED);
     keeps_to_the_whole(&report, 300);
     let all = report.within("all", 0, 15);
-    assert!(all.served > 0 && all.served + all.refused + all.failed == all.tries, "{report}");
+    assert!(
+        all.served > 0 && all.served + all.refused + all.failed == all.tries,
+        "{report}"
+    );
 }
 
 #[test]
@@ -46,7 +52,11 @@
     let lossy = "[[step]]\ndo = \"peers\"\nloss = 0.2\n";
     let report = play(&(fleet(300, 1.5, 15, "") + lossy), 1, FENCED);
     keeps_to_the_whole(&report, 300);
-    let most = report.rows.iter().map(|row| row.received_s).fold(0.0, f64::max);
+    let most = report
+        .rows
+        .iter()
+        .map(|row| row.received_s)
+        .fold(0.0, f64::max);
     assert!(most <= 60.0, "{most} words a second at one node\n{report}");
 }
 
@@ -59,7 +69,10 @@
     let report = play(&(fleet(600, 0.5, 10, "") + steps), 1, "");
     assert!(report.good(), "{report}");
     assert_eq!(report.processes, 900, "{report}");
-    assert!(report.verdict.drains >= 600 * 30, "each node is told of each drain\n{report}");
+    assert!(
+        report.verdict.drains >= 600 * 30,
+        "each node is told of each drain\n{report}"
+    );
     assert_eq!(report.verdict.unanswered(), 0, "{report}");
 }
 
@@ -67,15 +80,25 @@
 #[test]
 fn a_hot_customer_is_held_to_its_quota_and_takes_nothing_from_others() {
     let shares = |hot: f64| {
-        let report = play(&fleet(300, 0.7, 15, &format!("hot_share = {hot}")), 1, FENCED);
+        let report = play(
+            &fleet(300, 0.7, 15, &format!("hot_share = {hot}")),
+            1,
+            FENCED,
+        );
         keeps_to_the_whole(&report, 301);
         report.within("all", 0, 15)
     };
     let (without, with) = (shares(0.0), shares(0.01));
     // What the others send is all within their quotas; the hot one's is 24 units at once and 12 a second.
     let quota = 24.0 + 12.0 * 15.0;
-    assert!(with.units <= without.units * 1.03 + quota, "{with:?} with, {without:?} without");
-    assert!(with.served as f64 >= 0.97 * without.served as f64, "{with:?} with, {without:?} without");
+    assert!(
+        with.units <= without.units * 1.03 + quota,
+        "{with:?} with, {without:?} without"
+    );
+    assert!(
+        with.served as f64 >= 0.97 * without.served as f64,
+        "{with:?} with, {without:?} without"
+    );
 }
 
 /// Nine tenths of the servers are listed as draining by mistake, for 5 s: nothing new goes to them. How soon all is as before after
@@ -85,7 +108,11 @@
     let flips = "[[step]]\ndo = \"flip\"\ncount = 68\nat_ms = 4000\nfor_ms = 5000\n";
     let report = play(&(fleet(300, 0.7, 15, "") + flips), 1, "");
     assert!(report.good(), "{report}");
-    assert_eq!(report.verdict.drains, 300 * 68, "each node is told of each\n{report}");
+    assert_eq!(
+        report.verdict.drains,
+        300 * 68,
+        "each node is told of each\n{report}"
+    );
     // What was on its way when its node was told: one way is at most 1 ms.
     assert!(report.verdict.after_drain_most_ms <= 1.0, "{report}");
 }
@@ -108,12 +135,16 @@
 /// The operator file's `[servers] working_set` holds in virtual time as in a node: a long list is not looked at as a whole.
 #[test]
 fn a_working_set_is_read_from_the_operator_file() {
-    let text = "name = \"long\"\ninstances = 60\nservers = 1200\ncustomers = 60\nrate = 120\ncores = 1\n\
+    let text =
+        "name = \"long\"\ninstances = 60\nservers = 1200\ncustomers = 60\nrate = 120\ncores = 1\n\
                 duration_ms = 4000\n";
     let looked = |operator: &str| {
         let report = play(text, 1, operator);
         assert!(report.good(), "{report}");
-        let found = report.decided.iter().find(|(name, _)| *name == "servers_looked_at");
+        let found = report
+            .decided
+            .iter()
+            .find(|(name, _)| *name == "servers_looked_at");
         found.map(|(_, count)| *count).expect("it is counted")
     };
     let (whole, part) = (looked(""), looked("[servers]\nworking_set = true\n"));
@@ -127,6 +158,11 @@
     let report = play(&fleet(2_700, 0.2, 1, ""), 1, "");
     assert!(report.good(), "{report}");
     assert_eq!(report.processes, 2_700);
-    let faults = Scenario::parse("name = \"x\"\ninstances = 10001\n", 1).expect_err("too many").to_string();
-    assert!(faults.contains("instances") && faults.lines().count() == 1, "{faults}");
+    let faults = Scenario::parse("name = \"x\"\ninstances = 10001\n", 1)
+        .expect_err("too many")
+        .to_string();
+    assert!(
+        faults.contains("instances") && faults.lines().count() == 1,
+        "{faults}"
+    );
 }
--- a/crates/fleet-harness/tests/virtual_replies.rs
+++ b/crates/fleet-harness/tests/virtual_replies.rs
@@ -21,26 +21,48 @@
     }
     let path = std::env::temp_dir().join(format!("saffronpaddle-{name}.json"));
     std::fs::write(&path, now).expect("written");
-    let line = now.lines().zip(fixture.lines()).position(|(now, then)| now != then);
-    panic!("{name} differs from its fixture at line {line:?}; what came is in {}", path.display());
+    let line = now
+        .lines()
+        .zip(fixture.lines())
+        .position(|(now, then)| now != then);
+    panic!(
+        "{name} differs from its fixture at line {line:?}; what came is in {}",
+        path.display()
+    );
 }
 
 #[test]
 fn a_calm_fleet_reports_what_it_did_before() {
-    same("calm", &report(CALM, 5, ""), include_str!("fixtures/calm.json"));
+    same(
+        "calm",
+        &report(CALM, 5, ""),
+        include_str!("fixtures/calm.json"),
+    );
 }
 
 #[test]
 fn a_fleet_in_two_halves_reports_what_it_did_before() {
-    same("halves", &report(HALVES, 6, ""), include_str!("fixtures/halves.json"));
+    same(
+        "halves",
+        &report(HALVES, 6, ""),
+        include_str!("fixtures/halves.json"),
+    );
 }
 
 #[test]
 fn a_fenced_fleet_in_two_halves_reports_what_it_did_before() {
-    same("halves-fenced", &report(HALVES, 7, FENCED), include_str!("fixtures/halves-fenced.json"));
+    same(
+        "halves-fenced",
+        &report(HALVES, 7, FENCED),
+        include_str!("fixtures/halves-fenced.json"),
+    );
 }
 
 #[test]
 fn a_cold_start_reports_what_it_did_before() {
-    same("cold-thirty", &report(COLD, 8, ""), include_str!("fixtures/cold-thirty.json"));
+    same(
+        "cold-thirty",
+        &report(COLD, 8, ""),
+        include_str!("fixtures/cold-thirty.json"),
+    );
 }
--- a/crates/fleet-harness/tests/virtual_time.rs
+++ b/crates/fleet-harness/tests/virtual_time.rs
@@ -19,7 +19,8 @@
     )
 }
 
-const HALVES: &str = "[[step]]\ndo = \"split\"\nsides = \"west,east\"\nat_ms = 15000\nfor_ms = 15000\n";
+const HALVES: &str =
+    "[[step]]\ndo = \"split\"\nsides = \"west,east\"\nat_ms = 15000\nfor_ms = 15000\n";
 const EACH: &str = "[[step]]\ndo = \"split\"\nsides = \"each\"\nat_ms = 15000\nfor_ms = 15000\n";
 const FENCED: &str = "[quotas]\nfenced = true\n";
 /// Units that all quotas give in 15 s.
@@ -38,7 +39,8 @@
 /// other; without it, two that do not hear each other each grant it all.
 #[test]
 fn fenced_keepers_on_two_sides_grant_no_more_than_the_whole() {
-    let one_way = "[[step]]\ndo = \"link\"\nfrom = \"west\"\nto = \"east\"\none_way = true\nloss = 1.0\n\
+    let one_way =
+        "[[step]]\ndo = \"link\"\nfrom = \"west\"\nto = \"east\"\none_way = true\nloss = 1.0\n\
                    at_ms = 15000\nfor_ms = 15000\n";
     for step in [HALVES, EACH, one_way] {
         for seed in [1, 2] {
@@ -46,7 +48,11 @@
             assert!(report.good(), "{report}");
             let all = report.within("all", 0, 45);
             // Who stands by begins with one try's units.
-            assert!(all.beyond <= 24.0, "{step}: {} units beyond\n{report}", all.beyond);
+            assert!(
+                all.beyond <= 24.0,
+                "{step}: {} units beyond\n{report}",
+                all.beyond
+            );
         }
     }
     let without = play(&pressed(24, HALVES), 1, "");
@@ -59,7 +65,10 @@
     let calm = play(&pressed(24, ""), 1, FENCED);
     for (from, to) in [(15, 30), (30, 45)] {
         let used = calm.within("all", from, to).units;
-        assert!(used > 0.95 * WHOLE, "{used} of {WHOLE} in {from} to {to} s\n{calm}");
+        assert!(
+            used > 0.95 * WHOLE,
+            "{used} of {WHOLE} in {from} to {to} s\n{calm}"
+        );
     }
     let healed = play(&pressed(24, HALVES), 1, FENCED).within("all", 33, 45);
     assert!(healed.units > 0.93 * WHOLE * 12.0 / 15.0, "{healed:?}");
@@ -72,7 +81,10 @@
     for step in [HALVES, EACH] {
         let report = play(&pressed(12, step), 2, "");
         let after = report.within("all", 30, 45);
-        assert!(after.units - after.beyond > 0.92 * WHOLE, "{step}: {after:?} of {WHOLE}\n{report}");
+        assert!(
+            after.units - after.beyond > 0.92 * WHOLE,
+            "{step}: {after:?} of {WHOLE}\n{report}"
+        );
     }
 }
 
@@ -87,7 +99,10 @@
         report.rows.iter().map(|row| row.sent_s).sum::<f64>() / 24.0
     };
     let (without, within) = (words(""), words("[quotas]\nspare_words = true\n"));
-    assert!(within < 50.0 && without > 60.0, "{within} with the budget, {without} without");
+    assert!(
+        within < 50.0 && without > 60.0,
+        "{within} with the budget, {without} without"
+    );
 }
 
 /// Words a node and second, from 24 nodes to 1,000, with the load that goes with the size.
@@ -106,7 +121,10 @@
         report.rows.iter().map(|row| row.sent_s).sum::<f64>() / nodes as f64
     };
     let (few, many) = (words(30), words(300));
-    assert!(many < few * 1.25 && many < 30.0, "{few} at 30 nodes, {many} at 300");
+    assert!(
+        many < few * 1.25 && many < 30.0,
+        "{few} at 30 nodes, {many} at 300"
+    );
 }
 
 /// A whole fleet that starts at one stroke before a list service that all share: what it bears is never passed, at any size.
@@ -115,8 +133,11 @@
     let terms = "[list]\ncalls_per_s = 25\nfirst_within_ms = 60000\n";
     for nodes in [3, 30, 300, 1000] {
         // A node that meets the outage may be left without for twice the span; a thousand would need minutes.
-        let down =
-            if nodes < 1000 { "[[step]]\ndo = \"list-down\"\nat_ms = 5000\nfor_ms = 4000\n" } else { "" };
+        let down = if nodes < 1000 {
+            "[[step]]\ndo = \"list-down\"\nat_ms = 5000\nfor_ms = 4000\n"
+        } else {
+            ""
+        };
         let text = format!(
             "name = \"lists\"\ninstances = {nodes}\nservers = 20\ncustomers = 40\nrate = 20\nduration_ms = 60000\n\
              list_calls_per_s = 30\n{down}"
@@ -128,7 +149,10 @@
         assert_eq!(report.list.first.len(), nodes, "{report}");
         let (first, span) = (report.first_lists(), nodes as f64 / 25.0);
         let last = first.last().copied().unwrap_or(0.0) / 1e3;
-        assert!(last <= 2.5 * span + 16.0, "{nodes} nodes: the last has its list after {last} s");
+        assert!(
+            last <= 2.5 * span + 16.0,
+            "{nodes} nodes: the last has its list after {last} s"
+        );
     }
 }
 
@@ -143,7 +167,10 @@
         for seed in [1, 2, 3] {
             let report = play(&text, seed, "");
             assert!(report.good() && report.verdict.cold_worst < 1.0, "{report}");
-            assert!(report.served_s() > 0.5 * report.could_s.min(rate * 0.085 * 20.0), "{report}");
+            assert!(
+                report.served_s() > 0.5 * report.could_s.min(rate * 0.085 * 20.0),
+                "{report}"
+            );
         }
     }
 }
--- a/crates/hollow/src/audit.rs
+++ b/crates/hollow/src/audit.rs
@@ -108,13 +108,26 @@
     /// Nothing has happened yet.
     pub fn new(trial: Trial, rules: Rules) -> Audit {
         let (faults, kept, servers, seq, told, on) = Default::default();
-        Audit { trial, rules, faults, kept, servers, seq, told, on }
+        Audit {
+            trial,
+            rules,
+            faults,
+            kept,
+            servers,
+            seq,
+            told,
+            on,
+        }
     }
 
     /// What was kept; what is summed goes on.
     pub fn take(&mut self, now: Micros) -> Audited {
         let notes = std::mem::take(&mut self.kept.notes);
-        Audited { at: now, notes, ..self.kept }
+        Audited {
+            at: now,
+            notes,
+            ..self.kept
+        }
     }
 
     fn note(&mut self, now: Micros, note: Note) {
@@ -129,8 +142,8 @@
     /// Whether a datagram gets to a node.
     pub fn hears(&mut self, from: u32, me: u32) -> bool {
         let Faults { loss, apart, .. } = &self.faults;
-        let heard =
-            (*loss <= 0.0 || fastrand::f64() >= *loss) && apart.contains(&from) == apart.contains(&me);
+        let heard = (*loss <= 0.0 || fastrand::f64() >= *loss)
+            && apart.contains(&from) == apart.contains(&me);
         self.kept.unheard += u64::from(!heard);
         heard
     }
@@ -170,7 +183,10 @@
             stands(listed, ready, seq);
         }
         if list.whole {
-            let missing = self.servers.iter_mut().filter(|(server, _)| !named.contains(server));
+            let missing = self
+                .servers
+                .iter_mut()
+                .filter(|(server, _)| !named.contains(server));
             missing.for_each(|(_, listed)| stands(listed, false, seq));
         }
     }
@@ -178,13 +194,24 @@
     /// An attempt is to go out on a connection.
     pub fn sends(&mut self, me: u32, link: LinkId, id: &RequestId, server: ServerId) {
         if self.trial.audit {
-            self.on.insert((me, link), On { id: id.clone(), server });
+            self.on.insert(
+                (me, link),
+                On {
+                    id: id.clone(),
+                    server,
+                },
+            );
         }
     }
 
     /// Its first byte is written, with so much work for a warm server, µs: how much it is there, and none where it is never
     /// answered.
-    pub fn written(&mut self, now: Micros, (me, link): (u32, LinkId), work: Micros) -> Option<Micros> {
+    pub fn written(
+        &mut self,
+        now: Micros,
+        (me, link): (u32, LinkId),
+        work: Micros,
+    ) -> Option<Micros> {
         let on = self.on.get(&(me, link));
         let Some((on, listed)) = on.and_then(|on| Some((on, self.servers.get(&on.server)?))) else {
             return Some(work);
@@ -193,7 +220,10 @@
         let knows = versions.last().map_or(0, |(seq, _)| *seq);
         let again = listed.back > listed.drained && knows >= listed.back;
         let drained = listed.drained > 0 && knows >= listed.drained && !again;
-        let told = versions.iter().find(|(seq, _)| *seq >= listed.drained).map(|(_, at)| *at);
+        let told = versions
+            .iter()
+            .find(|(seq, _)| *seq >= listed.drained)
+            .map(|(_, at)| *at);
         if let Some(told) = told.filter(|_| drained) {
             let late = now.saturating_sub(told);
             self.kept.after_drain += 1;
--- a/crates/hollow/src/figures.rs
+++ b/crates/hollow/src/figures.rs
@@ -30,13 +30,20 @@
     pub fn pairs(&self) -> Vec<(u64, u64)> {
         self.0
             .iter_recorded()
-            .map(|value| (value.value_iterated_to(), value.count_since_last_iteration()))
+            .map(|value| {
+                (
+                    value.value_iterated_to(),
+                    value.count_since_last_iteration(),
+                )
+            })
             .collect()
     }
 
     /// Adds what another process has counted.
     pub fn merge(&mut self, pairs: &[(u64, u64)]) {
-        pairs.iter().for_each(|(span, many)| self.0.saturating_record_n(*span, *many));
+        pairs
+            .iter()
+            .for_each(|(span, many)| self.0.saturating_record_n(*span, *many));
     }
 
     /// The length that this share of them is at the most; none where there are none.
--- a/crates/hollow/src/list.rs
+++ b/crates/hollow/src/list.rs
@@ -50,7 +50,11 @@
         if let Err(error) = watch(&shard, &node, (&mut seq, &mut opened), pace.hedged()).await {
             shard.complain(&error);
         }
-        let pause = if opened { pace.ended(fastrand::f64()) } else { pace.pause(fastrand::f64()) };
+        let pause = if opened {
+            pace.ended(fastrand::f64())
+        } else {
+            pace.pause(fastrand::f64())
+        };
         sleep(pause).await;
     }
 }
@@ -62,12 +66,21 @@
         // How it ended shows in the watch.
         let _ = connection.await;
     }));
-    let request = Request::builder().uri(path).header(HOST, address.to_string());
-    let answer = timeout(answers, sender.send_request(request.body(Empty::<Bytes>::new())?)).await??;
+    let request = Request::builder()
+        .uri(path)
+        .header(HOST, address.to_string());
+    let answer = timeout(
+        answers,
+        sender.send_request(request.body(Empty::<Bytes>::new())?),
+    )
+    .await??;
     if answer.status() != StatusCode::OK {
         bail!("the watch was answered {}", answer.status());
     }
-    Ok(Watch { _driver: driver, body: answer.into_body() })
+    Ok(Watch {
+        _driver: driver,
+        body: answer.into_body(),
+    })
 }
 
 /// Calls again and again while earlier calls are still open, until one is answered with a watch.
@@ -92,7 +105,10 @@
 }
 
 async fn watch(
-    shard: &Rc<Shard>, node: &Rc<Node>, (seq, opened): (&mut Option<u64>, &mut bool), hedged: Option<Hedged>,
+    shard: &Rc<Shard>,
+    node: &Rc<Node>,
+    (seq, opened): (&mut Option<u64>, &mut bool),
+    hedged: Option<Hedged>,
 ) -> Result<()> {
     let from = seq.map_or(String::new(), |seq| format!("&from={seq}"));
     let path = format!("/api/targets?watch=1{from}");
@@ -106,9 +122,15 @@
     *opened = true;
     let mut lists = Objects::new(LIST_MOST);
     loop {
-        let frame = timeout(SILENT_FOR, watch.body.frame()).await.context("the watch is silent")?;
-        let Some(frame) = frame else { bail!("the watch ended") };
-        let Ok(data) = frame?.into_data() else { continue };
+        let frame = timeout(SILENT_FOR, watch.body.frame())
+            .await
+            .context("the watch is silent")?;
+        let Some(frame) = frame else {
+            bail!("the watch ended")
+        };
+        let Ok(data) = frame?.into_data() else {
+            continue;
+        };
         shard.figures.borrow_mut().list.1 += data.len() as u64;
         if data.trim_ascii().is_empty() {
             // A sign of life.
--- a/crates/hollow/src/node.rs
+++ b/crates/hollow/src/node.rs
@@ -43,7 +43,10 @@
 
 impl Node {
     pub fn new(
-        (place, life): (usize, u32), settings: Settings, bounds: Bounds, peers: Peers,
+        (place, life): (usize, u32),
+        settings: Settings,
+        bounds: Bounds,
+        peers: Peers,
         (seed, now): (u64, Micros),
     ) -> anyhow::Result<Rc<Node>> {
         let (me, discovery) = (settings.me, settings.discovery);
