--- a/crates/hollow/src/shard.rs
+++ b/crates/hollow/src/shard.rs
@@ -28,8 +28,8 @@
 use saffronpaddle_node::listed::{server_entry, server_id};
 use saffronpaddle_node::peers::Peers;
 use saffronpaddle_policy::interface::{
-    Action, ClassId, CustomerId, Event as ModuleEvent, GatewayId, Micros, Outcome, PlanId, RequestId,
-    Settings, ZoneId,
+    Action, ClassId, CustomerId, Event as ModuleEvent, GatewayId, Micros, Outcome, PlanId,
+    RequestId, Settings, ZoneId,
 };
 use saffronpaddle_policy::setup;
 use serde::{Deserialize, Serialize};
@@ -165,7 +165,9 @@
             }
         }
     });
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     let local = tokio::task::LocalSet::new();
     local.block_on(&runtime, run(spec, trial, told))
 }
@@ -228,24 +230,48 @@
 
 /// CPU of this thread, or of the process, ns.
 fn cpu(clock: ClockId) -> u64 {
-    clock_gettime(clock).map_or(0, |time| time.tv_sec() as u64 * 1_000_000_000 + time.tv_nsec() as u64)
+    clock_gettime(clock).map_or(0, |time| {
+        time.tv_sec() as u64 * 1_000_000_000 + time.tv_nsec() as u64
+    })
 }
 
 /// Bytes of memory in use (`proc(5)`, `VmRSS`).
 fn memory() -> Result<u64> {
     let status = std::fs::read_to_string("/proc/self/status")?;
-    let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).context("VmRSS")?;
-    Ok(line.split_whitespace().next().context("VmRSS")?.parse::<u64>()? * 1024)
+    let line = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmRSS:"))
+        .context("VmRSS")?;
+    Ok(line
+        .split_whitespace()
+        .next()
+        .context("VmRSS")?
+        .parse::<u64>()?
+        * 1024)
 }
 
 impl Shard {
     fn new(spec: Spec, trial: Trial) -> Result<Shard> {
         let named = setup::read(&spec.settings).map_err(anyhow::Error::msg)?;
-        let tenants = Tenants::new(spec.tenants.0, spec.tenants.1, (spec.present, spec.tries), spec.spread);
-        let drawn = (0..spec.nodes.1).map(|place| tenants.at(spec.nodes.0 + place)).collect();
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as Micros;
+        let tenants = Tenants::new(
+            spec.tenants.0,
+            spec.tenants.1,
+            (spec.present, spec.tries),
+            spec.spread,
+        );
+        let drawn = (0..spec.nodes.1)
+            .map(|place| tenants.at(spec.nodes.0 + place))
+            .collect();
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default()
+            .as_micros() as Micros;
         fastrand::seed(spec.seed);
-        let settings = Settings { working_set: true, fenced: trial.fenced, ..named.settings };
+        let settings = Settings {
+            working_set: true,
+            fenced: trial.fenced,
+            ..named.settings
+        };
         Ok(Shard {
             audit: RefCell::new(Audit::new(trial, settings.rules)),
             settings,
@@ -295,9 +321,21 @@
     async fn node(&self, place: usize, life: u32) -> Result<Rc<Node>> {
         let me = self.spec.nodes.0 + place as u32;
         let zone = ZoneId(me % self.spec.zones.len().max(1) as u32);
-        let settings = Settings { me: GatewayId(me), zone, ..self.settings.clone() };
-        let listen = *self.spec.peers.get(me as usize).context("an address for each node")?;
-        let addresses = PeerAddresses { listen, each: self.spec.peers.clone(), all: None };
+        let settings = Settings {
+            me: GatewayId(me),
+            zone,
+            ..self.settings.clone()
+        };
+        let listen = *self
+            .spec
+            .peers
+            .get(me as usize)
+            .context("an address for each node")?;
+        let addresses = PeerAddresses {
+            listen,
+            each: self.spec.peers.clone(),
+            all: None,
+        };
         let peers = Peers::bind(addresses, settings.me, false).await?;
         let bounds = Bounds::usual(self.spec.links, settings.conn_idle, 250_000);
         let seed = self.spec.seed ^ u64::from(me) << 20 ^ u64::from(life);
@@ -327,7 +365,9 @@
                 let _ = task.await;
             }
             node.peers.take();
-            self.audit.borrow_mut().ended(self.now(), node.me.0, node.tries.borrow().keys());
+            self.audit
+                .borrow_mut()
+                .ended(self.now(), node.me.0, node.tries.borrow().keys());
             let fresh = self.node(place, life).await?;
             self.figures.borrow_mut().cut += node.tries.borrow().len() as u64;
             self.nodes.borrow_mut()[place] = Rc::clone(&fresh);
@@ -342,7 +382,9 @@
             let spans: Option<Vec<Micros>> = {
                 let nodes = self.nodes.borrow();
                 let young = nodes.iter().filter(|node| node.born >= since);
-                young.map(|node| node.listed.get().map(|at| at - node.born)).collect()
+                young
+                    .map(|node| node.listed.get().map(|at| at - node.born))
+                    .collect()
             };
             if let Some(spans) = spans {
                 return spans;
@@ -356,7 +398,13 @@
     fn later(&self, node: &Node, at: Micros, what: What) {
         let serial = self.serial.get();
         self.serial.set(serial + 1);
-        self.due.borrow_mut().push(Reverse(Due { at, serial, place: node.place, life: node.life, what }));
+        self.due.borrow_mut().push(Reverse(Due {
+            at,
+            serial,
+            place: node.place,
+            life: node.life,
+            what,
+        }));
         if at < self.armed.get() {
             self.sooner.notify_one();
         }
@@ -385,7 +433,11 @@
                 tokio::task::yield_now().await;
                 continue;
             }
-            let next = self.due.borrow().peek().map_or(Micros::MAX, |Reverse(due)| due.at);
+            let next = self
+                .due
+                .borrow()
+                .peek()
+                .map_or(Micros::MAX, |Reverse(due)| due.at);
             self.armed.set(next);
             let span = next.saturating_sub(self.now()).min(60_000_000);
             tokio::select! {
@@ -398,9 +450,13 @@
 
     fn comes(self: &Rc<Self>, due: Due) {
         let node = self.nodes.borrow().get(due.place).cloned();
-        let Some(node) = node.filter(|node| node.life == due.life) else { return };
+        let Some(node) = node.filter(|node| node.life == due.life) else {
+            return;
+        };
         match due.what {
-            What::Wake(token) => self.happened(&node, Event::Tell(ModuleEvent::Woke { token }), Why::Wake),
+            What::Wake(token) => {
+                self.happened(&node, Event::Tell(ModuleEvent::Woke { token }), Why::Wake)
+            }
             What::Happens(event) => {
                 if let Event::Replied { link, .. } = &event {
                     self.audit.borrow_mut().over(self.now(), node.me.0, *link);
@@ -431,7 +487,9 @@
                 spent.times += 1;
                 spent.ns += ns;
             }
-            commands.drain(..).for_each(|command| self.carry_out(node, now, command, &mut events));
+            commands
+                .drain(..)
+                .for_each(|command| self.carry_out(node, now, command, &mut events));
         }
         let next = node.exchange.borrow().next_alarm();
         if let Some(next) = next.filter(|next| *next < node.alarm.get()) {
@@ -441,13 +499,20 @@
     }
 
     fn carry_out(
-        &self, node: &Rc<Node>, now: Micros, command: Command<SocketAddr>,
+        &self,
+        node: &Rc<Node>,
+        now: Micros,
+        command: Command<SocketAddr>,
         events: &mut VecDeque<Event<SocketAddr>>,
     ) {
         match command {
             Command::Connect { link, .. } => {
                 self.figures.borrow_mut().connects += 1;
-                self.later(node, now + HANDSHAKE, What::Happens(Event::Connected { link }));
+                self.later(
+                    node,
+                    now + HANDSHAKE,
+                    What::Happens(Event::Connected { link }),
+                );
             }
             Command::Send { link, id, server } => {
                 self.audit.borrow_mut().sends(node.me.0, link, &id, server);
@@ -470,11 +535,17 @@
     fn act(&self, node: &Rc<Node>, now: Micros, action: Action) {
         match action {
             Action::TellAll { bytes } => {
-                node.peers.borrow().iter().for_each(|peers| peers.tell_all(&bytes));
+                node.peers
+                    .borrow()
+                    .iter()
+                    .for_each(|peers| peers.tell_all(&bytes));
                 self.said(u64::from(self.spec.gateways.saturating_sub(1)), bytes.len());
             }
             Action::Tell { to, bytes } => {
-                node.peers.borrow().iter().for_each(|peers| peers.tell(to, &bytes));
+                node.peers
+                    .borrow()
+                    .iter()
+                    .for_each(|peers| peers.tell(to, &bytes));
                 self.said(1, bytes.len());
             }
             Action::Wake { after, token } => self.later(node, now + after, What::Wake(token)),
@@ -504,10 +575,19 @@
 
     /// A list has come; when it was acted on is noted.
     pub fn listed(&self, node: &Rc<Node>, list: &List) {
-        self.audit.borrow_mut().listed(self.now(), node.me.0, list, server_id);
+        self.audit
+            .borrow_mut()
+            .listed(self.now(), node.me.0, list, server_id);
         let entry = |host| server_entry(&Entry::from(host), &self.spec.zones);
         let entries = list.hosts.iter().map(entry).collect();
-        self.happened(node, Event::Listed { whole: list.whole, entries }, Why::List);
+        self.happened(
+            node,
+            Event::Listed {
+                whole: list.whole,
+                entries,
+            },
+            Why::List,
+        );
         let now = self.now();
         self.figures.borrow_mut().list.2 += 1;
         self.acted.borrow_mut().push((node.me.0, list.seq, now));
@@ -521,7 +601,9 @@
     fn load(&self) {
         if !self.loading.replace(true) {
             let nodes: Vec<Rc<Node>> = self.nodes.borrow().clone();
-            nodes.iter().for_each(|node| self.next_try(node, self.now()));
+            nodes
+                .iter()
+                .for_each(|node| self.next_try(node, self.now()));
         }
     }
 
@@ -550,9 +632,14 @@
         });
         let class = class.unwrap_or(0);
         self.figures.borrow_mut().offered += 1;
-        let Some(effect) = self.settings.classes.get(class).map(|class| class.effect) else { return };
-        let patience =
-            self.spec.patience.get(class).map_or(1_000_000, |patience| patience - DELIVERY.min(*patience));
+        let Some(effect) = self.settings.classes.get(class).map(|class| class.effect) else {
+            return;
+        };
+        let patience = self
+            .spec
+            .patience
+            .get(class)
+            .map_or(1_000_000, |patience| patience - DELIVERY.min(*patience));
         let id = RequestId(format!("{:x}-{number:x}", node.me.0).into());
         let tell = ModuleEvent::Request {
             id: id.clone(),
@@ -565,10 +652,27 @@
             patience,
             whole: true,
         };
-        self.audit.borrow_mut().asked(self.now(), &id, node.me.0, tenant.id, class);
-        node.tries.borrow_mut().insert(id, Try { due, class, work: 0 });
+        self.audit
+            .borrow_mut()
+            .asked(self.now(), &id, node.me.0, tenant.id, class);
+        node.tries.borrow_mut().insert(
+            id,
+            Try {
+                due,
+                class,
+                work: 0,
+            },
+        );
         let deadline = self.now() + patience;
-        self.happened(node, Event::Asked { effect, deadline, tell }, Why::Request);
+        self.happened(
+            node,
+            Event::Asked {
+                effect,
+                deadline,
+                tell,
+            },
+            Why::Request,
+        );
     }
 
     /// An app server has a try, and answers it in its time.
@@ -583,18 +687,35 @@
         let work = (mean * (0.5 + draw)) as Micros;
         of.into_iter().for_each(|of| of.work += work);
         drop(tries);
-        let Some(work) = self.audit.borrow_mut().written(now, (node.me.0, link), work) else { return };
-        self.later(node, now + work, What::Happens(Event::Replied { link, outcome: Outcome::Ok }));
+        let Some(work) = self
+            .audit
+            .borrow_mut()
+            .written(now, (node.me.0, link), work)
+        else {
+            return;
+        };
+        self.later(
+            node,
+            now + work,
+            What::Happens(Event::Replied {
+                link,
+                outcome: Outcome::Ok,
+            }),
+        );
     }
 
     fn answered(&self, node: &Rc<Node>, now: Micros, id: &RequestId, verdict: Verdict) {
         self.audit.borrow_mut().answered(now, id, verdict);
-        let Some(of) = node.tries.borrow_mut().remove(id) else { return };
+        let Some(of) = node.tries.borrow_mut().remove(id) else {
+            return;
+        };
         let mut figures = self.figures.borrow_mut();
         match verdict {
             Verdict::Served => {
                 figures.served += 1;
-                self.added.borrow_mut().add(now.saturating_sub(of.due).saturating_sub(of.work));
+                self.added
+                    .borrow_mut()
+                    .add(now.saturating_sub(of.due).saturating_sub(of.work));
             }
             Verdict::Refused(_) => figures.refused += 1,
             Verdict::Failed => figures.failed += 1,
@@ -609,7 +730,10 @@
             let exchange = node.exchange.borrow();
             (exchange.kept().1, exchange.module().kept())
         };
-        let (links, kept) = nodes.iter().map(of).fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
+        let (links, kept) = nodes
+            .iter()
+            .map(of)
+            .fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
         let look = Look {
             at: self.now(),
             cpu_ns: cpu(ClockId::CLOCK_PROCESS_CPUTIME_ID),
@@ -640,7 +764,10 @@
             let mut latest = Some(0);
             for (of, next) in by_node.iter().zip(&mut next) {
                 // Versions only rise, but where a node has begun anew: what is passed over once is old for all that follow.
-                while of.get(*next).is_some_and(|(reached, at)| reached < seq || at < told) {
+                while of
+                    .get(*next)
+                    .is_some_and(|(reached, at)| reached < seq || at < told)
+                {
                     *next += 1;
                 }
                 let acted = of.get(*next).map(|(_, at)| at - told);
@@ -655,7 +782,9 @@
 
 /// Hears peers for ever.
 async fn hear(shard: Rc<Shard>, node: Rc<Node>) {
-    let Some(peers) = node.peers.borrow().clone() else { return };
+    let Some(peers) = node.peers.borrow().clone() else {
+        return;
+    };
     loop {
         if let Some((from, bytes)) = peers.receive().await {
             {
@@ -664,7 +793,11 @@
                 figures.taken.1 += bytes.len() as u64;
             }
             if shard.audit.borrow_mut().hears(from.0, node.me.0) {
-                shard.happened(&node, Event::Tell(ModuleEvent::Peer { from, bytes }), Why::Word);
+                shard.happened(
+                    &node,
+                    Event::Tell(ModuleEvent::Peer { from, bytes }),
+                    Why::Word,
+                );
             }
         }
     }
--- a/crates/hollow/src/tenants.rs
+++ b/crates/hollow/src/tenants.rs
@@ -41,7 +41,9 @@
 /// Units a second, and at once, of each plan.
 pub fn plans() -> Vec<(f64, f64)> {
     let rate = |place: usize| LEAST.0 * LEAST.1.powi(place as i32);
-    (0..PLANS).map(|place| (rate(place), (rate(place) * AT_ONCE.0).max(AT_ONCE.1))).collect()
+    (0..PLANS)
+        .map(|place| (rate(place), (rate(place) * AT_ONCE.0).max(AT_ONCE.1)))
+        .collect()
 }
 
 /// Mixes a number (splitmix64's finisher): neighbours have nothing in common.
@@ -64,7 +66,12 @@
             })
             .collect();
         cumulative.iter_mut().for_each(|share| *share /= sum);
-        Tenants { nodes: nodes.max(1), tries, spread, cumulative: Arc::new(cumulative) }
+        Tenants {
+            nodes: nodes.max(1),
+            tries,
+            spread,
+            cumulative: Arc::new(cumulative),
+        }
     }
 
     /// How many there are.
@@ -73,7 +80,9 @@
     }
 
     fn share(&self, place: usize) -> f64 {
-        let before = place.checked_sub(1).map_or(0.0, |before| self.cumulative[before]);
+        let before = place
+            .checked_sub(1)
+            .map_or(0.0, |before| self.cumulative[before]);
         self.cumulative[place] - before
     }
 
@@ -86,18 +95,41 @@
     pub fn tenant(&self, place: usize) -> Tenant {
         let demand = self.demand(place);
         let id = 1 + (mix(place as u64) >> 31);
-        let wanted = plans().iter().position(|(rate, _)| *rate * USUAL >= demand).unwrap_or(PLANS - 1);
-        let plan = if place % 5 == 4 { wanted.saturating_sub(1) } else { wanted };
+        let wanted = plans()
+            .iter()
+            .position(|(rate, _)| *rate * USUAL >= demand)
+            .unwrap_or(PLANS - 1);
+        let plan = if place % 5 == 4 {
+            wanted.saturating_sub(1)
+        } else {
+            wanted
+        };
         let needed = (demand / (OF_A_NODE * self.tries.max(f64::EPSILON))).ceil() as u32;
-        let spread = if self.spread == 0 { self.nodes } else { self.spread.max(needed).min(self.nodes) };
-        let first = if spread == self.nodes { 0 } else { (mix(id) % u64::from(self.nodes)) as u32 };
-        Tenant { id, plan, first, spread }
+        let spread = if self.spread == 0 {
+            self.nodes
+        } else {
+            self.spread.max(needed).min(self.nodes)
+        };
+        let first = if spread == self.nodes {
+            0
+        } else {
+            (mix(id) % u64::from(self.nodes)) as u32
+        };
+        Tenant {
+            id,
+            plan,
+            first,
+            spread,
+        }
     }
 
     /// Those whose tries come through a node, to draw from.
     pub fn at(&self, node: u32) -> Drawn {
         if self.spread == 0 || self.spread >= self.nodes {
-            return Drawn { places: None, cumulative: Arc::clone(&self.cumulative) };
+            return Drawn {
+                places: None,
+                cumulative: Arc::clone(&self.cumulative),
+            };
         }
         let (mut places, mut cumulative, mut sum) = (Vec::new(), Vec::new(), 0.0);
         for place in 0..self.many() {
@@ -109,10 +141,16 @@
             }
         }
         if places.is_empty() {
-            return Drawn { places: Some(vec![0]), cumulative: Arc::new(vec![1.0]) };
+            return Drawn {
+                places: Some(vec![0]),
+                cumulative: Arc::new(vec![1.0]),
+            };
         }
         cumulative.iter_mut().for_each(|share| *share /= sum);
-        Drawn { places: Some(places), cumulative: Arc::new(cumulative) }
+        Drawn {
+            places: Some(places),
+            cumulative: Arc::new(cumulative),
+        }
     }
 }
 
@@ -127,8 +165,13 @@
 impl Drawn {
     /// The place of a tenant, by a draw from 0 to 1.
     pub fn draw(&self, draw: f64) -> usize {
-        let place = self.cumulative.partition_point(|share| *share < draw).min(self.cumulative.len() - 1);
-        self.places.as_ref().map_or(place, |places| places[place] as usize)
+        let place = self
+            .cumulative
+            .partition_point(|share| *share < draw)
+            .min(self.cumulative.len() - 1);
+        self.places
+            .as_ref()
+            .map_or(place, |places| places[place] as usize)
     }
 
     /// How many there are.
--- a/crates/hollow/tests/figures.rs
+++ b/crates/hollow/tests/figures.rs
@@ -9,7 +9,10 @@
     all.merge(&one.pairs());
     all.merge(&other.pairs());
     assert_eq!(all.many(), 1_000);
-    assert_eq!((all.at(0.5), all.at(0.99), all.at(1.0)), (Some(500.0), Some(990.0), Some(1_000.0)));
+    assert_eq!(
+        (all.at(0.5), all.at(0.99), all.at(1.0)),
+        (Some(500.0), Some(990.0), Some(1_000.0))
+    );
 }
 
 #[test]
--- a/crates/hollow/tests/tenants.rs
+++ b/crates/hollow/tests/tenants.rs
@@ -25,7 +25,10 @@
         let drawn = tenants.at(node);
         for step in 0..=100 {
             let tenant = tenants.tenant(drawn.draw(f64::from(step) / 100.0));
-            assert!((node + 50 - tenant.first) % 50 < tenant.spread, "{tenant:?} at {node}");
+            assert!(
+                (node + 50 - tenant.first) % 50 < tenant.spread,
+                "{tenant:?} at {node}"
+            );
         }
     }
 }
@@ -41,5 +44,8 @@
 fn without_a_least_set_all_nodes_see_all_tenants() {
     let tenants = Tenants::new(500, 0.9, (50, 10.0), 0);
     assert_eq!(tenants.at(3).many(), 500);
-    assert_eq!((tenants.tenant(499).first, tenants.tenant(499).spread), (0, 50));
+    assert_eq!(
+        (tenants.tenant(499).first, tenants.tenant(499).spread),
+        (0, 50)
+    );
 }
--- a/crates/hot-restart/src/family.rs
+++ b/crates/hot-restart/src/family.rs
@@ -24,7 +24,11 @@
 
     /// A process of a node of this name that speaks to nobody.
     pub fn new(name: &str) -> Family {
-        Family { name: name.to_owned(), next: 0, links: BTreeMap::new() }
+        Family {
+            name: name.to_owned(),
+            next: 0,
+            links: BTreeMap::new(),
+        }
     }
 
     /// A conversation is opened; none if there are too many.
@@ -34,7 +38,8 @@
         }
         let (no, mut out) = (LinkNo(self.next), Vec::new());
         self.next += 1;
-        self.links.insert(no, Link::new(now, role, &self.name, &mut out));
+        self.links
+            .insert(no, Link::new(now, role, &self.name, &mut out));
         Some((no, out))
     }
 
@@ -67,8 +72,10 @@
             Word::Peer { .. } | Word::Serving => link.to_elder(),
             _ => true,
         };
-        let others =
-            self.links.iter().filter(|(no, link)| Some(**no) != from && link.is_live() && wanted(link));
+        let others = self
+            .links
+            .iter()
+            .filter(|(no, link)| Some(**no) != from && link.is_live() && wanted(link));
         others.map(|(no, _)| *no).collect()
     }
 
--- a/crates/hot-restart/src/link.rs
+++ b/crates/hot-restart/src/link.rs
@@ -92,9 +92,17 @@
             Role::Heir => Self::STATE_WITHIN,
         };
         if role == Role::Heir {
-            out.push(Do::Say(Word::Hello(Hello { version: VERSION, name: name.to_owned() })));
+            out.push(Do::Say(Word::Hello(Hello {
+                version: VERSION,
+                name: name.to_owned(),
+            })));
+        }
+        Link {
+            role,
+            name: name.to_owned(),
+            stage: Stage::Greeting(now + within),
+            serving: false,
         }
-        Link { role, name: name.to_owned(), stage: Stage::Greeting(now + within), serving: false }
     }
 
     /// Whether both are one node now.
--- a/crates/hot-restart/tests/lines.rs
+++ b/crates/hot-restart/tests/lines.rs
@@ -24,15 +24,28 @@
         due: 10,
         sent: 11,
         places: 2.0,
-        first: Some(TwinTerms { plan: PlanId(2), units: 1.5, set: (GatewayId(4), 3) }),
+        first: Some(TwinTerms {
+            plan: PlanId(2),
+            units: 1.5,
+            set: (GatewayId(4), 3),
+        }),
     };
     vec![
-        Word::Hello(Hello { version: VERSION, name: "n0".to_owned() }),
+        Word::Hello(Hello {
+            version: VERSION,
+            name: "n0".to_owned(),
+        }),
         Word::State(Box::new(state)),
         Word::Serving,
         Word::Twin(Twin::Out(begun)),
-        Word::Twin(Twin::In { id: RequestId("rq".into()), attempt: AttemptNo(0) }),
-        Word::Peer { from: GatewayId(7), bytes: vec![2, 0, 255] },
+        Word::Twin(Twin::In {
+            id: RequestId("rq".into()),
+            attempt: AttemptNo(0),
+        }),
+        Word::Peer {
+            from: GatewayId(7),
+            bytes: vec![2, 0, 255],
+        },
     ]
 }
 
@@ -53,8 +66,13 @@
 fn a_line_with_a_whole_state_is_read() {
     let module: Value = serde_json::from_str(STATE).expect("a fixture of JSON");
     let line = serde_json::json!({"state": {"version": 1, "name": "n0", "module": module}});
-    let Some(Word::State(state)) = read(line.to_string().as_bytes()) else { panic!("it is a state") };
-    assert_eq!(serde_json::to_value(&state.module).expect("it is JSON"), module);
+    let Some(Word::State(state)) = read(line.to_string().as_bytes()) else {
+        panic!("it is a state")
+    };
+    assert_eq!(
+        serde_json::to_value(&state.module).expect("it is JSON"),
+        module
+    );
     assert_eq!((state.version, state.list), (1, None));
 }
 
--- a/crates/hot-restart/tests/overlap.rs
+++ b/crates/hot-restart/tests/overlap.rs
@@ -12,18 +12,42 @@
 const RATE: f64 = 2.0;
 
 fn settings() -> Settings {
-    let class = Class { aim: 800_000, late_value: 0.1, worth: 1.0, effect: Effect::Safe };
-    let ceiling = Some(Ceiling { rate: RATE, depth: DEPTH });
-    let plan =
-        Plan { rate: 0.0, burst: 0.0, at_once: None, price: 1.0, over_worth: 0.0, over_cost: 0.0, ceiling };
+    let class = Class {
+        aim: 800_000,
+        late_value: 0.1,
+        worth: 1.0,
+        effect: Effect::Safe,
+    };
+    let ceiling = Some(Ceiling {
+        rate: RATE,
+        depth: DEPTH,
+    });
+    let plan = Plan {
+        rate: 0.0,
+        burst: 0.0,
+        at_once: None,
+        price: 1.0,
+        over_worth: 0.0,
+        over_cost: 0.0,
+        ceiling,
+    };
     Settings {
         me: GatewayId(0),
         gateways: 2,
         zone: ZoneId(0),
         classes: vec![class],
         plans: vec![plan],
-        rules: Rules { cold_from: 0.3, cold_for: 1_000_000, fall_multiple: 3.0, fall_window: 1_000_000 },
-        allowed: Allowed { attempts: 3, cancel: true, messages: true },
+        rules: Rules {
+            cold_from: 0.3,
+            cold_for: 1_000_000,
+            fall_multiple: 3.0,
+            fall_window: 1_000_000,
+        },
+        allowed: Allowed {
+            attempts: 3,
+            cancel: true,
+            messages: true,
+        },
         cross_zone: 0.0,
         discovery: Discovery::Pushed,
         period: 2_000,
@@ -47,10 +71,25 @@
 impl Process {
     fn new(now: Micros) -> Process {
         let gateway = Gateway::new(7, settings(), now).expect("settings that make sense");
-        let mut process = Process { gateway, sent: 0, told: Vec::new(), counts: 0 };
-        let entry =
-            ServerEntry { server: ServerId(1), standing: Standing::Ready, size: 1.0, ..Default::default() };
-        process.event(now, Event::Servers { kind: ListKind::Complete, entries: vec![entry] });
+        let mut process = Process {
+            gateway,
+            sent: 0,
+            told: Vec::new(),
+            counts: 0,
+        };
+        let entry = ServerEntry {
+            server: ServerId(1),
+            standing: Standing::Ready,
+            size: 1.0,
+            ..Default::default()
+        };
+        process.event(
+            now,
+            Event::Servers {
+                kind: ListKind::Complete,
+                entries: vec![entry],
+            },
+        );
         process
     }
 
@@ -71,7 +110,12 @@
         }
         // Servers answer at once.
         for id in ended {
-            let ended = Event::Ended { id, attempt: AttemptNo(0), outcome: Outcome::Ok, closed: true };
+            let ended = Event::Ended {
+                id,
+                attempt: AttemptNo(0),
+                outcome: Outcome::Ok,
+                closed: true,
+            };
             self.event(now, ended);
         }
     }
@@ -83,7 +127,17 @@
         self.event(now, Event::Woke { token: 0 });
         self.event(
             now,
-            Event::Request { id, class, plan, customer, units, first, spread, patience, whole: true },
+            Event::Request {
+                id,
+                class,
+                plan,
+                customer,
+                units,
+                first,
+                spread,
+                patience,
+                whole: true,
+            },
         );
     }
 }
@@ -109,8 +163,13 @@
     let kept = serde_json::to_string(&elder.gateway.keep()).expect("it is written");
     let mut heir = Process::new(now);
     if told {
-        heir.gateway.resume(serde_json::from_str(&kept).expect("it is read"), 0);
-        let shared = Event::Twins { ended: None, shared: true, hushed: false };
+        heir.gateway
+            .resume(serde_json::from_str(&kept).expect("it is read"), 0);
+        let shared = Event::Twins {
+            ended: None,
+            shared: true,
+            hushed: false,
+        };
         elder.event(now, shared.clone());
         heir.event(now, shared);
     }
@@ -136,7 +195,10 @@
     assert!(f64::from(sent) <= most + 1.0, "{sent} of {most}");
     assert!(f64::from(sent) > most * 0.8, "used: {sent} of {most}");
     let (sent, most) = overlap(false, 400);
-    assert!(f64::from(sent) > most * 1.3, "apart they pass it: {sent} of {most}");
+    assert!(
+        f64::from(sent) > most * 1.3,
+        "apart they pass it: {sent} of {most}"
+    );
 }
 
 /// What was out at a process that has gone holds no place any more.
@@ -156,12 +218,36 @@
         first: None,
     };
     for number in 0..10_000 {
-        process.event(now, Event::Twin { link: number % 2, twin: Twin::Out(out(number)) });
+        process.event(
+            now,
+            Event::Twin {
+                link: number % 2,
+                twin: Twin::Out(out(number)),
+            },
+        );
     }
-    let held = serde_json::to_string(&process.gateway.keep()).expect("written").len();
-    process.event(now, Event::Twins { ended: Some(0), shared: true, hushed: false });
-    process.event(now, Event::Twins { ended: Some(1), shared: false, hushed: false });
-    let left = serde_json::to_string(&process.gateway.keep()).expect("written").len();
+    let held = serde_json::to_string(&process.gateway.keep())
+        .expect("written")
+        .len();
+    process.event(
+        now,
+        Event::Twins {
+            ended: Some(0),
+            shared: true,
+            hushed: false,
+        },
+    );
+    process.event(
+        now,
+        Event::Twins {
+            ended: Some(1),
+            shared: false,
+            hushed: false,
+        },
+    );
+    let left = serde_json::to_string(&process.gateway.keep())
+        .expect("written")
+        .len();
     assert!(left * 100 < held, "{left} of {held}");
 }
 
@@ -179,15 +265,34 @@
         process.counts - before
     };
     assert!(spoken(&mut process) > 5);
-    process.event(1_002_000_000, Event::Twins { ended: None, shared: true, hushed: true });
+    process.event(
+        1_002_000_000,
+        Event::Twins {
+            ended: None,
+            shared: true,
+            hushed: true,
+        },
+    );
     assert_eq!(spoken(&mut process), 0);
-    process.event(1_004_000_000, Event::Twins { ended: Some(0), shared: false, hushed: false });
+    process.event(
+        1_004_000_000,
+        Event::Twins {
+            ended: Some(0),
+            shared: false,
+            hushed: false,
+        },
+    );
     assert!(spoken(&mut process) > 5);
 }
 
 fn state(name: &str, version: u32) -> Word {
     let module = Process::new(1_000_000_000).gateway.keep();
-    Word::State(Box::new(State { version, name: name.to_owned(), module, list: None }))
+    Word::State(Box::new(State {
+        version,
+        name: name.to_owned(),
+        module,
+        list: None,
+    }))
 }
 
 fn heard(link: &mut Link, word: Option<Word>) -> Vec<Do> {
@@ -205,11 +310,20 @@
         (Some(state("n1", VERSION)), Ended::Stranger),
         (Some(state("n0", VERSION + 1)), Ended::Newer),
         (Some(Word::Serving), Ended::Rubbish),
-        (Some(Word::Hello(Hello { version: VERSION, name: "n0".to_owned() })), Ended::Rubbish),
+        (
+            Some(Word::Hello(Hello {
+                version: VERSION,
+                name: "n0".to_owned(),
+            })),
+            Ended::Rubbish,
+        ),
     ] {
         let mut link = open(Role::Heir);
         assert_eq!(heard(&mut link, word), [Do::End(why)]);
-        assert!(heard(&mut link, Some(state("n0", VERSION))).is_empty(), "it is over");
+        assert!(
+            heard(&mut link, Some(state("n0", VERSION))).is_empty(),
+            "it is over"
+        );
     }
     // One that stalls in the middle is not waited for.
     let (mut link, mut out) = (open(Role::Heir), Vec::new());
@@ -219,7 +333,10 @@
     assert_eq!(out, [Do::End(Ended::Silent)]);
     // A newer heir greets an older elder, which understands what it knows.
     let mut link = open(Role::Elder);
-    let hello = Word::Hello(Hello { version: VERSION + 1, name: "n0".to_owned() });
+    let hello = Word::Hello(Hello {
+        version: VERSION + 1,
+        name: "n0".to_owned(),
+    });
     assert_eq!(heard(&mut link, Some(hello)), [Do::SayState]);
     assert!(link.is_live() && !link.succeeded());
     assert_eq!(heard(&mut link, Some(Word::Serving)), [Do::Succeeded]);
@@ -231,17 +348,31 @@
     let mut middle = Family::new("n0");
     let (elder, _) = middle.open(Duration::ZERO, Role::Heir).expect("room");
     let (heir, _) = middle.open(Duration::ZERO, Role::Elder).expect("room");
-    let twin = Word::Twin(Twin::In { id: RequestId("a".into()), attempt: AttemptNo(0) });
+    let twin = Word::Twin(Twin::In {
+        id: RequestId("a".into()),
+        attempt: AttemptNo(0),
+    });
     assert!(middle.tells(&twin, None).is_empty() && !middle.is_shared() && !middle.is_last());
-    middle.with(elder, |link, out| link.heard(Some(state("n0", VERSION)), out));
-    let hello = Word::Hello(Hello { version: VERSION, name: "n0".to_owned() });
+    middle.with(elder, |link, out| {
+        link.heard(Some(state("n0", VERSION)), out)
+    });
+    let hello = Word::Hello(Hello {
+        version: VERSION,
+        name: "n0".to_owned(),
+    });
     middle.with(heir, |link, out| link.heard(Some(hello), out));
     assert_eq!(middle.tells(&twin, None), [elder, heir]);
     assert_eq!(
-        (middle.tells(&twin, Some(elder)), middle.tells(&twin, Some(heir))),
+        (
+            middle.tells(&twin, Some(elder)),
+            middle.tells(&twin, Some(heir))
+        ),
         (vec![heir], vec![elder])
     );
-    let peer = Word::Peer { from: GatewayId(1), bytes: vec![1] };
+    let peer = Word::Peer {
+        from: GatewayId(1),
+        bytes: vec![1],
+    };
     assert_eq!(middle.tells(&peer, Some(heir)), [elder]);
     middle.with(heir, |link, out| link.gone(out));
     assert!(middle.is_shared() && middle.is_last());
--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -278,7 +278,9 @@
         if before != after && self.state != State::Gone {
             out.push(Action::Manager(Word::Status(after.1.clone())));
             // Without conditions nothing is said that was not said before there were any.
-            if !self.limits.readiness.is_none() || before.0 != after.0 && self.state >= State::Draining {
+            if !self.limits.readiness.is_none()
+                || before.0 != after.0 && self.state >= State::Draining
+            {
                 out.push(Action::Log(format!("life cycle: {}", after.1)));
             }
         }
@@ -295,7 +297,11 @@
                 let longest = self.limits.leave_for + self.limits.finish_within;
                 let plan = StopPlan::new(now, since, longest);
                 self.stop = Some(plan);
-                self.enter(State::Draining, now, self.limits.leave_for.min(plan.ends.saturating_sub(now)));
+                self.enter(
+                    State::Draining,
+                    now,
+                    self.limits.leave_for.min(plan.ends.saturating_sub(now)),
+                );
                 out.push(Action::Manager(Word::Stopping));
                 out.push(Action::Manager(Word::Extend(longest + Self::EXTEND)));
                 out.push(Action::CloseAfterAnswers);
@@ -319,7 +325,11 @@
     /// A node that is stopping leaves what comes to its successor, for as long as there is one.
     fn succeeded(&mut self, yes: bool, out: &mut Vec<Action>) {
         if std::mem::replace(&mut self.succeeded, yes) != yes && self.state == State::Draining {
-            out.push(if yes { Action::LeaveListener } else { Action::TakeListener });
+            out.push(if yes {
+                Action::LeaveListener
+            } else {
+                Action::TakeListener
+            });
         }
     }
 
@@ -369,7 +379,9 @@
             self.back_to_ready(out);
         }
         if !taken {
-            out.push(Action::Log("reload: the old configuration stays".to_owned()));
+            out.push(Action::Log(
+                "reload: the old configuration stays".to_owned(),
+            ));
         }
         if std::mem::take(&mut self.again) && self.state < State::Draining {
             self.reload(now, out);
@@ -384,7 +396,9 @@
 
     fn close(&mut self, now: Time, out: &mut Vec<Action>) {
         // Limits that a reload has set meanwhile change nothing: the platform's time runs from the signal.
-        let left = self.stop.map_or(self.limits.finish_within, |plan| plan.ends.saturating_sub(now));
+        let left = self.stop.map_or(self.limits.finish_within, |plan| {
+            plan.ends.saturating_sub(now)
+        });
         self.enter(State::Closing, now, left);
         out.push(Action::StopAccepting);
     }
@@ -440,7 +454,11 @@
 
     /// After how long [`Event::Seen`] is wanted again; `None` where readiness hangs on nothing.
     pub fn look_after(&self) -> Option<Duration> {
-        let span = if self.state == State::Starting { Self::NEXT_STARTING } else { Self::NEXT };
+        let span = if self.state == State::Starting {
+            Self::NEXT_STARTING
+        } else {
+            Self::NEXT
+        };
         (!self.limits.readiness.is_none() && self.state < State::Draining).then_some(span)
     }
 
--- a/crates/lifecycle/src/readiness.rs
+++ b/crates/lifecycle/src/readiness.rs
@@ -125,9 +125,23 @@
 
     /// Whether there is no condition.
     pub fn is_none(&self) -> bool {
-        let Conditions { list_within, list_stale_after, peers_within, free_descriptors, .. } = self;
-        let spans = [list_within, list_stale_after, peers_within, &self.clock_step, &self.lag];
-        spans.iter().all(|span| span.is_none()) && free_descriptors.is_none() && self.memory_share.is_none()
+        let Conditions {
+            list_within,
+            list_stale_after,
+            peers_within,
+            free_descriptors,
+            ..
+        } = self;
+        let spans = [
+            list_within,
+            list_stale_after,
+            peers_within,
+            &self.clock_step,
+            &self.lag,
+        ];
+        spans.iter().all(|span| span.is_none())
+            && free_descriptors.is_none()
+            && self.memory_share.is_none()
     }
 }
 
@@ -171,7 +185,11 @@
             return;
         }
         let since = *self.turned.get_or_insert(now);
-        let long = if failing { conditions.lose_after } else { conditions.regain_after };
+        let long = if failing {
+            conditions.lose_after
+        } else {
+            conditions.regain_after
+        };
         if now.saturating_sub(since) >= long {
             (self.failing, self.turned) = (failing, None);
         }
@@ -221,13 +239,22 @@
                 let stale = |most: Duration| facts.list_heard.is_some_and(|heard| heard > most);
                 lasting(c.list_stale_after.map(stale))
             }),
-            (Reason::Descriptors, lasting(c.free_descriptors.map(|fewest| facts.free_descriptors < fewest))),
+            (
+                Reason::Descriptors,
+                lasting(
+                    c.free_descriptors
+                        .map(|fewest| facts.free_descriptors < fewest),
+                ),
+            ),
             (Reason::Memory, {
                 let full = |share: f64| facts.memory as f64 > facts.memory_limit as f64 * share;
                 lasting(c.memory_share.map(full))
             }),
             (Reason::Clock, {
-                lasting(c.clock_step.map(|most| facts.clock_insane || facts.clock_moved > most))
+                lasting(
+                    c.clock_step
+                        .map(|most| facts.clock_insane || facts.clock_moved > most),
+                )
             }),
             (Reason::Lagging, lasting(c.lag.map(|most| facts.lag > most))),
         ];
@@ -264,9 +291,15 @@
         } else {
             self.reasons.set(Reason::PeersUnheard, false);
         }
-        for reason in [Reason::ListStale, Reason::Descriptors, Reason::Memory, Reason::Clock, Reason::Lagging]
-        {
-            self.reasons.set(reason, self.lasting[reason as usize].failing);
+        for reason in [
+            Reason::ListStale,
+            Reason::Descriptors,
+            Reason::Memory,
+            Reason::Clock,
+            Reason::Lagging,
+        ] {
+            self.reasons
+                .set(reason, self.lasting[reason as usize].failing);
         }
     }
 
--- a/crates/lifecycle/src/stop.rs
+++ b/crates/lifecycle/src/stop.rs
@@ -36,15 +36,23 @@
     /// The plan of a process that is told at `now` to stop within `longest`; the signal was sent after `since`.
     pub fn new(now: Time, since: Time, longest: Duration) -> StopPlan {
         let sent = since.min(now);
-        let ends = sent.saturating_add(longest).max(now.saturating_add(SHORTEST.min(longest)));
+        let ends = sent
+            .saturating_add(longest)
+            .max(now.saturating_add(SHORTEST.min(longest)));
         let left = ends.saturating_sub(now);
         // A process with little time left can't keep all of it back.
         let kept_back = (HOLD_UP + WRITE_WITHIN).min(left / 2);
-        StopPlan { answer_by: ends.saturating_sub(kept_back), ends }
+        StopPlan {
+            answer_by: ends.saturating_sub(kept_back),
+            ends,
+        }
     }
 
     /// The one of two plans that ends first.
     pub fn sooner(self, other: StopPlan) -> StopPlan {
-        StopPlan { answer_by: self.answer_by.min(other.answer_by), ends: self.ends.min(other.ends) }
+        StopPlan {
+            answer_by: self.answer_by.min(other.answer_by),
+            ends: self.ends.min(other.ends),
+        }
     }
 }
--- a/crates/lifecycle/tests/life.rs
+++ b/crates/lifecycle/tests/life.rs
@@ -49,7 +49,10 @@
 
 impl Life {
     fn new() -> Life {
-        Life { life: Lifecycle::new(limits(), ms(0)), now: ms(0) }
+        Life {
+            life: Lifecycle::new(limits(), ms(0)),
+            now: ms(0),
+        }
     }
 
     fn ready() -> Life {
@@ -89,7 +92,9 @@
 }
 
 fn says(out: &[Action], word: &Word) -> usize {
-    out.iter().filter(|action| **action == Action::Manager(word.clone())).count()
+    out.iter()
+        .filter(|action| **action == Action::Manager(word.clone()))
+        .count()
 }
 
 fn does(out: &[Action], what: &Action) -> bool {
@@ -99,7 +104,11 @@
 #[test]
 fn ready_is_said_once_and_only_when_it_listens_and_all_holds() {
     let mut life = Life::new();
-    assert_eq!(says(&life.tell(Event::Seen(good())), &Word::Ready), 0, "it does not listen yet");
+    assert_eq!(
+        says(&life.tell(Event::Seen(good())), &Word::Ready),
+        0,
+        "it does not listen yet"
+    );
     assert_eq!(says(&life.tell(Event::Listening), &Word::Ready), 1);
     assert!(life.life.ready());
     let out = life.sees(&good(), 5_000);
@@ -107,24 +116,41 @@
 }
 
 #[test]
-fn a_node_that_starts_while_discovery_and_all_peers_are_silent_waits_then_serves_from_its_old_list() {
-    let silent = Facts { list_heard: None, peers_heard: 0, ..good() };
+fn a_node_that_starts_while_discovery_and_all_peers_are_silent_waits_then_serves_from_its_old_list()
+{
+    let silent = Facts {
+        list_heard: None,
+        peers_heard: 0,
+        ..good()
+    };
     let mut life = Life::new();
     life.tell(Event::Listening);
     life.sees(&silent, 1_900);
     assert!(
-        life.life.reasons().contains(Reason::NoList) && life.life.reasons().contains(Reason::PeersUnheard)
+        life.life.reasons().contains(Reason::NoList)
+            && life.life.reasons().contains(Reason::PeersUnheard)
     );
     life.sees(&silent, 200);
-    assert!(!life.life.reasons().contains(Reason::PeersUnheard), "their silence is allowed for");
+    assert!(
+        !life.life.reasons().contains(Reason::PeersUnheard),
+        "their silence is allowed for"
+    );
     assert!(!life.life.ready());
     let out = life.sees(&silent, 3_000);
-    assert!(life.life.ready() && says(&out, &Word::Ready) == 1, "{}", life.life.status());
+    assert!(
+        life.life.ready() && says(&out, &Word::Ready) == 1,
+        "{}",
+        life.life.status()
+    );
 }
 
 #[test]
 fn without_any_list_a_node_is_never_ready() {
-    let nothing = Facts { servers: 0, list_heard: None, ..good() };
+    let nothing = Facts {
+        servers: 0,
+        list_heard: None,
+        ..good()
+    };
     let mut life = Life::new();
     life.tell(Event::Listening);
     life.sees(&nothing, 60_000);
@@ -136,20 +162,63 @@
 #[test]
 fn readiness_is_lost_by_name_once_a_condition_has_failed_for_long_and_comes_back_late() {
     let cases = [
-        (Facts { list_heard: Some(ms(10_001)), ..good() }, "list-stale"),
-        (Facts { free_descriptors: 15, ..good() }, "descriptors"),
-        (Facts { memory: 91, ..good() }, "memory"),
-        (Facts { clock_moved: ms(2_001), ..good() }, "clock"),
-        (Facts { clock_insane: true, ..good() }, "clock"),
-        (Facts { lag: ms(1_001), ..good() }, "lagging"),
+        (
+            Facts {
+                list_heard: Some(ms(10_001)),
+                ..good()
+            },
+            "list-stale",
+        ),
+        (
+            Facts {
+                free_descriptors: 15,
+                ..good()
+            },
+            "descriptors",
+        ),
+        (
+            Facts {
+                memory: 91,
+                ..good()
+            },
+            "memory",
+        ),
+        (
+            Facts {
+                clock_moved: ms(2_001),
+                ..good()
+            },
+            "clock",
+        ),
+        (
+            Facts {
+                clock_insane: true,
+                ..good()
+            },
+            "clock",
+        ),
+        (
+            Facts {
+                lag: ms(1_001),
+                ..good()
+            },
+            "lagging",
+        ),
     ];
     for (bad, name) in cases {
         let mut life = Life::ready();
         life.sees(&bad, 1_900);
         assert!(life.life.ready(), "{name}: not at once");
         let out = life.sees(&bad, 300);
-        assert!(!life.life.ready() && life.life.state() == State::Ready, "{name}");
-        assert_eq!(says(&out, &Word::Status(format!("not ready: {name}"))), 1, "{out:?}");
+        assert!(
+            !life.life.ready() && life.life.state() == State::Ready,
+            "{name}"
+        );
+        assert_eq!(
+            says(&out, &Word::Status(format!("not ready: {name}"))),
+            1,
+            "{out:?}"
+        );
         life.sees(&good(), 900);
         assert!(!life.life.ready(), "{name}: not back at once");
         let out = life.sees(&good(), 300);
@@ -161,7 +230,10 @@
 #[test]
 fn a_condition_that_flaps_faster_than_it_must_last_changes_nothing() {
     let mut life = Life::ready();
-    let bad = Facts { lag: ms(5_000), ..good() };
+    let bad = Facts {
+        lag: ms(5_000),
+        ..good()
+    };
     for _ in 0..50 {
         let out = [life.sees(&bad, 1_500), life.sees(&good(), 200)].concat();
         assert!(life.life.ready() && out.is_empty(), "{out:?}");
@@ -172,7 +244,10 @@
 fn what_fails_at_the_start_is_not_taken_on_trust() {
     let mut life = Life::new();
     life.tell(Event::Listening);
-    life.tell(Event::Seen(Facts { free_descriptors: 0, ..good() }));
+    life.tell(Event::Seen(Facts {
+        free_descriptors: 0,
+        ..good()
+    }));
     assert_eq!(life.life.status(), "starting: waits for descriptors");
 }
 
@@ -180,14 +255,20 @@
 fn a_stop_takes_work_for_a_while_then_finishes_inside_its_bound() {
     let mut life = Life::ready();
     let out = life.stop();
-    assert!(says(&out, &Word::Stopping) == 1 && does(&out, &Action::CloseAfterAnswers), "{out:?}");
+    assert!(
+        says(&out, &Word::Stopping) == 1 && does(&out, &Action::CloseAfterAnswers),
+        "{out:?}"
+    );
     assert_eq!(says(&out, &Word::Extend(ms(4_600))), 1);
     assert!(!life.life.ready());
     assert!(!does(&life.after(599), &Action::StopAccepting));
     assert!(does(&life.after(1), &Action::StopAccepting));
     assert_eq!(life.life.state(), State::Closing);
     assert!(!does(&life.after(2_999), &Action::Exit));
-    assert!(does(&life.after(1), &Action::Exit), "a client that never reads does not hold it up");
+    assert!(
+        does(&life.after(1), &Action::Exit),
+        "a client that never reads does not hold it up"
+    );
 }
 
 #[test]
@@ -204,9 +285,15 @@
     life.stop();
     life.after(100);
     let out = life.stop();
-    assert!(does(&out, &Action::StopAccepting) && !does(&out, &Action::Exit), "{out:?}");
+    assert!(
+        does(&out, &Action::StopAccepting) && !does(&out, &Action::Exit),
+        "{out:?}"
+    );
     let out = life.stop();
-    assert!(!does(&out, &Action::Exit), "a third changes nothing: {out:?}");
+    assert!(
+        !does(&out, &Action::Exit),
+        "a third changes nothing: {out:?}"
+    );
     assert!(does(&life.after(3_000), &Action::Exit));
 }
 
@@ -214,14 +301,21 @@
 fn sigterm_while_starting_ends_it() {
     let mut life = Life::new();
     let out = life.stop();
-    assert!(says(&out, &Word::Stopping) == 1 && does(&out, &Action::Exit), "nothing was taken: {out:?}");
+    assert!(
+        says(&out, &Word::Stopping) == 1 && does(&out, &Action::Exit),
+        "nothing was taken: {out:?}"
+    );
     // Once it listens, something may have been taken.
     let mut life = Life::new();
     life.tell(Event::Listening);
     let out = life.stop();
     assert!(!does(&out, &Action::Exit) && life.life.state() == State::Draining);
     let out = life.sees(&good(), 500);
-    assert_eq!(says(&out, &Word::Ready), 0, "a node that stops never becomes ready");
+    assert_eq!(
+        says(&out, &Word::Ready),
+        0,
+        "a node that stops never becomes ready"
+    );
 }
 
 #[test]
@@ -231,7 +325,11 @@
         let out = life.tell(Event::Reload);
         assert!(says(&out, &Word::Reloading) == 1 && does(&out, &Action::ReadConfiguration));
         assert!(life.life.ready() && life.life.state() == State::Reloading);
-        assert_eq!(says(&life.tell(Event::Reloaded { taken }), &Word::Ready), 1, "also where it failed");
+        assert_eq!(
+            says(&life.tell(Event::Reloaded { taken }), &Word::Ready),
+            1,
+            "also where it failed"
+        );
         assert_eq!(life.life.state(), State::Ready);
     }
 }
@@ -257,7 +355,11 @@
     life.tell(Event::Listening);
     assert_eq!(says(&life.tell(Event::Seen(good())), &Word::Ready), 1);
     let out = life.tell(Event::Reloaded { taken: true });
-    assert_eq!(says(&out, &Word::Ready), 0, "the start's own word was said: {out:?}");
+    assert_eq!(
+        says(&out, &Word::Ready),
+        0,
+        "the start's own word was said: {out:?}"
+    );
 }
 
 #[test]
@@ -267,7 +369,10 @@
         life.stop();
         life.after(span);
         let out = life.tell(Event::Reload);
-        assert!(!does(&out, &Action::ReadConfiguration) && says(&out, &Word::Reloading) == 0, "{out:?}");
+        assert!(
+            !does(&out, &Action::ReadConfiguration) && says(&out, &Word::Reloading) == 0,
+            "{out:?}"
+        );
     }
 }
 
@@ -278,7 +383,10 @@
     life.tell(Event::Reload);
     assert_eq!(says(&life.stop(), &Word::Stopping), 1);
     let out = life.tell(Event::Reloaded { taken: true });
-    assert!(says(&out, &Word::Ready) == 0 && !does(&out, &Action::ReadConfiguration), "{out:?}");
+    assert!(
+        says(&out, &Word::Ready) == 0 && !does(&out, &Action::ReadConfiguration),
+        "{out:?}"
+    );
     assert_eq!(life.life.state(), State::Draining);
 }
 
@@ -295,7 +403,11 @@
 fn a_lame_duck_says_no_at_once_empties_itself_and_comes_back() {
     let mut life = Life::ready();
     let out = life.tell(Event::Lameduck);
-    assert!(!life.life.ready() && does(&out, &Action::CloseAfterAnswers) && !does(&out, &Action::CloseIdle));
+    assert!(
+        !life.life.ready()
+            && does(&out, &Action::CloseAfterAnswers)
+            && !does(&out, &Action::CloseIdle)
+    );
     // What comes while the front has not noticed finds its connection open.
     assert!(!does(&life.after(499), &Action::CloseIdle));
     assert!(does(&life.after(1), &Action::CloseIdle));
@@ -326,7 +438,8 @@
     // There is no way back from a stop, and its own times hold.
     assert!(!does(&life.tell(Event::Rejoin), &Action::KeepOpen));
     assert!(
-        !does(&life.after(500), &Action::StopAccepting) && does(&life.after(100), &Action::StopAccepting)
+        !does(&life.after(500), &Action::StopAccepting)
+            && does(&life.after(100), &Action::StopAccepting)
     );
     // A node that is told so before it is ready comes up lame.
     let mut life = Life::new();
@@ -359,7 +472,10 @@
         let events = [
             Event::Listening,
             Event::Seen(good()),
-            Event::Seen(Facts { lag: ms(9_000), ..good() }),
+            Event::Seen(Facts {
+                lag: ms(9_000),
+                ..good()
+            }),
             Event::Stop { since: now },
             Event::Reload,
             Event::Reloaded { taken: true },
@@ -368,7 +484,11 @@
             Event::Rejoin,
         ];
         for event in events {
-            let spans = if matches!(event, Event::Seen(_)) { ms(700) } else { ms(0) };
+            let spans = if matches!(event, Event::Seen(_)) {
+                ms(700)
+            } else {
+                ms(0)
+            };
             let (mut life, now, mut seen) = (copy(life), now + spans, seen);
             if event == Event::Listening && std::mem::replace(&mut seen.listening, true) {
                 continue; // it comes up once
@@ -396,23 +516,38 @@
                         seen.reloading = true;
                     }
                     Action::Manager(Word::Stopping) => {
-                        assert!(!std::mem::replace(&mut seen.stopping, true), "STOPPING twice");
+                        assert!(
+                            !std::mem::replace(&mut seen.stopping, true),
+                            "STOPPING twice"
+                        );
                     }
                     Action::StopAccepting => {
-                        assert!(seen.stopping && !std::mem::replace(&mut seen.stopped_accepting, true));
+                        assert!(
+                            seen.stopping && !std::mem::replace(&mut seen.stopped_accepting, true)
+                        );
                     }
                     Action::ReadConfiguration => {
                         assert!(!seen.stopping, "a reload while stopping");
                         seen.reads += 1;
                     }
-                    Action::KeepOpen => assert!(!seen.stopping, "connections are kept again while stopping"),
+                    Action::KeepOpen => {
+                        assert!(!seen.stopping, "connections are kept again while stopping")
+                    }
                     Action::CloseIdle => assert!(seen.lame && !seen.stopping),
-                    Action::Exit => assert!(seen.stopping && (seen.stopped_accepting || !seen.listening)),
+                    Action::Exit => {
+                        assert!(seen.stopping && (seen.stopped_accepting || !seen.listening))
+                    }
                     _ => {}
                 }
             }
-            assert!(!life.ready() || seen.listening && !seen.stopping, "ready while stopping");
-            assert!(!life.ready() || !seen.lame, "ready while clients are sent away");
+            assert!(
+                !life.ready() || seen.listening && !seen.stopping,
+                "ready while stopping"
+            );
+            assert!(
+                !life.ready() || !seen.lame,
+                "ready while clients are sent away"
+            );
             assert!(!(seen.lame && seen.listening) || life.sends_away());
             explore(&life, now, seen, depth - 1, count);
         }
@@ -437,9 +572,13 @@
 /// The platform's time for a process that was told to stop: 0.7 s after its longest deadline, of which 3 s count at most.
 #[test]
 fn a_process_ends_before_the_platform_kills_it_whatever_the_longest_deadline_is() {
-    for (longest, killed_after) in
-        [(400, 1_100), (2_900, 3_600), (3_000, 3_700), (9_113, 3_700), (3_600_000, 3_700)]
-    {
+    for (longest, killed_after) in [
+        (400, 1_100),
+        (2_900, 3_600),
+        (3_000, 3_700),
+        (9_113, 3_700),
+        (3_600_000, 3_700),
+    ] {
         assert_eq!(kill_after(ms(longest)), ms(killed_after));
         let mut life = Life::new();
         life.life = Lifecycle::new(Limits::immediate(ms(longest)), ms(0));
@@ -450,7 +589,10 @@
         let killed = ms(10_000 + killed_after);
         assert!(plan.ends < killed, "{longest}: {plan:?}");
         assert!(plan.answer_by + HOLD_UP < killed, "{longest}: {plan:?}");
-        assert!(plan.answer_by > ms(10_000 + killed_after - 400), "{longest}: time is not wasted: {plan:?}");
+        assert!(
+            plan.answer_by > ms(10_000 + killed_after - 400),
+            "{longest}: time is not wasted: {plan:?}"
+        );
         while life.life.state() != State::Gone {
             assert!(life.now < plan.ends, "it ends by then");
             life.now = life.life.until().expect("it ends by itself");
@@ -472,7 +614,10 @@
     life.now = ms(60_000);
     life.tell(Event::Stop { since: ms(0) });
     let plan = life.life.stop_plan().expect("it was told to stop");
-    assert!(plan.answer_by > life.now && plan.ends < life.now + ms(300), "{plan:?}");
+    assert!(
+        plan.answer_by > life.now && plan.ends < life.now + ms(300),
+        "{plan:?}"
+    );
 }
 
 /// A reload that ends after the word to stop sets limits for another life; this one's end stays.
@@ -482,7 +627,11 @@
     life.tell(Event::Reload);
     life.stop();
     let plan = life.life.stop_plan();
-    life.life.set_limits(Limits { finish_within: ms(60_000), leave_for: ms(60_000), ..limits() });
+    life.life.set_limits(Limits {
+        finish_within: ms(60_000),
+        leave_for: ms(60_000),
+        ..limits()
+    });
     life.tell(Event::Reloaded { taken: true });
     assert!(does(&life.after(600), &Action::StopAccepting));
     assert_eq!(life.life.stop_plan(), plan);
@@ -498,5 +647,8 @@
     life.after(599);
     life.stop();
     let second = life.life.stop_plan().expect("it was told to stop");
-    assert!(second.ends <= first.ends && second.answer_by <= first.answer_by, "{first:?} {second:?}");
+    assert!(
+        second.ends <= first.ends && second.answer_by <= first.answer_by,
+        "{first:?} {second:?}"
+    );
 }
--- a/crates/model-checker/src/chart.rs
+++ b/crates/model-checker/src/chart.rs
@@ -14,10 +14,19 @@
         Step::Leaves(r) => (0, 1, format!("client {r} goes")),
         Step::Ends(r) => (0, 1, format!("the last byte of {r} comes")),
         Step::Finishes(l) => (3, 2, format!("the rest of a long answer on wire {l}")),
-        Step::Drops(l) => (0, 1, format!("the client of wire {l}'s long answer takes no more")),
-        Step::Sends(r, server, short) => {
-            (1, 1, format!("module: send {r} to s{server}{}", if short { " for one step" } else { "" }))
-        }
+        Step::Drops(l) => (
+            0,
+            1,
+            format!("the client of wire {l}'s long answer takes no more"),
+        ),
+        Step::Sends(r, server, short) => (
+            1,
+            1,
+            format!(
+                "module: send {r} to s{server}{}",
+                if short { " for one step" } else { "" }
+            ),
+        ),
         Step::Refuses(r) => (1, 1, format!("module: refuse {r}")),
         Step::Fails(r) => (1, 1, format!("module: fail {r}")),
         Step::CallsOff(r) => (1, 1, format!("module: call off {r}")),
@@ -27,9 +36,14 @@
         Step::Begins(l) => (2, 1, format!("wire {l} takes bytes")),
         Step::Answers(l, reply) => (3, 2, format!("answer {reply:?} on wire {l}")),
         Step::Repeats(l) => (3, 2, format!("the same answer again on wire {l}")),
-        Step::Resets(l, lost) => {
-            (3, 2, format!("wire {l} is reset{}", if lost { ", what it held is lost" } else { "" }))
-        }
+        Step::Resets(l, lost) => (
+            3,
+            2,
+            format!(
+                "wire {l} is reset{}",
+                if lost { ", what it held is lost" } else { "" }
+            ),
+        ),
         Step::Reads(l) => (2, 1, format!("an answer is read from wire {l}")),
         Step::SeesEnd(l) => (2, 1, format!("wire {l} has ended")),
         Step::Closes(l) => (2, 1, format!("wire {l} is closed")),
@@ -43,11 +57,18 @@
 
 /// The chart of a trace: one line for what happens, and under it what the exchange does about it.
 pub fn draw<M: Inside>(
-    setup: &Setup, module: M, bug: Option<Bug>, trace: &[Step], breach: &Breach,
+    setup: &Setup,
+    module: M,
+    bug: Option<Bug>,
+    trace: &[Step],
+    breach: &Breach,
 ) -> String {
     let mut text = String::new();
-    let _ =
-        writeln!(text, "step  time  {:<18}  {:<18}  {:<18}  {:<18}", "clients", "node", "wires", "servers");
+    let _ = writeln!(
+        text,
+        "step  time  {:<18}  {:<18}  {:<18}  {:<18}",
+        "clients", "node", "wires", "servers"
+    );
     let mut world = World::new(setup, module, bug);
     for (number, step) in trace.iter().enumerate() {
         let clock = world.clock();
@@ -55,8 +76,12 @@
         let (from, to, words) = arrow(*step);
         let (left, right) = (LANES[from.min(to)], LANES[from.max(to)]);
         let line = match from.cmp(&to) {
-            std::cmp::Ordering::Less => format!("{}{}>", " ".repeat(left), "-".repeat(right - left)),
-            std::cmp::Ordering::Greater => format!("{}<{}", " ".repeat(left), "-".repeat(right - left)),
+            std::cmp::Ordering::Less => {
+                format!("{}{}>", " ".repeat(left), "-".repeat(right - left))
+            }
+            std::cmp::Ordering::Greater => {
+                format!("{}<{}", " ".repeat(left), "-".repeat(right - left))
+            }
             std::cmp::Ordering::Equal => format!("{}*", " ".repeat(left)),
         };
         let _ = writeln!(text, "{:>4}  {clock:>4}{line:<70}{words}", number + 1);
--- a/crates/model-checker/src/main.rs
+++ b/crates/model-checker/src/main.rs
@@ -53,17 +53,26 @@
         ["small"] => visit(setups::small(), threads),
         ["large"] => visit(setups::large(), threads),
         ["world", name] => {
-            let all = setups::small().into_iter().chain(setups::large()).chain([setups::late_copies()]);
+            let all = setups::small()
+                .into_iter()
+                .chain(setups::large())
+                .chain([setups::late_copies()]);
             let setup = all.into_iter().find(|setup| setup.name == name);
             let setup = setup.with_context(|| format!("no world is named {name}"))?;
             let found = search(&setup, Anything, bug, Limits::default(), threads);
             told(&setup, Anything, bug, &found)
         }
         ["real"] => {
-            let keyed = Effect::Keyed { group: Group::Cell, window: 0 };
+            let keyed = Effect::Keyed {
+                group: Group::Cell,
+                window: 0,
+            };
             for effect in [Effect::Safe, keyed, Effect::Unsafe] {
                 let setup = setups::real(effect);
-                let limits = Limits { depth, ..Limits::default() };
+                let limits = Limits {
+                    depth,
+                    ..Limits::default()
+                };
                 let found = search(&setup, setups::module(&setup)?, None, limits, threads);
                 told(&setup, setups::module(&setup)?, None, &found)?;
             }
@@ -110,7 +119,14 @@
 }
 
 fn told<M: Inside>(setup: &Setup, module: M, bug: Option<Bug>, found: &Found) -> Result<()> {
-    let Found { states, steps, depth, took, whole, breach } = found;
+    let Found {
+        states,
+        steps,
+        depth,
+        took,
+        whole,
+        breach,
+    } = found;
     let how = if *whole { "whole" } else { "in part" };
     println!(
         "{:<12} {states:>9} states {steps:>10} steps  depth {depth:>3}  {:>6.1} s  {how}: {}",
@@ -118,7 +134,9 @@
         took.as_secs_f64(),
         setup.about
     );
-    let Some((trace, breach)) = breach else { return Ok(()) };
+    let Some((trace, breach)) = breach else {
+        return Ok(());
+    };
     println!("{}", chart::draw(setup, module, bug, trace, breach));
     bail!("{}: {breach}", setup.name)
 }
@@ -139,7 +157,10 @@
                 );
             }
             None => {
-                println!("{name:<30} {:<10} {:>8} states {took:>5.1} s  NOT FOUND", setup.name, found.states);
+                println!(
+                    "{name:<30} {:<10} {:>8} states {took:>5.1} s  NOT FOUND",
+                    setup.name, found.states
+                );
                 missed.push(name);
             }
         }
@@ -153,7 +174,11 @@
 fn play(seed: u64, runs: u64, tries: usize, bug: Option<Bug>) -> Result<()> {
     for seed in seed..seed + runs {
         let begun = Instant::now();
-        let played = nodes::play(&Play { tries, bug, ..Play::usual(seed) })?;
+        let played = nodes::play(&Play {
+            tries,
+            bug,
+            ..Play::usual(seed)
+        })?;
         let verdict = &played.verdict;
         println!(
             "seed {seed}: {} events, {} tries, {} served, {} refused, {} failed, {} killed, {} attempts, {} sends after \
@@ -171,7 +196,10 @@
             begun.elapsed().as_secs_f64()
         );
         if !verdict.breaches.is_empty() || !played.tables.is_empty() || played.kept > 0 {
-            println!("{:?}\n{:?}\n{} kept", verdict.breaches, played.tables, played.kept);
+            println!(
+                "{:?}\n{:?}\n{} kept",
+                verdict.breaches, played.tables, played.kept
+            );
             bail!("replay with: saffronpaddle-model-checker nodes --seed {seed} --runs 1 --tries {tries}");
         }
     }
--- a/crates/model-checker/src/nodes.rs
+++ b/crates/model-checker/src/nodes.rs
@@ -4,8 +4,8 @@
 use anyhow::Result;
 use saffronpaddle_exchange::{Bounds, Bug, Command, Event, Exchange, LinkId, Ticket, Verdict};
 use saffronpaddle_policy::interface::{
-    Action, CellId, ClassId, CustomerId, Event as ModuleEvent, GatewayId, Micros, Outcome, PlanId, RequestId,
-    ServerEntry, ServerId, Standing, ZoneId,
+    Action, CellId, ClassId, CustomerId, Event as ModuleEvent, GatewayId, Micros, Outcome, PlanId,
+    RequestId, ServerEntry, ServerId, Standing, ZoneId,
 };
 use saffronpaddle_policy::setup::{self, Named};
 use saffronpaddle_policy::Gateway;
@@ -49,7 +49,15 @@
 impl Play {
     /// Three nodes and six servers, thousands of tries.
     pub fn usual(seed: u64) -> Play {
-        Play { seed, nodes: 3, servers: 6, tries: 4_000, span: 40_000_000, kill: true, bug: None }
+        Play {
+            seed,
+            nodes: 3,
+            servers: 6,
+            tries: 4_000,
+            span: 40_000_000,
+            kill: true,
+            bug: None,
+        }
     }
 }
 
@@ -215,7 +223,8 @@
             });
         }
         for (customer, plan) in (0..40_u64).zip(sim.fleet.plans.clone().iter().cycle()) {
-            sim.ledger.limit(customer, (plan.rate, plan.burst), plan.ceiling);
+            sim.ledger
+                .limit(customer, (plan.rate, plan.burst), plan.ceiling);
         }
         Ok(sim)
     }
@@ -239,8 +248,17 @@
 
     fn run(&mut self) -> Result<()> {
         for at in 0..self.nodes.len() {
-            let entries = (0..self.servers.len()).map(|server| self.entry(server)).collect();
-            self.happened(at, Event::Listed { whole: true, entries }, None);
+            let entries = (0..self.servers.len())
+                .map(|server| self.entry(server))
+                .collect();
+            self.happened(
+                at,
+                Event::Listed {
+                    whole: true,
+                    entries,
+                },
+                None,
+            );
         }
         let (tries, span) = (self.play.tries, self.play.span);
         for number in 0..tries {
@@ -272,7 +290,12 @@
     }
 
     fn judge(self) -> Played {
-        let kept = self.nodes.iter().map(|node| node.core.kept()).map(|(rows, links)| rows + links).sum();
+        let kept = self
+            .nodes
+            .iter()
+            .map(|node| node.core.kept())
+            .map(|(rows, links)| rows + links)
+            .sum();
         Played {
             verdict: self.ledger.judge(),
             tables: self.tables,
@@ -288,7 +311,11 @@
             server: ServerId(at as u64),
             zone: ZoneId(server.zone),
             cell: CellId(server.cell),
-            standing: if server.ready { Standing::Ready } else { Standing::Draining },
+            standing: if server.ready {
+                Standing::Ready
+            } else {
+                Standing::Draining
+            },
             size: 1.0,
             started: server.started,
         };
@@ -330,21 +357,31 @@
                     self.happened(at, Event::Begin { link, quiet }, None);
                 }
             }
-            Comes::Arrives(at, life, link, turn, first) => self.arrives(at, life, link, turn, first),
+            Comes::Arrives(at, life, link, turn, first) => {
+                self.arrives(at, life, link, turn, first)
+            }
             Comes::Done(at, life, link, turn, outcome) => self.done(at, life, link, turn, outcome),
             Comes::Replies(at, life, link, turn, id, outcome) => {
-                let wire = self.wire(at, life, link).filter(|wire| wire.turn == turn && !wire.closing);
+                let wire = self
+                    .wire(at, life, link)
+                    .filter(|wire| wire.turn == turn && !wire.closing);
                 if let Some(wire) = wire {
                     wire.carries = None;
                     self.happened(at, Event::Replied { link, outcome }, Some(id));
                 }
             }
             Comes::Breaks(at, life, link, turn) => {
-                let wire = self.wire(at, life, link).filter(|wire| wire.turn == turn && !wire.closing);
+                let wire = self
+                    .wire(at, life, link)
+                    .filter(|wire| wire.turn == turn && !wire.closing);
                 if let Some(wire) = wire.filter(|wire| wire.carries.is_some()) {
                     wire.unasked = true;
                     if std::mem::replace(&mut wire.there, false) {
-                        let id = wire.carries.as_ref().map(|id| id.0.to_string()).unwrap_or_default();
+                        let id = wire
+                            .carries
+                            .as_ref()
+                            .map(|id| id.0.to_string())
+                            .unwrap_or_default();
                         self.ledger.closed(self.since(), &id);
                     }
                     self.happened(at, Event::Broken { link }, None);
@@ -359,14 +396,22 @@
                 }
             }
             Comes::Ends(at, life, link) => {
-                if self.wire(at, life, link).is_some_and(|wire| wire.carries.is_none() && !wire.closing) {
+                if self
+                    .wire(at, life, link)
+                    .is_some_and(|wire| wire.carries.is_none() && !wire.closing)
+                {
                     self.happened(at, Event::Gone { link }, None);
                 }
             }
             Comes::Closes(at, life, link) => {
                 if self.alive(at, life) {
                     let wire = self.nodes[at].wires.remove(&link);
-                    if let Some(Wire { carries: Some(id), there: true, .. }) = wire {
+                    if let Some(Wire {
+                        carries: Some(id),
+                        there: true,
+                        ..
+                    }) = wire
+                    {
                         self.ledger.closed(self.since(), &id.0);
                     }
                     self.happened(at, Event::Closed { link }, None);
@@ -387,10 +432,19 @@
                 self.happened(at, Event::Tell(ModuleEvent::Peer { from, bytes }), None);
             }
             Comes::Mood(at) => {
-                let moods = [Mood::Silent, Mood::Resets, Mood::Errs, Mood::Full, Mood::Refuses];
+                let moods = [
+                    Mood::Silent,
+                    Mood::Resets,
+                    Mood::Errs,
+                    Mood::Full,
+                    Mood::Refuses,
+                ];
                 let fine = self.servers[at].mood != Mood::Fine;
-                self.servers[at].mood =
-                    if fine { Mood::Fine } else { moods[self.random.usize(..moods.len())] };
+                self.servers[at].mood = if fine {
+                    Mood::Fine
+                } else {
+                    moods[self.random.usize(..moods.len())]
+                };
                 // A mood lasts half a second to two.
                 if !fine {
                     let after = self.random.u64(500_000..2_000_000);
@@ -403,7 +457,14 @@
                     let ready = entry.standing == Standing::Ready;
                     let name = self.servers[server].name.clone();
                     self.ledger.told(self.since(), at, &name, ready);
-                    self.happened(at, Event::Listed { whole: false, entries: vec![(entry, dial)] }, None);
+                    self.happened(
+                        at,
+                        Event::Listed {
+                            whole: false,
+                            entries: vec![(entry, dial)],
+                        },
+                        None,
+                    );
                 }
             }
             Comes::Kill(at) => self.kill(at)?,
@@ -423,9 +484,15 @@
         let customer = self.random.u64(..40);
         let plan = customer as usize % self.fleet.plans.len();
         let class = usize::from(self.random.f64() > self.fleet.classes[0].share);
-        let (name, keyed) = (self.fleet.classes[class].name, self.fleet.classes[class].keyed);
+        let (name, keyed) = (
+            self.fleet.classes[class].name,
+            self.fleet.classes[class].keyed,
+        );
         let deadline = self.fleet.classes[class].deadline;
-        let (spread, first) = (2.min(self.nodes.len() as u32), customer as u32 % self.nodes.len() as u32);
+        let (spread, first) = (
+            2.min(self.nodes.len() as u32),
+            customer as u32 % self.nodes.len() as u32,
+        );
         let at = (first + self.random.u32(..spread)) as usize % self.nodes.len();
         let id = RequestId(format!("{name}-{number}").into());
         let asked = Asked {
@@ -458,7 +525,15 @@
             let (after, life) = (self.random.u64(..patience), self.nodes[at].life);
             self.later(after, Comes::ClientGives(at, life, id, ticket));
         }
-        self.happened(at, Event::Asked { effect, deadline: self.now + patience, tell }, None);
+        self.happened(
+            at,
+            Event::Asked {
+                effect,
+                deadline: self.now + patience,
+                tell,
+            },
+            None,
+        );
     }
 
     /// A server drains, or comes back: at another address, cold.
@@ -489,41 +564,68 @@
     }
 
     fn kill(&mut self, at: usize) -> Result<()> {
-        let held: Vec<RequestId> =
-            self.open.iter().filter(|(_, node)| **node == at).map(|(id, _)| id.clone()).collect();
+        let held: Vec<RequestId> = self
+            .open
+            .iter()
+            .filter(|(_, node)| **node == at)
+            .map(|(id, _)| id.clone())
+            .collect();
         for id in held {
             self.ledger.unanswered(&id.0, Unanswered::Killed);
             self.open.remove(&id);
         }
         let wires = std::mem::take(&mut self.nodes[at].wires);
-        let mut there: Vec<RequestId> =
-            wires.into_values().filter(|wire| wire.there).filter_map(|wire| wire.carries).collect();
+        let mut there: Vec<RequestId> = wires
+            .into_values()
+            .filter(|wire| wire.there)
+            .filter_map(|wire| wire.carries)
+            .collect();
         there.sort();
-        there.iter().for_each(|id| self.ledger.closed(self.since(), &id.0));
+        there
+            .iter()
+            .for_each(|id| self.ledger.closed(self.since(), &id.0));
         self.ledger.restarted(at);
         let core = self.core(at)?;
         let node = &mut self.nodes[at];
         (node.core, node.rings_at) = (core, Micros::MAX);
         node.life += 1;
         node.waits.clear();
-        let entries = (0..self.servers.len()).map(|server| self.entry(server)).collect();
-        self.happened(at, Event::Listed { whole: true, entries }, None);
+        let entries = (0..self.servers.len())
+            .map(|server| self.entry(server))
+            .collect();
+        self.happened(
+            at,
+            Event::Listed {
+                whole: true,
+                entries,
+            },
+            None,
+        );
         Ok(())
     }
 
     /// A request has come whole to its server.
     fn arrives(&mut self, at: usize, life: u32, link: LinkId, turn: u32, first: Micros) {
-        let Some(wire) = self.wire(at, life, link).filter(|wire| wire.turn == turn && !wire.closing) else {
+        let Some(wire) = self
+            .wire(at, life, link)
+            .filter(|wire| wire.turn == turn && !wire.closing)
+        else {
+            return;
+        };
+        let Some(id) = wire.carries.clone() else {
             return;
         };
-        let Some(id) = wire.carries.clone() else { return };
         wire.there = true;
         let at_server = wire.server;
         let class = usize::from(id.0.starts_with("submit"));
         let mean = self.fleet.classes[class].work.as_micros() as f64;
         let work = mean * (0.5 + self.random.f64());
-        let (name, first) = (self.servers[at_server].name.clone(), Duration::from_micros(first - START));
-        self.ledger.arrived(self.since(), first, &name, &id.0, work / 1e6);
+        let (name, first) = (
+            self.servers[at_server].name.clone(),
+            Duration::from_micros(first - START),
+        );
+        self.ledger
+            .arrived(self.since(), first, &name, &id.0, work / 1e6);
         let warmth = self.ledger.warmth(self.since(), &name);
         let (mood, now) = (self.servers[at_server].mood, self.now);
         // Whether it runs is settled as it comes: what is called off later has run all the same.
@@ -542,10 +644,16 @@
             Mood::Resets => self.later(500, Comes::Breaks(at, life, link, turn)),
             Mood::Fine | Mood::Errs | Mood::Refuses => {
                 let lanes = &mut self.servers[at_server].busy_until;
-                let Some(lane) = lanes.iter_mut().min() else { return };
+                let Some(lane) = lanes.iter_mut().min() else {
+                    return;
+                };
                 *lane = (*lane).max(now) + (work / warmth.max(0.05)) as Micros;
                 let after = *lane - now;
-                let outcome = if mood == Mood::Errs { Outcome::Error } else { Outcome::Ok };
+                let outcome = if mood == Mood::Errs {
+                    Outcome::Error
+                } else {
+                    Outcome::Ok
+                };
                 self.later(after, Comes::Done(at, life, link, turn, outcome));
             }
         }
@@ -553,10 +661,15 @@
 
     /// A server has done with a request, and answers if the connection is still there.
     fn done(&mut self, at: usize, life: u32, link: LinkId, turn: u32, outcome: Outcome) {
-        let Some(wire) = self.wire(at, life, link).filter(|wire| wire.turn == turn && wire.there) else {
+        let Some(wire) = self
+            .wire(at, life, link)
+            .filter(|wire| wire.turn == turn && wire.there)
+        else {
+            return;
+        };
+        let Some(id) = wire.carries.clone() else {
             return;
         };
-        let Some(id) = wire.carries.clone() else { return };
         wire.there = false;
         self.ledger.over(&id.0);
         let way = self.random.u64(50..2_000);
@@ -595,9 +708,14 @@
                         turn: 0,
                     };
                     self.nodes[at].wires.insert(link, wire);
-                    let refuses = server.is_none_or(|server| self.servers[server].mood == Mood::Refuses);
+                    let refuses =
+                        server.is_none_or(|server| self.servers[server].mood == Mood::Refuses);
                     let after = self.random.u64(100..3_000);
-                    let after = if self.random.u8(..60) == 0 { after * 200 } else { after };
+                    let after = if self.random.u8(..60) == 0 {
+                        after * 200
+                    } else {
+                        after
+                    };
                     let comes = if refuses {
                         Comes::CantConnect(at, life, link)
                     } else {
@@ -620,7 +738,14 @@
                         // Who has left its address is not there any more.
                         let gone = self.servers[server].dial != dial;
                         let comes = Comes::Arrives(at, life, link, turn, now);
-                        self.later(after, if gone { Comes::Breaks(at, life, link, turn) } else { comes });
+                        self.later(
+                            after,
+                            if gone {
+                                Comes::Breaks(at, life, link, turn)
+                            } else {
+                                comes
+                            },
+                        );
                     }
                 }
                 Command::Close { link } => {
@@ -649,7 +774,13 @@
         }
     }
 
-    fn answered(&mut self, at: usize, id: &RequestId, verdict: Verdict, answer: Option<&RequestId>) {
+    fn answered(
+        &mut self,
+        at: usize,
+        id: &RequestId,
+        verdict: Verdict,
+        answer: Option<&RequestId>,
+    ) {
         self.nodes[at].waits.remove(id);
         self.open.remove(id);
         if verdict == Verdict::Served && answer != Some(id) {
--- a/crates/model-checker/src/planted.rs
+++ b/crates/model-checker/src/planted.rs
@@ -8,9 +8,10 @@
 /// The world in which a fault shows.
 pub fn home(bug: Bug) -> &'static str {
     match bug {
-        Bug::AnswerAfterCancel | Bug::CancelWithoutClose | Bug::EndToldTwice | Bug::EndNeverTold => {
-            "one-keyed"
-        }
+        Bug::AnswerAfterCancel
+        | Bug::CancelWithoutClose
+        | Bug::EndToldTwice
+        | Bug::EndNeverTold => "one-keyed",
         Bug::GroupForgotten | Bug::SlotLost | Bug::TwoAttemptsOut => "one-keyed",
         Bug::RefusalAfterRun | Bug::UnsafeResent => "one-unsafe",
         Bug::DrainCheckedBeforeConnectOnly | Bug::AddressNotCompared => "list",
@@ -28,7 +29,9 @@
 
 /// Looks for a planted fault.
 pub fn hunt(bug: Bug, threads: usize) -> Option<(Setup, Found)> {
-    let setup = setups::small().into_iter().find(|setup| setup.name == home(bug))?;
+    let setup = setups::small()
+        .into_iter()
+        .find(|setup| setup.name == home(bug))?;
     let found = search(&setup, Anything, Some(bug), Limits::default(), threads);
     Some((setup, found))
 }
--- a/crates/model-checker/src/search.rs
+++ b/crates/model-checker/src/search.rs
@@ -36,7 +36,10 @@
 
 impl Default for Limits {
     fn default() -> Limits {
-        Limits { states: usize::MAX, depth: usize::MAX }
+        Limits {
+            states: usize::MAX,
+            depth: usize::MAX,
+        }
     }
 }
 
@@ -48,14 +51,21 @@
 
 /// Visits all states that a world can come to, with so many threads.
 pub fn search<M: Inside + Send + Sync>(
-    setup: &Setup, module: M, bug: Option<Bug>, limits: Limits, threads: usize,
+    setup: &Setup,
+    module: M,
+    bug: Option<Bug>,
+    limits: Limits,
+    threads: usize,
 ) -> Found {
     let begun = Instant::now();
     let first = World::new(setup, module, bug);
     let mut seen = HashSet::from([first.digest()]);
     let mut fine: HashSet<u64> = HashSet::new();
     let mut ways: Vec<(u32, Step)> = vec![(0, Step::Passes)];
-    let mut level = vec![Open { world: first, way: 0 }];
+    let mut level = vec![Open {
+        world: first,
+        way: 0,
+    }];
     let (mut steps, mut depth, mut whole) = (0, 0, true);
     while !level.is_empty() {
         let part = level.len().div_ceil(threads.max(1));
@@ -77,7 +87,9 @@
                     if seen_now.contains(&digest) || !mine.insert(digest) {
                         continue;
                     }
-                    let checked = world.left_after_stop().and_then(|()| world.ends_are_told(setup));
+                    let checked = world
+                        .left_after_stop()
+                        .and_then(|()| world.ends_are_told(setup));
                     if let Err(breach) = checked {
                         return (next, taken, Some((open.way, vec![step], breach)));
                     }
@@ -93,17 +105,25 @@
             (next, taken, None)
         };
         let parts: Vec<_> = std::thread::scope(|scope| {
-            let running: Vec<_> =
-                level.chunks(part).map(|opens| scope.spawn(move || expand(opens))).collect();
+            let running: Vec<_> = level
+                .chunks(part)
+                .map(|opens| scope.spawn(move || expand(opens)))
+                .collect();
             // A panic in the code that is explored is a fault like any other: it ends the search.
-            running.into_iter().map(|thread| thread.join().expect("no panic")).collect()
+            running
+                .into_iter()
+                .map(|thread| thread.join().expect("no panic"))
+                .collect()
         });
         let mut fresh = Vec::new();
         let mut wrong: Option<(u32, Vec<Step>, Breach)> = None;
         for (next, taken, found) in parts {
             steps += taken;
             if let Some(found) = found {
-                if wrong.as_ref().is_none_or(|other| found.1.len() < other.1.len()) {
+                if wrong
+                    .as_ref()
+                    .is_none_or(|other| found.1.len() < other.1.len())
+                {
                     wrong = Some(found);
                 }
             }
@@ -111,7 +131,10 @@
                 fine.extend(good);
                 if seen.insert(digest) {
                     ways.push((from, step));
-                    fresh.push(Open { world, way: ways.len() as u32 - 1 });
+                    fresh.push(Open {
+                        world,
+                        way: ways.len() as u32 - 1,
+                    });
                 }
             }
         }
@@ -137,12 +160,23 @@
         }
         level = fresh;
     }
-    Found { states: seen.len(), steps, depth, took: begun.elapsed(), whole, breach: None }
+    Found {
+        states: seen.len(),
+        steps,
+        depth,
+        took: begun.elapsed(),
+        whole,
+        breach: None,
+    }
 }
 
 /// Whether a state comes to its end if it is left alone. The states on the way are fine from then on.
 fn alone<M: Inside>(
-    setup: &Setup, world: &World<M>, digest: u64, fine: &HashSet<u64>, mine: &mut HashSet<u64>,
+    setup: &Setup,
+    world: &World<M>,
+    digest: u64,
+    fine: &HashSet<u64>,
+    mine: &mut HashSet<u64>,
 ) -> Result<Vec<u64>, (Vec<Step>, Breach)> {
     let mut new = Vec::new();
     let mut tail = Vec::new();
@@ -154,14 +188,22 @@
         }
         new.push(digest);
         let Some(step) = at.left_alone(setup) else {
-            at.over_and_done().map_err(|breach| (tail.clone(), breach))?;
+            at.over_and_done()
+                .map_err(|breach| (tail.clone(), breach))?;
             break;
         };
         tail.push(step);
-        at.take(setup, step).map_err(|breach| (tail.clone(), breach))?;
+        at.take(setup, step)
+            .map_err(|breach| (tail.clone(), breach))?;
         if tail.len() > ALONE_MOST {
             let how = format!("left alone, it is not over after {ALONE_MOST} steps");
-            return Err((tail, Breach { property: "liveness", how }));
+            return Err((
+                tail,
+                Breach {
+                    property: "liveness",
+                    how,
+                },
+            ));
         }
         digest = at.digest();
     }
--- a/crates/model-checker/src/setups.rs
+++ b/crates/model-checker/src/setups.rs
@@ -3,16 +3,28 @@
 use crate::world::{class, Change, Copies, Real, Setup};
 use saffronpaddle_exchange::Bounds;
 use saffronpaddle_policy::interface::{
-    Allowed, Ceiling, Class, Discovery, Effect, GatewayId, Group, Micros, Plan, Rules, Settings, ZoneId,
+    Allowed, Ceiling, Class, Discovery, Effect, GatewayId, Group, Micros, Plan, Rules, Settings,
+    ZoneId,
 };
 use saffronpaddle_policy::Gateway;
 
 /// Keyed, dropped in the cell of the first attempt for two steps.
-const KEYED: Effect = Effect::Keyed { group: Group::Cell, window: 2 };
+const KEYED: Effect = Effect::Keyed {
+    group: Group::Cell,
+    window: 2,
+};
 
 /// Bounds in steps.
 fn bounds(links: usize) -> Bounds {
-    Bounds { links, idle_at_one: 2, idle_for: 3, settle: 1, connect_within: 2, overdue: 1, attempts: 4 }
+    Bounds {
+        links,
+        idle_at_one: 2,
+        idle_for: 3,
+        settle: 1,
+        connect_within: 2,
+        overdue: 1,
+        attempts: 4,
+    }
 }
 
 /// One request before two servers in different cells, on two connections, with nothing that fails.
@@ -201,14 +213,20 @@
             changes: vec![Change::Drains(0), Change::Moves(1, 0)],
             faults: true,
             leave: true,
-            ..base("three", "three attempts of a keyed request, a drain, a move, all faults")
+            ..base(
+                "three",
+                "three attempts of a keyed request, a drain, a move, all faults",
+            )
         },
         Setup {
             requests: vec![KEYED, Effect::Safe],
             sends: 2,
             horizon: 3,
             changes: vec![Change::Drains(0)],
-            ..base("pair", "two requests of one customer, two attempts each, a drain")
+            ..base(
+                "pair",
+                "two requests of one customer, two attempts each, a drain",
+            )
         },
         Setup {
             requests: vec![Effect::Unsafe, Effect::Safe],
@@ -217,7 +235,10 @@
             leave: true,
             stop: true,
             horizon: 3,
-            ..base("pair-faults", "two requests, one attempt each, all faults, a stop")
+            ..base(
+                "pair-faults",
+                "two requests, one attempt each, all faults, a stop",
+            )
         },
     ]
 }
@@ -232,7 +253,10 @@
         verdicts: false,
         bounds: bounds(1),
         horizon: 3,
-        ..base("late-copies", "a server that says answers twice at any time, and not whose they are")
+        ..base(
+            "late-copies",
+            "a server that says answers twice at any time, and not whose they are",
+        )
     }
 }
 
@@ -240,7 +264,10 @@
 pub fn real(effect: Effect) -> Setup {
     let ms = 1000;
     let effect = match effect {
-        Effect::Keyed { group, .. } => Effect::Keyed { group, window: 2_000 * ms },
+        Effect::Keyed { group, .. } => Effect::Keyed {
+            group,
+            window: 2_000 * ms,
+        },
         other => other,
     };
     let name = ["real-safe", "real-keyed", "real-unsafe"][class(effect)];
@@ -263,7 +290,10 @@
         leave: true,
         // The clock passes over the module's own last word, and that of the exchange 2 ms later, in one step.
         late: true,
-        ..base(name, "one request with the decision module inside, a drain, a move, all faults")
+        ..base(
+            name,
+            "one request with the decision module inside, a drain, a move, all faults",
+        )
     }
 }
 
@@ -272,13 +302,21 @@
 /// # Errors
 /// The settings make no sense to the module.
 pub fn module(setup: &Setup) -> anyhow::Result<Real> {
-    let class = |effect| Class { aim: 100_000, late_value: 0.5, worth: 1.0, effect };
+    let class = |effect| Class {
+        aim: 100_000,
+        late_value: 0.5,
+        worth: 1.0,
+        effect,
+    };
     let window: Micros = 2_000_000;
     let group = setup.requests.iter().find_map(|effect| match effect {
         Effect::Keyed { group, .. } => Some(*group),
         _ => None,
     });
-    let keyed = Effect::Keyed { group: group.unwrap_or(Group::Cell), window };
+    let keyed = Effect::Keyed {
+        group: group.unwrap_or(Group::Cell),
+        window,
+    };
     let settings = Settings {
         me: GatewayId(0),
         gateways: 1,
@@ -291,10 +329,22 @@
             price: 1.0,
             over_worth: 0.0,
             over_cost: 0.0,
-            ceiling: Some(Ceiling { rate: 200.0, depth: 200.0 }),
+            ceiling: Some(Ceiling {
+                rate: 200.0,
+                depth: 200.0,
+            }),
         }],
-        rules: Rules { cold_from: 0.1, cold_for: 1_000_000, fall_multiple: 2.0, fall_window: 1_000_000 },
-        allowed: Allowed { attempts: 3, cancel: true, messages: false },
+        rules: Rules {
+            cold_from: 0.1,
+            cold_for: 1_000_000,
+            fall_multiple: 2.0,
+            fall_window: 1_000_000,
+        },
+        allowed: Allowed {
+            attempts: 3,
+            cancel: true,
+            messages: false,
+        },
         cross_zone: 0.0,
         discovery: Discovery::Pushed,
         period: 1_000,
@@ -356,6 +406,9 @@
         faults: true,
         leave: true,
         wild: true,
-        ..base("wide", "twelve requests of all effects, six servers, a list that keeps changing")
+        ..base(
+            "wide",
+            "twelve requests of all effects, six servers, a list that keeps changing",
+        )
     }
 }
--- a/crates/model-checker/src/world.rs
+++ b/crates/model-checker/src/world.rs
@@ -1,10 +1,12 @@
 //! A small world round an exchange: clients, servers, wires and a clock, each of which may do anything that is possible
 //! at any time; and the ledger that judges what comes of it.
 
-use saffronpaddle_exchange::{Bounds, Bug, Command, Event, Exchange, LinkId, Module, Ticket, Verdict};
+use saffronpaddle_exchange::{
+    Bounds, Bug, Command, Event, Exchange, LinkId, Module, Ticket, Verdict,
+};
 use saffronpaddle_policy::interface::{
-    Action as ModuleAction, AttemptNo, CellId, ClassId, CustomerId, Effect, Event as ModuleEvent, GatewayId,
-    Group, Micros, Outcome, PlanId, RequestId, ServerEntry, ServerId, Standing, ZoneId,
+    Action as ModuleAction, AttemptNo, CellId, ClassId, CustomerId, Effect, Event as ModuleEvent,
+    GatewayId, Group, Micros, Outcome, PlanId, RequestId, ServerEntry, ServerId, Standing, ZoneId,
 };
 use std::collections::BTreeMap;
 use std::fmt;
@@ -246,7 +248,10 @@
 }
 
 fn breach<T>(property: &'static str, how: impl Into<String>) -> Result<T, Breach> {
-    Err(Breach { property, how: how.into() })
+    Err(Breach {
+        property,
+        how: how.into(),
+    })
 }
 
 #[derive(Clone, Debug, Default, Hash)]
@@ -338,12 +343,27 @@
 impl<M: Inside> World<M> {
     /// A world in which nothing has happened, but that the list was told.
     pub fn new(setup: &Setup, module: M, bug: Option<Bug>) -> World<M> {
-        let heard = Heard { module, told: Vec::new(), asked: Vec::new() };
+        let heard = Heard {
+            module,
+            told: Vec::new(),
+            asked: Vec::new(),
+        };
         let mut exchange = Exchange::with_bugs(setup.bounds.clone(), heard, bug);
-        let told: Vec<(u8, bool)> = (0..setup.servers.len()).map(|at| (at as u8, true)).collect();
-        let entries = (0..told.len()).map(|at| (entry(setup, at, true), told[at].0)).collect();
+        let told: Vec<(u8, bool)> = (0..setup.servers.len())
+            .map(|at| (at as u8, true))
+            .collect();
+        let entries = (0..told.len())
+            .map(|at| (entry(setup, at, true), told[at].0))
+            .collect();
         let mut commands = Vec::new();
-        exchange.handle(START, Event::Listed { whole: true, entries }, &mut commands);
+        exchange.handle(
+            START,
+            Event::Listed {
+                whole: true,
+                entries,
+            },
+            &mut commands,
+        );
         let mut world = World {
             exchange,
             clock: 0,
@@ -371,11 +391,21 @@
         let mut hasher = DefaultHasher::new();
         self.exchange.digest(&mut hasher);
         self.exchange.module().module.digest(&mut hasher);
-        (self.clock, &self.told, self.changed, self.stopped, self.rung, &self.wakes).hash(&mut hasher);
+        (
+            self.clock,
+            &self.told,
+            self.changed,
+            self.stopped,
+            self.rung,
+            &self.wakes,
+        )
+            .hash(&mut hasher);
         self.answer_by.hash(&mut hasher);
         let rank = |link: LinkId| self.wires.keys().position(|other| *other == link);
         for client in &self.clients {
-            let out = client.out.map(|out| (out.attempt, rank(out.link), out.server, out.at));
+            let out = client
+                .out
+                .map(|out| (out.attempt, rank(out.link), out.server, out.at));
             (client.asked, client.left, client.ticket, client.finals).hash(&mut hasher);
             (client.sends, client.ends, client.ran, out).hash(&mut hasher);
             (client.ended, client.released, client.spent).hash(&mut hasher);
@@ -393,7 +423,9 @@
     }
 
     fn due(&self, setup: &Setup) -> bool {
-        self.exchange.next_alarm().is_some_and(|at| at <= self.now(setup))
+        self.exchange
+            .next_alarm()
+            .is_some_and(|at| at <= self.now(setup))
     }
 
     /// All that may happen now.
@@ -407,15 +439,29 @@
                 // Same requests come in the order of their numbers: which is which makes no difference.
                 let same = at > 0 && setup.requests[at] == setup.requests[at - 1];
                 let turn = !same || self.clients[at - 1].asked.is_some();
-                if first && turn && self.clock < setup.horizon && !self.exchange.knows(&id(setup, r)) {
+                if first
+                    && turn
+                    && self.clock < setup.horizon
+                    && !self.exchange.knows(&id(setup, r))
+                {
                     steps.push(Step::Asks(r));
                 }
                 continue;
             }
-            if !client.left && (if client.finals > 0 { setup.one_id } else { setup.leave }) {
+            if !client.left
+                && (if client.finals > 0 {
+                    setup.one_id
+                } else {
+                    setup.leave
+                })
+            {
                 steps.push(Step::Leaves(r));
             }
-            let current = !setup.one_id || self.clients.get(at + 1).is_none_or(|next| next.asked.is_none());
+            let current = !setup.one_id
+                || self
+                    .clients
+                    .get(at + 1)
+                    .is_none_or(|next| next.asked.is_none());
             if free && current {
                 let asked = client.sends.count_ones() as u8;
                 if asked < setup.sends && client.finals == 0 {
@@ -515,9 +561,20 @@
             return Some(Step::Closes(at as u8));
         }
         // A server goes on, or its end shows: that of a long answer which nobody cuts.
-        if let Some(at) = self.wires.values().position(|wire| wire.passing && !wire.dropped) {
-            let (at, reset) = (at as u8, self.wires.values().nth(at).is_some_and(|wire| wire.reset));
-            return Some(if reset { Step::SeesEnd(at) } else { Step::Finishes(at) });
+        if let Some(at) = self
+            .wires
+            .values()
+            .position(|wire| wire.passing && !wire.dropped)
+        {
+            let (at, reset) = (
+                at as u8,
+                self.wires.values().nth(at).is_some_and(|wire| wire.reset),
+            );
+            return Some(if reset {
+                Step::SeesEnd(at)
+            } else {
+                Step::Finishes(at)
+            });
         }
         if self.due(setup) && !self.rung {
             return Some(Step::Rings);
@@ -568,12 +625,19 @@
                     patience,
                     whole: !setup.coming,
                 };
-                Event::Asked { effect: setup.requests[at], deadline: now + patience, tell }
+                Event::Asked {
+                    effect: setup.requests[at],
+                    deadline: now + patience,
+                    tell,
+                }
             }
             Step::Leaves(r) => {
                 let client = &mut self.clients[usize::from(r)];
                 client.left = true;
-                Event::ClientGone { id: id(setup, r), ticket: Ticket(client.ticket) }
+                Event::ClientGone {
+                    id: id(setup, r),
+                    ticket: Ticket(client.ticket),
+                }
             }
             Step::Ends(r) => {
                 let client = &mut self.clients[usize::from(r)];
@@ -582,54 +646,100 @@
                 if client.finals == 0 && !client.left {
                     client.asked = Some(now);
                 }
-                Event::Whole { id: id(setup, r), ticket: Ticket(client.ticket), deadline: now + patience }
+                Event::Whole {
+                    id: id(setup, r),
+                    ticket: Ticket(client.ticket),
+                    deadline: now + patience,
+                }
             }
             Step::Finishes(l) => {
-                let Some(link) = self.link(l) else { return Ok(()) };
-                let Some(wire) = self.wires.get_mut(&link) else { return Ok(()) };
+                let Some(link) = self.link(l) else {
+                    return Ok(());
+                };
+                let Some(wire) = self.wires.get_mut(&link) else {
+                    return Ok(());
+                };
                 wire.passing = false;
                 if let Some((r, _)) = wire.carries.take_if(|_| !wire.closing) {
                     wire.answered = false;
                     self.over(r, link, true);
                 }
-                Event::Replied { link, outcome: Outcome::Ok }
+                Event::Replied {
+                    link,
+                    outcome: Outcome::Ok,
+                }
             }
             Step::Drops(l) => {
-                let Some(link) = self.link(l) else { return Ok(()) };
+                let Some(link) = self.link(l) else {
+                    return Ok(());
+                };
                 self.with(link, |wire| wire.dropped = true);
                 Event::Left { link }
             }
             Step::Sends(r, server, short) => {
                 let (id, server) = (id(setup, r), ServerId(u64::from(server)));
                 let time_out = short.then_some(setup.step);
-                return self.acts(setup, ModuleAction::Send { id, server, time_out });
+                return self.acts(
+                    setup,
+                    ModuleAction::Send {
+                        id,
+                        server,
+                        time_out,
+                    },
+                );
             }
             Step::Refuses(r) => {
-                return self.acts(setup, ModuleAction::Refuse { id: id(setup, r), retry_in: None });
+                return self.acts(
+                    setup,
+                    ModuleAction::Refuse {
+                        id: id(setup, r),
+                        retry_in: None,
+                    },
+                );
             }
             Step::Fails(r) => return self.acts(setup, ModuleAction::Fail { id: id(setup, r) }),
             Step::CallsOff(r) => {
                 let client = &self.clients[usize::from(r)];
                 let last = (client.sends & !client.ends).checked_ilog2().unwrap_or(0);
-                return self.acts(setup, ModuleAction::Cancel { id: id(setup, r), attempt: AttemptNo(last) });
+                return self.acts(
+                    setup,
+                    ModuleAction::Cancel {
+                        id: id(setup, r),
+                        attempt: AttemptNo(last),
+                    },
+                );
             }
             Step::Connects(l) => {
-                let Some(link) = self.link(l) else { return Ok(()) };
+                let Some(link) = self.link(l) else {
+                    return Ok(());
+                };
                 self.with(link, |wire| wire.up = true);
                 Event::Connected { link }
             }
             Step::CantConnect(l) | Step::Lacks(l) => {
-                let Some(link) = self.link(l) else { return Ok(()) };
+                let Some(link) = self.link(l) else {
+                    return Ok(());
+                };
                 self.wires.remove(&link);
-                Event::ConnectFailed { link, lack: matches!(step, Step::Lacks(_)) }
+                Event::ConnectFailed {
+                    link,
+                    lack: matches!(step, Step::Lacks(_)),
+                }
             }
             Step::Begins(l) => {
-                let Some(link) = self.link(l) else { return Ok(()) };
+                let Some(link) = self.link(l) else {
+                    return Ok(());
+                };
                 let wire = &self.wires[&link];
-                Event::Begin { link, quiet: wire.inbound.is_empty() && !wire.reset }
+                Event::Begin {
+                    link,
+                    quiet: wire.inbound.is_empty() && !wire.reset,
+                }
             }
             Step::Answers(l, reply) => {
-                let Some(link) = self.link(l) else { return Ok(()) };
+                let Some(link) = self.link(l) else {
+                    return Ok(());
+                };
                 self.with(link, |wire| {
                     wire.answered = true;
                     if let Some((r, _)) = wire.carries {
@@ -640,15 +750,20 @@
                 return Ok(());
             }
             Step::Repeats(l) => {
-                let Some(link) = self.link(l) else { return Ok(()) };
+                let Some(link) = self.link(l) else {
+                    return Ok(());
+                };
                 self.with(link, |wire| {
                     wire.repeated = true;
-                    wire.inbound.extend(wire.last.map(|(r, reply, _)| (r, reply)));
+                    wire.inbound
+                        .extend(wire.last.map(|(r, reply, _)| (r, reply)));
                 });
                 return Ok(());
             }
             Step::Resets(l, lost) => {
-                let Some(link) = self.link(l) else { return Ok(()) };
+                let Some(link) = self.link(l) else {
+                    return Ok(());
+                };
                 self.with(link, |wire| {
                     wire.reset = true;
                     if lost {
@@ -658,18 +773,24 @@
                 return Ok(());
             }
             Step::Reads(l) => {
-                let Some(link) = self.link(l) else { return Ok(()) };
-                let Some(wire) = self.wires.get_mut(&link) else { return Ok(()) };
+                let Some(link) = self.link(l) else {
+                    return Ok(());
+                };
+                let Some(wire) = self.wires.get_mut(&link) else {
+                    return Ok(());
+                };
                 let (of, reply) = wire.inbound.remove(0);
-                let Some((r, _)) = wire.carries else { return Ok(()) };
+                let Some((r, _)) = wire.carries else {
+                    return Ok(());
+                };
                 if setup.echoed && of != r {
                     Event::Broken { link }
                 } else {
                     let wire_closing = wire.closing;
                     read = Some((of, wire_closing));
                     let long = reply == Reply::Long;
-                    let waits =
-                        self.clients[usize::from(r)].finals == 0 && !self.clients[usize::from(r)].left;
+                    let waits = self.clients[usize::from(r)].finals == 0
+                        && !self.clients[usize::from(r)].left;
                     wire.passing = long && !wire_closing && waits;
                     wire.unfinished = setup.coming && !self.clients[usize::from(r)].released;
                     if !wire_closing && !long {
@@ -687,13 +808,20 @@
                     } else if long {
                         Event::Passing { link }
                     } else {
-                        Event::Replied { link, outcome: reply.outcome() }
+                        Event::Replied {
+                            link,
+                            outcome: reply.outcome(),
+                        }
                     }
                 }
             }
             Step::SeesEnd(l) => {
-                let Some(link) = self.link(l) else { return Ok(()) };
-                let Some(wire) = self.wires.get_mut(&link) else { return Ok(()) };
+                let Some(link) = self.link(l) else {
+                    return Ok(());
+                };
+                let Some(wire) = self.wires.get_mut(&link) else {
+                    return Ok(());
+                };
                 wire.seen_end = true;
                 match wire.carries {
                     Some((_, true)) if wire.inbound.is_empty() => Event::Broken { link },
@@ -702,8 +830,14 @@
                 }
             }
             Step::Closes(l) => {
-                let Some(link) = self.link(l) else { return Ok(()) };
-                if let Some(Wire { carries: Some((r, true)), .. }) = self.wires.remove(&link) {
+                let Some(link) = self.link(l) else {
+                    return Ok(());
+                };
+                if let Some(Wire {
+                    carries: Some((r, true)),
+                    ..
+                }) = self.wires.remove(&link)
+                {
                     let whole = !setup.coming || self.clients[usize::from(r)].released;
                     self.over(r, link, whole);
                 }
@@ -717,7 +851,10 @@
                     let (address, ready) = self.told[at];
                     (entry(setup, at, ready), address)
                 });
-                Event::Listed { whole: false, entries: entries.collect() }
+                Event::Listed {
+                    whole: false,
+                    entries: entries.collect(),
+                }
             }
             Step::Ending => {
                 let answer_by = now + setup.ends_after.unwrap_or(0) * setup.step;
@@ -790,13 +927,18 @@
 
     /// Which client a request's id means now.
     fn client(&self, setup: &Setup, id: &RequestId) -> Option<u8> {
-        let mut mine = (0..self.clients.len() as u8).rev().filter(|r| self::id(setup, *r) == *id);
+        let mut mine = (0..self.clients.len() as u8)
+            .rev()
+            .filter(|r| self::id(setup, *r) == *id);
         mine.find(|r| self.clients[usize::from(*r)].asked.is_some())
     }
 
     /// Carries commands out as a shell does, and judges them.
     fn carry_out(
-        &mut self, setup: &Setup, commands: Vec<Command<u8>>, read: Option<(u8, bool)>,
+        &mut self,
+        setup: &Setup,
+        commands: Vec<Command<u8>>,
+        read: Option<(u8, bool)>,
     ) -> Result<(), Breach> {
         let now = self.now(setup);
         self.hear(setup)?;
@@ -806,7 +948,10 @@
             }
             match command {
                 Command::Connect { link, dial } => {
-                    let at = self.told.iter().position(|(address, ready)| *address == dial && *ready);
+                    let at = self
+                        .told
+                        .iter()
+                        .position(|(address, ready)| *address == dial && *ready);
                     let Some(server) = at else {
                         return breach("drain", "a connect to who is not ready there");
                     };
@@ -851,7 +996,10 @@
                         return breach("resources", "a connection is closed twice");
                     }
                     if wire.passing && !wire.reset && !wire.dropped {
-                        return breach("uncut", "an answer that goes by is cut off, and its client takes it");
+                        return breach(
+                            "uncut",
+                            "an answer that goes by is cut off, and its client takes it",
+                        );
                     }
                 }
                 Command::Answer { id, verdict } => {
@@ -864,13 +1012,19 @@
                         return breach("one answer", format!("request {r} is answered twice"));
                     }
                     let last = client.last(setup, self.answer_by);
-                    let in_time =
-                        if verdict == Verdict::Served { now < last } else { now <= last || setup.late };
+                    let in_time = if verdict == Verdict::Served {
+                        now < last
+                    } else {
+                        now <= last || setup.late
+                    };
                     if !in_time {
-                        return breach("in time", format!("request {r} is answered after its deadline"));
+                        return breach(
+                            "in time",
+                            format!("request {r} is answered after its deadline"),
+                        );
                     }
-                    let maybe =
-                        client.ran.is_some() || (client.out.is_some() && (client.released || !setup.coming));
+                    let maybe = client.ran.is_some()
+                        || (client.out.is_some() && (client.released || !setup.coming));
                     // Of a body that has not gone whole nothing has run, and the client is told so, if the module says so.
                     let wanted = self.refuses && matches!(verdict, Verdict::Failed);
                     if setup.coming && wanted && !maybe && now < last {
@@ -881,13 +1035,22 @@
                     }
                     let held = maybe && !refusable(setup.requests[usize::from(r)]);
                     if matches!(verdict, Verdict::Refused(_)) && held {
-                        return breach("refusal", format!("request {r} is refused and may have run"));
+                        return breach(
+                            "refusal",
+                            format!("request {r} is refused and may have run"),
+                        );
                     }
                     if verdict == Verdict::Served && read == Some((r, true)) {
-                        return breach("own answer", format!("request {r} is served by what was called off"));
+                        return breach(
+                            "own answer",
+                            format!("request {r} is served by what was called off"),
+                        );
                     }
                     if verdict == Verdict::Served && read != Some((r, false)) {
-                        return breach("own answer", format!("request {r} gets what is not its answer"));
+                        return breach(
+                            "own answer",
+                            format!("request {r} gets what is not its answer"),
+                        );
                     }
                 }
                 Command::Module(ModuleAction::Wake { after, token }) => {
@@ -897,13 +1060,25 @@
                 Command::Module(_) => {}
             }
         }
-        if self.wires.values().any(|wire| wire.unfinished && !wire.closing) {
-            return breach("whole", "a connection is kept though the request on it never went whole");
+        if self
+            .wires
+            .values()
+            .any(|wire| wire.unfinished && !wire.closing)
+        {
+            return breach(
+                "whole",
+                "a connection is kept though the request on it never went whole",
+            );
         }
-        self.exchange.consistent().or_else(|what| breach("tables", what))?;
+        self.exchange
+            .consistent()
+            .or_else(|what| breach("tables", what))?;
         let links = self.exchange.kept().1;
         if links != self.wires.len() {
-            return breach("resources", format!("{links} connections counted, {} there", self.wires.len()));
+            return breach(
+                "resources",
+                format!("{links} connections counted, {} there", self.wires.len()),
+            );
         }
         Ok(())
     }
@@ -914,7 +1089,9 @@
         let told = std::mem::take(&mut self.exchange.module_mut().told);
         let asked = std::mem::take(&mut self.exchange.module_mut().asked);
         for action in asked {
-            let ModuleAction::Send { id, .. } = &action else { continue };
+            let ModuleAction::Send { id, .. } = &action else {
+                continue;
+            };
             self.notes.push(format!("{action:?}"));
             if let Some(r) = self.client(setup, id) {
                 let client = &mut self.clients[usize::from(r)];
@@ -927,16 +1104,26 @@
         }
         for event in told {
             match event {
-                ModuleEvent::Ended { id, attempt, outcome, closed } => {
+                ModuleEvent::Ended {
+                    id,
+                    attempt,
+                    outcome,
+                    closed,
+                } => {
                     self.notes.push(format!(
                         "module hears: attempt {} ended, {outcome:?}, closed {closed}",
                         attempt.0
                     ));
-                    let Some(r) = self.client(setup, &id) else { continue };
+                    let Some(r) = self.client(setup, &id) else {
+                        continue;
+                    };
                     let client = &mut self.clients[usize::from(r)];
                     let bit = 1 << attempt.0;
                     if client.ends & bit != 0 || client.sends & bit == 0 {
-                        return breach("one end", format!("an end of attempt {} of {r} too many", attempt.0));
+                        return breach(
+                            "one end",
+                            format!("an end of attempt {} of {r} too many", attempt.0),
+                        );
                     }
                     client.ends |= bit;
                     if client.out.is_some_and(|out| out.attempt == attempt.0) {
@@ -946,7 +1133,9 @@
                         );
                     }
                 }
-                ModuleEvent::Abandoned { .. } => self.notes.push("module hears: abandoned".to_owned()),
+                ModuleEvent::Abandoned { .. } => {
+                    self.notes.push("module hears: abandoned".to_owned())
+                }
                 _ => {}
             }
         }
@@ -959,28 +1148,45 @@
         let Some(wire) = self.wires.get_mut(&link) else {
             return breach("one owner", "bytes on no connection");
         };
-        let Some((r, begun)) = &mut wire.carries else { return breach("one owner", "bytes of no request") };
+        let Some((r, begun)) = &mut wire.carries else {
+            return breach("one owner", "bytes of no request");
+        };
         *begun = true;
         let (r, server) = (*r, wire.server);
         if !wire.inbound.is_empty() || wire.reset {
-            return breach("quiet", "a request on a connection on which something waits");
+            return breach(
+                "quiet",
+                "a request on a connection on which something waits",
+            );
         }
         let (address, ready) = self.told[usize::from(server)];
         if !ready {
-            return breach("drain", format!("bytes of {r} to server {server}, which drains"));
+            return breach(
+                "drain",
+                format!("bytes of {r} to server {server}, which drains"),
+            );
         }
         if address != wire.dial {
-            return breach("address", format!("bytes of {r} for server {server} to an address it has left"));
+            return breach(
+                "address",
+                format!("bytes of {r} for server {server} to an address it has left"),
+            );
         }
         let client = &mut self.clients[usize::from(r)];
         if client.out.is_some() {
             return breach("one attempt", format!("two attempts of {r} are out"));
         }
         if client.finals > 0 || client.left {
-            return breach("one attempt", format!("bytes of {r}, for which nobody waits"));
+            return breach(
+                "one attempt",
+                format!("bytes of {r}, for which nobody waits"),
+            );
         }
         if let Some((first, at)) = client.ran {
-            let (old, new) = (setup.servers[usize::from(first)], setup.servers[usize::from(server)]);
+            let (old, new) = (
+                setup.servers[usize::from(first)],
+                setup.servers[usize::from(server)],
+            );
             let may = match setup.requests[usize::from(r)] {
                 Effect::Safe => true,
                 Effect::Unsafe => false,
@@ -994,33 +1200,53 @@
                 }
             };
             if !may {
-                return breach("one effect", format!("bytes of {r} again, and it may have run"));
+                return breach(
+                    "one effect",
+                    format!("bytes of {r} again, and it may have run"),
+                );
             }
         }
         if client.spent {
-            return breach("kept body", format!("bytes of {r} again, whose body is gone"));
+            return breach(
+                "kept body",
+                format!("bytes of {r} again, whose body is gone"),
+            );
         }
         client.spent = setup.coming;
         // All attempts but this one have ended.
         let attempt = (client.sends & !client.ends).trailing_zeros();
-        client.out = Some(Written { attempt, link, server, at: now });
+        client.out = Some(Written {
+            attempt,
+            link,
+            server,
+            at: now,
+        });
         Ok(())
     }
 
     /// The last piece of a body goes out.
     fn released(&mut self, link: LinkId) -> Result<(), Breach> {
         let Some(wire) = self.wires.get(&link).filter(|wire| !wire.closing) else {
-            return breach("one owner", "the last piece of a body on a connection that is none");
+            return breach(
+                "one owner",
+                "the last piece of a body on a connection that is none",
+            );
         };
         let Some((r, true)) = wire.carries else {
             return breach("one owner", "the last piece of no request");
         };
         let client = &mut self.clients[usize::from(r)];
         if client.finals > 0 || client.left {
-            return breach("one attempt", format!("the last piece of {r}, for which nobody waits"));
+            return breach(
+                "one attempt",
+                format!("the last piece of {r}, for which nobody waits"),
+            );
         }
         if !client.ended || std::mem::replace(&mut client.released, true) {
-            return breach("whole", format!("the last piece of {r}, which has not come or has gone"));
+            return breach(
+                "whole",
+                format!("the last piece of {r}, which has not come or has gone"),
+            );
         }
         Ok(())
     }
@@ -1030,18 +1256,29 @@
     /// # Errors
     /// The property that does not hold.
     pub fn over_and_done(&self) -> Result<(), Breach> {
-        for (r, client) in self.clients.iter().enumerate().filter(|(_, client)| client.asked.is_some()) {
+        for (r, client) in self
+            .clients
+            .iter()
+            .enumerate()
+            .filter(|(_, client)| client.asked.is_some())
+        {
             if client.finals == 0 && !client.left {
                 return breach("liveness", format!("request {r} is never answered"));
             }
             if client.sends != client.ends && client.finals == 0 && !client.left {
-                return breach("one end", format!("the module never hears of the end of an attempt of {r}"));
+                return breach(
+                    "one end",
+                    format!("the module never hears of the end of an attempt of {r}"),
+                );
             }
         }
         if self.exchange.kept() != (0, 0) || !self.wires.is_empty() {
             return breach(
                 "resources",
-                format!("{:?} requests and connections are kept", self.exchange.kept()),
+                format!(
+                    "{:?} requests and connections are kept",
+                    self.exchange.kept()
+                ),
             );
         }
         Ok(())
@@ -1052,7 +1289,10 @@
     /// # Errors
     /// The property that does not hold.
     pub fn left_after_stop(&self) -> Result<(), Breach> {
-        let idle = self.wires.values().any(|wire| !wire.closing && wire.up && wire.carries.is_none());
+        let idle = self
+            .wires
+            .values()
+            .any(|wire| !wire.closing && wire.up && wire.carries.is_none());
         if self.stopped && idle {
             return breach("resources", "a connection is kept though the node leaves");
         }
@@ -1065,9 +1305,16 @@
     /// The property that does not hold.
     pub fn ends_are_told(&self, setup: &Setup) -> Result<(), Breach> {
         for (r, client) in self.clients.iter().enumerate() {
-            let later = setup.one_id && self.clients.get(r + 1).is_some_and(|next| next.asked.is_some());
+            let later = setup.one_id
+                && self
+                    .clients
+                    .get(r + 1)
+                    .is_some_and(|next| next.asked.is_some());
             if !later && client.sends != client.ends && !self.exchange.knows(&id(setup, r as u8)) {
-                return breach("one end", format!("an attempt of {r} is forgotten and its end was not told"));
+                return breach(
+                    "one end",
+                    format!("an attempt of {r} is forgotten and its end was not told"),
+                );
             }
         }
         Ok(())
@@ -1080,11 +1327,22 @@
 }
 
 fn refusable(effect: Effect) -> bool {
-    matches!(effect, Effect::Safe | Effect::Keyed { group: Group::All, .. })
+    matches!(
+        effect,
+        Effect::Safe
+            | Effect::Keyed {
+                group: Group::All,
+                ..
+            }
+    )
 }
 
 fn id(setup: &Setup, r: u8) -> RequestId {
-    RequestId(if setup.one_id { "r".into() } else { format!("r{r}").into() })
+    RequestId(if setup.one_id {
+        "r".into()
+    } else {
+        format!("r{r}").into()
+    })
 }
 
 /// The place of an effect among the classes that the real module is given.
@@ -1102,7 +1360,11 @@
         server: ServerId(at as u64),
         zone: ZoneId(zone),
         cell: CellId(cell),
-        standing: if ready { Standing::Ready } else { Standing::Draining },
+        standing: if ready {
+            Standing::Ready
+        } else {
+            Standing::Draining
+        },
         size: 1.0,
         started: None,
     }
--- a/crates/model-checker/tests/explored.rs
+++ b/crates/model-checker/tests/explored.rs
@@ -18,10 +18,19 @@
     for setup in setups::small() {
         let found = search(&setup, Anything, None, Limits::default(), THREADS);
         if let Some((trace, breach)) = &found.breach {
-            panic!("{}\n{}", setup.name, chart::draw(&setup, Anything, None, trace, breach));
+            panic!(
+                "{}\n{}",
+                setup.name,
+                chart::draw(&setup, Anything, None, trace, breach)
+            );
         }
         assert!(found.whole, "{}", setup.name);
-        assert!(found.states > FEWEST, "{}: {} states", setup.name, found.states);
+        assert!(
+            found.states > FEWEST,
+            "{}: {} states",
+            setup.name,
+            found.states
+        );
     }
 }
 
@@ -29,17 +38,24 @@
 fn every_planted_fault_is_found_with_its_trace() {
     for bug in Bug::ALL {
         let (setup, found) = planted::hunt(bug, THREADS).expect("a world for each fault");
-        let Some((trace, breach)) = found.breach else { panic!("{bug:?} is not found in {}", setup.name) };
+        let Some((trace, breach)) = found.breach else {
+            panic!("{bug:?} is not found in {}", setup.name)
+        };
         let drawn = chart::draw(&setup, Anything, Some(bug), &trace, &breach);
         assert!(drawn.contains("broken: "), "{drawn}");
         // The same steps without the fault break nothing: it is the fault that was found.
         let mut sound = saffronpaddle_model_checker::world::World::new(&setup, Anything, None);
         for step in &trace {
-            let possible = sound.steps(&setup).contains(step) || sound.left_alone(&setup) == Some(*step);
+            let possible =
+                sound.steps(&setup).contains(step) || sound.left_alone(&setup) == Some(*step);
             if !possible {
                 break;
             }
-            assert_eq!(sound.take(&setup, *step), Ok(()), "{bug:?}: {step:?} breaks the sound machine too");
+            assert_eq!(
+                sound.take(&setup, *step),
+                Ok(()),
+                "{bug:?}: {step:?} breaks the sound machine too"
+            );
         }
     }
 }
@@ -47,7 +63,13 @@
 /// What can't be proved, as README says: an answer without its request's id may be a copy of the one before.
 #[test]
 fn a_copy_that_comes_late_passes_for_an_answer_where_answers_bear_no_id() {
-    let found = search(&setups::late_copies(), Anything, None, Limits::default(), THREADS);
+    let found = search(
+        &setups::late_copies(),
+        Anything,
+        None,
+        Limits::default(),
+        THREADS,
+    );
     let (trace, breach) = found.breach.expect("the gap");
     assert_eq!(breach.property, "own answer");
     assert!(trace.contains(&Step::Repeats(0)));
@@ -55,15 +77,36 @@
 
 #[test]
 fn the_decision_module_itself_is_visited_to_a_depth() {
-    let keyed = Effect::Keyed { group: Group::Cell, window: 0 };
+    let keyed = Effect::Keyed {
+        group: Group::Cell,
+        window: 0,
+    };
     for effect in [Effect::Safe, keyed, Effect::Unsafe] {
         let setup = setups::real(effect);
         let module = setups::module(&setup).expect("settings that make sense");
-        let found = search(&setup, module.clone(), None, Limits { depth: 9, ..Limits::default() }, THREADS);
+        let found = search(
+            &setup,
+            module.clone(),
+            None,
+            Limits {
+                depth: 9,
+                ..Limits::default()
+            },
+            THREADS,
+        );
         if let Some((trace, breach)) = &found.breach {
-            panic!("{}\n{}", setup.name, chart::draw(&setup, module, None, trace, breach));
+            panic!(
+                "{}\n{}",
+                setup.name,
+                chart::draw(&setup, module, None, trace, breach)
+            );
         }
-        assert!(found.states > FEWEST, "{}: {} states", setup.name, found.states);
+        assert!(
+            found.states > FEWEST,
+            "{}: {} states",
+            setup.name,
+            found.states
+        );
     }
 }
 
@@ -71,17 +114,29 @@
 fn random_walks_through_a_large_world_break_nothing() {
     for seed in 0..60 {
         let found = walk::walk(&setups::wide(seed), Anything, seed, 3_000);
-        let broken = found.breach.map(|(trace, breach)| format!("{breach} after {} steps", trace.len()));
-        assert_eq!(broken, None, "saffronpaddle-model-checker walk --seed {seed} --walks 1 --steps 3000");
+        let broken = found
+            .breach
+            .map(|(trace, breach)| format!("{breach} after {} steps", trace.len()));
+        assert_eq!(
+            broken, None,
+            "saffronpaddle-model-checker walk --seed {seed} --walks 1 --steps 3000"
+        );
     }
 }
 
 /// A walk that meets a fault says so: planted in the large world, each of these shows within a few seeds.
 #[test]
 fn random_walks_find_faults_too() {
-    for bug in [Bug::UnsafeResent, Bug::CancelWithoutClose, Bug::SlotLost, Bug::AddressNotCompared] {
+    for bug in [
+        Bug::UnsafeResent,
+        Bug::CancelWithoutClose,
+        Bug::SlotLost,
+        Bug::AddressNotCompared,
+    ] {
         let found = (0..40).any(|seed| {
-            walk::walk_with(&setups::wide(seed), Anything, Some(bug), seed, 3_000).breach.is_some()
+            walk::walk_with(&setups::wide(seed), Anything, Some(bug), seed, 3_000)
+                .breach
+                .is_some()
         });
         assert!(found, "{bug:?}");
     }
@@ -96,14 +151,24 @@
         let again = format!("saffronpaddle-model-checker nodes --seed {seed} --runs 1");
         assert_eq!(played.verdict.breaches, [], "{again}");
         assert_eq!((played.tables, played.kept), (Vec::new(), 0), "{again}");
-        assert!(played.verdict.served > played.verdict.tries / 4, "{again}: {:?}", played.verdict);
-        assert!(played.verdict.attempts > played.verdict.served, "{again}: some were tried again");
+        assert!(
+            played.verdict.served > played.verdict.tries / 4,
+            "{again}: {:?}",
+            played.verdict
+        );
+        assert!(
+            played.verdict.attempts > played.verdict.served,
+            "{again}: some were tried again"
+        );
     }
 }
 
 #[test]
 fn a_seed_is_played_the_same_way_each_time() {
-    let short = Play { tries: 500, ..Play::usual(11) };
+    let short = Play {
+        tries: 500,
+        ..Play::usual(11)
+    };
     let runs = [play(&short), play(&short)].map(|played| played.expect("settings that make sense"));
     assert_eq!(runs[0], runs[1]);
     let other = play(&Play { seed: 12, ..short }).expect("settings that make sense");
@@ -114,8 +179,11 @@
 fn whole_nodes_in_virtual_time_show_faults() {
     for bug in [Bug::CancelWithoutClose, Bug::SlotLost, Bug::EndNeverTold] {
         let found = (1..=6).any(|seed| {
-            let played =
-                play(&Play { bug: Some(bug), ..Play::usual(seed) }).expect("settings that make sense");
+            let played = play(&Play {
+                bug: Some(bug),
+                ..Play::usual(seed)
+            })
+            .expect("settings that make sense");
             !played.verdict.breaches.is_empty() || !played.tables.is_empty() || played.kept > 0
         });
         assert!(found, "{bug:?}");
--- a/crates/netio/src/shortage.rs
+++ b/crates/netio/src/shortage.rs
@@ -14,7 +14,10 @@
 /// Whether a call failed for a lack of something that others of this machine may give back in a moment, or was interrupted.
 pub fn is_shortage(error: &io::Error) -> bool {
     let errno = error.raw_os_error().map(Errno::from_raw);
-    matches!(errno, Some(Errno::ENFILE | Errno::ENOBUFS | Errno::ENOMEM | Errno::EAGAIN | Errno::EINTR))
+    matches!(
+        errno,
+        Some(Errno::ENFILE | Errno::ENOBUFS | Errno::ENOMEM | Errno::EAGAIN | Errno::EINTR)
+    )
 }
 
 /// Whether a connection could not be made for a lack on this side: it says nothing of the other side.
--- a/crates/netio/src/socket.rs
+++ b/crates/netio/src/socket.rs
@@ -53,7 +53,9 @@
 
     /// Writes as soon as the machine takes something.
     fn write(
-        &self, context: &mut Context<'_>, write: impl Fn(&TcpStream) -> io::Result<usize>,
+        &self,
+        context: &mut Context<'_>,
+        write: impl Fn(&TcpStream) -> io::Result<usize>,
     ) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.0.poll_write_ready(context))?;
@@ -67,7 +69,9 @@
 
 impl AsyncRead for Socket {
     fn poll_read(
-        self: Pin<&mut Self>, context: &mut Context<'_>, buffer: &mut ReadBuf<'_>,
+        self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         loop {
             ready!(self.0.poll_read_ready(context))?;
@@ -84,12 +88,18 @@
 }
 
 impl AsyncWrite for Socket {
-    fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         self.write(context, |stream| stream.try_write(bytes))
     }
 
     fn poll_write_vectored(
-        self: Pin<&mut Self>, context: &mut Context<'_>, parts: &[io::IoSlice<'_>],
+        self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        parts: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         self.write(context, |stream| stream.try_write_vectored(parts))
     }
--- a/crates/netio/src/uninterrupted.rs
+++ b/crates/netio/src/uninterrupted.rs
@@ -46,7 +46,9 @@
 
 impl<S: AsyncRead + Unpin> AsyncRead for Uninterrupted<S> {
     fn poll_read(
-        mut self: Pin<&mut Self>, context: &mut Context<'_>, buffer: &mut ReadBuf<'_>,
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         poll_uninterrupted(|| Pin::new(&mut self.0).poll_read(context, buffer))
     }
@@ -54,13 +56,17 @@
 
 impl<S: AsyncWrite + Unpin> AsyncWrite for Uninterrupted<S> {
     fn poll_write(
-        mut self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8],
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         poll_uninterrupted(|| Pin::new(&mut self.0).poll_write(context, bytes))
     }
 
     fn poll_write_vectored(
-        mut self: Pin<&mut Self>, context: &mut Context<'_>, parts: &[IoSlice<'_>],
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        parts: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         poll_uninterrupted(|| Pin::new(&mut self.0).poll_write_vectored(context, parts))
     }
--- a/crates/netio/tests/failures.rs
+++ b/crates/netio/tests/failures.rs
@@ -1,6 +1,8 @@
 //! Each errno that the manual pages document, and what is done about it.
 
-use saffronpaddle_netio::{is_local_failure, is_shortage, retry_shortage, AcceptFailure, Uninterrupted};
+use saffronpaddle_netio::{
+    is_local_failure, is_shortage, retry_shortage, AcceptFailure, Uninterrupted,
+};
 use std::cell::Cell;
 use std::io::{self, ErrorKind};
 use std::pin::Pin;
@@ -17,14 +19,20 @@
 impl Interrupted {
     fn interrupts(&mut self) -> bool {
         let interrupts = self.left > 0;
-        self.left = if interrupts { self.left - 1 } else { self.times };
+        self.left = if interrupts {
+            self.left - 1
+        } else {
+            self.times
+        };
         interrupts
     }
 }
 
 impl AsyncRead for Interrupted {
     fn poll_read(
-        mut self: Pin<&mut Self>, _: &mut Context<'_>, buffer: &mut ReadBuf<'_>,
+        mut self: Pin<&mut Self>,
+        _: &mut Context<'_>,
+        buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         if self.interrupts() {
             return Poll::Ready(Err(ErrorKind::Interrupted.into()));
@@ -35,7 +43,11 @@
 }
 
 impl AsyncWrite for Interrupted {
-    fn poll_write(mut self: Pin<&mut Self>, _: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        _: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         if self.interrupts() {
             return Poll::Ready(Err(ErrorKind::Interrupted.into()));
         }
@@ -54,16 +66,24 @@
 
 #[tokio::test(flavor = "current_thread")]
 async fn interrupted_calls_are_made_again_and_nothing_is_lost_or_doubled() {
-    let mut stream = Uninterrupted::new(Interrupted { times: 3, left: 3, written: Vec::new() });
+    let mut stream = Uninterrupted::new(Interrupted {
+        times: 3,
+        left: 3,
+        written: Vec::new(),
+    });
     let mut read = [0; 5];
     stream.read_exact(&mut read).await.expect("it is read");
     stream.write_all(b"a request").await.expect("it is written");
-    assert_eq!((&read, &stream.get_ref().written[..]), (b"xxxxx", &b"a request"[..]));
+    assert_eq!(
+        (&read, &stream.get_ref().written[..]),
+        (b"xxxxx", &b"a request"[..])
+    );
 }
 
 #[test]
 fn accept_tells_errors_of_one_connection_from_shortages() {
-    let failure = |errno: nix::errno::Errno| AcceptFailure::of(&io::Error::from_raw_os_error(errno as i32));
+    let failure =
+        |errno: nix::errno::Errno| AcceptFailure::of(&io::Error::from_raw_os_error(errno as i32));
     use nix::errno::Errno::*;
     let of_one = [
         EINTR,
@@ -92,11 +112,26 @@
 #[test]
 fn what_is_lacking_here_says_nothing_of_a_server() {
     use nix::errno::Errno::*;
-    let local = |errno: nix::errno::Errno| is_local_failure(&io::Error::from_raw_os_error(errno as i32));
-    for errno in [EMFILE, ENFILE, EADDRNOTAVAIL, ENOBUFS, ENOMEM, EAGAIN, EINTR] {
+    let local =
+        |errno: nix::errno::Errno| is_local_failure(&io::Error::from_raw_os_error(errno as i32));
+    for errno in [
+        EMFILE,
+        ENFILE,
+        EADDRNOTAVAIL,
+        ENOBUFS,
+        ENOMEM,
+        EAGAIN,
+        EINTR,
+    ] {
         assert!(local(errno), "{errno}");
     }
-    for errno in [ECONNREFUSED, ETIMEDOUT, EHOSTUNREACH, ENETUNREACH, ECONNRESET] {
+    for errno in [
+        ECONNREFUSED,
+        ETIMEDOUT,
+        EHOSTUNREACH,
+        ENETUNREACH,
+        ECONNRESET,
+    ] {
         assert!(!local(errno), "{errno}");
     }
 }
@@ -109,13 +144,19 @@
         move || {
             tries.set(tries.get() + 1);
             let error = nix::errno::Errno::ENFILE as i32;
-            let done = if tries.get() > times { Ok(()) } else { Err(io::Error::from_raw_os_error(error)) };
+            let done = if tries.get() > times {
+                Ok(())
+            } else {
+                Err(io::Error::from_raw_os_error(error))
+            };
             std::future::ready(done)
         }
     };
     assert!(retry_shortage(after(5)).await.is_ok());
     tries.set(0);
-    let error = retry_shortage(after(u32::MAX)).await.expect_err("it does not pass");
+    let error = retry_shortage(after(u32::MAX))
+        .await
+        .expect_err("it does not pass");
     assert!(is_shortage(&error));
     // What others have to change is told at once.
     let refused = || std::future::ready(Err::<(), _>(io::Error::from(ErrorKind::AddrInUse)));
--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -78,9 +78,14 @@
 
 /// Serves callers for ever. None of them waits for another.
 pub async fn serve(admin: Option<Admin>, node: Rc<Node>, ask: mpsc::Sender<Asked>) {
-    let Some(Admin { listener }) = admin else { return };
+    let Some(Admin { listener }) = admin else {
+        return;
+    };
     let began = Instant::now();
-    let room = Rc::new(RefCell::new(Room { desk: Desk::new(Desk::MOST, Desk::STAY), tasks: HashMap::new() }));
+    let room = Rc::new(RefCell::new(Room {
+        desk: Desk::new(Desk::MOST, Desk::STAY),
+        tasks: HashMap::new(),
+    }));
     loop {
         let until = room.borrow().desk.until().map(|until| began + until);
         tokio::select! {
@@ -116,7 +121,11 @@
     }
 }
 
-async fn converse(stream: TcpStream, node: &Rc<Node>, ask: &mpsc::Sender<Asked>) -> std::io::Result<()> {
+async fn converse(
+    stream: TcpStream,
+    node: &Rc<Node>,
+    ask: &mpsc::Sender<Asked>,
+) -> std::io::Result<()> {
     let mut stream = Socket::new(stream);
     let (mut line, mut piece) = (Line::default(), [0; PIECE]);
     let call = loop {
--- a/crates/node/src/alarm.rs
+++ b/crates/node/src/alarm.rs
@@ -16,7 +16,10 @@
 
 impl Alarm {
     pub fn new() -> Alarm {
-        Alarm { armed: Cell::new(Micros::MAX), sooner: Notify::new() }
+        Alarm {
+            armed: Cell::new(Micros::MAX),
+            sooner: Notify::new(),
+        }
     }
 
     /// The machine wants to be looked at then: it rings sooner, if need be.
--- a/crates/node/src/bodies.rs
+++ b/crates/node/src/bodies.rs
@@ -39,7 +39,9 @@
         return pieces.pop_front().unwrap_or_default();
     }
     let mut whole = BytesMut::with_capacity(pieces.iter().map(Bytes::len).sum());
-    pieces.iter().for_each(|piece| whole.extend_from_slice(piece));
+    pieces
+        .iter()
+        .for_each(|piece| whole.extend_from_slice(piece));
     whole.freeze()
 }
 
@@ -59,7 +61,9 @@
 
     fn poll_frame(self: Pin<&mut Self>, context: &mut Context<'_>) -> Polled {
         match self.get_mut() {
-            Outgoing::Full(full) => Pin::new(full).poll_frame(context).map_err(|never| match never {}),
+            Outgoing::Full(full) => Pin::new(full)
+                .poll_frame(context)
+                .map_err(|never| match never {}),
             Outgoing::Coming(pipe) => pipe.poll(context),
         }
     }
@@ -119,7 +123,9 @@
                 None => return Poll::Ready(None),
             };
             // Trailers are the client's matter with this node.
-            let Ok(data) = frame.into_data() else { continue };
+            let Ok(data) = frame.into_data() else {
+                continue;
+            };
             self.bytes += data.len() as u64;
             if self.bytes > LARGEST {
                 return Poll::Ready(Some(Err(io::Error::other("the body is too large"))));
@@ -139,7 +145,11 @@
 impl Pipe {
     /// A body of which these pieces have come; its client waits for so long once the last has.
     pub fn new(
-        node: u64, id: RequestId, patience: Duration, size: Option<u64>, first: VecDeque<Bytes>,
+        node: u64,
+        id: RequestId,
+        patience: Duration,
+        size: Option<u64>,
+        first: VecDeque<Bytes>,
         rest: Incoming,
     ) -> Pipe {
         let bytes = first.iter().map(|piece| piece.len() as u64).sum();
@@ -152,7 +162,14 @@
             told: Cell::new(false),
             released: Cell::new(false),
             waker: RefCell::default(),
-            piped: RefCell::new(Piped { first, rest, held: None, ended: false, failed: false, bytes }),
+            piped: RefCell::new(Piped {
+                first,
+                rest,
+                held: None,
+                ended: false,
+                failed: false,
+                bytes,
+            }),
         }
     }
 
@@ -164,7 +181,11 @@
     /// The last piece may go.
     pub fn release(&self) {
         self.released.set(true);
-        self.waker.borrow_mut().take().into_iter().for_each(Waker::wake);
+        self.waker
+            .borrow_mut()
+            .take()
+            .into_iter()
+            .for_each(Waker::wake);
     }
 
     fn is_over(&self) -> bool {
@@ -194,7 +215,14 @@
                     return Poll::Pending;
                 };
                 let deadline = node.now() + self.patience.as_micros() as Micros;
-                node.happened(Event::Whole { id: self.id.clone(), ticket, deadline }, None);
+                node.happened(
+                    Event::Whole {
+                        id: self.id.clone(),
+                        ticket,
+                        deadline,
+                    },
+                    None,
+                );
                 if !self.released.get() {
                     return Poll::Pending;
                 }
@@ -245,13 +273,19 @@
 
 impl<B: Into<Bytes>> From<B> for Reply {
     fn from(bytes: B) -> Reply {
-        Reply { body: Answering::Full(Full::new(bytes.into())), _busy: None }
+        Reply {
+            body: Answering::Full(Full::new(bytes.into())),
+            _busy: None,
+        }
     }
 }
 
 impl From<Passing> for Reply {
     fn from(passing: Passing) -> Reply {
-        Reply { body: Answering::Passing(passing), _busy: None }
+        Reply {
+            body: Answering::Passing(passing),
+            _busy: None,
+        }
     }
 }
 
@@ -261,7 +295,9 @@
 
     fn poll_frame(self: Pin<&mut Self>, context: &mut Context<'_>) -> Polled {
         match &mut self.get_mut().body {
-            Answering::Full(full) => Pin::new(full).poll_frame(context).map_err(|never| match never {}),
+            Answering::Full(full) => Pin::new(full)
+                .poll_frame(context)
+                .map_err(|never| match never {}),
             Answering::Passing(passing) => passing.poll(context),
         }
     }
@@ -276,7 +312,9 @@
     fn size_hint(&self) -> SizeHint {
         match &self.body {
             Answering::Full(full) => full.size_hint(),
-            Answering::Passing(passing) => passing.size.map_or_else(SizeHint::new, SizeHint::with_exact),
+            Answering::Passing(passing) => passing
+                .size
+                .map_or_else(SizeHint::new, SizeHint::with_exact),
         }
     }
 }
@@ -296,20 +334,37 @@
 
 impl fmt::Debug for Passing {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Passing").field("link", &self.link).field("size", &self.size).finish_non_exhaustive()
+        f.debug_struct("Passing")
+            .field("link", &self.link)
+            .field("size", &self.size)
+            .finish_non_exhaustive()
     }
 }
 
 impl Passing {
     /// An answer of which these pieces have come on a connection.
     pub fn new(
-        node: u64, link: LinkId, left: mpsc::UnboundedSender<LinkId>, sender: SendRequest<Outgoing>,
-        first: VecDeque<Bytes>, rest: Incoming,
+        node: u64,
+        link: LinkId,
+        left: mpsc::UnboundedSender<LinkId>,
+        sender: SendRequest<Outgoing>,
+        first: VecDeque<Bytes>,
+        rest: Incoming,
     ) -> Passing {
         let come: u64 = first.iter().map(|piece| piece.len() as u64).sum();
         let size = rest.size_hint().exact().map(|rest| come + rest);
         let stall = Box::pin(tokio::time::sleep(STALL));
-        Passing { node, link, left, sender: Some(sender), size, first, rest, over: false, stall }
+        Passing {
+            node,
+            link,
+            left,
+            sender: Some(sender),
+            size,
+            first,
+            rest,
+            over: false,
+            stall,
+        }
     }
 
     fn is_over(&self) -> bool {
@@ -321,12 +376,21 @@
         if std::mem::replace(&mut self.over, true) {
             return;
         }
-        let Some(node) = Node::here(self.node) else { return };
+        let Some(node) = Node::here(self.node) else {
+            return;
+        };
         let (link, outcome) = (self.link, Outcome::Ok);
         if let Some(sender) = self.sender.take() {
             node.upstream.free_again(link, sender);
         }
-        node.happened(if whole { Event::Replied { link, outcome } } else { Event::Broken { link } }, None);
+        node.happened(
+            if whole {
+                Event::Replied { link, outcome }
+            } else {
+                Event::Broken { link }
+            },
+            None,
+        );
     }
 
     fn poll(&mut self, context: &mut Context<'_>) -> Polled {
@@ -339,7 +403,9 @@
         loop {
             match Pin::new(&mut self.rest).poll_frame(context) {
                 Poll::Ready(Some(Ok(frame))) => {
-                    let Ok(data) = frame.into_data() else { continue };
+                    let Ok(data) = frame.into_data() else {
+                        continue;
+                    };
                     self.stall.as_mut().reset(Instant::now() + STALL);
                     // Who knows the length asks no more after the last byte.
                     if self.rest.is_end_stream() {
--- a/crates/node/src/clients.rs
+++ b/crates/node/src/clients.rs
@@ -98,12 +98,19 @@
 /// Accepts clients until the edge node closes, then serves out those that it has. At most `most` at a time. A listener
 /// that is `shared` goes on in other hands: what waits in its backlog is theirs.
 pub async fn serve(
-    listener: TcpListener, shared: bool, node: Rc<Node>, most: usize, phase: watch::Receiver<Standing>,
+    listener: TcpListener,
+    shared: bool,
+    node: Rc<Node>,
+    most: usize,
+    phase: watch::Receiver<Standing>,
 ) {
     let (mut connections, mut backlog) = (Connections::new(), Backlog::new(listener));
     let mut look = tokio::time::interval(LOOK_EVERY);
     look.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut soon = Soon { unwatched: Rc::clone(&connections.unwatched), at: None };
+    let mut soon = Soon {
+        unwatched: Rc::clone(&connections.unwatched),
+        at: None,
+    };
     let mut standing = phase.clone();
     let closed = reached(phase.clone(), Phase::Closing);
     tokio::pin!(closed);
@@ -157,7 +164,9 @@
         }
     }
     node.leave();
-    waits.into_iter().for_each(|came| connections.admit(came, &node, &phase));
+    waits
+        .into_iter()
+        .for_each(|came| connections.admit(came, &node, &phase));
     if !shared {
         for came in backlog.rest().await {
             connections.admit(came, &node, &phase);
--- a/crates/node/src/clients/backlog.rs
+++ b/crates/node/src/clients/backlog.rs
@@ -34,7 +34,11 @@
 impl Backlog {
     /// What waits at a listener.
     pub(super) fn new(listener: TcpListener) -> Backlog {
-        Backlog { listener, clear: Instant::now(), behind: true }
+        Backlog {
+            listener,
+            clear: Instant::now(),
+            behind: true,
+        }
     }
 
     /// Accepts the next. The machine does not say when a connection came: no later than it is accepted, and after the backlog was
@@ -52,7 +56,10 @@
                 Poll::Ready(_) if self.behind => {}
                 Poll::Ready(_) => (self.clear, self.behind) = (self.clear.max(since()), true),
             }
-            accepted.map_ok(|(stream, _)| Accepted { stream, came_after: self.clear })
+            accepted.map_ok(|(stream, _)| Accepted {
+                stream,
+                came_after: self.clear,
+            })
         })
         .await
     }
@@ -61,9 +68,13 @@
     /// fails for a moment is made again.
     pub(super) async fn rest(&self) -> Vec<Accepted> {
         let (mut rest, mut pauses) = (Vec::new(), 0);
-        while let Ok(accepted) = tokio::time::timeout(Duration::ZERO, self.listener.accept()).await {
+        while let Ok(accepted) = tokio::time::timeout(Duration::ZERO, self.listener.accept()).await
+        {
             match accepted {
-                Ok((stream, _)) => rest.push(Accepted { stream, came_after: self.clear }),
+                Ok((stream, _)) => rest.push(Accepted {
+                    stream,
+                    came_after: self.clear,
+                }),
                 Err(error) if AcceptFailure::of(&error) == AcceptFailure::OfOneConnection => {}
                 Err(_) if pauses >= PAUSES_AT_THE_END => break,
                 Err(_) => {
--- a/crates/node/src/clients/connection.rs
+++ b/crates/node/src/clients/connection.rs
@@ -31,7 +31,10 @@
 
 /// One client's connection, until it ends or is sent away.
 pub(super) async fn converse(
-    stream: Arc<TcpStream>, node: Rc<Node>, phase: watch::Receiver<Standing>, seat: Arc<Seat>,
+    stream: Arc<TcpStream>,
+    node: Rc<Node>,
+    phase: watch::Receiver<Standing>,
+    seat: Arc<Seat>,
     unwatched: Rc<Notify>,
 ) {
     let talk = talk(stream, node, phase, Arc::clone(&seat));
@@ -59,14 +62,23 @@
             }
         }
         if !seat.is_busy() {
-            debug!(why = "sent_away", asked = seat.asked(), "a connection closes");
+            debug!(
+                why = "sent_away",
+                asked = seat.asked(),
+                "a connection closes"
+            );
             return;
         }
         seat.stays();
     }
 }
 
-async fn talk(stream: Arc<TcpStream>, node: Rc<Node>, phase: watch::Receiver<Standing>, seat: Arc<Seat>) {
+async fn talk(
+    stream: Arc<TcpStream>,
+    node: Rc<Node>,
+    phase: watch::Receiver<Standing>,
+    seat: Arc<Seat>,
+) {
     let _ = stream.set_nodelay(true);
     let seen = phase.clone();
     let held = Arc::clone(&seat);
@@ -87,7 +99,9 @@
     // How long heads may take is seen to from outside.
     http.header_read_timeout(None).max_buf_size(BUFFER_MOST);
     http.auto_date_header(false);
-    let connection = http.serve_connection(TokioIo::new(watched), service).with_upgrades();
+    let connection = http
+        .serve_connection(TokioIo::new(watched), service)
+        .with_upgrades();
     tokio::pin!(connection);
     tokio::select! {
         biased;
@@ -103,7 +117,10 @@
         _ => FIRST_WITHIN,
     };
     // No longer than the process takes requests at all.
-    let left = phase.borrow().answer_by.map(|end| end.saturating_duration_since(Instant::now()));
+    let left = phase
+        .borrow()
+        .answer_by
+        .map(|end| end.saturating_duration_since(Instant::now()));
     let wait = left.map_or(wait, |left| wait.min(left));
     if tokio::time::timeout(wait, &mut connection).await.is_ok() {
         return;
--- a/crates/node/src/clients/connections.rs
+++ b/crates/node/src/clients/connections.rs
@@ -36,16 +36,33 @@
     /// None yet.
     pub(super) fn new() -> Connections {
         let (tasks, entries, press) = (JoinSet::new(), Vec::new(), Press::default());
-        Connections { began: Instant::now(), tasks, entries, press, unwatched: Rc::default() }
+        Connections {
+            began: Instant::now(),
+            tasks,
+            entries,
+            press,
+            unwatched: Rc::default(),
+        }
     }
 
     /// Serves a connection from now on.
-    pub(super) fn admit(&mut self, accepted: Accepted, node: &Rc<Node>, phase: &watch::Receiver<Standing>) {
+    pub(super) fn admit(
+        &mut self,
+        accepted: Accepted,
+        node: &Rc<Node>,
+        phase: &watch::Receiver<Standing>,
+    ) {
         let Accepted { stream, came_after } = accepted;
         let stream = Arc::new(stream);
         let seat = Seat::new(self.began, came_after, &stream);
         let unwatched = Rc::clone(&self.unwatched);
-        let talk = converse(stream, Rc::clone(node), phase.clone(), Arc::clone(&seat), unwatched);
+        let talk = converse(
+            stream,
+            Rc::clone(node),
+            phase.clone(),
+            Arc::clone(&seat),
+            unwatched,
+        );
         let task = self.tasks.spawn_local(talk);
         self.entries.push(Entry { seat, task });
         // Guards memory: a handle keeps what its task has left behind.
@@ -94,7 +111,11 @@
     pub(super) fn make_way(&mut self, most: usize) {
         self.tidy();
         let now = self.began.elapsed();
-        let going = self.entries.iter().filter(|entry| entry.seat.is_going()).count();
+        let going = self
+            .entries
+            .iter()
+            .filter(|entry| entry.seat.is_going())
+            .count();
         let way = self.press.make_way(now, most, self.tasks.len(), going);
         if way.must + way.may == 0 {
             return;
--- a/crates/node/src/clients/reply.rs
+++ b/crates/node/src/clients/reply.rs
@@ -20,7 +20,9 @@
 /// Turns an upgrade away, and says which version is spoken.
 pub(super) fn not_upgraded(status: StatusCode, words: &'static str) -> Reply {
     let mut reply = turned_away(status, words);
-    reply.headers_mut().insert(SEC_WEBSOCKET_VERSION, upgrade::VERSION);
+    reply
+        .headers_mut()
+        .insert(SEC_WEBSOCKET_VERSION, upgrade::VERSION);
     reply
 }
 
--- a/crates/node/src/clients/request.rs
+++ b/crates/node/src/clients/request.rs
@@ -38,20 +38,36 @@
 /// The class that a request's head names.
 pub(super) fn class_of(named: &Named, headers: &HeaderMap) -> Option<ClassId> {
     let class = text(headers, "x-class")?;
-    named.classes.iter().position(|known| known == class).map(ClassId)
+    named
+        .classes
+        .iter()
+        .position(|known| known == class)
+        .map(ClassId)
 }
 
 /// Reads the head of a client's request. Nothing has been touched by then: what is wrong with it is told, and that
 /// is all.
-pub(super) fn read(named: &Named, head: &hyper::http::request::Parts) -> Result<RequestHead, Rejected> {
-    let bad = |reason| Rejected { status: StatusCode::BAD_REQUEST, reason };
+pub(super) fn read(
+    named: &Named,
+    head: &hyper::http::request::Parts,
+) -> Result<RequestHead, Rejected> {
+    let bad = |reason| Rejected {
+        status: StatusCode::BAD_REQUEST,
+        reason,
+    };
     let headers = &head.headers;
     // Guards against a header that two readers take in two ways.
-    if READ_ONCE.iter().any(|name| headers.get_all(*name).iter().nth(1).is_some()) {
+    if READ_ONCE
+        .iter()
+        .any(|name| headers.get_all(*name).iter().nth(1).is_some())
+    {
         return Err(bad("a header is repeated\n"));
     }
     let id = text(headers, "x-request-id").filter(|id| (1..=64).contains(&id.len()));
-    let id = RequestId(id.ok_or(bad("X-Request-Id: missing, or no word of 1 to 64 bytes\n"))?.into());
+    let id = RequestId(
+        id.ok_or(bad("X-Request-Id: missing, or no word of 1 to 64 bytes\n"))?
+            .into(),
+    );
     let place = |names: &[String], name: &str| names.iter().position(|known| known == name);
     let class = text(headers, "x-class").ok_or(bad("X-Class: missing\n"))?;
     let number = class_of(named, headers).ok_or(bad("X-Class: unknown\n"))?.0;
@@ -61,10 +77,14 @@
     if path.next() != Some(class) {
         return Err(bad("the path does not begin with the class\n"));
     }
-    let customer =
-        path.next_back().and_then(customer).ok_or(bad("the path does not end with a customer\n"))?;
+    let customer = path
+        .next_back()
+        .and_then(customer)
+        .ok_or(bad("the path does not end with a customer\n"))?;
     let longest = Duration::from_micros(named.longest_deadline);
-    let patience = text(headers, "x-deadline").and_then(span).filter(|span| *span <= longest);
+    let patience = text(headers, "x-deadline")
+        .and_then(span)
+        .filter(|span| *span <= longest);
     let patience = patience.ok_or(bad("X-Deadline: missing or bad\n"))?;
     let terms = text(headers, "x-call-terms").and_then(|text| Terms::read(text, &named.settings));
     let terms = terms.ok_or(bad("X-Call-Terms: missing or bad\n"))?;
@@ -75,7 +95,15 @@
         (Effect::Keyed { .. }, &Method::POST) => return Err(bad("Idempotency-Key: missing\n")),
         _ => return Err(bad("this class takes another method\n")),
     }
-    Ok(RequestHead { id, class: ClassId(number), plan, customer, terms, patience, effect })
+    Ok(RequestHead {
+        id,
+        class: ClassId(number),
+        plan,
+        customer,
+        terms,
+        patience,
+        effect,
+    })
 }
 
 impl RequestHead {
@@ -88,7 +116,10 @@
 
     /// The request is whole; its client's time runs.
     pub(super) fn arrived(
-        self, head: hyper::http::request::Parts, body: Bytes, seat: &Arc<Seat>,
+        self,
+        head: hyper::http::request::Parts,
+        body: Bytes,
+        seat: &Arc<Seat>,
     ) -> (Event, Forward) {
         let patience = self.patience.saturating_sub(DELIVERY);
         let deadline = Instant::now() + patience;
@@ -103,7 +134,11 @@
             patience: patience.as_micros() as u64,
             whole: true,
         };
-        let target = head.uri.path_and_query().map_or("/", |target| target.as_str()).to_owned();
+        let target = head
+            .uri
+            .path_and_query()
+            .map_or("/", |target| target.as_str())
+            .to_owned();
         let key = head.headers.get(KEY).cloned();
         (
             event,
@@ -124,8 +159,16 @@
 
 const KEY: &str = "idempotency-key";
 /// Headers that a request may have once at the most.
-const READ_ONCE: [&str; 8] =
-    ["x-request-id", "x-class", "x-tier", "x-deadline", "x-call-terms", KEY, "content-length", "host"];
+const READ_ONCE: [&str; 8] = [
+    "x-request-id",
+    "x-class",
+    "x-tier",
+    "x-deadline",
+    "x-call-terms",
+    KEY,
+    "content-length",
+    "host",
+];
 
 pub(super) fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
@@ -134,13 +177,18 @@
 /// A customer: 16 hex digits and no sign, a number below 2^33.
 pub(super) fn customer(text: &str) -> Option<CustomerId> {
     let digits = text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
-    let number = digits.then(|| u64::from_str_radix(text, 16).ok()).flatten()?;
+    let number = digits
+        .then(|| u64::from_str_radix(text, 16).ok())
+        .flatten()?;
     (number < 1 << 33).then_some(CustomerId(number))
 }
 
 /// A plain decimal number; no sign, no exponent, no word that stands for one.
 fn number(text: &str) -> Option<f64> {
-    let plain = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
+    let plain = !text.is_empty()
+        && text
+            .bytes()
+            .all(|byte| byte.is_ascii_digit() || byte == b'.');
     plain.then(|| text.parse().ok()).flatten()
 }
 
@@ -169,26 +217,40 @@
     /// term, or stands twice, spoils all.
     fn read(text: &str, settings: &Settings) -> Option<Terms> {
         let (mut units, mut spread, mut first) = (None, None, None);
-        let whole =
-            |value: &str| value.bytes().all(|byte| byte.is_ascii_digit()).then(|| value.parse().ok())?;
-        let most = if settings.most_units > 0.0 { settings.most_units } else { f64::MAX };
+        let whole = |value: &str| {
+            value
+                .bytes()
+                .all(|byte| byte.is_ascii_digit())
+                .then(|| value.parse().ok())?
+        };
+        let most = if settings.most_units > 0.0 {
+            settings.most_units
+        } else {
+            f64::MAX
+        };
         for term in text.split(',') {
             let (name, value) = term.trim().split_once('=')?;
             let again = match name {
-                "units" => {
-                    units.replace(number(value).filter(|units| *units > 0.0 && *units <= most)?).is_some()
-                }
+                "units" => units
+                    .replace(number(value).filter(|units| *units > 0.0 && *units <= most)?)
+                    .is_some(),
                 "spread" => {
                     let fits = |spread: &u32| (1..=settings.gateways).contains(spread);
                     spread.replace(whole(value).filter(fits)?).is_some()
                 }
-                "first" => first.replace(whole(value).filter(|first| *first < settings.gateways)?).is_some(),
+                "first" => first
+                    .replace(whole(value).filter(|first| *first < settings.gateways)?)
+                    .is_some(),
                 _ => false,
             };
             if again {
                 return None;
             }
         }
-        Some(Terms { units: units?, spread: spread?, first: GatewayId(first?) })
+        Some(Terms {
+            units: units?,
+            spread: spread?,
+            first: GatewayId(first?),
+        })
     }
 }
--- a/crates/node/src/clients/respond.rs
+++ b/crates/node/src/clients/respond.rs
@@ -1,6 +1,8 @@
 //! What is done with one request: its body is read, it goes through the node, and its answer is made.
 
-use super::reply::{in_use, not_upgraded, plain, refused, reply, too_late, turned_away, unread, Reply};
+use super::reply::{
+    in_use, not_upgraded, plain, refused, reply, too_late, turned_away, unread, Reply,
+};
 use super::request::{read, Rejected, RequestHead, DELIVERY};
 use super::Standing;
 use crate::bodies::{joined, Gathered, Pipe, BODY_MOST, LARGEST};
@@ -37,18 +39,30 @@
 
 /// Answers a request.
 pub(super) async fn respond(
-    node: &Rc<Node>, request: Request<Incoming>, phase: &watch::Receiver<Standing>, seat: &Arc<Seat>,
+    node: &Rc<Node>,
+    request: Request<Incoming>,
+    phase: &watch::Receiver<Standing>,
+    seat: &Arc<Seat>,
 ) -> Reply {
     // Guards against a request that hides another in its body: of a length and an encoding, hyper drops one unseen.
     let coding = request.headers().get(TRANSFER_ENCODING);
-    if coding.is_some_and(|coding| seat.hides() || !coding.as_bytes().eq_ignore_ascii_case(b"chunked")) {
+    if coding
+        .is_some_and(|coding| seat.hides() || !coding.as_bytes().eq_ignore_ascii_case(b"chunked"))
+    {
         let reason = "a body has a Content-Length or is chunked, not both\n";
-        let rejected = Rejected { status: StatusCode::BAD_REQUEST, reason };
+        let rejected = Rejected {
+            status: StatusCode::BAD_REQUEST,
+            reason,
+        };
         return unread(node, request.headers(), rejected);
     }
     if request.method() == Method::GET && request.uri().path() == "/-/ready" {
         let standing = phase.borrow().clone();
-        let status = if standing.ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
+        let status = if standing.ready {
+            StatusCode::OK
+        } else {
+            StatusCode::SERVICE_UNAVAILABLE
+        };
         let mut reply = Response::new(standing.why.to_string().into());
         *reply.status_mut() = status;
         return reply;
@@ -93,13 +107,23 @@
     let patience = asked.patience.saturating_sub(DELIVERY);
     let (mut event, mut forward) = asked.arrived(head, body, seat);
     let pipe = pipe.map(|(first, rest)| {
-        Rc::new(Pipe::new(node.number(), forward.id.clone(), patience, size, first, rest))
+        Rc::new(Pipe::new(
+            node.number(),
+            forward.id.clone(),
+            patience,
+            size,
+            first,
+            rest,
+        ))
     });
     if let Some(pipe) = &pipe {
         // Its client's time begins with its last byte.
         forward.body = Going::Coming(Rc::clone(pipe));
         forward.deadline = Instant::now() + COMING_WITHIN;
-        if let Event::Request { patience, whole, .. } = &mut event {
+        if let Event::Request {
+            patience, whole, ..
+        } = &mut event
+        {
             (*patience, *whole) = (COMING_WITHIN.as_micros() as u64, false);
         }
     }
@@ -130,8 +154,12 @@
     let began = Instant::now();
     loop {
         let until = began + BODY_WITHIN + BODY_PACE.0.mul_f64(size as f64 / f64::from(BODY_PACE.1));
-        let Some(frame) = tokio::time::timeout_at(until, body.frame()).await.ok()? else { break };
-        let Ok(data) = frame.ok()?.into_data() else { continue };
+        let Some(frame) = tokio::time::timeout_at(until, body.frame()).await.ok()? else {
+            break;
+        };
+        let Ok(data) = frame.ok()?.into_data() else {
+            continue;
+        };
         size += data.len();
         pieces.push_back(data);
         if size > BODY_MOST {
@@ -143,11 +171,22 @@
 
 /// Has a socket opened: a request like any other, whose answer is the socket.
 async fn socket(
-    node: &Rc<Node>, mut asked: RequestHead, head: hyper::http::request::Parts, offer: Offer,
-    upgrades: OnUpgrade, seat: &Arc<Seat>,
+    node: &Rc<Node>,
+    mut asked: RequestHead,
+    head: hyper::http::request::Parts,
+    offer: Offer,
+    upgrades: OnUpgrade,
+    seat: &Arc<Seat>,
 ) -> Reply {
-    let Some(front) = node.front.as_ref().filter(|front| front.class == asked.class) else {
-        return not_upgraded(StatusCode::BAD_REQUEST, "this class is not that of sockets\n");
+    let Some(front) = node
+        .front
+        .as_ref()
+        .filter(|front| front.class == asked.class)
+    else {
+        return not_upgraded(
+            StatusCode::BAD_REQUEST,
+            "this class is not that of sockets\n",
+        );
     };
     if !asked.has_waited(seat.rested()) {
         return too_late(node, asked.class);
@@ -162,8 +201,12 @@
     };
     let (event, mut forward) = asked.arrived(head, Bytes::new(), seat);
     forward.offer = Some(offer);
-    let Some(answer) = ask(node, event, forward).await else { return in_use() };
-    let Answer::Served(Payload::Switched(switched)) = answer else { return reply(answer) };
+    let Some(answer) = ask(node, event, forward).await else {
+        return in_use();
+    };
+    let Answer::Served(Payload::Switched(switched)) = answer else {
+        return reply(answer);
+    };
     let mut answer = plain(StatusCode::SWITCHING_PROTOCOLS, "");
     let headers = answer.headers_mut();
     headers.insert(CONNECTION, HeaderValue::from_static("upgrade"));
@@ -172,7 +215,9 @@
     tokio::task::spawn_local(async move {
         // It fails where the client has gone before its answer.
         let Ok(upgraded) = upgrades.await else { return };
-        let Ok(parts) = upgraded.downcast::<TokioIo<Watched>>() else { return };
+        let Ok(parts) = upgraded.downcast::<TokioIo<Watched>>() else {
+            return;
+        };
         if let Some(stream) = parts.io.into_inner().into_inner() {
             sockets::relay(place, stream, parts.read_buf, *switched).await;
         }
--- a/crates/node/src/clients/tests.rs
+++ b/crates/node/src/clients/tests.rs
@@ -10,7 +10,8 @@
 use tokio::net::TcpStream;
 
 fn node() -> Rc<Node> {
-    let [nowhere, free] = ["127.0.0.1:9", "127.0.0.1:0"].map(|text| text.parse().expect("an address"));
+    let [nowhere, free] =
+        ["127.0.0.1:9", "127.0.0.1:0"].map(|text| text.parse().expect("an address"));
     let places = Places {
         name: "n0".to_owned(),
         listen: free,
@@ -21,7 +22,9 @@
         memory_mb: 64,
     };
     let text = configuration(&places, &Fleet::usual(1).settings(0), None, 1);
-    let named = Config::parse(std::path::Path::new("none"), &text).expect("a good configuration").named;
+    let named = Config::parse(std::path::Path::new("none"), &text)
+        .expect("a good configuration")
+        .named;
     let bounds = (100, Links::new("n0", false));
     Node::new(1, named, Upstream::new(), bounds, None, None, None).expect("a node")
 }
@@ -30,7 +33,10 @@
 /// whole is answered; half a head, and an idle connection, go without a word.
 #[test]
 fn a_request_that_comes_whole_as_its_connection_makes_way_is_answered() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let (node, (_standing, seen)) = (node(), watch::channel(Standing::unready()));
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -40,7 +46,14 @@
             let address = listener.local_addr().expect("an address");
             let mut client = std::net::TcpStream::connect(address).expect("it listens");
             let (stream, _) = listener.accept().await.expect("one has come");
-            connections.admit(Accepted { stream, came_after: Instant::now() }, &node, &seen);
+            connections.admit(
+                Accepted {
+                    stream,
+                    came_after: Instant::now(),
+                },
+                &node,
+                &seen,
+            );
             client.write_all(first.as_bytes()).expect("written");
             while connections.entries[0].seat.seen().head.is_some() == first.is_empty() {
                 tokio::task::yield_now().await;
@@ -53,7 +66,10 @@
             let mut got = String::new();
             let mut client = TcpStream::from_std(client).expect("it is open");
             let _ = client.read_to_string(&mut got).await;
-            assert!(got.starts_with(status) && got.is_empty() == status.is_empty(), "{first:?}: {got:?}");
+            assert!(
+                got.starts_with(status) && got.is_empty() == status.is_empty(),
+                "{first:?}: {got:?}"
+            );
         }
     });
 }
@@ -62,7 +78,9 @@
 fn spans_have_a_number_and_a_unit() {
     assert_eq!(span("480m"), Some(Duration::from_millis(480)));
     assert_eq!(span("1500u"), Some(Duration::from_micros(1500)));
-    for bad in ["", "m", "480", "-1m", "+1m", "1e2m", "0m", "NaNm", "infm", "1s", "4µ"] {
+    for bad in [
+        "", "m", "480", "-1m", "+1m", "1e2m", "0m", "NaNm", "infm", "1s", "4µ",
+    ] {
         assert_eq!(span(bad), None, "{bad:?}");
     }
 }
@@ -70,9 +88,14 @@
 #[test]
 fn customers_have_16_digits_and_no_sign() {
     assert_eq!(customer("00000000b4d65521"), Some(CustomerId(0xb4d6_5521)));
-    for bad in
-        ["", "b4d65521", "+0000000b4d65521", "-0000000b4d65521", "0000000200000000", "00000000b4d6552g"]
-    {
+    for bad in [
+        "",
+        "b4d65521",
+        "+0000000b4d65521",
+        "-0000000b4d65521",
+        "0000000200000000",
+        "00000000b4d6552g",
+    ] {
         assert_eq!(customer(bad), None, "{bad:?}");
     }
 }
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -99,7 +99,10 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { sockets: few_sockets(), memory_mb: little_memory() }
+        Limits {
+            sockets: few_sockets(),
+            memory_mb: little_memory(),
+        }
     }
 }
 
@@ -146,13 +149,20 @@
         if let Some(name) = variable("LB_NAME") {
             config.name = name;
         }
-        for (key, address) in [("LB_LISTEN", &mut config.listen), ("LB_DISCOVERY", &mut config.discovery)] {
+        for (key, address) in [
+            ("LB_LISTEN", &mut config.listen),
+            ("LB_DISCOVERY", &mut config.discovery),
+        ] {
             if let Some(text) = variable(key) {
-                *address = text.parse().with_context(|| format!("{key}: {text:?} is no address"))?;
+                *address = text
+                    .parse()
+                    .with_context(|| format!("{key}: {text:?} is no address"))?;
             }
         }
         if let Some(text) = variable("LB_ADMIN_ADDR").filter(|text| !text.is_empty()) {
-            let address = text.parse().with_context(|| format!("LB_ADMIN_ADDR: {text:?} is no address"))?;
+            let address = text
+                .parse()
+                .with_context(|| format!("LB_ADMIN_ADDR: {text:?} is no address"))?;
             config.admin = Some(address);
         }
         Ok(config)
@@ -160,7 +170,8 @@
 
     /// Reads the file alone.
     pub fn read(path: &Path) -> Result<Config> {
-        let text = std::fs::read_to_string(path).with_context(|| format!("LB_CONFIG: {}", path.display()))?;
+        let text = std::fs::read_to_string(path)
+            .with_context(|| format!("LB_CONFIG: {}", path.display()))?;
         Config::parse(path, &text).with_context(|| format!("LB_CONFIG: {}", path.display()))
     }
 
@@ -170,11 +181,19 @@
     /// What is wrong with it.
     pub fn parse(path: &Path, text: &str) -> Result<Config> {
         let file: File = serde_json::from_str(text)?;
-        let named = setup::read(file.settings.get()).map_err(anyhow::Error::msg).context("settings")?;
+        let named = setup::read(file.settings.get())
+            .map_err(anyhow::Error::msg)
+            .context("settings")?;
         named.settings.check().context("settings")?;
-        ensure!(file.limits.sockets >= FEWEST_SOCKETS, "limits.sockets: {FEWEST_SOCKETS} are needed");
-        let peers =
-            file.peer_listen.map(|listen| PeerAddresses { listen, each: file.peers, all: file.peers_all });
+        ensure!(
+            file.limits.sockets >= FEWEST_SOCKETS,
+            "limits.sockets: {FEWEST_SOCKETS} are needed"
+        );
+        let peers = file.peer_listen.map(|listen| PeerAddresses {
+            listen,
+            each: file.peers,
+            all: file.peers_all,
+        });
         let seed = u64::from_str_radix(&file.seed, 16).unwrap_or_else(|_| fastrand::u64(..));
         let (name, listen, discovery) = (file.name, file.listen, file.discovery);
         let sockets = file.limits.sockets;
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -58,7 +58,8 @@
 impl Word {
     /// Whether something of it has come that the node has not taken yet: on its watch, or as the answer to a call.
     fn is_behind(&self) -> bool {
-        let has_more = |stream: &Looked<TcpStream>| stream.upgrade().is_some_and(|stream| !is_quiet(&stream));
+        let has_more =
+            |stream: &Looked<TcpStream>| stream.upgrade().is_some_and(|stream| !is_quiet(&stream));
         (self.open.get() && (!self.taken.get() || has_more(&self.watch.borrow())))
             || self.asked.borrow().iter().any(has_more)
     }
@@ -85,7 +86,11 @@
     /// Whether news of the list has come to this machine that the node has not taken yet. Danger: a loop that was late, which
     /// finds a drain and a request waiting for it and writes the request first.
     pub fn are_behind(&self) -> bool {
-        self.0.borrow().iter().filter_map(Weak::upgrade).any(|word| word.is_behind())
+        self.0
+            .borrow()
+            .iter()
+            .filter_map(Weak::upgrade)
+            .any(|word| word.is_behind())
     }
 }
 
@@ -108,14 +113,23 @@
 impl Follower {
     /// How long a call may take to be answered.
     fn answers(&self) -> Duration {
-        self.terms.as_ref().map_or(SILENT_FOR, |terms| terms.answer_within)
+        self.terms
+            .as_ref()
+            .map_or(SILENT_FOR, |terms| terms.answer_within)
     }
 
     /// Whether a list is to be believed; one that is not is asked for whole again.
     fn believes(&mut self, list: &List) -> bool {
-        let Some(terms) = self.terms.as_ref().filter(|_| list.whole) else { return true };
+        let Some(terms) = self.terms.as_ref().filter(|_| list.whole) else {
+            return true;
+        };
         let known = self.node.ready();
-        let believed = self.doubt.believes(self.born.elapsed(), list.hosts.len(), known, terms.empty_after);
+        let believed = self.doubt.believes(
+            self.born.elapsed(),
+            list.hosts.len(),
+            known,
+            terms.empty_after,
+        );
         if !believed {
             eprintln!(
                 "discovery: its list is empty; {known} servers are kept until that has lasted {} ms",
@@ -126,7 +140,12 @@
     }
 
     fn take(&mut self, list: &List) {
-        debug!(seq = list.seq, whole = list.whole, hosts = list.hosts.len(), "discovery: a list");
+        debug!(
+            seq = list.seq,
+            whole = list.whole,
+            hosts = list.hosts.len(),
+            "discovery: a list"
+        );
         if !self.believes(list) {
             return;
         }
@@ -145,7 +164,10 @@
 /// new one has spoken, the old list stands, and a watch that is open at the old address is heard on. Danger: a drain that
 /// the old one still tells while the new one is silent.
 pub async fn follow(
-    node: Rc<Node>, mut address: watch::Receiver<SocketAddr>, known: Option<List>, terms: Option<Terms>,
+    node: Rc<Node>,
+    mut address: watch::Receiver<SocketAddr>,
+    known: Option<List>,
+    terms: Option<Terms>,
 ) {
     let place = (node.named.settings.me.0, node.named.settings.gateways);
     let born = Instant::now();
@@ -161,11 +183,17 @@
     };
     let mut first = follower();
     if let Some(known) = known {
-        first.take(&List { whole: true, ..known });
+        first.take(&List {
+            whole: true,
+            ..known
+        });
         first.word = Rc::default();
     }
     // Danger: a fleet that starts at one stroke, whose first calls take the service away from all that it serves.
-    if let Some(first) = terms.as_ref().map(|terms| terms.first_call(place, fastrand::f64())) {
+    if let Some(first) = terms
+        .as_ref()
+        .map(|terms| terms.first_call(place, fastrand::f64()))
+    {
         tokio::time::sleep(first).await;
     }
     let mut next = Some(first);
@@ -244,7 +272,11 @@
 impl Driver {
     fn drive(&mut self, context: &mut Polled<'_>) {
         // How it ended shows in the watch.
-        if self.0.as_mut().is_some_and(|connection| connection.as_mut().poll(context).is_ready()) {
+        if self
+            .0
+            .as_mut()
+            .is_some_and(|connection| connection.as_mut().poll(context).is_ready())
+        {
             self.0 = None;
         }
     }
@@ -282,38 +314,60 @@
 
 /// One call, until it is answered. `answers`: how long that may take, with the connection.
 async fn call(
-    word: Rc<Word>, address: SocketAddr, path: String, answers: Duration,
+    word: Rc<Word>,
+    address: SocketAddr,
+    path: String,
+    answers: Duration,
 ) -> Result<Watch, NoWatch> {
     let opened = async {
         let by = Instant::now() + answers;
         let connect = TcpStream::connect(address);
-        let stream = timeout(SILENT_FOR.min(answers), connect).await.context("it does not come up")??;
+        let stream = timeout(SILENT_FOR.min(answers), connect)
+            .await
+            .context("it does not come up")??;
         let stream = Arc::new(stream);
         let looked = Arc::downgrade(&stream);
         word.asks(&stream);
         let (mut sender, connection) = http1::handshake(TokioIo::new(Socket::new(stream))).await?;
         let mut driver = Driver(Some(Box::pin(async move { _ = connection.await })));
-        let request = Request::builder().uri(path).header(HOST, address.to_string());
+        let request = Request::builder()
+            .uri(path)
+            .header(HOST, address.to_string());
         let mut answer = pin!(sender.send_request(request.body(Empty::<Bytes>::new())?));
         let answer = poll_fn(|context| {
             driver.drive(context);
             answer.as_mut().poll(context)
         });
-        let answer = timeout_at(by, answer).await.context("the call is not answered")??;
+        let answer = timeout_at(by, answer)
+            .await
+            .context("the call is not answered")??;
         anyhow::Ok((driver, looked, answer))
     };
     let (driver, stream, answer) = opened.await.map_err(NoWatch::Failed)?;
     if answer.status() == StatusCode::OK {
-        return Ok(Watch { driver, body: answer.into_body(), stream });
+        return Ok(Watch {
+            driver,
+            body: answer.into_body(),
+            stream,
+        });
     }
-    let after = answer.headers().get(RETRY_AFTER).and_then(|after| after.to_str().ok()?.trim().parse().ok());
+    let after = answer
+        .headers()
+        .get(RETRY_AFTER)
+        .and_then(|after| after.to_str().ok()?.trim().parse().ok());
     let failed = || NoWatch::Failed(anyhow!("the watch was answered {}", answer.status()));
-    Err(after.map_or_else(failed, |after| NoWatch::ComeBack(answer.status(), Duration::from_secs(after))))
+    Err(after.map_or_else(failed, |after| {
+        NoWatch::ComeBack(answer.status(), Duration::from_secs(after))
+    }))
 }
 
 /// Calls again and again, also while earlier calls are still open, until one is answered with a watch. The others end with it.
 async fn soonest(
-    word: &Rc<Word>, address: SocketAddr, path: &str, answers: Duration, pace: &mut Pace,
+    word: &Rc<Word>,
+    address: SocketAddr,
+    path: &str,
+    answers: Duration,
+    pace: &mut Pace,
     mut beside: Duration,
 ) -> Watch {
     let mut calls = JoinSet::new();
@@ -353,7 +407,10 @@
 /// One watch, until it ends.
 async fn watch_list(follower: &mut Follower, address: SocketAddr, pace: &mut Pace) -> Result<()> {
     // A list that is in doubt is asked for whole.
-    let settles = follower.terms.as_ref().and_then(|terms| follower.doubt.asks_again(terms.empty_after));
+    let settles = follower
+        .terms
+        .as_ref()
+        .and_then(|terms| follower.doubt.asks_again(terms.empty_after));
     let from = follower.seq.filter(|_| settles.is_none());
     let from = from.map_or(String::new(), |seq| format!("&from={seq}"));
     let path = format!("/api/targets?watch=1{from}");
@@ -378,7 +435,10 @@
     let mut lists = Objects::new(LIST_MOST);
     // A silent machine keeps its connection open: only the missing signs of life tell.
     loop {
-        let doubt = follower.terms.as_ref().and_then(|terms| follower.doubt.asks_again(terms.empty_after));
+        let doubt = follower
+            .terms
+            .as_ref()
+            .and_then(|terms| follower.doubt.asks_again(terms.empty_after));
         let settles = doubt.map(|at| at.saturating_sub(follower.born.elapsed()));
         let patience = settles.map_or(SILENT_FOR, |settles| settles.min(SILENT_FOR));
         let next = poll_fn(|context| {
@@ -394,7 +454,9 @@
             Err(_) => bail!("the watch is silent"),
         };
         let Some(frame) = frame else { break };
-        let Ok(data) = frame?.into_data() else { continue };
+        let Ok(data) = frame?.into_data() else {
+            continue;
+        };
         // White space too: nothing has changed.
         follower.node.heard_list();
         let mut rest = &data[..];
--- a/crates/node/src/discovery/tests.rs
+++ b/crates/node/src/discovery/tests.rs
@@ -5,14 +5,21 @@
 fn list(servers: usize, letters: usize) -> Vec<u8> {
     let host = |number: usize| Host {
         host: format!("{number:0letters$}"),
-        dial: SocketAddr::from(([10, 255, (number >> 8 & 255) as u8, (number & 255) as u8], 60_000)),
+        dial: SocketAddr::from((
+            [10, 255, (number >> 8 & 255) as u8, (number & 255) as u8],
+            60_000,
+        )),
         site: "north".to_owned(),
         block: number as u64,
         health: Health::Draining,
         share: 1.25,
         born_ms: 1_800_000_000_000,
     };
-    let list = List { seq: 7, whole: true, hosts: (0..servers).map(host).collect() };
+    let list = List {
+        seq: 7,
+        whole: true,
+        hosts: (0..servers).map(host).collect(),
+    };
     serde_json::to_vec(&list).expect("it can be written")
 }
 
@@ -21,7 +28,9 @@
     let mut lists = Objects::new(LIST_MOST);
     for mut piece in bytes.chunks(16 << 10) {
         if let Some(list) = lists.next(&mut piece).context("the watch")? {
-            return Ok(Some(serde_json::from_slice(&list).context("a list of the watch")?));
+            return Ok(Some(
+                serde_json::from_slice(&list).context("a list of the watch")?,
+            ));
         }
     }
     Ok(None)
@@ -31,9 +40,18 @@
 fn a_full_list_of_40_000_servers_is_read() {
     for letters in [10, 63] {
         let bytes = list(SERVERS_MOST, letters);
-        assert!(bytes.len() <= LIST_MOST, "{letters} letters: {} bytes", bytes.len());
-        let read = read(&bytes).expect("it is short enough").expect("it has an end");
-        assert_eq!((read.seq, read.whole, read.hosts.len()), (7, true, SERVERS_MOST));
+        assert!(
+            bytes.len() <= LIST_MOST,
+            "{letters} letters: {} bytes",
+            bytes.len()
+        );
+        let read = read(&bytes)
+            .expect("it is short enough")
+            .expect("it has an end");
+        assert_eq!(
+            (read.seq, read.whole, read.hosts.len()),
+            (7, true, SERVERS_MOST)
+        );
         assert_eq!(read.hosts.last().map(|host| host.host.len()), Some(letters));
     }
 }
@@ -44,5 +62,8 @@
     assert!(bytes.len() > LIST_MOST);
     let error = read(&bytes).expect_err("it is too long");
     let line = format!("discovery: {error:#}");
-    assert_eq!((line.lines().count(), &*line), (1, "discovery: the watch: an object has no end"));
+    assert_eq!(
+        (line.lines().count(), &*line),
+        (1, "discovery: the watch: an object has no end")
+    );
 }
--- a/crates/node/src/facts.rs
+++ b/crates/node/src/facts.rs
@@ -26,7 +26,13 @@
     /// What this node may use: descriptors, and bytes of memory.
     pub fn new(node: Rc<Node>, sockets: usize, memory: usize) -> Facing {
         let began = (unix(), Instant::now());
-        Facing { node, sockets: sockets as u64, memory_limit: memory as u64, began, counted: None }
+        Facing {
+            node,
+            sockets: sockets as u64,
+            memory_limit: memory as u64,
+            began,
+            counted: None,
+        }
     }
 
     /// The node that it looks at.
@@ -38,7 +44,9 @@
     pub fn look(&mut self, lag: Duration) -> Facts {
         let (_, open, memory) = match self.counted {
             Some(counted) if counted.0.elapsed() < COUNT_EVERY => counted,
-            _ => *self.counted.insert((Instant::now(), descriptors(), resident())),
+            _ => *self
+                .counted
+                .insert((Instant::now(), descriptors(), resident())),
         };
         let expected = self.began.0 + self.began.1.elapsed();
         let (peers_heard, peers) = self.node.peers_heard();
@@ -58,7 +66,9 @@
 }
 
 fn unix() -> Duration {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
 }
 
 /// Descriptors that are open; none where the machine does not tell.
@@ -80,12 +90,18 @@
 fn resident() -> u64 {
     // In pages, the second figure (`proc(5)`, statm).
     let text = fs::read_to_string("/proc/self/statm").unwrap_or_default();
-    let pages = text.split_whitespace().nth(1).and_then(|pages| pages.parse::<u64>().ok());
+    let pages = text
+        .split_whitespace()
+        .nth(1)
+        .and_then(|pages| pages.parse::<u64>().ok());
     pages.unwrap_or(0) * page_size()
 }
 
 fn page_size() -> u64 {
-    nix::unistd::sysconf(nix::unistd::SysconfVar::PAGE_SIZE).ok().flatten().map_or(4096, |size| size as u64)
+    nix::unistd::sysconf(nix::unistd::SysconfVar::PAGE_SIZE)
+        .ok()
+        .flatten()
+        .map_or(4096, |size| size as u64)
 }
 
 #[cfg(test)]
--- a/crates/node/src/facts/tests.rs
+++ b/crates/node/src/facts/tests.rs
@@ -3,8 +3,16 @@
 #[test]
 fn the_machine_tells_of_descriptors_and_memory() {
     let before = descriptors();
-    let more: Vec<_> = (0..5).map(|_| fs::File::open("/proc/self/status").expect("it is there")).collect();
-    assert!(before >= 3 && descriptors() >= before + more.len() as u64 - 2, "others may close some");
-    assert!(listed_descriptors().abs_diff(descriptors()) <= 3, "both ways of counting agree");
+    let more: Vec<_> = (0..5)
+        .map(|_| fs::File::open("/proc/self/status").expect("it is there"))
+        .collect();
+    assert!(
+        before >= 3 && descriptors() >= before + more.len() as u64 - 2,
+        "others may close some"
+    );
+    assert!(
+        listed_descriptors().abs_diff(descriptors()) <= 3,
+        "both ways of counting agree"
+    );
     assert!(resident() > 100_000);
 }
