--- a/crates/node/src/handed.rs
+++ b/crates/node/src/handed.rs
@@ -17,9 +17,13 @@
     }
     let place = place(names.as_deref(), name, handed.len());
     let place = place.with_context(|| format!("no listener named {name:?} was handed over"))?;
-    let listener = handed.take_tcp_listener(place).context("the listener handed over")?;
+    let listener = handed
+        .take_tcp_listener(place)
+        .context("the listener handed over")?;
     let listener = listener.context("the listener handed over was taken before")?;
-    listener.set_nonblocking(true).context("the listener handed over")?;
+    listener
+        .set_nonblocking(true)
+        .context("the listener handed over")?;
     Ok(Some(listener))
 }
 
@@ -31,14 +35,22 @@
 pub fn inherited(descriptor: Option<&str>) -> Result<Option<TcpListener>> {
     /// Where handed-over descriptors begin.
     const FIRST: usize = 3;
-    let Some(descriptor) = descriptor.filter(|text| !text.is_empty()) else { return Ok(None) };
-    let number = descriptor.parse().ok().filter(|number| (FIRST..1024).contains(number));
-    let number: usize = number.with_context(|| format!("LB_LISTEN_FD: {descriptor:?} is no descriptor"))?;
+    let Some(descriptor) = descriptor.filter(|text| !text.is_empty()) else {
+        return Ok(None);
+    };
+    let number = descriptor
+        .parse()
+        .ok()
+        .filter(|number| (FIRST..1024).contains(number));
+    let number: usize =
+        number.with_context(|| format!("LB_LISTEN_FD: {descriptor:?} is no descriptor"))?;
     // The library checks what it is and takes it over; it is told in the service manager's way.
     std::env::set_var("LISTEN_FDS", (number - FIRST + 1).to_string());
     std::env::set_var("LISTEN_PID", std::process::id().to_string());
     let mut handed = ListenFd::from_env();
-    let listener = handed.take_tcp_listener(number - FIRST).context("LB_LISTEN_FD")?;
+    let listener = handed
+        .take_tcp_listener(number - FIRST)
+        .context("LB_LISTEN_FD")?;
     let listener = listener.context("LB_LISTEN_FD: it is not there")?;
     listener.set_nonblocking(true).context("LB_LISTEN_FD")?;
     Ok(Some(listener))
@@ -46,10 +58,15 @@
 
 /// Which of so many it is. Without names it is the first.
 fn place(names: Option<&str>, name: &str, count: usize) -> Result<usize> {
-    let Some(names) = names.filter(|names| !names.is_empty()) else { return Ok(0) };
+    let Some(names) = names.filter(|names| !names.is_empty()) else {
+        return Ok(0);
+    };
     let place = names.split(':').position(|other| other == name);
     let place = place.with_context(|| format!("LISTEN_FDNAMES has {names:?}"))?;
-    ensure!(place < count, "LISTEN_FDNAMES has more names than there are listeners");
+    ensure!(
+        place < count,
+        "LISTEN_FDNAMES has more names than there are listeners"
+    );
     Ok(place)
 }
 
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -2,7 +2,9 @@
 
 use crate::config::List;
 use crate::node::Node;
-use saffronpaddle_hot_restart::{read, write, Do, Family, LinkNo, Role, State, Word, LINE_MOST, VERSION};
+use saffronpaddle_hot_restart::{
+    read, write, Do, Family, LinkNo, Role, State, Word, LINE_MOST, VERSION,
+};
 use saffronpaddle_netio::Uninterrupted;
 use saffronpaddle_policy::interface::{Event as ModuleEvent, GatewayId, Twin};
 use std::cell::RefCell;
@@ -79,7 +81,13 @@
     /// Passes a peer's datagram on to who gets none any more.
     pub fn pass_on(&self, from: GatewayId, bytes: &[u8]) {
         if self.family.borrow().is_shared() {
-            self.tell(&Word::Peer { from, bytes: bytes.to_vec() }, None);
+            self.tell(
+                &Word::Peer {
+                    from,
+                    bytes: bytes.to_vec(),
+                },
+                None,
+            );
         }
     }
 
@@ -94,7 +102,11 @@
     }
 
     fn say(&self, no: LinkNo, line: Rc<str>) {
-        let full = self.lines.borrow().get(&no).is_some_and(|lines| lines.try_send(line).is_err());
+        let full = self
+            .lines
+            .borrow()
+            .get(&no)
+            .is_some_and(|lines| lines.try_send(line).is_err());
         if full {
             // Its writer ends with it, and the reader hears of that.
             self.lines.borrow_mut().remove(&no);
@@ -125,13 +137,18 @@
         let hash = name.bytes().fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
             (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
         });
-        Meeting { path: folder.join(format!("node-{hash:016x}")) }
+        Meeting {
+            path: folder.join(format!("node-{hash:016x}")),
+        }
     }
 
     /// Meets the process that is there, if there is one, and hears what it keeps in mind. Whatever goes wrong, this
     /// process starts as if it were the first.
     pub async fn meet(&self, links: &Links) -> Option<(Met, State)> {
-        let stream = timeout(CONNECT_WITHIN, UnixStream::connect(&self.path)).await.ok()?.ok()?;
+        let stream = timeout(CONNECT_WITHIN, UnixStream::connect(&self.path))
+            .await
+            .ok()?
+            .ok()?;
         let (no, out) = links.family.borrow_mut().open(links.now(), Role::Heir)?;
         let (reader, writer) = stream.into_split();
         let (reader, mut writer) = (Uninterrupted::new(reader), Uninterrupted::new(writer));
@@ -141,19 +158,40 @@
                 writer.write_all(write(&word).as_bytes()).await.ok()?;
             }
         }
-        let until = links.family.borrow().until(no).map(|until| links.began + until)?;
+        let until = links
+            .family
+            .borrow()
+            .until(no)
+            .map(|until| links.began + until)?;
         let heard = timeout_at(until, line(&mut reader)).await;
         let out = match heard {
-            Ok(Ok(line)) => links.family.borrow_mut().with(no, |link, out| link.heard(read(&line), out)),
-            Ok(Err(_)) => links.family.borrow_mut().with(no, |link, out| link.gone(out)),
-            Err(_) => links.family.borrow_mut().with(no, |link, out| link.tick(until - links.began, out)),
+            Ok(Ok(line)) => links
+                .family
+                .borrow_mut()
+                .with(no, |link, out| link.heard(read(&line), out)),
+            Ok(Err(_)) => links
+                .family
+                .borrow_mut()
+                .with(no, |link, out| link.gone(out)),
+            Err(_) => links
+                .family
+                .borrow_mut()
+                .with(no, |link, out| link.tick(until - links.began, out)),
         };
         for step in out {
             match step {
                 Do::Resume(state) => {
                     let (tell, lines) = mpsc::channel(WAITING_MOST);
                     links.lines.borrow_mut().insert(no, tell);
-                    return Some((Met { no, reader, writer, lines }, *state));
+                    return Some((
+                        Met {
+                            no,
+                            reader,
+                            writer,
+                            lines,
+                        },
+                        *state,
+                    ));
                 }
                 Do::End(why) => eprintln!("hand-over: nothing taken over, {why}"),
                 _ => {}
@@ -181,12 +219,21 @@
 
 /// The list that a state holds.
 pub fn list(state: &State) -> Option<List> {
-    state.list.clone().and_then(|list| serde_json::from_value(list).ok())
+    state
+        .list
+        .clone()
+        .and_then(|list| serde_json::from_value(list).ok())
 }
 
 /// Speaks to the other processes of this node for ever: the elder that was met, and heirs that come.
 pub async fn serve(node: Rc<Node>, meeting: Option<Meeting>, met: Option<Met>) {
-    if let Some(Met { no, reader, writer, lines }) = met {
+    if let Some(Met {
+        no,
+        reader,
+        writer,
+        lines,
+    }) = met
+    {
         shared(&node, None);
         node.links.tell(&Word::Serving, None);
         tokio::task::spawn_local(talk(Rc::clone(&node), no, reader, writer, lines));
@@ -215,19 +262,32 @@
 
 /// Somebody has come; an heir, if it says so.
 fn come(node: &Rc<Node>, stream: UnixStream) {
-    let opened = node.links.family.borrow_mut().open(node.links.now(), Role::Elder);
+    let opened = node
+        .links
+        .family
+        .borrow_mut()
+        .open(node.links.now(), Role::Elder);
     let Some((no, _)) = opened else { return };
     let (reader, writer) = stream.into_split();
     let (reader, writer) = (Uninterrupted::new(reader), Uninterrupted::new(writer));
     let (tell, lines) = mpsc::channel(WAITING_MOST);
     node.links.lines.borrow_mut().insert(no, tell);
-    tokio::task::spawn_local(talk(Rc::clone(node), no, BufReader::new(reader), writer, lines));
+    tokio::task::spawn_local(talk(
+        Rc::clone(node),
+        no,
+        BufReader::new(reader),
+        writer,
+        lines,
+    ));
 }
 
 /// One conversation, to its end.
 async fn talk(
-    node: Rc<Node>, no: LinkNo, mut reader: BufReader<Uninterrupted<OwnedReadHalf>>,
-    mut writer: Uninterrupted<OwnedWriteHalf>, mut lines: mpsc::Receiver<Rc<str>>,
+    node: Rc<Node>,
+    no: LinkNo,
+    mut reader: BufReader<Uninterrupted<OwnedReadHalf>>,
+    mut writer: Uninterrupted<OwnedWriteHalf>,
+    mut lines: mpsc::Receiver<Rc<str>>,
 ) {
     let writes = tokio::task::spawn_local(async move {
         while let Some(line) = lines.recv().await {
@@ -239,7 +299,10 @@
     loop {
         let (until, live) = {
             let family = node.links.family.borrow();
-            (family.until(no).map(|until| node.links.began + until), family.is_live(no))
+            (
+                family.until(no).map(|until| node.links.began + until),
+                family.is_live(no),
+            )
         };
         let out = tokio::select! {
             heard = line(&mut reader) => match heard {
@@ -256,10 +319,18 @@
                 Do::Say(word) => node.links.say(no, write(&word).into()),
                 Do::SayState => {
                     // Kept and shared in one go: no attempt lies between.
-                    let list = node.remembered().and_then(|list| serde_json::to_value(list).ok());
+                    let list = node
+                        .remembered()
+                        .and_then(|list| serde_json::to_value(list).ok());
                     let (version, name) = (VERSION, node.links.name.clone());
-                    let state = State { version, name, module: node.keep(), list };
-                    node.links.say(no, write(&Word::State(Box::new(state))).into());
+                    let state = State {
+                        version,
+                        name,
+                        module: node.keep(),
+                        list,
+                    };
+                    node.links
+                        .say(no, write(&Word::State(Box::new(state))).into());
                     shared(&node, None);
                 }
                 Do::Twin(twin) => {
@@ -267,14 +338,22 @@
                     node.post(ModuleEvent::Twin { link: no.0, twin });
                 }
                 Do::Peer(from, bytes) => {
-                    node.links.tell(&Word::Peer { from, bytes: bytes.clone() }, Some(no));
+                    node.links.tell(
+                        &Word::Peer {
+                            from,
+                            bytes: bytes.clone(),
+                        },
+                        Some(no),
+                    );
                     node.heard_peer(from, bytes);
                 }
                 Do::Succeeded => shared(&node, None),
                 // It was resumed from before this conversation was taken up here.
                 Do::Resume(_) => {}
                 Do::End(why) => {
-                    eprintln!("hand-over: the other process is no part of this node any more: {why}");
+                    eprintln!(
+                        "hand-over: the other process is no part of this node any more: {why}"
+                    );
                     node.links.lines.borrow_mut().remove(&no);
                     shared(&node, Some(no));
                     // Guards against one that only knocked: the place where it did is this process's still.
@@ -295,7 +374,11 @@
         let family = node.links.family.borrow();
         (family.is_shared(), family.succeeded())
     };
-    node.post(ModuleEvent::Twins { ended: ended.map(|no| no.0), shared, hushed });
+    node.post(ModuleEvent::Twins {
+        ended: ended.map(|no| no.0),
+        shared,
+        hushed,
+    });
     node.share_out();
     node.links.succeeded.send_replace(hushed);
 }
--- a/crates/node/src/heads.rs
+++ b/crates/node/src/heads.rs
@@ -30,7 +30,13 @@
 impl Heads {
     /// A connection on which nothing has come.
     pub fn new() -> Heads {
-        Heads { at: At::Head, line: Vec::new(), begun: false, length: None, coded: false }
+        Heads {
+            at: At::Head,
+            line: Vec::new(),
+            begun: false,
+            length: None,
+            coded: false,
+        }
     }
 
     /// Takes what has come; whether a head was among it that has both a length and an encoding.
@@ -84,16 +90,23 @@
             At::Head => {
                 self.begun = true;
                 if let Some(value) = value(line, b"content-length:") {
-                    let digits = std::str::from_utf8(value).ok().and_then(|value| value.trim().parse().ok());
+                    let digits = std::str::from_utf8(value)
+                        .ok()
+                        .and_then(|value| value.trim().parse().ok());
                     self.length = Some(digits.unwrap_or(0));
                 } else {
                     self.coded |= value(line, b"transfer-encoding:").is_some();
                 }
             }
             At::ChunkSize => {
-                let digits = line.split(|byte| *byte == b';').next().unwrap_or_default().trim_ascii();
-                let size =
-                    std::str::from_utf8(digits).ok().and_then(|text| u64::from_str_radix(text, 16).ok());
+                let digits = line
+                    .split(|byte| *byte == b';')
+                    .next()
+                    .unwrap_or_default()
+                    .trim_ascii();
+                let size = std::str::from_utf8(digits)
+                    .ok()
+                    .and_then(|text| u64::from_str_radix(text, 16).ok());
                 // The data's own line end follows it. What is no size is the library's to refuse.
                 self.at = match size {
                     Some(0) | None => At::Trailer,
--- a/crates/node/src/heads/tests.rs
+++ b/crates/node/src/heads/tests.rs
@@ -19,7 +19,8 @@
 
 #[test]
 fn a_head_with_both_is_seen_in_either_order_and_behind_others() {
-    let hides = b"POST /h HTTP/1.1\r\nTransfer-Encoding: chunked\r\nX-Pad: y\r\ncontent-LENGTH: 4\r\n\r\n";
+    let hides =
+        b"POST /h HTTP/1.1\r\nTransfer-Encoding: chunked\r\nX-Pad: y\r\ncontent-LENGTH: 4\r\n\r\n";
     let other = b"POST /h HTTP/1.1\r\nContent-Length: 4\r\ntransfer-encoding : x\r\nTRANSFER-ENCODING:chunked\r\n\r\n";
     for text in [hides.as_slice(), other] {
         for size in 1..text.len() {
--- a/crates/node/src/life.rs
+++ b/crates/node/src/life.rs
@@ -49,19 +49,30 @@
     /// What is said to a call that the machine has heard.
     fn answer(&self, call: Call) -> Said {
         match call {
-            Call::Ping => Said { done: self.machine.ready(), words: self.machine.status() },
-            Call::Lameduck => Said { done: self.machine.sends_away(), words: self.machine.status() },
-            Call::Rejoin => {
-                Said { done: self.machine.state() < State::Draining, words: self.machine.status() }
-            }
+            Call::Ping => Said {
+                done: self.machine.ready(),
+                words: self.machine.status(),
+            },
+            Call::Lameduck => Said {
+                done: self.machine.sends_away(),
+                words: self.machine.status(),
+            },
+            Call::Rejoin => Said {
+                done: self.machine.state() < State::Draining,
+                words: self.machine.status(),
+            },
             // The figures are the node's.
-            Call::Info => Said { done: false, words: String::new() },
+            Call::Info => Said {
+                done: false,
+                words: String::new(),
+            },
         }
     }
 
     /// The event of a signal to stop. A loop that was held up reads it late, and the platform's time runs from the signal.
     fn stop(&self) -> Event {
-        let since = late::since().map_or_else(|| self.now(), |since| since.duration_since(self.born));
+        let since =
+            late::since().map_or_else(|| self.now(), |since| since.duration_since(self.born));
         Event::Stop { since }
     }
 
@@ -89,8 +100,11 @@
     /// Runs until the machine says that the process ends. `reload` reads the configuration and says what limits
     /// it sets, or nothing where it was not taken; it runs beside everything else. `served` ends once all clients have.
     pub async fn run<R: Future<Output = Option<Limits>> + 'static>(
-        mut self, mut words: mpsc::UnboundedReceiver<Word>, mut calls: mpsc::Receiver<Asked>,
-        reload: impl Fn() -> R, served: impl Future,
+        mut self,
+        mut words: mpsc::UnboundedReceiver<Word>,
+        mut calls: mpsc::Receiver<Asked>,
+        reload: impl Fn() -> R,
+        served: impl Future,
     ) {
         let (tell, mut reloaded) = mpsc::unbounded_channel();
         let mut succeeded = self.facing.node().links.succeeded();
@@ -134,7 +148,13 @@
             }
             let (ready, why) = (self.machine.ready(), self.machine.reasons());
             let answer_by = plan.map(|plan| self.born + plan.answer_by);
-            let after = Standing { phase, accepts, ready, why, answer_by };
+            let after = Standing {
+                phase,
+                accepts,
+                ready,
+                why,
+                answer_by,
+            };
             if after != before {
                 self.standing.send_replace(after);
             }
@@ -211,7 +231,9 @@
 /// Feeds the manager's watchdog for as long as the node's loop makes progress. Danger: a watchdog that is fed by a
 /// thread or timer of its own, while what it should guard is stuck.
 pub async fn feed(node: Rc<Node>, manager: Rc<Manager>) {
-    let Some(allowed) = manager.watchdog() else { return };
+    let Some(allowed) = manager.watchdog() else {
+        return;
+    };
     loop {
         if node.progressed() <= PROGRESS.max(allowed / 2) {
             manager.feed();
--- a/crates/node/src/manager.rs
+++ b/crates/node/src/manager.rs
@@ -31,7 +31,12 @@
 impl Manager {
     /// Nobody to be told.
     pub fn none() -> Manager {
-        Manager { way: None, waiting: RefCell::default(), told: Cell::new(false), watchdog: None }
+        Manager {
+            way: None,
+            waiting: RefCell::default(),
+            told: Cell::new(false),
+            watchdog: None,
+        }
     }
 
     /// The manager at a socket: a path, or `@` and an abstract name, as `NOTIFY_SOCKET` has it.
@@ -42,12 +47,21 @@
         let to = match address.as_bytes() {
             [b'@', name @ ..] => SocketAddr::from_abstract_name(name)?,
             [b'/', ..] => SocketAddr::from_pathname(address)?,
-            _ => return Err(io::Error::new(ErrorKind::InvalidInput, "neither a path nor an abstract name")),
+            _ => {
+                return Err(io::Error::new(
+                    ErrorKind::InvalidInput,
+                    "neither a path nor an abstract name",
+                ))
+            }
         };
         let socket = UnixDatagram::unbound()?;
         // Danger: a manager that does not read stops a node that waits to tell it something.
         socket.set_nonblocking(true)?;
-        Ok(Manager { way: Some((socket, to)), watchdog, ..Manager::none() })
+        Ok(Manager {
+            way: Some((socket, to)),
+            watchdog,
+            ..Manager::none()
+        })
     }
 
     /// How often the manager wants a sign of life; `None` for never.
@@ -108,13 +122,17 @@
     }
 
     fn try_send(&self, text: &str) -> io::Result<()> {
-        let Some((socket, to)) = &self.way else { return Ok(()) };
+        let Some((socket, to)) = &self.way else {
+            return Ok(());
+        };
         let sent = socket.send_to_addr(text.as_bytes(), to);
         match &sent {
             Ok(_) => self.told.set(false),
             Err(error) if is_full(error) => {}
             // Missing or gone: it may come back under the same address, and until then nobody need know.
-            Err(error) if !self.told.replace(true) => eprintln!("the service manager can't be told: {error}"),
+            Err(error) if !self.told.replace(true) => {
+                eprintln!("the service manager can't be told: {error}")
+            }
             Err(_) => {}
         }
         sent.map(|_| ())
--- a/crates/node/src/manager/tests.rs
+++ b/crates/node/src/manager/tests.rs
@@ -14,7 +14,10 @@
 fn abstract_name(tag: &str) -> (UnixDatagram, String) {
     let name = format!("saffronpaddle-{}-{tag}", std::process::id());
     let address = SocketAddr::from_abstract_name(&name).expect("a name");
-    (UnixDatagram::bind_addr(&address).expect("a socket"), format!("@{name}"))
+    (
+        UnixDatagram::bind_addr(&address).expect("a socket"),
+        format!("@{name}"),
+    )
 }
 
 #[test]
@@ -31,10 +34,18 @@
     words.iter().for_each(|word| manager.say(word));
     let heard = heard(&socket);
     assert_eq!((&heard[0][..], &heard[2][..]), ("READY=1", "STOPPING=1"));
-    assert_eq!((&heard[3][..], &heard[4][..]), ("STATUS=not ready: clock", "EXTEND_TIMEOUT_USEC=4600000"));
+    assert_eq!(
+        (&heard[3][..], &heard[4][..]),
+        ("STATUS=not ready: clock", "EXTEND_TIMEOUT_USEC=4600000")
+    );
     let lines: Vec<&str> = heard[1].lines().collect();
-    let usec = lines[1].strip_prefix("MONOTONIC_USEC=").and_then(|usec| usec.parse::<u64>().ok());
-    assert!(lines[0] == "RELOADING=1" && usec.is_some_and(|usec| usec > 0), "{heard:?}");
+    let usec = lines[1]
+        .strip_prefix("MONOTONIC_USEC=")
+        .and_then(|usec| usec.parse::<u64>().ok());
+    assert!(
+        lines[0] == "RELOADING=1" && usec.is_some_and(|usec| usec > 0),
+        "{heard:?}"
+    );
 }
 
 /// A manager that does not read must not stop the node; what it must know waits, in its order, and no more than
@@ -57,8 +68,15 @@
     assert!(!heard(&socket).iter().any(|text| text == "STOPPING=1"));
     manager.retry();
     let later = heard(&socket);
-    assert_eq!(later.last().map(String::as_str), Some("STOPPING=1"), "{later:?}");
-    assert!(!later.iter().any(|text| text.starts_with("WATCHDOG")), "signs of life do not wait");
+    assert_eq!(
+        later.last().map(String::as_str),
+        Some("STOPPING=1"),
+        "{later:?}"
+    );
+    assert!(
+        !later.iter().any(|text| text.starts_with("WATCHDOG")),
+        "signs of life do not wait"
+    );
 }
 
 #[test]
@@ -75,5 +93,8 @@
     manager.say(&Word::Ready);
     assert!(!manager.waits() && manager.told.get(), "gone");
     std::fs::remove_file(&path).expect("it was there");
-    assert!(Manager::at(OsStr::new("notify"), None).is_err(), "neither a path nor abstract");
+    assert!(
+        Manager::at(OsStr::new("notify"), None).is_err(),
+        "neither a path nor abstract"
+    );
 }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -86,8 +86,13 @@
 
 impl Clock {
     fn start() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { started: Instant::now(), unix: unix.as_micros() as Micros }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            started: Instant::now(),
+            unix: unix.as_micros() as Micros,
+        }
     }
 
     pub fn now(&self) -> Micros {
@@ -131,22 +136,29 @@
 impl Node {
     /// A node that may have so many connections to app servers open.
     pub fn new(
-        seed: u64, named: Named, upstream: Upstream, bounds: (usize, Links), peers: Option<Peers>,
-        sockets: Option<saffronpaddle_operator_config::Sockets>, kept: Option<(Kept, u32)>,
+        seed: u64,
+        named: Named,
+        upstream: Upstream,
+        bounds: (usize, Links),
+        peers: Option<Peers>,
+        sockets: Option<saffronpaddle_operator_config::Sockets>,
+        kept: Option<(Kept, u32)>,
     ) -> anyhow::Result<Rc<Node>> {
         let (each_side, links) = bounds;
         let clock = Clock::start();
         let front = match sockets {
             Some(says) => {
                 let class = named.classes.iter().position(|class| *class == says.class);
-                let class =
-                    class.with_context(|| format!("sockets.class: there is no class {:?}", says.class))?;
+                let class = class.with_context(|| {
+                    format!("sockets.class: there is no class {:?}", says.class)
+                })?;
                 Some(Front::new(ClassId(class), says, clock.now()))
             }
             None => None,
         };
         let mut gateway = Gateway::new(seed, named.settings.clone(), clock.now())?;
-        kept.into_iter().for_each(|(kept, link)| gateway.resume(kept, link));
+        kept.into_iter()
+            .for_each(|(kept, link)| gateway.resume(kept, link));
         let bounds = Bounds::usual(each_side, named.conn_idle, named.connect_timeout);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
         let node = Rc::new(Node {
@@ -193,16 +205,22 @@
     pub fn happened(self: &Rc<Self>, event: Event<SocketAddr>, payload: Option<Payload>) {
         let mut commands = Vec::new();
         debug!(?event, "exchange");
-        self.exchange.borrow_mut().handle(self.clock.now(), event, &mut commands);
+        self.exchange
+            .borrow_mut()
+            .handle(self.clock.now(), event, &mut commands);
         self.tell_violations();
         self.alarm.set(self.exchange.borrow().next_alarm());
         let mut payload = payload;
-        commands.into_iter().for_each(|command| self.carry_out(command, &mut payload));
+        commands
+            .into_iter()
+            .for_each(|command| self.carry_out(command, &mut payload));
     }
 
     /// Hears of answers that went by and that nobody takes any more, for ever.
     pub async fn hear_left(self: Rc<Self>) {
-        let Some(mut left) = self.upstream.left() else { return };
+        let Some(mut left) = self.upstream.left() else {
+            return;
+        };
         while let Some(link) = left.recv().await {
             self.happened(Event::Left { link }, None);
         }
@@ -211,7 +229,9 @@
     /// Rings when the exchange asks for it, for ever.
     pub async fn ring(self: Rc<Self>) {
         loop {
-            self.alarm.rings(|| self.exchange.borrow().next_alarm(), || self.clock.now()).await;
+            self.alarm
+                .rings(|| self.exchange.borrow().next_alarm(), || self.clock.now())
+                .await;
             // Guards against blaming a server for an answer that this node was late to read: what the machine holds is
             // read first.
             for _ in 0..LATE_LOOKS {
@@ -228,12 +248,20 @@
             self.answer_by.set(Some(end));
         }
         let left = end.saturating_duration_since(Instant::now()).as_micros() as Micros;
-        self.happened(Event::Ending { answer_by: self.clock.now() + left }, None);
+        self.happened(
+            Event::Ending {
+                answer_by: self.clock.now() + left,
+            },
+            None,
+        );
     }
 
     /// How long a server that gets a request now has to answer: no longer than the client waits, nor than the process lasts.
     pub fn time_left(&self, forward: &Forward) -> Duration {
-        let until = self.answer_by.get().map_or(forward.deadline, |end| forward.deadline.min(end));
+        let until = self
+            .answer_by
+            .get()
+            .map_or(forward.deadline, |end| forward.deadline.min(end));
         until.saturating_duration_since(Instant::now())
     }
 
@@ -246,7 +274,11 @@
     /// Tells the log of invariants that did not hold.
     fn tell_violations(&self) {
         for Violation { invariant, request } in self.exchange.borrow_mut().take_violations() {
-            error!(invariant = invariant.name(), request = &*request.0, "an invariant does not hold");
+            error!(
+                invariant = invariant.name(),
+                request = &*request.0,
+                "an invariant does not hold"
+            );
         }
     }
 
@@ -292,11 +324,24 @@
         let (registry_entries, out_of_rotation) = exchange.module().rotation();
         let (names, tally) = (&self.named.classes, exchange.tally().clone());
         let mut decided: Vec<(&'static str, u64)> = exchange.module().counted().named().collect();
-        decided.extend(exchange.denials().map(|(denial, count)| (denial.figure(), count)));
+        decided.extend(
+            exchange
+                .denials()
+                .map(|(denial, count)| (denial.figure(), count)),
+        );
         let violations = exchange.violations();
-        decided.extend(Invariant::ALL.map(|invariant| (invariant.figure(), violations.count(invariant))));
+        decided.extend(
+            Invariant::ALL.map(|invariant| (invariant.figure(), violations.count(invariant))),
+        );
         let words = self.peers.as_ref().map_or((0, 0), Peers::words);
-        told(&Figures { names, tally, registry_entries, out_of_rotation, words, decided })
+        told(&Figures {
+            names,
+            tally,
+            registry_entries,
+            out_of_rotation,
+            words,
+            decided,
+        })
     }
 
     /// A request that was not taken was answered all the same.
@@ -348,7 +393,11 @@
         match command {
             Command::Connect { link, dial } => self.upstream.connect(self, link, dial),
             Command::Send { link, id, server } => {
-                let forward = self.requests.borrow().get(&id).map(|pending| Rc::clone(&pending.forward));
+                let forward = self
+                    .requests
+                    .borrow()
+                    .get(&id)
+                    .map(|pending| Rc::clone(&pending.forward));
                 if let Some(forward) = forward {
                     self.upstream.send(self, link, server, forward);
                 }
@@ -359,7 +408,9 @@
             Command::Answer { id, verdict } => {
                 let answer = match verdict {
                     Verdict::Served => payload.take().map_or(Answer::Failed, Answer::Served),
-                    Verdict::Refused(retry_in) => Answer::Refused(retry_in.map(Duration::from_micros)),
+                    Verdict::Refused(retry_in) => {
+                        Answer::Refused(retry_in.map(Duration::from_micros))
+                    }
                     Verdict::Failed => Answer::Failed,
                 };
                 if let Some(pending) = self.requests.borrow_mut().remove(&id) {
@@ -374,7 +425,9 @@
     fn apply(self: &Rc<Self>, action: Action) {
         match action {
             Action::TellAll { bytes } => self.peers.iter().for_each(|peers| peers.tell_all(&bytes)),
-            Action::Tell { to, bytes } => self.peers.iter().for_each(|peers| peers.tell(to, &bytes)),
+            Action::Tell { to, bytes } => {
+                self.peers.iter().for_each(|peers| peers.tell(to, &bytes))
+            }
             Action::Wake { after, token } => {
                 let node = Rc::clone(self);
                 tokio::task::spawn_local(async move {
@@ -396,7 +449,9 @@
 
     /// Takes a request in. `None` if its id is in use: two owners of one id would mix up their answers.
     pub fn take(
-        self: &Rc<Self>, tell: ModuleEvent, forward: Forward,
+        self: &Rc<Self>,
+        tell: ModuleEvent,
+        forward: Forward,
     ) -> Option<(oneshot::Receiver<Answer>, Ticket)> {
         let id = forward.id.clone();
         let ticket = {
@@ -410,26 +465,53 @@
         let left = forward.deadline.saturating_duration_since(Instant::now());
         let deadline = self.clock.now() + left.as_micros() as Micros;
         let (answer, answered) = oneshot::channel();
-        forward.coming().into_iter().for_each(|pipe| pipe.taken(ticket));
-        let pending = Pending { ticket, forward: Rc::new(forward), answer };
+        forward
+            .coming()
+            .into_iter()
+            .for_each(|pipe| pipe.taken(ticket));
+        let pending = Pending {
+            ticket,
+            forward: Rc::new(forward),
+            answer,
+        };
         self.requests.borrow_mut().insert(id, pending);
-        self.happened(Event::Asked { effect, deadline, tell }, None);
+        self.happened(
+            Event::Asked {
+                effect,
+                deadline,
+                tell,
+            },
+            None,
+        );
         Some((answered, ticket))
     }
 
     /// Nobody waits for this request any more. One that was answered needs no such word.
     pub fn abandon(self: &Rc<Self>, id: &RequestId, ticket: Ticket) {
-        let waits = self.requests.borrow().get(id).is_some_and(|pending| pending.ticket == ticket);
+        let waits = self
+            .requests
+            .borrow()
+            .get(id)
+            .is_some_and(|pending| pending.ticket == ticket);
         if waits {
             self.requests.borrow_mut().remove(id);
-            self.happened(Event::ClientGone { id: id.clone(), ticket }, None);
+            self.happened(
+                Event::ClientGone {
+                    id: id.clone(),
+                    ticket,
+                },
+                None,
+            );
         }
     }
 
     /// A request's client has gone, and its connection has not said so yet.
     pub fn left(self: &Rc<Self>, forward: &Rc<Forward>) {
-        let pending =
-            self.requests.borrow().get(&forward.id).map(|row| (row.ticket, Rc::clone(&row.forward)));
+        let pending = self
+            .requests
+            .borrow()
+            .get(&forward.id)
+            .map(|row| (row.ticket, Rc::clone(&row.forward)));
         if let Some((ticket, _)) = pending.filter(|(_, open)| Rc::ptr_eq(open, forward)) {
             self.abandon(&forward.id, ticket);
         }
@@ -442,7 +524,9 @@
 
     /// Keeps to this process's part of the node's connections to app servers.
     pub fn share_out(&self) {
-        self.exchange.borrow_mut().set_most_links(self.links.part(self.each_side));
+        self.exchange
+            .borrow_mut()
+            .set_most_links(self.links.part(self.each_side));
     }
 
     /// Keeps what discovery has told, for this process's heir, where there can be one.
@@ -468,13 +552,24 @@
     pub fn remembered(&self) -> Option<List> {
         let told = self.told.borrow();
         let hosts: Vec<Host> = told.1.values().cloned().collect();
-        (!hosts.is_empty()).then_some(List { seq: told.0, whole: true, hosts })
+        (!hosts.is_empty()).then_some(List {
+            seq: told.0,
+            whole: true,
+            hosts,
+        })
     }
 
     /// Follows the platform's discovery.
     pub fn listed(self: &Rc<Self>, list: &List) {
         let entries = list.hosts.iter().map(Entry::from).collect();
-        self.roster(Source::Discovery, Change { entries, told: Duration::ZERO, whole: list.whole });
+        self.roster(
+            Source::Discovery,
+            Change {
+                entries,
+                told: Duration::ZERO,
+                whole: list.whole,
+            },
+        );
     }
 
     /// Follows a source of the list. Where there are several, they are merged.
@@ -489,11 +584,14 @@
     }
 
     fn take_list(self: &Rc<Self>, list: &[Entry], whole: bool) {
-        let entries = list.iter().map(|entry| server_entry(entry, &self.named.zones));
+        let entries = list
+            .iter()
+            .map(|entry| server_entry(entry, &self.named.zones));
         let entries: Vec<(ServerEntry, SocketAddr)> = entries.collect();
         if let Some(front) = &self.front {
-            let told =
-                entries.iter().map(|(entry, dial)| (entry.server, entry.standing == Standing::Ready, *dial));
+            let told = entries
+                .iter()
+                .map(|(entry, dial)| (entry.server, entry.standing == Standing::Ready, *dial));
             front.listed(self.now(), whole, told);
         }
         self.happened(Event::Listed { whole, entries }, None);
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -37,7 +37,13 @@
         let PeerAddresses { listen, each, all } = addresses;
         let bound = retry_shortage(|| async { bind_datagrams(listen, reuse) }).await;
         let socket = bound.with_context(|| format!("peer_listen {listen}"))?;
-        Ok(Peers { socket, each, all, me: me.0 as usize, words: Cell::default() })
+        Ok(Peers {
+            socket,
+            each,
+            all,
+            me: me.0 as usize,
+            words: Cell::default(),
+        })
     }
 
     pub fn tell(&self, to: GatewayId, bytes: &[u8]) {
@@ -50,7 +56,11 @@
         if let Some(all) = self.all {
             return self.send(bytes, all);
         }
-        let others = self.each.iter().enumerate().filter(|(number, _)| *number != self.me);
+        let others = self
+            .each
+            .iter()
+            .enumerate()
+            .filter(|(number, _)| *number != self.me);
         others.for_each(|(_, address)| self.send(bytes, *address));
     }
 
--- a/crates/node/src/roster.rs
+++ b/crates/node/src/roster.rs
@@ -11,10 +11,14 @@
 
 /// Follows what the operator file names, for ever. Without etcd that is the platform's discovery alone.
 pub async fn follow(
-    node: Rc<Node>, (etcd, terms): (Option<Etcd>, Option<Terms>), address: watch::Receiver<SocketAddr>,
+    node: Rc<Node>,
+    (etcd, terms): (Option<Etcd>, Option<Terms>),
+    address: watch::Receiver<SocketAddr>,
     known: Option<List>,
 ) {
-    let Some(etcd) = etcd else { return discovery::follow(node, address, known, terms).await };
+    let Some(etcd) = etcd else {
+        return discovery::follow(node, address, known, terms).await;
+    };
     #[cfg(not(feature = "etcd"))]
     {
         let _ = etcd;
@@ -26,8 +30,13 @@
         if etcd.instead {
             // One source at a time: nothing is to be merged, and no second copy of the list is kept.
             // The configuration's list stands until etcd has spoken, and has no say from then on.
-            let known = known.map(|known| List { whole: true, ..known });
-            known.iter().for_each(|known| by_etcd::begin_with(&node, known));
+            let known = known.map(|known| List {
+                whole: true,
+                ..known
+            });
+            known
+                .iter()
+                .for_each(|known| by_etcd::begin_with(&node, known));
             by_etcd::follow(node, etcd).await
         } else {
             node.merge_sources();
@@ -58,14 +67,24 @@
     /// Takes the configuration's list for etcd's first word.
     pub fn begin_with(node: &Rc<Node>, known: &List) {
         let entries = known.hosts.iter().map(Entry::from).collect();
-        node.roster(Source::Etcd, Change { entries, told: Duration::ZERO, whole: true });
+        node.roster(
+            Source::Etcd,
+            Change {
+                entries,
+                told: Duration::ZERO,
+                whole: true,
+            },
+        );
     }
 
     fn settings(etcd: &Etcd) -> io::Result<Settings> {
         let user = match &etcd.user {
-            Some((name, file)) => {
-                Some((name.clone(), std::fs::read_to_string(file)?.trim_end_matches(['\r', '\n']).to_owned()))
-            }
+            Some((name, file)) => Some((
+                name.clone(),
+                std::fs::read_to_string(file)?
+                    .trim_end_matches(['\r', '\n'])
+                    .to_owned(),
+            )),
             None => None,
         };
         #[cfg(feature = "tls")]
@@ -87,7 +106,9 @@
                 silent_after: etcd.silent_after,
                 backoff: (Timing::default().backoff.0, etcd.backoff_most),
             },
-            rules: Rules { empty_after: etcd.empty_after },
+            rules: Rules {
+                empty_after: etcd.empty_after,
+            },
             #[cfg(feature = "tls")]
             tls,
         })
@@ -101,18 +122,22 @@
             Err(error) => return eprintln!("etcd: not followed: {error}"),
         };
         let (tell, mut news) = mpsc::channel(NEWS_MOST);
-        let thread = std::thread::Builder::new().name("etcd".to_owned()).spawn(move || {
-            let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-            match runtime {
-                // As a task: what a message wakes then runs in the same round, where the future that is blocked on
-                // would wait for one more look at all descriptors.
-                Ok(runtime) => runtime.block_on(async {
-                    // It ends as the node does.
-                    let _ = tokio::spawn(saffronpaddle_etcd::follow(settings, tell)).await;
-                }),
-                Err(error) => eprintln!("etcd: not followed: {error}"),
-            }
-        });
+        let thread = std::thread::Builder::new()
+            .name("etcd".to_owned())
+            .spawn(move || {
+                let runtime = tokio::runtime::Builder::new_current_thread()
+                    .enable_all()
+                    .build();
+                match runtime {
+                    // As a task: what a message wakes then runs in the same round, where the future that is blocked on
+                    // would wait for one more look at all descriptors.
+                    Ok(runtime) => runtime.block_on(async {
+                        // It ends as the node does.
+                        let _ = tokio::spawn(saffronpaddle_etcd::follow(settings, tell)).await;
+                    }),
+                    Err(error) => eprintln!("etcd: not followed: {error}"),
+                }
+            });
         if let Err(error) = thread {
             return eprintln!("etcd: not followed: {error}");
         }
@@ -150,18 +175,35 @@
                 node.roster(Source::Etcd, change);
                 return;
             }
-            self.entries.extend(change.entries.into_iter().map(|entry| (Arc::clone(&entry.host), entry)));
+            self.entries.extend(
+                change
+                    .entries
+                    .into_iter()
+                    .map(|entry| (Arc::clone(&entry.host), entry)),
+            );
         }
 
         fn flush(&mut self, node: &Rc<Node>) {
-            let Some(first) = self.first.take() else { return };
+            let Some(first) = self.first.take() else {
+                return;
+            };
             let waited = first.elapsed();
             if waited > LATE {
-                eprintln!("etcd: a change waited {} ms for its turn", waited.as_millis());
+                eprintln!(
+                    "etcd: a change waited {} ms for its turn",
+                    waited.as_millis()
+                );
             }
             let entries: Vec<Entry> = std::mem::take(&mut self.entries).into_values().collect();
             if !entries.is_empty() {
-                node.roster(Source::Etcd, Change { entries, told: Duration::ZERO, whole: false });
+                node.roster(
+                    Source::Etcd,
+                    Change {
+                        entries,
+                        told: Duration::ZERO,
+                        whole: false,
+                    },
+                );
             }
         }
     }
--- a/crates/node/src/seats.rs
+++ b/crates/node/src/seats.rs
@@ -52,7 +52,8 @@
         let came = us(began.elapsed());
         let (last, head) = (AtomicU64::new(came), AtomicU64::new(0));
         let sent = AtomicU64::new(us(connected.saturating_duration_since(began)).min(came));
-        let [busy, asked, blocked, hides, reading, noted, going] = [(); 7].map(|()| AtomicBool::new(false));
+        let [busy, asked, blocked, hides, reading, noted, going] =
+            [(); 7].map(|()| AtomicBool::new(false));
         let go = Notify::new();
         Arc::new(Seat {
             began,
@@ -100,14 +101,17 @@
 
     /// Whether its client has gone, as far as the machine has told this loop: also behind bytes that nobody has read.
     pub fn has_left(&self) -> bool {
-        self.stream.upgrade().is_none_or(|stream| has_ended(&stream))
+        self.stream
+            .upgrade()
+            .is_none_or(|stream| has_ended(&stream))
     }
 
     /// Whether it has begun to be unwatched since this was last asked.
     pub fn is_newly_unwatched(&self) -> bool {
         let unwatched = self.unwatched();
         // Written seldom: this is asked in each round of the connection.
-        unwatched != self.noted.load(Ordering::Relaxed) && !self.noted.swap(unwatched, Ordering::Relaxed)
+        unwatched != self.noted.load(Ordering::Relaxed)
+            && !self.noted.swap(unwatched, Ordering::Relaxed)
     }
 
     /// Whether it was told to go, and has not gone yet.
@@ -141,7 +145,10 @@
     /// How long what was read last may have rested in the machine, or waited here for an earlier answer; nothing where that is too
     /// little to count. Danger: a server is told more time than its client has.
     pub fn rested(&self) -> Duration {
-        rested(Duration::from_micros(self.sent.load(Ordering::Relaxed)), self.began.elapsed())
+        rested(
+            Duration::from_micros(self.sent.load(Ordering::Relaxed)),
+            self.began.elapsed(),
+        )
     }
 
     /// Bytes for the client were taken by the machine, or have to wait.
@@ -159,7 +166,9 @@
         match late::since().map(|since| us(since.saturating_duration_since(self.began))) {
             // Who was waited for since before the loop's last whole round had sent nothing by then. Else they came after what was
             // read before them, or, on a new connection, after that came to the machine.
-            Some(since) if waited && since > self.came => self.sent.store(since.min(now), Ordering::Relaxed),
+            Some(since) if waited && since > self.came => {
+                self.sent.store(since.min(now), Ordering::Relaxed)
+            }
             Some(_) => {}
             None => self.sent.store(now, Ordering::Relaxed),
         }
@@ -189,7 +198,9 @@
 
 impl Drop for Busy {
     fn drop(&mut self) {
-        self.0.last.store(us(self.0.began.elapsed()), Ordering::Relaxed);
+        self.0
+            .last
+            .store(us(self.0.began.elapsed()), Ordering::Relaxed);
         self.0.busy.store(false, Ordering::Relaxed);
     }
 }
@@ -204,7 +215,11 @@
 impl Watched {
     /// Watches a connection.
     pub fn new(stream: Arc<TcpStream>, seat: Arc<Seat>) -> Watched {
-        Watched { stream: Socket::new(stream), seat, heads: Heads::new() }
+        Watched {
+            stream: Socket::new(stream),
+            seat,
+            heads: Heads::new(),
+        }
     }
 
     /// The connection, no longer watched; none where somebody looks at it in this very moment, which nobody does for longer.
@@ -215,7 +230,9 @@
 
 impl AsyncRead for Watched {
     fn poll_read(
-        mut self: Pin<&mut Self>, context: &mut Context<'_>, buffer: &mut ReadBuf<'_>,
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let before = buffer.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(context, buffer);
@@ -231,7 +248,9 @@
 
 impl AsyncWrite for Watched {
     fn poll_write(
-        mut self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8],
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write(context, bytes);
         self.seat.wrote(written.is_ready());
@@ -239,7 +258,9 @@
     }
 
     fn poll_write_vectored(
-        mut self: Pin<&mut Self>, context: &mut Context<'_>, parts: &[io::IoSlice<'_>],
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        parts: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write_vectored(context, parts);
         self.seat.wrote(written.is_ready());
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -52,7 +52,10 @@
         let shown = path.display().to_string();
         let text = std::fs::read_to_string(path).with_context(|| shown.clone())?;
         let says = Operator::parse(&text).with_context(|| shown)?;
-        Ok(OperatorFile { path: path.to_owned(), says })
+        Ok(OperatorFile {
+            path: path.to_owned(),
+            says,
+        })
     }
 }
 
@@ -108,22 +111,33 @@
     let mut meeting = None;
     if let Some(inherited) = handed::inherited(std::env::var("LB_LISTEN_FD").ok().as_deref())? {
         handed = Some(inherited);
-        meeting = std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty()).map(PathBuf::from);
+        meeting = std::env::var_os("TMPDIR")
+            .filter(|folder| !folder.is_empty())
+            .map(PathBuf::from);
     }
-    Ok(Options { config, operator, handed, meeting, manager })
+    Ok(Options {
+        config,
+        operator,
+        handed,
+        meeting,
+        manager,
+    })
 }
 
 /// The words that signals stand for, from now on.
 fn signals() -> Result<mpsc::UnboundedReceiver<Word>> {
     let (tell, words) = mpsc::unbounded_channel();
     // SIGHUP ends a process that does not ask for it.
-    let kinds = [(SignalKind::terminate(), Word::Stop), (SignalKind::hangup(), Word::Reload)];
+    let kinds = [
+        (SignalKind::terminate(), Word::Stop),
+        (SignalKind::hangup(), Word::Reload),
+    ];
     for (kind, word) in kinds {
         let mut signal = signal(kind).context("signals")?;
         let tell = tell.clone();
-        tokio::task::spawn_local(
-            async move { while signal.recv().await.is_some() && tell.send(word).is_ok() {} },
-        );
+        tokio::task::spawn_local(async move {
+            while signal.recv().await.is_some() && tell.send(word).is_ok() {}
+        });
     }
     Ok(words)
 }
@@ -161,10 +175,17 @@
     /// # Errors
     /// What could not be bound.
     pub async fn bind(options: Options) -> Result<Edge> {
-        let Options { mut config, operator, handed, meeting, manager } = options;
+        let Options {
+            mut config,
+            operator,
+            handed,
+            meeting,
+            manager,
+        } = options;
         if let Some(file) = &operator {
             let settings = &mut config.named.settings;
-            (settings.fenced, settings.spare_words) = (file.says.quotas.fenced, file.says.quotas.spare_words);
+            (settings.fenced, settings.spare_words) =
+                (file.says.quotas.fenced, file.says.quotas.spare_words);
             settings.working_set = file.says.servers.working_set;
         }
         let shared = handed.is_some();
@@ -178,14 +199,20 @@
         };
         let (elder, state) = met.unzip();
         let told = state.as_ref().and_then(handover::list);
-        let kept = elder.as_ref().map(handover::Met::number).zip(state).map(|(no, state)| (state.module, no));
+        let kept = elder
+            .as_ref()
+            .map(handover::Met::number)
+            .zip(state)
+            .map(|(no, state)| (state.module, no));
         if let Some((kept, _)) = &kept {
             let (customers, servers) = kept.size();
             eprintln!(
                 "hand-over: taken over from a process of this node: {customers} customers, {servers} servers"
             );
         }
-        let reuse = operator.as_ref().is_some_and(|file| file.says.listen.reuse_port);
+        let reuse = operator
+            .as_ref()
+            .is_some_and(|file| file.says.listen.reuse_port);
         let listener = match handed {
             Some(listener) => TcpListener::from_std(listener),
             None if reuse => retry_shortage(|| async { bind_reusing(config.listen) }).await,
@@ -193,11 +220,15 @@
         };
         let listener = listener.with_context(|| format!("listen {}", config.listen))?;
         let peers = match config.peers {
-            Some(addresses) => Some(Peers::bind(addresses, config.named.settings.me, reuse || shared).await?),
+            Some(addresses) => {
+                Some(Peers::bind(addresses, config.named.settings.me, reuse || shared).await?)
+            }
             None => None,
         };
         let sockets = operator.as_ref().and_then(|file| file.says.sockets.clone());
-        let apart = sockets.as_ref().map_or(0, |sockets| 2 * sockets.limits.per_node);
+        let apart = sockets
+            .as_ref()
+            .map_or(0, |sockets| 2 * sockets.limits.per_node);
         let both_sides = config.sockets.saturating_sub(RESERVED + apart);
         // Clients that are slow, or mean no good, hold theirs far longer than attempts do.
         let each_side = both_sides * 3 / 8;
@@ -209,7 +240,15 @@
             config.sockets
         );
         let upstream = Upstream::new();
-        let node = Node::new(config.seed, config.named, upstream, (each_side, links), peers, sockets, kept)?;
+        let node = Node::new(
+            config.seed,
+            config.named,
+            upstream,
+            (each_side, links),
+            peers,
+            sockets,
+            kept,
+        )?;
         let admin = match config.admin {
             Some(address) => Some(Admin::bind(address).await?),
             None => None,
@@ -227,7 +266,10 @@
             seats: both_sides - each_side,
             sockets: config.sockets,
             memory: config.memory,
-            files: Files { config: config.path, operator },
+            files: Files {
+                config: config.path,
+                operator,
+            },
             manager: Rc::new(manager),
             admin,
             meeting,
@@ -247,24 +289,43 @@
 
     /// Runs it until its life cycle ends. Inside a `LocalSet` only.
     pub async fn run(self, words: mpsc::UnboundedReceiver<Word>) {
-        let Edge { node, manager, files, .. } = self;
+        let Edge {
+            node,
+            manager,
+            files,
+            ..
+        } = self;
         // Danger: a module that was told nothing yet asks for no wake-up, and a loop without one looks stuck.
         node.begin();
         let longest = Duration::from_micros(node.named.longest_deadline);
         // What comes to a listener that is handed over waits for its next owner; but where processes overlap, the next
         // owner is there, or there is none yet.
         let leave_at_once = self.shared && !self.overlaps;
-        let limits = limits(files.operator.as_ref().map(|file| &file.says), longest, leave_at_once);
+        let limits = limits(
+            files.operator.as_ref().map(|file| &file.says),
+            longest,
+            leave_at_once,
+        );
         let facing = Facing::new(Rc::clone(&node), self.sockets, self.memory);
         let born = Instant::now();
         let (standing, seen) = watch::channel(Standing::unready());
         let (moved, discovery) = watch::channel(self.discovery);
         let says = files.operator.as_ref().map(|file| &file.says);
-        let sources = says.map(|says| (says.etcd.clone(), says.list.clone())).unwrap_or_default();
-        let counts_every = files.operator.as_ref().and_then(|file| file.says.log.counts_every);
+        let sources = says
+            .map(|says| (says.etcd.clone(), says.list.clone()))
+            .unwrap_or_default();
+        let counts_every = files
+            .operator
+            .as_ref()
+            .and_then(|file| file.says.log.counts_every);
         let (ask, calls) = mpsc::channel(admin::CALLS_MOST);
         let beside = [
-            tokio::task::spawn_local(roster::follow(Rc::clone(&node), sources, discovery, self.known)),
+            tokio::task::spawn_local(roster::follow(
+                Rc::clone(&node),
+                sources,
+                discovery,
+                self.known,
+            )),
             tokio::task::spawn_local(peers::listen(Rc::clone(&node))),
             tokio::task::spawn_local(Rc::clone(&node).ring()),
             tokio::task::spawn_local(Rc::clone(&node).hear_left()),
@@ -279,7 +340,13 @@
         let clients = clients::serve(self.listener, self.shared, node, self.seats, seen);
         let clients = tokio::task::spawn_local(clients);
         let machine = Lifecycle::new(limits, Duration::ZERO);
-        let life = Life { machine, manager, standing, facing, born };
+        let life = Life {
+            machine,
+            manager,
+            standing,
+            facing,
+            born,
+        };
         let moved = Rc::new(moved);
         let shared = leave_at_once;
         let reload = move || {
@@ -296,7 +363,11 @@
 
 /// A listener that a successor can bind beside this node.
 fn bind_reusing(address: SocketAddr) -> std::io::Result<TcpListener> {
-    let socket = socket2::Socket::new(socket2::Domain::for_address(address), socket2::Type::STREAM, None)?;
+    let socket = socket2::Socket::new(
+        socket2::Domain::for_address(address),
+        socket2::Type::STREAM,
+        None,
+    )?;
     socket.set_reuse_address(true)?;
     socket.set_reuse_port(true)?;
     socket.set_nonblocking(true)?;
@@ -307,10 +378,16 @@
 
 /// What binds the life cycle. A listener that is shared is left at once: what comes waits for its next owner.
 fn limits(operator: Option<&Operator>, longest_deadline: Duration, shared: bool) -> Limits {
-    let Some(operator) = operator else { return Limits::immediate(longest_deadline) };
+    let Some(operator) = operator else {
+        return Limits::immediate(longest_deadline);
+    };
     Limits {
         readiness: operator.ready.clone(),
-        leave_for: if shared { Duration::ZERO } else { operator.stop.leave_for },
+        leave_for: if shared {
+            Duration::ZERO
+        } else {
+            operator.stop.leave_for
+        },
         finish_within: operator.stop.finish_within.unwrap_or(longest_deadline),
         reload_within: operator.reload.within,
     }
@@ -318,13 +395,24 @@
 
 /// Reads the files again; what the operator's says, or nothing if one of them is bad: then none is taken. Only
 /// discovery's address and the operator's limits can change in service.
-async fn reread(files: Files, discovery: Rc<watch::Sender<SocketAddr>>) -> Option<Option<Operator>> {
+async fn reread(
+    files: Files,
+    discovery: Rc<watch::Sender<SocketAddr>>,
+) -> Option<Option<Operator>> {
     let read = tokio::task::spawn_blocking(move || -> Result<(Config, Option<Operator>)> {
         let config = Config::read(&files.config)?;
-        let operator = files.operator.as_ref().map(|file| OperatorFile::read(&file.path)).transpose()?;
+        let operator = files
+            .operator
+            .as_ref()
+            .map(|file| OperatorFile::read(&file.path))
+            .transpose()?;
         Ok((config, operator.map(|file| file.says)))
     });
-    match read.await.map_err(anyhow::Error::from).and_then(|config| config) {
+    match read
+        .await
+        .map_err(anyhow::Error::from)
+        .and_then(|config| config)
+    {
         Ok((config, operator)) => {
             // Also when it is the same address as before: its numbering may have begun anew.
             discovery.send_replace(config.discovery);
--- a/crates/node/src/shutdown.rs
+++ b/crates/node/src/shutdown.rs
@@ -16,7 +16,11 @@
 
 /// Tells the log of requests without an answer while the node closes, until it is dropped.
 pub async fn tell_open_requests(node: Rc<Node>, mut standing: watch::Receiver<Standing>) {
-    if standing.wait_for(|standing| standing.phase >= Phase::Closing).await.is_err() {
+    if standing
+        .wait_for(|standing| standing.phase >= Phase::Closing)
+        .await
+        .is_err()
+    {
         return;
     }
     loop {
@@ -31,7 +35,11 @@
     if open.is_empty() {
         return;
     }
-    info!(state, open_requests = open.len(), "requests without an answer");
+    info!(
+        state,
+        open_requests = open.len(),
+        "requests without an answer"
+    );
     for request in open.iter().take(TOLD_MOST) {
         tell_request(state, node, request);
     }
--- a/crates/node/src/sockets.rs
+++ b/crates/node/src/sockets.rs
@@ -101,18 +101,31 @@
 
     /// Lets an upgrade in, or not.
     pub fn admit(&self, node: &Rc<Node>, customer: CustomerId, spread: u32) -> Result<Place, Shut> {
-        let id = self.table.borrow_mut().admit(node.now(), customer, spread)?;
-        Ok(Place { node: Rc::clone(node), id })
+        let id = self
+            .table
+            .borrow_mut()
+            .admit(node.now(), customer, spread)?;
+        Ok(Place {
+            node: Rc::clone(node),
+            id,
+        })
     }
 
     /// Follows the list: who is not ready any more, or has moved, loses its sockets.
     pub fn listed(
-        &self, now: Micros, whole: bool, servers: impl Iterator<Item = (ServerId, bool, SocketAddr)>,
+        &self,
+        now: Micros,
+        whole: bool,
+        servers: impl Iterator<Item = (ServerId, bool, SocketAddr)>,
     ) {
         let mut dials = self.dials.borrow_mut();
         let (mut words, mut named) = (Vec::new(), HashSet::new());
         for (server, ready, dial) in servers {
-            let old = if ready { dials.insert(server, dial) } else { dials.remove(&server) };
+            let old = if ready {
+                dials.insert(server, dial)
+            } else {
+                dials.remove(&server)
+            };
             if !ready || old.is_some_and(|old| old != dial) {
                 words.push((server, false));
             }
@@ -123,7 +136,9 @@
         }
         if whole {
             words.extend(
-                dials.extract_if(|server, _| !named.contains(server)).map(|(server, _)| (server, false)),
+                dials
+                    .extract_if(|server, _| !named.contains(server))
+                    .map(|(server, _)| (server, false)),
             );
         }
         drop(dials);
@@ -149,11 +164,17 @@
     fn carry_out(&self, commands: Vec<Command>) {
         let relays = self.relays.borrow();
         for command in commands {
-            let (Command::Close(id, ..) | Command::Drain(id, ..) | Command::Ping(id, _) | Command::Cut(id)) =
-                &command;
-            let Some(control) = relays.get(id) else { continue };
+            let (Command::Close(id, ..)
+            | Command::Drain(id, ..)
+            | Command::Ping(id, _)
+            | Command::Cut(id)) = &command;
+            let Some(control) = relays.get(id) else {
+                continue;
+            };
             match command {
-                Command::Close(_, code, reason) => _ = control.close.borrow_mut().insert((code, reason)),
+                Command::Close(_, code, reason) => {
+                    _ = control.close.borrow_mut().insert((code, reason))
+                }
                 Command::Drain(_, code, reason, by) => {
                     control.by.set(Some(by));
                     control.close.borrow_mut().replace((code, reason));
@@ -180,7 +201,9 @@
     /// Rings when the table asks for it, for ever.
     pub async fn ring(&self, node: &Rc<Node>) {
         loop {
-            self.alarm.rings(|| self.table.borrow().next_alarm(), || node.now()).await;
+            self.alarm
+                .rings(|| self.table.borrow().next_alarm(), || node.now())
+                .await;
             let commands = self.table.borrow_mut().tick(node.now());
             self.carry_out(commands);
         }
@@ -222,13 +245,29 @@
 pub async fn relay(place: Place, client: TcpStream, early: Bytes, switched: Switched) {
     let node = Rc::clone(&place.node);
     let Some(front) = &node.front else { return };
-    let Switched { switch, server, stream, early: behind, .. } = switched;
+    let Switched {
+        switch,
+        server,
+        stream,
+        early: behind,
+        ..
+    } = switched;
     let rules = front.rules(&switch);
     let control = Rc::new(Control::default());
-    front.relays.borrow_mut().insert(place.id, Rc::clone(&control));
-    let commands = front.table.borrow_mut().opened(node.now(), place.id, server);
+    front
+        .relays
+        .borrow_mut()
+        .insert(place.id, Rc::clone(&control));
+    let commands = front
+        .table
+        .borrow_mut()
+        .opened(node.now(), place.id, server);
     front.carry_out(commands);
-    let way = |side| Way { scanner: Scanner::new(side, rules), out: Vec::new(), shut: false };
+    let way = |side| Way {
+        scanner: Scanner::new(side, rules),
+        out: Vec::new(),
+        shut: false,
+    };
     let mut relay = Relay {
         place,
         control,
@@ -259,7 +298,8 @@
                 self.put_in(to);
                 self.write(node, front, to);
             }
-            let over = |side: Side| self.ways[side as usize].scanner.closed() || self.ended[side as usize];
+            let over =
+                |side: Side| self.ways[side as usize].scanner.closed() || self.ended[side as usize];
             let written = self.ways.iter().all(|way| way.out.is_empty());
             if over(Side::Client) && over(Side::Server) && written {
                 break;
@@ -272,7 +312,9 @@
             let [client, server] = &self.streams;
             let reads = |side: Side| {
                 let way = &self.ways[side as usize];
-                !self.ended[side as usize] && !way.scanner.closed() && (way.out.is_empty() || way.shut)
+                !self.ended[side as usize]
+                    && !way.scanner.closed()
+                    && (way.out.is_empty() || way.shut)
             };
             let writes = |to: Side| !self.ways[to.other() as usize].out.is_empty();
             tokio::select! {
@@ -287,13 +329,16 @@
         // answered the close holds nothing.
         self.read(node, front, Side::Server);
         if self.control.cut.get() && !self.ways[Side::Server as usize].scanner.closed() {
-            let _ = SockRef::from(&self.streams[Side::Server as usize]).set_linger(Some(Duration::ZERO));
+            let _ = SockRef::from(&self.streams[Side::Server as usize])
+                .set_linger(Some(Duration::ZERO));
         }
     }
 
     fn obey(&mut self) {
         if let Some((code, reason)) = self.control.close.borrow_mut().take() {
-            self.close.iter_mut().for_each(|close| _ = close.get_or_insert((code, reason.clone())));
+            self.close
+                .iter_mut()
+                .for_each(|close| _ = close.get_or_insert((code, reason.clone())));
         }
     }
 
@@ -348,7 +393,10 @@
             way.scanner.scan(bytes, &mut way.out, &mut seen)
         };
         let data = seen.contains(&Seen::Data);
-        front.table.borrow_mut().heard(node.now(), self.place.id, from, data);
+        front
+            .table
+            .borrow_mut()
+            .heard(node.now(), self.place.id, from, data);
         if seen.iter().any(|seen| matches!(seen, Seen::Close(_))) {
             // Where the node has not closed by itself, the close has gone on to the other side, which answers it.
             way.shut = true;
--- a/crates/node/src/upstream.rs
+++ b/crates/node/src/upstream.rs
@@ -104,7 +104,11 @@
 impl Upstream {
     pub fn new() -> Upstream {
         let (tell_left, left) = mpsc::unbounded_channel();
-        Upstream { wires: RefCell::default(), tell_left, left: RefCell::new(Some(left)) }
+        Upstream {
+            wires: RefCell::default(),
+            tell_left,
+            left: RefCell::new(Some(left)),
+        }
     }
 
     /// Connections whose answers nobody takes any more; to be asked for once.
@@ -121,23 +125,40 @@
 
     /// Lets the last piece of a body go.
     pub fn release(&self, link: LinkId) {
-        let pipe = self.wires.borrow().get(&link).and_then(|wire| wire.pipe.clone());
+        let pipe = self
+            .wires
+            .borrow()
+            .get(&link)
+            .and_then(|wire| wire.pipe.clone());
         pipe.into_iter().for_each(|pipe| pipe.release());
     }
 
     /// Makes a connection.
     pub fn connect(&self, node: &Rc<Node>, link: LinkId, dial: SocketAddr) {
         let open = Arc::new(AtomicBool::new(false));
-        let driver = tokio::task::spawn_local(drive(Rc::clone(node), link, dial, Arc::clone(&open)));
-        let wire = Wire { dial, driver, sender: None, exchange: None, pipe: None, forward: None, open };
+        let driver =
+            tokio::task::spawn_local(drive(Rc::clone(node), link, dial, Arc::clone(&open)));
+        let wire = Wire {
+            dial,
+            driver,
+            sender: None,
+            exchange: None,
+            pipe: None,
+            forward: None,
+            open,
+        };
         self.wires.borrow_mut().insert(link, wire);
     }
 
     /// Makes a request ready on a free connection. Its first byte goes when the exchange lets it.
     pub fn send(&self, node: &Rc<Node>, link: LinkId, server: ServerId, forward: Rc<Forward>) {
         let mut wires = self.wires.borrow_mut();
-        let Some(wire) = wires.get_mut(&link) else { return };
-        let Some(sender) = wire.sender.take() else { return };
+        let Some(wire) = wires.get_mut(&link) else {
+            return;
+        };
+        let Some(sender) = wire.sender.take() else {
+            return;
+        };
         wire.open.store(false, Ordering::Relaxed);
         wire.pipe = forward.coming().cloned();
         wire.forward = Some(Rc::clone(&forward));
@@ -155,7 +176,10 @@
                 Came::Passing(first, rest) => {
                     let left = node.upstream.tell_left.clone();
                     let passing = Passing::new(node.number(), link, left, sender, first, rest);
-                    node.happened(Event::Passing { link }, Some(Payload::Passing(Box::new(passing))));
+                    node.happened(
+                        Event::Passing { link },
+                        Some(Payload::Passing(Box::new(passing))),
+                    );
                 }
                 Came::Whole(outcome, payload) => {
                     node.upstream.free_again(link, sender);
@@ -172,7 +196,10 @@
 
     /// The request that is made ready on a connection.
     fn ready(&self, link: LinkId) -> Option<Rc<Forward>> {
-        self.wires.borrow().get(&link).and_then(|wire| wire.forward.clone())
+        self.wires
+            .borrow()
+            .get(&link)
+            .and_then(|wire| wire.forward.clone())
     }
 
     /// Lets bytes be written.
@@ -184,7 +211,9 @@
 
     /// Closes a connection, whatever is on it, and says when that is done.
     pub fn close(&self, node: &Rc<Node>, link: LinkId) {
-        let Some(wire) = self.wires.borrow_mut().remove(&link) else { return };
+        let Some(wire) = self.wires.borrow_mut().remove(&link) else {
+            return;
+        };
         wire.exchange.inspect(AbortHandle::abort);
         wire.driver.abort();
         let node = Rc::clone(node);
@@ -210,8 +239,18 @@
     // Without it a request in two pieces would wait for an acknowledgement; it works all the same.
     let _ = stream.set_nodelay(true);
     let stream = TokioIo::new(Socket::new(stream));
-    let io = Gated { stream, node: node.number(), link, open, waited: 0, round: None };
-    let handshake = http1::Builder::new().max_buf_size(HEAD_MOST).handshake(io).await;
+    let io = Gated {
+        stream,
+        node: node.number(),
+        link,
+        open,
+        waited: 0,
+        round: None,
+    };
+    let handshake = http1::Builder::new()
+        .max_buf_size(HEAD_MOST)
+        .handshake(io)
+        .await;
     let Ok((sender, connection)) = handshake else {
         node.upstream.wires.borrow_mut().remove(&link);
         return node.happened(Event::ConnectFailed { link, lack: false }, None);
@@ -243,26 +282,42 @@
 /// Writes the request and reads its answer: whole if it is a short one, so that a client never gets one that was cut where
 /// another attempt can help.
 async fn exchange(
-    sender: &mut SendRequest<Outgoing>, forward: &Forward, left: Duration, server: ServerId, dial: SocketAddr,
+    sender: &mut SendRequest<Outgoing>,
+    forward: &Forward,
+    left: Duration,
+    server: ServerId,
+    dial: SocketAddr,
 ) -> Came {
-    let Some(answer) = head(sender, forward, left, dial).await else { return Came::Lost };
+    let Some(answer) = head(sender, forward, left, dial).await else {
+        return Came::Lost;
+    };
     let (status, outcome) = (answer.status(), outcome(&answer));
     if let (StatusCode::SWITCHING_PROTOCOLS, Some(offer)) = (status, &forward.offer) {
-        return switched(offer, server, answer).await.map_or(Came::Lost, Came::Switched);
+        return switched(offer, server, answer)
+            .await
+            .map_or(Came::Lost, Came::Switched);
     }
     // Guards against an answer that turns the connection into something else.
     if status.is_informational() {
         return Came::Lost;
     }
     // Guards against a second copy of the last answer, where servers say whose it is.
-    if answer.headers().get("x-request-id").is_some_and(|id| id.as_bytes() != forward.id.0.as_bytes()) {
+    if answer
+        .headers()
+        .get("x-request-id")
+        .is_some_and(|id| id.as_bytes() != forward.id.0.as_bytes())
+    {
         return Came::Lost;
     }
     // Guards against an answer that ends with its connection, unasked: nobody could tell whether it is whole.
     let headers = answer.headers();
-    let framed = [CONTENT_LENGTH, TRANSFER_ENCODING].iter().any(|name| headers.contains_key(name));
+    let framed = [CONTENT_LENGTH, TRANSFER_ENCODING]
+        .iter()
+        .any(|name| headers.contains_key(name));
     let ends = answer.version() == Version::HTTP_10
-        || headers.get(CONNECTION).is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"close"));
+        || headers
+            .get(CONNECTION)
+            .is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"close"));
     if !framed && !ends {
         return Came::Lost;
     }
@@ -278,7 +333,10 @@
             Came::Whole(Outcome::Ok, Some(Payload::Passed(status, body)))
         }
         (Outcome::Ok, Some(_)) => Came::Whole(Outcome::Error, None),
-        _ => Came::Whole(outcome, (outcome == Outcome::Ok).then_some(Payload::Body(body))),
+        _ => Came::Whole(
+            outcome,
+            (outcome == Outcome::Ok).then_some(Payload::Body(body)),
+        ),
     }
 }
 
@@ -302,7 +360,9 @@
             },
         };
         let Some(frame) = frame else { break };
-        let Ok(data) = frame.ok()?.into_data() else { continue };
+        let Ok(data) = frame.ok()?.into_data() else {
+            continue;
+        };
         size += data.len();
         pieces.push_back(data);
         if size > BODY_MOST {
@@ -314,7 +374,10 @@
 
 /// Writes the request and reads the head of its answer.
 async fn head(
-    sender: &mut SendRequest<Outgoing>, forward: &Forward, left: Duration, dial: SocketAddr,
+    sender: &mut SendRequest<Outgoing>,
+    forward: &Forward,
+    left: Duration,
+    dial: SocketAddr,
 ) -> Option<Response<Incoming>> {
     let left = left.as_millis();
     let mut request = Request::builder()
@@ -332,10 +395,14 @@
             .header(UPGRADE, "websocket")
             .header(SEC_WEBSOCKET_VERSION, upgrade::VERSION)
             .header(SEC_WEBSOCKET_KEY, &offer.key);
-        let more =
-            [(SEC_WEBSOCKET_PROTOCOL, &offer.protocols), (SEC_WEBSOCKET_EXTENSIONS, &offer.extensions)];
+        let more = [
+            (SEC_WEBSOCKET_PROTOCOL, &offer.protocols),
+            (SEC_WEBSOCKET_EXTENSIONS, &offer.extensions),
+        ];
         for (name, value) in more {
-            request = value.iter().fold(request, |request, value| request.header(&name, value));
+            request = value
+                .iter()
+                .fold(request, |request, value| request.header(&name, value));
         }
     }
     let body = match &forward.body {
@@ -348,17 +415,30 @@
 }
 
 /// Takes the connection over, if the server has agreed to what was offered and to nothing else.
-async fn switched(offer: &Offer, server: ServerId, answer: Response<Incoming>) -> Option<Box<Switched>> {
+async fn switched(
+    offer: &Offer,
+    server: ServerId,
+    answer: Response<Incoming>,
+) -> Option<Box<Switched>> {
     let switch = upgrade::verify(offer, answer.headers()).ok()?;
     let upgraded = hyper::upgrade::on(answer).await.ok()?;
     let parts = upgraded.downcast::<Gated>().ok()?;
     let (stream, early) = (parts.io.stream.into_inner().into_inner()?, parts.read_buf);
-    let switched = Switched { key: offer.key.clone(), switch, server, stream, early };
+    let switched = Switched {
+        key: offer.key.clone(),
+        switch,
+        server,
+        stream,
+        early,
+    };
     Some(Box::new(switched))
 }
 
 fn outcome<B>(answer: &Response<B>) -> Outcome {
-    let not_run = answer.headers().get("x-not-run").is_some_and(|value| value == "1");
+    let not_run = answer
+        .headers()
+        .get("x-not-run")
+        .is_some_and(|value| value == "1");
     match answer.status() {
         StatusCode::OK => Outcome::Ok,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_run => Outcome::Full,
@@ -387,8 +467,12 @@
         if let Some(node) = Node::here(self.node) {
             let forward = node.upstream.ready(self.link);
             // Danger: a new connection is read before the machine has told of it, so also not that its client has left again.
-            let untold = forward.as_ref().is_some_and(|forward| forward.client.unwatched());
-            while (untold && self.waited == 0) || (self.waited < BEHIND_MOST && node.words.are_behind()) {
+            let untold = forward
+                .as_ref()
+                .is_some_and(|forward| forward.client.unwatched());
+            while (untold && self.waited == 0)
+                || (self.waited < BEHIND_MOST && node.words.are_behind())
+            {
                 let round = self.round.get_or_insert_with(|| Box::pin(yield_now()));
                 ready!(round.as_mut().poll(context));
                 (self.waited, self.round) = (self.waited + 1, None);
@@ -401,7 +485,13 @@
             }
             // Guards against the rest of one answer being read as the next.
             let quiet = is_quiet(self.stream.inner().stream());
-            node.happened(Event::Begin { link: self.link, quiet }, None);
+            node.happened(
+                Event::Begin {
+                    link: self.link,
+                    quiet,
+                },
+                None,
+            );
         }
         Poll::Ready(if self.open.load(Ordering::Relaxed) {
             Ok(())
@@ -413,7 +503,9 @@
 
 impl Read for Gated {
     fn poll_read(
-        mut self: Pin<&mut Self>, context: &mut Context<'_>, buffer: ReadBufCursor<'_>,
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        buffer: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
         Pin::new(&mut self.stream).poll_read(context, buffer)
     }
@@ -421,14 +513,18 @@
 
 impl Write for Gated {
     fn poll_write(
-        mut self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8],
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         ready!(self.ask(context))?;
         Pin::new(&mut self.stream).poll_write(context, bytes)
     }
 
     fn poll_write_vectored(
-        mut self: Pin<&mut Self>, context: &mut Context<'_>, parts: &[IoSlice<'_>],
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        parts: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         ready!(self.ask(context))?;
         Pin::new(&mut self.stream).poll_write_vectored(context, parts)
--- a/crates/node/tests/watchdog.rs
+++ b/crates/node/tests/watchdog.rs
@@ -26,22 +26,38 @@
     let text = configuration(&places, &Fleet::usual(1).settings(0), None, 1);
     let config = Config::parse(Path::new("none"), &text).expect("a good configuration");
     let says = saffronpaddle_operator_config::Operator::default();
-    let operator = Some(OperatorFile { path: "none".into(), says });
+    let operator = Some(OperatorFile {
+        path: "none".into(),
+        says,
+    });
     let manager = Manager::at(notify.as_os_str(), Some(ALLOWED)).expect("an address");
-    Options { config, operator, handed: None, meeting: None, manager }
+    Options {
+        config,
+        operator,
+        handed: None,
+        meeting: None,
+        manager,
+    }
 }
 
 /// Runs a node with a task beside it, and has `watch` listen as its manager.
 fn run<F: std::future::Future<Output = ()> + 'static>(
-    tag: &str, beside: impl FnOnce() -> F + Send + 'static, watch: impl FnOnce(&UnixDatagram),
+    tag: &str,
+    beside: impl FnOnce() -> F + Send + 'static,
+    watch: impl FnOnce(&UnixDatagram),
 ) {
     let path = std::env::temp_dir().join(format!("saffronpaddle-{}-{tag}", std::process::id()));
     let socket = UnixDatagram::bind(&path).expect("a socket");
-    socket.set_read_timeout(Some(Duration::from_secs(60))).expect("a time-out");
+    socket
+        .set_read_timeout(Some(Duration::from_secs(60)))
+        .expect("a time-out");
     let (tell, words) = tokio::sync::mpsc::unbounded_channel();
     let options = options(&path);
     let node = std::thread::spawn(move || {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()
+            .expect("a runtime");
         tokio::task::LocalSet::new().block_on(&runtime, async {
             let edge = Edge::bind(options).await.expect("it binds");
             edge.beside(beside());
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -162,10 +162,14 @@
     /// All that is wrong with it. A text that is no TOML has one fault, which names the line.
     pub fn parse(text: &str) -> Result<Operator, Faults> {
         let table = text.parse::<toml::Table>().map_err(|error| {
-            let line =
-                error.span().map_or(0, |span| text[..span.start.min(text.len())].matches('\n').count());
+            let line = error.span().map_or(0, |span| {
+                text[..span.start.min(text.len())].matches('\n').count()
+            });
             let reason = format!("line {}: {}", line + 1, error.message().replace('\n', ", "));
-            Faults(vec![Fault { key: String::new(), reason }])
+            Faults(vec![Fault {
+                key: String::new(),
+                reason,
+            }])
         })?;
         let mut file = Section::whole(table);
         let operator = Operator::read(&mut file);
@@ -196,8 +200,9 @@
                 fenced: section.flag("fenced", false),
                 spare_words: section.flag("spare_words", false),
             }),
-            servers: file
-                .section("servers", |section| Servers { working_set: section.flag("working_set", false) }),
+            servers: file.section("servers", |section| Servers {
+                working_set: section.flag("working_set", false),
+            }),
             etcd: file.section("etcd", etcd),
             sockets: file.section("sockets", sockets),
         }
@@ -208,7 +213,9 @@
     let name = |text: &str| (!text.is_empty() && !text.contains(':')).then(|| text.to_owned());
     Listen {
         handed_over: section.flag("handed_over", true),
-        name: section.parsed("name", "a name without a colon", name).unwrap_or_else(|| CLIENTS.to_owned()),
+        name: section
+            .parsed("name", "a name without a colon", name)
+            .unwrap_or_else(|| CLIENTS.to_owned()),
         reuse_port: section.flag("reuse_port", false),
     }
 }
@@ -220,7 +227,8 @@
         list_stale_after: section.span_ms_or_none("list_stale_after_ms", 0, 86_400_000),
         peers_within: section.span_ms_or_none("peers_within_ms", 2_000, 600_000),
         free_descriptors: (free > 0).then_some(free),
-        memory_share: Some(section.figure("memory_share", 0.95, 0.1..=1.0)).filter(|share| *share < 1.0),
+        memory_share: Some(section.figure("memory_share", 0.95, 0.1..=1.0))
+            .filter(|share| *share < 1.0),
         clock_step: section.span_ms_or_none("clock_step_ms", 2_000, 3_600_000),
         lag: section.span_ms_or_none("lag_ms", 1_000, 60_000),
         lose_after: section.span_ms("lose_after_ms", 2_000, 0..=600_000),
@@ -240,20 +248,39 @@
 
 fn etcd(section: &mut Section) -> Option<Etcd> {
     let text = |text: &str| (!text.is_empty()).then(|| text.to_owned());
-    let prefix =
-        |text: &str| (text.starts_with('/') && text.len() > 1 && text.len() <= 1000).then(|| text.to_owned());
-    let endpoints = section.list("endpoints", "an address with a port", |text| text.parse().ok());
+    let prefix = |text: &str| {
+        (text.starts_with('/') && text.len() > 1 && text.len() <= 1000).then(|| text.to_owned())
+    };
+    let endpoints = section.list("endpoints", "an address with a port", |text| {
+        text.parse().ok()
+    });
     let user = section.parsed("user", "a name", text);
-    let password = section.parsed("password_file", "a path", |path| text(path).map(PathBuf::from));
+    let password = section.parsed("password_file", "a path", |path| {
+        text(path).map(PathBuf::from)
+    });
     if user.is_some() != password.is_some() {
-        section
-            .fault(if user.is_some() { "password_file" } else { "user" }, "goes with the other of the two");
+        section.fault(
+            if user.is_some() {
+                "password_file"
+            } else {
+                "user"
+            },
+            "goes with the other of the two",
+        );
     }
-    let ca = section.parsed("tls_ca_file", "a path", |path| text(path).map(PathBuf::from));
+    let ca = section.parsed("tls_ca_file", "a path", |path| {
+        text(path).map(PathBuf::from)
+    });
     let name = section.parsed("tls_name", "a name", text);
     if ca.is_some() != name.is_some() {
-        section
-            .fault(if ca.is_some() { "tls_name" } else { "tls_ca_file" }, "goes with the other of the two");
+        section.fault(
+            if ca.is_some() {
+                "tls_name"
+            } else {
+                "tls_ca_file"
+            },
+            "goes with the other of the two",
+        );
     }
     let wants = "a text that begins with a slash, up to 1000 bytes";
     let etcd = Etcd {
@@ -304,13 +331,15 @@
     if message_most < frame_most {
         section.fault("message_most", "must be at least frame_most");
     }
-    class.filter(|class| !class.is_empty()).map(|class| Sockets {
-        class,
-        limits,
-        frame_most,
-        message_most,
-        utf8,
-    })
+    class
+        .filter(|class| !class.is_empty())
+        .map(|class| Sockets {
+            class,
+            limits,
+            frame_most,
+            message_most,
+            utf8,
+        })
 }
 
 fn stop(section: &mut Section) -> Stop {
--- a/crates/operator-config/src/reader.rs
+++ b/crates/operator-config/src/reader.rs
@@ -49,7 +49,11 @@
 impl Section {
     /// The file as a whole.
     pub fn whole(table: Table) -> Section {
-        Section { path: String::new(), table, faults: Vec::new() }
+        Section {
+            path: String::new(),
+            table,
+            faults: Vec::new(),
+        }
     }
 
     fn key(&self, key: &str) -> String {
@@ -62,7 +66,10 @@
     /// Notes a fault of a key.
     pub fn fault(&mut self, key: &str, reason: impl Into<String>) {
         let key = self.key(key);
-        self.faults.push(Fault { key, reason: reason.into() });
+        self.faults.push(Fault {
+            key,
+            reason: reason.into(),
+        });
     }
 
     /// Whether a key is there; it is not taken.
@@ -81,14 +88,26 @@
                 Table::new()
             }
         };
-        let mut section = Section { path, table, faults: Vec::new() };
+        let mut section = Section {
+            path,
+            table,
+            faults: Vec::new(),
+        };
         let value = read(&mut section);
         self.faults.extend(section.rest());
         value
     }
 
-    fn take<T>(&mut self, key: &str, default: T, wants: &str, read: impl FnOnce(&Value) -> Option<T>) -> T {
-        let Some(value) = self.table.remove(key) else { return default };
+    fn take<T>(
+        &mut self,
+        key: &str,
+        default: T,
+        wants: &str,
+        read: impl FnOnce(&Value) -> Option<T>,
+    ) -> T {
+        let Some(value) = self.table.remove(key) else {
+            return default;
+        };
         read(&value).unwrap_or_else(|| {
             let shown = match &value {
                 Value::Table(_) | Value::Array(_) => kind(&value).to_owned(),
@@ -107,8 +126,14 @@
     /// A whole number within bounds.
     pub fn number(&mut self, key: &str, default: u64, bounds: RangeInclusive<u64>) -> u64 {
         let wants = format!("a whole number from {} to {}", bounds.start(), bounds.end());
-        let read = |value: &Value| value.as_integer().and_then(|number| u64::try_from(number).ok());
-        self.take(key, default, &wants, |value| read(value).filter(|number| bounds.contains(number)))
+        let read = |value: &Value| {
+            value
+                .as_integer()
+                .and_then(|number| u64::try_from(number).ok())
+        };
+        self.take(key, default, &wants, |value| {
+            read(value).filter(|number| bounds.contains(number))
+        })
     }
 
     /// A span in whole milliseconds within bounds.
@@ -124,19 +149,36 @@
     /// A number within bounds, with or without a fraction.
     pub fn figure(&mut self, key: &str, default: f64, bounds: RangeInclusive<f64>) -> f64 {
         let wants = format!("a number from {} to {}", bounds.start(), bounds.end());
-        let read = |value: &Value| value.as_float().or(value.as_integer().map(|number| number as f64));
-        self.take(key, default, &wants, |value| read(value).filter(|figure| bounds.contains(figure)))
+        let read = |value: &Value| {
+            value
+                .as_float()
+                .or(value.as_integer().map(|number| number as f64))
+        };
+        self.take(key, default, &wants, |value| {
+            read(value).filter(|figure| bounds.contains(figure))
+        })
     }
 
     /// A text that some reading accepts.
-    pub fn parsed<T>(&mut self, key: &str, wants: &str, read: impl FnOnce(&str) -> Option<T>) -> Option<T> {
-        self.take(key, None, wants, |value| value.as_str().and_then(read).map(Some))
+    pub fn parsed<T>(
+        &mut self,
+        key: &str,
+        wants: &str,
+        read: impl FnOnce(&str) -> Option<T>,
+    ) -> Option<T> {
+        self.take(key, None, wants, |value| {
+            value.as_str().and_then(read).map(Some)
+        })
     }
 
     /// A list of texts, each of which some reading accepts.
     pub fn list<T>(&mut self, key: &str, wants: &str, read: impl Fn(&str) -> Option<T>) -> Vec<T> {
         let each = |value: &Value| -> Option<Vec<T>> {
-            value.as_array()?.iter().map(|item| item.as_str().and_then(&read)).collect()
+            value
+                .as_array()?
+                .iter()
+                .map(|item| item.as_str().and_then(&read))
+                .collect()
         };
         self.take(key, Vec::new(), &format!("a list, each {wants}"), each)
     }
@@ -144,7 +186,9 @@
     /// All faults, with one for each key that nobody asked for.
     pub fn rest(mut self) -> Vec<Fault> {
         let unknown: Vec<String> = self.table.keys().cloned().collect();
-        unknown.iter().for_each(|key| self.fault(key, "unknown key"));
+        unknown
+            .iter()
+            .for_each(|key| self.fault(key, "unknown key"));
         self.faults
     }
 }
--- a/crates/operator-config/tests/file.rs
+++ b/crates/operator-config/tests/file.rs
@@ -21,7 +21,9 @@
     assert_eq!(Operator::parse(SHIPPED), Ok(Operator::default()));
     let mut keys = 0;
     let uncommented = SHIPPED.lines().map(|line| match line.strip_prefix("# ") {
-        Some(key) if key.contains(" = ") && key.starts_with(|first: char| first.is_ascii_lowercase()) => {
+        Some(key)
+            if key.contains(" = ") && key.starts_with(|first: char| first.is_ascii_lowercase()) =>
+        {
             keys += 1;
             format!("{key}\n")
         }
@@ -38,7 +40,10 @@
         "[ready]\nlist_within_ms = -1\nmemory_share = \"all\"\nlags = 1\n[stop]\nleave_for_ms = 9999999\n\
                 [listen]\nname = \"a:b\"\nreuse_port = 1\n[etcetera]\na = 1\n";
     let told = faults(text);
-    let keys: Vec<&str> = told.iter().map(|fault| fault.split(": ").next().expect("a key")).collect();
+    let keys: Vec<&str> = told
+        .iter()
+        .map(|fault| fault.split(": ").next().expect("a key"))
+        .collect();
     let all = [
         "listen.name",
         "listen.reuse_port",
@@ -56,7 +61,10 @@
 
 #[test]
 fn a_section_that_is_none_and_a_text_that_is_no_toml_are_told() {
-    assert_eq!(faults("ready = 5"), ["ready: must be a section, not a number"]);
+    assert_eq!(
+        faults("ready = 5"),
+        ["ready: must be a section, not a number"]
+    );
     let told = faults("[ready]\nlag_ms = = 5\n");
     assert!(told[0].starts_with("line 2: "), "{told:?}");
 }
@@ -79,8 +87,18 @@
     let told = faults(
         "[etcd]\nendpoints = [\"nowhere\"]\nuser = \"u\"\ntls_name = \"n\"\nsilent_after_ms = 500\nprefix = \"x\"",
     );
-    for key in ["endpoints", "password_file", "tls_ca_file", "silent_after_ms", "prefix"] {
-        assert!(told.iter().any(|fault| fault.starts_with(&format!("etcd.{key}: "))), "{key} in {told:?}");
+    for key in [
+        "endpoints",
+        "password_file",
+        "tls_ca_file",
+        "silent_after_ms",
+        "prefix",
+    ] {
+        assert!(
+            told.iter()
+                .any(|fault| fault.starts_with(&format!("etcd.{key}: "))),
+            "{key} in {told:?}"
+        );
     }
     assert_eq!(told.len(), 5, "{told:?}");
 }
--- a/crates/policy/src/asking.rs
+++ b/crates/policy/src/asking.rs
@@ -25,8 +25,12 @@
 
     /// Asks a home for a try: at first any part's, then that of the next part or who stands by.
     pub(crate) fn ask(&mut self, now: Micros, id: RequestId, out: &mut Out) {
-        let Some(request) = self.requests.get(&id) else { return };
-        let Some(store) = self.stores.get(&request.customer) else { return };
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
+        let Some(store) = self.stores.get(&request.customer) else {
+            return;
+        };
         let (customer, set) = (request.customer, (store.first, store.spread as u32));
         let homes = Homes::of(&self.settings.plans[request.plan.0], set.1);
         let asking = &request.asking;
@@ -35,43 +39,81 @@
             (_, short) => (asking.home.0 + short.min(1)) % homes.parts,
         };
         let keeper = |number| homes.keeper(customer, set, number, self.settings.gateways);
-        let speaks = |number: &u32| self.mute.get(&keeper(*number)).is_none_or(|until| *until <= now);
+        let speaks = |number: &u32| {
+            self.mute
+                .get(&keeper(*number))
+                .is_none_or(|until| *until <= now)
+        };
         // Danger: every try waits in vain where no peer is heard at all. One now and then finds out when that is over.
         let deaf = self.deaf >= DEAF && now < self.next_probe;
         let number = homes
             .in_turn(start)
             .find(|number| (!deaf || keeper(*number) == self.settings.me) && speaks(number));
-        let Some(number) = number else { return self.alone(now, id, out) };
+        let Some(number) = number else {
+            return self.alone(now, id, out);
+        };
         self.next_probe = now + PROBE_EVERY;
         let to = keeper(number);
         self.serial = self.serial.wrapping_add(1);
         let serial = self.serial;
         self.asks.insert(serial, id.clone());
-        self.requests.entry(id.clone()).and_modify(|request| request.asking.ask(now, serial, (number, to)));
+        self.requests
+            .entry(id.clone())
+            .and_modify(|request| request.asking.ask(now, serial, (number, to)));
         self.put(now, &id, out);
     }
 
     /// Puts the ask that is open to its home, for the first time or again: a build of yesterday, which lends nothing, knows the
     /// second alone.
     fn put(&mut self, now: Micros, id: &RequestId, out: &mut Out) {
-        let Some(request) = self.requests.get(id) else { return };
-        let Some(store) = self.stores.get(&request.customer) else { return };
-        let Some((serial, _)) = request.asking.open else { return };
-        let (customer, plan, units, (number, to)) =
-            (request.customer, request.plan, request.units, request.asking.home);
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        let Some(store) = self.stores.get(&request.customer) else {
+            return;
+        };
+        let Some((serial, _)) = request.asking.open else {
+            return;
+        };
+        let (customer, plan, units, (number, to)) = (
+            request.customer,
+            request.plan,
+            request.units,
+            request.asking.home,
+        );
         let (first, spread, home) = (store.first, store.spread as u32, number as u8);
         let beside = Some((self.up_s(now), store.memory.level(now)));
         let newest = request.asking.put != 2 || self.newer[to.0 as usize];
         let wish = (self.settings.fenced && newest).then(|| store.memory.wish(now, number, units));
-        let ask = Ask { serial, customer, plan, first, spread, home, units, beside, wish };
+        let ask = Ask {
+            serial,
+            customer,
+            plan,
+            first,
+            spread,
+            home,
+            units,
+            beside,
+            wish,
+        };
         self.counts.add(Of::Asked);
         if to == self.settings.me {
-            let said = self.grant(now, to, &Ask { wish: None, ..ask }, out).map(|(said, _)| said);
-            let nothing = Said { verdict: Verdict::Short, chance: 1.0, wait: 0, level: 0.0 };
+            let said = self
+                .grant(now, to, &Ask { wish: None, ..ask }, out)
+                .map(|(said, _)| said);
+            let nothing = Said {
+                verdict: Verdict::Short,
+                chance: 1.0,
+                wait: 0,
+                level: 0.0,
+            };
             self.answered(now, serial, (said.unwrap_or(nothing), None), out);
         } else {
             let news = self.news_if_due(now);
-            out.push(Action::Tell { to, bytes: message::write(&Message::Ask(ask, news)) });
+            out.push(Action::Tell {
+                to,
+                bytes: message::write(&Message::Ask(ask, news)),
+            });
         }
     }
 
@@ -82,13 +124,22 @@
 
     /// As a home: whether a try fits this part of its customer's store, ceiling and places, and what is lent beside.
     pub(crate) fn grant(
-        &mut self, now: Micros, from: GatewayId, ask: &Ask, out: &mut Out,
+        &mut self,
+        now: Micros,
+        from: GatewayId,
+        ask: &Ask,
+        out: &mut Out,
     ) -> Option<(Said, Option<Lease>)> {
         let plan = self.settings.plans.get(ask.plan.0)?;
         let spread = ask.spread.clamp(1, self.settings.gateways);
         let homes = Homes::of(plan, spread);
         let number = u32::from(ask.home);
-        let home = homes.keeper(ask.customer, (ask.first, spread), number, self.settings.gateways);
+        let home = homes.keeper(
+            ask.customer,
+            (ask.first, spread),
+            number,
+            self.settings.gateways,
+        );
         if home != self.settings.me || number >= homes.keepers {
             return None;
         }
@@ -105,16 +156,27 @@
             Some((level, ago)) if ago > up => Start::Told(level, ago),
             _ => Start::Since(ask.units, up),
         };
-        let fresh = || Home { keeper: Keeper::open(now, start, up, &terms), ..Home::default() };
+        let fresh = || Home {
+            keeper: Keeper::open(now, start, up, &terms),
+            ..Home::default()
+        };
         let home = self.homes.entry(ask.customer).or_insert_with(fresh);
         (home.plan, home.spread, home.number) = (ask.plan, spread, number);
-        let asks = saffronpaddle_quota::Ask { from: from.0, serial: ask.serial, units: ask.units };
+        let asks = saffronpaddle_quota::Ask {
+            from: from.0,
+            serial: ask.serial,
+            units: ask.units,
+        };
         // A home that borrows of who stands by asks for no units.
         let (said, try_units, lends) = if ask.units > 0.0 {
             let said = home.keeper.ask(now, asks, &terms, self.latency as Micros);
             (said, ask.units, home.keeper.is_calm(now))
         } else {
-            (home.keeper.look(now, &terms), self.settings.most_units, true)
+            (
+                home.keeper.look(now, &terms),
+                self.settings.most_units,
+                true,
+            )
         };
         let wish = ask.wish.filter(|_| lends);
         let lease = wish.and_then(|wish| home.keeper.lend(now, asks, &wish, &terms, try_units));
@@ -134,14 +196,24 @@
     }
 
     pub(crate) fn answered(
-        &mut self, now: Micros, serial: u16, (said, lease): (Said, Option<Lease>), out: &mut Out,
+        &mut self,
+        now: Micros,
+        serial: u16,
+        (said, lease): (Said, Option<Lease>),
+        out: &mut Out,
     ) {
         if let Some((customer, asked)) = self.borrows.remove(&serial) {
             let home = self.homes.get_mut(&customer).zip(lease);
-            return home.into_iter().for_each(|(home, lease)| home.keeper.borrowed(now, asked, lease));
+            return home
+                .into_iter()
+                .for_each(|(home, lease)| home.keeper.borrowed(now, asked, lease));
         }
-        let Some(id) = self.asks.remove(&serial) else { return self.counts.add(Of::AnsweredLate) };
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(id) = self.asks.remove(&serial) else {
+            return self.counts.add(Of::AnsweredLate);
+        };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         if request.asking.open.is_none_or(|asked| asked.0 != serial) {
             return;
         }
@@ -150,9 +222,13 @@
             1 => self.rto.sample(now.saturating_sub(request.asking.since)),
             _ => self.rto.back_off(),
         }
-        let Some(store) = self.stores.get_mut(&request.customer) else { return };
+        let Some(store) = self.stores.get_mut(&request.customer) else {
+            return;
+        };
         if let Some(lease) = lease {
-            store.memory.borrowed(now, request.asking.since, request.asking.home.0, lease);
+            store
+                .memory
+                .borrowed(now, request.asking.since, request.asking.home.0, lease);
         }
         if said.verdict == Verdict::Granted {
             store.memory.said(now, &said, true);
@@ -180,7 +256,9 @@
     /// A try not yet sent on: its home was silent, its customer's limit full, or its grant has run out.
     pub(crate) fn unanswered(&mut self, now: Micros, id: RequestId, out: &mut Out) {
         let words_a_second = self.words_a_second();
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         let (plan, customer) = (&self.settings.plans[request.plan.0], request.customer);
         if let Some(granted) = request.asking.granted {
             // Danger: a ceiling passed by grants that are used late. It must be granted anew.
@@ -195,8 +273,13 @@
             if now <= at.saturating_add(self.rto.wait()) {
                 return;
             }
-            let puts = if request.asking.missed == 0 { PUT_MOST } else { 1 };
-            let again = request.asking.put < puts && now <= request.asking.since.saturating_add(GRANT_LIFE);
+            let puts = if request.asking.missed == 0 {
+                PUT_MOST
+            } else {
+                1
+            };
+            let again =
+                request.asking.put < puts && now <= request.asking.since.saturating_add(GRANT_LIFE);
             if again && self.settings.spare_words && !self.words.may(now, words_a_second) {
                 // It waits for its answer, or for words.
                 return;
@@ -228,9 +311,16 @@
     /// No home is heard: what is lent here goes first, and then what homes granted here lately decides. A ceiling is kept by leases
     /// alone.
     fn alone(&mut self, now: Micros, id: RequestId, out: &mut Out) {
-        let Some(request) = self.requests.get(&id) else { return };
-        let (units, ceiling) = (request.units, self.settings.plans[request.plan.0].ceiling.is_some());
-        let Some(store) = self.stores.get_mut(&request.customer) else { return };
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
+        let (units, ceiling) = (
+            request.units,
+            self.settings.plans[request.plan.0].ceiling.is_some(),
+        );
+        let Some(store) = self.stores.get_mut(&request.customer) else {
+            return;
+        };
         if store.memory.lent(now, units, true) {
             self.goes(now, id, Of::Lent);
         } else if !self.settings.fenced && !ceiling && store.memory.alone(now, units) {
@@ -244,7 +334,9 @@
     pub(crate) fn goes(&mut self, now: Micros, id: RequestId, by: Of) {
         self.counts.add(by);
         self.serial = self.serial.wrapping_add(1);
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         (request.asking.granted, request.due) = (Some((self.settings.me, self.serial)), now);
         request.asking.granted_until = now.saturating_add(GRANT_LIFE);
         self.waiting.push(id);
@@ -253,12 +345,19 @@
     /// A home whose part runs low borrows that of who stands by. Danger: two that each grant the whole while they do not hear each
     /// other: here each has its own, and one lends it.
     fn borrow_beside(&mut self, now: Micros, ask: &Ask, homes: Homes, out: &mut Out) {
-        let Some(home) = self.homes.get_mut(&ask.customer) else { return };
+        let Some(home) = self.homes.get_mut(&ask.customer) else {
+            return;
+        };
         let number = u32::from(ask.home) + homes.parts;
         if number >= homes.keepers || !home.keeper.wants_to_borrow(now) {
             return;
         }
-        let to = homes.keeper(ask.customer, (ask.first, ask.spread), number, self.settings.gateways);
+        let to = homes.keeper(
+            ask.customer,
+            (ask.first, ask.spread),
+            number,
+            self.settings.gateways,
+        );
         self.serial = self.serial.wrapping_add(1);
         // What was asked before and never answered is forgotten; it lends nothing here any more.
         self.borrows.retain(|_, (_, at)| *at + LEASE > now);
@@ -268,18 +367,40 @@
         self.borrows.insert(self.serial, (ask.customer, now));
         let wish = Some(home.keeper.wish(now));
         let (serial, beside) = (self.serial, Some((self.up_s(now), None)));
-        let ask = Ask { serial, home: number as u8, units: 0.0, beside, wish, ..*ask };
-        out.push(Action::Tell { to, bytes: message::write(&Message::Ask(ask, None)) });
+        let ask = Ask {
+            serial,
+            home: number as u8,
+            units: 0.0,
+            beside,
+            wish,
+            ..*ask
+        };
+        out.push(Action::Tell {
+            to,
+            bytes: message::write(&Message::Ask(ask, None)),
+        });
     }
 
     /// Gives back the place that a home held for a try.
     pub(crate) fn give_back(
-        &mut self, (home, serial): (GatewayId, u16), customer: CustomerId, out: &mut Out,
+        &mut self,
+        (home, serial): (GatewayId, u16),
+        customer: CustomerId,
+        out: &mut Out,
     ) {
         if home == self.settings.me {
-            self.homes.get_mut(&customer).into_iter().for_each(|kept| kept.keeper.done(home.0, serial));
-        } else if self.plan_of(customer).is_some_and(|plan| plan.at_once.is_some()) {
-            out.push(Action::Tell { to: home, bytes: message::write(&Message::Done(serial, customer)) });
+            self.homes
+                .get_mut(&customer)
+                .into_iter()
+                .for_each(|kept| kept.keeper.done(home.0, serial));
+        } else if self
+            .plan_of(customer)
+            .is_some_and(|plan| plan.at_once.is_some())
+        {
+            out.push(Action::Tell {
+                to: home,
+                bytes: message::write(&Message::Done(serial, customer)),
+            });
         }
     }
 }
--- a/crates/policy/src/begun.rs
+++ b/crates/policy/src/begun.rs
@@ -3,13 +3,18 @@
 use saffronpaddle_slow_start::Budget;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-pub fn serialize<S: Serializer>(rights: &Option<Box<Budget>>, serializer: S) -> Result<S::Ok, S::Error> {
+pub fn serialize<S: Serializer>(
+    rights: &Option<Box<Budget>>,
+    serializer: S,
+) -> Result<S::Ok, S::Error> {
     match rights {
         Some(rights) => rights.serialize(serializer),
         None => Budget::default().serialize(serializer),
     }
 }
 
-pub fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<Box<Budget>>, D::Error> {
+pub fn deserialize<'de, D: Deserializer<'de>>(
+    deserializer: D,
+) -> Result<Option<Box<Budget>>, D::Error> {
     Ok(Some(Box::new(Budget::deserialize(deserializer)?)))
 }
--- a/crates/policy/src/cold.rs
+++ b/crates/policy/src/cold.rs
@@ -38,8 +38,18 @@
 /// What binds the fleet at a cold server: turns are those of the gateways that surely send to it, of whom this is one if its place
 /// is below their count. Danger: turns of gateways that never send to a server of a long list, so that it is sent nothing.
 fn rules(settings: &Settings, up_since: Micros, (gateways, me): (u32, u32)) -> Warming {
-    let Rules { fall_multiple, fall_window, .. } = settings.rules;
-    Warming { gateways, me, up_since, fall_multiple, fall_window }
+    let Rules {
+        fall_multiple,
+        fall_window,
+        ..
+    } = settings.rules;
+    Warming {
+        gateways,
+        me,
+        up_since,
+        fall_multiple,
+        fall_window,
+    }
 }
 
 impl Server {
@@ -60,7 +70,11 @@
 
     /// For how long after its start a server may be sent only what is known to be safe, µs.
     pub(crate) fn young_for(&self) -> Micros {
-        self.settings.rules.cold_for.max(1).saturating_mul(PRESSED_FOR)
+        self.settings
+            .rules
+            .cold_for
+            .max(1)
+            .saturating_mul(PRESSED_FOR)
     }
 
     /// Whether a server is sent only what is known to be safe: it is cold, or warm but not yet seen to serve all that waits.
@@ -92,7 +106,9 @@
 
     /// How many ready servers are warm, of those sent to from here.
     fn warm(&self, now: Micros) -> f64 {
-        let cold = self.fresh().filter(|server| server.warmth(&self.settings.rules, now) < 1.0);
+        let cold = self
+            .fresh()
+            .filter(|server| server.warmth(&self.settings.rules, now) < 1.0);
         self.servers.ready().1 - cold.count() as f64
     }
 
@@ -114,7 +130,11 @@
         let lately = self.fresh().any(|server| self.is_warming(server, now));
         let ready = self.servers.ready().1;
         let few = ready > 0.0 && warm < WARM_FEW * ready;
-        self.pace = if few || ready == 0.0 { self.pace } else { self.does(warm) };
+        self.pace = if few || ready == 0.0 {
+            self.pace
+        } else {
+            self.does(warm)
+        };
         // Danger: a fleet in service, all of whose servers are replaced, that forgets what such servers can do.
         let told = self.pace > COLD_BLIND / self.servers.cover();
         // Once they are warm, it ends with the first look at which nothing waits.
@@ -127,10 +147,16 @@
             return;
         }
         let rules = self.warming(attempt.server);
-        let Some(mut server) = self.servers.edit(&attempt.server) else { return };
+        let Some(mut server) = self.servers.edit(&attempt.server) else {
+            return;
+        };
         let warmth = server.warmth(&self.settings.rules, attempt.sent);
         // What was sent to an earlier life proves nothing of this one.
-        if server.entry.started.is_none_or(|started| attempt.sent < started) {
+        if server
+            .entry
+            .started
+            .is_none_or(|started| attempt.sent < started)
+        {
             return;
         }
         let answer = Answer {
@@ -140,15 +166,23 @@
             warmth,
             draw: self.random.f64(),
         };
-        server.budget().ended(now, attempt.class.0, answer, &mut self.natural, &rules);
+        server
+            .budget()
+            .ended(now, attempt.class.0, answer, &mut self.natural, &rules);
         self.spare_at = self.spare_at.min(now.saturating_add(IDLE));
     }
 
     /// A right that another gateway could not use.
     pub(crate) fn given(&mut self, now: Micros, from: GatewayId, server: u16, gift: Gift) {
-        let Some(id) = self.servers.named(server) else { return };
+        let Some(id) = self.servers.named(server) else {
+            return;
+        };
         let rules = self.warming(id);
-        if self.servers.edit(&id).is_some_and(|mut server| server.budget().take(now, from.0, gift, &rules)) {
+        if self
+            .servers
+            .edit(&id)
+            .is_some_and(|mut server| server.budget().take(now, from.0, gift, &rules))
+        {
             self.counts.add(Of::Gifted);
             self.spare_at = self.spare_at.min(now.saturating_add(IDLE));
         }
@@ -163,17 +197,24 @@
         let most = (MAY_WAIT + self.cold_rate * WORTH_WAITING) as usize;
         // Danger: a line of requests that all fail at the end of their time, where refusing most at once serves the rest.
         if self.waiting.len() > most {
-            let value =
-                |id: &RequestId| self.requests.get(id).map_or(0.0, |request| self.value(request, now));
-            let mut waiting: Vec<(f64, RequestId)> =
-                self.waiting.iter().map(|id| (value(id), id.clone())).collect();
+            let value = |id: &RequestId| {
+                self.requests
+                    .get(id)
+                    .map_or(0.0, |request| self.value(request, now))
+            };
+            let mut waiting: Vec<(f64, RequestId)> = self
+                .waiting
+                .iter()
+                .map(|id| (value(id), id.clone()))
+                .collect();
             waiting.sort_by(|a, b| b.0.total_cmp(&a.0));
             let excess: Vec<_> = waiting.into_iter().skip(most).collect();
             for (_, id) in excess {
                 self.finish(now, &id, Of::TooCold, out);
             }
         }
-        if !self.waiting.is_empty() || !self.settings.allowed.messages || self.settings.gateways < 2 {
+        if !self.waiting.is_empty() || !self.settings.allowed.messages || self.settings.gateways < 2
+        {
             return;
         }
         let (settings, up_since, due) = (&self.settings, self.born, now >= self.next_gift);
@@ -181,7 +222,10 @@
         self.servers.each_with_rights(|set, server| {
             let id = server.entry.server;
             if gift.is_none() && due {
-                let spare = server.budget().spare(now, id.0, &rules(settings, up_since, set.carers(id.0)));
+                let spare =
+                    server
+                        .budget()
+                        .spare(now, id.0, &rules(settings, up_since, set.carers(id.0)));
                 gift = spare.map(|gift| (id, gift));
             }
             held |= server.budget().held(now) > 0;
@@ -192,17 +236,23 @@
         if let Some((server, gift)) = gift {
             self.next_gift = now.saturating_add(GIFTS_EVERY);
             let (count, place) = self.servers.carers(server);
-            let to = self.servers.carer(server, place % count + self.random.u32(1..count));
+            let to = self
+                .servers
+                .carer(server, place % count + self.random.u32(1..count));
             self.counts.add(Of::Gave);
             let gift = Message::Gift(message::short(server), gift);
-            out.push(Action::Tell { to, bytes: message::write(&gift) });
+            out.push(Action::Tell {
+                to,
+                bytes: message::write(&gift),
+            });
         }
     }
 
     /// When a refused client may come back while servers are cold: once what waits here will have gone.
     pub(crate) fn cold_advice(&self) -> Option<Micros> {
         let after = (self.waiting.len() as f64 + 1.0) / self.cold_rate.max(1e-3) * 1e6;
-        self.blind.then_some(after.clamp(ADVICE.1 as f64, ADVICE_MOST) as Micros)
+        self.blind
+            .then_some(after.clamp(ADVICE.1 as f64, ADVICE_MOST) as Micros)
     }
 
     /// Danger: a cold server pushed over. Gateways earn sends to it, a share of what warm ones do; what falls
@@ -216,7 +266,11 @@
         let gateways = self.servers.cover();
         // What one warm server does for this gateway; where none is, what one did. Danger: a few that have just become warm
         // taken for the ones that do what all do together.
-        let does = if warm > 0.0 { self.does(warm) } else { self.pace };
+        let does = if warm > 0.0 {
+            self.does(warm)
+        } else {
+            self.pace
+        };
         let known = does.min(self.pace * PACE_MOST) * COLD_SAFE * rules.fall_multiple;
         let rate = known.max(COLD_BLIND / gateways) * span;
         let kept = (COLD_KEEPERS / gateways).clamp(COLD_KEPT, 1.0);
@@ -228,7 +282,11 @@
             let earned = rate * server.warmth(&rules, now) + random.f64();
             let (gained, saved) = (earned.floor(), server.cold_credit.max(0.0) * kept);
             // Few gateways keep all that they have saved, and parts of a send too.
-            let credit = if kept < 1.0 { (earned + saved).floor() } else { gained + saved };
+            let credit = if kept < 1.0 {
+                (earned + saved).floor()
+            } else {
+                gained + saved
+            };
             server.cold_credit = credit.min(gained.max(COLD_SAVED));
         });
     }
--- a/crates/policy/src/control.rs
+++ b/crates/policy/src/control.rs
@@ -9,7 +9,9 @@
 use crate::message::{self, Ask, Message, News, Rumour};
 use crate::pooled::{EVIDENCE_FADES_IN, LATENCY_FADES_IN};
 use crate::quota::{kept_for, silent, HEARD_FOR, KEEP_FOR};
-use crate::state::{Attempt, AttemptKey, Fuzzy, Health, Out, Ran, Request, Server, Stage, Step, Store};
+use crate::state::{
+    Attempt, AttemptKey, Fuzzy, Health, Out, Ran, Request, Server, Stage, Step, Store,
+};
 
 pub use crate::state::Gateway;
 
@@ -103,41 +105,84 @@
                 self.measure(now);
             }
             Event::ListFailed => out.extend(follow),
-            Event::Request { id, class, plan, customer, units, first, spread, patience, whole } => {
+            Event::Request {
+                id,
+                class,
+                plan,
+                customer,
+                units,
+                first,
+                spread,
+                patience,
+                whole,
+            } => {
                 if self.settings.classes.len() <= class.0 || self.settings.plans.len() <= plan.0 {
                     return out.push(Action::Fail { id });
                 }
                 let request = Request::new(now, (class, plan, customer), units, patience);
-                let request = Request { coming: !whole, single: !whole, ..request };
+                let request = Request {
+                    coming: !whole,
+                    single: !whole,
+                    ..request
+                };
                 self.arrive(now, id, request, (first, spread), out);
             }
             Event::Whole { id, patience } => self.whole(now, id, patience, out),
             Event::Started { id } => self.started(now, &id),
-            Event::Ended { id, attempt: n, outcome, closed } => {
-                self.ended(now, (id, n), outcome, closed, out)
-            }
+            Event::Ended {
+                id,
+                attempt: n,
+                outcome,
+                closed,
+            } => self.ended(now, (id, n), outcome, closed, out),
             Event::Abandoned { id } => self.forget(&id, out),
             Event::Woke { .. } if now < self.woken => {} // one that is no longer wanted
             Event::Woke { .. } => self.sweep(now, out),
             Event::Peer { from, bytes } => self.heard(now, from, &bytes, out),
             Event::Twin { link, twin } => self.twin(now, link, twin),
-            Event::Twins { ended, shared, hushed } => self.twins(ended, shared, hushed),
+            Event::Twins {
+                ended,
+                shared,
+                hushed,
+            } => self.twins(ended, shared, hushed),
         }
         self.dispatch(now, out);
         if self.settings.spare_words {
-            let told = out.iter().skip(before).filter(|action| matches!(action, Action::Tell { .. }));
-            self.words.said(now, told.count() as f64, self.words_a_second());
+            let told = out
+                .iter()
+                .skip(before)
+                .filter(|action| matches!(action, Action::Tell { .. }));
+            self.words
+                .said(now, told.count() as f64, self.words_a_second());
         }
-        let next = if self.wide { self.next_tick } else { self.next_tick.min(self.next_gossip) };
-        let next = if self.requests.is_empty() { next.max(now + SWEEP) } else { now + SWEEP };
+        let next = if self.wide {
+            self.next_tick
+        } else {
+            self.next_tick.min(self.next_gossip)
+        };
+        let next = if self.requests.is_empty() {
+            next.max(now + SWEEP)
+        } else {
+            now + SWEEP
+        };
         let next = next.min(self.spare_at.max(now + SWEEP));
         if next < self.woken {
             self.woken = next;
-            out.push(Action::Wake { after: next - now, token: 0 });
+            out.push(Action::Wake {
+                after: next - now,
+                token: 0,
+            });
         }
     }
 
-    fn arrive(&mut self, now: Micros, id: RequestId, request: Request, set: (GatewayId, u32), out: &mut Out) {
+    fn arrive(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        request: Request,
+        set: (GatewayId, u32),
+        out: &mut Out,
+    ) {
         let plans = &self.settings.plans;
         let (units, shed) = (request.units, self.shed(&request));
         let set = (set.0, set.1.clamp(1, self.settings.gateways));
@@ -149,10 +194,18 @@
             let part = self.wide || self.newcomer && up < NEWCOMER;
             let level = if part { store.depth } else { store.level };
             // In a wide set it is no more than what advice to refused clients goes by: this gateway's even part.
-            let share = if self.wide { 1.0 / store.spread } else { store.share };
+            let share = if self.wide {
+                1.0 / store.spread
+            } else {
+                store.share
+            };
             // Danger: gateways that may not talk, each of which would grant the whole quota.
             if self.settings.allowed.messages || store.spread <= 1.0 {
-                return Store { level, share, ..store };
+                return Store {
+                    level,
+                    share,
+                    ..store
+                };
             }
             let share = (UNEVEN / store.spread).min(1.0);
             // A part of less than a request is held whole by some of the set: so many that all of them together grant no more
@@ -160,20 +213,39 @@
             let plan = &plans[store.plan.0];
             let kept = (plan.burst + plan.rate * KEEP_FOR as f64 / 1e6) / store.spread;
             let whole = share * plan.burst < store.depth && self.random.f64() * store.depth < kept;
-            let level = if whole { store.depth } else { share * plan.burst };
-            Store { level, share, ..store }
+            let level = if whole {
+                store.depth
+            } else {
+                share * plan.burst
+            };
+            Store {
+                level,
+                share,
+                ..store
+            }
         });
         // Danger: one request, by mistake or malice, that fixes a wrong plan or set for its customer for good.
         let named = (request.plan, set.0, f64::from(set.1));
         let same = named == (store.plan, store.first, store.spread);
         store.doubts = if same { 0 } else { store.doubts + 1 };
         if store.doubts >= DOUBTS {
-            let ceiling = if plans[store.plan.0].ceiling.is_some() { store.ceiling.min(0.0) } else { 0.0 };
-            store.follow(Store::new(now, 0, request.plan, &plans[request.plan.0], set, most), ceiling);
+            let ceiling = if plans[store.plan.0].ceiling.is_some() {
+                store.ceiling.min(0.0)
+            } else {
+                0.0
+            };
+            store.follow(
+                Store::new(now, 0, request.plan, &plans[request.plan.0], set, most),
+                ceiling,
+            );
         }
         let plan = &plans[store.plan.0];
         store.fill(now, plan, silent(&self.spoke, store, now));
-        let gap = if store.used == 0 { Micros::MAX } else { now - store.used };
+        let gap = if store.used == 0 {
+            Micros::MAX
+        } else {
+            now - store.used
+        };
         store.used = now;
         self.counts.add(match gap {
             0..1_000_000 => Of::Soon,
@@ -181,10 +253,11 @@
             _ => Of::Anew,
         });
         // Danger: a home that drowns, and every try of its customer that is put to it again and again.
-        let open = self
-            .asks
-            .values()
-            .filter(|id| self.requests.get(id).is_some_and(|of| of.customer == request.customer));
+        let open = self.asks.values().filter(|id| {
+            self.requests
+                .get(id)
+                .is_some_and(|of| of.customer == request.customer)
+        });
         let held = self.wide && (store.memory.held(now) || open.count() >= OPEN_ASKS);
         let asks = store.memory.chance(now);
         let draw = if self.wide { self.random.f64() } else { 0.0 };
@@ -194,7 +267,9 @@
         let lent = self.wide && !hopeless && plan.at_once.is_none() && draw <= 1.0 - shed;
         let lent = lent && store.memory.lent(now, units, false);
         let thinned = !lent && (held || self.wide && draw > asks * (1.0 - shed));
-        let kept = (store.peers(now, HEARD_FOR) * LAG).min(plan.burst - store.depth).max(0.0);
+        let kept = (store.peers(now, HEARD_FOR) * LAG)
+            .min(plan.burst - store.depth)
+            .max(0.0);
         let short = plan.rate > 0.0 && store.level - kept < units;
         store.level -= units;
         self.requests.insert(id.clone(), request);
@@ -226,9 +301,14 @@
             return 0.0; // answers of cold servers are late by nature, and what goes to them is bounded by itself
         }
         let worst = self.worst().unwrap_or(0.0);
-        let press = ((worst - SHED.0) / (SHED.1 - SHED.0)).max(self.crowding() - 1.0).clamp(0.0, 1.0);
+        let press = ((worst - SHED.0) / (SHED.1 - SHED.0))
+            .max(self.crowding() - 1.0)
+            .clamp(0.0, 1.0);
         let worth = |class: &Class, plan: &Plan| class.worth * plan.price;
-        let own = worth(&self.settings.classes[request.class.0], &self.settings.plans[request.plan.0]);
+        let own = worth(
+            &self.settings.classes[request.class.0],
+            &self.settings.plans[request.plan.0],
+        );
         let plans = &self.settings.plans;
         let of = |class| plans.iter().map(move |plan| worth(class, plan));
         let all = self.settings.classes.iter().flat_map(of);
@@ -239,7 +319,8 @@
     fn crowding(&self) -> f64 {
         let gateways = f64::from(self.settings.gateways);
         if self.wide {
-            self.crowd.now(gateways, self.served.now(), self.shortest_aim / 1e6)
+            self.crowd
+                .now(gateways, self.served.now(), self.shortest_aim / 1e6)
         } else {
             0.0
         }
@@ -268,12 +349,18 @@
 
     /// Ends a request: refused where that promise holds, else failed.
     pub(crate) fn finish(&mut self, now: Micros, id: &RequestId, why: Of, out: &mut Out) {
-        let Some(request) = self.requests.get(id) else { return };
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
         self.counts.add(why);
         let (refused, id_told) = (self.permits(request, now, Step::Refuse), id.clone());
         let retry_in = Some(self.advice(request));
         let refusal = |id| Action::Refuse { id, retry_in };
-        out.push(if refused { refusal(id_told) } else { Action::Fail { id: id_told } });
+        out.push(if refused {
+            refusal(id_told)
+        } else {
+            Action::Fail { id: id_told }
+        });
         self.forget(id, out);
     }
 
@@ -282,26 +369,48 @@
         if let Some(after) = self.cold_advice() {
             return after;
         }
-        let Some(store) = self.stores.get(&request.customer) else { return ADVICE.0 };
+        let Some(store) = self.stores.get(&request.customer) else {
+            return ADVICE.0;
+        };
         let plan = &self.settings.plans[request.plan.0];
-        let until =
-            |short: f64, rate: f64| if short > 0.0 { short / rate.max(f64::EPSILON) * 1e6 } else { 0.0 };
+        let until = |short: f64, rate: f64| {
+            if short > 0.0 {
+                short / rate.max(f64::EPSILON) * 1e6
+            } else {
+                0.0
+            }
+        };
         // What a try takes is off the level already, and comes back if it was never sent.
-        let quota = if plan.rate > 0.0 { until(-store.level, plan.rate * store.share) } else { 0.0 };
-        let over =
-            |ceiling: &Ceiling| until(request.units - store.ceiling, ceiling.rate * store.ceiling_share);
+        let quota = if plan.rate > 0.0 {
+            until(-store.level, plan.rate * store.share)
+        } else {
+            0.0
+        };
+        let over = |ceiling: &Ceiling| {
+            until(
+                request.units - store.ceiling,
+                ceiling.rate * store.ceiling_share,
+            )
+        };
         let ceiling = plan.ceiling.as_ref().map_or(0.0, over);
         (quota.max(ceiling) as Micros).clamp(ADVICE.0, ADVICE.1)
     }
 
     /// Drops a request. Its attempt may still be out: nobody waits for it, so it is called off.
     fn forget(&mut self, id: &RequestId, out: &mut Out) {
-        let Some(request) = self.take_request(id) else { return };
+        let Some(request) = self.take_request(id) else {
+            return;
+        };
         if let Some(granted) = request.asking.granted {
             self.give_back(granted, request.customer, out);
         }
-        if let (Some(attempt), false, true) = (request.out, request.cancelled, self.settings.allowed.cancel) {
-            out.push(Action::Cancel { id: id.clone(), attempt });
+        if let (Some(attempt), false, true) =
+            (request.out, request.cancelled, self.settings.allowed.cancel)
+        {
+            out.push(Action::Cancel {
+                id: id.clone(),
+                attempt,
+            });
         }
     }
 
@@ -327,21 +436,34 @@
                 // Exception to the design, which refuses at the deadline: a client that is told by half of its
                 // time that nothing was sent can still try elsewhere. What was sent has until the deadline.
                 over.push(id.clone());
-            } else if request.out.is_none() && worthless && now < aimed && now as f64 + soon > aimed as f64 {
+            } else if request.out.is_none()
+                && worthless
+                && now < aimed
+                && now as f64 + soon > aimed as f64
+            {
                 // Exception to the design, which refuses at the deadline: no worth is left to wait for.
                 over.push(id.clone());
-            } else if worthless && now > aimed && !request.cancelled && self.settings.allowed.cancel {
+            } else if worthless && now > aimed && !request.cancelled && self.settings.allowed.cancel
+            {
                 // Danger: servers busy with answers that are worth nothing any more.
                 let Some(attempt) = request.out else { continue };
                 request.cancelled = true;
-                out.push(Action::Cancel { id: id.clone(), attempt });
+                out.push(Action::Cancel {
+                    id: id.clone(),
+                    attempt,
+                });
             }
         }
         for id in over {
-            let unsent = self.requests.get(&id).is_some_and(|request| request.attempts == 0);
+            let unsent = self
+                .requests
+                .get(&id)
+                .is_some_and(|request| request.attempts == 0);
             self.finish(now, &id, if unsent { Of::Unsent } else { Of::Spent }, out);
         }
-        asking.into_iter().for_each(|id| self.unanswered(now, id, out));
+        asking
+            .into_iter()
+            .for_each(|id| self.unanswered(now, id, out));
         self.while_cold(now, out);
         self.tick(now, out);
         self.gossip(now, out);
@@ -349,7 +471,11 @@
 
     pub(crate) fn value(&self, request: &Request, now: Micros) -> f64 {
         let class = &self.settings.classes[request.class.0];
-        let share = if now > request.arrived.saturating_add(class.aim) { class.late_value } else { 1.0 };
+        let share = if now > request.arrived.saturating_add(class.aim) {
+            class.late_value
+        } else {
+            1.0
+        };
         class.worth * self.settings.plans[request.plan.0].price * share
     }
 
@@ -362,21 +488,36 @@
         if able.is_empty() {
             self.counts.add(Of::NoRoom);
         }
-        let waiting = self.waiting.iter().filter_map(|id| Some((id, self.requests.get(id)?)));
-        let mut order: Vec<_> = waiting.map(|(id, request)| (self.value(request, now), id.clone())).collect();
+        let waiting = self
+            .waiting
+            .iter()
+            .filter_map(|id| Some((id, self.requests.get(id)?)));
+        let mut order: Vec<_> = waiting
+            .map(|(id, request)| (self.value(request, now), id.clone()))
+            .collect();
         order.sort_by(|a, b| b.0.total_cmp(&a.0));
         let mut low = self.open_of(self.lowest);
         for (_, id) in order {
-            let Some(request) = self.requests.get(&id).filter(|_| !able.is_empty()) else { continue };
+            let Some(request) = self.requests.get(&id).filter(|_| !able.is_empty()) else {
+                continue;
+            };
             let lowest = request.class == self.lowest;
             let capped = lowest && !self.fuzzy.allows(low, now, self.latency);
             let (customer, units) = (request.customer, request.units);
             if request.attempts == 0 && !self.may_open(customer, units, now) {
                 // Danger: a customer at its own limit taken for a pressed back end, so that the cap closes.
-                self.requests.entry(id).and_modify(|request| request.due = now);
+                self.requests
+                    .entry(id)
+                    .and_modify(|request| request.due = now);
                 continue;
             }
-            let Some(server) = (if capped { None } else { self.choose(now, &id, &able) }) else { continue };
+            let Some(server) = (if capped {
+                None
+            } else {
+                self.choose(now, &id, &able)
+            }) else {
+                continue;
+            };
             if lowest {
                 (low, self.fuzzy.paced) = (low + 1.0, self.fuzzy.paced - 1.0);
             }
@@ -390,7 +531,11 @@
 
 /// µs between rounds of counts to all peers that their intake allows; 0 without peers, endless without words.
 fn gossip_pace(settings: &Settings) -> f64 {
-    let words = if settings.allowed.messages { settings.peer_messages_per_s * INTAKE_SHARE } else { 0.0 };
+    let words = if settings.allowed.messages {
+        settings.peer_messages_per_s * INTAKE_SHARE
+    } else {
+        0.0
+    };
     1e6 * f64::from(settings.gateways.saturating_sub(1)) / words
 }
 
@@ -409,7 +554,9 @@
     fn tidy(&mut self, now: Micros) {
         let (plans, spoke) = (&self.settings.plans, &self.spoke);
         self.mute.retain(|_, until| *until > now);
-        self.stores.retain(|_, store| !store.is_idle(now, &plans[store.plan.0], silent(spoke, store, now)));
+        self.stores.retain(|_, store| {
+            !store.is_idle(now, &plans[store.plan.0], silent(spoke, store, now))
+        });
         let (most, fenced) = (self.settings.most_units, self.settings.fenced);
         self.homes.retain(|_, home| {
             let plan = &plans[home.plan.0];
@@ -421,7 +568,8 @@
             let pooled = wide && health.pool.mean().is_some();
             health.trial.is_some() || pooled || now < health.seen.saturating_add(NEWS_FOR)
         };
-        self.servers.tidy(now, young_for, |server| server.health.iter().any(counts));
+        self.servers
+            .tidy(now, young_for, |server| server.health.iter().any(counts));
     }
 
     /// Whether ceiling and attempts open at once let a first attempt out now; if not, it waits.
@@ -429,13 +577,17 @@
         if self.wide {
             return true; // a home has let it go
         }
-        let Some(store) = self.stores.get_mut(&customer) else { return true };
+        let Some(store) = self.stores.get_mut(&customer) else {
+            return true;
+        };
         let plan = &self.settings.plans[store.plan.0];
         store.fill(now, plan, silent(&self.spoke, store, now));
         if plan.ceiling.is_some() && store.ceiling < units {
             return false;
         }
-        let Some(limit) = plan.at_once else { return true };
+        let Some(limit) = plan.at_once else {
+            return true;
+        };
         // Peers' attempts are not told in time: rate and latency make so many likely, as chance has it.
         let even = (f64::from(limit) / store.spread).round().max(1.0);
         let likely = store.peers(now, HEARD_FOR) * self.latency / 1e6;
@@ -444,27 +596,39 @@
     }
 
     fn heard(&mut self, now: Micros, from: GatewayId, bytes: &[u8], out: &mut Out) {
-        let Some(message) = message::read(bytes) else { return };
+        let Some(message) = message::read(bytes) else {
+            return;
+        };
         if from == self.settings.me || from.0 >= self.settings.gateways {
             return;
         }
         self.mute.remove(&from);
         self.deaf = 0;
         self.lately[from.0 as usize] = now;
-        self.newer[from.0 as usize] |=
-            matches!(message, Message::Ask(Ask { wish: Some(_), .. }, _) | Message::Answer(_, _, Some(_), _));
+        self.newer[from.0 as usize] |= matches!(
+            message,
+            Message::Ask(Ask { wish: Some(_), .. }, _) | Message::Answer(_, _, Some(_), _)
+        );
         let (birth, counts) = match message {
             Message::Counts(birth, counts) => (birth, counts),
             Message::Ask(ask, news) => {
                 news.into_iter().for_each(|news| self.told(now, from, news));
-                let Some((said, lease)) = self.grant(now, from, &ask, out) else { return };
+                let Some((said, lease)) = self.grant(now, from, &ask, out) else {
+                    return;
+                };
                 let answer = match ask.beside {
-                    Some(_) => {
-                        Message::Answer(ask.serial, said, ask.wish.map(|_| lease), self.news_if_due(now))
-                    }
+                    Some(_) => Message::Answer(
+                        ask.serial,
+                        said,
+                        ask.wish.map(|_| lease),
+                        self.news_if_due(now),
+                    ),
                     None => Message::OldAnswer(ask.serial, said, self.news(now)),
                 };
-                return out.push(Action::Tell { to: from, bytes: message::write(&answer) });
+                return out.push(Action::Tell {
+                    to: from,
+                    bytes: message::write(&answer),
+                });
             }
             Message::Answer(serial, said, lease, news) => {
                 news.into_iter().for_each(|news| self.told(now, from, news));
@@ -476,33 +640,54 @@
             }
             Message::Gift(server, gift) => return self.given(now, from, server, gift),
             Message::Done(serial, of) => {
-                return self.homes.get_mut(&of).into_iter().for_each(|home| home.keeper.done(from.0, serial));
+                return self
+                    .homes
+                    .get_mut(&of)
+                    .into_iter()
+                    .for_each(|home| home.keeper.done(from.0, serial));
             }
         };
         let spoke = std::mem::replace(&mut self.spoke[from.0 as usize], now);
         let (silence, kept_for) = (&mut self.silence[from.0 as usize], kept_for(now, spoke));
-        *silence = if kept_for > 0.0 { (spoke, kept_for) } else { *silence };
+        *silence = if kept_for > 0.0 {
+            (spoke, kept_for)
+        } else {
+            *silence
+        };
         let (silent_from, kept_for) = *silence;
         self.met(now, birth);
         for (customer, count) in counts {
-            let Some(store) = self.stores.get_mut(&customer) else { continue };
+            let Some(store) = self.stores.get_mut(&customer) else {
+                continue;
+            };
             let plan = &self.settings.plans[store.plan.0];
             store.fill(now, plan, silent(&self.spoke, store, now));
             let heard = store.heard.entry(from).or_default();
             let first = heard.at <= silent_from;
             let steps = heard.steps(now, HEARD_FOR, birth, count);
             // Danger: a peer that is heard again, and all that it sent meanwhile taken off a store that had kept its share for it.
-            let kept = if first { plan.rate / store.spread * kept_for } else { 0.0 };
+            let kept = if first {
+                plan.rate / store.spread * kept_for
+            } else {
+                0.0
+            };
             let units = (f64::from(steps) * COUNT_STEP - kept).max(0.0);
             heard.recent.extend((units > 0.0).then_some((now, units)));
-            store.level = if steps > 0 { (store.level - units).max(-store.depth) } else { store.level };
+            store.level = if steps > 0 {
+                (store.level - units).max(-store.depth)
+            } else {
+                store.level
+            };
         }
     }
 
     /// A peer was born then. Danger: a restart that fills stores anew, which others have drawn on: where peers are
     /// older, only the even part of each burst is taken for granted at first.
     fn met(&mut self, now: Micros, birth: u32) {
-        let (age, its_age) = (now.saturating_sub(self.born), ((now / 1000) as u32).wrapping_sub(birth));
+        let (age, its_age) = (
+            now.saturating_sub(self.born),
+            ((now / 1000) as u32).wrapping_sub(birth),
+        );
         if self.newcomer || age > NEWCOMER || u64::from(its_age) * 1000 < age + NEWCOMER {
             return;
         }
@@ -520,21 +705,35 @@
             return;
         }
         // Danger: an hour that stays due where nobody is to be told, so that an idle gateway wakes at every sweep.
-        self.next_gossip = now + GOSSIP_EVERY.max(if pace < f64::INFINITY { pace as Micros } else { TICK });
+        self.next_gossip = now
+            + GOSSIP_EVERY.max(if pace < f64::INFINITY {
+                pace as Micros
+            } else {
+                TICK
+            });
         // Danger: two processes that tell the same counts, so that the peers' intake is filled twice.
         if self.wide || self.hushed || !(pace > 0.0 && pace < f64::INFINITY) {
             return;
         }
         let counts = self.counts(now, TOLD_FOR, COUNT_STEP).into_iter();
-        let counts = Message::Counts((self.born / 1000) as u32, counts.take(message::ROOM).collect());
-        out.push(Action::TellAll { bytes: message::write(&counts) });
+        let counts = Message::Counts(
+            (self.born / 1000) as u32,
+            counts.take(message::ROOM).collect(),
+        );
+        out.push(Action::TellAll {
+            bytes: message::write(&counts),
+        });
     }
     // ---- News of the fleet ----
 
     /// What rides on a message, now and then.
     pub(crate) fn news_if_due(&mut self, now: Micros) -> Option<News> {
         let due = now >= self.next_news;
-        self.next_news = if due { now + NEWS_EVERY } else { self.next_news };
+        self.next_news = if due {
+            now + NEWS_EVERY
+        } else {
+            self.next_news
+        };
         due.then(|| self.news(now))
     }
 
@@ -542,11 +741,21 @@
     fn news(&mut self, now: Micros) -> News {
         let typical = self.typical;
         let poor = |rumour: &Rumour| rumour.failing > OUT_AT / 2.0 || rumour.wait > 2.0 * typical;
-        let (mut bad, mut good): (Vec<_>, Vec<_>) = self.evidence(now, NEWS_FOR).into_iter().partition(poor);
+        let (mut bad, mut good): (Vec<_>, Vec<_>) =
+            self.evidence(now, NEWS_FOR).into_iter().partition(poor);
         self.random.shuffle(&mut bad);
         self.random.shuffle(&mut good);
-        let rumours = bad.into_iter().take(RUMOURS.0).chain(good.into_iter().take(RUMOURS.1)).collect();
-        News { served: self.served.now(), aims: self.pooled.clone(), out: self.crowd.out, rumours }
+        let rumours = bad
+            .into_iter()
+            .take(RUMOURS.0)
+            .chain(good.into_iter().take(RUMOURS.1))
+            .collect();
+        News {
+            served: self.served.now(),
+            aims: self.pooled.clone(),
+            out: self.crowd.out,
+            rumours,
+        }
     }
 
     /// Takes in news. Danger: one gateway's word, said often, that shuts servers out or tries away; it is weighed now
@@ -559,18 +768,29 @@
         *last = now;
         self.served.mix(news.served, SERVED_WEIGHT);
         self.crowd.out.mix(news.out);
-        self.pooled.iter_mut().zip(news.aims).for_each(|(pool, told)| pool.mix(told));
+        self.pooled
+            .iter_mut()
+            .zip(news.aims)
+            .for_each(|(pool, told)| pool.mix(told));
         for rumour in news.rumours {
-            let Some(id) = self.servers.named(rumour.server).filter(|_| rumour.age < NEWS_FOR) else {
+            let Some(id) = self
+                .servers
+                .named(rumour.server)
+                .filter(|_| rumour.age < NEWS_FOR)
+            else {
                 continue;
             };
             // Danger: a class that there is not, from a forged datagram.
             if rumour.class.0 >= self.settings.classes.len() {
                 continue;
             }
-            let (fleet, cover) =
-                (self.servers.mean_failing(rumour.class), self.wide.then(|| self.servers.cover()));
-            let Some(mut server) = self.servers.edit(&id) else { continue };
+            let (fleet, cover) = (
+                self.servers.mean_failing(rumour.class),
+                self.wide.then(|| self.servers.cover()),
+            );
+            let Some(mut server) = self.servers.edit(&id) else {
+                continue;
+            };
             if server.hear(now, &rumour, HEARD_WEIGHT, self.typical) {
                 self.counts.add(Of::Heard);
             }
@@ -624,7 +844,10 @@
 
 /// What the two levels say of an error and its change scaled to 1: the change asked for, -1 to 1, and alpha.
 pub fn inferred(error: f64, change: f64) -> (f64, f64) {
-    (infer(change_rule, error, change, 3.0), infer(alpha_rule, error, change, 6.0))
+    (
+        infer(change_rule, error, change, 3.0),
+        infer(alpha_rule, error, change, 6.0),
+    )
 }
 
 impl Fuzzy {
@@ -676,7 +899,11 @@
         }
         for ((mean, pool), seen) in self.aims.iter_mut().zip(&mut self.pooled).zip(seen) {
             // Danger: a jam that is over and still sheds. Where each gateway sees little, the fleet's samples count.
-            pool.fade(if self.wide { TICK as f64 / 1e6 / LATENCY_FADES_IN } else { f64::INFINITY });
+            pool.fade(if self.wide {
+                TICK as f64 / 1e6 / LATENCY_FADES_IN
+            } else {
+                f64::INFINITY
+            });
             pool.add(seen);
             *mean = pool.mean().unwrap_or(-1.0);
         }
@@ -688,7 +915,12 @@
         self.fuzzy.peak = self.fuzzy.peak.max(open);
         if let Some(worst) = worst {
             let had = self.fuzzy.cap.is_some() || self.wide; // no flood of lines from hundreds of gateways
-            self.fuzzy.step(worst, open, self.all_out, 1.0 / f64::from(self.settings.gateways));
+            self.fuzzy.step(
+                worst,
+                open,
+                self.all_out,
+                1.0 / f64::from(self.settings.gateways),
+            );
             let started = self.fuzzy.cap.is_some() && !had;
             let line = || Action::Log(format!("aim missed: W {worst:.2}; cap starts at {open:.2}"));
             out.extend(started.then(line));
@@ -699,7 +931,10 @@
         self.served.add(self.done / span, weight);
         self.count_warm(now, weight);
         self.done = 0.0;
-        self.typical = self.servers.median_wait().unwrap_or(self.shortest_aim * FIRST_WAIT);
+        self.typical = self
+            .servers
+            .median_wait()
+            .unwrap_or(self.shortest_aim * FIRST_WAIT);
         let out = self.all_attempts().count() as f64;
         self.crowd.tick(TICK as f64 / 1e6, out);
         self.credit(now);
@@ -714,12 +949,19 @@
     fn measure(&mut self, now: Micros) {
         self.look_for_warm(now);
         let rules = self.settings.rules;
-        let ((ready, held), (_, well)) = (self.servers.ready(), self.servers.in_health(self.lowest));
-        let fresh = self.fresh().filter(|server| server.trial(self.lowest.0).is_none());
+        let ((ready, held), (_, well)) =
+            (self.servers.ready(), self.servers.in_health(self.lowest));
+        let fresh = self
+            .fresh()
+            .filter(|server| server.trial(self.lowest.0).is_none());
         // What each of those lacks that is not warm yet.
         let lacks: f64 = fresh.map(|server| 1.0 - server.warmth(&rules, now)).sum();
         // The servers that are sent to from here stand for all.
-        let of_all = if ready > held { ready / held.max(1.0) } else { 1.0 };
+        let of_all = if ready > held {
+            ready / held.max(1.0)
+        } else {
+            1.0
+        };
         self.crowd.servers((well - lacks) * of_all);
     }
 
@@ -731,7 +973,9 @@
         let classes = self.settings.classes.len();
         self.servers.fade(TICK as f64 / 1e6 / EVIDENCE_FADES_IN);
         // Once a class, not once a server: a tick must not walk all servers for each of them.
-        let usual: Vec<f64> = (0..classes).map(|class| self.servers.mean_failing(ClassId(class))).collect();
+        let usual: Vec<f64> = (0..classes)
+            .map(|class| self.servers.mean_failing(ClassId(class)))
+            .collect();
         let (cover, random, counts) = (self.servers.cover(), &mut self.random, &mut self.counts);
         self.servers.judge(|server| {
             for (health, usual) in server.health.iter_mut().zip(&usual) {
@@ -760,13 +1004,17 @@
         // Danger: many gateways, each with one out at every server, overdrive them all (iac7c0b, i417db4).
         let (all, held) = self.servers.ready();
         let floor = (ALL_FLOOR * all / f64::from(self.settings.gateways)).max(1.0);
-        let parts = ready.iter().map(|server| self.shortest_aim / self.place_wait(server, now).max(1.0));
+        let parts = ready
+            .iter()
+            .map(|server| self.shortest_aim / self.place_wait(server, now).max(1.0));
         let of_held = held.max(1.0) / ready.len().max(1) as f64;
         let out = self.all_attempts().count() as f64;
         if out >= floor && out >= FIT_ALL * of_held * parts.sum::<f64>() {
             return Vec::new();
         }
-        let room = ready.into_iter().filter(|server| self.has_room(server, now));
+        let room = ready
+            .into_iter()
+            .filter(|server| self.has_room(server, now));
         room.map(|server| server.entry.server).collect()
     }
 
@@ -792,7 +1040,11 @@
             let risky = trial.is_some() && !safe && able.len() > 1;
             due && !risky && self.permits(request, now, Step::Send(server))
         };
-        let mut from: Vec<_> = able.iter().filter_map(|id| self.servers.get(id)).filter(fits).collect();
+        let mut from: Vec<_> = able
+            .iter()
+            .filter_map(|id| self.servers.get(id))
+            .filter(fits)
+            .collect();
         if self.wide {
             // A cold server's rare token is spent first, so that it warms; then trials.
             self.random.shuffle(&mut from);
@@ -807,23 +1059,42 @@
         let mut best = (f64::INFINITY, None);
         for server in from {
             let id = server.entry.server;
-            let crossing =
-                if server.entry.zone == self.settings.zone { 0.0 } else { self.settings.cross_zone };
+            let crossing = if server.entry.zone == self.settings.zone {
+                0.0
+            } else {
+                self.settings.cross_zone
+            };
             let again = if request.last == Some(id) { AGAIN } else { 0.0 };
             let places = f64::from(server.open) + 1.0 + CROSSING * crossing + again;
             let cut = self.cut.get(&server.entry.zone).copied().unwrap_or(0.0) * CUT.1;
-            let score = places * self.place_wait(server, now) * (1.0 + server.failing(class) * FAILING + cut);
+            let score = places
+                * self.place_wait(server, now)
+                * (1.0 + server.failing(class) * FAILING + cut);
             // Danger: hundreds of gateways that each meet every server, with a handshake for nearly every attempt. Each
             // keeps to those that it has a connection to; as their waits rise it turns elsewhere, one by one.
-            let kept = server.open == 0 && now < server.answered.saturating_add(self.settings.conn_idle / 2);
-            let score = if kept || !self.wide { score } else { score * HANDSHAKE };
-            let trial = server.trial(class).is_some() && request.attempts == 0 && !(few && self.wide);
+            let kept = server.open == 0
+                && now < server.answered.saturating_add(self.settings.conn_idle / 2);
+            let score = if kept || !self.wide {
+                score
+            } else {
+                score * HANDSHAKE
+            };
+            let trial =
+                server.trial(class).is_some() && request.attempts == 0 && !(few && self.wide);
             // Danger: hundreds of gateways that flock to the server last heard to be quick. Where each knows
             // little, a server's share is in inverse to its wait; the least of such draws does that.
             let draw = self.random.f64();
-            let draw = if self.wide { -draw.max(1e-9).ln() } else { 1.0 + JITTER * draw };
+            let draw = if self.wide {
+                -draw.max(1e-9).ln()
+            } else {
+                1.0 + JITTER * draw
+            };
             let score = if trial { 0.0 } else { score * draw };
-            best = if score < best.0 { (score, Some(id)) } else { best };
+            best = if score < best.0 {
+                (score, Some(id))
+            } else {
+                best
+            };
         }
         best.1
     }
@@ -838,7 +1109,9 @@
         let fleet = self.servers.mean_failing(class);
         let next = now.saturating_add(self.trial_after());
         let cover = self.wide.then(|| self.servers.cover());
-        let Some(mut server) = self.servers.edit(&id) else { return };
+        let Some(mut server) = self.servers.edit(&id) else {
+            return;
+        };
         if judged(&mut server.health[class.0], cover, fleet, next) {
             self.counts.add(Of::Ejected);
         }
@@ -848,7 +1121,9 @@
         let took = now.saturating_sub(attempt.sent) as f64;
         self.counts.ended(outcome, stalled);
         self.earn(now, attempt, outcome);
-        let Some(mut edited) = self.servers.edit(&attempt.server) else { return };
+        let Some(mut edited) = self.servers.edit(&attempt.server) else {
+            return;
+        };
         let server = &mut *edited;
         let class = attempt.class.0;
         let since = server.health[class].answered > attempt.sent && !stalled;
@@ -860,7 +1135,11 @@
         };
         for (other, health) in server.health.iter_mut().enumerate() {
             // One class may fail alone, so it tells less of the others.
-            let weight = if other == class { FAIL_WEIGHT } else { FAIL_WEIGHT * OTHER_CLASS };
+            let weight = if other == class {
+                FAIL_WEIGHT
+            } else {
+                FAIL_WEIGHT * OTHER_CLASS
+            };
             health.failing += (f64::from(u8::from(bad)) - health.failing) * weight;
             let counts = if other == class { 1.0 } else { OTHER_CLASS };
             health.pool.add((f64::from(u8::from(bad)) * counts, counts));
@@ -874,8 +1153,16 @@
             *cut += (f64::from(u8::from(unreachable)) - *cut) * CUT.0;
         }
         server.health[class].seen = now;
-        let took = if bad { took.max(self.shortest_aim / 2.0) } else { took };
-        let unknown = if self.wide { self.typical } else { took / attempt.places };
+        let took = if bad {
+            took.max(self.shortest_aim / 2.0)
+        } else {
+            took
+        };
+        let unknown = if self.wide {
+            self.typical
+        } else {
+            took / attempt.places
+        };
         server.waited(now, took / attempt.places, WAIT_WEIGHT, unknown);
         // Danger: what is called off left out of the mean, so that a slow fleet looks fast and is ejected.
         self.latency += (took - self.latency) * LATENCY_WEIGHT;
@@ -886,7 +1173,10 @@
         if !self.wide && outcome == Outcome::Ok {
             // Back in once few fail; until then a trial that was served is followed by the next at once.
             health.failing *= if health.trial.is_some() { 0.5 } else { 1.0 };
-            health.trial = health.trial.filter(|_| health.failing >= OUT_AT / 2.0).map(|_| now);
+            health.trial = health
+                .trial
+                .filter(|_| health.failing >= OUT_AT / 2.0)
+                .map(|_| now);
         }
         drop(edited);
         if self.wide || outcome != Outcome::Ok && bad {
@@ -899,26 +1189,43 @@
     /// when a rare heavy request is alone on its server: then it is run again elsewhere.
     fn stalled(&mut self, now: Micros, out: &mut Out) {
         let mut silent = Vec::new();
-        let working = self.attempts.iter().filter(|(_, attempt)| attempt.stage == Stage::Working);
+        let working = self
+            .attempts
+            .iter()
+            .filter(|(_, attempt)| attempt.stage == Stage::Working);
         for ((id, number), attempt) in working {
             let limit = self.settings.classes[attempt.class.0].aim as f64 * STALLED.1;
             let limit = limit.max(self.latency * STALLED.0);
-            let Some(server) = self.servers.get(&attempt.server) else { continue };
+            let Some(server) = self.servers.get(&attempt.server) else {
+                continue;
+            };
             // Danger: a cold server, which takes that much longer, put on trial for it while it warms up.
-            let limit = limit / server.warmth(&self.settings.rules, attempt.sent).max(COLD_LIMIT);
+            let limit = limit
+                / server
+                    .warmth(&self.settings.rules, attempt.sent)
+                    .max(COLD_LIMIT);
             let alone = if server.open < 2 { 1.5 } else { 1.0 };
             let answered = server.answered(attempt.class.0);
             if answered < attempt.sent && now.saturating_sub(attempt.sent) as f64 > limit * alone {
-                silent.push((id.clone(), *number, attempt.server, attempt.class, attempt.sent));
+                silent.push((
+                    id.clone(),
+                    *number,
+                    attempt.server,
+                    attempt.class,
+                    attempt.sent,
+                ));
             }
         }
         for (id, attempt, server, class, sent) in silent {
             let next = now.saturating_add(self.trial_after());
-            let Some(mut server) = self.servers.edit(&server) else { continue };
+            let Some(mut server) = self.servers.edit(&server) else {
+                continue;
+            };
             let whole = server.answered < sent;
             if server.health[class.0].trial.is_none() {
                 self.counts.add(Of::Ejected);
-                let line = || Action::Log(format!("server {} silent: on trial", server.entry.server.0));
+                let line =
+                    || Action::Log(format!("server {} silent: on trial", server.entry.server.0));
                 out.extend((!self.wide).then(line));
                 server.health[class.0].seen = now;
                 for (other, health) in server.health.iter_mut().enumerate() {
@@ -928,9 +1235,13 @@
                     }
                 }
             }
-            let Some(request) = self.requests.get_mut(&id) else { continue };
-            let again = self.settings.classes[request.class.0].effect != Effect::Unsafe && !request.single;
-            let more = request.attempts < self.settings.allowed.attempts && self.settings.allowed.cancel;
+            let Some(request) = self.requests.get_mut(&id) else {
+                continue;
+            };
+            let again =
+                self.settings.classes[request.class.0].effect != Effect::Unsafe && !request.single;
+            let more =
+                request.attempts < self.settings.allowed.attempts && self.settings.allowed.cancel;
             if again && more && !request.cancelled && self.retries >= 1.0 {
                 request.cancelled = true;
                 out.push(Action::Cancel { id, attempt });
@@ -942,7 +1253,9 @@
 
     fn send(&mut self, now: Micros, id: RequestId, server: ServerId, out: &mut Out) {
         let (next, rules) = (self.trial_after(), self.warming(server));
-        let (Some(request), Some(mut to)) = (self.requests.get_mut(&id), self.servers.edit(&server)) else {
+        let (Some(request), Some(mut to)) =
+            (self.requests.get_mut(&id), self.servers.edit(&server))
+        else {
             return;
         };
         let first = request.attempts == 0;
@@ -952,7 +1265,11 @@
             self.stores.entry(request.customer).and_modify(drawn);
             to.open += 1;
         }
-        self.retries = if first { (self.retries + RETRY_SHARE).min(RETRY_MOST) } else { self.retries };
+        self.retries = if first {
+            (self.retries + RETRY_SHARE).min(RETRY_MOST)
+        } else {
+            self.retries
+        };
         self.counts.add(if first { Of::First } else { Of::Again });
         if self.blind || to.warmth(&self.settings.rules, now) < 1.0 {
             to.warm_up(&rules, self.blind, now);
@@ -969,31 +1286,69 @@
         if self.shared && counts {
             let store = self.stores.get(&request.customer).filter(|_| first);
             let first = store.map(|store| store.terms(request.units));
-            out.push(Action::Twin(Twin::Out(TwinOut { first, ..attempt.told(&id, number) })));
+            out.push(Action::Twin(Twin::Out(TwinOut {
+                first,
+                ..attempt.told(&id, number)
+            })));
         }
         self.attempts.insert((id.clone(), number), attempt);
         self.waiting.retain(|other| *other != id);
-        out.push(Action::Send { id, server, time_out: None });
+        out.push(Action::Send {
+            id,
+            server,
+            time_out: None,
+        });
     }
 
-    fn ended(&mut self, now: Micros, key: AttemptKey, outcome: Outcome, closed: bool, out: &mut Out) {
-        let Some(attempt) = self.take_attempt(&key) else { return };
+    fn ended(
+        &mut self,
+        now: Micros,
+        key: AttemptKey,
+        outcome: Outcome,
+        closed: bool,
+        out: &mut Out,
+    ) {
+        let Some(attempt) = self.take_attempt(&key) else {
+            return;
+        };
         let (id, attempt_no) = key;
-        out.extend(self.shared.then(|| Action::Twin(Twin::In { id: id.clone(), attempt: attempt_no })));
+        out.extend(self.shared.then(|| {
+            Action::Twin(Twin::In {
+                id: id.clone(),
+                attempt: attempt_no,
+            })
+        }));
         if attempt.stage != Stage::Working {
             // Nothing is learned from what a client, not a server, has taken its time for.
-            let Some(request) = self.requests.get_mut(&id) else { return };
+            let Some(request) = self.requests.get_mut(&id) else {
+                return;
+            };
             request.out = None;
-            return if closed { self.forget(&id, out) } else { self.finish(now, &id, Of::Spent, out) };
+            return if closed {
+                self.forget(&id, out)
+            } else {
+                self.finish(now, &id, Of::Spent, out)
+            };
         }
-        let called_off = self.requests.get(&id).is_some_and(|request| request.cancelled);
-        self.learn(now, &attempt, outcome, called_off && outcome == Outcome::Cancelled);
+        let called_off = self
+            .requests
+            .get(&id)
+            .is_some_and(|request| request.cancelled);
+        self.learn(
+            now,
+            &attempt,
+            outcome,
+            called_off && outcome == Outcome::Cancelled,
+        );
         if outcome == Outcome::Ok {
             self.done += 1.0;
             let aim = self.settings.classes[attempt.class.0].aim.max(1) as f64;
-            self.fuzzy.saw(attempt.class, now.saturating_sub(attempt.due) as f64 / aim);
+            self.fuzzy
+                .saw(attempt.class, now.saturating_sub(attempt.due) as f64 / aim);
         }
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         request.out = None;
         if closed {
             return self.forget(&id, out);
@@ -1001,10 +1356,16 @@
         request.cancelled = false;
         request.reached |= !matches!(outcome, Outcome::Unreachable | Outcome::NotSent);
         request.unsent += u32::from(outcome == Outcome::NotSent);
-        let unproved = !matches!(outcome, Outcome::Full | Outcome::Unreachable | Outcome::NotSent);
+        let unproved = !matches!(
+            outcome,
+            Outcome::Full | Outcome::Unreachable | Outcome::NotSent
+        );
         if unproved && request.ran.is_none() {
             let server = self.servers.get(&attempt.server);
-            request.ran = server.map(|server| Ran { place: server.entry, sent: attempt.sent });
+            request.ran = server.map(|server| Ran {
+                place: server.entry,
+                sent: attempt.sent,
+            });
         }
         let class = &self.settings.classes[request.class.0];
         let worth = class.late_value > 0.0 || now < request.arrived.saturating_add(class.aim);
@@ -1032,34 +1393,53 @@
         match twin {
             Twin::Out(told) => {
                 let (server, customer) = (told.server, told.customer);
-                let drawn = told.first.as_ref().and_then(|terms| self.drawn_by_twin(now, customer, terms));
+                let drawn = told
+                    .first
+                    .as_ref()
+                    .and_then(|terms| self.drawn_by_twin(now, customer, terms));
                 let rules = self.warming(server);
                 if let Some(mut server) = self.servers.edit(&server) {
                     server.open += 1;
                     server.warm_up(&rules, self.blind, now);
                 }
-                let sent = |store: &mut Store| store.sent_on(now, drawn.unwrap_or(0.0), drawn.is_some());
+                let sent =
+                    |store: &mut Store| store.sent_on(now, drawn.unwrap_or(0.0), drawn.is_some());
                 self.stores.entry(customer).and_modify(sent);
                 let (key, attempt) = told.attempt(link);
                 self.abroad.insert(key, attempt);
             }
             Twin::In { id, attempt } => {
                 let ended = self.abroad.remove(&(id, attempt));
-                ended.into_iter().for_each(|(_, attempt)| self.release(&attempt));
+                ended
+                    .into_iter()
+                    .for_each(|(_, attempt)| self.release(&attempt));
             }
         }
     }
 
     /// The units that a first attempt of the other process takes, off the store's level here too.
-    fn drawn_by_twin(&mut self, now: Micros, customer: CustomerId, terms: &TwinTerms) -> Option<f64> {
+    fn drawn_by_twin(
+        &mut self,
+        now: Micros,
+        customer: CustomerId,
+        terms: &TwinTerms,
+    ) -> Option<f64> {
         let plan = self.settings.plans.get(terms.plan.0)?;
-        let (set, most) =
-            ((terms.set.0, terms.set.1.clamp(1, self.settings.gateways)), self.settings.most_units);
+        let (set, most) = (
+            (terms.set.0, terms.set.1.clamp(1, self.settings.gateways)),
+            self.settings.most_units,
+        );
         let up = now.saturating_sub(self.born);
         let fresh = || Store::new(now, up, terms.plan, plan, set, most);
         let store = self.stores.entry(customer).or_insert_with(fresh);
-        store.fill(now, &self.settings.plans[store.plan.0], silent(&self.spoke, store, now));
-        let units = terms.units.clamp(0.0, if most > 0.0 { most } else { f64::MAX });
+        store.fill(
+            now,
+            &self.settings.plans[store.plan.0],
+            silent(&self.spoke, store, now),
+        );
+        let units = terms
+            .units
+            .clamp(0.0, if most > 0.0 { most } else { f64::MAX });
         (store.level, store.used) = (store.level - units, now);
         Some(units)
     }
@@ -1068,8 +1448,9 @@
         (self.shared, self.hushed) = (shared, hushed);
         let Some(ended) = ended else { return };
         let gone: crate::state::Abroad;
-        (gone, self.abroad) =
-            std::mem::take(&mut self.abroad).into_iter().partition(|(_, (link, _))| *link == ended);
+        (gone, self.abroad) = std::mem::take(&mut self.abroad)
+            .into_iter()
+            .partition(|(_, (link, _))| *link == ended);
         gone.values().for_each(|(_, attempt)| self.release(attempt));
     }
 
@@ -1077,22 +1458,32 @@
 
     /// The last byte of a request has come: now its try is judged, counts and takes its units.
     fn whole(&mut self, now: Micros, id: RequestId, patience: Micros, out: &mut Out) {
-        let Some(request) = self.requests.get_mut(&id).filter(|request| request.coming) else { return };
+        let Some(request) = self.requests.get_mut(&id).filter(|request| request.coming) else {
+            return;
+        };
         (request.arrived, request.due, request.deadline) = (now, now, now.saturating_add(patience));
         let (customer, units, number) = (request.customer, request.units, request.out);
         // Danger: a ceiling that has been used up, or a limit that is reached, since the body began to come.
         let Some(number) = number.filter(|_| self.may_open(customer, units, now)) else {
             return self.finish(now, &id, Of::Short, out);
         };
-        self.requests.entry(id.clone()).and_modify(|request| request.coming = false);
+        self.requests
+            .entry(id.clone())
+            .and_modify(|request| request.coming = false);
         let key = (id, number);
-        let Some(attempt) = self.attempts.get_mut(&key) else { return };
-        let Some(open) = self.servers.open(&attempt.server) else { return };
+        let Some(attempt) = self.attempts.get_mut(&key) else {
+            return;
+        };
+        let Some(open) = self.servers.open(&attempt.server) else {
+            return;
+        };
         *open += 1;
         (attempt.stage, attempt.sent, attempt.due) = (Stage::Working, now, now);
         attempt.places = f64::from(*open);
         let told = attempt.told(&key.0, number);
-        let Some(store) = self.stores.get_mut(&customer) else { return };
+        let Some(store) = self.stores.get_mut(&customer) else {
+            return;
+        };
         store.sent_on(now, units, true);
         if self.shared {
             let first = Some(store.terms(units));
@@ -1102,17 +1493,26 @@
 
     /// An answer has begun that goes by: its first bytes are what counts, and the server is free for others.
     fn started(&mut self, now: Micros, id: &RequestId) {
-        let Some(request) = self.requests.get_mut(id) else { return };
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
         request.belongs_to_client();
-        let Some(key) = request.out.map(|number| (id.clone(), number)) else { return };
-        let Some(attempt) = self.attempts.get(&key).cloned() else { return };
+        let Some(key) = request.out.map(|number| (id.clone(), number)) else {
+            return;
+        };
+        let Some(attempt) = self.attempts.get(&key).cloned() else {
+            return;
+        };
         self.learn(now, &attempt, Outcome::Ok, false);
         self.done += 1.0;
         let aim = self.settings.classes[attempt.class.0].aim.max(1) as f64;
-        self.fuzzy.saw(attempt.class, now.saturating_sub(attempt.due) as f64 / aim);
+        self.fuzzy
+            .saw(attempt.class, now.saturating_sub(attempt.due) as f64 / aim);
         if let Some(open) = self.servers.open(&attempt.server) {
             *open = open.saturating_sub(1);
         }
-        self.attempts.entry(key).and_modify(|attempt| attempt.stage = Stage::Passing);
+        self.attempts
+            .entry(key)
+            .and_modify(|attempt| attempt.stage = Stage::Passing);
     }
 }
--- a/crates/policy/src/crowding.rs
+++ b/crates/policy/src/crowding.rs
@@ -45,7 +45,11 @@
     /// second in the mean over ticks, `aim` the shortest, in s.
     pub fn now(&self, gateways: f64, served: f64, aim: f64) -> f64 {
         let out = self.out.mean().unwrap_or(0.0) * gateways;
-        let did = if self.did.is_known() { self.did.now() } else { self.fit };
+        let did = if self.did.is_known() {
+            self.did.now()
+        } else {
+            self.fit
+        };
         let each = served * gateways / did.max(1.0) * aim * FIT;
         out / (each.max(FLOOR) * self.fit).max(1.0)
     }
--- a/crates/policy/src/crowding/tests.rs
+++ b/crates/policy/src/crowding/tests.rs
@@ -36,9 +36,15 @@
     let before = crowding.now(gateways, 30.0, 0.6);
     crowding.servers(30.0);
     let gone = crowding.now(gateways, 30.0, 0.6);
-    assert!((gone / before - 2.0).abs() < 0.01, "half as many bear half: {before:.2}, {gone:.2}");
+    assert!(
+        (gone / before - 2.0).abs() < 0.01,
+        "half as many bear half: {before:.2}, {gone:.2}"
+    );
     // Long after, with half out: the servers are few or cold for as long as what they serve is less.
     (0..200).for_each(|_| crowding.tick(0.5, 300.0 / gateways));
     let long = crowding.now(gateways, 15.0, 0.6);
-    assert!((long / before - 1.0).abs() < 0.01, "the same for each: {before:.2}, {long:.2}");
+    assert!(
+        (long / before - 1.0).abs() < 0.01,
+        "the same for each: {before:.2}, {long:.2}"
+    );
 }
--- a/crates/policy/src/homes.rs
+++ b/crates/policy/src/homes.rs
@@ -29,9 +29,16 @@
 impl Homes {
     /// Those of a plan's customer with a set of so many gateways, of which there is one at the least.
     pub fn of(plan: &Plan, spread: u32) -> Self {
-        let most = plan.ceiling.map_or(spread, |ceiling| (ceiling.depth / CEILING) as u32);
-        let parts = ((plan.rate / RATE).ceil() as u32).min(most).clamp(1, spread);
-        Homes { parts, keepers: (parts * KEEPERS).min(spread) }
+        let most = plan
+            .ceiling
+            .map_or(spread, |ceiling| (ceiling.depth / CEILING) as u32);
+        let parts = ((plan.rate / RATE).ceil() as u32)
+            .min(most)
+            .clamp(1, spread);
+        Homes {
+            parts,
+            keepers: (parts * KEEPERS).min(spread),
+        }
     }
 
     /// The terms of the part that a number keeps: keepers of one part share its store's, unless they are `fenced`, and never its
@@ -42,7 +49,11 @@
         // Who stands by holds a part of its own, so that no word is needed; the home, which is asked nearly always, the most.
         let beside = (self.keepers - self.parts) as f64 / parts;
         let own = if beside > 0.0 { HOME_PART } else { 1.0 };
-        let part = if number < self.parts { own } else { (1.0 - own) / beside } / parts;
+        let part = if number < self.parts {
+            own
+        } else {
+            (1.0 - own) / beside
+        } / parts;
         let places = |most: u32| (most + self.parts - 1 - number % self.parts) / self.parts;
         let ceiling = |ceiling: Ceiling| {
             let late = ceiling.rate * GRANT_LIFE as f64 / 1e6;
@@ -59,7 +70,11 @@
 
     /// The gateway that is a keeper by its number: found by hash in the customer's set, `spread` from `first`.
     pub fn keeper(
-        self, of: CustomerId, (first, spread): (GatewayId, u32), number: u32, gateways: u32,
+        self,
+        of: CustomerId,
+        (first, spread): (GatewayId, u32),
+        number: u32,
+        gateways: u32,
     ) -> GatewayId {
         let mixed = (mix(of.0) >> 33) as u32;
         let step = (mixed % spread + number * (spread / self.keepers)) % spread;
--- a/crates/policy/src/homes/tests.rs
+++ b/crates/policy/src/homes/tests.rs
@@ -11,7 +11,13 @@
         over_cost: 0.0,
         ceiling: None,
     };
-    for (rate, spread, parts) in [(0.6, 50, 1), (8.0, 3, 1), (16.0, 60, 2), (40.0, 3, 3), (5.0, 1, 1)] {
+    for (rate, spread, parts) in [
+        (0.6, 50, 1),
+        (8.0, 3, 1),
+        (16.0, 60, 2),
+        (40.0, 3, 3),
+        (5.0, 1, 1),
+    ] {
         let homes = Homes::of(&plan(rate), spread);
         assert_eq!(homes.parts, parts, "{rate}");
         for start in 0..parts {
@@ -22,6 +28,10 @@
         }
         let keeper = |number| homes.keeper(CustomerId(77), (GatewayId(90), spread), number, 100);
         let all: std::collections::BTreeSet<_> = (0..homes.keepers).map(keeper).collect();
-        assert_eq!(all.len(), homes.keepers as usize, "no gateway keeps two parts");
+        assert_eq!(
+            all.len(),
+            homes.keepers as usize,
+            "no gateway keeps two parts"
+        );
     }
 }
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -14,31 +14,45 @@
 pub struct RequestId(pub Arc<str>);
 
 /// A server of the shared back end.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct ServerId(pub u64);
 
 /// A customer, whom a quota binds.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct CustomerId(pub u64);
 
 /// A gateway's number, from 0.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct GatewayId(pub u32);
 
 /// Place of a class in [`Settings::classes`].
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct ClassId(pub usize);
 
 /// Place of a plan in [`Settings::plans`].
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct PlanId(pub usize);
 
 /// A zone (hall, building), numbered by whoever embeds the module; only equality counts.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct ZoneId(pub u32);
 
 /// A group of servers that share what they know of repeated keys.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct CellId(pub u64);
 
 /// Number of an attempt of one request, from 0.
--- a/crates/policy/src/mean.rs
+++ b/crates/policy/src/mean.rs
@@ -14,7 +14,10 @@
 impl Mean {
     /// One that another process came to: it moves as one of many samples.
     pub fn known(value: f64) -> Self {
-        Mean { value, samples: f64::INFINITY }
+        Mean {
+            value,
+            samples: f64::INFINITY,
+        }
     }
 
     /// Takes in a sample of this weight (above 0, at most 1), or of an even part of all samples so far where that is more.
--- a/crates/policy/src/mean/tests.rs
+++ b/crates/policy/src/mean/tests.rs
@@ -6,7 +6,11 @@
     assert!(!mean.is_known());
     for _ in 0..6 {
         mean.add(12.0, 0.05);
-        assert!(mean.is_known() && (mean.now() - 12.0).abs() < 1e-9, "{}", mean.now());
+        assert!(
+            mean.is_known() && (mean.now() - 12.0).abs() < 1e-9,
+            "{}",
+            mean.now()
+        );
     }
 }
 
--- a/crates/policy/src/message.rs
+++ b/crates/policy/src/message.rs
@@ -23,7 +23,12 @@
 const AGO_STEP: u64 = 64_000;
 const WAIT_FOR_STEP: u64 = 8_000;
 /// Verdicts by their numbers.
-const VERDICTS: [Verdict; 4] = [Verdict::Granted, Verdict::Short, Verdict::Full, Verdict::Over];
+const VERDICTS: [Verdict; 4] = [
+    Verdict::Granted,
+    Verdict::Short,
+    Verdict::Full,
+    Verdict::Over,
+];
 /// Levels in which a share of failures travels, and how many classes a rumour can name.
 const LEVELS: u8 = 31;
 const CLASSES: usize = 8;
@@ -131,8 +136,9 @@
             bytes.extend_from_slice(&(ask.spread as u16).to_le_bytes());
             bytes.extend_from_slice(&((ask.units * PART).round() as u16).to_le_bytes());
             if let Some((age, told)) = &ask.beside {
-                let told =
-                    told.map_or([0, u8::MAX], |(level, ago)| [small(level * 255.0), steps(ago, AGO_STEP)]);
+                let told = told.map_or([0, u8::MAX], |(level, ago)| {
+                    [small(level * 255.0), steps(ago, AGO_STEP)]
+                });
                 bytes.push(*age);
                 bytes.extend(told);
                 if let Some(wish) = &ask.wish {
@@ -140,7 +146,12 @@
                     let up = |value: f64, part: f64| (value * part).ceil().clamp(0.0, 255.0) as u8;
                     let held = wish.held.map_or([0, 0, 0, u8::MAX], |(rate, room, left)| {
                         let [low, high] = two_bytes(rate, f64::ceil);
-                        [low, high, up(room, ROOM_PART), steps(left, AGO_STEP).saturating_add(1).min(254)]
+                        [
+                            low,
+                            high,
+                            up(room, ROOM_PART),
+                            steps(left, AGO_STEP).saturating_add(1).min(254),
+                        ]
                     });
                     bytes.extend(two_bytes(wish.rate, f64::round));
                     bytes.extend(held);
@@ -151,7 +162,10 @@
         Message::Answer(serial, said, lease, news) => {
             bytes.push(if lease.is_some() { 10 } else { 7 });
             bytes.extend_from_slice(&serial.to_le_bytes());
-            let verdict = VERDICTS.iter().position(|verdict| *verdict == said.verdict).unwrap_or(1) as u8;
+            let verdict = VERDICTS
+                .iter()
+                .position(|verdict| *verdict == said.verdict)
+                .unwrap_or(1) as u8;
             bytes.extend_from_slice(&[verdict, small(said.chance * 255.0)]);
             bytes.extend_from_slice(&[steps(said.wait, WAIT_FOR_STEP), small(said.level * 255.0)]);
             if let Some(lease) = lease {
@@ -166,8 +180,10 @@
         Message::OldAnswer(serial, said, news) => {
             bytes.push(5);
             bytes.extend_from_slice(&serial.to_le_bytes());
-            bytes
-                .extend_from_slice(&[u8::from(said.verdict != Verdict::Granted), small(said.chance * 255.0)]);
+            bytes.extend_from_slice(&[
+                u8::from(said.verdict != Verdict::Granted),
+                small(said.chance * 255.0),
+            ]);
             write_news(news, &mut bytes);
         }
         Message::Gift(server, gift) => {
@@ -201,7 +217,8 @@
             break;
         }
         bytes.extend_from_slice(&rumour.server.to_le_bytes());
-        let level = (rumour.pool.mean().unwrap_or(0.0).clamp(0.0, 1.0) * f64::from(LEVELS)).round() as u8;
+        let level =
+            (rumour.pool.mean().unwrap_or(0.0).clamp(0.0, 1.0) * f64::from(LEVELS)).round() as u8;
         bytes.push((rumour.class.0 % CLASSES) as u8 * (LEVELS + 1) + level);
         bytes.push(rumour.pool.weight());
         bytes.push(small(rumour.wait / WAIT_STEP));
@@ -216,7 +233,12 @@
     fn number(&mut self, size: usize) -> Option<u64> {
         let (taken, rest) = self.0.split_at_checked(size)?;
         self.0 = rest;
-        Some(taken.iter().rev().fold(0, |sum, byte| sum << 8 | u64::from(*byte)))
+        Some(
+            taken
+                .iter()
+                .rev()
+                .fold(0, |sum, byte| sum << 8 | u64::from(*byte)),
+        )
     }
 
     /// News, where any ride on it; the outer `None` is for those that are cut short.
@@ -250,7 +272,12 @@
                 age: self.number(1)? * AGE_STEP,
             });
         }
-        Some(News { served, aims, out, rumours })
+        Some(News {
+            served,
+            aims,
+            out,
+            rumours,
+        })
     }
 }
 
@@ -265,7 +292,10 @@
             let birth = taken.number(4)? as u32;
             let mut counts = Vec::new();
             while !taken.0.is_empty() {
-                counts.push((CustomerId(taken.number(COUNT - 2)?), taken.number(2)? as u16));
+                counts.push((
+                    CustomerId(taken.number(COUNT - 2)?),
+                    taken.number(2)? as u16,
+                ));
             }
             Message::Counts(birth, counts)
         }
@@ -277,44 +307,102 @@
             let units = taken.number(2)? as f64 / PART;
             let (mut beside, mut wish) = (None, None);
             if kind >= 6 {
-                let (age, level, ago) = (taken.number(1)? as u8, taken.number(1)?, taken.number(1)?);
-                let told = (ago < u64::from(u8::MAX)).then_some((level as f64 / 255.0, ago * AGO_STEP));
+                let (age, level, ago) =
+                    (taken.number(1)? as u8, taken.number(1)?, taken.number(1)?);
+                let told =
+                    (ago < u64::from(u8::MAX)).then_some((level as f64 / 255.0, ago * AGO_STEP));
                 beside = Some((age, told));
             }
             if kind == 9 {
                 let rate = taken.number(2)? as f64 / LOAN_PART;
-                let held = (taken.number(2)? as f64 / LOAN_PART, taken.number(1)? as f64 / ROOM_PART);
+                let held = (
+                    taken.number(2)? as f64 / LOAN_PART,
+                    taken.number(1)? as f64 / ROOM_PART,
+                );
                 let left = taken.number(1)?;
                 let held = (left < u64::from(u8::MAX)).then_some((held.0, held.1, left * AGO_STEP));
                 wish = Some(Wish { rate, held });
             }
-            let news = if kind == 4 { Some(taken.news()?) } else { taken.news_if_any()? };
-            Message::Ask(Ask { serial, customer, plan, first, spread, home, units, beside, wish }, news)
+            let news = if kind == 4 {
+                Some(taken.news()?)
+            } else {
+                taken.news_if_any()?
+            };
+            Message::Ask(
+                Ask {
+                    serial,
+                    customer,
+                    plan,
+                    first,
+                    spread,
+                    home,
+                    units,
+                    beside,
+                    wish,
+                },
+                news,
+            )
         }
         5 => {
             let serial = taken.number(2)? as u16;
             let verdict = *VERDICTS[..2].get(taken.number(1)? as usize)?;
             let chance = taken.number(1)? as f64 / 255.0;
-            let level = if verdict == Verdict::Granted { 1.0 } else { 0.0 };
-            Message::OldAnswer(serial, Said { verdict, chance, wait: 0, level }, taken.news()?)
+            let level = if verdict == Verdict::Granted {
+                1.0
+            } else {
+                0.0
+            };
+            Message::OldAnswer(
+                serial,
+                Said {
+                    verdict,
+                    chance,
+                    wait: 0,
+                    level,
+                },
+                taken.news()?,
+            )
         }
         kind @ (7 | 10) => {
             let serial = taken.number(2)? as u16;
             let verdict = *VERDICTS.get(taken.number(1)? as usize)?;
             let chance = taken.number(1)? as f64 / 255.0;
-            let (wait, level) = (taken.number(1)? * WAIT_FOR_STEP, taken.number(1)? as f64 / 255.0);
+            let (wait, level) = (
+                taken.number(1)? * WAIT_FOR_STEP,
+                taken.number(1)? as f64 / 255.0,
+            );
             let mut lease = None;
             if kind == 10 {
-                let (rate, room) = (taken.number(2)? as f64 / LOAN_PART, taken.number(1)? as f64 / ROOM_PART);
+                let (rate, room) = (
+                    taken.number(2)? as f64 / LOAN_PART,
+                    taken.number(1)? as f64 / ROOM_PART,
+                );
                 let units = taken.number(1)? as f64 / ROOM_PART;
                 lease = Some((rate > 0.0).then_some(Lease { rate, room, units }));
             }
-            Message::Answer(serial, Said { verdict, chance, wait, level }, lease, taken.news_if_any()?)
+            Message::Answer(
+                serial,
+                Said {
+                    verdict,
+                    chance,
+                    wait,
+                    level,
+                },
+                lease,
+                taken.news_if_any()?,
+            )
         }
         8 => {
             let server = taken.number(2)? as u16;
             let (started, until) = (taken.number(8)?, taken.number(8)?);
-            Message::Gift(server, Gift { started, until, serial: taken.number(2)? as u16 })
+            Message::Gift(
+                server,
+                Gift {
+                    started,
+                    until,
+                    serial: taken.number(2)? as u16,
+                },
+            )
         }
         3 => {
             let serial = taken.number(2)? as u16;
