--- a/crates/policy/src/message/tests.rs
+++ b/crates/policy/src/message/tests.rs
@@ -37,34 +37,89 @@
 }
 
 fn said(verdict: Verdict) -> Said {
-    Said { verdict, chance: 0.6, wait: 40_000, level: 0.8 }
+    Said {
+        verdict,
+        chance: 0.6,
+        wait: 40_000,
+        level: 0.8,
+    }
 }
 
 fn samples() -> Vec<(&'static str, Message)> {
     let told = Some((0.4, 640_000));
     let held = Some((1.25, 0.625, 1_280_000));
-    let lease = Lease { rate: 0.75, room: 1.5, units: 0.5 };
+    let lease = Lease {
+        rate: 0.75,
+        room: 1.5,
+        units: 0.5,
+    };
     let customer = CustomerId(0x0A_0B0C_0D0E);
-    let gift = Gift { started: 1_700_000, until: 2_900_000, serial: 513 };
+    let gift = Gift {
+        started: 1_700_000,
+        until: 2_900_000,
+        serial: 513,
+    };
     vec![
-        ("counts", Message::Counts(1_234_567, vec![(customer, 0xFFFE), (CustomerId(1), 8)])),
+        (
+            "counts",
+            Message::Counts(1_234_567, vec![(customer, 0xFFFE), (CustomerId(1), 8)]),
+        ),
         ("counts_of_nobody", Message::Counts(1, Vec::new())),
         ("ask_old", Message::Ask(ask(None, None), Some(news()))),
         ("ask", Message::Ask(ask(Some((17, told)), None), None)),
-        ("ask_never_told", Message::Ask(ask(Some((255, None)), None), Some(news()))),
-        ("ask_with_wish", Message::Ask(ask(Some((17, told)), Some(Wish { rate: 2.0, held })), None)),
+        (
+            "ask_never_told",
+            Message::Ask(ask(Some((255, None)), None), Some(news())),
+        ),
+        (
+            "ask_with_wish",
+            Message::Ask(ask(Some((17, told)), Some(Wish { rate: 2.0, held })), None),
+        ),
         (
             "ask_with_wish_and_nothing_held",
-            Message::Ask(ask(Some((0, None)), Some(Wish { rate: 0.5, held: None })), Some(news())),
+            Message::Ask(
+                ask(
+                    Some((0, None)),
+                    Some(Wish {
+                        rate: 0.5,
+                        held: None,
+                    }),
+                ),
+                Some(news()),
+            ),
+        ),
+        (
+            "answer_granted",
+            Message::Answer(9, said(Verdict::Granted), None, None),
+        ),
+        (
+            "answer_short",
+            Message::Answer(9, said(Verdict::Short), None, Some(news())),
+        ),
+        (
+            "answer_full",
+            Message::Answer(65_535, said(Verdict::Full), None, None),
+        ),
+        (
+            "answer_over",
+            Message::Answer(9, said(Verdict::Over), None, None),
+        ),
+        (
+            "answer_that_lends",
+            Message::Answer(9, said(Verdict::Granted), Some(Some(lease)), None),
+        ),
+        (
+            "answer_that_lends_nothing",
+            Message::Answer(9, said(Verdict::Short), Some(None), Some(news())),
+        ),
+        (
+            "old_answer_granted",
+            Message::OldAnswer(9, said(Verdict::Granted), news()),
+        ),
+        (
+            "old_answer_short",
+            Message::OldAnswer(9, said(Verdict::Short), news()),
         ),
-        ("answer_granted", Message::Answer(9, said(Verdict::Granted), None, None)),
-        ("answer_short", Message::Answer(9, said(Verdict::Short), None, Some(news()))),
-        ("answer_full", Message::Answer(65_535, said(Verdict::Full), None, None)),
-        ("answer_over", Message::Answer(9, said(Verdict::Over), None, None)),
-        ("answer_that_lends", Message::Answer(9, said(Verdict::Granted), Some(Some(lease)), None)),
-        ("answer_that_lends_nothing", Message::Answer(9, said(Verdict::Short), Some(None), Some(news()))),
-        ("old_answer_granted", Message::OldAnswer(9, said(Verdict::Granted), news())),
-        ("old_answer_short", Message::OldAnswer(9, said(Verdict::Short), news())),
         ("done", Message::Done(0x0304, customer)),
         ("gift", Message::Gift(short(ServerId(7)), gift)),
     ]
@@ -75,7 +130,9 @@
 }
 
 fn fixture() -> Vec<(&'static str, Vec<u8>)> {
-    let byte = |pair: &[u8]| u8::from_str_radix(std::str::from_utf8(pair).expect("ASCII"), 16).expect("hex");
+    let byte = |pair: &[u8]| {
+        u8::from_str_radix(std::str::from_utf8(pair).expect("ASCII"), 16).expect("hex")
+    };
     let line = |line: &'static str| {
         let (name, digits) = line.split_once(' ').expect("a name and its bytes");
         (name, digits.as_bytes().chunks(2).map(byte).collect())
@@ -85,8 +142,10 @@
 
 #[test]
 fn every_kind_of_message_is_written_as_the_fixture_has_it() {
-    let written: String =
-        samples().iter().map(|(name, message)| format!("{name} {}\n", hex(&write(message)))).collect();
+    let written: String = samples()
+        .iter()
+        .map(|(name, message)| format!("{name} {}\n", hex(&write(message))))
+        .collect();
     assert_eq!(written, FIXTURE, "\n{written}");
 }
 
@@ -106,7 +165,10 @@
 /// A datagram that breaks off is noise, unless what is left is a message by itself: counts and rumours are lists.
 #[test]
 fn a_message_that_breaks_off_in_its_head_is_not_read() {
-    for (name, bytes) in fixture().into_iter().filter(|(name, _)| !name.starts_with("counts")) {
+    for (name, bytes) in fixture()
+        .into_iter()
+        .filter(|(name, _)| !name.starts_with("counts"))
+    {
         for length in 0..7.min(bytes.len()) {
             assert!(read(&bytes[..length]).is_none(), "{name} of {length} bytes");
         }
--- a/crates/policy/src/pairs.rs
+++ b/crates/policy/src/pairs.rs
@@ -4,7 +4,8 @@
 use std::collections::BTreeMap;
 
 pub fn serialize<K: Serialize, V: Serialize, S: Serializer>(
-    map: &BTreeMap<K, V>, serializer: S,
+    map: &BTreeMap<K, V>,
+    serializer: S,
 ) -> Result<S::Ok, S::Error> {
     serializer.collect_seq(map)
 }
@@ -12,5 +13,7 @@
 pub fn deserialize<'de, K: Deserialize<'de> + Ord, V: Deserialize<'de>, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<BTreeMap<K, V>, D::Error> {
-    Ok(Vec::<(K, V)>::deserialize(deserializer)?.into_iter().collect())
+    Ok(Vec::<(K, V)>::deserialize(deserializer)?
+        .into_iter()
+        .collect())
 }
--- a/crates/policy/src/pooled.rs
+++ b/crates/policy/src/pooled.rs
@@ -38,7 +38,10 @@
 impl Pooled {
     /// The mean of so many samples.
     pub fn of(mean: f64, count: f64) -> Self {
-        Pooled { sum: mean * count, count }
+        Pooled {
+            sum: mean * count,
+            count,
+        }
     }
 
     /// Lets a span go by, in times of what its samples fade in.
--- a/crates/policy/src/pooled/tests.rs
+++ b/crates/policy/src/pooled/tests.rs
@@ -18,7 +18,10 @@
             }
         }
     }
-    pools.iter().map(|pool| (pool.mean().unwrap_or(9.0) - 1.0).abs()).fold(0.0, f64::max)
+    pools
+        .iter()
+        .map(|pool| (pool.mean().unwrap_or(9.0) - 1.0).abs())
+        .fold(0.0, f64::max)
 }
 
 #[test]
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -13,13 +13,19 @@
 /// How many of a customer's other gateways are silent. Danger: cut links, where each would grant the whole
 /// rate; so one keeps its even share until it is taken for dead. It hurts while a gateway is down.
 pub(crate) fn silent(spoke: &[Micros], store: &Store, now: Micros) -> f64 {
-    let members = (0..store.spread as usize).map(|step| (store.first.0 as usize + step) % spoke.len());
-    members.filter(|member| SILENT.contains(&now.saturating_sub(spoke[*member]))).count() as f64
+    let members =
+        (0..store.spread as usize).map(|step| (store.first.0 as usize + step) % spoke.len());
+    members
+        .filter(|member| SILENT.contains(&now.saturating_sub(spoke[*member])))
+        .count() as f64
 }
 
 /// s for which a gateway's share was kept back for it, as it had been silent since then.
 pub(crate) fn kept_for(now: Micros, spoke: Micros) -> f64 {
-    now.saturating_sub(spoke).min(SILENT.end).saturating_sub(SILENT.start) as f64 / 1e6
+    now.saturating_sub(spoke)
+        .min(SILENT.end)
+        .saturating_sub(SILENT.start) as f64
+        / 1e6
 }
 
 impl Store {
@@ -27,7 +33,12 @@
     /// part at first, what is missing stays missing for a customer that uses nearly all. Peers' use is heard soon
     /// enough. Its share of the ceiling holds what has come in since the start, when it may have been used up.
     pub(crate) fn new(
-        now: Micros, up: Micros, id: PlanId, plan: &Plan, (first, spread): (GatewayId, u32), most: f64,
+        now: Micros,
+        up: Micros,
+        id: PlanId,
+        plan: &Plan,
+        (first, spread): (GatewayId, u32),
+        most: f64,
     ) -> Self {
         let spread = f64::from(spread.max(1));
         let depth = (plan.burst / spread).max(most);
@@ -41,7 +52,11 @@
             filled: now,
             ..Store::default()
         };
-        let mut store = Store { share, ceiling_share, ..store };
+        let mut store = Store {
+            share,
+            ceiling_share,
+            ..store
+        };
         store.fill_ceiling(plan, up as f64 / 1e6);
         store
     }
@@ -50,7 +65,15 @@
     pub(crate) fn follow(&mut self, fresh: Store, ceiling: f64) {
         let (heard, level) = (std::mem::take(&mut self.heard), self.level.min(fresh.level));
         let (open, sent, sent_at) = (self.open, self.sent, self.sent_at);
-        *self = Store { level, ceiling, open, sent, sent_at, heard, ..fresh };
+        *self = Store {
+            level,
+            ceiling,
+            open,
+            sent,
+            sent_at,
+            heard,
+            ..fresh
+        };
     }
 
     pub(crate) fn fill(&mut self, now: Micros, plan: &Plan, silent: f64) {
@@ -80,7 +103,10 @@
             return false;
         }
         self.fill(now, plan, silent);
-        let full = plan.ceiling.as_ref().is_none_or(|ceiling| self.ceiling >= self.most_under(ceiling));
+        let full = plan
+            .ceiling
+            .as_ref()
+            .is_none_or(|ceiling| self.ceiling >= self.most_under(ceiling));
         let refilled = plan.rate <= 0.0 || self.level >= (plan.burst * self.share).max(self.depth);
         full && refilled && self.peers(now, HEARD_FOR) <= 0.0
     }
--- a/crates/policy/src/rto.rs
+++ b/crates/policy/src/rto.rs
@@ -21,7 +21,10 @@
 
 impl Default for Rto {
     fn default() -> Self {
-        Rto { known: None, wait: BOUNDS.1 / 2.0 }
+        Rto {
+            known: None,
+            wait: BOUNDS.1 / 2.0,
+        }
     }
 }
 
--- a/crates/policy/src/rto/tests.rs
+++ b/crates/policy/src/rto/tests.rs
@@ -16,6 +16,10 @@
             }
         }
         assert!(early <= 5, "{way}: put again {early} times for nothing");
-        assert!(rto.wait() as f64 <= (way as f64 * 2.2).max(BOUNDS.0), "{way}: {}", rto.wait());
+        assert!(
+            rto.wait() as f64 <= (way as f64 * 2.2).max(BOUNDS.0),
+            "{way}: {}",
+            rto.wait()
+        );
     }
 }
--- a/crates/policy/src/servers.rs
+++ b/crates/policy/src/servers.rs
@@ -133,8 +133,12 @@
     /// Takes a server's wait, as it was and as it is, out of the median and into it.
     fn wait(&mut self, server: ServerId, before: Option<f64>, after: Option<f64>) {
         if self.many && before != after {
-            before.into_iter().for_each(|wait| self.waits.remove(wait, server.0));
-            after.into_iter().for_each(|wait| self.waits.add(wait, server.0));
+            before
+                .into_iter()
+                .for_each(|wait| self.waits.remove(wait, server.0));
+            after
+                .into_iter()
+                .for_each(|wait| self.waits.add(wait, server.0));
         }
     }
 
@@ -187,7 +191,8 @@
             self.server.forget();
         }
         self.sums.enter(self.server);
-        self.sums.wait(self.server.entry.server, self.before, waits(self.server));
+        self.sums
+            .wait(self.server.entry.server, self.before, waits(self.server));
     }
 }
 
@@ -224,7 +229,13 @@
     /// What another process of this gateway knew, in place of what is here.
     pub fn resume(&mut self, known: impl Iterator<Item = Server>, now: Micros, lately: Micros) {
         for server in known {
-            let (id, server) = (server.entry.server, Server { held: true, ..server });
+            let (id, server) = (
+                server.entry.server,
+                Server {
+                    held: true,
+                    ..server
+                },
+            );
             self.sums.enter(&server);
             self.sums.wait(id, None, waits(&server));
             self.sums.lately.insert(id);
@@ -237,17 +248,25 @@
     /// Takes news of the list in as one pass; what is young for `lately` µs after its start. One that started anew is
     /// unknown again.
     pub fn list(
-        &mut self, now: Micros, kind: ListKind, entries: Vec<ServerEntry>, rules: &Rules, lately: Micros,
+        &mut self,
+        now: Micros,
+        kind: ListKind,
+        entries: Vec<ServerEntry>,
+        rules: &Rules,
+        lately: Micros,
     ) {
         if kind == ListKind::Complete {
             let listed: BTreeSet<ServerId> = entries.iter().map(|entry| entry.server).collect();
             for (_, server) in self.all.iter_mut().filter(|(id, _)| !listed.contains(id)) {
-                self.sums.change(server, |server| server.entry.standing = Standing::Gone);
+                self.sums
+                    .change(server, |server| server.entry.standing = Standing::Gone);
             }
         }
         if self.all.is_empty() {
             // All at one stroke: a map that grows one by one has room for half as many again.
-            let new = entries.iter().map(|entry| (entry.server, Server::unknown(*entry, now)));
+            let new = entries
+                .iter()
+                .map(|entry| (entry.server, Server::unknown(*entry, now)));
             self.all = new.collect();
             self.all.values().for_each(|server| self.sums.enter(server));
         }
@@ -255,7 +274,8 @@
         for entry in entries {
             let id = entry.server;
             if let Some(server) = self.all.get_mut(&id) {
-                self.sums.change(server, |server| server.follow(entry, now, rules.cold_for));
+                self.sums
+                    .change(server, |server| server.follow(entry, now, rules.cold_for));
             } else {
                 let held = !self.long || self.set.holds(id.0);
                 if self.long {
@@ -263,12 +283,17 @@
                     self.held.extend(held.then_some(id));
                     came |= held;
                 }
-                let server = Server { held, ..Server::unknown(entry, now) };
+                let server = Server {
+                    held,
+                    ..Server::unknown(entry, now)
+                };
                 self.sums.enter(&server);
                 self.all.insert(id, server);
             }
             if !self.long || self.set.holds(id.0) {
-                let young = entry.started.is_some_and(|started| now < started.saturating_add(lately));
+                let young = entry
+                    .started
+                    .is_some_and(|started| now < started.saturating_add(lately));
                 self.sums.young.extend(young.then_some(id));
                 self.names.insert(message::short(id), id);
             }
@@ -277,7 +302,11 @@
             self.held.sort_unstable();
         }
         let moved = self.works && self.set.resize(self.sums.ready);
-        let many = if self.sums.many { self.held.len() >= MANY_STILL } else { self.held.len() > WHOLE };
+        let many = if self.sums.many {
+            self.held.len() >= MANY_STILL
+        } else {
+            self.held.len() > WHOLE
+        };
         if moved || self.long != (self.works && self.sums.ready > WHOLE) || many != self.sums.many {
             self.hold(now, lately);
         }
@@ -290,7 +319,11 @@
         }
         self.long = self.works && self.sums.ready > WHOLE;
         let many = std::mem::take(&mut self.sums.many);
-        self.named = if self.long { vec![0; NAMES] } else { Vec::new() };
+        self.named = if self.long {
+            vec![0; NAMES]
+        } else {
+            Vec::new()
+        };
         (self.held, self.names) = (Vec::new(), BTreeMap::new());
         self.sums.looked(self.all.len());
         for (id, server) in &mut self.all {
@@ -306,7 +339,9 @@
             }
             if held {
                 self.names.insert(message::short(*id), *id);
-                self.sums.young.extend(server.is_young(now, lately).then_some(*id));
+                self.sums
+                    .young
+                    .extend(server.is_young(now, lately).then_some(*id));
             }
             if self.long {
                 self.named[usize::from(message::short(*id))] += 1;
@@ -316,7 +351,9 @@
         self.sums.waits = Median::default();
         self.sums.many = self.held.len() > WHOLE || many && self.held.len() >= MANY_STILL;
         // Of few none is kept in order.
-        self.all.iter().for_each(|(id, server)| self.sums.wait(*id, None, waits(server)));
+        self.all
+            .iter()
+            .for_each(|(id, server)| self.sums.wait(*id, None, waits(server)));
         let held = |id: &ServerId| self.all.get(id).is_some_and(|server| server.held);
         self.sums.young.retain(held);
         self.sums.lately.retain(held);
@@ -368,12 +405,19 @@
         let before = waits(server);
         sums.leave(server);
         server.learns(sums.classes);
-        Some(Edit { sums, server, before })
+        Some(Edit {
+            sums,
+            server,
+            before,
+        })
     }
 
     /// The server that is meant by a short name; none where several of a long list are.
     pub fn named(&self, name: u16) -> Option<ServerId> {
-        let shared = self.named.get(usize::from(name)).is_some_and(|count| *count > 1);
+        let shared = self
+            .named
+            .get(usize::from(name))
+            .is_some_and(|count| *count > 1);
         self.names.get(&name).copied().filter(|_| !shared)
     }
 
@@ -384,21 +428,37 @@
             self.sums.looked(self.all.len());
             return self.all.values().filter(|server| server.ready()).collect();
         }
-        let (first, count) =
-            if self.sums.many { (draw(self.held.len()), SOUGHT) } else { (0, self.held.len()) };
+        let (first, count) = if self.sums.many {
+            (draw(self.held.len()), SOUGHT)
+        } else {
+            (0, self.held.len())
+        };
         self.sums.looked(count);
-        let row = self.held[first..].iter().chain(&self.held[..first]).take(count);
-        row.filter_map(|id| self.all.get(id)).filter(|server| server.ready()).collect()
+        let row = self.held[first..]
+            .iter()
+            .chain(&self.held[..first])
+            .take(count);
+        row.filter_map(|id| self.all.get(id))
+            .filter(|server| server.ready())
+            .collect()
     }
 
     /// Those with evidence that may still count, in order.
     pub fn lately(&self) -> impl Iterator<Item = &Server> {
-        self.sums.lately.iter().filter_map(|id| self.all.get(id)).inspect(|_| self.sums.looked(1))
+        self.sums
+            .lately
+            .iter()
+            .filter_map(|id| self.all.get(id))
+            .inspect(|_| self.sums.looked(1))
     }
 
     /// Those that started not long ago, in order.
     pub fn young(&self) -> impl Iterator<Item = &Server> {
-        self.sums.young.iter().filter_map(|id| self.all.get(id)).inspect(|_| self.sums.looked(1))
+        self.sums
+            .young
+            .iter()
+            .filter_map(|id| self.all.get(id))
+            .inspect(|_| self.sums.looked(1))
     }
 
     /// Takes each that is judged anew at a tick: all that are sent to, or of very many those with evidence.
@@ -408,9 +468,15 @@
             all.values_mut().for_each(|server| take(sums, server));
             return;
         }
-        let lately = if sums.many { sums.lately.iter().copied().collect() } else { Vec::new() };
+        let lately = if sums.many {
+            sums.lately.iter().copied().collect()
+        } else {
+            Vec::new()
+        };
         for id in if sums.many { &lately } else { &self.held } {
-            all.get_mut(id).into_iter().for_each(|server| take(sums, server));
+            all.get_mut(id)
+                .into_iter()
+                .for_each(|server| take(sums, server));
         }
     }
 
@@ -418,7 +484,10 @@
     pub fn fade(&mut self, spans: f64) {
         self.each_judged(|sums, server| {
             sums.looked(1);
-            server.health.iter_mut().for_each(|health| health.pool.fade(spans));
+            server
+                .health
+                .iter_mut()
+                .for_each(|health| health.pool.fade(spans));
         });
     }
 
@@ -451,14 +520,18 @@
         if !self.long {
             return all.values_mut().for_each(ready);
         }
-        sums.young.iter().for_each(|id| all.get_mut(id).into_iter().for_each(&mut ready));
+        sums.young
+            .iter()
+            .for_each(|id| all.get_mut(id).into_iter().for_each(&mut ready));
     }
 
     /// Takes each of the young, in order. How it fares is not to be changed there.
     pub fn each_young(&mut self, mut take: impl FnMut(&mut Server)) {
         let (all, sums) = (&mut self.all, &self.sums);
         sums.looked(sums.young.len());
-        sums.young.iter().for_each(|id| all.get_mut(id).into_iter().for_each(&mut take));
+        sums.young
+            .iter()
+            .for_each(|id| all.get_mut(id).into_iter().for_each(&mut take));
     }
 
     /// How many are sent to from here, and how many of these are not out for a class.
@@ -489,14 +562,19 @@
         let idle = |id: &ServerId| all.get(id).is_none_or(|server| server.open == 0);
         let gone: Vec<ServerId> = sums.leaving.iter().copied().filter(idle).collect();
         for id in &gone {
-            let Some(server) = all.remove(id) else { continue };
+            let Some(server) = all.remove(id) else {
+                continue;
+            };
             sums.leave(&server);
             sums.wait(*id, waits(&server), None);
             let name = message::short(*id);
             if self.names.get(&name) == Some(id) {
                 self.names.remove(&name);
             }
-            self.named.get_mut(usize::from(name)).into_iter().for_each(|count| *count -= 1);
+            self.named
+                .get_mut(usize::from(name))
+                .into_iter()
+                .for_each(|count| *count -= 1);
         }
         if !gone.is_empty() {
             self.held.retain(|id| all.contains_key(id));
@@ -519,7 +597,9 @@
         }
         if sums.many {
             for id in quiet {
-                let Some(server) = all.get_mut(&id) else { continue };
+                let Some(server) = all.get_mut(&id) else {
+                    continue;
+                };
                 sums.change(server, |server| server.health = Vec::new());
             }
         }
@@ -527,7 +607,9 @@
 
     /// All that is worth keeping for the next process.
     pub fn kept(&self) -> impl Iterator<Item = &Server> {
-        self.all.values().filter(|server| server.held || server.open > 0)
+        self.all
+            .values()
+            .filter(|server| server.held || server.open > 0)
     }
 }
 
--- a/crates/policy/src/servers/tests.rs
+++ b/crates/policy/src/servers/tests.rs
@@ -4,8 +4,12 @@
 use crate::state::Health;
 
 const CLASSES: usize = 3;
-const RULES: Rules =
-    Rules { cold_from: 0.2, cold_for: 10_000_000, fall_multiple: 3.0, fall_window: 1_000_000 };
+const RULES: Rules = Rules {
+    cold_from: 0.2,
+    cold_for: 10_000_000,
+    fall_multiple: 3.0,
+    fall_window: 1_000_000,
+};
 const YOUNG_FOR: Micros = 40_000_000;
 
 /// A walk over all servers, as it was before there were sums.
@@ -17,23 +21,40 @@
     }
 
     fn ready(&self) -> Vec<&'a Server> {
-        self.0.iter().copied().filter(|server| server.ready()).collect()
+        self.0
+            .iter()
+            .copied()
+            .filter(|server| server.ready())
+            .collect()
     }
 
     fn held(&self) -> Vec<&'a Server> {
-        self.ready().into_iter().filter(|server| server.held).collect()
+        self.ready()
+            .into_iter()
+            .filter(|server| server.held)
+            .collect()
     }
 
     fn rotation(&self) -> (usize, usize) {
-        let listed = self.0.iter().filter(|server| server.entry.standing != Standing::Gone);
-        let out =
-            |server: &Server| !server.ready() || server.health.iter().any(|health| health.trial.is_some());
-        listed.fold((0, 0), |(all, avoided), server| (all + 1, avoided + usize::from(out(server))))
+        let listed = self
+            .0
+            .iter()
+            .filter(|server| server.entry.standing != Standing::Gone);
+        let out = |server: &Server| {
+            !server.ready() || server.health.iter().any(|health| health.trial.is_some())
+        };
+        listed.fold((0, 0), |(all, avoided), server| {
+            (all + 1, avoided + usize::from(out(server)))
+        })
     }
 
     fn median(&self) -> Option<f64> {
-        let mut waits: Vec<f64> =
-            self.held().iter().map(|server| server.wait).filter(|wait| *wait > 0.0).collect();
+        let mut waits: Vec<f64> = self
+            .held()
+            .iter()
+            .map(|server| server.wait)
+            .filter(|wait| *wait > 0.0)
+            .collect();
         waits.sort_by(f64::total_cmp);
         waits.get(waits.len() / 2).copied()
     }
@@ -41,33 +62,79 @@
 
 fn entry(server: u64, standing: Standing, started: Option<Micros>) -> ServerEntry {
     let zone = ZoneId((server % 3) as u32);
-    ServerEntry { server: ServerId(server), zone, cell: CellId(server), standing, size: 1.0, started }
+    ServerEntry {
+        server: ServerId(server),
+        zone,
+        cell: CellId(server),
+        standing,
+        size: 1.0,
+        started,
+    }
 }
 
 fn compare(servers: &Servers, now: Micros) {
     let walk = Walk::over(servers);
     assert_eq!(servers.rotation(), walk.rotation());
-    assert_eq!(servers.ready(), (walk.ready().len() as f64, walk.held().len() as f64));
+    assert_eq!(
+        servers.ready(),
+        (walk.ready().len() as f64, walk.held().len() as f64)
+    );
     assert_eq!(servers.median_wait(), walk.median());
     for class in 0..CLASSES {
         let held = walk.held();
-        let well = held.iter().filter(|server| server.trial(class).is_none()).count();
-        assert_eq!(servers.in_health(ClassId(class)), (held.len() as f64, well as f64));
+        let well = held
+            .iter()
+            .filter(|server| server.trial(class).is_none())
+            .count();
+        assert_eq!(
+            servers.in_health(ClassId(class)),
+            (held.len() as f64, well as f64)
+        );
         let failing: f64 = held.iter().map(|server| server.failing(class)).sum();
         let failing = failing / held.len().max(1) as f64;
         assert!((servers.mean_failing(ClassId(class)) - failing).abs() < 1e-12);
     }
     let cold = |server: &&Server| server.warmth(&RULES, now) < 1.0;
-    let fresh: Vec<ServerId> = servers.young().filter(cold).map(|server| server.entry.server).collect();
-    let all = walk.0.iter().copied().filter(|server| server.held).filter(cold);
-    assert_eq!(fresh, all.map(|server| server.entry.server).collect::<Vec<_>>());
-    let seen =
-        |server: &&Server| server.held && server.health.iter().any(|health| health.seen + 4_000_000 > now);
-    let lately: Vec<ServerId> = servers.lately().filter(seen).map(|server| server.entry.server).collect();
-    let all = walk.0.iter().copied().filter(seen).map(|server| server.entry.server);
+    let fresh: Vec<ServerId> = servers
+        .young()
+        .filter(cold)
+        .map(|server| server.entry.server)
+        .collect();
+    let all = walk
+        .0
+        .iter()
+        .copied()
+        .filter(|server| server.held)
+        .filter(cold);
+    assert_eq!(
+        fresh,
+        all.map(|server| server.entry.server).collect::<Vec<_>>()
+    );
+    let seen = |server: &&Server| {
+        server.held
+            && server
+                .health
+                .iter()
+                .any(|health| health.seen + 4_000_000 > now)
+    };
+    let lately: Vec<ServerId> = servers
+        .lately()
+        .filter(seen)
+        .map(|server| server.entry.server)
+        .collect();
+    let all = walk
+        .0
+        .iter()
+        .copied()
+        .filter(seen)
+        .map(|server| server.entry.server);
     assert_eq!(lately, all.collect::<Vec<_>>());
-    let held: Vec<ServerId> =
-        walk.0.iter().filter(|server| server.held).map(|server| server.entry.server).collect();
+    let held: Vec<ServerId> = walk
+        .0
+        .iter()
+        .filter(|server| server.held)
+        .map(|server| server.entry.server)
+        .collect();
     if servers.long {
         assert_eq!(servers.held, held);
     } else {
@@ -78,11 +145,21 @@
         let same = |other: &&&Server| message::short(other.entry.server) == name;
         let shared = walk.0.iter().filter(same).count() > 1;
         assert!(shared || servers.named(name) == Some(*server));
-        assert!(!servers.long || !shared || servers.named(name).is_none(), "a name that several have");
+        assert!(
+            !servers.long || !shared || servers.named(name).is_none(),
+            "a name that several have"
+        );
     }
-    let chosen: Vec<ServerId> = servers.choice(|_| 0).into_iter().map(|server| server.entry.server).collect();
+    let chosen: Vec<ServerId> = servers
+        .choice(|_| 0)
+        .into_iter()
+        .map(|server| server.entry.server)
+        .collect();
     assert!(chosen.iter().all(|server| held.contains(server)));
-    let ready = held.iter().copied().filter(|id| servers.get(id).is_some_and(Server::ready));
+    let ready = held
+        .iter()
+        .copied()
+        .filter(|id| servers.get(id).is_some_and(Server::ready));
     assert!(servers.sums.many || chosen == ready.collect::<Vec<_>>());
     assert!(servers.sums.many || servers.sums.waits.is_empty());
 }
@@ -97,7 +174,9 @@
         match random.u32(..12) {
             0 => {
                 let count = random.u64(..most);
-                let entries = (0..count).map(|id| entry(id, Standing::Ready, None)).collect();
+                let entries = (0..count)
+                    .map(|id| entry(id, Standing::Ready, None))
+                    .collect();
                 servers.list(now, ListKind::Complete, entries, &RULES, YOUNG_FOR);
             }
             1..=3 => {
@@ -116,17 +195,26 @@
             }
             4 => {
                 let counts = |health: &Health| {
-                    health.trial.is_some() || health.pool.mean().is_some() || now < health.seen + 4_000_000
+                    health.trial.is_some()
+                        || health.pool.mean().is_some()
+                        || now < health.seen + 4_000_000
                 };
                 servers.tidy(now, YOUNG_FOR, |server| server.health.iter().any(counts));
             }
             5 => {
                 servers.fade(0.5);
-                servers.judge(|server| server.health.iter_mut().for_each(|health| health.failing /= 2.0));
+                servers.judge(|server| {
+                    server
+                        .health
+                        .iter_mut()
+                        .for_each(|health| health.failing /= 2.0)
+                });
             }
             _ => {
                 for _ in 0..10 {
-                    let Some(mut server) = servers.edit(&ServerId(random.u64(..most))) else { continue };
+                    let Some(mut server) = servers.edit(&ServerId(random.u64(..most))) else {
+                        continue;
+                    };
                     server.open = random.u32(..2);
                     server.wait = f64::from(random.u32(..5)) * 1000.0;
                     let health = &mut server.health[random.usize(..CLASSES)];
@@ -164,7 +252,10 @@
     let ready = (0..20).map(|id| entry(id, Standing::Ready, None)).collect();
     servers.list(1, ListKind::Complete, ready, &RULES, YOUNG_FOR);
     servers.edit(&ServerId(3)).expect("listed").open = 1;
-    let gone = vec![entry(3, Standing::Gone, None), entry(4, Standing::Gone, None)];
+    let gone = vec![
+        entry(3, Standing::Gone, None),
+        entry(4, Standing::Gone, None),
+    ];
     servers.list(2, ListKind::Changes, gone, &RULES, YOUNG_FOR);
     servers.tidy(3, YOUNG_FOR, |_| false);
     assert!(servers.get(&ServerId(3)).is_some() && servers.get(&ServerId(4)).is_none());
@@ -177,13 +268,23 @@
 #[test]
 fn what_is_not_sent_to_from_here_keeps_nothing_that_was_known_of_it() {
     let mut servers = Servers::new((GatewayId(0), 2_700), CLASSES, true);
-    let ready = |count| (0..count).map(|id| entry(id, Standing::Ready, None)).collect();
+    let ready = |count| {
+        (0..count)
+            .map(|id| entry(id, Standing::Ready, None))
+            .collect()
+    };
     servers.list(1, ListKind::Complete, ready(500), &RULES, YOUNG_FOR);
     (0..500).for_each(|id| servers.edit(&ServerId(id)).expect("listed").wait = 5.0);
     servers.list(2, ListKind::Complete, ready(40_000), &RULES, YOUNG_FOR);
-    let known = servers.all.values().filter(|server| !server.health.is_empty() || server.wait > 0.0);
+    let known = servers
+        .all
+        .values()
+        .filter(|server| !server.health.is_empty() || server.wait > 0.0);
     assert!(known.clone().all(|server| server.held));
-    assert!(known.count() < 50, "of 500 that were known, this one keeps its part");
+    assert!(
+        known.count() < 50,
+        "of 500 that were known, this one keeps its part"
+    );
 }
 
 /// Bytes of one server in the table of which nothing is known. A bound: growth is to be seen, not forbidden.
--- a/crates/policy/src/setup.rs
+++ b/crates/policy/src/setup.rs
@@ -2,7 +2,8 @@
 //! share this reading.
 
 use crate::interface::{
-    Allowed, Ceiling, Class, Discovery, Effect, GatewayId, Group, Micros, Plan, Rules, Settings, ZoneId,
+    Allowed, Ceiling, Class, Discovery, Effect, GatewayId, Group, Micros, Plan, Rules, Settings,
+    ZoneId,
 };
 use serde::Deserialize;
 
@@ -190,7 +191,12 @@
     };
     Ok(Named {
         settings,
-        longest_deadline: setup.classes.iter().map(|class| class.deadline_us).max().unwrap_or(0),
+        longest_deadline: setup
+            .classes
+            .iter()
+            .map(|class| class.deadline_us)
+            .max()
+            .unwrap_or(0),
         conn_idle: setup.ceilings.conn_idle_us,
         connect_timeout: setup.ceilings.connect_timeout_us,
         classes: setup.classes.into_iter().map(|class| class.name).collect(),
@@ -213,7 +219,12 @@
             window: wire.window_us,
         },
     };
-    Ok(Class { aim: wire.aim_us, late_value: wire.late_value, worth: wire.worth, effect })
+    Ok(Class {
+        aim: wire.aim_us,
+        late_value: wire.late_value,
+        worth: wire.worth,
+        effect,
+    })
 }
 
 fn plan(wire: &WirePlan) -> Plan {
@@ -224,7 +235,9 @@
         price: wire.price,
         over_worth: wire.over_worth,
         over_cost: wire.overrun_cost,
-        ceiling: (wire.cap_rate > 0.0)
-            .then_some(Ceiling { rate: wire.cap_rate, depth: wire.never_over_depth }),
+        ceiling: (wire.cap_rate > 0.0).then_some(Ceiling {
+            rate: wire.cap_rate,
+            depth: wire.never_over_depth,
+        }),
     }
 }
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -59,10 +59,24 @@
 }
 
 impl Request {
-    pub fn new(now: Micros, of: (ClassId, PlanId, CustomerId), units: f64, patience: Micros) -> Self {
+    pub fn new(
+        now: Micros,
+        of: (ClassId, PlanId, CustomerId),
+        units: f64,
+        patience: Micros,
+    ) -> Self {
         let (class, plan, customer) = of;
         let (units, deadline) = (units.max(0.0), now.saturating_add(patience));
-        Request { class, plan, customer, units, arrived: now, due: now, deadline, ..Request::default() }
+        Request {
+            class,
+            plan,
+            customer,
+            units,
+            arrived: now,
+            due: now,
+            deadline,
+            ..Request::default()
+        }
     }
 
     /// A stream has begun: no deadline any more, and nothing to call off.
@@ -79,8 +93,20 @@
     }
 
     pub fn attempt(&self, server: ServerId, sent: Micros, places: f64) -> Attempt {
-        let stage = if self.coming { Stage::Coming } else { Stage::Working };
-        Attempt { server, customer: self.customer, class: self.class, due: self.due, sent, places, stage }
+        let stage = if self.coming {
+            Stage::Coming
+        } else {
+            Stage::Working
+        };
+        Attempt {
+            server,
+            customer: self.customer,
+            class: self.class,
+            due: self.due,
+            sent,
+            places,
+            stage,
+        }
     }
 }
 
@@ -155,7 +181,8 @@
     /// Takes in a running count; how much it rose. Messages may be late, twice or out of order; after `silence` one that
     /// is lower has begun anew, as its sender had dropped the customer.
     pub fn steps(&mut self, now: Micros, silence: Micros, birth: u32, count: u16) -> u16 {
-        let anew = now.saturating_sub(std::mem::replace(&mut self.at, now)) > silence && count < self.count;
+        let anew = now.saturating_sub(std::mem::replace(&mut self.at, now)) > silence
+            && count < self.count;
         let steps = match self.birth {
             known if known == birth && anew => count,
             known if known == birth => count.wrapping_sub(self.count),
@@ -224,13 +251,18 @@
     pub fn sent_on(&mut self, now: Micros, units: f64, first: bool) {
         self.open += 1;
         if first {
-            (self.sent, self.sent_at, self.ceiling) = (self.sent + units, now, self.ceiling - units);
+            (self.sent, self.sent_at, self.ceiling) =
+                (self.sent + units, now, self.ceiling - units);
         }
     }
 
     /// The terms of a try that draws on it, for another process of this gateway.
     pub fn terms(&self, units: f64) -> TwinTerms {
-        TwinTerms { plan: self.plan, units, set: (self.first, self.spread as u32) }
+        TwinTerms {
+            plan: self.plan,
+            units,
+            set: (self.first, self.spread as u32),
+        }
     }
 }
 
@@ -298,7 +330,12 @@
 
 impl Server {
     pub fn unknown(entry: ServerEntry, now: Micros) -> Self {
-        Server { entry, learned: now, held: true, ..Server::default() }
+        Server {
+            entry,
+            learned: now,
+            held: true,
+            ..Server::default()
+        }
     }
 
     /// Takes in what the list says of it. One that started anew is unknown again.
@@ -306,7 +343,11 @@
         if self.entry.started != entry.started {
             let mut budget = self.rights();
             budget.begins(entry.started.unwrap_or(0), cold_for);
-            *self = Server { open: self.open, held: self.held, ..Server::unknown(entry, now) };
+            *self = Server {
+                open: self.open,
+                held: self.held,
+                ..Server::unknown(entry, now)
+            };
             self.budget = (budget != self.rights()).then(|| Box::new(budget));
         }
         self.entry = entry;
@@ -326,7 +367,9 @@
 
     /// Whether it started less than a span ago.
     pub fn is_young(&self, now: Micros, span: Micros) -> bool {
-        self.entry.started.is_some_and(|started| now < started.saturating_add(span))
+        self.entry
+            .started
+            .is_some_and(|started| now < started.saturating_add(span))
     }
 
     /// When its next trial may go, where it is out for a class.
@@ -363,7 +406,11 @@
 
     /// All of it, as another process reads it.
     pub fn whole(&self, classes: usize) -> Server {
-        let mut whole = Server { budget: Some(Box::new(self.rights())), held: false, ..self.clone() };
+        let mut whole = Server {
+            budget: Some(Box::new(self.rights())),
+            held: false,
+            ..self.clone()
+        };
         whole.learns(classes);
         whole
     }
@@ -378,7 +425,9 @@
     /// Takes in a rumour, of a class that there is; whether it tells of later than what is known.
     pub fn hear(&mut self, now: Micros, rumour: &Rumour, weight: f64, unknown: f64) -> bool {
         let seen = now.saturating_sub(rumour.age);
-        let Some(health) = self.health.get_mut(rumour.class.0) else { return false };
+        let Some(health) = self.health.get_mut(rumour.class.0) else {
+            return false;
+        };
         health.pool.mix(rumour.pool);
         let later = seen > health.seen;
         if later {
@@ -394,7 +443,9 @@
 
     /// Share of its capacity that it has at the least: 1 once it is warm.
     pub fn warmth(&self, rules: &Rules, now: Micros) -> f64 {
-        let Some(started) = self.entry.started else { return 1.0 };
+        let Some(started) = self.entry.started else {
+            return 1.0;
+        };
         let age = now.saturating_sub(started) as f64 / rules.cold_for.max(1) as f64;
         (rules.cold_from + (1.0 - rules.cold_from) * age).min(1.0)
     }
@@ -511,7 +562,13 @@
             born: now,
             begun: false,
             newcomer: false,
-            shortest_aim: settings.classes.iter().map(|class| class.aim).min().unwrap_or(1).max(1) as f64,
+            shortest_aim: settings
+                .classes
+                .iter()
+                .map(|class| class.aim)
+                .min()
+                .unwrap_or(1)
+                .max(1) as f64,
             lowest: ClassId(0),
             requests: BTreeMap::new(),
             waiting: Vec::new(),
@@ -519,7 +576,11 @@
             abroad: Abroad::new(),
             shared: false,
             hushed: false,
-            servers: Servers::new((settings.me, settings.gateways), classes, settings.working_set),
+            servers: Servers::new(
+                (settings.me, settings.gateways),
+                classes,
+                settings.working_set,
+            ),
             stores: BTreeMap::new(),
             wide: false,
             homes: BTreeMap::new(),
@@ -530,7 +591,10 @@
             deaf: 0,
             next_probe: now,
             cut: BTreeMap::new(),
-            fuzzy: Fuzzy { seen: vec![(0.0, 0.0); classes], ..Fuzzy::default() },
+            fuzzy: Fuzzy {
+                seen: vec![(0.0, 0.0); classes],
+                ..Fuzzy::default()
+            },
             spoke: vec![now; settings.gateways as usize],
             silence: vec![(0, 0.0); settings.gateways as usize],
             words: Words::default(),
@@ -572,7 +636,10 @@
         if let (0, Some(store)) = (request.attempts, self.stores.get_mut(&request.customer)) {
             store.level += request.units;
         }
-        request.asking.open.and_then(|(serial, _)| self.asks.remove(&serial));
+        request
+            .asking
+            .open
+            .and_then(|(serial, _)| self.asks.remove(&serial));
         Some(request)
     }
 
@@ -585,15 +652,29 @@
 
     /// Frees the places of an attempt that has ended, here or at another process of this gateway.
     pub(crate) fn release(&mut self, attempt: &Attempt) {
-        let (open, store) = (self.servers.open(&attempt.server), self.stores.get_mut(&attempt.customer));
-        let (here, counted) = (attempt.stage == Stage::Working, attempt.stage != Stage::Coming);
-        open.filter(|_| here).into_iter().for_each(|open| *open = open.saturating_sub(1));
-        store.filter(|_| counted).into_iter().for_each(|store| store.open = store.open.saturating_sub(1));
+        let (open, store) = (
+            self.servers.open(&attempt.server),
+            self.stores.get_mut(&attempt.customer),
+        );
+        let (here, counted) = (
+            attempt.stage == Stage::Working,
+            attempt.stage != Stage::Coming,
+        );
+        open.filter(|_| here)
+            .into_iter()
+            .for_each(|open| *open = open.saturating_sub(1));
+        store
+            .filter(|_| counted)
+            .into_iter()
+            .for_each(|store| store.open = store.open.saturating_sub(1));
     }
 
     /// All attempts that servers have in hand, those of other processes of this gateway among them.
     pub(crate) fn all_attempts(&self) -> impl Iterator<Item = &Attempt> {
-        let all = self.attempts.values().chain(self.abroad.values().map(|(_, attempt)| attempt));
+        let all = self
+            .attempts
+            .values()
+            .chain(self.abroad.values().map(|(_, attempt)| attempt));
         all.filter(|attempt| attempt.stage == Stage::Working)
     }
 
@@ -601,11 +682,26 @@
     pub(crate) fn evidence(&self, now: Micros, span: Micros) -> Vec<Rumour> {
         let mut all = Vec::new();
         for server in self.servers.lately().filter(|server| server.ready()) {
-            for (class, health) in server.health.iter().enumerate().filter(|(_, health)| health.seen > 0) {
-                let (age, named) = (now.saturating_sub(health.seen), message::short(server.entry.server));
+            for (class, health) in server
+                .health
+                .iter()
+                .enumerate()
+                .filter(|(_, health)| health.seen > 0)
+            {
+                let (age, named) = (
+                    now.saturating_sub(health.seen),
+                    message::short(server.entry.server),
+                );
                 let (class, failing) = (ClassId(class), health.failing);
                 let (pool, wait) = (health.pool, server.wait);
-                let rumour = Rumour { server: named, class, failing, pool, wait, age };
+                let rumour = Rumour {
+                    server: named,
+                    class,
+                    failing,
+                    pool,
+                    wait,
+                    age,
+                };
                 all.extend((age < span).then_some(rumour));
             }
         }
@@ -615,25 +711,43 @@
     /// Running counts of what was sent on, in steps of a unit: customers with peers that were busy within a
     /// span, the latest first.
     pub(crate) fn counts(&self, now: Micros, span: Micros, step: f64) -> Vec<(CustomerId, u16)> {
-        let told = |store: &Store| store.sent > 0.0 && store.spread > 1.0 && now <= store.sent_at + span;
-        let mut busy: Vec<_> = self.stores.iter().filter(|(_, store)| told(store)).collect();
+        let told =
+            |store: &Store| store.sent > 0.0 && store.spread > 1.0 && now <= store.sent_at + span;
+        let mut busy: Vec<_> = self
+            .stores
+            .iter()
+            .filter(|(_, store)| told(store))
+            .collect();
         busy.sort_by_key(|(customer, store)| (std::cmp::Reverse(store.sent_at), **customer));
         let count = |store: &Store| (store.sent / step).round() as u64 as u16;
-        busy.into_iter().map(|(customer, store)| (*customer, count(store))).collect()
+        busy.into_iter()
+            .map(|(customer, store)| (*customer, count(store)))
+            .collect()
     }
 
     /// W: the worst class's latency in aims, of all but the lowest-worth one; none while nothing is known.
     pub(crate) fn worst(&self) -> Option<f64> {
         let only = self.aims.len() == 1;
-        let aimed = self.aims.iter().enumerate().filter(|(class, _)| *class != self.lowest.0 || only);
-        aimed.map(|(_, mean)| *mean).max_by(f64::total_cmp).filter(|worst| *worst >= 0.0)
+        let aimed = self
+            .aims
+            .iter()
+            .enumerate()
+            .filter(|(class, _)| *class != self.lowest.0 || only);
+        aimed
+            .map(|(_, mean)| *mean)
+            .max_by(f64::total_cmp)
+            .filter(|worst| *worst >= 0.0)
     }
 
     pub(crate) fn plan_of(&self, customer: CustomerId) -> Option<&Plan> {
-        self.stores.get(&customer).map(|store| &self.settings.plans[store.plan.0])
+        self.stores
+            .get(&customer)
+            .map(|store| &self.settings.plans[store.plan.0])
     }
 
     pub(crate) fn open_of(&self, class: ClassId) -> f64 {
-        self.all_attempts().filter(|attempt| attempt.class == class).count() as f64
+        self.all_attempts()
+            .filter(|attempt| attempt.class == class)
+            .count() as f64
     }
 }
--- a/crates/policy/src/twin.rs
+++ b/crates/policy/src/twin.rs
@@ -40,15 +40,33 @@
 impl Gateway {
     /// All that the next process of this gateway has to know.
     pub fn keep(&self) -> Kept {
-        let held = self.attempts.iter().filter(|(_, attempt)| attempt.stage == Stage::Working);
+        let held = self
+            .attempts
+            .iter()
+            .filter(|(_, attempt)| attempt.stage == Stage::Working);
         let own = held.map(|((id, number), attempt)| attempt.told(id, *number));
-        let abroad = self.abroad.iter().map(|((id, number), (_, attempt))| attempt.told(id, *number));
+        let abroad = self
+            .abroad
+            .iter()
+            .map(|((id, number), (_, attempt))| attempt.told(id, *number));
         Kept {
             born: self.born,
             newcomer: self.newcomer,
-            stores: self.stores.iter().map(|(customer, store)| (*customer, store.clone())).collect(),
-            servers: self.servers.kept().map(|server| server.whole(self.settings.classes.len())).collect(),
-            homes: self.homes.iter().map(|(customer, store)| (*customer, store.clone())).collect(),
+            stores: self
+                .stores
+                .iter()
+                .map(|(customer, store)| (*customer, store.clone()))
+                .collect(),
+            servers: self
+                .servers
+                .kept()
+                .map(|server| server.whole(self.settings.classes.len()))
+                .collect(),
+            homes: self
+                .homes
+                .iter()
+                .map(|(customer, store)| (*customer, store.clone()))
+                .collect(),
             fuzzy: self.fuzzy.clone(),
             spoke: self.spoke.clone(),
             latency: self.latency,
@@ -72,11 +90,20 @@
         self.stores = kept.stores.into_iter().filter(fits).collect();
         let kept_here = |(_, home): &(CustomerId, Home)| home.plan.0 < plans && home.spread >= 1;
         self.homes = kept.homes.into_iter().filter(kept_here).collect();
-        let known = kept.servers.into_iter().filter(|server| server.health.len() == classes);
+        let known = kept
+            .servers
+            .into_iter()
+            .filter(|server| server.health.len() == classes);
         let lately = self.young_for();
         self.servers.resume(known, now, lately);
         if kept.fuzzy.seen.len() == classes && kept.aims.len() == classes {
-            (self.fuzzy, self.aims) = (Fuzzy { seen: vec![(0.0, 0.0); classes], ..kept.fuzzy }, kept.aims);
+            (self.fuzzy, self.aims) = (
+                Fuzzy {
+                    seen: vec![(0.0, 0.0); classes],
+                    ..kept.fuzzy
+                },
+                kept.aims,
+            );
         }
         if kept.spoke.len() == self.spoke.len() {
             self.spoke = kept.spoke;
@@ -93,16 +120,58 @@
 
 impl TwinOut {
     pub(crate) fn attempt(self, link: u32) -> ((RequestId, AttemptNo), (u32, Attempt)) {
-        let TwinOut { id, attempt, server, customer, class, due, sent, places, .. } = self;
+        let TwinOut {
+            id,
+            attempt,
+            server,
+            customer,
+            class,
+            due,
+            sent,
+            places,
+            ..
+        } = self;
         let stage = Stage::Working;
-        ((id, attempt), (link, Attempt { server, customer, class, due, sent, places, stage }))
+        (
+            (id, attempt),
+            (
+                link,
+                Attempt {
+                    server,
+                    customer,
+                    class,
+                    due,
+                    sent,
+                    places,
+                    stage,
+                },
+            ),
+        )
     }
 }
 
 impl Attempt {
     /// How it is told to another process. The terms of its try are told with a first attempt alone.
     pub(crate) fn told(&self, id: &RequestId, number: AttemptNo) -> TwinOut {
-        let Attempt { server, customer, class, due, sent, places, .. } = self.clone();
-        TwinOut { id: id.clone(), attempt: number, server, customer, class, due, sent, places, first: None }
+        let Attempt {
+            server,
+            customer,
+            class,
+            due,
+            sent,
+            places,
+            ..
+        } = self.clone();
+        TwinOut {
+            id: id.clone(),
+            attempt: number,
+            server,
+            customer,
+            class,
+            due,
+            sent,
+            places,
+            first: None,
+        }
     }
 }
--- a/crates/policy/src/words/tests.rs
+++ b/crates/policy/src/words/tests.rs
@@ -18,7 +18,10 @@
             }
         }
     }
-    assert!((said + again) as f64 <= 42.0 * 10.5, "{said} and {again} in 10 s");
+    assert!(
+        (said + again) as f64 <= 42.0 * 10.5,
+        "{said} and {again} in 10 s"
+    );
     assert!(again >= 100, "the rest is used: {again}");
 }
 
@@ -27,5 +30,8 @@
     let mut words = Words::default();
     words.said(1_000_000, 10_000.0, 42.0);
     assert!(!words.may(1_500_000, 42.0));
-    assert!(words.may(2_100_000, 42.0), "a flood of answers silences nobody for long");
+    assert!(
+        words.may(2_100_000, 42.0),
+        "a flood of answers silences nobody for long"
+    );
 }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -14,8 +14,16 @@
 pub const KEYED_ALL: ClassId = ClassId(3);
 
 pub fn settings(me: u32, gateways: u32) -> Settings {
-    let class = |worth, effect| Class { aim: 800 * MS, late_value: 0.2, worth, effect };
-    let keyed = |group| Effect::Keyed { group, window: 500 * MS };
+    let class = |worth, effect| Class {
+        aim: 800 * MS,
+        late_value: 0.2,
+        worth,
+        effect,
+    };
+    let keyed = |group| Effect::Keyed {
+        group,
+        window: 500 * MS,
+    };
     let plan = Plan {
         rate: 1.0,
         burst: 4.0,
@@ -25,7 +33,10 @@
         over_cost: 0.5,
         ceiling: None,
     };
-    let ceiling = Some(Ceiling { rate: 8.0, depth: 12.0 });
+    let ceiling = Some(Ceiling {
+        rate: 8.0,
+        depth: 12.0,
+    });
     Settings {
         me: GatewayId(me),
         gateways,
@@ -38,12 +49,34 @@
         ],
         plans: vec![
             plan.clone(),
-            Plan { rate: 0.0, ..plan.clone() },
-            Plan { rate: 1000.0, burst: 1000.0, ceiling, ..plan.clone() },
-            Plan { rate: 1000.0, burst: 1000.0, at_once: Some(2), ..plan },
+            Plan {
+                rate: 0.0,
+                ..plan.clone()
+            },
+            Plan {
+                rate: 1000.0,
+                burst: 1000.0,
+                ceiling,
+                ..plan.clone()
+            },
+            Plan {
+                rate: 1000.0,
+                burst: 1000.0,
+                at_once: Some(2),
+                ..plan
+            },
         ],
-        rules: Rules { cold_from: 0.2, cold_for: 10 * S, fall_multiple: 3.0, fall_window: S },
-        allowed: Allowed { attempts: 3, cancel: true, messages: true },
+        rules: Rules {
+            cold_from: 0.2,
+            cold_for: 10 * S,
+            fall_multiple: 3.0,
+            fall_window: S,
+        },
+        allowed: Allowed {
+            attempts: 3,
+            cancel: true,
+            messages: true,
+        },
         cross_zone: 0.0,
         discovery: Discovery::Pushed,
         period: 2 * MS,
@@ -124,18 +157,37 @@
         self.event(Event::Servers { kind, entries });
     }
 
-    pub fn request(&mut self, class: ClassId, plan: usize, customer: u64, patience: Micros) -> RequestId {
-        self.request_of(class, plan, (customer, GatewayId(0), self.settings.gateways), patience)
+    pub fn request(
+        &mut self,
+        class: ClassId,
+        plan: usize,
+        customer: u64,
+        patience: Micros,
+    ) -> RequestId {
+        self.request_of(
+            class,
+            plan,
+            (customer, GatewayId(0), self.settings.gateways),
+            patience,
+        )
     }
 
     /// The same of a customer with a set of its own.
     pub fn request_of(
-        &mut self, class: ClassId, plan: usize, (customer, first, spread): (u64, GatewayId, u32),
+        &mut self,
+        class: ClassId,
+        plan: usize,
+        (customer, first, spread): (u64, GatewayId, u32),
         patience: Micros,
     ) -> RequestId {
         self.next += 1;
         let id = RequestId(format!("r{}", self.next).into());
-        let told = Told { class: class.0, deadline: self.now + patience, open: true, ..Told::default() };
+        let told = Told {
+            class: class.0,
+            deadline: self.now + patience,
+            open: true,
+            ..Told::default()
+        };
         self.told.insert(id.clone(), told);
         self.event(Event::Request {
             id: id.clone(),
@@ -152,19 +204,31 @@
     }
 
     pub fn end(&mut self, id: &RequestId, outcome: Outcome) -> Vec<Action> {
-        let place = self.out.iter().position(|(out, _, _)| out == id).expect("an attempt is out");
+        let place = self
+            .out
+            .iter()
+            .position(|(out, _, _)| out == id)
+            .expect("an attempt is out");
         let (id, attempt, server) = self.out.remove(place);
         let told = self.told.get_mut(&id).expect("known");
         told.out = false;
         told.unsent += u32::from(outcome == Outcome::NotSent);
-        if !matches!(outcome, Outcome::Full | Outcome::Unreachable | Outcome::NotSent) {
+        if !matches!(
+            outcome,
+            Outcome::Full | Outcome::Unreachable | Outcome::NotSent
+        ) {
             told.ran.get_or_insert((server.0 % 2, self.now));
         }
         let closed = outcome == Outcome::Ok || !told.open;
         if outcome == Outcome::Ok {
             told.open = false;
         }
-        self.event(Event::Ended { id, attempt, outcome, closed })
+        self.event(Event::Ended {
+            id,
+            attempt,
+            outcome,
+            closed,
+        })
     }
 
     pub fn event(&mut self, event: Event) -> Vec<Action> {
@@ -182,13 +246,21 @@
         let (end, mut actions) = (self.now + span, Vec::new());
         while self.now < end {
             self.now += 2 * MS;
-            let due: Vec<_> = self.wakes.iter().copied().filter(|(at, _)| *at <= self.now).collect();
+            let due: Vec<_> = self
+                .wakes
+                .iter()
+                .copied()
+                .filter(|(at, _)| *at <= self.now)
+                .collect();
             self.wakes.retain(|(at, _)| *at > self.now);
             for (_, token) in due {
                 actions.extend(self.event(Event::Woke { token }));
             }
             for (id, told) in &self.told {
-                assert!(!told.open || self.now <= told.deadline + 8 * MS, "rule 1: {id:?} had no answer");
+                assert!(
+                    !told.open || self.now <= told.deadline + 8 * MS,
+                    "rule 1: {id:?} had no answer"
+                );
             }
         }
         actions
@@ -202,13 +274,23 @@
                 assert!(told.open, "rule 1: sent after its answer");
                 assert!(!told.out, "rule 2: two attempts at once");
                 let most = self.settings.allowed.attempts;
-                assert!(told.sent - told.unsent < most && told.sent < 2 * most, "too many attempts");
-                assert_eq!(self.list[server].standing, Standing::Ready, "rule 3: sent to a draining server");
+                assert!(
+                    told.sent - told.unsent < most && told.sent < 2 * most,
+                    "too many attempts"
+                );
+                assert_eq!(
+                    self.list[server].standing,
+                    Standing::Ready,
+                    "rule 3: sent to a draining server"
+                );
                 match (told.ran, effect(told, &self.settings)) {
                     (None, _) | (_, Effect::Safe) => {}
                     (Some(_), Effect::Unsafe) => panic!("rule 2: unsafe sent again"),
                     (Some((cell, _)), Effect::Keyed { group, .. }) => {
-                        assert!(group == Group::All || cell == server.0 % 2, "rule 2: left its group");
+                        assert!(
+                            group == Group::All || cell == server.0 % 2,
+                            "rule 2: left its group"
+                        );
                     }
                 }
                 self.out.push((id.clone(), AttemptNo(told.sent), *server));
@@ -220,9 +302,20 @@
                 told.open = false;
                 let refused = matches!(action, Action::Refuse { .. });
                 let maybe = told.ran.is_some() || told.out;
-                let all = |effect| matches!(effect, Effect::Keyed { group: Group::All, .. });
+                let all = |effect| {
+                    matches!(
+                        effect,
+                        Effect::Keyed {
+                            group: Group::All,
+                            ..
+                        }
+                    )
+                };
                 let effect = effect(told, &self.settings);
-                assert!(!refused || !maybe || effect == Effect::Safe || all(effect), "rule 2: refused");
+                assert!(
+                    !refused || !maybe || effect == Effect::Safe || all(effect),
+                    "rule 2: refused"
+                );
             }
             Action::Wake { after, token } => self.wakes.push((self.now + after, *token)),
             Action::TellAll { bytes } | Action::Tell { bytes, .. } => {
@@ -239,5 +332,8 @@
 }
 
 pub fn sends(actions: &[Action]) -> usize {
-    actions.iter().filter(|action| matches!(action, Action::Send { .. })).count()
+    actions
+        .iter()
+        .filter(|action| matches!(action, Action::Send { .. }))
+        .count()
 }
--- a/crates/policy/tests/module.rs
+++ b/crates/policy/tests/module.rs
@@ -22,12 +22,18 @@
 
 #[test]
 fn change_rules_hold_the_printed_entry_and_the_zones() {
-    assert!((change_of(1.0 / 3.0, 2.0 / 3.0) + 1.0).abs() < 1e-9, "(PS, PM) is NL");
+    assert!(
+        (change_of(1.0 / 3.0, 2.0 / 3.0) + 1.0).abs() < 1e-9,
+        "(PS, PM) is NL"
+    );
     assert!(change_of(0.0, 0.0).abs() < 1e-9);
     for error in steps() {
         for change in steps() {
             let here = change_of(error, change);
-            assert!((here + change_of(-error, -change)).abs() < 1e-9, "odd at {error} {change}");
+            assert!(
+                (here + change_of(-error, -change)).abs() < 1e-9,
+                "odd at {error} {change}"
+            );
             assert!(change_of((error + 1.0 / 3.0).min(1.0), change) <= here + 1e-9);
             assert!(change_of(error, (change + 1.0 / 3.0).min(1.0)) <= here + 1e-9);
         }
@@ -40,7 +46,10 @@
     assert!(alpha_of(0.0, 0.0).abs() < 1e-9);
     assert!(alpha_of(-1.0, -1.0) > 0.9 && alpha_of(-1.0, 1.0) < 0.3);
     assert!(alpha_of(0.0, -1.0) > 0.9, "a disturbance");
-    assert!(alpha_of(1.0 / 3.0, -1.0 / 3.0) < 0.2, "positive small, negative small");
+    assert!(
+        alpha_of(1.0 / 3.0, -1.0 / 3.0) < 0.2,
+        "positive small, negative small"
+    );
     for error in steps() {
         for change in steps() {
             let alpha = alpha_of(error, change);
@@ -59,15 +68,29 @@
             stand.end(&id, Outcome::Ok);
         }
     }
-    let refused = stand.log.iter().filter(|action| matches!(action, Action::Refuse { .. })).count();
+    let refused = stand
+        .log
+        .iter()
+        .filter(|action| matches!(action, Action::Refuse { .. }))
+        .count();
     assert_eq!((sends(&stand.log), refused), (4, 1), "a burst of 4");
     let before = sends(&stand.log);
-    stand.event(Event::Peer { from: GatewayId(1), bytes: vec![2, 0, 1, 0, 0, 0] });
+    stand.event(Event::Peer {
+        from: GatewayId(1),
+        bytes: vec![2, 0, 1, 0, 0, 0],
+    });
     stand.now += 700 * MS;
-    stand.event(Event::Peer { from: GatewayId(1), bytes: vec![2, 0, 1, 0, 0, 0] });
+    stand.event(Event::Peer {
+        from: GatewayId(1),
+        bytes: vec![2, 0, 1, 0, 0, 0],
+    });
     stand.now += 700 * MS;
     stand.request(SAFE, 0, 7, 2 * S);
-    assert_eq!(sends(&stand.log), before + 1, "1.4 units later one is covered");
+    assert_eq!(
+        sends(&stand.log),
+        before + 1,
+        "1.4 units later one is covered"
+    );
 }
 
 /// Held back until its store covers it, a client would wait in vain; it is told when to come back instead.
@@ -95,7 +118,10 @@
         assert_eq!(sent(&mut stand), at_once.floor(), "{gateways} gateways");
         stand.pass(S);
         let again = sent(&mut stand);
-        assert!(again <= (16.0 * part + 1.0).min(at_once), "{gateways} gateways: {again} a second later");
+        assert!(
+            again <= (16.0 * part + 1.0).min(at_once),
+            "{gateways} gateways: {again} a second later"
+        );
     }
 }
 
@@ -135,7 +161,11 @@
     for _ in 0..4 {
         assert_eq!(advice(0), None, "the burst is sent on");
     }
-    assert_eq!(advice(0), Some(100 * MS), "a whole unit is missing, but the aim would be over");
+    assert_eq!(
+        advice(0),
+        Some(100 * MS),
+        "a whole unit is missing, but the aim would be over"
+    );
     let soon = advice(950 * MS).expect("still short");
     assert!((49 * MS..51 * MS).contains(&soon), "{soon}");
     assert_eq!(advice(50 * MS), None, "it is covered then");
@@ -153,7 +183,10 @@
             granted += 1;
         }
     }
-    assert!((6..=9).contains(&granted), "burst share 2 and half of 1 a second: {granted}");
+    assert!(
+        (6..=9).contains(&granted),
+        "burst share 2 and half of 1 a second: {granted}"
+    );
 }
 
 fn message(birth: u32, customer: u64, count: u16) -> Event {
@@ -161,7 +194,10 @@
     bytes.extend(birth.to_le_bytes());
     bytes.extend(&customer.to_le_bytes()[..5]);
     bytes.extend((count * 8).to_le_bytes());
-    Event::Peer { from: GatewayId(1), bytes }
+    Event::Peer {
+        from: GatewayId(1),
+        bytes,
+    }
 }
 
 #[test]
@@ -200,9 +236,15 @@
 fn noise_from_peers_is_passed_over() {
     let mut stand = Stand::with_servers(1, settings(0, 2), S, 4);
     for bytes in [vec![], vec![9; 40], vec![1], vec![1; 300], vec![1; 13]] {
-        stand.event(Event::Peer { from: GatewayId(1), bytes });
+        stand.event(Event::Peer {
+            from: GatewayId(1),
+            bytes,
+        });
     }
-    stand.event(Event::Peer { from: GatewayId(77), bytes: vec![1; 12] });
+    stand.event(Event::Peer {
+        from: GatewayId(77),
+        bytes: vec![1; 12],
+    });
     let id = stand.request(SAFE, 0, 7, 2 * S);
     assert_eq!(stand.out[0].0, id);
 }
@@ -211,7 +253,9 @@
 fn the_ceiling_holds_over_gateways_with_loss_and_restarts() {
     for seed in 0..6 {
         let mut random = fastrand::Rng::with_seed(seed);
-        let mut stands: Vec<_> = (0..3).map(|me| Stand::with_servers(seed, settings(me, 3), S, 6)).collect();
+        let mut stands: Vec<_> = (0..3)
+            .map(|me| Stand::with_servers(seed, settings(me, 3), S, 6))
+            .collect();
         let (mut store, mut sent) = (12.0f64, 0);
         for tick in 0..4000u64 {
             let now = S + tick * 5 * MS;
@@ -223,7 +267,12 @@
             for stand in &mut stands {
                 stand.now = now;
                 let before = sends(&stand.log);
-                let due: Vec<_> = stand.wakes.iter().copied().filter(|(at, _)| *at <= now).collect();
+                let due: Vec<_> = stand
+                    .wakes
+                    .iter()
+                    .copied()
+                    .filter(|(at, _)| *at <= now)
+                    .collect();
                 stand.wakes.retain(|(at, _)| *at > now);
                 for (_, token) in due {
                     stand.event(Event::Woke { token });
@@ -250,7 +299,10 @@
     let mut stand = Stand::with_servers(1, settings(0, 2), S, 4);
     for number in 0..300 {
         let fresh = 4 + number;
-        let gone = ServerEntry { standing: Standing::Gone, ..entry(number) };
+        let gone = ServerEntry {
+            standing: Standing::Gone,
+            ..entry(number)
+        };
         stand.servers(ListKind::Changes, vec![gone, entry(fresh)]);
         stand.request(SAFE, (number % 4) as usize, 1000 + number, 2 * S);
         for (id, _, _) in stand.out.clone() {
@@ -310,7 +362,11 @@
         }
         sends(&stand.log)
     };
-    assert_eq!((sent(99_000), sent(50_000)), (4, 2), "a burst of 4, and its even part");
+    assert_eq!(
+        (sent(99_000), sent(50_000)),
+        (4, 2),
+        "a burst of 4, and its even part"
+    );
 }
 
 /// One request that names a wrong plan neither fixes it for good, coming first, nor takes the right one away.
@@ -362,8 +418,7 @@
     for (class, patience) in [(SAFE, 2 * S), (UNSAFE, S), (KEYED, 600 * MS)] {
         let id = stand.request(class, 1, 7, patience);
         stand.pass(patience / 2);
-        let refused =
-            |action: &Action| matches!(action, Action::Refuse { id: of, retry_in: Some(_) } if *of == id);
+        let refused = |action: &Action| matches!(action, Action::Refuse { id: of, retry_in: Some(_) } if *of == id);
         assert!(stand.log.iter().any(refused), "{class:?}");
     }
 }
@@ -374,7 +429,11 @@
     let mut stand = Stand::with_servers(1, settings(0, 2), S, 4);
     stand.request(SAFE, 1, 7, 9 * S);
     assert_eq!(stand.out.len(), 1);
-    let cancels = |actions: &[Action]| actions.iter().any(|action| matches!(action, Action::Cancel { .. }));
+    let cancels = |actions: &[Action]| {
+        actions
+            .iter()
+            .any(|action| matches!(action, Action::Cancel { .. }))
+    };
     stand.now += 1500 * MS;
     let late = stand.event(Event::Woke { token: 0 });
     assert!(!cancels(&late));
@@ -398,7 +457,15 @@
 fn outcomes_against_effects() {
     use Outcome::*;
     for class in [SAFE, KEYED, UNSAFE, KEYED_ALL] {
-        for outcome in [Error, Full, TimedOut, Unreachable, Broken, Cancelled, NotSent] {
+        for outcome in [
+            Error,
+            Full,
+            TimedOut,
+            Unreachable,
+            Broken,
+            Cancelled,
+            NotSent,
+        ] {
             let mut stand = Stand::with_servers(3, settings(0, 1), S, 4);
             let id = stand.request(class, 1, 7, 2 * S);
             let server = stand.out[0].2;
@@ -427,14 +494,23 @@
             assert_eq!(sends(&stand.end(&id, Outcome::NotSent)), 1, "{class:?}");
         }
         for _ in 1..stand.settings.allowed.attempts {
-            assert_eq!(sends(&stand.end(&id, Outcome::Unreachable)), 1, "{class:?}: all of its own are left");
+            assert_eq!(
+                sends(&stand.end(&id, Outcome::Unreachable)),
+                1,
+                "{class:?}: all of its own are left"
+            );
         }
         assert_eq!(sends(&stand.end(&id, Outcome::Unreachable)), 0, "{class:?}");
     }
     let mut stand = Stand::with_servers(3, settings(0, 1), S, 4);
     let id = stand.request(SAFE, 1, 7, 2 * S);
-    let again = (0..100).take_while(|_| sends(&stand.end(&id, Outcome::NotSent)) == 1).count();
-    assert!(again < 2 * stand.settings.allowed.attempts as usize, "{again}");
+    let again = (0..100)
+        .take_while(|_| sends(&stand.end(&id, Outcome::NotSent)) == 1)
+        .count();
+    assert!(
+        again < 2 * stand.settings.allowed.attempts as usize,
+        "{again}"
+    );
 }
 
 #[test]
@@ -453,7 +529,8 @@
     for patience in [0, 1, 5 * MS, 19 * MS] {
         let mut stand = Stand::with_servers(3, settings(0, 1), S, 0);
         let id = stand.request(UNSAFE, 1, 7, patience);
-        let refused = |action: &Action| matches!(action, Action::Refuse { id: told, .. } if *told == id);
+        let refused =
+            |action: &Action| matches!(action, Action::Refuse { id: told, .. } if *told == id);
         assert!(stand.log.iter().any(refused));
     }
 }
@@ -461,7 +538,13 @@
 #[test]
 fn nothing_new_goes_to_a_draining_or_missing_server() {
     let mut stand = Stand::with_servers(3, settings(0, 1), S, 2);
-    stand.servers(ListKind::Changes, vec![ServerEntry { standing: Standing::Draining, ..entry(0) }]);
+    stand.servers(
+        ListKind::Changes,
+        vec![ServerEntry {
+            standing: Standing::Draining,
+            ..entry(0)
+        }],
+    );
     for _ in 0..3 {
         stand.request(SAFE, 1, 7, S);
     }
@@ -482,7 +565,10 @@
             stand.end(&id, Outcome::Ok);
         }
     }
-    let cold = ServerEntry { started: Some(stand.now), ..entry(9) };
+    let cold = ServerEntry {
+        started: Some(stand.now),
+        ..entry(9)
+    };
     stand.servers(ListKind::Complete, vec![cold]);
     let mut sent = 0;
     for _ in 0..50 {
@@ -504,8 +590,14 @@
     let id = stand.request(SAFE, 1, 7, 3 * S);
     let server = stand.out[0].2;
     let actions = stand.pass(700 * MS);
-    assert!(actions.contains(&Action::Cancel { id: id.clone(), attempt: AttemptNo(0) }));
-    assert!(stand.log.iter().any(|action| matches!(action, Action::Log(_))));
+    assert!(actions.contains(&Action::Cancel {
+        id: id.clone(),
+        attempt: AttemptNo(0)
+    }));
+    assert!(stand
+        .log
+        .iter()
+        .any(|action| matches!(action, Action::Log(_))));
     stand.end(&id, Outcome::Cancelled);
     assert_ne!(stand.out[0].2, server, "sent elsewhere");
 }
@@ -520,7 +612,11 @@
         for _ in 0..16 {
             stand.pass(150 * MS);
             // With a limit of its own, what is out is served soon; without one, all hangs.
-            for (id, _, _) in if plan == 3 { stand.out.clone() } else { Vec::new() } {
+            for (id, _, _) in if plan == 3 {
+                stand.out.clone()
+            } else {
+                Vec::new()
+            } {
                 stand.end(&id, Outcome::Ok);
             }
         }
@@ -540,7 +636,14 @@
             stand.pass(10 * MS);
             if step % 2 == 0 {
                 if let Some((id, _, _)) = stand.out.first().cloned() {
-                    stand.end(&id, if step % 3 == 0 { Outcome::Error } else { Outcome::Ok });
+                    stand.end(
+                        &id,
+                        if step % 3 == 0 {
+                            Outcome::Error
+                        } else {
+                            Outcome::Ok
+                        },
+                    );
                 }
             }
         }
@@ -557,11 +660,23 @@
         Gateway::new(1, settings, 0).err()
     };
     assert_eq!(try_with(&|_| {}), None);
-    assert_eq!(try_with(&|s| s.classes.clear()), Some(SettingsError::NoClasses));
+    assert_eq!(
+        try_with(&|s| s.classes.clear()),
+        Some(SettingsError::NoClasses)
+    );
     assert_eq!(try_with(&|s| s.plans.clear()), Some(SettingsError::NoPlans));
-    assert_eq!(try_with(&|s| s.me = GatewayId(4)), Some(SettingsError::BadGateway));
-    assert_eq!(try_with(&|s| s.plans[0].rate = -1.0), Some(SettingsError::BadFigure));
-    assert_eq!(try_with(&|s| s.classes[0].worth = f64::NAN), Some(SettingsError::BadFigure));
+    assert_eq!(
+        try_with(&|s| s.me = GatewayId(4)),
+        Some(SettingsError::BadGateway)
+    );
+    assert_eq!(
+        try_with(&|s| s.plans[0].rate = -1.0),
+        Some(SettingsError::BadFigure)
+    );
+    assert_eq!(
+        try_with(&|s| s.classes[0].worth = f64::NAN),
+        Some(SettingsError::BadFigure)
+    );
 }
 
 /// Many gateways, each with one out at every slow server, would overdrive them all.
@@ -601,20 +716,39 @@
             match random.u32(0..14) {
                 0..=3 => {
                     let class = ClassId(random.usize(0..4));
-                    let patience =
-                        if random.u8(0..9) == 0 { random.u64(0..30 * MS) } else { random.u64(MS..3 * S) };
+                    let patience = if random.u8(0..9) == 0 {
+                        random.u64(0..30 * MS)
+                    } else {
+                        random.u64(MS..3 * S)
+                    };
                     stand.request(class, random.usize(0..4), random.u64(0..6), patience);
                 }
                 4..=7 if !stand.out.is_empty() => {
                     use Outcome::*;
-                    let all = [Ok, Ok, Ok, Error, Full, TimedOut, Unreachable, Broken, Cancelled, NotSent];
+                    let all = [
+                        Ok,
+                        Ok,
+                        Ok,
+                        Error,
+                        Full,
+                        TimedOut,
+                        Unreachable,
+                        Broken,
+                        Cancelled,
+                        NotSent,
+                    ];
                     let (id, _, _) = stand.out[random.usize(0..stand.out.len())].clone();
                     stand.end(&id, all[random.usize(0..all.len())]);
                 }
                 8 => {
-                    let standing = [Standing::Ready, Standing::Draining, Standing::Gone][random.usize(0..3)];
+                    let standing =
+                        [Standing::Ready, Standing::Draining, Standing::Gone][random.usize(0..3)];
                     let started = random.bool().then_some(stand.now);
-                    let entries = vec![ServerEntry { standing, started, ..entry(random.u64(0..8)) }];
+                    let entries = vec![ServerEntry {
+                        standing,
+                        started,
+                        ..entry(random.u64(0..8))
+                    }];
                     stand.servers(ListKind::Changes, entries);
                 }
                 9 if random.u8(0..5) == 0 => {
@@ -623,7 +757,10 @@
                 }
                 10 => {
                     let bytes = (0..random.usize(0..300)).map(|_| random.u8(0..3)).collect();
-                    stand.event(Event::Peer { from: GatewayId(1), bytes });
+                    stand.event(Event::Peer {
+                        from: GatewayId(1),
+                        bytes,
+                    });
                 }
                 11 if !stand.out.is_empty() && random.u8(0..4) == 0 => {
                     let (id, _, _) = stand.out[0].clone();
@@ -636,10 +773,14 @@
         }
         stand.pass(4 * S);
         sent += sends(&stand.log);
-        let answer = |action: &&Action| matches!(action, Action::Refuse { .. } | Action::Fail { .. });
+        let answer =
+            |action: &&Action| matches!(action, Action::Refuse { .. } | Action::Fail { .. });
         answered += stand.log.iter().filter(answer).count();
     }
-    assert!(sent > 3000 && answered > 1000, "the days were worth watching: {sent} {answered}");
+    assert!(
+        sent > 3000 && answered > 1000,
+        "the days were worth watching: {sent} {answered}"
+    );
 }
 
 // ---- Hundreds of gateways ----
@@ -664,7 +805,14 @@
         let stands: Vec<_> = (0..gateways).map(stand).collect();
         let read = vec![0; stands.len()];
         let random = fastrand::Rng::with_seed(7);
-        Fleet { stands, random, mail: Vec::new(), told: 0, most_heard: BTreeMap::new(), read }
+        Fleet {
+            stands,
+            random,
+            mail: Vec::new(),
+            told: 0,
+            most_heard: BTreeMap::new(),
+            read,
+        }
     }
 
     /// Lets time pass everywhere; what was told arrives late, a tenth of it never and a twentieth twice.
@@ -676,7 +824,8 @@
                 self.collect(place);
             }
             let now = self.stands[0].now;
-            let (due, later): (Vec<_>, Vec<_>) = self.mail.drain(..).partition(|(at, ..)| *at <= now);
+            let (due, later): (Vec<_>, Vec<_>) =
+                self.mail.drain(..).partition(|(at, ..)| *at <= now);
             self.mail = later;
             for (_, to, event) in due {
                 *self.most_heard.entry(to).or_default() += 1;
@@ -689,12 +838,21 @@
     fn collect(&mut self, from: usize) {
         let stand = &self.stands[from];
         for action in &stand.log[self.read[from]..] {
-            let Action::Tell { to, bytes } = action else { continue };
+            let Action::Tell { to, bytes } = action else {
+                continue;
+            };
             self.told += 1;
             for copy in 0..2 {
                 if self.random.u8(0..20) < if copy == 0 { 18 } else { 1 } {
-                    let event = Event::Peer { from: GatewayId(from as u32), bytes: bytes.clone() };
-                    self.mail.push((stand.now + self.random.u64(5..40) * MS, to.0 as usize, event));
+                    let event = Event::Peer {
+                        from: GatewayId(from as u32),
+                        bytes: bytes.clone(),
+                    };
+                    self.mail.push((
+                        stand.now + self.random.u64(5..40) * MS,
+                        to.0 as usize,
+                        event,
+                    ));
                 }
             }
         }
@@ -746,7 +904,10 @@
     // A burst of 4 and 4 a second over 10 s, of 200 that were asked for.
     assert!((30..=54).contains(&sent), "{sent}");
     let busiest = fleet.most_heard.values().max().copied().unwrap_or(0);
-    assert!(busiest <= 600, "messages to one gateway stay under its intake: {busiest} in 10 s");
+    assert!(
+        busiest <= 600,
+        "messages to one gateway stay under its intake: {busiest} in 10 s"
+    );
     assert!(fleet.told <= 1400, "and are few: {}", fleet.told);
 }
 
@@ -802,10 +963,21 @@
 fn hundreds_of_gateways_do_not_push_a_cold_server_over() {
     let mut by_second = [0; 5];
     for me in 0..300 {
-        let mut gateway = Gateway::new(u64::from(me), settings(me, 300), S).expect("sound settings");
-        let entries = vec![ServerEntry { started: Some(S), ..entry(0) }];
+        let mut gateway =
+            Gateway::new(u64::from(me), settings(me, 300), S).expect("sound settings");
+        let entries = vec![ServerEntry {
+            started: Some(S),
+            ..entry(0)
+        }];
         let mut actions = Vec::new();
-        gateway.handle(S, Event::Servers { kind: ListKind::Complete, entries }, &mut actions);
+        gateway.handle(
+            S,
+            Event::Servers {
+                kind: ListKind::Complete,
+                entries,
+            },
+            &mut actions,
+        );
         for step in 0..500u64 {
             let now = S + step * 10 * MS;
             gateway.handle(now, Event::Woke { token: 0 }, &mut actions);
@@ -814,8 +986,17 @@
                 let id = RequestId(format!("c{step}").into());
                 let (class, plan, customer) = (SAFE, PlanId(1), CustomerId(9));
                 let (first, spread, units, patience) = (GatewayId(me), 1, 1.0, S);
-                let event =
-                    Event::Request { id, class, plan, customer, units, first, spread, patience, whole: true };
+                let event = Event::Request {
+                    id,
+                    class,
+                    plan,
+                    customer,
+                    units,
+                    first,
+                    spread,
+                    patience,
+                    whole: true,
+                };
                 gateway.handle(now, event, &mut actions);
             }
             by_second[(step / 100) as usize] += sends(&actions);
@@ -824,7 +1005,10 @@
     }
     // Blind, a fifth to half warm: a part of 1.5 a second for all gateways, and what chance adds.
     assert!(by_second.iter().all(|sent| *sent <= 5), "{by_second:?}");
-    assert!(by_second.iter().sum::<usize>() >= 1, "it is used all the same");
+    assert!(
+        by_second.iter().sum::<usize>() >= 1,
+        "it is used all the same"
+    );
 }
 
 #[test]
@@ -835,7 +1019,10 @@
         for size in 0..80 {
             let mut bytes = vec![2, kind];
             bytes.extend((0..size).map(|_| random.u8(..)));
-            stand.event(Event::Peer { from: GatewayId(5), bytes });
+            stand.event(Event::Peer {
+                from: GatewayId(5),
+                bytes,
+            });
         }
     }
     // One peer's word, however often, shuts no server out: all four are still used.
@@ -861,7 +1048,10 @@
         bytes.extend(short.to_le_bytes());
         bytes.extend([7 * 32 + 31, 60, 1, 0]);
         stand.pass(S);
-        stand.event(Event::Peer { from: GatewayId(5), bytes });
+        stand.event(Event::Peer {
+            from: GatewayId(5),
+            bytes,
+        });
     }
     assert_eq!(stand.gateway.rotation(), (4, 0));
 }
@@ -899,11 +1089,18 @@
         }
         stand.pass(40 * MS);
     }
-    assert!(beside > 60, "{beside} of 300 went to the healthy server of that zone");
+    assert!(
+        beside > 60,
+        "{beside} of 300 went to the healthy server of that zone"
+    );
 }
 
 /// One try of a customer of this gateway's own, whose attempts are all answered so; the server that got the first.
-fn one_try(stand: &mut Stand, number: u64, outcome: impl Fn(ServerId) -> Outcome) -> Option<ServerId> {
+fn one_try(
+    stand: &mut Stand,
+    number: u64,
+    outcome: impl Fn(ServerId) -> Outcome,
+) -> Option<ServerId> {
     let me = stand.settings.me;
     let (id, mut first) = (stand.request_of(SAFE, 1, (number, me, 1), 2 * S), None);
     stand.pass(50 * MS);
@@ -923,7 +1120,9 @@
     let (mut last, mut handshakes) = (BTreeMap::new(), 0);
     for number in 0..240 {
         let server = one_try(&mut stand, number, |_| Outcome::Ok).expect("it is sent on");
-        let kept = last.insert(server, stand.now).is_some_and(|at| stand.now - at < 9 * S);
+        let kept = last
+            .insert(server, stand.now)
+            .is_some_and(|at| stand.now - at < 9 * S);
         handshakes += u32::from(!kept);
     }
     assert!(handshakes <= 80, "{handshakes} of 240");
@@ -933,14 +1132,27 @@
 #[test]
 fn kept_connections_to_servers_that_fail_are_left() {
     let mut stand = Stand::with_servers(3, settings(0, 300), S, 100);
-    let kept: std::collections::BTreeSet<_> =
-        (0..100).filter_map(|number| one_try(&mut stand, number, |_| Outcome::Ok)).collect();
+    let kept: std::collections::BTreeSet<_> = (0..100)
+        .filter_map(|number| one_try(&mut stand, number, |_| Outcome::Ok))
+        .collect();
     assert!(kept.len() < 60, "{}", kept.len());
-    let fails = |server| if kept.contains(&server) { Outcome::Error } else { Outcome::Ok };
-    let met: Vec<_> = (100..300).filter_map(|number| one_try(&mut stand, number, fails)).collect();
+    let fails = |server| {
+        if kept.contains(&server) {
+            Outcome::Error
+        } else {
+            Outcome::Ok
+        }
+    };
+    let met: Vec<_> = (100..300)
+        .filter_map(|number| one_try(&mut stand, number, fails))
+        .collect();
     let late = &met[met.len() / 2..];
     let bad = late.iter().filter(|server| kept.contains(server)).count();
-    assert!(late.len() > 50 && bad * 4 < late.len(), "{bad} of {}", late.len());
+    assert!(
+        late.len() > 50 && bad * 4 < late.len(),
+        "{bad} of {}",
+        late.len()
+    );
 }
 
 /// What each gateway keeps to is its own draw, so that all together load the servers evenly.
@@ -990,7 +1202,13 @@
         if round == 36 {
             for stand in &mut fleet.stands {
                 let started = Some(stand.now);
-                stand.servers(ListKind::Changes, vec![ServerEntry { started, ..entry(99) }]);
+                stand.servers(
+                    ListKind::Changes,
+                    vec![ServerEntry {
+                        started,
+                        ..entry(99)
+                    }],
+                );
             }
         }
         let (at_warm, at_cold) = a_round(&mut fleet, &mut customer);
@@ -1002,7 +1220,10 @@
     let does = warm as f64 / 36.0 * 24.0 / 12.0;
     let bears = does * 0.3;
     assert!(does > 40.0, "{does}");
-    assert!((0.8 * bears..2.0 * bears).contains(&(cold as f64)), "{cold} of {bears}");
+    assert!(
+        (0.8 * bears..2.0 * bears).contains(&(cold as f64)),
+        "{cold} of {bears}"
+    );
 }
 
 /// Danger: what all servers did lately, taken for the work of the few that are left: a cold one is sent several times what it bears.
@@ -1014,19 +1235,32 @@
     for round in 0..60 {
         if round == 50 {
             for stand in &mut fleet.stands {
-                let gone = |server| ServerEntry { standing: Standing::Gone, ..entry(server) };
-                let fresh = ServerEntry { started: Some(stand.now), ..entry(99) };
+                let gone = |server| ServerEntry {
+                    standing: Standing::Gone,
+                    ..entry(server)
+                };
+                let fresh = ServerEntry {
+                    started: Some(stand.now),
+                    ..entry(99)
+                };
                 let entries = (4..12).map(gone).chain([fresh]).collect();
                 stand.servers(ListKind::Changes, entries);
             }
         }
         let (at_warm, at_cold) = a_round(&mut fleet, &mut customer);
-        warm += if (20..50).contains(&round) { at_warm } else { 0 };
+        warm += if (20..50).contains(&round) {
+            at_warm
+        } else {
+            0
+        };
         cold += at_cold;
     }
     // One of twelve did this many in ten rounds; a cold one has a fifth of its capacity, and is sent 1.2 times what that makes.
     let bears = warm as f64 / 30.0 * 10.0 / 12.0 * 0.2;
-    assert!(bears > 3.0 && cold as f64 <= 2.0 * bears, "{cold} of {bears}");
+    assert!(
+        bears > 3.0 && cold as f64 <= 2.0 * bears,
+        "{cold} of {bears}"
+    );
 }
 
 /// Cut off, tries do not wait for homes: most are decided at once, and an ask now and then finds out when that is over.
@@ -1053,7 +1287,11 @@
             stand.end(&id, Outcome::Ok);
         }
     }
-    let asks = stand.log.iter().filter(|action| matches!(action, Action::Tell { .. })).count();
+    let asks = stand
+        .log
+        .iter()
+        .filter(|action| matches!(action, Action::Tell { .. }))
+        .count();
     assert!(at_once >= 80, "{at_once} of 100 were decided at once");
     assert!((5..=60).contains(&asks), "{asks} asks in 2 s");
 }
@@ -1061,8 +1299,9 @@
 /// What a home says of how long to stay away holds here: no word goes out till then.
 #[test]
 fn a_customer_that_is_held_off_costs_no_words() {
-    let mut fleet =
-        Fleet::new(60, 40, |settings| (settings.plans[0].rate, settings.plans[0].burst) = (0.5, 2.0));
+    let mut fleet = Fleet::new(60, 40, |settings| {
+        (settings.plans[0].rate, settings.plans[0].burst) = (0.5, 2.0)
+    });
     // All of one gateway's tries, far over the quota: an ask and an answer for each unit that comes in, not for each try.
     for _ in 0..200 {
         fleet.stands[5].request(SAFE, 0, 7, 2 * S);
@@ -1070,7 +1309,11 @@
         fleet.pass(30 * MS);
         fleet.serve_all();
     }
-    assert!(fleet.told <= 60, "{} words for 200 tries in 6 s, of which 5 are inside the quota", fleet.told);
+    assert!(
+        fleet.told <= 60,
+        "{} words for 200 tries in 6 s, of which 5 are inside the quota",
+        fleet.told
+    );
 }
 
 /// Restarted homes, asked by gateways that know how full they were: without that each restart fills the store anew.
@@ -1082,7 +1325,11 @@
     let mut sent = fleet.drive(0, 20, 8);
     let before = sent;
     // The customer's homes are those that heard the most.
-    let mut heard: Vec<(u64, usize)> = fleet.most_heard.iter().map(|(me, heard)| (*heard, *me)).collect();
+    let mut heard: Vec<(u64, usize)> = fleet
+        .most_heard
+        .iter()
+        .map(|(me, heard)| (*heard, *me))
+        .collect();
     heard.sort();
     for (_, me) in heard.into_iter().rev().take(2) {
         let (now, mut settings) = (fleet.stands[me].now, settings(me as u32, 60));
@@ -1107,15 +1354,18 @@
         stand.request(SAFE, 0, 7, 2 * S);
     }
     stand.pass(230 * MS);
-    let asks = stand.log.iter().filter(|action| matches!(action, Action::Tell { .. })).count();
+    let asks = stand
+        .log
+        .iter()
+        .filter(|action| matches!(action, Action::Tell { .. }))
+        .count();
     assert!((4..=16).contains(&asks), "{asks}");
 }
 
 /// An upgrade in place from a build whose homes were kept as stores: the rest of its state is taken over.
 #[test]
 fn what_a_build_before_has_kept_is_taken_over_without_its_homes() {
-    let store =
-        r#"{"plan":0,"first":0,"spread":60.0,"depth":4.0,"level":2.0,"home":true,"granted":[],"chance":1.0}"#;
+    let store = r#"{"plan":0,"first":0,"spread":60.0,"depth":4.0,"level":2.0,"home":true,"granted":[],"chance":1.0}"#;
     let kept = format!(r#"{{"born":1000000,"stores":[[7,{store}]],"homes":[[7,{store}]]}}"#);
     let kept: Kept = serde_json::from_str(&kept).expect("it is read");
     assert_eq!(kept.size(), (1, 0));
@@ -1132,7 +1382,10 @@
         stand.pass(2 * S);
         let before = stand.log.len();
         stand.pass(4 * S);
-        let wakes = stand.log[before..].iter().filter(|action| matches!(action, Action::Wake { .. })).count();
+        let wakes = stand.log[before..]
+            .iter()
+            .filter(|action| matches!(action, Action::Wake { .. }))
+            .count();
         assert!(wakes <= 4 * 8, "{gateways} gateways: {wakes} times in 4 s");
     }
 }
@@ -1142,14 +1395,29 @@
 fn answers_of_a_cold_server_bring_more_to_it_and_late_ones_do_not() {
     let sent = |takes: u64| {
         let mut stand = Stand::new(3, settings(0, 1), 100 * S);
-        stand.servers(ListKind::Complete, vec![ServerEntry { started: Some(stand.now), ..entry(9) }]);
+        stand.servers(
+            ListKind::Complete,
+            vec![ServerEntry {
+                started: Some(stand.now),
+                ..entry(9)
+            }],
+        );
         let mut out: Vec<(u64, RequestId)> = Vec::new();
         for step in 0..150 {
             let id = stand.request(SAFE, 1, 7, 2 * S);
             stand.pass(20 * MS);
-            out.extend(stand.out.iter().any(|(other, _, _)| *other == id).then_some((step + takes, id)));
+            out.extend(
+                stand
+                    .out
+                    .iter()
+                    .any(|(other, _, _)| *other == id)
+                    .then_some((step + takes, id)),
+            );
             for (id, _, _) in stand.out.clone() {
-                let due = out.iter().find(|(_, other)| *other == id).is_some_and(|(at, _)| *at <= step);
+                let due = out
+                    .iter()
+                    .find(|(_, other)| *other == id)
+                    .is_some_and(|(at, _)| *at <= step);
                 let late = !out.iter().any(|(_, other)| *other == id);
                 if due || late {
                     stand.end(&id, Outcome::Ok);
@@ -1180,12 +1448,18 @@
     };
     let mut stand = Stand::with_servers(3, settings(0, 1), 100 * S, 6);
     serve(&mut stand, 800);
-    let cold = |started, server| ServerEntry { started: Some(started), ..entry(server) };
+    let cold = |started, server| ServerEntry {
+        started: Some(started),
+        ..entry(server)
+    };
     let all = |now: Micros| (10..16).map(|server| cold(now, server)).collect::<Vec<_>>();
     stand.servers(ListKind::Complete, all(stand.now));
     // Some 16 a second were seen of each; these do a fifth of it, and may be sent 1.2 times that.
     let remembered = serve(&mut stand, 100);
-    assert!((12..=40).contains(&remembered), "{remembered} in the first second");
+    assert!(
+        (12..=40).contains(&remembered),
+        "{remembered} in the first second"
+    );
     // One that was there all the time, of seven: not taken for one that did all.
     let mut stand = Stand::with_servers(3, settings(0, 1), 100 * S, 6);
     serve(&mut stand, 800);
@@ -1195,6 +1469,12 @@
     let before = stand.log.len();
     serve(&mut stand, 100);
     let to = |action: &Action| matches!(action, Action::Send { server, .. } if server.0 >= 10);
-    let cold = stand.log[before..].iter().filter(|action| to(action)).count();
-    assert!(cold <= 85, "{cold} to cold ones in the first second: 2.5 times of what one did at the most");
+    let cold = stand.log[before..]
+        .iter()
+        .filter(|action| to(action))
+        .count();
+    assert!(
+        cold <= 85,
+        "{cold} to cold ones in the first second: 2.5 times of what one did at the most"
+    );
 }
--- a/crates/policy/tests/stored_state.rs
+++ b/crates/policy/tests/stored_state.rs
@@ -16,7 +16,10 @@
 fn busy(settings: Settings) -> Stand {
     let (me, gateways) = (settings.me, settings.gateways);
     let mut stand = Stand::with_servers(11, settings, 5 * S, 4);
-    let cold = ServerEntry { started: Some(stand.now), ..entry(9) };
+    let cold = ServerEntry {
+        started: Some(stand.now),
+        ..entry(9)
+    };
     stand.servers(ListKind::Changes, vec![cold]);
     for round in 0..40_u64 {
         let class = if round % 3 == 0 { KEYED_ALL } else { SAFE };
@@ -26,12 +29,19 @@
         stand.pass(90 * MS);
         if round % 2 == 0 && !stand.out.is_empty() {
             let id = stand.out[0].0.clone();
-            let outcome = if round % 8 == 0 { Outcome::Error } else { Outcome::Ok };
+            let outcome = if round % 8 == 0 {
+                Outcome::Error
+            } else {
+                Outcome::Ok
+            };
             stand.end(&id, outcome);
         }
         if round % 10 == 3 && gateways > 1 {
             let peer = GatewayId((me.0 + 1) % gateways);
-            stand.event(Event::Peer { from: peer, bytes: vec![2, 0, 9, 0, 0, 0, 1, 0, 0, 0, 0, 8, 0] });
+            stand.event(Event::Peer {
+                from: peer,
+                bytes: vec![2, 0, 9, 0, 0, 0, 1, 0, 0, 0, 0, 8, 0],
+            });
         }
     }
     stand
@@ -43,7 +53,10 @@
 }
 
 fn cases() -> [(&'static str, Settings, &'static str); 2] {
-    let wide = Settings { fenced: true, ..settings(1, 300) };
+    let wide = Settings {
+        fenced: true,
+        ..settings(1, 300)
+    };
     [("narrow", settings(0, 3), NARROW), ("wide", wide, WIDE)]
 }
 
@@ -61,13 +74,22 @@
     for (name, settings, fixture) in cases() {
         let then: Value = serde_json::from_str(fixture).expect("a fixture of JSON");
         let kept: Kept = serde_json::from_str(fixture).expect("the state is read");
-        assert_eq!(serde_json::to_value(&kept).expect("it is JSON"), then, "{name}: nothing is passed over");
-        let sizes = (then["stores"].as_array().map(Vec::len), then["servers"].as_array().map(Vec::len));
+        assert_eq!(
+            serde_json::to_value(&kept).expect("it is JSON"),
+            then,
+            "{name}: nothing is passed over"
+        );
+        let sizes = (
+            then["stores"].as_array().map(Vec::len),
+            then["servers"].as_array().map(Vec::len),
+        );
         assert_eq!((Some(kept.size().0), Some(kept.size().1)), sizes, "{name}");
         let mut gateway = Gateway::new(11, settings.clone(), 20 * S).expect("sound settings");
         gateway.resume(kept, 1);
         let after = serde_json::to_value(gateway.keep()).expect("it is JSON");
-        for field in ["born", "newcomer", "stores", "parts", "latency", "typical", "aims", "retries", "out"] {
+        for field in [
+            "born", "newcomer", "stores", "parts", "latency", "typical", "aims", "retries", "out",
+        ] {
             assert_eq!(after[field], then[field], "{name}: {field}");
         }
     }
@@ -75,7 +97,11 @@
 
 #[test]
 fn what_two_processes_tell_each_other_has_the_form_of_the_fixture() {
-    let terms = TwinTerms { plan: PlanId(2), units: 1.5, set: (GatewayId(4), 3) };
+    let terms = TwinTerms {
+        plan: PlanId(2),
+        units: 1.5,
+        set: (GatewayId(4), 3),
+    };
     let out = |first| {
         Twin::Out(TwinOut {
             id: RequestId("rq".into()),
@@ -89,14 +115,29 @@
             first,
         })
     };
-    let end = Twin::In { id: RequestId("rq".into()), attempt: AttemptNo(1) };
+    let end = Twin::In {
+        id: RequestId("rq".into()),
+        attempt: AttemptNo(1),
+    };
     let told = [out(None), out(Some(terms)), end];
-    let text: String =
-        told.iter().map(|twin| serde_json::to_string(twin).expect("it is JSON") + "\n").collect();
+    let text: String = told
+        .iter()
+        .map(|twin| serde_json::to_string(twin).expect("it is JSON") + "\n")
+        .collect();
     assert_eq!(text, TWINS, "\n{text}");
-    let read: Vec<Twin> = TWINS.lines().map(|line| serde_json::from_str(line).expect("it is read")).collect();
+    let read: Vec<Twin> = TWINS
+        .lines()
+        .map(|line| serde_json::from_str(line).expect("it is read"))
+        .collect();
     assert_eq!(read, told);
     // A build before told nothing of a first attempt's terms.
-    let older = TWINS.lines().next().expect("a line").replace(",\"first\":null", "");
-    assert_eq!(serde_json::from_str::<Twin>(&older).expect("it is read"), told[0]);
+    let older = TWINS
+        .lines()
+        .next()
+        .expect("a line")
+        .replace(",\"first\":null", "");
+    assert_eq!(
+        serde_json::from_str::<Twin>(&older).expect("it is read"),
+        told[0]
+    );
 }
--- a/crates/policy/tests/walks.rs
+++ b/crates/policy/tests/walks.rs
@@ -15,7 +15,11 @@
 fn spread(number: u64) -> ServerEntry {
     let server = ServerId((number + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15));
     // It started long ago, and says so.
-    ServerEntry { server, started: Some(S), ..entry(number) }
+    ServerEntry {
+        server,
+        started: Some(S),
+        ..entry(number)
+    }
 }
 
 fn stand(gateways: u32, servers: u64) -> Stand {
@@ -25,7 +29,10 @@
 }
 
 fn at(standing: Standing, number: u64) -> ServerEntry {
-    ServerEntry { standing, ..spread(number) }
+    ServerEntry {
+        standing,
+        ..spread(number)
+    }
 }
 
 /// How many servers are looked at meanwhile.
@@ -44,7 +51,9 @@
 /// Customers of the widest plan, in turn, each with one gateway.
 fn tries(stand: &mut Stand, count: u64) -> Vec<RequestId> {
     let me = stand.settings.me;
-    (0..count).map(|of| stand.request_of(SAFE, 1, (of % 50, me, 1), 3 * S)).collect()
+    (0..count)
+        .map(|of| stand.request_of(SAFE, 1, (of % 50, me, 1), 3 * S))
+        .collect()
 }
 
 /// Lets homes be: all that is asked is let go at once by a gateway that is its customers' only one.
@@ -61,11 +70,19 @@
             let one = looked_at(&mut stand, |stand| {
                 stand.servers(ListKind::Changes, vec![at(Standing::Draining, number)]);
             });
-            assert!(one <= 4, "{gateways} gateways: a change looked at {one} servers");
+            assert!(
+                one <= 4,
+                "{gateways} gateways: a change looked at {one} servers"
+            );
         }
-        let zone = (100..4_500).map(|number| at(Standing::Gone, number)).collect();
+        let zone = (100..4_500)
+            .map(|number| at(Standing::Gone, number))
+            .collect();
         let zone = looked_at(&mut stand, |stand| stand.servers(ListKind::Changes, zone));
-        assert!(zone <= 2 * 4_400, "{gateways} gateways: 4,400 at a stroke looked at {zone}");
+        assert!(
+            zone <= 2 * 4_400,
+            "{gateways} gateways: 4,400 at a stroke looked at {zone}"
+        );
     }
 }
 
@@ -75,7 +92,10 @@
         let mut stand = stand(gateways, MANY);
         (0..3).for_each(|_| tick(&mut stand));
         let looked = looked_at(&mut stand, tick);
-        assert!(looked <= 2 * FEW, "{gateways} gateways: a tick looked at {looked} servers");
+        assert!(
+            looked <= 2 * FEW,
+            "{gateways} gateways: a tick looked at {looked} servers"
+        );
     }
 }
 
@@ -87,10 +107,16 @@
             let looked = looked_at(&mut stand, |stand| {
                 tries(stand, 1);
             });
-            assert!(looked <= 3 * FEW, "{gateways} gateways: try {round} looked at {looked} servers");
+            assert!(
+                looked <= 3 * FEW,
+                "{gateways} gateways: try {round} looked at {looked} servers"
+            );
             stand.now += 50 * MS;
             let looked = looked_at(&mut stand, end_all);
-            assert!(looked <= FEW, "{gateways} gateways: an answer looked at {looked} servers");
+            assert!(
+                looked <= FEW,
+                "{gateways} gateways: an answer looked at {looked} servers"
+            );
         }
         assert!(sends(&stand.log) > 0);
     }
@@ -120,28 +146,46 @@
         for round in 0..40_u64 {
             tries(&mut stand, 5);
             reached.extend(stand.out.iter().map(|(_, _, server)| *server));
-            let mut drained: Vec<ServerEntry> =
-                (round * 40..(round + 1) * 40).map(|number| at(Standing::Draining, number)).collect();
-            let last = stand.out.iter().map(|(_, _, server)| stand.list[server]).collect::<Vec<_>>();
-            drained
-                .extend(last.into_iter().map(|entry| ServerEntry { standing: Standing::Draining, ..entry }));
+            let mut drained: Vec<ServerEntry> = (round * 40..(round + 1) * 40)
+                .map(|number| at(Standing::Draining, number))
+                .collect();
+            let last = stand
+                .out
+                .iter()
+                .map(|(_, _, server)| stand.list[server])
+                .collect::<Vec<_>>();
+            drained.extend(last.into_iter().map(|entry| ServerEntry {
+                standing: Standing::Draining,
+                ..entry
+            }));
             stand.servers(ListKind::Changes, drained);
             stand.now += 50 * MS;
             end_all(&mut stand);
             stand.pass(20 * MS);
         }
-        assert!(reached.len() > 60, "{gateways} gateways reached {}", reached.len());
+        assert!(
+            reached.len() > 60,
+            "{gateways} gateways reached {}",
+            reached.len()
+        );
     }
 }
 
 #[test]
 fn a_zone_of_a_third_that_goes_at_a_stroke_is_made_up_for_in_the_same_pass() {
     let mut stand = stand(300, 6_000);
-    let gone = (0..6_000).filter(|number| number % 3 == 0).map(|number| at(Standing::Gone, number)).collect();
+    let gone = (0..6_000)
+        .filter(|number| number % 3 == 0)
+        .map(|number| at(Standing::Gone, number))
+        .collect();
     stand.servers(ListKind::Changes, gone);
     for _ in 0..100 {
         let ids = tries(&mut stand, 4);
-        assert!(ids.iter().all(|id| stand.out.iter().any(|(out, _, _)| out == id)), "a try had to wait");
+        assert!(
+            ids.iter()
+                .all(|id| stand.out.iter().any(|(out, _, _)| out == id)),
+            "a try had to wait"
+        );
         stand.now += 20 * MS;
         end_all(&mut stand);
     }
@@ -158,7 +202,10 @@
         tries(&mut stand, 4);
         // Until its first ticks a gateway keeps to the first that were quick.
         let counts = u32::from(round >= 50);
-        stand.out.iter().for_each(|(_, _, server)| *load.entry(*server).or_default() += counts);
+        stand
+            .out
+            .iter()
+            .for_each(|(_, _, server)| *load.entry(*server).or_default() += counts);
         stand.pass(20 * MS);
         end_all(&mut stand);
     }
@@ -166,7 +213,11 @@
     assert!(load.len() > 1_950, "{} of 2,000 were sent to", load.len());
     let busy = load.values().filter(|load| **load > 23).count();
     assert!(busy <= 20, "{busy} servers were sent to more than 23 times");
-    assert!(load.values().all(|load| *load <= 50), "the most is {:?}", load.values().max());
+    assert!(
+        load.values().all(|load| *load <= 50),
+        "the most is {:?}",
+        load.values().max()
+    );
 }
 
 #[test]
@@ -174,19 +225,34 @@
     let mut stand = stand(3, 1_000);
     tick(&mut stand);
     let left: Vec<u64> = (0..1_000).filter(|number| number % 100 != 0).collect();
-    stand.servers(ListKind::Changes, left.iter().map(|number| at(Standing::Gone, *number)).collect());
+    stand.servers(
+        ListKind::Changes,
+        left.iter()
+            .map(|number| at(Standing::Gone, *number))
+            .collect(),
+    );
     tick(&mut stand);
-    let cold = ServerEntry { started: Some(stand.now), ..spread(1) };
+    let cold = ServerEntry {
+        started: Some(stand.now),
+        ..spread(1)
+    };
     stand.servers(ListKind::Changes, vec![cold]);
     let mut sent = 0;
     for _ in 0..200 {
         tries(&mut stand, 3);
-        sent += stand.out.iter().filter(|(_, _, server)| *server == cold.server).count();
+        sent += stand
+            .out
+            .iter()
+            .filter(|(_, _, server)| *server == cold.server)
+            .count();
         stand.now += 50 * MS;
         end_all(&mut stand);
         stand.pass(2 * MS);
     }
-    assert!((1..200).contains(&sent), "{sent} of 600 went to the cold one of eleven");
+    assert!(
+        (1..200).contains(&sent),
+        "{sent} of 600 went to the cold one of eleven"
+    );
 }
 
 #[test]
@@ -206,12 +272,16 @@
     let id = stand.request_of(KEYED_ALL, 1, (1, GatewayId(0), 1), 3 * S);
     stand.now += 20 * MS;
     stand.end(&id, Outcome::Error);
-    assert!(stand.out.iter().any(|(out, _, _)| *out == id), "it was sent again");
+    assert!(
+        stand.out.iter().any(|(out, _, _)| *out == id),
+        "it was sent again"
+    );
 }
 
 /// What is handed over, by name, so that a difference says where it is.
 fn fields(kept: &Kept) -> BTreeMap<String, serde_json::Value> {
-    serde_json::from_value(serde_json::to_value(kept).expect("plain data")).expect("fields with names")
+    serde_json::from_value(serde_json::to_value(kept).expect("plain data"))
+        .expect("fields with names")
 }
 
 #[test]
@@ -221,7 +291,11 @@
     stand.now += 20 * MS;
     end_all(&mut stand);
     let kept = stand.gateway.keep();
-    assert!(kept.size().1 <= 512, "{} of 6,000 servers are handed over", kept.size().1);
+    assert!(
+        kept.size().1 <= 512,
+        "{} of 6,000 servers are handed over",
+        kept.size().1
+    );
     let text = serde_json::to_string(&kept).expect("plain data");
     let read: Kept = serde_json::from_str(&text).expect("its own words");
     assert_eq!(fields(&kept), fields(&read), "its own words say all of it");
@@ -229,11 +303,21 @@
     let mut heir = Gateway::new(9, settings(3, 300), stand.now).expect("sound settings");
     heir.resume(read, 1);
     let entries = (0..6_000).map(spread).collect();
-    heir.handle(stand.now, Event::Servers { kind: ListKind::Complete, entries }, &mut Vec::new());
+    heir.handle(
+        stand.now,
+        Event::Servers {
+            kind: ListKind::Complete,
+            entries,
+        },
+        &mut Vec::new(),
+    );
     assert_eq!(heir.rotation(), (6_000, 0));
     // What was answered since the last tick alone is not: the heir's ticks begin with it.
     let (mut before, after) = (fields(&kept), fields(&heir.keep()));
-    let seen = before.get_mut("fuzzy").and_then(|fuzzy| fuzzy.get_mut("seen")).expect("it is kept");
+    let seen = before
+        .get_mut("fuzzy")
+        .and_then(|fuzzy| fuzzy.get_mut("seen"))
+        .expect("it is kept");
     *seen = serde_json::json!(vec![(0.0, 0.0); stand.settings.classes.len()]);
     assert!(before.keys().eq(after.keys()));
     for (name, value) in &before {
--- a/crates/quota/src/keeper.rs
+++ b/crates/quota/src/keeper.rs
@@ -126,12 +126,22 @@
         let level = match start {
             Start::Full => terms.depth,
             Start::Since(units, ago) => units + terms.rate * since(ago),
-            Start::Told(level, ago) => level.clamp(0.0, 1.0) * terms.depth + terms.rate * since(ago),
+            Start::Told(level, ago) => {
+                level.clamp(0.0, 1.0) * terms.depth + terms.rate * since(ago)
+            }
         };
         let level = level.min(terms.depth);
-        let mut keeper =
-            Keeper { level, filled: now, used: now, chance: 1.0, short_at: now, ..Keeper::default() };
-        let Some(ceiling) = terms.ceiling else { return keeper };
+        let mut keeper = Keeper {
+            level,
+            filled: now,
+            used: now,
+            chance: 1.0,
+            short_at: now,
+            ..Keeper::default()
+        };
+        let Some(ceiling) = terms.ceiling else {
+            return keeper;
+        };
         // Danger: a ceiling passed by what the last life of this gateway lent, and this one fills as well.
         let born = now.saturating_sub(up);
         keeper.before.unknown(ceiling, born.saturating_add(LEASE));
@@ -153,8 +163,10 @@
     fn fill_ceiling(&mut self, from: Micros, now: Micros, terms: &Terms) {
         if let Some((rate, depth)) = terms.ceiling {
             let span = now.saturating_sub(from) as f64 / 1e6;
-            let ((lent, room), (before, before_room)) =
-                (self.lender.between(from, now, false), self.before.between(from, now, false));
+            let ((lent, room), (before, before_room)) = (
+                self.lender.between(from, now, false),
+                self.before.between(from, now, false),
+            );
             // What borrowers tell of is part of what the last life may have lent.
             let (lent, room) = (lent.max(before), room.max(before_room));
             self.ceiling = (self.ceiling + rate * span - lent).min(depth - room);
@@ -163,22 +175,41 @@
 
     /// Lends to who has just asked, and notes what it still holds. `units`: those of a try. Where attempts at once are limited only of
     /// the ceiling is lent: places are this home's to give, and what is lent is for who does not hear it.
-    pub fn lend(&mut self, now: Micros, ask: Ask, wish: &Wish, terms: &Terms, units: f64) -> Option<Lease> {
+    pub fn lend(
+        &mut self,
+        now: Micros,
+        ask: Ask,
+        wish: &Wish,
+        terms: &Terms,
+        units: f64,
+    ) -> Option<Lease> {
         // Who asks for no units is the home of the part, which has the places.
         let home = ask.units <= 0.0;
         let of_store = terms.at_once.is_none() || home;
         self.lender.told(now, ask.from, wish, of_store);
-        let (most, most_hard) = if home { (1.0, 1.0) } else { (OF_STORE, OF_CEILING) };
-        let store =
-            (terms.rate > 0.0 && of_store).then_some((terms.rate * most, terms.depth * most, self.level));
+        let (most, most_hard) = if home {
+            (1.0, 1.0)
+        } else {
+            (OF_STORE, OF_CEILING)
+        };
+        let store = (terms.rate > 0.0 && of_store).then_some((
+            terms.rate * most,
+            terms.depth * most,
+            self.level,
+        ));
         let hard = |(rate, depth)| (rate * most_hard, depth * most_hard, self.ceiling);
         let ceiling = terms.ceiling.map(hard);
         let part = match (store, ceiling) {
             (Some(a), Some(b)) => (a.0.min(b.0), a.1.min(b.1), a.2.min(b.2)),
             (one, other) => one.or(other)?,
         };
-        let (lease, fresh) =
-            self.lender.lend(now, (ask.from, ask.serial), wish, part, (units, of_store, home))?;
+        let (lease, fresh) = self.lender.lend(
+            now,
+            (ask.from, ask.serial),
+            wish,
+            part,
+            (units, of_store, home),
+        )?;
         if fresh {
             self.level -= lease.units;
             self.ceiling -= lease.units;
@@ -200,7 +231,10 @@
 
     /// What this home would borrow of who stands by: all that it can have.
     pub fn wish(&self, now: Micros) -> Wish {
-        Wish { rate: f64::from(u8::MAX), held: self.borrowed.and_then(|held| held.told(now)) }
+        Wish {
+            rate: f64::from(u8::MAX),
+            held: self.borrowed.and_then(|held| held.told(now)),
+        }
     }
 
     /// Whether it is time to borrow of who stands by; it counts as asked then.
@@ -224,7 +258,11 @@
         self.used = now;
         // Danger: an ask that is put again, as its answer was lost, and takes its units twice.
         self.granted.retain(|granted| granted.2 > now);
-        if self.granted.iter().any(|granted| (granted.0, granted.1) == (ask.from, ask.serial)) {
+        if self
+            .granted
+            .iter()
+            .any(|granted| (granted.0, granted.1) == (ask.from, ask.serial))
+        {
             return self.say(Verdict::Granted, 0.0, terms);
         }
         // Danger: a customer far over its quota whose asks drown its homes. A share of its tries asks.
@@ -236,15 +274,26 @@
             (terms.rate > 0.0 && keeper.level < ask.units, over)
         };
         let (mut short, mut over) = lacks(self);
-        if (short || over) && self.borrowed.as_mut().is_some_and(|held| held.take(now, ask.units)) {
+        if (short || over)
+            && self
+                .borrowed
+                .as_mut()
+                .is_some_and(|held| held.take(now, ask.units))
+        {
             self.level += ask.units;
             self.ceiling += ask.units;
             (short, over) = lacks(self);
         }
         let pressed = short && self.asked > wanted;
-        self.chance = if pressed { self.chance * THIN } else { (self.chance + THICKEN * span).min(1.0) };
+        self.chance = if pressed {
+            self.chance * THIN
+        } else {
+            (self.chance + THICKEN * span).min(1.0)
+        };
         self.places.retain(|place| place.2 > now);
-        let full = terms.at_once.is_some_and(|most| self.places.len() >= most as usize);
+        let full = terms
+            .at_once
+            .is_some_and(|most| self.places.len() >= most as usize);
         self.short_at = if short || over { now } else { self.short_at };
         let borrowed = self.borrowed.map_or(0.0, |held| held.rate(now));
         if short {
@@ -253,7 +302,11 @@
         }
         if over {
             let rate = terms.ceiling.map_or(0.0, |ceiling| ceiling.0) + borrowed;
-            return self.say(Verdict::Over, (ask.units - self.ceiling) / rate.max(f64::EPSILON), terms);
+            return self.say(
+                Verdict::Over,
+                (ask.units - self.ceiling) / rate.max(f64::EPSILON),
+                terms,
+            );
         }
         if full || self.granted.len() >= GRANTED_MOST {
             // One of those that are out ends about every so often.
@@ -262,9 +315,14 @@
         }
         self.level -= ask.units;
         self.ceiling -= ask.units;
-        self.granted.push((ask.from, ask.serial, now.saturating_add(GRANT_LIFE)));
+        self.granted
+            .push((ask.from, ask.serial, now.saturating_add(GRANT_LIFE)));
         if terms.at_once.is_some() {
-            self.places.push((ask.from, ask.serial, now.saturating_add(lasts.saturating_mul(PLACE_LASTS))));
+            self.places.push((
+                ask.from,
+                ask.serial,
+                now.saturating_add(lasts.saturating_mul(PLACE_LASTS)),
+            ));
         }
         self.say(Verdict::Granted, 0.0, terms)
     }
@@ -272,12 +330,18 @@
     fn say(&self, verdict: Verdict, wait_s: f64, terms: &Terms) -> Said {
         let wait = (wait_s * 1e6).clamp(0.0, WAIT_MOST) as Micros;
         let level = (self.level / terms.depth.max(f64::EPSILON)).clamp(0.0, 1.0);
-        Said { verdict, chance: self.chance, wait, level }
+        Said {
+            verdict,
+            chance: self.chance,
+            wait,
+            level,
+        }
     }
 
     /// The attempt of an ask has ended: its place is free.
     pub fn done(&mut self, from: u32, serial: u16) {
-        self.places.retain(|place| (place.0, place.1) != (from, serial));
+        self.places
+            .retain(|place| (place.0, place.1) != (from, serial));
     }
 
     /// Whether nothing would be gained or given by dropping it: unused for so long, and full.
--- a/crates/quota/src/lease.rs
+++ b/crates/quota/src/lease.rs
@@ -85,9 +85,13 @@
     /// ceiling.
     pub fn between(&self, from: Micros, to: Micros, of_store: bool) -> (f64, f64) {
         let of = || self.lent.iter().filter(|lent| lent.of_store || !of_store);
-        let units = |lent: &Lent| lent.lease.rate * lent.until.min(to).saturating_sub(from) as f64 / 1e6;
+        let units =
+            |lent: &Lent| lent.lease.rate * lent.until.min(to).saturating_sub(from) as f64 / 1e6;
         let stands = of().filter(|lent| lent.until > to);
-        (of().map(units).sum(), stands.map(|lent| lent.lease.room).sum())
+        (
+            of().map(units).sum(),
+            stands.map(|lent| lent.lease.room).sum(),
+        )
     }
 
     /// Drops what has ended.
@@ -103,30 +107,64 @@
     /// Notes a lease that who asks still holds and that is not known here. Danger: a keeper that was restarted and fills at a rate
     /// that its last life has lent.
     pub fn told(&mut self, now: Micros, from: u32, wish: &Wish, of_store: bool) {
-        let Some((rate, room, left)) = wish.held else { return };
-        let known = self.lent.iter().any(|lent| lent.from == from && lent.until > now);
+        let Some((rate, room, left)) = wish.held else {
+            return;
+        };
+        let known = self
+            .lent
+            .iter()
+            .any(|lent| lent.from == from && lent.until > now);
         if known || self.lent.len() >= LEASES_MOST {
             return;
         }
         let until = now.saturating_add(left.min(LEASE));
-        self.lent.push(Lent { from, serial: 0, lease: Lease { rate, room, units: 0.0 }, until, of_store });
+        self.lent.push(Lent {
+            from,
+            serial: 0,
+            lease: Lease {
+                rate,
+                room,
+                units: 0.0,
+            },
+            until,
+            of_store,
+        });
     }
 
     /// A ceiling of which nobody knows what an earlier life of this keeper has lent, until then: as much as may have been.
     pub fn unknown(&mut self, (rate, depth): (f64, f64), until: Micros) {
-        let lease = Lease { rate: rate * OF_CEILING, room: depth * OF_CEILING, units: 0.0 };
-        self.lent.push(Lent { from: u32::MAX, serial: 0, lease, until, of_store: false });
+        let lease = Lease {
+            rate: rate * OF_CEILING,
+            room: depth * OF_CEILING,
+            units: 0.0,
+        };
+        self.lent.push(Lent {
+            from: u32::MAX,
+            serial: 0,
+            lease,
+            until,
+            of_store: false,
+        });
     }
 
     /// Lends to who asks under this number, of what may be lent of a rate and a depth, where so many units are held. The same ask again is
     /// answered as before; whether it is a new one. `all`: to another keeper, which uses all that may be lent.
     pub fn lend(
-        &mut self, now: Micros, (from, serial): (u32, u16), wish: &Wish,
-        (rate, depth, level): (f64, f64, f64), (try_units, of_store, all): (f64, bool, bool),
+        &mut self,
+        now: Micros,
+        (from, serial): (u32, u16),
+        wish: &Wish,
+        (rate, depth, level): (f64, f64, f64),
+        (try_units, of_store, all): (f64, bool, bool),
     ) -> Option<(Lease, bool)> {
         self.tidy(now);
         let mine = |lent: &&Lent| lent.from == from;
-        if let Some(again) = self.lent.iter().filter(mine).find(|lent| lent.serial == serial) {
+        if let Some(again) = self
+            .lent
+            .iter()
+            .filter(mine)
+            .find(|lent| lent.serial == serial)
+        {
             return Some((again.lease, false));
         }
         if wish.rate < LEAST_PACE {
@@ -134,8 +172,13 @@
         }
         // The next lease follows the last without a step: it is the same one, with a later end. A borrower that wants half of it or less
         // lets it lapse.
-        if let Some(last) = self.lent.iter_mut().find(|lent| lent.from == from && lent.of_store == of_store) {
-            if last.until > now + RENEWED + LEASE / 10 || wish.rate * WANTED < last.lease.rate / 2.0 {
+        if let Some(last) = self
+            .lent
+            .iter_mut()
+            .find(|lent| lent.from == from && lent.of_store == of_store)
+        {
+            if last.until > now + RENEWED + LEASE / 10 || wish.rate * WANTED < last.lease.rate / 2.0
+            {
                 return None;
             }
             (last.serial, last.until) = (serial, now.saturating_add(LEASE));
@@ -145,17 +188,39 @@
         if self.lent.len() >= LEASES_MOST {
             return None;
         }
-        let lent = |of: fn(&Lease) -> f64| self.lent.iter().map(|lent| of(&lent.lease)).sum::<f64>();
-        let (free_rate, free_depth) = (rate - lent(|lease| lease.rate), depth - lent(|lease| lease.room));
+        let lent =
+            |of: fn(&Lease) -> f64| self.lent.iter().map(|lent| of(&lent.lease)).sum::<f64>();
+        let (free_rate, free_depth) = (
+            rate - lent(|lease| lease.rate),
+            depth - lent(|lease| lease.room),
+        );
         let wanted = (wish.rate * WANTED).min(free_rate);
         if wanted < LEAST || free_depth < try_units {
             return None;
         }
-        let most = if all { free_depth } else { (wanted * ROOM).max(try_units).min(free_depth) };
+        let most = if all {
+            free_depth
+        } else {
+            (wanted * ROOM).max(try_units).min(free_depth)
+        };
         // A whole try's units from the first moment, where the part can spare them: a gateway is cut off without a warning.
-        let units = if of_store && level >= 2.0 * try_units { try_units } else { 0.0 };
-        let lease = Lease { rate: wanted, room: most, units };
-        self.lent.push(Lent { from, serial, lease, until: now.saturating_add(LEASE), of_store });
+        let units = if of_store && level >= 2.0 * try_units {
+            try_units
+        } else {
+            0.0
+        };
+        let lease = Lease {
+            rate: wanted,
+            room: most,
+            units,
+        };
+        self.lent.push(Lent {
+            from,
+            serial,
+            lease,
+            until: now.saturating_add(LEASE),
+            of_store,
+        });
         Some((lease, true))
     }
 }
@@ -173,7 +238,13 @@
 
 impl Held {
     /// What came of an ask that was first put then, behind one that may still have units.
-    pub fn after(last: Option<Held>, now: Micros, asked: Micros, keeper: u32, lease: Lease) -> Held {
+    pub fn after(
+        last: Option<Held>,
+        now: Micros,
+        asked: Micros,
+        keeper: u32,
+        lease: Lease,
+    ) -> Held {
         let left = match last {
             Some(mut last) if last.keeper == keeper && !last.is_over(now) => {
                 last.take(now, 0.0);
@@ -183,7 +254,13 @@
         };
         // It fills from now on: its keeper had lent it before the word left.
         let until = asked.saturating_add(LEASE - LEASE / DRIFT);
-        Held { keeper, lease, level: (lease.units + left).min(lease.room), filled: now, until }
+        Held {
+            keeper,
+            lease,
+            level: (lease.units + left).min(lease.room),
+            filled: now,
+            until,
+        }
     }
 
     /// Whether it has ended.
--- a/crates/quota/src/memory.rs
+++ b/crates/quota/src/memory.rs
@@ -83,7 +83,9 @@
     /// Whether a try of so many units goes by what a home has lent; it takes them then. A lease that is nearly over is only used
     /// where no home will be asked (`late`): the ask brings the next one.
     pub fn lent(&mut self, now: Micros, units: f64, late: bool) -> bool {
-        let Some(held) = &mut self.held else { return false };
+        let Some(held) = &mut self.held else {
+            return false;
+        };
         let takes = (late || !held.is_due(now)) && held.take(now, units);
         if takes {
             self.went(now, units);
@@ -93,8 +95,14 @@
 
     /// What is to be borrowed of one of the customer's keepers, which is asked for so many units.
     pub fn wish(&self, now: Micros, keeper: u32, units: f64) -> Wish {
-        let held = self.held.filter(|held| held.keeper == keeper).and_then(|held| held.told(now));
-        Wish { rate: self.pace(now) + units * 1e6 / GRANTS_FOR, held }
+        let held = self
+            .held
+            .filter(|held| held.keeper == keeper)
+            .and_then(|held| held.told(now));
+        Wish {
+            rate: self.pace(now) + units * 1e6 / GRANTS_FOR,
+            held,
+        }
     }
 
     /// A keeper has lent this, asked at that time.
@@ -113,7 +121,12 @@
             self.granted = self.pace(now);
         }
         let greedy = self.wants_more(now);
-        let rate = self.granted * if self.level >= 0.5 && !greedy { ALONE.1 } else { ALONE.0 };
+        let rate = self.granted
+            * if self.level >= 0.5 && !greedy {
+                ALONE.1
+            } else {
+                ALONE.0
+            };
         let depth = rate * ALONE_DEPTH;
         let span = now.saturating_sub(self.alone_at) as f64 / 1e6;
         let held = match self.alone {
@@ -134,8 +147,16 @@
         match said.verdict {
             Verdict::Granted => self.held_until = 0,
             verdict => {
-                self.short_at = if verdict == Verdict::Full { self.short_at } else { now };
-                self.held_until = if last { now.saturating_add(said.wait) } else { self.held_until };
+                self.short_at = if verdict == Verdict::Full {
+                    self.short_at
+                } else {
+                    now
+                };
+                self.held_until = if last {
+                    now.saturating_add(said.wait)
+                } else {
+                    self.held_until
+                };
             }
         }
     }
--- a/crates/quota/tests/exhaustive.rs
+++ b/crates/quota/tests/exhaustive.rs
@@ -7,7 +7,12 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 /// No time goes by: nothing comes in, and no number is forgotten.
-const TERMS: Terms = Terms { rate: 1e-9, depth: 2.0, at_once: None, ceiling: None };
+const TERMS: Terms = Terms {
+    rate: 1e-9,
+    depth: 2.0,
+    at_once: None,
+    ceiling: None,
+};
 const PUTS: u8 = 2;
 /// Guards the machine's memory.
 const STATES_MOST: usize = 2_000_000;
@@ -67,7 +72,11 @@
             // Each gateway asks a home of its own first.
             let serial = number(of, 0);
             world.tries.push(Try::Asks(of % 2, 1, serial));
-            world.mail.insert(Word::Ask { of, home: of % 2, serial });
+            world.mail.insert(Word::Ask {
+                of,
+                home: of % 2,
+                serial,
+            });
         }
         world
     }
@@ -75,16 +84,30 @@
     fn arrives(&mut self, word: Word) {
         match word {
             Word::Ask { of, home, serial } => {
-                let ask = Ask { from: u32::from(of % 2), serial, units: 1.0 };
+                let ask = Ask {
+                    from: u32::from(of % 2),
+                    serial,
+                    units: 1.0,
+                };
                 let before = self.homes[usize::from(home)].level();
                 let said = self.homes[usize::from(home)].ask(0, ask, &TERMS, 1_000_000);
                 if self.homes[usize::from(home)].level() < before {
                     *self.taken.entry((of, home)).or_default() += 1;
                 }
-                self.mail.insert(Word::Answer { of, serial, granted: said.verdict == Verdict::Granted });
+                self.mail.insert(Word::Answer {
+                    of,
+                    serial,
+                    granted: said.verdict == Verdict::Granted,
+                });
             }
-            Word::Answer { of, serial, granted } => {
-                let Try::Asks(home, _, open) = self.tries[usize::from(of)] else { return };
+            Word::Answer {
+                of,
+                serial,
+                granted,
+            } => {
+                let Try::Asks(home, _, open) = self.tries[usize::from(of)] else {
+                    return;
+                };
                 if open != serial {
                     return;
                 }
@@ -100,7 +123,11 @@
     fn moves_on(&mut self, of: u8, home: u8) {
         self.tries[usize::from(of)] = if home == of % 2 {
             let serial = number(of, 2);
-            self.mail.insert(Word::Ask { of, home: 1 - home, serial });
+            self.mail.insert(Word::Ask {
+                of,
+                home: 1 - home,
+                serial,
+            });
             Try::Asks(1 - home, 1, serial)
         } else {
             Try::Refused
@@ -108,9 +135,15 @@
     }
 
     fn times_out(&mut self, of: u8, fault: Option<Fault>) {
-        let Try::Asks(home, put, serial) = self.tries[usize::from(of)] else { return };
+        let Try::Asks(home, put, serial) = self.tries[usize::from(of)] else {
+            return;
+        };
         if put < PUTS {
-            let serial = if fault == Some(Fault::NewNumber) { serial + 1 } else { serial };
+            let serial = if fault == Some(Fault::NewNumber) {
+                serial + 1
+            } else {
+                serial
+            };
             self.tries[usize::from(of)] = Try::Asks(home, put + 1, serial);
             self.mail.insert(Word::Ask { of, home, serial });
         } else if fault == Some(Fault::SilenceGrants) {
@@ -145,7 +178,11 @@
             let mut world = self.clone();
             world.left.1 -= 1;
             world.deaths += 1;
-            let start = if fault == Some(Fault::BackFull) { Start::Full } else { Start::Since(0.0, 0) };
+            let start = if fault == Some(Fault::BackFull) {
+                Start::Full
+            } else {
+                Start::Since(0.0, 0)
+            };
             world.homes[0] = Keeper::open(0, start, 0, &TERMS);
             all.push(world);
         }
@@ -170,7 +207,10 @@
 
 /// How many states there are, and what is wrong in the first bad one.
 fn explore(fault: Option<Fault>) -> (usize, Option<String>) {
-    let (mut seen, mut todo) = (HashSet::new(), [[1, 0], [0, 1], [2, 0]].map(World::new).to_vec());
+    let (mut seen, mut todo) = (
+        HashSet::new(),
+        [[1, 0], [0, 1], [2, 0]].map(World::new).to_vec(),
+    );
     while let Some(world) = todo.pop() {
         if let Some(wrong) = world.wrong() {
             return (seen.len(), Some(wrong));
@@ -180,7 +220,10 @@
             format!("{world:?}").hash(&mut hasher);
             seen.insert(hasher.finish())
         }));
-        assert!(seen.len() < STATES_MOST, "the world is larger than it was meant to be");
+        assert!(
+            seen.len() < STATES_MOST,
+            "the world is larger than it was meant to be"
+        );
     }
     (seen.len(), None)
 }
--- a/crates/quota/tests/keeper.rs
+++ b/crates/quota/tests/keeper.rs
@@ -9,11 +9,20 @@
 const LASTS: Micros = 150_000;
 
 fn terms(rate: f64, depth: f64) -> Terms {
-    Terms { rate, depth, at_once: None, ceiling: None }
+    Terms {
+        rate,
+        depth,
+        at_once: None,
+        ceiling: None,
+    }
 }
 
 fn ask(from: u32, serial: u16) -> Ask {
-    Ask { from, serial, units: 1.0 }
+    Ask {
+        from,
+        serial,
+        units: 1.0,
+    }
 }
 
 proptest! {
@@ -94,7 +103,10 @@
     let terms = terms(0.001, 2.0);
     let mut home = Keeper::open(0, Start::Full, 0, &terms);
     for put in 0..4 {
-        assert_eq!(home.ask(put * 50_000, ask(1, 9), &terms, LASTS).verdict, Verdict::Granted);
+        assert_eq!(
+            home.ask(put * 50_000, ask(1, 9), &terms, LASTS).verdict,
+            Verdict::Granted
+        );
     }
     assert_eq!(
         home.ask(200_000, ask(2, 9), &terms, LASTS).verdict,
@@ -102,7 +114,8 @@
         "the other unit is there"
     );
     assert_eq!(
-        home.ask(GRANT_LIFE + 200_001, ask(1, 9), &terms, LASTS).verdict,
+        home.ask(GRANT_LIFE + 200_001, ask(1, 9), &terms, LASTS)
+            .verdict,
         Verdict::Short,
         "an old one is a new one"
     );
@@ -111,15 +124,31 @@
 /// Held for 800 ms, as it was before, a place whose return is lost keeps a customer of two places at half of its quota.
 #[test]
 fn a_place_whose_return_is_lost_falls_free_after_a_few_times_what_an_attempt_lasts() {
-    let terms = Terms { at_once: Some(1), ..terms(100.0, 10.0) };
+    let terms = Terms {
+        at_once: Some(1),
+        ..terms(100.0, 10.0)
+    };
     let mut home = Keeper::open(0, Start::Full, 0, &terms);
-    assert_eq!(home.ask(0, ask(1, 1), &terms, LASTS).verdict, Verdict::Granted);
+    assert_eq!(
+        home.ask(0, ask(1, 1), &terms, LASTS).verdict,
+        Verdict::Granted
+    );
     let said = home.ask(LASTS, ask(2, 1), &terms, LASTS);
     assert_eq!((said.verdict, said.wait), (Verdict::Full, LASTS / 2));
-    assert_eq!(home.ask(3 * LASTS - 1, ask(2, 2), &terms, LASTS).verdict, Verdict::Full);
-    assert_eq!(home.ask(3 * LASTS, ask(2, 3), &terms, LASTS).verdict, Verdict::Granted);
+    assert_eq!(
+        home.ask(3 * LASTS - 1, ask(2, 2), &terms, LASTS).verdict,
+        Verdict::Full
+    );
+    assert_eq!(
+        home.ask(3 * LASTS, ask(2, 3), &terms, LASTS).verdict,
+        Verdict::Granted
+    );
     home.done(2, 3);
-    assert_eq!(home.ask(3 * LASTS + 1, ask(3, 1), &terms, LASTS).verdict, Verdict::Granted, "given back");
+    assert_eq!(
+        home.ask(3 * LASTS + 1, ask(3, 1), &terms, LASTS).verdict,
+        Verdict::Granted,
+        "given back"
+    );
 }
 
 #[test]
@@ -134,13 +163,20 @@
 
 #[test]
 fn a_customer_that_was_turned_away_is_held_off_here_and_a_grant_ends_it() {
-    let said = |verdict, wait| Said { verdict, chance: 1.0, wait, level: 0.25 };
+    let said = |verdict, wait| Said {
+        verdict,
+        chance: 1.0,
+        wait,
+        level: 0.25,
+    };
     let mut memory = Memory::default();
     assert!(!memory.held(S) && memory.level(S).is_none() && memory.chance(S) == 1.0);
     memory.said(S, &said(Verdict::Short, 300_000), false);
     assert!(!memory.held(S), "another part is asked first");
     memory.said(S, &said(Verdict::Short, 300_000), true);
-    assert!(memory.held(S + 299_999) && !memory.held(S + 300_000) && memory.wants_more(S + 300_000));
+    assert!(
+        memory.held(S + 299_999) && !memory.held(S + 300_000) && memory.wants_more(S + 300_000)
+    );
     memory.said(S + 1, &said(Verdict::Granted, 0), true);
     assert!(!memory.held(S + 2));
     assert_eq!(memory.level(2 * S), Some((0.25, S - 1)));
@@ -210,5 +246,8 @@
     };
     let (calm, greedy) = (served(1), served(20));
     assert!(calm >= 5, "{calm} of 6");
-    assert!((9..=24).contains(&greedy), "{greedy} of 120, where 12 are inside");
+    assert!(
+        (9..=24).contains(&greedy),
+        "{greedy} of 120, where 12 are inside"
+    );
 }
--- a/crates/quota/tests/lease.rs
+++ b/crates/quota/tests/lease.rs
@@ -3,7 +3,9 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::FileFailurePersistence;
-use saffronpaddle_quota::{Ask, Keeper, Lease, Memory, Micros, Start, Terms, Verdict, Wish, DRIFT, LEASE};
+use saffronpaddle_quota::{
+    Ask, Keeper, Lease, Memory, Micros, Start, Terms, Verdict, Wish, DRIFT, LEASE,
+};
 use std::collections::BTreeMap;
 
 const MS: Micros = 1_000;
@@ -19,7 +21,11 @@
 
 impl Whole {
     fn new(terms: (f64, f64)) -> Whole {
-        Whole { terms, level: terms.1, at: 0 }
+        Whole {
+            terms,
+            level: terms.1,
+            at: 0,
+        }
     }
 
     fn goes(&mut self, now: Micros) -> f64 {
@@ -64,15 +70,17 @@
         prop::bool::weighted(0.2),
         prop::bool::weighted(0.02),
     )
-        .prop_map(|(after, who, lost, answer_lost, answer_late, doubled, restart)| Step {
-            after,
-            who,
-            ask_lost: lost && answer_lost,
-            answer_lost,
-            answer_late,
-            doubled,
-            restart,
-        })
+        .prop_map(
+            |(after, who, lost, answer_lost, answer_late, doubled, restart)| Step {
+                after,
+                who,
+                ask_lost: lost && answer_lost,
+                answer_lost,
+                answer_late,
+                doubled,
+                restart,
+            },
+        )
 }
 
 /// Plays a course of one keeper and three askers whose clocks run apart by as much as is allowed. Returns the lowest level of
@@ -105,7 +113,11 @@
         if step.restart && restarts {
             born = now;
             let start = Start::Since(1.0, 0);
-            let up = if fault == Some(Fault::ForgetsCeiling) { LEASE } else { 0 };
+            let up = if fault == Some(Fault::ForgetsCeiling) {
+                LEASE
+            } else {
+                0
+            };
             home = Keeper::open(now, start, up, terms);
             if fault == Some(Fault::ForgetsCeiling) {
                 home = Keeper::open(now, Start::Full, 60 * S, terms);
@@ -120,7 +132,11 @@
             serial += 1;
             let wish: Wish = memory.wish(me, 0, 1.0);
             for copy in 0..1 + u16::from(step.doubled) {
-                let ask = Ask { from: who, serial, units: 1.0 };
+                let ask = Ask {
+                    from: who,
+                    serial,
+                    units: 1.0,
+                };
                 let said = home.ask(now, ask, terms, LASTS);
                 let mut other = home.clone();
                 let lease = match fault {
@@ -134,9 +150,16 @@
                     }
                 }
                 if let Some(lease) = lease.filter(|_| !step.answer_lost) {
-                    let asked = if fault == Some(Fault::NoEnd) { now + 30 * S } else { now };
+                    let asked = if fault == Some(Fault::NoEnd) {
+                        now + 30 * S
+                    } else {
+                        now
+                    };
                     late.insert(
-                        (now + step.answer_late, u32::from(serial) * 2 + u32::from(copy)),
+                        (
+                            now + step.answer_late,
+                            u32::from(serial) * 2 + u32::from(copy),
+                        ),
                         (who, asked, lease),
                     );
                 }
@@ -156,7 +179,12 @@
 }
 
 fn plan(rate: f64, depth: f64, ceiling: Option<(f64, f64)>) -> Terms {
-    Terms { rate, depth, at_once: None, ceiling }
+    Terms {
+        rate,
+        depth,
+        at_once: None,
+        ceiling,
+    }
 }
 
 proptest! {
@@ -198,7 +226,11 @@
             who,
             ask_lost: cut,
             answer_lost: cut || random.f64() < 0.2,
-            answer_late: if random.f64() < 0.2 { random.u64(0..3 * S) } else { random.u64(0..40 * MS) },
+            answer_late: if random.f64() < 0.2 {
+                random.u64(0..3 * S)
+            } else {
+                random.u64(0..40 * MS)
+            },
             doubled: random.f64() < 0.3,
             restart: random.f64() < 0.03,
         }
@@ -219,8 +251,9 @@
     }
     assert!(by_lease > 500, "leases are used: {by_lease}");
     for fault in [Fault::RateKept, Fault::NoEnd] {
-        let low =
-            (0..40).map(|seed| play(&terms, &course(seed), false, Some(fault)).0).fold(f64::MAX, f64::min);
+        let low = (0..40)
+            .map(|seed| play(&terms, &course(seed), false, Some(fault)).0)
+            .fold(f64::MAX, f64::min);
         println!("{fault:?}: {low:.1} units under nothing");
         assert!(low < -0.5, "{fault:?} is not found: {low}");
     }
@@ -238,24 +271,49 @@
     for tick in 0..900_u64 {
         let now = 60 * S + tick * 50 * MS;
         let third = (tick / 300) as usize;
-        let ask = Ask { from: 5, serial: tick as u16, units: 1.0 };
-        went[third] += u32::from(home.ask(now, ask, &home_terms, LASTS).verdict == Verdict::Granted);
+        let ask = Ask {
+            from: 5,
+            serial: tick as u16,
+            units: 1.0,
+        };
+        went[third] +=
+            u32::from(home.ask(now, ask, &home_terms, LASTS).verdict == Verdict::Granted);
         // Cut apart in the second third.
         if third != 1 && home.wants_to_borrow(now) {
             let serial = 10_000 + tick as u16;
             let wish = home.wish(now);
             beside.look(now, &beside_terms);
-            let lease = beside.lend(now, Ask { from: 1, serial, units: 0.0 }, &wish, &beside_terms, 1.0);
-            lease.into_iter().for_each(|lease| home.borrowed(now, now, lease));
+            let lease = beside.lend(
+                now,
+                Ask {
+                    from: 1,
+                    serial,
+                    units: 0.0,
+                },
+                &wish,
+                &beside_terms,
+                1.0,
+            );
+            lease
+                .into_iter()
+                .for_each(|lease| home.borrowed(now, now, lease));
         }
         if third == 1 {
-            let ask = Ask { from: 6, serial: tick as u16, units: 1.0 };
-            alone += u32::from(beside.ask(now, ask, &beside_terms, LASTS).verdict == Verdict::Granted);
+            let ask = Ask {
+                from: 6,
+                serial: tick as u16,
+                units: 1.0,
+            };
+            alone +=
+                u32::from(beside.ask(now, ask, &beside_terms, LASTS).verdict == Verdict::Granted);
         }
     }
     // 15 s each, at 3 units a second of its own and up to 0.75 borrowed.
     assert!((50..=64).contains(&went[0]), "{went:?}");
-    assert!(went[1] + alone <= 62, "both together within the whole: {went:?} {alone}");
+    assert!(
+        went[1] + alone <= 62,
+        "both together within the whole: {went:?} {alone}"
+    );
     assert!(alone >= 5, "who stands by has a part: {alone}");
     assert!(went[2] >= 48, "and it is lent again: {went:?}");
 }
@@ -266,11 +324,20 @@
 fn a_lease_ends_by_when_it_was_asked_for_and_not_by_when_the_answer_came() {
     let terms = plan(4.0, 8.0, None);
     let mut home = Keeper::open(60 * S, Start::Full, 60 * S, &terms);
-    let ask = Ask { from: 3, serial: 1, units: 1.0 };
+    let ask = Ask {
+        from: 3,
+        serial: 1,
+        units: 1.0,
+    };
     let asked = 60 * S;
     home.ask(asked + 20 * MS, ask, &terms, LASTS);
-    let wish = Wish { rate: 2.0, held: None };
-    let lease = home.lend(asked + 20 * MS, ask, &wish, &terms, 1.0).expect("it lends");
+    let wish = Wish {
+        rate: 2.0,
+        held: None,
+    };
+    let lease = home
+        .lend(asked + 20 * MS, ask, &wish, &terms, 1.0)
+        .expect("it lends");
     // From here on the keeper has it back.
     let back = asked + 20 * MS + LEASE;
     for late in [30 * MS, 3 * S, LEASE, 2 * LEASE] {
@@ -282,7 +349,11 @@
             let local = asked + late + tick * 100 * MS;
             let truly = asked + (local - asked) * (DRIFT + 1) / DRIFT;
             if memory.lent(local, 1.0, true) {
-                assert!(truly <= back, "used {} us after the keeper had it back", truly - back);
+                assert!(
+                    truly <= back,
+                    "used {} us after the keeper had it back",
+                    truly - back
+                );
                 went += 1;
             }
         }
--- a/crates/saffronpaddle/src/demo.rs
+++ b/crates/saffronpaddle/src/demo.rs
@@ -23,7 +23,9 @@
             other => return Err(other.unexpected().into()),
         }
     }
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     LocalSet::new().block_on(&runtime, play(listen))?;
     Ok(ExitCode::SUCCESS)
 }
@@ -34,8 +36,18 @@
     let discovery = Discovery::new(Arc::clone(&world));
     let mut servers = Vec::new();
     for number in 0..SERVERS {
-        let work = fleet.classes.iter().map(|class| (class.name.to_owned(), class.work)).collect();
-        let spec = Spec { name: format!("s-{number}"), block: 1, cores: 4, slots: 64, work };
+        let work = fleet
+            .classes
+            .iter()
+            .map(|class| (class.name.to_owned(), class.work))
+            .collect();
+        let spec = Spec {
+            name: format!("s-{number}"),
+            block: 1,
+            cores: 4,
+            slots: 64,
+            work,
+        };
         let server = AppServer::start(Arc::clone(&world), spec).context("an app server")?;
         discovery.change(vec![Entry {
             host: server.name().to_owned(),
@@ -57,9 +69,20 @@
         sockets: 1024,
         memory_mb: 192,
     };
-    let text = configuration(&places, &fleet.settings(0), Some(&discovery.known()), fastrand::u64(..));
+    let text = configuration(
+        &places,
+        &fleet.settings(0),
+        Some(&discovery.known()),
+        fastrand::u64(..),
+    );
     let config = Config::parse(std::path::Path::new("demo"), &text)?;
-    let options = Options { config, operator: None, handed: None, meeting: None, manager: Manager::none() };
+    let options = Options {
+        config,
+        operator: None,
+        handed: None,
+        meeting: None,
+        manager: Manager::none(),
+    };
     let edge = Edge::bind(options).await?;
     let address = edge.address();
     println!("One edge node before {SERVERS} stand-in app servers. Ask it for ranked times:");
--- a/crates/saffronpaddle/src/fleet.rs
+++ b/crates/saffronpaddle/src/fleet.rs
@@ -18,7 +18,10 @@
             other => return Err(other.unexpected().into()),
         }
     }
-    anyhow::ensure!(!paths.is_empty(), "fleet counts takes logs, or folders of logs");
+    anyhow::ensure!(
+        !paths.is_empty(),
+        "fleet counts takes logs, or folders of logs"
+    );
     let counts = saffronpaddle_fleet_harness::counts::Counts::read(&paths)?;
     print!("{}", if csv { counts.csv() } else { counts.table() });
     Ok(ExitCode::SUCCESS)
@@ -28,7 +31,8 @@
 fn soak(mut arguments: lexopt::Parser) -> Result<ExitCode> {
     let (mut seed, mut runs, mut size, mut shrinks) = (1, 1, Size::LONG, true);
     let (mut program, mut preload) = (None, None);
-    let mut folder = std::env::temp_dir().join(format!("saffronpaddle-soak-{}", std::process::id()));
+    let mut folder =
+        std::env::temp_dir().join(format!("saffronpaddle-soak-{}", std::process::id()));
     while let Some(argument) = arguments.next()? {
         match argument {
             Long("seed") => seed = arguments.value()?.parse()?,
@@ -41,7 +45,9 @@
             other => return Err(other.unexpected().into()),
         }
     }
-    let program = program.map_or_else(std::env::current_exe, Ok).context("this program")?;
+    let program = program
+        .map_or_else(std::env::current_exe, Ok)
+        .context("this program")?;
     let mut failed = 0;
     for seed in seed..seed + runs {
         let of_seed = folder.join(seed.to_string());
@@ -68,10 +74,17 @@
             true => soak::shrink(&plan, &report, &options(&folder.join("shrinks")))?,
             false => plan,
         };
-        println!("the smallest plan that was seen to fail:\n{}", smallest.text());
+        println!(
+            "the smallest plan that was seen to fail:\n{}",
+            smallest.text()
+        );
     }
     println!("{} of {runs} seeds failed", failed);
-    Ok(if failed == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if failed == 0 {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    })
 }
 
 pub fn fleet(mut arguments: lexopt::Parser) -> Result<ExitCode> {
@@ -92,7 +105,8 @@
             Long("program") => program = Some(PathBuf::from(arguments.value()?)),
             Long("operator") => {
                 let path = PathBuf::from(arguments.value()?);
-                operator = std::fs::read_to_string(&path).with_context(|| path.display().to_string())?;
+                operator =
+                    std::fs::read_to_string(&path).with_context(|| path.display().to_string())?;
             }
             Long("servers") => overrides.servers = Some(arguments.value()?.parse()?),
             Long("instances") => overrides.instances = Some(arguments.value()?.parse()?),
@@ -103,18 +117,36 @@
         }
     }
     let named = named.context("fleet takes a scenario")?;
-    let shipped = SHIPPED.iter().find(|(name, _)| *name == named).map(|(_, text)| (*text).to_owned());
+    let shipped = SHIPPED
+        .iter()
+        .find(|(name, _)| *name == named)
+        .map(|(_, text)| (*text).to_owned());
     let text = match shipped {
         Some(text) => text,
         None => std::fs::read_to_string(&named).with_context(|| named.clone())?,
     };
     let scenario = Scenario::parse_with(&text, &overrides, seed).with_context(|| named.clone())?;
     // What the command line names goes before what the scenario says.
-    let operator = if operator.is_empty() { scenario.operator.clone() } else { operator };
-    let program = program.map_or_else(std::env::current_exe, Ok).context("this program")?;
-    let temporary = || std::env::temp_dir().join(format!("saffronpaddle-fleet-{}", std::process::id()));
+    let operator = if operator.is_empty() {
+        scenario.operator.clone()
+    } else {
+        operator
+    };
+    let program = program
+        .map_or_else(std::env::current_exe, Ok)
+        .context("this program")?;
+    let temporary =
+        || std::env::temp_dir().join(format!("saffronpaddle-fleet-{}", std::process::id()));
     let (kept, folder) = (keep.is_some(), keep.unwrap_or_else(temporary));
-    let options = Options { program, seed, folder, operator, say: true, log_level: "info", preload: None };
+    let options = Options {
+        program,
+        seed,
+        folder,
+        operator,
+        say: true,
+        log_level: "info",
+        preload: None,
+    };
     let report = match in_virtual_time {
         true => {
             saffronpaddle_fleet_harness::room::look(&scenario)?;
@@ -130,5 +162,9 @@
         print!("{}", report.table());
     }
     println!("{report}");
-    Ok(if report.good() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if report.good() {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    })
 }
--- a/crates/saffronpaddle/src/log.rs
+++ b/crates/saffronpaddle/src/log.rs
@@ -12,12 +12,15 @@
 /// The variable names no level.
 pub fn start() -> Result<()> {
     let level = match std::env::var(LEVEL_VARIABLE) {
-        Ok(text) if !text.is_empty() => {
-            text.parse().with_context(|| format!("{LEVEL_VARIABLE}: {text:?} is no level"))?
-        }
+        Ok(text) if !text.is_empty() => text
+            .parse()
+            .with_context(|| format!("{LEVEL_VARIABLE}: {text:?} is no level"))?,
         _ => LevelFilter::INFO,
     };
-    let lines = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false).with_target(false);
+    let lines = tracing_subscriber::fmt()
+        .with_writer(std::io::stderr)
+        .with_ansi(false)
+        .with_target(false);
     if level > LevelFilter::INFO {
         // Whoever looks at single events compares the logs of several processes.
         lines.with_max_level(level).init();
--- a/crates/saffronpaddle/src/main.rs
+++ b/crates/saffronpaddle/src/main.rs
@@ -100,7 +100,10 @@
             Ok(ExitCode::SUCCESS)
         }
         Err(faults) => {
-            faults.0.iter().for_each(|fault| eprintln!("{}: {fault}", path.display()));
+            faults
+                .0
+                .iter()
+                .for_each(|fault| eprintln!("{}: {fault}", path.display()));
             Ok(ExitCode::FAILURE)
         }
     }
--- a/crates/saffronpaddle/tests/admin.rs
+++ b/crates/saffronpaddle/tests/admin.rs
@@ -26,7 +26,10 @@
         if figure(&figures, name) == wanted {
             return;
         }
-        assert!(begun.elapsed() < PATIENCE, "{name} is not {wanted}: {figures}");
+        assert!(
+            begun.elapsed() < PATIENCE,
+            "{name} is not {wanted}: {figures}"
+        );
     }
 }
 
@@ -36,10 +39,25 @@
     assert!(call(admin, "PING\n").starts_with("SUCCESS"));
     let figures = call(admin, "INFO\r\n");
     assert!(figures.ends_with("\nEOT\n"), "{figures}");
-    assert_eq!((figure(&figures, "lb_registry_entries"), figure(&figures, "lb_out_of_rotation")), (1, 0));
-    for bad in ["\n", "ping\n", "REBOOT\n", "LAMEDUCK now\n", &"x".repeat(100)] {
+    assert_eq!(
+        (
+            figure(&figures, "lb_registry_entries"),
+            figure(&figures, "lb_out_of_rotation")
+        ),
+        (1, 0)
+    );
+    for bad in [
+        "\n",
+        "ping\n",
+        "REBOOT\n",
+        "LAMEDUCK now\n",
+        &"x".repeat(100),
+    ] {
         let answer = call(admin, bad);
-        assert!(answer.starts_with("FAILURE") && answer.lines().count() == 1, "{bad:?}: {answer}");
+        assert!(
+            answer.starts_with("FAILURE") && answer.lines().count() == 1,
+            "{bad:?}: {answer}"
+        );
     }
     // Half a call is none, also where it would be a whole one.
     let mut half = TcpStream::connect(admin).expect("it is called");
@@ -62,10 +80,28 @@
     assert_eq!(client.ask(&request("c", "pay", "20000m")).status(), 502);
     assert_eq!(node.client().ask(&request("d", "read", "0m")).status(), 400);
     let figures = call(admin, "INFO\n");
-    let of = |kind: &str, class: &str| figure(&figures, &format!("lb_{kind}{{priority=\"{class}\"}}"));
-    assert_eq!((of("fulfilled", "read"), of("faulted", "read")), (1, 1), "{figures}");
-    assert_eq!((of("fulfilled", "submit"), of("faulted", "pay"), of("throttled", "pay")), (1, 1, 0));
-    assert_eq!((figure(&figures, "lb_relayed"), figure(&figures, "lb_open_requests")), (3, 0));
+    let of =
+        |kind: &str, class: &str| figure(&figures, &format!("lb_{kind}{{priority=\"{class}\"}}"));
+    assert_eq!(
+        (of("fulfilled", "read"), of("faulted", "read")),
+        (1, 1),
+        "{figures}"
+    );
+    assert_eq!(
+        (
+            of("fulfilled", "submit"),
+            of("faulted", "pay"),
+            of("throttled", "pay")
+        ),
+        (1, 1, 0)
+    );
+    assert_eq!(
+        (
+            figure(&figures, "lb_relayed"),
+            figure(&figures, "lb_open_requests")
+        ),
+        (3, 0)
+    );
     (0..3).for_each(|_| _ = servers.next());
     // One that is out counts as open, and as nothing once its client has gone.
     client.write(&request("e", "pay", "20000m"));
@@ -88,7 +124,10 @@
             stream.write_all(b"INF").expect("written");
         }
         silent.push(stream);
-        assert!(call(admin, "PING\n").starts_with("SUCCESS"), "after {number}");
+        assert!(
+            call(admin, "PING\n").starts_with("SUCCESS"),
+            "after {number}"
+        );
     }
     // Those who came first have made way; they are told nothing.
     let mut first = silent.swap_remove(0);
@@ -113,9 +152,15 @@
     let mut got = servers.next();
     let mut used = node.client();
     assert!(call(admin, "LAMEDUCK\n").starts_with("SUCCESS"));
-    assert!(call(admin, "LAMEDUCK\n").starts_with("SUCCESS"), "twice is once");
+    assert!(
+        call(admin, "LAMEDUCK\n").starts_with("SUCCESS"),
+        "twice is once"
+    );
     let answer = used.ask(READY);
-    assert_eq!((answer.status(), answer.header("connection")), (503, "close"));
+    assert_eq!(
+        (answer.status(), answer.header("connection")),
+        (503, "close")
+    );
     used.ends();
     assert!(call(admin, "PING\n").starts_with("FAILURE"));
     idle.ends();
@@ -125,14 +170,26 @@
     late.ends();
     // One that never asks is not kept.
     node.client().ends();
-    got.stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nranks").expect("written");
+    got.stream
+        .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nranks")
+        .expect("written");
     let answer = under_way.answer().expect("it is finished");
-    assert_eq!((answer.status(), answer.header("connection")), (200, "close"));
+    assert_eq!(
+        (answer.status(), answer.header("connection")),
+        (200, "close")
+    );
     under_way.ends();
-    assert!(call(admin, "REJOIN\n").starts_with("SUCCESS") && call(admin, "PING\n").starts_with("SUCCESS"));
+    assert!(
+        call(admin, "REJOIN\n").starts_with("SUCCESS")
+            && call(admin, "PING\n").starts_with("SUCCESS")
+    );
     let mut back = node.client();
     assert_eq!(back.ask(READY).status(), 200);
-    assert_eq!(back.ask(&request("d", "read", "20000m")).status(), 200, "its connection stays");
+    assert_eq!(
+        back.ask(&request("d", "read", "20000m")).status(),
+        200,
+        "its connection stays"
+    );
     // From a stop there is no way back: it ends, whatever it is told meanwhile.
     node.terminate();
     let begun = Instant::now();
@@ -140,7 +197,9 @@
         if let Ok(mut stream) = TcpStream::connect(admin) {
             let mut answer = String::new();
             // It may end in mid-call.
-            let _ = stream.write_all(b"REJOIN\n").and_then(|()| stream.read_to_string(&mut answer));
+            let _ = stream
+                .write_all(b"REJOIN\n")
+                .and_then(|()| stream.read_to_string(&mut answer));
         }
         assert!(begun.elapsed() < PATIENCE);
         std::thread::sleep(Duration::from_millis(20));
--- a/crates/saffronpaddle/tests/apart.rs
+++ b/crates/saffronpaddle/tests/apart.rs
@@ -24,7 +24,12 @@
 fn within_the_whole(report: &Report) {
     assert!(report.good(), "{report}");
     let all = report.within("all", 0, 12);
-    assert!(all.beyond <= BEGINNINGS, "{} units beyond\n{}\n{report}", all.beyond, report.table());
+    assert!(
+        all.beyond <= BEGINNINGS,
+        "{} units beyond\n{}\n{report}",
+        all.beyond,
+        report.table()
+    );
     assert!(all.served > 200, "and quotas are used\n{report}");
 }
 
@@ -34,26 +39,42 @@
 
 #[test]
 fn two_halves_that_do_not_hear_each_other_grant_no_more_than_the_whole() {
-    within_the_whole(&fleet_with("apart-halves", &pressed("halves", &split("west,east")), FENCED));
+    within_the_whole(&fleet_with(
+        "apart-halves",
+        &pressed("halves", &split("west,east")),
+        FENCED,
+    ));
 }
 
 #[test]
 fn two_halves_whose_keepers_are_not_fenced_each_grant_the_whole() {
-    let report = fleet_with("apart-unfenced", &pressed("unfenced", &split("west,east")), "");
+    let report = fleet_with(
+        "apart-unfenced",
+        &pressed("unfenced", &split("west,east")),
+        "",
+    );
     assert!(report.good(), "{report}");
     let apart = report.within("all", 3, 9);
-    assert!(apart.beyond > 2.0 * BEGINNINGS, "what the fence is for is not seen: {apart:?}");
+    assert!(
+        apart.beyond > 2.0 * BEGINNINGS,
+        "what the fence is for is not seen: {apart:?}"
+    );
 }
 
 #[test]
 fn nodes_that_are_each_alone_use_what_is_lent_and_no_more() {
-    within_the_whole(&fleet_with("apart-each", &pressed("each", &split("each")), FENCED));
+    within_the_whole(&fleet_with(
+        "apart-each",
+        &pressed("each", &split("each")),
+        FENCED,
+    ));
 }
 
 /// One hears both others, which do not hear each other.
 #[test]
 fn sides_that_overlap_grant_no_more_than_the_whole() {
-    let sides = "[[side]]\nname = \"a\"\nhas = \"n0-n14\"\n[[side]]\nname = \"b\"\nhas = \"n9-n23\"\n";
+    let sides =
+        "[[side]]\nname = \"a\"\nhas = \"n0-n14\"\n[[side]]\nname = \"b\"\nhas = \"n9-n23\"\n";
     let text = pressed("overlap", &format!("{sides}{}", split("a,b")));
     within_the_whole(&fleet_with("apart-overlap", &text, FENCED));
 }
@@ -61,7 +82,11 @@
 #[test]
 fn a_half_that_is_not_heard_and_hears_grants_no_more_than_the_whole() {
     let step = "[[step]]\ndo = \"link\"\nfrom = \"west\"\nto = \"east\"\none_way = true\nloss = 1.0\nat_ms = 3000\nfor_ms = 6000\n";
-    within_the_whole(&fleet_with("apart-oneway", &pressed("oneway", step), FENCED));
+    within_the_whole(&fleet_with(
+        "apart-oneway",
+        &pressed("oneway", step),
+        FENCED,
+    ));
 }
 
 /// Asks and answers that are lost, doubled and late take units from the customer, never from the quota.
--- a/crates/saffronpaddle/tests/bodies.rs
+++ b/crates/saffronpaddle/tests/bodies.rs
@@ -10,7 +10,10 @@
 /// The head of a request whose body follows, with such a framing.
 fn head(id: &str, framing: &str) -> String {
     let whole = request(id, "submit", "20000m");
-    whole.replace("Content-Length: 4\r\n\r\ntime", &format!("{framing}\r\n\r\n"))
+    whole.replace(
+        "Content-Length: 4\r\n\r\ntime",
+        &format!("{framing}\r\n\r\n"),
+    )
 }
 
 fn chunk(bytes: usize) -> String {
@@ -36,7 +39,10 @@
     }
     assert_eq!(client.answer().expect("an answer").status(), 200);
     let got = servers.next();
-    assert_eq!((got.message.body.len(), got.message.header("x-request-id")), (LONG, "a"));
+    assert_eq!(
+        (got.message.body.len(), got.message.header("x-request-id")),
+        (LONG, "a")
+    );
     // Chunks that are cut anywhere, with an extension and a trailer, on the same connection.
     client.write(&head("b", "Transfer-Encoding: chunked"));
     let mut words = (1..500).map(chunk).collect::<String>();
@@ -58,7 +64,10 @@
     client.write(&"a".repeat(LONG - 1));
     drop(client);
     servers.got_no_more();
-    assert_eq!(node.client().ask(&request("b", "read", "20000m")).status(), 200);
+    assert_eq!(
+        node.client().ask(&request("b", "read", "20000m")).status(),
+        200
+    );
 }
 
 /// A long answer goes on as it comes: its first bytes are there before its server has the last; a drain in the middle cuts
@@ -70,20 +79,37 @@
     client.write(&request("a", "read", "20000m"));
     let mut got = servers.next();
     let part = "r".repeat(LONG / 2);
-    write!(got.stream, "HTTP/1.1 200 OK\r\nContent-Length: {LONG}\r\n\r\n{}", &part[..70_000])
-        .expect("written");
+    write!(
+        got.stream,
+        "HTTP/1.1 200 OK\r\nContent-Length: {LONG}\r\n\r\n{}",
+        &part[..70_000]
+    )
+    .expect("written");
     let mut reader = BufReader::new(client.stream.try_clone().expect("a clone"));
     assert!(read_head(&mut reader).starts_with("HTTP/1.1 200"));
     let mut first = vec![0; 70_000];
-    reader.read_exact(&mut first).expect("the first bytes, before the rest");
+    reader
+        .read_exact(&mut first)
+        .expect("the first bytes, before the rest");
     let (_, mut watch) = discovery.watch();
     write_list(
         &mut watch,
-        &list(2, false, &[host("s-1", got.stream.local_addr().expect("one"), 1, "draining")]),
+        &list(
+            2,
+            false,
+            &[host(
+                "s-1",
+                got.stream.local_addr().expect("one"),
+                1,
+                "draining",
+            )],
+        ),
     );
     let mut rest = vec![0; LONG - 70_000];
     let writes = std::thread::spawn(move || {
-        got.stream.write_all(&part.as_bytes()[70_000..]).expect("written");
+        got.stream
+            .write_all(&part.as_bytes()[70_000..])
+            .expect("written");
         got.stream.write_all(part.as_bytes()).expect("written");
         got
     });
@@ -93,21 +119,39 @@
 
 #[test]
 fn an_answer_that_breaks_off_in_the_middle_can_be_told_from_a_whole_one() {
-    for (tag, framing) in [("sized", "Content-Length: 2000000"), ("chunked", "Transfer-Encoding: chunked")] {
+    for (tag, framing) in [
+        ("sized", "Content-Length: 2000000"),
+        ("chunked", "Transfer-Encoding: chunked"),
+    ] {
         let (servers, _discovery, node) = with_one(tag, &[Does::IsSilent]);
         let mut client = node.client();
         client.write(&request("a", "read", "20000m"));
         let mut got = servers.next();
-        let piece = if tag == "sized" { "r".repeat(100_000) } else { chunk(100_000) };
+        let piece = if tag == "sized" {
+            "r".repeat(100_000)
+        } else {
+            chunk(100_000)
+        };
         write!(got.stream, "HTTP/1.1 200 OK\r\n{framing}\r\n\r\n{piece}").expect("written");
         let mut reader = BufReader::new(client.stream.try_clone().expect("a clone"));
         read_head(&mut reader);
-        got.stream.shutdown(std::net::Shutdown::Both).expect("it was open");
+        got.stream
+            .shutdown(std::net::Shutdown::Both)
+            .expect("it was open");
         let mut rest = Vec::new();
         // It ends with a reset, or without the end that its framing has.
         let _ = reader.read_to_end(&mut rest);
-        assert!(rest.len() < LONG && !rest.ends_with(b"0\r\n\r\n"), "{tag}: {} bytes", rest.len());
-        assert_eq!(node.client().ask("GET /-/ready HTTP/1.1\r\nHost: n0\r\n\r\n").status(), 200);
+        assert!(
+            rest.len() < LONG && !rest.ends_with(b"0\r\n\r\n"),
+            "{tag}: {} bytes",
+            rest.len()
+        );
+        assert_eq!(
+            node.client()
+                .ask("GET /-/ready HTTP/1.1\r\nHost: n0\r\n\r\n")
+                .status(),
+            200
+        );
     }
 }
 
@@ -118,7 +162,11 @@
     let breaks = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let (servers, discovery) = (Servers::new(), Discovery::start());
     let dial = breaks.local_addr().expect("an address");
-    let node = Node::start("breaks", discovery.address, &[host("s-1", dial, 1, "ready")]);
+    let node = Node::start(
+        "breaks",
+        discovery.address,
+        &[host("s-1", dial, 1, "ready")],
+    );
     let server = std::thread::spawn(move || {
         let (mut stream, _) = breaks.accept().expect("it is sent on");
         let mut some = vec![0; 100_000];
@@ -134,7 +182,10 @@
     let breaks = server.join().expect("it had a part");
     client.write(&"a".repeat(LONG - 200_000));
     assert_eq!(client.answer().expect("an answer").status(), 503);
-    assert!(breaks.accept().is_err(), "sent again, though its body is gone");
+    assert!(
+        breaks.accept().is_err(),
+        "sent again, though its body is gone"
+    );
     servers.got_no_more();
 }
 
@@ -150,7 +201,9 @@
         let (mut stream, _) = early.accept().expect("it is sent on");
         let mut some = [0; 100];
         stream.read_exact(&mut some).expect("a part");
-        stream.write_all(b"HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n").expect("written");
+        stream
+            .write_all(b"HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
+            .expect("written");
         stream
     });
     let mut client = node.client();
@@ -171,7 +224,11 @@
     client.write(&request("a", "read", "20000m"));
     let mut got = servers.next();
     let size = 30 << 20;
-    write!(got.stream, "HTTP/1.1 200 OK\r\nContent-Length: {size}\r\n\r\n").expect("written");
+    write!(
+        got.stream,
+        "HTTP/1.1 200 OK\r\nContent-Length: {size}\r\n\r\n"
+    )
+    .expect("written");
     let writes = std::thread::spawn(move || {
         let piece = vec![b'r'; 1 << 20];
         (0..30).for_each(|_| got.stream.write_all(&piece).expect("written"));
@@ -181,8 +238,16 @@
     read_head(&mut reader);
     std::thread::sleep(std::time::Duration::from_millis(300));
     let status = std::fs::read_to_string(format!("/proc/{}/status", node.id())).expect("it runs");
-    let resident = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("a line");
-    let kilobytes: u64 = resident.trim().trim_end_matches("kB").trim().parse().expect("a number");
+    let resident = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmHWM:"))
+        .expect("a line");
+    let kilobytes: u64 = resident
+        .trim()
+        .trim_end_matches("kB")
+        .trim()
+        .parse()
+        .expect("a number");
     assert!(kilobytes < 24_000, "{kilobytes} kB");
     let mut rest = vec![0; size];
     reader.read_exact(&mut rest).expect("all of it");
@@ -192,9 +257,14 @@
 /// A connection that is kept serves on after bodies went by on it.
 #[test]
 fn a_connection_is_kept_after_bodies_went_by() {
-    let words = format!("HTTP/1.1 200 OK\r\nContent-Length: {LONG}\r\n\r\n{}", "r".repeat(LONG));
-    let (servers, _discovery, node) =
-        with_one("kept", &[Does::Answers(Box::leak(words.into_boxed_str())), SERVES]);
+    let words = format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {LONG}\r\n\r\n{}",
+        "r".repeat(LONG)
+    );
+    let (servers, _discovery, node) = with_one(
+        "kept",
+        &[Does::Answers(Box::leak(words.into_boxed_str())), SERVES],
+    );
     let mut client = node.client();
     assert_eq!(client.ask(&request("a", "read", "20000m")).body.len(), LONG);
     let first = servers.next().connection;
--- a/crates/saffronpaddle/tests/cold.rs
+++ b/crates/saffronpaddle/tests/cold.rs
@@ -35,7 +35,10 @@
     let lost = "[[step]]\ndo = \"peers\"\nloss = 1.0\n";
     let report = fleet_with("cold-deaf", &cold("deaf", lost), "");
     spared(&report);
-    assert!(report.rows.iter().all(|row| row.received_s < 1.0), "{report}");
+    assert!(
+        report.rows.iter().all(|row| row.received_s < 1.0),
+        "{report}"
+    );
 }
 
 #[test]
@@ -81,7 +84,10 @@
     let report = fleet_with("cold-sides", &cold("sides", steps), "");
     spared(&report);
     let (a, b) = (report.within("a", 0, 6), report.within("b", 0, 6));
-    assert!(a.tries > 0 && b.tries > 0 && a.tries + b.tries == report.within("all", 0, 6).tries, "{report}");
+    assert!(
+        a.tries > 0 && b.tries > 0 && a.tries + b.tries == report.within("all", 0, 6).tries,
+        "{report}"
+    );
 }
 
 /// Connections that never come up cost their attempts a quarter of a second, and nobody an answer.
@@ -106,7 +112,11 @@
 /// the first.
 #[test]
 fn a_fleet_that_starts_at_once_spares_a_list_service_that_bears_a_part_of_its_calls() {
-    let report = fleet_with("list-spared", &warm("spared", "list_calls_per_s = 8\n"), PACED);
+    let report = fleet_with(
+        "list-spared",
+        &warm("spared", "list_calls_per_s = 8\n"),
+        PACED,
+    );
     assert!(report.good(), "{report}");
     assert!(report.list_calls_most() <= 12, "{report}");
     assert_eq!(report.list.first.len(), 24, "each had its list: {report}");
@@ -117,11 +127,17 @@
 /// down at first: what is known serves, and the right list comes once it is up.
 #[test]
 fn a_list_of_yesterday_serves_while_the_list_service_is_down() {
-    let text = warm("stale", "known = \"stale\"\n[[step]]\ndo = \"list-down\"\nfor_ms = 2000\n")
-        .replace("6000", "11000");
+    let text = warm(
+        "stale",
+        "known = \"stale\"\n[[step]]\ndo = \"list-down\"\nfor_ms = 2000\n",
+    )
+    .replace("6000", "11000");
     let report = fleet_with("list-stale", &text, PACED);
     assert!(report.good(), "{report}");
-    assert!(report.verdict.served > 0 && report.list.first.len() == 24, "{report}");
+    assert!(
+        report.verdict.served > 0 && report.list.first.len() == 24,
+        "{report}"
+    );
 }
 
 /// It is back without its entries, and with its numbers begun anew: no fleet that sends nothing to anybody.
@@ -138,7 +154,8 @@
 /// It takes connections and says nothing, to all nodes: they serve from what they know.
 #[test]
 fn a_list_service_that_accepts_and_says_nothing_keeps_nobody_from_serving() {
-    let steps = "[[step]]\ndo = \"link\"\nfrom = \"nodes\"\nto = \"list\"\nstalled = true\nfor_ms = 4000\n";
+    let steps =
+        "[[step]]\ndo = \"link\"\nfrom = \"nodes\"\nto = \"list\"\nstalled = true\nfor_ms = 4000\n";
     let report = fleet_with("list-silent", &warm("silent", steps), PACED);
     assert!(report.good(), "{report}");
     assert!(report.verdict.served * 2 > report.verdict.tries, "{report}");
@@ -158,6 +175,9 @@
     for run in runs {
         let report = run.join().expect("it is played");
         assert!(report.good(), "{report}");
-        assert!(report.rows.iter().all(|row| row.received_s > 0.0), "each hears its own: {report}");
+        assert!(
+            report.rows.iter().all(|row| row.received_s > 0.0),
+            "each hears its own: {report}"
+        );
     }
 }
--- a/crates/saffronpaddle/tests/command_line.rs
+++ b/crates/saffronpaddle/tests/command_line.rs
@@ -9,7 +9,13 @@
 
 fn run(arguments: &[&str]) -> Output {
     let mut command = Command::new(program());
-    for name in ["LB_CONFIG", "LB_NAME", "LB_LISTEN", "LB_DISCOVERY", "SAFFRONPADDLE_OPERATOR"] {
+    for name in [
+        "LB_CONFIG",
+        "LB_NAME",
+        "LB_LISTEN",
+        "LB_DISCOVERY",
+        "SAFFRONPADDLE_OPERATOR",
+    ] {
         command.env_remove(name);
     }
     command.args(arguments).output().expect("the program runs")
@@ -30,8 +36,15 @@
     let output = run(&["--help"]);
     assert_eq!(output.status.code(), Some(0));
     let text = String::from_utf8(output.stdout).expect("text");
-    let subcommands =
-        ["[run]", "check FILE", "call ADDRESS", "demo", "fleet SCENARIO", "fleet counts", "fleet soak"];
+    let subcommands = [
+        "[run]",
+        "check FILE",
+        "call ADDRESS",
+        "demo",
+        "fleet SCENARIO",
+        "fleet counts",
+        "fleet soak",
+    ];
     let options = [
         "--operator",
         "--listen",
@@ -62,8 +75,16 @@
 
 #[test]
 fn every_option_is_taken_where_it_was_and_what_is_none_is_named() {
-    let with_value =
-        ["--seed", "--json", "--keep", "--program", "--servers", "--instances", "--rate", "--seconds"];
+    let with_value = [
+        "--seed",
+        "--json",
+        "--keep",
+        "--program",
+        "--servers",
+        "--instances",
+        "--rate",
+        "--seconds",
+    ];
     for option in with_value.into_iter().chain(["--operator", "--roster"]) {
         let told = complaint(&["fleet", "calm", option]);
         assert!(told.contains("missing argument"), "{option}: {told}");
@@ -83,7 +104,10 @@
         let told = complaint(&arguments);
         assert!(told.contains("--none"), "{arguments:?}: {told}");
     }
-    for arguments in [["fleet", "counts", "--csv", "--none"], ["demo", "--listen", "127.0.0.1:0", "--none"]] {
+    for arguments in [
+        ["fleet", "counts", "--csv", "--none"],
+        ["demo", "--listen", "127.0.0.1:0", "--none"],
+    ] {
         assert!(complaint(&arguments).contains("--none"), "{arguments:?}");
     }
     assert!(complaint(&["run", "--operator"]).contains("missing argument"));
@@ -96,12 +120,22 @@
     assert_eq!(code(&["--version"]), Some(0));
     assert_eq!(code(&["-V"]), Some(0));
     assert_eq!(code(&["-h"]), Some(0));
-    assert_eq!(code(&["check", concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/operator.toml")]), Some(0));
+    assert_eq!(
+        code(&[
+            "check",
+            concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/operator.toml")
+        ]),
+        Some(0)
+    );
     assert_eq!(code(&["check", "/nowhere/operator.toml"]), Some(1));
     assert_eq!(code(&["check"]), Some(1));
     assert_eq!(code(&["run"]), Some(1), "there is no configuration");
     assert_eq!(code(&[]), Some(1), "there is no configuration");
-    assert_eq!(code(&["call", "127.0.0.1:1", "PING"]), Some(1), "nobody answers");
+    assert_eq!(
+        code(&["call", "127.0.0.1:1", "PING"]),
+        Some(1),
+        "nobody answers"
+    );
     assert_eq!(code(&["fleet"]), Some(1), "there is no scenario");
 }
 
@@ -123,7 +157,12 @@
         command.env("LB_ADMIN_ADDR", admin.to_string());
     });
     let figures = call(admin, "INFO\n");
-    let key = |line: &str| line.rsplit_once(' ').map_or(line, |(key, _)| key).to_owned() + "\n";
+    let key = |line: &str| {
+        line.rsplit_once(' ')
+            .map_or(line, |(key, _)| key)
+            .to_owned()
+            + "\n"
+    };
     let keys: String = figures.lines().map(key).collect();
     assert_eq!(keys, KEYS, "\n{keys}");
 }
--- a/crates/saffronpaddle/tests/common/mod.rs
+++ b/crates/saffronpaddle/tests/common/mod.rs
@@ -35,9 +35,18 @@
 /// How a randomized run is played.
 #[allow(dead_code)]
 pub fn soak_options(seed: u64) -> Options {
-    let folder = std::env::temp_dir().join(format!("saffronpaddle-{}-soak-{seed}", std::process::id()));
+    let folder =
+        std::env::temp_dir().join(format!("saffronpaddle-{}-soak-{seed}", std::process::id()));
     let (operator, log_level, preload) = (String::new(), "debug", Some(shim().clone()));
-    Options { program: program(), seed, folder, operator, say: false, log_level, preload }
+    Options {
+        program: program(),
+        seed,
+        folder,
+        operator,
+        say: false,
+        log_level,
+        preload,
+    }
 }
 
 /// The library that makes system calls fail, built once.
@@ -49,8 +58,15 @@
         let name = format!("saffronpaddle-{}-failing_calls.so", std::process::id());
         let library = std::env::temp_dir().join(name);
         let mut compiler = Command::new("cc");
-        compiler.args(["-O1", "-shared", "-fPIC", "-o"]).arg(&library).arg(source).arg("-ldl");
-        assert!(compiler.status().expect("a C compiler").success(), "the shim builds");
+        compiler
+            .args(["-O1", "-shared", "-fPIC", "-o"])
+            .arg(&library)
+            .arg(source)
+            .arg("-ldl");
+        assert!(
+            compiler.status().expect("a C compiler").success(),
+            "the shim builds"
+        );
         library
     })
 }
@@ -65,10 +81,19 @@
 #[allow(dead_code)]
 pub fn fleet_with(tag: &str, text: &str, operator: &str) -> Report {
     let scenario = Scenario::parse(text, 1).expect("a good scenario");
-    let folder = std::env::temp_dir().join(format!("saffronpaddle-{}-fleet-{tag}", std::process::id()));
+    let folder =
+        std::env::temp_dir().join(format!("saffronpaddle-{}-fleet-{tag}", std::process::id()));
     let operator = operator.to_owned();
     let (log_level, preload) = ("info", None);
-    let options = Options { program: program(), seed: 1, folder, operator, say: false, log_level, preload };
+    let options = Options {
+        program: program(),
+        seed: 1,
+        folder,
+        operator,
+        say: false,
+        log_level,
+        preload,
+    };
     let _place = Place::taken();
     saffronpaddle_fleet_harness::run(scenario, &options, false).expect("it is played")
 }
