--- a/crates/test-doubles/src/etcd.rs
+++ b/crates/test-doubles/src/etcd.rs
@@ -75,13 +75,18 @@
 
     fn live(&self, key: &[u8], revision: i64) -> Option<&KeyValue> {
         let versions = self.keys.get(key)?;
-        let at = versions.iter().rev().find(|(since, _)| *since <= revision)?;
+        let at = versions
+            .iter()
+            .rev()
+            .find(|(since, _)| *since <= revision)?;
         at.1.as_ref()
     }
 
     fn within<'a>(&'a self, key: &[u8], end: &[u8]) -> impl Iterator<Item = &'a Vec<u8>> + 'a {
         let (key, end) = (key.to_vec(), end.to_vec());
-        self.keys.keys().filter(move |other| inside(&key, &end, other))
+        self.keys
+            .keys()
+            .filter(move |other| inside(&key, &end, other))
     }
 
     /// Puts a key as part of the change of a revision.
@@ -90,8 +95,9 @@
             return Err(Status::not_found("etcdserver: requested lease not found"));
         }
         let before = self.live(&put.key, revision).cloned();
-        let (create_revision, version) =
-            before.as_ref().map_or((revision, 1), |kv| (kv.create_revision, kv.version + 1));
+        let (create_revision, version) = before
+            .as_ref()
+            .map_or((revision, 1), |kv| (kv.create_revision, kv.version + 1));
         let value = match (&before, put.ignore_value) {
             (Some(before), true) => before.value.clone(),
             _ => put.value.clone(),
@@ -100,16 +106,32 @@
             (Some(before), true) => before.lease,
             _ => put.lease,
         };
-        let kv =
-            KeyValue { key: put.key.clone(), create_revision, mod_revision: revision, version, value, lease };
-        if let Some(old) = before.as_ref().and_then(|kv| self.leases.get_mut(&kv.lease)) {
+        let kv = KeyValue {
+            key: put.key.clone(),
+            create_revision,
+            mod_revision: revision,
+            version,
+            value,
+            lease,
+        };
+        if let Some(old) = before
+            .as_ref()
+            .and_then(|kv| self.leases.get_mut(&kv.lease))
+        {
             old.keys.remove(&put.key);
         }
         if let Some(lease) = self.leases.get_mut(&lease) {
             lease.keys.insert(put.key.clone());
         }
-        self.keys.entry(put.key.clone()).or_default().push((revision, Some(kv.clone())));
-        let event = Event { r#type: EventType::Put as i32, kv: Some(kv), prev_kv: before.clone() };
+        self.keys
+            .entry(put.key.clone())
+            .or_default()
+            .push((revision, Some(kv.clone())));
+        let event = Event {
+            r#type: EventType::Put as i32,
+            kv: Some(kv),
+            prev_kv: before.clone(),
+        };
         self.events.entry(revision).or_default().push(event);
         Ok(before)
     }
@@ -118,29 +140,51 @@
         let keys: Vec<Vec<u8>> = self.within(key, end).cloned().collect();
         let mut deleted = Vec::new();
         for key in keys {
-            let Some(before) = self.live(&key, revision).cloned() else { continue };
+            let Some(before) = self.live(&key, revision).cloned() else {
+                continue;
+            };
             if let Some(lease) = self.leases.get_mut(&before.lease) {
                 lease.keys.remove(&key);
             }
-            self.keys.entry(key.clone()).or_default().push((revision, None));
-            let kv = KeyValue { key, mod_revision: revision, ..KeyValue::default() };
-            let event =
-                Event { r#type: EventType::Delete as i32, kv: Some(kv), prev_kv: Some(before.clone()) };
+            self.keys
+                .entry(key.clone())
+                .or_default()
+                .push((revision, None));
+            let kv = KeyValue {
+                key,
+                mod_revision: revision,
+                ..KeyValue::default()
+            };
+            let event = Event {
+                r#type: EventType::Delete as i32,
+                kv: Some(kv),
+                prev_kv: Some(before.clone()),
+            };
             self.events.entry(revision).or_default().push(event);
             deleted.push(before);
         }
         deleted
     }
 
-    fn range(&self, ask: &api::RangeRequest, seen: i64) -> Result<(Vec<KeyValue>, bool, i64), Status> {
+    fn range(
+        &self,
+        ask: &api::RangeRequest,
+        seen: i64,
+    ) -> Result<(Vec<KeyValue>, bool, i64), Status> {
         let revision = if ask.revision > 0 { ask.revision } else { seen };
         if revision > self.revision {
-            return Err(Status::out_of_range("etcdserver: mvcc: required revision is a future revision"));
+            return Err(Status::out_of_range(
+                "etcdserver: mvcc: required revision is a future revision",
+            ));
         }
         if revision < self.compacted {
-            return Err(Status::out_of_range("etcdserver: mvcc: required revision has been compacted"));
+            return Err(Status::out_of_range(
+                "etcdserver: mvcc: required revision has been compacted",
+            ));
         }
-        let live = self.within(&ask.key, &ask.range_end).filter_map(|key| self.live(key, revision));
+        let live = self
+            .within(&ask.key, &ask.range_end)
+            .filter_map(|key| self.live(key, revision));
         let mut kvs: Vec<KeyValue> = live.cloned().collect();
         let count = kvs.len() as i64;
         // Sorted by key, ascending, as without a sort; descending is 2.
@@ -162,15 +206,22 @@
 
     fn compact(&mut self, revision: i64) -> Result<(), Status> {
         if revision <= self.compacted {
-            return Err(Status::out_of_range("etcdserver: mvcc: required revision has been compacted"));
+            return Err(Status::out_of_range(
+                "etcdserver: mvcc: required revision has been compacted",
+            ));
         }
         if revision > self.revision {
-            return Err(Status::out_of_range("etcdserver: mvcc: required revision is a future revision"));
+            return Err(Status::out_of_range(
+                "etcdserver: mvcc: required revision is a future revision",
+            ));
         }
         self.compacted = revision;
         self.events = self.events.split_off(&(revision + 1));
         self.keys.retain(|_, versions| {
-            let last = versions.iter().rposition(|(since, _)| *since <= revision).unwrap_or(0);
+            let last = versions
+                .iter()
+                .rposition(|(since, _)| *since <= revision)
+                .unwrap_or(0);
             versions.drain(..last);
             !matches!(&versions[..], [(since, None)] if *since <= revision)
         });
@@ -265,7 +316,11 @@
             tokio::spawn(member.clone().accept(listener));
             all.push(member);
         }
-        let etcd = Etcd { store, changed, members: all };
+        let etcd = Etcd {
+            store,
+            changed,
+            members: all,
+        };
         tokio::spawn(etcd.clone().expire());
         Ok(etcd)
     }
@@ -298,7 +353,14 @@
                     Some(value) => {
                         let value = value.as_bytes().to_vec();
                         // Without a lease nothing can be missing.
-                        let _ = store.put(revision, &api::PutRequest { key, value, ..Default::default() });
+                        let _ = store.put(
+                            revision,
+                            &api::PutRequest {
+                                key,
+                                value,
+                                ..Default::default()
+                            },
+                        );
                     }
                     None => _ = store.delete(revision, &key, &[]),
                 }
@@ -313,12 +375,27 @@
         let id = store.next_lease;
         store.next_lease += 1;
         let until = Instant::now() + ttl;
-        store.leases.insert(id, Lease { ttl: ttl.as_secs() as i64, until, keys: BTreeSet::new() });
+        store.leases.insert(
+            id,
+            Lease {
+                ttl: ttl.as_secs() as i64,
+                until,
+                keys: BTreeSet::new(),
+            },
+        );
         drop(store);
         let (key, value) = (key.as_bytes().to_vec(), value.as_bytes().to_vec());
         self.change(|store, revision| {
             // The lease is there.
-            let _ = store.put(revision, &api::PutRequest { key, value, lease: id, ..Default::default() });
+            let _ = store.put(
+                revision,
+                &api::PutRequest {
+                    key,
+                    value,
+                    lease: id,
+                    ..Default::default()
+                },
+            );
         });
         id
     }
@@ -345,9 +422,16 @@
     pub fn restore(&self, keys: &[(&str, &str)], recreated: bool) {
         {
             let mut store = lock(&self.store);
-            let id = if recreated { store.cluster_id.wrapping_add(1) } else { store.cluster_id };
+            let id = if recreated {
+                store.cluster_id.wrapping_add(1)
+            } else {
+                store.cluster_id
+            };
             let user = store.user.clone();
-            *store = Store { user, ..Store::new(id) };
+            *store = Store {
+                user,
+                ..Store::new(id)
+            };
         }
         for (key, value) in keys {
             self.put(key, value);
@@ -366,15 +450,23 @@
             let now = Instant::now();
             let over: Vec<i64> = {
                 let store = lock(&self.store);
-                store.leases.iter().filter(|(_, lease)| lease.until <= now).map(|(id, _)| *id).collect()
+                store
+                    .leases
+                    .iter()
+                    .filter(|(_, lease)| lease.until <= now)
+                    .map(|(id, _)| *id)
+                    .collect()
             };
-            over.into_iter().for_each(|id| _ = revoke(&self.store, &self.changed, id));
+            over.into_iter()
+                .for_each(|id| _ = revoke(&self.store, &self.changed, id));
         }
     }
 }
 
 fn change_store<T>(
-    store: &Mutex<Store>, changed: &watch::Sender<i64>, change: impl FnOnce(&mut Store, i64) -> T,
+    store: &Mutex<Store>,
+    changed: &watch::Sender<i64>,
+    change: impl FnOnce(&mut Store, i64) -> T,
 ) -> T {
     let (revision, result) = {
         let mut store = lock(store);
@@ -390,9 +482,14 @@
 }
 
 fn revoke(store: &Mutex<Store>, changed: &watch::Sender<i64>, id: i64) -> bool {
-    let Some(lease) = lock(store).leases.remove(&id) else { return false };
+    let Some(lease) = lock(store).leases.remove(&id) else {
+        return false;
+    };
     change_store(store, changed, |store, revision| {
-        lease.keys.iter().for_each(|key| _ = store.delete(revision, key, &[]));
+        lease
+            .keys
+            .iter()
+            .for_each(|key| _ = store.delete(revision, key, &[]));
     });
     true
 }
@@ -427,7 +524,9 @@
 
     async fn accept(self, listener: TcpListener) {
         loop {
-            let Ok((stream, _)) = listener.accept().await else { continue };
+            let Ok((stream, _)) = listener.accept().await else {
+                continue;
+            };
             self.inside.connections.fetch_add(1, Ordering::Relaxed);
             if lock(&self.inside.faults).refuses {
                 continue;
@@ -439,7 +538,11 @@
                 cuts.borrow_and_update();
                 let mut stirred = inside.stirred.subscribe();
                 let pace = Box::pin(async move { _ = stirred.changed().await });
-                let io = Faulty { stream, inside: Arc::clone(&inside), pace };
+                let io = Faulty {
+                    stream,
+                    inside: Arc::clone(&inside),
+                    pace,
+                };
                 let service = TowerToHyperService::new(Api(inside));
                 let http = hyper::server::conn::http2::Builder::new(TokioExecutor::new());
                 tokio::select! {
@@ -478,7 +581,9 @@
 
 impl AsyncRead for Faulty {
     fn poll_read(
-        mut self: Pin<&mut Self>, context: &mut Context<'_>, buffer: &mut ReadBuf<'_>,
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         if self.frozen(context) {
             return Poll::Pending;
@@ -489,7 +594,9 @@
 
 impl AsyncWrite for Faulty {
     fn poll_write(
-        mut self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8],
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         if self.frozen(context) {
             return Poll::Pending;
@@ -548,12 +655,19 @@
 
     fn allow(&self, metadata: &tonic::metadata::MetadataMap) -> Result<(), Status> {
         let store = self.store();
-        let Some((name, _)) = &store.user else { return Ok(()) };
+        let Some((name, _)) = &store.user else {
+            return Ok(());
+        };
         let token = metadata.get("token").or(metadata.get("authorization"));
-        if token.and_then(|token| token.to_str().ok()) == Some(&format!("{name}.{}", store.cluster_id)[..]) {
+        if token.and_then(|token| token.to_str().ok())
+            == Some(&format!("{name}.{}", store.cluster_id)[..])
+        {
             return Ok(());
         }
-        Err(Status::new(Code::Unauthenticated, "etcdserver: invalid auth token"))
+        Err(Status::new(
+            Code::Unauthenticated,
+            "etcdserver: invalid auth token",
+        ))
     }
 
     async fn range(&self, ask: api::RangeRequest) -> Result<api::RangeResponse, Status> {
@@ -567,7 +681,12 @@
         self.ranges.fetch_add(1, Ordering::Relaxed);
         let seen = self.seen();
         let (kvs, more, count) = self.store().range(&ask, seen)?;
-        Ok(api::RangeResponse { header: Some(self.header()), kvs, more, count })
+        Ok(api::RangeResponse {
+            header: Some(self.header()),
+            kvs,
+            more,
+            count,
+        })
     }
 
     async fn unary(&self, call: Call) -> Result<Answered, Status> {
@@ -576,44 +695,78 @@
             Call::Put(ask) => {
                 let before = self.change(|store, revision| store.put(revision, &ask))?;
                 let prev_kv = before.filter(|_| ask.prev_kv);
-                Answered::Put(api::PutResponse { header: Some(self.header()), prev_kv })
+                Answered::Put(api::PutResponse {
+                    header: Some(self.header()),
+                    prev_kv,
+                })
             }
             Call::Delete(ask) => {
                 let prev_kvs =
                     self.change(|store, revision| store.delete(revision, &ask.key, &ask.range_end));
                 let deleted = prev_kvs.len() as i64;
                 let prev_kvs = if ask.prev_kv { prev_kvs } else { Vec::new() };
-                Answered::Delete(api::DeleteRangeResponse { header: Some(self.header()), deleted, prev_kvs })
+                Answered::Delete(api::DeleteRangeResponse {
+                    header: Some(self.header()),
+                    deleted,
+                    prev_kvs,
+                })
             }
             Call::Txn(ask) => Answered::Txn(self.txn(ask)?),
             Call::Compact(ask) => {
                 self.store().compact(ask.revision)?;
                 // Watches behind it are cancelled.
                 self.changed.send_modify(|_| {});
-                Answered::Compact(api::CompactionResponse { header: Some(self.header()) })
+                Answered::Compact(api::CompactionResponse {
+                    header: Some(self.header()),
+                })
             }
             Call::Grant(ask) => {
                 let mut store = self.store();
-                let id = if ask.id == 0 { store.next_lease } else { ask.id };
+                let id = if ask.id == 0 {
+                    store.next_lease
+                } else {
+                    ask.id
+                };
                 store.next_lease = store.next_lease.max(id) + 1;
                 let until = Instant::now() + Duration::from_secs(ask.ttl.max(1) as u64);
-                store.leases.insert(id, Lease { ttl: ask.ttl, until, keys: BTreeSet::new() });
+                store.leases.insert(
+                    id,
+                    Lease {
+                        ttl: ask.ttl,
+                        until,
+                        keys: BTreeSet::new(),
+                    },
+                );
                 drop(store);
                 let header = Some(self.header());
-                Answered::Grant(api::LeaseGrantResponse { header, id, ttl: ask.ttl, error: String::new() })
+                Answered::Grant(api::LeaseGrantResponse {
+                    header,
+                    id,
+                    ttl: ask.ttl,
+                    error: String::new(),
+                })
             }
             Call::Revoke(ask) => {
                 if !revoke(&self.store, &self.changed, ask.id) {
                     return Err(Status::not_found("etcdserver: requested lease not found"));
                 }
-                Answered::Revoke(api::LeaseRevokeResponse { header: Some(self.header()) })
+                Answered::Revoke(api::LeaseRevokeResponse {
+                    header: Some(self.header()),
+                })
             }
             Call::TimeToLive(ask) => {
                 let header = Some(self.header());
                 let store = self.store();
                 let lease = store.leases.get(&ask.id);
-                let left = lease.map(|lease| lease.until.saturating_duration_since(Instant::now()).as_secs());
-                let keys = lease.filter(|_| ask.keys).map(|lease| lease.keys.iter().cloned().collect());
+                let left = lease.map(|lease| {
+                    lease
+                        .until
+                        .saturating_duration_since(Instant::now())
+                        .as_secs()
+                });
+                let keys = lease
+                    .filter(|_| ask.keys)
+                    .map(|lease| lease.keys.iter().cloned().collect());
                 Answered::TimeToLive(api::LeaseTimeToLiveResponse {
                     header,
                     id: ask.id,
@@ -662,7 +815,10 @@
                     }
                     Some(api::request_op::Request::Delete(ask)) => {
                         let deleted = store.delete(revision, &ask.key, &ask.range_end).len() as i64;
-                        let answer = api::DeleteRangeResponse { deleted, ..Default::default() };
+                        let answer = api::DeleteRangeResponse {
+                            deleted,
+                            ..Default::default()
+                        };
                         api::response_op::Response::Delete(answer)
                     }
                     Some(api::request_op::Request::Range(ask)) => {
@@ -676,11 +832,17 @@
                     }
                     None => continue,
                 };
-                responses.push(api::ResponseOp { response: Some(response) });
+                responses.push(api::ResponseOp {
+                    response: Some(response),
+                });
             }
             Ok::<_, Status>(responses)
         })?;
-        Ok(api::TxnResponse { header: Some(self.header()), succeeded: true, responses })
+        Ok(api::TxnResponse {
+            header: Some(self.header()),
+            succeeded: true,
+            responses,
+        })
     }
 }
 
@@ -724,7 +886,10 @@
     }
 
     async fn send(&self, response: api::WatchResponse) -> Option<()> {
-        let response = api::WatchResponse { header: Some(self.inside.header()), ..response };
+        let response = api::WatchResponse {
+            header: Some(self.inside.header()),
+            ..response
+        };
         self.responses.send(Ok(response)).await.ok()
     }
 
@@ -735,27 +900,48 @@
                 let free = ask.watch_id == 0 || self.watchers.contains_key(&ask.watch_id);
                 let watch_id = if free { self.next_id } else { ask.watch_id };
                 self.next_id = self.next_id.max(watch_id) + 1;
-                let next = if ask.start_revision > 0 { ask.start_revision } else { self.inside.seen() + 1 };
-                self.send(api::WatchResponse { watch_id, created: true, ..Default::default() }).await?;
+                let next = if ask.start_revision > 0 {
+                    ask.start_revision
+                } else {
+                    self.inside.seen() + 1
+                };
+                self.send(api::WatchResponse {
+                    watch_id,
+                    created: true,
+                    ..Default::default()
+                })
+                .await?;
                 self.watchers.insert(watch_id, Watcher { ask, next });
                 Some(())
             }
             Some(api::watch_request::Request::Cancel(ask)) => {
                 let watch_id = ask.watch_id;
                 self.watchers.remove(&watch_id);
-                self.send(api::WatchResponse { watch_id, canceled: true, ..Default::default() }).await
+                self.send(api::WatchResponse {
+                    watch_id,
+                    canceled: true,
+                    ..Default::default()
+                })
+                .await
             }
             Some(api::watch_request::Request::Progress(_)) => {
                 // It tells a revision up to which all watchers have been sent everything, and none beyond.
                 let header = loop {
                     let header = self.inside.header();
                     self.catch_up().await?;
-                    if self.watchers.values().all(|watcher| watcher.next > header.revision) {
+                    if self
+                        .watchers
+                        .values()
+                        .all(|watcher| watcher.next > header.revision)
+                    {
                         break header;
                     }
                 };
-                let response =
-                    api::WatchResponse { header: Some(header), watch_id: -1, ..Default::default() };
+                let response = api::WatchResponse {
+                    header: Some(header),
+                    watch_id: -1,
+                    ..Default::default()
+                };
                 self.responses.send(Ok(response)).await.ok()
             }
             None => Some(()),
@@ -785,11 +971,15 @@
                         .collect(),
                     false => Vec::new(),
                 };
-                (events, (watcher.next <= store.compacted).then_some(store.compacted))
+                (
+                    events,
+                    (watcher.next <= store.compacted).then_some(store.compacted),
+                )
             };
             if let Some(compact_revision) = compacted {
                 self.watchers.remove(&watch_id);
-                let cancel_reason = "etcdserver: mvcc: required revision has been compacted".to_owned();
+                let cancel_reason =
+                    "etcdserver: mvcc: required revision has been compacted".to_owned();
                 let response = api::WatchResponse {
                     watch_id,
                     canceled: true,
@@ -805,13 +995,18 @@
                 continue;
             }
             let (prev_kv, fragment) = (watcher.ask.prev_kv, watcher.ask.fragment);
-            self.send_events(watch_id, events, prev_kv, fragment).await?;
+            self.send_events(watch_id, events, prev_kv, fragment)
+                .await?;
         }
         Some(())
     }
 
     async fn send_events(
-        &self, watch_id: i64, events: Vec<Event>, prev_kv: bool, fragment: bool,
+        &self,
+        watch_id: i64,
+        events: Vec<Event>,
+        prev_kv: bool,
+        fragment: bool,
     ) -> Option<()> {
         let mut events = events;
         if !prev_kv {
@@ -825,7 +1020,13 @@
         let mut parts = events.chunks(at).peekable();
         while let Some(part) = parts.next() {
             let (events, fragment) = (part.to_vec(), parts.peek().is_some());
-            self.send(api::WatchResponse { watch_id, fragment, events, ..Default::default() }).await?;
+            self.send(api::WatchResponse {
+                watch_id,
+                fragment,
+                events,
+                ..Default::default()
+            })
+            .await?;
             if fragment {
                 // Time for it to be written before whatever comes next.
                 tokio::time::sleep(between).await;
@@ -888,7 +1089,9 @@
                 inside.allow(&metadata)?;
             }
             let answered = answer(inside.unary(call).await?);
-            answered.map(tonic::Response::new).ok_or_else(|| Status::internal("another call's answer"))
+            answered
+                .map(tonic::Response::new)
+                .ok_or_else(|| Status::internal("another call's answer"))
         })
     }
 }
@@ -905,7 +1108,12 @@
         Box::pin(async move {
             inside.allow(request.metadata())?;
             let (responses, stream) = mpsc::channel(WAITING_MOST);
-            let watching = Watching { inside, watchers: BTreeMap::new(), next_id: 0, responses };
+            let watching = Watching {
+                inside,
+                watchers: BTreeMap::new(),
+                next_id: 0,
+                responses,
+            };
             tokio::spawn(watching.run(request.into_inner()));
             Ok(tonic::Response::new(ReceiverStream::new(stream)))
         })
@@ -919,7 +1127,10 @@
     type ResponseStream = ReceiverStream<Result<api::LeaseKeepAliveResponse, Status>>;
     type Future = Boxed<tonic::Response<Self::ResponseStream>>;
 
-    fn call(&mut self, request: tonic::Request<Streaming<api::LeaseKeepAliveRequest>>) -> Self::Future {
+    fn call(
+        &mut self,
+        request: tonic::Request<Streaming<api::LeaseKeepAliveRequest>>,
+    ) -> Self::Future {
         let inside = Arc::clone(&self.0);
         Box::pin(async move {
             inside.allow(request.metadata())?;
@@ -930,12 +1141,17 @@
                     let ttl = {
                         let mut store = inside.store();
                         store.leases.get_mut(&ask.id).map_or(0, |lease| {
-                            lease.until = Instant::now() + Duration::from_secs(lease.ttl.max(1) as u64);
+                            lease.until =
+                                Instant::now() + Duration::from_secs(lease.ttl.max(1) as u64);
                             lease.ttl
                         })
                     };
                     let header = Some(inside.header());
-                    let response = api::LeaseKeepAliveResponse { header, id: ask.id, ttl };
+                    let response = api::LeaseKeepAliveResponse {
+                        header,
+                        id: ask.id,
+                        ttl,
+                    };
                     if responses.send(Ok(response)).await.is_err() {
                         return;
                     }
@@ -956,7 +1172,9 @@
             Answered::$variant(answer) => Some(answer),
             _ => None,
         });
-        Grpc::new(ProstCodec::default()).unary(service, $request).await
+        Grpc::new(ProstCodec::default())
+            .unary(service, $request)
+            .await
     }};
 }
 
@@ -983,10 +1201,18 @@
                 path::LEASE_REVOKE => unary!(inside, request, Revoke, Call::Revoke),
                 path::LEASE_TIME_TO_LIVE => unary!(inside, request, TimeToLive, Call::TimeToLive),
                 path::AUTHENTICATE => unary!(inside, request, Authenticate, Call::Authenticate),
-                path::STATUS => unary!(inside, request, Status, |_: api::StatusRequest| Call::Status),
-                path::WATCH => Grpc::new(ProstCodec::default()).streaming(Watches(inside), request).await,
+                path::STATUS => unary!(inside, request, Status, |_: api::StatusRequest| {
+                    Call::Status
+                }),
+                path::WATCH => {
+                    Grpc::new(ProstCodec::default())
+                        .streaming(Watches(inside), request)
+                        .await
+                }
                 path::LEASE_KEEP_ALIVE => {
-                    Grpc::new(ProstCodec::default()).streaming(KeepAlives(inside), request).await
+                    Grpc::new(ProstCodec::default())
+                        .streaming(KeepAlives(inside), request)
+                        .await
                 }
                 _ => Status::unimplemented(called).into_http(),
             })
--- a/crates/test-doubles/src/ledger.rs
+++ b/crates/test-doubles/src/ledger.rs
@@ -198,7 +198,14 @@
 
 impl Limit {
     fn new(rate: f64, depth: f64) -> Limit {
-        Limit { rate, depth, level: depth, at: Duration::ZERO, worst: 0.0, beyond: 0.0 }
+        Limit {
+            rate,
+            depth,
+            level: depth,
+            at: Duration::ZERO,
+            worst: 0.0,
+            beyond: 0.0,
+        }
     }
 
     fn fill(&mut self, now: Duration) {
@@ -427,7 +434,9 @@
     pub fn answered(&mut self, now: Duration, id: &str, answer: Answer) {
         let bounds = &self.bounds;
         let Some(entry) = self.tries.get_mut(id) else {
-            return self.double.push(Breach::ForeignAnswer(format!("{id}: an answer to nothing")));
+            return self
+                .double
+                .push(Breach::ForeignAnswer(format!("{id}: an answer to nothing")));
         };
         if entry.is_over() {
             return self.double.push(Breach::AnsweredTwice(id.to_owned()));
@@ -436,9 +445,12 @@
         self.open -= 1;
         let (customer, units) = (entry.asked.customer, entry.asked.units);
         let room = |limits: &mut BTreeMap<u64, Limit>| {
-            limits.get_mut(&customer).is_none_or(|limit| limit.has_room(now, units))
+            limits
+                .get_mut(&customer)
+                .is_none_or(|limit| limit.has_room(now, units))
         };
-        entry.with_room = answer == Answer::Refused && room(&mut self.quotas) && room(&mut self.ceilings);
+        entry.with_room =
+            answer == Answer::Refused && room(&mut self.quotas) && room(&mut self.ceilings);
         let stint = self.stints.entry(entry.asked.node).or_default();
         stint.got += 1;
         if answer == Answer::Served {
@@ -450,13 +462,16 @@
         }
         if now > entry.at + entry.asked.patience + bounds.answer_slack {
             let late = (now - entry.at - entry.asked.patience).as_millis();
-            self.double.push(Breach::LateAnswer(format!("{id}: {late} ms")));
+            self.double
+                .push(Breach::LateAnswer(format!("{id}: {late} ms")));
         }
     }
 
     /// Bytes came behind an answer.
     pub fn more(&mut self, id: &str) {
-        self.double.push(Breach::AnsweredTwice(format!("{id}: bytes behind the answer")));
+        self.double.push(Breach::AnsweredTwice(format!(
+            "{id}: bytes behind the answer"
+        )));
     }
 
     /// A served answer was not what a server made for this try.
@@ -486,7 +501,8 @@
     pub fn told(&mut self, now: Duration, node: usize, server: &str, ready: bool) {
         let place = (node, server.to_owned());
         if ready {
-            self.drains.extend(self.told.remove(&place).map(|(_, latest)| latest));
+            self.drains
+                .extend(self.told.remove(&place).map(|(_, latest)| latest));
         } else {
             self.told.entry(place).or_insert((now, Duration::ZERO));
         }
@@ -501,14 +517,23 @@
 
     /// A server has started cold; `capacity` in seconds of work a second once it is warm.
     pub fn cold(&mut self, now: Duration, server: &str, capacity: f64) {
-        let cold = Cold { born: now, capacity, work: VecDeque::new(), worst: 0.0, crowded: 0.0, fell: false };
+        let cold = Cold {
+            born: now,
+            capacity,
+            work: VecDeque::new(),
+            worst: 0.0,
+            crowded: 0.0,
+            fell: false,
+        };
         let before = self.cold.insert(server.to_owned(), cold);
         self.crowded = before.map_or(self.crowded, |before| before.crowded.max(self.crowded));
     }
 
     /// Share of its capacity that a server has.
     pub fn warmth(&self, now: Duration, server: &str) -> f64 {
-        let Some(cold) = self.cold.get(server) else { return 1.0 };
+        let Some(cold) = self.cold.get(server) else {
+            return 1.0;
+        };
         warmth(&self.bounds, now.saturating_sub(cold.born))
     }
 
@@ -538,7 +563,10 @@
         if let Some((left, _)) = entry.left {
             if first > left + bounds.leave_grace + bounds.slack {
                 let late = (first - left).as_millis();
-                let line = format!("{id} from node {} to {server} after {late} ms", entry.asked.node);
+                let line = format!(
+                    "{id} from node {} to {server} after {late} ms",
+                    entry.asked.node
+                );
                 self.after_leave.push(Breach::SentAfterLeave(line));
             }
         }
@@ -558,34 +586,48 @@
             if let Some(ceiling) = self.ceilings.get_mut(&customer) {
                 ceiling.take(now, units);
                 let (share, least) = bounds.ceiling_slack;
-                let slack =
-                    (ceiling.depth * share).max(least) + ceiling.rate * bounds.ceiling_late.as_secs_f64();
+                let slack = (ceiling.depth * share).max(least)
+                    + ceiling.rate * bounds.ceiling_late.as_secs_f64();
                 if ceiling.level < -slack {
                     let over = -ceiling.level - slack;
                     let line = format!("customer {customer:x} by {over:.2} units beyond the slack");
                     self.double.push(Breach::CeilingPassed(line));
                 }
             }
-            let beyond = self.quotas.get_mut(&customer).map_or(0.0, |quota| quota.draw(now, units));
+            let beyond = self
+                .quotas
+                .get_mut(&customer)
+                .map_or(0.0, |quota| quota.draw(now, units));
             entry.sent = Some((now, beyond));
         }
         if let Some(cold) = self.cold.get_mut(server) {
             let age = now.saturating_sub(cold.born);
             if age < bounds.cold_for {
                 cold.work.push_back((now, work));
-                while cold.work.front().is_some_and(|(at, _)| *at + bounds.fall_window < now) {
+                while cold
+                    .work
+                    .front()
+                    .is_some_and(|(at, _)| *at + bounds.fall_window < now)
+                {
                     cold.work.pop_front();
                 }
                 let sent: f64 = cold.work.iter().map(|(_, work)| work).sum();
                 let can = cold.capacity * warmth(bounds, age) * bounds.fall_window.as_secs_f64();
                 // One heavy request alone is chance, not a push.
-                let load = if cold.work.len() > 1 { sent / (can * bounds.fall_multiple) } else { 0.0 };
+                let load = if cold.work.len() > 1 {
+                    sent / (can * bounds.fall_multiple)
+                } else {
+                    0.0
+                };
                 cold.worst = cold.worst.max(load);
                 let allowed = can * bounds.fall_multiple / bounds.mean_work;
                 let crowd = sent / bounds.mean_work / (allowed + 2.0 * allowed.sqrt() + 2.0);
                 cold.crowded = cold.crowded.max(crowd);
                 if load > 1.0 && !std::mem::replace(&mut cold.fell, true) {
-                    let line = format!("{server}, {} ms old, at {load:.2} of its bound", age.as_millis());
+                    let line = format!(
+                        "{server}, {} ms old, at {load:.2} of its bound",
+                        age.as_millis()
+                    );
                     self.double.push(Breach::Fell(line));
                 }
             }
@@ -596,7 +638,9 @@
     /// remembered when it came does nothing. Danger: a repeat that came in time and waited, judged by when it was done.
     pub fn ran(&mut self, now: Duration, came: Duration, group: u64, id: &str) -> bool {
         let window = self.bounds.key_window;
-        let Some(entry) = self.tries.get_mut(id) else { return false };
+        let Some(entry) = self.tries.get_mut(id) else {
+            return false;
+        };
         match (entry.asked.repeats, entry.asked.key.clone()) {
             (Repeats::Safe, _) => return false,
             (Repeats::Keyed, Some(key)) => {
@@ -640,10 +684,16 @@
 
     /// A node that stood still goes on: what was written to it meanwhile counts as told now.
     pub fn resumed(&mut self, now: Duration, node: usize, stopped: Duration) {
-        let of = self.told.iter_mut().filter(|((other, _), (at, _))| *other == node && *at >= stopped);
+        let of = self
+            .told
+            .iter_mut()
+            .filter(|((other, _), (at, _))| *other == node && *at >= stopped);
         of.for_each(|(_, (at, _))| *at = now);
         // So does a client's close.
-        let tries = self.tries.values_mut().filter(|entry| entry.asked.node == node);
+        let tries = self
+            .tries
+            .values_mut()
+            .filter(|entry| entry.asked.node == node);
         tries
             .filter_map(|entry| entry.left.as_mut())
             .filter(|(at, _)| *at >= stopped)
@@ -673,9 +723,12 @@
         // Looked up once a server: there may be tens of thousands.
         let of = |(name, capacity): &(String, f64)| {
             let born = self.cold.get(name).map(|cold| cold.born);
-            let warmth =
-                |now: Duration| born.map_or(1.0, |born| warmth(&self.bounds, now.saturating_sub(born)));
-            (0..steps).map(|step| capacity * warmth(at(step)) * STEP.as_secs_f64()).sum::<f64>()
+            let warmth = |now: Duration| {
+                born.map_or(1.0, |born| warmth(&self.bounds, now.saturating_sub(born)))
+            };
+            (0..steps)
+                .map(|step| capacity * warmth(at(step)) * STEP.as_secs_f64())
+                .sum::<f64>()
         };
         servers.iter().map(of).sum()
     }
@@ -703,7 +756,10 @@
                     let why = why.unwrap_or(Unanswered::Lost);
                     unanswered[why as usize] += 1;
                     if why == Unanswered::Lost {
-                        breaches.push(Breach::NoAnswer(format!("{id} at node {}", entry.asked.node)));
+                        breaches.push(Breach::NoAnswer(format!(
+                            "{id} at node {}",
+                            entry.asked.node
+                        )));
                     }
                 }
             }
@@ -715,8 +771,12 @@
         let mut drains: Vec<Duration> = self.told.values().map(|(_, latest)| *latest).collect();
         drains.extend(&self.drains);
         drains.sort();
-        let sent: f64 =
-            self.tries.values().filter(|entry| entry.attempts > 0).map(|entry| entry.asked.units).sum();
+        let sent: f64 = self
+            .tries
+            .values()
+            .filter(|entry| entry.attempts > 0)
+            .map(|entry| entry.asked.units)
+            .sum();
         let beyond: f64 = self.quotas.values().map(|quota| quota.beyond).sum();
         Verdict {
             tries: self.tries.len() as u64,
@@ -728,22 +788,47 @@
             not_taken: unanswered[Unanswered::NotTaken as usize],
             left: unanswered[Unanswered::Left as usize],
             lost: unanswered[Unanswered::Lost as usize],
-            attempts: self.tries.values().map(|entry| u64::from(entry.attempts)).sum(),
+            attempts: self
+                .tries
+                .values()
+                .map(|entry| u64::from(entry.attempts))
+                .sum(),
             after_drain: self.after_drain,
             drains: drains.len() as u64,
-            drain_median_ms: drains.get(drains.len() / 2).map_or(0.0, |late| late.as_secs_f64() * 1e3),
-            after_drain_most_ms: self.late_sends.iter().max().map_or(0.0, |late| late.as_secs_f64() * 1e3),
+            drain_median_ms: drains
+                .get(drains.len() / 2)
+                .map_or(0.0, |late| late.as_secs_f64() * 1e3),
+            after_drain_most_ms: self
+                .late_sends
+                .iter()
+                .max()
+                .map_or(0.0, |late| late.as_secs_f64() * 1e3),
             effects: self.effects.values().map(|count| u64::from(*count)).sum(),
             keys_repeated: self.effects.values().filter(|count| **count > 1).count() as u64,
-            cold_worst: self.cold.values().map(|cold| cold.worst).fold(0.0, f64::max),
-            cold_crowded: self.cold.values().map(|cold| cold.crowded).fold(self.crowded, f64::max),
-            left_unsent: self.tries.values().filter(|entry| matches!(entry.left, Some((_, 0)))).count()
-                as u64,
+            cold_worst: self
+                .cold
+                .values()
+                .map(|cold| cold.worst)
+                .fold(0.0, f64::max),
+            cold_crowded: self
+                .cold
+                .values()
+                .map(|cold| cold.crowded)
+                .fold(self.crowded, f64::max),
+            left_unsent: self
+                .tries
+                .values()
+                .filter(|entry| matches!(entry.left, Some((_, 0))))
+                .count() as u64,
             after_leave: self.after_leave.len() as u64,
             shut: self.stints.values().filter(|stint| stint.shut).count() as u64,
             unserving: self.stints.values().map(Stint::unserving).sum(),
             beyond_quota: if sent > 0.0 { beyond / sent } else { 0.0 },
-            ceiling_over_most: self.ceilings.values().map(|ceiling| ceiling.worst).fold(0.0, f64::max),
+            ceiling_over_most: self
+                .ceilings
+                .values()
+                .map(|ceiling| ceiling.worst)
+                .fold(0.0, f64::max),
             unasked: self.unasked,
             breaches,
         }
--- a/crates/test-doubles/src/ledger/tests.rs
+++ b/crates/test-doubles/src/ledger/tests.rs
@@ -7,7 +7,15 @@
 fn asked(id: &str, repeats: Repeats) -> Asked {
     let key = (repeats == Repeats::Keyed).then(|| "k".to_owned());
     let (id, patience) = (id.to_owned(), ms(1000));
-    Asked { id, key, repeats, node: 0, customer: 7, units: 1.0, patience }
+    Asked {
+        id,
+        key,
+        repeats,
+        node: 0,
+        customer: 7,
+        units: 1.0,
+        patience,
+    }
 }
 
 fn one(repeats: Repeats) -> Ledger {
@@ -29,20 +37,38 @@
     ledger.answered(ms(101), "a", Answer::Served);
     let verdict = ledger.judge();
     assert!(verdict.breaches.is_empty(), "{verdict:?}");
-    assert_eq!((verdict.tries, verdict.served, verdict.attempts, verdict.effects), (1, 1, 1, 1));
+    assert_eq!(
+        (
+            verdict.tries,
+            verdict.served,
+            verdict.attempts,
+            verdict.effects
+        ),
+        (1, 1, 1, 1)
+    );
 }
 
 #[test]
 fn each_breach_of_the_first_rule_is_seen() {
-    assert_eq!(breaches(&one(Repeats::Safe)), [Breach::NoAnswer("a at node 0".to_owned())]);
+    assert_eq!(
+        breaches(&one(Repeats::Safe)),
+        [Breach::NoAnswer("a at node 0".to_owned())]
+    );
     let mut ledger = one(Repeats::Safe);
     ledger.answered(ms(10), "a", Answer::Served);
     ledger.answered(ms(11), "a", Answer::Failed);
     assert_eq!(breaches(&ledger), [Breach::AnsweredTwice("a".to_owned())]);
     let mut ledger = one(Repeats::Safe);
     ledger.answered(ms(1051), "a", Answer::Failed);
-    assert_eq!(breaches(&ledger), [Breach::LateAnswer("a: 51 ms".to_owned())]);
-    for (why, lost) in [(Unanswered::Killed, 0), (Unanswered::Left, 0), (Unanswered::Lost, 1)] {
+    assert_eq!(
+        breaches(&ledger),
+        [Breach::LateAnswer("a: 51 ms".to_owned())]
+    );
+    for (why, lost) in [
+        (Unanswered::Killed, 0),
+        (Unanswered::Left, 0),
+        (Unanswered::Lost, 1),
+    ] {
         let mut ledger = one(Repeats::Safe);
         ledger.unanswered("a", why);
         assert_eq!(breaches(&ledger).len(), lost, "{why:?}");
@@ -52,11 +78,25 @@
 #[test]
 fn tries_without_an_end_are_counted_and_all_are_told_in_the_order_in_which_they_were_asked() {
     let mut ledger = Ledger::new(Bounds::default());
-    let ids: Vec<String> = (0..100).map(|number| format!("t{}", number * 7 % 100)).collect();
+    let ids: Vec<String> = (0..100)
+        .map(|number| format!("t{}", number * 7 % 100))
+        .collect();
     for (node, id) in ids.iter().enumerate() {
-        ledger.asked(ms(5), Asked { node, ..asked(id, Repeats::Safe) });
+        ledger.asked(
+            ms(5),
+            Asked {
+                node,
+                ..asked(id, Repeats::Safe)
+            },
+        );
     }
-    ledger.asked(ms(6), Asked { node: 3, ..asked(&ids[3], Repeats::Safe) });
+    ledger.asked(
+        ms(6),
+        Asked {
+            node: 3,
+            ..asked(&ids[3], Repeats::Safe)
+        },
+    );
     assert_eq!(ledger.open(), 100, "sent once more, it counts once");
     let ended: [fn(&mut Ledger, &str); 4] = [
         |ledger, id| ledger.answered(ms(10), id, Answer::Refused),
@@ -100,12 +140,19 @@
     for (at, twice) in [(2019, false), (2021, true)] {
         let mut ledger = one(Repeats::Keyed);
         assert!(ledger.ran(ms(20), ms(20), 1, "a"));
-        assert_eq!(ledger.ran(ms(at + 500), ms(at), 1, "a"), twice, "by when it came");
+        assert_eq!(
+            ledger.ran(ms(at + 500), ms(at), 1, "a"),
+            twice,
+            "by when it came"
+        );
     }
     let mut ledger = one(Repeats::Unsafe);
     ledger.ran(ms(20), ms(20), 1, "a");
     ledger.answered(ms(30), "a", Answer::Refused);
-    assert_eq!(breaches(&ledger), [Breach::RefusedAfterEffect("a".to_owned())]);
+    assert_eq!(
+        breaches(&ledger),
+        [Breach::RefusedAfterEffect("a".to_owned())]
+    );
 }
 
 #[test]
@@ -152,15 +199,31 @@
     ledger.limit(7, (1.0, 2.0), Some((2.0, 4.0)));
     for number in 0..6_u64 {
         let id = number.to_string();
-        ledger.asked(ms(0), Asked { node: number as usize, ..asked(&id, Repeats::Safe) });
+        ledger.asked(
+            ms(0),
+            Asked {
+                node: number as usize,
+                ..asked(&id, Repeats::Safe)
+            },
+        );
         ledger.arrived(ms(0), ms(0), "s", &id, 0.1);
         ledger.answered(ms(1), &id, Answer::Served);
         // 4 units at once, one for the slack and 0.3 for lateness.
-        assert_eq!(ledger.judge().breaches.len(), usize::from(number >= 5), "{number}");
+        assert_eq!(
+            ledger.judge().breaches.len(),
+            usize::from(number >= 5),
+            "{number}"
+        );
     }
     let verdict = ledger.judge();
-    assert!((verdict.beyond_quota - 4.0 / 6.0).abs() < 1e-9, "{verdict:?}");
-    assert!((verdict.ceiling_over_most - 2.0).abs() < 1e-9, "{verdict:?}");
+    assert!(
+        (verdict.beyond_quota - 4.0 / 6.0).abs() < 1e-9,
+        "{verdict:?}"
+    );
+    assert!(
+        (verdict.ceiling_over_most - 2.0).abs() < 1e-9,
+        "{verdict:?}"
+    );
 }
 
 #[test]
@@ -172,8 +235,16 @@
             ledger.left(ms(1000), id);
             ledger.arrived(ms(first + 20), ms(first), "s", id, 0.1);
             let verdict = ledger.judge();
-            assert_eq!(verdict.after_leave, count * (place as u64 + 1), "{verdict:?}");
-            assert_eq!(verdict.breaches.is_empty(), place < 2 || count == 0, "{verdict:?}");
+            assert_eq!(
+                verdict.after_leave,
+                count * (place as u64 + 1),
+                "{verdict:?}"
+            );
+            assert_eq!(
+                verdict.breaches.is_empty(),
+                place < 2 || count == 0,
+                "{verdict:?}"
+            );
         }
         let verdict = ledger.judge();
         assert_eq!((verdict.left, verdict.left_unsent, verdict.lost), (3, 3, 0));
@@ -185,7 +256,10 @@
     ledger.left(ms(20), "a");
     ledger.over("a");
     ledger.arrived(ms(300), ms(300), "t", "a", 0.1);
-    assert_eq!((ledger.judge().left_unsent, ledger.judge().after_leave), (0, 1));
+    assert_eq!(
+        (ledger.judge().left_unsent, ledger.judge().after_leave),
+        (0, 1)
+    );
     // A node that stood still learns of the close when it goes on.
     let mut ledger = one(Repeats::Safe);
     ledger.left(ms(100), "a");
@@ -196,25 +270,43 @@
 
 #[test]
 fn a_cold_server_is_crowded_by_the_mean_requests_of_all_nodes_in_all_its_lives() {
-    let bounds = Bounds { mean_work: 0.05, ..Bounds::default() };
+    let bounds = Bounds {
+        mean_work: 0.05,
+        ..Bounds::default()
+    };
     let mut ledger = Ledger::new(bounds);
     // 2 s of work a second, of which 0.21 are there, times 3: 25.2 of mean work, and 37.2 with chance.
     for life in [0_u64, 5000] {
         ledger.cold(ms(life), "s", 2.0);
         for number in 0..(if life == 0 { 8 } else { 4 }) {
             let id = format!("{life}-{number}");
-            ledger.asked(ms(life), Asked { node: number, ..asked(&id, Repeats::Safe) });
+            ledger.asked(
+                ms(life),
+                Asked {
+                    node: number,
+                    ..asked(&id, Repeats::Safe)
+                },
+            );
             ledger.arrived(ms(life), ms(life), "s", &id, 0.1);
         }
     }
     let allowed: f64 = 1.26 / 0.05;
     let share = 16.0 / (allowed + 2.0 * allowed.sqrt() + 2.0);
-    assert!((ledger.judge().cold_crowded - share).abs() < 1e-9, "{:?}", ledger.judge());
+    assert!(
+        (ledger.judge().cold_crowded - share).abs() < 1e-9,
+        "{:?}",
+        ledger.judge()
+    );
 }
 
 #[test]
 fn a_node_that_turns_all_away_for_four_seconds_is_told_from_one_that_sends_once() {
-    for (apart, attempt, shut) in [(290, None, 1), (285, None, 0), (290, Some(7), 0), (400, Some(7), 0)] {
+    for (apart, attempt, shut) in [
+        (290, None, 1),
+        (285, None, 0),
+        (290, Some(7), 0),
+        (400, Some(7), 0),
+    ] {
         let mut ledger = Ledger::new(Bounds::default());
         for number in 0..15_u64 {
             let (id, at) = (number.to_string(), ms(number * apart));
@@ -225,7 +317,11 @@
             ledger.answered(at, &id, Answer::Refused);
         }
         let verdict = ledger.judge();
-        assert_eq!((verdict.shut, verdict.unserving), (shut, 1), "{apart} ms apart: {verdict:?}");
+        assert_eq!(
+            (verdict.shut, verdict.unserving),
+            (shut, 1),
+            "{apart} ms apart: {verdict:?}"
+        );
     }
 }
 
--- a/crates/test-doubles/src/lib.rs
+++ b/crates/test-doubles/src/lib.rs
@@ -33,8 +33,14 @@
 impl World {
     /// A run that begins now.
     pub fn begin(bounds: Bounds) -> Arc<World> {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Arc::new(World { started: Instant::now(), unix, ledger: Mutex::new(Ledger::new(bounds)) })
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Arc::new(World {
+            started: Instant::now(),
+            unix,
+            ledger: Mutex::new(Ledger::new(bounds)),
+        })
     }
 
     /// Since the run's beginning.
--- a/crates/test-doubles/src/links.rs
+++ b/crates/test-doubles/src/links.rs
@@ -101,14 +101,20 @@
     /// Whether the link from one end to the other is meant.
     pub fn has(&self, from: End, to: End) -> bool {
         match self {
-            Which::Between(these, those) => from != to && these.contains(&from) && those.contains(&to),
+            Which::Between(these, those) => {
+                from != to && these.contains(&from) && those.contains(&to)
+            }
             Which::Both(these, those) => {
                 let leads = |from, to| these.contains(from) && those.contains(to);
                 from != to && (leads(&from, &to) || leads(&to, &from))
             }
             Which::Apart(sides) => {
                 let some = |end| sides.iter().any(|side| side.contains(&end));
-                some(from) && some(to) && !sides.iter().any(|side| side.contains(&from) && side.contains(&to))
+                some(from)
+                    && some(to)
+                    && !sides
+                        .iter()
+                        .any(|side| side.contains(&from) && side.contains(&to))
             }
         }
     }
@@ -128,7 +134,9 @@
     /// All ends that it names.
     pub fn ends(&self) -> BTreeSet<End> {
         match self {
-            Which::Between(these, those) | Which::Both(these, those) => these.union(those).copied().collect(),
+            Which::Between(these, those) | Which::Both(these, those) => {
+                these.union(those).copied().collect()
+            }
             Which::Apart(sides) => sides.iter().flatten().copied().collect(),
         }
     }
@@ -145,7 +153,11 @@
 impl Default for Links {
     fn default() -> Links {
         let (rules, next) = Default::default();
-        Links { rules, next, changed: watch::channel(0).0 }
+        Links {
+            rules,
+            next,
+            changed: watch::channel(0).0,
+        }
     }
 }
 
@@ -194,10 +206,18 @@
     /// # Errors
     /// The address can't be had.
     pub async fn start(
-        links: &Arc<Links>, (near, far): (End, End), listen: SocketAddr, target: SocketAddr,
+        links: &Arc<Links>,
+        (near, far): (End, End),
+        listen: SocketAddr,
+        target: SocketAddr,
     ) -> std::io::Result<()> {
         let listener = TcpListener::bind(listen).await?;
-        let relay = Relay { links: Arc::clone(links), near, far, target };
+        let relay = Relay {
+            links: Arc::clone(links),
+            near,
+            far,
+            target,
+        };
         tokio::spawn(async move {
             let mut changed = relay.links.changed.subscribe();
             loop {
@@ -231,9 +251,13 @@
             let Ok(Ok(stream)) = comes_up else { break };
             own.push(stream);
         }
-        self.until(self.near, self.far, |fault| !fault.unheard).await;
+        self.until(self.near, self.far, |fault| !fault.unheard)
+            .await;
         let _ = queue(BACKLOG);
-        let own: BTreeSet<SocketAddr> = own.iter().filter_map(|stream| stream.local_addr().ok()).collect();
+        let own: BTreeSet<SocketAddr> = own
+            .iter()
+            .filter_map(|stream| stream.local_addr().ok())
+            .collect();
         for _ in 0..own.len() {
             match listener.accept().await {
                 Ok((_, from)) if own.contains(&from) => {}
@@ -291,7 +315,9 @@
 
     /// Waits until bytes may pass one way; an error where the link resets.
     async fn open(&self, from: End, to: End) -> Result<Fault, ()> {
-        let fault = self.until(from, to, |fault| fault.reset || !fault.stalled).await;
+        let fault = self
+            .until(from, to, |fault| fault.reset || !fault.stalled)
+            .await;
         if fault.reset {
             Err(())
         } else {
@@ -299,16 +325,29 @@
         }
     }
 
-    async fn pump(&self, (from, to): (End, End), mut read: ReadHalf<'_>, mut write: WriteHalf<'_>) -> Ended {
+    async fn pump(
+        &self,
+        (from, to): (End, End),
+        mut read: ReadHalf<'_>,
+        mut write: WriteHalf<'_>,
+    ) -> Ended {
         let mut buffer = vec![0; PIECE];
         loop {
             let length = tokio::select! {
                 length = read.read(&mut buffer) => length,
                 _ = self.until(from, to, |fault| fault.reset) => return Ended::Reset,
             };
-            let Ok(length) = length else { return Ended::Reset };
-            let Ok(fault) = self.open(from, to).await else { return Ended::Reset };
-            let again = if fastrand::f64() < fault.loss { SENT_AGAIN } else { Duration::ZERO };
+            let Ok(length) = length else {
+                return Ended::Reset;
+            };
+            let Ok(fault) = self.open(from, to).await else {
+                return Ended::Reset;
+            };
+            let again = if fastrand::f64() < fault.loss {
+                SENT_AGAIN
+            } else {
+                Duration::ZERO
+            };
             let way = fault.way() + again;
             if !way.is_zero() {
                 tokio::time::sleep(way).await;
--- a/crates/test-doubles/src/load.rs
+++ b/crates/test-doubles/src/load.rs
@@ -61,7 +61,11 @@
         let (spread, first) = (self.spread.clamp(1, all), self.first);
         let turn = now.as_secs() / SHIFT.as_secs().max(1) + self.id;
         let busiest = (turn.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 33) as usize % spread;
-        let place = if fastrand::f64() < BUSIEST { busiest } else { fastrand::usize(..spread) };
+        let place = if fastrand::f64() < BUSIEST {
+            busiest
+        } else {
+            fastrand::usize(..spread)
+        };
         (0..spread).map(move |step| (first + (place + step) % spread) % all)
     }
 
@@ -83,7 +87,12 @@
 impl Patience {
     /// One that begins now.
     pub fn begin(now: Duration, keyed: bool) -> Patience {
-        Patience { begun: now, keyed, complies: fastrand::f64() < COMPLY.0, retries: 0 }
+        Patience {
+            begun: now,
+            keyed,
+            complies: fastrand::f64() < COMPLY.0,
+            retries: 0,
+        }
     }
 
     /// How long until it tries again, where a try was not served and `after` was advised; `None` once it gives up.
@@ -92,7 +101,10 @@
             return None;
         }
         self.retries += 1;
-        let least = after.filter(|_| self.complies).unwrap_or_default().min(COMPLY.1);
+        let least = after
+            .filter(|_| self.complies)
+            .unwrap_or_default()
+            .min(COMPLY.1);
         let pause = least + Duration::from_millis(100 + fastrand::u64(0..400));
         // Danger: an effect that takes place twice as its client came again when servers had forgotten the key.
         (!self.keyed || now + pause <= self.begun + KEY_AGAIN).then_some(pause)
@@ -101,7 +113,12 @@
 
 /// The class of a try, by a draw.
 pub fn class_of(fleet: &Fleet, draw: f64) -> usize {
-    let share = |class: usize| fleet.classes[..=class].iter().map(|class| class.share).sum::<f64>();
+    let share = |class: usize| {
+        fleet.classes[..=class]
+            .iter()
+            .map(|class| class.share)
+            .sum::<f64>()
+    };
     let class = (0..fleet.classes.len()).find(|class| draw < share(*class));
     class.unwrap_or(fleet.classes.len() - 1)
 }
@@ -131,7 +148,8 @@
 impl Leaves {
     fn draw(&self) -> Option<Duration> {
         let (least, most) = self.after;
-        (fastrand::f64() < self.share).then(|| least + most.saturating_sub(least).mul_f64(fastrand::f64()))
+        (fastrand::f64() < self.share)
+            .then(|| least + most.saturating_sub(least).mul_f64(fastrand::f64()))
     }
 }
 
@@ -194,7 +212,11 @@
 impl Front {
     /// A front before nodes at these addresses, none of which it has seen ready yet.
     pub fn new(
-        world: Arc<World>, fleet: Fleet, nodes: &[SocketAddr], seed: u64, leaves: Leaves,
+        world: Arc<World>,
+        fleet: Fleet,
+        nodes: &[SocketAddr],
+        seed: u64,
+        leaves: Leaves,
     ) -> Arc<Front> {
         let door = |address: &SocketAddr| Door {
             address: *address,
@@ -205,7 +227,15 @@
         };
         let doors = nodes.iter().map(door).collect();
         let (next, figures) = (AtomicU64::new(1), Figures::default());
-        Arc::new(Front { world, fleet, doors, next, seed, leaves, figures })
+        Arc::new(Front {
+            world,
+            fleet,
+            doors,
+            next,
+            seed,
+            leaves,
+            figures,
+        })
     }
 
     /// Notes that a node is killed in this moment, or that its process runs again: what it held or what waits for it
@@ -221,7 +251,10 @@
 
     /// Nodes that the front takes for ready.
     pub fn open(&self) -> usize {
-        self.doors.iter().filter(|door| door.open.load(Ordering::Relaxed)).count()
+        self.doors
+            .iter()
+            .filter(|door| door.open.load(Ordering::Relaxed))
+            .count()
     }
 
     /// Looks at all nodes' readiness for ever.
@@ -230,7 +263,10 @@
             let front = Arc::clone(&self);
             tokio::spawn(async move {
                 loop {
-                    let open = matches!(tokio::time::timeout(CONNECT, front.look(node)).await, Ok(Some(200)));
+                    let open = matches!(
+                        tokio::time::timeout(CONNECT, front.look(node)).await,
+                        Ok(Some(200))
+                    );
                     front.doors[node].open.store(open, Ordering::Relaxed);
                     tokio::time::sleep(POLL).await;
                 }
@@ -240,13 +276,19 @@
 
     async fn look(&self, node: usize) -> Option<u16> {
         let mut wire = Wire::new(TcpStream::connect(self.doors[node].address).await.ok()?);
-        wire.write(b"GET /-/ready HTTP/1.1\r\nHost: fleet\r\nConnection: close\r\n\r\n").await.ok()?;
-        wire.message(&self.world).await.ok()?.map(|message| message.status())
+        wire.write(b"GET /-/ready HTTP/1.1\r\nHost: fleet\r\nConnection: close\r\n\r\n")
+            .await
+            .ok()?;
+        wire.message(&self.world)
+            .await
+            .ok()?
+            .map(|message| message.status())
     }
 
     /// Offers a customer's tries for a span, each in its own time; comes back when the last has ended.
     pub async fn offer(self: Arc<Self>, customer: Customer, span: Duration) {
-        let mut random = fastrand::Rng::with_seed(self.seed ^ customer.id.wrapping_mul(0x9e37_79b9));
+        let mut random =
+            fastrand::Rng::with_seed(self.seed ^ customer.id.wrapping_mul(0x9e37_79b9));
         let mut clients = tokio::task::JoinSet::new();
         let mut at = self.world.now();
         let end = at + span;
@@ -274,11 +316,15 @@
         loop {
             let request = self.request(customer.clone(), class, key.clone());
             let after = match self.send(&request).await {
-                Some(End::Answered(Answer::Served, _) | End::Unanswered(Unanswered::Left)) => return,
+                Some(End::Answered(Answer::Served, _) | End::Unanswered(Unanswered::Left)) => {
+                    return
+                }
                 Some(End::Answered(_, after)) => after,
                 Some(End::Unanswered(_)) | None => None,
             };
-            let Some(pause) = patience.again(self.world.now(), after) else { return };
+            let Some(pause) = patience.again(self.world.now(), after) else {
+                return;
+            };
             tokio::time::sleep(pause).await;
             self.figures.retries.fetch_add(1, Ordering::Relaxed);
         }
@@ -318,16 +364,24 @@
 
     /// Opens connections to a node now, each of which first asks at a moment within this span.
     pub async fn ask_late(
-        self: &Arc<Self>, node: usize, customers: &[Customer], count: usize, within: Duration,
+        self: &Arc<Self>,
+        node: usize,
+        customers: &[Customer],
+        count: usize,
+        within: Duration,
     ) -> JoinSet<()> {
         let mut askers = JoinSet::new();
         for _ in 0..count {
-            let (Some(wire), Some(customer)) = (self.connect(node).await, fastrand::choice(customers)) else {
+            let (Some(wire), Some(customer)) =
+                (self.connect(node).await, fastrand::choice(customers))
+            else {
                 continue;
             };
             let (front, customer) = (Arc::clone(self), customer.clone());
             askers.spawn(async move {
-                front.ask_once(node, wire, customer, within.mul_f64(fastrand::f64())).await
+                front
+                    .ask_once(node, wire, customer, within.mul_f64(fastrand::f64()))
+                    .await
             });
         }
         askers
@@ -347,7 +401,12 @@
     fn request(&self, customer: Customer, class: usize, key: Option<String>) -> Request {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         let key = key.or_else(|| self.fleet.classes[class].keyed.then(new_key));
-        Request { id: format!("{:08x}{number:08x}", self.seed as u32), key, class, customer }
+        Request {
+            id: format!("{:08x}{number:08x}", self.seed as u32),
+            key,
+            class,
+            customer,
+        }
     }
 
     /// Notes how a try has ended.
@@ -368,7 +427,9 @@
             let waits = |stream: &TcpStream| matches!(stream.try_read(&mut [0]), Err(error) if error.kind() == ErrorKind::WouldBlock);
             held.retain(waits);
             while held.len() < CROWD && self.world.now() < end {
-                match tokio::time::timeout(CROWD_LOOK, TcpStream::connect(self.doors[node].address)).await {
+                match tokio::time::timeout(CROWD_LOOK, TcpStream::connect(self.doors[node].address))
+                    .await
+                {
                     Ok(Ok(stream)) => held.push(stream),
                     _ => break,
                 }
@@ -382,7 +443,9 @@
         match tokio::time::timeout(CONNECT, connect).await {
             Ok(Ok(stream)) => Some(Wire::new(stream)),
             _ => {
-                self.figures.refused_connections.fetch_add(1, Ordering::Relaxed);
+                self.figures
+                    .refused_connections
+                    .fetch_add(1, Ordering::Relaxed);
                 None
             }
         }
@@ -399,7 +462,11 @@
         let class = &self.fleet.classes[request.class];
         let kills = door.kills.load(Ordering::SeqCst);
         let pauses = door.pauses.load(Ordering::SeqCst);
-        let repeats = if class.keyed { Repeats::Keyed } else { Repeats::Safe };
+        let repeats = if class.keyed {
+            Repeats::Keyed
+        } else {
+            Repeats::Safe
+        };
         let asked = Asked {
             id: request.id.clone(),
             key: request.key.clone(),
@@ -416,11 +483,14 @@
         let leaves = self.leaves.draw().filter(|after| *after < patience);
         let begun = match wire.write(self.head(request, class).as_bytes()).await {
             // It may have answered and closed before it had read all.
-            Ok(()) | Err(_) => {
-                tokio::time::timeout(leaves.unwrap_or(patience), async { wire.message(world).await })
-            }
+            Ok(()) | Err(_) => tokio::time::timeout(leaves.unwrap_or(patience), async {
+                wire.message(world).await
+            }),
         };
-        let excuse = || match (door.kills.load(Ordering::SeqCst), door.pauses.load(Ordering::SeqCst)) {
+        let excuse = || match (
+            door.kills.load(Ordering::SeqCst),
+            door.pauses.load(Ordering::SeqCst),
+        ) {
             // An odd count: it is dead, or stands still.
             (now, _) if now != kills || kills % 2 == 1 => Some(Unanswered::Killed),
             (_, now) if now != pauses || pauses % 2 == 1 => Some(Unanswered::Paused),
@@ -454,8 +524,11 @@
                         return End::Unanswered(why);
                     }
                 }
-                let after =
-                    message.header("retry-after").parse().ok().filter(|after| (0.0..1e6).contains(after));
+                let after = message
+                    .header("retry-after")
+                    .parse()
+                    .ok()
+                    .filter(|after| (0.0..1e6).contains(after));
                 End::Answered(answer, after.map(Duration::from_secs_f64))
             }
             // The connection closes here.
@@ -476,10 +549,20 @@
     }
 
     fn head(&self, request: &Request, class: &Class) -> String {
-        let Customer { id, plan, first, spread, .. } = &request.customer;
+        let Customer {
+            id,
+            plan,
+            first,
+            spread,
+            ..
+        } = &request.customer;
         let plan = self.fleet.plans[*plan].name;
         let (method, more, body) = match &request.key {
-            Some(key) => ("POST", format!("Idempotency-Key: {key}\r\nContent-Length: 8\r\n"), "time=1:1"),
+            Some(key) => (
+                "POST",
+                format!("Idempotency-Key: {key}\r\nContent-Length: 8\r\n"),
+                "time=1:1",
+            ),
             None => ("GET", String::new(), ""),
         };
         let deadline = class.deadline.as_millis();
@@ -496,7 +579,8 @@
         late.sort_unstable();
         let at = |share: f64| {
             let place = (late.len() as f64 * share) as usize;
-            late.get(place.min(late.len().saturating_sub(1))).map_or(0.0, |us| f64::from(*us) / 1e3)
+            late.get(place.min(late.len().saturating_sub(1)))
+                .map_or(0.0, |us| f64::from(*us) / 1e3)
         };
         Counts {
             refused_connections: self.figures.refused_connections.load(Ordering::Relaxed),
--- a/crates/test-doubles/src/peers.rs
+++ b/crates/test-doubles/src/peers.rs
@@ -41,9 +41,23 @@
         }
         let counters = || nodes.iter().map(|_| AtomicU64::new(0)).collect();
         let (sent, received) = (counters(), counters());
-        let numbers = nodes.iter().enumerate().map(|(number, address)| (*address, number)).collect();
+        let numbers = nodes
+            .iter()
+            .enumerate()
+            .map(|(number, address)| (*address, number))
+            .collect();
         let (bytes, too_long, strangers) = Default::default();
-        let network = Network { nodes, numbers, relays, links, sent, received, bytes, too_long, strangers };
+        let network = Network {
+            nodes,
+            numbers,
+            relays,
+            links,
+            sent,
+            received,
+            bytes,
+            too_long,
+            strangers,
+        };
         let network = Arc::new(network);
         for to in 0..network.nodes.len() {
             tokio::spawn(Arc::clone(&network).relay(to));
@@ -65,7 +79,10 @@
 
     /// Datagrams that a node has sent, and those that were delivered to it.
     pub fn counts(&self, node: usize) -> (u64, u64) {
-        (self.sent[node].load(Ordering::Relaxed), self.received[node].load(Ordering::Relaxed))
+        (
+            self.sent[node].load(Ordering::Relaxed),
+            self.received[node].load(Ordering::Relaxed),
+        )
     }
 
     /// Bytes of all datagrams that were sent.
@@ -86,7 +103,9 @@
     async fn relay(self: Arc<Self>, to: usize) {
         let mut buffer = [0; MOST + 1];
         loop {
-            let Ok((length, sender)) = self.relays[to].recv_from(&mut buffer).await else { continue };
+            let Ok((length, sender)) = self.relays[to].recv_from(&mut buffer).await else {
+                continue;
+            };
             let Some(from) = self.numbers.get(&sender).copied() else {
                 self.strangers.fetch_add(1, Ordering::Relaxed);
                 continue;
@@ -103,10 +122,15 @@
                 if fault.loses() {
                     continue;
                 }
-                let (network, bytes, way) = (Arc::clone(&self), buffer[..length].to_vec(), fault.way());
+                let (network, bytes, way) =
+                    (Arc::clone(&self), buffer[..length].to_vec(), fault.way());
                 let deliver = async move {
                     // From the relay of who sent it: under that address the receiver knows it.
-                    if network.relays[from].send_to(&bytes, network.nodes[to]).await.is_ok() {
+                    if network.relays[from]
+                        .send_to(&bytes, network.nodes[to])
+                        .await
+                        .is_ok()
+                    {
                         network.received[to].fetch_add(1, Ordering::Relaxed);
                     }
                 };
--- a/crates/test-doubles/src/ports.rs
+++ b/crates/test-doubles/src/ports.rs
@@ -27,7 +27,10 @@
 fn claim(number: u8) -> std::io::Result<Block> {
     let name = format!("saffronpaddle-loopback-{number}");
     let name = std::os::unix::net::SocketAddr::from_abstract_name(name)?;
-    Ok(Block { number, _claim: UnixListener::bind_addr(&name)? })
+    Ok(Block {
+        number,
+        _claim: UnixListener::bind_addr(&name)?,
+    })
 }
 
 /// The block of this process: the second byte of its addresses.
@@ -42,7 +45,10 @@
         let mut numbers = (0..many).map(|step| BLOCKS.start() + ((from + step) % many) as u8);
         numbers.find_map(|number| claim(number).ok())
     });
-    claimed.as_ref().map(|block| block.number).ok_or(std::io::ErrorKind::AddrInUse.into())
+    claimed
+        .as_ref()
+        .map(|block| block.number)
+        .ok_or(std::io::ErrorKind::AddrInUse.into())
 }
 
 /// An address in this process's block, for datagrams or connections, which is never given twice: it stays free between
@@ -58,12 +64,17 @@
         return Err(std::io::ErrorKind::AddrNotAvailable.into());
     }
     let (high, low) = ((next / 254) as u8, (next % 254 + 1) as u8);
-    Ok(SocketAddr::from((Ipv4Addr::new(127, block, high, low), PORT)))
+    Ok(SocketAddr::from((
+        Ipv4Addr::new(127, block, high, low),
+        PORT,
+    )))
 }
 
 /// Whether an address is in this process's block.
 pub fn ours(address: SocketAddr) -> bool {
-    let SocketAddr::V4(address) = address else { return false };
+    let SocketAddr::V4(address) = address else {
+        return false;
+    };
     let [first, second, ..] = address.ip().octets();
     first == 127 && block().is_ok_and(|block| block == second)
 }
--- a/crates/test-doubles/src/ports/tests.rs
+++ b/crates/test-doubles/src/ports/tests.rs
@@ -2,9 +2,15 @@
 
 #[test]
 fn no_address_is_given_twice_and_none_is_another_processs() {
-    let all: std::collections::BTreeSet<_> = (0..600).map(|_| unclaimed().expect("an address")).collect();
+    let all: std::collections::BTreeSet<_> =
+        (0..600).map(|_| unclaimed().expect("an address")).collect();
     assert_eq!(all.len(), 600);
-    assert!(all.iter().all(|address| ours(*address) && address.ip().is_loopback()));
+    assert!(all
+        .iter()
+        .all(|address| ours(*address) && address.ip().is_loopback()));
     let mine = block().expect("a block");
-    assert!(claim(mine).is_err(), "who asks for the same block is told no");
+    assert!(
+        claim(mine).is_err(),
+        "who asks for the same block is told no"
+    );
 }
--- a/crates/test-doubles/src/scripted.rs
+++ b/crates/test-doubles/src/scripted.rs
@@ -32,24 +32,37 @@
     pub fn read(stream: &mut impl BufRead) -> Option<Message> {
         let line = |stream: &mut dyn BufRead| {
             let mut line = String::new();
-            stream.read_line(&mut line).ok().filter(|length| *length > 0)?;
+            stream
+                .read_line(&mut line)
+                .ok()
+                .filter(|length| *length > 0)?;
             Some(line.trim_end().to_owned())
         };
         let start = line(stream)?;
         let mut headers = HashMap::new();
         loop {
             let line = line(stream)?;
-            let Some((name, value)) = line.split_once(':') else { break };
+            let Some((name, value)) = line.split_once(':') else {
+                break;
+            };
             headers.insert(name.to_ascii_lowercase(), value.trim().to_owned());
         }
-        if headers.get("transfer-encoding").is_some_and(|coding| coding == "chunked") {
+        if headers
+            .get("transfer-encoding")
+            .is_some_and(|coding| coding == "chunked")
+        {
             let mut body = Vec::new();
             loop {
                 let size = line(stream)?;
-                let size = usize::from_str_radix(size.split(';').next().unwrap_or_default(), 16).ok()?;
+                let size =
+                    usize::from_str_radix(size.split(';').next().unwrap_or_default(), 16).ok()?;
                 if size == 0 {
                     while !line(stream)?.is_empty() {}
-                    return Some(Message { start, headers, body });
+                    return Some(Message {
+                        start,
+                        headers,
+                        body,
+                    });
                 }
                 let from = body.len();
                 body.resize(from + size, 0);
@@ -57,10 +70,16 @@
                 line(stream)?;
             }
         }
-        let length = headers.get("content-length").map_or(0, |length| length.parse().expect("a length"));
+        let length = headers
+            .get("content-length")
+            .map_or(0, |length| length.parse().expect("a length"));
         let mut body = vec![0; length];
         stream.read_exact(&mut body).ok()?;
-        Some(Message { start, headers, body })
+        Some(Message {
+            start,
+            headers,
+            body,
+        })
     }
 
     /// A header's value; empty where there is none.
@@ -70,7 +89,11 @@
 
     /// The status of an answer.
     pub fn status(&self) -> u16 {
-        self.start.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a status")
+        self.start
+            .split(' ')
+            .nth(1)
+            .and_then(|status| status.parse().ok())
+            .expect("a status")
     }
 }
 
@@ -90,7 +113,8 @@
 /// Answers with an error.
 pub const ERRS: Does = Does::Answers("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n");
 /// Turns away unseen.
-pub const IS_FULL: Does = Does::Answers("HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
+pub const IS_FULL: Does =
+    Does::Answers("HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
 
 /// A request that came whole to an app server, and the connection on which it came.
 pub struct Got {
@@ -127,7 +151,11 @@
     /// None yet.
     pub fn new() -> Servers {
         let (tell, got) = mpsc::channel();
-        Servers { got, tell, unanswered: Arc::default() }
+        Servers {
+            got,
+            tell,
+            unanswered: Arc::default(),
+        }
     }
 
     /// Starts one that has its own turns.
@@ -156,7 +184,10 @@
 
     /// The next request that has come to any of them.
     pub fn next(&self) -> Got {
-        let got = self.got.recv_timeout(PATIENCE).expect("a request comes to an app server");
+        let got = self
+            .got
+            .recv_timeout(PATIENCE)
+            .expect("a request comes to an app server");
         assert!(got.alone, "two attempts of a request are out at once");
         got
     }
@@ -202,7 +233,13 @@
             drop(unanswered);
             let (server, told) = (self.name.clone(), stream.try_clone().expect("a clone"));
             // The test may have ended.
-            let _ = self.tell.send(Got { server, message, connection, alone, stream: told });
+            let _ = self.tell.send(Got {
+                server,
+                message,
+                connection,
+                alone,
+                stream: told,
+            });
             match turn {
                 Does::Answers(words) => stream.write_all(words.as_bytes()).unwrap_or(()),
                 Does::Ends(words) => {
@@ -243,7 +280,9 @@
 
     /// The next watch that the edge node opens: how it was asked for, and where to write.
     pub fn watch(&self) -> (String, TcpStream) {
-        self.watches.recv_timeout(PATIENCE).expect("a watch is opened")
+        self.watches
+            .recv_timeout(PATIENCE)
+            .expect("a watch is opened")
     }
 }
 
@@ -251,7 +290,9 @@
 /// first here until the other side's has said that it has that.
 pub fn write_piece(watch: &mut TcpStream, piece: &str) {
     let chunk = format!("{:x}\r\n{piece}\r\n", piece.len());
-    watch.write_all(chunk.as_bytes()).expect("the watch is open");
+    watch
+        .write_all(chunk.as_bytes())
+        .expect("the watch is open");
 }
 
 /// Writes a line of a watch.
@@ -265,12 +306,17 @@
     let other = stream.peer_addr().expect("it is connected");
     let shown = |address: SocketAddr| match address {
         SocketAddr::V4(address) => {
-            format!("{:08X}:{:04X}", u32::from_ne_bytes(address.ip().octets()), address.port())
+            format!(
+                "{:08X}:{:04X}",
+                u32::from_ne_bytes(address.ip().octets()),
+                address.port()
+            )
         }
         SocketAddr::V6(_) => panic!("tests connect by IPv4"),
     };
     let ends = (shown(other), shown(own));
-    let table = std::fs::read_to_string("/proc/net/tcp").expect("the machine tells of its connections");
+    let table =
+        std::fs::read_to_string("/proc/net/tcp").expect("the machine tells of its connections");
     let row = table.lines().find_map(|row| {
         let mut fields = row.split_whitespace().skip(1);
         let row_ends = (fields.next()?.to_owned(), fields.next()?.to_owned());
@@ -285,7 +331,10 @@
 pub fn until_unread(stream: &TcpStream, bytes: usize) {
     let begun = Instant::now();
     while unread(stream) < bytes {
-        assert!(begun.elapsed() < PATIENCE, "{bytes} bytes come to the other side's machine");
+        assert!(
+            begun.elapsed() < PATIENCE,
+            "{bytes} bytes come to the other side's machine"
+        );
         thread::sleep(Duration::from_millis(1));
     }
 }
@@ -299,7 +348,10 @@
 
 /// A list in discovery's form.
 pub fn list(seq: u64, whole: bool, hosts: &[String]) -> String {
-    format!(r#"{{"seq":{seq},"whole":{whole},"hosts":[{}]}}"#, hosts.join(","))
+    format!(
+        r#"{{"seq":{seq},"whole":{whole},"hosts":[{}]}}"#,
+        hosts.join(",")
+    )
 }
 
 const SETTINGS: &str = r#"{"balancers":2,"me":0,"zone":"a","zones":["a"],"periodUs":2000,"discovery":"automatic","ceilings":{"cancel":true,"probes":false,"mayTell":true,"secondCopies":false,"sendCap":4,"connIdleUs":15000000,"connectTimeoutUs":250000},"classes":[{"name":"read","aimUs":400000,"deadlineUs":30000000,"lateValue":0.2,"worth":3.0,"repeat":"read_like"},{"name":"submit","aimUs":400000,"deadlineUs":30000000,"lateValue":0.2,"worth":2.0,"repeat":"idempotency_key","group":"cell","windowUs":60000000},{"name":"pay","aimUs":400000,"deadlineUs":30000000,"lateValue":0.2,"worth":9.0,"repeat":"non_idempotent"}],"packages":[{"name":"p","rate":1000.0,"storeSize":1000.0,"price":1.0},{"name":"tiny","rate":0.5,"storeSize":1.0,"price":1.0}],"rules":{"coldFrom":0.2,"coldUs":1000000,"fallMultiple":3.0,"overloadForUs":1000000},"extra":{"peerInPerS":60.0,"maxUnits":1}}"#;
@@ -344,8 +396,12 @@
         let mut line = String::new();
         log.read_line(&mut line).expect("a line");
         let listens = line.contains(": listening on ");
-        let address =
-            line.trim_end().rsplit(' ').next().and_then(|word| word.parse().ok()).filter(|_| listens);
+        let address = line
+            .trim_end()
+            .rsplit(' ')
+            .next()
+            .and_then(|word| word.parse().ok())
+            .filter(|_| listens);
         if let Some(address) = address {
             break address;
         }
@@ -353,14 +409,21 @@
         let _ = tell.send(line.trim_end().to_owned());
     };
     // Read on when nobody listens any more: a full pipe would hold the node up.
-    thread::spawn(move || log.lines().map_while(Result::ok).for_each(|line| _ = tell.send(line)));
+    thread::spawn(move || {
+        log.lines()
+            .map_while(Result::ok)
+            .for_each(|line| _ = tell.send(line))
+    });
     (child, address, lines)
 }
 
 /// The edge node's program, which is built beside the tests of its package.
 pub fn program() -> std::path::PathBuf {
     let test = std::env::current_exe().expect("this test's program");
-    let folder = test.ancestors().nth(2).expect("it stands in the folder of tests");
+    let folder = test
+        .ancestors()
+        .nth(2)
+        .expect("it stands in the folder of tests");
     folder.join("saffronpaddle")
 }
 
@@ -384,23 +447,40 @@
 
 /// The configuration of a node that knows these app servers.
 fn configuration(
-    discovery: SocketAddr, hosts: &[String], sockets: usize, datagrams: SocketAddr, peer_address: SocketAddr,
+    discovery: SocketAddr,
+    hosts: &[String],
+    sockets: usize,
+    datagrams: SocketAddr,
+    peer_address: SocketAddr,
 ) -> String {
-    let known =
-        if hosts.is_empty() { String::new() } else { format!(r#""known":{},"#, list(1, true, hosts)) };
+    let known = if hosts.is_empty() {
+        String::new()
+    } else {
+        format!(r#""known":{},"#, list(1, true, hosts))
+    };
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"8c1f30d27a5be964","limits":{{"cores":1.0,"memory_mb":192,"sockets":{sockets}}},"peer_listen":"{datagrams}","peers":["{datagrams}","{peer_address}"],{known}"settings":{SETTINGS}}}"#
     )
 }
 
 /// Starts a node that can't go on: how it ended, and what it said.
-pub fn start_badly(tag: &str, sockets: usize, change: impl FnOnce(&mut Command)) -> (ExitStatus, String) {
+pub fn start_badly(
+    tag: &str,
+    sockets: usize,
+    change: impl FnOnce(&mut Command),
+) -> (ExitStatus, String) {
     let nowhere = unclaimed().expect("a port");
-    let (child, config) =
-        start_with(tag, &configuration(nowhere, &[], sockets, unclaimed().expect("a port"), nowhere), change);
+    let (child, config) = start_with(
+        tag,
+        &configuration(nowhere, &[], sockets, unclaimed().expect("a port"), nowhere),
+        change,
+    );
     let output = child.wait_with_output().expect("it ends");
     let _ = std::fs::remove_file(config);
-    (output.status, String::from_utf8_lossy(&output.stderr).into_owned())
+    (
+        output.status,
+        String::from_utf8_lossy(&output.stderr).into_owned(),
+    )
 }
 
 impl Node {
@@ -410,21 +490,34 @@
     }
 
     /// The same with so many descriptors.
-    pub fn with_sockets(tag: &str, discovery: SocketAddr, hosts: &[String], sockets: usize) -> Node {
+    pub fn with_sockets(
+        tag: &str,
+        discovery: SocketAddr,
+        hosts: &[String],
+        sockets: usize,
+    ) -> Node {
         Node::launch(tag, discovery, hosts, sockets, |_| {})
     }
 
     /// The same, with the command changed before it is run.
     pub fn launch(
-        tag: &str, discovery: SocketAddr, hosts: &[String], sockets: usize, change: impl FnOnce(&mut Command),
+        tag: &str,
+        discovery: SocketAddr,
+        hosts: &[String],
+        sockets: usize,
+        change: impl FnOnce(&mut Command),
     ) -> Node {
         Node::altered(tag, discovery, hosts, sockets, |text| text, change)
     }
 
     /// The same with another configuration.
     pub fn altered(
-        tag: &str, discovery: SocketAddr, hosts: &[String], sockets: usize,
-        alter: impl FnOnce(String) -> String, change: impl FnOnce(&mut Command),
+        tag: &str,
+        discovery: SocketAddr,
+        hosts: &[String],
+        sockets: usize,
+        alter: impl FnOnce(String) -> String,
+        change: impl FnOnce(&mut Command),
     ) -> Node {
         let peer = UdpSocket::bind("127.0.0.1:0").expect("a port");
         peer.set_read_timeout(Some(PATIENCE)).expect("a time-out");
@@ -433,7 +526,14 @@
         let config = configuration(discovery, hosts, sockets, datagrams, peer_address);
         let (child, config) = start_with(tag, &alter(config), change);
         let (child, address, log) = listening(child);
-        Node { child, address, peer, datagrams, config, log }
+        Node {
+            child,
+            address,
+            peer,
+            datagrams,
+            config,
+            log,
+        }
     }
 
     /// Another process with the same configuration, which takes its place as this one's successor.
@@ -443,7 +543,14 @@
         let (child, config) = start_with(&tag, &text, change);
         let (child, address, log) = listening(child);
         let peer = self.peer.try_clone().expect("a clone");
-        Node { child, address, peer, datagrams: self.datagrams, config, log }
+        Node {
+            child,
+            address,
+            peer,
+            datagrams: self.datagrams,
+            config,
+            log,
+        }
     }
 
     /// A client's connection to it.
@@ -482,10 +589,15 @@
         let tasks = format!("/proc/{}/task", self.child.id());
         let stands = |task: std::fs::DirEntry| {
             let stat = std::fs::read_to_string(task.path().join("stat")).unwrap_or_default();
-            stat.rsplit_once(") ").is_some_and(|(_, rest)| rest.starts_with('T'))
+            stat.rsplit_once(") ")
+                .is_some_and(|(_, rest)| rest.starts_with('T'))
         };
         let begun = Instant::now();
-        while !std::fs::read_dir(&tasks).expect("it runs").flatten().all(stands) {
+        while !std::fs::read_dir(&tasks)
+            .expect("it runs")
+            .flatten()
+            .all(stands)
+        {
             assert!(begun.elapsed() < PATIENCE, "it stands still");
             thread::sleep(Duration::from_millis(1));
         }
@@ -493,7 +605,9 @@
 
     /// Sends it a signal, as `kill` names it.
     pub fn signal(&self, name: &str) {
-        let kill = Command::new("kill").args([name, &self.child.id().to_string()]).status();
+        let kill = Command::new("kill")
+            .args([name, &self.child.id().to_string()])
+            .status();
         assert!(kill.expect("kill runs").success());
     }
 
@@ -549,7 +663,9 @@
 
 /// A figure of an answer to `INFO`, by its name and labels.
 pub fn figure(answer: &str, name: &str) -> u64 {
-    let value = answer.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' ')?.parse().ok());
+    let value = answer
+        .lines()
+        .find_map(|line| line.strip_prefix(name)?.strip_prefix(' ')?.parse().ok());
     value.unwrap_or_else(|| panic!("{name} in {answer}"))
 }
 
@@ -586,7 +702,9 @@
 impl Client {
     /// Writes.
     pub fn write(&mut self, words: &str) {
-        self.stream.write_all(words.as_bytes()).expect("the connection is open");
+        self.stream
+            .write_all(words.as_bytes())
+            .expect("the connection is open");
     }
 
     /// The next answer; `None` where the connection ended first.
@@ -604,13 +722,19 @@
     pub fn ends(&mut self) {
         let mut rest = Vec::new();
         let read = self.reader.read_to_end(&mut rest);
-        assert!(read.is_ok() && rest.is_empty(), "{read:?}: {:?}", String::from_utf8_lossy(&rest));
+        assert!(
+            read.is_ok() && rest.is_empty(),
+            "{read:?}: {:?}",
+            String::from_utf8_lossy(&rest)
+        );
     }
 }
 
 /// Waits until the edge node has closed a connection to an app server.
 pub fn closed(got: &Got) -> bool {
-    got.stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    got.stream
+        .set_read_timeout(Some(PATIENCE))
+        .expect("a time-out");
     matches!(got.stream.peek(&mut [0]), Ok(0) | Err(_))
 }
 
--- a/crates/test-doubles/src/servers.rs
+++ b/crates/test-doubles/src/servers.rs
@@ -35,7 +35,12 @@
 
 impl Default for Temper {
     fn default() -> Temper {
-        Temper { slow: 1.0, silent: false, resets: 0.0, errors: 0.0 }
+        Temper {
+            slow: 1.0,
+            silent: false,
+            resets: 0.0,
+            errors: 0.0,
+        }
     }
 }
 
@@ -89,7 +94,17 @@
         let (life, _) = watch::channel(1);
         let cores = Semaphore::new(spec.cores);
         let (temper, held, handshakes, requests) = Default::default();
-        let inside = Inside { world, spec, temper, cores, held, handshakes, requests, life, _keeper: keeper };
+        let inside = Inside {
+            world,
+            spec,
+            temper,
+            cores,
+            held,
+            handshakes,
+            requests,
+            life,
+            _keeper: keeper,
+        };
         let inside = Arc::new(inside);
         let server = AppServer { inside, address };
         tokio::spawn(server.clone().accept(listener));
@@ -118,7 +133,10 @@
 
     /// When each connection was made to it, since the run's beginning, and how many requests came.
     pub fn met(&self) -> (Vec<Duration>, usize) {
-        (lock(&self.inside.handshakes).clone(), self.inside.requests.load(Ordering::Relaxed))
+        (
+            lock(&self.inside.handshakes).clone(),
+            self.inside.requests.load(Ordering::Relaxed),
+        )
     }
 
     /// Changes its temper.
@@ -138,7 +156,9 @@
     pub fn start_cold(&self) -> std::io::Result<()> {
         let listener = bound(self.address)?.listen(BACKLOG)?;
         let world = &self.inside.world;
-        world.ledger().cold(world.now(), self.name(), self.capacity());
+        world
+            .ledger()
+            .cold(world.now(), self.name(), self.capacity());
         let number = world.now().as_nanos() as u64 | 1;
         self.inside.life.send_replace(number);
         tokio::spawn(self.clone().accept(listener));
@@ -175,16 +195,28 @@
             };
             let Ok(Some(message)) = message else { break };
             let id = message.header("x-request-id").to_owned();
-            let class = message.target().trim_start_matches('/').split('/').next().unwrap_or("").to_owned();
+            let class = message
+                .target()
+                .trim_start_matches('/')
+                .split('/')
+                .next()
+                .unwrap_or("")
+                .to_owned();
             let inside = Arc::clone(&self.inside);
             inside.requests.fetch_add(1, Ordering::Relaxed);
             let work = inside.work(&class);
             let world = &inside.world;
-            world.ledger().arrived(world.now(), message.first, &inside.spec.name, &id, work);
+            world
+                .ledger()
+                .arrived(world.now(), message.first, &inside.spec.name, &id, work);
             let held = Held::take(Arc::clone(&inside));
             if held.count > inside.spec.slots || world.ledger().fell(&inside.spec.name) {
                 world.ledger().over(&id);
-                if wire.write(&answer("503 Full", "X-Not-Run: 1\r\n", "")).await.is_err() {
+                if wire
+                    .write(&answer("503 Full", "X-Not-Run: 1\r\n", ""))
+                    .await
+                    .is_err()
+                {
                     break;
                 }
                 continue;
@@ -234,13 +266,17 @@
         return Done::Reset;
     }
     // It is never closed.
-    let Ok(_core) = inside.cores.acquire().await else { return Done::Reset };
+    let Ok(_core) = inside.cores.acquire().await else {
+        return Done::Reset;
+    };
     let warmth = world.ledger().warmth(world.now(), &inside.spec.name);
     tokio::time::sleep(Duration::from_secs_f64(work * temper.slow / warmth)).await;
     if *inside.life.borrow() != mine {
         return Done::Reset;
     }
-    world.ledger().ran(world.now(), came, inside.spec.block, &id);
+    world
+        .ledger()
+        .ran(world.now(), came, inside.spec.block, &id);
     match fastrand::f64() {
         chance if chance < temper.resets => Done::Reset,
         chance if chance < temper.resets + temper.errors => Done::Answer(answer("500 Oh", "", "")),
--- a/crates/test-doubles/src/settings.rs
+++ b/crates/test-doubles/src/settings.rs
@@ -55,9 +55,20 @@
     /// Reads and keyed writes, and four plans of which one has a hard ceiling: the shape of the platform's days.
     pub fn usual(nodes: usize) -> Fleet {
         let ms = Duration::from_millis;
-        let class =
-            |name, keyed, share, work, aim, deadline| Class { name, keyed, share, work, aim, deadline };
-        let plan = |name, rate, burst, ceiling| Plan { name, rate, burst, ceiling };
+        let class = |name, keyed, share, work, aim, deadline| Class {
+            name,
+            keyed,
+            share,
+            work,
+            aim,
+            deadline,
+        };
+        let plan = |name, rate, burst, ceiling| Plan {
+            name,
+            rate,
+            burst,
+            ceiling,
+        };
         let classes = vec![
             class("read", false, 0.62, ms(100), ms(800), ms(3000)),
             class("submit", true, 0.38, ms(60), ms(600), ms(2000)),
@@ -72,7 +83,10 @@
                 plan("capped", 5.0, 10.0, Some((10.0, 20.0))),
                 plan("large", 12.0, 24.0, None),
             ],
-            bounds: Bounds { mean_work, ..Bounds::default() },
+            bounds: Bounds {
+                mean_work,
+                ..Bounds::default()
+            },
             sites: vec!["north", "south"],
         }
     }
@@ -92,7 +106,11 @@
     pub fn settings(&self, me: usize) -> Value {
         let micros = |span: Duration| span.as_micros() as u64;
         let class = |class: &Class| {
-            let repeat = if class.keyed { "idempotency_key" } else { "read_like" };
+            let repeat = if class.keyed {
+                "idempotency_key"
+            } else {
+                "read_like"
+            };
             json!({
                 "name": class.name, "aimUs": micros(class.aim), "deadlineUs": micros(class.deadline),
                 "lateValue": 0.1, "worth": if class.keyed { 2.0 } else { 3.0 }, "repeat": repeat,
@@ -126,7 +144,10 @@
 }
 
 fn mean_work(classes: &[Class]) -> f64 {
-    classes.iter().map(|class| class.share * class.work.as_secs_f64()).sum()
+    classes
+        .iter()
+        .map(|class| class.share * class.work.as_secs_f64())
+        .sum()
 }
 
 /// Where one node finds what it talks to.
--- a/crates/test-doubles/src/wire.rs
+++ b/crates/test-doubles/src/wire.rs
@@ -27,12 +27,19 @@
 impl Message {
     /// A header's value; empty where there is none.
     pub fn header(&self, name: &str) -> &str {
-        self.headers.iter().find(|(other, _)| other == name).map_or("", |(_, value)| value)
+        self.headers
+            .iter()
+            .find(|(other, _)| other == name)
+            .map_or("", |(_, value)| value)
     }
 
     /// The status of an answer; 0 where it has none.
     pub fn status(&self) -> u16 {
-        self.start.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
+        self.start
+            .split(' ')
+            .nth(1)
+            .and_then(|status| status.parse().ok())
+            .unwrap_or(0)
     }
 
     /// The path and query of a request.
@@ -54,7 +61,10 @@
     pub fn new(stream: TcpStream) -> Wire {
         // Works all the same without it.
         let _ = stream.set_nodelay(true);
-        Wire { stream, buffer: Vec::new() }
+        Wire {
+            stream,
+            buffer: Vec::new(),
+        }
     }
 
     /// Whether bytes have come that no message took.
@@ -76,7 +86,11 @@
                 return Err(ErrorKind::InvalidData.into());
             }
             if self.stream.read_buf(&mut self.buffer).await? == 0 {
-                let cut = if first.is_some() { Err(ErrorKind::UnexpectedEof.into()) } else { Ok(None) };
+                let cut = if first.is_some() {
+                    Err(ErrorKind::UnexpectedEof.into())
+                } else {
+                    Ok(None)
+                };
                 return cut;
             }
             first.get_or_insert_with(|| world.now());
@@ -91,7 +105,10 @@
         let headers: Vec<_> = lines.filter_map(pair).collect();
         let length = headers.iter().find(|(name, _)| name == "content-length");
         let length = length.map_or(Ok(0), |(_, length)| length.parse::<usize>());
-        let length = length.ok().filter(|length| *length <= BODY_MOST).ok_or(ErrorKind::InvalidData)?;
+        let length = length
+            .ok()
+            .filter(|length| *length <= BODY_MOST)
+            .ok_or(ErrorKind::InvalidData)?;
         while self.buffer.len() < head + length {
             if self.stream.read_buf(&mut self.buffer).await? == 0 {
                 return Err(ErrorKind::UnexpectedEof.into());
@@ -99,7 +116,12 @@
         }
         let rest = self.buffer.split_off(head + length);
         let body = std::mem::replace(&mut self.buffer, rest).split_off(head);
-        Ok(Some(Message { start, headers, body, first: first.unwrap_or_default() }))
+        Ok(Some(Message {
+            start,
+            headers,
+            body,
+            first: first.unwrap_or_default(),
+        }))
     }
 
     /// Writes bytes.
@@ -122,5 +144,9 @@
 
 /// An answer with a body of known length.
 pub fn answer(status: &str, more: &str, body: &str) -> Vec<u8> {
-    format!("HTTP/1.1 {status}\r\n{more}Content-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
+    format!(
+        "HTTP/1.1 {status}\r\n{more}Content-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
+    .into_bytes()
 }
--- a/crates/websocket/src/frames.rs
+++ b/crates/websocket/src/frames.rs
@@ -128,7 +128,12 @@
     ///
     /// # Errors
     /// What must not pass. What came before it may.
-    pub fn scan(&mut self, mut bytes: &[u8], out: &mut Vec<u8>, seen: &mut Vec<Seen>) -> Result<(), Fault> {
+    pub fn scan(
+        &mut self,
+        mut bytes: &[u8],
+        out: &mut Vec<u8>,
+        seen: &mut Vec<Seen>,
+    ) -> Result<(), Fault> {
         while !bytes.is_empty() && !self.closed {
             if self.frame.is_none() {
                 let wants = self.wants();
@@ -141,8 +146,12 @@
                 }
                 self.begin(out, seen)?;
             }
-            let Some(mut frame) = self.frame else { continue };
-            let taken = usize::try_from(frame.left).unwrap_or(usize::MAX).min(bytes.len());
+            let Some(mut frame) = self.frame else {
+                continue;
+            };
+            let taken = usize::try_from(frame.left)
+                .unwrap_or(usize::MAX)
+                .min(bytes.len());
             let (now, rest) = bytes.split_at(taken);
             bytes = rest;
             if frame.control.is_some() {
@@ -184,7 +193,9 @@
         let head = &self.head[..self.have];
         let (first, short) = (head[0], head[1] & 0x7f);
         let parsed = FrameHeader::parse(&mut Cursor::new(head));
-        let Ok(Some((header, length))) = parsed else { return wrong("an opcode that is reserved") };
+        let Ok(Some((header, length))) = parsed else {
+            return wrong("an opcode that is reserved");
+        };
         if length >> 63 != 0 {
             return wrong("a length beyond 2^63");
         }
@@ -212,10 +223,17 @@
             return wrong("a bit that is reserved");
         }
         let (before, text) = self.message.unwrap_or((0, false));
-        let text = if new { self.rules.utf8 && first & 0x0f == 1 && !header.rsv1 } else { text };
+        let text = if new {
+            self.rules.utf8 && first & 0x0f == 1 && !header.rsv1
+        } else {
+            text
+        };
         let size = before.saturating_add(length);
         if length > self.rules.frame_most || size > self.rules.message_most {
-            return Err(Fault { code: 1009, why: "a frame or a message that is too large" });
+            return Err(Fault {
+                code: 1009,
+                why: "a frame or a message that is too large",
+            });
         }
         self.message = Some((size, text));
         out.extend_from_slice(&self.head[..self.have]);
@@ -226,7 +244,14 @@
 
     fn under(&mut self, header: &FrameHeader, control: Option<Control>, text: bool, left: u64) {
         let (mask, last) = (header.mask, header.is_final);
-        self.frame = Some(Under { control, last, text, mask, left, at: 0 });
+        self.frame = Some(Under {
+            control,
+            last,
+            text,
+            mask,
+            left,
+            at: 0,
+        });
     }
 
     /// A frame is whole.
@@ -237,7 +262,10 @@
             if frame.last {
                 self.message = None;
                 if !std::mem::take(&mut self.text).is_empty() {
-                    return Err(Fault { code: 1007, why: "text that ends within a character" });
+                    return Err(Fault {
+                        code: 1007,
+                        why: "text that ends within a character",
+                    });
                 }
             }
             return Ok(());
@@ -267,7 +295,12 @@
                 let good = error.valid_up_to();
                 self.text.drain(..good);
             }
-            Err(_) => return Err(Fault { code: 1007, why: "text that is no UTF-8" }),
+            Err(_) => {
+                return Err(Fault {
+                    code: 1007,
+                    why: "text that is no UTF-8",
+                })
+            }
         }
         Ok(())
     }
@@ -275,7 +308,10 @@
 
 fn unmasked(mask: Option<[u8; 4]>, at: usize, bytes: &[u8]) -> impl Iterator<Item = u8> + '_ {
     let mask = mask.unwrap_or_default();
-    bytes.iter().enumerate().map(move |(place, byte)| byte ^ mask[(at + place) % 4])
+    bytes
+        .iter()
+        .enumerate()
+        .map(move |(place, byte)| byte ^ mask[(at + place) % 4])
 }
 
 /// What a close frame says (sections 5.5.1 and 7.4).
@@ -289,7 +325,10 @@
         return wrong("a close code that is not allowed");
     }
     if std::str::from_utf8(reason).is_err() {
-        return Err(Fault { code: 1007, why: "a reason that is no UTF-8" });
+        return Err(Fault {
+            code: 1007,
+            why: "a reason that is no UTF-8",
+        });
     }
     Ok(Some(code))
 }
@@ -300,7 +339,10 @@
     while !reason.is_char_boundary(end) {
         end -= 1;
     }
-    let frame = CloseFrame { code: CloseCode::from(code), reason: reason[..end].into() };
+    let frame = CloseFrame {
+        code: CloseCode::from(code),
+        reason: reason[..end].into(),
+    };
     written(to, Frame::close(Some(frame)), mask)
 }
 
--- a/crates/websocket/src/table.rs
+++ b/crates/websocket/src/table.rs
@@ -142,7 +142,12 @@
     ///
     /// # Errors
     /// It is not let in.
-    pub fn admit(&mut self, now: Micros, customer: CustomerId, spread: u32) -> Result<SocketId, Shut> {
+    pub fn admit(
+        &mut self,
+        now: Micros,
+        customer: CustomerId,
+        spread: u32,
+    ) -> Result<SocketId, Shut> {
         let shut = |why, retry_in| Err(Shut { why, retry_in });
         if self.stopped {
             return shut("the node leaves", 1_000_000);
@@ -154,13 +159,20 @@
         let share = (self.limits.per_customer / spread.max(1)).max(1);
         let held = self.by_customer.get(&customer).copied().unwrap_or(0);
         if held >= share {
-            return shut("the customer has all the sockets that it may have", 5_000_000);
+            return shut(
+                "the customer has all the sockets that it may have",
+                5_000_000,
+            );
         }
         let span = now.saturating_sub(self.filled) as f64 / 1e6;
-        self.tokens = (self.tokens + span * self.limits.opens_per_s).min(self.limits.opens_per_s.max(1.0));
+        self.tokens =
+            (self.tokens + span * self.limits.opens_per_s).min(self.limits.opens_per_s.max(1.0));
         self.filled = now;
         if self.tokens < 1.0 {
-            return shut("too many at once", ((1.0 - self.tokens) / self.limits.opens_per_s * 1e6) as Micros);
+            return shut(
+                "too many at once",
+                ((1.0 - self.tokens) / self.limits.opens_per_s * 1e6) as Micros,
+            );
         }
         self.tokens -= 1.0;
         *self.by_customer.entry(customer).or_default() += 1;
@@ -184,7 +196,9 @@
     /// An upgrade was answered with 101 by this server. What comes back is to be done at once: a socket to a server that
     /// has been told to drain meanwhile closes again, and so does one too many.
     pub fn opened(&mut self, now: Micros, id: SocketId, server: ServerId) -> Vec<Command> {
-        let Some(row) = self.rows.get_mut(&id) else { return vec![Command::Cut(id)] };
+        let Some(row) = self.rows.get_mut(&id) else {
+            return vec![Command::Cut(id)];
+        };
         if row.server.is_some() {
             return Vec::new();
         }
@@ -226,7 +240,9 @@
 
     /// A socket is over, or an upgrade came to nothing.
     pub fn ended(&mut self, id: SocketId) {
-        let Some(row) = self.rows.remove(&id) else { return };
+        let Some(row) = self.rows.remove(&id) else {
+            return;
+        };
         self.alarms.remove(&(row.due, id));
         if let Some(held) = self.by_customer.get_mut(&row.customer) {
             *held -= 1;
@@ -234,7 +250,9 @@
                 self.by_customer.remove(&row.customer);
             }
         }
-        let Some(server) = row.server else { return self.came_to_something() };
+        let Some(server) = row.server else {
+            return self.came_to_something();
+        };
         if let Some(there) = self.by_server.get_mut(&server) {
             there.remove(&id);
             if there.is_empty() {
@@ -261,7 +279,13 @@
         if self.pending > 0 {
             self.away.insert(server);
         }
-        let there: Vec<SocketId> = self.by_server.get(&server).into_iter().flatten().copied().collect();
+        let there: Vec<SocketId> = self
+            .by_server
+            .get(&server)
+            .into_iter()
+            .flatten()
+            .copied()
+            .collect();
         self.go(now, there);
         self.tick(now)
     }
@@ -269,8 +293,12 @@
     /// The node leaves: all of its sockets close, and none is let in.
     pub fn stop(&mut self, now: Micros) -> Vec<Command> {
         self.stopped = true;
-        let mut all: Vec<SocketId> =
-            self.rows.iter().filter(|(_, row)| row.server.is_some()).map(|(id, _)| *id).collect();
+        let mut all: Vec<SocketId> = self
+            .rows
+            .iter()
+            .filter(|(_, row)| row.server.is_some())
+            .map(|(id, _)| *id)
+            .collect();
         all.sort();
         self.go(now, all);
         self.tick(now)
@@ -287,7 +315,9 @@
     fn go(&mut self, now: Micros, those: Vec<SocketId>) {
         let by = now.saturating_add(self.limits.drain_within);
         for (place, id) in those.into_iter().enumerate() {
-            let Some(row) = self.rows.get(&id) else { continue };
+            let Some(row) = self.rows.get(&id) else {
+                continue;
+            };
             match row.cut_at {
                 // One that closes already is cut no later than this.
                 Some(at) => self.cut_by(id, at.min(by)),
@@ -319,7 +349,10 @@
 
     /// When the one at this place of those that go may come back.
     fn advice(&self, place: usize) -> String {
-        format!("retry-after={:.3}", 0.1 + place as f64 / self.limits.back_per_s.max(0.001))
+        format!(
+            "retry-after={:.3}",
+            0.1 + place as f64 / self.limits.back_per_s.max(0.001)
+        )
     }
 
     /// When [`Sockets::tick`] is due next.
@@ -350,18 +383,35 @@
     /// As many closes as it takes to have handed out all of them in time.
     fn hand_out(&mut self, now: Micros, commands: &mut Vec<Command>) {
         let span = (self.limits.drain_within as f64 * (1.0 - HANDED_OUT_WITHIN)) as Micros;
-        let last = self.closing.back().map_or(now, |(_, by, _)| by.saturating_sub(span));
+        let last = self
+            .closing
+            .back()
+            .map_or(now, |(_, by, _)| by.saturating_sub(span));
         let rounds = (last.saturating_sub(now) / PACE).max(1) as usize;
-        let most = self.closing.len().div_ceil(rounds).max(PACE_LEAST).min(self.closing.len());
-        let now_due: Vec<_> =
-            self.closing.drain(..most).filter(|(id, ..)| self.rows.contains_key(id)).collect();
-        commands.extend(now_due.into_iter().map(|(id, by, place)| self.drain(id, by, place)));
+        let most = self
+            .closing
+            .len()
+            .div_ceil(rounds)
+            .max(PACE_LEAST)
+            .min(self.closing.len());
+        let now_due: Vec<_> = self
+            .closing
+            .drain(..most)
+            .filter(|(id, ..)| self.rows.contains_key(id))
+            .collect();
+        commands.extend(
+            now_due
+                .into_iter()
+                .map(|(id, by, place)| self.drain(id, by, place)),
+        );
     }
 
     /// One socket's alarm: what was heard since it was set may have made it needless.
     fn look(&mut self, now: Micros, id: SocketId, commands: &mut Vec<Command>) {
         let limits = &self.limits;
-        let Some(row) = self.rows.get_mut(&id) else { return };
+        let Some(row) = self.rows.get_mut(&id) else {
+            return;
+        };
         if let Some(at) = row.cut_at {
             if now >= at {
                 // It is told once; what is left of it ends by that.
@@ -370,7 +420,10 @@
             }
             return self.arm(id);
         }
-        let silent = row.heard.iter().any(|at| now >= at.saturating_add(limits.silent_after));
+        let silent = row
+            .heard
+            .iter()
+            .any(|at| now >= at.saturating_add(limits.silent_after));
         let idle = limits.idle_for > 0 && now >= row.data.saturating_add(limits.idle_for);
         let old = limits.life_for > 0 && now >= row.opened.saturating_add(limits.life_for);
         if silent || idle || old {
@@ -389,16 +442,31 @@
 
     fn arm(&mut self, id: SocketId) {
         let limits = &self.limits;
-        let Some(row) = self.rows.get_mut(&id) else { return };
+        let Some(row) = self.rows.get_mut(&id) else {
+            return;
+        };
         let due = match row.cut_at {
             Some(at) => at,
             None if row.server.is_none() => Micros::MAX,
             None => {
                 let silence = |at: usize| {
-                    row.heard[at] + if row.pinged[at] { limits.silent_after } else { limits.ping_after }
+                    row.heard[at]
+                        + if row.pinged[at] {
+                            limits.silent_after
+                        } else {
+                            limits.ping_after
+                        }
+                };
+                let idle = if limits.idle_for > 0 {
+                    row.data + limits.idle_for
+                } else {
+                    Micros::MAX
+                };
+                let old = if limits.life_for > 0 {
+                    row.opened + limits.life_for
+                } else {
+                    Micros::MAX
                 };
-                let idle = if limits.idle_for > 0 { row.data + limits.idle_for } else { Micros::MAX };
-                let old = if limits.life_for > 0 { row.opened + limits.life_for } else { Micros::MAX };
                 silence(0).min(silence(1)).min(idle).min(old)
             }
         };
--- a/crates/websocket/src/table/tests.rs
+++ b/crates/websocket/src/table/tests.rs
@@ -41,7 +41,10 @@
 }
 
 fn closed(commands: &[Command]) -> usize {
-    commands.iter().filter(|command| matches!(command, Command::Drain(..))).count()
+    commands
+        .iter()
+        .filter(|command| matches!(command, Command::Drain(..)))
+        .count()
 }
 
 #[test]
@@ -51,22 +54,47 @@
     assert!(sockets.opened(0, other, OTHER).is_empty());
     let now = 500 * MS;
     let first = sockets.told(now, ONE, false);
-    assert!(closed(&first) > 0 && closed(&first) < 1_000, "the first at once, not all: {}", closed(&first));
+    assert!(
+        closed(&first) > 0 && closed(&first) < 1_000,
+        "the first at once, not all: {}",
+        closed(&first)
+    );
     let later = until(&mut sockets, now, now + 150 * MS);
-    let closes: Vec<_> = later.iter().filter(|(_, command)| matches!(command, Command::Drain(..))).collect();
+    let closes: Vec<_> = later
+        .iter()
+        .filter(|(_, command)| matches!(command, Command::Drain(..)))
+        .collect();
     assert_eq!(closed(&first) + closes.len(), 10_000);
     let last = closes.iter().map(|(at, _)| *at).max().expect("some");
-    assert!(last <= now + 110 * MS, "the last after {} ms", (last - now) / MS);
-    let most = closes.chunk_by(|one, next| one.0 == next.0).map(<[_]>::len).max().expect("some");
+    assert!(
+        last <= now + 110 * MS,
+        "the last after {} ms",
+        (last - now) / MS
+    );
+    let most = closes
+        .chunk_by(|one, next| one.0 == next.0)
+        .map(<[_]>::len)
+        .max()
+        .expect("some");
     assert!(most < 400, "{most} at once");
     // What is left is cut, all of it, at the end of the span and not before.
     let cuts = until(&mut sockets, now + 150 * MS, now + 300 * MS);
     assert_eq!(cuts.len(), 10_000);
-    assert!(cuts.iter().all(|(at, command)| *at == now + 200 * MS && matches!(command, Command::Cut(_))));
+    assert!(cuts
+        .iter()
+        .all(|(at, command)| *at == now + 200 * MS && matches!(command, Command::Cut(_))));
     // Those who come back are told to do so at a pace.
-    let Some((_, Command::Drain(_, 1001, advice, _))) = closes.last() else { panic!("a close") };
-    let wait: f64 = advice.strip_prefix("retry-after=").and_then(|text| text.parse().ok()).expect("advice");
-    assert!((wait - 100.0).abs() < 2.0, "10,000 at 100 a second: {advice}");
+    let Some((_, Command::Drain(_, 1001, advice, _))) = closes.last() else {
+        panic!("a close")
+    };
+    let wait: f64 = advice
+        .strip_prefix("retry-after=")
+        .and_then(|text| text.parse().ok())
+        .expect("advice");
+    assert!(
+        (wait - 100.0).abs() < 2.0,
+        "10,000 at 100 a second: {advice}"
+    );
 }
 
 #[test]
@@ -75,7 +103,10 @@
     let id = sockets.admit(0, CustomerId(1), 1).expect("room");
     assert!(sockets.told(10, ONE, false).is_empty());
     let closes = sockets.opened(20, id, ONE);
-    assert!(matches!(closes[..], [Command::Drain(_, 1001, _, at)] if at == 20 + 200 * MS), "{closes:?}");
+    assert!(
+        matches!(closes[..], [Command::Drain(_, 1001, _, at)] if at == 20 + 200 * MS),
+        "{closes:?}"
+    );
     sockets.ended(id);
     // It is back, and nothing is kept of the drain.
     assert!(sockets.told(30, ONE, true).is_empty());
@@ -86,9 +117,17 @@
 #[test]
 fn a_customers_bound_is_split_over_its_nodes_and_given_back() {
     let mut sockets = Sockets::new(limits(), 0);
-    let three: Vec<_> = (0..3).map(|_| sockets.admit(0, CustomerId(1), 2).expect("its share")).collect();
-    assert!(sockets.admit(0, CustomerId(1), 2).is_err(), "three of six at one of two nodes");
-    assert!(sockets.admit(0, CustomerId(2), 2).is_ok(), "another customer, the same address or not");
+    let three: Vec<_> = (0..3)
+        .map(|_| sockets.admit(0, CustomerId(1), 2).expect("its share"))
+        .collect();
+    assert!(
+        sockets.admit(0, CustomerId(1), 2).is_err(),
+        "three of six at one of two nodes"
+    );
+    assert!(
+        sockets.admit(0, CustomerId(2), 2).is_ok(),
+        "another customer, the same address or not"
+    );
     sockets.ended(three[0]);
     assert!(sockets.admit(0, CustomerId(1), 2).is_ok());
     // Where there are more nodes than sockets each has one.
@@ -98,21 +137,43 @@
 
 #[test]
 fn nodes_and_servers_have_bounds_of_their_own() {
-    let mut sockets = Sockets::new(Limits { per_node: 2, per_server: 1, ..limits() }, 0);
+    let mut sockets = Sockets::new(
+        Limits {
+            per_node: 2,
+            per_server: 1,
+            ..limits()
+        },
+        0,
+    );
     let one = sockets.admit(0, CustomerId(1), 1).expect("room");
     let two = sockets.admit(0, CustomerId(2), 1).expect("room");
     assert!(sockets.admit(0, CustomerId(3), 1).is_err());
     assert!(sockets.opened(1, one, ONE).is_empty());
-    assert!(matches!(sockets.opened(2, two, ONE)[..], [Command::Close(_, 1013, _)]));
+    assert!(matches!(
+        sockets.opened(2, two, ONE)[..],
+        [Command::Close(_, 1013, _)]
+    ));
     sockets.ended(one);
     sockets.ended(two);
-    assert_eq!((sockets.count(), sockets.next_alarm()), (0, None), "nothing is kept");
+    assert_eq!(
+        (sockets.count(), sockets.next_alarm()),
+        (0, None),
+        "nothing is kept"
+    );
 }
 
 #[test]
 fn upgrades_are_let_in_at_a_pace_with_advice() {
-    let mut sockets = Sockets::new(Limits { opens_per_s: 10.0, ..limits() }, 0);
-    let all = (0..100).filter(|customer| sockets.admit(0, CustomerId(*customer), 1).is_ok()).count();
+    let mut sockets = Sockets::new(
+        Limits {
+            opens_per_s: 10.0,
+            ..limits()
+        },
+        0,
+    );
+    let all = (0..100)
+        .filter(|customer| sockets.admit(0, CustomerId(*customer), 1).is_ok())
+        .count();
     assert_eq!(all, 10);
     let shut = sockets.admit(0, CustomerId(200), 1).expect_err("too many");
     assert_eq!(shut.retry_in, 100 * MS);
@@ -132,7 +193,10 @@
     assert_eq!(again.len(), 2, "{again:?}");
     sockets.heard(2_020 * MS, id, Side::Server, false);
     let end = until(&mut sockets, 2_020 * MS, 3_900 * MS);
-    assert!(matches!(end.last(), Some((at, Command::Close(..))) if *at == 3_900 * MS), "{end:?}");
+    assert!(
+        matches!(end.last(), Some((at, Command::Close(..))) if *at == 3_900 * MS),
+        "{end:?}"
+    );
     let cut = until(&mut sockets, 3_900 * MS, 10_000 * MS);
     assert_eq!(cut, [(4_900 * MS, Command::Cut(id))]);
 }
@@ -149,8 +213,17 @@
     let mut sockets = with(bounds, 1);
     sockets.heard(400 * MS, SocketId(0), Side::Server, false);
     let idle = until(&mut sockets, 0, 600 * MS);
-    assert!(matches!(idle[..], [(at, Command::Close(..))] if at == 500 * MS), "{idle:?}");
-    let mut sockets = with(Limits { idle_for: 0, ..limits() }, 1);
+    assert!(
+        matches!(idle[..], [(at, Command::Close(..))] if at == 500 * MS),
+        "{idle:?}"
+    );
+    let mut sockets = with(
+        Limits {
+            idle_for: 0,
+            ..limits()
+        },
+        1,
+    );
     assert!(until(&mut sockets, 0, 900 * MS).is_empty());
 }
 
@@ -159,24 +232,46 @@
     let mut sockets = with(limits(), 50);
     let out = sockets.admit(0, CustomerId(777), 1).expect("room");
     let mut closes = sockets.stop(10);
-    closes.extend(until(&mut sockets, 10, 150 * MS).into_iter().map(|(_, command)| command));
+    closes.extend(
+        until(&mut sockets, 10, 150 * MS)
+            .into_iter()
+            .map(|(_, command)| command),
+    );
     assert_eq!(closed(&closes), 50);
     assert!(sockets.admit(20, CustomerId(1_000), 1).is_err());
-    assert!(matches!(sockets.opened(30, out, ONE)[..], [Command::Drain(..)]), "an upgrade that was out");
+    assert!(
+        matches!(sockets.opened(30, out, ONE)[..], [Command::Drain(..)]),
+        "an upgrade that was out"
+    );
 }
 
 /// Anything in any order: counts never go wrong, and when all have ended nothing is kept.
 #[test]
 fn nothing_is_kept_of_sockets_that_are_over() {
     let mut random = fastrand::Rng::with_seed(3);
-    let mut sockets = Sockets::new(Limits { idle_for: 70 * MS, life_for: 200 * MS, ..limits() }, 0);
+    let mut sockets = Sockets::new(
+        Limits {
+            idle_for: 70 * MS,
+            life_for: 200 * MS,
+            ..limits()
+        },
+        0,
+    );
     let (mut now, mut known) = (0, Vec::new());
     for _ in 0..30_000 {
         now += random.u64(..3 * MS);
         match random.u8(..8) {
             0 | 1 => known.extend(sockets.admit(now, CustomerId(random.u64(..9)), 1)),
-            2 | 3 => _ = random.choice(&known).map(|id| sockets.opened(now, *id, ServerId(random.u64(..3)))),
-            4 => _ = random.choice(&known).map(|id| sockets.heard(now, *id, Side::Client, random.bool())),
+            2 | 3 => {
+                _ = random
+                    .choice(&known)
+                    .map(|id| sockets.opened(now, *id, ServerId(random.u64(..3))))
+            }
+            4 => {
+                _ = random
+                    .choice(&known)
+                    .map(|id| sockets.heard(now, *id, Side::Client, random.bool()))
+            }
             5 if !known.is_empty() => sockets.ended(known.swap_remove(random.usize(..known.len()))),
             6 => _ = sockets.told(now, ServerId(random.u64(..3)), random.bool()),
             _ => _ = sockets.tick(now),
@@ -186,5 +281,7 @@
     known.into_iter().for_each(|id| sockets.ended(id));
     sockets.tick(now + 10_000 * MS);
     assert_eq!((sockets.count(), sockets.next_alarm()), (0, None));
-    assert!(sockets.by_customer.is_empty() && sockets.by_server.is_empty() && sockets.away.is_empty());
+    assert!(
+        sockets.by_customer.is_empty() && sockets.by_server.is_empty() && sockets.away.is_empty()
+    );
 }
