--- a/crates/admin/src/figures.rs
+++ b/crates/admin/src/figures.rs
@@ -86,6 +86,9 @@
     }
 }
 
+/// One of the counts of a class.
+type CountOf = fn(&ClassCounts) -> u64;
+
 /// What is told on a call for the figures.
 #[derive(Clone, Debug, Default)]
 pub struct Figures<'a> {
@@ -107,8 +110,7 @@
     /// The figures in the text form of Prometheus, a sample a line, and the line that ends them.
     pub fn told(&self) -> String {
         let mut text = String::with_capacity(64 * (3 * self.names.len() + 11 + self.decided.len()));
-        type Of = fn(&ClassCounts) -> u64;
-        let kinds: [(&str, Of); 3] = [
+        let kinds: [(&str, CountOf); 3] = [
             ("fulfilled", |counts| counts.fulfilled),
             ("throttled", |counts| counts.throttled),
             ("faulted", |counts| counts.faulted),
--- a/crates/bench/src/relay.rs
+++ b/crates/bench/src/relay.rs
@@ -27,7 +27,7 @@
     while let Some(argument) = arguments.next()? {
         match argument {
             lexopt::Arg::Value(value) => {
-                addresses.push(lexopt::ValueExt::parse::<SocketAddr>(&value)?)
+                addresses.push(lexopt::ValueExt::parse::<SocketAddr>(&value)?);
             }
             other => return Err(other.unexpected().into()),
         }
@@ -66,19 +66,18 @@
     let kept = pool.idle[place]
         .borrow_mut()
         .pop()
-        .filter(|sender| sender.is_ready());
-    let mut sender = match kept {
-        Some(sender) => sender,
-        None => {
-            let stream = TcpStream::connect(pool.servers[place]).await?;
-            stream.set_nodelay(true)?;
-            let (sender, connection) = handshake(TokioIo::new(stream)).await?;
-            tokio::task::spawn_local(async move {
-                // Its end shows in the exchange.
-                let _ = connection.await;
-            });
-            sender
-        }
+        .filter(hyper::client::conn::http1::SendRequest::is_ready);
+    let mut sender = if let Some(sender) = kept {
+        sender
+    } else {
+        let stream = TcpStream::connect(pool.servers[place]).await?;
+        stream.set_nodelay(true)?;
+        let (sender, connection) = handshake(TokioIo::new(stream)).await?;
+        tokio::task::spawn_local(async move {
+            // Its end shows in the exchange.
+            let _ = connection.await;
+        });
+        sender
     };
     let (head, body) = request.into_parts();
     let body = body.collect().await?.to_bytes();
--- a/crates/bench/src/roster.rs
+++ b/crates/bench/src/roster.rs
@@ -53,7 +53,7 @@
         let begun = Instant::now();
         let node = process::operated(&crate::program()?, &process::unbound(), agent, Some(&file))?;
         while !ready(&world, &node).await {
-            ensure!(begun.elapsed() < Duration::from_secs(60), "it does not come up");
+            ensure!(begun.elapsed() < Duration::from_mins(1), "it does not come up");
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         println!("{hosts} hosts: exec to ready with the whole list {:.0} ms", begun.elapsed().as_secs_f64() * 1e3);
--- a/crates/bench/src/scale/mod.rs
+++ b/crates/bench/src/scale/mod.rs
@@ -863,7 +863,7 @@
     let bare: u64 = rig.shards.bare().iter().map(|look| look.memory).sum();
     let memory: u64 = ended.iter().map(|look| look.memory).sum();
     let hollow_row = |rows: &mut Rows, name, unit, value: f64, note: &str| {
-        rows.add(Kind::Hollow, (name, unit), value, note)
+        rows.add(Kind::Hollow, (name, unit), value, note);
     };
     let lag = |share: f64| loaded.lag.at(share).unwrap_or(0.0);
     let shared = hollow > point.processes();
@@ -974,7 +974,7 @@
         "one list or change, read already",
     );
     let hollow_row = |rows: &mut Rows, name, unit, value: f64, note: &str| {
-        rows.add(Kind::Hollow, (name, unit), value, note)
+        rows.add(Kind::Hollow, (name, unit), value, note);
     };
     hollow_row(
         rows,
--- a/crates/bench/src/scale/service.rs
+++ b/crates/bench/src/scale/service.rs
@@ -5,7 +5,7 @@
 use saffronpaddle_hollow::LIST_MOST;
 use saffronpaddle_test_doubles::wire::Wire;
 use saffronpaddle_test_doubles::World;
-use std::collections::BTreeMap;
+use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -79,9 +79,9 @@
             .iter()
             .skip(from as usize - 1)
             .flatten()
-            .map(|at| (*at, ()));
-        let changed: BTreeMap<usize, ()> = changed.collect();
-        (self.seq, self.text(false, changed.into_keys()).into())
+            .copied();
+        let changed: BTreeSet<usize> = changed.collect();
+        (self.seq, self.text(false, changed.into_iter()).into())
     }
 }
 
--- a/crates/bench/src/scale/shards.rs
+++ b/crates/bench/src/scale/shards.rs
@@ -19,7 +19,7 @@
 
 /// All of them. They end with this value, or when their time is over.
 pub struct Shards {
-    shards: Vec<Shard>,
+    all: Vec<Shard>,
     children: Arc<Mutex<Vec<Child>>>,
     _over: Sender<()>,
 }
@@ -54,7 +54,7 @@
             }
         });
         let mut shards = Shards {
-            shards: Vec::new(),
+            all: Vec::new(),
             children,
             _over: over,
         };
@@ -75,7 +75,7 @@
             writeln!(stdin, "{}", serde_json::to_string(spec)?)?;
             let mut stdout = BufReader::new(stdout);
             let bare = answer(&mut stdout)?;
-            shards.shards.push(Shard {
+            shards.all.push(Shard {
                 stdin,
                 stdout,
                 bare,
@@ -86,11 +86,11 @@
 
     /// Tells all of them a word, and waits for their answers.
     pub fn ask<T: DeserializeOwned>(&mut self, word: &str) -> Result<Vec<T>> {
-        for shard in &mut self.shards {
+        for shard in &mut self.all {
             writeln!(shard.stdin, "{word}")
                 .context("a process of hollow nodes is over, or its time was")?;
         }
-        self.shards
+        self.all
             .iter_mut()
             .map(|shard| answer(&mut shard.stdout))
             .collect()
@@ -98,7 +98,7 @@
 
     /// How they were before they had any node.
     pub fn bare(&self) -> Vec<Look> {
-        self.shards.iter().map(|shard| shard.bare.clone()).collect()
+        self.all.iter().map(|shard| shard.bare.clone()).collect()
     }
 }
 
--- a/crates/bench/src/sockets.rs
+++ b/crates/bench/src/sockets.rs
@@ -247,7 +247,7 @@
     for mut stream in streams {
         let left = Arc::clone(&left);
         tasks.spawn(async move {
-            let words = [&[0x82, 0x80 | 100, 0, 0, 0, 0][..], &[7; 100]].concat();
+            let words = [&[0x82, 0x80 | 0x64, 0, 0, 0, 0][..], &[7; 100]].concat();
             let mut took = Vec::new();
             while left
                 .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |left| {
@@ -328,7 +328,7 @@
             let (mut reader, mut writer) = stream.split();
             // Some talk all the while, so that a frame that is let through too late is there to be seen.
             let talk = async {
-                let words = [&[0x82, 0x80 | 100, 0, 0, 0, 0][..], &[7; 100]].concat();
+                let words = [&[0x82, 0x80 | 0x64, 0, 0, 0, 0][..], &[7; 100]].concat();
                 let mut talks = number < talkers;
                 while talks {
                     talks = writer.write_all(&words).await.is_ok();
--- a/crates/bench/tests/size/fixture.rs
+++ b/crates/bench/tests/size/fixture.rs
@@ -544,7 +544,7 @@
             1,
             Leaves::default(),
         );
-        Arc::clone(&front).watch().await;
+        Arc::clone(&front).watch();
         let rig = Rig {
             world,
             list,
@@ -738,17 +738,16 @@
     /// They start anew, cold, and are listed in one version.
     pub fn start_cold(&self, servers: &[usize]) -> u64 {
         for at in servers {
-            match self.stands.get(at) {
-                Some(server) => server.start_cold().expect("its address is kept"),
-                None => {
-                    let (now, capacity) = (self.world.now(), self.fixture.cores as f64);
-                    self.world.ledger().cold(now, &format!("s-{at}"), capacity);
-                }
+            if let Some(server) = self.stands.get(at) {
+                server.start_cold().expect("its address is kept");
+            } else {
+                let (now, capacity) = (self.world.now(), self.fixture.cores as f64);
+                self.world.ledger().cold(now, &format!("s-{at}"), capacity);
             }
         }
         let born_ms = self.world.unix_ms();
         self.list.change(servers, |server| {
-            (server.health, server.born_ms) = ("ready", born_ms)
+            (server.health, server.born_ms) = ("ready", born_ms);
         })
     }
 
--- a/crates/bench/tests/size/list.rs
+++ b/crates/bench/tests/size/list.rs
@@ -31,7 +31,7 @@
 #[derive(Clone)]
 struct Text {
     from: Option<u64>,
-    text: Arc<str>,
+    body: Arc<str>,
     /// The servers in it.
     named: Arc<Vec<usize>>,
 }
@@ -112,7 +112,7 @@
         };
         let text = Text {
             from,
-            text: text.into(),
+            body: text.into(),
             named: Arc::new(named),
         };
         self.texts.push(text.clone());
@@ -222,9 +222,9 @@
         loop {
             let version = *seq.borrow_and_update();
             if std::mem::take(&mut first) || from != Some(version) {
-                let (version, Text { text, named, .. }) = lock(&self.list).since(from);
+                let (version, Text { body, named, .. }) = lock(&self.list).since(from);
                 stream
-                    .write_all(format!("{:x}\r\n{text}\n\r\n", text.len() + 1).as_bytes())
+                    .write_all(format!("{:x}\r\n{body}\n\r\n", body.len() + 1).as_bytes())
                     .await?;
                 if let Some(node) = node {
                     self.tell(node, version, &named);
--- a/crates/bench/tests/size/main.rs
+++ b/crates/bench/tests/size/main.rs
@@ -51,7 +51,7 @@
         let begun = rig.world.now();
         rig.still(0, rig.still(1, stand)).await;
         assert!(
-            rig.world.now() - begun >= MS(5_000),
+            rig.world.now().checked_sub(begun).unwrap() >= MS(5_000),
             "they stood still for 5 s"
         );
         let awake = rig.world.now();
--- a/crates/connection-eviction/src/lib.rs
+++ b/crates/connection-eviction/src/lib.rs
@@ -60,7 +60,7 @@
 impl Limits {
     /// As nodes have them.
     pub const USUAL: Limits = Limits {
-        head_within: Duration::from_millis(3000),
+        head_within: Duration::from_secs(3),
         idle_for: Duration::from_millis(2200),
         never_asked: Duration::from_secs(1),
         goes_on: Duration::from_millis(500),
--- a/crates/connection-eviction/src/tests.rs
+++ b/crates/connection-eviction/src/tests.rs
@@ -34,12 +34,18 @@
 /// Slow good clients write a piece each 200 ms for 2 s; how many have written all.
 fn go_on(seats: &mut Vec<(bool, Seat)>, now: Duration) -> usize {
     for (good, seat) in &mut *seats {
-        if *good && (now - seat.came).as_millis().is_multiple_of(200) {
+        if *good
+            && now
+                .checked_sub(seat.came)
+                .unwrap()
+                .as_millis()
+                .is_multiple_of(200)
+        {
             (seat.last, seat.head) = (now, Some(seat.head.unwrap_or(now)));
         }
     }
     let before = seats.len();
-    seats.retain(|(good, seat)| !(*good && now - seat.came >= 2000 * MS));
+    seats.retain(|(good, seat)| !(*good && now.checked_sub(seat.came).unwrap() >= 2000 * MS));
     before - seats.len()
 }
 
--- a/crates/endpoints/src/follower.rs
+++ b/crates/endpoints/src/follower.rs
@@ -298,7 +298,11 @@
             // A first list too: what the node was told at its start stands against a prefix that is empty, or misspelt.
             self.unlisted |= first;
             change.whole = false;
-            let all = self.hosts.keys().map(|host| host.to_string()).collect();
+            let all = self
+                .hosts
+                .keys()
+                .map(std::string::ToString::to_string)
+                .collect();
             self.doubt(told, all);
             return change;
         }
--- a/crates/endpoints/src/pace.rs
+++ b/crates/endpoints/src/pace.rs
@@ -21,7 +21,7 @@
 /// Least mean of the first pause, and of the longest: what a small fleet keeps to. A service that is as small as its fleet
 /// answers one call of each node in some seconds; nodes that call more often only lengthen the line that they wait in. A change
 /// counts as told 4 s after a reload that moved the service: two calls begin within 2 s of it, the third mostly in time.
-const LEAST: (Duration, Duration) = (Duration::from_millis(1000), Duration::from_millis(1500));
+const LEAST: (Duration, Duration) = (Duration::from_secs(1), Duration::from_millis(1500));
 /// Longest from the beginning of a call to that of the next, in a fleet of any size. Of the 6 s after which a change counts as
 /// told it leaves 1.5 s for the answer.
 const MOST: Duration = Duration::from_millis(4500);
@@ -86,7 +86,7 @@
 }
 
 /// Longest that a service may tell a node to stay away.
-const TOLD_MOST: Duration = Duration::from_secs(120);
+const TOLD_MOST: Duration = Duration::from_mins(2);
 
 /// How calls go out to an agent on the node's own machine: so often while none is answered, and each waits so long.
 ///
@@ -214,7 +214,12 @@
     pub fn told_beside(&self, after: Duration, ago: Duration, draw: f64) -> Option<Duration> {
         let room = self.most?.saturating_sub(ago);
         let from = after.min(room / 2);
-        Some(from + (room - from).mul_f64(draw.clamp(0.0, 1.0)))
+        Some(
+            from + room
+                .checked_sub(from)
+                .unwrap()
+                .mul_f64(draw.clamp(0.0, 1.0)),
+        )
     }
 
     /// A watch was open and has ended, or has fallen silent: how long until the next call. One that fails is a first one again.
@@ -232,7 +237,7 @@
             .most
             .map_or(half, |most| half.min(most.saturating_sub(mean)));
         self.next = (self.next * 2).min(self.longest);
-        mean - half + (half * 2).mul_f64(draw.clamp(0.0, 1.0))
+        mean.checked_sub(half).unwrap() + (half * 2).mul_f64(draw.clamp(0.0, 1.0))
     }
 }
 
--- a/crates/endpoints/src/pace/tests.rs
+++ b/crates/endpoints/src/pace/tests.rs
@@ -126,7 +126,7 @@
         assert!(pace.told(Duration::from_secs(7), draw) >= Duration::from_secs(7));
     }
     assert!(
-        pace.told(Duration::from_secs(86_400), 0.0) < Duration::from_secs(200),
+        pace.told(Duration::from_hours(24), 0.0) < Duration::from_secs(200),
         "a forged one has an end"
     );
 }
@@ -260,7 +260,7 @@
                     let after = Duration::from_secs(after);
                     let pause = pace.told_beside(after, ms(ago), draw).expect("here too");
                     prop_assert!(ms(ago) + pause <= ms(4500), "{befell:?}: {pause:?}");
-                    prop_assert!(pause >= after.min((ms(4500) - ms(ago)) / 2), "{befell:?}: {pause:?}");
+                    prop_assert!(pause >= after.min(ms(4500).checked_sub(ms(ago)).unwrap() / 2), "{befell:?}: {pause:?}");
                 }
                 Befalls::Ends => prop_assert!(pace.ended(draw) <= Duration::from_secs(1)),
             }
--- a/crates/etcd/tests/client.rs
+++ b/crates/etcd/tests/client.rs
@@ -9,7 +9,7 @@
 use tokio::time::timeout;
 
 /// No wait is longer; only a failing test gets there.
-const PATIENCE: Duration = Duration::from_secs(60);
+const PATIENCE: Duration = Duration::from_mins(1);
 
 fn timing() -> Timing {
     Timing {
@@ -122,7 +122,7 @@
     etcd
 }
 
-const HOUR: Duration = Duration::from_secs(3600);
+const HOUR: Duration = Duration::from_hours(1);
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn the_list_is_read_and_followed() {
@@ -150,10 +150,16 @@
     roster
         .until("the list", |roster| roster.hosts.len() == 3)
         .await;
-    let ranges: u64 = etcd.members.iter().map(|member| member.ranges()).sum();
+    let ranges: u64 = etcd
+        .members
+        .iter()
+        .map(saffronpaddle_test_doubles::etcd::Member::ranges)
+        .sum();
     for round in 0..5 {
         // Changed while nobody watches.
-        etcd.members.iter().for_each(|member| member.cut());
+        etcd.members
+            .iter()
+            .for_each(saffronpaddle_test_doubles::etcd::Member::cut);
         let health = if round % 2 == 0 { "draining" } else { "ready" };
         etcd.put(&key("a"), &value(health, 7));
         let standing = if round % 2 == 0 {
@@ -163,7 +169,11 @@
         };
         roster.until_standing("a", Some(standing)).await;
     }
-    let after: u64 = etcd.members.iter().map(|member| member.ranges()).sum();
+    let after: u64 = etcd
+        .members
+        .iter()
+        .map(saffronpaddle_test_doubles::etcd::Member::ranges)
+        .sum();
     assert_eq!(after, ranges, "it resumed each time");
 }
 
@@ -178,7 +188,9 @@
     etcd.members
         .iter()
         .for_each(|member| member.set(|faults| faults.refuses = true));
-    etcd.members.iter().for_each(|member| member.cut());
+    etcd.members
+        .iter()
+        .for_each(saffronpaddle_test_doubles::etcd::Member::cut);
     etcd.put(&key("a"), &value("draining", 7));
     etcd.delete(&key("b"));
     etcd.compact(etcd.put(&key("d"), &value("ready", 9)));
@@ -367,7 +379,7 @@
         .until("it is believed", |roster| roster.hosts.len() == 1)
         .await;
     assert!(
-        begun.elapsed() > Duration::from_millis(1000) && roster.hosts.contains_key("b"),
+        begun.elapsed() > Duration::from_secs(1) && roster.hosts.contains_key("b"),
         "{:?}",
         roster.hosts
     );
--- a/crates/exchange/src/bugs.rs
+++ b/crates/exchange/src/bugs.rs
@@ -103,7 +103,7 @@
 pub struct Sound;
 
 impl Bugs for Sound {
-    #[inline(always)]
+    #[inline]
     fn planted(&self, _: Bug) -> bool {
         false
     }
--- a/crates/exchange/src/exchange/attempts.rs
+++ b/crates/exchange/src/exchange/attempts.rs
@@ -308,7 +308,7 @@
                 self.replace(now, &id, link, commands);
             }
             Some(row) if row.state == State::Written => {
-                self.give_up(&id, Outcome::Broken, commands)
+                self.give_up(&id, Outcome::Broken, commands);
             }
             _ => {}
         }
--- a/crates/fleet-harness/src/report.rs
+++ b/crates/fleet-harness/src/report.rs
@@ -142,7 +142,7 @@
             .iter()
             .take(to_s)
             .skip(from_s)
-            .fold(Of::default(), |all, of| all.and(of))
+            .fold(Of::default(), super::windows::Of::and)
     }
 
     /// The table of seconds, by side.
--- a/crates/fleet-harness/src/rig.rs
+++ b/crates/fleet-harness/src/rig.rs
@@ -149,7 +149,7 @@
     if offered.is_err() {
         faults.push(format!("{} tries had no end", rig.world.ledger().open()));
     }
-    let seconds = (rig.world.now() - begun).as_secs_f64();
+    let seconds = rig.world.now().checked_sub(begun).unwrap().as_secs_f64();
     let after = rig.datagrams();
     let mut stops = tokio::task::JoinSet::new();
     for instance in rig.instances.clone() {
@@ -395,7 +395,7 @@
         while let Some(started) = starts.join_next().await {
             started.context("a start")??;
         }
-        Arc::clone(&self.front).watch().await;
+        self.front.watch();
         let all = async {
             while self.front.open() < self.instances.len() - absent.len() {
                 sleep(Duration::from_millis(20)).await;
@@ -454,7 +454,7 @@
             if say {
                 eprintln!(
                     "{:>7.2} s  {:?}",
-                    (self.world.now() - begun).as_secs_f64(),
+                    self.world.now().checked_sub(begun).unwrap().as_secs_f64(),
                     step.deed
                 );
             }
--- a/crates/fleet-harness/src/scenario.rs
+++ b/crates/fleet-harness/src/scenario.rs
@@ -67,7 +67,10 @@
 impl Deed {
     /// Whether it is for processes alone: there is none of it in virtual time.
     pub fn of_processes(&self) -> bool {
-        use Deed::*;
+        use Deed::{
+            Burst, Crowd, Errors, Etcdcompact, Etcdcut, Etcdfreeze, Join, Killearly, Resets,
+            Terminate,
+        };
         matches!(
             self,
             Etcdcut(_)
--- a/crates/fleet-harness/src/virtually/lists.rs
+++ b/crates/fleet-harness/src/virtually/lists.rs
@@ -337,9 +337,10 @@
         // It works on what it took though the caller has left.
         self.service.busy = self.service.busy.max(self.now) + (takes * 1e6) as Micros;
         let after = self.service.busy - self.now + 2 * way;
-        match after > answers {
-            true => self.list_later(at, answers, Comes::Ended(call, None)),
-            false => self.list_later(at, after, Comes::Answered(call)),
+        if after > answers {
+            self.list_later(at, answers, Comes::Ended(call, None));
+        } else {
+            self.list_later(at, after, Comes::Answered(call));
         }
     }
 
--- a/crates/fleet-harness/src/virtually/mod.rs
+++ b/crates/fleet-harness/src/virtually/mod.rs
@@ -299,7 +299,7 @@
     }
 
     fn comes(&mut self, comes: Comes) {
-        if let Some(at) = self.reader(&comes) {
+        if let Some(at) = Self::reader(&comes) {
             if let Some((_, unread)) = &mut self.nodes[at].still {
                 let full = unread
                     .iter()
@@ -382,7 +382,7 @@
     }
 
     /// The node whose process has to run for something to come about.
-    fn reader(&self, comes: &Comes) -> Option<usize> {
+    fn reader(comes: &Comes) -> Option<usize> {
         match comes {
             Comes::Wakes(at, ..) | Comes::Hears(at, ..) | Comes::List(at, ..) => Some(*at),
             Comes::Replies(flight, _) => Some(flight.node),
@@ -655,7 +655,7 @@
             return;
         }
         let fault = self.links.on(End::Node(from), End::Node(to));
-        for _ in 0..1 + usize::from(fastrand::f64() < fault.doubled) {
+        for _ in 0..=usize::from(fastrand::f64() < fault.doubled) {
             if fault.loses() || !self.takes_in(to) {
                 continue;
             }
--- a/crates/fleet-harness/src/windows.rs
+++ b/crates/fleet-harness/src/windows.rs
@@ -29,6 +29,7 @@
 
 impl Of {
     /// The sum.
+    #[must_use]
     pub fn and(self, other: &Of) -> Of {
         Of {
             tries: self.tries + other.tries,
@@ -99,7 +100,7 @@
                 of.tries += 1;
                 match seen.answer {
                     Some(Answer::Served) => {
-                        (of.served, of.served_work) = (of.served + 1, of.served_work + seen.work)
+                        (of.served, of.served_work) = (of.served + 1, of.served_work + seen.work);
                     }
                     Some(Answer::Refused) => {
                         (of.refused, of.with_room) =
--- a/crates/hollow/src/list.rs
+++ b/crates/hollow/src/list.rs
@@ -112,12 +112,11 @@
 ) -> Result<()> {
     let from = seq.map_or(String::new(), |seq| format!("&from={seq}"));
     let path = format!("/api/targets?watch=1{from}");
-    let mut watch = match hedged {
-        Some(hedged) => soonest(shard, &path, hedged).await,
-        None => {
-            shard.figures.borrow_mut().list.0 += 1;
-            call(shard.spec.list, path, SILENT_FOR).await?
-        }
+    let mut watch = if let Some(hedged) = hedged {
+        soonest(shard, &path, hedged).await
+    } else {
+        shard.figures.borrow_mut().list.0 += 1;
+        call(shard.spec.list, path, SILENT_FOR).await?
     };
     *opened = true;
     let mut lists = Objects::new(LIST_MOST);
--- a/crates/hollow/src/shard.rs
+++ b/crates/hollow/src/shard.rs
@@ -455,7 +455,7 @@
         };
         match due.what {
             What::Wake(token) => {
-                self.happened(&node, Event::Tell(ModuleEvent::Woke { token }), Why::Wake)
+                self.happened(&node, Event::Tell(ModuleEvent::Woke { token }), Why::Wake);
             }
             What::Happens(event) => {
                 if let Event::Replied { link, .. } = &event {
--- a/crates/hollow/tests/figures.rs
+++ b/crates/hollow/tests/figures.rs
@@ -1,3 +1,5 @@
+//! The spans of time that hollow nodes measure.
+
 use saffronpaddle_hollow::figures::Spans;
 
 #[test]
--- a/crates/hollow/tests/tenants.rs
+++ b/crates/hollow/tests/tenants.rs
@@ -1,3 +1,5 @@
+//! The customers of a measured fleet and their plans.
+
 use saffronpaddle_hollow::tenants::{plans, Tenants};
 
 #[test]
--- a/crates/hot-restart/src/link.rs
+++ b/crates/hot-restart/src/link.rs
@@ -83,7 +83,7 @@
     /// without it.
     pub const STATE_WITHIN: Duration = Duration::from_millis(1500);
     /// How long an elder waits to be greeted. Guards against processes that connect and say nothing.
-    pub const GREET_WITHIN: Duration = Duration::from_millis(1000);
+    pub const GREET_WITHIN: Duration = Duration::from_secs(1);
 
     /// A conversation that has just been opened by a node of this name.
     pub fn new(now: Duration, role: Role, name: &str, out: &mut Vec<Do>) -> Link {
--- a/crates/hot-restart/tests/overlap.rs
+++ b/crates/hot-restart/tests/overlap.rs
@@ -327,7 +327,7 @@
     }
     // One that stalls in the middle is not waited for.
     let (mut link, mut out) = (open(Role::Heir), Vec::new());
-    link.tick(Link::STATE_WITHIN - ms(1), &mut out);
+    link.tick(Link::STATE_WITHIN.checked_sub(ms(1)).unwrap(), &mut out);
     assert!(out.is_empty());
     link.tick(Link::STATE_WITHIN, &mut out);
     assert_eq!(out, [Do::End(Ended::Silent)]);
@@ -354,7 +354,7 @@
     });
     assert!(middle.tells(&twin, None).is_empty() && !middle.is_shared() && !middle.is_last());
     middle.with(elder, |link, out| {
-        link.heard(Some(state("n0", VERSION)), out)
+        link.heard(Some(state("n0", VERSION)), out);
     });
     let hello = Word::Hello(Hello {
         version: VERSION,
@@ -374,7 +374,7 @@
         bytes: vec![1],
     };
     assert_eq!(middle.tells(&peer, Some(heir)), [elder]);
-    middle.with(heir, |link, out| link.gone(out));
+    middle.with(heir, saffronpaddle_hot_restart::Link::gone);
     assert!(middle.is_shared() && middle.is_last());
     // No more than a few at once, whoever comes.
     while middle.open(Duration::ZERO, Role::Elder).is_some() {}
--- a/crates/lifecycle/src/stop.rs
+++ b/crates/lifecycle/src/stop.rs
@@ -49,6 +49,7 @@
     }
 
     /// The one of two plans that ends first.
+    #[must_use]
     pub fn sooner(self, other: StopPlan) -> StopPlan {
         StopPlan {
             answer_by: self.answer_by.min(other.answer_by),
--- a/crates/lifecycle/tests/life.rs
+++ b/crates/lifecycle/tests/life.rs
@@ -531,11 +531,11 @@
                         seen.reads += 1;
                     }
                     Action::KeepOpen => {
-                        assert!(!seen.stopping, "connections are kept again while stopping")
+                        assert!(!seen.stopping, "connections are kept again while stopping");
                     }
                     Action::CloseIdle => assert!(seen.lame && !seen.stopping),
                     Action::Exit => {
-                        assert!(seen.stopping && (seen.stopped_accepting || !seen.listening))
+                        assert!(seen.stopping && (seen.stopped_accepting || !seen.listening));
                     }
                     _ => {}
                 }
--- a/crates/model-checker/src/main.rs
+++ b/crates/model-checker/src/main.rs
@@ -147,22 +147,19 @@
         let (setup, found) = planted::hunt(bug, threads).context("a world for each fault")?;
         let name = format!("{bug:?}");
         let took = found.took.as_secs_f64();
-        match &found.breach {
-            Some((trace, breach)) => {
-                println!(
-                    "{name:<30} {:<10} {:>8} states {took:>5.1} s  {} steps  {breach}",
-                    setup.name,
-                    found.states,
-                    trace.len()
-                );
-            }
-            None => {
-                println!(
-                    "{name:<30} {:<10} {:>8} states {took:>5.1} s  NOT FOUND",
-                    setup.name, found.states
-                );
-                missed.push(name);
-            }
+        if let Some((trace, breach)) = &found.breach {
+            println!(
+                "{name:<30} {:<10} {:>8} states {took:>5.1} s  {} steps  {breach}",
+                setup.name,
+                found.states,
+                trace.len()
+            );
+        } else {
+            println!(
+                "{name:<30} {:<10} {:>8} states {took:>5.1} s  NOT FOUND",
+                setup.name, found.states
+            );
+            missed.push(name);
         }
     }
     if !missed.is_empty() {
--- a/crates/model-checker/src/nodes.rs
+++ b/crates/model-checker/src/nodes.rs
@@ -358,7 +358,7 @@
                 }
             }
             Comes::Arrives(at, life, link, turn, first) => {
-                self.arrives(at, life, link, turn, first)
+                self.arrives(at, life, link, turn, first);
             }
             Comes::Done(at, life, link, turn, outcome) => self.done(at, life, link, turn, outcome),
             Comes::Replies(at, life, link, turn, id, outcome) => {
--- a/crates/model-checker/src/walk.rs
+++ b/crates/model-checker/src/walk.rs
@@ -10,7 +10,7 @@
 const ALONE_MOST: usize = 20_000;
 
 /// Whether a step brings a request, an attempt or a connection nearer to its end without an answer.
-fn ends(step: &Step) -> bool {
+fn ends(step: Step) -> bool {
     use Step::{CallsOff, CantConnect, Fails, Lacks, Leaves, Passes, Refuses, Resets};
     matches!(
         step,
@@ -47,7 +47,8 @@
         let step = if trace.len() < steps {
             let all = world.steps(setup);
             // What ends things, the clock among it, comes seldom: else nothing would ever get far.
-            let (ends, goes): (Vec<Step>, Vec<Step>) = all.into_iter().partition(ends);
+            let (ends, goes): (Vec<Step>, Vec<Step>) =
+                all.into_iter().partition(|step| ends(*step));
             let all = if goes.is_empty() || (random.u8(..8) == 0 && !ends.is_empty()) {
                 ends
             } else {
--- a/crates/model-checker/src/world.rs
+++ b/crates/model-checker/src/world.rs
@@ -1134,7 +1134,7 @@
                     }
                 }
                 ModuleEvent::Abandoned { .. } => {
-                    self.notes.push("module hears: abandoned".to_owned())
+                    self.notes.push("module hears: abandoned".to_owned());
                 }
                 _ => {}
             }
--- a/crates/netio/src/socket.rs
+++ b/crates/netio/src/socket.rs
@@ -19,7 +19,7 @@
 pub fn has_ended(stream: &TcpStream) -> bool {
     let ready = std::pin::pin!(stream.ready(Interest::READABLE));
     match ready.poll(&mut Context::from_waker(Waker::noop())) {
-        Poll::Ready(seen) => seen.is_ok_and(|seen| seen.is_read_closed()),
+        Poll::Ready(seen) => seen.is_ok_and(tokio::io::Ready::is_read_closed),
         Poll::Pending => false,
     }
 }
--- a/crates/netio/tests/failures.rs
+++ b/crates/netio/tests/failures.rs
@@ -82,9 +82,9 @@
 
 #[test]
 fn accept_tells_errors_of_one_connection_from_shortages() {
+    use nix::errno::Errno::*;
     let failure =
         |errno: nix::errno::Errno| AcceptFailure::of(&io::Error::from_raw_os_error(errno as i32));
-    use nix::errno::Errno::*;
     let of_one = [
         EINTR,
         ECONNABORTED,
--- a/crates/node/src/alarm.rs
+++ b/crates/node/src/alarm.rs
@@ -6,7 +6,7 @@
 use tokio::sync::Notify;
 
 /// How long it sleeps where nothing is due.
-const FOR_LONG: Duration = Duration::from_secs(3600);
+const FOR_LONG: Duration = Duration::from_hours(1);
 
 /// When it is set to ring, and the word that it must sooner.
 pub struct Alarm {
--- a/crates/node/src/bodies.rs
+++ b/crates/node/src/bodies.rs
@@ -256,7 +256,7 @@
 pub struct Reply {
     body: Answering,
     /// The client's connection has a request for as long as its answer is not out.
-    _busy: Option<Busy>,
+    busy_guard: Option<Busy>,
 }
 
 enum Answering {
@@ -267,7 +267,7 @@
 impl Reply {
     /// Which connection is busy with it.
     pub fn keep(&mut self, busy: Busy) {
-        self._busy = Some(busy);
+        self.busy_guard = Some(busy);
     }
 }
 
@@ -275,7 +275,7 @@
     fn from(bytes: B) -> Reply {
         Reply {
             body: Answering::Full(Full::new(bytes.into())),
-            _busy: None,
+            busy_guard: None,
         }
     }
 }
@@ -284,7 +284,7 @@
     fn from(passing: Passing) -> Reply {
         Reply {
             body: Answering::Passing(passing),
-            _busy: None,
+            busy_guard: None,
         }
     }
 }
--- a/crates/node/src/clients/respond.rs
+++ b/crates/node/src/clients/respond.rs
@@ -35,7 +35,7 @@
 const BODY_PACE: (Duration, u32) = (Duration::from_secs(1), 32_000);
 /// How long a body that goes by may take, where its client goes on: the largest at the slowest. What is out for it draws on
 /// nothing meanwhile.
-const COMING_WITHIN: Duration = Duration::from_secs(1200);
+const COMING_WITHIN: Duration = Duration::from_mins(20);
 
 /// Answers a request.
 pub(super) async fn respond(
@@ -132,13 +132,11 @@
         // Guards against an answer that is lost as its client still writes.
         pipe.drain().await;
     }
-    match answer {
-        Some(answer) => reply(answer),
-        None => {
-            node.turned_away(class, End::Faulted);
-            in_use()
-        }
+    if let Some(answer) = answer {
+        return reply(answer);
     }
+    node.turned_away(class, End::Faulted);
+    in_use()
 }
 
 /// Reads a body that is kept; of one that is too large for that, what had come when that was clear. `None` if it broke off, or
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -143,6 +143,9 @@
 
 impl Config {
     /// Reads the file that `LB_CONFIG` names; the other variables overrule what it says.
+    ///
+    /// # Errors
+    /// A variable or the file that cannot be read or makes no sense.
     pub fn from_environment(variable: impl Fn(&str) -> Option<String>) -> Result<Config> {
         let path = variable("LB_CONFIG").context("LB_CONFIG is not set")?;
         let mut config = Config::read(Path::new(&path))?;
@@ -169,6 +172,9 @@
     }
 
     /// Reads the file alone.
+    ///
+    /// # Errors
+    /// A file that cannot be read or makes no sense.
     pub fn read(path: &Path) -> Result<Config> {
         let text = std::fs::read_to_string(path)
             .with_context(|| format!("LB_CONFIG: {}", path.display()))?;
--- a/crates/node/src/facts.rs
+++ b/crates/node/src/facts.rs
@@ -8,6 +8,7 @@
 use tokio::time::Instant;
 
 /// No clock is right that tells a time before this: 2020-01-01, Unix time.
+#[allow(clippy::duration_suboptimal_units)] // A Unix time.
 const EARLIEST: Duration = Duration::from_secs(1_577_836_800);
 /// Descriptors and memory are counted anew after so long: each takes a look at the machine's files.
 const COUNT_EVERY: Duration = Duration::from_millis(500);
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -172,7 +172,7 @@
             Ok(Err(_)) => links
                 .family
                 .borrow_mut()
-                .with(no, |link, out| link.gone(out)),
+                .with(no, saffronpaddle_hot_restart::Link::gone),
             Err(_) => links
                 .family
                 .borrow_mut()
@@ -307,7 +307,7 @@
         let out = tokio::select! {
             heard = line(&mut reader) => match heard {
                 Ok(line) => node.links.family.borrow_mut().with(no, |link, out| link.heard(read(&line), out)),
-                Err(_) => node.links.family.borrow_mut().with(no, |link, out| link.gone(out)),
+                Err(_) => node.links.family.borrow_mut().with(no, saffronpaddle_hot_restart::Link::gone),
             },
             () = at(until) => {
                 let now = node.links.now();
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,5 +1,6 @@
 //! The edge node as a library: a shell of sockets round the decision module. It makes no policy.
 #![forbid(unsafe_code)]
+#![allow(missing_docs)] // Until each module's items are documented.
 
 mod admin;
 mod alarm;
--- a/crates/node/src/life.rs
+++ b/crates/node/src/life.rs
@@ -185,20 +185,17 @@
                     limits.into_iter().for_each(|limits| self.machine.set_limits(limits));
                     Event::Reloaded { taken }
                 }
-                call = calls.recv(), if calls_left => match call {
-                    Some(call) => {
-                        let event = match call.call {
-                            Call::Lameduck => Event::Lameduck,
-                            Call::Rejoin => Event::Rejoin,
-                            Call::Ping | Call::Info => Event::Tick,
-                        };
-                        asked = Some(call);
-                        event
-                    }
-                    None => {
-                        calls_left = false;
-                        Event::Tick
-                    }
+                call = calls.recv(), if calls_left => if let Some(call) = call {
+                    let event = match call.call {
+                        Call::Lameduck => Event::Lameduck,
+                        Call::Rejoin => Event::Rejoin,
+                        Call::Ping | Call::Info => Event::Tick,
+                    };
+                    asked = Some(call);
+                    event
+                } else {
+                    calls_left = false;
+                    Event::Tick
                 },
                 Ok(()) = succeeded.changed() => Event::Succeeded(*succeeded.borrow_and_update()),
                 _ = &mut served, if clients_left => {
--- a/crates/node/src/manager.rs
+++ b/crates/node/src/manager.rs
@@ -131,7 +131,7 @@
             Err(error) if is_full(error) => {}
             // Missing or gone: it may come back under the same address, and until then nobody need know.
             Err(error) if !self.told.replace(true) => {
-                eprintln!("the service manager can't be told: {error}")
+                eprintln!("the service manager can't be told: {error}");
             }
             Err(_) => {}
         }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -303,6 +303,7 @@
     }
 
     /// The figures as staff are told them.
+    #[allow(clippy::redundant_closure_for_method_calls)] // The method is not general over its lifetime.
     pub fn figures(&self) -> String {
         self.with_figures(|figures| figures.told())
     }
@@ -426,7 +427,7 @@
         match action {
             Action::TellAll { bytes } => self.peers.iter().for_each(|peers| peers.tell_all(&bytes)),
             Action::Tell { to, bytes } => {
-                self.peers.iter().for_each(|peers| peers.tell(to, &bytes))
+                self.peers.iter().for_each(|peers| peers.tell(to, &bytes));
             }
             Action::Wake { after, token } => {
                 let node = Rc::clone(self);
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -33,6 +33,10 @@
 }
 
 impl Peers {
+    /// Binds the socket for datagrams.
+    ///
+    /// # Errors
+    /// The address cannot be bound.
     pub async fn bind(addresses: PeerAddresses, me: GatewayId, reuse: bool) -> Result<Peers> {
         let PeerAddresses { listen, each, all } = addresses;
         let bound = retry_shortage(|| async { bind_datagrams(listen, reuse) }).await;
--- a/crates/node/src/roster.rs
+++ b/crates/node/src/roster.rs
@@ -37,7 +37,7 @@
             known
                 .iter()
                 .for_each(|known| by_etcd::begin_with(&node, known));
-            by_etcd::follow(node, etcd).await
+            by_etcd::follow(node, etcd).await;
         } else {
             node.merge_sources();
             tokio::join!(
--- a/crates/node/src/seats.rs
+++ b/crates/node/src/seats.rs
@@ -167,7 +167,7 @@
             // Who was waited for since before the loop's last whole round had sent nothing by then. Else they came after what was
             // read before them, or, on a new connection, after that came to the machine.
             Some(since) if waited && since > self.came => {
-                self.sent.store(since.min(now), Ordering::Relaxed)
+                self.sent.store(since.min(now), Ordering::Relaxed);
             }
             Some(_) => {}
             None => self.sent.store(now, Ordering::Relaxed),
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -357,7 +357,7 @@
             }
         };
         life.run(words, calls, reload, clients).await;
-        beside.iter().for_each(|task| task.abort());
+        beside.iter().for_each(tokio::task::JoinHandle::abort);
     }
 }
 
--- a/crates/node/src/sockets.rs
+++ b/crates/node/src/sockets.rs
@@ -173,7 +173,7 @@
             };
             match command {
                 Command::Close(_, code, reason) => {
-                    _ = control.close.borrow_mut().insert((code, reason))
+                    _ = control.close.borrow_mut().insert((code, reason));
                 }
                 Command::Drain(_, code, reason, by) => {
                     control.by.set(Some(by));
--- a/crates/node/tests/watchdog.rs
+++ b/crates/node/tests/watchdog.rs
@@ -49,7 +49,7 @@
     let path = std::env::temp_dir().join(format!("saffronpaddle-{}-{tag}", std::process::id()));
     let socket = UnixDatagram::bind(&path).expect("a socket");
     socket
-        .set_read_timeout(Some(Duration::from_secs(60)))
+        .set_read_timeout(Some(Duration::from_mins(1)))
         .expect("a time-out");
     let (tell, words) = tokio::sync::mpsc::unbounded_channel();
     let options = options(&path);
--- a/crates/policy/src/asking.rs
+++ b/crates/policy/src/asking.rs
@@ -4,7 +4,7 @@
 use crate::control::NEWCOMER;
 use crate::counts::Of;
 use crate::homes::Homes;
-use crate::interface::*;
+use crate::interface::{Action, CustomerId, GatewayId, Micros, RequestId};
 use crate::message::{self, Ask, Message};
 use crate::state::{Gateway, Home, Out};
 use saffronpaddle_quota::{Keeper, Lease, Said, Start, Verdict, GRANT_LIFE, LEASE};
--- a/crates/policy/src/begun.rs
+++ b/crates/policy/src/begun.rs
@@ -3,6 +3,7 @@
 use saffronpaddle_slow_start::Budget;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
+#[allow(clippy::ref_option)] // The signature that serde asks for.
 pub fn serialize<S: Serializer>(
     rights: &Option<Box<Budget>>,
     serializer: S,
--- a/crates/policy/src/check.rs
+++ b/crates/policy/src/check.rs
@@ -37,11 +37,11 @@
             .iter()
             .all(|figure| figure.is_finite() && *figure >= 0.0);
         match () {
-            _ if self.classes.is_empty() => Err(SettingsError::NoClasses),
-            _ if self.plans.is_empty() => Err(SettingsError::NoPlans),
-            _ if self.me.0 >= self.gateways => Err(SettingsError::BadGateway),
-            _ if !sound => Err(SettingsError::BadFigure),
-            _ => Ok(()),
+            () if self.classes.is_empty() => Err(SettingsError::NoClasses),
+            () if self.plans.is_empty() => Err(SettingsError::NoPlans),
+            () if self.me.0 >= self.gateways => Err(SettingsError::BadGateway),
+            () if !sound => Err(SettingsError::BadFigure),
+            () => Ok(()),
         }
     }
 }
--- a/crates/policy/src/cold.rs
+++ b/crates/policy/src/cold.rs
@@ -6,7 +6,7 @@
 
 use crate::control::{ADVICE, TICK};
 use crate::counts::Of;
-use crate::interface::*;
+use crate::interface::{Action, GatewayId, Micros, Outcome, RequestId, Rules, ServerId, Settings};
 use crate::message::{self, Message};
 use crate::state::{Attempt, Gateway, Out, Server};
 use saffronpaddle_slow_start::{Answer, Gift, Rules as Warming, IDLE};
@@ -87,15 +87,14 @@
 
     /// Whether a cold server may be sent one more from here.
     pub(crate) fn may_warm(&self, server: &Server, now: Micros) -> bool {
-        match self.blind {
-            true => {
-                let (number, rules) = (server.entry.server, self.warming(server.entry.server));
-                match &server.budget {
-                    Some(budget) => budget.may(now, number.0, &rules),
-                    None => server.rights().may(now, number.0, &rules),
-                }
+        if self.blind {
+            let (number, rules) = (server.entry.server, self.warming(server.entry.server));
+            match &server.budget {
+                Some(budget) => budget.may(now, number.0, &rules),
+                None => server.rights().may(now, number.0, &rules),
             }
-            false => server.cold_credit >= 1.0,
+        } else {
+            server.cold_credit >= 1.0
         }
     }
 
@@ -147,7 +146,7 @@
             return;
         }
         let rules = self.warming(attempt.server);
-        let Some(mut server) = self.servers.edit(&attempt.server) else {
+        let Some(mut server) = self.servers.edit(attempt.server) else {
             return;
         };
         let warmth = server.warmth(&self.settings.rules, attempt.sent);
@@ -180,7 +179,7 @@
         let rules = self.warming(id);
         if self
             .servers
-            .edit(&id)
+            .edit(id)
             .is_some_and(|mut server| server.budget().take(now, from.0, gift, &rules))
         {
             self.counts.add(Of::Gifted);
--- a/crates/policy/src/control.rs
+++ b/crates/policy/src/control.rs
@@ -5,7 +5,10 @@
 use crate::crowding::SERVED_WEIGHT;
 use crate::fuzzy::{chance_under, infer, rank};
 use crate::homes::Homes;
-use crate::interface::*;
+use crate::interface::{
+    Action, Ceiling, Class, ClassId, CustomerId, Discovery, Effect, Event, GatewayId, Group,
+    Micros, Outcome, Plan, RequestId, ServerId, Settings, SettingsError, Twin, TwinOut, TwinTerms,
+};
 use crate::message::{self, Ask, Message, News, Rumour};
 use crate::pooled::{EVIDENCE_FADES_IN, LATENCY_FADES_IN};
 use crate::quota::{kept_for, silent, HEARD_FOR, KEEP_FOR};
@@ -72,7 +75,10 @@
 // ---- Requests ----
 
 impl Gateway {
-    /// A gateway that knows its settings and nothing else; an error where these make no sense.
+    /// A gateway that knows its settings and nothing else.
+    ///
+    /// # Errors
+    /// Settings that make no sense.
     pub fn new(seed: u64, settings: Settings, now: Micros) -> Result<Self, SettingsError> {
         settings.check()?;
         let worth = |place: &usize| settings.classes[*place].worth;
@@ -788,7 +794,7 @@
                 self.servers.mean_failing(rumour.class),
                 self.wide.then(|| self.servers.cover()),
             );
-            let Some(mut server) = self.servers.edit(&id) else {
+            let Some(mut server) = self.servers.edit(id) else {
                 continue;
             };
             if server.hear(now, &rumour, HEARD_WEIGHT, self.typical) {
@@ -1042,7 +1048,7 @@
         };
         let mut from: Vec<_> = able
             .iter()
-            .filter_map(|id| self.servers.get(id))
+            .filter_map(|id| self.servers.get(*id))
             .filter(fits)
             .collect();
         if self.wide {
@@ -1109,7 +1115,7 @@
         let fleet = self.servers.mean_failing(class);
         let next = now.saturating_add(self.trial_after());
         let cover = self.wide.then(|| self.servers.cover());
-        let Some(mut server) = self.servers.edit(&id) else {
+        let Some(mut server) = self.servers.edit(id) else {
             return;
         };
         if judged(&mut server.health[class.0], cover, fleet, next) {
@@ -1121,7 +1127,7 @@
         let took = now.saturating_sub(attempt.sent) as f64;
         self.counts.ended(outcome, stalled);
         self.earn(now, attempt, outcome);
-        let Some(mut edited) = self.servers.edit(&attempt.server) else {
+        let Some(mut edited) = self.servers.edit(attempt.server) else {
             return;
         };
         let server = &mut *edited;
@@ -1196,7 +1202,7 @@
         for ((id, number), attempt) in working {
             let limit = self.settings.classes[attempt.class.0].aim as f64 * STALLED.1;
             let limit = limit.max(self.latency * STALLED.0);
-            let Some(server) = self.servers.get(&attempt.server) else {
+            let Some(server) = self.servers.get(attempt.server) else {
                 continue;
             };
             // Danger: a cold server, which takes that much longer, put on trial for it while it warms up.
@@ -1218,7 +1224,7 @@
         }
         for (id, attempt, server, class, sent) in silent {
             let next = now.saturating_add(self.trial_after());
-            let Some(mut server) = self.servers.edit(&server) else {
+            let Some(mut server) = self.servers.edit(server) else {
                 continue;
             };
             let whole = server.answered < sent;
@@ -1253,8 +1259,7 @@
 
     fn send(&mut self, now: Micros, id: RequestId, server: ServerId, out: &mut Out) {
         let (next, rules) = (self.trial_after(), self.warming(server));
-        let (Some(request), Some(mut to)) =
-            (self.requests.get_mut(&id), self.servers.edit(&server))
+        let (Some(request), Some(mut to)) = (self.requests.get_mut(&id), self.servers.edit(server))
         else {
             return;
         };
@@ -1325,9 +1330,9 @@
             };
             request.out = None;
             return if closed {
-                self.forget(&id, out)
+                self.forget(&id, out);
             } else {
-                self.finish(now, &id, Of::Spent, out)
+                self.finish(now, &id, Of::Spent, out);
             };
         }
         let called_off = self
@@ -1361,7 +1366,7 @@
             Outcome::Full | Outcome::Unreachable | Outcome::NotSent
         );
         if unproved && request.ran.is_none() {
-            let server = self.servers.get(&attempt.server);
+            let server = self.servers.get(attempt.server);
             request.ran = server.map(|server| Ran {
                 place: server.entry,
                 sent: attempt.sent,
@@ -1398,7 +1403,7 @@
                     .as_ref()
                     .and_then(|terms| self.drawn_by_twin(now, customer, terms));
                 let rules = self.warming(server);
-                if let Some(mut server) = self.servers.edit(&server) {
+                if let Some(mut server) = self.servers.edit(server) {
                     server.open += 1;
                     server.warm_up(&rules, self.blind, now);
                 }
@@ -1474,7 +1479,7 @@
         let Some(attempt) = self.attempts.get_mut(&key) else {
             return;
         };
-        let Some(open) = self.servers.open(&attempt.server) else {
+        let Some(open) = self.servers.open(attempt.server) else {
             return;
         };
         *open += 1;
@@ -1508,7 +1513,7 @@
         let aim = self.settings.classes[attempt.class.0].aim.max(1) as f64;
         self.fuzzy
             .saw(attempt.class, now.saturating_sub(attempt.due) as f64 / aim);
-        if let Some(open) = self.servers.open(&attempt.server) {
+        if let Some(open) = self.servers.open(attempt.server) {
             *open = open.saturating_sub(1);
         }
         self.attempts
--- a/crates/policy/src/homes.rs
+++ b/crates/policy/src/homes.rs
@@ -47,7 +47,7 @@
     pub fn terms(self, plan: &Plan, number: u32, most_units: f64, fenced: bool) -> Terms {
         let parts = f64::from(self.parts);
         // Who stands by holds a part of its own, so that no word is needed; the home, which is asked nearly always, the most.
-        let beside = (self.keepers - self.parts) as f64 / parts;
+        let beside = f64::from(self.keepers - self.parts) / parts;
         let own = if beside > 0.0 { HOME_PART } else { 1.0 };
         let part = if number < self.parts {
             own
--- a/crates/policy/src/homes/tests.rs
+++ b/crates/policy/src/homes/tests.rs
@@ -23,7 +23,7 @@
         for start in 0..parts {
             let mut asked: Vec<u32> = homes.in_turn(start).collect();
             assert_eq!(asked[0], start);
-            asked.sort();
+            asked.sort_unstable();
             assert_eq!(asked, (0..homes.keepers).collect::<Vec<_>>());
         }
         let keeper = |number| homes.keeper(CustomerId(77), (GatewayId(90), spread), number, 100);
--- a/crates/policy/src/message.rs
+++ b/crates/policy/src/message.rs
@@ -77,6 +77,7 @@
     pub wish: Option<Wish>,
 }
 
+#[allow(clippy::option_option)]
 pub(crate) enum Message {
     // Kinds 1 and 2 were asks and answers without the weights of aims; who sends those is passed over.
     Counts(u32, Vec<(CustomerId, u16)>),
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -1,7 +1,7 @@
 //! A customer's store at a gateway that counts for itself: how it fills and what it holds. Who may draw on it is decided in
 //! `control`; what homes keep for a wide fleet is in the package `quota`.
 
-use crate::interface::*;
+use crate::interface::{Ceiling, GatewayId, Micros, Plan, PlanId};
 use crate::state::Store;
 
 /// µs over which heard counts age out (design).
@@ -62,16 +62,17 @@
     }
 
     /// Goes over to another plan or set; nothing is gained by that, and all that is out or told stays so.
+    #[allow(clippy::needless_pass_by_value)]
     pub(crate) fn follow(&mut self, fresh: Store, ceiling: f64) {
         let (heard, level) = (std::mem::take(&mut self.heard), self.level.min(fresh.level));
         let (open, sent, sent_at) = (self.open, self.sent, self.sent_at);
         *self = Store {
             level,
-            ceiling,
-            open,
             sent,
             sent_at,
+            open,
             heard,
+            ceiling,
             ..fresh
         };
     }
--- a/crates/policy/src/servers.rs
+++ b/crates/policy/src/servers.rs
@@ -5,7 +5,9 @@
 //! it back. A list of more than [`WHOLE`] servers is not all sent to (see `saffronpaddle-subsetting`): only servers that this
 //! gateway holds are in those sums, and keep what is known of them.
 
-use crate::interface::*;
+use crate::interface::{
+    ClassId, GatewayId, ListKind, Micros, Rules, ServerEntry, ServerId, Standing,
+};
 use crate::message;
 use crate::state::Server;
 use saffronpaddle_subsetting::{Median, Set, SOUGHT, WHOLE};
@@ -395,13 +397,13 @@
         self.sums.looked_at.get()
     }
 
-    pub fn get(&self, id: &ServerId) -> Option<&Server> {
-        self.all.get(id)
+    pub fn get(&self, id: ServerId) -> Option<&Server> {
+        self.all.get(&id)
     }
 
     /// A server to be changed.
-    pub fn edit(&mut self, id: &ServerId) -> Option<Edit<'_>> {
-        let (sums, server) = (&mut self.sums, self.all.get_mut(id)?);
+    pub fn edit(&mut self, id: ServerId) -> Option<Edit<'_>> {
+        let (sums, server) = (&mut self.sums, self.all.get_mut(&id)?);
         let before = waits(server);
         sums.leave(server);
         server.learns(sums.classes);
@@ -503,8 +505,8 @@
     }
 
     /// How many attempts are out at a server, to be changed.
-    pub fn open(&mut self, id: &ServerId) -> Option<&mut u32> {
-        self.all.get_mut(id).map(|server| &mut server.open)
+    pub fn open(&mut self, id: ServerId) -> Option<&mut u32> {
+        self.all.get_mut(&id).map(|server| &mut server.open)
     }
 
     /// Takes each that may hold rights to send to it while it is cold, in order: all that are ready and whose start is known,
--- a/crates/policy/src/servers/tests.rs
+++ b/crates/policy/src/servers/tests.rs
@@ -1,6 +1,7 @@
 //! The sums are those of a walk over all servers, whatever happens to them.
 
 use super::*;
+use crate::interface::{CellId, ZoneId};
 use crate::state::Health;
 
 const CLASSES: usize = 3;
@@ -159,7 +160,7 @@
     let ready = held
         .iter()
         .copied()
-        .filter(|id| servers.get(id).is_some_and(Server::ready));
+        .filter(|id| servers.get(*id).is_some_and(Server::ready));
     assert!(servers.sums.many || chosen == ready.collect::<Vec<_>>());
     assert!(servers.sums.many || servers.sums.waits.is_empty());
 }
@@ -207,12 +208,12 @@
                     server
                         .health
                         .iter_mut()
-                        .for_each(|health| health.failing /= 2.0)
+                        .for_each(|health| health.failing /= 2.0);
                 });
             }
             _ => {
                 for _ in 0..10 {
-                    let Some(mut server) = servers.edit(&ServerId(random.u64(..most))) else {
+                    let Some(mut server) = servers.edit(ServerId(random.u64(..most))) else {
                         continue;
                     };
                     server.open = random.u32(..2);
@@ -251,17 +252,17 @@
     let mut servers = Servers::new((GatewayId(0), 3), CLASSES, true);
     let ready = (0..20).map(|id| entry(id, Standing::Ready, None)).collect();
     servers.list(1, ListKind::Complete, ready, &RULES, YOUNG_FOR);
-    servers.edit(&ServerId(3)).expect("listed").open = 1;
+    servers.edit(ServerId(3)).expect("listed").open = 1;
     let gone = vec![
         entry(3, Standing::Gone, None),
         entry(4, Standing::Gone, None),
     ];
     servers.list(2, ListKind::Changes, gone, &RULES, YOUNG_FOR);
     servers.tidy(3, YOUNG_FOR, |_| false);
-    assert!(servers.get(&ServerId(3)).is_some() && servers.get(&ServerId(4)).is_none());
-    servers.edit(&ServerId(3)).expect("something is out").open = 0;
+    assert!(servers.get(ServerId(3)).is_some() && servers.get(ServerId(4)).is_none());
+    servers.edit(ServerId(3)).expect("something is out").open = 0;
     servers.tidy(3, YOUNG_FOR, |_| false);
-    assert!(servers.get(&ServerId(3)).is_none());
+    assert!(servers.get(ServerId(3)).is_none());
     assert_eq!(servers.rotation(), (18, 0));
 }
 
@@ -274,7 +275,7 @@
             .collect()
     };
     servers.list(1, ListKind::Complete, ready(500), &RULES, YOUNG_FOR);
-    (0..500).for_each(|id| servers.edit(&ServerId(id)).expect("listed").wait = 5.0);
+    (0..500).for_each(|id| servers.edit(ServerId(id)).expect("listed").wait = 5.0);
     servers.list(2, ListKind::Complete, ready(40_000), &RULES, YOUNG_FOR);
     let known = servers
         .all
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -2,7 +2,10 @@
 
 use crate::counts::Counts;
 use crate::crowding::Crowding;
-use crate::interface::*;
+use crate::interface::{
+    Action, AttemptNo, ClassId, CustomerId, GatewayId, Micros, Plan, PlanId, RequestId, Rules,
+    ServerEntry, ServerId, Settings, Standing, TwinTerms, ZoneId,
+};
 use crate::mean::Mean;
 use crate::message::{self, Rumour};
 use crate::pooled::Pooled;
@@ -653,7 +656,7 @@
     /// Frees the places of an attempt that has ended, here or at another process of this gateway.
     pub(crate) fn release(&mut self, attempt: &Attempt) {
         let (open, store) = (
-            self.servers.open(&attempt.server),
+            self.servers.open(attempt.server),
             self.stores.get_mut(&attempt.customer),
         );
         let (here, counted) = (
--- a/crates/policy/src/twin.rs
+++ b/crates/policy/src/twin.rs
@@ -1,6 +1,6 @@
 //! What a gateway keeps in mind, as its next process takes it over. Plain data; nothing is decided here.
 
-use crate::interface::*;
+use crate::interface::{AttemptNo, CustomerId, Micros, RequestId, TwinOut};
 use crate::mean::Mean;
 use crate::state::{Attempt, Fuzzy, Gateway, Home, Server, Stage, Store};
 use serde::{Deserialize, Serialize};
--- a/crates/policy/src/words/tests.rs
+++ b/crates/policy/src/words/tests.rs
@@ -19,7 +19,7 @@
         }
     }
     assert!(
-        (said + again) as f64 <= 42.0 * 10.5,
+        f64::from(said + again) <= 42.0 * 10.5,
         "{said} and {again} in 10 s"
     );
     assert!(again >= 100, "the rest is used: {again}");
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -319,7 +319,7 @@
             }
             Action::Wake { after, token } => self.wakes.push((self.now + after, *token)),
             Action::TellAll { bytes } | Action::Tell { bytes, .. } => {
-                assert!(bytes.len() <= 256, "message too long")
+                assert!(bytes.len() <= 256, "message too long");
             }
             Action::Cancel { .. } | Action::Follow | Action::Twin(_) | Action::Log(_) => {}
         }
--- a/crates/policy/tests/module.rs
+++ b/crates/policy/tests/module.rs
@@ -1300,7 +1300,7 @@
 #[test]
 fn a_customer_that_is_held_off_costs_no_words() {
     let mut fleet = Fleet::new(60, 40, |settings| {
-        (settings.plans[0].rate, settings.plans[0].burst) = (0.5, 2.0)
+        (settings.plans[0].rate, settings.plans[0].burst) = (0.5, 2.0);
     });
     // All of one gateway's tries, far over the quota: an ask and an answer for each unit that comes in, not for each try.
     for _ in 0..200 {
@@ -1330,7 +1330,7 @@
         .iter()
         .map(|(me, heard)| (*heard, *me))
         .collect();
-    heard.sort();
+    heard.sort_unstable();
     for (_, me) in heard.into_iter().rev().take(2) {
         let (now, mut settings) = (fleet.stands[me].now, settings(me as u32, 60));
         (settings.plans[0].rate, settings.plans[0].burst) = (1.0, 12.0);
--- a/crates/quota/tests/exhaustive.rs
+++ b/crates/quota/tests/exhaustive.rs
@@ -111,9 +111,10 @@
                 if open != serial {
                     return;
                 }
-                match granted {
-                    true => self.tries[usize::from(of)] = Try::Goes,
-                    false => self.moves_on(of, home),
+                if granted {
+                    self.tries[usize::from(of)] = Try::Goes;
+                } else {
+                    self.moves_on(of, home);
                 }
             }
         }
--- a/crates/quota/tests/lease.rs
+++ b/crates/quota/tests/lease.rs
@@ -131,7 +131,7 @@
         if !gone && !step.ask_lost {
             serial += 1;
             let wish: Wish = memory.wish(me, 0, 1.0);
-            for copy in 0..1 + u16::from(step.doubled) {
+            for copy in 0..=u16::from(step.doubled) {
                 let ask = Ask {
                     from: who,
                     serial,
--- a/crates/saffronpaddle/src/fleet.rs
+++ b/crates/saffronpaddle/src/fleet.rs
@@ -70,16 +70,17 @@
         failed += 1;
         println!("seed {seed} fails; logs are in {}", of_seed.display());
         println!("{}", soak::timeline(&report, &of_seed));
-        let smallest = match shrinks {
-            true => soak::shrink(&plan, &report, &options(&folder.join("shrinks")))?,
-            false => plan,
+        let smallest = if shrinks {
+            soak::shrink(&plan, &report, &options(&folder.join("shrinks")))?
+        } else {
+            plan
         };
         println!(
             "the smallest plan that was seen to fail:\n{}",
             smallest.text()
         );
     }
-    println!("{} of {runs} seeds failed", failed);
+    println!("{failed} of {runs} seeds failed");
     Ok(if failed == 0 {
         ExitCode::SUCCESS
     } else {
@@ -147,12 +148,11 @@
         log_level: "info",
         preload: None,
     };
-    let report = match in_virtual_time {
-        true => {
-            saffronpaddle_fleet_harness::room::look(&scenario)?;
-            saffronpaddle_fleet_harness::virtually::play(scenario, seed, &options.operator)?
-        }
-        false => saffronpaddle_fleet_harness::run(scenario, &options, kept)?,
+    let report = if in_virtual_time {
+        saffronpaddle_fleet_harness::room::look(&scenario)?;
+        saffronpaddle_fleet_harness::virtually::play(scenario, seed, &options.operator)?
+    } else {
+        saffronpaddle_fleet_harness::run(scenario, &options, kept)?
     };
     if let Some(path) = json {
         std::fs::write(&path, format!("{:#}\n", report.json()))
--- a/crates/saffronpaddle/tests/etcd.rs
+++ b/crates/saffronpaddle/tests/etcd.rs
@@ -107,7 +107,9 @@
     etcd.members
         .iter()
         .for_each(|member| member.set(|faults| faults.refuses = true));
-    etcd.members.iter().for_each(|member| member.cut());
+    etcd.members
+        .iter()
+        .for_each(saffronpaddle_test_doubles::etcd::Member::cut);
     etcd.put(&key("s-1"), &value(one, "ready"));
     etcd.compact(etcd.delete(&key("s-2")));
     etcd.members
--- a/crates/saffronpaddle/tests/interleavings.rs
+++ b/crates/saffronpaddle/tests/interleavings.rs
@@ -347,7 +347,7 @@
                     (answer.body, round % 2),
                     (id.into_bytes(), 0),
                     "an answer that was cut is none"
-                )
+                );
             }
             502 => {}
             other => panic!("an unsafe request that may have run ends with {other}"),
--- a/crates/saffronpaddle/tests/life.rs
+++ b/crates/saffronpaddle/tests/life.rs
@@ -93,7 +93,7 @@
     let dial = servers.start("s-1", &[SERVES]);
     let hosts = [host("s-1", dial, 1, "ready")];
     let node = Node::launch("silent", discovery, &hosts, 1024, |command| {
-        operated(command, &operator.0)
+        operated(command, &operator.0);
     });
     // What comes before it is ready is served all the same: a front that asks knows why.
     let (times, why) = until_ready(&node);
@@ -103,7 +103,7 @@
         200
     );
     let listless = Node::launch("listless", discovery, &[], 1024, |command| {
-        operated(command, &operator.0)
+        operated(command, &operator.0);
     });
     std::thread::sleep(Duration::from_millis(1500));
     let answer = listless.client().ask(READY);
@@ -120,7 +120,7 @@
     let dial = servers.start("s-1", &[SERVES]);
     let hosts = [host("s-1", dial, 1, "ready")];
     let mut node = Node::launch("word", discovery.address, &hosts, 1024, |command| {
-        operated(command, &operator.0)
+        operated(command, &operator.0);
     });
     assert_eq!(&node.client().ask(READY).body[..], b"no-list peers-unheard");
     let (_, mut watch) = discovery.watch();
@@ -344,7 +344,7 @@
     let dial = servers.start("s-1", &[SERVES]);
     let hosts = [host("s-1", dial, 1, "ready")];
     let mut old = Node::launch("overlap", discovery.address, &hosts, 1024, |command| {
-        operated(command, &operator.0)
+        operated(command, &operator.0);
     });
     let address = old.address.to_string();
     let new = old.successor(|command| {
@@ -371,7 +371,7 @@
     let dial = servers.start("s-1", &[Does::IsSilent, SERVES]);
     let hosts = [host("s-1", dial, 1, "ready")];
     let mut node = Node::launch("twice-term", discovery.address, &hosts, 1024, |command| {
-        operated(command, &operator.0)
+        operated(command, &operator.0);
     });
     let mut held = node.client();
     held.write(&request("a", "read", "20000m"));
--- a/crates/saffronpaddle/tests/upgrade.rs
+++ b/crates/saffronpaddle/tests/upgrade.rs
@@ -92,7 +92,7 @@
 
     fn first(&self, tag: &str, admin: SocketAddr) -> Node {
         Node::launch(tag, self.discovery.address, &self.hosts, 1024, |command| {
-            self.platform.gives(command, admin)
+            self.platform.gives(command, admin);
         })
     }
 
--- a/crates/simulator-adapter/tests/fixed_seed.rs
+++ b/crates/simulator-adapter/tests/fixed_seed.rs
@@ -122,7 +122,11 @@
             let grade = ["read", "read", "pay", "submit"][self.numbers.below(4) as usize];
             let package = ["small", "large", "few"][self.numbers.below(3) as usize];
             let client = self.numbers.below(9);
-            let set = if client % 3 == 0 { 1 } else { nodes.min(6) };
+            let set = if client.is_multiple_of(3) {
+                1
+            } else {
+                nodes.min(6)
+            };
             let base = if set == 1 { instance } else { 0 };
             let ttl = 300_000 + self.numbers.below(20) * 100_000;
             batch.push_str(&format!(
--- a/crates/slow-start/src/lib.rs
+++ b/crates/slow-start/src/lib.rs
@@ -78,7 +78,7 @@
     }
 
     /// How long a turn lasts. One that started again soon after its last start is given half as many: it has fallen.
-    fn turn(&self, fallen: bool) -> Micros {
+    fn turn(fallen: bool) -> Micros {
         let a_second = if fallen {
             TURNS_A_SECOND / 2.0
         } else {
@@ -178,7 +178,7 @@
     }
 
     fn turn(&self, now: Micros, server: u64, rules: &Rules) -> Option<u64> {
-        let length = rules.turn(self.fallen);
+        let length = Rules::turn(self.fallen);
         let turn = now.checked_sub(self.started)? / length;
         if self.started.saturating_add(turn.saturating_mul(length)) <= rules.up_since {
             return None;
@@ -262,7 +262,7 @@
                 self.used_turn = turn;
                 // Its life is the turn's rest.
                 self.started
-                    .saturating_add(turn.saturating_mul(rules.turn(self.fallen)))
+                    .saturating_add(turn.saturating_mul(Rules::turn(self.fallen)))
             }
             (None, None) => return None,
         };
@@ -280,12 +280,12 @@
         self.came.retain(|(_, _, until)| *until > now);
         // Danger: a gateway that was killed and forgot what it took, and is given the same again by a word that was doubled. No gift
         // lives longer than a turn.
-        if now < rules.up_since.saturating_add(rules.turn(self.fallen)) {
+        if now < rules.up_since.saturating_add(Rules::turn(self.fallen)) {
             return false;
         }
         let until = gift
             .until
-            .min(now.saturating_add(rules.life().max(rules.turn(self.fallen))));
+            .min(now.saturating_add(rules.life().max(Rules::turn(self.fallen))));
         let known = self
             .came
             .iter()
--- a/crates/slow-start/tests/exhaustive.rs
+++ b/crates/slow-start/tests/exhaustive.rs
@@ -151,7 +151,7 @@
                 }
                 world.sent[at] += 1;
                 world.out.push((me, server, world.started[at]));
-                world.out.sort();
+                world.out.sort_unstable();
             }
             Step::Answer(place) => {
                 let (me, server, life) = world.out.remove(place);
@@ -200,7 +200,7 @@
                 }
                 match self.fault {
                     Some(Fault::DoubledCounts) if !again => {
-                        gift.serial = gift.serial.wrapping_add(99)
+                        gift.serial = gift.serial.wrapping_add(99);
                     }
                     Some(Fault::OldLifeCounts) => gift.started = world.started[usize::from(server)],
                     _ => {}
@@ -273,7 +273,7 @@
 }
 
 fn courses(sends: u8, fault: Option<Fault>) -> impl Checker<Courses> {
-    let threads = std::thread::available_parallelism().map_or(1, |threads| threads.get());
+    let threads = std::thread::available_parallelism().map_or(1, std::num::NonZero::get);
     Courses { sends, fault }
         .checker()
         .threads(threads)
@@ -313,7 +313,7 @@
     for fault in faults {
         let found = courses(4, Some(fault));
         let path = found.discovery(NAME);
-        let steps = path.map(|path| path.into_actions());
+        let steps = path.map(stateright::Path::into_actions);
         println!(
             "{fault:?}: {:?}, {} states",
             steps,
--- a/crates/slow-start/tests/fleet.rs
+++ b/crates/slow-start/tests/fleet.rs
@@ -399,7 +399,7 @@
 /// The input of a run that failed while each new life of a gateway was played as one that knew what the last had sent: a
 /// gateway alone, which starts anew at each step.
 fn starts_anew_all_the_time() -> World {
-    let load = 3.5384480698050136;
+    let load = 3.538_448_069_805_013_6;
     World {
         restarts: MS,
         late: 0,
--- a/crates/subsetting/src/set.rs
+++ b/crates/subsetting/src/set.rs
@@ -112,7 +112,7 @@
     }
 }
 
-/// Spreads numbers evenly (the finalizer of SplitMix64: Steele, Lea and Flood, 2014).
+/// Spreads numbers evenly (the finalizer of `SplitMix64`: Steele, Lea and Flood, 2014).
 fn scramble(number: u64) -> u64 {
     let number = (number ^ (number >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let number = (number ^ (number >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/test-doubles/src/etcd.rs
+++ b/crates/test-doubles/src/etcd.rs
@@ -962,14 +962,15 @@
                     inside(&ask.key, &ask.range_end, key) && !ask.filters.contains(&event.r#type)
                 };
                 let range = watcher.next..=seen.max(watcher.next - 1);
-                let events: Vec<Event> = match watcher.next <= seen {
-                    true => store
+                let events: Vec<Event> = if watcher.next <= seen {
+                    store
                         .events
                         .range(range)
                         .flat_map(|(_, events)| events.iter().filter(wanted))
                         .cloned()
-                        .collect(),
-                    false => Vec::new(),
+                        .collect()
+                } else {
+                    Vec::new()
                 };
                 (
                     events,
--- a/crates/test-doubles/src/ledger.rs
+++ b/crates/test-doubles/src/ledger.rs
@@ -461,7 +461,12 @@
             stint.shut |= stint.turned >= SHUT.0 && now.saturating_sub(since) >= SHUT.1;
         }
         if now > entry.at + entry.asked.patience + bounds.answer_slack {
-            let late = (now - entry.at - entry.asked.patience).as_millis();
+            let late = now
+                .checked_sub(entry.at)
+                .unwrap()
+                .checked_sub(entry.asked.patience)
+                .unwrap()
+                .as_millis();
             self.double
                 .push(Breach::LateAnswer(format!("{id}: {late} ms")));
         }
@@ -562,7 +567,7 @@
         (stint.turned, stint.since) = (0, None);
         if let Some((left, _)) = entry.left {
             if first > left + bounds.leave_grace + bounds.slack {
-                let late = (first - left).as_millis();
+                let late = first.checked_sub(left).unwrap().as_millis();
                 let line = format!(
                     "{id} from node {} to {server} after {late} ms",
                     entry.asked.node
--- a/crates/test-doubles/src/links.rs
+++ b/crates/test-doubles/src/links.rs
@@ -122,6 +122,7 @@
 
 impl Which {
     /// The same without the links of these ends: those that have healed already.
+    #[must_use]
     pub fn without(&self, healed: &BTreeSet<End>) -> Which {
         let rest = |ends: &BTreeSet<End>| ends.difference(healed).copied().collect();
         match self {
--- a/crates/test-doubles/src/load.rs
+++ b/crates/test-doubles/src/load.rs
@@ -258,9 +258,9 @@
     }
 
     /// Looks at all nodes' readiness for ever.
-    pub async fn watch(self: Arc<Self>) {
+    pub fn watch(self: &Arc<Self>) {
         for node in 0..self.doors.len() {
-            let front = Arc::clone(&self);
+            let front = Arc::clone(self);
             tokio::spawn(async move {
                 loop {
                     let open = matches!(
@@ -342,13 +342,14 @@
             let fresh = kept.is_none();
             let wire = match kept {
                 Some(wire) => wire,
-                None => match self.connect(node).await {
-                    Some(wire) => wire,
-                    None => {
+                None => {
+                    if let Some(wire) = self.connect(node).await {
+                        wire
+                    } else {
                         shut.push(node);
                         continue;
                     }
-                },
+                }
             };
             let end = self.exchange(request, node, wire, fresh).await;
             // Its connection closed unread: the client sends it once more on a new one.
@@ -381,7 +382,7 @@
             askers.spawn(async move {
                 front
                     .ask_once(node, wire, customer, within.mul_f64(fastrand::f64()))
-                    .await
+                    .await;
             });
         }
         askers
@@ -440,14 +441,13 @@
 
     async fn connect(&self, node: usize) -> Option<Wire> {
         let connect = TcpStream::connect(self.doors[node].address);
-        match tokio::time::timeout(CONNECT, connect).await {
-            Ok(Ok(stream)) => Some(Wire::new(stream)),
-            _ => {
-                self.figures
-                    .refused_connections
-                    .fetch_add(1, Ordering::Relaxed);
-                None
-            }
+        if let Ok(Ok(stream)) = tokio::time::timeout(CONNECT, connect).await {
+            Some(Wire::new(stream))
+        } else {
+            self.figures
+                .refused_connections
+                .fetch_add(1, Ordering::Relaxed);
+            None
         }
     }
 
@@ -510,7 +510,12 @@
                     if message.body != made_for(&request.id).as_bytes() {
                         world.ledger().foreign(&request.id);
                     }
-                    let took = (world.now() - sent).as_micros().min(u128::from(u32::MAX)) as u32;
+                    let took = world
+                        .now()
+                        .checked_sub(sent)
+                        .unwrap()
+                        .as_micros()
+                        .min(u128::from(u32::MAX)) as u32;
                     lock(&self.figures.late_us).push(took);
                 }
                 if message.header("connection") != "close" {
--- a/crates/test-doubles/src/scripted.rs
+++ b/crates/test-doubles/src/scripted.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 /// No wait is longer; only a failing test gets there.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+pub const PATIENCE: Duration = Duration::from_mins(1);
 
 /// A message of HTTP/1.1 with a body of known length, or in chunks.
 #[derive(Clone, Debug)]
@@ -412,7 +412,7 @@
     thread::spawn(move || {
         log.lines()
             .map_while(Result::ok)
-            .for_each(|line| _ = tell.send(line))
+            .for_each(|line| _ = tell.send(line));
     });
     (child, address, lines)
 }
@@ -537,6 +537,7 @@
     }
 
     /// Another process with the same configuration, which takes its place as this one's successor.
+    #[must_use]
     pub fn successor(&self, change: impl FnOnce(&mut Command)) -> Node {
         let text = std::fs::read_to_string(&self.config).expect("the configuration is there");
         let tag = format!("{}-successor", self.child.id());
--- a/crates/websocket/src/frames.rs
+++ b/crates/websocket/src/frames.rs
@@ -25,6 +25,7 @@
 
 impl Side {
     /// The one who listens.
+    #[must_use]
     pub fn other(self) -> Side {
         match self {
             Side::Client => Side::Server,
--- a/crates/websocket/src/table.rs
+++ b/crates/websocket/src/table.rs
@@ -318,13 +318,11 @@
             let Some(row) = self.rows.get(&id) else {
                 continue;
             };
-            match row.cut_at {
-                // One that closes already is cut no later than this.
-                Some(at) => self.cut_by(id, at.min(by)),
-                None => {
-                    self.cut_by(id, by);
-                    self.closing.push_back((id, by, place));
-                }
+            // One that closes already is cut no later than this.
+            let closes_already = row.cut_at;
+            self.cut_by(id, closes_already.map_or(by, |at| at.min(by)));
+            if closes_already.is_none() {
+                self.closing.push_back((id, by, place));
             }
         }
     }
--- a/crates/websocket/src/table/tests.rs
+++ b/crates/websocket/src/table/tests.rs
@@ -265,12 +265,12 @@
             2 | 3 => {
                 _ = random
                     .choice(&known)
-                    .map(|id| sockets.opened(now, *id, ServerId(random.u64(..3))))
+                    .map(|id| sockets.opened(now, *id, ServerId(random.u64(..3))));
             }
             4 => {
                 _ = random
                     .choice(&known)
-                    .map(|id| sockets.heard(now, *id, Side::Client, random.bool()))
+                    .map(|id| sockets.heard(now, *id, Side::Client, random.bool()));
             }
             5 if !known.is_empty() => sockets.ended(known.swap_remove(random.usize(..known.len()))),
             6 => _ = sockets.told(now, ServerId(random.u64(..3)), random.bool()),
