--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -15,7 +15,7 @@
 };
 use saffronpaddle_admin::{End, Tally};
 use saffronpaddle_policy::interface::{
-    Action, AttemptNo, Event as ModuleEvent, Micros, Outcome, RequestId, ServerId,
+    Action, AttemptNumber, Event as ModuleEvent, Micros, Outcome, RequestId, ServerId,
 };
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::hash::Hash;
@@ -253,9 +253,12 @@
             Action::Send {
                 id,
                 server,
-                time_out,
+                timeout: time_out,
             } => self.send(now, &id, server, time_out, commands),
-            Action::Refuse { id, retry_in } => {
+            Action::Reject {
+                id,
+                retry_after: retry_in,
+            } => {
                 let may_refuse = self.rows.get(&id).is_some_and(Row::may_be_refused);
                 let kept = may_refuse || self.bugs.planted(Bug::RefusalAfterRun);
                 let verdict = if kept {
@@ -270,7 +273,7 @@
                 let out = self.rows.get(&id).and_then(|row| row.out.as_ref());
                 let passing = self.rows.get(&id).is_some_and(|row| row.passing)
                     && !self.bugs.planted(Bug::PassingCalledOff);
-                if !passing && out.is_some_and(|out| AttemptNo(out.number) == attempt) {
+                if !passing && out.is_some_and(|out| AttemptNumber(out.number) == attempt) {
                     self.give_up(&id, Outcome::Cancelled, commands);
                 }
             }
--- a/crates/exchange/src/exchange/attempts.rs
+++ b/crates/exchange/src/exchange/attempts.rs
@@ -4,7 +4,8 @@
 use crate::table::{Ran, Stage, State};
 use crate::{Bug, Bugs, Command, Invariant, LinkId, Module, Ticket, Verdict};
 use saffronpaddle_policy::interface::{
-    AttemptNo, Effect, Event as ModuleEvent, Group, Micros, Outcome, RequestId,
+    AttemptNumber, DeduplicationScope, Event as ModuleEvent, Idempotency, Micros, Outcome,
+    RequestId,
 };
 use std::hash::Hash;
 
@@ -127,12 +128,19 @@
             .is_some_and(|out| out.stage == Stage::On(link) && out.began.is_none());
         let once = row.open && on_it;
         let safely = match (row.ran, row.effect, place) {
-            (None, ..) | (_, Effect::Safe, _) => true,
-            (Some(ran), Effect::Keyed { group, window }, Some(place)) => {
+            (None, ..) | (_, Idempotency::Idempotent, _) => true,
+            (
+                Some(ran),
+                Idempotency::WithKey {
+                    scope: group,
+                    window,
+                },
+                Some(place),
+            ) => {
                 let same_group = match group {
-                    Group::All => true,
-                    Group::Zone => place.zone == ran.zone,
-                    Group::Cell => place.cell == ran.cell,
+                    DeduplicationScope::All => true,
+                    DeduplicationScope::Zone => place.zone == ran.zone,
+                    DeduplicationScope::Domain => place.cell == ran.cell,
                 };
                 same_group && now <= ran.at.saturating_add(window)
             }
@@ -218,7 +226,7 @@
         };
         if !row.whole || !row.open {
             // Answered before it was whole, or nobody waits: there is nobody to pass it on to.
-            return self.give_up(&id, Outcome::Broken, commands);
+            return self.give_up(&id, Outcome::ConnectionLost, commands);
         }
         row.passing = true;
         self.tally.streaming += 1;
@@ -226,7 +234,7 @@
             (out.until, out.limit) = (Micros::MAX, Micros::MAX);
         }
         self.answer(now, &id, Verdict::Served, commands);
-        self.pending.push_back(ModuleEvent::Started { id });
+        self.pending.push_back(ModuleEvent::ResponseStarted { id });
     }
 
     /// The client of an answer that goes by has gone.
@@ -256,9 +264,9 @@
         }
         self.arm(id);
         let patience = deadline.saturating_sub(now);
-        self.pending.push_back(ModuleEvent::Whole {
+        self.pending.push_back(ModuleEvent::BodyComplete {
             id: id.clone(),
-            patience,
+            timeout: patience,
         });
         self.releasing = Some(id.clone());
     }
@@ -308,7 +316,7 @@
                 self.replace(now, &id, link, commands);
             }
             Some(row) if row.state == State::Written => {
-                self.give_up(&id, Outcome::Broken, commands);
+                self.give_up(&id, Outcome::ConnectionLost, commands);
             }
             _ => {}
         }
@@ -326,7 +334,7 @@
         let (stage, began, number) = (out.stage, out.began.is_some() && whole, out.number);
         let outcome = match why {
             _ if began => why,
-            Outcome::Broken | Outcome::TimedOut => Outcome::Unreachable,
+            Outcome::ConnectionLost | Outcome::TimedOut => Outcome::Unreachable,
             _ => Outcome::NotSent,
         };
         match stage {
@@ -358,7 +366,7 @@
         self.tally.streaming -= u64::from(std::mem::take(&mut row.passing));
         if !matches!(
             outcome,
-            Outcome::Ok | Outcome::Full | Outcome::Unreachable | Outcome::NotSent
+            Outcome::Ok | Outcome::Rejected | Outcome::Unreachable | Outcome::NotSent
         ) {
             row.ran = if last {
                 out.began.or(row.ran)
@@ -372,12 +380,12 @@
     }
 
     pub(super) fn tell_end(&mut self, id: &RequestId, number: u32, outcome: Outcome, closed: bool) {
-        let attempt = AttemptNo(number);
-        self.pending.push_back(ModuleEvent::Ended {
+        let attempt = AttemptNumber(number);
+        self.pending.push_back(ModuleEvent::AttemptEnded {
             id: id.clone(),
             attempt,
             outcome,
-            closed,
+            request_closed: closed,
         });
     }
 }
--- a/crates/exchange/src/exchange/choice.rs
+++ b/crates/exchange/src/exchange/choice.rs
@@ -4,7 +4,9 @@
 use crate::guard::{self, Facts};
 use crate::table::{Link, Out, Stage, State};
 use crate::{Bug, Bugs, Command, LinkId, Module, Verdict};
-use saffronpaddle_policy::interface::{Effect, Group, Micros, Outcome, RequestId, ServerId};
+use saffronpaddle_policy::interface::{
+    DeduplicationScope, Idempotency, Micros, Outcome, RequestId, ServerId,
+};
 use std::hash::Hash;
 
 impl<A: Copy + Eq + Hash, M: Module, B: Bugs> Exchange<A, M, B> {
@@ -91,13 +93,16 @@
             return false;
         };
         match row.effect {
-            Effect::Safe => true,
-            Effect::Unsafe => self.bugs.planted(Bug::UnsafeResent),
-            Effect::Keyed { group, window } => {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => self.bugs.planted(Bug::UnsafeResent),
+            Idempotency::WithKey {
+                scope: group,
+                window,
+            } => {
                 let inside = match group {
-                    Group::All => true,
-                    Group::Zone => place.zone == ran.zone,
-                    Group::Cell => place.cell == ran.cell,
+                    DeduplicationScope::All => true,
+                    DeduplicationScope::Zone => place.zone == ran.zone,
+                    DeduplicationScope::Domain => place.cell == ran.cell,
                 };
                 let passed_over = !choice && self.bugs.planted(Bug::WindowCheckedAtChoiceOnly);
                 (inside || self.bugs.planted(Bug::GroupForgotten))
--- a/crates/exchange/src/exchange/requests.rs
+++ b/crates/exchange/src/exchange/requests.rs
@@ -4,23 +4,25 @@
 use crate::table::Row;
 use crate::{Bug, Bugs, Command, Invariant, Module, Ticket, Verdict};
 use saffronpaddle_admin::End;
-use saffronpaddle_policy::interface::{Effect, Event as ModuleEvent, Group, Micros, RequestId};
+use saffronpaddle_policy::interface::{
+    DeduplicationScope, Event as ModuleEvent, Idempotency, Micros, RequestId,
+};
 use std::hash::Hash;
 
 impl<A: Copy + Eq + Hash, M: Module, B: Bugs> Exchange<A, M, B> {
     pub(super) fn asked(
         &mut self,
         now: Micros,
-        effect: Effect,
+        effect: Idempotency,
         deadline: Micros,
         mut tell: ModuleEvent,
         commands: &mut Commands<A>,
     ) {
-        let ModuleEvent::Request {
+        let ModuleEvent::RequestArrived {
             id,
             class,
-            whole,
-            patience,
+            complete: whole,
+            timeout: patience,
             ..
         } = &mut tell
         else {
@@ -86,7 +88,7 @@
             self.alarms.retain(|(_, other)| other != id);
         }
         self.pending
-            .push_back(ModuleEvent::Abandoned { id: id.clone() });
+            .push_back(ModuleEvent::RequestAbandoned { id: id.clone() });
         self.settle_row(id);
     }
 
@@ -183,11 +185,12 @@
         let began = self.out.as_ref().is_some_and(|out| out.began.is_some());
         let may_have_run = self.ran.is_some() || (began && self.whole);
         match self.effect {
-            Effect::Safe
-            | Effect::Keyed {
-                group: Group::All, ..
+            Idempotency::Idempotent
+            | Idempotency::WithKey {
+                scope: DeduplicationScope::All,
+                ..
             } => true,
-            Effect::Keyed { .. } | Effect::Unsafe => !may_have_run,
+            Idempotency::WithKey { .. } | Idempotency::NonIdempotent => !may_have_run,
         }
     }
 }
--- a/crates/exchange/src/exchange/servers.rs
+++ b/crates/exchange/src/exchange/servers.rs
@@ -4,7 +4,7 @@
 use crate::table::{Place, State};
 use crate::{Bug, Bugs, LinkId, Module};
 use saffronpaddle_policy::interface::{
-    Event as ModuleEvent, ListKind, Outcome, RequestId, ServerEntry, ServerId, Standing,
+    Endpoint, EndpointStatus, EndpointUpdate, Event as ModuleEvent, Outcome, RequestId, ServerId,
 };
 use std::collections::BTreeSet;
 use std::hash::Hash;
@@ -15,7 +15,7 @@
     pub(super) fn listed(
         &mut self,
         whole: bool,
-        entries: Vec<(ServerEntry, A)>,
+        entries: Vec<(Endpoint, A)>,
         commands: &mut Commands<A>,
     ) {
         let mut lost: Vec<ServerId> = Vec::new();
@@ -25,7 +25,7 @@
             lost.sort();
         }
         for (entry, dial) in &entries {
-            let (server, ready) = (entry.server, entry.standing == Standing::Ready);
+            let (server, ready) = (entry.server, entry.status == EndpointStatus::Ready);
             let place = self.places.get(&server);
             if place.is_some_and(|place| !ready || place.dial != *dial) {
                 lost.push(server);
@@ -42,15 +42,15 @@
         }
         let mut told = Vec::with_capacity(entries.len());
         for (entry, dial) in entries {
-            if entry.standing == Standing::Ready {
+            if entry.status == EndpointStatus::Ready {
                 let fresh = Place {
                     dial,
                     zone: entry.zone,
-                    cell: entry.cell,
+                    cell: entry.domain,
                     idle: Vec::new(),
                 };
                 let place = self.places.entry(entry.server).or_insert(fresh);
-                (place.zone, place.cell) = (entry.zone, entry.cell);
+                (place.zone, place.cell) = (entry.zone, entry.domain);
             } else if let Some(place) = self.places.remove(&entry.server) {
                 // It stands on the list twice, and this is the later word.
                 place
@@ -61,13 +61,13 @@
             told.push(entry);
         }
         let kind = if whole {
-            ListKind::Complete
+            EndpointUpdate::Snapshot
         } else {
-            ListKind::Changes
+            EndpointUpdate::Delta
         };
-        self.pending.push_back(ModuleEvent::Servers {
-            kind,
-            entries: told,
+        self.pending.push_back(ModuleEvent::EndpointsChanged {
+            update: kind,
+            endpoints: told,
         });
         if !lost.is_empty() && !self.bugs.planted(Bug::DrainCheckedBeforeConnectOnly) {
             let made = self.links.iter().filter(|(link, row)| {
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -25,7 +25,7 @@
 pub use open::{OpenRequest, WaitsFor};
 
 use saffronpaddle_policy::interface::{
-    Action, Effect, Event as ModuleEvent, Micros, Outcome, RequestId, ServerEntry, ServerId,
+    Action, Endpoint, Event as ModuleEvent, Idempotency, Micros, Outcome, RequestId, ServerId,
 };
 
 /// Decides which server, whether to try again and what to turn away.
@@ -34,9 +34,9 @@
     fn handle(&mut self, now: Micros, event: ModuleEvent, actions: &mut Vec<Action>);
 }
 
-impl Module for saffronpaddle_policy::Gateway {
+impl Module for saffronpaddle_policy::PolicyEngine {
     fn handle(&mut self, now: Micros, event: ModuleEvent, actions: &mut Vec<Action>) {
-        saffronpaddle_policy::Gateway::handle(self, now, event, actions);
+        saffronpaddle_policy::PolicyEngine::handle(self, now, event, actions);
     }
 }
 
@@ -104,7 +104,7 @@
     /// [`Exchange::knows`] first.
     Asked {
         /// What it may do.
-        effect: Effect,
+        effect: Idempotency,
         /// When its client stops waiting.
         deadline: Micros,
         /// What the module is told: a [`ModuleEvent::Request`].
@@ -188,7 +188,7 @@
         /// The whole list; who is not on it is gone.
         whole: bool,
         /// The entries.
-        entries: Vec<(ServerEntry, A)>,
+        entries: Vec<(Endpoint, A)>,
     },
     /// The process was told to stop: all that it has taken, and all that it takes from now on, is answered by then, whatever
     /// time the clients have left.
--- a/crates/exchange/src/table.rs
+++ b/crates/exchange/src/table.rs
@@ -2,7 +2,7 @@
 
 use crate::{LinkId, Ticket};
 use saffronpaddle_policy::interface::{
-    CellId, Effect, Micros, Outcome, RequestId, ServerId, ZoneId,
+    DeduplicationDomainId, Idempotency, Micros, Outcome, RequestId, ServerId, ZoneId,
 };
 use std::collections::{BTreeSet, HashMap};
 use std::hash::{BuildHasherDefault, Hasher};
@@ -40,7 +40,7 @@
     pub ticket: Ticket,
     /// Its class, by its place in the settings.
     pub class: usize,
-    pub effect: Effect,
+    pub effect: Idempotency,
     pub deadline: Micros,
     /// The process answers it by then; the end of time where it was not told to stop.
     pub process_end: Micros,
@@ -67,7 +67,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Ran {
     pub zone: ZoneId,
-    pub cell: CellId,
+    pub cell: DeduplicationDomainId,
     pub at: Micros,
 }
 
@@ -124,7 +124,7 @@
 pub(crate) struct Place<A> {
     pub dial: A,
     pub zone: ZoneId,
-    pub cell: CellId,
+    pub cell: DeduplicationDomainId,
     /// Connections that stand idle there, in the order in which they came back.
     pub idle: Vec<LinkId>,
 }
--- a/crates/fleet-harness/src/virtually/lists.rs
+++ b/crates/fleet-harness/src/virtually/lists.rs
@@ -5,7 +5,7 @@
 use crate::scenario::{Scenario, GROUP};
 use saffronpaddle_endpoints::{Doubt, Pace, Terms};
 use saffronpaddle_policy::interface::{
-    CellId, ListKind, Micros, ServerEntry, ServerId, Standing, ZoneId,
+    DeduplicationDomainId, Endpoint, EndpointStatus, EndpointUpdate, Micros, ServerId, ZoneId,
 };
 use saffronpaddle_test_doubles::discovery::{Back, Bearing, Calls, LINE_MOST};
 use saffronpaddle_test_doubles::links::End;
@@ -182,12 +182,12 @@
         let known = |(place, (server, health, born)): (usize, Line)| {
             let entry = entry(server, health, born);
             match stale {
-                true if place % 2 == 1 => ServerEntry {
+                true if place % 2 == 1 => Endpoint {
                     server: ServerId(GONE + place as u64),
                     ..entry
                 },
-                true => ServerEntry {
-                    started: None,
+                true => Endpoint {
+                    started_at: None,
                     ..entry
                 },
                 false => entry,
@@ -195,7 +195,7 @@
         };
         let entries = entries.into_iter().enumerate().map(known).collect();
         self.nodes[at].follower.seq = Some(if stale { 0 } else { self.service.list.seq });
-        self.listed(at, ListKind::Complete, entries);
+        self.listed(at, EndpointUpdate::Snapshot, entries);
     }
 
     /// An entry is written.
@@ -356,7 +356,7 @@
                 .told(since, at, &format!("s-{server}"), *health == "ready");
         }
         if let Some(terms) = self.terms.as_ref().filter(|_| whole) {
-            let known = self.nodes[at].gateway.rotation().0;
+            let known = self.nodes[at].gateway.endpoint_counts().0;
             if !self.nodes[at].follower.doubt.believes(
                 since,
                 entries.len(),
@@ -374,26 +374,26 @@
         self.listed(
             at,
             if whole {
-                ListKind::Complete
+                EndpointUpdate::Snapshot
             } else {
-                ListKind::Changes
+                EndpointUpdate::Delta
             },
             entries,
         );
     }
 }
 
-fn entry(server: usize, health: &str, born: Option<Micros>) -> ServerEntry {
-    ServerEntry {
+fn entry(server: usize, health: &str, born: Option<Micros>) -> Endpoint {
+    Endpoint {
         server: ServerId(server as u64),
         zone: ZoneId((server % 2) as u32),
-        cell: CellId((server / GROUP) as u64),
-        standing: match health {
-            "ready" => Standing::Ready,
-            "draining" => Standing::Draining,
-            _ => Standing::Gone,
+        domain: DeduplicationDomainId((server / GROUP) as u64),
+        status: match health {
+            "ready" => EndpointStatus::Ready,
+            "draining" => EndpointStatus::Draining,
+            _ => EndpointStatus::Removed,
         },
         size: 1.0,
-        started: born,
+        started_at: born,
     }
 }
--- a/crates/fleet-harness/src/virtually/mod.rs
+++ b/crates/fleet-harness/src/virtually/mod.rs
@@ -16,11 +16,11 @@
 use saffronpaddle_endpoints::Terms;
 use saffronpaddle_operator_config::Operator;
 use saffronpaddle_policy::interface::{
-    Action, AttemptNo, ClassId, CustomerId, Event, GatewayId, ListKind, Micros, Outcome, PlanId,
-    RequestId, ServerEntry, ServerId,
+    Action, AttemptNumber, ClassId, CustomerId, Endpoint, EndpointUpdate, Event, Micros, NodeId,
+    Outcome, PlanId, RequestId, ServerId,
 };
-use saffronpaddle_policy::setup::{self, Named};
-use saffronpaddle_policy::Gateway;
+use saffronpaddle_policy::setup::{self, NamedSettings};
+use saffronpaddle_policy::PolicyEngine;
 use saffronpaddle_test_doubles::ledger::{Answer, Asked, Ledger, Repeats, Unanswered};
 use saffronpaddle_test_doubles::links::{End, Links, Which};
 use saffronpaddle_test_doubles::load::{class_of, Counts, Customer, Patience};
@@ -65,7 +65,7 @@
     /// A client's try reaches the front.
     Try(Client),
     Wakes(usize, u32, u64),
-    Hears(usize, GatewayId, Vec<u8>),
+    Hears(usize, NodeId, Vec<u8>),
     Reaches(Flight),
     Done(Flight, u32),
     Replies(Flight, Outcome),
@@ -113,8 +113,8 @@
 }
 
 struct Node {
-    gateway: Gateway,
-    named: Named,
+    gateway: PolicyEngine,
+    named: NamedSettings,
     /// Counts its processes: what is under way to an earlier one is lost.
     life: u32,
     runs: bool,
@@ -124,7 +124,7 @@
     still: Option<(Micros, Vec<Comes>)>,
     waits: BTreeMap<RequestId, Waiting>,
     /// Attempts that are out.
-    out: BTreeMap<RequestId, (AttemptNo, usize)>,
+    out: BTreeMap<RequestId, (AttemptNumber, usize)>,
     /// When a connection to a server was last used.
     wires: HashMap<usize, Micros>,
     follower: Follower,
@@ -234,10 +234,12 @@
         for at in 0..run.scenario.instances {
             let mut named =
                 setup::read(&run.fleet.settings(at).to_string()).map_err(anyhow::Error::msg)?;
-            (named.settings.fenced, named.settings.spare_words) =
-                (says.quotas.fenced, says.quotas.spare_words);
-            named.settings.working_set = says.servers.working_set;
-            let gateway = Gateway::new(seed ^ at as u64, named.settings.clone(), run.now)?;
+            (
+                named.settings.partition_safe,
+                named.settings.retransmission_budget,
+            ) = (says.quotas.fenced, says.quotas.spare_words);
+            named.settings.subsetting = says.servers.working_set;
+            let gateway = PolicyEngine::new(seed ^ at as u64, named.settings.clone(), run.now)?;
             let follower = Follower::new(run.scenario.instances as u32, run.terms.as_ref());
             run.nodes.push(Node {
                 gateway,
@@ -317,13 +319,13 @@
             Comes::Try(client) => self.tries(client),
             Comes::Wakes(at, life, token) => {
                 if self.alive(at, life) {
-                    self.tell(at, Event::Woke { token });
+                    self.tell(at, Event::TimerFired { token });
                 }
             }
             Comes::Hears(at, from, bytes) => {
                 if self.nodes[at].runs {
                     self.nodes[at].words.1 += 1;
-                    self.tell(at, Event::Peer { from, bytes });
+                    self.tell(at, Event::PeerMessage { from, bytes });
                 }
             }
             Comes::Reaches(flight) => self.reaches(flight),
@@ -411,14 +413,14 @@
         let (now, nodes) = (self.now, self.nodes.len() as u32);
         let node = &mut self.nodes[at];
         // The settings were good when the run began.
-        if let Ok(gateway) = Gateway::new(seed, node.named.settings.clone(), now) {
+        if let Ok(gateway) = PolicyEngine::new(seed, node.named.settings.clone(), now) {
             node.gateway = gateway;
         }
         node.follower = Follower::new(nodes, terms.as_ref());
         (node.runs, node.intake) = (true, (0, 0.0));
         node.wires.clear();
         let life = node.life;
-        self.tell(at, Event::ListFailed);
+        self.tell(at, Event::EndpointsUnavailable);
         match self.scenario.known {
             Known::Nothing => {}
             Known::Fresh => self.knows(at, false),
@@ -438,10 +440,11 @@
 
     /// Adds up what its module has counted.
     fn count(&mut self, at: usize) {
-        for (name, count) in self.nodes[at].gateway.counted().named() {
+        for (name, count) in self.nodes[at].gateway.counters().named() {
             *self.decided.entry(name).or_default() += count;
         }
-        *self.decided.entry("servers_looked_at").or_default() += self.nodes[at].gateway.looked_at();
+        *self.decided.entry("servers_looked_at").or_default() +=
+            self.nodes[at].gateway.servers_examined();
     }
 
     /// Its process ends in this moment, with all that it held.
@@ -524,16 +527,16 @@
             self.ledger.unanswered(&id.0, Unanswered::Paused);
             return;
         }
-        let tell = Event::Request {
+        let tell = Event::RequestArrived {
             id: id.clone(),
             class: ClassId(client.class),
             plan: PlanId(customer.plan),
             customer: CustomerId(customer.id),
             units: 1.0,
-            first: GatewayId(customer.first as u32),
+            first: NodeId(customer.first as u32),
             spread: customer.spread as u32,
-            patience: class.deadline.as_micros() as Micros - DELIVERY,
-            whole: true,
+            timeout: class.deadline.as_micros() as Micros - DELIVERY,
+            complete: true,
         };
         self.nodes[at].waits.insert(
             id,
@@ -581,25 +584,28 @@
     fn act(&mut self, at: usize, action: Action) {
         let life = self.nodes[at].life;
         match action {
-            Action::Wake { after, token } => self.later(after, Comes::Wakes(at, life, token)),
-            Action::Tell { to, bytes } => self.word(at, to.0 as usize, bytes),
-            Action::TellAll { bytes } => {
+            Action::SetTimer { after, token } => self.later(after, Comes::Wakes(at, life, token)),
+            Action::SendToPeer { to, bytes } => self.word(at, to.0 as usize, bytes),
+            Action::Broadcast { bytes } => {
                 for to in (0..self.nodes.len()).filter(|to| *to != at) {
                     self.word(at, to, bytes.clone());
                 }
             }
-            Action::Refuse { id, retry_in } => self.answered(at, &id, Answer::Refused, retry_in),
+            Action::Reject {
+                id,
+                retry_after: retry_in,
+            } => self.answered(at, &id, Answer::Refused, retry_in),
             Action::Fail { id } => self.answered(at, &id, Answer::Failed, None),
             Action::Send { id, server, .. } => self.sends(at, id, server),
             Action::Cancel { id, attempt } => {
-                let same = |(number, _): &(AttemptNo, usize)| *number == attempt;
+                let same = |(number, _): &(AttemptNumber, usize)| *number == attempt;
                 if self.nodes[at].out.get(&id).is_some_and(same) {
                     let since = self.since();
                     self.ledger.closed(since, &id.0);
                     self.over(at, id, Outcome::Cancelled);
                 }
             }
-            Action::Twin(_) | Action::Follow | Action::Log(_) => {}
+            Action::SendToSiblings(_) | Action::Subscribe | Action::Log(_) => {}
         }
     }
 
@@ -610,7 +616,7 @@
         };
         let now = self.now;
         match outcome {
-            Outcome::Ok | Outcome::Full => _ = self.nodes[at].wires.insert(server, now),
+            Outcome::Ok | Outcome::Rejected => _ = self.nodes[at].wires.insert(server, now),
             _ => _ = self.nodes[at].wires.remove(&server),
         }
         if outcome == Outcome::Ok {
@@ -619,11 +625,11 @@
         let closed = !self.nodes[at].waits.contains_key(&id);
         self.tell(
             at,
-            Event::Ended {
+            Event::AttemptEnded {
                 id,
                 attempt,
                 outcome,
-                closed,
+                request_closed: closed,
             },
         );
     }
@@ -632,7 +638,7 @@
         let Some(waiting) = self.nodes[at].waits.get_mut(&id) else {
             return;
         };
-        let attempt = AttemptNo(waiting.sent);
+        let attempt = AttemptNumber(waiting.sent);
         waiting.sent += 1;
         let server = to.0 as usize;
         self.nodes[at].out.insert(id.clone(), (attempt, server));
@@ -660,7 +666,7 @@
                 continue;
             }
             let way = self.way() + fault.way().as_micros() as Micros;
-            self.later(way, Comes::Hears(to, GatewayId(from as u32), bytes.clone()));
+            self.later(way, Comes::Hears(to, NodeId(from as u32), bytes.clone()));
         }
     }
 
@@ -828,7 +834,13 @@
     }
 
     /// Tells a node of servers.
-    fn listed(&mut self, at: usize, kind: ListKind, entries: Vec<ServerEntry>) {
-        self.tell(at, Event::Servers { kind, entries });
+    fn listed(&mut self, at: usize, kind: EndpointUpdate, entries: Vec<Endpoint>) {
+        self.tell(
+            at,
+            Event::EndpointsChanged {
+                update: kind,
+                endpoints: entries,
+            },
+        );
     }
 }
--- a/crates/fleet-harness/src/virtually/servers.rs
+++ b/crates/fleet-harness/src/virtually/servers.rs
@@ -2,7 +2,7 @@
 
 use super::{Comes, Virtual, START};
 use crate::scenario::{GROUP, SLOTS};
-use saffronpaddle_policy::interface::{AttemptNo, Micros, Outcome, RequestId};
+use saffronpaddle_policy::interface::{AttemptNumber, Micros, Outcome, RequestId};
 use saffronpaddle_test_doubles::links::End;
 use std::time::Duration;
 
@@ -36,7 +36,7 @@
     pub node: usize,
     pub life: u32,
     pub id: RequestId,
-    pub attempt: AttemptNo,
+    pub attempt: AttemptNumber,
     pub server: usize,
     /// When its first byte is at the server.
     pub first: Micros,
@@ -76,7 +76,7 @@
         {
             return self.later(way, Comes::Replies(flight, Outcome::Unreachable));
         }
-        let idle = self.nodes[flight.node].named.settings.conn_idle;
+        let idle = self.nodes[flight.node].named.settings.server_idle_timeout;
         let used = self.nodes[flight.node].wires.remove(&flight.server);
         let kept = used.is_some_and(|used| self.now < used + idle);
         if !kept && there.unheard {
@@ -115,7 +115,7 @@
         let mean = self.fleet.classes[client.class].work.as_secs_f64();
         let server = &mut self.servers[flight.server];
         if !server.runs {
-            return self.later(way, Comes::Replies(flight, Outcome::Broken));
+            return self.later(way, Comes::Replies(flight, Outcome::ConnectionLost));
         }
         let work = mean * (0.5 + self.random.f64());
         let first = Duration::from_micros(flight.first - START);
@@ -124,7 +124,7 @@
         server.requests += 1;
         if server.held >= SLOTS * server.cores.len() || self.ledger.fell(&server.name) {
             self.ledger.over(&flight.id.0);
-            return self.later(way, Comes::Replies(flight, Outcome::Full));
+            return self.later(way, Comes::Replies(flight, Outcome::Rejected));
         }
         server.held += 1;
         if server.silent {
@@ -159,7 +159,7 @@
             .links
             .on(End::Server(flight.server), End::Node(flight.node));
         let outcome = if back.reset {
-            Outcome::Broken
+            Outcome::ConnectionLost
         } else {
             Outcome::Ok
         };
@@ -207,7 +207,7 @@
                     server: at,
                     first,
                 };
-                self.later(way, Comes::Replies(flight, Outcome::Broken));
+                self.later(way, Comes::Replies(flight, Outcome::ConnectionLost));
             }
         }
         self.later(lasts.as_micros() as Micros, Comes::Back(at));
--- a/crates/hollow/src/audit.rs
+++ b/crates/hollow/src/audit.rs
@@ -5,7 +5,7 @@
 
 use saffronpaddle_exchange::{LinkId, Verdict};
 use saffronpaddle_node::config::{Health, List};
-use saffronpaddle_policy::interface::{Micros, RequestId, Rules, ServerId};
+use saffronpaddle_policy::interface::{Micros, RequestId, ServerId, SlowStartRules};
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, HashSet};
 
@@ -93,7 +93,7 @@
 /// All of it.
 pub struct Audit {
     trial: Trial,
-    rules: Rules,
+    rules: SlowStartRules,
     /// What befalls the nodes now.
     pub faults: Faults,
     kept: Audited,
@@ -106,7 +106,7 @@
 
 impl Audit {
     /// Nothing has happened yet.
-    pub fn new(trial: Trial, rules: Rules) -> Audit {
+    pub fn new(trial: Trial, rules: SlowStartRules) -> Audit {
         let (faults, kept, servers, seq, told, on) = Default::default();
         Audit {
             trial,
@@ -283,8 +283,8 @@
 }
 
 /// Share of what a warm server can do that one can do which started then.
-fn warmth(rules: &Rules, started: Option<Micros>, now: Micros) -> f64 {
+fn warmth(rules: &SlowStartRules, started: Option<Micros>, now: Micros) -> f64 {
     let Some(started) = started else { return 1.0 };
-    let grown = now.saturating_sub(started) as f64 / rules.cold_for.max(1) as f64;
-    (rules.cold_from + (1.0 - rules.cold_from) * grown).min(1.0)
+    let grown = now.saturating_sub(started) as f64 / rules.warm_up_period.max(1) as f64;
+    (rules.initial_capacity + (1.0 - rules.initial_capacity) * grown).min(1.0)
 }
--- a/crates/hollow/src/list.rs
+++ b/crates/hollow/src/list.rs
@@ -12,7 +12,7 @@
 use hyper_util::rt::TokioIo;
 use saffronpaddle_endpoints::{Hedged, Objects, Pace};
 use saffronpaddle_node::config::List;
-use saffronpaddle_policy::interface::Discovery;
+use saffronpaddle_policy::interface::DiscoveryMode;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -41,8 +41,8 @@
 /// Follows the list for ever.
 pub async fn follow(shard: Rc<Shard>, node: Rc<Node>) {
     let mut pace = match node.discovery {
-        Discovery::Pushed => Pace::agent(),
-        Discovery::Followed => Pace::of(shard.spec.gateways),
+        DiscoveryMode::Pushed => Pace::agent(),
+        DiscoveryMode::Subscribed => Pace::of(shard.spec.gateways),
     };
     let mut seq = None;
     loop {
--- a/crates/hollow/src/node.rs
+++ b/crates/hollow/src/node.rs
@@ -2,8 +2,8 @@
 
 use saffronpaddle_exchange::{Bounds, Exchange, LinkId};
 use saffronpaddle_node::peers::Peers;
-use saffronpaddle_policy::interface::{Discovery, GatewayId, Micros, RequestId, Settings};
-use saffronpaddle_policy::Gateway;
+use saffronpaddle_policy::interface::{DiscoveryMode, Micros, NodeId, RequestId, Settings};
+use saffronpaddle_policy::PolicyEngine;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -23,12 +23,12 @@
 pub struct Node {
     /// Its place in its process.
     pub place: usize,
-    pub me: GatewayId,
+    pub me: NodeId,
     /// Which life of that place: what belongs to an earlier one is void.
     pub life: u32,
-    pub discovery: Discovery,
+    pub discovery: DiscoveryMode,
     pub born: Micros,
-    pub exchange: RefCell<Exchange<SocketAddr, Gateway>>,
+    pub exchange: RefCell<Exchange<SocketAddr, PolicyEngine>>,
     /// None once this life is over: its address is the next life's.
     pub peers: RefCell<Option<Rc<Peers>>>,
     /// When the exchange is looked at next.
@@ -49,8 +49,8 @@
         peers: Peers,
         (seed, now): (u64, Micros),
     ) -> anyhow::Result<Rc<Node>> {
-        let (me, discovery) = (settings.me, settings.discovery);
-        let gateway = Gateway::new(seed, settings, now)?;
+        let (me, discovery) = (settings.node, settings.discovery);
+        let gateway = PolicyEngine::new(seed, settings, now)?;
         Ok(Rc::new(Node {
             place,
             me,
--- a/crates/hollow/src/shard.rs
+++ b/crates/hollow/src/shard.rs
@@ -28,8 +28,8 @@
 use saffronpaddle_node::listed::{server_entry, server_id};
 use saffronpaddle_node::peers::Peers;
 use saffronpaddle_policy::interface::{
-    Action, ClassId, CustomerId, Event as ModuleEvent, GatewayId, Micros, Outcome, PlanId,
-    RequestId, Settings, ZoneId,
+    Action, ClassId, CustomerId, Event as ModuleEvent, Micros, NodeId, Outcome, PlanId, RequestId,
+    Settings, ZoneId,
 };
 use saffronpaddle_policy::setup;
 use serde::{Deserialize, Serialize};
@@ -268,12 +268,12 @@
             .as_micros() as Micros;
         fastrand::seed(spec.seed);
         let settings = Settings {
-            working_set: true,
-            fenced: trial.fenced,
+            subsetting: true,
+            partition_safe: trial.fenced,
             ..named.settings
         };
         Ok(Shard {
-            audit: RefCell::new(Audit::new(trial, settings.rules)),
+            audit: RefCell::new(Audit::new(trial, settings.slow_start)),
             settings,
             started: (Instant::now(), unix),
             nodes: RefCell::default(),
@@ -322,7 +322,7 @@
         let me = self.spec.nodes.0 + place as u32;
         let zone = ZoneId(me % self.spec.zones.len().max(1) as u32);
         let settings = Settings {
-            me: GatewayId(me),
+            node: NodeId(me),
             zone,
             ..self.settings.clone()
         };
@@ -336,14 +336,18 @@
             each: self.spec.peers.clone(),
             all: None,
         };
-        let peers = Peers::bind(addresses, settings.me, false).await?;
-        let bounds = Bounds::usual(self.spec.links, settings.conn_idle, 250_000);
+        let peers = Peers::bind(addresses, settings.node, false).await?;
+        let bounds = Bounds::usual(self.spec.links, settings.server_idle_timeout, 250_000);
         let seed = self.spec.seed ^ u64::from(me) << 20 ^ u64::from(life);
         Node::new((place, life), settings, bounds, peers, (seed, self.now()))
     }
 
     fn starts(self: &Rc<Self>, node: &Rc<Node>) {
-        self.happened(node, Event::Tell(ModuleEvent::ListFailed), Why::Wake);
+        self.happened(
+            node,
+            Event::Tell(ModuleEvent::EndpointsUnavailable),
+            Why::Wake,
+        );
         let words = tokio::task::spawn_local(hear(Rc::clone(self), Rc::clone(node)));
         let list = tokio::task::spawn_local(list::follow(Rc::clone(self), Rc::clone(node)));
         node.tasks.borrow_mut().extend([words, list]);
@@ -455,7 +459,11 @@
         };
         match due.what {
             What::Wake(token) => {
-                self.happened(&node, Event::Tell(ModuleEvent::Woke { token }), Why::Wake);
+                self.happened(
+                    &node,
+                    Event::Tell(ModuleEvent::TimerFired { token }),
+                    Why::Wake,
+                );
             }
             What::Happens(event) => {
                 if let Event::Replied { link, .. } = &event {
@@ -534,27 +542,27 @@
 
     fn act(&self, node: &Rc<Node>, now: Micros, action: Action) {
         match action {
-            Action::TellAll { bytes } => {
+            Action::Broadcast { bytes } => {
                 node.peers
                     .borrow()
                     .iter()
                     .for_each(|peers| peers.tell_all(&bytes));
                 self.said(u64::from(self.spec.gateways.saturating_sub(1)), bytes.len());
             }
-            Action::Tell { to, bytes } => {
+            Action::SendToPeer { to, bytes } => {
                 node.peers
                     .borrow()
                     .iter()
                     .for_each(|peers| peers.tell(to, &bytes));
                 self.said(1, bytes.len());
             }
-            Action::Wake { after, token } => self.later(node, now + after, What::Wake(token)),
+            Action::SetTimer { after, token } => self.later(node, now + after, What::Wake(token)),
             Action::Log(_) => self.figures.borrow_mut().logged += 1,
             // As in a process: the list is always followed, there is no twin, and the rest is the exchange's.
-            Action::Follow
-            | Action::Twin(_)
+            Action::Subscribe
+            | Action::SendToSiblings(_)
             | Action::Send { .. }
-            | Action::Refuse { .. }
+            | Action::Reject { .. }
             | Action::Fail { .. }
             | Action::Cancel { .. } => {}
         }
@@ -632,7 +640,12 @@
         });
         let class = class.unwrap_or(0);
         self.figures.borrow_mut().offered += 1;
-        let Some(effect) = self.settings.classes.get(class).map(|class| class.effect) else {
+        let Some(effect) = self
+            .settings
+            .classes
+            .get(class)
+            .map(|class| class.idempotency)
+        else {
             return;
         };
         let patience = self
@@ -641,16 +654,16 @@
             .get(class)
             .map_or(1_000_000, |patience| patience - DELIVERY.min(*patience));
         let id = RequestId(format!("{:x}-{number:x}", node.me.0).into());
-        let tell = ModuleEvent::Request {
+        let tell = ModuleEvent::RequestArrived {
             id: id.clone(),
             class: ClassId(class),
             plan: PlanId(tenant.plan),
             customer: CustomerId(tenant.id),
             units: 1.0,
-            first: GatewayId(tenant.first),
+            first: NodeId(tenant.first),
             spread: tenant.spread,
-            patience,
-            whole: true,
+            timeout: patience,
+            complete: true,
         };
         self.audit
             .borrow_mut()
@@ -728,7 +741,7 @@
         let nodes = self.nodes.borrow();
         let of = |node: &Rc<Node>| {
             let exchange = node.exchange.borrow();
-            (exchange.kept().1, exchange.module().kept())
+            (exchange.kept().1, exchange.module().tracked())
         };
         let (links, kept) = nodes
             .iter()
@@ -795,7 +808,7 @@
             if shard.audit.borrow_mut().hears(from.0, node.me.0) {
                 shard.happened(
                     &node,
-                    Event::Tell(ModuleEvent::Peer { from, bytes }),
+                    Event::Tell(ModuleEvent::PeerMessage { from, bytes }),
                     Why::Word,
                 );
             }
--- a/crates/hot-restart/src/link.rs
+++ b/crates/hot-restart/src/link.rs
@@ -1,7 +1,7 @@
 //! One conversation of two processes.
 
 use crate::word::{Hello, State, Word, VERSION};
-use saffronpaddle_policy::interface::{GatewayId, Twin};
+use saffronpaddle_policy::interface::{NodeId, SiblingMessage};
 use std::fmt;
 use std::time::Duration;
 
@@ -51,9 +51,9 @@
     /// Heir: go on from what the elder kept in mind, and tell of every attempt from then on.
     Resume(Box<State>),
     /// An attempt of the other process has begun or ended.
-    Twin(Twin),
+    Twin(SiblingMessage),
     /// A datagram of a peer that the other process got.
-    Peer(GatewayId, Vec<u8>),
+    Peer(NodeId, Vec<u8>),
     /// The heir takes clients and speaks to peers.
     Succeeded,
     /// It is over.
--- a/crates/hot-restart/src/word.rs
+++ b/crates/hot-restart/src/word.rs
@@ -1,7 +1,7 @@
 //! What is said, a line of JSON each.
 
-use saffronpaddle_policy::interface::{GatewayId, Twin};
-use saffronpaddle_policy::Kept;
+use saffronpaddle_policy::interface::{NodeId, SiblingMessage};
+use saffronpaddle_policy::StateSnapshot;
 use serde::{Deserialize, Serialize};
 
 /// The form of what is said. A build speaks its own and understands all up to it; fields that it does not know it passes
@@ -27,7 +27,7 @@
     /// Its node's name.
     pub name: String,
     /// What the decision module keeps.
-    pub module: Kept,
+    pub module: StateSnapshot,
     /// The list of app servers as discovery last told it, in discovery's own form.
     #[serde(default)]
     pub list: Option<serde_json::Value>,
@@ -44,11 +44,11 @@
     /// The heir takes clients from now on, and speaks to peers for both.
     Serving,
     /// An attempt of this process, or of one that it hears, has begun or ended.
-    Twin(Twin),
+    Twin(SiblingMessage),
     /// A datagram of a peer, for who has no datagrams any more.
     Peer {
         /// Who sent it.
-        from: GatewayId,
+        from: NodeId,
         /// What it holds.
         bytes: Vec<u8>,
     },
--- a/crates/hot-restart/tests/lines.rs
+++ b/crates/hot-restart/tests/lines.rs
@@ -12,22 +12,22 @@
     let state = State {
         version: VERSION,
         name: "n0".to_owned(),
-        module: saffronpaddle_policy::Kept::default(),
+        module: saffronpaddle_policy::StateSnapshot::default(),
         list: Some(serde_json::json!({"hosts": [1, 2]})),
     };
-    let begun = TwinOut {
-        id: RequestId("rq".into()),
-        attempt: AttemptNo(0),
+    let begun = SiblingAttempt {
+        request: RequestId("rq".into()),
+        attempt: AttemptNumber(0),
         server: ServerId(8),
         customer: CustomerId(9),
         class: ClassId(1),
-        due: 10,
-        sent: 11,
-        places: 2.0,
-        first: Some(TwinTerms {
+        queued_since: 10,
+        sent_at: 11,
+        in_flight: 2.0,
+        charge: Some(QuotaCharge {
             plan: PlanId(2),
             units: 1.5,
-            set: (GatewayId(4), 3),
+            set: (NodeId(4), 3),
         }),
     };
     vec![
@@ -37,13 +37,13 @@
         }),
         Word::State(Box::new(state)),
         Word::Serving,
-        Word::Twin(Twin::Out(begun)),
-        Word::Twin(Twin::In {
-            id: RequestId("rq".into()),
-            attempt: AttemptNo(0),
+        Word::Twin(SiblingMessage::AttemptStarted(begun)),
+        Word::Twin(SiblingMessage::AttemptEnded {
+            request: RequestId("rq".into()),
+            attempt: AttemptNumber(0),
         }),
         Word::Peer {
-            from: GatewayId(7),
+            from: NodeId(7),
             bytes: vec![2, 0, 255],
         },
     ]
--- a/crates/hot-restart/tests/overlap.rs
+++ b/crates/hot-restart/tests/overlap.rs
@@ -5,7 +5,7 @@
 use proptest::test_runner::FileFailurePersistence;
 use saffronpaddle_hot_restart::*;
 use saffronpaddle_policy::interface::*;
-use saffronpaddle_policy::Gateway;
+use saffronpaddle_policy::PolicyEngine;
 use std::time::Duration;
 
 const DEPTH: f64 = 6.0;
@@ -13,81 +13,81 @@
 
 fn settings() -> Settings {
     let class = Class {
-        aim: 800_000,
+        latency_objective: 800_000,
         late_value: 0.1,
-        worth: 1.0,
-        effect: Effect::Safe,
+        priority_weight: 1.0,
+        idempotency: Idempotency::Idempotent,
     };
-    let ceiling = Some(Ceiling {
+    let ceiling = Some(HardLimit {
         rate: RATE,
-        depth: DEPTH,
+        capacity: DEPTH,
     });
     let plan = Plan {
         rate: 0.0,
         burst: 0.0,
-        at_once: None,
-        price: 1.0,
-        over_worth: 0.0,
-        over_cost: 0.0,
-        ceiling,
+        max_in_flight: None,
+        priority_weight: 1.0,
+        over_quota_value: 0.0,
+        over_quota_cost: 0.0,
+        hard_limit: ceiling,
     };
     Settings {
-        me: GatewayId(0),
-        gateways: 2,
+        node: NodeId(0),
+        node_count: 2,
         zone: ZoneId(0),
         classes: vec![class],
         plans: vec![plan],
-        rules: Rules {
-            cold_from: 0.3,
-            cold_for: 1_000_000,
-            fall_multiple: 3.0,
-            fall_window: 1_000_000,
+        slow_start: SlowStartRules {
+            initial_capacity: 0.3,
+            warm_up_period: 1_000_000,
+            overload_multiple: 3.0,
+            overload_window: 1_000_000,
         },
-        allowed: Allowed {
-            attempts: 3,
-            cancel: true,
-            messages: true,
+        permissions: Permissions {
+            max_attempts: 3,
+            cancellation: true,
+            peer_messages: true,
         },
-        cross_zone: 0.0,
-        discovery: Discovery::Pushed,
-        period: 2_000,
+        cross_zone_cost: 0.0,
+        discovery: DiscoveryMode::Pushed,
+        event_interval: 2_000,
         peer_messages_per_s: 60.0,
-        most_units: 1.0,
-        conn_idle: 15_000_000,
-        fenced: false,
-        spare_words: false,
-        working_set: false,
+        max_request_units: 1.0,
+        server_idle_timeout: 15_000_000,
+        partition_safe: false,
+        retransmission_budget: false,
+        subsetting: false,
     }
 }
 
 /// A process, and what it has sent on.
 struct Process {
-    gateway: Gateway,
+    gateway: PolicyEngine,
     sent: u32,
-    told: Vec<Twin>,
+    told: Vec<SiblingMessage>,
     counts: u32,
 }
 
 impl Process {
     fn new(now: Micros) -> Process {
-        let gateway = Gateway::new(7, settings(), now).expect("settings that make sense");
+        let gateway = PolicyEngine::new(7, settings(), now).expect("settings that make sense");
         let mut process = Process {
             gateway,
             sent: 0,
             told: Vec::new(),
             counts: 0,
         };
-        let entry = ServerEntry {
+        let entry = Endpoint {
             server: ServerId(1),
-            standing: Standing::Ready,
+            status: EndpointStatus::Ready,
             size: 1.0,
             ..Default::default()
         };
         process.event(
             now,
-            Event::Servers {
-                kind: ListKind::Complete,
-                entries: vec![entry],
+            Event::EndpointsChanged {
+                update: EndpointUpdate::Snapshot,
+                endpoints: vec![entry],
             },
         );
         process
@@ -103,18 +103,18 @@
                     self.sent += 1;
                     ended.push(id);
                 }
-                Action::Twin(twin) => self.told.push(twin),
-                Action::TellAll { .. } => self.counts += 1,
+                Action::SendToSiblings(twin) => self.told.push(twin),
+                Action::Broadcast { .. } => self.counts += 1,
                 _ => {}
             }
         }
         // Servers answer at once.
         for id in ended {
-            let ended = Event::Ended {
+            let ended = Event::AttemptEnded {
                 id,
-                attempt: AttemptNo(0),
+                attempt: AttemptNumber(0),
                 outcome: Outcome::Ok,
-                closed: true,
+                request_closed: true,
             };
             self.event(now, ended);
         }
@@ -123,11 +123,11 @@
     fn ask(&mut self, now: Micros, number: u32) {
         let id = RequestId(format!("r{number}").into());
         let (class, plan, customer) = (ClassId(0), PlanId(0), CustomerId(9));
-        let (units, first, spread, patience) = (1.0, GatewayId(0), 1, 60_000);
-        self.event(now, Event::Woke { token: 0 });
+        let (units, first, spread, patience) = (1.0, NodeId(0), 1, 60_000);
+        self.event(now, Event::TimerFired { token: 0 });
         self.event(
             now,
-            Event::Request {
+            Event::RequestArrived {
                 id,
                 class,
                 plan,
@@ -135,8 +135,8 @@
                 units,
                 first,
                 spread,
-                patience,
-                whole: true,
+                timeout: patience,
+                complete: true,
             },
         );
     }
@@ -146,10 +146,22 @@
 fn exchange(now: Micros, elder: &mut Process, heir: &mut Process) {
     while !(elder.told.is_empty() && heir.told.is_empty()) {
         for twin in std::mem::take(&mut elder.told) {
-            heir.event(now, Event::Twin { link: 0, twin });
+            heir.event(
+                now,
+                Event::SiblingMessage {
+                    link: 0,
+                    message: twin,
+                },
+            );
         }
         for twin in std::mem::take(&mut heir.told) {
-            elder.event(now, Event::Twin { link: 0, twin });
+            elder.event(
+                now,
+                Event::SiblingMessage {
+                    link: 0,
+                    message: twin,
+                },
+            );
         }
     }
 }
@@ -160,15 +172,15 @@
     // The share of a ceiling begins empty and fills.
     let mut now = start + 20_000_000;
     elder.ask(now, 0);
-    let kept = serde_json::to_string(&elder.gateway.keep()).expect("it is written");
+    let kept = serde_json::to_string(&elder.gateway.snapshot()).expect("it is written");
     let mut heir = Process::new(now);
     if told {
         heir.gateway
-            .resume(serde_json::from_str(&kept).expect("it is read"), 0);
-        let shared = Event::Twins {
-            ended: None,
-            shared: true,
-            hushed: false,
+            .restore(serde_json::from_str(&kept).expect("it is read"), 0);
+        let shared = Event::SiblingsChanged {
+            ended_link: None,
+            share_attempts: true,
+            peer_messages_delegated: false,
         };
         elder.event(now, shared.clone());
         heir.event(now, shared);
@@ -206,46 +218,46 @@
 fn attempts_of_a_process_that_has_gone_are_let_go_of() {
     let now = 1_000_000_000;
     let mut process = Process::new(now);
-    let out = |number: u32| TwinOut {
-        id: RequestId(format!("t{number}").into()),
-        attempt: AttemptNo(0),
+    let out = |number: u32| SiblingAttempt {
+        request: RequestId(format!("t{number}").into()),
+        attempt: AttemptNumber(0),
         server: ServerId(1),
         customer: CustomerId(9),
         class: ClassId(0),
-        due: now,
-        sent: now,
-        places: 1.0,
-        first: None,
+        queued_since: now,
+        sent_at: now,
+        in_flight: 1.0,
+        charge: None,
     };
     for number in 0..10_000 {
         process.event(
             now,
-            Event::Twin {
+            Event::SiblingMessage {
                 link: number % 2,
-                twin: Twin::Out(out(number)),
+                message: SiblingMessage::AttemptStarted(out(number)),
             },
         );
     }
-    let held = serde_json::to_string(&process.gateway.keep())
+    let held = serde_json::to_string(&process.gateway.snapshot())
         .expect("written")
         .len();
     process.event(
         now,
-        Event::Twins {
-            ended: Some(0),
-            shared: true,
-            hushed: false,
+        Event::SiblingsChanged {
+            ended_link: Some(0),
+            share_attempts: true,
+            peer_messages_delegated: false,
         },
     );
     process.event(
         now,
-        Event::Twins {
-            ended: Some(1),
-            shared: false,
-            hushed: false,
+        Event::SiblingsChanged {
+            ended_link: Some(1),
+            share_attempts: false,
+            peer_messages_delegated: false,
         },
     );
-    let left = serde_json::to_string(&process.gateway.keep())
+    let left = serde_json::to_string(&process.gateway.snapshot())
         .expect("written")
         .len();
     assert!(left * 100 < held, "{left} of {held}");
@@ -260,33 +272,33 @@
         let before = process.counts;
         for _ in 0..100 {
             now += 20_000;
-            process.event(now, Event::Woke { token: 0 });
+            process.event(now, Event::TimerFired { token: 0 });
         }
         process.counts - before
     };
     assert!(spoken(&mut process) > 5);
     process.event(
         1_002_000_000,
-        Event::Twins {
-            ended: None,
-            shared: true,
-            hushed: true,
+        Event::SiblingsChanged {
+            ended_link: None,
+            share_attempts: true,
+            peer_messages_delegated: true,
         },
     );
     assert_eq!(spoken(&mut process), 0);
     process.event(
         1_004_000_000,
-        Event::Twins {
-            ended: Some(0),
-            shared: false,
-            hushed: false,
+        Event::SiblingsChanged {
+            ended_link: Some(0),
+            share_attempts: false,
+            peer_messages_delegated: false,
         },
     );
     assert!(spoken(&mut process) > 5);
 }
 
 fn state(name: &str, version: u32) -> Word {
-    let module = Process::new(1_000_000_000).gateway.keep();
+    let module = Process::new(1_000_000_000).gateway.snapshot();
     Word::State(Box::new(State {
         version,
         name: name.to_owned(),
@@ -348,9 +360,9 @@
     let mut middle = Family::new("n0");
     let (elder, _) = middle.open(Duration::ZERO, Role::Heir).expect("room");
     let (heir, _) = middle.open(Duration::ZERO, Role::Elder).expect("room");
-    let twin = Word::Twin(Twin::In {
-        id: RequestId("a".into()),
-        attempt: AttemptNo(0),
+    let twin = Word::Twin(SiblingMessage::AttemptEnded {
+        request: RequestId("a".into()),
+        attempt: AttemptNumber(0),
     });
     assert!(middle.tells(&twin, None).is_empty() && !middle.is_shared() && !middle.is_last());
     middle.with(elder, |link, out| {
@@ -370,7 +382,7 @@
         (vec![heir], vec![elder])
     );
     let peer = Word::Peer {
-        from: GatewayId(1),
+        from: NodeId(1),
         bytes: vec![1],
     };
     assert_eq!(middle.tells(&peer, Some(heir)), [elder]);
@@ -408,7 +420,7 @@
         for step in heard(&mut link, read(&line)) {
             if let Do::Resume(state) = step {
                 let mut process = Process::new(1_000_000_000);
-                process.gateway.resume(state.module, 0);
+                process.gateway.restore(state.module, 0);
                 process.ask(1_000_100_000, 1);
             }
         }
--- a/crates/model-checker/src/main.rs
+++ b/crates/model-checker/src/main.rs
@@ -7,7 +7,7 @@
 use saffronpaddle_model_checker::search::{search, Found, Limits};
 use saffronpaddle_model_checker::world::{Anything, Inside, Setup};
 use saffronpaddle_model_checker::{chart, planted, setups, walk};
-use saffronpaddle_policy::interface::{Effect, Group};
+use saffronpaddle_policy::interface::{DeduplicationScope, Idempotency};
 use std::time::Instant;
 
 const USAGE: &str = "\
@@ -63,11 +63,11 @@
             told(&setup, Anything, bug, &found)
         }
         ["real"] => {
-            let keyed = Effect::Keyed {
-                group: Group::Cell,
+            let keyed = Idempotency::WithKey {
+                scope: DeduplicationScope::Domain,
                 window: 0,
             };
-            for effect in [Effect::Safe, keyed, Effect::Unsafe] {
+            for effect in [Idempotency::Idempotent, keyed, Idempotency::NonIdempotent] {
                 let setup = setups::real(effect);
                 let limits = Limits {
                     depth,
--- a/crates/model-checker/src/nodes.rs
+++ b/crates/model-checker/src/nodes.rs
@@ -4,11 +4,11 @@
 use anyhow::Result;
 use saffronpaddle_exchange::{Bounds, Bug, Command, Event, Exchange, LinkId, Ticket, Verdict};
 use saffronpaddle_policy::interface::{
-    Action, CellId, ClassId, CustomerId, Event as ModuleEvent, GatewayId, Micros, Outcome, PlanId,
-    RequestId, ServerEntry, ServerId, Standing, ZoneId,
+    Action, ClassId, CustomerId, DeduplicationDomainId, Endpoint, EndpointStatus,
+    Event as ModuleEvent, Micros, NodeId, Outcome, PlanId, RequestId, ServerId, ZoneId,
 };
-use saffronpaddle_policy::setup::{self, Named};
-use saffronpaddle_policy::Gateway;
+use saffronpaddle_policy::setup::{self, NamedSettings};
+use saffronpaddle_policy::PolicyEngine;
 use saffronpaddle_test_doubles::ledger::{self, Answer, Asked, Ledger, Repeats, Unanswered};
 use saffronpaddle_test_doubles::settings::Fleet;
 use std::cmp::Reverse;
@@ -76,7 +76,7 @@
     pub course: u64,
 }
 
-type Core = Exchange<u32, Gateway, Option<Bug>>;
+type Core = Exchange<u32, PolicyEngine, Option<Bug>>;
 
 struct Node {
     core: Core,
@@ -140,17 +140,17 @@
     Closes(usize, u32, LinkId),
     Rings(usize, u32, Micros),
     Wakes(usize, u32, u64),
-    Hears(usize, GatewayId, Vec<u8>),
+    Hears(usize, NodeId, Vec<u8>),
     Mood(usize),
     Turns(usize),
-    Told(usize, u32, usize, ServerEntry, u32),
+    Told(usize, u32, usize, Endpoint, u32),
     Kill(usize),
 }
 
 struct Sim {
     play: Play,
     fleet: Fleet,
-    named: Vec<Named>,
+    named: Vec<NamedSettings>,
     random: fastrand::Rng,
     now: Micros,
     queue: BinaryHeap<Reverse<(Micros, u64)>>,
@@ -181,7 +181,7 @@
     fn new(play: Play) -> Result<Sim> {
         let fleet = Fleet::usual(play.nodes);
         let read = |me| setup::read(&fleet.settings(me).to_string()).map_err(anyhow::Error::msg);
-        let named: Vec<Named> = (0..play.nodes).map(read).collect::<Result<_>>()?;
+        let named: Vec<NamedSettings> = (0..play.nodes).map(read).collect::<Result<_>>()?;
         let mut sim = Sim {
             random: fastrand::Rng::with_seed(play.seed),
             now: START,
@@ -231,8 +231,9 @@
 
     fn core(&self, at: usize) -> Result<Core> {
         let named = &self.named[at];
-        let gateway = Gateway::new(self.play.seed ^ at as u64, named.settings.clone(), self.now)?;
-        let bounds = Bounds::usual(LINKS, named.conn_idle, named.connect_timeout);
+        let gateway =
+            PolicyEngine::new(self.play.seed ^ at as u64, named.settings.clone(), self.now)?;
+        let bounds = Bounds::usual(LINKS, named.server_idle_timeout, named.connect_timeout);
         Ok(Exchange::with_bugs(bounds, gateway, self.play.bug))
     }
 
@@ -305,19 +306,19 @@
         }
     }
 
-    fn entry(&self, at: usize) -> (ServerEntry, u32) {
+    fn entry(&self, at: usize) -> (Endpoint, u32) {
         let server = &self.servers[at];
-        let entry = ServerEntry {
+        let entry = Endpoint {
             server: ServerId(at as u64),
             zone: ZoneId(server.zone),
-            cell: CellId(server.cell),
-            standing: if server.ready {
-                Standing::Ready
+            domain: DeduplicationDomainId(server.cell),
+            status: if server.ready {
+                EndpointStatus::Ready
             } else {
-                Standing::Draining
+                EndpointStatus::Draining
             },
             size: 1.0,
-            started: server.started,
+            started_at: server.started,
         };
         (entry, server.dial)
     }
@@ -425,11 +426,15 @@
             }
             Comes::Wakes(at, life, token) => {
                 if self.alive(at, life) {
-                    self.happened(at, Event::Tell(ModuleEvent::Woke { token }), None);
+                    self.happened(at, Event::Tell(ModuleEvent::TimerFired { token }), None);
                 }
             }
             Comes::Hears(at, from, bytes) => {
-                self.happened(at, Event::Tell(ModuleEvent::Peer { from, bytes }), None);
+                self.happened(
+                    at,
+                    Event::Tell(ModuleEvent::PeerMessage { from, bytes }),
+                    None,
+                );
             }
             Comes::Mood(at) => {
                 let moods = [
@@ -454,7 +459,7 @@
             Comes::Turns(at) => self.turns(at),
             Comes::Told(at, life, server, entry, dial) => {
                 if self.alive(at, life) {
-                    let ready = entry.standing == Standing::Ready;
+                    let ready = entry.status == EndpointStatus::Ready;
                     let name = self.servers[server].name.clone();
                     self.ledger.told(self.since(), at, &name, ready);
                     self.happened(
@@ -506,17 +511,17 @@
         };
         self.ledger.asked(self.since(), asked);
         let patience = deadline.as_micros() as Micros - DELIVERY;
-        let effect = self.named[at].settings.classes[class].effect;
-        let tell = ModuleEvent::Request {
+        let effect = self.named[at].settings.classes[class].idempotency;
+        let tell = ModuleEvent::RequestArrived {
             id: id.clone(),
             class: ClassId(class),
             plan: PlanId(plan),
             customer: CustomerId(customer),
             units: 1.0,
-            first: GatewayId(first),
+            first: NodeId(first),
             spread,
-            patience,
-            whole: true,
+            timeout: patience,
+            complete: true,
         };
         let ticket = self.nodes[at].core.next_ticket();
         self.nodes[at].waits.insert(id.clone(), ticket);
@@ -640,7 +645,7 @@
         }
         match mood {
             Mood::Silent => {}
-            Mood::Full => self.later(300, Comes::Done(at, life, link, turn, Outcome::Full)),
+            Mood::Full => self.later(300, Comes::Done(at, life, link, turn, Outcome::Rejected)),
             Mood::Resets => self.later(500, Comes::Breaks(at, life, link, turn)),
             Mood::Fine | Mood::Errs | Mood::Refuses => {
                 let lanes = &mut self.servers[at_server].busy_until;
@@ -795,21 +800,21 @@
     }
 
     fn acts(&mut self, at: usize, life: u32, action: Action) {
-        let from = GatewayId(at as u32);
+        let from = NodeId(at as u32);
         match action {
-            Action::Wake { after, token } => self.later(after, Comes::Wakes(at, life, token)),
-            Action::TellAll { bytes } => {
+            Action::SetTimer { after, token } => self.later(after, Comes::Wakes(at, life, token)),
+            Action::Broadcast { bytes } => {
                 for to in (0..self.nodes.len()).filter(|to| *to != at) {
                     self.datagram(from, to, bytes.clone());
                 }
             }
-            Action::Tell { to, bytes } => self.datagram(from, to.0 as usize, bytes),
+            Action::SendToPeer { to, bytes } => self.datagram(from, to.0 as usize, bytes),
             _ => {}
         }
     }
 
     /// Some are lost, some come twice, none in order.
-    fn datagram(&mut self, from: GatewayId, to: usize, bytes: Vec<u8>) {
+    fn datagram(&mut self, from: NodeId, to: usize, bytes: Vec<u8>) {
         let copies = match self.random.u8(..50) {
             0 => 0,
             1 => 2,
--- a/crates/model-checker/src/setups.rs
+++ b/crates/model-checker/src/setups.rs
@@ -3,14 +3,14 @@
 use crate::world::{class, Change, Copies, Real, Setup};
 use saffronpaddle_exchange::Bounds;
 use saffronpaddle_policy::interface::{
-    Allowed, Ceiling, Class, Discovery, Effect, GatewayId, Group, Micros, Plan, Rules, Settings,
-    ZoneId,
+    Class, DeduplicationScope, DiscoveryMode, HardLimit, Idempotency, Micros, NodeId, Permissions,
+    Plan, Settings, SlowStartRules, ZoneId,
 };
-use saffronpaddle_policy::Gateway;
+use saffronpaddle_policy::PolicyEngine;
 
 /// Keyed, dropped in the cell of the first attempt for two steps.
-const KEYED: Effect = Effect::Keyed {
-    group: Group::Cell,
+const KEYED: Idempotency = Idempotency::WithKey {
+    scope: DeduplicationScope::Domain,
     window: 2,
 };
 
@@ -32,7 +32,7 @@
     Setup {
         name,
         about,
-        requests: vec![Effect::Safe],
+        requests: vec![Idempotency::Idempotent],
         one_id: false,
         servers: vec![(0, 0), (0, 1)],
         changes: Vec::new(),
@@ -69,7 +69,7 @@
             ..base("one-keyed", "one keyed request, two attempts, all faults, a module that does anything")
         },
         Setup {
-            requests: vec![Effect::Unsafe],
+            requests: vec![Idempotency::NonIdempotent],
             faults: true,
             leave: true,
             wild: true,
@@ -93,7 +93,7 @@
             ..base("window", "three attempts of a keyed request within and past its window")
         },
         Setup {
-            requests: vec![Effect::Safe, Effect::Safe],
+            requests: vec![Idempotency::Idempotent, Idempotency::Idempotent],
             sends: 1,
             servers: vec![(0, 0)],
             copies: Copies::Prompt,
@@ -102,7 +102,7 @@
             ..base("copies", "two requests on one server that says answers twice, right behind one another")
         },
         Setup {
-            requests: vec![Effect::Safe, Effect::Safe],
+            requests: vec![Idempotency::Idempotent, Idempotency::Idempotent],
             sends: 1,
             servers: vec![(0, 0)],
             copies: Copies::Late,
@@ -113,7 +113,7 @@
             ..base("echoed", "a server that says answers twice at any time, and says whose they are")
         },
         Setup {
-            requests: vec![Effect::Safe, Effect::Safe],
+            requests: vec![Idempotency::Idempotent, Idempotency::Idempotent],
             one_id: true,
             sends: 1,
             servers: vec![(0, 0)],
@@ -123,7 +123,7 @@
             ..base("one-id", "two requests of one id, one after the other")
         },
         Setup {
-            requests: vec![Effect::Safe, Effect::Safe],
+            requests: vec![Idempotency::Idempotent, Idempotency::Idempotent],
             sends: 1,
             bounds: bounds(1),
             faults: true,
@@ -133,7 +133,7 @@
             ..base("one-wire", "two requests, two servers and room for one connection")
         },
         Setup {
-            requests: vec![Effect::Safe],
+            requests: vec![Idempotency::Idempotent],
             sends: 2,
             stop: true,
             verdicts: false,
@@ -143,7 +143,7 @@
             ..base("stop", "the node is told to leave at any time, between two attempts too")
         },
         Setup {
-            requests: vec![Effect::Unsafe, Effect::Safe],
+            requests: vec![Idempotency::NonIdempotent, Idempotency::Idempotent],
             sends: 1,
             servers: vec![(0, 0)],
             verdicts: false,
@@ -164,7 +164,7 @@
             ..base("upgrade", "an upgrade, whose connection leaves the exchange; a drain, a stop, all faults")
         },
         Setup {
-            requests: vec![Effect::Unsafe],
+            requests: vec![Idempotency::NonIdempotent],
             coming: true,
             changes: vec![Change::Drains(0)],
             faults: true,
@@ -219,7 +219,7 @@
             )
         },
         Setup {
-            requests: vec![KEYED, Effect::Safe],
+            requests: vec![KEYED, Idempotency::Idempotent],
             sends: 2,
             horizon: 3,
             changes: vec![Change::Drains(0)],
@@ -229,7 +229,7 @@
             )
         },
         Setup {
-            requests: vec![Effect::Unsafe, Effect::Safe],
+            requests: vec![Idempotency::NonIdempotent, Idempotency::Idempotent],
             sends: 1,
             faults: true,
             leave: true,
@@ -246,7 +246,7 @@
 /// The known gap: without an id in answers, a second copy that comes late passes for the next answer.
 pub fn late_copies() -> Setup {
     Setup {
-        requests: vec![Effect::Safe, Effect::Safe],
+        requests: vec![Idempotency::Idempotent, Idempotency::Idempotent],
         sends: 1,
         servers: vec![(0, 0)],
         copies: Copies::Late,
@@ -261,11 +261,11 @@
 }
 
 /// A world with the decision module itself inside: its clock has steps of 50 ms.
-pub fn real(effect: Effect) -> Setup {
+pub fn real(effect: Idempotency) -> Setup {
     let ms = 1000;
     let effect = match effect {
-        Effect::Keyed { group, .. } => Effect::Keyed {
-            group,
+        Idempotency::WithKey { scope: group, .. } => Idempotency::WithKey {
+            scope: group,
             window: 2_000 * ms,
         },
         other => other,
@@ -303,75 +303,83 @@
 /// The settings make no sense to the module.
 pub fn module(setup: &Setup) -> anyhow::Result<Real> {
     let class = |effect| Class {
-        aim: 100_000,
+        latency_objective: 100_000,
         late_value: 0.5,
-        worth: 1.0,
-        effect,
+        priority_weight: 1.0,
+        idempotency: effect,
     };
     let window: Micros = 2_000_000;
     let group = setup.requests.iter().find_map(|effect| match effect {
-        Effect::Keyed { group, .. } => Some(*group),
+        Idempotency::WithKey { scope: group, .. } => Some(*group),
         _ => None,
     });
-    let keyed = Effect::Keyed {
-        group: group.unwrap_or(Group::Cell),
+    let keyed = Idempotency::WithKey {
+        scope: group.unwrap_or(DeduplicationScope::Domain),
         window,
     };
     let settings = Settings {
-        me: GatewayId(0),
-        gateways: 1,
+        node: NodeId(0),
+        node_count: 1,
         zone: ZoneId(0),
-        classes: vec![class(Effect::Safe), class(keyed), class(Effect::Unsafe)],
+        classes: vec![
+            class(Idempotency::Idempotent),
+            class(keyed),
+            class(Idempotency::NonIdempotent),
+        ],
         plans: vec![Plan {
             rate: 100.0,
             burst: 100.0,
-            at_once: None,
-            price: 1.0,
-            over_worth: 0.0,
-            over_cost: 0.0,
-            ceiling: Some(Ceiling {
+            max_in_flight: None,
+            priority_weight: 1.0,
+            over_quota_value: 0.0,
+            over_quota_cost: 0.0,
+            hard_limit: Some(HardLimit {
                 rate: 200.0,
-                depth: 200.0,
+                capacity: 200.0,
             }),
         }],
-        rules: Rules {
-            cold_from: 0.1,
-            cold_for: 1_000_000,
-            fall_multiple: 2.0,
-            fall_window: 1_000_000,
+        slow_start: SlowStartRules {
+            initial_capacity: 0.1,
+            warm_up_period: 1_000_000,
+            overload_multiple: 2.0,
+            overload_window: 1_000_000,
         },
-        allowed: Allowed {
-            attempts: 3,
-            cancel: true,
-            messages: false,
+        permissions: Permissions {
+            max_attempts: 3,
+            cancellation: true,
+            peer_messages: false,
         },
-        cross_zone: 0.0,
-        discovery: Discovery::Pushed,
-        period: 1_000,
+        cross_zone_cost: 0.0,
+        discovery: DiscoveryMode::Pushed,
+        event_interval: 1_000,
         peer_messages_per_s: 0.0,
-        most_units: 1.0,
-        conn_idle: 15_000_000,
-        fenced: false,
-        spare_words: false,
-        working_set: false,
+        max_request_units: 1.0,
+        server_idle_timeout: 15_000_000,
+        partition_safe: false,
+        retransmission_budget: false,
+        subsetting: false,
     };
-    Ok(Real(Gateway::new(1, settings, 1_000_000)?))
+    Ok(Real(PolicyEngine::new(1, settings, 1_000_000)?))
 }
 
 /// A world far beyond those that can be visited whole, a little different for each seed: a dozen requests of all effects,
 /// six servers, a list that keeps changing.
 pub fn wide(seed: u64) -> Setup {
     let mut random = fastrand::Rng::with_seed(seed ^ 0x5eed);
-    let groups = [Group::All, Group::Zone, Group::Cell];
+    let groups = [
+        DeduplicationScope::All,
+        DeduplicationScope::Zone,
+        DeduplicationScope::Domain,
+    ];
     let mut effect = || match random.u8(..3) {
-        0 => Effect::Safe,
-        1 => Effect::Unsafe,
-        at => Effect::Keyed {
-            group: groups[usize::from(at) + random.usize(..3) - 2],
+        0 => Idempotency::Idempotent,
+        1 => Idempotency::NonIdempotent,
+        at => Idempotency::WithKey {
+            scope: groups[usize::from(at) + random.usize(..3) - 2],
             window: random.u64(1..12),
         },
     };
-    let requests: Vec<Effect> = (0..12).map(|_| effect()).collect();
+    let requests: Vec<Idempotency> = (0..12).map(|_| effect()).collect();
     let mut standing = [true; 6];
     let change = |_| {
         let at = random.usize(..6);
--- a/crates/model-checker/src/world.rs
+++ b/crates/model-checker/src/world.rs
@@ -5,8 +5,9 @@
     Bounds, Bug, Command, Event, Exchange, LinkId, Module, Ticket, Verdict,
 };
 use saffronpaddle_policy::interface::{
-    Action as ModuleAction, AttemptNo, CellId, ClassId, CustomerId, Effect, Event as ModuleEvent,
-    GatewayId, Group, Micros, Outcome, PlanId, RequestId, ServerEntry, ServerId, Standing, ZoneId,
+    Action as ModuleAction, AttemptNumber, ClassId, CustomerId, DeduplicationDomainId,
+    DeduplicationScope, Endpoint, EndpointStatus, Event as ModuleEvent, Idempotency, Micros,
+    NodeId, Outcome, PlanId, RequestId, ServerId, ZoneId,
 };
 use std::collections::BTreeMap;
 use std::fmt;
@@ -36,7 +37,7 @@
 
 /// The decision module itself.
 #[derive(Clone)]
-pub struct Real(pub saffronpaddle_policy::Gateway);
+pub struct Real(pub saffronpaddle_policy::PolicyEngine);
 
 impl Inside for Real {
     fn handle(&mut self, now: Micros, event: ModuleEvent, actions: &mut Vec<ModuleAction>) {
@@ -100,7 +101,7 @@
     /// What it is for.
     pub about: &'static str,
     /// The requests' effects; all are of one customer.
-    pub requests: Vec<Effect>,
+    pub requests: Vec<Idempotency>,
     /// All requests bear one id, one after the other.
     pub one_id: bool,
     /// The servers.
@@ -227,7 +228,7 @@
         match self {
             Reply::Ok | Reply::Upgrade | Reply::Long => Outcome::Ok,
             Reply::Error => Outcome::Error,
-            Reply::Full => Outcome::Full,
+            Reply::Full => Outcome::Rejected,
         }
     }
 }
@@ -601,7 +602,7 @@
                 self.wakes = later;
                 let due: Vec<(Micros, u64)> = due;
                 for (_, token) in due {
-                    let woke = Event::Tell(ModuleEvent::Woke { token });
+                    let woke = Event::Tell(ModuleEvent::TimerFired { token });
                     self.exchange.handle(now, woke, &mut commands);
                 }
                 return self.carry_out(setup, commands, None);
@@ -614,16 +615,16 @@
                 let at = usize::from(r);
                 let patience = setup.patience * setup.step;
                 self.clients[at].asked = Some(now);
-                let tell = ModuleEvent::Request {
+                let tell = ModuleEvent::RequestArrived {
                     id: id(setup, r),
                     class: ClassId(class(setup.requests[at])),
                     plan: PlanId(0),
                     customer: CustomerId(7),
                     units: 1.0,
-                    first: GatewayId(0),
+                    first: NodeId(0),
                     spread: 1,
-                    patience,
-                    whole: !setup.coming,
+                    timeout: patience,
+                    complete: !setup.coming,
                 };
                 Event::Asked {
                     effect: setup.requests[at],
@@ -684,16 +685,16 @@
                     ModuleAction::Send {
                         id,
                         server,
-                        time_out,
+                        timeout: time_out,
                     },
                 );
             }
             Step::Refuses(r) => {
                 return self.acts(
                     setup,
-                    ModuleAction::Refuse {
+                    ModuleAction::Reject {
                         id: id(setup, r),
-                        retry_in: None,
+                        retry_after: None,
                     },
                 );
             }
@@ -705,7 +706,7 @@
                     setup,
                     ModuleAction::Cancel {
                         id: id(setup, r),
-                        attempt: AttemptNo(last),
+                        attempt: AttemptNumber(last),
                     },
                 );
             }
@@ -908,7 +909,7 @@
         let mut commands = Vec::new();
         self.exchange.module_mut().asked.push(action.clone());
         let now = self.now(setup);
-        self.refuses = matches!(action, ModuleAction::Refuse { .. });
+        self.refuses = matches!(action, ModuleAction::Reject { .. });
         self.exchange.act(now, action, &mut commands);
         let done = self.carry_out(setup, commands, None);
         self.refuses = false;
@@ -1053,7 +1054,7 @@
                         );
                     }
                 }
-                Command::Module(ModuleAction::Wake { after, token }) => {
+                Command::Module(ModuleAction::SetTimer { after, token }) => {
                     self.wakes.push((now + after, token));
                     self.wakes.sort_unstable();
                 }
@@ -1104,11 +1105,11 @@
         }
         for event in told {
             match event {
-                ModuleEvent::Ended {
+                ModuleEvent::AttemptEnded {
                     id,
                     attempt,
                     outcome,
-                    closed,
+                    request_closed: closed,
                 } => {
                     self.notes.push(format!(
                         "module hears: attempt {} ended, {outcome:?}, closed {closed}",
@@ -1133,7 +1134,7 @@
                         );
                     }
                 }
-                ModuleEvent::Abandoned { .. } => {
+                ModuleEvent::RequestAbandoned { .. } => {
                     self.notes.push("module hears: abandoned".to_owned());
                 }
                 _ => {}
@@ -1188,13 +1189,16 @@
                 setup.servers[usize::from(server)],
             );
             let may = match setup.requests[usize::from(r)] {
-                Effect::Safe => true,
-                Effect::Unsafe => false,
-                Effect::Keyed { group, window } => {
+                Idempotency::Idempotent => true,
+                Idempotency::NonIdempotent => false,
+                Idempotency::WithKey {
+                    scope: group,
+                    window,
+                } => {
                     let inside = match group {
-                        Group::All => true,
-                        Group::Zone => old.0 == new.0,
-                        Group::Cell => old.1 == new.1,
+                        DeduplicationScope::All => true,
+                        DeduplicationScope::Zone => old.0 == new.0,
+                        DeduplicationScope::Domain => old.1 == new.1,
                     };
                     inside && now <= at + window
                 }
@@ -1326,12 +1330,12 @@
     }
 }
 
-fn refusable(effect: Effect) -> bool {
+fn refusable(effect: Idempotency) -> bool {
     matches!(
         effect,
-        Effect::Safe
-            | Effect::Keyed {
-                group: Group::All,
+        Idempotency::Idempotent
+            | Idempotency::WithKey {
+                scope: DeduplicationScope::All,
                 ..
             }
     )
@@ -1346,26 +1350,26 @@
 }
 
 /// The place of an effect among the classes that the real module is given.
-pub(crate) fn class(effect: Effect) -> usize {
+pub(crate) fn class(effect: Idempotency) -> usize {
     match effect {
-        Effect::Safe => 0,
-        Effect::Keyed { .. } => 1,
-        Effect::Unsafe => 2,
+        Idempotency::Idempotent => 0,
+        Idempotency::WithKey { .. } => 1,
+        Idempotency::NonIdempotent => 2,
     }
 }
 
-fn entry(setup: &Setup, at: usize, ready: bool) -> ServerEntry {
+fn entry(setup: &Setup, at: usize, ready: bool) -> Endpoint {
     let (zone, cell) = setup.servers[at];
-    ServerEntry {
+    Endpoint {
         server: ServerId(at as u64),
         zone: ZoneId(zone),
-        cell: CellId(cell),
-        standing: if ready {
-            Standing::Ready
+        domain: DeduplicationDomainId(cell),
+        status: if ready {
+            EndpointStatus::Ready
         } else {
-            Standing::Draining
+            EndpointStatus::Draining
         },
         size: 1.0,
-        started: None,
+        started_at: None,
     }
 }
--- a/crates/model-checker/tests/explored.rs
+++ b/crates/model-checker/tests/explored.rs
@@ -7,7 +7,7 @@
 use saffronpaddle_model_checker::search::{search, Limits};
 use saffronpaddle_model_checker::world::{Anything, Step};
 use saffronpaddle_model_checker::{chart, planted, setups, walk};
-use saffronpaddle_policy::interface::{Effect, Group};
+use saffronpaddle_policy::interface::{DeduplicationScope, Idempotency};
 
 const THREADS: usize = 4;
 /// No world of CI is as small as this: one that is has lost its events.
@@ -77,11 +77,11 @@
 
 #[test]
 fn the_decision_module_itself_is_visited_to_a_depth() {
-    let keyed = Effect::Keyed {
-        group: Group::Cell,
+    let keyed = Idempotency::WithKey {
+        scope: DeduplicationScope::Domain,
         window: 0,
     };
-    for effect in [Effect::Safe, keyed, Effect::Unsafe] {
+    for effect in [Idempotency::Idempotent, keyed, Idempotency::NonIdempotent] {
         let setup = setups::real(effect);
         let module = setups::module(&setup).expect("settings that make sense");
         let found = search(
--- a/crates/node/src/clients/request.rs
+++ b/crates/node/src/clients/request.rs
@@ -6,9 +6,9 @@
 use hyper::header::HeaderMap;
 use hyper::{Method, StatusCode};
 use saffronpaddle_policy::interface::{
-    ClassId, CustomerId, Effect, Event, GatewayId, PlanId, RequestId, Settings,
+    ClassId, CustomerId, Event, Idempotency, NodeId, PlanId, RequestId, Settings,
 };
-use saffronpaddle_policy::setup::Named;
+use saffronpaddle_policy::setup::NamedSettings;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -24,7 +24,7 @@
     pub customer: CustomerId,
     pub terms: Terms,
     pub patience: Duration,
-    pub effect: Effect,
+    pub effect: Idempotency,
 }
 
 /// Why a request is turned away before it is taken.
@@ -36,7 +36,7 @@
 }
 
 /// The class that a request's head names.
-pub(super) fn class_of(named: &Named, headers: &HeaderMap) -> Option<ClassId> {
+pub(super) fn class_of(named: &NamedSettings, headers: &HeaderMap) -> Option<ClassId> {
     let class = text(headers, "x-class")?;
     named
         .classes
@@ -48,7 +48,7 @@
 /// Reads the head of a client's request. Nothing has been touched by then: what is wrong with it is told, and that
 /// is all.
 pub(super) fn read(
-    named: &Named,
+    named: &NamedSettings,
     head: &hyper::http::request::Parts,
 ) -> Result<RequestHead, Rejected> {
     let bad = |reason| Rejected {
@@ -88,11 +88,13 @@
     let patience = patience.ok_or(bad("X-Deadline: missing or bad\n"))?;
     let terms = text(headers, "x-call-terms").and_then(|text| Terms::read(text, &named.settings));
     let terms = terms.ok_or(bad("X-Call-Terms: missing or bad\n"))?;
-    let effect = named.settings.classes[number].effect;
+    let effect = named.settings.classes[number].idempotency;
     match (effect, &head.method) {
-        (Effect::Safe, &Method::GET) | (Effect::Unsafe, &Method::POST) => {}
-        (Effect::Keyed { .. }, &Method::POST) if headers.contains_key(KEY) => {}
-        (Effect::Keyed { .. }, &Method::POST) => return Err(bad("Idempotency-Key: missing\n")),
+        (Idempotency::Idempotent, &Method::GET) | (Idempotency::NonIdempotent, &Method::POST) => {}
+        (Idempotency::WithKey { .. }, &Method::POST) if headers.contains_key(KEY) => {}
+        (Idempotency::WithKey { .. }, &Method::POST) => {
+            return Err(bad("Idempotency-Key: missing\n"))
+        }
         _ => return Err(bad("this class takes another method\n")),
     }
     Ok(RequestHead {
@@ -123,7 +125,7 @@
     ) -> (Event, Forward) {
         let patience = self.patience.saturating_sub(DELIVERY);
         let deadline = Instant::now() + patience;
-        let event = Event::Request {
+        let event = Event::RequestArrived {
             id: self.id.clone(),
             class: self.class,
             plan: self.plan,
@@ -131,8 +133,8 @@
             units: self.terms.units,
             first: self.terms.first,
             spread: self.terms.spread,
-            patience: patience.as_micros() as u64,
-            whole: true,
+            timeout: patience.as_micros() as u64,
+            complete: true,
         };
         let target = head
             .uri
@@ -209,7 +211,7 @@
 pub(super) struct Terms {
     pub units: f64,
     pub spread: u32,
-    pub first: GatewayId,
+    pub first: NodeId,
 }
 
 impl Terms {
@@ -223,8 +225,8 @@
                 .all(|byte| byte.is_ascii_digit())
                 .then(|| value.parse().ok())?
         };
-        let most = if settings.most_units > 0.0 {
-            settings.most_units
+        let most = if settings.max_request_units > 0.0 {
+            settings.max_request_units
         } else {
             f64::MAX
         };
@@ -235,11 +237,11 @@
                     .replace(number(value).filter(|units| *units > 0.0 && *units <= most)?)
                     .is_some(),
                 "spread" => {
-                    let fits = |spread: &u32| (1..=settings.gateways).contains(spread);
+                    let fits = |spread: &u32| (1..=settings.node_count).contains(spread);
                     spread.replace(whole(value).filter(fits)?).is_some()
                 }
                 "first" => first
-                    .replace(whole(value).filter(|first| *first < settings.gateways)?)
+                    .replace(whole(value).filter(|first| *first < settings.node_count)?)
                     .is_some(),
                 _ => false,
             };
@@ -250,7 +252,7 @@
         Some(Terms {
             units: units?,
             spread: spread?,
-            first: GatewayId(first?),
+            first: NodeId(first?),
         })
     }
 }
--- a/crates/node/src/clients/respond.rs
+++ b/crates/node/src/clients/respond.rs
@@ -19,7 +19,7 @@
 use hyper_util::rt::TokioIo;
 use saffronpaddle_admin::End;
 use saffronpaddle_exchange::Ticket;
-use saffronpaddle_policy::interface::{Effect, Event, RequestId};
+use saffronpaddle_policy::interface::{Event, Idempotency, RequestId};
 use saffronpaddle_websocket::upgrade::{self, Offer};
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -97,7 +97,7 @@
         Some(Err((first, rest))) => (Bytes::new(), Some((first, rest))),
         None => return turned_away(StatusCode::BAD_REQUEST, "the body did not come whole\n"),
     };
-    if asked.effect == Effect::Safe && (pipe.is_some() || !body.is_empty()) {
+    if asked.effect == Idempotency::Idempotent && (pipe.is_some() || !body.is_empty()) {
         return turned_away(StatusCode::BAD_REQUEST, "this class takes no body\n");
     }
     // The time of one whose body goes by has not begun.
@@ -120,8 +120,10 @@
         // Its client's time begins with its last byte.
         forward.body = Going::Coming(Rc::clone(pipe));
         forward.deadline = Instant::now() + COMING_WITHIN;
-        if let Event::Request {
-            patience, whole, ..
+        if let Event::RequestArrived {
+            timeout: patience,
+            complete: whole,
+            ..
         } = &mut event
         {
             (*patience, *whole) = (COMING_WITHIN.as_micros() as u64, false);
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -2,7 +2,7 @@
 
 use anyhow::{ensure, Context, Result};
 use saffronpaddle_endpoints::{Entry, Standing};
-use saffronpaddle_policy::setup::{self, Named};
+use saffronpaddle_policy::setup::{self, NamedSettings};
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
@@ -25,7 +25,7 @@
     pub peers: Option<PeerAddresses>,
     /// The list of app servers as it was last held. It may be old.
     pub known: Option<List>,
-    pub named: Named,
+    pub named: NamedSettings,
 }
 
 /// Where datagrams arrive and go. Peers stand in the order of their numbers, this node among them.
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -13,7 +13,7 @@
 use hyper_util::rt::TokioIo;
 use saffronpaddle_endpoints::{Doubt, Objects, Pace, Terms};
 use saffronpaddle_netio::{is_quiet, Socket};
-use saffronpaddle_policy::interface::Discovery;
+use saffronpaddle_policy::interface::DiscoveryMode;
 use std::cell::{Cell, RefCell};
 use std::future::{pending, poll_fn, Future};
 use std::net::SocketAddr;
@@ -169,7 +169,7 @@
     known: Option<List>,
     terms: Option<Terms>,
 ) {
-    let place = (node.named.settings.me.0, node.named.settings.gateways);
+    let place = (node.named.settings.node.0, node.named.settings.node_count);
     let born = Instant::now();
     let follower = || Follower {
         node: Rc::clone(&node),
@@ -234,8 +234,8 @@
 
 /// Follows the list at one address, until that was left and its watch has ended.
 async fn stay(mut follower: Follower, address: SocketAddr) {
-    let nodes = follower.node.named.settings.gateways;
-    let pushed = follower.node.named.settings.discovery == Discovery::Pushed;
+    let nodes = follower.node.named.settings.node_count;
+    let pushed = follower.node.named.settings.discovery == DiscoveryMode::Pushed;
     let mut pace = match &follower.terms {
         Some(terms) => Pace::within(nodes, terms),
         // Where lists are pushed the address is the agent of this machine.
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -6,7 +6,7 @@
     read, write, Do, Family, LinkNo, Role, State, Word, LINE_MOST, VERSION,
 };
 use saffronpaddle_netio::Uninterrupted;
-use saffronpaddle_policy::interface::{Event as ModuleEvent, GatewayId, Twin};
+use saffronpaddle_policy::interface::{Event as ModuleEvent, NodeId, SiblingMessage};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::io;
@@ -74,12 +74,12 @@
     }
 
     /// Tells the other processes of an attempt.
-    pub fn tell_twin(&self, twin: Twin) {
+    pub fn tell_twin(&self, twin: SiblingMessage) {
         self.tell(&Word::Twin(twin), None);
     }
 
     /// Passes a peer's datagram on to who gets none any more.
-    pub fn pass_on(&self, from: GatewayId, bytes: &[u8]) {
+    pub fn pass_on(&self, from: NodeId, bytes: &[u8]) {
         if self.family.borrow().is_shared() {
             self.tell(
                 &Word::Peer {
@@ -335,7 +335,10 @@
                 }
                 Do::Twin(twin) => {
                     node.links.tell(&Word::Twin(twin.clone()), Some(no));
-                    node.post(ModuleEvent::Twin { link: no.0, twin });
+                    node.post(ModuleEvent::SiblingMessage {
+                        link: no.0,
+                        message: twin,
+                    });
                 }
                 Do::Peer(from, bytes) => {
                     node.links.tell(
@@ -374,10 +377,10 @@
         let family = node.links.family.borrow();
         (family.is_shared(), family.succeeded())
     };
-    node.post(ModuleEvent::Twins {
-        ended: ended.map(|no| no.0),
-        shared,
-        hushed,
+    node.post(ModuleEvent::SiblingsChanged {
+        ended_link: ended.map(|no| no.0),
+        share_attempts: shared,
+        peer_messages_delegated: hushed,
     });
     node.share_out();
     node.links.succeeded.send_replace(hushed);
--- a/crates/node/src/listed.rs
+++ b/crates/node/src/listed.rs
@@ -1,7 +1,9 @@
 //! What the decision module and the exchange are told of an app server on the list.
 
 use saffronpaddle_endpoints::Entry;
-use saffronpaddle_policy::interface::{CellId, ServerEntry, ServerId, Standing, ZoneId};
+use saffronpaddle_policy::interface::{
+    DeduplicationDomainId, Endpoint, EndpointStatus, ServerId, ZoneId,
+};
 use std::net::SocketAddr;
 
 /// A server's id, the same at every edge node: FNV-1a of its name.
@@ -12,19 +14,19 @@
 
 /// An entry of the list, and where its server is found. `zones` are the names that the settings have, in their order; a zone
 /// that is not among them is none of them.
-pub fn server_entry(entry: &Entry, zones: &[String]) -> (ServerEntry, SocketAddr) {
+pub fn server_entry(entry: &Entry, zones: &[String]) -> (Endpoint, SocketAddr) {
     let zone = zones.iter().position(|zone| **zone == *entry.site);
-    let server = ServerEntry {
+    let server = Endpoint {
         server: server_id(&entry.host),
         zone: ZoneId(zone.map_or(u32::MAX, |place| place as u32)),
-        cell: CellId(entry.block),
-        standing: match entry.standing {
-            saffronpaddle_endpoints::Standing::Ready => Standing::Ready,
-            saffronpaddle_endpoints::Standing::Draining => Standing::Draining,
-            saffronpaddle_endpoints::Standing::Gone => Standing::Gone,
+        domain: DeduplicationDomainId(entry.block),
+        status: match entry.standing {
+            saffronpaddle_endpoints::Standing::Ready => EndpointStatus::Ready,
+            saffronpaddle_endpoints::Standing::Draining => EndpointStatus::Draining,
+            saffronpaddle_endpoints::Standing::Gone => EndpointStatus::Removed,
         },
         size: entry.share,
-        started: (entry.born_ms > 0).then_some(entry.born_ms.saturating_mul(1000)),
+        started_at: (entry.born_ms > 0).then_some(entry.born_ms.saturating_mul(1000)),
     };
     (server, entry.dial)
 }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -19,10 +19,10 @@
     Bounds, Command, Event, Exchange, Invariant, OpenRequest, Ticket, Verdict, Violation,
 };
 use saffronpaddle_policy::interface::{
-    Action, ClassId, Event as ModuleEvent, GatewayId, Micros, RequestId, ServerEntry, Standing,
+    Action, ClassId, Endpoint, EndpointStatus, Event as ModuleEvent, Micros, NodeId, RequestId,
 };
-use saffronpaddle_policy::setup::Named;
-use saffronpaddle_policy::{Gateway, Kept};
+use saffronpaddle_policy::setup::NamedSettings;
+use saffronpaddle_policy::{PolicyEngine, StateSnapshot};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -101,7 +101,7 @@
 }
 
 pub struct Node {
-    pub named: Named,
+    pub named: NamedSettings,
     pub upstream: Upstream,
     pub peers: Option<Peers>,
     /// Other processes of this node.
@@ -115,7 +115,7 @@
     /// Which of this process's nodes it is.
     number: u64,
     clock: Clock,
-    exchange: RefCell<Exchange<SocketAddr, Gateway>>,
+    exchange: RefCell<Exchange<SocketAddr, PolicyEngine>>,
     /// Whose answer goes where.
     requests: RefCell<HashMap<RequestId, Pending>>,
     alarm: Alarm,
@@ -128,7 +128,7 @@
     /// The list as discovery last told it, for this process's heir.
     told: RefCell<(u64, BTreeMap<String, Host>)>,
     /// Peers that were heard in this life, by their numbers.
-    peers_heard: RefCell<BTreeSet<GatewayId>>,
+    peers_heard: RefCell<BTreeSet<NodeId>>,
     /// The process was told to stop, and answers all that it has by then.
     answer_by: Cell<Option<Instant>>,
 }
@@ -137,12 +137,12 @@
     /// A node that may have so many connections to app servers open.
     pub fn new(
         seed: u64,
-        named: Named,
+        named: NamedSettings,
         upstream: Upstream,
         bounds: (usize, Links),
         peers: Option<Peers>,
         sockets: Option<saffronpaddle_operator_config::Sockets>,
-        kept: Option<(Kept, u32)>,
+        kept: Option<(StateSnapshot, u32)>,
     ) -> anyhow::Result<Rc<Node>> {
         let (each_side, links) = bounds;
         let clock = Clock::start();
@@ -156,10 +156,10 @@
             }
             None => None,
         };
-        let mut gateway = Gateway::new(seed, named.settings.clone(), clock.now())?;
+        let mut gateway = PolicyEngine::new(seed, named.settings.clone(), clock.now())?;
         kept.into_iter()
-            .for_each(|(kept, link)| gateway.resume(kept, link));
-        let bounds = Bounds::usual(each_side, named.conn_idle, named.connect_timeout);
+            .for_each(|(kept, link)| gateway.restore(kept, link));
+        let bounds = Bounds::usual(each_side, named.server_idle_timeout, named.connect_timeout);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
         let node = Rc::new(Node {
             named,
@@ -312,7 +312,7 @@
     pub async fn tell_counts(self: Rc<Self>, every: Option<Duration>) {
         let Some(every) = every else { return };
         let born = Instant::now();
-        let me = self.named.settings.me.0;
+        let me = self.named.settings.node.0;
         loop {
             tokio::time::sleep(every).await;
             let at_ms = born.elapsed().as_millis() as u64;
@@ -322,9 +322,9 @@
 
     fn with_figures(&self, told: impl FnOnce(&Figures) -> String) -> String {
         let exchange = self.exchange.borrow();
-        let (registry_entries, out_of_rotation) = exchange.module().rotation();
+        let (registry_entries, out_of_rotation) = exchange.module().endpoint_counts();
         let (names, tally) = (&self.named.classes, exchange.tally().clone());
-        let mut decided: Vec<(&'static str, u64)> = exchange.module().counted().named().collect();
+        let mut decided: Vec<(&'static str, u64)> = exchange.module().counters().named().collect();
         decided.extend(
             exchange
                 .denials()
@@ -358,7 +358,7 @@
 
     /// Lets the module's clock begin, before any list is known.
     pub fn begin(self: &Rc<Self>) {
-        self.post(ModuleEvent::ListFailed);
+        self.post(ModuleEvent::EndpointsUnavailable);
     }
 
     /// How long ago the module was last woken.
@@ -377,15 +377,15 @@
     }
 
     /// Hands a peer's datagram to the module.
-    pub fn heard_peer(self: &Rc<Self>, from: GatewayId, bytes: Vec<u8>) {
+    pub fn heard_peer(self: &Rc<Self>, from: NodeId, bytes: Vec<u8>) {
         self.peers_heard.borrow_mut().insert(from);
-        self.post(ModuleEvent::Peer { from, bytes });
+        self.post(ModuleEvent::PeerMessage { from, bytes });
     }
 
     /// How many peers were heard in this life, and how many there are that speak unasked.
     pub fn peers_heard(&self) -> (usize, usize) {
-        let all = self.named.settings.gateways.saturating_sub(1) as usize;
-        let speak = self.peers.is_some() && self.exchange.borrow().module().tells_all();
+        let all = self.named.settings.node_count.saturating_sub(1) as usize;
+        let speak = self.peers.is_some() && self.exchange.borrow().module().broadcasts();
         (self.peers_heard.borrow().len(), if speak { all } else { 0 })
     }
 
@@ -425,24 +425,26 @@
 
     fn apply(self: &Rc<Self>, action: Action) {
         match action {
-            Action::TellAll { bytes } => self.peers.iter().for_each(|peers| peers.tell_all(&bytes)),
-            Action::Tell { to, bytes } => {
+            Action::Broadcast { bytes } => {
+                self.peers.iter().for_each(|peers| peers.tell_all(&bytes))
+            }
+            Action::SendToPeer { to, bytes } => {
                 self.peers.iter().for_each(|peers| peers.tell(to, &bytes));
             }
-            Action::Wake { after, token } => {
+            Action::SetTimer { after, token } => {
                 let node = Rc::clone(self);
                 tokio::task::spawn_local(async move {
                     tokio::time::sleep(Duration::from_micros(after)).await;
                     node.woken.set(Instant::now());
-                    node.post(ModuleEvent::Woke { token });
+                    node.post(ModuleEvent::TimerFired { token });
                 });
             }
-            Action::Twin(twin) => self.links.tell_twin(twin),
+            Action::SendToSiblings(twin) => self.links.tell_twin(twin),
             Action::Log(line) => eprintln!("{line}"),
             // Discovery is always followed, and the rest is the exchange's.
-            Action::Follow
+            Action::Subscribe
             | Action::Send { .. }
-            | Action::Refuse { .. }
+            | Action::Reject { .. }
             | Action::Fail { .. }
             | Action::Cancel { .. } => {}
         }
@@ -519,8 +521,8 @@
     }
 
     /// What the module keeps in mind, for its next process.
-    pub fn keep(&self) -> Kept {
-        self.exchange.borrow().module().keep()
+    pub fn keep(&self) -> StateSnapshot {
+        self.exchange.borrow().module().snapshot()
     }
 
     /// Keeps to this process's part of the node's connections to app servers.
@@ -588,11 +590,11 @@
         let entries = list
             .iter()
             .map(|entry| server_entry(entry, &self.named.zones));
-        let entries: Vec<(ServerEntry, SocketAddr)> = entries.collect();
+        let entries: Vec<(Endpoint, SocketAddr)> = entries.collect();
         if let Some(front) = &self.front {
             let told = entries
                 .iter()
-                .map(|(entry, dial)| (entry.server, entry.standing == Standing::Ready, *dial));
+                .map(|(entry, dial)| (entry.server, entry.status == EndpointStatus::Ready, *dial));
             front.listed(self.now(), whole, told);
         }
         self.happened(Event::Listed { whole, entries }, None);
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -4,7 +4,7 @@
 use crate::node::Node;
 use anyhow::{Context, Result};
 use saffronpaddle_netio::{retry_interrupted, retry_shortage};
-use saffronpaddle_policy::interface::GatewayId;
+use saffronpaddle_policy::interface::NodeId;
 use socket2::{Domain, Socket, Type};
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -37,7 +37,7 @@
     ///
     /// # Errors
     /// The address cannot be bound.
-    pub async fn bind(addresses: PeerAddresses, me: GatewayId, reuse: bool) -> Result<Peers> {
+    pub async fn bind(addresses: PeerAddresses, me: NodeId, reuse: bool) -> Result<Peers> {
         let PeerAddresses { listen, each, all } = addresses;
         let bound = retry_shortage(|| async { bind_datagrams(listen, reuse) }).await;
         let socket = bound.with_context(|| format!("peer_listen {listen}"))?;
@@ -50,7 +50,7 @@
         })
     }
 
-    pub fn tell(&self, to: GatewayId, bytes: &[u8]) {
+    pub fn tell(&self, to: NodeId, bytes: &[u8]) {
         if let Some(address) = self.each.get(to.0 as usize) {
             self.send(bytes, *address);
         }
@@ -78,14 +78,14 @@
     }
 
     /// The next datagram of a peer; `None` where it came from elsewhere, was too long, or the socket failed.
-    pub async fn receive(&self) -> Option<(GatewayId, Vec<u8>)> {
+    pub async fn receive(&self) -> Option<(NodeId, Vec<u8>)> {
         let mut buffer = [0; MOST + 1];
         let (length, from) = self.socket.recv_from(&mut buffer).await.ok()?;
         let sender = self.each.iter().position(|address| *address == from)?;
         let bytes = buffer.get(..length).filter(|bytes| bytes.len() <= MOST)?;
         let (told, heard) = self.words.get();
         self.words.set((told, heard + 1));
-        Some((GatewayId(sender as u32), bytes.to_vec()))
+        Some((NodeId(sender as u32), bytes.to_vec()))
     }
 
     /// Datagrams told and heard so far; one to all counts as one.
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -184,9 +184,9 @@
         } = options;
         if let Some(file) = &operator {
             let settings = &mut config.named.settings;
-            (settings.fenced, settings.spare_words) =
+            (settings.partition_safe, settings.retransmission_budget) =
                 (file.says.quotas.fenced, file.says.quotas.spare_words);
-            settings.working_set = file.says.servers.working_set;
+            settings.subsetting = file.says.servers.working_set;
         }
         let shared = handed.is_some();
         let overlaps = meeting.is_some();
@@ -221,7 +221,7 @@
         let listener = listener.with_context(|| format!("listen {}", config.listen))?;
         let peers = match config.peers {
             Some(addresses) => {
-                Some(Peers::bind(addresses, config.named.settings.me, reuse || shared).await?)
+                Some(Peers::bind(addresses, config.named.settings.node, reuse || shared).await?)
             }
             None => None,
         };
--- a/crates/node/src/upstream.rs
+++ b/crates/node/src/upstream.rs
@@ -17,7 +17,7 @@
 use hyper_util::rt::TokioIo;
 use saffronpaddle_exchange::{Event, LinkId};
 use saffronpaddle_netio::{is_local_failure, is_quiet, Socket};
-use saffronpaddle_policy::interface::{Effect, Outcome, RequestId, ServerId};
+use saffronpaddle_policy::interface::{Idempotency, Outcome, RequestId, ServerId};
 use saffronpaddle_websocket::upgrade::{self, Offer};
 use std::cell::RefCell;
 use std::collections::{HashMap, VecDeque};
@@ -44,7 +44,7 @@
 pub struct Forward {
     pub id: RequestId,
     /// What a second execution would do.
-    pub effect: Effect,
+    pub effect: Idempotency,
     pub method: Method,
     /// Path and query.
     pub target: String,
@@ -441,7 +441,9 @@
         .is_some_and(|value| value == "1");
     match answer.status() {
         StatusCode::OK => Outcome::Ok,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_run => Outcome::Full,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_run => {
+            Outcome::Rejected
+        }
         _ => Outcome::Error,
     }
 }
--- a/crates/policy/src/asking.rs
+++ b/crates/policy/src/asking.rs
@@ -2,11 +2,11 @@
 //! they granted lately. What a home keeps and what is lent is in `saffronpaddle_quota`; who is a home is in `homes`.
 
 use crate::control::NEWCOMER;
-use crate::counts::Of;
+use crate::counts::Counter;
 use crate::homes::Homes;
-use crate::interface::{Action, CustomerId, GatewayId, Micros, RequestId};
+use crate::interface::{Action, CustomerId, Micros, NodeId, RequestId};
 use crate::message::{self, Ask, Message};
-use crate::state::{Gateway, Home, Out};
+use crate::state::{Home, Out, PolicyEngine};
 use saffronpaddle_quota::{Keeper, Lease, Said, Start, Verdict, GRANT_LIFE, LEASE};
 
 const HOMES: u32 = 2; // the most homes that one try hears "short" from, and that one waits for in vain
@@ -17,7 +17,7 @@
 const LIVELY: Micros = 1_500_000; // µs since it spoke for which a gateway is not taken for dead
 const BORROWS_MOST: usize = 256; // asks of homes for what their stand-bys hold that are open at a time
 
-impl Gateway {
+impl PolicyEngine {
     // Exception to the design, where counts to all come too seldom (`HOMES_FROM`): a store that hardly sees
     // its customer knows nothing. A few of the customer's gateways, found by hash, keep it in parts; a try
     // asks one before it is first sent on, and another if that is short or silent. Danger: hundreds of
@@ -38,7 +38,7 @@
             (0, _) => self.random.u32(0..homes.parts),
             (_, short) => (asking.home.0 + short.min(1)) % homes.parts,
         };
-        let keeper = |number| homes.keeper(customer, set, number, self.settings.gateways);
+        let keeper = |number| homes.keeper(customer, set, number, self.settings.node_count);
         let speaks = |number: &u32| {
             self.mute
                 .get(&keeper(*number))
@@ -48,7 +48,7 @@
         let deaf = self.deaf >= DEAF && now < self.next_probe;
         let number = homes
             .in_turn(start)
-            .find(|number| (!deaf || keeper(*number) == self.settings.me) && speaks(number));
+            .find(|number| (!deaf || keeper(*number) == self.settings.node) && speaks(number));
         let Some(number) = number else {
             return self.alone(now, id, out);
         };
@@ -84,7 +84,8 @@
         let (first, spread, home) = (store.first, store.spread as u32, number as u8);
         let beside = Some((self.up_s(now), store.memory.level(now)));
         let newest = request.asking.put != 2 || self.newer[to.0 as usize];
-        let wish = (self.settings.fenced && newest).then(|| store.memory.wish(now, number, units));
+        let wish =
+            (self.settings.partition_safe && newest).then(|| store.memory.wish(now, number, units));
         let ask = Ask {
             serial,
             customer,
@@ -96,8 +97,8 @@
             beside,
             wish,
         };
-        self.counts.add(Of::Asked);
-        if to == self.settings.me {
+        self.counts.add(Counter::GrantRequests);
+        if to == self.settings.node {
             let said = self
                 .grant(now, to, &Ask { wish: None, ..ask }, out)
                 .map(|(said, _)| said);
@@ -110,7 +111,7 @@
             self.answered(now, serial, (said.unwrap_or(nothing), None), out);
         } else {
             let news = self.news_if_due(now);
-            out.push(Action::Tell {
+            out.push(Action::SendToPeer {
                 to,
                 bytes: message::write(&Message::Ask(ask, news)),
             });
@@ -126,25 +127,30 @@
     pub(crate) fn grant(
         &mut self,
         now: Micros,
-        from: GatewayId,
+        from: NodeId,
         ask: &Ask,
         out: &mut Out,
     ) -> Option<(Said, Option<Lease>)> {
         let plan = self.settings.plans.get(ask.plan.0)?;
-        let spread = ask.spread.clamp(1, self.settings.gateways);
+        let spread = ask.spread.clamp(1, self.settings.node_count);
         let homes = Homes::of(plan, spread);
         let number = u32::from(ask.home);
         let home = homes.keeper(
             ask.customer,
             (ask.first, spread),
             number,
-            self.settings.gateways,
+            self.settings.node_count,
         );
-        if home != self.settings.me || number >= homes.keepers {
+        if home != self.settings.node || number >= homes.keepers {
             return None;
         }
-        self.counts.add(Of::Homed);
-        let terms = homes.terms(plan, number, self.settings.most_units, self.settings.fenced);
+        self.counts.add(Counter::GrantRequestsReceived);
+        let terms = homes.terms(
+            plan,
+            number,
+            self.settings.max_request_units,
+            self.settings.partition_safe,
+        );
         let up = now.saturating_sub(self.born);
         // Danger: a gateway that was restarted, and grants anew what its last life has granted. Who asks is older then.
         let (age, told) = ask.beside.unwrap_or_default();
@@ -174,22 +180,22 @@
         } else {
             (
                 home.keeper.look(now, &terms),
-                self.settings.most_units,
+                self.settings.max_request_units,
                 true,
             )
         };
         let wish = ask.wish.filter(|_| lends);
         let lease = wish.and_then(|wish| home.keeper.lend(now, asks, &wish, &terms, try_units));
         if lease.is_some() {
-            self.counts.add(Of::Lends);
+            self.counts.add(Counter::LeasesIssued);
         }
         match said.verdict {
             Verdict::Granted => {}
-            Verdict::Short => self.counts.add(Of::HomeShort),
-            Verdict::Full => self.counts.add(Of::HomeFull),
-            Verdict::Over => self.counts.add(Of::HomeOver),
+            Verdict::Short => self.counts.add(Counter::GrantsDeniedOverQuota),
+            Verdict::Full => self.counts.add(Counter::GrantsDeniedInFlight),
+            Verdict::Over => self.counts.add(Counter::GrantsDeniedHardLimit),
         }
-        if self.settings.fenced && number < homes.parts && said.level < 0.5 {
+        if self.settings.partition_safe && number < homes.parts && said.level < 0.5 {
             self.borrow_beside(now, ask, homes, out);
         }
         Some((said, lease))
@@ -209,7 +215,7 @@
                 .for_each(|(home, lease)| home.keeper.borrowed(now, asked, lease));
         }
         let Some(id) = self.asks.remove(&serial) else {
-            return self.counts.add(Of::AnsweredLate);
+            return self.counts.add(Counter::GrantResponsesLate);
         };
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -233,7 +239,7 @@
         if said.verdict == Verdict::Granted {
             store.memory.said(now, &said, true);
             store.memory.granted(now, request.units);
-            self.counts.add(Of::Granted);
+            self.counts.add(Counter::GrantsReceived);
             (request.asking.granted_until, request.due) =
                 (request.asking.since.saturating_add(GRANT_LIFE), now);
             request.asking.granted = Some((request.asking.home.1, serial));
@@ -243,14 +249,14 @@
         let parts = Homes::of(&self.settings.plans[request.plan.0], store.spread as u32).parts;
         let last = request.asking.short >= HOMES.min(parts) || said.chance < 1.0;
         store.memory.said(now, &said, last);
-        let places = self.settings.plans[request.plan.0].at_once.is_some();
+        let places = self.settings.plans[request.plan.0].max_in_flight.is_some();
         if !places && store.memory.lent(now, request.units, true) {
-            return self.goes(now, id, Of::Lent);
+            return self.goes(now, id, Counter::AdmittedByLease);
         }
         if !last {
             return self.ask(now, id, out);
         }
-        self.finish(now, &id, Of::Short, out);
+        self.finish(now, &id, Counter::RejectedOverQuota, out);
     }
 
     /// A try not yet sent on: its home was silent, its customer's limit full, or its grant has run out.
@@ -262,11 +268,11 @@
         let (plan, customer) = (&self.settings.plans[request.plan.0], request.customer);
         if let Some(granted) = request.asking.granted {
             // Danger: a ceiling passed by grants that are used late. It must be granted anew.
-            if plan.ceiling.is_none() || now <= request.asking.granted_until {
+            if plan.hard_limit.is_none() || now <= request.asking.granted_until {
                 return;
             }
             request.asking.granted = None;
-            self.counts.add(Of::Expired);
+            self.counts.add(Counter::GrantsExpired);
             self.waiting.retain(|other| *other != id);
             self.give_back(granted, customer, out);
         } else if let Some((serial, at)) = request.asking.open {
@@ -280,18 +286,19 @@
             };
             let again =
                 request.asking.put < puts && now <= request.asking.since.saturating_add(GRANT_LIFE);
-            if again && self.settings.spare_words && !self.words.may(now, words_a_second) {
+            if again && self.settings.retransmission_budget && !self.words.may(now, words_a_second)
+            {
                 // It waits for its answer, or for words.
                 return;
             }
-            self.counts.add(Of::Unanswered);
+            self.counts.add(Counter::GrantRequestTimeouts);
             self.deaf += 1;
             if again {
                 request.asking.put_again(now);
                 return self.put(now, &id, out);
             }
             if request.asking.put < puts {
-                self.counts.add(Of::Unsaid);
+                self.counts.add(Counter::GrantRequestsGivenUp);
             }
             (request.asking.missed, request.asking.open) = (request.asking.missed + 1, None);
             self.asks.remove(&serial);
@@ -316,28 +323,28 @@
         };
         let (units, ceiling) = (
             request.units,
-            self.settings.plans[request.plan.0].ceiling.is_some(),
+            self.settings.plans[request.plan.0].hard_limit.is_some(),
         );
         let Some(store) = self.stores.get_mut(&request.customer) else {
             return;
         };
         if store.memory.lent(now, units, true) {
-            self.goes(now, id, Of::Lent);
-        } else if !self.settings.fenced && !ceiling && store.memory.alone(now, units) {
-            self.goes(now, id, Of::Alone);
+            self.goes(now, id, Counter::AdmittedByLease);
+        } else if !self.settings.partition_safe && !ceiling && store.memory.alone(now, units) {
+            self.goes(now, id, Counter::AdmittedWithoutOwner);
         } else {
-            self.finish(now, &id, Of::Homeless, out);
+            self.finish(now, &id, Counter::RejectedNoOwner, out);
         }
     }
 
     /// A try goes by a right that is held here. Its number is its own: the last one may hold a place that is given back with it.
-    pub(crate) fn goes(&mut self, now: Micros, id: RequestId, by: Of) {
+    pub(crate) fn goes(&mut self, now: Micros, id: RequestId, by: Counter) {
         self.counts.add(by);
         self.serial = self.serial.wrapping_add(1);
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        (request.asking.granted, request.due) = (Some((self.settings.me, self.serial)), now);
+        (request.asking.granted, request.due) = (Some((self.settings.node, self.serial)), now);
         request.asking.granted_until = now.saturating_add(GRANT_LIFE);
         self.waiting.push(id);
     }
@@ -356,12 +363,12 @@
             ask.customer,
             (ask.first, ask.spread),
             number,
-            self.settings.gateways,
+            self.settings.node_count,
         );
         self.serial = self.serial.wrapping_add(1);
         // What was asked before and never answered is forgotten; it lends nothing here any more.
         self.borrows.retain(|_, (_, at)| *at + LEASE > now);
-        if to == self.settings.me || self.borrows.len() >= BORROWS_MOST {
+        if to == self.settings.node || self.borrows.len() >= BORROWS_MOST {
             return;
         }
         self.borrows.insert(self.serial, (ask.customer, now));
@@ -375,7 +382,7 @@
             wish,
             ..*ask
         };
-        out.push(Action::Tell {
+        out.push(Action::SendToPeer {
             to,
             bytes: message::write(&Message::Ask(ask, None)),
         });
@@ -384,20 +391,20 @@
     /// Gives back the place that a home held for a try.
     pub(crate) fn give_back(
         &mut self,
-        (home, serial): (GatewayId, u16),
+        (home, serial): (NodeId, u16),
         customer: CustomerId,
         out: &mut Out,
     ) {
-        if home == self.settings.me {
+        if home == self.settings.node {
             self.homes
                 .get_mut(&customer)
                 .into_iter()
                 .for_each(|kept| kept.keeper.done(home.0, serial));
         } else if self
             .plan_of(customer)
-            .is_some_and(|plan| plan.at_once.is_some())
+            .is_some_and(|plan| plan.max_in_flight.is_some())
         {
-            out.push(Action::Tell {
+            out.push(Action::SendToPeer {
                 to: home,
                 bytes: message::write(&Message::Done(serial, customer)),
             });
--- a/crates/policy/src/check.rs
+++ b/crates/policy/src/check.rs
@@ -9,29 +9,29 @@
     /// What is wrong with them.
     pub fn check(&self) -> Result<(), SettingsError> {
         let mut figures = vec![
-            self.rules.cold_from,
-            self.rules.fall_multiple,
-            self.cross_zone,
+            self.slow_start.initial_capacity,
+            self.slow_start.overload_multiple,
+            self.cross_zone_cost,
         ];
-        figures.extend([self.peer_messages_per_s, self.most_units]);
+        figures.extend([self.peer_messages_per_s, self.max_request_units]);
         for plan in &self.plans {
             figures.extend([
                 plan.rate,
                 plan.burst,
-                plan.price,
-                plan.over_worth,
-                plan.over_cost,
+                plan.priority_weight,
+                plan.over_quota_value,
+                plan.over_quota_cost,
             ]);
             figures.extend(
-                plan.ceiling
+                plan.hard_limit
                     .iter()
-                    .flat_map(|ceiling| [ceiling.rate, ceiling.depth]),
+                    .flat_map(|ceiling| [ceiling.rate, ceiling.capacity]),
             );
         }
         figures.extend(
             self.classes
                 .iter()
-                .flat_map(|class| [class.worth, class.late_value]),
+                .flat_map(|class| [class.priority_weight, class.late_value]),
         );
         let sound = figures
             .iter()
@@ -39,8 +39,8 @@
         match () {
             () if self.classes.is_empty() => Err(SettingsError::NoClasses),
             () if self.plans.is_empty() => Err(SettingsError::NoPlans),
-            () if self.me.0 >= self.gateways => Err(SettingsError::BadGateway),
-            () if !sound => Err(SettingsError::BadFigure),
+            () if self.node.0 >= self.node_count => Err(SettingsError::UnknownNode),
+            () if !sound => Err(SettingsError::InvalidNumber),
             () => Ok(()),
         }
     }
--- a/crates/policy/src/cold.rs
+++ b/crates/policy/src/cold.rs
@@ -5,10 +5,12 @@
 //! `saffronpaddle_slow_start`.
 
 use crate::control::{ADVICE, TICK};
-use crate::counts::Of;
-use crate::interface::{Action, GatewayId, Micros, Outcome, RequestId, Rules, ServerId, Settings};
+use crate::counts::Counter;
+use crate::interface::{
+    Action, Micros, NodeId, Outcome, RequestId, ServerId, Settings, SlowStartRules,
+};
 use crate::message::{self, Message};
-use crate::state::{Attempt, Gateway, Out, Server};
+use crate::state::{Attempt, Out, PolicyEngine, Server};
 use saffronpaddle_slow_start::{Answer, Gift, Rules as Warming, IDLE};
 
 const COLD_BLIND: f64 = 1.5; // sends a second of all gateways to a cold server while no warm one tells more
@@ -38,11 +40,11 @@
 /// What binds the fleet at a cold server: turns are those of the gateways that surely send to it, of whom this is one if its place
 /// is below their count. Danger: turns of gateways that never send to a server of a long list, so that it is sent nothing.
 fn rules(settings: &Settings, up_since: Micros, (gateways, me): (u32, u32)) -> Warming {
-    let Rules {
-        fall_multiple,
-        fall_window,
+    let SlowStartRules {
+        overload_multiple: fall_multiple,
+        overload_window: fall_window,
         ..
-    } = settings.rules;
+    } = settings.slow_start;
     Warming {
         gateways,
         me,
@@ -62,7 +64,7 @@
     }
 }
 
-impl Gateway {
+impl PolicyEngine {
     /// What binds the fleet at a cold server.
     pub(crate) fn warming(&self, server: ServerId) -> Warming {
         rules(&self.settings, self.born, self.servers.carers(server))
@@ -71,8 +73,8 @@
     /// For how long after its start a server may be sent only what is known to be safe, µs.
     pub(crate) fn young_for(&self) -> Micros {
         self.settings
-            .rules
-            .cold_for
+            .slow_start
+            .warm_up_period
             .max(1)
             .saturating_mul(PRESSED_FOR)
     }
@@ -80,9 +82,10 @@
     /// Whether a server is sent only what is known to be safe: it is cold, or warm but not yet seen to serve all that waits.
     /// Danger: a fleet whose servers become warm at one stroke, and that sends all that has waited at that moment.
     pub(crate) fn is_warming(&self, server: &Server, now: Micros) -> bool {
-        let lately = |started: Micros| now < started + PRESSED_FOR * self.settings.rules.cold_for;
-        server.warmth(&self.settings.rules, now) < 1.0
-            || self.blind && server.entry.started.is_some_and(lately)
+        let lately =
+            |started: Micros| now < started + PRESSED_FOR * self.settings.slow_start.warm_up_period;
+        server.warmth(&self.settings.slow_start, now) < 1.0
+            || self.blind && server.entry.started_at.is_some_and(lately)
     }
 
     /// Whether a cold server may be sent one more from here.
@@ -107,7 +110,7 @@
     fn warm(&self, now: Micros) -> f64 {
         let cold = self
             .fresh()
-            .filter(|server| server.warmth(&self.settings.rules, now) < 1.0);
+            .filter(|server| server.warmth(&self.settings.slow_start, now) < 1.0);
         self.servers.ready().1 - cold.count() as f64
     }
 
@@ -149,11 +152,11 @@
         let Some(mut server) = self.servers.edit(attempt.server) else {
             return;
         };
-        let warmth = server.warmth(&self.settings.rules, attempt.sent);
+        let warmth = server.warmth(&self.settings.slow_start, attempt.sent);
         // What was sent to an earlier life proves nothing of this one.
         if server
             .entry
-            .started
+            .started_at
             .is_none_or(|started| attempt.sent < started)
         {
             return;
@@ -161,7 +164,7 @@
         let answer = Answer {
             served: outcome == Outcome::Ok,
             took: now.saturating_sub(attempt.sent),
-            aim: self.settings.classes[attempt.class.0].aim,
+            aim: self.settings.classes[attempt.class.0].latency_objective,
             warmth,
             draw: self.random.f64(),
         };
@@ -172,7 +175,7 @@
     }
 
     /// A right that another gateway could not use.
-    pub(crate) fn given(&mut self, now: Micros, from: GatewayId, server: u16, gift: Gift) {
+    pub(crate) fn given(&mut self, now: Micros, from: NodeId, server: u16, gift: Gift) {
         let Some(id) = self.servers.named(server) else {
             return;
         };
@@ -182,7 +185,7 @@
             .edit(id)
             .is_some_and(|mut server| server.budget().take(now, from.0, gift, &rules))
         {
-            self.counts.add(Of::Gifted);
+            self.counts.add(Counter::PermitsReceived);
             self.spare_at = self.spare_at.min(now.saturating_add(IDLE));
         }
     }
@@ -209,10 +212,12 @@
             waiting.sort_by(|a, b| b.0.total_cmp(&a.0));
             let excess: Vec<_> = waiting.into_iter().skip(most).collect();
             for (_, id) in excess {
-                self.finish(now, &id, Of::TooCold, out);
+                self.finish(now, &id, Counter::RejectedBySlowStart, out);
             }
         }
-        if !self.waiting.is_empty() || !self.settings.allowed.messages || self.settings.gateways < 2
+        if !self.waiting.is_empty()
+            || !self.settings.permissions.peer_messages
+            || self.settings.node_count < 2
         {
             return;
         }
@@ -238,9 +243,9 @@
             let to = self
                 .servers
                 .carer(server, place % count + self.random.u32(1..count));
-            self.counts.add(Of::Gave);
+            self.counts.add(Counter::PermitsTransferred);
             let gift = Message::Gift(message::short(server), gift);
-            out.push(Action::Tell {
+            out.push(Action::SendToPeer {
                 to,
                 bytes: message::write(&gift),
             });
@@ -260,7 +265,7 @@
         let span = TICK as f64 / 1e6;
         self.cold_rate += (self.cold_sent / span - self.cold_rate) * RATE_WEIGHT;
         self.cold_sent = 0.0;
-        let rules = self.settings.rules;
+        let rules = self.settings.slow_start;
         let warm = self.warm(now);
         let gateways = self.servers.cover();
         // What one warm server does for this gateway; where none is, what one did. Danger: a few that have just become warm
@@ -270,7 +275,7 @@
         } else {
             self.pace
         };
-        let known = does.min(self.pace * PACE_MOST) * COLD_SAFE * rules.fall_multiple;
+        let known = does.min(self.pace * PACE_MOST) * COLD_SAFE * rules.overload_multiple;
         let rate = known.max(COLD_BLIND / gateways) * span;
         let kept = (COLD_KEEPERS / gateways).clamp(COLD_KEPT, 1.0);
         let random = &mut self.random;
--- a/crates/policy/src/control.rs
+++ b/crates/policy/src/control.rs
@@ -1,13 +1,14 @@
 //! The decisions of a gateway, all of them. The types, events and actions that they work on are
 //! in `interface.rs`; what was added to the design is marked as an exception to it, or by its danger.
 
-use crate::counts::Of;
+use crate::counts::Counter;
 use crate::crowding::SERVED_WEIGHT;
 use crate::fuzzy::{chance_under, infer, rank};
 use crate::homes::Homes;
 use crate::interface::{
-    Action, Ceiling, Class, ClassId, CustomerId, Discovery, Effect, Event, GatewayId, Group,
-    Micros, Outcome, Plan, RequestId, ServerId, Settings, SettingsError, Twin, TwinOut, TwinTerms,
+    Action, Class, ClassId, CustomerId, DeduplicationScope, DiscoveryMode, Event, HardLimit,
+    Idempotency, Micros, NodeId, Outcome, Plan, QuotaCharge, RequestId, ServerId, Settings,
+    SettingsError, SiblingAttempt, SiblingMessage,
 };
 use crate::message::{self, Ask, Message, News, Rumour};
 use crate::pooled::{EVIDENCE_FADES_IN, LATENCY_FADES_IN};
@@ -16,7 +17,7 @@
     Attempt, AttemptKey, Fuzzy, Health, Out, Ran, Request, Server, Stage, Step, Store,
 };
 
-pub use crate::state::Gateway;
+pub use crate::state::PolicyEngine;
 
 // ---- Constants: each with its unit and its reason ----
 
@@ -74,20 +75,20 @@
 
 // ---- Requests ----
 
-impl Gateway {
+impl PolicyEngine {
     /// A gateway that knows its settings and nothing else.
     ///
     /// # Errors
     /// Settings that make no sense.
     pub fn new(seed: u64, settings: Settings, now: Micros) -> Result<Self, SettingsError> {
         settings.check()?;
-        let worth = |place: &usize| settings.classes[*place].worth;
+        let worth = |place: &usize| settings.classes[*place].priority_weight;
         let lowest = (0..settings.classes.len()).min_by(|a, b| worth(a).total_cmp(&worth(b)));
         let pace = gossip_pace(&settings);
-        let mut gateway = Gateway::blank(seed, settings, now);
+        let mut gateway = PolicyEngine::blank(seed, settings, now);
         gateway.lowest = ClassId(lowest.unwrap_or(0));
         gateway.wide = (HOMES_FROM..f64::INFINITY).contains(&pace);
-        gateway.spoke[gateway.settings.me.0 as usize] = Micros::MAX;
+        gateway.spoke[gateway.settings.node.0 as usize] = Micros::MAX;
         if gateway.wide {
             gateway.spoke.fill(Micros::MAX); // peers do not speak unasked, so silence is no sign
         }
@@ -100,18 +101,22 @@
     /// Takes in one event; what is to be done about it is added to `out`.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Out) {
         let before = out.len();
-        let follow = (self.settings.discovery == Discovery::Followed).then_some(Action::Follow);
+        let follow =
+            (self.settings.discovery == DiscoveryMode::Subscribed).then_some(Action::Subscribe);
         if !std::mem::replace(&mut self.begun, true) {
             out.extend(follow.clone());
         }
         match event {
-            Event::Servers { kind, entries } => {
-                let (rules, lately) = (self.settings.rules, self.young_for());
+            Event::EndpointsChanged {
+                update: kind,
+                endpoints: entries,
+            } => {
+                let (rules, lately) = (self.settings.slow_start, self.young_for());
                 self.servers.list(now, kind, entries, &rules, lately);
                 self.measure(now);
             }
-            Event::ListFailed => out.extend(follow),
-            Event::Request {
+            Event::EndpointsUnavailable => out.extend(follow),
+            Event::RequestArrived {
                 id,
                 class,
                 plan,
@@ -119,8 +124,8 @@
                 units,
                 first,
                 spread,
-                patience,
-                whole,
+                timeout: patience,
+                complete: whole,
             } => {
                 if self.settings.classes.len() <= class.0 || self.settings.plans.len() <= plan.0 {
                     return out.push(Action::Fail { id });
@@ -133,31 +138,37 @@
                 };
                 self.arrive(now, id, request, (first, spread), out);
             }
-            Event::Whole { id, patience } => self.whole(now, id, patience, out),
-            Event::Started { id } => self.started(now, &id),
-            Event::Ended {
+            Event::BodyComplete {
+                id,
+                timeout: patience,
+            } => self.whole(now, id, patience, out),
+            Event::ResponseStarted { id } => self.started(now, &id),
+            Event::AttemptEnded {
                 id,
                 attempt: n,
                 outcome,
-                closed,
+                request_closed: closed,
             } => self.ended(now, (id, n), outcome, closed, out),
-            Event::Abandoned { id } => self.forget(&id, out),
-            Event::Woke { .. } if now < self.woken => {} // one that is no longer wanted
-            Event::Woke { .. } => self.sweep(now, out),
-            Event::Peer { from, bytes } => self.heard(now, from, &bytes, out),
-            Event::Twin { link, twin } => self.twin(now, link, twin),
-            Event::Twins {
-                ended,
-                shared,
-                hushed,
+            Event::RequestAbandoned { id } => self.forget(&id, out),
+            Event::TimerFired { .. } if now < self.woken => {} // one that is no longer wanted
+            Event::TimerFired { .. } => self.sweep(now, out),
+            Event::PeerMessage { from, bytes } => self.heard(now, from, &bytes, out),
+            Event::SiblingMessage {
+                link,
+                message: twin,
+            } => self.twin(now, link, twin),
+            Event::SiblingsChanged {
+                ended_link: ended,
+                share_attempts: shared,
+                peer_messages_delegated: hushed,
             } => self.twins(ended, shared, hushed),
         }
         self.dispatch(now, out);
-        if self.settings.spare_words {
+        if self.settings.retransmission_budget {
             let told = out
                 .iter()
                 .skip(before)
-                .filter(|action| matches!(action, Action::Tell { .. }));
+                .filter(|action| matches!(action, Action::SendToPeer { .. }));
             self.words
                 .said(now, told.count() as f64, self.words_a_second());
         }
@@ -174,7 +185,7 @@
         let next = next.min(self.spare_at.max(now + SWEEP));
         if next < self.woken {
             self.woken = next;
-            out.push(Action::Wake {
+            out.push(Action::SetTimer {
                 after: next - now,
                 token: 0,
             });
@@ -186,13 +197,13 @@
         now: Micros,
         id: RequestId,
         request: Request,
-        set: (GatewayId, u32),
+        set: (NodeId, u32),
         out: &mut Out,
     ) {
         let plans = &self.settings.plans;
         let (units, shed) = (request.units, self.shed(&request));
-        let set = (set.0, set.1.clamp(1, self.settings.gateways));
-        let most = self.settings.most_units;
+        let set = (set.0, set.1.clamp(1, self.settings.node_count));
+        let most = self.settings.max_request_units;
         let store = self.stores.entry(request.customer);
         let up = now.saturating_sub(self.born);
         let store = store.or_insert_with(|| {
@@ -206,7 +217,7 @@
                 store.share
             };
             // Danger: gateways that may not talk, each of which would grant the whole quota.
-            if self.settings.allowed.messages || store.spread <= 1.0 {
+            if self.settings.permissions.peer_messages || store.spread <= 1.0 {
                 return Store {
                     level,
                     share,
@@ -235,7 +246,7 @@
         let same = named == (store.plan, store.first, store.spread);
         store.doubts = if same { 0 } else { store.doubts + 1 };
         if store.doubts >= DOUBTS {
-            let ceiling = if plans[store.plan.0].ceiling.is_some() {
+            let ceiling = if plans[store.plan.0].hard_limit.is_some() {
                 store.ceiling.min(0.0)
             } else {
                 0.0
@@ -254,9 +265,9 @@
         };
         store.used = now;
         self.counts.add(match gap {
-            0..1_000_000 => Of::Soon,
-            1_000_000..10_000_000 => Of::Later,
-            _ => Of::Anew,
+            0..1_000_000 => Counter::SeenWithinOneSecond,
+            1_000_000..10_000_000 => Counter::SeenWithinTenSeconds,
+            _ => Counter::SeenForTheFirstTime,
         });
         // Danger: a home that drowns, and every try of its customer that is put to it again and again.
         let open = self.asks.values().filter(|id| {
@@ -270,7 +281,7 @@
         // Danger: a client that waits so briefly that the next sweep would answer too late.
         let hopeless = request.deadline <= now.saturating_add(LAST_CALL);
         // A place under a limit on attempts at once is a home's to give.
-        let lent = self.wide && !hopeless && plan.at_once.is_none() && draw <= 1.0 - shed;
+        let lent = self.wide && !hopeless && plan.max_in_flight.is_none() && draw <= 1.0 - shed;
         let lent = lent && store.memory.lent(now, units, false);
         let thinned = !lent && (held || self.wide && draw > asks * (1.0 - shed));
         let kept = (store.peers(now, HEARD_FOR) * LAG)
@@ -281,17 +292,17 @@
         self.requests.insert(id.clone(), request);
         if hopeless || thinned || short && !self.wide {
             let why = if !thinned {
-                Of::Short
+                Counter::RejectedOverQuota
             } else if held {
-                Of::Held
+                Counter::RejectedByCachedDecision
             } else if draw > asks {
-                Of::Thinned
+                Counter::RejectedBySampling
             } else {
-                Of::Shed
+                Counter::RejectedByLoadShedding
             };
             self.finish(now, &id, why, out);
         } else if lent {
-            self.goes(now, id, Of::Lent);
+            self.goes(now, id, Counter::AdmittedByLease);
         } else if self.wide {
             self.ask(now, id, out);
         } else {
@@ -310,7 +321,7 @@
         let press = ((worst - SHED.0) / (SHED.1 - SHED.0))
             .max(self.crowding() - 1.0)
             .clamp(0.0, 1.0);
-        let worth = |class: &Class, plan: &Plan| class.worth * plan.price;
+        let worth = |class: &Class, plan: &Plan| class.priority_weight * plan.priority_weight;
         let own = worth(
             &self.settings.classes[request.class.0],
             &self.settings.plans[request.plan.0],
@@ -323,7 +334,7 @@
 
     /// How crowded the servers are by what the fleet has out.
     fn crowding(&self) -> f64 {
-        let gateways = f64::from(self.settings.gateways);
+        let gateways = f64::from(self.settings.node_count);
         if self.wide {
             self.crowd
                 .now(gateways, self.served.now(), self.shortest_aim / 1e6)
@@ -338,15 +349,23 @@
             return false;
         }
         let Some(ran) = request.ran else { return true };
-        match (self.settings.classes[request.class.0].effect, step) {
-            (Effect::Safe, _) => true,
-            (Effect::Unsafe, _) => false,
-            (Effect::Keyed { group, .. }, Step::Refuse) => group == Group::All,
-            (Effect::Keyed { group, window }, Step::Send(server)) => {
+        match (self.settings.classes[request.class.0].idempotency, step) {
+            (Idempotency::Idempotent, _) => true,
+            (Idempotency::NonIdempotent, _) => false,
+            (Idempotency::WithKey { scope: group, .. }, Step::Refuse) => {
+                group == DeduplicationScope::All
+            }
+            (
+                Idempotency::WithKey {
+                    scope: group,
+                    window,
+                },
+                Step::Send(server),
+            ) => {
                 let inside = match group {
-                    Group::All => true,
-                    Group::Zone => server.entry.zone == ran.place.zone,
-                    Group::Cell => server.entry.cell == ran.place.cell,
+                    DeduplicationScope::All => true,
+                    DeduplicationScope::Zone => server.entry.zone == ran.place.zone,
+                    DeduplicationScope::Domain => server.entry.domain == ran.place.domain,
                 };
                 inside && now <= ran.sent.saturating_add(window)
             }
@@ -354,14 +373,17 @@
     }
 
     /// Ends a request: refused where that promise holds, else failed.
-    pub(crate) fn finish(&mut self, now: Micros, id: &RequestId, why: Of, out: &mut Out) {
+    pub(crate) fn finish(&mut self, now: Micros, id: &RequestId, why: Counter, out: &mut Out) {
         let Some(request) = self.requests.get(id) else {
             return;
         };
         self.counts.add(why);
         let (refused, id_told) = (self.permits(request, now, Step::Refuse), id.clone());
         let retry_in = Some(self.advice(request));
-        let refusal = |id| Action::Refuse { id, retry_in };
+        let refusal = |id| Action::Reject {
+            id,
+            retry_after: retry_in,
+        };
         out.push(if refused {
             refusal(id_told)
         } else {
@@ -392,13 +414,13 @@
         } else {
             0.0
         };
-        let over = |ceiling: &Ceiling| {
+        let over = |ceiling: &HardLimit| {
             until(
                 request.units - store.ceiling,
                 ceiling.rate * store.ceiling_share,
             )
         };
-        let ceiling = plan.ceiling.as_ref().map_or(0.0, over);
+        let ceiling = plan.hard_limit.as_ref().map_or(0.0, over);
         (quota.max(ceiling) as Micros).clamp(ADVICE.0, ADVICE.1)
     }
 
@@ -410,9 +432,11 @@
         if let Some(granted) = request.asking.granted {
             self.give_back(granted, request.customer, out);
         }
-        if let (Some(attempt), false, true) =
-            (request.out, request.cancelled, self.settings.allowed.cancel)
-        {
+        if let (Some(attempt), false, true) = (
+            request.out,
+            request.cancelled,
+            self.settings.permissions.cancellation,
+        ) {
             out.push(Action::Cancel {
                 id: id.clone(),
                 attempt,
@@ -431,7 +455,7 @@
         for (id, request) in &mut self.requests {
             asking.extend((self.wide && request.attempts == 0).then(|| id.clone()));
             let class = &self.settings.classes[request.class.0];
-            let aimed = request.arrived.saturating_add(class.aim);
+            let aimed = request.arrived.saturating_add(class.latency_objective);
             let worthless = class.late_value <= 0.0;
             let half = request.arrived + request.deadline.saturating_sub(request.arrived) / 2;
             let unsent = request.out.is_none() && !request.reached;
@@ -449,7 +473,10 @@
             {
                 // Exception to the design, which refuses at the deadline: no worth is left to wait for.
                 over.push(id.clone());
-            } else if worthless && now > aimed && !request.cancelled && self.settings.allowed.cancel
+            } else if worthless
+                && now > aimed
+                && !request.cancelled
+                && self.settings.permissions.cancellation
             {
                 // Danger: servers busy with answers that are worth nothing any more.
                 let Some(attempt) = request.out else { continue };
@@ -465,7 +492,16 @@
                 .requests
                 .get(&id)
                 .is_some_and(|request| request.attempts == 0);
-            self.finish(now, &id, if unsent { Of::Unsent } else { Of::Spent }, out);
+            self.finish(
+                now,
+                &id,
+                if unsent {
+                    Counter::RejectedNotSent
+                } else {
+                    Counter::EndedAfterAttempts
+                },
+                out,
+            );
         }
         asking
             .into_iter()
@@ -477,12 +513,12 @@
 
     pub(crate) fn value(&self, request: &Request, now: Micros) -> f64 {
         let class = &self.settings.classes[request.class.0];
-        let share = if now > request.arrived.saturating_add(class.aim) {
+        let share = if now > request.arrived.saturating_add(class.latency_objective) {
             class.late_value
         } else {
             1.0
         };
-        class.worth * self.settings.plans[request.plan.0].price * share
+        class.priority_weight * self.settings.plans[request.plan.0].priority_weight * share
     }
 
     /// Sends what waits, the worthiest first, while servers have room.
@@ -492,7 +528,7 @@
         }
         let mut able = self.able(now);
         if able.is_empty() {
-            self.counts.add(Of::NoRoom);
+            self.counts.add(Counter::NoCapacity);
         }
         let waiting = self
             .waiting
@@ -537,22 +573,22 @@
 
 /// µs between rounds of counts to all peers that their intake allows; 0 without peers, endless without words.
 fn gossip_pace(settings: &Settings) -> f64 {
-    let words = if settings.allowed.messages {
+    let words = if settings.permissions.peer_messages {
         settings.peer_messages_per_s * INTAKE_SHARE
     } else {
         0.0
     };
-    1e6 * f64::from(settings.gateways.saturating_sub(1)) / words
+    1e6 * f64::from(settings.node_count.saturating_sub(1)) / words
 }
 
-impl Gateway {
+impl PolicyEngine {
     /// Words a second that one gateway may say: all of them together keep to this share of each one's intake.
     pub(crate) fn words_a_second(&self) -> f64 {
         self.settings.peer_messages_per_s * INTAKE_SHARE
     }
 
     /// How many servers and customers are kept in mind.
-    pub fn kept(&self) -> usize {
+    pub fn tracked(&self) -> usize {
         self.servers.len() + self.stores.len() + self.homes.len()
     }
 
@@ -563,7 +599,10 @@
         self.stores.retain(|_, store| {
             !store.is_idle(now, &plans[store.plan.0], silent(spoke, store, now))
         });
-        let (most, fenced) = (self.settings.most_units, self.settings.fenced);
+        let (most, fenced) = (
+            self.settings.max_request_units,
+            self.settings.partition_safe,
+        );
         self.homes.retain(|_, home| {
             let plan = &plans[home.plan.0];
             let terms = Homes::of(plan, home.spread).terms(plan, home.number, most, fenced);
@@ -588,24 +627,24 @@
         };
         let plan = &self.settings.plans[store.plan.0];
         store.fill(now, plan, silent(&self.spoke, store, now));
-        if plan.ceiling.is_some() && store.ceiling < units {
+        if plan.hard_limit.is_some() && store.ceiling < units {
             return false;
         }
-        let Some(limit) = plan.at_once else {
+        let Some(limit) = plan.max_in_flight else {
             return true;
         };
         // Peers' attempts are not told in time: rate and latency make so many likely, as chance has it.
         let even = (f64::from(limit) / store.spread).round().max(1.0);
         let likely = store.peers(now, HEARD_FOR) * self.latency / 1e6;
         let under = chance_under(limit.saturating_sub(store.open), likely);
-        f64::from(store.open) < even && (1.0 - under) * (1.0 + plan.over_cost) < OPEN_RISK
+        f64::from(store.open) < even && (1.0 - under) * (1.0 + plan.over_quota_cost) < OPEN_RISK
     }
 
-    fn heard(&mut self, now: Micros, from: GatewayId, bytes: &[u8], out: &mut Out) {
+    fn heard(&mut self, now: Micros, from: NodeId, bytes: &[u8], out: &mut Out) {
         let Some(message) = message::read(bytes) else {
             return;
         };
-        if from == self.settings.me || from.0 >= self.settings.gateways {
+        if from == self.settings.node || from.0 >= self.settings.node_count {
             return;
         }
         self.mute.remove(&from);
@@ -616,7 +655,7 @@
             Message::Ask(Ask { wish: Some(_), .. }, _) | Message::Answer(_, _, Some(_), _)
         );
         let (birth, counts) = match message {
-            Message::Counts(birth, counts) => (birth, counts),
+            Message::Counters(birth, counts) => (birth, counts),
             Message::Ask(ask, news) => {
                 news.into_iter().for_each(|news| self.told(now, from, news));
                 let Some((said, lease)) = self.grant(now, from, &ask, out) else {
@@ -631,7 +670,7 @@
                     ),
                     None => Message::OldAnswer(ask.serial, said, self.news(now)),
                 };
-                return out.push(Action::Tell {
+                return out.push(Action::SendToPeer {
                     to: from,
                     bytes: message::write(&answer),
                 });
@@ -722,11 +761,11 @@
             return;
         }
         let counts = self.counts(now, TOLD_FOR, COUNT_STEP).into_iter();
-        let counts = Message::Counts(
+        let counts = Message::Counters(
             (self.born / 1000) as u32,
             counts.take(message::ROOM).collect(),
         );
-        out.push(Action::TellAll {
+        out.push(Action::Broadcast {
             bytes: message::write(&counts),
         });
     }
@@ -766,7 +805,7 @@
 
     /// Takes in news. Danger: one gateway's word, said often, that shuts servers out or tries away; it is weighed now
     /// and then, and what it did fades.
-    fn told(&mut self, now: Micros, from: GatewayId, news: News) {
+    fn told(&mut self, now: Micros, from: NodeId, news: News) {
         let last = &mut self.weighed[from.0 as usize];
         if now < last.saturating_add(WEIGHED_EVERY) {
             return;
@@ -798,11 +837,11 @@
                 continue;
             };
             if server.hear(now, &rumour, HEARD_WEIGHT, self.typical) {
-                self.counts.add(Of::Heard);
+                self.counts.add(Counter::ObservationsReceived);
             }
             let next = now.saturating_add(trial_after(&mut self.random, cover));
             if judged(&mut server.health[rumour.class.0], cover, fleet, next) {
-                self.counts.add(Of::Ejected);
+                self.counts.add(Counter::Ejections);
             }
         }
     }
@@ -882,7 +921,7 @@
     }
 }
 
-impl Gateway {
+impl PolicyEngine {
     /// A tick: the worst mean latency in aims, over all classes but the lowest-worth one, moves the cap.
     fn tick(&mut self, now: Micros, out: &mut Out) {
         if now < self.next_tick {
@@ -896,7 +935,9 @@
         };
         for request in self.requests.values().filter(released) {
             // Danger: a hang that looks fast, as nothing is answered. What is open counts once late.
-            let aim = self.settings.classes[request.class.0].aim.max(1) as f64;
+            let aim = self.settings.classes[request.class.0]
+                .latency_objective
+                .max(1) as f64;
             let age = now.saturating_sub(request.due) as f64 / aim;
             let (sum, count) = seen[request.class.0];
             if age > 1.0 || (count > 0.0 && age > sum / count) {
@@ -925,7 +966,7 @@
                 worst,
                 open,
                 self.all_out,
-                1.0 / f64::from(self.settings.gateways),
+                1.0 / f64::from(self.settings.node_count),
             );
             let started = self.fuzzy.cap.is_some() && !had;
             let line = || Action::Log(format!("aim missed: W {worst:.2}; cap starts at {open:.2}"));
@@ -954,7 +995,7 @@
     /// Notes how many servers are ready, and how many warm ones those are worth that may take anything now.
     fn measure(&mut self, now: Micros) {
         self.look_for_warm(now);
-        let rules = self.settings.rules;
+        let rules = self.settings.slow_start;
         let ((ready, held), (_, well)) =
             (self.servers.ready(), self.servers.in_health(self.lowest));
         let fresh = self
@@ -987,7 +1028,7 @@
             for (health, usual) in server.health.iter_mut().zip(&usual) {
                 let next = now.saturating_add(trial_after(random, Some(cover)));
                 if judged(health, Some(cover), *usual, next) {
-                    counts.add(Of::Ejected);
+                    counts.add(Counter::Ejections);
                 }
             }
         });
@@ -998,7 +1039,7 @@
         let fleet = self.typical;
         let keep = 0.5f64.powf(now.saturating_sub(server.learned) as f64 / FADE);
         if server.wait <= 0.0 {
-            return fleet / server.warmth(&self.settings.rules, now).max(0.1);
+            return fleet / server.warmth(&self.settings.slow_start, now).max(0.1);
         }
         server.wait * keep + fleet * (1.0 - keep)
     }
@@ -1009,7 +1050,7 @@
         let ready = self.servers.choice(|count| random.usize(..count));
         // Danger: many gateways, each with one out at every server, overdrive them all (iac7c0b, i417db4).
         let (all, held) = self.servers.ready();
-        let floor = (ALL_FLOOR * all / f64::from(self.settings.gateways)).max(1.0);
+        let floor = (ALL_FLOOR * all / f64::from(self.settings.node_count)).max(1.0);
         let parts = ready
             .iter()
             .map(|server| self.shortest_aim / self.place_wait(server, now).max(1.0));
@@ -1035,7 +1076,7 @@
     fn choose(&mut self, now: Micros, id: &RequestId, able: &[ServerId]) -> Option<ServerId> {
         let request = self.requests.get(id)?;
         let class = request.class.0;
-        let safe = self.settings.classes[class].effect == Effect::Safe;
+        let safe = self.settings.classes[class].idempotency == Idempotency::Idempotent;
         let (all, healthy) = self.servers.in_health(request.class);
         // Danger: ejecting all when all are bad. With too few left, the trouble lies elsewhere: none is out.
         let few = healthy < all * REMAIN;
@@ -1056,7 +1097,7 @@
             self.random.shuffle(&mut from);
             let first = |server: &&Server| {
                 let trial = server.trial(class).is_some() && !few && request.attempts == 0;
-                trial || server.warmth(&self.settings.rules, now) < 1.0
+                trial || server.warmth(&self.settings.slow_start, now) < 1.0
             };
             if let Some(place) = from.iter().position(first) {
                 from = vec![from[place]];
@@ -1068,7 +1109,7 @@
             let crossing = if server.entry.zone == self.settings.zone {
                 0.0
             } else {
-                self.settings.cross_zone
+                self.settings.cross_zone_cost
             };
             let again = if request.last == Some(id) { AGAIN } else { 0.0 };
             let places = f64::from(server.open) + 1.0 + CROSSING * crossing + again;
@@ -1079,7 +1120,10 @@
             // Danger: hundreds of gateways that each meet every server, with a handshake for nearly every attempt. Each
             // keeps to those that it has a connection to; as their waits rise it turns elsewhere, one by one.
             let kept = server.open == 0
-                && now < server.answered.saturating_add(self.settings.conn_idle / 2);
+                && now
+                    < server
+                        .answered
+                        .saturating_add(self.settings.server_idle_timeout / 2);
             let score = if kept || !self.wide {
                 score
             } else {
@@ -1119,7 +1163,7 @@
             return;
         };
         if judged(&mut server.health[class.0], cover, fleet, next) {
-            self.counts.add(Of::Ejected);
+            self.counts.add(Counter::Ejections);
         }
     }
 
@@ -1200,7 +1244,7 @@
             .iter()
             .filter(|(_, attempt)| attempt.stage == Stage::Working);
         for ((id, number), attempt) in working {
-            let limit = self.settings.classes[attempt.class.0].aim as f64 * STALLED.1;
+            let limit = self.settings.classes[attempt.class.0].latency_objective as f64 * STALLED.1;
             let limit = limit.max(self.latency * STALLED.0);
             let Some(server) = self.servers.get(attempt.server) else {
                 continue;
@@ -1208,7 +1252,7 @@
             // Danger: a cold server, which takes that much longer, put on trial for it while it warms up.
             let limit = limit
                 / server
-                    .warmth(&self.settings.rules, attempt.sent)
+                    .warmth(&self.settings.slow_start, attempt.sent)
                     .max(COLD_LIMIT);
             let alone = if server.open < 2 { 1.5 } else { 1.0 };
             let answered = server.answered(attempt.class.0);
@@ -1229,7 +1273,7 @@
             };
             let whole = server.answered < sent;
             if server.health[class.0].trial.is_none() {
-                self.counts.add(Of::Ejected);
+                self.counts.add(Counter::Ejections);
                 let line =
                     || Action::Log(format!("server {} silent: on trial", server.entry.server.0));
                 out.extend((!self.wide).then(line));
@@ -1244,10 +1288,11 @@
             let Some(request) = self.requests.get_mut(&id) else {
                 continue;
             };
-            let again =
-                self.settings.classes[request.class.0].effect != Effect::Unsafe && !request.single;
-            let more =
-                request.attempts < self.settings.allowed.attempts && self.settings.allowed.cancel;
+            let again = self.settings.classes[request.class.0].idempotency
+                != Idempotency::NonIdempotent
+                && !request.single;
+            let more = request.attempts < self.settings.permissions.max_attempts
+                && self.settings.permissions.cancellation;
             if again && more && !request.cancelled && self.retries >= 1.0 {
                 request.cancelled = true;
                 out.push(Action::Cancel { id, attempt });
@@ -1275,15 +1320,19 @@
         } else {
             self.retries
         };
-        self.counts.add(if first { Of::First } else { Of::Again });
-        if self.blind || to.warmth(&self.settings.rules, now) < 1.0 {
+        self.counts.add(if first {
+            Counter::FirstAttempts
+        } else {
+            Counter::Retries
+        });
+        if self.blind || to.warmth(&self.settings.slow_start, now) < 1.0 {
             to.warm_up(&rules, self.blind, now);
             self.cold_sent += 1.0;
-            self.counts.add(Of::Cold);
+            self.counts.add(Counter::SlowStartAttempts);
         }
         if let Some(at) = &mut to.health[request.class.0].trial {
             *at = now.saturating_add(next);
-            self.counts.add(Of::Trial);
+            self.counts.add(Counter::HealthProbes);
         }
         let number = request.sent(server);
         let attempt = request.attempt(server, now, f64::from(to.open));
@@ -1291,17 +1340,19 @@
         if self.shared && counts {
             let store = self.stores.get(&request.customer).filter(|_| first);
             let first = store.map(|store| store.terms(request.units));
-            out.push(Action::Twin(Twin::Out(TwinOut {
-                first,
-                ..attempt.told(&id, number)
-            })));
+            out.push(Action::SendToSiblings(SiblingMessage::AttemptStarted(
+                SiblingAttempt {
+                    charge: first,
+                    ..attempt.told(&id, number)
+                },
+            )));
         }
         self.attempts.insert((id.clone(), number), attempt);
         self.waiting.retain(|other| *other != id);
         out.push(Action::Send {
             id,
             server,
-            time_out: None,
+            timeout: None,
         });
     }
 
@@ -1318,8 +1369,8 @@
         };
         let (id, attempt_no) = key;
         out.extend(self.shared.then(|| {
-            Action::Twin(Twin::In {
-                id: id.clone(),
+            Action::SendToSiblings(SiblingMessage::AttemptEnded {
+                request: id.clone(),
                 attempt: attempt_no,
             })
         }));
@@ -1332,7 +1383,7 @@
             return if closed {
                 self.forget(&id, out);
             } else {
-                self.finish(now, &id, Of::Spent, out);
+                self.finish(now, &id, Counter::EndedAfterAttempts, out);
             };
         }
         let called_off = self
@@ -1347,7 +1398,9 @@
         );
         if outcome == Outcome::Ok {
             self.done += 1.0;
-            let aim = self.settings.classes[attempt.class.0].aim.max(1) as f64;
+            let aim = self.settings.classes[attempt.class.0]
+                .latency_objective
+                .max(1) as f64;
             self.fuzzy
                 .saw(attempt.class, now.saturating_sub(attempt.due) as f64 / aim);
         }
@@ -1363,7 +1416,7 @@
         request.unsent += u32::from(outcome == Outcome::NotSent);
         let unproved = !matches!(
             outcome,
-            Outcome::Full | Outcome::Unreachable | Outcome::NotSent
+            Outcome::Rejected | Outcome::Unreachable | Outcome::NotSent
         );
         if unproved && request.ran.is_none() {
             let server = self.servers.get(attempt.server);
@@ -1373,15 +1426,16 @@
             });
         }
         let class = &self.settings.classes[request.class.0];
-        let worth = class.late_value > 0.0 || now < request.arrived.saturating_add(class.aim);
+        let worth =
+            class.late_value > 0.0 || now < request.arrived.saturating_add(class.latency_objective);
         // What was turned away before its first byte is no attempt; but that has an end too.
-        let most = self.settings.allowed.attempts;
+        let most = self.settings.permissions.max_attempts;
         let free = outcome == Outcome::NotSent && request.unsent <= most;
         let spent = request.attempts >= most + request.unsent.min(most);
         let spent = spent || !free && self.retries < 1.0 || request.single;
-        let never = request.ran.is_some() && class.effect == Effect::Unsafe;
+        let never = request.ran.is_some() && class.idempotency == Idempotency::NonIdempotent;
         if now >= request.deadline || spent || never {
-            self.finish(now, &id, Of::Spent, out);
+            self.finish(now, &id, Counter::EndedAfterAttempts, out);
         } else if worth {
             self.retries -= if free { 0.0 } else { 1.0 };
             self.waiting.push(id);
@@ -1394,12 +1448,12 @@
     // process and its successor both take requests. Each draws here on what the other sends, as if it had sent it; both
     // fill at the one rate, so that the two together are one gateway but for the way that a word takes.
 
-    fn twin(&mut self, now: Micros, link: u32, twin: Twin) {
+    fn twin(&mut self, now: Micros, link: u32, twin: SiblingMessage) {
         match twin {
-            Twin::Out(told) => {
+            SiblingMessage::AttemptStarted(told) => {
                 let (server, customer) = (told.server, told.customer);
                 let drawn = told
-                    .first
+                    .charge
                     .as_ref()
                     .and_then(|terms| self.drawn_by_twin(now, customer, terms));
                 let rules = self.warming(server);
@@ -1413,7 +1467,10 @@
                 let (key, attempt) = told.attempt(link);
                 self.abroad.insert(key, attempt);
             }
-            Twin::In { id, attempt } => {
+            SiblingMessage::AttemptEnded {
+                request: id,
+                attempt,
+            } => {
                 let ended = self.abroad.remove(&(id, attempt));
                 ended
                     .into_iter()
@@ -1427,12 +1484,12 @@
         &mut self,
         now: Micros,
         customer: CustomerId,
-        terms: &TwinTerms,
+        terms: &QuotaCharge,
     ) -> Option<f64> {
         let plan = self.settings.plans.get(terms.plan.0)?;
         let (set, most) = (
-            (terms.set.0, terms.set.1.clamp(1, self.settings.gateways)),
-            self.settings.most_units,
+            (terms.set.0, terms.set.1.clamp(1, self.settings.node_count)),
+            self.settings.max_request_units,
         );
         let up = now.saturating_sub(self.born);
         let fresh = || Store::new(now, up, terms.plan, plan, set, most);
@@ -1470,7 +1527,7 @@
         let (customer, units, number) = (request.customer, request.units, request.out);
         // Danger: a ceiling that has been used up, or a limit that is reached, since the body began to come.
         let Some(number) = number.filter(|_| self.may_open(customer, units, now)) else {
-            return self.finish(now, &id, Of::Short, out);
+            return self.finish(now, &id, Counter::RejectedOverQuota, out);
         };
         self.requests
             .entry(id.clone())
@@ -1492,7 +1549,12 @@
         store.sent_on(now, units, true);
         if self.shared {
             let first = Some(store.terms(units));
-            out.push(Action::Twin(Twin::Out(TwinOut { first, ..told })));
+            out.push(Action::SendToSiblings(SiblingMessage::AttemptStarted(
+                SiblingAttempt {
+                    charge: first,
+                    ..told
+                },
+            )));
         }
     }
 
@@ -1510,7 +1572,9 @@
         };
         self.learn(now, &attempt, Outcome::Ok, false);
         self.done += 1.0;
-        let aim = self.settings.classes[attempt.class.0].aim.max(1) as f64;
+        let aim = self.settings.classes[attempt.class.0]
+            .latency_objective
+            .max(1) as f64;
         self.fuzzy
             .saw(attempt.class, now.saturating_sub(attempt.due) as f64 / aim);
         if let Some(open) = self.servers.open(attempt.server) {
--- a/crates/policy/src/counts.rs
+++ b/crates/policy/src/counts.rs
@@ -5,86 +5,86 @@
 
 /// What is counted, each an event here at one gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Of {
+pub enum Counter {
     /// A try whose customer was last seen here under a second ago, under ten, or longer ago or never: whether units drawn ahead
     /// would be used.
-    Soon,
+    SeenWithinOneSecond,
     /// See there.
-    Later,
+    SeenWithinTenSeconds,
     /// See there.
-    Anew,
+    SeenForTheFirstTime,
     /// A try refused: its customer's share or its homes have no room.
-    Short,
+    RejectedOverQuota,
     /// Refused unasked: its homes have said that nothing can be had yet.
-    Held,
+    RejectedByCachedDecision,
     /// Refused unasked: its customer asks far too much.
-    Thinned,
+    RejectedBySampling,
     /// Refused unasked: the back end is pressed, and it is worth little.
-    Shed,
+    RejectedByLoadShedding,
     /// Refused: no home answered, and the own store has no room.
-    Homeless,
+    RejectedNoOwner,
     /// Let go unasked, as no home is heard.
-    Alone,
+    AdmittedWithoutOwner,
     /// Let go unasked, by what a home has lent.
-    Lent,
+    AdmittedByLease,
     /// As a home, lent something.
-    Lends,
+    LeasesIssued,
     /// Refused: by half of its time it was not sent, or its aim was out of reach.
-    Unsent,
+    RejectedNotSent,
     /// Refused or failed at the end of its time, or as it may not be sent again.
-    Spent,
+    EndedAfterAttempts,
     /// A home was asked.
-    Asked,
+    GrantRequests,
     /// A home did not answer in time.
-    Unanswered,
+    GrantRequestTimeouts,
     /// An ask was given up that might have been put again: its time was over, or there were no words for it.
-    Unsaid,
+    GrantRequestsGivenUp,
     /// An answer came after that.
-    AnsweredLate,
+    GrantResponsesLate,
     /// A home let a try go.
-    Granted,
+    GrantsReceived,
     /// A grant ran out before its try was sent.
-    Expired,
+    GrantsExpired,
     /// This gateway was asked as a home.
-    Homed,
+    GrantRequestsReceived,
     /// As a home, said no: its part of the quota is short.
-    HomeShort,
+    GrantsDeniedOverQuota,
     /// The same: too many attempts are out.
-    HomeFull,
+    GrantsDeniedInFlight,
     /// The same: the ceiling is near.
-    HomeOver,
+    GrantsDeniedHardLimit,
     /// A first attempt.
-    First,
+    FirstAttempts,
     /// A further attempt.
-    Again,
+    Retries,
     /// An attempt at a server that is out.
-    Trial,
+    HealthProbes,
     /// An attempt at a cold server.
-    Cold,
+    SlowStartAttempts,
     /// A right to send to a cold server that came from another gateway, and one that was given away.
-    Gifted,
+    PermitsReceived,
     /// See there.
-    Gave,
+    PermitsTransferred,
     /// Refused at once: cold servers can't take it in time.
-    TooCold,
+    RejectedBySlowStart,
     /// An attempt that ended well.
-    Good,
+    AttemptsSucceeded,
     /// An attempt whose server gave an error, broke off or was silent.
-    Bad,
+    AttemptsFaulted,
     /// An attempt that was turned away unrun.
-    Full,
+    AttemptsRejected,
     /// An attempt that could not connect.
-    Unreachable,
+    AttemptsUnreachable,
     /// A server was put on trial for a class.
-    Ejected,
+    Ejections,
     /// A rumour that told of later than what was known.
-    Heard,
+    ObservationsReceived,
     /// A dispatch that found no server with room, with requests waiting.
-    NoRoom,
+    NoCapacity,
 }
 
 /// How many counters there are.
-const ALL: usize = Of::NoRoom as usize + 1;
+const ALL: usize = Counter::NoCapacity as usize + 1;
 /// Their names, in the same order.
 const NAMES: [&str; ALL] = [
     "seen_within_1s",
@@ -128,34 +128,34 @@
 
 /// The counts, all from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Counts([u64; ALL]);
+pub struct Counters([u64; ALL]);
 
-impl Default for Counts {
-    fn default() -> Counts {
-        Counts([0; ALL])
+impl Default for Counters {
+    fn default() -> Counters {
+        Counters([0; ALL])
     }
 }
 
-impl Counts {
+impl Counters {
     /// One more.
-    pub(crate) fn add(&mut self, of: Of) {
+    pub(crate) fn add(&mut self, of: Counter) {
         self.0[of as usize] += 1;
     }
 
     /// An attempt has ended so. One that was called off, or never sent, tells of no server.
     pub(crate) fn ended(&mut self, outcome: Outcome, stalled: bool) {
         match outcome {
-            _ if stalled => self.add(Of::Bad),
+            _ if stalled => self.add(Counter::AttemptsFaulted),
             Outcome::NotSent | Outcome::Cancelled => {}
-            Outcome::Ok => self.add(Of::Good),
-            Outcome::Full => self.add(Of::Full),
-            Outcome::Unreachable => self.add(Of::Unreachable),
-            _ => self.add(Of::Bad),
+            Outcome::Ok => self.add(Counter::AttemptsSucceeded),
+            Outcome::Rejected => self.add(Counter::AttemptsRejected),
+            Outcome::Unreachable => self.add(Counter::AttemptsUnreachable),
+            _ => self.add(Counter::AttemptsFaulted),
         }
     }
 
     /// How many so far.
-    pub fn of(&self, of: Of) -> u64 {
+    pub fn get(&self, of: Counter) -> u64 {
         self.0[of as usize]
     }
 
--- a/crates/policy/src/homes.rs
+++ b/crates/policy/src/homes.rs
@@ -5,7 +5,7 @@
 //! is silent.
 
 use crate::fuzzy::mix;
-use crate::interface::{Ceiling, CustomerId, GatewayId, Plan};
+use crate::interface::{CustomerId, HardLimit, NodeId, Plan};
 use saffronpaddle_quota::{Terms, GRANT_LIFE};
 
 /// Units a second that one home of a customer looks after: its intake bounds it.
@@ -30,8 +30,8 @@
     /// Those of a plan's customer with a set of so many gateways, of which there is one at the least.
     pub fn of(plan: &Plan, spread: u32) -> Self {
         let most = plan
-            .ceiling
-            .map_or(spread, |ceiling| (ceiling.depth / CEILING) as u32);
+            .hard_limit
+            .map_or(spread, |ceiling| (ceiling.capacity / CEILING) as u32);
         let parts = ((plan.rate / RATE).ceil() as u32)
             .min(most)
             .clamp(1, spread);
@@ -42,7 +42,7 @@
     }
 
     /// The terms of the part that a number keeps: keepers of one part share its store's, unless they are `fenced`, and never its
-    /// ceiling's. Of a ceiling it
+    /// ceiling's. Counter a ceiling it
     /// keeps back what comes in while its grants are under way: they are void after that.
     pub fn terms(self, plan: &Plan, number: u32, most_units: f64, fenced: bool) -> Terms {
         let parts = f64::from(self.parts);
@@ -55,16 +55,16 @@
             (1.0 - own) / beside
         } / parts;
         let places = |most: u32| (most + self.parts - 1 - number % self.parts) / self.parts;
-        let ceiling = |ceiling: Ceiling| {
+        let ceiling = |ceiling: HardLimit| {
             let late = ceiling.rate * GRANT_LIFE as f64 / 1e6;
-            (ceiling.rate * part, (ceiling.depth - late) * part)
+            (ceiling.rate * part, (ceiling.capacity - late) * part)
         };
         let of_store = if fenced { part } else { 1.0 / parts };
         Terms {
             rate: plan.rate * of_store,
             depth: (plan.burst * of_store).max(most_units),
-            at_once: plan.at_once.map(places),
-            ceiling: plan.ceiling.map(ceiling),
+            at_once: plan.max_in_flight.map(places),
+            ceiling: plan.hard_limit.map(ceiling),
         }
     }
 
@@ -72,13 +72,13 @@
     pub fn keeper(
         self,
         of: CustomerId,
-        (first, spread): (GatewayId, u32),
+        (first, spread): (NodeId, u32),
         number: u32,
         gateways: u32,
-    ) -> GatewayId {
+    ) -> NodeId {
         let mixed = (mix(of.0) >> 33) as u32;
         let step = (mixed % spread + number * (spread / self.keepers)) % spread;
-        GatewayId((first.0 % gateways + step) % gateways)
+        NodeId((first.0 % gateways + step) % gateways)
     }
 
     /// All keepers from a part on: its home, who stands by, then those of the next part.
--- a/crates/policy/src/homes/tests.rs
+++ b/crates/policy/src/homes/tests.rs
@@ -5,11 +5,11 @@
     let plan = |rate| Plan {
         rate,
         burst: 4.0 * rate,
-        at_once: None,
-        price: 1.0,
-        over_worth: 0.0,
-        over_cost: 0.0,
-        ceiling: None,
+        max_in_flight: None,
+        priority_weight: 1.0,
+        over_quota_value: 0.0,
+        over_quota_cost: 0.0,
+        hard_limit: None,
     };
     for (rate, spread, parts) in [
         (0.6, 50, 1),
@@ -26,7 +26,7 @@
             asked.sort_unstable();
             assert_eq!(asked, (0..homes.keepers).collect::<Vec<_>>());
         }
-        let keeper = |number| homes.keeper(CustomerId(77), (GatewayId(90), spread), number, 100);
+        let keeper = |number| homes.keeper(CustomerId(77), (NodeId(90), spread), number, 100);
         let all: std::collections::BTreeSet<_> = (0..homes.keepers).map(keeper).collect();
         assert_eq!(
             all.len(),
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -29,7 +29,7 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct GatewayId(pub u32);
+pub struct NodeId(pub u32);
 
 /// Place of a class in [`Settings::classes`].
 #[derive(
@@ -53,59 +53,59 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct CellId(pub u64);
+pub struct DeduplicationDomainId(pub u64);
 
 /// Number of an attempt of one request, from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct AttemptNo(pub u32);
+pub struct AttemptNumber(pub u32);
 
 /// Which servers drop a repeat of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DeduplicationScope {
     /// Every server.
     All,
     /// Those in the zone of the first attempt's server.
     Zone,
     /// Those in its cell.
-    Cell,
+    Domain,
 }
 
 /// What a second execution of a request would do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Nothing: safe to repeat.
-    Safe,
+    Idempotent,
     /// Dropped inside `group`, for `window` after the first attempt that may have run was sent.
-    Keyed {
+    WithKey {
         /// Where repeats are dropped.
-        group: Group,
+        scope: DeduplicationScope,
         /// How long they are dropped.
         window: Micros,
     },
     /// Harm: it must never run twice.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// An answer within this span earns the full worth.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// Share of the worth that an answer after the aim still earns.
     pub late_value: f64,
     /// Worth of one request.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// What a repeat does.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
 }
 
 /// A hard ceiling on what all gateways pass on for one customer.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ceiling {
+pub struct HardLimit {
     /// Units a second.
     pub rate: f64,
     /// Most units at once.
-    pub depth: f64,
+    pub capacity: f64,
 }
 
 /// A plan: the quota of each of its customers, over all gateways together.
@@ -116,57 +116,57 @@
     /// Units that may be used at once.
     pub burst: f64,
     /// Attempts that may be out at once; `None` for no limit.
-    pub at_once: Option<u32>,
+    pub max_in_flight: Option<u32>,
     /// What the plan's worth counts, times the class's.
-    pub price: f64,
+    pub priority_weight: f64,
     /// Share of the worth earned by what goes beyond the quota.
-    pub over_worth: f64,
+    pub over_quota_value: f64,
     /// Share of the worth that a try sent beyond the quota costs.
-    pub over_cost: f64,
+    pub over_quota_cost: f64,
     /// The hard ceiling, if the plan has one.
-    pub ceiling: Option<Ceiling>,
+    pub hard_limit: Option<HardLimit>,
 }
 
 /// How changes of the list of servers reach the gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Discovery {
+pub enum DiscoveryMode {
     /// By themselves.
     Pushed,
     /// After [`Action::Follow`].
-    Followed,
+    Subscribed,
 }
 
 /// Figures of the rules on drains and cold servers.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Rules {
+pub struct SlowStartRules {
     /// A server starts at this share of its capacity or above.
-    pub cold_from: f64,
+    pub initial_capacity: f64,
     /// It is warm after this span.
-    pub cold_for: Micros,
+    pub warm_up_period: Micros,
     /// Work above this multiple of its present capacity ...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ... over this span makes it fall.
-    pub fall_window: Micros,
+    pub overload_window: Micros,
 }
 
 /// What the site allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Allowed {
+pub struct Permissions {
     /// Attempts for one request.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Attempts may be cancelled.
-    pub cancel: bool,
+    pub cancellation: bool,
     /// Peers may be told.
-    pub messages: bool,
+    pub peer_messages: bool,
 }
 
 /// All that a gateway is told at its start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// This gateway.
-    pub me: GatewayId,
+    pub node: NodeId,
     /// How many gateways there are.
-    pub gateways: u32,
+    pub node_count: u32,
     /// This gateway's zone.
     pub zone: ZoneId,
     /// Classes of requests.
@@ -174,28 +174,28 @@
     /// Customers' plans.
     pub plans: Vec<Plan>,
     /// Figures of the rules.
-    pub rules: Rules,
+    pub slow_start: SlowStartRules,
     /// What is allowed.
-    pub allowed: Allowed,
+    pub permissions: Permissions,
     /// Price of an attempt that crosses zones, a request.
-    pub cross_zone: f64,
+    pub cross_zone_cost: f64,
     /// How list changes come.
-    pub discovery: Discovery,
+    pub discovery: DiscoveryMode,
     /// Shortest span between two rounds of events.
-    pub period: Micros,
+    pub event_interval: Micros,
     /// Messages from peers that a gateway takes in a second.
     pub peer_messages_per_s: f64,
     /// Units of the largest request.
-    pub most_units: f64,
+    pub max_request_units: f64,
     /// A server closes a connection that has stood idle for so long.
-    pub conn_idle: Micros,
+    pub server_idle_timeout: Micros,
     /// Whether each keeper of a customer's quota holds a part of its own, so that two that do not hear each other never grant more
     /// than the whole. The same at all gateways.
-    pub fenced: bool,
+    pub partition_safe: bool,
     /// Whether asks are put again only within a budget of words.
-    pub spare_words: bool,
+    pub retransmission_budget: bool,
     /// Whether of a long list of servers each is sent to by some gateways alone. The same at all gateways.
-    pub working_set: bool,
+    pub subsetting: bool,
 }
 
 /// Settings that make no sense.
@@ -206,9 +206,9 @@
     /// There is no plan.
     NoPlans,
     /// There is no gateway, or this one's number is not among them.
-    BadGateway,
+    UnknownNode,
     /// A figure is negative or not a number.
-    BadFigure,
+    InvalidNumber,
 }
 
 impl fmt::Display for SettingsError {
@@ -216,8 +216,10 @@
         match self {
             Self::NoClasses => f.write_str("settings name no class"),
             Self::NoPlans => f.write_str("settings name no plan"),
-            Self::BadGateway => f.write_str("this gateway's number is not among the gateways"),
-            Self::BadFigure => f.write_str("settings hold a figure that is negative or no number"),
+            Self::UnknownNode => f.write_str("this gateway's number is not among the gateways"),
+            Self::InvalidNumber => {
+                f.write_str("settings hold a figure that is negative or no number")
+            }
         }
     }
 }
@@ -226,40 +228,44 @@
 
 /// What the list says of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Standing {
+pub enum EndpointStatus {
     /// Its process runs.
     Ready,
     /// It finishes its work and takes nothing new.
     Draining,
     /// It was removed.
     #[default]
-    Gone,
+    #[serde(rename = "Gone")]
+    Removed,
 }
 
 /// One server on the list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct ServerEntry {
+pub struct Endpoint {
     /// Which.
     pub server: ServerId,
     /// Its zone.
     pub zone: ZoneId,
     /// Its cell.
-    pub cell: CellId,
+    #[serde(rename = "cell")]
+    pub domain: DeduplicationDomainId,
     /// Its standing.
-    pub standing: Standing,
+    #[serde(rename = "standing")]
+    pub status: EndpointStatus,
     /// Rough size against the others; above 0.
     pub size: f64,
     /// When it last started; `None` for long ago.
-    pub started: Option<Micros>,
+    #[serde(rename = "started")]
+    pub started_at: Option<Micros>,
 }
 
 /// How a list is to be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListKind {
+pub enum EndpointUpdate {
     /// The whole list; who is not on it is gone.
-    Complete,
+    Snapshot,
     /// Only what changed.
-    Changes,
+    Delta,
 }
 
 /// How an attempt ended.
@@ -270,13 +276,13 @@
     /// The server answered with an error; it may have run.
     Error,
     /// Turned away unseen: never ran.
-    Full,
+    Rejected,
     /// No answer in time; it may have run, or still may.
     TimedOut,
     /// No connection: never ran.
     Unreachable,
     /// The connection broke; it may have run.
-    Broken,
+    ConnectionLost,
     /// Called off; it may have run.
     Cancelled,
     /// Never sent.
@@ -285,11 +291,12 @@
 
 /// What an attempt of one process of a gateway is to another: two processes are one gateway while the second takes over.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct TwinOut {
+pub struct SiblingAttempt {
     /// The request.
-    pub id: RequestId,
+    #[serde(rename = "id")]
+    pub request: RequestId,
     /// Which attempt.
-    pub attempt: AttemptNo,
+    pub attempt: AttemptNumber,
     /// To whom.
     pub server: ServerId,
     /// Whose.
@@ -297,39 +304,44 @@
     /// Its class.
     pub class: ClassId,
     /// Since when only the back end holds it up.
-    pub due: Micros,
+    #[serde(rename = "due")]
+    pub queued_since: Micros,
     /// When it was sent.
-    pub sent: Micros,
+    #[serde(rename = "sent")]
+    pub sent_at: Micros,
     /// Attempts that were out at the server then, with this one.
-    pub places: f64,
+    #[serde(rename = "places")]
+    pub in_flight: f64,
     /// The terms of its try, if it is the first one of it: then it takes its units.
-    #[serde(default)]
-    pub first: Option<TwinTerms>,
+    #[serde(default, rename = "first")]
+    pub charge: Option<QuotaCharge>,
 }
 
 /// What a try draws, and on which store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct TwinTerms {
+pub struct QuotaCharge {
     /// Its plan.
     pub plan: PlanId,
     /// What it counts.
     pub units: f64,
     /// The customer's set of gateways: the first, and how many.
-    pub set: (GatewayId, u32),
+    pub set: (NodeId, u32),
 }
 
 /// What processes of one gateway tell each other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
-pub enum Twin {
+pub enum SiblingMessage {
     /// An attempt has begun.
-    Out(TwinOut),
+    #[serde(rename = "out")]
+    AttemptStarted(SiblingAttempt),
     /// It has ended.
-    In {
+    #[serde(rename = "in")]
+    AttemptEnded {
         /// The request.
-        id: RequestId,
+        #[serde(rename = "id")]
+        request: RequestId,
         /// Which attempt.
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
     },
 }
 
@@ -337,16 +349,16 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// News of the list of servers.
-    Servers {
+    EndpointsChanged {
         /// How to read it.
-        kind: ListKind,
+        update: EndpointUpdate,
         /// The entries.
-        entries: Vec<ServerEntry>,
+        endpoints: Vec<Endpoint>,
     },
     /// The list could not be had, or is no longer followed; the old one stands.
-    ListFailed,
+    EndpointsUnavailable,
     /// A client's try has come in.
-    Request {
+    RequestArrived {
         /// Its id.
         id: RequestId,
         /// Its class.
@@ -358,71 +370,71 @@
         /// What it counts.
         units: f64,
         /// First of the customer's gateways; the others follow, counted round.
-        first: GatewayId,
+        first: NodeId,
         /// How many gateways the customer's tries come through.
         spread: u32,
         /// How long the client waits for this try.
-        patience: Micros,
-        /// Whether it has come whole. Of one that has not, the rest goes to a server as it comes, once;
+        timeout: Micros,
+        /// Whether it has come whole. Counter one that has not, the rest goes to a server as it comes, once;
         /// [`Event::Whole`] follows, and till then `patience` is what its coming may take.
-        whole: bool,
+        complete: bool,
     },
     /// The last byte of a request has come; it is held back until this is handled, and goes to the server of the attempt
     /// that is out, if the request is open then.
-    Whole {
+    BodyComplete {
         /// The request.
         id: RequestId,
         /// How long the client waits from now on.
-        patience: Micros,
+        timeout: Micros,
     },
     /// A streamed answer has begun: the attempt belongs to the client now.
-    Started {
+    ResponseStarted {
         /// The request.
         id: RequestId,
     },
     /// An attempt has ended. Each sent attempt gets exactly one of these.
-    Ended {
+    AttemptEnded {
         /// The request.
         id: RequestId,
         /// Which attempt.
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
         /// How.
         outcome: Outcome,
         /// The request is closed: nothing more is owed.
-        closed: bool,
+        request_closed: bool,
     },
     /// Nobody waits for this request any more.
-    Abandoned {
+    RequestAbandoned {
         /// The request.
         id: RequestId,
     },
     /// A wake-up that was asked for.
-    Woke {
+    TimerFired {
         /// As given.
         token: u64,
     },
     /// A message from a peer.
-    Peer {
+    PeerMessage {
         /// Who sent it.
-        from: GatewayId,
+        from: NodeId,
         /// What it says.
         bytes: Vec<u8>,
     },
     /// Another process of this gateway has told something.
-    Twin {
+    SiblingMessage {
         /// Over which link.
         link: u32,
         /// What.
-        twin: Twin,
+        message: SiblingMessage,
     },
     /// Who else is this gateway now.
-    Twins {
+    SiblingsChanged {
         /// A link that has ended: what was out there is no more.
-        ended: Option<u32>,
+        ended_link: Option<u32>,
         /// Whether attempts have to be told.
-        shared: bool,
+        share_attempts: bool,
         /// Whether another process speaks to peers in this one's stead.
-        hushed: bool,
+        peer_messages_delegated: bool,
     },
 }
 
@@ -436,14 +448,14 @@
         /// To whom.
         server: ServerId,
         /// Give the attempt up after this; `None` for when the client does.
-        time_out: Option<Micros>,
+        timeout: Option<Micros>,
     },
     /// Final answer: refused, and trying again is harmless.
-    Refuse {
+    Reject {
         /// The request.
         id: RequestId,
         /// Advice on when.
-        retry_in: Option<Micros>,
+        retry_after: Option<Micros>,
     },
     /// Final answer: failed, with no promise.
     Fail {
@@ -455,31 +467,31 @@
         /// The request.
         id: RequestId,
         /// Which attempt.
-        attempt: AttemptNo,
+        attempt: AttemptNumber,
     },
     /// A message to every peer.
-    TellAll {
+    Broadcast {
         /// At most 256 bytes.
         bytes: Vec<u8>,
     },
     /// A message to one peer.
-    Tell {
+    SendToPeer {
         /// To whom.
-        to: GatewayId,
+        to: NodeId,
         /// At most 256 bytes.
         bytes: Vec<u8>,
     },
     /// A word to the other processes of this gateway.
-    Twin(Twin),
+    SendToSiblings(SiblingMessage),
     /// Wake me.
-    Wake {
+    SetTimer {
         /// After this long.
         after: Micros,
         /// Comes back as given.
         token: u64,
     },
     /// Follow changes of the list.
-    Follow,
+    Subscribe,
     /// A line for the log.
     Log(String),
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -25,5 +25,5 @@
 mod twin;
 mod words;
 
-pub use control::Gateway;
-pub use twin::Kept;
+pub use control::PolicyEngine;
+pub use twin::StateSnapshot;
--- a/crates/policy/src/message.rs
+++ b/crates/policy/src/message.rs
@@ -1,6 +1,6 @@
 //! How messages between gateways are laid out in bytes. What goes into one is decided in `control`.
 
-use crate::interface::{ClassId, CustomerId, GatewayId, Micros, PlanId, ServerId};
+use crate::interface::{ClassId, CustomerId, Micros, NodeId, PlanId, ServerId};
 use crate::pooled::Pooled;
 use saffronpaddle_quota::{Lease, Said, Verdict, Wish};
 use saffronpaddle_slow_start::Gift;
@@ -65,7 +65,7 @@
     pub serial: u16,
     pub customer: CustomerId,
     pub plan: PlanId,
-    pub first: GatewayId,
+    pub first: NodeId,
     pub spread: u32,
     /// Which of the homes is meant.
     pub home: u8,
@@ -80,7 +80,7 @@
 #[allow(clippy::option_option)]
 pub(crate) enum Message {
     // Kinds 1 and 2 were asks and answers without the weights of aims; who sends those is passed over.
-    Counts(u32, Vec<(CustomerId, u16)>),
+    Counters(u32, Vec<(CustomerId, u16)>),
     // Kinds 6 and 7 are those of yesterday, without what is wished and lent, and both are still spoken; 4 and 5, without what goes
     // beside an ask and how long to stay away, are those of the build before, and are only answered.
     Ask(Ask, Option<News>),
@@ -116,7 +116,7 @@
 pub(crate) fn write(message: &Message) -> Vec<u8> {
     let mut bytes = vec![VERSION];
     match message {
-        Message::Counts(birth, counts) => {
+        Message::Counters(birth, counts) => {
             bytes.push(0);
             bytes.extend_from_slice(&birth.to_le_bytes());
             for (customer, count) in counts.iter().take(ROOM) {
@@ -298,13 +298,13 @@
                     taken.number(2)? as u16,
                 ));
             }
-            Message::Counts(birth, counts)
+            Message::Counters(birth, counts)
         }
         kind @ (4 | 6 | 9) => {
             let serial = taken.number(2)? as u16;
             let customer = CustomerId(taken.number(COUNT - 2)?);
             let (plan, home) = (PlanId(taken.number(1)? as usize), taken.number(1)? as u8);
-            let (first, spread) = (GatewayId(taken.number(2)? as u32), taken.number(2)? as u32);
+            let (first, spread) = (NodeId(taken.number(2)? as u32), taken.number(2)? as u32);
             let units = taken.number(2)? as f64 / PART;
             let (mut beside, mut wish) = (None, None);
             if kind >= 6 {
--- a/crates/policy/src/message/tests.rs
+++ b/crates/policy/src/message/tests.rs
@@ -27,7 +27,7 @@
         serial: 0x0102,
         customer: CustomerId(0x0A_0B0C_0D0E),
         plan: PlanId(3),
-        first: GatewayId(258),
+        first: NodeId(258),
         spread: 24,
         home: 5,
         units: 2.5,
@@ -62,9 +62,9 @@
     vec![
         (
             "counts",
-            Message::Counts(1_234_567, vec![(customer, 0xFFFE), (CustomerId(1), 8)]),
+            Message::Counters(1_234_567, vec![(customer, 0xFFFE), (CustomerId(1), 8)]),
         ),
-        ("counts_of_nobody", Message::Counts(1, Vec::new())),
+        ("counts_of_nobody", Message::Counters(1, Vec::new())),
         ("ask_old", Message::Ask(ask(None, None), Some(news()))),
         ("ask", Message::Ask(ask(Some((17, told)), None), None)),
         (
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -1,7 +1,7 @@
 //! A customer's store at a gateway that counts for itself: how it fills and what it holds. Who may draw on it is decided in
 //! `control`; what homes keep for a wide fleet is in the package `quota`.
 
-use crate::interface::{Ceiling, GatewayId, Micros, Plan, PlanId};
+use crate::interface::{HardLimit, Micros, NodeId, Plan, PlanId};
 use crate::state::Store;
 
 /// µs over which heard counts age out (design).
@@ -37,7 +37,7 @@
         up: Micros,
         id: PlanId,
         plan: &Plan,
-        (first, spread): (GatewayId, u32),
+        (first, spread): (NodeId, u32),
         most: f64,
     ) -> Self {
         let spread = f64::from(spread.max(1));
@@ -86,7 +86,7 @@
     }
 
     pub(crate) fn fill_ceiling(&mut self, plan: &Plan, span: f64) {
-        if let Some(ceiling) = plan.ceiling {
+        if let Some(ceiling) = plan.hard_limit {
             // Danger: a ceiling passed. A fixed share, empty at first, needs no word from anyone and holds
             // through lost messages and restarts; it hurts where nearly all comes in through one gateway.
             let most = self.most_under(&ceiling);
@@ -94,8 +94,8 @@
         }
     }
 
-    fn most_under(&self, ceiling: &Ceiling) -> f64 {
-        ceiling.depth * self.ceiling_share
+    fn most_under(&self, ceiling: &HardLimit) -> f64 {
+        ceiling.capacity * self.ceiling_share
     }
 
     /// Whether nothing would be gained or given by dropping it: it has stood unused, and is full.
@@ -105,7 +105,7 @@
         }
         self.fill(now, plan, silent);
         let full = plan
-            .ceiling
+            .hard_limit
             .as_ref()
             .is_none_or(|ceiling| self.ceiling >= self.most_under(ceiling));
         let refilled = plan.rate <= 0.0 || self.level >= (plan.burst * self.share).max(self.depth);
