--- a/crates/policy/src/servers.rs
+++ b/crates/policy/src/servers.rs
@@ -6,7 +6,7 @@
 //! gateway holds are in those sums, and keep what is known of them.
 
 use crate::interface::{
-    ClassId, GatewayId, ListKind, Micros, Rules, ServerEntry, ServerId, Standing,
+    ClassId, Endpoint, EndpointStatus, EndpointUpdate, Micros, NodeId, ServerId, SlowStartRules,
 };
 use crate::message;
 use crate::state::Server;
@@ -67,11 +67,11 @@
     listed: usize,
     avoided: usize,
     ready: usize,
-    /// Of those held here: how many are ready; of these, by class, how many are out, and the shares that fail; their waits.
+    /// Counter those held here: how many are ready; of these, by class, how many are out, and the shares that fail; their waits.
     held: usize,
     out: Vec<usize>,
     failing: Vec<u64>,
-    /// Kept where they are too many to be walked over at a tick.
+    /// StateSnapshot where they are too many to be walked over at a tick.
     waits: Median,
     many: bool,
     /// Held here, and started not long ago; with evidence that may still count; gone, but not forgotten.
@@ -89,7 +89,7 @@
 
     fn enter(&mut self, server: &Server) {
         self.looked(1);
-        let listed = server.entry.standing != Standing::Gone;
+        let listed = server.entry.status != EndpointStatus::Removed;
         let out = server.health.iter().any(|health| health.trial.is_some());
         self.listed += usize::from(listed);
         self.avoided += usize::from(listed && (!server.ready() || out));
@@ -111,7 +111,7 @@
     }
 
     fn leave(&mut self, server: &Server) {
-        let listed = server.entry.standing != Standing::Gone;
+        let listed = server.entry.status != EndpointStatus::Removed;
         let out = server.health.iter().any(|health| health.trial.is_some());
         self.listed -= usize::from(listed);
         self.avoided -= usize::from(listed && (!server.ready() || out));
@@ -200,7 +200,7 @@
 
 impl Servers {
     /// None, at a gateway of so many that has so many classes; whether a long list is not to be sent to as a whole.
-    pub fn new((me, gateways): (GatewayId, u32), classes: usize, works: bool) -> Servers {
+    pub fn new((me, gateways): (NodeId, u32), classes: usize, works: bool) -> Servers {
         let sums = Sums {
             classes,
             listed: 0,
@@ -252,16 +252,17 @@
     pub fn list(
         &mut self,
         now: Micros,
-        kind: ListKind,
-        entries: Vec<ServerEntry>,
-        rules: &Rules,
+        kind: EndpointUpdate,
+        entries: Vec<Endpoint>,
+        rules: &SlowStartRules,
         lately: Micros,
     ) {
-        if kind == ListKind::Complete {
+        if kind == EndpointUpdate::Snapshot {
             let listed: BTreeSet<ServerId> = entries.iter().map(|entry| entry.server).collect();
             for (_, server) in self.all.iter_mut().filter(|(id, _)| !listed.contains(id)) {
-                self.sums
-                    .change(server, |server| server.entry.standing = Standing::Gone);
+                self.sums.change(server, |server| {
+                    server.entry.status = EndpointStatus::Removed
+                });
             }
         }
         if self.all.is_empty() {
@@ -276,8 +277,9 @@
         for entry in entries {
             let id = entry.server;
             if let Some(server) = self.all.get_mut(&id) {
-                self.sums
-                    .change(server, |server| server.follow(entry, now, rules.cold_for));
+                self.sums.change(server, |server| {
+                    server.follow(entry, now, rules.warm_up_period)
+                });
             } else {
                 let held = !self.long || self.set.holds(id.0);
                 if self.long {
@@ -294,7 +296,7 @@
             }
             if !self.long || self.set.holds(id.0) {
                 let young = entry
-                    .started
+                    .started_at
                     .is_some_and(|started| now < started.saturating_add(lately));
                 self.sums.young.extend(young.then_some(id));
                 self.names.insert(message::short(id), id);
@@ -352,7 +354,7 @@
         }
         self.sums.waits = Median::default();
         self.sums.many = self.held.len() > WHOLE || many && self.held.len() >= MANY_STILL;
-        // Of few none is kept in order.
+        // Counter few none is kept in order.
         self.all
             .iter()
             .for_each(|(id, server)| self.sums.wait(*id, None, waits(server)));
@@ -388,8 +390,8 @@
     }
 
     /// The gateway at a place among them.
-    pub fn carer(&self, server: ServerId, place: u32) -> GatewayId {
-        GatewayId(self.set.carer(server.0, place))
+    pub fn carer(&self, server: ServerId, place: u32) -> NodeId {
+        NodeId(self.set.carer(server.0, place))
     }
 
     /// How many servers have been looked at since the start.
@@ -515,7 +517,7 @@
         let (all, set, sums) = (&mut self.all, &self.set, &self.sums);
         let mut ready = |server: &mut Server| {
             sums.looked(1);
-            if server.ready() && server.entry.started.is_some() {
+            if server.ready() && server.entry.started_at.is_some() {
                 take(set, server);
             }
         };
--- a/crates/policy/src/servers/tests.rs
+++ b/crates/policy/src/servers/tests.rs
@@ -1,15 +1,15 @@
 //! The sums are those of a walk over all servers, whatever happens to them.
 
 use super::*;
-use crate::interface::{CellId, ZoneId};
+use crate::interface::{DeduplicationDomainId, ZoneId};
 use crate::state::Health;
 
 const CLASSES: usize = 3;
-const RULES: Rules = Rules {
-    cold_from: 0.2,
-    cold_for: 10_000_000,
-    fall_multiple: 3.0,
-    fall_window: 1_000_000,
+const RULES: SlowStartRules = SlowStartRules {
+    initial_capacity: 0.2,
+    warm_up_period: 10_000_000,
+    overload_multiple: 3.0,
+    overload_window: 1_000_000,
 };
 const YOUNG_FOR: Micros = 40_000_000;
 
@@ -40,7 +40,7 @@
         let listed = self
             .0
             .iter()
-            .filter(|server| server.entry.standing != Standing::Gone);
+            .filter(|server| server.entry.status != EndpointStatus::Removed);
         let out = |server: &Server| {
             !server.ready() || server.health.iter().any(|health| health.trial.is_some())
         };
@@ -61,15 +61,15 @@
     }
 }
 
-fn entry(server: u64, standing: Standing, started: Option<Micros>) -> ServerEntry {
+fn entry(server: u64, standing: EndpointStatus, started: Option<Micros>) -> Endpoint {
     let zone = ZoneId((server % 3) as u32);
-    ServerEntry {
+    Endpoint {
         server: ServerId(server),
         zone,
-        cell: CellId(server),
-        standing,
+        domain: DeduplicationDomainId(server),
+        status: standing,
         size: 1.0,
-        started,
+        started_at: started,
     }
 }
 
@@ -168,7 +168,7 @@
 /// Drives servers through random news of the list, outcomes and ticks, and compares with a walk after each.
 fn drive(seed: u64, gateways: u32, most: u64, steps: u64) -> Servers {
     let mut random = fastrand::Rng::with_seed(seed);
-    let mut servers = Servers::new((GatewayId(random.u32(..gateways)), gateways), CLASSES, true);
+    let mut servers = Servers::new((NodeId(random.u32(..gateways)), gateways), CLASSES, true);
     let mut now = 1_000_000_000;
     for step in 0..steps {
         now += random.u64(..3_000_000);
@@ -176,23 +176,23 @@
             0 => {
                 let count = random.u64(..most);
                 let entries = (0..count)
-                    .map(|id| entry(id, Standing::Ready, None))
+                    .map(|id| entry(id, EndpointStatus::Ready, None))
                     .collect();
-                servers.list(now, ListKind::Complete, entries, &RULES, YOUNG_FOR);
+                servers.list(now, EndpointUpdate::Snapshot, entries, &RULES, YOUNG_FOR);
             }
             1..=3 => {
                 let count = random.u64(..most.div_ceil(4));
                 let one = |_| {
                     let standing = match random.u32(..4) {
-                        0 => Standing::Gone,
-                        1 => Standing::Draining,
-                        _ => Standing::Ready,
+                        0 => EndpointStatus::Removed,
+                        1 => EndpointStatus::Draining,
+                        _ => EndpointStatus::Ready,
                     };
                     let started = random.bool().then(|| now - random.u64(..60_000_000));
                     entry(random.u64(..most), standing, started)
                 };
                 let entries = (0..count).map(one).collect();
-                servers.list(now, ListKind::Changes, entries, &RULES, YOUNG_FOR);
+                servers.list(now, EndpointUpdate::Delta, entries, &RULES, YOUNG_FOR);
             }
             4 => {
                 let counts = |health: &Health| {
@@ -249,15 +249,17 @@
 
 #[test]
 fn a_server_that_is_gone_is_forgotten_once_nothing_is_out_at_it() {
-    let mut servers = Servers::new((GatewayId(0), 3), CLASSES, true);
-    let ready = (0..20).map(|id| entry(id, Standing::Ready, None)).collect();
-    servers.list(1, ListKind::Complete, ready, &RULES, YOUNG_FOR);
+    let mut servers = Servers::new((NodeId(0), 3), CLASSES, true);
+    let ready = (0..20)
+        .map(|id| entry(id, EndpointStatus::Ready, None))
+        .collect();
+    servers.list(1, EndpointUpdate::Snapshot, ready, &RULES, YOUNG_FOR);
     servers.edit(ServerId(3)).expect("listed").open = 1;
     let gone = vec![
-        entry(3, Standing::Gone, None),
-        entry(4, Standing::Gone, None),
+        entry(3, EndpointStatus::Removed, None),
+        entry(4, EndpointStatus::Removed, None),
     ];
-    servers.list(2, ListKind::Changes, gone, &RULES, YOUNG_FOR);
+    servers.list(2, EndpointUpdate::Delta, gone, &RULES, YOUNG_FOR);
     servers.tidy(3, YOUNG_FOR, |_| false);
     assert!(servers.get(ServerId(3)).is_some() && servers.get(ServerId(4)).is_none());
     servers.edit(ServerId(3)).expect("something is out").open = 0;
@@ -268,15 +270,21 @@
 
 #[test]
 fn what_is_not_sent_to_from_here_keeps_nothing_that_was_known_of_it() {
-    let mut servers = Servers::new((GatewayId(0), 2_700), CLASSES, true);
+    let mut servers = Servers::new((NodeId(0), 2_700), CLASSES, true);
     let ready = |count| {
         (0..count)
-            .map(|id| entry(id, Standing::Ready, None))
+            .map(|id| entry(id, EndpointStatus::Ready, None))
             .collect()
     };
-    servers.list(1, ListKind::Complete, ready(500), &RULES, YOUNG_FOR);
+    servers.list(1, EndpointUpdate::Snapshot, ready(500), &RULES, YOUNG_FOR);
     (0..500).for_each(|id| servers.edit(ServerId(id)).expect("listed").wait = 5.0);
-    servers.list(2, ListKind::Complete, ready(40_000), &RULES, YOUNG_FOR);
+    servers.list(
+        2,
+        EndpointUpdate::Snapshot,
+        ready(40_000),
+        &RULES,
+        YOUNG_FOR,
+    );
     let known = servers
         .all
         .values()
--- a/crates/policy/src/setup.rs
+++ b/crates/policy/src/setup.rs
@@ -2,8 +2,8 @@
 //! share this reading.
 
 use crate::interface::{
-    Allowed, Ceiling, Class, Discovery, Effect, GatewayId, Group, Micros, Plan, Rules, Settings,
-    ZoneId,
+    Class, DeduplicationScope, DiscoveryMode, HardLimit, Idempotency, Micros, NodeId, Permissions,
+    Plan, Settings, SlowStartRules, ZoneId,
 };
 use serde::Deserialize;
 
@@ -132,7 +132,7 @@
 
 /// Settings, with the names that later lines use and the figures that only sockets need.
 #[derive(Clone, Debug)]
-pub struct Named {
+pub struct NamedSettings {
     /// What the module is told.
     pub settings: Settings,
     /// Names of the classes, in the order of their ids.
@@ -144,7 +144,7 @@
     /// How long a client of any class waits at the most.
     pub longest_deadline: Micros,
     /// A server closes a connection that has stood idle for so long.
-    pub conn_idle: Micros,
+    pub server_idle_timeout: Micros,
     /// A connection that has not come up by then never will.
     pub connect_timeout: Micros,
 }
@@ -153,43 +153,43 @@
 ///
 /// # Errors
 /// What is wrong with them, in a line.
-pub fn read(text: &str) -> Result<Named, String> {
+pub fn read(text: &str) -> Result<NamedSettings, String> {
     let setup: Setup = serde_json::from_str(text).map_err(|error| error.to_string())?;
     let zone = setup.zones.iter().position(|name| *name == setup.zone);
     let zone = ZoneId(zone.ok_or("zone is not among zones")? as u32);
     let classes = setup.classes.iter().map(class).collect::<Result<_, _>>()?;
     let settings = Settings {
-        me: GatewayId(setup.me),
-        gateways: setup.balancers,
+        node: NodeId(setup.me),
+        node_count: setup.balancers,
         zone,
         classes,
         plans: setup.packages.iter().map(plan).collect(),
-        rules: Rules {
-            cold_from: setup.rules.cold_from,
-            cold_for: setup.rules.cold_us,
-            fall_multiple: setup.rules.fall_multiple,
-            fall_window: setup.rules.overload_for_us,
+        slow_start: SlowStartRules {
+            initial_capacity: setup.rules.cold_from,
+            warm_up_period: setup.rules.cold_us,
+            overload_multiple: setup.rules.fall_multiple,
+            overload_window: setup.rules.overload_for_us,
         },
-        allowed: Allowed {
-            attempts: setup.ceilings.send_cap,
-            cancel: setup.ceilings.cancel,
-            messages: setup.ceilings.may_tell,
+        permissions: Permissions {
+            max_attempts: setup.ceilings.send_cap,
+            cancellation: setup.ceilings.cancel,
+            peer_messages: setup.ceilings.may_tell,
         },
-        cross_zone: setup.deductions.cross_zone,
+        cross_zone_cost: setup.deductions.cross_zone,
         discovery: match setup.discovery {
-            WireDiscovery::Automatic => Discovery::Pushed,
-            WireDiscovery::Subscribe => Discovery::Followed,
+            WireDiscovery::Automatic => DiscoveryMode::Pushed,
+            WireDiscovery::Subscribe => DiscoveryMode::Subscribed,
         },
-        period: setup.period_us,
+        event_interval: setup.period_us,
         peer_messages_per_s: setup.extra.peer_in_per_s,
-        most_units: setup.extra.max_units,
-        conn_idle: setup.ceilings.conn_idle_us,
+        max_request_units: setup.extra.max_units,
+        server_idle_timeout: setup.ceilings.conn_idle_us,
         // The installation's to set, not the platform's.
-        fenced: false,
-        spare_words: false,
-        working_set: false,
+        partition_safe: false,
+        retransmission_budget: false,
+        subsetting: false,
     };
-    Ok(Named {
+    Ok(NamedSettings {
         settings,
         longest_deadline: setup
             .classes
@@ -197,7 +197,7 @@
             .map(|class| class.deadline_us)
             .max()
             .unwrap_or(0),
-        conn_idle: setup.ceilings.conn_idle_us,
+        server_idle_timeout: setup.ceilings.conn_idle_us,
         connect_timeout: setup.ceilings.connect_timeout_us,
         classes: setup.classes.into_iter().map(|class| class.name).collect(),
         plans: setup.packages.into_iter().map(|plan| plan.name).collect(),
@@ -207,23 +207,23 @@
 
 fn class(wire: &WireClass) -> Result<Class, String> {
     let effect = match wire.repeat {
-        Repeat::ReadLike => Effect::Safe,
-        Repeat::NonIdempotent => Effect::Unsafe,
-        Repeat::IdempotencyKey => Effect::Keyed {
-            group: match wire.group {
-                Some(WireGroup::All) => Group::All,
-                Some(WireGroup::Zone) => Group::Zone,
-                Some(WireGroup::Cell) => Group::Cell,
+        Repeat::ReadLike => Idempotency::Idempotent,
+        Repeat::NonIdempotent => Idempotency::NonIdempotent,
+        Repeat::IdempotencyKey => Idempotency::WithKey {
+            scope: match wire.group {
+                Some(WireGroup::All) => DeduplicationScope::All,
+                Some(WireGroup::Zone) => DeduplicationScope::Zone,
+                Some(WireGroup::Cell) => DeduplicationScope::Domain,
                 None => return Err(format!("class {}: group is missing", wire.name)),
             },
             window: wire.window_us,
         },
     };
     Ok(Class {
-        aim: wire.aim_us,
+        latency_objective: wire.aim_us,
         late_value: wire.late_value,
-        worth: wire.worth,
-        effect,
+        priority_weight: wire.worth,
+        idempotency: effect,
     })
 }
 
@@ -231,13 +231,13 @@
     Plan {
         rate: wire.rate,
         burst: wire.store_size,
-        at_once: (wire.at_once > 0).then_some(wire.at_once),
-        price: wire.price,
-        over_worth: wire.over_worth,
-        over_cost: wire.overrun_cost,
-        ceiling: (wire.cap_rate > 0.0).then_some(Ceiling {
+        max_in_flight: (wire.at_once > 0).then_some(wire.at_once),
+        priority_weight: wire.price,
+        over_quota_value: wire.over_worth,
+        over_quota_cost: wire.overrun_cost,
+        hard_limit: (wire.cap_rate > 0.0).then_some(HardLimit {
             rate: wire.cap_rate,
-            depth: wire.never_over_depth,
+            capacity: wire.never_over_depth,
         }),
     }
 }
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -1,10 +1,10 @@
 //! What a gateway keeps in mind: plain data, and sums over it. Nothing is decided here.
 
-use crate::counts::Counts;
+use crate::counts::Counters;
 use crate::crowding::Crowding;
 use crate::interface::{
-    Action, AttemptNo, ClassId, CustomerId, GatewayId, Micros, Plan, PlanId, RequestId, Rules,
-    ServerEntry, ServerId, Settings, Standing, TwinTerms, ZoneId,
+    Action, AttemptNumber, ClassId, CustomerId, Endpoint, EndpointStatus, Micros, NodeId, Plan,
+    PlanId, QuotaCharge, RequestId, ServerId, Settings, SlowStartRules, ZoneId,
 };
 use crate::mean::Mean;
 use crate::message::{self, Rumour};
@@ -20,12 +20,12 @@
 /// Where actions are gathered.
 pub(crate) type Out = Vec<Action>;
 /// An attempt, by its request and its number.
-pub(crate) type AttemptKey = (RequestId, AttemptNo);
+pub(crate) type AttemptKey = (RequestId, AttemptNumber);
 
 /// Where and when an attempt went that may have run.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Ran {
-    pub place: ServerEntry,
+    pub place: Endpoint,
     pub sent: Micros,
 }
 
@@ -48,7 +48,7 @@
     pub attempts: u32,
     /// Those among them of which no byte was written.
     pub unsent: u32,
-    pub out: Option<AttemptNo>,
+    pub out: Option<AttemptNumber>,
     pub cancelled: bool,
     /// Its body has not come whole: what is out has not begun at the server, and draws nothing yet.
     pub coming: bool,
@@ -88,8 +88,8 @@
     }
 
     /// One more attempt is out, at this server.
-    pub fn sent(&mut self, server: ServerId) -> AttemptNo {
-        let number = AttemptNo(self.attempts);
+    pub fn sent(&mut self, server: ServerId) -> AttemptNumber {
+        let number = AttemptNumber(self.attempts);
         self.attempts += 1;
         (self.out, self.last, self.cancelled) = (Some(number), Some(server), false);
         number
@@ -117,7 +117,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Asking {
     /// The home asked last, by its place and by its number among gateways.
-    pub home: (u32, GatewayId),
+    pub home: (u32, NodeId),
     /// The ask that is open, and since when.
     pub open: Option<(u16, Micros)>,
     /// When that ask was first put, and how often it was.
@@ -126,12 +126,12 @@
     pub short: u32,
     pub missed: u32,
     /// Who let it go, under which ask, and until when that holds under a ceiling.
-    pub granted: Option<(GatewayId, u16)>,
+    pub granted: Option<(NodeId, u16)>,
     pub granted_until: Micros,
 }
 
 impl Asking {
-    pub fn ask(&mut self, now: Micros, serial: u16, home: (u32, GatewayId)) {
+    pub fn ask(&mut self, now: Micros, serial: u16, home: (u32, NodeId)) {
         (self.home, self.open, self.since, self.put) = (home, Some((serial, now)), now, 1);
     }
 
@@ -155,7 +155,7 @@
 }
 
 /// An attempt of another process of this gateway, and over which link it is heard.
-pub(crate) type Abroad = BTreeMap<(RequestId, AttemptNo), (u32, Attempt)>;
+pub(crate) type Abroad = BTreeMap<(RequestId, AttemptNumber), (u32, Attempt)>;
 
 /// How far an attempt is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -205,7 +205,7 @@
 #[serde(default)]
 pub(crate) struct Store {
     pub plan: PlanId,
-    pub first: GatewayId,
+    pub first: NodeId,
     pub spread: f64,
     pub depth: f64,
     pub level: f64,
@@ -218,7 +218,7 @@
     pub sent_at: Micros,
     pub open: u32,
     #[serde(with = "crate::pairs")]
-    pub heard: BTreeMap<GatewayId, Heard>,
+    pub heard: BTreeMap<NodeId, Heard>,
     pub ceiling: f64,
     /// What part of the quota and of the ceiling is kept here.
     pub share: f64,
@@ -260,8 +260,8 @@
     }
 
     /// The terms of a try that draws on it, for another process of this gateway.
-    pub fn terms(&self, units: f64) -> TwinTerms {
-        TwinTerms {
+    pub fn terms(&self, units: f64) -> QuotaCharge {
+        QuotaCharge {
             plan: self.plan,
             units,
             set: (self.first, self.spread as u32),
@@ -299,7 +299,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub(crate) struct Server {
-    pub entry: ServerEntry,
+    pub entry: Endpoint,
     pub open: u32,
     /// µs of wait that one place here costs, and when that was last learned.
     pub wait: f64,
@@ -332,7 +332,7 @@
 }
 
 impl Server {
-    pub fn unknown(entry: ServerEntry, now: Micros) -> Self {
+    pub fn unknown(entry: Endpoint, now: Micros) -> Self {
         Server {
             entry,
             learned: now,
@@ -342,10 +342,10 @@
     }
 
     /// Takes in what the list says of it. One that started anew is unknown again.
-    pub fn follow(&mut self, entry: ServerEntry, now: Micros, cold_for: Micros) {
-        if self.entry.started != entry.started {
+    pub fn follow(&mut self, entry: Endpoint, now: Micros, cold_for: Micros) {
+        if self.entry.started_at != entry.started_at {
             let mut budget = self.rights();
-            budget.begins(entry.started.unwrap_or(0), cold_for);
+            budget.begins(entry.started_at.unwrap_or(0), cold_for);
             *self = Server {
                 open: self.open,
                 held: self.held,
@@ -371,7 +371,7 @@
     /// Whether it started less than a span ago.
     pub fn is_young(&self, now: Micros, span: Micros) -> bool {
         self.entry
-            .started
+            .started_at
             .is_some_and(|started| now < started.saturating_add(span))
     }
 
@@ -394,7 +394,7 @@
     pub fn rights(&self) -> Budget {
         self.budget.as_deref().cloned().unwrap_or_else(|| {
             let mut budget = Budget::default();
-            budget.begins(self.entry.started.unwrap_or(0), 0);
+            budget.begins(self.entry.started_at.unwrap_or(0), 0);
             budget
         })
     }
@@ -441,22 +441,22 @@
     }
 
     pub fn ready(&self) -> bool {
-        self.entry.standing == Standing::Ready
+        self.entry.status == EndpointStatus::Ready
     }
 
     /// Share of its capacity that it has at the least: 1 once it is warm.
-    pub fn warmth(&self, rules: &Rules, now: Micros) -> f64 {
-        let Some(started) = self.entry.started else {
+    pub fn warmth(&self, rules: &SlowStartRules, now: Micros) -> f64 {
+        let Some(started) = self.entry.started_at else {
             return 1.0;
         };
-        let age = now.saturating_sub(started) as f64 / rules.cold_for.max(1) as f64;
-        (rules.cold_from + (1.0 - rules.cold_from) * age).min(1.0)
+        let age = now.saturating_sub(started) as f64 / rules.warm_up_period.max(1) as f64;
+        (rules.initial_capacity + (1.0 - rules.initial_capacity) * age).min(1.0)
     }
 }
 
 /// Decides for one gateway. It does no input or output, and reads no clock.
 #[derive(Clone, Debug)]
-pub struct Gateway {
+pub struct PolicyEngine {
     pub(crate) settings: Settings,
     pub(crate) random: fastrand::Rng,
     pub(crate) born: Micros,
@@ -467,7 +467,7 @@
     pub(crate) lowest: ClassId,
     pub(crate) requests: BTreeMap<RequestId, Request>,
     pub(crate) waiting: Vec<RequestId>,
-    pub(crate) attempts: BTreeMap<(RequestId, AttemptNo), Attempt>,
+    pub(crate) attempts: BTreeMap<(RequestId, AttemptNumber), Attempt>,
     /// Attempts of other processes of this gateway; whether attempts are told, and whether others speak to peers.
     pub(crate) abroad: Abroad,
     pub(crate) shared: bool,
@@ -484,7 +484,7 @@
     pub(crate) words: Words,
     /// Asks of homes for what their stand-bys hold: whose quota, and since when.
     pub(crate) borrows: BTreeMap<u16, (CustomerId, Micros)>,
-    pub(crate) mute: BTreeMap<GatewayId, Micros>,
+    pub(crate) mute: BTreeMap<NodeId, Micros>,
     pub(crate) rto: Rto,
     /// Asks in vain since anything was heard, and when one may be put all the same.
     pub(crate) deaf: u32,
@@ -522,7 +522,7 @@
     pub(crate) next_gossip: Micros,
     pub(crate) next_news: Micros,
     pub(crate) next_tick: Micros,
-    pub(crate) counts: Counts,
+    pub(crate) counts: Counters,
     /// Whether hardly any warm server tells what servers can do, nor has told it; answers a second of one, here, when last half of them were warm; what requests take where nobody waits; attempts at
     /// cold servers since the last tick, and a second; when rights that nobody used here are given away.
     pub(crate) blind: bool,
@@ -534,33 +534,33 @@
     pub(crate) next_gift: Micros,
 }
 
-impl Gateway {
+impl PolicyEngine {
     /// Whether all peers are told of what is sent on, unasked, so that a silent one is a sign. In wide fleets the
     /// customers' homes are asked instead.
-    pub fn tells_all(&self) -> bool {
-        !self.wide && self.settings.allowed.messages
+    pub fn broadcasts(&self) -> bool {
+        !self.wide && self.settings.permissions.peer_messages
     }
 
     /// How many servers are on the list, and how many of these get nothing new at present, or nothing of some class
     /// but a trial now and then.
-    pub fn rotation(&self) -> (usize, usize) {
+    pub fn endpoint_counts(&self) -> (usize, usize) {
         self.servers.rotation()
     }
 
     /// How many servers it has looked at since its start: what a tick, a change or a try costs, whatever the machine.
-    pub fn looked_at(&self) -> u64 {
+    pub fn servers_examined(&self) -> u64 {
         self.servers.looked_at()
     }
 
     /// What it has done since its start.
-    pub fn counted(&self) -> &Counts {
+    pub fn counters(&self) -> &Counters {
         &self.counts
     }
 
     /// A gateway that has seen nothing.
     pub(crate) fn blank(seed: u64, settings: Settings, now: Micros) -> Self {
         let classes = settings.classes.len();
-        Gateway {
+        PolicyEngine {
             random: fastrand::Rng::with_seed(seed),
             born: now,
             begun: false,
@@ -568,7 +568,7 @@
             shortest_aim: settings
                 .classes
                 .iter()
-                .map(|class| class.aim)
+                .map(|class| class.latency_objective)
                 .min()
                 .unwrap_or(1)
                 .max(1) as f64,
@@ -580,9 +580,9 @@
             shared: false,
             hushed: false,
             servers: Servers::new(
-                (settings.me, settings.gateways),
+                (settings.node, settings.node_count),
                 classes,
-                settings.working_set,
+                settings.subsetting,
             ),
             stores: BTreeMap::new(),
             wide: false,
@@ -598,8 +598,8 @@
                 seen: vec![(0.0, 0.0); classes],
                 ..Fuzzy::default()
             },
-            spoke: vec![now; settings.gateways as usize],
-            silence: vec![(0, 0.0); settings.gateways as usize],
+            spoke: vec![now; settings.node_count as usize],
+            silence: vec![(0, 0.0); settings.node_count as usize],
             words: Words::default(),
             borrows: BTreeMap::new(),
             latency: 0.0,
@@ -609,9 +609,9 @@
             aims: vec![-1.0; classes],
             pooled: vec![Pooled::default(); classes],
             crowd: Crowding::default(),
-            weighed: vec![0; settings.gateways as usize],
-            lately: vec![0; settings.gateways as usize],
-            newer: vec![false; settings.gateways as usize],
+            weighed: vec![0; settings.node_count as usize],
+            lately: vec![0; settings.node_count as usize],
+            newer: vec![false; settings.node_count as usize],
             served: Mean::default(),
             warmed: Mean::default(),
             done: 0.0,
@@ -620,7 +620,7 @@
             next_gossip: now,
             next_news: now,
             next_tick: now,
-            counts: Counts::default(),
+            counts: Counters::default(),
             blind: false,
             pace: 0.0,
             natural: Natural::default(),
@@ -647,7 +647,7 @@
     }
 
     /// Takes an ended attempt off all lists.
-    pub(crate) fn take_attempt(&mut self, key: &(RequestId, AttemptNo)) -> Option<Attempt> {
+    pub(crate) fn take_attempt(&mut self, key: &(RequestId, AttemptNumber)) -> Option<Attempt> {
         let attempt = self.attempts.remove(key)?;
         self.release(&attempt);
         Some(attempt)
--- a/crates/policy/src/twin.rs
+++ b/crates/policy/src/twin.rs
@@ -1,15 +1,15 @@
 //! What a gateway keeps in mind, as its next process takes it over. Plain data; nothing is decided here.
 
-use crate::interface::{AttemptNo, CustomerId, Micros, RequestId, TwinOut};
+use crate::interface::{AttemptNumber, CustomerId, Micros, RequestId, SiblingAttempt};
 use crate::mean::Mean;
-use crate::state::{Attempt, Fuzzy, Gateway, Home, Server, Stage, Store};
+use crate::state::{Attempt, Fuzzy, Home, PolicyEngine, Server, Stage, Store};
 use serde::{Deserialize, Serialize};
 
 /// All that a gateway knows and has promised, but for its open requests: these stay with the process that took them.
 /// What a build does not know yet has its default.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Kept {
+pub struct StateSnapshot {
     born: Micros,
     newcomer: bool,
     stores: Vec<(CustomerId, Store)>,
@@ -27,19 +27,19 @@
     served: f64,
     retries: f64,
     /// Attempts that are out.
-    out: Vec<TwinOut>,
+    out: Vec<SiblingAttempt>,
 }
 
-impl Kept {
+impl StateSnapshot {
     /// How many customers and servers it holds.
     pub fn size(&self) -> (usize, usize) {
         (self.stores.len(), self.servers.len())
     }
 }
 
-impl Gateway {
+impl PolicyEngine {
     /// All that the next process of this gateway has to know.
-    pub fn keep(&self) -> Kept {
+    pub fn snapshot(&self) -> StateSnapshot {
         let held = self
             .attempts
             .iter()
@@ -49,7 +49,7 @@
             .abroad
             .iter()
             .map(|((id, number), (_, attempt))| attempt.told(id, *number));
-        Kept {
+        StateSnapshot {
             born: self.born,
             newcomer: self.newcomer,
             stores: self
@@ -82,7 +82,7 @@
 
     /// Goes on from what another process of this gateway kept, at the start of this one. What does not fit the settings is
     /// passed over. Attempts that are out there are `link`'s.
-    pub fn resume(&mut self, kept: Kept, link: u32) {
+    pub fn restore(&mut self, kept: StateSnapshot, link: u32) {
         let (classes, plans) = (self.settings.classes.len(), self.settings.plans.len());
         let fits = |(_, store): &(CustomerId, Store)| store.plan.0 < plans && store.spread >= 1.0;
         let now = self.born;
@@ -118,17 +118,17 @@
     }
 }
 
-impl TwinOut {
-    pub(crate) fn attempt(self, link: u32) -> ((RequestId, AttemptNo), (u32, Attempt)) {
-        let TwinOut {
-            id,
+impl SiblingAttempt {
+    pub(crate) fn attempt(self, link: u32) -> ((RequestId, AttemptNumber), (u32, Attempt)) {
+        let SiblingAttempt {
+            request: id,
             attempt,
             server,
             customer,
             class,
-            due,
-            sent,
-            places,
+            queued_since: due,
+            sent_at: sent,
+            in_flight: places,
             ..
         } = self;
         let stage = Stage::Working;
@@ -152,7 +152,7 @@
 
 impl Attempt {
     /// How it is told to another process. The terms of its try are told with a first attempt alone.
-    pub(crate) fn told(&self, id: &RequestId, number: AttemptNo) -> TwinOut {
+    pub(crate) fn told(&self, id: &RequestId, number: AttemptNumber) -> SiblingAttempt {
         let Attempt {
             server,
             customer,
@@ -162,16 +162,16 @@
             places,
             ..
         } = self.clone();
-        TwinOut {
-            id: id.clone(),
+        SiblingAttempt {
+            request: id.clone(),
             attempt: number,
             server,
             customer,
             class,
-            due,
-            sent,
-            places,
-            first: None,
+            queued_since: due,
+            sent_at: sent,
+            in_flight: places,
+            charge: None,
         }
     }
 }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use saffronpaddle_policy::interface::*;
-use saffronpaddle_policy::Gateway;
+use saffronpaddle_policy::PolicyEngine;
 use std::collections::BTreeMap;
 
 pub const MS: Micros = 1_000;
@@ -15,37 +15,37 @@
 
 pub fn settings(me: u32, gateways: u32) -> Settings {
     let class = |worth, effect| Class {
-        aim: 800 * MS,
+        latency_objective: 800 * MS,
         late_value: 0.2,
-        worth,
-        effect,
+        priority_weight: worth,
+        idempotency: effect,
     };
-    let keyed = |group| Effect::Keyed {
-        group,
+    let keyed = |group| Idempotency::WithKey {
+        scope: group,
         window: 500 * MS,
     };
     let plan = Plan {
         rate: 1.0,
         burst: 4.0,
-        at_once: None,
-        price: 1.0,
-        over_worth: 0.0,
-        over_cost: 0.5,
-        ceiling: None,
+        max_in_flight: None,
+        priority_weight: 1.0,
+        over_quota_value: 0.0,
+        over_quota_cost: 0.5,
+        hard_limit: None,
     };
-    let ceiling = Some(Ceiling {
+    let ceiling = Some(HardLimit {
         rate: 8.0,
-        depth: 12.0,
+        capacity: 12.0,
     });
     Settings {
-        me: GatewayId(me),
-        gateways,
+        node: NodeId(me),
+        node_count: gateways,
         zone: ZoneId(0),
         classes: vec![
-            class(1.0, Effect::Safe),
-            class(2.0, keyed(Group::Cell)),
-            class(9.0, Effect::Unsafe),
-            class(3.0, keyed(Group::All)),
+            class(1.0, Idempotency::Idempotent),
+            class(2.0, keyed(DeduplicationScope::Domain)),
+            class(9.0, Idempotency::NonIdempotent),
+            class(3.0, keyed(DeduplicationScope::All)),
         ],
         plans: vec![
             plan.clone(),
@@ -56,47 +56,47 @@
             Plan {
                 rate: 1000.0,
                 burst: 1000.0,
-                ceiling,
+                hard_limit: ceiling,
                 ..plan.clone()
             },
             Plan {
                 rate: 1000.0,
                 burst: 1000.0,
-                at_once: Some(2),
+                max_in_flight: Some(2),
                 ..plan
             },
         ],
-        rules: Rules {
-            cold_from: 0.2,
-            cold_for: 10 * S,
-            fall_multiple: 3.0,
-            fall_window: S,
+        slow_start: SlowStartRules {
+            initial_capacity: 0.2,
+            warm_up_period: 10 * S,
+            overload_multiple: 3.0,
+            overload_window: S,
         },
-        allowed: Allowed {
-            attempts: 3,
-            cancel: true,
-            messages: true,
+        permissions: Permissions {
+            max_attempts: 3,
+            cancellation: true,
+            peer_messages: true,
         },
-        cross_zone: 0.0,
-        discovery: Discovery::Pushed,
-        period: 2 * MS,
+        cross_zone_cost: 0.0,
+        discovery: DiscoveryMode::Pushed,
+        event_interval: 2 * MS,
         peer_messages_per_s: 60.0,
-        most_units: 1.0,
-        conn_idle: 15_000_000,
-        fenced: false,
-        spare_words: false,
-        working_set: true,
+        max_request_units: 1.0,
+        server_idle_timeout: 15_000_000,
+        partition_safe: false,
+        retransmission_budget: false,
+        subsetting: true,
     }
 }
 
-pub fn entry(server: u64) -> ServerEntry {
-    ServerEntry {
+pub fn entry(server: u64) -> Endpoint {
+    Endpoint {
         server: ServerId(server),
         zone: ZoneId((server % 2) as u32),
-        cell: CellId(server % 2),
-        standing: Standing::Ready,
+        domain: DeduplicationDomainId(server % 2),
+        status: EndpointStatus::Ready,
         size: 1.0,
-        started: None,
+        started_at: None,
     }
 }
 
@@ -115,11 +115,11 @@
 /// One gateway with its own watch on rules 1 to 3.
 pub struct Stand {
     pub now: Micros,
-    pub gateway: Gateway,
+    pub gateway: PolicyEngine,
     pub settings: Settings,
     pub wakes: Vec<(Micros, u64)>,
-    pub list: BTreeMap<ServerId, ServerEntry>,
-    pub out: Vec<(RequestId, AttemptNo, ServerId)>,
+    pub list: BTreeMap<ServerId, Endpoint>,
+    pub out: Vec<(RequestId, AttemptNumber, ServerId)>,
     told: BTreeMap<RequestId, Told>,
     pub log: Vec<Action>,
     next: u64,
@@ -127,7 +127,7 @@
 
 impl Stand {
     pub fn new(seed: u64, settings: Settings, now: Micros) -> Self {
-        let gateway = Gateway::new(seed, settings.clone(), now).expect("sound settings");
+        let gateway = PolicyEngine::new(seed, settings.clone(), now).expect("sound settings");
         Stand {
             now,
             gateway,
@@ -143,18 +143,21 @@
 
     pub fn with_servers(seed: u64, settings: Settings, now: Micros, servers: u64) -> Self {
         let mut stand = Stand::new(seed, settings, now);
-        stand.servers(ListKind::Complete, (0..servers).map(entry).collect());
+        stand.servers(EndpointUpdate::Snapshot, (0..servers).map(entry).collect());
         stand
     }
 
-    pub fn servers(&mut self, kind: ListKind, entries: Vec<ServerEntry>) {
-        if kind == ListKind::Complete {
+    pub fn servers(&mut self, kind: EndpointUpdate, entries: Vec<Endpoint>) {
+        if kind == EndpointUpdate::Snapshot {
             self.list.clear();
         }
         for entry in &entries {
             self.list.insert(entry.server, *entry);
         }
-        self.event(Event::Servers { kind, entries });
+        self.event(Event::EndpointsChanged {
+            update: kind,
+            endpoints: entries,
+        });
     }
 
     pub fn request(
@@ -167,7 +170,7 @@
         self.request_of(
             class,
             plan,
-            (customer, GatewayId(0), self.settings.gateways),
+            (customer, NodeId(0), self.settings.node_count),
             patience,
         )
     }
@@ -177,7 +180,7 @@
         &mut self,
         class: ClassId,
         plan: usize,
-        (customer, first, spread): (u64, GatewayId, u32),
+        (customer, first, spread): (u64, NodeId, u32),
         patience: Micros,
     ) -> RequestId {
         self.next += 1;
@@ -189,7 +192,7 @@
             ..Told::default()
         };
         self.told.insert(id.clone(), told);
-        self.event(Event::Request {
+        self.event(Event::RequestArrived {
             id: id.clone(),
             class,
             plan: PlanId(plan),
@@ -197,8 +200,8 @@
             units: 1.0,
             first,
             spread,
-            patience,
-            whole: true,
+            timeout: patience,
+            complete: true,
         });
         id
     }
@@ -215,7 +218,7 @@
         told.unsent += u32::from(outcome == Outcome::NotSent);
         if !matches!(
             outcome,
-            Outcome::Full | Outcome::Unreachable | Outcome::NotSent
+            Outcome::Rejected | Outcome::Unreachable | Outcome::NotSent
         ) {
             told.ran.get_or_insert((server.0 % 2, self.now));
         }
@@ -223,11 +226,11 @@
         if outcome == Outcome::Ok {
             told.open = false;
         }
-        self.event(Event::Ended {
+        self.event(Event::AttemptEnded {
             id,
             attempt,
             outcome,
-            closed,
+            request_closed: closed,
         })
     }
 
@@ -254,7 +257,7 @@
                 .collect();
             self.wakes.retain(|(at, _)| *at > self.now);
             for (_, token) in due {
-                actions.extend(self.event(Event::Woke { token }));
+                actions.extend(self.event(Event::TimerFired { token }));
             }
             for (id, told) in &self.told {
                 assert!(
@@ -267,67 +270,71 @@
     }
 
     fn watch(&mut self, action: &Action) {
-        let effect = |told: &Told, settings: &Settings| settings.classes[told.class].effect;
+        let effect = |told: &Told, settings: &Settings| settings.classes[told.class].idempotency;
         match action {
             Action::Send { id, server, .. } => {
                 let told = self.told.get_mut(id).expect("rule: a known request");
                 assert!(told.open, "rule 1: sent after its answer");
                 assert!(!told.out, "rule 2: two attempts at once");
-                let most = self.settings.allowed.attempts;
+                let most = self.settings.permissions.max_attempts;
                 assert!(
                     told.sent - told.unsent < most && told.sent < 2 * most,
                     "too many attempts"
                 );
                 assert_eq!(
-                    self.list[server].standing,
-                    Standing::Ready,
+                    self.list[server].status,
+                    EndpointStatus::Ready,
                     "rule 3: sent to a draining server"
                 );
                 match (told.ran, effect(told, &self.settings)) {
-                    (None, _) | (_, Effect::Safe) => {}
-                    (Some(_), Effect::Unsafe) => panic!("rule 2: unsafe sent again"),
-                    (Some((cell, _)), Effect::Keyed { group, .. }) => {
+                    (None, _) | (_, Idempotency::Idempotent) => {}
+                    (Some(_), Idempotency::NonIdempotent) => panic!("rule 2: unsafe sent again"),
+                    (Some((cell, _)), Idempotency::WithKey { scope: group, .. }) => {
                         assert!(
-                            group == Group::All || cell == server.0 % 2,
+                            group == DeduplicationScope::All || cell == server.0 % 2,
                             "rule 2: left its group"
                         );
                     }
                 }
-                self.out.push((id.clone(), AttemptNo(told.sent), *server));
+                self.out
+                    .push((id.clone(), AttemptNumber(told.sent), *server));
                 (told.out, told.sent) = (true, told.sent + 1);
             }
-            Action::Refuse { id, .. } | Action::Fail { id } => {
+            Action::Reject { id, .. } | Action::Fail { id } => {
                 let told = self.told.get_mut(id).expect("rule: a known request");
                 assert!(told.open, "rule 1: a second answer");
                 told.open = false;
-                let refused = matches!(action, Action::Refuse { .. });
+                let refused = matches!(action, Action::Reject { .. });
                 let maybe = told.ran.is_some() || told.out;
                 let all = |effect| {
                     matches!(
                         effect,
-                        Effect::Keyed {
-                            group: Group::All,
+                        Idempotency::WithKey {
+                            scope: DeduplicationScope::All,
                             ..
                         }
                     )
                 };
                 let effect = effect(told, &self.settings);
                 assert!(
-                    !refused || !maybe || effect == Effect::Safe || all(effect),
+                    !refused || !maybe || effect == Idempotency::Idempotent || all(effect),
                     "rule 2: refused"
                 );
             }
-            Action::Wake { after, token } => self.wakes.push((self.now + after, *token)),
-            Action::TellAll { bytes } | Action::Tell { bytes, .. } => {
+            Action::SetTimer { after, token } => self.wakes.push((self.now + after, *token)),
+            Action::Broadcast { bytes } | Action::SendToPeer { bytes, .. } => {
                 assert!(bytes.len() <= 256, "message too long");
             }
-            Action::Cancel { .. } | Action::Follow | Action::Twin(_) | Action::Log(_) => {}
+            Action::Cancel { .. }
+            | Action::Subscribe
+            | Action::SendToSiblings(_)
+            | Action::Log(_) => {}
         }
     }
 
     pub fn abandon(&mut self, id: &RequestId) {
         self.told.get_mut(id).expect("known").open = false;
-        self.event(Event::Abandoned { id: id.clone() });
+        self.event(Event::RequestAbandoned { id: id.clone() });
     }
 }
 
--- a/crates/policy/tests/module.rs
+++ b/crates/policy/tests/module.rs
@@ -5,7 +5,7 @@
 use common::*;
 use saffronpaddle_policy::control::inferred;
 use saffronpaddle_policy::interface::*;
-use saffronpaddle_policy::{Gateway, Kept};
+use saffronpaddle_policy::{PolicyEngine, StateSnapshot};
 use std::collections::BTreeMap;
 
 fn change_of(error: f64, change: f64) -> f64 {
@@ -71,17 +71,17 @@
     let refused = stand
         .log
         .iter()
-        .filter(|action| matches!(action, Action::Refuse { .. }))
+        .filter(|action| matches!(action, Action::Reject { .. }))
         .count();
     assert_eq!((sends(&stand.log), refused), (4, 1), "a burst of 4");
     let before = sends(&stand.log);
-    stand.event(Event::Peer {
-        from: GatewayId(1),
+    stand.event(Event::PeerMessage {
+        from: NodeId(1),
         bytes: vec![2, 0, 1, 0, 0, 0],
     });
     stand.now += 700 * MS;
-    stand.event(Event::Peer {
-        from: GatewayId(1),
+    stand.event(Event::PeerMessage {
+        from: NodeId(1),
         bytes: vec![2, 0, 1, 0, 0, 0],
     });
     stand.now += 700 * MS;
@@ -100,7 +100,7 @@
 fn gateways_that_may_not_talk_hold_a_part_of_the_quota_each() {
     for gateways in [1, 2, 8, 100] {
         let mut terms = settings(0, gateways);
-        terms.allowed.messages = false;
+        terms.permissions.peer_messages = false;
         (terms.plans[0].rate, terms.plans[0].burst) = (16.0, 32.0);
         let mut stand = Stand::with_servers(3, terms, S, 40);
         let part = (2.0 / f64::from(gateways)).min(1.0);
@@ -132,7 +132,7 @@
     let mut granted = 0;
     for seed in 0..20 {
         let mut terms = settings(0, 400);
-        terms.allowed.messages = false;
+        terms.permissions.peer_messages = false;
         let mut stand = Stand::with_servers(seed, terms, S, 40);
         for customer in 0..20 {
             let id = stand.request(SAFE, 0, customer, 2 * S);
@@ -154,7 +154,10 @@
         stand.log.clear();
         stand.request(SAFE, 0, 7, 2 * S);
         stand.log.iter().find_map(|action| match action {
-            Action::Refuse { retry_in, .. } => *retry_in,
+            Action::Reject {
+                retry_after: retry_in,
+                ..
+            } => *retry_in,
             _ => None,
         })
     };
@@ -194,8 +197,8 @@
     bytes.extend(birth.to_le_bytes());
     bytes.extend(&customer.to_le_bytes()[..5]);
     bytes.extend((count * 8).to_le_bytes());
-    Event::Peer {
-        from: GatewayId(1),
+    Event::PeerMessage {
+        from: NodeId(1),
         bytes,
     }
 }
@@ -236,13 +239,13 @@
 fn noise_from_peers_is_passed_over() {
     let mut stand = Stand::with_servers(1, settings(0, 2), S, 4);
     for bytes in [vec![], vec![9; 40], vec![1], vec![1; 300], vec![1; 13]] {
-        stand.event(Event::Peer {
-            from: GatewayId(1),
+        stand.event(Event::PeerMessage {
+            from: NodeId(1),
             bytes,
         });
     }
-    stand.event(Event::Peer {
-        from: GatewayId(77),
+    stand.event(Event::PeerMessage {
+        from: NodeId(77),
         bytes: vec![1; 12],
     });
     let id = stand.request(SAFE, 0, 7, 2 * S);
@@ -275,7 +278,7 @@
                     .collect();
                 stand.wakes.retain(|(at, _)| *at > now);
                 for (_, token) in due {
-                    stand.event(Event::Woke { token });
+                    stand.event(Event::TimerFired { token });
                 }
                 if random.u32(0..10) == 0 {
                     stand.request(SAFE, 2, 9, S);
@@ -299,11 +302,11 @@
     let mut stand = Stand::with_servers(1, settings(0, 2), S, 4);
     for number in 0..300 {
         let fresh = 4 + number;
-        let gone = ServerEntry {
-            standing: Standing::Gone,
+        let gone = Endpoint {
+            status: EndpointStatus::Removed,
             ..entry(number)
         };
-        stand.servers(ListKind::Changes, vec![gone, entry(fresh)]);
+        stand.servers(EndpointUpdate::Delta, vec![gone, entry(fresh)]);
         stand.request(SAFE, (number % 4) as usize, 1000 + number, 2 * S);
         for (id, _, _) in stand.out.clone() {
             stand.end(&id, Outcome::Ok);
@@ -311,7 +314,7 @@
         stand.pass(20 * MS);
     }
     stand.pass(90 * S);
-    assert!(stand.gateway.kept() <= 8, "{}", stand.gateway.kept());
+    assert!(stand.gateway.tracked() <= 8, "{}", stand.gateway.tracked());
 }
 
 /// The ceiling's share, 6 of 12, is empty at the start of a gateway and full after long; dropping the store of a
@@ -418,7 +421,7 @@
     for (class, patience) in [(SAFE, 2 * S), (UNSAFE, S), (KEYED, 600 * MS)] {
         let id = stand.request(class, 1, 7, patience);
         stand.pass(patience / 2);
-        let refused = |action: &Action| matches!(action, Action::Refuse { id: of, retry_in: Some(_) } if *of == id);
+        let refused = |action: &Action| matches!(action, Action::Reject { id: of, retry_after: Some(_) } if *of == id);
         assert!(stand.log.iter().any(refused), "{class:?}");
     }
 }
@@ -435,7 +438,7 @@
             .any(|action| matches!(action, Action::Cancel { .. }))
     };
     stand.now += 1500 * MS;
-    let late = stand.event(Event::Woke { token: 0 });
+    let late = stand.event(Event::TimerFired { token: 0 });
     assert!(!cancels(&late));
     assert!(cancels(&stand.pass(50 * MS)), "still silent");
 }
@@ -459,10 +462,10 @@
     for class in [SAFE, KEYED, UNSAFE, KEYED_ALL] {
         for outcome in [
             Error,
-            Full,
+            Rejected,
             TimedOut,
             Unreachable,
-            Broken,
+            ConnectionLost,
             Cancelled,
             NotSent,
         ] {
@@ -470,7 +473,7 @@
             let id = stand.request(class, 1, 7, 2 * S);
             let server = stand.out[0].2;
             let actions = stand.end(&id, outcome);
-            let never = matches!(outcome, Full | Unreachable | NotSent);
+            let never = matches!(outcome, Rejected | Unreachable | NotSent);
             if class == UNSAFE && !never {
                 assert_eq!(actions, [Action::Fail { id }], "{outcome:?}");
                 continue;
@@ -490,10 +493,10 @@
     for class in [SAFE, KEYED, UNSAFE, KEYED_ALL] {
         let mut stand = Stand::with_servers(3, settings(0, 1), S, 4);
         let id = stand.request(class, 1, 7, 2 * S);
-        for _ in 0..stand.settings.allowed.attempts {
+        for _ in 0..stand.settings.permissions.max_attempts {
             assert_eq!(sends(&stand.end(&id, Outcome::NotSent)), 1, "{class:?}");
         }
-        for _ in 1..stand.settings.allowed.attempts {
+        for _ in 1..stand.settings.permissions.max_attempts {
             assert_eq!(
                 sends(&stand.end(&id, Outcome::Unreachable)),
                 1,
@@ -508,7 +511,7 @@
         .take_while(|_| sends(&stand.end(&id, Outcome::NotSent)) == 1)
         .count();
     assert!(
-        again < 2 * stand.settings.allowed.attempts as usize,
+        again < 2 * stand.settings.permissions.max_attempts as usize,
         "{again}"
     );
 }
@@ -530,7 +533,7 @@
         let mut stand = Stand::with_servers(3, settings(0, 1), S, 0);
         let id = stand.request(UNSAFE, 1, 7, patience);
         let refused =
-            |action: &Action| matches!(action, Action::Refuse { id: told, .. } if *told == id);
+            |action: &Action| matches!(action, Action::Reject { id: told, .. } if *told == id);
         assert!(stand.log.iter().any(refused));
     }
 }
@@ -539,9 +542,9 @@
 fn nothing_new_goes_to_a_draining_or_missing_server() {
     let mut stand = Stand::with_servers(3, settings(0, 1), S, 2);
     stand.servers(
-        ListKind::Changes,
-        vec![ServerEntry {
-            standing: Standing::Draining,
+        EndpointUpdate::Delta,
+        vec![Endpoint {
+            status: EndpointStatus::Draining,
             ..entry(0)
         }],
     );
@@ -549,7 +552,7 @@
         stand.request(SAFE, 1, 7, S);
     }
     assert!(stand.out.iter().all(|(_, _, server)| server.0 == 1));
-    stand.servers(ListKind::Complete, Vec::new());
+    stand.servers(EndpointUpdate::Snapshot, Vec::new());
     let before = stand.log.len();
     stand.request(SAFE, 1, 8, S);
     assert_eq!(sends(&stand.log[before..]), 0);
@@ -565,11 +568,11 @@
             stand.end(&id, Outcome::Ok);
         }
     }
-    let cold = ServerEntry {
-        started: Some(stand.now),
+    let cold = Endpoint {
+        started_at: Some(stand.now),
         ..entry(9)
     };
-    stand.servers(ListKind::Complete, vec![cold]);
+    stand.servers(EndpointUpdate::Snapshot, vec![cold]);
     let mut sent = 0;
     for _ in 0..50 {
         let before = sends(&stand.log);
@@ -592,7 +595,7 @@
     let actions = stand.pass(700 * MS);
     assert!(actions.contains(&Action::Cancel {
         id: id.clone(),
-        attempt: AttemptNo(0)
+        attempt: AttemptNumber(0)
     }));
     assert!(stand
         .log
@@ -657,7 +660,7 @@
     let try_with = |change: &dyn Fn(&mut Settings)| {
         let mut settings = settings(0, 1);
         change(&mut settings);
-        Gateway::new(1, settings, 0).err()
+        PolicyEngine::new(1, settings, 0).err()
     };
     assert_eq!(try_with(&|_| {}), None);
     assert_eq!(
@@ -666,16 +669,16 @@
     );
     assert_eq!(try_with(&|s| s.plans.clear()), Some(SettingsError::NoPlans));
     assert_eq!(
-        try_with(&|s| s.me = GatewayId(4)),
-        Some(SettingsError::BadGateway)
+        try_with(&|s| s.node = NodeId(4)),
+        Some(SettingsError::UnknownNode)
     );
     assert_eq!(
         try_with(&|s| s.plans[0].rate = -1.0),
-        Some(SettingsError::BadFigure)
+        Some(SettingsError::InvalidNumber)
     );
     assert_eq!(
-        try_with(&|s| s.classes[0].worth = f64::NAN),
-        Some(SettingsError::BadFigure)
+        try_with(&|s| s.classes[0].priority_weight = f64::NAN),
+        Some(SettingsError::InvalidNumber)
     );
 }
 
@@ -730,10 +733,10 @@
                         Ok,
                         Ok,
                         Error,
-                        Full,
+                        Rejected,
                         TimedOut,
                         Unreachable,
-                        Broken,
+                        ConnectionLost,
                         Cancelled,
                         NotSent,
                     ];
@@ -741,24 +744,27 @@
                     stand.end(&id, all[random.usize(0..all.len())]);
                 }
                 8 => {
-                    let standing =
-                        [Standing::Ready, Standing::Draining, Standing::Gone][random.usize(0..3)];
+                    let standing = [
+                        EndpointStatus::Ready,
+                        EndpointStatus::Draining,
+                        EndpointStatus::Removed,
+                    ][random.usize(0..3)];
                     let started = random.bool().then_some(stand.now);
-                    let entries = vec![ServerEntry {
-                        standing,
-                        started,
+                    let entries = vec![Endpoint {
+                        status: standing,
+                        started_at: started,
                         ..entry(random.u64(0..8))
                     }];
-                    stand.servers(ListKind::Changes, entries);
+                    stand.servers(EndpointUpdate::Delta, entries);
                 }
                 9 if random.u8(0..5) == 0 => {
                     let servers = random.u64(0..8);
-                    stand.servers(ListKind::Complete, (0..servers).map(entry).collect());
+                    stand.servers(EndpointUpdate::Snapshot, (0..servers).map(entry).collect());
                 }
                 10 => {
                     let bytes = (0..random.usize(0..300)).map(|_| random.u8(0..3)).collect();
-                    stand.event(Event::Peer {
-                        from: GatewayId(1),
+                    stand.event(Event::PeerMessage {
+                        from: NodeId(1),
                         bytes,
                     });
                 }
@@ -774,7 +780,7 @@
         stand.pass(4 * S);
         sent += sends(&stand.log);
         let answer =
-            |action: &&Action| matches!(action, Action::Refuse { .. } | Action::Fail { .. });
+            |action: &&Action| matches!(action, Action::Reject { .. } | Action::Fail { .. });
         answered += stand.log.iter().filter(answer).count();
     }
     assert!(
@@ -838,14 +844,14 @@
     fn collect(&mut self, from: usize) {
         let stand = &self.stands[from];
         for action in &stand.log[self.read[from]..] {
-            let Action::Tell { to, bytes } = action else {
+            let Action::SendToPeer { to, bytes } = action else {
                 continue;
             };
             self.told += 1;
             for copy in 0..2 {
                 if self.random.u8(0..20) < if copy == 0 { 18 } else { 1 } {
-                    let event = Event::Peer {
-                        from: GatewayId(from as u32),
+                    let event = Event::PeerMessage {
+                        from: NodeId(from as u32),
                         bytes: bytes.clone(),
                     };
                     self.mail.push((
@@ -949,7 +955,7 @@
                 let wakes = std::mem::take(&mut fleet.stands[me].wakes);
                 drop(wakes);
                 let mut settings = settings(me as u32, 60);
-                settings.me = GatewayId(me as u32);
+                settings.node = NodeId(me as u32);
                 fleet.stands[me] = Stand::with_servers(round, settings, now, 40);
                 fleet.read[me] = 0;
             }
@@ -964,29 +970,29 @@
     let mut by_second = [0; 5];
     for me in 0..300 {
         let mut gateway =
-            Gateway::new(u64::from(me), settings(me, 300), S).expect("sound settings");
-        let entries = vec![ServerEntry {
-            started: Some(S),
+            PolicyEngine::new(u64::from(me), settings(me, 300), S).expect("sound settings");
+        let entries = vec![Endpoint {
+            started_at: Some(S),
             ..entry(0)
         }];
         let mut actions = Vec::new();
         gateway.handle(
             S,
-            Event::Servers {
-                kind: ListKind::Complete,
-                entries,
+            Event::EndpointsChanged {
+                update: EndpointUpdate::Snapshot,
+                endpoints: entries,
             },
             &mut actions,
         );
         for step in 0..500u64 {
             let now = S + step * 10 * MS;
-            gateway.handle(now, Event::Woke { token: 0 }, &mut actions);
+            gateway.handle(now, Event::TimerFired { token: 0 }, &mut actions);
             if step % 25 == 0 {
                 // A customer whose only gateway is this one.
                 let id = RequestId(format!("c{step}").into());
                 let (class, plan, customer) = (SAFE, PlanId(1), CustomerId(9));
-                let (first, spread, units, patience) = (GatewayId(me), 1, 1.0, S);
-                let event = Event::Request {
+                let (first, spread, units, patience) = (NodeId(me), 1, 1.0, S);
+                let event = Event::RequestArrived {
                     id,
                     class,
                     plan,
@@ -994,8 +1000,8 @@
                     units,
                     first,
                     spread,
-                    patience,
-                    whole: true,
+                    timeout: patience,
+                    complete: true,
                 };
                 gateway.handle(now, event, &mut actions);
             }
@@ -1019,8 +1025,8 @@
         for size in 0..80 {
             let mut bytes = vec![2, kind];
             bytes.extend((0..size).map(|_| random.u8(..)));
-            stand.event(Event::Peer {
-                from: GatewayId(5),
+            stand.event(Event::PeerMessage {
+                from: NodeId(5),
                 bytes,
             });
         }
@@ -1048,12 +1054,12 @@
         bytes.extend(short.to_le_bytes());
         bytes.extend([7 * 32 + 31, 60, 1, 0]);
         stand.pass(S);
-        stand.event(Event::Peer {
-            from: GatewayId(5),
+        stand.event(Event::PeerMessage {
+            from: NodeId(5),
             bytes,
         });
     }
-    assert_eq!(stand.gateway.rotation(), (4, 0));
+    assert_eq!(stand.gateway.endpoint_counts(), (4, 0));
 }
 
 #[test]
@@ -1101,7 +1107,7 @@
     number: u64,
     outcome: impl Fn(ServerId) -> Outcome,
 ) -> Option<ServerId> {
-    let me = stand.settings.me;
+    let me = stand.settings.node;
     let (id, mut first) = (stand.request_of(SAFE, 1, (number, me, 1), 2 * S), None);
     stand.pass(50 * MS);
     while let Some(server) = stand.out.iter().find(|out| out.0 == id).map(|out| out.2) {
@@ -1203,9 +1209,9 @@
             for stand in &mut fleet.stands {
                 let started = Some(stand.now);
                 stand.servers(
-                    ListKind::Changes,
-                    vec![ServerEntry {
-                        started,
+                    EndpointUpdate::Delta,
+                    vec![Endpoint {
+                        started_at: started,
                         ..entry(99)
                     }],
                 );
@@ -1235,16 +1241,16 @@
     for round in 0..60 {
         if round == 50 {
             for stand in &mut fleet.stands {
-                let gone = |server| ServerEntry {
-                    standing: Standing::Gone,
+                let gone = |server| Endpoint {
+                    status: EndpointStatus::Removed,
                     ..entry(server)
                 };
-                let fresh = ServerEntry {
-                    started: Some(stand.now),
+                let fresh = Endpoint {
+                    started_at: Some(stand.now),
                     ..entry(99)
                 };
                 let entries = (4..12).map(gone).chain([fresh]).collect();
-                stand.servers(ListKind::Changes, entries);
+                stand.servers(EndpointUpdate::Delta, entries);
             }
         }
         let (at_warm, at_cold) = a_round(&mut fleet, &mut customer);
@@ -1279,7 +1285,7 @@
     for number in 100..200u64 {
         let id = stand.request(SAFE, 0, number, 2 * S);
         // Few are shed meanwhile, by chance: that is at once, too.
-        let shed = |action: &Action| matches!(action, Action::Refuse { id: of, .. } if *of == id);
+        let shed = |action: &Action| matches!(action, Action::Reject { id: of, .. } if *of == id);
         let sent = stand.out.iter().any(|out| out.0 == id);
         at_once += u32::from(sent || stand.log.iter().any(shed));
         stand.pass(20 * MS);
@@ -1290,7 +1296,7 @@
     let asks = stand
         .log
         .iter()
-        .filter(|action| matches!(action, Action::Tell { .. }))
+        .filter(|action| matches!(action, Action::SendToPeer { .. }))
         .count();
     assert!(at_once >= 80, "{at_once} of 100 were decided at once");
     assert!((5..=60).contains(&asks), "{asks} asks in 2 s");
@@ -1357,7 +1363,7 @@
     let asks = stand
         .log
         .iter()
-        .filter(|action| matches!(action, Action::Tell { .. }))
+        .filter(|action| matches!(action, Action::SendToPeer { .. }))
         .count();
     assert!((4..=16).contains(&asks), "{asks}");
 }
@@ -1367,11 +1373,11 @@
 fn what_a_build_before_has_kept_is_taken_over_without_its_homes() {
     let store = r#"{"plan":0,"first":0,"spread":60.0,"depth":4.0,"level":2.0,"home":true,"granted":[],"chance":1.0}"#;
     let kept = format!(r#"{{"born":1000000,"stores":[[7,{store}]],"homes":[[7,{store}]]}}"#);
-    let kept: Kept = serde_json::from_str(&kept).expect("it is read");
+    let kept: StateSnapshot = serde_json::from_str(&kept).expect("it is read");
     assert_eq!(kept.size(), (1, 0));
-    let mut gateway = Gateway::new(1, settings(0, 300), 2 * S).expect("sound settings");
-    gateway.resume(kept, 0);
-    assert_eq!(gateway.kept(), 1, "the customer's store, and no part");
+    let mut gateway = PolicyEngine::new(1, settings(0, 300), 2 * S).expect("sound settings");
+    gateway.restore(kept, 0);
+    assert_eq!(gateway.tracked(), 1, "the customer's store, and no part");
 }
 
 /// Danger: an idle gateway that wakes at every sweep, a hundred times a second, as an hour that nobody keeps stays due.
@@ -1384,7 +1390,7 @@
         stand.pass(4 * S);
         let wakes = stand.log[before..]
             .iter()
-            .filter(|action| matches!(action, Action::Wake { .. }))
+            .filter(|action| matches!(action, Action::SetTimer { .. }))
             .count();
         assert!(wakes <= 4 * 8, "{gateways} gateways: {wakes} times in 4 s");
     }
@@ -1396,9 +1402,9 @@
     let sent = |takes: u64| {
         let mut stand = Stand::new(3, settings(0, 1), 100 * S);
         stand.servers(
-            ListKind::Complete,
-            vec![ServerEntry {
-                started: Some(stand.now),
+            EndpointUpdate::Snapshot,
+            vec![Endpoint {
+                started_at: Some(stand.now),
                 ..entry(9)
             }],
         );
@@ -1448,12 +1454,12 @@
     };
     let mut stand = Stand::with_servers(3, settings(0, 1), 100 * S, 6);
     serve(&mut stand, 800);
-    let cold = |started, server| ServerEntry {
-        started: Some(started),
+    let cold = |started, server| Endpoint {
+        started_at: Some(started),
         ..entry(server)
     };
     let all = |now: Micros| (10..16).map(|server| cold(now, server)).collect::<Vec<_>>();
-    stand.servers(ListKind::Complete, all(stand.now));
+    stand.servers(EndpointUpdate::Snapshot, all(stand.now));
     // Some 16 a second were seen of each; these do a fifth of it, and may be sent 1.2 times that.
     let remembered = serve(&mut stand, 100);
     assert!(
@@ -1465,7 +1471,7 @@
     serve(&mut stand, 800);
     let mut mixed = all(stand.now);
     mixed.push(entry(0));
-    stand.servers(ListKind::Complete, mixed);
+    stand.servers(EndpointUpdate::Snapshot, mixed);
     let before = stand.log.len();
     serve(&mut stand, 100);
     let to = |action: &Action| matches!(action, Action::Send { server, .. } if server.0 >= 10);
--- a/crates/policy/tests/stored_state.rs
+++ b/crates/policy/tests/stored_state.rs
@@ -5,7 +5,7 @@
 
 use common::{entry, settings, Stand, KEYED_ALL, MS, S, SAFE};
 use saffronpaddle_policy::interface::*;
-use saffronpaddle_policy::{Gateway, Kept};
+use saffronpaddle_policy::{PolicyEngine, StateSnapshot};
 use serde_json::Value;
 
 const NARROW: &str = include_str!("fixtures/state_narrow.json");
@@ -14,13 +14,13 @@
 
 /// What a node knows after some seconds of service: attempts out, failures, a cold server, customers with ceilings.
 fn busy(settings: Settings) -> Stand {
-    let (me, gateways) = (settings.me, settings.gateways);
+    let (me, gateways) = (settings.node, settings.node_count);
     let mut stand = Stand::with_servers(11, settings, 5 * S, 4);
-    let cold = ServerEntry {
-        started: Some(stand.now),
+    let cold = Endpoint {
+        started_at: Some(stand.now),
         ..entry(9)
     };
-    stand.servers(ListKind::Changes, vec![cold]);
+    stand.servers(EndpointUpdate::Delta, vec![cold]);
     for round in 0..40_u64 {
         let class = if round % 3 == 0 { KEYED_ALL } else { SAFE };
         let plan = usize::try_from(round % 4).expect("small");
@@ -37,8 +37,8 @@
             stand.end(&id, outcome);
         }
         if round % 10 == 3 && gateways > 1 {
-            let peer = GatewayId((me.0 + 1) % gateways);
-            stand.event(Event::Peer {
+            let peer = NodeId((me.0 + 1) % gateways);
+            stand.event(Event::PeerMessage {
                 from: peer,
                 bytes: vec![2, 0, 9, 0, 0, 0, 1, 0, 0, 0, 0, 8, 0],
             });
@@ -49,12 +49,12 @@
 
 /// Numbers as they are, so that a fixture's text says all.
 fn state(settings: &Settings) -> Value {
-    serde_json::to_value(busy(settings.clone()).gateway.keep()).expect("it is JSON")
+    serde_json::to_value(busy(settings.clone()).gateway.snapshot()).expect("it is JSON")
 }
 
 fn cases() -> [(&'static str, Settings, &'static str); 2] {
     let wide = Settings {
-        fenced: true,
+        partition_safe: true,
         ..settings(1, 300)
     };
     [("narrow", settings(0, 3), NARROW), ("wide", wide, WIDE)]
@@ -73,7 +73,7 @@
 fn a_state_of_the_build_before_is_read_whole_and_kept_on() {
     for (name, settings, fixture) in cases() {
         let then: Value = serde_json::from_str(fixture).expect("a fixture of JSON");
-        let kept: Kept = serde_json::from_str(fixture).expect("the state is read");
+        let kept: StateSnapshot = serde_json::from_str(fixture).expect("the state is read");
         assert_eq!(
             serde_json::to_value(&kept).expect("it is JSON"),
             then,
@@ -84,9 +84,9 @@
             then["servers"].as_array().map(Vec::len),
         );
         assert_eq!((Some(kept.size().0), Some(kept.size().1)), sizes, "{name}");
-        let mut gateway = Gateway::new(11, settings.clone(), 20 * S).expect("sound settings");
-        gateway.resume(kept, 1);
-        let after = serde_json::to_value(gateway.keep()).expect("it is JSON");
+        let mut gateway = PolicyEngine::new(11, settings.clone(), 20 * S).expect("sound settings");
+        gateway.restore(kept, 1);
+        let after = serde_json::to_value(gateway.snapshot()).expect("it is JSON");
         for field in [
             "born", "newcomer", "stores", "parts", "latency", "typical", "aims", "retries", "out",
         ] {
@@ -97,27 +97,27 @@
 
 #[test]
 fn what_two_processes_tell_each_other_has_the_form_of_the_fixture() {
-    let terms = TwinTerms {
+    let terms = QuotaCharge {
         plan: PlanId(2),
         units: 1.5,
-        set: (GatewayId(4), 3),
+        set: (NodeId(4), 3),
     };
     let out = |first| {
-        Twin::Out(TwinOut {
-            id: RequestId("rq".into()),
-            attempt: AttemptNo(1),
+        SiblingMessage::AttemptStarted(SiblingAttempt {
+            request: RequestId("rq".into()),
+            attempt: AttemptNumber(1),
             server: ServerId(8),
             customer: CustomerId(9),
             class: ClassId(0),
-            due: 10,
-            sent: 11,
-            places: 2.0,
-            first,
+            queued_since: 10,
+            sent_at: 11,
+            in_flight: 2.0,
+            charge: first,
         })
     };
-    let end = Twin::In {
-        id: RequestId("rq".into()),
-        attempt: AttemptNo(1),
+    let end = SiblingMessage::AttemptEnded {
+        request: RequestId("rq".into()),
+        attempt: AttemptNumber(1),
     };
     let told = [out(None), out(Some(terms)), end];
     let text: String = told
@@ -125,7 +125,7 @@
         .map(|twin| serde_json::to_string(twin).expect("it is JSON") + "\n")
         .collect();
     assert_eq!(text, TWINS, "\n{text}");
-    let read: Vec<Twin> = TWINS
+    let read: Vec<SiblingMessage> = TWINS
         .lines()
         .map(|line| serde_json::from_str(line).expect("it is read"))
         .collect();
@@ -137,7 +137,7 @@
         .expect("a line")
         .replace(",\"first\":null", "");
     assert_eq!(
-        serde_json::from_str::<Twin>(&older).expect("it is read"),
+        serde_json::from_str::<SiblingMessage>(&older).expect("it is read"),
         told[0]
     );
 }
--- a/crates/policy/tests/walks.rs
+++ b/crates/policy/tests/walks.rs
@@ -4,7 +4,7 @@
 
 use common::{entry, sends, settings, Stand, KEYED_ALL, MS, S, SAFE};
 use saffronpaddle_policy::interface::*;
-use saffronpaddle_policy::{Gateway, Kept};
+use saffronpaddle_policy::{PolicyEngine, StateSnapshot};
 use std::collections::{BTreeMap, BTreeSet};
 
 const MANY: u64 = 40_000;
@@ -12,45 +12,45 @@
 const FEW: u64 = 512;
 
 /// A server by a number that is spread as hashes of names are.
-fn spread(number: u64) -> ServerEntry {
+fn spread(number: u64) -> Endpoint {
     let server = ServerId((number + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15));
     // It started long ago, and says so.
-    ServerEntry {
+    Endpoint {
         server,
-        started: Some(S),
+        started_at: Some(S),
         ..entry(number)
     }
 }
 
 fn stand(gateways: u32, servers: u64) -> Stand {
     let mut stand = Stand::new(7, settings(3 % gateways, gateways), 1_000 * S);
-    stand.servers(ListKind::Complete, (0..servers).map(spread).collect());
+    stand.servers(EndpointUpdate::Snapshot, (0..servers).map(spread).collect());
     stand
 }
 
-fn at(standing: Standing, number: u64) -> ServerEntry {
-    ServerEntry {
-        standing,
+fn at(standing: EndpointStatus, number: u64) -> Endpoint {
+    Endpoint {
+        status: standing,
         ..spread(number)
     }
 }
 
 /// How many servers are looked at meanwhile.
 fn looked_at(stand: &mut Stand, meanwhile: impl FnOnce(&mut Stand)) -> u64 {
-    let before = stand.gateway.looked_at();
+    let before = stand.gateway.servers_examined();
     meanwhile(stand);
-    stand.gateway.looked_at() - before
+    stand.gateway.servers_examined() - before
 }
 
 /// One tick with nothing to do.
 fn tick(stand: &mut Stand) {
     stand.now += 500 * MS;
-    stand.event(Event::Woke { token: 0 });
+    stand.event(Event::TimerFired { token: 0 });
 }
 
 /// Customers of the widest plan, in turn, each with one gateway.
 fn tries(stand: &mut Stand, count: u64) -> Vec<RequestId> {
-    let me = stand.settings.me;
+    let me = stand.settings.node;
     (0..count)
         .map(|of| stand.request_of(SAFE, 1, (of % 50, me, 1), 3 * S))
         .collect()
@@ -68,7 +68,10 @@
         let mut stand = stand(gateways, MANY);
         for number in 0..20 {
             let one = looked_at(&mut stand, |stand| {
-                stand.servers(ListKind::Changes, vec![at(Standing::Draining, number)]);
+                stand.servers(
+                    EndpointUpdate::Delta,
+                    vec![at(EndpointStatus::Draining, number)],
+                );
             });
             assert!(
                 one <= 4,
@@ -76,9 +79,11 @@
             );
         }
         let zone = (100..4_500)
-            .map(|number| at(Standing::Gone, number))
+            .map(|number| at(EndpointStatus::Removed, number))
             .collect();
-        let zone = looked_at(&mut stand, |stand| stand.servers(ListKind::Changes, zone));
+        let zone = looked_at(&mut stand, |stand| {
+            stand.servers(EndpointUpdate::Delta, zone)
+        });
         assert!(
             zone <= 2 * 4_400,
             "{gateways} gateways: 4,400 at a stroke looked at {zone}"
@@ -126,13 +131,13 @@
 fn a_long_list_costs_no_more_at_a_try_than_one_that_is_a_twentieth_as_long() {
     let cost = |servers| {
         let mut stand = stand(2_700, servers);
-        let before = stand.gateway.looked_at();
+        let before = stand.gateway.servers_examined();
         for _ in 0..50 {
             tries(&mut stand, 1);
             stand.now += 50 * MS;
             end_all(&mut stand);
         }
-        stand.gateway.looked_at() - before
+        stand.gateway.servers_examined() - before
     };
     assert!(cost(40_000) <= 2 * cost(2_000));
 }
@@ -146,19 +151,19 @@
         for round in 0..40_u64 {
             tries(&mut stand, 5);
             reached.extend(stand.out.iter().map(|(_, _, server)| *server));
-            let mut drained: Vec<ServerEntry> = (round * 40..(round + 1) * 40)
-                .map(|number| at(Standing::Draining, number))
+            let mut drained: Vec<Endpoint> = (round * 40..(round + 1) * 40)
+                .map(|number| at(EndpointStatus::Draining, number))
                 .collect();
             let last = stand
                 .out
                 .iter()
                 .map(|(_, _, server)| stand.list[server])
                 .collect::<Vec<_>>();
-            drained.extend(last.into_iter().map(|entry| ServerEntry {
-                standing: Standing::Draining,
+            drained.extend(last.into_iter().map(|entry| Endpoint {
+                status: EndpointStatus::Draining,
                 ..entry
             }));
-            stand.servers(ListKind::Changes, drained);
+            stand.servers(EndpointUpdate::Delta, drained);
             stand.now += 50 * MS;
             end_all(&mut stand);
             stand.pass(20 * MS);
@@ -176,9 +181,9 @@
     let mut stand = stand(300, 6_000);
     let gone = (0..6_000)
         .filter(|number| number % 3 == 0)
-        .map(|number| at(Standing::Gone, number))
+        .map(|number| at(EndpointStatus::Removed, number))
         .collect();
-    stand.servers(ListKind::Changes, gone);
+    stand.servers(EndpointUpdate::Delta, gone);
     for _ in 0..100 {
         let ids = tries(&mut stand, 4);
         assert!(
@@ -190,7 +195,7 @@
         end_all(&mut stand);
     }
     tick(&mut stand);
-    let held = stand.gateway.keep().size().1;
+    let held = stand.gateway.snapshot().size().1;
     assert!(held >= 256 * 3 / 4, "{held} servers are sent to");
 }
 
@@ -226,17 +231,17 @@
     tick(&mut stand);
     let left: Vec<u64> = (0..1_000).filter(|number| number % 100 != 0).collect();
     stand.servers(
-        ListKind::Changes,
+        EndpointUpdate::Delta,
         left.iter()
-            .map(|number| at(Standing::Gone, *number))
+            .map(|number| at(EndpointStatus::Removed, *number))
             .collect(),
     );
     tick(&mut stand);
-    let cold = ServerEntry {
-        started: Some(stand.now),
+    let cold = Endpoint {
+        started_at: Some(stand.now),
         ..spread(1)
     };
-    stand.servers(ListKind::Changes, vec![cold]);
+    stand.servers(EndpointUpdate::Delta, vec![cold]);
     let mut sent = 0;
     for _ in 0..200 {
         tries(&mut stand, 3);
@@ -259,8 +264,8 @@
 fn a_long_list_of_one_server_left_is_sent_to_by_every_gateway() {
     for me in [0, 7, 299] {
         let mut stand = Stand::new(1, settings(me, 300), 1_000 * S);
-        stand.servers(ListKind::Complete, (0..3_000).map(spread).collect());
-        stand.servers(ListKind::Complete, vec![spread(17)]);
+        stand.servers(EndpointUpdate::Snapshot, (0..3_000).map(spread).collect());
+        stand.servers(EndpointUpdate::Snapshot, vec![spread(17)]);
         tries(&mut stand, 1);
         assert_eq!(stand.out.len(), 1);
     }
@@ -269,7 +274,7 @@
 #[test]
 fn a_repeat_of_a_key_finds_its_way_on_a_long_list() {
     let mut stand = stand(1, 2_000);
-    let id = stand.request_of(KEYED_ALL, 1, (1, GatewayId(0), 1), 3 * S);
+    let id = stand.request_of(KEYED_ALL, 1, (1, NodeId(0), 1), 3 * S);
     stand.now += 20 * MS;
     stand.end(&id, Outcome::Error);
     assert!(
@@ -279,7 +284,7 @@
 }
 
 /// What is handed over, by name, so that a difference says where it is.
-fn fields(kept: &Kept) -> BTreeMap<String, serde_json::Value> {
+fn fields(kept: &StateSnapshot) -> BTreeMap<String, serde_json::Value> {
     serde_json::from_value(serde_json::to_value(kept).expect("plain data"))
         .expect("fields with names")
 }
@@ -290,30 +295,30 @@
     tries(&mut stand, 3);
     stand.now += 20 * MS;
     end_all(&mut stand);
-    let kept = stand.gateway.keep();
+    let kept = stand.gateway.snapshot();
     assert!(
         kept.size().1 <= 512,
         "{} of 6,000 servers are handed over",
         kept.size().1
     );
     let text = serde_json::to_string(&kept).expect("plain data");
-    let read: Kept = serde_json::from_str(&text).expect("its own words");
+    let read: StateSnapshot = serde_json::from_str(&text).expect("its own words");
     assert_eq!(fields(&kept), fields(&read), "its own words say all of it");
     assert_eq!(kept, read, "its own words say all of it");
-    let mut heir = Gateway::new(9, settings(3, 300), stand.now).expect("sound settings");
-    heir.resume(read, 1);
+    let mut heir = PolicyEngine::new(9, settings(3, 300), stand.now).expect("sound settings");
+    heir.restore(read, 1);
     let entries = (0..6_000).map(spread).collect();
     heir.handle(
         stand.now,
-        Event::Servers {
-            kind: ListKind::Complete,
-            entries,
+        Event::EndpointsChanged {
+            update: EndpointUpdate::Snapshot,
+            endpoints: entries,
         },
         &mut Vec::new(),
     );
-    assert_eq!(heir.rotation(), (6_000, 0));
+    assert_eq!(heir.endpoint_counts(), (6_000, 0));
     // What was answered since the last tick alone is not: the heir's ticks begin with it.
-    let (mut before, after) = (fields(&kept), fields(&heir.keep()));
+    let (mut before, after) = (fields(&kept), fields(&heir.snapshot()));
     let seen = before
         .get_mut("fuzzy")
         .and_then(|fuzzy| fuzzy.get_mut("seen"))
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -3,10 +3,10 @@
 mod wire;
 
 use saffronpaddle_policy::interface::{
-    Action, AttemptNo, CellId, ClassId, CustomerId, Event, GatewayId, ListKind, Outcome, PlanId,
-    RequestId, ServerEntry, ServerId, Standing, ZoneId,
+    Action, AttemptNumber, ClassId, CustomerId, DeduplicationDomainId, Endpoint, EndpointStatus,
+    EndpointUpdate, Event, NodeId, Outcome, PlanId, RequestId, ServerId, ZoneId,
 };
-use saffronpaddle_policy::{setup, Gateway};
+use saffronpaddle_policy::{setup, PolicyEngine};
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
@@ -15,12 +15,12 @@
 /// An entry as listed; its zone gets a number only by an instance's settings.
 struct Item {
     campus: String,
-    entry: ServerEntry,
+    entry: Endpoint,
 }
 
 struct Instance {
-    gateway: Gateway,
-    named: setup::Named,
+    gateway: PolicyEngine,
+    named: setup::NamedSettings,
 }
 
 #[derive(Default)]
@@ -133,18 +133,18 @@
     let size = line.measure("capacityHint")?;
     Ok(Item {
         campus: line.text("campus")?.to_owned(),
-        entry: ServerEntry {
+        entry: Endpoint {
             server: ServerId(line.number("server")?),
             zone: ZoneId(0),
-            cell: CellId(line.number("bay")?),
-            standing: match line.text("readiness")? {
-                "Ready" => Standing::Ready,
-                "Terminating" => Standing::Draining,
-                "Gone" => Standing::Gone,
+            domain: DeduplicationDomainId(line.number("bay")?),
+            status: match line.text("readiness")? {
+                "Ready" => EndpointStatus::Ready,
+                "Terminating" => EndpointStatus::Draining,
+                "Gone" => EndpointStatus::Removed,
                 _ => return line.bad("readiness"),
             },
             size,
-            started: match line.number_or("cameUpUs", 0)? {
+            started_at: match line.number_or("cameUpUs", 0)? {
                 0 => None,
                 at => Some(at),
             },
@@ -163,10 +163,10 @@
     Ok(match line.number("ending")? {
         100 => Outcome::Ok,
         301 => Outcome::Error,
-        302 => Outcome::Full,
+        302 => Outcome::Rejected,
         303 => Outcome::TimedOut,
         304 => Outcome::Unreachable,
-        305 => Outcome::Broken,
+        305 => Outcome::ConnectionLost,
         306 => Outcome::Cancelled,
         307 => Outcome::NotSent,
         _ => return line.bad("ending"),
@@ -191,7 +191,7 @@
                     Ok(named) => named,
                     Err(what) => return line.fault(format!("hello: field setup: {what}")),
                 };
-                match Gateway::new(seed as u64, named.settings.clone(), now) {
+                match PolicyEngine::new(seed as u64, named.settings.clone(), now) {
                     Ok(gateway) => {
                         let instance = Instance { gateway, named };
                         self.instances.insert(number, instance);
@@ -228,15 +228,15 @@
 
 fn translate(
     line: &Line,
-    named: &setup::Named,
+    named: &setup::NamedSettings,
     lists: &BTreeMap<u8, Vec<Item>>,
 ) -> Result<Option<Event>> {
     Ok(Some(match line.name {
         "update" => {
             let kind = match line.text("kind")? {
-                "Error" => return Ok(Some(Event::ListFailed)),
-                "Partial" => ListKind::Changes,
-                "Complete" | "Persisted" => ListKind::Complete,
+                "Error" => return Ok(Some(Event::EndpointsUnavailable)),
+                "Partial" => EndpointUpdate::Delta,
+                "Complete" | "Persisted" => EndpointUpdate::Snapshot,
                 _ => return line.bad("kind"),
             };
             let Some(items) = lists.get(&line.number("list")?) else {
@@ -247,41 +247,44 @@
                 let Some(zone) = named.zones.iter().position(|name| *name == item.campus) else {
                     return line.fault(format!("update: field list: no zone {:?}", item.campus));
                 };
-                entries.push(ServerEntry {
+                entries.push(Endpoint {
                     zone: ZoneId(zone as u32),
                     ..item.entry
                 });
             }
-            Event::Servers { kind, entries }
+            Event::EndpointsChanged {
+                update: kind,
+                endpoints: entries,
+            }
         }
-        "knock" => Event::Request {
+        "knock" => Event::RequestArrived {
             id: request_id(line)?,
             class: ClassId(place(line, "grade", &named.classes)?),
             plan: PlanId(place(line, "package", &named.plans)?),
             customer: CustomerId(line.number("clientId")?),
             units: line.measure("quotaUnits")?,
-            first: GatewayId(line.number("base")?),
+            first: NodeId(line.number("base")?),
             spread: line.number("setSize")?,
-            patience: line.number("ttlUs")?,
-            whole: true,
+            timeout: line.number("ttlUs")?,
+            complete: true,
         },
-        "opened" => Event::Started {
+        "opened" => Event::ResponseStarted {
             id: request_id(line)?,
         },
-        "finished" => Event::Ended {
+        "finished" => Event::AttemptEnded {
             id: request_id(line)?,
-            attempt: AttemptNo(line.number("shot")?),
+            attempt: AttemptNumber(line.number("shot")?),
             outcome: outcome(line)?,
-            closed: line.flag("doneFlag")?,
+            request_closed: line.flag("doneFlag")?,
         },
-        "gone" => Event::Abandoned {
+        "gone" => Event::RequestAbandoned {
             id: request_id(line)?,
         },
-        "elapsed" => Event::Woke {
+        "elapsed" => Event::TimerFired {
             token: line.number("nonce")?,
         },
-        "whisper" => Event::Peer {
-            from: GatewayId(line.number("originPeer")?),
+        "whisper" => Event::PeerMessage {
+            from: NodeId(line.number("originPeer")?),
             bytes: line.hex("blob")?,
         },
         // The module neither probes nor calls the counter: answers are checked and passed over.
@@ -300,7 +303,7 @@
         Action::Send {
             id,
             server,
-            time_out,
+            timeout: time_out,
         } => {
             let _ = write!(
                 reply,
@@ -312,7 +315,10 @@
                 None => writeln!(reply),
             }
         }
-        Action::Refuse { id, retry_in } => {
+        Action::Reject {
+            id,
+            retry_after: retry_in,
+        } => {
             let _ = write!(reply, "not_now\ti={number}\tcall={}", id.0);
             match retry_in {
                 Some(span) => writeln!(reply, "\tretryInUs={span}"),
@@ -327,14 +333,14 @@
                 id.0, attempt.0
             )
         }
-        Action::TellAll { bytes } => {
+        Action::Broadcast { bytes } => {
             writeln!(
                 reply,
                 "tell\ti={number}\taddressee=*\tblob={}",
                 wire::to_hex(bytes)
             )
         }
-        Action::Tell { to, bytes } => {
+        Action::SendToPeer { to, bytes } => {
             writeln!(
                 reply,
                 "tell\ti={number}\taddressee={}\tblob={}",
@@ -342,12 +348,12 @@
                 wire::to_hex(bytes)
             )
         }
-        Action::Wake { after, token } => {
+        Action::SetTimer { after, token } => {
             writeln!(reply, "defer\ti={number}\tdelayUs={after}\tnonce={token}")
         }
-        Action::Follow => writeln!(reply, "track\ti={number}\tactive=1"),
+        Action::Subscribe => writeln!(reply, "track\ti={number}\tactive=1"),
         // No other process of the same gateway is ever told of.
-        Action::Twin(_) => Ok(()),
+        Action::SendToSiblings(_) => Ok(()),
         Action::Log(words) => writeln!(reply, "say_log\ti={number}\twords={words}"),
     };
 }
