--- a/crates/policy/tests/stored_state.rs
+++ b/crates/policy/tests/stored_state.rs
@@ -6,10 +6,14 @@
 use common::{entry, settings, Stand, KEYED_ALL, MS, S, SAFE};
 use saffronpaddle_policy::interface::*;
 use saffronpaddle_policy::{PolicyEngine, StateSnapshot};
+use saffronpaddle_quota::{Ask, Keeper, Memory, Start, Terms, Wish};
+use saffronpaddle_slow_start::{Answer, Budget, Gift, Natural, Rules};
 use serde_json::Value;
 
 const NARROW: &str = include_str!("fixtures/state_narrow.json");
 const WIDE: &str = include_str!("fixtures/state_wide.json");
+const SHARD: &str = include_str!("fixtures/shard.json");
+const RIGHTS: &str = include_str!("fixtures/slow_start.json");
 const TWINS: &str = include_str!("fixtures/twins.jsonl");
 
 /// What a node knows after some seconds of service: attempts out, failures, a cold server, customers with ceilings.
@@ -141,3 +145,88 @@
         told[0]
     );
 }
+
+/// A shard that has granted, lent and given out places, and what a node remembers of it.
+#[test]
+fn a_shard_with_leases_and_what_is_remembered_of_it_have_the_form_of_the_fixture() {
+    let terms = Terms {
+        rate: 8.0,
+        depth: 16.0,
+        at_once: Some(3),
+        ceiling: Some((10.0, 20.0)),
+    };
+    let mut shard = Keeper::open(5 * S, Start::Since(8.0, S), S, &terms);
+    let ask = |serial| Ask {
+        from: 4,
+        serial,
+        units: 1.0,
+    };
+    let said = shard.ask(5 * S + MS, ask(1), &terms, 100 * MS);
+    shard.ask(5 * S + 2 * MS, ask(2), &terms, 100 * MS);
+    let wish = Wish {
+        rate: 1.0,
+        held: Some((0.5, 1.0, S)),
+    };
+    shard.lend(5 * S + 3 * MS, ask(3), &wish, &terms, 1.0);
+    let none_held = Wish { held: None, ..wish };
+    let home = Ask {
+        from: 9,
+        serial: 7,
+        units: 0.0,
+    };
+    shard.lend(5 * S + 4 * MS, home, &none_held, &terms, 1.0);
+    let mut memory = Memory::default();
+    memory.said(5 * S, &said, true);
+    memory.granted(5 * S, 1.0);
+    memory.alone(6 * S, 1.0);
+    let written = serde_json::json!({"shard": shard, "memory": memory});
+    let fixture: Value = serde_json::from_str(SHARD).expect("a fixture of JSON");
+    assert!(written == fixture, "\n{written:#}");
+    assert_eq!(
+        serde_json::from_value::<Keeper>(fixture["shard"].clone()).expect("it is read"),
+        shard
+    );
+    assert_eq!(
+        serde_json::from_value::<Memory>(fixture["memory"].clone()).expect("it is read"),
+        memory
+    );
+}
+
+/// Rights to send to a cold server that were earned, given away and taken.
+#[test]
+fn rights_to_a_cold_server_have_the_form_of_the_fixture() {
+    let rules = Rules {
+        gateways: 3,
+        me: 1,
+        up_since: 0,
+        fall_multiple: 3.0,
+        fall_window: S,
+    };
+    let mut budget = Budget::default();
+    budget.begins(5 * S, 10 * S);
+    budget.begins(6 * S, 10 * S);
+    budget.spend(8 * S, 4, &rules);
+    let answer = Answer {
+        served: true,
+        took: 40 * MS,
+        aim: 400 * MS,
+        warmth: 0.3,
+        draw: 0.9,
+    };
+    let mut natural = Natural::default();
+    budget.ended(8 * S, 1, answer, &mut natural, &rules);
+    let gift = Gift {
+        started: 6 * S,
+        until: 8 * S + 500 * MS,
+        serial: 3,
+    };
+    budget.take(8 * S + MS, 2, gift, &rules);
+    budget.spare(8 * S + 2 * MS, 4, &rules);
+    let written = serde_json::json!({"budget": budget, "natural": natural});
+    let fixture: Value = serde_json::from_str(RIGHTS).expect("a fixture of JSON");
+    assert!(written == fixture, "\n{written:#}");
+    assert_eq!(
+        serde_json::from_value::<Budget>(fixture["budget"].clone()).expect("it is read"),
+        budget
+    );
+}
