--- a/crates/admin/src/desk.rs
+++ b/crates/admin/src/desk.rs
@@ -12,22 +12,22 @@
 /// Danger: callers that say nothing, or half a call, and stay. They hold descriptors, so there is room for few; and as
 /// good callers write their line at once, who has waited longest for an end of it makes way for the next.
 #[derive(Debug)]
-pub struct Desk {
+pub struct CallerTable {
     most: usize,
     stay: Duration,
     next: u64,
     waiting: VecDeque<(Duration, Caller)>,
 }
 
-impl Desk {
+impl CallerTable {
     /// Callers that are kept at once. Each takes a descriptor.
     pub const MOST: usize = 16;
     /// How long a caller may take for a line; those who mean no harm need a moment, and those who stay need no more.
     pub const STAY: Duration = Duration::from_secs(5);
 
     /// A desk with room for so many, each for so long.
-    pub fn new(most: usize, stay: Duration) -> Desk {
-        Desk {
+    pub fn new(most: usize, stay: Duration) -> CallerTable {
+        CallerTable {
             most: most.max(1),
             stay,
             next: 0,
@@ -36,7 +36,7 @@
     }
 
     /// Somebody comes; who has to go for it, if there is no room.
-    pub fn comes(&mut self, now: Duration) -> (Caller, Option<Caller>) {
+    pub fn arrived(&mut self, now: Duration) -> (Caller, Option<Caller>) {
         let caller = Caller(self.next);
         self.next += 1;
         let full = self.waiting.len() >= self.most;
@@ -50,7 +50,7 @@
     }
 
     /// A caller has its answer, or has gone.
-    pub fn goes(&mut self, caller: Caller) {
+    pub fn left(&mut self, caller: Caller) {
         self.waiting.retain(|(_, other)| *other != caller);
     }
 
@@ -65,7 +65,7 @@
     }
 
     /// When somebody will have stayed too long.
-    pub fn until(&self) -> Option<Duration> {
+    pub fn deadline(&self) -> Option<Duration> {
         self.waiting.front().map(|(since, _)| *since + self.stay)
     }
 
--- a/crates/admin/src/desk/tests.rs
+++ b/crates/admin/src/desk/tests.rs
@@ -4,19 +4,19 @@
 fn who_waits_longest_makes_way_and_who_stays_too_long_goes() {
     let (ms, mut desk) = (
         Duration::from_millis,
-        Desk::new(2, Duration::from_millis(100)),
+        CallerTable::new(2, Duration::from_millis(100)),
     );
-    let (first, goes) = desk.comes(ms(0));
+    let (first, goes) = desk.arrived(ms(0));
     assert_eq!(goes, None);
-    let (second, goes) = desk.comes(ms(10));
+    let (second, goes) = desk.arrived(ms(10));
     assert_eq!(goes, None);
-    let (third, goes) = desk.comes(ms(20));
+    let (third, goes) = desk.arrived(ms(20));
     assert_eq!(goes, Some(first));
-    desk.goes(second);
+    desk.left(second);
     assert_eq!(
-        (desk.len(), desk.until(), desk.stale(ms(119))),
+        (desk.len(), desk.deadline(), desk.stale(ms(119))),
         (1, Some(ms(120)), None)
     );
     assert_eq!(desk.stale(ms(120)), Some(third));
-    assert!(desk.is_empty() && desk.until().is_none());
+    assert!(desk.is_empty() && desk.deadline().is_none());
 }
--- a/crates/admin/src/figures.rs
+++ b/crates/admin/src/figures.rs
@@ -5,7 +5,7 @@
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum RequestEnd {
     /// Served: 200.
     Fulfilled,
     /// Refused: 429 or 503.
@@ -41,7 +41,7 @@
 /// Counts that all begin at 0 with the process. Each request that is taken ends once: what has been taken is always what
 /// has ended in one of the four ways and what is open.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct RequestCounters {
     /// By class, in the order of the settings.
     pub classes: Vec<ClassCounts>,
     /// Attempts written whole to app servers.
@@ -51,12 +51,12 @@
     /// Those of them that never came up.
     pub connects_failed: u64,
     /// Attempts that a kept connection took.
-    pub kept_used: u64,
+    pub connections_reused: u64,
     /// Answers whose last byte is not out yet, though their requests have ended.
     pub streaming: u64,
 }
 
-impl Tally {
+impl RequestCounters {
     fn class(&mut self, class: usize) -> &mut ClassCounts {
         if self.classes.len() <= class {
             self.classes.resize(class + 1, ClassCounts::default());
@@ -70,13 +70,13 @@
     }
 
     /// A request that was taken has ended.
-    pub fn ended(&mut self, class: usize, end: End) {
+    pub fn ended(&mut self, class: usize, end: RequestEnd) {
         let counts = self.class(class);
         *match end {
-            End::Fulfilled => &mut counts.fulfilled,
-            End::Throttled => &mut counts.throttled,
-            End::Faulted => &mut counts.faulted,
-            End::Gone => &mut counts.gone,
+            RequestEnd::Fulfilled => &mut counts.fulfilled,
+            RequestEnd::Throttled => &mut counts.throttled,
+            RequestEnd::Faulted => &mut counts.faulted,
+            RequestEnd::Gone => &mut counts.gone,
         } += 1;
     }
 
@@ -91,25 +91,26 @@
 
 /// What is told on a call for the figures.
 #[derive(Clone, Debug, Default)]
-pub struct Figures<'a> {
+pub struct Metrics<'a> {
     /// Names of the classes.
     pub names: &'a [String],
     /// The counts.
-    pub tally: Tally,
+    pub tally: RequestCounters,
     /// App servers on the list.
     pub registry_entries: usize,
     /// Those of them that get nothing new at present.
     pub out_of_rotation: usize,
     /// Messages to peers and from them.
-    pub words: (u64, u64),
+    pub peer_messages: (u64, u64),
     /// What the decision module has done, by name: added up over a fleet they tell where tries and attempts go.
-    pub decided: Vec<(&'static str, u64)>,
+    pub policy_counters: Vec<(&'static str, u64)>,
 }
 
-impl Figures<'_> {
+impl Metrics<'_> {
     /// The figures in the text form of Prometheus, a sample a line, and the line that ends them.
-    pub fn told(&self) -> String {
-        let mut text = String::with_capacity(64 * (3 * self.names.len() + 11 + self.decided.len()));
+    pub fn exposition(&self) -> String {
+        let mut text =
+            String::with_capacity(64 * (3 * self.names.len() + 11 + self.policy_counters.len()));
         let kinds: [(&str, CountOf); 3] = [
             ("fulfilled", |counts| counts.fulfilled),
             ("throttled", |counts| counts.throttled),
@@ -135,18 +136,20 @@
             ("relayed", self.tally.relayed),
             ("connects", self.tally.connects),
             ("connects_failed", self.tally.connects_failed),
-            ("connections_kept_used", self.tally.kept_used),
+            ("connections_kept_used", self.tally.connections_reused),
             ("open_requests", self.tally.open()),
             ("registry_entries", self.registry_entries as u64),
             ("out_of_rotation", self.out_of_rotation as u64),
-            ("words_told", self.words.0),
-            ("words_heard", self.words.1),
+            ("words_told", self.peer_messages.0),
+            ("words_heard", self.peer_messages.1),
         ];
-        plain.into_iter().chain(self.decided.iter().copied())
+        plain
+            .into_iter()
+            .chain(self.policy_counters.iter().copied())
     }
 
     /// The same in one line of fields for the log, with the ends of requests over all classes.
-    pub fn line(&self, node: u32, at_ms: u64) -> String {
+    pub fn log_line(&self, node: u32, at_ms: u64) -> String {
         let sum = |of: fn(&ClassCounts) -> u64| self.tally.classes.iter().map(of).sum();
         let ends = [
             ("taken", sum(|counts| counts.taken)),
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -18,10 +18,10 @@
 mod figures;
 mod line;
 
-pub use desk::{Caller, Desk};
+pub use desk::{Caller, CallerTable};
 pub use fields::Fields;
-pub use figures::{ClassCounts, End, Figures, Tally};
-pub use line::{Bad, Call, Line, LINE_MOST};
+pub use figures::{ClassCounts, Metrics, RequestCounters, RequestEnd};
+pub use line::{Call, CallError, Line, LINE_MOST};
 
 /// The line of a call that was done, or of a question whose answer is yes.
 pub fn success(words: &str) -> String {
--- a/crates/admin/src/line.rs
+++ b/crates/admin/src/line.rs
@@ -29,7 +29,7 @@
     ];
 
     /// The call that a word stands for, to the letter.
-    pub fn named(word: &str) -> Option<Call> {
+    pub fn parse(word: &str) -> Option<Call> {
         Call::ALL
             .iter()
             .find(|(name, _)| *name == word)
@@ -39,7 +39,7 @@
 
 /// Why a line is no call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bad {
+pub enum CallError {
     /// It has more than [`LINE_MOST`] bytes.
     TooLong,
     /// No call is named so.
@@ -48,12 +48,12 @@
     Half,
 }
 
-impl fmt::Display for Bad {
+impl fmt::Display for CallError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Bad::TooLong => "the line is too long",
-            Bad::Unknown => "no such call; there are PING, INFO, LAMEDUCK and REJOIN",
-            Bad::Half => "the line has no end",
+            CallError::TooLong => "the line is too long",
+            CallError::Unknown => "no such call; there are PING, INFO, LAMEDUCK and REJOIN",
+            CallError::Half => "the line has no end",
         })
     }
 }
@@ -66,17 +66,17 @@
 
 impl Line {
     /// Takes more bytes; the call once its line has ended. What comes behind the line counts for nothing.
-    pub fn take(&mut self, bytes: &[u8]) -> Option<Result<Call, Bad>> {
+    pub fn take(&mut self, bytes: &[u8]) -> Option<Result<Call, CallError>> {
         let end = bytes.iter().position(|byte| *byte == b'\n');
         let more = &bytes[..end.unwrap_or(bytes.len())];
         // One byte more may be the carriage return before the end.
         if self.held.len() + more.len() > LINE_MOST + 1 {
-            return Some(Err(Bad::TooLong));
+            return Some(Err(CallError::TooLong));
         }
         self.held.extend_from_slice(more);
         end.map(|_| {
             let word = std::str::from_utf8(self.held.trim_ascii()).unwrap_or_default();
-            Call::named(word).ok_or(Bad::Unknown)
+            Call::parse(word).ok_or(CallError::Unknown)
         })
     }
 }
--- a/crates/admin/src/line/tests.rs
+++ b/crates/admin/src/line/tests.rs
@@ -27,7 +27,7 @@
     ] {
         assert_eq!(
             Line::default().take(other.as_bytes()),
-            Some(Err(Bad::Unknown)),
+            Some(Err(CallError::Unknown)),
             "{other:?}"
         );
     }
@@ -37,6 +37,6 @@
 fn a_line_without_end_is_told_so_and_takes_no_memory() {
     let mut line = Line::default();
     let told = (0..LINE_MOST + 2).find_map(|_| line.take(b"A"));
-    assert_eq!(told, Some(Err(Bad::TooLong)));
+    assert_eq!(told, Some(Err(CallError::TooLong)));
     assert!(line.held.len() <= LINE_MOST + 1);
 }
--- a/crates/admin/tests/counts.rs
+++ b/crates/admin/tests/counts.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::FileFailurePersistence;
-use saffronpaddle_admin::{End, Figures, Line, Tally, LINE_MOST};
+use saffronpaddle_admin::{Line, Metrics, RequestCounters, RequestEnd, LINE_MOST};
 
 fn told(text: &str, name: &str) -> u64 {
     let line = text
@@ -20,14 +20,14 @@
     #[test]
     fn taken_is_what_has_ended_and_what_is_open(steps in prop::collection::vec((0usize..3, 0u8..6), 0..200)) {
         let names = ["a", "b", "c"].map(str::to_owned);
-        let mut tally = Tally::default();
+        let mut tally = RequestCounters::default();
         let mut open = [0u64; 3];
         for (class, what) in steps {
             let end = match what {
-                0 => Some(End::Fulfilled),
-                1 => Some(End::Throttled),
-                2 => Some(End::Faulted),
-                3 => Some(End::Gone),
+                0 => Some(RequestEnd::Fulfilled),
+                1 => Some(RequestEnd::Throttled),
+                2 => Some(RequestEnd::Faulted),
+                3 => Some(RequestEnd::Gone),
                 _ => None,
             };
             match end {
@@ -44,7 +44,7 @@
             for (place, counts) in tally.classes.iter().enumerate() {
                 prop_assert_eq!(counts.open(), open[place]);
             }
-            let text = Figures { names: &names, tally: tally.clone(), ..Figures::default() }.told();
+            let text = Metrics { names: &names, tally: tally.clone(), ..Metrics::default() }.exposition();
             prop_assert_eq!(told(&text, "lb_open_requests"), open.iter().sum::<u64>());
             let ended: u64 = ["fulfilled", "throttled", "faulted"].iter().flat_map(|kind| {
                 names.iter().map(|name| told(&text, &format!("lb_{kind}{{priority=\"{name}\"}}"))).collect::<Vec<_>>()
--- a/crates/bench/tests/size/fixture.rs
+++ b/crates/bench/tests/size/fixture.rs
@@ -11,7 +11,7 @@
 use saffronpaddle_hollow::audit::{Audited, Faults, Note};
 use saffronpaddle_hollow::tenants::{plans, Tenants};
 use saffronpaddle_hollow::{server_id, Spec};
-use saffronpaddle_subsetting::{Set, SOUGHT, WHOLE};
+use saffronpaddle_subsetting::{Subset, FULL_LIST_MAX, TARGET_SIZE};
 use saffronpaddle_test_doubles::ledger::{Answer, Asked, Breach, Repeats, Unanswered, Verdict};
 use saffronpaddle_test_doubles::links::{End, Fault, Links, Which};
 use saffronpaddle_test_doubles::load::{class_of, Customer, Front, Leaves};
@@ -98,17 +98,17 @@
     /// Whether a real node may send to a server, at one of the lengths of the list that has it.
     fn stands(&self, at: usize) -> bool {
         let lengths = self.lengths.iter().filter(|length| at < **length);
-        let mut set = Set::new(0, NODES as u32);
+        let mut set = Subset::new(0, NODES as u32);
         // Places do not hang on the length, only on that not all nodes send to all servers.
-        set.resize(WHOLE + 1);
+        set.resize(FULL_LIST_MAX + 1);
         let real = |cover: usize| {
             let number = server_id(&format!("s-{at}")).0;
-            (0..cover.min(NODES) as u32).any(|place| (set.gateway(number, place) as usize) < REAL)
+            (0..cover.min(NODES) as u32).any(|place| (set.member(number, place) as usize) < REAL)
         };
         // A set may be half as large again as is sought.
-        lengths
-            .into_iter()
-            .any(|length| *length <= WHOLE || real((SOUGHT * NODES).div_ceil(*length) * 3 / 2))
+        lengths.into_iter().any(|length| {
+            *length <= FULL_LIST_MAX || real((TARGET_SIZE * NODES).div_ceil(*length) * 3 / 2)
+        })
     }
 
     /// The servers of zone `z0`.
--- a/crates/connection-eviction/src/lib.rs
+++ b/crates/connection-eviction/src/lib.rs
@@ -4,16 +4,16 @@
 //! Good clients come with a request and write it, slowly perhaps. A crowd that means no good comes and says nothing, stops in
 //! mid-head, or dribbles. From outside a slow client and a bad one differ in one thing only: the slow one goes on. So who has
 //! been silent longest makes way, and nobody who has a request being answered ever does.
-//! How many make way at once is [`Press`]'s matter; how long a request may have waited for its loop, [`Rounds`]'.
+//! How many make way at once is [`EvictionPressure`]'s matter; how long a request may have waited for its loop, [`IdleSweep`]'.
 //!
 //! ```
-//! use saffronpaddle_connection_eviction::{Limits, Seat};
+//! use saffronpaddle_connection_eviction::{Limits, ConnectionState};
 //! use std::time::Duration;
 //! let ms = Duration::from_millis;
-//! let silent = Seat { came: ms(0), last: ms(0), head: None, busy: false, asked: false };
-//! let writing = Seat { last: ms(900), head: Some(ms(0)), ..silent };
-//! let busy = Seat { busy: true, ..silent };
-//! assert_eq!(Limits::USUAL.weakest(ms(1000), [&busy, &writing, &silent]), Some(2));
+//! let silent = ConnectionState { accepted_at: ms(0), last_active_at: ms(0), head_started_at: None, busy: false, has_requested: false };
+//! let writing = ConnectionState { last_active_at: ms(900), head_started_at: Some(ms(0)), ..silent };
+//! let busy = ConnectionState { busy: true, ..silent };
+//! assert_eq!(Limits::USUAL.weakest_connection(ms(1000), [&busy, &writing, &silent]), Some(2));
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -21,8 +21,8 @@
 mod press;
 mod rounds;
 
-pub use press::{Press, Way};
-pub use rounds::{rested, Rounds};
+pub use press::{EvictionCount, EvictionPressure};
+pub use rounds::{rested, IdleSweep};
 
 use std::time::Duration;
 
@@ -31,28 +31,28 @@
 
 /// What is seen of a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Seat {
+pub struct ConnectionState {
     /// When it was accepted.
-    pub came: Time,
+    pub accepted_at: Time,
     /// When its last byte came, or its last answer was out.
-    pub last: Time,
+    pub last_active_at: Time,
     /// When the head that is coming began to come.
-    pub head: Option<Time>,
+    pub head_started_at: Option<Time>,
     /// A request of it is being taken or answered.
     pub busy: bool,
     /// It has had a request.
-    pub asked: bool,
+    pub has_requested: bool,
 }
 
 /// How long connections are kept without a whole head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// A head from its first byte on. Guards against heads that are dribbled without end; a slow client needs 2 s.
-    pub head_within: Duration,
+    pub head_timeout: Duration,
     /// A connection without a byte of a next request. Guards against clients that connect and say nothing.
-    pub idle_for: Duration,
+    pub idle_timeout: Duration,
     /// One that has never asked counts as silent for so much longer: good clients ask as soon as they come.
-    pub never_asked: Duration,
+    pub first_request_timeout: Duration,
     /// Who has been silent for less may be a slow client that goes on: it makes way for who waits, and not ahead of need.
     pub goes_on: Duration,
 }
@@ -60,49 +60,56 @@
 impl Limits {
     /// As nodes have them.
     pub const USUAL: Limits = Limits {
-        head_within: Duration::from_secs(3),
-        idle_for: Duration::from_millis(2200),
-        never_asked: Duration::from_secs(1),
+        head_timeout: Duration::from_secs(3),
+        idle_timeout: Duration::from_millis(2200),
+        first_request_timeout: Duration::from_secs(1),
         goes_on: Duration::from_millis(500),
     };
 
     /// Whether its time is up.
-    pub fn over(&self, now: Time, seat: &Seat) -> bool {
-        let (since, within) = match seat.head {
-            Some(since) => (since, self.head_within),
-            None => (seat.last, self.idle_for),
+    pub fn over(&self, now: Time, seat: &ConnectionState) -> bool {
+        let (since, within) = match seat.head_started_at {
+            Some(since) => (since, self.head_timeout),
+            None => (seat.last_active_at, self.idle_timeout),
         };
         !seat.busy && now.saturating_sub(since) >= within
     }
 
     /// How long one counts as silent.
-    fn silent(&self, now: Time, seat: &Seat) -> Duration {
-        let silent = now.saturating_sub(seat.last);
-        if seat.asked || seat.head.is_some() {
+    fn silent(&self, now: Time, seat: &ConnectionState) -> Duration {
+        let silent = now.saturating_sub(seat.last_active_at);
+        if seat.has_requested || seat.head_started_at.is_some() {
             silent
         } else {
-            silent + self.never_asked
+            silent + self.first_request_timeout
         }
     }
 
     /// Who makes way for one more, by place: who has been silent longest. Nobody who has a request being answered.
-    pub fn weakest<'a>(
+    pub fn weakest_connection<'a>(
         &self,
         now: Time,
-        seats: impl IntoIterator<Item = &'a Seat>,
+        seats: impl IntoIterator<Item = &'a ConnectionState>,
     ) -> Option<usize> {
-        self.make_way(now, seats, Way { must: 1, may: 0 })
-            .first()
-            .copied()
+        self.choose_evictions(
+            now,
+            seats,
+            EvictionCount {
+                required: 1,
+                allowed: 0,
+            },
+        )
+        .first()
+        .copied()
     }
 
     /// Who makes way for several, by place: who has been silent longest first. Nobody who has a request being answered; and ahead
     /// of need nobody who may be a slow client that goes on.
-    pub fn make_way<'a>(
+    pub fn choose_evictions<'a>(
         &self,
         now: Time,
-        seats: impl IntoIterator<Item = &'a Seat>,
-        way: Way,
+        seats: impl IntoIterator<Item = &'a ConnectionState>,
+        way: EvictionCount,
     ) -> Vec<usize> {
         let free = seats.into_iter().enumerate().filter(|(_, seat)| !seat.busy);
         let mut free: Vec<_> = free
@@ -110,11 +117,11 @@
             .collect();
         free.sort_unstable_by_key(|(silent, place)| (std::cmp::Reverse(*silent), *place));
         let spared = |(at, (silent, _)): &(usize, (Duration, usize))| {
-            *at < way.must || *silent >= self.goes_on
+            *at < way.required || *silent >= self.goes_on
         };
         let going = free
             .into_iter()
-            .take(way.must.saturating_add(way.may))
+            .take(way.required.saturating_add(way.allowed))
             .enumerate()
             .take_while(spared);
         going.map(|(_, (_, place))| place).collect()
--- a/crates/connection-eviction/src/press.rs
+++ b/crates/connection-eviction/src/press.rs
@@ -10,15 +10,15 @@
 
 /// The newcomers of late: as many as in the last 100 ms and a little before.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Press {
+pub struct EvictionPressure {
     since: Time,
     now: usize,
     before: usize,
 }
 
-impl Press {
+impl EvictionPressure {
     /// One has come.
-    pub fn came(&mut self, now: Time) {
+    pub fn accepted(&mut self, now: Time) {
         self.turn(now);
         self.now = self.now.saturating_add(1);
     }
@@ -34,26 +34,32 @@
     /// How many more are to make way where one waits for a place, `most` places there are, `seated` are taken, and `going` of
     /// these have been told to go: first those that are needed now, then those that will be if as many come as lately. Guards
     /// against a crowd behind which a request waits, as one after the other is let in; and against sending many away for one.
-    pub fn make_way(&mut self, now: Time, most: usize, seated: usize, going: usize) -> Way {
+    pub fn evictions(
+        &mut self,
+        now: Time,
+        most: usize,
+        seated: usize,
+        going: usize,
+    ) -> EvictionCount {
         self.turn(now);
         let needed = (seated + 1).saturating_sub(most);
         if needed == 0 {
-            return Way::default();
+            return EvictionCount::default();
         }
         let soon = (self.now + self.before).min(most / SHARE);
         let must = needed.saturating_sub(going);
-        Way {
-            must,
-            may: soon.saturating_sub(going).saturating_sub(must),
+        EvictionCount {
+            required: must,
+            allowed: soon.saturating_sub(going).saturating_sub(must),
         }
     }
 }
 
 /// How many make way.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Way {
+pub struct EvictionCount {
     /// For those who wait.
-    pub must: usize,
+    pub required: usize,
     /// Ahead of need: only who has been silent for long.
-    pub may: usize,
+    pub allowed: usize,
 }
--- a/crates/connection-eviction/src/rounds.rs
+++ b/crates/connection-eviction/src/rounds.rs
@@ -17,14 +17,14 @@
 /// Danger: a process that is stopped as it sleeps. It wakes late, and what it then finds came at any time meanwhile. So a sleep
 /// that was longer than the longest that the loop ever asks for proves nothing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Rounds {
+pub struct IdleSweep {
     since: Time,
     slept: Option<Time>,
 }
 
-impl Rounds {
+impl IdleSweep {
     /// Of a loop that has not begun.
-    pub const NEW: Rounds = Rounds {
+    pub const NEW: IdleSweep = IdleSweep {
         since: Time::ZERO,
         slept: None,
     };
--- a/crates/connection-eviction/src/tests.rs
+++ b/crates/connection-eviction/src/tests.rs
@@ -2,12 +2,12 @@
 use proptest::prelude::*;
 
 const MS: Duration = Duration::from_millis(1);
-const SEAT: Seat = Seat {
-    came: Duration::ZERO,
-    last: Duration::ZERO,
-    head: None,
+const SEAT: ConnectionState = ConnectionState {
+    accepted_at: Duration::ZERO,
+    last_active_at: Duration::ZERO,
+    head_started_at: None,
     busy: false,
-    asked: false,
+    has_requested: false,
 };
 
 #[test]
@@ -15,37 +15,39 @@
     let limits = Limits::USUAL;
     assert!(!limits.over(2199 * MS, &SEAT) && limits.over(2200 * MS, &SEAT));
     // It was idle for long, then began: the head's time counts from there.
-    let seat = Seat {
-        last: 2100 * MS,
-        head: Some(2100 * MS),
-        asked: true,
+    let seat = ConnectionState {
+        last_active_at: 2100 * MS,
+        head_started_at: Some(2100 * MS),
+        has_requested: true,
         ..SEAT
     };
     assert!(!limits.over(5099 * MS, &seat) && limits.over(5100 * MS, &seat));
     // Dribbling buys no time.
-    let seat = Seat {
-        last: 5099 * MS,
+    let seat = ConnectionState {
+        last_active_at: 5099 * MS,
         ..seat
     };
     assert!(limits.over(5100 * MS, &seat));
-    assert!(!limits.over(60_000 * MS, &Seat { busy: true, ..seat }));
+    assert!(!limits.over(60_000 * MS, &ConnectionState { busy: true, ..seat }));
 }
 
 /// Slow good clients write a piece each 200 ms for 2 s; how many have written all.
-fn go_on(seats: &mut Vec<(bool, Seat)>, now: Duration) -> usize {
+fn go_on(seats: &mut Vec<(bool, ConnectionState)>, now: Duration) -> usize {
     for (good, seat) in &mut *seats {
         if *good
             && now
-                .checked_sub(seat.came)
+                .checked_sub(seat.accepted_at)
                 .unwrap()
                 .as_millis()
                 .is_multiple_of(200)
         {
-            (seat.last, seat.head) = (now, Some(seat.head.unwrap_or(now)));
+            (seat.last_active_at, seat.head_started_at) =
+                (now, Some(seat.head_started_at.unwrap_or(now)));
         }
     }
     let before = seats.len();
-    seats.retain(|(good, seat)| !(*good && now.checked_sub(seat.came).unwrap() >= 2000 * MS));
+    seats
+        .retain(|(good, seat)| !(*good && now.checked_sub(seat.accepted_at).unwrap() >= 2000 * MS));
     before - seats.len()
 }
 
@@ -54,7 +56,7 @@
 #[test]
 fn a_crowd_that_stops_makes_way_for_those_who_go_on() {
     let (limits, most) = (Limits::USUAL, 80);
-    let mut seats: Vec<(bool, Seat)> = Vec::new();
+    let mut seats: Vec<(bool, ConnectionState)> = Vec::new();
     let (mut done, mut lost) = (0, 0);
     for step in 0..10_000u64 {
         let now = 5 * MS * step as u32;
@@ -66,17 +68,17 @@
         });
         // 200 a second that stop, half of them after some bytes, and 10 that go on.
         let head = (step % 2 == 0).then_some(now);
-        let fresh = Seat {
-            came: now,
-            last: now,
-            head,
+        let fresh = ConnectionState {
+            accepted_at: now,
+            last_active_at: now,
+            head_started_at: head,
             busy: false,
-            asked: false,
+            has_requested: false,
         };
         let good = step % 20 == 0;
         if seats.len() >= most {
             let place = limits
-                .weakest(now, seats.iter().map(|(_, seat)| seat))
+                .weakest_connection(now, seats.iter().map(|(_, seat)| seat))
                 .expect("somebody is free");
             lost += usize::from(seats.remove(place).0);
         }
@@ -94,27 +96,27 @@
         most in 1usize..60, came in 0usize..200, going in 0usize..60,
     ) {
         let now = 5000 * MS;
-        let seats: Vec<Seat> = seats.into_iter().map(|(last, head, busy, asked)| {
+        let seats: Vec<ConnectionState> = seats.into_iter().map(|(last, head, busy, asked)| {
             let last = last * MS;
-            Seat { came: Duration::ZERO, last, head: head.then_some(last), busy, asked }
+            ConnectionState { accepted_at: Duration::ZERO, last_active_at: last, head_started_at: head.then_some(last), busy, has_requested: asked }
         }).collect();
-        let mut press = Press::default();
-        (0..came).for_each(|_| press.came(now));
+        let mut press = EvictionPressure::default();
+        (0..came).for_each(|_| press.accepted(now));
         let going = going.min(seats.iter().filter(|seat| seat.busy).count());
-        let way = press.make_way(now, most, seats.len(), going);
+        let way = press.evictions(now, most, seats.len(), going);
         let needed = (seats.len() + 1).saturating_sub(most);
-        prop_assert_eq!(way.must, needed.saturating_sub(going));
-        prop_assert!(needed > 0 || way.may == 0);
-        prop_assert!(way.may == 0 || way.must + way.may + going <= needed.max(most / 4));
-        let places = Limits::USUAL.make_way(now, &seats, way);
+        prop_assert_eq!(way.required, needed.saturating_sub(going));
+        prop_assert!(needed > 0 || way.allowed == 0);
+        prop_assert!(way.allowed == 0 || way.required + way.allowed + going <= needed.max(most / 4));
+        let places = Limits::USUAL.choose_evictions(now, &seats, way);
         let free = seats.iter().filter(|seat| !seat.busy).count();
-        prop_assert!(places.len() >= way.must.min(free) && places.len() <= way.must + way.may);
+        prop_assert!(places.len() >= way.required.min(free) && places.len() <= way.required + way.allowed);
         let mut once = places.clone();
         once.sort_unstable();
         once.dedup();
         prop_assert_eq!(once.len(), places.len());
         prop_assert!(places.iter().all(|place| !seats[*place].busy));
-        for place in places.iter().skip(way.must) {
+        for place in places.iter().skip(way.required) {
             prop_assert!(Limits::USUAL.silent(now, &seats[*place]) >= Limits::USUAL.goes_on);
         }
         // Nobody stays who has been silent for longer than one who goes.
@@ -129,7 +131,7 @@
     fn what_is_known_of_a_loops_rounds_only_grows(
         steps in prop::collection::vec((0u32..300, 0u8..3), 0..60),
     ) {
-        let (mut rounds, mut now, mut before) = (Rounds::NEW, Duration::ZERO, Duration::ZERO);
+        let (mut rounds, mut now, mut before) = (IdleSweep::NEW, Duration::ZERO, Duration::ZERO);
         for (span, what) in steps {
             now += span * MS;
             match what {
@@ -146,13 +148,13 @@
     fn the_busy_stay_and_somebody_goes_if_anybody_can(
         seats in prop::collection::vec((0u32..5000, any::<bool>(), any::<bool>(), any::<bool>()), 0..30),
     ) {
-        let seats: Vec<Seat> = seats.into_iter().map(|(last, head, busy, asked)| {
+        let seats: Vec<ConnectionState> = seats.into_iter().map(|(last, head, busy, asked)| {
             let last = last * MS;
-            Seat { came: Duration::ZERO, last, head: head.then_some(last), busy, asked }
+            ConnectionState { accepted_at: Duration::ZERO, last_active_at: last, head_started_at: head.then_some(last), busy, has_requested: asked }
         }).collect();
-        let weakest = Limits::USUAL.weakest(5000 * MS, &seats);
-        prop_assert_eq!(weakest.is_some(), seats.iter().any(|seat| !seat.busy));
-        prop_assert!(weakest.is_none_or(|place| !seats[place].busy));
+        let weakest_connection = Limits::USUAL.weakest_connection(5000 * MS, &seats);
+        prop_assert_eq!(weakest_connection.is_some(), seats.iter().any(|seat| !seat.busy));
+        prop_assert!(weakest_connection.is_none_or(|place| !seats[place].busy));
     }
 }
 
@@ -160,7 +162,8 @@
 #[test]
 fn a_crowd_that_makes_way_in_batches_costs_no_slow_client_its_place() {
     let (limits, most) = (Limits::USUAL, 80);
-    let (mut seats, mut press): (Vec<(bool, Seat)>, _) = (Vec::new(), Press::default());
+    let (mut seats, mut press): (Vec<(bool, ConnectionState)>, _) =
+        (Vec::new(), EvictionPressure::default());
     let (mut done, mut lost, mut batches) = (0, 0, 0);
     for step in 0..2000u64 {
         let now = 5 * MS * step as u32;
@@ -168,22 +171,22 @@
         // 200 a second that stop, half of them after some bytes; 10 that go on; and now and then 300 at once that say nothing.
         let burst = if step % 200 == 100 { 300 } else { 0 };
         let head = (step % 2 == 0).then_some(now);
-        let fresh = Seat {
-            came: now,
-            last: now,
-            head,
+        let fresh = ConnectionState {
+            accepted_at: now,
+            last_active_at: now,
+            head_started_at: head,
             busy: false,
-            asked: false,
+            has_requested: false,
         };
-        let silent = Seat {
-            head: None,
+        let silent = ConnectionState {
+            head_started_at: None,
             ..fresh
         };
         let good = (step % 20 == 0, fresh);
         for (good, seat) in (0..burst).map(|_| (false, silent)).chain([good]) {
-            press.came(now);
-            let way = press.make_way(now, most, seats.len(), 0);
-            let places = limits.make_way(now, seats.iter().map(|(_, seat)| seat), way);
+            press.accepted(now);
+            let way = press.evictions(now, most, seats.len(), 0);
+            let places = limits.choose_evictions(now, seats.iter().map(|(_, seat)| seat), way);
             batches += usize::from(places.len() > 1);
             let mut at = 0;
             seats.retain(|(good, _)| {
@@ -205,40 +208,61 @@
 
 #[test]
 fn one_newcomer_takes_one_place_and_a_crowd_as_many_as_came_lately() {
-    let mut press = Press::default();
-    press.came(1000 * MS);
-    assert_eq!(press.make_way(1000 * MS, 80, 79, 0), Way::default());
+    let mut press = EvictionPressure::default();
+    press.accepted(1000 * MS);
     assert_eq!(
-        press.make_way(1000 * MS, 80, 80, 0),
-        Way { must: 1, may: 0 }
+        press.evictions(1000 * MS, 80, 79, 0),
+        EvictionCount::default()
+    );
+    assert_eq!(
+        press.evictions(1000 * MS, 80, 80, 0),
+        EvictionCount {
+            required: 1,
+            allowed: 0
+        }
+    );
+    assert_eq!(
+        press.evictions(1000 * MS, 80, 80, 1),
+        EvictionCount::default()
     );
-    assert_eq!(press.make_way(1000 * MS, 80, 80, 1), Way::default());
     // Half of the places went to another process: as many have to go.
     assert_eq!(
-        press.make_way(1000 * MS, 40, 80, 0),
-        Way { must: 41, may: 0 }
+        press.evictions(1000 * MS, 40, 80, 0),
+        EvictionCount {
+            required: 41,
+            allowed: 0
+        }
     );
-    (0..9).for_each(|_| press.came(1050 * MS));
+    (0..9).for_each(|_| press.accepted(1050 * MS));
     assert_eq!(
-        press.make_way(1050 * MS, 80, 80, 0),
-        Way { must: 1, may: 9 }
+        press.evictions(1050 * MS, 80, 80, 0),
+        EvictionCount {
+            required: 1,
+            allowed: 9
+        }
     );
-    (0..1000).for_each(|_| press.came(1090 * MS));
+    (0..1000).for_each(|_| press.accepted(1090 * MS));
     assert_eq!(
-        press.make_way(1090 * MS, 80, 80, 5),
-        Way { must: 0, may: 15 }
+        press.evictions(1090 * MS, 80, 80, 5),
+        EvictionCount {
+            required: 0,
+            allowed: 15
+        }
     );
     // It is over.
     assert_eq!(
-        press.make_way(2000 * MS, 80, 80, 0),
-        Way { must: 1, may: 0 }
+        press.evictions(2000 * MS, 80, 80, 0),
+        EvictionCount {
+            required: 1,
+            allowed: 0
+        }
     );
 }
 
 #[test]
 fn what_is_read_came_after_the_loops_last_sleep_or_round() {
     let longest = 110 * MS;
-    let mut rounds = Rounds::NEW;
+    let mut rounds = IdleSweep::NEW;
     rounds.sleeps(10 * MS);
     rounds.wakes(60 * MS, longest);
     assert_eq!(
--- a/crates/endpoints/src/entry.rs
+++ b/crates/endpoints/src/entry.rs
@@ -14,59 +14,59 @@
 /// A server's standing, the more careful the greater.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Standing {
+pub enum EndpointStatus {
     /// Its process runs.
     Ready,
     /// It finishes what it has and takes nothing new.
     Draining,
     /// It is no more.
-    Gone,
+    Removed,
 }
 
 /// What the roster says of a server: the fields of discovery's entries.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct EndpointRecord {
     /// Its name, the same at every edge node. Shared with who keeps it: a first list of 40,000 holds no name twice.
     pub host: Arc<str>,
     /// Where it listens.
-    pub dial: SocketAddr,
+    pub address: SocketAddr,
     /// Its hall.
-    pub site: Arc<str>,
+    pub zone: Arc<str>,
     /// The group that drops repeats of a key.
-    pub block: u64,
+    pub domain: u64,
     /// Its standing.
-    pub standing: Standing,
+    pub status: EndpointStatus,
     /// Rough size against the others, above 0.
-    pub share: f64,
+    pub weight: f64,
     /// When it last started, Unix time in milliseconds; 0 for long ago.
-    pub born_ms: u64,
+    pub started_at_ms: u64,
 }
 
 /// An entry as it is kept under its name. Danger: 40,000 names that are kept twice, each with its hall's.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Kept {
+pub(crate) struct CompactEndpoint {
     dial: SocketAddr,
     site: Arc<str>,
     block: u64,
     share: f64,
     born_ms: u64,
-    standing: Standing,
+    standing: EndpointStatus,
 }
 
-impl Kept {
+impl CompactEndpoint {
     /// Keeps an entry, and its hall's name with those of the others.
-    pub fn new(entry: &Entry, sites: &mut Sites) -> Kept {
-        let Entry {
-            dial,
-            block,
-            share,
-            born_ms,
-            standing,
+    pub fn new(entry: &EndpointRecord, sites: &mut Sites) -> CompactEndpoint {
+        let EndpointRecord {
+            address: dial,
+            domain: block,
+            weight: share,
+            started_at_ms: born_ms,
+            status: standing,
             ..
         } = *entry;
-        Kept {
+        CompactEndpoint {
             dial,
-            site: sites.shared(&entry.site),
+            site: sites.shared(&entry.zone),
             block,
             share,
             born_ms,
@@ -75,8 +75,8 @@
     }
 
     /// The whole entry.
-    pub fn entry(&self, host: &Arc<str>) -> Entry {
-        let Kept {
+    pub fn entry(&self, host: &Arc<str>) -> EndpointRecord {
+        let CompactEndpoint {
             dial,
             block,
             share,
@@ -85,19 +85,19 @@
             ..
         } = *self;
         let (host, site) = (Arc::clone(host), Arc::clone(&self.site));
-        Entry {
+        EndpointRecord {
             host,
-            dial,
-            site,
-            block,
-            standing,
-            share,
-            born_ms,
+            address: dial,
+            zone: site,
+            domain: block,
+            status: standing,
+            weight: share,
+            started_at_ms: born_ms,
         }
     }
 
     /// Its standing.
-    pub fn standing(&self) -> Standing {
+    pub fn standing(&self) -> EndpointStatus {
         self.standing
     }
 
@@ -107,8 +107,8 @@
     }
 
     /// The same at another standing.
-    pub fn at(self, standing: Standing) -> Kept {
-        Kept { standing, ..self }
+    pub fn at(self, standing: EndpointStatus) -> CompactEndpoint {
+        CompactEndpoint { standing, ..self }
     }
 
     /// It started then.
@@ -151,15 +151,15 @@
     #[serde(default)]
     block: u64,
     #[serde(default = "ready")]
-    health: Standing,
+    health: EndpointStatus,
     #[serde(default = "full")]
     share: f64,
     #[serde(default)]
     born_ms: u64,
 }
 
-fn ready() -> Standing {
-    Standing::Ready
+fn ready() -> EndpointStatus {
+    EndpointStatus::Ready
 }
 
 fn full() -> f64 {
@@ -178,7 +178,7 @@
 ///
 /// # Errors
 /// Why it can't be read, in a line.
-pub fn read(host: &str, value: &[u8]) -> Result<Entry, String> {
+pub fn read(host: &str, value: &[u8]) -> Result<EndpointRecord, String> {
     if value.len() > VALUE_MOST {
         return Err(format!("{} bytes, more than {VALUE_MOST}", value.len()));
     }
@@ -191,13 +191,13 @@
     }
     let (dial, site, block) = (value.dial, Arc::from(&*value.site), value.block);
     let (standing, share, born_ms) = (value.health, value.share, value.born_ms);
-    Ok(Entry {
+    Ok(EndpointRecord {
         host: host.into(),
-        dial,
-        site,
-        block,
-        standing,
-        share,
-        born_ms,
+        address: dial,
+        zone: site,
+        domain: block,
+        status: standing,
+        weight: share,
+        started_at_ms: born_ms,
     })
 }
--- a/crates/endpoints/src/follower.rs
+++ b/crates/endpoints/src/follower.rs
@@ -2,8 +2,8 @@
 //! documentation: a revision counts all changes of the store, and a watch gives all events from a revision on, in order,
 //! each revision whole).
 
-use crate::entry::{self, Entry, Kept, Sites, Standing};
-use crate::{Change, Time};
+use crate::entry::{self, CompactEndpoint, EndpointRecord, EndpointStatus, Sites};
+use crate::{EndpointUpdate, Time};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -49,7 +49,7 @@
 
 /// What to do after something was taken in.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum WatchStep {
     /// Go on with the watch.
     Continue,
     /// The watch can't be gone on with: range over the whole prefix again, then watch from there.
@@ -75,7 +75,7 @@
 
 /// What has been seen, for logs and metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Seen {
+pub struct FollowerStats {
     /// Values that could not be read.
     pub unreadable: u64,
     /// Events that were known already.
@@ -90,7 +90,7 @@
 
 #[derive(Clone, Debug)]
 struct Held {
-    entry: Kept,
+    entry: CompactEndpoint,
     create_revision: i64,
     mod_revision: i64,
     /// Its newest value can't be read; the entry is the last good one.
@@ -129,7 +129,7 @@
     let (create_revision, mod_revision) = (kv.create_revision, kv.mod_revision);
     match entry::read(host, &kv.value) {
         Ok(entry) => {
-            let kept = Kept::new(&entry, sites);
+            let kept = CompactEndpoint::new(&entry, sites);
             let held = Held {
                 entry: kept,
                 create_revision,
@@ -169,7 +169,7 @@
     /// The first list was empty, and is not believed yet.
     unlisted: bool,
     logs: Vec<String>,
-    seen: Seen,
+    seen: FollowerStats,
 }
 
 impl Follower {
@@ -191,7 +191,7 @@
             wiped: BTreeSet::new(),
             unlisted: false,
             logs: Vec::new(),
-            seen: Seen::default(),
+            seen: FollowerStats::default(),
         }
     }
 
@@ -201,7 +201,7 @@
     }
 
     /// What has been seen.
-    pub fn seen(&self) -> Seen {
+    pub fn seen(&self) -> FollowerStats {
         self.seen
     }
 
@@ -224,13 +224,13 @@
 
     /// Takes in the header of any response but a range's. A member that lags is left; another cluster, or one that has
     /// gone back, is never half-believed: it is read whole.
-    pub fn header(&mut self, header: Header) -> Next {
+    pub fn header(&mut self, header: Header) -> WatchStep {
         let Some(known) = self.header else {
             self.header = Some(header);
-            return Next::Continue;
+            return WatchStep::Continue;
         };
         if header.cluster_id != known.cluster_id {
-            return Next::Reread("another cluster");
+            return WatchStep::Reread("another cluster");
         }
         if let Some(revision) = self.revision.filter(|revision| header.revision < *revision) {
             // It may lag, or all of it may have gone back; a range tells, as a member answers that only when it has
@@ -239,18 +239,24 @@
                 "member {:x} is at revision {}, behind {revision}",
                 header.member_id, header.revision
             ));
-            return Next::Leave("the member lags");
+            return WatchStep::Leave("the member lags");
         }
         if header.raft_term < known.raft_term {
-            return Next::Leave("the member is in an older term");
+            return WatchStep::Leave("the member is in an older term");
         }
         self.header = Some(header);
-        Next::Continue
+        WatchStep::Continue
     }
 
     /// Takes in a whole, linearizable range over the prefix, of one revision. Who is held and not in it is gone, and
     /// counts as told now. `now` is Unix time in milliseconds, for servers that came anew without a start of their own.
-    pub fn range(&mut self, header: Header, kvs: &[KeyValue], told: Time, now: u64) -> Change {
+    pub fn range(
+        &mut self,
+        header: Header,
+        kvs: &[KeyValue],
+        told: Time,
+        now: u64,
+    ) -> EndpointUpdate {
         let mut listing = self.listing();
         listing.page(kvs.iter().cloned());
         self.range_of(header, listing, told, now)
@@ -266,7 +272,13 @@
     }
 
     /// Takes in a range of which all pages have come.
-    pub fn range_of(&mut self, header: Header, listing: Listing, told: Time, now: u64) -> Change {
+    pub fn range_of(
+        &mut self,
+        header: Header,
+        listing: Listing,
+        told: Time,
+        now: u64,
+    ) -> EndpointUpdate {
         self.seen.ranges += 1;
         let first = self.revision.is_none();
         if let Some(known) = self.header {
@@ -286,10 +298,10 @@
         }
         self.reconnected();
         (self.header, self.revision) = (Some(header), Some(header.revision));
-        let mut change = Change {
-            entries: Vec::new(),
-            told,
-            whole: first,
+        let mut change = EndpointUpdate {
+            endpoints: Vec::new(),
+            received_at: told,
+            snapshot: first,
         };
         let Listing { sites, listed, .. } = listing;
         // What it read goes by these names.
@@ -297,7 +309,7 @@
         if listed.is_empty() && (first || self.hosts.len() > 1) {
             // A first list too: what the node was told at its start stands against a prefix that is empty, or misspelt.
             self.unlisted |= first;
-            change.whole = false;
+            change.snapshot = false;
             let all = self
                 .hosts
                 .keys()
@@ -334,17 +346,17 @@
         fragment: bool,
         told: Time,
         now: u64,
-    ) -> (Change, Next) {
-        let mut change = Change {
-            told,
-            ..Change::default()
+    ) -> (EndpointUpdate, WatchStep) {
+        let mut change = EndpointUpdate {
+            received_at: told,
+            ..EndpointUpdate::default()
         };
         match self.header(header) {
-            Next::Continue => {}
+            WatchStep::Continue => {}
             other => return (change, other),
         }
         let Some(revision) = self.revision else {
-            return (change, Next::Reread("nothing was ranged over yet"));
+            return (change, WatchStep::Reread("nothing was ranged over yet"));
         };
         let count = events.len();
         let events: Vec<WatchEvent> = events
@@ -357,26 +369,29 @@
             self.careful(&events, &mut change);
             self.fragments.extend(events);
             if self.fragments.len() > FRAGMENTS_MOST {
-                return (change, Next::Reread("a response of the watch has no end"));
+                return (
+                    change,
+                    WatchStep::Reread("a response of the watch has no end"),
+                );
             }
-            return (change, Next::Continue);
+            return (change, WatchStep::Continue);
         }
         let mut all = std::mem::take(&mut self.fragments);
         self.fragments_told = None;
         all.extend(events);
-        change.told = begun;
+        change.received_at = begun;
         let newest = all.iter().map(|event| event.kv.mod_revision).max();
         self.apply(&all, now, &mut change);
         // A response holds whole revisions, up to the newest of its events; the store itself may be further.
         self.revision = Some(newest.unwrap_or(revision).max(revision));
-        (change, Next::Continue)
+        (change, WatchStep::Continue)
     }
 
     /// Takes in a response without events: a sign of life that says how far the watch is (`progress_notify`, or the
     /// answer to a progress request): all events up to its revision have been sent.
-    pub fn progress(&mut self, header: Header) -> Next {
+    pub fn progress(&mut self, header: Header) -> WatchStep {
         let next = self.header(header);
-        if next == Next::Continue && self.fragments.is_empty() {
+        if next == WatchStep::Continue && self.fragments.is_empty() {
             // Danger: a member that says how far it is before it has sent all events up to there (etcd before 3.4.25 and
             // 3.5.8 did). It is believed once it has said so again; until then such events are neither old nor skipped.
             let before = self.progressed.replace(header.revision).unwrap_or(0);
@@ -386,12 +401,12 @@
     }
 
     /// The watch was cancelled as it asked for a revision that is compacted.
-    pub fn compacted(&mut self, compact_revision: i64) -> Next {
+    pub fn compacted(&mut self, compact_revision: i64) -> WatchStep {
         self.logs.push(format!(
             "revisions up to {compact_revision} are compacted, this node was at {}: the list is read whole",
             self.revision.unwrap_or(0)
         ));
-        Next::Reread("compacted")
+        WatchStep::Reread("compacted")
     }
 
     /// Whether an empty list that is not believed yet has stayed so for long enough that a range should settle it;
@@ -403,7 +418,7 @@
 
     /// Believes that hosts are gone which were wiped at one stroke and which a range has just shown to be missing still,
     /// if that has lasted for long enough.
-    pub fn believe(&mut self, now: Time) -> Option<Change> {
+    pub fn believe(&mut self, now: Time) -> Option<EndpointUpdate> {
         if !self.doubts(now) {
             return None;
         }
@@ -416,10 +431,10 @@
                 .iter()
                 .map(|(host, held)| held.entry.entry(host))
                 .collect();
-            return Some(Change {
-                entries,
-                told: now,
-                whole: true,
+            return Some(EndpointUpdate {
+                endpoints: entries,
+                received_at: now,
+                snapshot: true,
             });
         }
         let wiped = std::mem::take(&mut self.wiped);
@@ -427,9 +442,9 @@
             "the wiped prefix stays so: {} servers are gone",
             wiped.len()
         ));
-        let mut change = Change {
-            told: now,
-            ..Change::default()
+        let mut change = EndpointUpdate {
+            received_at: now,
+            ..EndpointUpdate::default()
         };
         wiped.iter().for_each(|host| self.remove(host, &mut change));
         Some(change)
@@ -453,7 +468,7 @@
     }
 
     /// All events of a whole response, in order.
-    fn apply(&mut self, events: &[WatchEvent], now: u64, change: &mut Change) {
+    fn apply(&mut self, events: &[WatchEvent], now: u64, change: &mut EndpointUpdate) {
         // What it comes to, host by host: the last event counts.
         let mut last: BTreeMap<&str, &WatchEvent> = BTreeMap::new();
         for event in events {
@@ -461,7 +476,7 @@
                 last.insert(host, event);
             }
         }
-        self.wipes(events, change.told);
+        self.wipes(events, change.received_at);
         for (host, event) in last {
             if event.delete {
                 self.unreadable.remove(host);
@@ -508,31 +523,31 @@
     }
 
     /// A whole response, or the whole list, is there: what fragments told of drains gives way to it.
-    fn resolve(&mut self, change: &mut Change) {
+    fn resolve(&mut self, change: &mut EndpointUpdate) {
         let mut left = std::mem::take(&mut self.provisional);
         change
-            .entries
+            .endpoints
             .iter()
             .for_each(|entry| _ = left.remove(&*entry.host));
         let held = left
             .iter()
             .filter_map(|host| self.hosts.get_key_value(host.as_str()));
         change
-            .entries
+            .endpoints
             .extend(held.map(|(host, held)| held.entry.entry(host)));
     }
 
     /// What of a fragment makes a server's standing more careful. Its removal too, unless it empties the list: the
     /// rest of the response may put it back, and then it comes back with it.
-    fn careful(&mut self, events: &[WatchEvent], change: &mut Change) {
-        let mut careful: BTreeMap<&str, Standing> = BTreeMap::new();
+    fn careful(&mut self, events: &[WatchEvent], change: &mut EndpointUpdate) {
+        let mut careful: BTreeMap<&str, EndpointStatus> = BTreeMap::new();
         for event in events {
             let Some(host) = entry::host(&self.prefix, &event.kv.key) else {
                 continue;
             };
-            let read = entry::read(host, &event.kv.value).map(|entry| entry.standing);
+            let read = entry::read(host, &event.kv.value).map(|entry| entry.status);
             let standing = if event.delete {
-                Ok(Standing::Gone)
+                Ok(EndpointStatus::Removed)
             } else {
                 read
             };
@@ -542,7 +557,7 @@
         }
         let gone = careful
             .values()
-            .filter(|standing| **standing == Standing::Gone)
+            .filter(|standing| **standing == EndpointStatus::Removed)
             .count();
         let wiped = gone >= self.hosts.len() && self.hosts.len() > 1;
         for (host, standing) in careful {
@@ -550,10 +565,10 @@
                 continue;
             };
             // A removal is told as a drain until the whole response is there.
-            let standing = standing.min(Standing::Draining);
+            let standing = standing.min(EndpointStatus::Draining);
             if standing > held.entry.standing() && !wiped {
-                change.entries.push(Entry {
-                    standing,
+                change.endpoints.push(EndpointRecord {
+                    status: standing,
                     ..held.entry.entry(host)
                 });
                 self.provisional.insert(host.to_string());
@@ -561,19 +576,19 @@
         }
     }
 
-    fn remove(&mut self, host: &str, change: &mut Change) {
+    fn remove(&mut self, host: &str, change: &mut EndpointUpdate) {
         self.wiped.remove(host);
         if let Some((host, held)) = self.hosts.remove_entry(host) {
-            change.entries.push(Entry {
-                standing: Standing::Gone,
+            change.endpoints.push(EndpointRecord {
+                status: EndpointStatus::Removed,
                 ..held.entry.entry(&host)
             });
         }
     }
 
     /// Takes a whole list into an empty table, at one stroke: one that grows in order is half empty.
-    fn fill(&mut self, listed: BTreeMap<Arc<str>, Listed>, born: u64, change: &mut Change) {
-        change.entries.reserve_exact(listed.len().min(HOSTS_MOST));
+    fn fill(&mut self, listed: BTreeMap<Arc<str>, Listed>, born: u64, change: &mut EndpointUpdate) {
+        change.endpoints.reserve_exact(listed.len().min(HOSTS_MOST));
         let mut hosts = Vec::new();
         for (host, read) in listed {
             match read {
@@ -582,7 +597,7 @@
                     if held.entry.born_ms() == 0 {
                         held.entry.begin(born);
                     }
-                    change.entries.push(held.entry.entry(&host));
+                    change.endpoints.push(held.entry.entry(&host));
                     self.unreadable.remove(&*host);
                     hosts.push((host, held));
                 }
@@ -592,7 +607,7 @@
         self.hosts = hosts.into_iter().collect();
     }
 
-    fn put(&mut self, host: Arc<str>, read: Listed, now: u64, change: &mut Change) {
+    fn put(&mut self, host: Arc<str>, read: Listed, now: u64, change: &mut EndpointUpdate) {
         self.wiped.remove(&*host);
         let known = self.hosts.get(&host);
         let revision = read
@@ -618,7 +633,7 @@
             return;
         }
         if known.is_none_or(|known| known.entry != held.entry) {
-            change.entries.push(held.entry.entry(&host));
+            change.endpoints.push(held.entry.entry(&host));
         }
         self.unreadable.remove(&*host);
         self.hosts.insert(host, held);
--- a/crates/endpoints/src/follower/tests.rs
+++ b/crates/endpoints/src/follower/tests.rs
@@ -29,7 +29,7 @@
     let mut follower = Follower::new("/board/", Rules::default());
     let all: Vec<KeyValue> = (0..40_000).map(|number| kv(number, 2, "ready")).collect();
     assert_eq!(
-        follower.range(HEADER, &all, Time::ZERO, 0).entries.len(),
+        follower.range(HEADER, &all, Time::ZERO, 0).endpoints.len(),
         40_000
     );
     let events = (0..4_400).map(|number| kv(number, 11 + number as i64, "draining"));
@@ -40,12 +40,12 @@
     };
     let (change, next) = follower.events(header, events, false, Time::ZERO, 0);
     assert_eq!(
-        (change.entries.len(), change.whole, next),
-        (4_400, false, Next::Continue)
+        (change.endpoints.len(), change.snapshot, next),
+        (4_400, false, WatchStep::Continue)
     );
     assert!(change
-        .entries
+        .endpoints
         .iter()
-        .all(|entry| entry.standing == Standing::Draining));
+        .all(|entry| entry.status == EndpointStatus::Draining));
     assert_eq!((follower.hosts(), follower.resume()), (40_000, Some(4_411)));
 }
--- a/crates/endpoints/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -16,29 +16,29 @@
 pub mod objects;
 pub mod pace;
 
-pub use entry::{Entry, Standing};
-pub use follower::{Follower, Header, KeyValue, Listing, Next, Rules, WatchEvent};
+pub use entry::{EndpointRecord, EndpointStatus};
+pub use follower::{Follower, Header, KeyValue, Listing, Rules, WatchEvent, WatchStep};
 pub use merge::{Merge, Source};
-pub use objects::{Objects, Unreadable};
-pub use pace::{Doubt, Hedged, Pace, Terms};
+pub use objects::{JsonObjects, Unreadable};
+pub use pace::{EmptyListProtection, HedgedPolls, PollBackoff, PollLimits};
 
 /// A point in time: the span since some fixed moment of a clock that never goes back.
 pub type Time = std::time::Duration;
 
 /// News of the roster from one source: each host at most once.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Change {
+pub struct EndpointUpdate {
     /// Entries that changed; one that is gone is among them as such.
-    pub entries: Vec<Entry>,
+    pub endpoints: Vec<EndpointRecord>,
     /// The moment at which the first byte of it was read off the socket: when it was told.
-    pub told: Time,
+    pub received_at: Time,
     /// Whether hosts that are not among the entries are unknown to this source: its first whole list.
-    pub whole: bool,
+    pub snapshot: bool,
 }
 
-impl Change {
+impl EndpointUpdate {
     /// Whether it tells of anything: of an entry, or that there is none beside those it has.
     pub fn says_something(&self) -> bool {
-        self.whole || !self.entries.is_empty()
+        self.snapshot || !self.endpoints.is_empty()
     }
 }
--- a/crates/endpoints/src/merge.rs
+++ b/crates/endpoints/src/merge.rs
@@ -5,8 +5,8 @@
 //! as long as another one lists it. Where it is and what it is (address, hall, group, share) is taken from the platform's
 //! discovery where that lists it, since an address may differ from one edge node to the next; else from etcd.
 
-use crate::entry::{Entry, Kept, Sites, Standing};
-use crate::Change;
+use crate::entry::{CompactEndpoint, EndpointRecord, EndpointStatus, Sites};
+use crate::EndpointUpdate;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -22,7 +22,7 @@
 const SOURCES: usize = 2;
 
 /// What each source says of a host. Danger: room for two entries where one source lists 40,000 hosts.
-type Says = [Option<Box<Kept>>; SOURCES];
+type Says = [Option<Box<CompactEndpoint>>; SOURCES];
 
 /// All sources, merged.
 #[derive(Clone, Debug, Default)]
@@ -39,14 +39,14 @@
     }
 
     /// Takes in news of one source; what the decision module is to be told of it.
-    pub fn take(&mut self, source: Source, change: Change) -> Change {
-        let mut touched: BTreeMap<Arc<str>, Option<Entry>> = BTreeMap::new();
-        if change.whole {
+    pub fn take(&mut self, source: Source, change: EndpointUpdate) -> EndpointUpdate {
+        let mut touched: BTreeMap<Arc<str>, Option<EndpointRecord>> = BTreeMap::new();
+        if change.snapshot {
             // Who is not on the whole list is gone for this source, if it ever had a say.
             for (host, says) in &self.hosts {
                 if says[source as usize]
                     .as_ref()
-                    .is_some_and(|kept| kept.standing() != Standing::Gone)
+                    .is_some_and(|kept| kept.standing() != EndpointStatus::Removed)
                 {
                     touched.insert(Arc::clone(host), None);
                 }
@@ -54,7 +54,7 @@
         }
         touched.extend(
             change
-                .entries
+                .endpoints
                 .into_iter()
                 .map(|entry| (Arc::clone(&entry.host), Some(entry))),
         );
@@ -64,8 +64,8 @@
             let before = merged(&host, says);
             let place = &mut says[source as usize];
             *place = match (entry, place.take()) {
-                (Some(entry), _) => Some(Box::new(Kept::new(&entry, &mut self.sites))),
-                (None, Some(held)) => Some(Box::new(held.at(Standing::Gone))),
+                (Some(entry), _) => Some(Box::new(CompactEndpoint::new(&entry, &mut self.sites))),
+                (None, Some(held)) => Some(Box::new(held.at(EndpointStatus::Removed))),
                 (None, None) => None,
             };
             let after = merged(&host, says);
@@ -75,16 +75,16 @@
             if says
                 .iter()
                 .flatten()
-                .all(|kept| kept.standing() == Standing::Gone)
+                .all(|kept| kept.standing() == EndpointStatus::Removed)
             {
                 self.hosts.remove(&host);
             }
             entries.extend(after.filter(|after| before.as_ref() != Some(after)));
         }
-        Change {
-            entries,
-            told: change.told,
-            whole: false,
+        EndpointUpdate {
+            endpoints: entries,
+            received_at: change.received_at,
+            snapshot: false,
         }
     }
 
@@ -99,16 +99,16 @@
     }
 }
 
-fn merged(host: &Arc<str>, says: &Says) -> Option<Entry> {
+fn merged(host: &Arc<str>, says: &Says) -> Option<EndpointRecord> {
     let said = || says.iter().flatten().map(Box::as_ref);
-    let standing = said().map(Kept::standing).max()?;
-    let born_ms = said().map(Kept::born_ms).max().unwrap_or(0);
+    let standing = said().map(CompactEndpoint::standing).max()?;
+    let born_ms = said().map(CompactEndpoint::born_ms).max().unwrap_or(0);
     let place = said()
-        .find(|kept| kept.standing() != Standing::Gone)
+        .find(|kept| kept.standing() != EndpointStatus::Removed)
         .or(said().next())?;
-    Some(Entry {
-        standing,
-        born_ms,
+    Some(EndpointRecord {
+        status: standing,
+        started_at_ms: born_ms,
         ..place.entry(host)
     })
 }
--- a/crates/endpoints/src/objects.rs
+++ b/crates/endpoints/src/objects.rs
@@ -31,7 +31,7 @@
 /// What has come of the object that is being read; at most so many bytes are kept. Only where it ends is looked for: what is
 /// wrong inside is its reader's to tell. Each byte is looked at once, however the pieces come.
 #[derive(Clone, Debug)]
-pub struct Objects {
+pub struct JsonObjects {
     most: usize,
     kept: Vec<u8>,
     depth: u32,
@@ -39,10 +39,10 @@
     escaped: bool,
 }
 
-impl Objects {
+impl JsonObjects {
     /// A stream of which nothing has come.
-    pub fn new(most: usize) -> Objects {
-        Objects {
+    pub fn new(most: usize) -> JsonObjects {
+        JsonObjects {
             most,
             kept: Vec::new(),
             depth: 0,
--- a/crates/endpoints/src/objects/tests.rs
+++ b/crates/endpoints/src/objects/tests.rs
@@ -3,7 +3,7 @@
 
 /// All objects of a stream that comes in pieces of so many bytes.
 fn read(stream: &[u8], piece: usize) -> Result<Vec<String>, Unreadable> {
-    let (mut objects, mut all) = (Objects::new(1000), Vec::new());
+    let (mut objects, mut all) = (JsonObjects::new(1000), Vec::new());
     for mut bytes in stream.chunks(piece) {
         while let Some(object) = objects.next(&mut bytes)? {
             all.push(String::from_utf8_lossy(&object).into_owned());
--- a/crates/endpoints/src/pace/tests.rs
+++ b/crates/endpoints/src/pace/tests.rs
@@ -3,13 +3,13 @@
 
 /// A service that answers so many calls a second in turn, works on each that it has taken, and takes more than it can
 /// answer in the 2 s that a caller waits. Returns after how many s nine tenths of the nodes have had an answer.
-fn comes_back(nodes: u32, a_second: f64, pace: impl Fn(u32) -> Pace) -> Option<f64> {
+fn comes_back(nodes: u32, a_second: f64, pace: impl Fn(u32) -> PollBackoff) -> Option<f64> {
     const WAIT: f64 = 2.0;
     let mut random = fastrand::Rng::with_seed(3);
-    let mut paces: Vec<Pace> = (0..nodes).map(|_| pace(nodes)).collect();
+    let mut paces: Vec<PollBackoff> = (0..nodes).map(|_| pace(nodes)).collect();
     let mut due: Vec<(f64, usize)> = Vec::new();
     for (node, pace) in paces.iter_mut().enumerate() {
-        due.push((pace.pause(random.f64()).as_secs_f64(), node));
+        due.push((pace.after_failure(random.f64()).as_secs_f64(), node));
     }
     let (mut busy_until, mut answers) = (0.0_f64, vec![f64::INFINITY; paces.len()]);
     loop {
@@ -28,7 +28,7 @@
         // The next one goes out beside it, unless it is answered by then.
         let next = now
             + paces[node]
-                .beside(random.f64())
+                .hedge_delay(random.f64())
                 .expect("calls go on")
                 .as_secs_f64();
         if next < answers[node] {
@@ -44,19 +44,23 @@
 fn a_fleet_gets_its_lists_back_from_a_service_that_takes_too_many_calls() {
     // It can answer each node of a large fleet once in 5 s.
     for nodes in [3, 30, 100, 300, 1000, 2700] {
-        let after = comes_back(nodes, (f64::from(nodes) / 5.0).max(10.0), Pace::of);
+        let after = comes_back(
+            nodes,
+            (f64::from(nodes) / 5.0).max(10.0),
+            PollBackoff::for_fleet,
+        );
         assert!(
             after.is_some_and(|after| after < 30.0),
             "{nodes} nodes: {after:?} s"
         );
     }
     // What a small fleet keeps to, kept to by a hundred: the line never gets short.
-    assert!(comes_back(100, 20.0, |_| Pace::of(3)).is_none_or(|after| after > 60.0));
+    assert!(comes_back(100, 20.0, |_| PollBackoff::for_fleet(3)).is_none_or(|after| after > 60.0));
 }
 
-fn terms() -> Terms {
+fn terms() -> PollLimits {
     let s = Duration::from_secs;
-    Terms {
+    PollLimits {
         calls_per_s: 25.0,
         first_within: s(60),
         answer_within: s(10),
@@ -94,7 +98,7 @@
         assert!(most <= 27, "{nodes} nodes: {most} in a second");
     }
     // The span is what holds where the two can't both.
-    let soon = Terms {
+    let soon = PollLimits {
         first_within: Duration::from_secs(4),
         ..terms()
     };
@@ -107,9 +111,9 @@
     for nodes in [30, 300, 1000] {
         let mut at = Vec::new();
         for _ in 0..nodes {
-            let (mut pace, mut now) = (Pace::within(nodes, &terms()), 0.0);
+            let (mut pace, mut now) = (PollBackoff::with_limits(nodes, &terms()), 0.0);
             while now < 100.0 {
-                now += pace.pause(random.f64()).as_secs_f64();
+                now += pace.after_failure(random.f64()).as_secs_f64();
                 at.push(now);
             }
         }
@@ -121,40 +125,40 @@
 
 #[test]
 fn who_is_told_when_to_come_back_comes_no_sooner() {
-    let mut pace = Pace::within(300, &terms());
+    let mut pace = PollBackoff::with_limits(300, &terms());
     for draw in [0.0, 0.5, 1.0] {
-        assert!(pace.told(Duration::from_secs(7), draw) >= Duration::from_secs(7));
+        assert!(pace.after_response(Duration::from_secs(7), draw) >= Duration::from_secs(7));
     }
     assert!(
-        pace.told(Duration::from_hours(24), 0.0) < Duration::from_secs(200),
+        pace.after_response(Duration::from_hours(24), 0.0) < Duration::from_secs(200),
         "a forged one has an end"
     );
 }
 
 #[test]
 fn an_empty_list_is_believed_once_it_has_lasted() {
-    let (mut doubt, s) = (Doubt::default(), Duration::from_secs);
-    assert!(doubt.believes(s(0), 5, 0, s(30)));
-    assert!(!doubt.believes(s(1), 0, 5, s(30)));
-    assert_eq!(doubt.asks_again(s(30)), Some(s(31)));
-    assert!(!doubt.believes(s(30), 0, 5, s(30)));
-    assert!(doubt.believes(s(31), 0, 5, s(30)));
+    let (mut doubt, s) = (EmptyListProtection::default(), Duration::from_secs);
+    assert!(doubt.accepts(s(0), 5, 0, s(30)));
+    assert!(!doubt.accepts(s(1), 0, 5, s(30)));
+    assert_eq!(doubt.poll_again_after(s(30)), Some(s(31)));
+    assert!(!doubt.accepts(s(30), 0, 5, s(30)));
+    assert!(doubt.accepts(s(31), 0, 5, s(30)));
     assert!(
-        doubt.believes(s(32), 3, 5, s(30)),
+        doubt.accepts(s(32), 3, 5, s(30)),
         "and one with servers at once"
     );
-    assert!(!doubt.believes(s(40), 0, 3, s(30)), "the doubt begins anew");
-    assert!(doubt.believes(s(41), 0, 1, s(30)), "the last server may go");
+    assert!(!doubt.accepts(s(40), 0, 3, s(30)), "the doubt begins anew");
+    assert!(doubt.accepts(s(41), 0, 1, s(30)), "the last server may go");
 }
 
 /// The rule on drains leaves 250 ms from when an agent has a list: a call has to be there within that, whatever the size
 /// of the fleet.
 #[test]
 fn an_agent_that_has_a_list_again_is_called_within_what_a_drain_allows() {
-    let mut pace = Pace::agent();
+    let mut pace = PollBackoff::for_agent();
     let hedged = pace.hedged().expect("several calls are open");
     let pause = (0..50)
-        .map(|draw| pace.pause(f64::from(draw) / 50.0))
+        .map(|draw| pace.after_failure(f64::from(draw) / 50.0))
         .max()
         .expect("some");
     assert!(
@@ -166,7 +170,7 @@
         "a slow agent gets its time"
     );
     assert!(
-        Pace::of(300).hedged().is_none(),
+        PollBackoff::for_fleet(300).hedged().is_none(),
         "a service that all share is not called so"
     );
 }
@@ -175,11 +179,11 @@
 #[test]
 fn after_a_watch_that_was_open_a_fleet_of_any_size_calls_within_a_second() {
     for nodes in [3, 30, 300, 1000] {
-        for mut pace in [Pace::of(nodes), Pace::agent()] {
+        for mut pace in [PollBackoff::for_fleet(nodes), PollBackoff::for_agent()] {
             // Calls had failed before that watch was opened.
-            (0..5).for_each(|_| _ = pace.pause(1.0));
+            (0..5).for_each(|_| _ = pace.after_failure(1.0));
             let longest = (0..=10)
-                .map(|draw| pace.ended(f64::from(draw) / 10.0))
+                .map(|draw| pace.after_watch_end(f64::from(draw) / 10.0))
                 .max();
             assert!(
                 longest <= Some(Duration::from_secs(1)),
@@ -188,19 +192,23 @@
         }
     }
     // The fleet is spread over that second all the same, and what fails then waits as long as ever.
-    let mut pace = Pace::of(300);
+    let mut pace = PollBackoff::for_fleet(300);
     assert!(
-        pace.ended(1.0) == Duration::from_secs(1) && pace.ended(0.1) == Duration::from_millis(100)
+        pace.after_watch_end(1.0) == Duration::from_secs(1)
+            && pace.after_watch_end(0.1) == Duration::from_millis(100)
     );
     // Longer is not allowed, however many they are: `calls_of_any_fleet_begin_in_time_for_what_counts_as_told`.
-    let (least, most) = (pace.clone().pause(0.0), pace.clone().pause(1.0));
+    let (least, most) = (
+        pace.clone().after_failure(0.0),
+        pace.clone().after_failure(1.0),
+    );
     assert_eq!((least, most), (Duration::ZERO, MOST), "the whole span");
     assert!(
-        pace.pause(0.5) >= MOST / 2 && pace.pause(0.5) >= MOST_MEAN,
+        pace.after_failure(0.5) >= MOST / 2 && pace.after_failure(0.5) >= MOST_MEAN,
         "{pace:?}"
     );
     assert_eq!(
-        Pace::within(300, &terms()).ended(0.5),
+        PollBackoff::with_limits(300, &terms()).after_watch_end(0.5),
         Duration::from_secs(12),
         "what is set is kept to"
     );
@@ -209,19 +217,19 @@
 /// Soon, and no sooner: a small fleet before a service of its own size must not keep it from answering anybody.
 #[test]
 fn a_small_fleet_calls_again_within_seconds_and_no_more_often_than_once_a_second() {
-    let mut pace = Pace::of(3);
+    let mut pace = PollBackoff::for_fleet(3);
     for _ in 0..8 {
-        let pause = pace.pause(0.5);
+        let pause = pace.after_failure(0.5);
         assert!(
             (Duration::from_secs(1)..=Duration::from_millis(1500)).contains(&pause),
             "{pause:?}"
         );
     }
     assert!(
-        pace.ended(1.0) <= Duration::from_secs(1),
+        pace.after_watch_end(1.0) <= Duration::from_secs(1),
         "a watch that was open is opened again at once"
     );
-    assert!(pace.pause(0.5) <= Duration::from_secs(1));
+    assert!(pace.after_failure(0.5) <= Duration::from_secs(1));
 }
 
 /// What may befall a call.
@@ -250,19 +258,19 @@
     fn calls_of_any_fleet_begin_in_time_for_what_counts_as_told(
         nodes in 1..=100_000_u32, row in prop::collection::vec((befalls(), 0.0..=1.0_f64), 1..40),
     ) {
-        let (mut pace, ms) = (Pace::of(nodes), Duration::from_millis);
+        let (mut pace, ms) = (PollBackoff::for_fleet(nodes), Duration::from_millis);
         for (befell, draw) in row {
-            let beside = pace.beside(draw).expect("calls go out beside one another");
+            let beside = pace.hedge_delay(draw).expect("calls go out beside one another");
             prop_assert!(beside <= ms(4500), "{beside:?}");
             match befell {
                 Befalls::Fails => {}
                 Befalls::Told(ago, after) => {
                     let after = Duration::from_secs(after);
-                    let pause = pace.told_beside(after, ms(ago), draw).expect("here too");
+                    let pause = pace.after_hedged_response(after, ms(ago), draw).expect("here too");
                     prop_assert!(ms(ago) + pause <= ms(4500), "{befell:?}: {pause:?}");
                     prop_assert!(pause >= after.min(ms(4500).checked_sub(ms(ago)).unwrap() / 2), "{befell:?}: {pause:?}");
                 }
-                Befalls::Ends => prop_assert!(pace.ended(draw) <= Duration::from_secs(1)),
+                Befalls::Ends => prop_assert!(pace.after_watch_end(draw) <= Duration::from_secs(1)),
             }
         }
     }
@@ -275,11 +283,14 @@
     for nodes in [30, 300, 2700] {
         let mut at = Vec::new();
         for _ in 0..nodes {
-            let mut pace = Pace::of(nodes);
-            let mut now = pace.ended(random.f64()).as_secs_f64();
+            let mut pace = PollBackoff::for_fleet(nodes);
+            let mut now = pace.after_watch_end(random.f64()).as_secs_f64();
             while now < 60.0 {
                 at.push(now);
-                now += pace.beside(random.f64()).expect("they go on").as_secs_f64();
+                now += pace
+                    .hedge_delay(random.f64())
+                    .expect("they go on")
+                    .as_secs_f64();
             }
         }
         // After the first, which all come within the second that the end of a watch allows.
@@ -301,7 +312,7 @@
 fn answered_after_a_move(nodes: u32, round: f64, within: f64, seed: u64) -> usize {
     const WAIT: f64 = 2.0;
     let mut random = fastrand::Rng::with_seed(seed);
-    let mut paces: Vec<Pace> = (0..nodes).map(|_| Pace::of(nodes)).collect();
+    let mut paces: Vec<PollBackoff> = (0..nodes).map(|_| PollBackoff::for_fleet(nodes)).collect();
     // One node after the other gets the new address, as configurations are rolled out.
     let mut due: Vec<(f64, usize)> = (0..nodes as usize)
         .map(|node| (node as f64 * 0.4, node))
@@ -325,7 +336,7 @@
         }
         due.push((
             now + paces[node]
-                .beside(random.f64())
+                .hedge_delay(random.f64())
                 .expect("calls go on")
                 .as_secs_f64(),
             node,
@@ -368,9 +379,9 @@
 #[test]
 fn calls_go_on_soon_enough_for_what_counts_as_told() {
     for nodes in [1, 3, 6, 14, 15, 100, 2700] {
-        let mut pace = Pace::of(nodes);
-        let first = pace.pause(1.0);
-        let second = first + pace.pause(1.0);
+        let mut pace = PollBackoff::for_fleet(nodes);
+        let first = pace.after_failure(1.0);
+        let second = first + pace.after_failure(1.0);
         assert!(first <= MOST, "{nodes}: {first:?}");
         assert!(nodes > 12 || second <= MOST, "{nodes}: {second:?}");
     }
--- a/crates/endpoints/tests/roster.rs
+++ b/crates/endpoints/tests/roster.rs
@@ -1,6 +1,6 @@
 //! The roster from etcd's revisions: each hard case by name.
 
-use saffronpaddle_endpoints::follower::Seen;
+use saffronpaddle_endpoints::follower::FollowerStats;
 use saffronpaddle_endpoints::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -60,22 +60,22 @@
         .map(|host| kv(host, 2, 3, value(80, "ready", 7)))
         .collect();
     let change = follower.range(header(10), &kvs, ms(1), NOW);
-    assert!(change.whole && change.entries.len() == 3);
+    assert!(change.snapshot && change.endpoints.len() == 3);
     follower
 }
 
-fn standings(change: &Change) -> BTreeMap<&str, Standing> {
+fn standings(change: &EndpointUpdate) -> BTreeMap<&str, EndpointStatus> {
     change
-        .entries
+        .endpoints
         .iter()
-        .map(|entry| (&entry.host[..], entry.standing))
+        .map(|entry| (&entry.host[..], entry.status))
         .collect()
 }
 
 /// Takes in one whole response.
-fn take(follower: &mut Follower, revision: i64, events: Vec<WatchEvent>) -> Change {
+fn take(follower: &mut Follower, revision: i64, events: Vec<WatchEvent>) -> EndpointUpdate {
     let (change, next) = follower.events(header(revision), events, false, ms(100), NOW);
-    assert_eq!(next, Next::Continue);
+    assert_eq!(next, WatchStep::Continue);
     change
 }
 
@@ -90,8 +90,8 @@
         NOW,
     );
     assert_eq!(
-        (change.told, standings(&change)["a"]),
-        (ms(777), Standing::Draining)
+        (change.received_at, standings(&change)["a"]),
+        (ms(777), EndpointStatus::Draining)
     );
 }
 
@@ -105,9 +105,9 @@
     ];
     let change = take(&mut follower, 11, events);
     let expected = [
-        ("a", Standing::Draining),
-        ("b", Standing::Gone),
-        ("d", Standing::Ready),
+        ("a", EndpointStatus::Draining),
+        ("b", EndpointStatus::Removed),
+        ("d", EndpointStatus::Ready),
     ];
     assert_eq!(standings(&change), expected.into());
     assert_eq!(follower.resume(), Some(12));
@@ -129,17 +129,17 @@
             delete("b", 12),
         ],
     );
-    assert_eq!(standings(&change), [("b", Standing::Gone)].into());
+    assert_eq!(standings(&change), [("b", EndpointStatus::Removed)].into());
     assert_eq!(follower.seen().old, 2);
     let change = take(&mut follower, 12, vec![delete("b", 12)]);
-    assert!(change.entries.is_empty(), "twice is once");
+    assert!(change.endpoints.is_empty(), "twice is once");
 }
 
 /// In the gap one server began to drain, another was removed and a third one came.
 #[test]
 fn compaction_past_our_revision_is_a_range_and_its_difference_counts_as_told_then() {
     let mut follower = three();
-    assert_eq!(follower.compacted(500), Next::Reread("compacted"));
+    assert_eq!(follower.compacted(500), WatchStep::Reread("compacted"));
     let kvs = [
         kv("a", 2, 400, value(80, "draining", 7)),
         kv("c", 2, 3, value(80, "ready", 7)),
@@ -147,21 +147,21 @@
     ];
     let change = follower.range(header(600), &kvs, ms(900), NOW);
     let expected = [
-        ("a", Standing::Draining),
-        ("b", Standing::Gone),
-        ("d", Standing::Ready),
+        ("a", EndpointStatus::Draining),
+        ("b", EndpointStatus::Removed),
+        ("d", EndpointStatus::Ready),
     ];
     assert_eq!(
-        (standings(&change), change.told, change.whole),
+        (standings(&change), change.received_at, change.snapshot),
         (expected.into(), ms(900), false)
     );
     let new = change
-        .entries
+        .endpoints
         .iter()
         .find(|entry| &*entry.host == "d")
         .expect("it is told");
     assert_eq!(
-        new.born_ms, NOW,
+        new.started_at_ms, NOW,
         "it came in the gap and tells no start of its own: cold"
     );
     assert_eq!(follower.resume(), Some(601));
@@ -173,10 +173,13 @@
     let drain = vec![put("a", 2, 11, "draining"), delete("c", 11)];
     let (change, next) = follower.events(header(11), drain.clone(), true, ms(50), NOW);
     // Told at once; a removal as a drain until all is there.
-    let expected = [("a", Standing::Draining), ("c", Standing::Draining)];
+    let expected = [
+        ("a", EndpointStatus::Draining),
+        ("c", EndpointStatus::Draining),
+    ];
     assert_eq!(
         (standings(&change), next),
-        (expected.into(), Next::Continue)
+        (expected.into(), WatchStep::Continue)
     );
     follower.reconnected();
     assert_eq!(
@@ -186,14 +189,14 @@
     );
     let (first, _) = follower.events(header(11), drain, true, ms(200), NOW);
     let (change, _) = follower.events(header(11), vec![delete("b", 11)], false, ms(210), NOW);
-    assert_eq!(first.told, ms(200));
+    assert_eq!(first.received_at, ms(200));
     let expected = [
-        ("a", Standing::Draining),
-        ("b", Standing::Gone),
-        ("c", Standing::Gone),
+        ("a", EndpointStatus::Draining),
+        ("b", EndpointStatus::Removed),
+        ("c", EndpointStatus::Removed),
     ];
     assert_eq!(
-        (standings(&change), change.told),
+        (standings(&change), change.received_at),
         (expected.into(), ms(200)),
         "told with its first fragment"
     );
@@ -210,7 +213,7 @@
         ms(50),
         NOW,
     );
-    assert_eq!(standings(&change)["a"], Standing::Draining);
+    assert_eq!(standings(&change)["a"], EndpointStatus::Draining);
     let (change, _) = follower.events(
         header(12),
         vec![put("a", 2, 12, "ready")],
@@ -218,7 +221,7 @@
         ms(60),
         NOW,
     );
-    assert_eq!(standings(&change), [("a", Standing::Ready)].into());
+    assert_eq!(standings(&change), [("a", EndpointStatus::Ready)].into());
 }
 
 /// Same host, new process: it is cold again, also where its value tells no start of its own.
@@ -228,7 +231,7 @@
         let mut follower = three();
         assert_eq!(
             standings(&take(&mut follower, 20, vec![delete("a", 20)]))["a"],
-            Standing::Gone
+            EndpointStatus::Removed
         );
         let again = WatchEvent {
             delete: false,
@@ -236,8 +239,11 @@
         };
         let change = take(&mut follower, 21, vec![again]);
         assert_eq!(
-            (change.entries[0].standing, change.entries[0].born_ms),
-            (Standing::Ready, expected)
+            (
+                change.endpoints[0].status,
+                change.endpoints[0].started_at_ms
+            ),
+            (EndpointStatus::Ready, expected)
         );
         // A later word of the same process makes it no younger.
         let later = WatchEvent {
@@ -246,7 +252,10 @@
         };
         let change = take(&mut follower, 22, vec![later]);
         assert_eq!(
-            (change.entries[0].dial.port(), change.entries[0].born_ms),
+            (
+                change.endpoints[0].address.port(),
+                change.endpoints[0].started_at_ms
+            ),
             (81, expected)
         );
     }
@@ -264,11 +273,11 @@
         13,
         vec![put("a", 2, 11, "draining"), delete("a", 12), last],
     );
-    assert_eq!(change.entries.len(), 1);
-    let entry = &change.entries[0];
+    assert_eq!(change.endpoints.len(), 1);
+    let entry = &change.endpoints[0];
     assert_eq!(
-        (entry.standing, entry.dial.port(), entry.born_ms),
-        (Standing::Ready, 90, NOW),
+        (entry.status, entry.address.port(), entry.started_at_ms),
+        (EndpointStatus::Ready, 90, NOW),
         "a new process"
     );
     let change = take(
@@ -276,7 +285,7 @@
         15,
         vec![put("a", 13, 14, "ready"), delete("a", 15)],
     );
-    assert_eq!(standings(&change), [("a", Standing::Gone)].into());
+    assert_eq!(standings(&change), [("a", EndpointStatus::Removed)].into());
 }
 
 #[test]
@@ -292,7 +301,7 @@
             kv: kv("a", 2, revision, bad.to_vec()),
         };
         assert!(take(&mut follower, revision, vec![event])
-            .entries
+            .endpoints
             .is_empty());
     }
     let logs = follower.logs();
@@ -301,7 +310,7 @@
     // Good again, and bad once more: told anew.
     assert_eq!(
         standings(&take(&mut follower, 14, vec![put("a", 2, 14, "draining")]))["a"],
-        Standing::Draining
+        EndpointStatus::Draining
     );
     let event = WatchEvent {
         delete: false,
@@ -314,9 +323,9 @@
         delete: false,
         kv: kv("new", 16, 16, b"x".to_vec()),
     };
-    assert!(take(&mut follower, 16, vec![event]).entries.is_empty());
+    assert!(take(&mut follower, 16, vec![event]).endpoints.is_empty());
     assert!(take(&mut follower, 17, vec![delete("new", 17)])
-        .entries
+        .endpoints
         .is_empty());
 }
 
@@ -329,18 +338,21 @@
         11,
         vec![odd.clone(), put("", 2, 11, "ready")]
     )
-    .entries
+    .endpoints
     .is_empty());
     odd.kv.key = b"/other/z".to_vec();
     odd.kv.mod_revision = 12;
-    assert!(take(&mut follower, 12, vec![odd]).entries.is_empty());
+    assert!(take(&mut follower, 12, vec![odd]).endpoints.is_empty());
 }
 
 #[test]
 fn a_member_that_lags_is_left_and_the_list_stands() {
     let mut follower = three();
     take(&mut follower, 20, vec![put("a", 2, 20, "draining")]);
-    assert_eq!(follower.header(header(19)), Next::Leave("the member lags"));
+    assert_eq!(
+        follower.header(header(19)),
+        WatchStep::Leave("the member lags")
+    );
     let (change, next) = follower.events(
         header(19),
         vec![put("a", 2, 19, "ready")],
@@ -348,12 +360,12 @@
         ms(5),
         NOW,
     );
-    assert!(change.entries.is_empty() && matches!(next, Next::Leave(_)));
+    assert!(change.endpoints.is_empty() && matches!(next, WatchStep::Leave(_)));
     let older = Header {
         raft_term: 4,
         ..header(30)
     };
-    assert!(matches!(follower.progress(older), Next::Leave(_)));
+    assert!(matches!(follower.progress(older), WatchStep::Leave(_)));
     assert_eq!(follower.resume(), Some(21));
 }
 
@@ -367,8 +379,8 @@
     let mut follower = three();
     let (change, next) = follower.events(other, vec![delete("a", 50)], false, ms(5), NOW);
     assert_eq!(
-        (change.entries.len(), next),
-        (0, Next::Reread("another cluster"))
+        (change.endpoints.len(), next),
+        (0, WatchStep::Reread("another cluster"))
     );
     let restored = [
         (other, "another cluster"),
@@ -389,9 +401,9 @@
         ];
         let change = follower.range(header, &kvs, ms(5), NOW);
         let expected = [
-            ("a", Standing::Gone),
-            ("c", Standing::Gone),
-            ("z", Standing::Ready),
+            ("a", EndpointStatus::Removed),
+            ("c", EndpointStatus::Removed),
+            ("z", EndpointStatus::Ready),
         ];
         assert_eq!(standings(&change), expected.into(), "{what}");
         assert_eq!(
@@ -399,7 +411,7 @@
             (1, Some(header.revision + 1)),
             "{what}"
         );
-        assert_eq!(follower.header(header), Next::Continue, "{what}");
+        assert_eq!(follower.header(header), WatchStep::Continue, "{what}");
     }
 }
 
@@ -417,11 +429,11 @@
     };
     // As events of one response, or as an empty range after a gap.
     let mut watched = three();
-    assert!(wipe(&mut watched).entries.is_empty());
+    assert!(wipe(&mut watched).endpoints.is_empty());
     let mut ranged = three();
     assert!(ranged
         .range(header(11), &[], ms(100), NOW)
-        .entries
+        .endpoints
         .is_empty());
     for follower in [&mut watched, &mut ranged] {
         assert_eq!((follower.hosts(), follower.seen().doubted), (3, 1));
@@ -429,7 +441,7 @@
         assert_eq!(follower.believe(ms(20_000)), None);
         // One is put back: it is settled, and the others are kept for their time.
         let change = take(follower, 12, vec![put("b", 12, 12, "draining")]);
-        assert_eq!(standings(&change), [("b", Standing::Draining)].into());
+        assert_eq!(standings(&change), [("b", EndpointStatus::Draining)].into());
         assert!(follower
             .range(
                 header(13),
@@ -437,14 +449,18 @@
                 ms(9_000),
                 NOW
             )
-            .entries
+            .endpoints
             .is_empty());
         let late = ms(100) + Duration::from_secs(30);
         assert!(follower.doubts(late));
         let change = follower.believe(late).expect("it has lasted");
         assert_eq!(
             standings(&change),
-            [("a", Standing::Gone), ("c", Standing::Gone)].into()
+            [
+                ("a", EndpointStatus::Removed),
+                ("c", EndpointStatus::Removed)
+            ]
+            .into()
         );
         assert_eq!(follower.believe(late + late), None, "once");
     }
@@ -453,7 +469,7 @@
     for (revision, host) in [(11, "a"), (12, "b"), (13, "c")] {
         assert_eq!(
             standings(&take(&mut follower, revision, vec![delete(host, revision)])),
-            [(host, Standing::Gone)].into()
+            [(host, EndpointStatus::Removed)].into()
         );
     }
 }
@@ -463,14 +479,14 @@
 fn a_first_list_that_is_empty_is_not_believed_at_once() {
     let mut follower = Follower::new("/board/", Rules::default());
     let change = follower.range(header(10), &[], ms(1), NOW);
-    assert!(!change.whole && change.entries.is_empty());
+    assert!(!change.snapshot && change.endpoints.is_empty());
     let change = take(&mut follower, 11, vec![put("a", 11, 11, "ready")]);
-    assert!(!change.whole && standings(&change) == [("a", Standing::Ready)].into());
+    assert!(!change.snapshot && standings(&change) == [("a", EndpointStatus::Ready)].into());
     let change = follower
         .believe(ms(1) + Duration::from_secs(30))
         .expect("it has lasted");
     assert!(
-        change.whole && standings(&change) == [("a", Standing::Ready)].into(),
+        change.snapshot && standings(&change) == [("a", EndpointStatus::Ready)].into(),
         "{change:?}"
     );
 }
@@ -478,9 +494,9 @@
 #[test]
 fn progress_moves_the_revision_so_that_quiet_watches_are_not_compacted_away() {
     let mut follower = three();
-    assert_eq!(follower.progress(header(90)), Next::Continue);
+    assert_eq!(follower.progress(header(90)), WatchStep::Continue);
     assert_eq!(follower.resume(), Some(11), "once it has said so again");
-    assert_eq!(follower.progress(header(95)), Next::Continue);
+    assert_eq!(follower.progress(header(95)), WatchStep::Continue);
     assert_eq!(follower.resume(), Some(91));
     // But not past a response of which the rest is still to come.
     follower.events(header(95), vec![put("a", 2, 92, "ready")], true, ms(5), NOW);
@@ -495,7 +511,7 @@
     follower.progress(header(12));
     assert_eq!(
         standings(&take(&mut follower, 12, vec![put("a", 2, 11, "draining")]))["a"],
-        Standing::Draining
+        EndpointStatus::Draining
     );
     follower.progress(header(14));
     follower.reconnected();
@@ -506,31 +522,31 @@
     );
 }
 
-fn said(host: &str, standing: Standing, dial: u16, born_ms: u64) -> Change {
+fn said(host: &str, standing: EndpointStatus, dial: u16, born_ms: u64) -> EndpointUpdate {
     let dial = format!("127.0.0.1:{dial}").parse().expect("an address");
     let (host, site) = (host.into(), "a".into());
-    let entry = Entry {
+    let entry = EndpointRecord {
         host,
-        dial,
-        site,
-        block: 1,
-        standing,
-        share: 1.0,
-        born_ms,
+        address: dial,
+        zone: site,
+        domain: 1,
+        status: standing,
+        weight: 1.0,
+        started_at_ms: born_ms,
     };
-    Change {
-        entries: vec![entry],
-        told: ms(1),
-        whole: false,
+    EndpointUpdate {
+        endpoints: vec![entry],
+        received_at: ms(1),
+        snapshot: false,
     }
 }
 
 #[test]
 fn of_two_sources_that_contradict_each_other_the_more_careful_standing_wins() {
+    use EndpointStatus::{Draining, Ready, Removed};
     use Source::{Discovery, Etcd};
-    use Standing::{Draining, Gone, Ready};
-    for first in [Ready, Draining, Gone] {
-        for second in [Ready, Draining, Gone] {
+    for first in [Ready, Draining, Removed] {
+        for second in [Ready, Draining, Removed] {
             let mut merge = Merge::new();
             // Both have listed it before they disagree.
             merge.take(Discovery, said("a", Ready, 80, 0));
@@ -540,7 +556,7 @@
                 merge.take(Discovery, said("a", first, 80, 0)),
                 merge.take(Etcd, said("a", second, 90, 0)),
             ] {
-                last = change.entries.first().map_or(last, |entry| entry.standing);
+                last = change.endpoints.first().map_or(last, |entry| entry.status);
             }
             assert_eq!(last, first.max(second), "{first:?} and {second:?}");
         }
@@ -551,45 +567,51 @@
 fn a_source_has_a_say_only_once_it_has_listed_a_host() {
     use Source::{Discovery, Etcd};
     let mut merge = Merge::new();
-    let change = merge.take(Etcd, said("a", Standing::Ready, 90, 5));
+    let change = merge.take(Etcd, said("a", EndpointStatus::Ready, 90, 5));
     assert_eq!(
-        (change.entries[0].standing, change.entries[0].dial.port()),
-        (Standing::Ready, 90)
+        (
+            change.endpoints[0].status,
+            change.endpoints[0].address.port()
+        ),
+        (EndpointStatus::Ready, 90)
     );
     // Discovery lists another one, whole: it says nothing of `a`.
-    let whole = Change {
-        whole: true,
-        ..said("b", Standing::Ready, 80, 0)
+    let whole = EndpointUpdate {
+        snapshot: true,
+        ..said("b", EndpointStatus::Ready, 80, 0)
     };
     assert_eq!(
         standings(&merge.take(Discovery, whole)),
-        [("b", Standing::Ready)].into()
+        [("b", EndpointStatus::Ready)].into()
     );
     // Once it has, its whole list without it is a removal; the later start and discovery's address hold.
-    let change = merge.take(Discovery, said("a", Standing::Ready, 80, 3));
+    let change = merge.take(Discovery, said("a", EndpointStatus::Ready, 80, 3));
     assert_eq!(
-        (change.entries[0].dial.port(), change.entries[0].born_ms),
+        (
+            change.endpoints[0].address.port(),
+            change.endpoints[0].started_at_ms
+        ),
         (80, 5)
     );
-    let whole = Change {
-        whole: true,
-        ..said("b", Standing::Ready, 80, 0)
+    let whole = EndpointUpdate {
+        snapshot: true,
+        ..said("b", EndpointStatus::Ready, 80, 0)
     };
     assert_eq!(
         standings(&merge.take(Discovery, whole)),
-        [("a", Standing::Gone)].into()
+        [("a", EndpointStatus::Removed)].into()
     );
     assert!(merge
-        .take(Etcd, said("a", Standing::Ready, 91, 9))
-        .entries
+        .take(Etcd, said("a", EndpointStatus::Ready, 91, 9))
+        .endpoints
         .iter()
-        .all(|entry| entry.standing == Standing::Gone));
+        .all(|entry| entry.status == EndpointStatus::Removed));
     // When both have dropped it, it is forgotten, and may come anew.
-    merge.take(Etcd, said("a", Standing::Gone, 91, 9));
+    merge.take(Etcd, said("a", EndpointStatus::Removed, 91, 9));
     assert_eq!(merge.hosts(), 1);
     assert_eq!(
-        standings(&merge.take(Etcd, said("a", Standing::Ready, 91, 9))),
-        [("a", Standing::Ready)].into()
+        standings(&merge.take(Etcd, said("a", EndpointStatus::Ready, 91, 9))),
+        [("a", EndpointStatus::Ready)].into()
     );
 }
 
@@ -598,18 +620,18 @@
     let mut merge = Merge::new();
     assert_eq!(
         merge
-            .take(Source::Etcd, said("a", Standing::Ready, 80, 0))
-            .entries
+            .take(Source::Etcd, said("a", EndpointStatus::Ready, 80, 0))
+            .endpoints
             .len(),
         1
     );
     assert!(merge
-        .take(Source::Etcd, said("a", Standing::Ready, 80, 0))
-        .entries
+        .take(Source::Etcd, said("a", EndpointStatus::Ready, 80, 0))
+        .endpoints
         .is_empty());
     assert!(merge
-        .take(Source::Discovery, said("a", Standing::Ready, 80, 0))
-        .entries
+        .take(Source::Discovery, said("a", EndpointStatus::Ready, 80, 0))
+        .endpoints
         .is_empty());
     assert_eq!(merge.contradictions(), 0);
 }
@@ -628,10 +650,10 @@
         let mut store: BTreeMap<String, KeyValue> = BTreeMap::new();
         let mut history: Vec<WatchEvent> = Vec::new();
         let mut follower = Follower::new("/board/", Rules::default());
-        let mut told: BTreeMap<String, Standing> = BTreeMap::new();
-        let mut note = |change: Change| {
-            for entry in change.entries {
-                told.insert(entry.host.to_string(), entry.standing);
+        let mut told: BTreeMap<String, EndpointStatus> = BTreeMap::new();
+        let mut note = |change: EndpointUpdate| {
+            for entry in change.endpoints {
+                told.insert(entry.host.to_string(), entry.status);
             }
         };
         store.insert("anchor".into(), kv("anchor", 1, 1, value(80, "ready", 7)));
@@ -699,18 +721,21 @@
             .cloned()
             .collect();
         note(follower.events(header(revision), rest, false, ms(0), NOW).0);
-        told.retain(|_, standing| *standing != Standing::Gone);
-        let held: BTreeMap<String, Standing> = store
+        told.retain(|_, standing| *standing != EndpointStatus::Removed);
+        let held: BTreeMap<String, EndpointStatus> = store
             .iter()
             .map(|(host, kv)| {
                 (
                     host.clone(),
-                    entry::read(host, &kv.value).expect("good").standing,
+                    entry::read(host, &kv.value).expect("good").status,
                 )
             })
             .collect();
         assert_eq!(told, held);
         assert_eq!(follower.hosts(), store.len());
     }
-    assert_eq!(Follower::new("/", Rules::default()).seen(), Seen::default());
+    assert_eq!(
+        Follower::new("/", Rules::default()).seen(),
+        FollowerStats::default()
+    );
 }
--- a/crates/etcd/src/client.rs
+++ b/crates/etcd/src/client.rs
@@ -5,7 +5,7 @@
 use http::uri::PathAndQuery;
 use hyper_util::rt::TokioIo;
 use saffronpaddle_endpoints::{
-    Change, Follower, Header, KeyValue, Listing, Next, Rules, WatchEvent,
+    EndpointUpdate, Follower, Header, KeyValue, Listing, Rules, WatchEvent, WatchStep,
 };
 use saffronpaddle_netio::Socket;
 use std::net::SocketAddr;
@@ -80,7 +80,7 @@
     /// The roster has changed. `read` is the moment of the change's `told`.
     Changed {
         /// What has changed.
-        change: Change,
+        change: EndpointUpdate,
         /// When the first byte of it was read off the socket.
         read: Instant,
     },
@@ -179,7 +179,7 @@
     }
 
     /// Tells what has changed, and what the follower has for the log.
-    async fn told(&mut self, change: Change, read: Instant) -> Result<(), Unwanted> {
+    async fn told(&mut self, change: EndpointUpdate, read: Instant) -> Result<(), Unwanted> {
         if change.says_something() {
             self.tell(News::Changed { change, read }).await?;
         }
@@ -454,7 +454,7 @@
                 .header
                 .map(header)
                 .ok_or_else(|| left("a watch without a header"))?;
-            let mut change = Change::default();
+            let mut change = EndpointUpdate::default();
             let next = if answer.canceled && answer.compact_revision > 0 {
                 self.follower.compacted(answer.compact_revision)
             } else if answer.canceled {
@@ -482,9 +482,9 @@
                 return Ok(Ended::Unwanted);
             }
             match next {
-                Next::Continue => {}
-                Next::Reread(_) => return Ok(Ended::Reread),
-                Next::Leave(why) => {
+                WatchStep::Continue => {}
+                WatchStep::Reread(_) => return Ok(Ended::Reread),
+                WatchStep::Leave(why) => {
                     return Err(Left {
                         behind: true,
                         ..left(why)
--- a/crates/etcd/tests/client.rs
+++ b/crates/etcd/tests/client.rs
@@ -1,6 +1,6 @@
 //! The follower against the stand-in cluster: each break that it must survive.
 
-use saffronpaddle_endpoints::{Rules, Standing};
+use saffronpaddle_endpoints::{EndpointStatus, Rules};
 use saffronpaddle_etcd::{follow, News, Settings, Timing};
 use saffronpaddle_test_doubles::etcd::Etcd;
 use std::collections::BTreeMap;
@@ -33,7 +33,7 @@
 /// A follower, with all that it has told.
 struct Roster {
     news: mpsc::Receiver<News>,
-    hosts: BTreeMap<String, (Standing, u64)>,
+    hosts: BTreeMap<String, (EndpointStatus, u64)>,
     logs: Vec<String>,
     /// The longest that a change took from its read to here.
     late: Duration,
@@ -75,15 +75,15 @@
             News::Changed { change, read } => {
                 self.late = self.late.max(read.elapsed());
                 self.changes += 1;
-                if change.whole {
+                if change.snapshot {
                     self.hosts.clear();
                 }
-                for entry in change.entries {
-                    if entry.standing == Standing::Gone {
+                for entry in change.endpoints {
+                    if entry.status == EndpointStatus::Removed {
                         self.hosts.remove(&*entry.host);
                     } else {
                         self.hosts
-                            .insert(entry.host.to_string(), (entry.standing, entry.born_ms));
+                            .insert(entry.host.to_string(), (entry.status, entry.started_at_ms));
                     }
                 }
             }
@@ -105,7 +105,7 @@
         }
     }
 
-    async fn until_standing(&mut self, host: &str, standing: Option<Standing>) {
+    async fn until_standing(&mut self, host: &str, standing: Option<EndpointStatus>) {
         let what = format!("{host} is {standing:?}");
         self.until(&what, |roster| {
             roster.hosts.get(host).map(|held| held.0) == standing
@@ -133,10 +133,14 @@
         .until("the list", |roster| roster.hosts.len() == 3)
         .await;
     etcd.put(&key("a"), &value("draining", 7));
-    roster.until_standing("a", Some(Standing::Draining)).await;
+    roster
+        .until_standing("a", Some(EndpointStatus::Draining))
+        .await;
     etcd.put_all(&[(&key("b"), None), (&key("d"), Some(&value("ready", 9)))]);
     let changes = roster.changes;
-    roster.until_standing("d", Some(Standing::Ready)).await;
+    roster
+        .until_standing("d", Some(EndpointStatus::Ready))
+        .await;
     assert!(
         !roster.hosts.contains_key("b") && roster.changes == changes + 1,
         "one revision is one change"
@@ -163,9 +167,9 @@
         let health = if round % 2 == 0 { "draining" } else { "ready" };
         etcd.put(&key("a"), &value(health, 7));
         let standing = if round % 2 == 0 {
-            Standing::Draining
+            EndpointStatus::Draining
         } else {
-            Standing::Ready
+            EndpointStatus::Ready
         };
         roster.until_standing("a", Some(standing)).await;
     }
@@ -197,9 +201,11 @@
     etcd.members
         .iter()
         .for_each(|member| member.set(|faults| faults.refuses = false));
-    roster.until_standing("d", Some(Standing::Ready)).await;
+    roster
+        .until_standing("d", Some(EndpointStatus::Ready))
+        .await;
     assert!(
-        !roster.hosts.contains_key("b") && roster.hosts["a"].0 == Standing::Draining,
+        !roster.hosts.contains_key("b") && roster.hosts["a"].0 == EndpointStatus::Draining,
         "{:?}",
         roster.hosts
     );
@@ -229,9 +235,13 @@
         (&key("b"), None),
         (&key("d"), Some(&value("ready", 9))),
     ]);
-    roster.until_standing("a", Some(Standing::Draining)).await;
+    roster
+        .until_standing("a", Some(EndpointStatus::Draining))
+        .await;
     assert!(roster.hosts.contains_key("b"), "the rest has not come yet");
-    roster.until_standing("d", Some(Standing::Ready)).await;
+    roster
+        .until_standing("d", Some(EndpointStatus::Ready))
+        .await;
     assert!(!roster.hosts.contains_key("b") && member.watches() > watches);
 }
 
@@ -261,11 +271,15 @@
         .until("the list", |roster| roster.hosts.len() == 3)
         .await;
     etcd.put_leased(&key("l"), &value("ready", 0), Duration::from_millis(200));
-    roster.until_standing("l", Some(Standing::Ready)).await;
+    roster
+        .until_standing("l", Some(EndpointStatus::Ready))
+        .await;
     let first = roster.hosts["l"].1;
     roster.until_standing("l", None).await;
     etcd.put_leased(&key("l"), &value("ready", 0), Duration::from_secs(100));
-    roster.until_standing("l", Some(Standing::Ready)).await;
+    roster
+        .until_standing("l", Some(EndpointStatus::Ready))
+        .await;
     assert!(
         first > 0 && roster.hosts["l"].1 > first,
         "it started later: {first}, {:?}",
@@ -294,7 +308,7 @@
         .await;
     assert_eq!(
         (roster.hosts["a"].0, roster.changes),
-        (Standing::Ready, changes + 1),
+        (EndpointStatus::Ready, changes + 1),
         "all in one response"
     );
 }
@@ -309,7 +323,9 @@
         .await;
     let old = etcd.revision();
     etcd.put(&key("a"), &value("draining", 7));
-    roster.until_standing("a", Some(Standing::Draining)).await;
+    roster
+        .until_standing("a", Some(EndpointStatus::Draining))
+        .await;
     let followed = etcd
         .members
         .iter()
@@ -319,12 +335,18 @@
     etcd.members[next].set(|faults| faults.stuck_at = Some(old));
     etcd.members[followed].set(|faults| faults.frozen = true);
     etcd.put(&key("b"), &value("draining", 7));
-    roster.until_standing("b", Some(Standing::Draining)).await;
+    roster
+        .until_standing("b", Some(EndpointStatus::Draining))
+        .await;
     assert!(
         etcd.members[last].watches() > 0,
         "the third one is followed"
     );
-    assert_eq!(roster.hosts["a"].0, Standing::Draining, "nothing went back");
+    assert_eq!(
+        roster.hosts["a"].0,
+        EndpointStatus::Draining,
+        "nothing went back"
+    );
     let said = |what: &str| roster.logs.iter().any(|line| line.contains(what));
     assert!(said("silent") && said("lags"), "{:?}", roster.logs);
 }
@@ -347,12 +369,16 @@
             ],
             recreated,
         );
-        roster.until_standing("z", Some(Standing::Ready)).await;
+        roster
+            .until_standing("z", Some(EndpointStatus::Ready))
+            .await;
         let hosts: Vec<&String> = roster.hosts.keys().collect();
         assert_eq!(hosts, ["b", "z"], "recreated: {recreated}");
-        assert_eq!(roster.hosts["b"].0, Standing::Draining);
+        assert_eq!(roster.hosts["b"].0, EndpointStatus::Draining);
         etcd.put(&key("z"), &value("draining", 9));
-        roster.until_standing("z", Some(Standing::Draining)).await;
+        roster
+            .until_standing("z", Some(EndpointStatus::Draining))
+            .await;
     }
 }
 
@@ -433,7 +459,7 @@
             roster
                 .hosts
                 .values()
-                .filter(|held| held.0 == Standing::Draining)
+                .filter(|held| held.0 == EndpointStatus::Draining)
                 .count()
                 == 10_000
         })
--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -10,10 +10,10 @@
 
 use crate::table::{Alarms, ByNumber, Link, Place, Row};
 use crate::{
-    Bounds, Bug, Bugs, Command, Denial, Event, Invariant, LinkId, Module, OpenRequest, Sound,
-    Ticket, Verdict, Violation, Violations, WaitsFor,
+    Bug, Bugs, Command, ConnectionId, Denial, Event, FinalAnswer, Invariant, Limits, OpenRequest,
+    Policy, Sound, Ticket, Violation, Violations, WaitsFor,
 };
-use saffronpaddle_admin::{End, Tally};
+use saffronpaddle_admin::{RequestCounters, RequestEnd};
 use saffronpaddle_policy::interface::{
     Action, AttemptNumber, Event as ModuleEvent, Micros, Outcome, RequestId, ServerId,
 };
@@ -23,15 +23,15 @@
 /// Requests, attempts and connections of one node. See the [crate's](crate) words.
 #[derive(Clone)]
 pub struct Exchange<A, M, B = Sound> {
-    bounds: Bounds,
-    module: M,
+    bounds: Limits,
+    policy: M,
     bugs: B,
     rows: HashMap<RequestId, Row>,
-    links: ByNumber<LinkId, Link<A>>,
+    links: ByNumber<ConnectionId, Link<A>>,
     places: ByNumber<ServerId, Place<A>>,
     alarms: Alarms,
     /// Idle connections in the order in which they came back.
-    idle: BTreeSet<(Micros, LinkId)>,
+    idle: BTreeSet<(Micros, ConnectionId)>,
     stopped: bool,
     /// All is answered by then, as the process ends; the end of time where it was not told to.
     answer_by: Micros,
@@ -40,7 +40,7 @@
     /// A request whose last piece waits for what the module says of it.
     releasing: Option<RequestId>,
     /// How requests have ended. Nothing hangs on it here.
-    tally: Tally,
+    tally: RequestCounters,
     /// Steps that the guard did not let through, by why.
     denials: HashMap<Denial, u64>,
     violations: Violations,
@@ -52,30 +52,30 @@
 const LATE: Micros = 150_000;
 
 /// How a request ends with an answer.
-fn end_of(verdict: Verdict) -> End {
+fn end_of(verdict: FinalAnswer) -> RequestEnd {
     match verdict {
-        Verdict::Served => End::Fulfilled,
-        Verdict::Refused(_) => End::Throttled,
-        Verdict::Failed => End::Faulted,
+        FinalAnswer::Served => RequestEnd::Fulfilled,
+        FinalAnswer::Rejected(_) => RequestEnd::Throttled,
+        FinalAnswer::Failed => RequestEnd::Faulted,
     }
 }
 
 /// Commands, in the order in which they are to be carried out.
 type Commands<A> = Vec<Command<A>>;
 
-impl<A: Copy + Eq + Hash, M: Module> Exchange<A, M> {
+impl<A: Copy + Eq + Hash, M: Policy> Exchange<A, M> {
     /// An exchange with nothing in it.
-    pub fn new(bounds: Bounds, module: M) -> Self {
+    pub fn new(bounds: Limits, module: M) -> Self {
         Exchange::with_bugs(bounds, module, Sound)
     }
 }
 
-impl<A: Copy + Eq + Hash, M: Module, B: Bugs> Exchange<A, M, B> {
+impl<A: Copy + Eq + Hash, M: Policy, B: Bugs> Exchange<A, M, B> {
     /// An exchange with faults in it, for the checker.
-    pub fn with_bugs(bounds: Bounds, module: M, bugs: B) -> Self {
+    pub fn with_bugs(bounds: Limits, module: M, bugs: B) -> Self {
         Exchange {
             bounds,
-            module,
+            policy: module,
             bugs,
             rows: HashMap::new(),
             links: ByNumber::default(),
@@ -87,7 +87,7 @@
             next_link: 0,
             next_ticket: 0,
             releasing: None,
-            tally: Tally::default(),
+            tally: RequestCounters::default(),
             denials: HashMap::new(),
             violations: Violations::default(),
             pending: VecDeque::new(),
@@ -95,17 +95,17 @@
     }
 
     /// The module inside.
-    pub fn module(&self) -> &M {
-        &self.module
+    pub fn policy(&self) -> &M {
+        &self.policy
     }
 
     /// The module inside, to be looked at by a checker.
-    pub fn module_mut(&mut self) -> &mut M {
-        &mut self.module
+    pub fn policy_mut(&mut self) -> &mut M {
+        &mut self.policy
     }
 
     /// Whether a request's id is in use: it has no answer yet, or its attempt is still out.
-    pub fn knows(&self, id: &RequestId) -> bool {
+    pub fn contains(&self, id: &RequestId) -> bool {
         self.rows.contains_key(id)
     }
 
@@ -115,18 +115,18 @@
     }
 
     /// How many servers are ready.
-    pub fn ready(&self) -> usize {
+    pub fn ready_servers(&self) -> usize {
         self.places.len()
     }
 
     /// How many requests, and how many connections, there are; nothing else is kept of either.
-    pub fn kept(&self) -> (usize, usize) {
+    pub fn table_sizes(&self) -> (usize, usize) {
         (self.rows.len(), self.links.len())
     }
 
     /// The requests that have no final answer yet, in no order.
     pub fn open_requests(&self) -> impl Iterator<Item = OpenRequest> + '_ {
-        let state = |link: LinkId| self.links.get(&link).map(|link| link.state);
+        let state = |link: ConnectionId| self.links.get(&link).map(|link| link.state);
         self.rows
             .iter()
             .filter(|(_, row)| row.open)
@@ -140,12 +140,12 @@
     }
 
     /// Other bounds on connections from now on; those beyond it go as they fall idle and room is wanted.
-    pub fn set_most_links(&mut self, most: usize) {
-        self.bounds.links = most;
+    pub fn set_max_connections(&mut self, most: usize) {
+        self.bounds.max_connections = most;
     }
 
     /// How requests have ended so far, and attempts been written.
-    pub fn tally(&self) -> &Tally {
+    pub fn tally(&self) -> &RequestCounters {
         &self.tally
     }
 
@@ -171,7 +171,7 @@
     }
 
     /// The process ends now: whoever still waits is never answered.
-    pub fn exits(&mut self) {
+    pub fn process_exits(&mut self) {
         for (id, row) in &self.rows {
             self.violations
                 .check(!row.open, Invariant::AnsweredBeforeExit, id);
@@ -179,7 +179,7 @@
     }
 
     /// A request that could not be taken was answered by the shell: its words made no request, or its id is in use.
-    pub fn turned_away(&mut self, class: usize, end: End) {
+    pub fn turned_away(&mut self, class: usize, end: RequestEnd) {
         self.tally.taken(class);
         self.tally.ended(class, end);
     }
@@ -199,32 +199,44 @@
         // What is past its time is so before anything that comes now. Danger: a late loop that still serves it.
         self.expire(now, commands);
         match event {
-            Event::Asked {
+            Event::RequestReceived {
                 effect,
                 deadline,
-                tell,
+                policy_event: tell,
             } => self.asked(now, effect, deadline, tell, commands),
             Event::ClientGone { id, ticket } => self.client_gone(&id, ticket),
-            Event::Connected { link } => self.connected(now, link, commands),
-            Event::ConnectFailed { link, lack } => self.connect_failed(link, lack),
-            Event::Begin { link, quiet } => self.begin(now, link, quiet, commands),
-            Event::Replied { link, outcome } => self.replied(now, link, outcome, commands),
-            Event::Passing { link } => self.passing(now, link, commands),
-            Event::Left { link } => self.left(link, commands),
-            Event::Whole {
+            Event::Connected { connection: link } => self.connected(now, link, commands),
+            Event::ConnectFailed {
+                connection: link,
+                local_shortage: lack,
+            } => self.connect_failed(link, lack),
+            Event::FirstByteReady {
+                connection: link,
+                quiet,
+            } => self.begin(now, link, quiet, commands),
+            Event::ResponseComplete {
+                connection: link,
+                outcome,
+            } => self.replied(now, link, outcome, commands),
+            Event::ResponseStreaming { connection: link } => self.passing(now, link, commands),
+            Event::ResponseAbandoned { connection: link } => self.left(link, commands),
+            Event::BodyComplete {
                 id,
                 ticket,
                 deadline,
             } => self.whole(now, &id, ticket, deadline),
-            Event::Upgraded { link } => self.upgraded(now, link, commands),
-            Event::Broken { link } => self.broken(now, link, commands),
-            Event::Gone { link } => self.gone(link, commands),
-            Event::Closed { link } => self.closed(now, link, commands),
-            Event::Listed { whole, entries } => self.listed(whole, entries, commands),
-            Event::Ending { answer_by } => self.ending(answer_by),
+            Event::Upgraded { connection: link } => self.upgraded(now, link, commands),
+            Event::ConnectionLost { connection: link } => self.broken(now, link, commands),
+            Event::ClosedByPeer { connection: link } => self.gone(link, commands),
+            Event::Closed { connection: link } => self.closed(now, link, commands),
+            Event::EndpointsChanged {
+                snapshot: whole,
+                endpoints: entries,
+            } => self.listed(whole, entries, commands),
+            Event::ShutdownAnnounced { answer_by } => self.ending(answer_by),
             Event::Stop => self.stop(commands),
-            Event::Tick => self.tick(now, commands),
-            Event::Tell(event) => self.pending.push_back(event),
+            Event::TimerFired => self.tick(now, commands),
+            Event::PolicyEvent(event) => self.pending.push_back(event),
         }
         self.pump(now, commands);
     }
@@ -240,7 +252,7 @@
     fn pump(&mut self, now: Micros, commands: &mut Commands<A>) {
         let mut actions = Vec::new();
         while let Some(event) = self.pending.pop_front() {
-            self.module.handle(now, event, &mut actions);
+            self.policy.handle(now, event, &mut actions);
             actions
                 .drain(..)
                 .for_each(|action| self.apply(now, action, commands));
@@ -262,13 +274,13 @@
                 let may_refuse = self.rows.get(&id).is_some_and(Row::may_be_refused);
                 let kept = may_refuse || self.bugs.planted(Bug::RefusalAfterRun);
                 let verdict = if kept {
-                    Verdict::Refused(retry_in)
+                    FinalAnswer::Rejected(retry_in)
                 } else {
-                    Verdict::Failed
+                    FinalAnswer::Failed
                 };
                 self.answer(now, &id, verdict, commands);
             }
-            Action::Fail { id } => self.answer(now, &id, Verdict::Failed, commands),
+            Action::Fail { id } => self.answer(now, &id, FinalAnswer::Failed, commands),
             Action::Cancel { id, attempt } => {
                 let out = self.rows.get(&id).and_then(|row| row.out.as_ref());
                 let passing = self.rows.get(&id).is_some_and(|row| row.passing)
@@ -277,7 +289,7 @@
                     self.give_up(&id, Outcome::Cancelled, commands);
                 }
             }
-            other => commands.push(Command::Module(other)),
+            other => commands.push(Command::ForPolicy(other)),
         }
     }
 }
--- a/crates/exchange/src/exchange/attempts.rs
+++ b/crates/exchange/src/exchange/attempts.rs
@@ -2,15 +2,20 @@
 
 use super::{Commands, Exchange};
 use crate::table::{Ran, Stage, State};
-use crate::{Bug, Bugs, Command, Invariant, LinkId, Module, Ticket, Verdict};
+use crate::{Bug, Bugs, Command, ConnectionId, FinalAnswer, Invariant, Policy, Ticket};
 use saffronpaddle_policy::interface::{
     AttemptNumber, DeduplicationScope, Event as ModuleEvent, Idempotency, Micros, Outcome,
     RequestId,
 };
 use std::hash::Hash;
 
-impl<A: Copy + Eq + Hash, M: Module, B: Bugs> Exchange<A, M, B> {
-    pub(super) fn connected(&mut self, now: Micros, link: LinkId, commands: &mut Commands<A>) {
+impl<A: Copy + Eq + Hash, M: Policy, B: Bugs> Exchange<A, M, B> {
+    pub(super) fn connected(
+        &mut self,
+        now: Micros,
+        link: ConnectionId,
+        commands: &mut Commands<A>,
+    ) {
         let Some(id) = self.on(link) else { return };
         let Some(row) = self
             .links
@@ -27,7 +32,7 @@
             return self.ended(&id, Outcome::NotSent);
         }
         commands.push(Command::Send {
-            link,
+            connection: link,
             id: id.clone(),
             server,
         });
@@ -43,7 +48,7 @@
         }
     }
 
-    pub(super) fn connect_failed(&mut self, link: LinkId, lack: bool) {
+    pub(super) fn connect_failed(&mut self, link: ConnectionId, lack: bool) {
         if self
             .links
             .get(&link)
@@ -74,7 +79,7 @@
     pub(super) fn begin(
         &mut self,
         now: Micros,
-        link: LinkId,
+        link: ConnectionId,
         quiet: bool,
         commands: &mut Commands<A>,
     ) {
@@ -111,11 +116,11 @@
                 });
             }
         }
-        commands.push(Command::Write { link });
+        commands.push(Command::Write { connection: link });
     }
 
     /// Looks at what is about to be written, from the tables alone: the guard has let it through.
-    pub(super) fn look_at_first_byte(&mut self, now: Micros, id: &RequestId, link: LinkId) {
+    pub(super) fn look_at_first_byte(&mut self, now: Micros, id: &RequestId, link: ConnectionId) {
         let (Some(row), Some(carrier)) = (self.rows.get(id), self.links.get(&link)) else {
             return;
         };
@@ -159,7 +164,7 @@
         &mut self,
         now: Micros,
         id: &RequestId,
-        link: LinkId,
+        link: ConnectionId,
         commands: &mut Commands<A>,
     ) {
         if !self.links.get(&link).is_some_and(|row| row.used) {
@@ -172,14 +177,14 @@
     pub(super) fn replied(
         &mut self,
         now: Micros,
-        link: LinkId,
+        link: ConnectionId,
         outcome: Outcome,
         commands: &mut Commands<A>,
     ) {
         let Some(id) = self.on(link) else {
             if self.bugs.planted(Bug::AnswerAfterCancel) && outcome == Outcome::Ok {
                 if let Some(id) = self.links.get(&link).and_then(|row| row.of.clone()) {
-                    self.answer(now, &id, Verdict::Served, commands);
+                    self.answer(now, &id, FinalAnswer::Served, commands);
                 }
             }
             return;
@@ -206,16 +211,16 @@
         }
         self.park(now, link, commands);
         if self.bugs.planted(Bug::DoubleRelease) {
-            commands.push(Command::Close { link });
+            commands.push(Command::Close { connection: link });
         }
         if outcome == Outcome::Ok {
-            self.answer(now, &id, Verdict::Served, commands);
+            self.answer(now, &id, FinalAnswer::Served, commands);
         }
         self.ended(&id, outcome);
     }
 
     /// The first bytes of an answer are there: it is the client's from now on, for as long as it takes.
-    pub(super) fn passing(&mut self, now: Micros, link: LinkId, commands: &mut Commands<A>) {
+    pub(super) fn passing(&mut self, now: Micros, link: ConnectionId, commands: &mut Commands<A>) {
         let Some(id) = self.on(link) else { return };
         let written = self
             .links
@@ -233,12 +238,12 @@
         if let Some(out) = row.out.as_mut() {
             (out.until, out.limit) = (Micros::MAX, Micros::MAX);
         }
-        self.answer(now, &id, Verdict::Served, commands);
+        self.answer(now, &id, FinalAnswer::Served, commands);
         self.pending.push_back(ModuleEvent::ResponseStarted { id });
     }
 
     /// The client of an answer that goes by has gone.
-    pub(super) fn left(&mut self, link: LinkId, commands: &mut Commands<A>) {
+    pub(super) fn left(&mut self, link: ConnectionId, commands: &mut Commands<A>) {
         if let Some(id) = self
             .on(link)
             .filter(|id| self.rows.get(id).is_some_and(|row| row.passing))
@@ -289,12 +294,12 @@
         {
             row.whole = true;
             self.tally.relayed += 1;
-            commands.push(Command::Release { link });
+            commands.push(Command::ReleaseBody { connection: link });
         }
     }
 
     /// The connection leaves the exchange with the answer. Whoever has it closes it, if nobody waits for the answer.
-    pub(super) fn upgraded(&mut self, now: Micros, link: LinkId, commands: &mut Commands<A>) {
+    pub(super) fn upgraded(&mut self, now: Micros, link: ConnectionId, commands: &mut Commands<A>) {
         let Some(id) = self.on(link) else { return };
         if self
             .links
@@ -304,11 +309,11 @@
             return;
         }
         self.links.remove(&link);
-        self.answer(now, &id, Verdict::Served, commands);
+        self.answer(now, &id, FinalAnswer::Served, commands);
         self.ended(&id, Outcome::Ok);
     }
 
-    pub(super) fn broken(&mut self, now: Micros, link: LinkId, commands: &mut Commands<A>) {
+    pub(super) fn broken(&mut self, now: Micros, link: ConnectionId, commands: &mut Commands<A>) {
         let Some(id) = self.on(link) else { return };
         match self.links.get(&link) {
             Some(row) if row.state == State::Queued => self.replace(now, &id, link, commands),
--- a/crates/exchange/src/exchange/checks.rs
+++ b/crates/exchange/src/exchange/checks.rs
@@ -2,18 +2,18 @@
 
 use super::Exchange;
 use crate::table::{Alarms, Stage, State};
-use crate::{Bugs, LinkId, Module};
+use crate::{Bugs, ConnectionId, Policy};
 use saffronpaddle_policy::interface::Outcome;
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
 
-impl<A: Copy + Eq + Hash, M: Module, B: Bugs> Exchange<A, M, B> {
+impl<A: Copy + Eq + Hash, M: Policy, B: Bugs> Exchange<A, M, B> {
     /// Writes all that its future hangs on into a hash, connections by their order and not by their numbers, so that
     /// two states that differ in history only are one.
     pub fn digest(&self, hasher: &mut impl Hasher) {
         let mut links: Vec<_> = self.links.keys().copied().collect();
         links.sort();
-        let rank = |link: LinkId| links.binary_search(&link).unwrap_or(usize::MAX);
+        let rank = |link: ConnectionId| links.binary_search(&link).unwrap_or(usize::MAX);
         let mut rows: Vec<_> = self.rows.iter().collect();
         rows.sort_by_key(|(id, _)| *id);
         for (id, row) in rows {
@@ -68,7 +68,7 @@
         let due = self
             .rows
             .values()
-            .all(|row| row.alarm == row.due(self.bounds.overdue));
+            .all(|row| row.alarm == row.due(self.bounds.answer_grace));
         said(due, "an alarm is not set as its row needs")?;
         let owed = self.rows.values().all(|row| row.open || row.out.is_some());
         said(owed, "a row is kept though nothing is owed")?;
@@ -80,7 +80,7 @@
             idle.collect::<BTreeSet<_>>() == self.idle,
             "the order of idle connections is not theirs",
         )?;
-        let at: BTreeSet<LinkId> = self
+        let at: BTreeSet<ConnectionId> = self
             .places
             .values()
             .flat_map(|place| place.idle.iter().copied())
@@ -93,7 +93,7 @@
         let led = self.idle.iter().all(|(_, link)| self.leads(*link));
         said(led, "a connection is kept that leads nowhere")?;
         said(
-            self.links.len() <= self.bounds.links,
+            self.links.len() <= self.bounds.max_connections,
             "there are more connections than may be",
         )
     }
--- a/crates/exchange/src/exchange/choice.rs
+++ b/crates/exchange/src/exchange/choice.rs
@@ -3,13 +3,13 @@
 use super::{Commands, Exchange};
 use crate::guard::{self, Facts};
 use crate::table::{Link, Out, Stage, State};
-use crate::{Bug, Bugs, Command, LinkId, Module, Verdict};
+use crate::{Bug, Bugs, Command, ConnectionId, FinalAnswer, Policy};
 use saffronpaddle_policy::interface::{
     DeduplicationScope, Idempotency, Micros, Outcome, RequestId, ServerId,
 };
 use std::hash::Hash;
 
-impl<A: Copy + Eq + Hash, M: Module, B: Bugs> Exchange<A, M, B> {
+impl<A: Copy + Eq + Hash, M: Policy, B: Bugs> Exchange<A, M, B> {
     /// Sends a request as the module has it, unless that would break a rule: then the attempt ends unsent at once.
     pub(super) fn send(
         &mut self,
@@ -30,8 +30,8 @@
         });
         let attempt_out = row.out.is_some() && !self.bugs.planted(Bug::TwoAttemptsOut);
         let body_gone = row.spent && !self.bugs.planted(Bug::GoneBodySentAgain);
-        if row.attempts > self.bounds.attempts {
-            return self.end(now, id, Verdict::Failed, commands);
+        if row.attempts > self.bounds.max_attempts {
+            return self.end(now, id, FinalAnswer::Failed, commands);
         }
         let facts = Facts {
             attempt_out,
@@ -41,7 +41,7 @@
         if !self.passes(&facts) {
             return self.tell_end(id, number, Outcome::NotSent, false);
         }
-        let stage = Stage::Waiting(LinkId(u64::MAX));
+        let stage = Stage::Waiting(ConnectionId(u64::MAX));
         if let Some(row) = self.rows.get_mut(id) {
             row.out = Some(Out {
                 number,
@@ -118,12 +118,12 @@
         };
         let server = out.server;
         if let Some(link) = self.take_idle(now, server, commands) {
-            self.tally.kept_used += 1;
+            self.tally.connections_reused += 1;
             if let Some(row) = self.links.get_mut(&link) {
                 (row.state, row.of) = (State::Queued, Some(id.clone()));
             }
             commands.push(Command::Send {
-                link,
+                connection: link,
                 id: id.clone(),
                 server,
             });
@@ -140,12 +140,12 @@
         } else {
             self.links.len()
         };
-        if counted >= self.bounds.links {
+        if counted >= self.bounds.max_connections {
             return self.wait(id, commands);
         }
         self.next_link += 1;
         self.tally.connects += 1;
-        let link = LinkId(self.next_link);
+        let link = ConnectionId(self.next_link);
         let of = Some(id.clone());
         let row = Link {
             server,
@@ -156,11 +156,14 @@
             of,
         };
         self.links.insert(link, row);
-        commands.push(Command::Connect { link, dial });
+        commands.push(Command::Connect {
+            connection: link,
+            address: dial,
+        });
         self.stage(
             id,
             Stage::On(link),
-            Some(now.saturating_add(self.bounds.connect_within)),
+            Some(now.saturating_add(self.bounds.connect_timeout)),
         );
     }
 
@@ -183,7 +186,7 @@
     }
 
     /// The request whose attempt is on a connection now; none once it was given up.
-    pub(super) fn on(&self, link: LinkId) -> Option<RequestId> {
+    pub(super) fn on(&self, link: ConnectionId) -> Option<RequestId> {
         let id = self.links.get(&link)?.of.as_ref()?;
         let out = self.rows.get(id)?.out.as_ref()?;
         (out.stage == Stage::On(link)).then(|| id.clone())
@@ -191,7 +194,7 @@
 
     /// Whether the attempt on a connection may still begin: its request is open and in time, and the connection leads to
     /// its server, which is ready, where that is now.
-    pub(super) fn fit(&mut self, now: Micros, id: &RequestId, link: LinkId) -> bool {
+    pub(super) fn fit(&mut self, now: Micros, id: &RequestId, link: ConnectionId) -> bool {
         let Some(row) = self.rows.get(id) else {
             return false;
         };
@@ -219,7 +222,7 @@
 
     /// Whether a connection reaches its server where that is now. Guards drains, and addresses that pass from one to
     /// another.
-    pub(super) fn leads(&self, link: LinkId) -> bool {
+    pub(super) fn leads(&self, link: ConnectionId) -> bool {
         let Some(link) = self.links.get(&link) else {
             return false;
         };
--- a/crates/exchange/src/exchange/connections.rs
+++ b/crates/exchange/src/exchange/connections.rs
@@ -2,30 +2,30 @@
 
 use super::{Commands, Exchange};
 use crate::table::{Link, Stage, State};
-use crate::{Bug, Bugs, Command, LinkId, Module};
+use crate::{Bug, Bugs, Command, ConnectionId, Policy};
 use saffronpaddle_policy::interface::{Micros, Outcome, RequestId, ServerId};
 use std::hash::Hash;
 
-impl<A: Copy + Eq + Hash, M: Module, B: Bugs> Exchange<A, M, B> {
+impl<A: Copy + Eq + Hash, M: Policy, B: Bugs> Exchange<A, M, B> {
     /// The connection to a server that came back last and has settled, so that the others may grow old.
     pub(super) fn take_idle(
         &mut self,
         now: Micros,
         server: ServerId,
         commands: &mut Commands<A>,
-    ) -> Option<LinkId> {
+    ) -> Option<ConnectionId> {
         let settle = if self.bugs.planted(Bug::NoSettling) {
             0
         } else {
-            self.bounds.settle
+            self.bounds.reuse_delay
         };
         loop {
             let place = self.places.get(&server)?;
-            let since = |link: &LinkId| match self.links.get(link)?.state {
+            let since = |link: &ConnectionId| match self.links.get(link)?.state {
                 State::Idle(since) => Some(since),
                 _ => None,
             };
-            let settled = |link: &&LinkId| {
+            let settled = |link: &&ConnectionId| {
                 since(link).is_none_or(|since| now >= since.saturating_add(settle))
             };
             let link = *place.idle.iter().rev().find(settled)?;
@@ -38,7 +38,7 @@
     }
 
     /// Takes an idle connection out of the order.
-    pub(super) fn unpark(&mut self, link: LinkId) {
+    pub(super) fn unpark(&mut self, link: ConnectionId) {
         let Some(row) = self.links.get(&link) else {
             return;
         };
@@ -51,9 +51,9 @@
     }
 
     /// Keeps a connection that is free again, if it is of use.
-    pub(super) fn park(&mut self, now: Micros, link: LinkId, commands: &mut Commands<A>) {
+    pub(super) fn park(&mut self, now: Micros, link: ConnectionId, commands: &mut Commands<A>) {
         let fits = self.leads(link) && (!self.stopped || self.bugs.planted(Bug::KeptAfterStop));
-        let most = self.bounds.idle_at_one;
+        let most = self.bounds.max_idle_per_server;
         let Some(row) = self.links.get_mut(&link) else {
             return;
         };
@@ -68,7 +68,7 @@
         }
     }
 
-    pub(super) fn close(&mut self, link: LinkId, commands: &mut Commands<A>) {
+    pub(super) fn close(&mut self, link: ConnectionId, commands: &mut Commands<A>) {
         self.unpark(link);
         let Some(row) = self
             .links
@@ -78,18 +78,23 @@
             return;
         };
         (row.state, row.of) = (State::Closing, None);
-        commands.push(Command::Close { link });
+        commands.push(Command::Close { connection: link });
     }
 
     /// The same for a request whose attempt waits until it is closed.
-    pub(super) fn close_for(&mut self, link: LinkId, id: &RequestId, commands: &mut Commands<A>) {
+    pub(super) fn close_for(
+        &mut self,
+        link: ConnectionId,
+        id: &RequestId,
+        commands: &mut Commands<A>,
+    ) {
         self.close(link, commands);
         if let Some(row) = self.links.get_mut(&link) {
             row.of = Some(id.clone());
         }
     }
 
-    pub(super) fn gone(&mut self, link: LinkId, commands: &mut Commands<A>) {
+    pub(super) fn gone(&mut self, link: ConnectionId, commands: &mut Commands<A>) {
         match self.links.get_mut(&link) {
             Some(row) if matches!(row.state, State::Idle(_)) => self.close(link, commands),
             // What came of the exchange is told by itself.
@@ -98,7 +103,7 @@
         }
     }
 
-    pub(super) fn closed(&mut self, now: Micros, link: LinkId, commands: &mut Commands<A>) {
+    pub(super) fn closed(&mut self, now: Micros, link: ConnectionId, commands: &mut Commands<A>) {
         if self
             .links
             .get(&link)
--- a/crates/exchange/src/exchange/requests.rs
+++ b/crates/exchange/src/exchange/requests.rs
@@ -2,14 +2,14 @@
 
 use super::{end_of, Commands, Exchange, LATE};
 use crate::table::Row;
-use crate::{Bug, Bugs, Command, Invariant, Module, Ticket, Verdict};
-use saffronpaddle_admin::End;
+use crate::{Bug, Bugs, Command, FinalAnswer, Invariant, Policy, Ticket};
+use saffronpaddle_admin::RequestEnd;
 use saffronpaddle_policy::interface::{
     DeduplicationScope, Event as ModuleEvent, Idempotency, Micros, RequestId,
 };
 use std::hash::Hash;
 
-impl<A: Copy + Eq + Hash, M: Module, B: Bugs> Exchange<A, M, B> {
+impl<A: Copy + Eq + Hash, M: Policy, B: Bugs> Exchange<A, M, B> {
     pub(super) fn asked(
         &mut self,
         now: Micros,
@@ -28,7 +28,7 @@
         else {
             return;
         };
-        if self.knows(id) {
+        if self.contains(id) {
             return;
         }
         *patience = (*patience).min(self.answer_by.saturating_sub(now));
@@ -38,10 +38,10 @@
         self.tally.taken(class);
         if now >= self.answer_by {
             // The process has no time left for it. Nothing of it has been sent, so that trying again is harmless.
-            self.tally.ended(class, End::Throttled);
+            self.tally.ended(class, RequestEnd::Throttled);
             return commands.push(Command::Answer {
                 id: id.clone(),
-                verdict: Verdict::Refused(None),
+                answer: FinalAnswer::Rejected(None),
             });
         }
         let mut row = Row {
@@ -81,7 +81,7 @@
         };
         row.open = false;
         if !answered {
-            self.tally.ended(row.class, End::Gone);
+            self.tally.ended(row.class, RequestEnd::Gone);
         }
         if self.bugs.planted(Bug::EndNeverTold) {
             self.rows.remove(id);
@@ -97,14 +97,14 @@
         &mut self,
         now: Micros,
         id: &RequestId,
-        verdict: Verdict,
+        verdict: FinalAnswer,
         commands: &mut Commands<A>,
     ) {
         let Some(row) = self.rows.get_mut(id).filter(|row| row.open) else {
             return;
         };
         self.violations.check(
-            row.is_in_time(now, self.bounds.overdue),
+            row.is_in_time(now, self.bounds.answer_grace),
             Invariant::AnsweredInTime,
             id,
         );
@@ -112,7 +112,7 @@
         self.tally.ended(row.class, end_of(verdict));
         commands.push(Command::Answer {
             id: id.clone(),
-            verdict,
+            answer: verdict,
         });
         self.settle_row(id);
     }
@@ -122,12 +122,12 @@
         &mut self,
         now: Micros,
         id: &RequestId,
-        verdict: Verdict,
+        verdict: FinalAnswer,
         commands: &mut Commands<A>,
     ) {
         if let Some(row) = self.rows.get(id).filter(|row| row.open) {
             self.violations.check(
-                row.is_in_time(now, self.bounds.overdue),
+                row.is_in_time(now, self.bounds.answer_grace),
                 Invariant::AnsweredInTime,
                 id,
             );
@@ -135,7 +135,7 @@
         }
         commands.push(Command::Answer {
             id: id.clone(),
-            verdict,
+            answer: verdict,
         });
         self.abandon(id, true);
     }
@@ -161,7 +161,7 @@
         let Some(row) = self.rows.get_mut(id) else {
             return;
         };
-        let due = row.due(self.bounds.overdue);
+        let due = row.due(self.bounds.answer_grace);
         if row.alarm == due {
             return;
         }
--- a/crates/exchange/src/exchange/servers.rs
+++ b/crates/exchange/src/exchange/servers.rs
@@ -2,14 +2,14 @@
 
 use super::{Commands, Exchange};
 use crate::table::{Place, State};
-use crate::{Bug, Bugs, LinkId, Module};
+use crate::{Bug, Bugs, ConnectionId, Policy};
 use saffronpaddle_policy::interface::{
     Endpoint, EndpointStatus, EndpointUpdate, Event as ModuleEvent, Outcome, RequestId, ServerId,
 };
 use std::collections::BTreeSet;
 use std::hash::Hash;
 
-impl<A: Copy + Eq + Hash, M: Module, B: Bugs> Exchange<A, M, B> {
+impl<A: Copy + Eq + Hash, M: Policy, B: Bugs> Exchange<A, M, B> {
     /// Follows the list. Who is gone, or not on a whole list, and who moved, loses its idle connections and those that
     /// are being made.
     pub(super) fn listed(
@@ -73,7 +73,7 @@
             let made = self.links.iter().filter(|(link, row)| {
                 row.state == State::Connecting && lost.contains(&row.server) && !self.leads(**link)
             });
-            let mut made: Vec<LinkId> = made.map(|(link, _)| *link).collect();
+            let mut made: Vec<ConnectionId> = made.map(|(link, _)| *link).collect();
             made.sort();
             let made: Vec<RequestId> = made.into_iter().filter_map(|link| self.on(link)).collect();
             made.iter()
--- a/crates/exchange/src/exchange/time.rs
+++ b/crates/exchange/src/exchange/time.rs
@@ -1,11 +1,11 @@
 //! What time alone brings about: deadlines, time-outs, idle limits and the end of the process.
 
 use super::{Commands, Exchange};
-use crate::{Bug, Bugs, LinkId, Module, Verdict};
+use crate::{Bug, Bugs, ConnectionId, FinalAnswer, Policy};
 use saffronpaddle_policy::interface::{Micros, Outcome, RequestId};
 use std::hash::Hash;
 
-impl<A: Copy + Eq + Hash, M: Module, B: Bugs> Exchange<A, M, B> {
+impl<A: Copy + Eq + Hash, M: Policy, B: Bugs> Exchange<A, M, B> {
     /// Gives all that is open, and all that comes, no more time than the process has.
     pub(super) fn ending(&mut self, answer_by: Micros) {
         self.answer_by = self.answer_by.min(answer_by);
@@ -31,7 +31,7 @@
         if self.bugs.planted(Bug::KeptAfterStop) {
             return;
         }
-        let idle: Vec<LinkId> = self.idle.iter().map(|(_, link)| *link).collect();
+        let idle: Vec<ConnectionId> = self.idle.iter().map(|(_, link)| *link).collect();
         idle.into_iter().for_each(|link| self.close(link, commands));
     }
 
@@ -43,18 +43,18 @@
         }
         let late = |id: &RequestId| {
             let row = self.rows.get(id)?;
-            let over = now >= row.answered_by(self.bounds.overdue);
+            let over = now >= row.answered_by(self.bounds.answer_grace);
             let refused = row.cut_short && row.open && row.may_be_refused();
             let verdict = if refused {
-                Verdict::Refused(None)
+                FinalAnswer::Rejected(None)
             } else {
-                Verdict::Failed
+                FinalAnswer::Failed
             };
             let wanted = row.open || self.bugs.planted(Bug::DeadlineRacedByReply);
             (over && wanted).then(|| (id.clone(), verdict))
         };
         let due = self.alarms.iter().take_while(|(at, _)| *at <= now);
-        let due: Vec<(RequestId, Verdict)> = due.filter_map(|(_, id)| late(id)).collect();
+        let due: Vec<(RequestId, FinalAnswer)> = due.filter_map(|(_, id)| late(id)).collect();
         due.iter()
             .for_each(|(id, verdict)| self.end(now, id, *verdict, commands));
     }
--- a/crates/exchange/src/invariants.rs
+++ b/crates/exchange/src/invariants.rs
@@ -24,7 +24,7 @@
 
 /// How many there are.
 const COUNT: usize = 6;
-/// Violations that are kept until they are taken to be told. Bounds the memory; all are counted.
+/// Violations that are kept until they are taken to be told. Limits the memory; all are counted.
 const KEPT_MOST: usize = 16;
 
 impl Invariant {
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! [`Exchange`] owns what a front (the HTTP/1.1 one today) and the links to app servers have in common: which requests
 //! are open, which attempt of each is out, on which connection, until when, and which connections stand idle. It asks a
-//! [`Module`] which server, whether to try again and what to turn away, and does not trust it: what would break a rule
+//! [`Policy`] which server, whether to try again and what to turn away, and does not trust it: what would break a rule
 //! is not done, whatever the module says. The shell carries out [`Command`]s and tells what happened as [`Event`]s;
 //! `saffronpaddle-model-checker` does the same in a small world and visits all of its states.
 //!
@@ -29,12 +29,12 @@
 };
 
 /// Decides which server, whether to try again and what to turn away.
-pub trait Module {
+pub trait Policy {
     /// Takes an event in and adds what is to be done, in its order.
     fn handle(&mut self, now: Micros, event: ModuleEvent, actions: &mut Vec<Action>);
 }
 
-impl Module for saffronpaddle_policy::PolicyEngine {
+impl Policy for saffronpaddle_policy::PolicyEngine {
     fn handle(&mut self, now: Micros, event: ModuleEvent, actions: &mut Vec<Action>) {
         saffronpaddle_policy::PolicyEngine::handle(self, now, event, actions);
     }
@@ -42,7 +42,7 @@
 
 /// A connection to an app server, from the command to connect until it is closed. Numbers are never used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct LinkId(pub u64);
+pub struct ConnectionId(pub u64);
 
 /// One taking of a request. Ids come from clients, who may use one again; tickets are never used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -50,24 +50,24 @@
 
 /// What binds an exchange.
 #[derive(Clone, Debug)]
-pub struct Bounds {
+pub struct Limits {
     /// Connections to app servers that may be open together, those that are being made or closed among them. Guards
     /// against running out of descriptors.
-    pub links: usize,
+    pub max_connections: usize,
     /// Idle connections that are kept at one server.
-    pub idle_at_one: usize,
+    pub max_idle_per_server: usize,
     /// How long a connection may stand idle, µs. Guards against a request written to a connection that the server is
     /// closing: it would end as a reset, which may have run.
     pub idle_for: Micros,
     /// How long a connection stands after an answer before it is used again, µs. Guards against what comes right behind
     /// an answer: a second copy that arrives just after the next request was written would pass for its answer.
-    pub settle: Micros,
+    pub reuse_delay: Micros,
     /// How long a connection may take to come up, µs.
-    pub connect_within: Micros,
+    pub connect_timeout: Micros,
     /// How much later than its deadline a request that the module forgot fails here, µs.
-    pub overdue: Micros,
+    pub answer_grace: Micros,
     /// Attempts of one request. Guards against a module that sends for ever what is never sent.
-    pub attempts: u32,
+    pub max_attempts: u32,
 }
 
 /// Idle connections that a node keeps at one server.
@@ -81,18 +81,18 @@
 /// Attempts of one request of a node.
 const ATTEMPTS_MOST: u32 = 256;
 
-impl Bounds {
+impl Limits {
     /// The bounds of a node that may have so many connections to app servers, which close one that has stood idle for
     /// `conn_idle` µs.
-    pub fn usual(links: usize, conn_idle: Micros, connect_within: Micros) -> Bounds {
-        Bounds {
-            links,
-            idle_at_one: IDLE_AT_ONE,
+    pub fn for_node(links: usize, conn_idle: Micros, connect_within: Micros) -> Limits {
+        Limits {
+            max_connections: links,
+            max_idle_per_server: IDLE_AT_ONE,
             idle_for: (conn_idle as f64 * IDLE_SHARE) as Micros,
-            settle: SETTLE,
-            connect_within,
-            overdue: OVERDUE,
-            attempts: ATTEMPTS_MOST,
+            reuse_delay: SETTLE,
+            connect_timeout: connect_within,
+            answer_grace: OVERDUE,
+            max_attempts: ATTEMPTS_MOST,
         }
     }
 }
@@ -102,13 +102,13 @@
 pub enum Event<A> {
     /// A request has come whole, its head read and found good. One whose id is in use is passed over: ask
     /// [`Exchange::knows`] first.
-    Asked {
+    RequestReceived {
         /// What it may do.
         effect: Idempotency,
         /// When its client stops waiting.
         deadline: Micros,
         /// What the module is told: a [`ModuleEvent::Request`].
-        tell: ModuleEvent,
+        policy_event: ModuleEvent,
     },
     /// Nobody waits for the answer any more.
     ClientGone {
@@ -120,42 +120,42 @@
     /// A connection has come up.
     Connected {
         /// Which.
-        link: LinkId,
+        connection: ConnectionId,
     },
     /// A connection could not be made; nothing is left of it.
     ConnectFailed {
         /// Which.
-        link: LinkId,
+        connection: ConnectionId,
         /// This process lacked something (descriptors, ports, memory): the server is not to blame.
-        lack: bool,
+        local_shortage: bool,
     },
     /// The first byte of the request is about to be written.
-    Begin {
+    FirstByteReady {
         /// On which connection.
-        link: LinkId,
+        connection: ConnectionId,
         /// Nothing has come on it since the last answer, not even an end.
         quiet: bool,
     },
     /// An answer has come whole.
-    Replied {
+    ResponseComplete {
         /// On which connection.
-        link: LinkId,
+        connection: ConnectionId,
         /// What it says.
         outcome: Outcome,
     },
     /// An answer has begun to come that goes on to its client as it comes: that is the request's final answer. The attempt is
     /// out until `Replied`, `Broken` or `Left`.
-    Passing {
+    ResponseStreaming {
         /// On which connection.
-        link: LinkId,
+        connection: ConnectionId,
     },
     /// Nobody takes the rest of an answer that goes on as it comes.
-    Left {
+    ResponseAbandoned {
         /// On which connection.
-        link: LinkId,
+        connection: ConnectionId,
     },
     /// The last byte of a request that did not come whole has come; it is held back.
-    Whole {
+    BodyComplete {
         /// The request.
         id: RequestId,
         /// Which taking of it.
@@ -166,42 +166,42 @@
     /// An answer has come that makes the connection a socket: it is the client's now, and no longer the exchange's.
     Upgraded {
         /// Which.
-        link: LinkId,
+        connection: ConnectionId,
     },
     /// The exchange on a connection came to nothing: it broke, or what came is no answer to the request.
-    Broken {
+    ConnectionLost {
         /// Which.
-        link: LinkId,
+        connection: ConnectionId,
     },
     /// The other side has ended the connection, or said something unasked.
-    Gone {
+    ClosedByPeer {
         /// Which.
-        link: LinkId,
+        connection: ConnectionId,
     },
     /// A connection that was to be closed is closed.
     Closed {
         /// Which.
-        link: LinkId,
+        connection: ConnectionId,
     },
     /// News of the list of servers, with the address of each.
-    Listed {
+    EndpointsChanged {
         /// The whole list; who is not on it is gone.
-        whole: bool,
+        snapshot: bool,
         /// The entries.
-        entries: Vec<(Endpoint, A)>,
+        endpoints: Vec<(Endpoint, A)>,
     },
     /// The process was told to stop: all that it has taken, and all that it takes from now on, is answered by then, whatever
     /// time the clients have left.
-    Ending {
+    ShutdownAnnounced {
         /// When.
         answer_by: Micros,
     },
     /// The node leaves: idle connections are closed, and none is kept any more. What is open goes on.
     Stop,
     /// The time of [`Exchange::next_alarm`] has come.
-    Tick,
+    TimerFired,
     /// Something for the module alone.
-    Tell(ModuleEvent),
+    PolicyEvent(ModuleEvent),
 }
 
 /// What is to be done.
@@ -210,15 +210,15 @@
     /// Make a connection. [`Event::Connected`] or [`Event::ConnectFailed`] follows, or, after a close, `Closed` alone.
     Connect {
         /// By this number.
-        link: LinkId,
+        connection: ConnectionId,
         /// To whom.
-        dial: A,
+        address: A,
     },
     /// Get the request ready on a connection. [`Event::Begin`] follows before its first byte, `Replied` or `Broken` at
     /// its end; after a close, `Closed` alone.
     Send {
         /// On which connection.
-        link: LinkId,
+        connection: ConnectionId,
         /// Which request.
         id: RequestId,
         /// To whom.
@@ -227,36 +227,36 @@
     /// The first byte may be written, now.
     Write {
         /// On which connection.
-        link: LinkId,
+        connection: ConnectionId,
     },
     /// The last piece of a request's body may be written, now.
-    Release {
+    ReleaseBody {
         /// On which connection.
-        link: LinkId,
+        connection: ConnectionId,
     },
     /// Close a connection, whatever is on it. [`Event::Closed`] follows.
     Close {
         /// Which.
-        link: LinkId,
+        connection: ConnectionId,
     },
     /// Give the client its final answer.
     Answer {
         /// The request.
         id: RequestId,
         /// Which.
-        verdict: Verdict,
+        answer: FinalAnswer,
     },
     /// Something that the module asks for and that is none of the exchange's.
-    Module(Action),
+    ForPolicy(Action),
 }
 
 /// A final answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Verdict {
+pub enum FinalAnswer {
     /// What the server answered; it came with the [`Event::Replied`], [`Event::Passing`] or [`Event::Upgraded`] that is being handled.
     Served,
     /// Refused, and trying again is harmless; come back after so many µs.
-    Refused(Option<Micros>),
+    Rejected(Option<Micros>),
     /// Failed, with no promise.
     Failed,
 }
--- a/crates/exchange/src/open.rs
+++ b/crates/exchange/src/open.rs
@@ -1,7 +1,7 @@
 //! What is told of requests that have no final answer yet.
 
 use crate::table::{Row, Stage, State};
-use crate::LinkId;
+use crate::ConnectionId;
 use saffronpaddle_policy::interface::{Micros, RequestId, ServerId};
 use std::fmt;
 
@@ -39,7 +39,7 @@
 
 impl WaitsFor {
     /// What a row waits for; `state` is that of the connection that its attempt is on.
-    pub(crate) fn of(row: &Row, state: impl Fn(LinkId) -> Option<State>) -> WaitsFor {
+    pub(crate) fn of(row: &Row, state: impl Fn(ConnectionId) -> Option<State>) -> WaitsFor {
         let Some(out) = &row.out else {
             return WaitsFor::Decision;
         };
--- a/crates/exchange/src/table.rs
+++ b/crates/exchange/src/table.rs
@@ -1,6 +1,6 @@
 //! What an exchange keeps of requests, attempts, connections and servers.
 
-use crate::{LinkId, Ticket};
+use crate::{ConnectionId, Ticket};
 use saffronpaddle_policy::interface::{
     DeduplicationDomainId, Idempotency, Micros, Outcome, RequestId, ServerId, ZoneId,
 };
@@ -88,11 +88,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Stage {
     /// Waits until this connection, which carries something else's end, is closed.
-    Waiting(LinkId),
+    Waiting(ConnectionId),
     /// On this connection, which is made, has the request, or is written to.
-    On(LinkId),
+    On(ConnectionId),
     /// Ends so when this connection is closed.
-    Ending(LinkId, Outcome),
+    Ending(ConnectionId, Outcome),
 }
 
 #[derive(Clone, Debug)]
@@ -126,7 +126,7 @@
     pub zone: ZoneId,
     pub cell: DeduplicationDomainId,
     /// Connections that stand idle there, in the order in which they came back.
-    pub idle: Vec<LinkId>,
+    pub idle: Vec<ConnectionId>,
 }
 
 /// Who is to be looked at when.
--- a/crates/fleet-harness/src/virtually/lists.rs
+++ b/crates/fleet-harness/src/virtually/lists.rs
@@ -3,7 +3,7 @@
 
 use super::{Virtual, START, WAY};
 use crate::scenario::{Scenario, GROUP};
-use saffronpaddle_endpoints::{Doubt, Pace, Terms};
+use saffronpaddle_endpoints::{EmptyListProtection, PollBackoff, PollLimits};
 use saffronpaddle_policy::interface::{
     DeduplicationDomainId, Endpoint, EndpointStatus, EndpointUpdate, Micros, ServerId, ZoneId,
 };
@@ -157,20 +157,22 @@
     /// The number of the call that is out or answered, and whether it was answered.
     call: u64,
     watches: bool,
-    pace: Pace,
-    doubt: Doubt,
+    pace: PollBackoff,
+    doubt: EmptyListProtection,
 }
 
 impl Follower {
-    pub fn new(nodes: u32, terms: Option<&Terms>) -> Follower {
+    pub fn new(nodes: u32, terms: Option<&PollLimits>) -> Follower {
         // Without terms the address is the agent of the node's machine.
-        let pace = terms.map_or_else(Pace::agent, |terms| Pace::within(nodes, terms));
+        let pace = terms.map_or_else(PollBackoff::for_agent, |terms| {
+            PollBackoff::with_limits(nodes, terms)
+        });
         Follower {
             seq: None,
             call: 0,
             watches: false,
             pace,
-            doubt: Doubt::default(),
+            doubt: EmptyListProtection::default(),
         }
     }
 }
@@ -263,8 +265,12 @@
             Comes::Sign(of) if of == call && self.nodes[at].follower.watches => {
                 // A list in doubt is asked for again when it is to be settled.
                 let terms = self.terms.as_ref();
-                let doubt = terms
-                    .and_then(|terms| self.nodes[at].follower.doubt.asks_again(terms.empty_after));
+                let doubt = terms.and_then(|terms| {
+                    self.nodes[at]
+                        .follower
+                        .doubt
+                        .poll_again_after(terms.empty_after)
+                });
                 let settled = doubt.is_some_and(|at| at <= self.since());
                 if !self.hears_list(at) || settled {
                     let after = if settled {
@@ -284,9 +290,9 @@
                 let follower = &mut self.nodes[at].follower;
                 follower.call += 1;
                 let pause = match after {
-                    Some(after) => follower.pace.told(after, draw),
-                    None if watched => follower.pace.ended(draw),
-                    None => follower.pace.pause(draw),
+                    Some(after) => follower.pace.after_response(after, draw),
+                    None if watched => follower.pace.after_watch_end(draw),
+                    None => follower.pace.after_failure(draw),
                 };
                 self.list_later(at, pause.as_micros() as Micros, Comes::Call);
             }
@@ -357,7 +363,7 @@
         }
         if let Some(terms) = self.terms.as_ref().filter(|_| whole) {
             let known = self.nodes[at].gateway.endpoint_counts().0;
-            if !self.nodes[at].follower.doubt.believes(
+            if !self.nodes[at].follower.doubt.accepts(
                 since,
                 entries.len(),
                 known,
--- a/crates/fleet-harness/src/virtually/mod.rs
+++ b/crates/fleet-harness/src/virtually/mod.rs
@@ -13,7 +13,7 @@
 use crate::windows;
 use anyhow::{ensure, Result};
 use lists::{Follower, Service};
-use saffronpaddle_endpoints::Terms;
+use saffronpaddle_endpoints::PollLimits;
 use saffronpaddle_operator_config::Operator;
 use saffronpaddle_policy::interface::{
     Action, AttemptNumber, ClassId, CustomerId, Endpoint, EndpointUpdate, Event, Micros, NodeId,
@@ -137,7 +137,7 @@
     scenario: Scenario,
     fleet: Fleet,
     customers: Vec<Customer>,
-    terms: Option<Terms>,
+    terms: Option<PollLimits>,
     seed: u64,
     random: fastrand::Rng,
     now: Micros,
--- a/crates/hollow/src/audit.rs
+++ b/crates/hollow/src/audit.rs
@@ -3,7 +3,7 @@
 //! Danger that it guards against: rules that hold at a few processes and are broken by hundreds of nodes beside them, unseen, as
 //! sums count no request and no server. Off unless a process is told otherwise ([`Trial`]): a measurement pays for none of it.
 
-use saffronpaddle_exchange::{LinkId, Verdict};
+use saffronpaddle_exchange::{ConnectionId, FinalAnswer};
 use saffronpaddle_node::config::{Health, List};
 use saffronpaddle_policy::interface::{Micros, RequestId, ServerId, SlowStartRules};
 use serde::{Deserialize, Serialize};
@@ -101,7 +101,7 @@
     seq: u64,
     /// Versions that each node has acted on in its present life, and when.
     told: HashMap<u32, Vec<(u64, Micros)>>,
-    on: HashMap<(u32, LinkId), On>,
+    on: HashMap<(u32, ConnectionId), On>,
 }
 
 impl Audit {
@@ -192,7 +192,7 @@
     }
 
     /// An attempt is to go out on a connection.
-    pub fn sends(&mut self, me: u32, link: LinkId, id: &RequestId, server: ServerId) {
+    pub fn sends(&mut self, me: u32, link: ConnectionId, id: &RequestId, server: ServerId) {
         if self.trial.audit {
             self.on.insert(
                 (me, link),
@@ -209,7 +209,7 @@
     pub fn written(
         &mut self,
         now: Micros,
-        (me, link): (u32, LinkId),
+        (me, link): (u32, ConnectionId),
         work: Micros,
     ) -> Option<Micros> {
         let on = self.on.get(&(me, link));
@@ -242,25 +242,25 @@
     }
 
     /// An attempt was answered.
-    pub fn over(&mut self, now: Micros, me: u32, link: LinkId) {
+    pub fn over(&mut self, now: Micros, me: u32, link: ConnectionId) {
         if let Some(On { id, .. }) = self.on.remove(&(me, link)) {
             self.note(now, Note::Over(id.0.to_string()));
         }
     }
 
     /// A connection is closed, whatever was on it.
-    pub fn closed(&mut self, now: Micros, me: u32, link: LinkId) {
+    pub fn closed(&mut self, now: Micros, me: u32, link: ConnectionId) {
         if let Some(On { id, .. }) = self.on.remove(&(me, link)) {
             self.note(now, Note::Closed(id.0.to_string()));
         }
     }
 
     /// A final answer was given.
-    pub fn answered(&mut self, now: Micros, id: &RequestId, verdict: Verdict) {
+    pub fn answered(&mut self, now: Micros, id: &RequestId, verdict: FinalAnswer) {
         let kind = match verdict {
-            Verdict::Served => 0,
-            Verdict::Refused(_) => 1,
-            Verdict::Failed => 2,
+            FinalAnswer::Served => 0,
+            FinalAnswer::Rejected(_) => 1,
+            FinalAnswer::Failed => 2,
         };
         self.note(now, Note::Answered(id.0.to_string(), kind));
     }
--- a/crates/hollow/src/list.rs
+++ b/crates/hollow/src/list.rs
@@ -10,7 +10,7 @@
 use hyper::header::HOST;
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use saffronpaddle_endpoints::{Hedged, Objects, Pace};
+use saffronpaddle_endpoints::{HedgedPolls, JsonObjects, PollBackoff};
 use saffronpaddle_node::config::List;
 use saffronpaddle_policy::interface::DiscoveryMode;
 use std::net::SocketAddr;
@@ -41,8 +41,8 @@
 /// Follows the list for ever.
 pub async fn follow(shard: Rc<Shard>, node: Rc<Node>) {
     let mut pace = match node.discovery {
-        DiscoveryMode::Pushed => Pace::agent(),
-        DiscoveryMode::Subscribed => Pace::of(shard.spec.gateways),
+        DiscoveryMode::Pushed => PollBackoff::for_agent(),
+        DiscoveryMode::Subscribed => PollBackoff::for_fleet(shard.spec.gateways),
     };
     let mut seq = None;
     loop {
@@ -51,9 +51,9 @@
             shard.complain(&error);
         }
         let pause = if opened {
-            pace.ended(fastrand::f64())
+            pace.after_watch_end(fastrand::f64())
         } else {
-            pace.pause(fastrand::f64())
+            pace.after_failure(fastrand::f64())
         };
         sleep(pause).await;
     }
@@ -84,7 +84,7 @@
 }
 
 /// Calls again and again while earlier calls are still open, until one is answered with a watch.
-async fn soonest(shard: &Shard, path: &str, hedged: Hedged) -> Watch {
+async fn soonest(shard: &Shard, path: &str, hedged: HedgedPolls) -> Watch {
     let mut calls = JoinSet::new();
     loop {
         shard.figures.borrow_mut().list.0 += 1;
@@ -108,7 +108,7 @@
     shard: &Rc<Shard>,
     node: &Rc<Node>,
     (seq, opened): (&mut Option<u64>, &mut bool),
-    hedged: Option<Hedged>,
+    hedged: Option<HedgedPolls>,
 ) -> Result<()> {
     let from = seq.map_or(String::new(), |seq| format!("&from={seq}"));
     let path = format!("/api/targets?watch=1{from}");
@@ -119,7 +119,7 @@
         call(shard.spec.list, path, SILENT_FOR).await?
     };
     *opened = true;
-    let mut lists = Objects::new(LIST_MOST);
+    let mut lists = JsonObjects::new(LIST_MOST);
     loop {
         let frame = timeout(SILENT_FOR, watch.body.frame())
             .await
--- a/crates/hollow/src/node.rs
+++ b/crates/hollow/src/node.rs
@@ -1,6 +1,6 @@
 //! One hollow node: the exchange with the decision module inside, and what is kept beside them.
 
-use saffronpaddle_exchange::{Bounds, Exchange, LinkId};
+use saffronpaddle_exchange::{ConnectionId, Exchange, Limits};
 use saffronpaddle_node::peers::Peers;
 use saffronpaddle_policy::interface::{DiscoveryMode, Micros, NodeId, RequestId, Settings};
 use saffronpaddle_policy::PolicyEngine;
@@ -35,7 +35,7 @@
     pub alarm: Cell<Micros>,
     pub tries: RefCell<HashMap<RequestId, Try>>,
     /// The request that is on a connection.
-    pub on: RefCell<HashMap<LinkId, RequestId>>,
+    pub on: RefCell<HashMap<ConnectionId, RequestId>>,
     /// When its first list was acted on.
     pub listed: Cell<Option<Micros>>,
     pub tasks: RefCell<Vec<JoinHandle<()>>>,
@@ -45,7 +45,7 @@
     pub fn new(
         (place, life): (usize, u32),
         settings: Settings,
-        bounds: Bounds,
+        bounds: Limits,
         peers: Peers,
         (seed, now): (u64, Micros),
     ) -> anyhow::Result<Rc<Node>> {
--- a/crates/hollow/src/shard.rs
+++ b/crates/hollow/src/shard.rs
@@ -22,8 +22,8 @@
 use crate::tenants::{Drawn, Tenants};
 use anyhow::{Context, Result};
 use nix::time::{clock_gettime, ClockId};
-use saffronpaddle_endpoints::Entry;
-use saffronpaddle_exchange::{Bounds, Command, Event, LinkId, Verdict};
+use saffronpaddle_endpoints::EndpointRecord;
+use saffronpaddle_exchange::{Command, ConnectionId, Event, FinalAnswer, Limits};
 use saffronpaddle_node::config::{List, PeerAddresses};
 use saffronpaddle_node::listed::{server_entry, server_id};
 use saffronpaddle_node::peers::Peers;
@@ -337,7 +337,7 @@
             all: None,
         };
         let peers = Peers::bind(addresses, settings.node, false).await?;
-        let bounds = Bounds::usual(self.spec.links, settings.server_idle_timeout, 250_000);
+        let bounds = Limits::for_node(self.spec.links, settings.server_idle_timeout, 250_000);
         let seed = self.spec.seed ^ u64::from(me) << 20 ^ u64::from(life);
         Node::new((place, life), settings, bounds, peers, (seed, self.now()))
     }
@@ -345,7 +345,7 @@
     fn starts(self: &Rc<Self>, node: &Rc<Node>) {
         self.happened(
             node,
-            Event::Tell(ModuleEvent::EndpointsUnavailable),
+            Event::PolicyEvent(ModuleEvent::EndpointsUnavailable),
             Why::Wake,
         );
         let words = tokio::task::spawn_local(hear(Rc::clone(self), Rc::clone(node)));
@@ -461,12 +461,15 @@
             What::Wake(token) => {
                 self.happened(
                     &node,
-                    Event::Tell(ModuleEvent::TimerFired { token }),
+                    Event::PolicyEvent(ModuleEvent::TimerFired { token }),
                     Why::Wake,
                 );
             }
             What::Happens(event) => {
-                if let Event::Replied { link, .. } = &event {
+                if let Event::ResponseComplete {
+                    connection: link, ..
+                } = &event
+                {
                     self.audit.borrow_mut().over(self.now(), node.me.0, *link);
                 }
                 self.happened(&node, event, Why::Request);
@@ -474,7 +477,7 @@
             What::Alarm => {
                 if node.alarm.get() == due.at {
                     node.alarm.set(Micros::MAX);
-                    self.happened(&node, Event::Tick, Why::Request);
+                    self.happened(&node, Event::TimerFired, Why::Request);
                 }
             }
             What::Try => self.tried(&node, due.at),
@@ -514,29 +517,41 @@
         events: &mut VecDeque<Event<SocketAddr>>,
     ) {
         match command {
-            Command::Connect { link, .. } => {
+            Command::Connect {
+                connection: link, ..
+            } => {
                 self.figures.borrow_mut().connects += 1;
                 self.later(
                     node,
                     now + HANDSHAKE,
-                    What::Happens(Event::Connected { link }),
+                    What::Happens(Event::Connected { connection: link }),
                 );
             }
-            Command::Send { link, id, server } => {
+            Command::Send {
+                connection: link,
+                id,
+                server,
+            } => {
                 self.audit.borrow_mut().sends(node.me.0, link, &id, server);
                 node.on.borrow_mut().insert(link, id);
-                events.push_back(Event::Begin { link, quiet: true });
+                events.push_back(Event::FirstByteReady {
+                    connection: link,
+                    quiet: true,
+                });
             }
-            Command::Write { link } => self.works(node, now, link),
-            Command::Close { link } => {
+            Command::Write { connection: link } => self.works(node, now, link),
+            Command::Close { connection: link } => {
                 node.on.borrow_mut().remove(&link);
                 self.audit.borrow_mut().closed(now, node.me.0, link);
-                events.push_back(Event::Closed { link });
+                events.push_back(Event::Closed { connection: link });
             }
-            Command::Answer { id, verdict } => self.answered(node, now, &id, verdict),
-            Command::Module(action) => self.act(node, now, action),
+            Command::Answer {
+                id,
+                answer: verdict,
+            } => self.answered(node, now, &id, verdict),
+            Command::ForPolicy(action) => self.act(node, now, action),
             // Tries come whole.
-            Command::Release { .. } => {}
+            Command::ReleaseBody { .. } => {}
         }
     }
 
@@ -586,13 +601,13 @@
         self.audit
             .borrow_mut()
             .listed(self.now(), node.me.0, list, server_id);
-        let entry = |host| server_entry(&Entry::from(host), &self.spec.zones);
+        let entry = |host| server_entry(&EndpointRecord::from(host), &self.spec.zones);
         let entries = list.hosts.iter().map(entry).collect();
         self.happened(
             node,
-            Event::Listed {
-                whole: list.whole,
-                entries,
+            Event::EndpointsChanged {
+                snapshot: list.whole,
+                endpoints: entries,
             },
             Why::List,
         );
@@ -679,17 +694,17 @@
         let deadline = self.now() + patience;
         self.happened(
             node,
-            Event::Asked {
+            Event::RequestReceived {
                 effect,
                 deadline,
-                tell,
+                policy_event: tell,
             },
             Why::Request,
         );
     }
 
     /// An app server has a try, and answers it in its time.
-    fn works(&self, node: &Rc<Node>, now: Micros, link: LinkId) {
+    fn works(&self, node: &Rc<Node>, now: Micros, link: ConnectionId) {
         self.figures.borrow_mut().attempts += 1;
         let draw = self.random.borrow_mut().f64();
         let id = node.on.borrow().get(&link).cloned();
@@ -710,28 +725,28 @@
         self.later(
             node,
             now + work,
-            What::Happens(Event::Replied {
-                link,
+            What::Happens(Event::ResponseComplete {
+                connection: link,
                 outcome: Outcome::Ok,
             }),
         );
     }
 
-    fn answered(&self, node: &Rc<Node>, now: Micros, id: &RequestId, verdict: Verdict) {
+    fn answered(&self, node: &Rc<Node>, now: Micros, id: &RequestId, verdict: FinalAnswer) {
         self.audit.borrow_mut().answered(now, id, verdict);
         let Some(of) = node.tries.borrow_mut().remove(id) else {
             return;
         };
         let mut figures = self.figures.borrow_mut();
         match verdict {
-            Verdict::Served => {
+            FinalAnswer::Served => {
                 figures.served += 1;
                 self.added
                     .borrow_mut()
                     .add(now.saturating_sub(of.due).saturating_sub(of.work));
             }
-            Verdict::Refused(_) => figures.refused += 1,
-            Verdict::Failed => figures.failed += 1,
+            FinalAnswer::Rejected(_) => figures.refused += 1,
+            FinalAnswer::Failed => figures.failed += 1,
         }
     }
 
@@ -741,7 +756,7 @@
         let nodes = self.nodes.borrow();
         let of = |node: &Rc<Node>| {
             let exchange = node.exchange.borrow();
-            (exchange.kept().1, exchange.module().tracked())
+            (exchange.table_sizes().1, exchange.policy().tracked())
         };
         let (links, kept) = nodes
             .iter()
@@ -808,7 +823,7 @@
             if shard.audit.borrow_mut().hears(from.0, node.me.0) {
                 shard.happened(
                     &node,
-                    Event::Tell(ModuleEvent::PeerMessage { from, bytes }),
+                    Event::PolicyEvent(ModuleEvent::PeerMessage { from, bytes }),
                     Why::Word,
                 );
             }
--- a/crates/hot-restart/src/family.rs
+++ b/crates/hot-restart/src/family.rs
@@ -1,30 +1,30 @@
 //! All conversations of one process.
 
-use crate::link::{Do, Link, Role};
-use crate::word::Word;
+use crate::link::{Link, LinkAction, Role};
+use crate::word::Message;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// One of a process's conversations. Numbers are never used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct LinkNo(pub u32);
+pub struct LinkId(pub u32);
 
 /// All conversations of one process: with its elder, and with heirs. They form a tree, as each process has one elder at the
 /// most, so that what is passed on to all others reaches each process once.
 #[derive(Debug)]
-pub struct Family {
+pub struct ProcessGroup {
     name: String,
     next: u32,
-    links: BTreeMap<LinkNo, Link>,
+    links: BTreeMap<LinkId, Link>,
 }
 
-impl Family {
+impl ProcessGroup {
     /// Conversations at once. Guards against processes that are started without end.
-    pub const MOST: usize = 4;
+    pub const MAX_LINKS: usize = 4;
 
     /// A process of a node of this name that speaks to nobody.
-    pub fn new(name: &str) -> Family {
-        Family {
+    pub fn new(name: &str) -> ProcessGroup {
+        ProcessGroup {
             name: name.to_owned(),
             next: 0,
             links: BTreeMap::new(),
@@ -32,11 +32,11 @@
     }
 
     /// A conversation is opened; none if there are too many.
-    pub fn open(&mut self, now: Duration, role: Role) -> Option<(LinkNo, Vec<Do>)> {
-        if self.links.len() >= Self::MOST {
+    pub fn open(&mut self, now: Duration, role: Role) -> Option<(LinkId, Vec<LinkAction>)> {
+        if self.links.len() >= Self::MAX_LINKS {
             return None;
         }
-        let (no, mut out) = (LinkNo(self.next), Vec::new());
+        let (no, mut out) = (LinkId(self.next), Vec::new());
         self.next += 1;
         self.links
             .insert(no, Link::new(now, role, &self.name, &mut out));
@@ -44,11 +44,15 @@
     }
 
     /// A line has come, or time has passed (`now`), or the other side has gone.
-    pub fn with(&mut self, no: LinkNo, step: impl FnOnce(&mut Link, &mut Vec<Do>)) -> Vec<Do> {
+    pub fn with(
+        &mut self,
+        no: LinkId,
+        step: impl FnOnce(&mut Link, &mut Vec<LinkAction>),
+    ) -> Vec<LinkAction> {
         let mut out = Vec::new();
         if let Some(link) = self.links.get_mut(&no) {
             step(link, &mut out);
-            if out.iter().any(|step| matches!(step, Do::End(_))) {
+            if out.iter().any(|step| matches!(step, LinkAction::End(_))) {
                 self.links.remove(&no);
             }
         }
@@ -56,20 +60,20 @@
     }
 
     /// Whether the other side of a conversation is one node with this process.
-    pub fn is_live(&self, no: LinkNo) -> bool {
+    pub fn is_live(&self, no: LinkId) -> bool {
         self.links.get(&no).is_some_and(Link::is_live)
     }
 
     /// When a conversation's time is up.
-    pub fn until(&self, no: LinkNo) -> Option<Duration> {
-        self.links.get(&no).and_then(Link::until)
+    pub fn deadline(&self, no: LinkId) -> Option<Duration> {
+        self.links.get(&no).and_then(Link::deadline)
     }
 
     /// Whom a word is for that came from here (`None`) or from one of them. Datagrams of peers go to elders, who have none
     /// of their own any more; an elder's word for its heirs never comes back.
-    pub fn tells(&self, word: &Word, from: Option<LinkNo>) -> Vec<LinkNo> {
+    pub fn recipients(&self, word: &Message, from: Option<LinkId>) -> Vec<LinkId> {
         let wanted = |link: &Link| match word {
-            Word::Peer { .. } | Word::Serving => link.to_elder(),
+            Message::Peer { .. } | Message::Serving => link.is_to_parent(),
             _ => true,
         };
         let others = self
@@ -85,12 +89,12 @@
     }
 
     /// Whether an heir takes clients, and speaks to peers in this process's stead.
-    pub fn succeeded(&self) -> bool {
-        self.links.values().any(Link::succeeded)
+    pub fn has_successor(&self) -> bool {
+        self.links.values().any(Link::has_successor)
     }
 
     /// Whether this process has no heir, so that a new one has to find it.
     pub fn is_last(&self) -> bool {
-        self.links.values().all(Link::to_elder)
+        self.links.values().all(Link::is_to_parent)
     }
 }
--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -5,8 +5,8 @@
 //! in mind, and from that moment each tells the other of every attempt that begins and ends: both draw on stores, ceilings,
 //! places and cold servers' budgets as if these were one.
 //!
-//! No input or output, and no clock. [`Link`] is one such conversation, [`Family`] all that a process has: a third may be
-//! started while two run. What is said are [`Word`]s, a line of JSON each, so that builds of different age understand
+//! No input or output, and no clock. [`Link`] is one such conversation, [`ProcessGroup`] all that a process has: a third may be
+//! started while two run. What is said are [`Message`]s, a line of JSON each, so that builds of different age understand
 //! each other as far as they can.
 //!
 //! How far the two can differ: an attempt is told when it is sent, and heard one way over a local socket and one round of
@@ -19,6 +19,6 @@
 mod link;
 mod word;
 
-pub use family::{Family, LinkNo};
-pub use link::{Do, Ended, Link, Role};
-pub use word::{read, write, Hello, State, Word, LINE_MOST, VERSION};
+pub use family::{LinkId, ProcessGroup};
+pub use link::{CloseReason, Link, LinkAction, Role};
+pub use word::{read, write, Hello, Message, TransferredState, MAX_LINE_BYTES, VERSION};
--- a/crates/hot-restart/src/link.rs
+++ b/crates/hot-restart/src/link.rs
@@ -1,6 +1,6 @@
 //! One conversation of two processes.
 
-use crate::word::{Hello, State, Word, VERSION};
+use crate::word::{Hello, Message, TransferredState, VERSION};
 use saffronpaddle_policy::interface::{NodeId, SiblingMessage};
 use std::fmt;
 use std::time::Duration;
@@ -9,55 +9,55 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// It was there first.
-    Elder,
+    Parent,
     /// It has just started.
-    Heir,
+    Child,
 }
 
 /// Why a conversation ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum CloseReason {
     /// The other process has gone, or closed it.
-    Gone,
+    Disconnected,
     /// The first word did not come in time.
     Silent,
     /// The other process is of another node.
-    Stranger,
+    OtherNode,
     /// It speaks a form that this build does not understand.
-    Newer,
+    NewerVersion,
     /// What came was no word, or not its turn.
-    Rubbish,
+    Malformed,
 }
 
-impl fmt::Display for Ended {
+impl fmt::Display for CloseReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Ended::Gone => "it has gone",
-            Ended::Silent => "it said nothing in time",
-            Ended::Stranger => "it is of another node",
-            Ended::Newer => "it speaks a newer form",
-            Ended::Rubbish => "it did not make sense",
+            CloseReason::Disconnected => "it has gone",
+            CloseReason::Silent => "it said nothing in time",
+            CloseReason::OtherNode => "it is of another node",
+            CloseReason::NewerVersion => "it speaks a newer form",
+            CloseReason::Malformed => "it did not make sense",
         })
     }
 }
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Do {
+pub enum LinkAction {
     /// Say this.
-    Say(Word),
+    Send(Message),
     /// Elder: say what is kept in mind, and tell of every attempt from the same moment on.
-    SayState,
+    SendState,
     /// Heir: go on from what the elder kept in mind, and tell of every attempt from then on.
-    Resume(Box<State>),
+    Restore(Box<TransferredState>),
     /// An attempt of the other process has begun or ended.
-    Twin(SiblingMessage),
+    Sibling(SiblingMessage),
     /// A datagram of a peer that the other process got.
     Peer(NodeId, Vec<u8>),
     /// The heir takes clients and speaks to peers.
-    Succeeded,
+    SuccessorServing,
     /// It is over.
-    End(Ended),
+    End(CloseReason),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -81,18 +81,18 @@
 impl Link {
     /// How long an heir waits for the state. An elder may be busy; but an heir must be ready within seconds, with or
     /// without it.
-    pub const STATE_WITHIN: Duration = Duration::from_millis(1500);
+    pub const STATE_TIMEOUT: Duration = Duration::from_millis(1500);
     /// How long an elder waits to be greeted. Guards against processes that connect and say nothing.
-    pub const GREET_WITHIN: Duration = Duration::from_secs(1);
+    pub const HELLO_TIMEOUT: Duration = Duration::from_secs(1);
 
     /// A conversation that has just been opened by a node of this name.
-    pub fn new(now: Duration, role: Role, name: &str, out: &mut Vec<Do>) -> Link {
+    pub fn new(now: Duration, role: Role, name: &str, out: &mut Vec<LinkAction>) -> Link {
         let within = match role {
-            Role::Elder => Self::GREET_WITHIN,
-            Role::Heir => Self::STATE_WITHIN,
+            Role::Parent => Self::HELLO_TIMEOUT,
+            Role::Child => Self::STATE_TIMEOUT,
         };
-        if role == Role::Heir {
-            out.push(Do::Say(Word::Hello(Hello {
+        if role == Role::Child {
+            out.push(LinkAction::Send(Message::Hello(Hello {
                 version: VERSION,
                 name: name.to_owned(),
             })));
@@ -111,17 +111,17 @@
     }
 
     /// Whether the other side is an heir that takes clients.
-    pub fn succeeded(&self) -> bool {
+    pub fn has_successor(&self) -> bool {
         self.is_live() && self.serving
     }
 
     /// Whether the other side was there first.
-    pub fn to_elder(&self) -> bool {
-        self.role == Role::Heir
+    pub fn is_to_parent(&self) -> bool {
+        self.role == Role::Child
     }
 
     /// When its time is up, if it has one.
-    pub fn until(&self) -> Option<Duration> {
+    pub fn deadline(&self) -> Option<Duration> {
         match self.stage {
             Stage::Greeting(until) => Some(until),
             Stage::Live | Stage::Over => None,
@@ -129,54 +129,56 @@
     }
 
     /// Time has passed.
-    pub fn tick(&mut self, now: Duration, out: &mut Vec<Do>) {
+    pub fn tick(&mut self, now: Duration, out: &mut Vec<LinkAction>) {
         if matches!(self.stage, Stage::Greeting(until) if now >= until) {
-            self.over(Ended::Silent, out);
+            self.over(CloseReason::Silent, out);
         }
     }
 
     /// The other side has gone.
-    pub fn gone(&mut self, out: &mut Vec<Do>) {
-        self.over(Ended::Gone, out);
+    pub fn on_disconnect(&mut self, out: &mut Vec<LinkAction>) {
+        self.over(CloseReason::Disconnected, out);
     }
 
     /// A line has come; `None` if it is no word.
-    pub fn heard(&mut self, word: Option<Word>, out: &mut Vec<Do>) {
+    pub fn on_message(&mut self, word: Option<Message>, out: &mut Vec<LinkAction>) {
         match (self.stage, word) {
             (Stage::Over, _) => {}
-            (Stage::Greeting(_), Some(Word::Hello(hello))) if self.role == Role::Elder => {
+            (Stage::Greeting(_), Some(Message::Hello(hello))) if self.role == Role::Parent => {
                 if hello.name != self.name {
-                    return self.over(Ended::Stranger, out);
+                    return self.over(CloseReason::OtherNode, out);
                 }
                 // An heir that speaks a newer form understands this one.
                 self.stage = Stage::Live;
-                out.push(Do::SayState);
+                out.push(LinkAction::SendState);
             }
-            (Stage::Greeting(_), Some(Word::State(state))) if self.role == Role::Heir => {
+            (Stage::Greeting(_), Some(Message::State(state))) if self.role == Role::Child => {
                 if state.name != self.name {
-                    return self.over(Ended::Stranger, out);
+                    return self.over(CloseReason::OtherNode, out);
                 }
                 if state.version > VERSION {
-                    return self.over(Ended::Newer, out);
+                    return self.over(CloseReason::NewerVersion, out);
                 }
                 self.stage = Stage::Live;
-                out.push(Do::Resume(state));
+                out.push(LinkAction::Restore(state));
             }
-            (Stage::Live, Some(Word::Twin(twin))) => out.push(Do::Twin(twin)),
-            (Stage::Live, Some(Word::Peer { from, bytes })) => out.push(Do::Peer(from, bytes)),
-            (Stage::Live, Some(Word::Serving)) if self.role == Role::Elder => {
+            (Stage::Live, Some(Message::Sibling(twin))) => out.push(LinkAction::Sibling(twin)),
+            (Stage::Live, Some(Message::Peer { from, bytes })) => {
+                out.push(LinkAction::Peer(from, bytes));
+            }
+            (Stage::Live, Some(Message::Serving)) if self.role == Role::Parent => {
                 if !std::mem::replace(&mut self.serving, true) {
-                    out.push(Do::Succeeded);
+                    out.push(LinkAction::SuccessorServing);
                 }
             }
-            _ => self.over(Ended::Rubbish, out),
+            _ => self.over(CloseReason::Malformed, out),
         }
     }
 
-    fn over(&mut self, why: Ended, out: &mut Vec<Do>) {
+    fn over(&mut self, why: CloseReason, out: &mut Vec<LinkAction>) {
         if self.stage != Stage::Over {
             self.stage = Stage::Over;
-            out.push(Do::End(why));
+            out.push(LinkAction::End(why));
         }
     }
 }
--- a/crates/hot-restart/src/word.rs
+++ b/crates/hot-restart/src/word.rs
@@ -8,7 +8,7 @@
 /// over, and fields that are missing have their defaults.
 pub const VERSION: u32 = 1;
 /// Most bytes of a line. Guards memory against rubbish without end; a state with ten thousand customers has some 4 MB.
-pub const LINE_MOST: usize = 8 << 20;
+pub const MAX_LINE_BYTES: usize = 8 << 20;
 
 /// How a process that has just started names itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -21,13 +21,14 @@
 
 /// All that an elder keeps in mind.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct State {
+pub struct TransferredState {
     /// [`VERSION`].
     pub version: u32,
     /// Its node's name.
     pub name: String,
     /// What the decision module keeps.
-    pub module: StateSnapshot,
+    #[serde(rename = "module")]
+    pub policy: StateSnapshot,
     /// The list of app servers as discovery last told it, in discovery's own form.
     #[serde(default)]
     pub list: Option<serde_json::Value>,
@@ -36,15 +37,16 @@
 /// One thing that is said.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Word {
+pub enum Message {
     /// The heir's first.
     Hello(Hello),
     /// The elder's first.
-    State(Box<State>),
+    State(Box<TransferredState>),
     /// The heir takes clients from now on, and speaks to peers for both.
     Serving,
     /// An attempt of this process, or of one that it hears, has begun or ended.
-    Twin(SiblingMessage),
+    #[serde(rename = "twin")]
+    Sibling(SiblingMessage),
     /// A datagram of a peer, for who has no datagrams any more.
     Peer {
         /// Who sent it.
@@ -55,13 +57,13 @@
 }
 
 /// A word as a line, its end included.
-pub fn write(word: &Word) -> String {
+pub fn write(word: &Message) -> String {
     let mut line = serde_json::to_string(word).unwrap_or_default();
     line.push('\n');
     line
 }
 
 /// Reads a line. `None` where it is no word of this build's: rubbish, or a newer build's.
-pub fn read(line: &[u8]) -> Option<Word> {
+pub fn read(line: &[u8]) -> Option<Message> {
     serde_json::from_slice(line).ok()
 }
--- a/crates/hot-restart/tests/lines.rs
+++ b/crates/hot-restart/tests/lines.rs
@@ -8,11 +8,11 @@
 const LINES: &str = include_str!("fixtures/lines.jsonl");
 const STATE: &str = include_str!("../../policy/tests/fixtures/state_wide.json");
 
-fn words() -> Vec<Word> {
-    let state = State {
+fn words() -> Vec<Message> {
+    let state = TransferredState {
         version: VERSION,
         name: "n0".to_owned(),
-        module: saffronpaddle_policy::StateSnapshot::default(),
+        policy: saffronpaddle_policy::StateSnapshot::default(),
         list: Some(serde_json::json!({"hosts": [1, 2]})),
     };
     let begun = SiblingAttempt {
@@ -31,18 +31,18 @@
         }),
     };
     vec![
-        Word::Hello(Hello {
+        Message::Hello(Hello {
             version: VERSION,
             name: "n0".to_owned(),
         }),
-        Word::State(Box::new(state)),
-        Word::Serving,
-        Word::Twin(SiblingMessage::AttemptStarted(begun)),
-        Word::Twin(SiblingMessage::AttemptEnded {
+        Message::State(Box::new(state)),
+        Message::Serving,
+        Message::Sibling(SiblingMessage::AttemptStarted(begun)),
+        Message::Sibling(SiblingMessage::AttemptEnded {
             request: RequestId("rq".into()),
             attempt: AttemptNumber(0),
         }),
-        Word::Peer {
+        Message::Peer {
             from: NodeId(7),
             bytes: vec![2, 0, 255],
         },
@@ -57,7 +57,7 @@
 
 #[test]
 fn every_line_of_the_fixture_is_read() {
-    let read: Vec<Option<Word>> = LINES.lines().map(|line| read(line.as_bytes())).collect();
+    let read: Vec<Option<Message>> = LINES.lines().map(|line| read(line.as_bytes())).collect();
     assert_eq!(read, words().into_iter().map(Some).collect::<Vec<_>>());
 }
 
@@ -66,11 +66,11 @@
 fn a_line_with_a_whole_state_is_read() {
     let module: Value = serde_json::from_str(STATE).expect("a fixture of JSON");
     let line = serde_json::json!({"state": {"version": 1, "name": "n0", "module": module}});
-    let Some(Word::State(state)) = read(line.to_string().as_bytes()) else {
+    let Some(Message::State(state)) = read(line.to_string().as_bytes()) else {
         panic!("it is a state")
     };
     assert_eq!(
-        serde_json::to_value(&state.module).expect("it is JSON"),
+        serde_json::to_value(&state.policy).expect("it is JSON"),
         module
     );
     assert_eq!((state.version, state.list), (1, None));
