--- a/crates/hot-restart/tests/overlap.rs
+++ b/crates/hot-restart/tests/overlap.rs
@@ -297,19 +297,19 @@
     assert!(spoken(&mut process) > 5);
 }
 
-fn state(name: &str, version: u32) -> Word {
+fn state(name: &str, version: u32) -> Message {
     let module = Process::new(1_000_000_000).gateway.snapshot();
-    Word::State(Box::new(State {
+    Message::State(Box::new(TransferredState {
         version,
         name: name.to_owned(),
-        module,
+        policy: module,
         list: None,
     }))
 }
 
-fn heard(link: &mut Link, word: Option<Word>) -> Vec<Do> {
+fn heard(link: &mut Link, word: Option<Message>) -> Vec<LinkAction> {
     let mut out = Vec::new();
-    link.heard(word, &mut out);
+    link.on_message(word, &mut out);
     out
 }
 
@@ -318,79 +318,82 @@
     let ms = Duration::from_millis;
     let open = |role| Link::new(ms(0), role, "n0", &mut Vec::new());
     for (word, why) in [
-        (None, Ended::Rubbish),
-        (Some(state("n1", VERSION)), Ended::Stranger),
-        (Some(state("n0", VERSION + 1)), Ended::Newer),
-        (Some(Word::Serving), Ended::Rubbish),
+        (None, CloseReason::Malformed),
+        (Some(state("n1", VERSION)), CloseReason::OtherNode),
+        (Some(state("n0", VERSION + 1)), CloseReason::NewerVersion),
+        (Some(Message::Serving), CloseReason::Malformed),
         (
-            Some(Word::Hello(Hello {
+            Some(Message::Hello(Hello {
                 version: VERSION,
                 name: "n0".to_owned(),
             })),
-            Ended::Rubbish,
+            CloseReason::Malformed,
         ),
     ] {
-        let mut link = open(Role::Heir);
-        assert_eq!(heard(&mut link, word), [Do::End(why)]);
+        let mut link = open(Role::Child);
+        assert_eq!(heard(&mut link, word), [LinkAction::End(why)]);
         assert!(
             heard(&mut link, Some(state("n0", VERSION))).is_empty(),
             "it is over"
         );
     }
     // One that stalls in the middle is not waited for.
-    let (mut link, mut out) = (open(Role::Heir), Vec::new());
-    link.tick(Link::STATE_WITHIN.checked_sub(ms(1)).unwrap(), &mut out);
+    let (mut link, mut out) = (open(Role::Child), Vec::new());
+    link.tick(Link::STATE_TIMEOUT.checked_sub(ms(1)).unwrap(), &mut out);
     assert!(out.is_empty());
-    link.tick(Link::STATE_WITHIN, &mut out);
-    assert_eq!(out, [Do::End(Ended::Silent)]);
+    link.tick(Link::STATE_TIMEOUT, &mut out);
+    assert_eq!(out, [LinkAction::End(CloseReason::Silent)]);
     // A newer heir greets an older elder, which understands what it knows.
-    let mut link = open(Role::Elder);
-    let hello = Word::Hello(Hello {
+    let mut link = open(Role::Parent);
+    let hello = Message::Hello(Hello {
         version: VERSION + 1,
         name: "n0".to_owned(),
     });
-    assert_eq!(heard(&mut link, Some(hello)), [Do::SayState]);
-    assert!(link.is_live() && !link.succeeded());
-    assert_eq!(heard(&mut link, Some(Word::Serving)), [Do::Succeeded]);
-    assert!(link.succeeded() && heard(&mut link, Some(Word::Serving)).is_empty());
+    assert_eq!(heard(&mut link, Some(hello)), [LinkAction::SendState]);
+    assert!(link.is_live() && !link.has_successor());
+    assert_eq!(
+        heard(&mut link, Some(Message::Serving)),
+        [LinkAction::SuccessorServing]
+    );
+    assert!(link.has_successor() && heard(&mut link, Some(Message::Serving)).is_empty());
 }
 
 #[test]
 fn a_third_process_hears_of_all_and_datagrams_go_to_elders_only() {
-    let mut middle = Family::new("n0");
-    let (elder, _) = middle.open(Duration::ZERO, Role::Heir).expect("room");
-    let (heir, _) = middle.open(Duration::ZERO, Role::Elder).expect("room");
-    let twin = Word::Twin(SiblingMessage::AttemptEnded {
+    let mut middle = ProcessGroup::new("n0");
+    let (elder, _) = middle.open(Duration::ZERO, Role::Child).expect("room");
+    let (heir, _) = middle.open(Duration::ZERO, Role::Parent).expect("room");
+    let twin = Message::Sibling(SiblingMessage::AttemptEnded {
         request: RequestId("a".into()),
         attempt: AttemptNumber(0),
     });
-    assert!(middle.tells(&twin, None).is_empty() && !middle.is_shared() && !middle.is_last());
+    assert!(middle.recipients(&twin, None).is_empty() && !middle.is_shared() && !middle.is_last());
     middle.with(elder, |link, out| {
-        link.heard(Some(state("n0", VERSION)), out);
+        link.on_message(Some(state("n0", VERSION)), out);
     });
-    let hello = Word::Hello(Hello {
+    let hello = Message::Hello(Hello {
         version: VERSION,
         name: "n0".to_owned(),
     });
-    middle.with(heir, |link, out| link.heard(Some(hello), out));
-    assert_eq!(middle.tells(&twin, None), [elder, heir]);
+    middle.with(heir, |link, out| link.on_message(Some(hello), out));
+    assert_eq!(middle.recipients(&twin, None), [elder, heir]);
     assert_eq!(
         (
-            middle.tells(&twin, Some(elder)),
-            middle.tells(&twin, Some(heir))
+            middle.recipients(&twin, Some(elder)),
+            middle.recipients(&twin, Some(heir))
         ),
         (vec![heir], vec![elder])
     );
-    let peer = Word::Peer {
+    let peer = Message::Peer {
         from: NodeId(1),
         bytes: vec![1],
     };
-    assert_eq!(middle.tells(&peer, Some(heir)), [elder]);
-    middle.with(heir, saffronpaddle_hot_restart::Link::gone);
+    assert_eq!(middle.recipients(&peer, Some(heir)), [elder]);
+    middle.with(heir, saffronpaddle_hot_restart::Link::on_disconnect);
     assert!(middle.is_shared() && middle.is_last());
     // No more than a few at once, whoever comes.
-    while middle.open(Duration::ZERO, Role::Elder).is_some() {}
-    assert!(middle.open(Duration::ZERO, Role::Elder).is_none());
+    while middle.open(Duration::ZERO, Role::Parent).is_some() {}
+    assert!(middle.open(Duration::ZERO, Role::Parent).is_none());
 }
 
 proptest! {
@@ -401,12 +404,12 @@
     /// Whatever bytes come in place of a word, a conversation ends or goes on; nothing else happens.
     #[test]
     fn rubbish_is_no_word(bytes in prop::collection::vec(any::<u8>(), 0..300), live: bool) {
-        let mut link = Link::new(Duration::ZERO, Role::Elder, "n0", &mut Vec::new());
+        let mut link = Link::new(Duration::ZERO, Role::Parent, "n0", &mut Vec::new());
         if live {
-            heard(&mut link, Some(Word::Hello(Hello { version: VERSION, name: "n0".to_owned() })));
+            heard(&mut link, Some(Message::Hello(Hello { version: VERSION, name: "n0".to_owned() })));
         }
         if read(&bytes).is_none() {
-            prop_assert_eq!(heard(&mut link, read(&bytes)), vec![Do::End(Ended::Rubbish)]);
+            prop_assert_eq!(heard(&mut link, read(&bytes)), vec![LinkAction::End(CloseReason::Malformed)]);
         }
     }
 
@@ -416,11 +419,11 @@
         let mut line = write(&state("n0", VERSION)).into_bytes();
         let at = at % line.len();
         if cut { line.truncate(at) } else { line[at] = byte }
-        let mut link = Link::new(Duration::ZERO, Role::Heir, "n0", &mut Vec::new());
+        let mut link = Link::new(Duration::ZERO, Role::Child, "n0", &mut Vec::new());
         for step in heard(&mut link, read(&line)) {
-            if let Do::Resume(state) = step {
+            if let LinkAction::Restore(state) = step {
                 let mut process = Process::new(1_000_000_000);
-                process.gateway.restore(state.module, 0);
+                process.gateway.restore(state.policy, 0);
                 process.ask(1_000_100_000, 1);
             }
         }
--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -10,7 +10,7 @@
 //! let mut out = Vec::new();
 //! life.handle(Duration::ZERO, Event::Listening, &mut out);
 //! assert_eq!(life.state(), State::Ready);
-//! assert!(out.contains(&Action::Manager(saffronpaddle_lifecycle::Word::Ready)));
+//! assert!(out.contains(&Action::NotifyManager(saffronpaddle_lifecycle::ManagerMessage::Ready)));
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -19,7 +19,7 @@
 mod stop;
 
 pub use readiness::{Conditions, Facts, Readiness, Reason, Reasons};
-pub use stop::{kill_after, StopPlan, HOLD_UP};
+pub use stop::{kill_after, ShutdownPlan, MAX_SCHEDULING_DELAY};
 
 use std::time::Duration;
 
@@ -95,7 +95,7 @@
     /// Its listener is up: connections come in, or wait in the backlog.
     Listening,
     /// What is known of the conditions now; wanted after each [`Lifecycle::look_after`].
-    Seen(Facts),
+    Observed(Facts),
     /// The word to stop (SIGTERM).
     Stop {
         /// It was sent after this moment: a process that was held up reads it late.
@@ -106,23 +106,23 @@
     /// The reload that was asked for has ended, well or not.
     Reloaded {
         /// Whether the new configuration stands.
-        taken: bool,
+        applied: bool,
     },
     /// Staff want clients sent away (`LAMEDUCK`); the process goes on.
     Lameduck,
     /// Staff want the node back at work (`REJOIN`).
     Rejoin,
     /// Whether another process of this node takes clients too, from the same listener.
-    Succeeded(bool),
+    SuccessorPresent(bool),
     /// All connections of clients have ended.
-    Served,
+    ConnectionsClosed,
     /// Time passes.
     Tick,
 }
 
 /// What the service manager is told (`sd_notify(3)`).
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum ManagerMessage {
     /// `READY=1`: started, or done with a reload.
     Ready,
     /// `RELOADING=1` with `MONOTONIC_USEC=`.
@@ -132,14 +132,14 @@
     /// `STATUS=`, a line for people.
     Status(String),
     /// `EXTEND_TIMEOUT_USEC=`: the stop may take so long from now.
-    Extend(Duration),
+    ExtendTimeout(Duration),
 }
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Tell the service manager.
-    Manager(Word),
+    NotifyManager(ManagerMessage),
     /// Read the configuration anew and answer with [`Event::Reloaded`].
     ReadConfiguration,
     /// Answer each request from now on with `Connection: close`.
@@ -149,9 +149,9 @@
     /// Keep connections open again, as before [`Action::CloseAfterAnswers`].
     KeepOpen,
     /// Accept no more for now: what comes is another process's. Connections that stand are served on.
-    LeaveListener,
+    PauseAccepting,
     /// Accept again: the other process has gone.
-    TakeListener,
+    ResumeAccepting,
     /// Accept no more; close idle connections; say [`Event::Served`] once all have ended.
     StopAccepting,
     /// End the process, whatever is still open.
@@ -172,9 +172,9 @@
     /// Whether readiness held when it was last looked at.
     ready: bool,
     /// When the state ends by itself.
-    until: Option<Time>,
+    deadline: Option<Time>,
     /// How the process ends, once it was told to stop.
-    stop: Option<StopPlan>,
+    stop: Option<ShutdownPlan>,
     /// A word to reload that came during a reload; it counts once.
     again: bool,
     /// A reload is under way that began before the node was ready.
@@ -196,9 +196,9 @@
 
 impl Lifecycle {
     /// How often [`Event::Seen`] must come in service for the bounds to hold to this span.
-    pub const NEXT: Duration = Duration::from_millis(250);
+    pub const SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
     /// The same while it starts: what it waits for is mostly a matter of milliseconds.
-    pub const NEXT_STARTING: Duration = Duration::from_millis(10);
+    pub const SAMPLE_INTERVAL_STARTING: Duration = Duration::from_millis(10);
 
     /// A node that has just started.
     pub fn new(limits: Limits, now: Time) -> Lifecycle {
@@ -210,7 +210,7 @@
             listening: false,
             announced: false,
             ready: false,
-            until: None,
+            deadline: None,
             stop: None,
             again: false,
             quietly: false,
@@ -230,7 +230,7 @@
     }
 
     /// Whether clients are sent away, by staff or as the node is stopping.
-    pub fn sends_away(&self) -> bool {
+    pub fn closes_connections(&self) -> bool {
         self.lame.is_some() || self.state >= State::Draining
     }
 
@@ -263,20 +263,22 @@
         let before = (self.state, self.status());
         match event {
             Event::Listening => self.listening = true,
-            Event::Seen(facts) => self.readiness.see(now, &facts),
+            Event::Observed(facts) => self.readiness.observe(now, &facts),
             Event::Stop { since } => self.stop(now, since, out),
             Event::Reload => self.reload(now, out),
-            Event::Reloaded { taken } => self.reloaded(now, taken, out),
-            Event::Succeeded(yes) => self.succeeded(yes, out),
+            Event::Reloaded { applied: taken } => self.reloaded(now, taken, out),
+            Event::SuccessorPresent(yes) => self.succeeded(yes, out),
             Event::Lameduck => self.lameduck(now, out),
             Event::Rejoin => self.rejoin(out),
-            Event::Served if self.state == State::Closing => self.gone(out),
-            Event::Served | Event::Tick => {}
+            Event::ConnectionsClosed if self.state == State::Closing => self.gone(out),
+            Event::ConnectionsClosed | Event::Tick => {}
         }
         self.pass(now, out);
         let after = (self.state, self.status());
         if before != after && self.state != State::Gone {
-            out.push(Action::Manager(Word::Status(after.1.clone())));
+            out.push(Action::NotifyManager(ManagerMessage::Status(
+                after.1.clone(),
+            )));
             // Without conditions nothing is said that was not said before there were any.
             if !self.limits.readiness.is_none()
                 || before.0 != after.0 && self.state >= State::Draining
@@ -290,29 +292,31 @@
         match self.state {
             State::Starting if !self.listening => {
                 // Nothing was taken: there is nothing to finish.
-                out.push(Action::Manager(Word::Stopping));
+                out.push(Action::NotifyManager(ManagerMessage::Stopping));
                 self.gone(out);
             }
             State::Starting | State::Ready | State::Reloading => {
                 let longest = self.limits.leave_for + self.limits.finish_within;
-                let plan = StopPlan::new(now, since, longest);
+                let plan = ShutdownPlan::new(now, since, longest);
                 self.stop = Some(plan);
                 self.enter(
                     State::Draining,
                     now,
-                    self.limits.leave_for.min(plan.ends.saturating_sub(now)),
+                    self.limits.leave_for.min(plan.exit_by.saturating_sub(now)),
                 );
-                out.push(Action::Manager(Word::Stopping));
-                out.push(Action::Manager(Word::Extend(longest + Self::EXTEND)));
+                out.push(Action::NotifyManager(ManagerMessage::Stopping));
+                out.push(Action::NotifyManager(ManagerMessage::ExtendTimeout(
+                    longest + Self::EXTEND,
+                )));
                 out.push(Action::CloseAfterAnswers);
                 if self.succeeded {
-                    out.push(Action::LeaveListener);
+                    out.push(Action::PauseAccepting);
                 }
             }
             // Said twice: nothing new is taken from now on, and what was taken has less time.
             State::Draining => {
-                let plan = StopPlan::new(now, since, self.limits.finish_within);
-                self.stop = Some(self.stop.map_or(plan, |before| before.sooner(plan)));
+                let plan = ShutdownPlan::new(now, since, self.limits.finish_within);
+                self.stop = Some(self.stop.map_or(plan, |before| before.earlier(plan)));
                 self.close(now, out);
             }
             State::Closing | State::Gone => {}
@@ -326,9 +330,9 @@
     fn succeeded(&mut self, yes: bool, out: &mut Vec<Action>) {
         if std::mem::replace(&mut self.succeeded, yes) != yes && self.state == State::Draining {
             out.push(if yes {
-                Action::LeaveListener
+                Action::PauseAccepting
             } else {
-                Action::TakeListener
+                Action::ResumeAccepting
             });
         }
     }
@@ -357,7 +361,7 @@
     fn reload(&mut self, now: Time, out: &mut Vec<Action>) {
         match self.state {
             State::Ready => {
-                out.push(Action::Manager(Word::Reloading));
+                out.push(Action::NotifyManager(ManagerMessage::Reloading));
                 out.push(Action::ReadConfiguration);
                 self.enter(State::Reloading, now, self.limits.reload_within);
             }
@@ -389,37 +393,37 @@
     }
 
     fn back_to_ready(&mut self, out: &mut Vec<Action>) {
-        (self.state, self.until) = (State::Ready, None);
+        (self.state, self.deadline) = (State::Ready, None);
         // Ends the reload for the manager, also where readiness was lost meanwhile: that is another matter.
-        out.push(Action::Manager(Word::Ready));
+        out.push(Action::NotifyManager(ManagerMessage::Ready));
     }
 
     fn close(&mut self, now: Time, out: &mut Vec<Action>) {
         // Limits that a reload has set meanwhile change nothing: the platform's time runs from the signal.
         let left = self.stop.map_or(self.limits.finish_within, |plan| {
-            plan.ends.saturating_sub(now)
+            plan.exit_by.saturating_sub(now)
         });
         self.enter(State::Closing, now, left);
         out.push(Action::StopAccepting);
     }
 
     fn gone(&mut self, out: &mut Vec<Action>) {
-        (self.state, self.until) = (State::Gone, None);
+        (self.state, self.deadline) = (State::Gone, None);
         out.push(Action::Exit);
     }
 
     fn enter(&mut self, state: State, now: Time, most: Duration) {
-        (self.state, self.until) = (state, Some(now.saturating_add(most)));
+        (self.state, self.deadline) = (state, Some(now.saturating_add(most)));
     }
 
     /// What time alone, or what was seen, brings about.
     fn pass(&mut self, now: Time, out: &mut Vec<Action>) {
-        self.readiness.pass(now);
-        self.ready = self.listening && self.readiness.holds();
+        self.readiness.advance(now);
+        self.ready = self.listening && self.readiness.is_ready();
         if self.state == State::Starting && self.ready {
             self.state = State::Ready;
             if !std::mem::replace(&mut self.announced, true) {
-                out.push(Action::Manager(Word::Ready));
+                out.push(Action::NotifyManager(ManagerMessage::Ready));
             }
         }
         if matches!(self.lame, Some(Lame::Until(at)) if now >= at) {
@@ -429,7 +433,7 @@
                 out.push(Action::CloseIdle);
             }
         }
-        if self.until.is_some_and(|until| now >= until) {
+        if self.deadline.is_some_and(|until| now >= until) {
             match self.state {
                 State::Reloading => {
                     out.push(Action::Log("reload: given up, it took too long".to_owned()));
@@ -448,26 +452,26 @@
     }
 
     /// How the process ends, once it was told to stop.
-    pub fn stop_plan(&self) -> Option<StopPlan> {
+    pub fn shutdown_plan(&self) -> Option<ShutdownPlan> {
         self.stop
     }
 
     /// After how long [`Event::Seen`] is wanted again; `None` where readiness hangs on nothing.
-    pub fn look_after(&self) -> Option<Duration> {
+    pub fn next_sample_in(&self) -> Option<Duration> {
         let span = if self.state == State::Starting {
-            Self::NEXT_STARTING
+            Self::SAMPLE_INTERVAL_STARTING
         } else {
-            Self::NEXT
+            Self::SAMPLE_INTERVAL
         };
         (!self.limits.readiness.is_none() && self.state < State::Draining).then_some(span)
     }
 
     /// When the state ends by itself, if it does.
-    pub fn until(&self) -> Option<Time> {
+    pub fn deadline(&self) -> Option<Time> {
         let lame = self.lame.and_then(|lame| match lame {
             Lame::Until(at) => Some(at),
             Lame::Emptied => None,
         });
-        self.until.into_iter().chain(lame).min()
+        self.deadline.into_iter().chain(lame).min()
     }
 }
--- a/crates/lifecycle/src/readiness.rs
+++ b/crates/lifecycle/src/readiness.rs
@@ -14,7 +14,7 @@
     ListStale,
     /// Peers have not been heard, and their silence has not lasted long enough to be allowed for: the stores could
     /// pass quotas (they count what all nodes together send).
-    PeersUnheard,
+    PeersUnreachable,
     /// Too few descriptors are left for a request and its attempt.
     Descriptors,
     /// Too little memory is left.
@@ -30,7 +30,7 @@
 const ALL: [Reason; 7] = [
     Reason::NoList,
     Reason::ListStale,
-    Reason::PeersUnheard,
+    Reason::PeersUnreachable,
     Reason::Descriptors,
     Reason::Memory,
     Reason::Clock,
@@ -43,7 +43,7 @@
         match self {
             Reason::NoList => "no-list",
             Reason::ListStale => "list-stale",
-            Reason::PeersUnheard => "peers-unheard",
+            Reason::PeersUnreachable => "peers-unheard",
             Reason::Descriptors => "descriptors",
             Reason::Memory => "memory",
             Reason::Clock => "clock",
@@ -151,9 +151,9 @@
     /// Ready app servers on the list, from any source.
     pub servers: usize,
     /// Since a source of the list last said something, if only that nothing changed; `None` if none has yet.
-    pub list_heard: Option<Duration>,
+    pub endpoint_list_age: Option<Duration>,
     /// Peers that were heard in this life, and how many there are without this node.
-    pub peers_heard: usize,
+    pub reachable_peers: usize,
     /// All peers but this node.
     pub peers: usize,
     /// Descriptors that could still be opened.
@@ -165,9 +165,9 @@
     /// How far the system's clock has moved against the steady one since the start, either way.
     pub clock_moved: Duration,
     /// Whether the system's clock told a time that can't be when the node started.
-    pub clock_insane: bool,
+    pub clock_implausible: bool,
     /// How late the loop came round last.
-    pub lag: Duration,
+    pub event_loop_lag: Duration,
 }
 
 /// One condition that comes and goes: it counts once it has lasted.
@@ -221,7 +221,7 @@
             lasting: Default::default(),
             reasons: Reasons::default(),
         };
-        new.pass(now);
+        new.advance(now);
         new
     }
 
@@ -231,12 +231,13 @@
     }
 
     /// Takes in what is seen now.
-    pub fn see(&mut self, now: Time, facts: &Facts) {
+    pub fn observe(&mut self, now: Time, facts: &Facts) {
         let c = &self.conditions;
         let lasting = |on: Option<bool>| on.unwrap_or(false);
         let seen = [
             (Reason::ListStale, {
-                let stale = |most: Duration| facts.list_heard.is_some_and(|heard| heard > most);
+                let stale =
+                    |most: Duration| facts.endpoint_list_age.is_some_and(|heard| heard > most);
                 lasting(c.list_stale_after.map(stale))
             }),
             (
@@ -253,10 +254,13 @@
             (Reason::Clock, {
                 lasting(
                     c.clock_step
-                        .map(|most| facts.clock_insane || facts.clock_moved > most),
+                        .map(|most| facts.clock_implausible || facts.clock_moved > most),
                 )
             }),
-            (Reason::Lagging, lasting(c.lag.map(|most| facts.lag > most))),
+            (
+                Reason::Lagging,
+                lasting(c.lag.map(|most| facts.event_loop_lag > most)),
+            ),
         ];
         for (reason, failing) in seen {
             // At the start nothing has lasted yet, and nothing may be taken on trust.
@@ -272,24 +276,26 @@
     }
 
     /// What time brings about.
-    pub fn pass(&mut self, now: Time) {
+    pub fn advance(&mut self, now: Time) {
         let c = &self.conditions;
         let up = now.saturating_sub(self.started);
         let facts = self.facts.as_ref();
         if let Some(within) = c.list_within {
-            let heard = facts.is_some_and(|facts| facts.list_heard.is_some());
+            let heard = facts.is_some_and(|facts| facts.endpoint_list_age.is_some());
             self.list_awaited &= !heard && up < within;
-            let any = facts.is_some_and(|facts| facts.list_heard.is_some() || facts.servers > 0);
+            let any =
+                facts.is_some_and(|facts| facts.endpoint_list_age.is_some() || facts.servers > 0);
             self.reasons.set(Reason::NoList, self.list_awaited || !any);
         } else {
             self.reasons.set(Reason::NoList, false);
         }
         if let Some(within) = c.peers_within {
-            let all = facts.is_some_and(|facts| facts.peers_heard >= facts.peers);
+            let all = facts.is_some_and(|facts| facts.reachable_peers >= facts.peers);
             self.peers_awaited &= !all && up < within;
-            self.reasons.set(Reason::PeersUnheard, self.peers_awaited);
+            self.reasons
+                .set(Reason::PeersUnreachable, self.peers_awaited);
         } else {
-            self.reasons.set(Reason::PeersUnheard, false);
+            self.reasons.set(Reason::PeersUnreachable, false);
         }
         for reason in [
             Reason::ListStale,
@@ -304,7 +310,7 @@
     }
 
     /// Whether nothing stands in the way. Before anything was seen only a node without conditions is ready.
-    pub fn holds(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         self.reasons.is_empty() && (self.facts.is_some() || self.conditions.is_none())
     }
 
--- a/crates/lifecycle/tests/life.rs
+++ b/crates/lifecycle/tests/life.rs
@@ -30,15 +30,15 @@
 fn good() -> Facts {
     Facts {
         servers: 3,
-        list_heard: Some(ms(100)),
-        peers_heard: 2,
+        endpoint_list_age: Some(ms(100)),
+        reachable_peers: 2,
         peers: 2,
         free_descriptors: 500,
         memory: 10,
         memory_limit: 100,
         clock_moved: ms(0),
-        clock_insane: false,
-        lag: ms(1),
+        clock_implausible: false,
+        event_loop_lag: ms(1),
     }
 }
 
@@ -58,7 +58,7 @@
     fn ready() -> Life {
         let mut life = Life::new();
         life.tell(Event::Listening);
-        life.tell(Event::Seen(good()));
+        life.tell(Event::Observed(good()));
         assert_eq!(life.life.state(), State::Ready);
         life
     }
@@ -80,7 +80,7 @@
         let mut out = Vec::new();
         for _ in 0..span / 100 {
             self.now += ms(100);
-            out.extend(self.tell(Event::Seen(facts.clone())));
+            out.extend(self.tell(Event::Observed(facts.clone())));
         }
         out
     }
@@ -91,9 +91,9 @@
     }
 }
 
-fn says(out: &[Action], word: &Word) -> usize {
+fn says(out: &[Action], word: &ManagerMessage) -> usize {
     out.iter()
-        .filter(|action| **action == Action::Manager(word.clone()))
+        .filter(|action| **action == Action::NotifyManager(word.clone()))
         .count()
 }
 
@@ -105,22 +105,25 @@
 fn ready_is_said_once_and_only_when_it_listens_and_all_holds() {
     let mut life = Life::new();
     assert_eq!(
-        says(&life.tell(Event::Seen(good())), &Word::Ready),
+        says(&life.tell(Event::Observed(good())), &ManagerMessage::Ready),
         0,
         "it does not listen yet"
     );
-    assert_eq!(says(&life.tell(Event::Listening), &Word::Ready), 1);
+    assert_eq!(
+        says(&life.tell(Event::Listening), &ManagerMessage::Ready),
+        1
+    );
     assert!(life.life.ready());
     let out = life.sees(&good(), 5_000);
-    assert_eq!(says(&out, &Word::Ready), 0);
+    assert_eq!(says(&out, &ManagerMessage::Ready), 0);
 }
 
 #[test]
 fn a_node_that_starts_while_discovery_and_all_peers_are_silent_waits_then_serves_from_its_old_list()
 {
     let silent = Facts {
-        list_heard: None,
-        peers_heard: 0,
+        endpoint_list_age: None,
+        reachable_peers: 0,
         ..good()
     };
     let mut life = Life::new();
@@ -128,17 +131,17 @@
     life.sees(&silent, 1_900);
     assert!(
         life.life.reasons().contains(Reason::NoList)
-            && life.life.reasons().contains(Reason::PeersUnheard)
+            && life.life.reasons().contains(Reason::PeersUnreachable)
     );
     life.sees(&silent, 200);
     assert!(
-        !life.life.reasons().contains(Reason::PeersUnheard),
+        !life.life.reasons().contains(Reason::PeersUnreachable),
         "their silence is allowed for"
     );
     assert!(!life.life.ready());
     let out = life.sees(&silent, 3_000);
     assert!(
-        life.life.ready() && says(&out, &Word::Ready) == 1,
+        life.life.ready() && says(&out, &ManagerMessage::Ready) == 1,
         "{}",
         life.life.status()
     );
@@ -148,7 +151,7 @@
 fn without_any_list_a_node_is_never_ready() {
     let nothing = Facts {
         servers: 0,
-        list_heard: None,
+        endpoint_list_age: None,
         ..good()
     };
     let mut life = Life::new();
@@ -164,7 +167,7 @@
     let cases = [
         (
             Facts {
-                list_heard: Some(ms(10_001)),
+                endpoint_list_age: Some(ms(10_001)),
                 ..good()
             },
             "list-stale",
@@ -192,14 +195,14 @@
         ),
         (
             Facts {
-                clock_insane: true,
+                clock_implausible: true,
                 ..good()
             },
             "clock",
         ),
         (
             Facts {
-                lag: ms(1_001),
+                event_loop_lag: ms(1_001),
                 ..good()
             },
             "lagging",
@@ -215,7 +218,7 @@
             "{name}"
         );
         assert_eq!(
-            says(&out, &Word::Status(format!("not ready: {name}"))),
+            says(&out, &ManagerMessage::Status(format!("not ready: {name}"))),
             1,
             "{out:?}"
         );
@@ -223,7 +226,11 @@
         assert!(!life.life.ready(), "{name}: not back at once");
         let out = life.sees(&good(), 300);
         assert!(life.life.ready(), "{name}");
-        assert_eq!(says(&out, &Word::Ready), 0, "READY is said once: {out:?}");
+        assert_eq!(
+            says(&out, &ManagerMessage::Ready),
+            0,
+            "READY is said once: {out:?}"
+        );
     }
 }
 
@@ -231,7 +238,7 @@
 fn a_condition_that_flaps_faster_than_it_must_last_changes_nothing() {
     let mut life = Life::ready();
     let bad = Facts {
-        lag: ms(5_000),
+        event_loop_lag: ms(5_000),
         ..good()
     };
     for _ in 0..50 {
@@ -244,7 +251,7 @@
 fn what_fails_at_the_start_is_not_taken_on_trust() {
     let mut life = Life::new();
     life.tell(Event::Listening);
-    life.tell(Event::Seen(Facts {
+    life.tell(Event::Observed(Facts {
         free_descriptors: 0,
         ..good()
     }));
@@ -256,10 +263,10 @@
     let mut life = Life::ready();
     let out = life.stop();
     assert!(
-        says(&out, &Word::Stopping) == 1 && does(&out, &Action::CloseAfterAnswers),
+        says(&out, &ManagerMessage::Stopping) == 1 && does(&out, &Action::CloseAfterAnswers),
         "{out:?}"
     );
-    assert_eq!(says(&out, &Word::Extend(ms(4_600))), 1);
+    assert_eq!(says(&out, &ManagerMessage::ExtendTimeout(ms(4_600))), 1);
     assert!(!life.life.ready());
     assert!(!does(&life.after(599), &Action::StopAccepting));
     assert!(does(&life.after(1), &Action::StopAccepting));
@@ -276,7 +283,7 @@
     let mut life = Life::ready();
     life.stop();
     life.after(600);
-    assert!(does(&life.tell(Event::Served), &Action::Exit));
+    assert!(does(&life.tell(Event::ConnectionsClosed), &Action::Exit));
 }
 
 #[test]
@@ -302,7 +309,7 @@
     let mut life = Life::new();
     let out = life.stop();
     assert!(
-        says(&out, &Word::Stopping) == 1 && does(&out, &Action::Exit),
+        says(&out, &ManagerMessage::Stopping) == 1 && does(&out, &Action::Exit),
         "nothing was taken: {out:?}"
     );
     // Once it listens, something may have been taken.
@@ -312,7 +319,7 @@
     assert!(!does(&out, &Action::Exit) && life.life.state() == State::Draining);
     let out = life.sees(&good(), 500);
     assert_eq!(
-        says(&out, &Word::Ready),
+        says(&out, &ManagerMessage::Ready),
         0,
         "a node that stops never becomes ready"
     );
@@ -323,10 +330,15 @@
     for taken in [true, false] {
         let mut life = Life::ready();
         let out = life.tell(Event::Reload);
-        assert!(says(&out, &Word::Reloading) == 1 && does(&out, &Action::ReadConfiguration));
+        assert!(
+            says(&out, &ManagerMessage::Reloading) == 1 && does(&out, &Action::ReadConfiguration)
+        );
         assert!(life.life.ready() && life.life.state() == State::Reloading);
         assert_eq!(
-            says(&life.tell(Event::Reloaded { taken }), &Word::Ready),
+            says(
+                &life.tell(Event::Reloaded { applied: taken }),
+                &ManagerMessage::Ready
+            ),
             1,
             "also where it failed"
         );
@@ -341,9 +353,9 @@
     for _ in 0..5 {
         assert!(!does(&life.tell(Event::Reload), &Action::ReadConfiguration));
     }
-    let out = life.tell(Event::Reloaded { taken: true });
+    let out = life.tell(Event::Reloaded { applied: true });
     assert!(does(&out, &Action::ReadConfiguration), "{out:?}");
-    let out = life.tell(Event::Reloaded { taken: true });
+    let out = life.tell(Event::Reloaded { applied: true });
     assert!(!does(&out, &Action::ReadConfiguration) && life.life.state() == State::Ready);
 }
 
@@ -351,12 +363,15 @@
 fn a_reload_while_starting_is_done_and_not_told() {
     let mut life = Life::new();
     let out = life.tell(Event::Reload);
-    assert!(does(&out, &Action::ReadConfiguration) && says(&out, &Word::Reloading) == 0);
+    assert!(does(&out, &Action::ReadConfiguration) && says(&out, &ManagerMessage::Reloading) == 0);
     life.tell(Event::Listening);
-    assert_eq!(says(&life.tell(Event::Seen(good())), &Word::Ready), 1);
-    let out = life.tell(Event::Reloaded { taken: true });
     assert_eq!(
-        says(&out, &Word::Ready),
+        says(&life.tell(Event::Observed(good())), &ManagerMessage::Ready),
+        1
+    );
+    let out = life.tell(Event::Reloaded { applied: true });
+    assert_eq!(
+        says(&out, &ManagerMessage::Ready),
         0,
         "the start's own word was said: {out:?}"
     );
@@ -370,7 +385,7 @@
         life.after(span);
         let out = life.tell(Event::Reload);
         assert!(
-            !does(&out, &Action::ReadConfiguration) && says(&out, &Word::Reloading) == 0,
+            !does(&out, &Action::ReadConfiguration) && says(&out, &ManagerMessage::Reloading) == 0,
             "{out:?}"
         );
     }
@@ -381,10 +396,10 @@
     let mut life = Life::ready();
     life.tell(Event::Reload);
     life.tell(Event::Reload);
-    assert_eq!(says(&life.stop(), &Word::Stopping), 1);
-    let out = life.tell(Event::Reloaded { taken: true });
+    assert_eq!(says(&life.stop(), &ManagerMessage::Stopping), 1);
+    let out = life.tell(Event::Reloaded { applied: true });
     assert!(
-        says(&out, &Word::Ready) == 0 && !does(&out, &Action::ReadConfiguration),
+        says(&out, &ManagerMessage::Ready) == 0 && !does(&out, &Action::ReadConfiguration),
         "{out:?}"
     );
     assert_eq!(life.life.state(), State::Draining);
@@ -394,8 +409,8 @@
 fn a_reload_that_hangs_is_given_up() {
     let mut life = Life::ready();
     life.tell(Event::Reload);
-    assert_eq!(says(&life.after(9_999), &Word::Ready), 0);
-    assert_eq!(says(&life.after(1), &Word::Ready), 1);
+    assert_eq!(says(&life.after(9_999), &ManagerMessage::Ready), 0);
+    assert_eq!(says(&life.after(1), &ManagerMessage::Ready), 1);
     assert_eq!(life.life.state(), State::Ready);
 }
 
@@ -432,9 +447,9 @@
     let mut life = Life::ready();
     life.tell(Event::Lameduck);
     assert!(does(&life.tell(Event::Reload), &Action::ReadConfiguration));
-    life.tell(Event::Reloaded { taken: true });
+    life.tell(Event::Reloaded { applied: true });
     assert!(!life.life.ready());
-    assert_eq!(says(&life.stop(), &Word::Stopping), 1);
+    assert_eq!(says(&life.stop(), &ManagerMessage::Stopping), 1);
     // There is no way back from a stop, and its own times hold.
     assert!(!does(&life.tell(Event::Rejoin), &Action::KeepOpen));
     assert!(
@@ -445,7 +460,7 @@
     let mut life = Life::new();
     life.tell(Event::Lameduck);
     life.tell(Event::Listening);
-    life.tell(Event::Seen(good()));
+    life.tell(Event::Observed(good()));
     assert!(!life.life.ready());
     life.tell(Event::Rejoin);
     assert!(life.life.ready());
@@ -471,20 +486,20 @@
         }
         let events = [
             Event::Listening,
-            Event::Seen(good()),
-            Event::Seen(Facts {
-                lag: ms(9_000),
+            Event::Observed(good()),
+            Event::Observed(Facts {
+                event_loop_lag: ms(9_000),
                 ..good()
             }),
             Event::Stop { since: now },
             Event::Reload,
-            Event::Reloaded { taken: true },
-            Event::Served,
+            Event::Reloaded { applied: true },
+            Event::ConnectionsClosed,
             Event::Lameduck,
             Event::Rejoin,
         ];
         for event in events {
-            let spans = if matches!(event, Event::Seen(_)) {
+            let spans = if matches!(event, Event::Observed(_)) {
                 ms(700)
             } else {
                 ms(0)
@@ -502,20 +517,20 @@
             life.handle(now, event, &mut out);
             for action in out {
                 match action {
-                    Action::Manager(Word::Ready) => {
+                    Action::NotifyManager(ManagerMessage::Ready) => {
                         assert!(!seen.stopping, "READY after STOPPING");
                         assert!(seen.listening, "READY before it listens");
                         assert!(seen.readies == 0 || seen.reloading, "READY out of place");
                         (seen.readies, seen.reloading) = (seen.readies + 1, false);
                     }
-                    Action::Manager(Word::Reloading) => {
+                    Action::NotifyManager(ManagerMessage::Reloading) => {
                         assert!(
                             seen.readies > 0 && !seen.reloading && !seen.stopping,
                             "RELOADING out of place"
                         );
                         seen.reloading = true;
                     }
-                    Action::Manager(Word::Stopping) => {
+                    Action::NotifyManager(ManagerMessage::Stopping) => {
                         assert!(
                             !std::mem::replace(&mut seen.stopping, true),
                             "STOPPING twice"
@@ -548,7 +563,7 @@
                 !life.ready() || !seen.lame,
                 "ready while clients are sent away"
             );
-            assert!(!(seen.lame && seen.listening) || life.sends_away());
+            assert!(!(seen.lame && seen.listening) || life.closes_connections());
             explore(&life, now, seen, depth - 1, count);
         }
     }
@@ -585,17 +600,20 @@
         life.tell(Event::Listening);
         life.now = ms(10_000);
         life.stop();
-        let plan = life.life.stop_plan().expect("it was told to stop");
+        let plan = life.life.shutdown_plan().expect("it was told to stop");
         let killed = ms(10_000 + killed_after);
-        assert!(plan.ends < killed, "{longest}: {plan:?}");
-        assert!(plan.answer_by + HOLD_UP < killed, "{longest}: {plan:?}");
+        assert!(plan.exit_by < killed, "{longest}: {plan:?}");
+        assert!(
+            plan.answer_by + MAX_SCHEDULING_DELAY < killed,
+            "{longest}: {plan:?}"
+        );
         assert!(
             plan.answer_by > ms(10_000 + killed_after - 400),
             "{longest}: time is not wasted: {plan:?}"
         );
         while life.life.state() != State::Gone {
-            assert!(life.now < plan.ends, "it ends by then");
-            life.now = life.life.until().expect("it ends by itself");
+            assert!(life.now < plan.exit_by, "it ends by then");
+            life.now = life.life.deadline().expect("it ends by itself");
             life.tell(Event::Tick);
         }
     }
@@ -607,15 +625,15 @@
     let mut life = Life::ready();
     life.now = ms(20_000);
     life.tell(Event::Stop { since: ms(19_850) });
-    let plan = life.life.stop_plan().expect("it was told to stop");
-    assert_eq!(plan.ends, ms(19_850 + 3_600));
+    let plan = life.life.shutdown_plan().expect("it was told to stop");
+    assert_eq!(plan.exit_by, ms(19_850 + 3_600));
     // One that was held up for longer than it has still gives its answers.
     let mut life = Life::ready();
     life.now = ms(60_000);
     life.tell(Event::Stop { since: ms(0) });
-    let plan = life.life.stop_plan().expect("it was told to stop");
+    let plan = life.life.shutdown_plan().expect("it was told to stop");
     assert!(
-        plan.answer_by > life.now && plan.ends < life.now + ms(300),
+        plan.answer_by > life.now && plan.exit_by < life.now + ms(300),
         "{plan:?}"
     );
 }
@@ -626,15 +644,15 @@
     let mut life = Life::ready();
     life.tell(Event::Reload);
     life.stop();
-    let plan = life.life.stop_plan();
+    let plan = life.life.shutdown_plan();
     life.life.set_limits(Limits {
         finish_within: ms(60_000),
         leave_for: ms(60_000),
         ..limits()
     });
-    life.tell(Event::Reloaded { taken: true });
+    life.tell(Event::Reloaded { applied: true });
     assert!(does(&life.after(600), &Action::StopAccepting));
-    assert_eq!(life.life.stop_plan(), plan);
+    assert_eq!(life.life.shutdown_plan(), plan);
     assert!(does(&life.after(3_000), &Action::Exit));
 }
 
@@ -643,12 +661,12 @@
 fn a_second_sigterm_never_moves_the_end_away() {
     let mut life = Life::ready();
     life.stop();
-    let first = life.life.stop_plan().expect("it was told to stop");
+    let first = life.life.shutdown_plan().expect("it was told to stop");
     life.after(599);
     life.stop();
-    let second = life.life.stop_plan().expect("it was told to stop");
+    let second = life.life.shutdown_plan().expect("it was told to stop");
     assert!(
-        second.ends <= first.ends && second.answer_by <= first.answer_by,
+        second.exit_by <= first.exit_by && second.answer_by <= first.answer_by,
         "{first:?} {second:?}"
     );
 }
--- a/crates/model-checker/src/nodes.rs
+++ b/crates/model-checker/src/nodes.rs
@@ -2,7 +2,9 @@
 //! changes, datagrams that are lost. Everything follows from the seed; the ledger of the fleet rig judges it.
 
 use anyhow::Result;
-use saffronpaddle_exchange::{Bounds, Bug, Command, Event, Exchange, LinkId, Ticket, Verdict};
+use saffronpaddle_exchange::{
+    Bug, Command, ConnectionId, Event, Exchange, FinalAnswer, Limits, Ticket,
+};
 use saffronpaddle_policy::interface::{
     Action, ClassId, CustomerId, DeduplicationDomainId, Endpoint, EndpointStatus,
     Event as ModuleEvent, Micros, NodeId, Outcome, PlanId, RequestId, ServerId, ZoneId,
@@ -82,7 +84,7 @@
     core: Core,
     /// Counts its lives: what is under way to an earlier one is lost.
     life: u32,
-    wires: HashMap<LinkId, Wire>,
+    wires: HashMap<ConnectionId, Wire>,
     rings_at: Micros,
     /// Whose answer goes where, by id.
     waits: HashMap<RequestId, Ticket>,
@@ -128,16 +130,16 @@
 enum Comes {
     Try(usize),
     ClientGives(usize, u32, RequestId, Ticket),
-    Connects(usize, u32, LinkId),
-    CantConnect(usize, u32, LinkId),
-    Begins(usize, u32, LinkId),
-    Arrives(usize, u32, LinkId, u32, Micros),
-    Done(usize, u32, LinkId, u32, Outcome),
-    Replies(usize, u32, LinkId, u32, RequestId, Outcome),
-    Breaks(usize, u32, LinkId, u32),
-    Unasked(usize, u32, LinkId),
-    Ends(usize, u32, LinkId),
-    Closes(usize, u32, LinkId),
+    Connects(usize, u32, ConnectionId),
+    CantConnect(usize, u32, ConnectionId),
+    Begins(usize, u32, ConnectionId),
+    Arrives(usize, u32, ConnectionId, u32, Micros),
+    Done(usize, u32, ConnectionId, u32, Outcome),
+    Replies(usize, u32, ConnectionId, u32, RequestId, Outcome),
+    Breaks(usize, u32, ConnectionId, u32),
+    Unasked(usize, u32, ConnectionId),
+    Ends(usize, u32, ConnectionId),
+    Closes(usize, u32, ConnectionId),
     Rings(usize, u32, Micros),
     Wakes(usize, u32, u64),
     Hears(usize, NodeId, Vec<u8>),
@@ -233,7 +235,7 @@
         let named = &self.named[at];
         let gateway =
             PolicyEngine::new(self.play.seed ^ at as u64, named.settings.clone(), self.now)?;
-        let bounds = Bounds::usual(LINKS, named.server_idle_timeout, named.connect_timeout);
+        let bounds = Limits::for_node(LINKS, named.server_idle_timeout, named.connect_timeout);
         Ok(Exchange::with_bugs(bounds, gateway, self.play.bug))
     }
 
@@ -254,9 +256,9 @@
                 .collect();
             self.happened(
                 at,
-                Event::Listed {
-                    whole: true,
-                    entries,
+                Event::EndpointsChanged {
+                    snapshot: true,
+                    endpoints: entries,
                 },
                 None,
             );
@@ -294,7 +296,7 @@
         let kept = self
             .nodes
             .iter()
-            .map(|node| node.core.kept())
+            .map(|node| node.core.table_sizes())
             .map(|(rows, links)| rows + links)
             .sum();
         Played {
@@ -342,20 +344,34 @@
                 let wire = self.wire(at, life, link);
                 if let Some(wire) = wire.filter(|wire| !wire.closing) {
                     wire.up = true;
-                    self.happened(at, Event::Connected { link }, None);
+                    self.happened(at, Event::Connected { connection: link }, None);
                 }
             }
             Comes::CantConnect(at, life, link) => {
                 if self.wire(at, life, link).is_some_and(|wire| !wire.closing) {
                     self.nodes[at].wires.remove(&link);
                     let lack = self.random.u8(..20) == 0;
-                    self.happened(at, Event::ConnectFailed { link, lack }, None);
+                    self.happened(
+                        at,
+                        Event::ConnectFailed {
+                            connection: link,
+                            local_shortage: lack,
+                        },
+                        None,
+                    );
                 }
             }
             Comes::Begins(at, life, link) => {
                 if let Some(wire) = self.wire(at, life, link).filter(|wire| !wire.closing) {
                     let quiet = !wire.unasked;
-                    self.happened(at, Event::Begin { link, quiet }, None);
+                    self.happened(
+                        at,
+                        Event::FirstByteReady {
+                            connection: link,
+                            quiet,
+                        },
+                        None,
+                    );
                 }
             }
             Comes::Arrives(at, life, link, turn, first) => {
@@ -368,7 +384,14 @@
                     .filter(|wire| wire.turn == turn && !wire.closing);
                 if let Some(wire) = wire {
                     wire.carries = None;
-                    self.happened(at, Event::Replied { link, outcome }, Some(id));
+                    self.happened(
+                        at,
+                        Event::ResponseComplete {
+                            connection: link,
+                            outcome,
+                        },
+                        Some(id),
+                    );
                 }
             }
             Comes::Breaks(at, life, link, turn) => {
@@ -385,14 +408,14 @@
                             .unwrap_or_default();
                         self.ledger.closed(self.since(), &id);
                     }
-                    self.happened(at, Event::Broken { link }, None);
+                    self.happened(at, Event::ConnectionLost { connection: link }, None);
                 }
             }
             Comes::Unasked(at, life, link) => {
                 if let Some(wire) = self.wire(at, life, link).filter(|wire| !wire.closing) {
                     wire.unasked = true;
                     if wire.carries.is_none() {
-                        self.happened(at, Event::Gone { link }, None);
+                        self.happened(at, Event::ClosedByPeer { connection: link }, None);
                     }
                 }
             }
@@ -401,7 +424,7 @@
                     .wire(at, life, link)
                     .is_some_and(|wire| wire.carries.is_none() && !wire.closing)
                 {
-                    self.happened(at, Event::Gone { link }, None);
+                    self.happened(at, Event::ClosedByPeer { connection: link }, None);
                 }
             }
             Comes::Closes(at, life, link) => {
@@ -415,24 +438,28 @@
                     {
                         self.ledger.closed(self.since(), &id.0);
                     }
-                    self.happened(at, Event::Closed { link }, None);
+                    self.happened(at, Event::Closed { connection: link }, None);
                 }
             }
             Comes::Rings(at, life, due) => {
                 if self.alive(at, life) && self.nodes[at].rings_at == due {
                     self.nodes[at].rings_at = Micros::MAX;
-                    self.happened(at, Event::Tick, None);
+                    self.happened(at, Event::TimerFired, None);
                 }
             }
             Comes::Wakes(at, life, token) => {
                 if self.alive(at, life) {
-                    self.happened(at, Event::Tell(ModuleEvent::TimerFired { token }), None);
+                    self.happened(
+                        at,
+                        Event::PolicyEvent(ModuleEvent::TimerFired { token }),
+                        None,
+                    );
                 }
             }
             Comes::Hears(at, from, bytes) => {
                 self.happened(
                     at,
-                    Event::Tell(ModuleEvent::PeerMessage { from, bytes }),
+                    Event::PolicyEvent(ModuleEvent::PeerMessage { from, bytes }),
                     None,
                 );
             }
@@ -464,9 +491,9 @@
                     self.ledger.told(self.since(), at, &name, ready);
                     self.happened(
                         at,
-                        Event::Listed {
-                            whole: false,
-                            entries: vec![(entry, dial)],
+                        Event::EndpointsChanged {
+                            snapshot: false,
+                            endpoints: vec![(entry, dial)],
                         },
                         None,
                     );
@@ -477,7 +504,7 @@
         Ok(())
     }
 
-    fn wire(&mut self, at: usize, life: u32, link: LinkId) -> Option<&mut Wire> {
+    fn wire(&mut self, at: usize, life: u32, link: ConnectionId) -> Option<&mut Wire> {
         if !self.alive(at, life) {
             return None;
         }
@@ -532,10 +559,10 @@
         }
         self.happened(
             at,
-            Event::Asked {
+            Event::RequestReceived {
                 effect,
                 deadline: self.now + patience,
-                tell,
+                policy_event: tell,
             },
             None,
         );
@@ -600,9 +627,9 @@
             .collect();
         self.happened(
             at,
-            Event::Listed {
-                whole: true,
-                entries,
+            Event::EndpointsChanged {
+                snapshot: true,
+                endpoints: entries,
             },
             None,
         );
@@ -610,7 +637,7 @@
     }
 
     /// A request has come whole to its server.
-    fn arrives(&mut self, at: usize, life: u32, link: LinkId, turn: u32, first: Micros) {
+    fn arrives(&mut self, at: usize, life: u32, link: ConnectionId, turn: u32, first: Micros) {
         let Some(wire) = self
             .wire(at, life, link)
             .filter(|wire| wire.turn == turn && !wire.closing)
@@ -665,7 +692,7 @@
     }
 
     /// A server has done with a request, and answers if the connection is still there.
-    fn done(&mut self, at: usize, life: u32, link: LinkId, turn: u32, outcome: Outcome) {
+    fn done(&mut self, at: usize, life: u32, link: ConnectionId, turn: u32, outcome: Outcome) {
         let Some(wire) = self
             .wire(at, life, link)
             .filter(|wire| wire.turn == turn && wire.there)
@@ -699,8 +726,11 @@
             (at, format!("{command:?}")).hash(&mut self.course);
             match command {
                 // Requests come whole here.
-                Command::Release { .. } => {}
-                Command::Connect { link, dial } => {
+                Command::ReleaseBody { .. } => {}
+                Command::Connect {
+                    connection: link,
+                    address: dial,
+                } => {
                     let server = self.servers.iter().position(|server| server.dial == dial);
                     let wire = Wire {
                         server: server.unwrap_or(0),
@@ -728,7 +758,11 @@
                     };
                     self.later(after, comes);
                 }
-                Command::Send { link, id, .. } => {
+                Command::Send {
+                    connection: link,
+                    id,
+                    ..
+                } => {
                     let after = self.random.u64(..300);
                     if let Some(wire) = self.nodes[at].wires.get_mut(&link) {
                         wire.carries = Some(id);
@@ -736,7 +770,7 @@
                         self.later(after, Comes::Begins(at, life, link));
                     }
                 }
-                Command::Write { link } => {
+                Command::Write { connection: link } => {
                     let after = self.random.u64(50..2_000);
                     if let Some(wire) = self.nodes[at].wires.get(&link) {
                         let (turn, server, dial) = (wire.turn, wire.server, wire.dial);
@@ -753,7 +787,7 @@
                         );
                     }
                 }
-                Command::Close { link } => {
+                Command::Close { connection: link } => {
                     let after = self.random.u64(..CLOSING);
                     match self.nodes[at].wires.get_mut(&link) {
                         Some(wire) if !wire.closing => {
@@ -763,8 +797,11 @@
                         _ => self.tables.push(format!("node {at} closes what is closed")),
                     }
                 }
-                Command::Answer { id, verdict } => self.answered(at, &id, verdict, answer.as_ref()),
-                Command::Module(action) => self.acts(at, life, action),
+                Command::Answer {
+                    id,
+                    answer: verdict,
+                } => self.answered(at, &id, verdict, answer.as_ref()),
+                Command::ForPolicy(action) => self.acts(at, life, action),
             }
         }
         if let Err(what) = self.nodes[at].core.consistent() {
@@ -783,18 +820,18 @@
         &mut self,
         at: usize,
         id: &RequestId,
-        verdict: Verdict,
+        verdict: FinalAnswer,
         answer: Option<&RequestId>,
     ) {
         self.nodes[at].waits.remove(id);
         self.open.remove(id);
-        if verdict == Verdict::Served && answer != Some(id) {
+        if verdict == FinalAnswer::Served && answer != Some(id) {
             self.ledger.foreign(&id.0);
         }
         let answer = match verdict {
-            Verdict::Served => Answer::Served,
-            Verdict::Refused(_) => Answer::Refused,
-            Verdict::Failed => Answer::Failed,
+            FinalAnswer::Served => Answer::Served,
+            FinalAnswer::Rejected(_) => Answer::Refused,
+            FinalAnswer::Failed => Answer::Failed,
         };
         self.ledger.answered(self.since(), &id.0, answer);
     }
--- a/crates/model-checker/src/setups.rs
+++ b/crates/model-checker/src/setups.rs
@@ -1,7 +1,7 @@
 //! The worlds that are visited: small enough to be visited whole, each for something.
 
 use crate::world::{class, Change, Copies, Real, Setup};
-use saffronpaddle_exchange::Bounds;
+use saffronpaddle_exchange::Limits;
 use saffronpaddle_policy::interface::{
     Class, DeduplicationScope, DiscoveryMode, HardLimit, Idempotency, Micros, NodeId, Permissions,
     Plan, Settings, SlowStartRules, ZoneId,
@@ -15,15 +15,15 @@
 };
 
 /// Bounds in steps.
-fn bounds(links: usize) -> Bounds {
-    Bounds {
-        links,
-        idle_at_one: 2,
+fn bounds(links: usize) -> Limits {
+    Limits {
+        max_connections: links,
+        max_idle_per_server: 2,
         idle_for: 3,
-        settle: 1,
-        connect_within: 2,
-        overdue: 1,
-        attempts: 4,
+        reuse_delay: 1,
+        connect_timeout: 2,
+        answer_grace: 1,
+        max_attempts: 4,
     }
 }
 
@@ -274,14 +274,14 @@
     Setup {
         requests: vec![effect],
         changes: vec![Change::Drains(0), Change::Moves(1, 0)],
-        bounds: Bounds {
-            links: 2,
-            idle_at_one: 2,
+        bounds: Limits {
+            max_connections: 2,
+            max_idle_per_server: 2,
             idle_for: 300 * ms,
-            settle: 10 * ms,
-            connect_within: 100 * ms,
-            overdue: 2 * ms,
-            attempts: 32,
+            reuse_delay: 10 * ms,
+            connect_timeout: 100 * ms,
+            answer_grace: 2 * ms,
+            max_attempts: 32,
         },
         patience: 4,
         horizon: 5,
@@ -399,14 +399,14 @@
         servers: vec![(0, 0), (0, 0), (0, 1), (1, 2), (1, 2), (1, 3)],
         changes,
         sends: 8,
-        bounds: Bounds {
-            links: 5,
-            idle_at_one: 2,
+        bounds: Limits {
+            max_connections: 5,
+            max_idle_per_server: 2,
             idle_for: 9,
-            settle: 2,
-            connect_within: 4,
-            overdue: 1,
-            attempts: 12,
+            reuse_delay: 2,
+            connect_timeout: 4,
+            answer_grace: 1,
+            max_attempts: 12,
         },
         patience: 25,
         horizon: 400,
--- a/crates/model-checker/src/world.rs
+++ b/crates/model-checker/src/world.rs
@@ -2,7 +2,7 @@
 //! at any time; and the ledger that judges what comes of it.
 
 use saffronpaddle_exchange::{
-    Bounds, Bug, Command, Event, Exchange, LinkId, Module, Ticket, Verdict,
+    Bug, Command, ConnectionId, Event, Exchange, FinalAnswer, Limits, Policy, Ticket,
 };
 use saffronpaddle_policy::interface::{
     Action as ModuleAction, AttemptNumber, ClassId, CustomerId, DeduplicationDomainId,
@@ -59,7 +59,7 @@
     asked: Vec<ModuleAction>,
 }
 
-impl<M: Inside> Module for Heard<M> {
+impl<M: Inside> Policy for Heard<M> {
     fn handle(&mut self, now: Micros, event: ModuleEvent, actions: &mut Vec<ModuleAction>) {
         self.told.push(event.clone());
         let from = actions.len();
@@ -111,7 +111,7 @@
     /// Attempts that a module may ask for, a request.
     pub sends: u8,
     /// What binds the exchange.
-    pub bounds: Bounds,
+    pub bounds: Limits,
     /// How far a request's deadline lies from its coming, in steps.
     pub patience: u64,
     /// After so many steps the clock goes on only where nothing else happens.
@@ -279,7 +279,7 @@
     /// When its request is ended, whatever the module says: sooner where the process does not last so long.
     fn last(&self, setup: &Setup, answer_by: Option<Micros>) -> Micros {
         let asked = self.asked.unwrap_or(0);
-        let last = asked + setup.patience * setup.step + setup.bounds.overdue;
+        let last = asked + setup.patience * setup.step + setup.bounds.answer_grace;
         answer_by.map_or(last, |end| last.min(end.max(asked)))
     }
 }
@@ -288,7 +288,7 @@
 #[derive(Clone, Copy, Debug, Hash)]
 struct Written {
     attempt: u32,
-    link: LinkId,
+    link: ConnectionId,
     server: u8,
     at: Micros,
 }
@@ -322,7 +322,7 @@
     /// Steps of the clock since the start.
     clock: u64,
     clients: Vec<Client>,
-    wires: BTreeMap<LinkId, Wire>,
+    wires: BTreeMap<ConnectionId, Wire>,
     /// Address of each server, and whether it is ready, as the node was told.
     told: Vec<(u8, bool)>,
     changed: usize,
@@ -359,9 +359,9 @@
         let mut commands = Vec::new();
         exchange.handle(
             START,
-            Event::Listed {
-                whole: true,
-                entries,
+            Event::EndpointsChanged {
+                snapshot: true,
+                endpoints: entries,
             },
             &mut commands,
         );
@@ -391,7 +391,7 @@
     pub fn digest(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         self.exchange.digest(&mut hasher);
-        self.exchange.module().module.digest(&mut hasher);
+        self.exchange.policy().module.digest(&mut hasher);
         (
             self.clock,
             &self.told,
@@ -402,7 +402,7 @@
         )
             .hash(&mut hasher);
         self.answer_by.hash(&mut hasher);
-        let rank = |link: LinkId| self.wires.keys().position(|other| *other == link);
+        let rank = |link: ConnectionId| self.wires.keys().position(|other| *other == link);
         for client in &self.clients {
             let out = client
                 .out
@@ -419,7 +419,7 @@
         START + self.clock * setup.step
     }
 
-    fn link(&self, rank: u8) -> Option<LinkId> {
+    fn link(&self, rank: u8) -> Option<ConnectionId> {
         self.wires.keys().nth(usize::from(rank)).copied()
     }
 
@@ -432,7 +432,7 @@
     /// All that may happen now.
     pub fn steps(&self, setup: &Setup) -> Vec<Step> {
         let mut steps = Vec::new();
-        let free = self.exchange.module().module.anything();
+        let free = self.exchange.policy().module.anything();
         for (at, client) in self.clients.iter().enumerate() {
             let r = at as u8;
             if client.asked.is_none() {
@@ -443,7 +443,7 @@
                 if first
                     && turn
                     && self.clock < setup.horizon
-                    && !self.exchange.knows(&id(setup, r))
+                    && !self.exchange.contains(&id(setup, r))
                 {
                     steps.push(Step::Asks(r));
                 }
@@ -517,7 +517,7 @@
                 steps.extend(all.map(|reply| Step::Answers(l, *reply)));
             }
             if let (Some((_, _, when)), false, false) = (wire.last, wire.repeated, wire.reset) {
-                let prompt = self.now(setup) < when + setup.bounds.settle;
+                let prompt = self.now(setup) < when + setup.bounds.reuse_delay;
                 if setup.copies == Copies::Late || (setup.copies == Copies::Prompt && prompt) {
                     steps.push(Step::Repeats(l));
                 }
@@ -581,7 +581,7 @@
             return Some(Step::Rings);
         }
         let more = self.exchange.next_alarm().is_some() || self.rung;
-        (more || self.exchange.kept() != (0, 0)).then_some(Step::Passes)
+        (more || self.exchange.table_sizes() != (0, 0)).then_some(Step::Passes)
     }
 
     /// Lets something happen.
@@ -602,14 +602,14 @@
                 self.wakes = later;
                 let due: Vec<(Micros, u64)> = due;
                 for (_, token) in due {
-                    let woke = Event::Tell(ModuleEvent::TimerFired { token });
+                    let woke = Event::PolicyEvent(ModuleEvent::TimerFired { token });
                     self.exchange.handle(now, woke, &mut commands);
                 }
                 return self.carry_out(setup, commands, None);
             }
             Step::Rings => {
                 self.rung = true;
-                Event::Tick
+                Event::TimerFired
             }
             Step::Asks(r) => {
                 let at = usize::from(r);
@@ -626,10 +626,10 @@
                     timeout: patience,
                     complete: !setup.coming,
                 };
-                Event::Asked {
+                Event::RequestReceived {
                     effect: setup.requests[at],
                     deadline: now + patience,
-                    tell,
+                    policy_event: tell,
                 }
             }
             Step::Leaves(r) => {
@@ -647,7 +647,7 @@
                 if client.finals == 0 && !client.left {
                     client.asked = Some(now);
                 }
-                Event::Whole {
+                Event::BodyComplete {
                     id: id(setup, r),
                     ticket: Ticket(client.ticket),
                     deadline: now + patience,
@@ -665,8 +665,8 @@
                     wire.answered = false;
                     self.over(r, link, true);
                 }
-                Event::Replied {
-                    link,
+                Event::ResponseComplete {
+                    connection: link,
                     outcome: Outcome::Ok,
                 }
             }
@@ -675,7 +675,7 @@
                     return Ok(());
                 };
                 self.with(link, |wire| wire.dropped = true);
-                Event::Left { link }
+                Event::ResponseAbandoned { connection: link }
             }
             Step::Sends(r, server, short) => {
                 let (id, server) = (id(setup, r), ServerId(u64::from(server)));
@@ -715,7 +715,7 @@
                     return Ok(());
                 };
                 self.with(link, |wire| wire.up = true);
-                Event::Connected { link }
+                Event::Connected { connection: link }
             }
             Step::CantConnect(l) | Step::Lacks(l) => {
                 let Some(link) = self.link(l) else {
@@ -723,8 +723,8 @@
                 };
                 self.wires.remove(&link);
                 Event::ConnectFailed {
-                    link,
-                    lack: matches!(step, Step::Lacks(_)),
+                    connection: link,
+                    local_shortage: matches!(step, Step::Lacks(_)),
                 }
             }
             Step::Begins(l) => {
@@ -732,8 +732,8 @@
                     return Ok(());
                 };
                 let wire = &self.wires[&link];
-                Event::Begin {
-                    link,
+                Event::FirstByteReady {
+                    connection: link,
                     quiet: wire.inbound.is_empty() && !wire.reset,
                 }
             }
@@ -785,7 +785,7 @@
                     return Ok(());
                 };
                 if setup.echoed && of != r {
-                    Event::Broken { link }
+                    Event::ConnectionLost { connection: link }
                 } else {
                     let wire_closing = wire.closing;
                     read = Some((of, wire_closing));
@@ -805,12 +805,12 @@
                             // The socket has it now.
                             self.wires.remove(&link);
                         }
-                        Event::Upgraded { link }
+                        Event::Upgraded { connection: link }
                     } else if long {
-                        Event::Passing { link }
+                        Event::ResponseStreaming { connection: link }
                     } else {
-                        Event::Replied {
-                            link,
+                        Event::ResponseComplete {
+                            connection: link,
                             outcome: reply.outcome(),
                         }
                     }
@@ -825,9 +825,11 @@
                 };
                 wire.seen_end = true;
                 match wire.carries {
-                    Some((_, true)) if wire.inbound.is_empty() => Event::Broken { link },
-                    Some((_, false)) => Event::Broken { link },
-                    _ => Event::Gone { link },
+                    Some((_, true)) if wire.inbound.is_empty() => {
+                        Event::ConnectionLost { connection: link }
+                    }
+                    Some((_, false)) => Event::ConnectionLost { connection: link },
+                    _ => Event::ClosedByPeer { connection: link },
                 }
             }
             Step::Closes(l) => {
@@ -842,7 +844,7 @@
                     let whole = !setup.coming || self.clients[usize::from(r)].released;
                     self.over(r, link, whole);
                 }
-                Event::Closed { link }
+                Event::Closed { connection: link }
             }
             Step::Changes => {
                 let change = setup.changes[self.changed];
@@ -852,15 +854,15 @@
                     let (address, ready) = self.told[at];
                     (entry(setup, at, ready), address)
                 });
-                Event::Listed {
-                    whole: false,
-                    entries: entries.collect(),
+                Event::EndpointsChanged {
+                    snapshot: false,
+                    endpoints: entries.collect(),
                 }
             }
             Step::Ending => {
                 let answer_by = now + setup.ends_after.unwrap_or(0) * setup.step;
                 self.answer_by = Some(answer_by);
-                Event::Ending { answer_by }
+                Event::ShutdownAnnounced { answer_by }
             }
             Step::Stops => {
                 self.stopped = true;
@@ -878,7 +880,7 @@
         Ok(())
     }
 
-    fn with(&mut self, link: LinkId, change: impl FnOnce(&mut Wire)) {
+    fn with(&mut self, link: ConnectionId, change: impl FnOnce(&mut Wire)) {
         if let Some(wire) = self.wires.get_mut(&link) {
             change(wire);
         }
@@ -907,7 +909,7 @@
     /// The module does something of its own accord.
     fn acts(&mut self, setup: &Setup, action: ModuleAction) -> Result<(), Breach> {
         let mut commands = Vec::new();
-        self.exchange.module_mut().asked.push(action.clone());
+        self.exchange.policy_mut().asked.push(action.clone());
         let now = self.now(setup);
         self.refuses = matches!(action, ModuleAction::Reject { .. });
         self.exchange.act(now, action, &mut commands);
@@ -917,7 +919,7 @@
     }
 
     /// The attempt of a request with bytes written is over.
-    fn over(&mut self, r: u8, link: LinkId, may_have_run: bool) {
+    fn over(&mut self, r: u8, link: ConnectionId, may_have_run: bool) {
         let client = &mut self.clients[usize::from(r)];
         if let Some(out) = client.out.take_if(|out| out.link == link) {
             if may_have_run {
@@ -944,11 +946,14 @@
         let now = self.now(setup);
         self.hear(setup)?;
         for command in commands {
-            if !matches!(command, Command::Module(_)) {
+            if !matches!(command, Command::ForPolicy(_)) {
                 self.notes.push(format!("{command:?}"));
             }
             match command {
-                Command::Connect { link, dial } => {
+                Command::Connect {
+                    connection: link,
+                    address: dial,
+                } => {
                     let at = self
                         .told
                         .iter()
@@ -972,12 +977,16 @@
                         dropped: false,
                         unfinished: false,
                     };
-                    if self.wires.len() >= setup.bounds.links {
+                    if self.wires.len() >= setup.bounds.max_connections {
                         return breach("resources", "more connections than may be");
                     }
                     self.wires.insert(link, wire);
                 }
-                Command::Send { link, id, .. } => {
+                Command::Send {
+                    connection: link,
+                    id,
+                    ..
+                } => {
                     let r = self.client(setup, &id);
                     let Some(wire) = self.wires.get_mut(&link) else {
                         return breach("one owner", "a request on a connection that is none");
@@ -987,9 +996,9 @@
                     }
                     (wire.carries, wire.answered) = (r.map(|r| (r, false)), false);
                 }
-                Command::Write { link } => self.written(setup, link)?,
-                Command::Release { link } => self.released(link)?,
-                Command::Close { link } => {
+                Command::Write { connection: link } => self.written(setup, link)?,
+                Command::ReleaseBody { connection: link } => self.released(link)?,
+                Command::Close { connection: link } => {
                     let Some(wire) = self.wires.get_mut(&link) else {
                         return breach("resources", "a connection that is none is closed");
                     };
@@ -1003,7 +1012,10 @@
                         );
                     }
                 }
-                Command::Answer { id, verdict } => {
+                Command::Answer {
+                    id,
+                    answer: verdict,
+                } => {
                     let Some(r) = self.client(setup, &id) else {
                         return breach("one answer", "an answer to nobody");
                     };
@@ -1013,7 +1025,7 @@
                         return breach("one answer", format!("request {r} is answered twice"));
                     }
                     let last = client.last(setup, self.answer_by);
-                    let in_time = if verdict == Verdict::Served {
+                    let in_time = if verdict == FinalAnswer::Served {
                         now < last
                     } else {
                         now <= last || setup.late
@@ -1027,7 +1039,7 @@
                     let maybe = client.ran.is_some()
                         || (client.out.is_some() && (client.released || !setup.coming));
                     // Of a body that has not gone whole nothing has run, and the client is told so, if the module says so.
-                    let wanted = self.refuses && matches!(verdict, Verdict::Failed);
+                    let wanted = self.refuses && matches!(verdict, FinalAnswer::Failed);
                     if setup.coming && wanted && !maybe && now < last {
                         return breach(
                             "refusal",
@@ -1035,30 +1047,30 @@
                         );
                     }
                     let held = maybe && !refusable(setup.requests[usize::from(r)]);
-                    if matches!(verdict, Verdict::Refused(_)) && held {
+                    if matches!(verdict, FinalAnswer::Rejected(_)) && held {
                         return breach(
                             "refusal",
                             format!("request {r} is refused and may have run"),
                         );
                     }
-                    if verdict == Verdict::Served && read == Some((r, true)) {
+                    if verdict == FinalAnswer::Served && read == Some((r, true)) {
                         return breach(
                             "own answer",
                             format!("request {r} is served by what was called off"),
                         );
                     }
-                    if verdict == Verdict::Served && read != Some((r, false)) {
+                    if verdict == FinalAnswer::Served && read != Some((r, false)) {
                         return breach(
                             "own answer",
                             format!("request {r} gets what is not its answer"),
                         );
                     }
                 }
-                Command::Module(ModuleAction::SetTimer { after, token }) => {
+                Command::ForPolicy(ModuleAction::SetTimer { after, token }) => {
                     self.wakes.push((now + after, token));
                     self.wakes.sort_unstable();
                 }
-                Command::Module(_) => {}
+                Command::ForPolicy(_) => {}
             }
         }
         if self
@@ -1074,7 +1086,7 @@
         self.exchange
             .consistent()
             .or_else(|what| breach("tables", what))?;
-        let links = self.exchange.kept().1;
+        let links = self.exchange.table_sizes().1;
         if links != self.wires.len() {
             return breach(
                 "resources",
@@ -1087,8 +1099,8 @@
     /// What the module was told, and what it asked for.
     fn hear(&mut self, setup: &Setup) -> Result<(), Breach> {
         let now = self.now(setup);
-        let told = std::mem::take(&mut self.exchange.module_mut().told);
-        let asked = std::mem::take(&mut self.exchange.module_mut().asked);
+        let told = std::mem::take(&mut self.exchange.policy_mut().told);
+        let asked = std::mem::take(&mut self.exchange.policy_mut().asked);
         for action in asked {
             let ModuleAction::Send { id, .. } = &action else {
                 continue;
@@ -1144,7 +1156,7 @@
     }
 
     /// The first byte of a request goes out.
-    fn written(&mut self, setup: &Setup, link: LinkId) -> Result<(), Breach> {
+    fn written(&mut self, setup: &Setup, link: ConnectionId) -> Result<(), Breach> {
         let now = self.now(setup);
         let Some(wire) = self.wires.get_mut(&link) else {
             return breach("one owner", "bytes on no connection");
@@ -1229,7 +1241,7 @@
     }
 
     /// The last piece of a body goes out.
-    fn released(&mut self, link: LinkId) -> Result<(), Breach> {
+    fn released(&mut self, link: ConnectionId) -> Result<(), Breach> {
         let Some(wire) = self.wires.get(&link).filter(|wire| !wire.closing) else {
             return breach(
                 "one owner",
@@ -1276,12 +1288,12 @@
                 );
             }
         }
-        if self.exchange.kept() != (0, 0) || !self.wires.is_empty() {
+        if self.exchange.table_sizes() != (0, 0) || !self.wires.is_empty() {
             return breach(
                 "resources",
                 format!(
                     "{:?} requests and connections are kept",
-                    self.exchange.kept()
+                    self.exchange.table_sizes()
                 ),
             );
         }
@@ -1314,7 +1326,8 @@
                     .clients
                     .get(r + 1)
                     .is_some_and(|next| next.asked.is_some());
-            if !later && client.sends != client.ends && !self.exchange.knows(&id(setup, r as u8)) {
+            if !later && client.sends != client.ends && !self.exchange.contains(&id(setup, r as u8))
+            {
                 return breach(
                     "one end",
                     format!("an attempt of {r} is forgotten and its end was not told"),
--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -2,7 +2,7 @@
 
 use crate::node::Node;
 use anyhow::{Context, Result};
-use saffronpaddle_admin::{failure, success, Bad, Call, Caller, Desk, Line};
+use saffronpaddle_admin::{failure, success, Call, CallError, Caller, CallerTable, Line};
 use saffronpaddle_netio::{retry_shortage, AcceptFailure, Socket};
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -16,7 +16,7 @@
 use tokio::time::{sleep, timeout, Instant};
 
 /// Calls that may wait for the life cycle. Each caller asks once.
-pub const CALLS_MOST: usize = Desk::MOST;
+pub const CALLS_MOST: usize = CallerTable::MOST;
 /// Pause after a connection that could not be accepted.
 const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
 /// How long an answer may take on its way out, and its reader to close. Guards descriptors against callers that never
@@ -44,7 +44,7 @@
 
 impl Admin {
     /// Set aside for it: the listener, callers that wait, one that comes, and those that have their answer.
-    pub const DESCRIPTORS: usize = Desk::MOST + 4;
+    pub const DESCRIPTORS: usize = CallerTable::MOST + 4;
 
     /// Binds the address.
     ///
@@ -59,13 +59,13 @@
 
 /// Callers and the tasks that serve them.
 struct Room {
-    desk: Desk,
+    desk: CallerTable,
     tasks: HashMap<Caller, AbortHandle>,
 }
 
 impl Room {
     fn leaves(&mut self, caller: Caller) {
-        self.desk.goes(caller);
+        self.desk.left(caller);
         self.tasks.remove(&caller);
     }
 
@@ -83,15 +83,15 @@
     };
     let began = Instant::now();
     let room = Rc::new(RefCell::new(Room {
-        desk: Desk::new(Desk::MOST, Desk::STAY),
+        desk: CallerTable::new(CallerTable::MOST, CallerTable::STAY),
         tasks: HashMap::new(),
     }));
     loop {
-        let until = room.borrow().desk.until().map(|until| began + until);
+        let until = room.borrow().desk.deadline().map(|until| began + until);
         tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => {
-                    let (caller, goes) = room.borrow_mut().desk.comes(began.elapsed());
+                    let (caller, goes) = room.borrow_mut().desk.arrived(began.elapsed());
                     goes.into_iter().for_each(|caller| room.borrow_mut().dismiss(caller));
                     let (held, node, ask) = (Rc::clone(&room), Rc::clone(&node), ask.clone());
                     let task = tokio::task::spawn_local(async move {
@@ -131,7 +131,7 @@
     let call = loop {
         let length = stream.read(&mut piece).await?;
         if length == 0 {
-            break Err(Bad::Half);
+            break Err(CallError::Half);
         }
         if let Some(call) = line.take(&piece[..length]) {
             break call;
--- a/crates/node/src/bodies.rs
+++ b/crates/node/src/bodies.rs
@@ -7,7 +7,7 @@
 use http_body_util::Full;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use hyper::client::conn::http1::SendRequest;
-use saffronpaddle_exchange::{Event, LinkId, Ticket};
+use saffronpaddle_exchange::{ConnectionId, Event, Ticket};
 use saffronpaddle_policy::interface::{Micros, Outcome, RequestId};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -216,7 +216,7 @@
                 };
                 let deadline = node.now() + self.patience.as_micros() as Micros;
                 node.happened(
-                    Event::Whole {
+                    Event::BodyComplete {
                         id: self.id.clone(),
                         ticket,
                         deadline,
@@ -322,8 +322,8 @@
 /// An answer that goes by as it comes, and the connection that it comes on.
 pub struct Passing {
     node: u64,
-    link: LinkId,
-    left: mpsc::UnboundedSender<LinkId>,
+    link: ConnectionId,
+    left: mpsc::UnboundedSender<ConnectionId>,
     sender: Option<SendRequest<Outgoing>>,
     size: Option<u64>,
     first: VecDeque<Bytes>,
@@ -345,8 +345,8 @@
     /// An answer of which these pieces have come on a connection.
     pub fn new(
         node: u64,
-        link: LinkId,
-        left: mpsc::UnboundedSender<LinkId>,
+        link: ConnectionId,
+        left: mpsc::UnboundedSender<ConnectionId>,
         sender: SendRequest<Outgoing>,
         first: VecDeque<Bytes>,
         rest: Incoming,
@@ -385,9 +385,12 @@
         }
         node.happened(
             if whole {
-                Event::Replied { link, outcome }
+                Event::ResponseComplete {
+                    connection: link,
+                    outcome,
+                }
             } else {
-                Event::Broken { link }
+                Event::ConnectionLost { connection: link }
             },
             None,
         );
--- a/crates/node/src/clients.rs
+++ b/crates/node/src/clients.rs
@@ -137,7 +137,7 @@
         tokio::select! {
             accepted = backlog.accept(), if accepts => match accepted {
                 Ok(came) => {
-                    connections.press.came(connections.began.elapsed());
+                    connections.press.accepted(connections.began.elapsed());
                     waits = Some(came);
                 }
                 Err(error) => match AcceptFailure::of(&error) {
--- a/crates/node/src/clients/connection.rs
+++ b/crates/node/src/clients/connection.rs
@@ -112,8 +112,8 @@
     tokio::task::yield_now().await;
     // Danger: the library takes a kept connection for idle though half of a head has come on it.
     let wait = match seat.seen() {
-        seen if seen.head.is_some() => Limits::USUAL.head_within,
-        seen if seen.asked => Duration::ZERO,
+        seen if seen.head_started_at.is_some() => Limits::USUAL.head_timeout,
+        seen if seen.has_requested => Duration::ZERO,
         _ => FIRST_WITHIN,
     };
     // No longer than the process takes requests at all.
--- a/crates/node/src/clients/connections.rs
+++ b/crates/node/src/clients/connections.rs
@@ -5,7 +5,7 @@
 use super::Standing;
 use crate::node::Node;
 use crate::seats::Seat;
-use saffronpaddle_connection_eviction::{Limits, Press};
+use saffronpaddle_connection_eviction::{EvictionPressure, Limits};
 use std::rc::Rc;
 use std::sync::Arc;
 use tokio::sync::{watch, Notify};
@@ -21,7 +21,7 @@
     pub(super) began: Instant,
     pub(super) tasks: JoinSet<()>,
     pub(super) entries: Vec<Entry>,
-    pub(super) press: Press,
+    pub(super) press: EvictionPressure,
     /// A connection is unwatched from now on.
     pub(super) unwatched: Rc<Notify>,
 }
@@ -35,7 +35,7 @@
 impl Connections {
     /// None yet.
     pub(super) fn new() -> Connections {
-        let (tasks, entries, press) = (JoinSet::new(), Vec::new(), Press::default());
+        let (tasks, entries, press) = (JoinSet::new(), Vec::new(), EvictionPressure::default());
         Connections {
             began: Instant::now(),
             tasks,
@@ -116,12 +116,12 @@
             .iter()
             .filter(|entry| entry.seat.is_going())
             .count();
-        let way = self.press.make_way(now, most, self.tasks.len(), going);
-        if way.must + way.may == 0 {
+        let way = self.press.evictions(now, most, self.tasks.len(), going);
+        if way.required + way.allowed == 0 {
             return;
         }
         let seen: Vec<_> = self.entries.iter().map(|entry| entry.seat.seen()).collect();
-        for place in Limits::USUAL.make_way(now, &seen, way) {
+        for place in Limits::USUAL.choose_evictions(now, &seen, way) {
             self.entries[place].seat.send_away();
         }
     }
--- a/crates/node/src/clients/late.rs
+++ b/crates/node/src/clients/late.rs
@@ -1,7 +1,7 @@
 //! How late this thread's loop reads what has come, as its sleeps and rounds show.
 
 use super::LOOK_EVERY;
-use saffronpaddle_connection_eviction::{rested, Rounds};
+use saffronpaddle_connection_eviction::{rested, IdleSweep};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,12 +15,12 @@
 thread_local! {
     /// Since when the loop is watched; nothing is known of one that is not.
     static BEGAN: Cell<Option<Instant>> = const { Cell::new(None) };
-    static ROUNDS: Cell<Rounds> = const { Cell::new(Rounds::NEW) };
+    static ROUNDS: Cell<IdleSweep> = const { Cell::new(IdleSweep::NEW) };
     /// A round is to be proved.
     static PROVE: Rc<Notify> = Rc::default();
 }
 
-fn with(change: impl FnOnce(&mut Rounds, Duration)) {
+fn with(change: impl FnOnce(&mut IdleSweep, Duration)) {
     let began = BEGAN.get().unwrap_or_else(|| {
         let now = Instant::now();
         BEGAN.set(Some(now));
@@ -33,7 +33,7 @@
 
 /// Has a loop's sleeps watched. Costs two looks at the clock for each.
 pub fn watch(runtime: &mut Builder) -> &mut Builder {
-    runtime.on_thread_park(|| with(Rounds::sleeps));
+    runtime.on_thread_park(|| with(IdleSweep::sleeps));
     runtime.on_thread_unpark(|| with(|rounds, now| rounds.wakes(now, LONGEST)))
 }
 
--- a/crates/node/src/clients/reply.rs
+++ b/crates/node/src/clients/reply.rs
@@ -5,7 +5,7 @@
 use crate::node::{Answer, Node, Payload};
 use hyper::header::{HeaderMap, HeaderValue, CONNECTION, RETRY_AFTER, SEC_WEBSOCKET_VERSION};
 use hyper::{Response, StatusCode};
-use saffronpaddle_admin::End;
+use saffronpaddle_admin::RequestEnd;
 use saffronpaddle_policy::interface::ClassId;
 use saffronpaddle_websocket::upgrade;
 use std::time::Duration;
@@ -43,7 +43,7 @@
         "turned away"
     );
     if let Some(class) = class_of(&node.named, headers) {
-        node.turned_away(class, End::Faulted);
+        node.turned_away(class, RequestEnd::Faulted);
     }
     turned_away(status, reason)
 }
@@ -71,7 +71,7 @@
 
 /// Its time was up before it was read: it is refused at once, and nothing of it is sent on.
 pub(super) fn too_late(node: &Node, class: ClassId) -> Reply {
-    node.turned_away(class, End::Throttled);
+    node.turned_away(class, RequestEnd::Throttled);
     refused(None)
 }
 
--- a/crates/node/src/clients/respond.rs
+++ b/crates/node/src/clients/respond.rs
@@ -17,7 +17,7 @@
 use hyper::upgrade::OnUpgrade;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use saffronpaddle_admin::End;
+use saffronpaddle_admin::RequestEnd;
 use saffronpaddle_exchange::Ticket;
 use saffronpaddle_policy::interface::{Event, Idempotency, RequestId};
 use saffronpaddle_websocket::upgrade::{self, Offer};
@@ -82,7 +82,7 @@
     };
     let class = asked.class;
     let turned_away = |status, what| {
-        node.turned_away(class, End::Faulted);
+        node.turned_away(class, RequestEnd::Faulted);
         turned_away(status, what)
     };
     if let (Some(offer), Some(upgrades)) = (offer, upgrades) {
@@ -137,7 +137,7 @@
     if let Some(answer) = answer {
         return reply(answer);
     }
-    node.turned_away(class, End::Faulted);
+    node.turned_away(class, RequestEnd::Faulted);
     in_use()
 }
 
--- a/crates/node/src/clients/tests.rs
+++ b/crates/node/src/clients/tests.rs
@@ -55,7 +55,7 @@
                 &seen,
             );
             client.write_all(first.as_bytes()).expect("written");
-            while connections.entries[0].seat.seen().head.is_some() == first.is_empty() {
+            while connections.entries[0].seat.seen().head_started_at.is_some() == first.is_empty() {
                 tokio::task::yield_now().await;
             }
             // The machine has the rest, and this node's loop has not looked yet.
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,7 +1,7 @@
 //! What the edge node is told at its start: `LB_*` and the JSON of `LB_CONFIG`, as typed values.
 
 use anyhow::{ensure, Context, Result};
-use saffronpaddle_endpoints::{Entry, Standing};
+use saffronpaddle_endpoints::{EndpointRecord, EndpointStatus};
 use saffronpaddle_policy::setup::{self, NamedSettings};
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
@@ -117,26 +117,26 @@
 /// Fewer descriptors than this leave no room for clients beside app servers.
 const FEWEST_SOCKETS: usize = 64;
 
-impl From<Health> for Standing {
-    fn from(health: Health) -> Standing {
+impl From<Health> for EndpointStatus {
+    fn from(health: Health) -> EndpointStatus {
         match health {
-            Health::Ready => Standing::Ready,
-            Health::Draining => Standing::Draining,
-            Health::Gone => Standing::Gone,
+            Health::Ready => EndpointStatus::Ready,
+            Health::Draining => EndpointStatus::Draining,
+            Health::Gone => EndpointStatus::Removed,
         }
     }
 }
 
-impl From<&Host> for Entry {
-    fn from(host: &Host) -> Entry {
-        Entry {
+impl From<&Host> for EndpointRecord {
+    fn from(host: &Host) -> EndpointRecord {
+        EndpointRecord {
             host: host.host.as_str().into(),
-            dial: host.dial,
-            site: host.site.as_str().into(),
-            block: host.block,
-            standing: host.health.into(),
-            share: host.share,
-            born_ms: host.born_ms,
+            address: host.dial,
+            zone: host.site.as_str().into(),
+            domain: host.block,
+            status: host.health.into(),
+            weight: host.share,
+            started_at_ms: host.born_ms,
         }
     }
 }
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -11,7 +11,7 @@
 use hyper::header::{HOST, RETRY_AFTER};
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use saffronpaddle_endpoints::{Doubt, Objects, Pace, Terms};
+use saffronpaddle_endpoints::{EmptyListProtection, JsonObjects, PollBackoff, PollLimits};
 use saffronpaddle_netio::{is_quiet, Socket};
 use saffronpaddle_policy::interface::DiscoveryMode;
 use std::cell::{Cell, RefCell};
@@ -103,10 +103,10 @@
     /// Whether the last call was answered with a watch.
     opened: bool,
     /// What the installation says of its list service, if it says anything; and what the service said of the next call.
-    terms: Option<Terms>,
+    terms: Option<PollLimits>,
     come_back: Option<Duration>,
     /// Whether an empty list is in doubt.
-    doubt: Doubt,
+    doubt: EmptyListProtection,
     born: Instant,
 }
 
@@ -124,7 +124,7 @@
             return true;
         };
         let known = self.node.ready();
-        let believed = self.doubt.believes(
+        let believed = self.doubt.accepts(
             self.born.elapsed(),
             list.hosts.len(),
             known,
@@ -167,7 +167,7 @@
     node: Rc<Node>,
     mut address: watch::Receiver<SocketAddr>,
     known: Option<List>,
-    terms: Option<Terms>,
+    terms: Option<PollLimits>,
 ) {
     let place = (node.named.settings.node.0, node.named.settings.node_count);
     let born = Instant::now();
@@ -178,7 +178,7 @@
         opened: false,
         terms: terms.clone(),
         come_back: None,
-        doubt: Doubt::default(),
+        doubt: EmptyListProtection::default(),
         born,
     };
     let mut first = follower();
@@ -237,10 +237,10 @@
     let nodes = follower.node.named.settings.node_count;
     let pushed = follower.node.named.settings.discovery == DiscoveryMode::Pushed;
     let mut pace = match &follower.terms {
-        Some(terms) => Pace::within(nodes, terms),
+        Some(terms) => PollBackoff::with_limits(nodes, terms),
         // Where lists are pushed the address is the agent of this machine.
-        None if pushed => Pace::agent(),
-        None => Pace::of(nodes),
+        None if pushed => PollBackoff::for_agent(),
+        None => PollBackoff::for_fleet(nodes),
     };
     let mut told = false;
     loop {
@@ -256,9 +256,9 @@
             }
         }
         let pause = match follower.come_back.take() {
-            Some(after) => pace.told(after, fastrand::f64()),
-            None if follower.opened => pace.ended(fastrand::f64()),
-            None => pace.pause(fastrand::f64()),
+            Some(after) => pace.after_response(after, fastrand::f64()),
+            None if follower.opened => pace.after_watch_end(fastrand::f64()),
+            None => pace.after_failure(fastrand::f64()),
         };
         told &= !follower.opened;
         tokio::time::sleep(pause).await;
@@ -367,7 +367,7 @@
     address: SocketAddr,
     path: &str,
     answers: Duration,
-    pace: &mut Pace,
+    pace: &mut PollBackoff,
     mut beside: Duration,
 ) -> Watch {
     let mut calls = JoinSet::new();
@@ -385,7 +385,7 @@
                     Ok(Ok(watch)) => return watch,
                     Ok(Err(NoWatch::Failed(error))) => error,
                     Ok(Err(NoWatch::ComeBack(status, after))) => {
-                        let pause = pace.told_beside(after, begun.elapsed(), fastrand::f64());
+                        let pause = pace.after_hedged_response(after, begun.elapsed(), fastrand::f64());
                         debug!(%status, ?after, ?pause, "discovery: told to come back");
                         if let Some(pause) = pause {
                             next.as_mut().reset(Instant::now() + pause);
@@ -400,23 +400,27 @@
                 eprintln!("discovery: {error:#}");
             }
         }
-        beside = pace.beside(fastrand::f64()).unwrap_or(beside);
+        beside = pace.hedge_delay(fastrand::f64()).unwrap_or(beside);
     }
 }
 
 /// One watch, until it ends.
-async fn watch_list(follower: &mut Follower, address: SocketAddr, pace: &mut Pace) -> Result<()> {
+async fn watch_list(
+    follower: &mut Follower,
+    address: SocketAddr,
+    pace: &mut PollBackoff,
+) -> Result<()> {
     // A list that is in doubt is asked for whole.
     let settles = follower
         .terms
         .as_ref()
-        .and_then(|terms| follower.doubt.asks_again(terms.empty_after));
+        .and_then(|terms| follower.doubt.poll_again_after(terms.empty_after));
     let from = follower.seq.filter(|_| settles.is_none());
     let from = from.map_or(String::new(), |seq| format!("&from={seq}"));
     let path = format!("/api/targets?watch=1{from}");
     let answers = pace.answer_within().unwrap_or_else(|| follower.answers());
     let word = Rc::clone(&follower.word);
-    let mut watch = match pace.beside(fastrand::f64()) {
+    let mut watch = match pace.hedge_delay(fastrand::f64()) {
         Some(beside) => soonest(&word, address, &path, answers, pace, beside).await,
         None => match call(Rc::clone(&word), address, path, answers).await {
             Ok(watch) => watch,
@@ -432,13 +436,13 @@
     word.watch.replace(watch.stream.clone());
     word.taken.set(false);
     word.open.set(true);
-    let mut lists = Objects::new(LIST_MOST);
+    let mut lists = JsonObjects::new(LIST_MOST);
     // A silent machine keeps its connection open: only the missing signs of life tell.
     loop {
         let doubt = follower
             .terms
             .as_ref()
-            .and_then(|terms| follower.doubt.asks_again(terms.empty_after));
+            .and_then(|terms| follower.doubt.poll_again_after(terms.empty_after));
         let settles = doubt.map(|at| at.saturating_sub(follower.born.elapsed()));
         let patience = settles.map_or(SILENT_FOR, |settles| settles.min(SILENT_FOR));
         let next = poll_fn(|context| {
--- a/crates/node/src/discovery/tests.rs
+++ b/crates/node/src/discovery/tests.rs
@@ -25,7 +25,7 @@
 
 /// Reads it as it comes off a connection.
 fn read(bytes: &[u8]) -> Result<Option<List>> {
-    let mut lists = Objects::new(LIST_MOST);
+    let mut lists = JsonObjects::new(LIST_MOST);
     for mut piece in bytes.chunks(16 << 10) {
         if let Some(list) = lists.next(&mut piece).context("the watch")? {
             return Ok(Some(
--- a/crates/node/src/facts.rs
+++ b/crates/node/src/facts.rs
@@ -53,15 +53,15 @@
         let (peers_heard, peers) = self.node.peers_heard();
         Facts {
             servers: self.node.ready(),
-            list_heard: self.node.list_heard(),
-            peers_heard,
+            endpoint_list_age: self.node.list_heard(),
+            reachable_peers: peers_heard,
             peers,
             free_descriptors: self.sockets.saturating_sub(open),
             memory,
             memory_limit: self.memory_limit,
             clock_moved: unix().abs_diff(expected),
-            clock_insane: self.began.0 < EARLIEST,
-            lag,
+            clock_implausible: self.began.0 < EARLIEST,
+            event_loop_lag: lag,
         }
     }
 }
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -3,7 +3,8 @@
 use crate::config::List;
 use crate::node::Node;
 use saffronpaddle_hot_restart::{
-    read, write, Do, Family, LinkNo, Role, State, Word, LINE_MOST, VERSION,
+    read, write, LinkAction, LinkId, Message, ProcessGroup, Role, TransferredState, MAX_LINE_BYTES,
+    VERSION,
 };
 use saffronpaddle_netio::Uninterrupted;
 use saffronpaddle_policy::interface::{Event as ModuleEvent, NodeId, SiblingMessage};
@@ -33,8 +34,8 @@
     /// Whether this process can meet others.
     meets: bool,
     began: Instant,
-    family: RefCell<Family>,
-    lines: RefCell<BTreeMap<LinkNo, mpsc::Sender<Rc<str>>>>,
+    family: RefCell<ProcessGroup>,
+    lines: RefCell<BTreeMap<LinkId, mpsc::Sender<Rc<str>>>>,
     succeeded: watch::Sender<bool>,
     /// An heir has gone: this process has to be found again.
     found_no_more: Notify,
@@ -47,7 +48,7 @@
             name: name.to_owned(),
             meets,
             began: Instant::now(),
-            family: RefCell::new(Family::new(name)),
+            family: RefCell::new(ProcessGroup::new(name)),
             lines: RefCell::default(),
             succeeded: watch::channel(false).0,
             found_no_more: Notify::new(),
@@ -75,14 +76,14 @@
 
     /// Tells the other processes of an attempt.
     pub fn tell_twin(&self, twin: SiblingMessage) {
-        self.tell(&Word::Twin(twin), None);
+        self.tell(&Message::Sibling(twin), None);
     }
 
     /// Passes a peer's datagram on to who gets none any more.
     pub fn pass_on(&self, from: NodeId, bytes: &[u8]) {
         if self.family.borrow().is_shared() {
             self.tell(
-                &Word::Peer {
+                &Message::Peer {
                     from,
                     bytes: bytes.to_vec(),
                 },
@@ -92,8 +93,8 @@
     }
 
     /// Tells a word to whom it is for, but to whom it came from.
-    fn tell(&self, word: &Word, from: Option<LinkNo>) {
-        let to = self.family.borrow().tells(word, from);
+    fn tell(&self, word: &Message, from: Option<LinkId>) {
+        let to = self.family.borrow().recipients(word, from);
         if to.is_empty() {
             return;
         }
@@ -101,7 +102,7 @@
         to.into_iter().for_each(|no| self.say(no, Rc::clone(&line)));
     }
 
-    fn say(&self, no: LinkNo, line: Rc<str>) {
+    fn say(&self, no: LinkId, line: Rc<str>) {
         let full = self
             .lines
             .borrow()
@@ -125,7 +126,7 @@
 
 /// An elder that was met at the start, and what it said.
 pub struct Met {
-    no: LinkNo,
+    no: LinkId,
     reader: BufReader<Uninterrupted<OwnedReadHalf>>,
     writer: Uninterrupted<OwnedWriteHalf>,
     lines: mpsc::Receiver<Rc<str>>,
@@ -144,35 +145,35 @@
 
     /// Meets the process that is there, if there is one, and hears what it keeps in mind. Whatever goes wrong, this
     /// process starts as if it were the first.
-    pub async fn meet(&self, links: &Links) -> Option<(Met, State)> {
+    pub async fn meet(&self, links: &Links) -> Option<(Met, TransferredState)> {
         let stream = timeout(CONNECT_WITHIN, UnixStream::connect(&self.path))
             .await
             .ok()?
             .ok()?;
-        let (no, out) = links.family.borrow_mut().open(links.now(), Role::Heir)?;
+        let (no, out) = links.family.borrow_mut().open(links.now(), Role::Child)?;
         let (reader, writer) = stream.into_split();
         let (reader, mut writer) = (Uninterrupted::new(reader), Uninterrupted::new(writer));
         let mut reader = BufReader::new(reader);
         for step in out {
-            if let Do::Say(word) = step {
+            if let LinkAction::Send(word) = step {
                 writer.write_all(write(&word).as_bytes()).await.ok()?;
             }
         }
         let until = links
             .family
             .borrow()
-            .until(no)
+            .deadline(no)
             .map(|until| links.began + until)?;
         let heard = timeout_at(until, line(&mut reader)).await;
         let out = match heard {
             Ok(Ok(line)) => links
                 .family
                 .borrow_mut()
-                .with(no, |link, out| link.heard(read(&line), out)),
+                .with(no, |link, out| link.on_message(read(&line), out)),
             Ok(Err(_)) => links
                 .family
                 .borrow_mut()
-                .with(no, saffronpaddle_hot_restart::Link::gone),
+                .with(no, saffronpaddle_hot_restart::Link::on_disconnect),
             Err(_) => links
                 .family
                 .borrow_mut()
@@ -180,7 +181,7 @@
         };
         for step in out {
             match step {
-                Do::Resume(state) => {
+                LinkAction::Restore(state) => {
                     let (tell, lines) = mpsc::channel(WAITING_MOST);
                     links.lines.borrow_mut().insert(no, tell);
                     return Some((
@@ -193,7 +194,7 @@
                         *state,
                     ));
                 }
-                Do::End(why) => eprintln!("hand-over: nothing taken over, {why}"),
+                LinkAction::End(why) => eprintln!("hand-over: nothing taken over, {why}"),
                 _ => {}
             }
         }
@@ -218,7 +219,7 @@
 }
 
 /// The list that a state holds.
-pub fn list(state: &State) -> Option<List> {
+pub fn list(state: &TransferredState) -> Option<List> {
     state
         .list
         .clone()
@@ -235,7 +236,7 @@
     }) = met
     {
         shared(&node, None);
-        node.links.tell(&Word::Serving, None);
+        node.links.tell(&Message::Serving, None);
         tokio::task::spawn_local(talk(Rc::clone(&node), no, reader, writer, lines));
     }
     let Some(meeting) = meeting else { return };
@@ -266,7 +267,7 @@
         .links
         .family
         .borrow_mut()
-        .open(node.links.now(), Role::Elder);
+        .open(node.links.now(), Role::Parent);
     let Some((no, _)) = opened else { return };
     let (reader, writer) = stream.into_split();
     let (reader, writer) = (Uninterrupted::new(reader), Uninterrupted::new(writer));
@@ -284,7 +285,7 @@
 /// One conversation, to its end.
 async fn talk(
     node: Rc<Node>,
-    no: LinkNo,
+    no: LinkId,
     mut reader: BufReader<Uninterrupted<OwnedReadHalf>>,
     mut writer: Uninterrupted<OwnedWriteHalf>,
     mut lines: mpsc::Receiver<Rc<str>>,
@@ -300,14 +301,14 @@
         let (until, live) = {
             let family = node.links.family.borrow();
             (
-                family.until(no).map(|until| node.links.began + until),
+                family.deadline(no).map(|until| node.links.began + until),
                 family.is_live(no),
             )
         };
         let out = tokio::select! {
             heard = line(&mut reader) => match heard {
-                Ok(line) => node.links.family.borrow_mut().with(no, |link, out| link.heard(read(&line), out)),
-                Err(_) => node.links.family.borrow_mut().with(no, saffronpaddle_hot_restart::Link::gone),
+                Ok(line) => node.links.family.borrow_mut().with(no, |link, out| link.on_message(read(&line), out)),
+                Err(_) => node.links.family.borrow_mut().with(no, saffronpaddle_hot_restart::Link::on_disconnect),
             },
             () = at(until) => {
                 let now = node.links.now();
@@ -316,33 +317,33 @@
         };
         for step in out {
             match step {
-                Do::Say(word) => node.links.say(no, write(&word).into()),
-                Do::SayState => {
+                LinkAction::Send(word) => node.links.say(no, write(&word).into()),
+                LinkAction::SendState => {
                     // Kept and shared in one go: no attempt lies between.
                     let list = node
                         .remembered()
                         .and_then(|list| serde_json::to_value(list).ok());
                     let (version, name) = (VERSION, node.links.name.clone());
-                    let state = State {
+                    let state = TransferredState {
                         version,
                         name,
-                        module: node.keep(),
+                        policy: node.keep(),
                         list,
                     };
                     node.links
-                        .say(no, write(&Word::State(Box::new(state))).into());
+                        .say(no, write(&Message::State(Box::new(state))).into());
                     shared(&node, None);
                 }
-                Do::Twin(twin) => {
-                    node.links.tell(&Word::Twin(twin.clone()), Some(no));
+                LinkAction::Sibling(twin) => {
+                    node.links.tell(&Message::Sibling(twin.clone()), Some(no));
                     node.post(ModuleEvent::SiblingMessage {
                         link: no.0,
                         message: twin,
                     });
                 }
-                Do::Peer(from, bytes) => {
+                LinkAction::Peer(from, bytes) => {
                     node.links.tell(
-                        &Word::Peer {
+                        &Message::Peer {
                             from,
                             bytes: bytes.clone(),
                         },
@@ -350,10 +351,10 @@
                     );
                     node.heard_peer(from, bytes);
                 }
-                Do::Succeeded => shared(&node, None),
+                LinkAction::SuccessorServing => shared(&node, None),
                 // It was resumed from before this conversation was taken up here.
-                Do::Resume(_) => {}
-                Do::End(why) => {
+                LinkAction::Restore(_) => {}
+                LinkAction::End(why) => {
                     eprintln!(
                         "hand-over: the other process is no part of this node any more: {why}"
                     );
@@ -372,10 +373,10 @@
 }
 
 /// Tells all whom it concerns who else is this node.
-fn shared(node: &Rc<Node>, ended: Option<LinkNo>) {
+fn shared(node: &Rc<Node>, ended: Option<LinkId>) {
     let (shared, hushed) = {
         let family = node.links.family.borrow();
-        (family.is_shared(), family.succeeded())
+        (family.is_shared(), family.has_successor())
     };
     node.post(ModuleEvent::SiblingsChanged {
         ended_link: ended.map(|no| no.0),
@@ -389,7 +390,7 @@
 /// One line; an error where it has no end.
 async fn line(reader: &mut BufReader<Uninterrupted<OwnedReadHalf>>) -> io::Result<Vec<u8>> {
     let mut line = Vec::new();
-    let mut bounded = reader.take(LINE_MOST as u64);
+    let mut bounded = reader.take(MAX_LINE_BYTES as u64);
     bounded.read_until(b'\n', &mut line).await?;
     if line.pop() != Some(b'\n') {
         return Err(io::ErrorKind::UnexpectedEof.into());
--- a/crates/node/src/life.rs
+++ b/crates/node/src/life.rs
@@ -7,7 +7,7 @@
 use crate::node::Node;
 use crate::shutdown;
 use saffronpaddle_admin::Call;
-use saffronpaddle_lifecycle::{Action, Event, Lifecycle, Limits, State, StopPlan};
+use saffronpaddle_lifecycle::{Action, Event, Lifecycle, Limits, ShutdownPlan, State};
 use std::future::{pending, Future};
 use std::rc::Rc;
 use std::time::Duration;
@@ -54,7 +54,7 @@
                 words: self.machine.status(),
             },
             Call::Lameduck => Said {
-                done: self.machine.sends_away(),
+                done: self.machine.closes_connections(),
                 words: self.machine.status(),
             },
             Call::Rejoin => Said {
@@ -77,12 +77,12 @@
     }
 
     /// Bounds all that the node has taken, and all that it takes from now on, by the process's end.
-    fn begin_to_stop(&self, now: Duration, plan: StopPlan) {
+    fn begin_to_stop(&self, now: Duration, plan: ShutdownPlan) {
         let node = self.facing.node();
         info!(
             state = self.machine.state().name(),
             answer_in_ms = plan.answer_by.saturating_sub(now).as_millis() as u64,
-            ends_in_ms = plan.ends.saturating_sub(now).as_millis() as u64,
+            ends_in_ms = plan.exit_by.saturating_sub(now).as_millis() as u64,
             open_requests = node.open_requests().len(),
             "told to stop"
         );
@@ -91,8 +91,8 @@
 
     /// When something must be looked at or ends by itself.
     fn next(&self, looked: Instant) -> Option<Instant> {
-        let until = self.machine.until().map(|until| self.born + until);
-        let look = self.machine.look_after().map(|span| looked + span);
+        let until = self.machine.deadline().map(|until| self.born + until);
+        let look = self.machine.next_sample_in().map(|span| looked + span);
         let retry = self.manager.waits().then(|| Instant::now() + RETRY);
         [until, look, retry].into_iter().flatten().min()
     }
@@ -112,9 +112,12 @@
         let (mut clients_left, mut words_left, mut calls_left) = (true, true, true);
         let mut asked: Option<Asked> = None;
         // The first look is due at once.
-        let mut looked = self.born.checked_sub(Lifecycle::NEXT).unwrap_or(self.born);
+        let mut looked = self
+            .born
+            .checked_sub(Lifecycle::SAMPLE_INTERVAL)
+            .unwrap_or(self.born);
         let mut event = Event::Listening;
-        let mut stopping: Option<StopPlan> = None;
+        let mut stopping: Option<ShutdownPlan> = None;
         loop {
             let mut out = Vec::new();
             let now = self.now();
@@ -123,7 +126,7 @@
             let (mut phase, mut accepts, mut gone) = (before.phase, before.accepts, false);
             for action in out {
                 match action {
-                    Action::Manager(word) => self.manager.say(&word),
+                    Action::NotifyManager(word) => self.manager.say(&word),
                     Action::ReadConfiguration => {
                         let (tell, reading) = (tell.clone(), reload());
                         tokio::task::spawn_local(async move {
@@ -134,14 +137,14 @@
                     Action::CloseAfterAnswers => phase = phase.max(Phase::Leaving),
                     Action::CloseIdle => phase = phase.max(Phase::Emptying),
                     Action::KeepOpen => phase = Phase::Serving,
-                    Action::LeaveListener => accepts = false,
-                    Action::TakeListener => accepts = true,
+                    Action::PauseAccepting => accepts = false,
+                    Action::ResumeAccepting => accepts = true,
                     Action::StopAccepting => phase = Phase::Closing,
                     Action::Log(line) => eprintln!("{line}"),
                     Action::Exit => gone = true,
                 }
             }
-            let plan = self.machine.stop_plan();
+            let plan = self.machine.shutdown_plan();
             if let Some(plan) = plan.filter(|_| plan != stopping) {
                 self.begin_to_stop(now, plan);
                 stopping = Some(plan);
@@ -183,7 +186,7 @@
                 Some(limits) = reloaded.recv() => {
                     let taken = limits.is_some();
                     limits.into_iter().for_each(|limits| self.machine.set_limits(limits));
-                    Event::Reloaded { taken }
+                    Event::Reloaded { applied: taken }
                 }
                 call = calls.recv(), if calls_left => if let Some(call) = call {
                     let event = match call.call {
@@ -197,18 +200,18 @@
                     calls_left = false;
                     Event::Tick
                 },
-                Ok(()) = succeeded.changed() => Event::Succeeded(*succeeded.borrow_and_update()),
+                Ok(()) = succeeded.changed() => Event::SuccessorPresent(*succeeded.borrow_and_update()),
                 _ = &mut served, if clients_left => {
                     clients_left = false;
-                    Event::Served
+                    Event::ConnectionsClosed
                 }
                 () = until(next) => {
                     self.manager.retry();
-                    let due = self.machine.look_after().map(|span| looked + span);
+                    let due = self.machine.next_sample_in().map(|span| looked + span);
                     match due.map(|due| Instant::now().checked_duration_since(due)) {
                         Some(Some(lag)) => {
                             looked = Instant::now();
-                            Event::Seen(self.facing.look(lag))
+                            Event::Observed(self.facing.look(lag))
                         }
                         _ => Event::Tick,
                     }
--- a/crates/node/src/listed.rs
+++ b/crates/node/src/listed.rs
@@ -1,6 +1,6 @@
 //! What the decision module and the exchange are told of an app server on the list.
 
-use saffronpaddle_endpoints::Entry;
+use saffronpaddle_endpoints::EndpointRecord;
 use saffronpaddle_policy::interface::{
     DeduplicationDomainId, Endpoint, EndpointStatus, ServerId, ZoneId,
 };
@@ -14,19 +14,19 @@
 
 /// An entry of the list, and where its server is found. `zones` are the names that the settings have, in their order; a zone
 /// that is not among them is none of them.
-pub fn server_entry(entry: &Entry, zones: &[String]) -> (Endpoint, SocketAddr) {
-    let zone = zones.iter().position(|zone| **zone == *entry.site);
+pub fn server_entry(entry: &EndpointRecord, zones: &[String]) -> (Endpoint, SocketAddr) {
+    let zone = zones.iter().position(|zone| **zone == *entry.zone);
     let server = Endpoint {
         server: server_id(&entry.host),
         zone: ZoneId(zone.map_or(u32::MAX, |place| place as u32)),
-        domain: DeduplicationDomainId(entry.block),
-        status: match entry.standing {
-            saffronpaddle_endpoints::Standing::Ready => EndpointStatus::Ready,
-            saffronpaddle_endpoints::Standing::Draining => EndpointStatus::Draining,
-            saffronpaddle_endpoints::Standing::Gone => EndpointStatus::Removed,
+        domain: DeduplicationDomainId(entry.domain),
+        status: match entry.status {
+            saffronpaddle_endpoints::EndpointStatus::Ready => EndpointStatus::Ready,
+            saffronpaddle_endpoints::EndpointStatus::Draining => EndpointStatus::Draining,
+            saffronpaddle_endpoints::EndpointStatus::Removed => EndpointStatus::Removed,
         },
-        size: entry.share,
-        started_at: (entry.born_ms > 0).then_some(entry.born_ms.saturating_mul(1000)),
+        size: entry.weight,
+        started_at: (entry.started_at_ms > 0).then_some(entry.started_at_ms.saturating_mul(1000)),
     };
-    (server, entry.dial)
+    (server, entry.address)
 }
--- a/crates/node/src/manager.rs
+++ b/crates/node/src/manager.rs
@@ -3,7 +3,7 @@
 //! The protocol's words come from the `sd-notify` crate. Its own sending blocks while the manager's socket is full and
 //! knows no abstract sockets, so the datagrams are sent here.
 
-use saffronpaddle_lifecycle::Word;
+use saffronpaddle_lifecycle::ManagerMessage;
 use sd_notify::NotifyState;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -70,21 +70,21 @@
     }
 
     /// Tells it a word of the life cycle.
-    pub fn say(&self, word: &Word) {
+    pub fn say(&self, word: &ManagerMessage) {
         let text = match word {
-            Word::Ready => NotifyState::Ready.to_string(),
-            Word::Reloading => match NotifyState::monotonic_usec_now() {
+            ManagerMessage::Ready => NotifyState::Ready.to_string(),
+            ManagerMessage::Reloading => match NotifyState::monotonic_usec_now() {
                 Ok(now) => format!("{}\n{now}", NotifyState::Reloading),
                 Err(_) => NotifyState::Reloading.to_string(),
             },
-            Word::Stopping => NotifyState::Stopping.to_string(),
-            Word::Status(line) => NotifyState::Status(line).to_string(),
-            Word::Extend(span) => {
+            ManagerMessage::Stopping => NotifyState::Stopping.to_string(),
+            ManagerMessage::Status(line) => NotifyState::Status(line).to_string(),
+            ManagerMessage::ExtendTimeout(span) => {
                 let micros = u32::try_from(span.as_micros()).unwrap_or(u32::MAX);
                 NotifyState::ExtendTimeoutUsec(micros).to_string()
             }
         };
-        self.send(text, !matches!(word, Word::Status(_)));
+        self.send(text, !matches!(word, ManagerMessage::Status(_)));
     }
 
     /// A sign of life.
--- a/crates/node/src/manager/tests.rs
+++ b/crates/node/src/manager/tests.rs
@@ -25,11 +25,11 @@
     let (socket, name) = abstract_name("words");
     let manager = Manager::at(OsStr::new(&name), None).expect("an address");
     let words = [
-        Word::Ready,
-        Word::Reloading,
-        Word::Stopping,
-        Word::Status("not ready: clock".to_owned()),
-        Word::Extend(Duration::from_millis(4600)),
+        ManagerMessage::Ready,
+        ManagerMessage::Reloading,
+        ManagerMessage::Stopping,
+        ManagerMessage::Status("not ready: clock".to_owned()),
+        ManagerMessage::ExtendTimeout(Duration::from_millis(4600)),
     ];
     words.iter().for_each(|word| manager.say(word));
     let heard = heard(&socket);
@@ -57,12 +57,12 @@
     let begun = Instant::now();
     let mut fed = 0;
     while !manager.waits() {
-        manager.say(&Word::Extend(Duration::from_micros(fed)));
+        manager.say(&ManagerMessage::ExtendTimeout(Duration::from_micros(fed)));
         fed += 1;
         assert!(fed < 100_000, "the socket is never full");
     }
     (0..1000).for_each(|_| manager.feed());
-    manager.say(&Word::Stopping);
+    manager.say(&ManagerMessage::Stopping);
     assert!(begun.elapsed() < Duration::from_secs(30), "it blocked");
     assert!(manager.waiting.borrow().len() <= WAITING_MOST);
     assert!(!heard(&socket).iter().any(|text| text == "STOPPING=1"));
@@ -84,13 +84,13 @@
     let path = std::env::temp_dir().join(format!("saffronpaddle-{}-notify", std::process::id()));
     let _ = std::fs::remove_file(&path);
     let manager = Manager::at(path.as_os_str(), None).expect("an address");
-    manager.say(&Word::Ready);
+    manager.say(&ManagerMessage::Ready);
     assert!(!manager.waits() && manager.told.get(), "missing");
     let socket = UnixDatagram::bind(&path).expect("a socket");
-    manager.say(&Word::Stopping);
+    manager.say(&ManagerMessage::Stopping);
     assert_eq!(heard(&socket), ["STOPPING=1"]);
     drop(socket);
-    manager.say(&Word::Ready);
+    manager.say(&ManagerMessage::Ready);
     assert!(!manager.waits() && manager.told.get(), "gone");
     std::fs::remove_file(&path).expect("it was there");
     assert!(
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -13,10 +13,10 @@
 use anyhow::Context;
 use bytes::Bytes;
 use hyper::StatusCode;
-use saffronpaddle_admin::{End, Figures};
-use saffronpaddle_endpoints::{Change, Entry, Merge, Source};
+use saffronpaddle_admin::{Metrics, RequestEnd};
+use saffronpaddle_endpoints::{EndpointRecord, EndpointUpdate, Merge, Source};
 use saffronpaddle_exchange::{
-    Bounds, Command, Event, Exchange, Invariant, OpenRequest, Ticket, Verdict, Violation,
+    Command, Event, Exchange, FinalAnswer, Invariant, Limits, OpenRequest, Ticket, Violation,
 };
 use saffronpaddle_policy::interface::{
     Action, ClassId, Endpoint, EndpointStatus, Event as ModuleEvent, Micros, NodeId, RequestId,
@@ -159,7 +159,7 @@
         let mut gateway = PolicyEngine::new(seed, named.settings.clone(), clock.now())?;
         kept.into_iter()
             .for_each(|(kept, link)| gateway.restore(kept, link));
-        let bounds = Bounds::usual(each_side, named.server_idle_timeout, named.connect_timeout);
+        let bounds = Limits::for_node(each_side, named.server_idle_timeout, named.connect_timeout);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
         let node = Rc::new(Node {
             named,
@@ -222,7 +222,7 @@
             return;
         };
         while let Some(link) = left.recv().await {
-            self.happened(Event::Left { link }, None);
+            self.happened(Event::ResponseAbandoned { connection: link }, None);
         }
     }
 
@@ -237,7 +237,7 @@
             for _ in 0..LATE_LOOKS {
                 tokio::task::yield_now().await;
             }
-            self.happened(Event::Tick, None);
+            self.happened(Event::TimerFired, None);
         }
     }
 
@@ -249,7 +249,7 @@
         }
         let left = end.saturating_duration_since(Instant::now()).as_micros() as Micros;
         self.happened(
-            Event::Ending {
+            Event::ShutdownAnnounced {
                 answer_by: self.clock.now() + left,
             },
             None,
@@ -267,7 +267,7 @@
 
     /// The process ends: requests without an answer are violations, and told as such.
     pub fn exits(&self) {
-        self.exchange.borrow_mut().exits();
+        self.exchange.borrow_mut().process_exits();
         self.tell_violations();
     }
 
@@ -292,7 +292,7 @@
 
     /// How many servers are ready.
     pub fn ready(&self) -> usize {
-        self.exchange.borrow().ready()
+        self.exchange.borrow().ready_servers()
     }
 
     /// The requests that have no final answer yet; those that have been open longest first.
@@ -305,7 +305,7 @@
     /// The figures as staff are told them.
     #[allow(clippy::redundant_closure_for_method_calls)] // The method is not general over its lifetime.
     pub fn figures(&self) -> String {
-        self.with_figures(|figures| figures.told())
+        self.with_figures(|figures| figures.exposition())
     }
 
     /// Tells the log the figures so often, for ever.
@@ -316,15 +316,18 @@
         loop {
             tokio::time::sleep(every).await;
             let at_ms = born.elapsed().as_millis() as u64;
-            eprintln!("{}", self.with_figures(|figures| figures.line(me, at_ms)));
+            eprintln!(
+                "{}",
+                self.with_figures(|figures| figures.log_line(me, at_ms))
+            );
         }
     }
 
-    fn with_figures(&self, told: impl FnOnce(&Figures) -> String) -> String {
+    fn with_figures(&self, told: impl FnOnce(&Metrics) -> String) -> String {
         let exchange = self.exchange.borrow();
-        let (registry_entries, out_of_rotation) = exchange.module().endpoint_counts();
+        let (registry_entries, out_of_rotation) = exchange.policy().endpoint_counts();
         let (names, tally) = (&self.named.classes, exchange.tally().clone());
-        let mut decided: Vec<(&'static str, u64)> = exchange.module().counters().named().collect();
+        let mut decided: Vec<(&'static str, u64)> = exchange.policy().counters().named().collect();
         decided.extend(
             exchange
                 .denials()
@@ -335,25 +338,25 @@
             Invariant::ALL.map(|invariant| (invariant.figure(), violations.count(invariant))),
         );
         let words = self.peers.as_ref().map_or((0, 0), Peers::words);
-        told(&Figures {
+        told(&Metrics {
             names,
             tally,
             registry_entries,
             out_of_rotation,
-            words,
-            decided,
+            peer_messages: words,
+            policy_counters: decided,
         })
     }
 
     /// A request that was not taken was answered all the same.
-    pub fn turned_away(&self, class: ClassId, end: End) {
+    pub fn turned_away(&self, class: ClassId, end: RequestEnd) {
         debug!(class = class.0, ?end, "turned away");
         self.exchange.borrow_mut().turned_away(class.0, end);
     }
 
     /// Tells the module something that is none of the exchange's.
     pub fn post(self: &Rc<Self>, event: ModuleEvent) {
-        self.happened(Event::Tell(event), None);
+        self.happened(Event::PolicyEvent(event), None);
     }
 
     /// Lets the module's clock begin, before any list is known.
@@ -385,15 +388,22 @@
     /// How many peers were heard in this life, and how many there are that speak unasked.
     pub fn peers_heard(&self) -> (usize, usize) {
         let all = self.named.settings.node_count.saturating_sub(1) as usize;
-        let speak = self.peers.is_some() && self.exchange.borrow().module().broadcasts();
+        let speak = self.peers.is_some() && self.exchange.borrow().policy().broadcasts();
         (self.peers_heard.borrow().len(), if speak { all } else { 0 })
     }
 
     fn carry_out(self: &Rc<Self>, command: Command<SocketAddr>, payload: &mut Option<Payload>) {
         debug!(?command, "exchange");
         match command {
-            Command::Connect { link, dial } => self.upstream.connect(self, link, dial),
-            Command::Send { link, id, server } => {
+            Command::Connect {
+                connection: link,
+                address: dial,
+            } => self.upstream.connect(self, link, dial),
+            Command::Send {
+                connection: link,
+                id,
+                server,
+            } => {
                 let forward = self
                     .requests
                     .borrow()
@@ -403,30 +413,33 @@
                     self.upstream.send(self, link, server, forward);
                 }
             }
-            Command::Write { link } => self.upstream.open(link),
-            Command::Release { link } => self.upstream.release(link),
-            Command::Close { link } => self.upstream.close(self, link),
-            Command::Answer { id, verdict } => {
+            Command::Write { connection: link } => self.upstream.open(link),
+            Command::ReleaseBody { connection: link } => self.upstream.release(link),
+            Command::Close { connection: link } => self.upstream.close(self, link),
+            Command::Answer {
+                id,
+                answer: verdict,
+            } => {
                 let answer = match verdict {
-                    Verdict::Served => payload.take().map_or(Answer::Failed, Answer::Served),
-                    Verdict::Refused(retry_in) => {
+                    FinalAnswer::Served => payload.take().map_or(Answer::Failed, Answer::Served),
+                    FinalAnswer::Rejected(retry_in) => {
                         Answer::Refused(retry_in.map(Duration::from_micros))
                     }
-                    Verdict::Failed => Answer::Failed,
+                    FinalAnswer::Failed => Answer::Failed,
                 };
                 if let Some(pending) = self.requests.borrow_mut().remove(&id) {
                     // A client that has gone meanwhile takes no answer.
                     let _ = pending.answer.send(answer);
                 }
             }
-            Command::Module(action) => self.apply(action),
+            Command::ForPolicy(action) => self.apply(action),
         }
     }
 
     fn apply(self: &Rc<Self>, action: Action) {
         match action {
             Action::Broadcast { bytes } => {
-                self.peers.iter().for_each(|peers| peers.tell_all(&bytes))
+                self.peers.iter().for_each(|peers| peers.tell_all(&bytes));
             }
             Action::SendToPeer { to, bytes } => {
                 self.peers.iter().for_each(|peers| peers.tell(to, &bytes));
@@ -459,7 +472,7 @@
         let id = forward.id.clone();
         let ticket = {
             let exchange = self.exchange.borrow();
-            if exchange.knows(&id) {
+            if exchange.contains(&id) {
                 return None;
             }
             exchange.next_ticket()
@@ -479,10 +492,10 @@
         };
         self.requests.borrow_mut().insert(id, pending);
         self.happened(
-            Event::Asked {
+            Event::RequestReceived {
                 effect,
                 deadline,
-                tell,
+                policy_event: tell,
             },
             None,
         );
@@ -522,14 +535,14 @@
 
     /// What the module keeps in mind, for its next process.
     pub fn keep(&self) -> StateSnapshot {
-        self.exchange.borrow().module().snapshot()
+        self.exchange.borrow().policy().snapshot()
     }
 
     /// Keeps to this process's part of the node's connections to app servers.
     pub fn share_out(&self) {
         self.exchange
             .borrow_mut()
-            .set_most_links(self.links.part(self.each_side));
+            .set_max_connections(self.links.part(self.each_side));
     }
 
     /// Keeps what discovery has told, for this process's heir, where there can be one.
@@ -564,29 +577,29 @@
 
     /// Follows the platform's discovery.
     pub fn listed(self: &Rc<Self>, list: &List) {
-        let entries = list.hosts.iter().map(Entry::from).collect();
+        let entries = list.hosts.iter().map(EndpointRecord::from).collect();
         self.roster(
             Source::Discovery,
-            Change {
-                entries,
-                told: Duration::ZERO,
-                whole: list.whole,
+            EndpointUpdate {
+                endpoints: entries,
+                received_at: Duration::ZERO,
+                snapshot: list.whole,
             },
         );
     }
 
     /// Follows a source of the list. Where there are several, they are merged.
-    pub fn roster(self: &Rc<Self>, source: Source, change: Change) {
+    pub fn roster(self: &Rc<Self>, source: Source, change: EndpointUpdate) {
         let change = match &mut *self.merge.borrow_mut() {
             Some(merge) => merge.take(source, change),
             None => change,
         };
-        if !change.entries.is_empty() || change.whole {
-            self.take_list(&change.entries, change.whole);
+        if !change.endpoints.is_empty() || change.snapshot {
+            self.take_list(&change.endpoints, change.snapshot);
         }
     }
 
-    fn take_list(self: &Rc<Self>, list: &[Entry], whole: bool) {
+    fn take_list(self: &Rc<Self>, list: &[EndpointRecord], whole: bool) {
         let entries = list
             .iter()
             .map(|entry| server_entry(entry, &self.named.zones));
@@ -597,7 +610,13 @@
                 .map(|(entry, dial)| (entry.server, entry.status == EndpointStatus::Ready, *dial));
             front.listed(self.now(), whole, told);
         }
-        self.happened(Event::Listed { whole, entries }, None);
+        self.happened(
+            Event::EndpointsChanged {
+                snapshot: whole,
+                endpoints: entries,
+            },
+            None,
+        );
     }
 
     /// Several sources of the list will be followed: from now on they are merged.
--- a/crates/node/src/roster.rs
+++ b/crates/node/src/roster.rs
@@ -3,7 +3,7 @@
 use crate::config::List;
 use crate::discovery;
 use crate::node::Node;
-use saffronpaddle_endpoints::Terms;
+use saffronpaddle_endpoints::PollLimits;
 use saffronpaddle_operator_config::Etcd;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -12,7 +12,7 @@
 /// Follows what the operator file names, for ever. Without etcd that is the platform's discovery alone.
 pub async fn follow(
     node: Rc<Node>,
-    (etcd, terms): (Option<Etcd>, Option<Terms>),
+    (etcd, terms): (Option<Etcd>, Option<PollLimits>),
     address: watch::Receiver<SocketAddr>,
     known: Option<List>,
 ) {
@@ -51,7 +51,7 @@
 #[cfg(feature = "etcd")]
 mod by_etcd {
     use super::{Etcd, List, Node, Rc};
-    use saffronpaddle_endpoints::{Change, Entry, Rules, Source};
+    use saffronpaddle_endpoints::{EndpointRecord, EndpointUpdate, Rules, Source};
     use saffronpaddle_etcd::client::NEWS_MOST;
     use saffronpaddle_etcd::{News, Settings, Timing};
     use std::collections::BTreeMap;
@@ -66,13 +66,13 @@
 
     /// Takes the configuration's list for etcd's first word.
     pub fn begin_with(node: &Rc<Node>, known: &List) {
-        let entries = known.hosts.iter().map(Entry::from).collect();
+        let entries = known.hosts.iter().map(EndpointRecord::from).collect();
         node.roster(
             Source::Etcd,
-            Change {
-                entries,
-                told: Duration::ZERO,
-                whole: true,
+            EndpointUpdate {
+                endpoints: entries,
+                received_at: Duration::ZERO,
+                snapshot: true,
             },
         );
     }
@@ -162,22 +162,22 @@
     /// Changes that wait: host by host the last one.
     #[derive(Default)]
     struct Changes {
-        entries: BTreeMap<Arc<str>, Entry>,
+        entries: BTreeMap<Arc<str>, EndpointRecord>,
         first: Option<Instant>,
     }
 
     impl Changes {
-        fn take(&mut self, node: &Rc<Node>, change: Change, read: Instant) {
+        fn take(&mut self, node: &Rc<Node>, change: EndpointUpdate, read: Instant) {
             node.heard_list();
             self.first.get_or_insert(read);
-            if change.whole {
+            if change.snapshot {
                 self.flush(node);
                 node.roster(Source::Etcd, change);
                 return;
             }
             self.entries.extend(
                 change
-                    .entries
+                    .endpoints
                     .into_iter()
                     .map(|entry| (Arc::clone(&entry.host), entry)),
             );
@@ -194,14 +194,15 @@
                     waited.as_millis()
                 );
             }
-            let entries: Vec<Entry> = std::mem::take(&mut self.entries).into_values().collect();
+            let entries: Vec<EndpointRecord> =
+                std::mem::take(&mut self.entries).into_values().collect();
             if !entries.is_empty() {
                 node.roster(
                     Source::Etcd,
-                    Change {
-                        entries,
-                        told: Duration::ZERO,
-                        whole: false,
+                    EndpointUpdate {
+                        endpoints: entries,
+                        received_at: Duration::ZERO,
+                        snapshot: false,
                     },
                 );
             }
--- a/crates/node/src/seats.rs
+++ b/crates/node/src/seats.rs
@@ -2,7 +2,7 @@
 
 use crate::clients::late;
 use crate::heads::Heads;
-use saffronpaddle_connection_eviction::{rested, Seat as Seen};
+use saffronpaddle_connection_eviction::{rested, ConnectionState};
 use saffronpaddle_netio::{has_ended, Socket};
 use std::io;
 use std::pin::Pin;
@@ -120,15 +120,15 @@
     }
 
     /// What is seen of it now.
-    pub fn seen(&self) -> Seen {
+    pub fn seen(&self) -> ConnectionState {
         let head = self.head.load(Ordering::Relaxed);
-        Seen {
-            came: Duration::from_micros(self.came),
-            last: Duration::from_micros(self.last.load(Ordering::Relaxed)),
-            head: head.checked_sub(1).map(Duration::from_micros),
+        ConnectionState {
+            accepted_at: Duration::from_micros(self.came),
+            last_active_at: Duration::from_micros(self.last.load(Ordering::Relaxed)),
+            head_started_at: head.checked_sub(1).map(Duration::from_micros),
             // Danger: an answer that is cut off as its client takes the last of it slowly.
             busy: self.is_busy() || self.blocked.load(Ordering::Relaxed) || self.is_going(),
-            asked: self.asked(),
+            has_requested: self.asked(),
         }
     }
 
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -203,7 +203,7 @@
             .as_ref()
             .map(handover::Met::number)
             .zip(state)
-            .map(|(no, state)| (state.module, no));
+            .map(|(no, state)| (state.policy, no));
         if let Some((kept, _)) = &kept {
             let (customers, servers) = kept.size();
             eprintln!(
--- a/crates/node/src/upstream.rs
+++ b/crates/node/src/upstream.rs
@@ -15,7 +15,7 @@
 use hyper::rt::{Read, ReadBufCursor, Write};
 use hyper::{Method, Request, Response, StatusCode, Version};
 use hyper_util::rt::TokioIo;
-use saffronpaddle_exchange::{Event, LinkId};
+use saffronpaddle_exchange::{ConnectionId, Event};
 use saffronpaddle_netio::{is_local_failure, is_quiet, Socket};
 use saffronpaddle_policy::interface::{Idempotency, Outcome, RequestId, ServerId};
 use saffronpaddle_websocket::upgrade::{self, Offer};
@@ -95,10 +95,10 @@
 
 /// All connections to app servers. What they are for is the exchange's matter.
 pub struct Upstream {
-    wires: RefCell<HashMap<LinkId, Wire>>,
+    wires: RefCell<HashMap<ConnectionId, Wire>>,
     /// Where answers that nobody takes any more are told. As many as there are connections at the most.
-    tell_left: mpsc::UnboundedSender<LinkId>,
-    left: RefCell<Option<mpsc::UnboundedReceiver<LinkId>>>,
+    tell_left: mpsc::UnboundedSender<ConnectionId>,
+    left: RefCell<Option<mpsc::UnboundedReceiver<ConnectionId>>>,
 }
 
 impl Upstream {
@@ -112,19 +112,19 @@
     }
 
     /// Connections whose answers nobody takes any more; to be asked for once.
-    pub fn left(&self) -> Option<mpsc::UnboundedReceiver<LinkId>> {
+    pub fn left(&self) -> Option<mpsc::UnboundedReceiver<ConnectionId>> {
         self.left.borrow_mut().take()
     }
 
     /// An answer that went by has come to its end.
-    pub fn free_again(&self, link: LinkId, sender: SendRequest<Outgoing>) {
+    pub fn free_again(&self, link: ConnectionId, sender: SendRequest<Outgoing>) {
         if let Some(wire) = self.wires.borrow_mut().get_mut(&link) {
             (wire.sender, wire.exchange, wire.forward) = (Some(sender), None, None);
         }
     }
 
     /// Lets the last piece of a body go.
-    pub fn release(&self, link: LinkId) {
+    pub fn release(&self, link: ConnectionId) {
         let pipe = self
             .wires
             .borrow()
@@ -134,7 +134,7 @@
     }
 
     /// Makes a connection.
-    pub fn connect(&self, node: &Rc<Node>, link: LinkId, dial: SocketAddr) {
+    pub fn connect(&self, node: &Rc<Node>, link: ConnectionId, dial: SocketAddr) {
         let open = Arc::new(AtomicBool::new(false));
         let driver =
             tokio::task::spawn_local(drive(Rc::clone(node), link, dial, Arc::clone(&open)));
@@ -151,7 +151,13 @@
     }
 
     /// Makes a request ready on a free connection. Its first byte goes when the exchange lets it.
-    pub fn send(&self, node: &Rc<Node>, link: LinkId, server: ServerId, forward: Rc<Forward>) {
+    pub fn send(
+        &self,
+        node: &Rc<Node>,
+        link: ConnectionId,
+        server: ServerId,
+        forward: Rc<Forward>,
+    ) {
         let mut wires = self.wires.borrow_mut();
         let Some(wire) = wires.get_mut(&link) else {
             return;
@@ -171,23 +177,32 @@
                 Came::Switched(switched) => {
                     // The connection is the socket's now.
                     node.upstream.wires.borrow_mut().remove(&link);
-                    node.happened(Event::Upgraded { link }, Some(Payload::Switched(switched)));
+                    node.happened(
+                        Event::Upgraded { connection: link },
+                        Some(Payload::Switched(switched)),
+                    );
                 }
                 Came::Passing(first, rest) => {
                     let left = node.upstream.tell_left.clone();
                     let passing = Passing::new(node.number(), link, left, sender, first, rest);
                     node.happened(
-                        Event::Passing { link },
+                        Event::ResponseStreaming { connection: link },
                         Some(Payload::Passing(Box::new(passing))),
                     );
                 }
                 Came::Whole(outcome, payload) => {
                     node.upstream.free_again(link, sender);
-                    node.happened(Event::Replied { link, outcome }, payload);
+                    node.happened(
+                        Event::ResponseComplete {
+                            connection: link,
+                            outcome,
+                        },
+                        payload,
+                    );
                 }
                 Came::Lost => {
                     node.upstream.free_again(link, sender);
-                    node.happened(Event::Broken { link }, None);
+                    node.happened(Event::ConnectionLost { connection: link }, None);
                 }
             }
         });
@@ -195,7 +210,7 @@
     }
 
     /// The request that is made ready on a connection.
-    fn ready(&self, link: LinkId) -> Option<Rc<Forward>> {
+    fn ready(&self, link: ConnectionId) -> Option<Rc<Forward>> {
         self.wires
             .borrow()
             .get(&link)
@@ -203,14 +218,14 @@
     }
 
     /// Lets bytes be written.
-    pub fn open(&self, link: LinkId) {
+    pub fn open(&self, link: ConnectionId) {
         if let Some(wire) = self.wires.borrow().get(&link) {
             wire.open.store(true, Ordering::Relaxed);
         }
     }
 
     /// Closes a connection, whatever is on it, and says when that is done.
-    pub fn close(&self, node: &Rc<Node>, link: LinkId) {
+    pub fn close(&self, node: &Rc<Node>, link: ConnectionId) {
         let Some(wire) = self.wires.borrow_mut().remove(&link) else {
             return;
         };
@@ -220,20 +235,26 @@
         tokio::task::spawn_local(async move {
             // It was aborted or has ended: either way the socket is closed.
             let _ = wire.driver.await;
-            node.happened(Event::Closed { link }, None);
+            node.happened(Event::Closed { connection: link }, None);
         });
     }
 }
 
 /// Makes a connection and drives it until it ends.
-async fn drive(node: Rc<Node>, link: LinkId, dial: SocketAddr, open: Arc<AtomicBool>) {
+async fn drive(node: Rc<Node>, link: ConnectionId, dial: SocketAddr, open: Arc<AtomicBool>) {
     let stream = match TcpStream::connect(dial).await {
         Ok(stream) => stream,
         Err(error) => {
             // Guards against blaming a server for what is lacking here.
             let lack = is_local_failure(&error);
             node.upstream.wires.borrow_mut().remove(&link);
-            return node.happened(Event::ConnectFailed { link, lack }, None);
+            return node.happened(
+                Event::ConnectFailed {
+                    connection: link,
+                    local_shortage: lack,
+                },
+                None,
+            );
         }
     };
     // Without it a request in two pieces would wait for an acknowledgement; it works all the same.
@@ -253,15 +274,21 @@
         .await;
     let Ok((sender, connection)) = handshake else {
         node.upstream.wires.borrow_mut().remove(&link);
-        return node.happened(Event::ConnectFailed { link, lack: false }, None);
+        return node.happened(
+            Event::ConnectFailed {
+                connection: link,
+                local_shortage: false,
+            },
+            None,
+        );
     };
     if let Some(wire) = node.upstream.wires.borrow_mut().get_mut(&link) {
         wire.sender = Some(sender);
     }
-    node.happened(Event::Connected { link }, None);
+    node.happened(Event::Connected { connection: link }, None);
     // How it ended shows in the exchange.
     let _ = connection.with_upgrades().await;
-    node.happened(Event::Gone { link }, None);
+    node.happened(Event::ClosedByPeer { connection: link }, None);
 }
 
 /// What came of a request.
@@ -453,7 +480,7 @@
     stream: TokioIo<Socket>,
     /// By number: an upgrade wants a socket that could go to another thread, though none does.
     node: u64,
-    link: LinkId,
+    link: ConnectionId,
     open: Arc<AtomicBool>,
     /// Rounds that a first byte has waited, and the one that it waits for.
     waited: u32,
@@ -488,8 +515,8 @@
             // Guards against the rest of one answer being read as the next.
             let quiet = is_quiet(self.stream.inner().stream());
             node.happened(
-                Event::Begin {
-                    link: self.link,
+                Event::FirstByteReady {
+                    connection: self.link,
                     quiet,
                 },
                 None,
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -17,7 +17,7 @@
 
 pub use reader::{Fault, Faults, Section};
 
-use saffronpaddle_endpoints::Terms;
+use saffronpaddle_endpoints::PollLimits;
 use saffronpaddle_lifecycle::readiness::Conditions;
 use saffronpaddle_websocket::table::Limits;
 use std::net::SocketAddr;
@@ -44,7 +44,7 @@
     /// `[log]`
     pub log: Log,
     /// `[list]`; `None` while it says no number of calls.
-    pub list: Option<Terms>,
+    pub list: Option<PollLimits>,
     /// `[quotas]`
     pub quotas: Quotas,
     /// `[servers]`.
@@ -236,8 +236,8 @@
     }
 }
 
-fn list(section: &mut Section) -> Option<Terms> {
-    let terms = Terms {
+fn list(section: &mut Section) -> Option<PollLimits> {
+    let terms = PollLimits {
         calls_per_s: section.figure("calls_per_s", 0.0, 0.0..=100_000.0),
         first_within: section.span_ms("first_within_ms", 30_000, 0..=600_000),
         answer_within: section.span_ms("answer_within_ms", 10_000, 100..=120_000),
--- a/crates/policy/src/asking.rs
+++ b/crates/policy/src/asking.rs
@@ -7,7 +7,9 @@
 use crate::interface::{Action, CustomerId, Micros, NodeId, RequestId};
 use crate::message::{self, Ask, Message};
 use crate::state::{Home, Out, PolicyEngine};
-use saffronpaddle_quota::{Keeper, Lease, Said, Start, Verdict, GRANT_LIFE, LEASE};
+use saffronpaddle_quota::{
+    GrantDecision, GrantResponse, InitialTokens, Lease, QuotaShard, GRANT_LIFETIME, LEASE_DURATION,
+};
 
 const HOMES: u32 = 2; // the most homes that one try hears "short" from, and that one waits for in vain
 const PUT_MOST: u32 = 4; // times that an ask is put to a home: a lost datagram must not look like a dead one
@@ -82,10 +84,10 @@
             request.asking.home,
         );
         let (first, spread, home) = (store.first, store.spread as u32, number as u8);
-        let beside = Some((self.up_s(now), store.memory.level(now)));
+        let beside = Some((self.up_s(now), store.memory.reported_fill(now)));
         let newest = request.asking.put != 2 || self.newer[to.0 as usize];
-        let wish =
-            (self.settings.partition_safe && newest).then(|| store.memory.wish(now, number, units));
+        let wish = (self.settings.partition_safe && newest)
+            .then(|| store.memory.lease_demand(now, number, units));
         let ask = Ask {
             serial,
             customer,
@@ -102,11 +104,11 @@
             let said = self
                 .grant(now, to, &Ask { wish: None, ..ask }, out)
                 .map(|(said, _)| said);
-            let nothing = Said {
-                verdict: Verdict::Short,
-                chance: 1.0,
-                wait: 0,
-                level: 0.0,
+            let nothing = GrantResponse {
+                decision: GrantDecision::OverQuota,
+                sampling_probability: 1.0,
+                retry_after: 0,
+                fill_ratio: 0.0,
             };
             self.answered(now, serial, (said.unwrap_or(nothing), None), out);
         } else {
@@ -130,7 +132,7 @@
         from: NodeId,
         ask: &Ask,
         out: &mut Out,
-    ) -> Option<(Said, Option<Lease>)> {
+    ) -> Option<(GrantResponse, Option<Lease>)> {
         let plan = self.settings.plans.get(ask.plan.0)?;
         let spread = ask.spread.clamp(1, self.settings.node_count);
         let homes = Homes::of(plan, spread);
@@ -157,45 +159,48 @@
         self.newcomer |= u64::from(age) * 1_000_000 > up + NEWCOMER;
         let start = match told {
             // Danger: two stores for one quota, as a home's answers are lost now and then.
-            _ if number >= homes.parts => Start::Since(ask.units, 0),
-            _ if !self.newcomer => Start::Full,
-            Some((level, ago)) if ago > up => Start::Told(level, ago),
-            _ => Start::Since(ask.units, up),
+            _ if number >= homes.parts => InitialTokens::AccruedSince(ask.units, 0),
+            _ if !self.newcomer => InitialTokens::Full,
+            Some((level, ago)) if ago > up => InitialTokens::Reported(level, ago),
+            _ => InitialTokens::AccruedSince(ask.units, up),
         };
         let fresh = || Home {
-            keeper: Keeper::open(now, start, up, &terms),
+            keeper: QuotaShard::open(now, start, up, &terms),
             ..Home::default()
         };
         let home = self.homes.entry(ask.customer).or_insert_with(fresh);
         (home.plan, home.spread, home.number) = (ask.plan, spread, number);
-        let asks = saffronpaddle_quota::Ask {
-            from: from.0,
+        let asks = saffronpaddle_quota::GrantRequest {
+            requester: from.0,
             serial: ask.serial,
             units: ask.units,
         };
         // A home that borrows of who stands by asks for no units.
         let (said, try_units, lends) = if ask.units > 0.0 {
-            let said = home.keeper.ask(now, asks, &terms, self.latency as Micros);
-            (said, ask.units, home.keeper.is_calm(now))
+            let said = home
+                .keeper
+                .request_grant(now, asks, &terms, self.latency as Micros);
+            (said, ask.units, home.keeper.is_uncontended(now))
         } else {
             (
-                home.keeper.look(now, &terms),
+                home.keeper.status(now, &terms),
                 self.settings.max_request_units,
                 true,
             )
         };
         let wish = ask.wish.filter(|_| lends);
-        let lease = wish.and_then(|wish| home.keeper.lend(now, asks, &wish, &terms, try_units));
+        let lease =
+            wish.and_then(|wish| home.keeper.issue_lease(now, asks, &wish, &terms, try_units));
         if lease.is_some() {
             self.counts.add(Counter::LeasesIssued);
         }
-        match said.verdict {
-            Verdict::Granted => {}
-            Verdict::Short => self.counts.add(Counter::GrantsDeniedOverQuota),
-            Verdict::Full => self.counts.add(Counter::GrantsDeniedInFlight),
-            Verdict::Over => self.counts.add(Counter::GrantsDeniedHardLimit),
+        match said.decision {
+            GrantDecision::Granted => {}
+            GrantDecision::OverQuota => self.counts.add(Counter::GrantsDeniedOverQuota),
+            GrantDecision::TooManyInFlight => self.counts.add(Counter::GrantsDeniedInFlight),
+            GrantDecision::OverHardLimit => self.counts.add(Counter::GrantsDeniedHardLimit),
         }
-        if self.settings.partition_safe && number < homes.parts && said.level < 0.5 {
+        if self.settings.partition_safe && number < homes.parts && said.fill_ratio < 0.5 {
             self.borrow_beside(now, ask, homes, out);
         }
         Some((said, lease))
@@ -205,14 +210,14 @@
         &mut self,
         now: Micros,
         serial: u16,
-        (said, lease): (Said, Option<Lease>),
+        (said, lease): (GrantResponse, Option<Lease>),
         out: &mut Out,
     ) {
         if let Some((customer, asked)) = self.borrows.remove(&serial) {
             let home = self.homes.get_mut(&customer).zip(lease);
             return home
                 .into_iter()
-                .for_each(|(home, lease)| home.keeper.borrowed(now, asked, lease));
+                .for_each(|(home, lease)| home.keeper.lease_received(now, asked, lease));
         }
         let Some(id) = self.asks.remove(&serial) else {
             return self.counts.add(Counter::GrantResponsesLate);
@@ -234,23 +239,23 @@
         if let Some(lease) = lease {
             store
                 .memory
-                .borrowed(now, request.asking.since, request.asking.home.0, lease);
+                .lease_received(now, request.asking.since, request.asking.home.0, lease);
         }
-        if said.verdict == Verdict::Granted {
-            store.memory.said(now, &said, true);
-            store.memory.granted(now, request.units);
+        if said.decision == GrantDecision::Granted {
+            store.memory.record_response(now, &said, true);
+            store.memory.record_grant(now, request.units);
             self.counts.add(Counter::GrantsReceived);
             (request.asking.granted_until, request.due) =
-                (request.asking.since.saturating_add(GRANT_LIFE), now);
+                (request.asking.since.saturating_add(GRANT_LIFETIME), now);
             request.asking.granted = Some((request.asking.home.1, serial));
             return self.waiting.push(id);
         }
         request.asking.short += 1;
         let parts = Homes::of(&self.settings.plans[request.plan.0], store.spread as u32).parts;
-        let last = request.asking.short >= HOMES.min(parts) || said.chance < 1.0;
-        store.memory.said(now, &said, last);
+        let last = request.asking.short >= HOMES.min(parts) || said.sampling_probability < 1.0;
+        store.memory.record_response(now, &said, last);
         let places = self.settings.plans[request.plan.0].max_in_flight.is_some();
-        if !places && store.memory.lent(now, request.units, true) {
+        if !places && store.memory.take_from_lease(now, request.units, true) {
             return self.goes(now, id, Counter::AdmittedByLease);
         }
         if !last {
@@ -284,8 +289,8 @@
             } else {
                 1
             };
-            let again =
-                request.asking.put < puts && now <= request.asking.since.saturating_add(GRANT_LIFE);
+            let again = request.asking.put < puts
+                && now <= request.asking.since.saturating_add(GRANT_LIFETIME);
             if again && self.settings.retransmission_budget && !self.words.may(now, words_a_second)
             {
                 // It waits for its answer, or for words.
@@ -328,9 +333,12 @@
         let Some(store) = self.stores.get_mut(&request.customer) else {
             return;
         };
-        if store.memory.lent(now, units, true) {
+        if store.memory.take_from_lease(now, units, true) {
             self.goes(now, id, Counter::AdmittedByLease);
-        } else if !self.settings.partition_safe && !ceiling && store.memory.alone(now, units) {
+        } else if !self.settings.partition_safe
+            && !ceiling
+            && store.memory.admit_without_owner(now, units)
+        {
             self.goes(now, id, Counter::AdmittedWithoutOwner);
         } else {
             self.finish(now, &id, Counter::RejectedNoOwner, out);
@@ -345,7 +353,7 @@
             return;
         };
         (request.asking.granted, request.due) = (Some((self.settings.node, self.serial)), now);
-        request.asking.granted_until = now.saturating_add(GRANT_LIFE);
+        request.asking.granted_until = now.saturating_add(GRANT_LIFETIME);
         self.waiting.push(id);
     }
 
@@ -356,7 +364,7 @@
             return;
         };
         let number = u32::from(ask.home) + homes.parts;
-        if number >= homes.keepers || !home.keeper.wants_to_borrow(now) {
+        if number >= homes.keepers || !home.keeper.should_request_lease(now) {
             return;
         }
         let to = homes.keeper(
@@ -367,12 +375,12 @@
         );
         self.serial = self.serial.wrapping_add(1);
         // What was asked before and never answered is forgotten; it lends nothing here any more.
-        self.borrows.retain(|_, (_, at)| *at + LEASE > now);
+        self.borrows.retain(|_, (_, at)| *at + LEASE_DURATION > now);
         if to == self.settings.node || self.borrows.len() >= BORROWS_MOST {
             return;
         }
         self.borrows.insert(self.serial, (ask.customer, now));
-        let wish = Some(home.keeper.wish(now));
+        let wish = Some(home.keeper.lease_demand(now));
         let (serial, beside) = (self.serial, Some((self.up_s(now), None)));
         let ask = Ask {
             serial,
@@ -399,7 +407,7 @@
             self.homes
                 .get_mut(&customer)
                 .into_iter()
-                .for_each(|kept| kept.keeper.done(home.0, serial));
+                .for_each(|kept| kept.keeper.release(home.0, serial));
         } else if self
             .plan_of(customer)
             .is_some_and(|plan| plan.max_in_flight.is_some())
--- a/crates/policy/src/cold.rs
+++ b/crates/policy/src/cold.rs
@@ -11,7 +11,9 @@
 };
 use crate::message::{self, Message};
 use crate::state::{Attempt, Out, PolicyEngine, Server};
-use saffronpaddle_slow_start::{Answer, Gift, Rules as Warming, IDLE};
+use saffronpaddle_slow_start::{
+    AttemptResult, SlowStartLimits as Warming, TransferredPermit, IDLE_BEFORE_TRANSFER,
+};
 
 const COLD_BLIND: f64 = 1.5; // sends a second of all gateways to a cold server while no warm one tells more
 const COLD_SAVED: f64 = 1.5; // sends to it that one gateway saves up, and for how many that is safe
@@ -46,11 +48,11 @@
         ..
     } = settings.slow_start;
     Warming {
-        gateways,
-        me,
+        node_count: gateways,
+        node: me,
         up_since,
-        fall_multiple,
-        fall_window,
+        overload_multiple: fall_multiple,
+        overload_window: fall_window,
     }
 }
 
@@ -58,7 +60,7 @@
     /// An attempt goes to it while it is cold.
     pub(crate) fn warm_up(&mut self, rules: &Warming, blind: bool, now: Micros) {
         let number = self.entry.server.0;
-        if !blind || !self.budget().spend(now, number, rules) {
+        if !blind || !self.budget().consume(now, number, rules) {
             self.cold_credit -= 1.0;
         }
     }
@@ -93,8 +95,8 @@
         if self.blind {
             let (number, rules) = (server.entry.server, self.warming(server.entry.server));
             match &server.budget {
-                Some(budget) => budget.may(now, number.0, &rules),
-                None => server.rights().may(now, number.0, &rules),
+                Some(budget) => budget.permits(now, number.0, &rules),
+                None => server.rights().permits(now, number.0, &rules),
             }
         } else {
             server.cold_credit >= 1.0
@@ -161,21 +163,27 @@
         {
             return;
         }
-        let answer = Answer {
+        let answer = AttemptResult {
             served: outcome == Outcome::Ok,
-            took: now.saturating_sub(attempt.sent),
-            aim: self.settings.classes[attempt.class.0].latency_objective,
-            warmth,
-            draw: self.random.f64(),
+            latency: now.saturating_sub(attempt.sent),
+            latency_objective: self.settings.classes[attempt.class.0].latency_objective,
+            capacity_fraction: warmth,
+            random_fraction: self.random.f64(),
         };
         server
             .budget()
-            .ended(now, attempt.class.0, answer, &mut self.natural, &rules);
-        self.spare_at = self.spare_at.min(now.saturating_add(IDLE));
+            .record_result(now, attempt.class.0, answer, &mut self.natural, &rules);
+        self.spare_at = self.spare_at.min(now.saturating_add(IDLE_BEFORE_TRANSFER));
     }
 
     /// A right that another gateway could not use.
-    pub(crate) fn given(&mut self, now: Micros, from: NodeId, server: u16, gift: Gift) {
+    pub(crate) fn given(
+        &mut self,
+        now: Micros,
+        from: NodeId,
+        server: u16,
+        gift: TransferredPermit,
+    ) {
         let Some(id) = self.servers.named(server) else {
             return;
         };
@@ -183,10 +191,10 @@
         if self
             .servers
             .edit(id)
-            .is_some_and(|mut server| server.budget().take(now, from.0, gift, &rules))
+            .is_some_and(|mut server| server.budget().receive(now, from.0, gift, &rules))
         {
             self.counts.add(Counter::PermitsReceived);
-            self.spare_at = self.spare_at.min(now.saturating_add(IDLE));
+            self.spare_at = self.spare_at.min(now.saturating_add(IDLE_BEFORE_TRANSFER));
         }
     }
 
@@ -226,16 +234,17 @@
         self.servers.each_with_rights(|set, server| {
             let id = server.entry.server;
             if gift.is_none() && due {
-                let spare =
-                    server
-                        .budget()
-                        .spare(now, id.0, &rules(settings, up_since, set.carers(id.0)));
+                let spare = server.budget().transfer_unused(
+                    now,
+                    id.0,
+                    &rules(settings, up_since, set.slow_start_group(id.0)),
+                );
                 gift = spare.map(|gift| (id, gift));
             }
-            held |= server.budget().held(now) > 0;
+            held |= server.budget().earned_permits(now) > 0;
         });
         if held {
-            self.spare_at = now.saturating_add(IDLE);
+            self.spare_at = now.saturating_add(IDLE_BEFORE_TRANSFER);
         }
         if let Some((server, gift)) = gift {
             self.next_gift = now.saturating_add(GIFTS_EVERY);
--- a/crates/policy/src/control.rs
+++ b/crates/policy/src/control.rs
@@ -275,14 +275,14 @@
                 .get(id)
                 .is_some_and(|of| of.customer == request.customer)
         });
-        let held = self.wide && (store.memory.held(now) || open.count() >= OPEN_ASKS);
-        let asks = store.memory.chance(now);
+        let held = self.wide && (store.memory.is_rejecting(now) || open.count() >= OPEN_ASKS);
+        let asks = store.memory.sampling_probability(now);
         let draw = if self.wide { self.random.f64() } else { 0.0 };
         // Danger: a client that waits so briefly that the next sweep would answer too late.
         let hopeless = request.deadline <= now.saturating_add(LAST_CALL);
         // A place under a limit on attempts at once is a home's to give.
         let lent = self.wide && !hopeless && plan.max_in_flight.is_none() && draw <= 1.0 - shed;
-        let lent = lent && store.memory.lent(now, units, false);
+        let lent = lent && store.memory.take_from_lease(now, units, false);
         let thinned = !lent && (held || self.wide && draw > asks * (1.0 - shed));
         let kept = (store.peers(now, HEARD_FOR) * LAG)
             .min(plan.burst - store.depth)
@@ -689,7 +689,7 @@
                     .homes
                     .get_mut(&of)
                     .into_iter()
-                    .for_each(|home| home.keeper.done(from.0, serial));
+                    .for_each(|home| home.keeper.release(from.0, serial));
             }
         };
         let spoke = std::mem::replace(&mut self.spoke[from.0 as usize], now);
--- a/crates/policy/src/homes.rs
+++ b/crates/policy/src/homes.rs
@@ -6,7 +6,7 @@
 
 use crate::fuzzy::mix;
 use crate::interface::{CustomerId, HardLimit, NodeId, Plan};
-use saffronpaddle_quota::{Terms, GRANT_LIFE};
+use saffronpaddle_quota::{ShardLimits, GRANT_LIFETIME};
 
 /// Units a second that one home of a customer looks after: its intake bounds it.
 const RATE: f64 = 8.0;
@@ -42,9 +42,9 @@
     }
 
     /// The terms of the part that a number keeps: keepers of one part share its store's, unless they are `fenced`, and never its
-    /// ceiling's. Counter a ceiling it
+    /// ceiling's. Of a ceiling it
     /// keeps back what comes in while its grants are under way: they are void after that.
-    pub fn terms(self, plan: &Plan, number: u32, most_units: f64, fenced: bool) -> Terms {
+    pub fn terms(self, plan: &Plan, number: u32, most_units: f64, fenced: bool) -> ShardLimits {
         let parts = f64::from(self.parts);
         // Who stands by holds a part of its own, so that no word is needed; the home, which is asked nearly always, the most.
         let beside = f64::from(self.keepers - self.parts) / parts;
@@ -56,15 +56,15 @@
         } / parts;
         let places = |most: u32| (most + self.parts - 1 - number % self.parts) / self.parts;
         let ceiling = |ceiling: HardLimit| {
-            let late = ceiling.rate * GRANT_LIFE as f64 / 1e6;
+            let late = ceiling.rate * GRANT_LIFETIME as f64 / 1e6;
             (ceiling.rate * part, (ceiling.capacity - late) * part)
         };
         let of_store = if fenced { part } else { 1.0 / parts };
-        Terms {
+        ShardLimits {
             rate: plan.rate * of_store,
-            depth: (plan.burst * of_store).max(most_units),
-            at_once: plan.max_in_flight.map(places),
-            ceiling: plan.hard_limit.map(ceiling),
+            capacity: (plan.burst * of_store).max(most_units),
+            max_in_flight: plan.max_in_flight.map(places),
+            hard_limit: plan.hard_limit.map(ceiling),
         }
     }
 
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -375,7 +375,7 @@
         spread: u32,
         /// How long the client waits for this try.
         timeout: Micros,
-        /// Whether it has come whole. Counter one that has not, the rest goes to a server as it comes, once;
+        /// Whether it has come whole. Of one that has not, the rest goes to a server as it comes, once;
         /// [`Event::Whole`] follows, and till then `patience` is what its coming may take.
         complete: bool,
     },
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -12,6 +12,7 @@
 mod crowding;
 mod fuzzy;
 mod homes;
+pub mod idempotency;
 pub mod interface;
 mod mean;
 mod message;
--- a/crates/policy/src/message.rs
+++ b/crates/policy/src/message.rs
@@ -2,8 +2,8 @@
 
 use crate::interface::{ClassId, CustomerId, Micros, NodeId, PlanId, ServerId};
 use crate::pooled::Pooled;
-use saffronpaddle_quota::{Lease, Said, Verdict, Wish};
-use saffronpaddle_slow_start::Gift;
+use saffronpaddle_quota::{GrantDecision, GrantResponse, Lease, LeaseDemand};
+use saffronpaddle_slow_start::TransferredPermit;
 
 const VERSION: u8 = 2;
 /// Version and kind; the least that a message holds.
@@ -23,11 +23,11 @@
 const AGO_STEP: u64 = 64_000;
 const WAIT_FOR_STEP: u64 = 8_000;
 /// Verdicts by their numbers.
-const VERDICTS: [Verdict; 4] = [
-    Verdict::Granted,
-    Verdict::Short,
-    Verdict::Full,
-    Verdict::Over,
+const VERDICTS: [GrantDecision; 4] = [
+    GrantDecision::Granted,
+    GrantDecision::OverQuota,
+    GrantDecision::TooManyInFlight,
+    GrantDecision::OverHardLimit,
 ];
 /// Levels in which a share of failures travels, and how many classes a rumour can name.
 const LEVELS: u8 = 31;
@@ -74,7 +74,7 @@
     /// how long ago.
     pub beside: Option<(u8, Option<(f64, Micros)>)>,
     /// What a build of yesterday does not tell: what it would borrow, and has.
-    pub wish: Option<Wish>,
+    pub wish: Option<LeaseDemand>,
 }
 
 #[allow(clippy::option_option)]
@@ -85,11 +85,11 @@
     // beside an ask and how long to stay away, are those of the build before, and are only answered.
     Ask(Ask, Option<News>),
     /// The inner lease is what is lent, the outer one is none where the word is of the build before.
-    Answer(u16, Said, Option<Option<Lease>>, Option<News>),
-    OldAnswer(u16, Said, News),
+    Answer(u16, GrantResponse, Option<Option<Lease>>, Option<News>),
+    OldAnswer(u16, GrantResponse, News),
     Done(u16, CustomerId),
     /// A right to send to a cold server, by its short name; a build of yesterday passes it over.
-    Gift(u16, Gift),
+    Gift(u16, TransferredPermit),
 }
 
 /// The short name under which rumours speak of a server.
@@ -145,15 +145,17 @@
                 if let Some(wish) = &ask.wish {
                     // What is held is told rounded up: its keeper must not reckon with less.
                     let up = |value: f64, part: f64| (value * part).ceil().clamp(0.0, 255.0) as u8;
-                    let held = wish.held.map_or([0, 0, 0, u8::MAX], |(rate, room, left)| {
-                        let [low, high] = two_bytes(rate, f64::ceil);
-                        [
-                            low,
-                            high,
-                            up(room, ROOM_PART),
-                            steps(left, AGO_STEP).saturating_add(1).min(254),
-                        ]
-                    });
+                    let held = wish
+                        .current
+                        .map_or([0, 0, 0, u8::MAX], |(rate, room, left)| {
+                            let [low, high] = two_bytes(rate, f64::ceil);
+                            [
+                                low,
+                                high,
+                                up(room, ROOM_PART),
+                                steps(left, AGO_STEP).saturating_add(1).min(254),
+                            ]
+                        });
                     bytes.extend(two_bytes(wish.rate, f64::round));
                     bytes.extend(held);
                 }
@@ -165,16 +167,22 @@
             bytes.extend_from_slice(&serial.to_le_bytes());
             let verdict = VERDICTS
                 .iter()
-                .position(|verdict| *verdict == said.verdict)
+                .position(|verdict| *verdict == said.decision)
                 .unwrap_or(1) as u8;
-            bytes.extend_from_slice(&[verdict, small(said.chance * 255.0)]);
-            bytes.extend_from_slice(&[steps(said.wait, WAIT_FOR_STEP), small(said.level * 255.0)]);
+            bytes.extend_from_slice(&[verdict, small(said.sampling_probability * 255.0)]);
+            bytes.extend_from_slice(&[
+                steps(said.retry_after, WAIT_FOR_STEP),
+                small(said.fill_ratio * 255.0),
+            ]);
             if let Some(lease) = lease {
                 // Rounded down: a borrower must not have more than its keeper reckons with.
                 let down = |value: f64, part: f64| (value * part).floor().clamp(0.0, 255.0) as u8;
                 let lease = lease.unwrap_or_default();
                 bytes.extend(two_bytes(lease.rate, f64::floor));
-                bytes.extend([down(lease.room, ROOM_PART), down(lease.units, ROOM_PART)]);
+                bytes.extend([
+                    down(lease.capacity, ROOM_PART),
+                    down(lease.initial_tokens, ROOM_PART),
+                ]);
             }
             news.iter().for_each(|news| write_news(news, &mut bytes));
         }
@@ -182,17 +190,17 @@
             bytes.push(5);
             bytes.extend_from_slice(&serial.to_le_bytes());
             bytes.extend_from_slice(&[
-                u8::from(said.verdict != Verdict::Granted),
-                small(said.chance * 255.0),
+                u8::from(said.decision != GrantDecision::Granted),
+                small(said.sampling_probability * 255.0),
             ]);
             write_news(news, &mut bytes);
         }
         Message::Gift(server, gift) => {
             bytes.push(8);
             bytes.extend_from_slice(&server.to_le_bytes());
-            bytes.extend_from_slice(&gift.started.to_le_bytes());
-            bytes.extend_from_slice(&gift.until.to_le_bytes());
-            bytes.extend_from_slice(&gift.serial.to_le_bytes());
+            bytes.extend_from_slice(&gift.server_started_at.to_le_bytes());
+            bytes.extend_from_slice(&gift.expires_at.to_le_bytes());
+            bytes.extend_from_slice(&gift.sequence.to_le_bytes());
         }
         Message::Done(serial, customer) => {
             bytes.push(3);
@@ -322,7 +330,10 @@
                 );
                 let left = taken.number(1)?;
                 let held = (left < u64::from(u8::MAX)).then_some((held.0, held.1, left * AGO_STEP));
-                wish = Some(Wish { rate, held });
+                wish = Some(LeaseDemand {
+                    rate,
+                    current: held,
+                });
             }
             let news = if kind == 4 {
                 Some(taken.news()?)
@@ -348,18 +359,18 @@
             let serial = taken.number(2)? as u16;
             let verdict = *VERDICTS[..2].get(taken.number(1)? as usize)?;
             let chance = taken.number(1)? as f64 / 255.0;
-            let level = if verdict == Verdict::Granted {
+            let level = if verdict == GrantDecision::Granted {
                 1.0
             } else {
                 0.0
             };
             Message::OldAnswer(
                 serial,
-                Said {
-                    verdict,
-                    chance,
-                    wait: 0,
-                    level,
+                GrantResponse {
+                    decision: verdict,
+                    sampling_probability: chance,
+                    retry_after: 0,
+                    fill_ratio: level,
                 },
                 taken.news()?,
             )
@@ -379,15 +390,19 @@
                     taken.number(1)? as f64 / ROOM_PART,
                 );
                 let units = taken.number(1)? as f64 / ROOM_PART;
-                lease = Some((rate > 0.0).then_some(Lease { rate, room, units }));
+                lease = Some((rate > 0.0).then_some(Lease {
+                    rate,
+                    capacity: room,
+                    initial_tokens: units,
+                }));
             }
             Message::Answer(
                 serial,
-                Said {
-                    verdict,
-                    chance,
-                    wait,
-                    level,
+                GrantResponse {
+                    decision: verdict,
+                    sampling_probability: chance,
+                    retry_after: wait,
+                    fill_ratio: level,
                 },
                 lease,
                 taken.news_if_any()?,
@@ -398,10 +413,10 @@
             let (started, until) = (taken.number(8)?, taken.number(8)?);
             Message::Gift(
                 server,
-                Gift {
-                    started,
-                    until,
-                    serial: taken.number(2)? as u16,
+                TransferredPermit {
+                    server_started_at: started,
+                    expires_at: until,
+                    sequence: taken.number(2)? as u16,
                 },
             )
         }
--- a/crates/policy/src/message/tests.rs
+++ b/crates/policy/src/message/tests.rs
@@ -22,7 +22,7 @@
     }
 }
 
-fn ask(beside: Option<(u8, Option<(f64, Micros)>)>, wish: Option<Wish>) -> Ask {
+fn ask(beside: Option<(u8, Option<(f64, Micros)>)>, wish: Option<LeaseDemand>) -> Ask {
     Ask {
         serial: 0x0102,
         customer: CustomerId(0x0A_0B0C_0D0E),
@@ -36,12 +36,12 @@
     }
 }
 
-fn said(verdict: Verdict) -> Said {
-    Said {
-        verdict,
-        chance: 0.6,
-        wait: 40_000,
-        level: 0.8,
+fn said(verdict: GrantDecision) -> GrantResponse {
+    GrantResponse {
+        decision: verdict,
+        sampling_probability: 0.6,
+        retry_after: 40_000,
+        fill_ratio: 0.8,
     }
 }
 
@@ -50,14 +50,14 @@
     let held = Some((1.25, 0.625, 1_280_000));
     let lease = Lease {
         rate: 0.75,
-        room: 1.5,
-        units: 0.5,
+        capacity: 1.5,
+        initial_tokens: 0.5,
     };
     let customer = CustomerId(0x0A_0B0C_0D0E);
-    let gift = Gift {
-        started: 1_700_000,
-        until: 2_900_000,
-        serial: 513,
+    let gift = TransferredPermit {
+        server_started_at: 1_700_000,
+        expires_at: 2_900_000,
+        sequence: 513,
     };
     vec![
         (
@@ -73,16 +73,25 @@
         ),
         (
             "ask_with_wish",
-            Message::Ask(ask(Some((17, told)), Some(Wish { rate: 2.0, held })), None),
+            Message::Ask(
+                ask(
+                    Some((17, told)),
+                    Some(LeaseDemand {
+                        rate: 2.0,
+                        current: held,
+                    }),
+                ),
+                None,
+            ),
         ),
         (
             "ask_with_wish_and_nothing_held",
             Message::Ask(
                 ask(
                     Some((0, None)),
-                    Some(Wish {
+                    Some(LeaseDemand {
                         rate: 0.5,
-                        held: None,
+                        current: None,
                     }),
                 ),
                 Some(news()),
@@ -90,35 +99,35 @@
         ),
         (
             "answer_granted",
-            Message::Answer(9, said(Verdict::Granted), None, None),
+            Message::Answer(9, said(GrantDecision::Granted), None, None),
         ),
         (
             "answer_short",
-            Message::Answer(9, said(Verdict::Short), None, Some(news())),
+            Message::Answer(9, said(GrantDecision::OverQuota), None, Some(news())),
         ),
         (
             "answer_full",
-            Message::Answer(65_535, said(Verdict::Full), None, None),
+            Message::Answer(65_535, said(GrantDecision::TooManyInFlight), None, None),
         ),
         (
             "answer_over",
-            Message::Answer(9, said(Verdict::Over), None, None),
+            Message::Answer(9, said(GrantDecision::OverHardLimit), None, None),
         ),
         (
             "answer_that_lends",
-            Message::Answer(9, said(Verdict::Granted), Some(Some(lease)), None),
+            Message::Answer(9, said(GrantDecision::Granted), Some(Some(lease)), None),
         ),
         (
             "answer_that_lends_nothing",
-            Message::Answer(9, said(Verdict::Short), Some(None), Some(news())),
+            Message::Answer(9, said(GrantDecision::OverQuota), Some(None), Some(news())),
         ),
         (
             "old_answer_granted",
-            Message::OldAnswer(9, said(Verdict::Granted), news()),
+            Message::OldAnswer(9, said(GrantDecision::Granted), news()),
         ),
         (
             "old_answer_short",
-            Message::OldAnswer(9, said(Verdict::Short), news()),
+            Message::OldAnswer(9, said(GrantDecision::OverQuota), news()),
         ),
         ("done", Message::Done(0x0304, customer)),
         ("gift", Message::Gift(short(ServerId(7)), gift)),
--- a/crates/policy/src/servers.rs
+++ b/crates/policy/src/servers.rs
@@ -10,7 +10,7 @@
 };
 use crate::message;
 use crate::state::Server;
-use saffronpaddle_subsetting::{Median, Set, SOUGHT, WHOLE};
+use saffronpaddle_subsetting::{Median, Subset, FULL_LIST_MAX, TARGET_SIZE};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::{Deref, DerefMut};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -18,7 +18,7 @@
 /// A share as a whole number, so that sums of many do not drift.
 const SHARE_STEPS: f64 = (1_u64 << 44) as f64;
 /// So many that are sent to from here are still more than a few. Guards against a walk for each that comes or goes there.
-const MANY_STILL: usize = WHOLE * 3 / 4;
+const MANY_STILL: usize = FULL_LIST_MAX * 3 / 4;
 /// How many short names there are.
 const NAMES: usize = 1 << 16;
 
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Servers {
     all: BTreeMap<ServerId, Server>,
-    set: Set,
+    set: Subset,
     /// Whether a long list is not sent to as a whole.
     works: bool,
     /// Whether the list is longer than is sent to as a whole; then in order all that are sent to from here, and how many
@@ -67,11 +67,11 @@
     listed: usize,
     avoided: usize,
     ready: usize,
-    /// Counter those held here: how many are ready; of these, by class, how many are out, and the shares that fail; their waits.
+    /// Of those held here: how many are ready; of these, by class, how many are out, and the shares that fail; their waits.
     held: usize,
     out: Vec<usize>,
     failing: Vec<u64>,
-    /// StateSnapshot where they are too many to be walked over at a tick.
+    /// Kept where they are too many to be walked over at a tick.
     waits: Median,
     many: bool,
     /// Held here, and started not long ago; with evidence that may still count; gone, but not forgotten.
@@ -218,7 +218,7 @@
         };
         Servers {
             all: BTreeMap::new(),
-            set: Set::new(me.0, gateways),
+            set: Subset::new(me.0, gateways),
             works,
             long: false,
             held: Vec::new(),
@@ -261,7 +261,7 @@
             let listed: BTreeSet<ServerId> = entries.iter().map(|entry| entry.server).collect();
             for (_, server) in self.all.iter_mut().filter(|(id, _)| !listed.contains(id)) {
                 self.sums.change(server, |server| {
-                    server.entry.status = EndpointStatus::Removed
+                    server.entry.status = EndpointStatus::Removed;
                 });
             }
         }
@@ -278,10 +278,10 @@
             let id = entry.server;
             if let Some(server) = self.all.get_mut(&id) {
                 self.sums.change(server, |server| {
-                    server.follow(entry, now, rules.warm_up_period)
+                    server.follow(entry, now, rules.warm_up_period);
                 });
             } else {
-                let held = !self.long || self.set.holds(id.0);
+                let held = !self.long || self.set.contains(id.0);
                 if self.long {
                     self.named[usize::from(message::short(id))] += 1;
                     self.held.extend(held.then_some(id));
@@ -294,7 +294,7 @@
                 self.sums.enter(&server);
                 self.all.insert(id, server);
             }
-            if !self.long || self.set.holds(id.0) {
+            if !self.long || self.set.contains(id.0) {
                 let young = entry
                     .started_at
                     .is_some_and(|started| now < started.saturating_add(lately));
@@ -309,9 +309,12 @@
         let many = if self.sums.many {
             self.held.len() >= MANY_STILL
         } else {
-            self.held.len() > WHOLE
+            self.held.len() > FULL_LIST_MAX
         };
-        if moved || self.long != (self.works && self.sums.ready > WHOLE) || many != self.sums.many {
+        if moved
+            || self.long != (self.works && self.sums.ready > FULL_LIST_MAX)
+            || many != self.sums.many
+        {
             self.hold(now, lately);
         }
     }
@@ -321,7 +324,7 @@
         if self.works {
             self.set.resize(self.sums.ready);
         }
-        self.long = self.works && self.sums.ready > WHOLE;
+        self.long = self.works && self.sums.ready > FULL_LIST_MAX;
         let many = std::mem::take(&mut self.sums.many);
         self.named = if self.long {
             vec![0; NAMES]
@@ -331,7 +334,7 @@
         (self.held, self.names) = (Vec::new(), BTreeMap::new());
         self.sums.looked(self.all.len());
         for (id, server) in &mut self.all {
-            let held = !self.long || self.set.holds(id.0);
+            let held = !self.long || self.set.contains(id.0);
             if held != server.held {
                 self.sums.lately.extend(held.then_some(*id));
                 self.sums.change(server, |server| {
@@ -353,8 +356,8 @@
             }
         }
         self.sums.waits = Median::default();
-        self.sums.many = self.held.len() > WHOLE || many && self.held.len() >= MANY_STILL;
-        // Counter few none is kept in order.
+        self.sums.many = self.held.len() > FULL_LIST_MAX || many && self.held.len() >= MANY_STILL;
+        // Of few none is kept in order.
         self.all
             .iter()
             .for_each(|(id, server)| self.sums.wait(*id, None, waits(server)));
@@ -381,17 +384,17 @@
 
     /// How many gateways send to each.
     pub fn cover(&self) -> f64 {
-        f64::from(self.set.cover())
+        f64::from(self.set.nodes_per_server())
     }
 
     /// How many gateways share what is earned by nobody at a server, and which of them this is, if it is one.
     pub fn carers(&self, server: ServerId) -> (u32, u32) {
-        self.set.carers(server.0)
+        self.set.slow_start_group(server.0)
     }
 
     /// The gateway at a place among them.
     pub fn carer(&self, server: ServerId, place: u32) -> NodeId {
-        NodeId(self.set.carer(server.0, place))
+        NodeId(self.set.slow_start_member(server.0, place))
     }
 
     /// How many servers have been looked at since the start.
@@ -433,7 +436,7 @@
             return self.all.values().filter(|server| server.ready()).collect();
         }
         let (first, count) = if self.sums.many {
-            (draw(self.held.len()), SOUGHT)
+            (draw(self.held.len()), TARGET_SIZE)
         } else {
             (0, self.held.len())
         };
@@ -513,7 +516,7 @@
 
     /// Takes each that may hold rights to send to it while it is cold, in order: all that are ready and whose start is known,
     /// or of a long list the young. How it fares is not to be changed there.
-    pub fn each_with_rights(&mut self, mut take: impl FnMut(&Set, &mut Server)) {
+    pub fn each_with_rights(&mut self, mut take: impl FnMut(&Subset, &mut Server)) {
         let (all, set, sums) = (&mut self.all, &self.set, &self.sums);
         let mut ready = |server: &mut Server| {
             sums.looked(1);
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -12,8 +12,8 @@
 use crate::rto::Rto;
 use crate::servers::Servers;
 use crate::words::Words;
-use saffronpaddle_quota::{Keeper, Memory};
-use saffronpaddle_slow_start::{Budget, Natural};
+use saffronpaddle_quota::{QuotaShard, RejectionCache};
+use saffronpaddle_slow_start::{BaselineLatency, SlowStartBudget};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -224,7 +224,7 @@
     pub share: f64,
     pub ceiling_share: f64,
     /// What its homes have said.
-    pub memory: Memory,
+    pub memory: RejectionCache,
 }
 
 /// A part of a customer's quota that is kept here.
@@ -234,7 +234,7 @@
     pub plan: PlanId,
     pub spread: u32,
     pub number: u32,
-    pub keeper: Keeper,
+    pub keeper: QuotaShard,
 }
 
 impl Store {
@@ -311,7 +311,7 @@
     /// Rights to send to it while it is cold and no warm one tells what servers can do; none while nothing has come of its
     /// start.
     #[serde(with = "crate::begun")]
-    pub budget: Option<Box<Budget>>,
+    pub budget: Option<Box<SlowStartBudget>>,
     /// Whether this gateway sends to it.
     #[serde(skip)]
     pub held: bool,
@@ -345,7 +345,7 @@
     pub fn follow(&mut self, entry: Endpoint, now: Micros, cold_for: Micros) {
         if self.entry.started_at != entry.started_at {
             let mut budget = self.rights();
-            budget.begins(entry.started_at.unwrap_or(0), cold_for);
+            budget.on_server_start(entry.started_at.unwrap_or(0), cold_for);
             *self = Server {
                 open: self.open,
                 held: self.held,
@@ -391,16 +391,16 @@
     }
 
     /// Its rights, as they are or as they begin.
-    pub fn rights(&self) -> Budget {
+    pub fn rights(&self) -> SlowStartBudget {
         self.budget.as_deref().cloned().unwrap_or_else(|| {
-            let mut budget = Budget::default();
-            budget.begins(self.entry.started_at.unwrap_or(0), 0);
+            let mut budget = SlowStartBudget::default();
+            budget.on_server_start(self.entry.started_at.unwrap_or(0), 0);
             budget
         })
     }
 
     /// The same, to be changed.
-    pub fn budget(&mut self) -> &mut Budget {
+    pub fn budget(&mut self) -> &mut SlowStartBudget {
         if self.budget.is_none() {
             self.budget = Some(Box::new(self.rights()));
         }
@@ -527,7 +527,7 @@
     /// cold servers since the last tick, and a second; when rights that nobody used here are given away.
     pub(crate) blind: bool,
     pub(crate) pace: f64,
-    pub(crate) natural: Natural,
+    pub(crate) natural: BaselineLatency,
     pub(crate) cold_sent: f64,
     pub(crate) cold_rate: f64,
     pub(crate) spare_at: Micros,
@@ -623,7 +623,7 @@
             counts: Counters::default(),
             blind: false,
             pace: 0.0,
-            natural: Natural::default(),
+            natural: BaselineLatency::default(),
             cold_sent: 0.0,
             cold_rate: 0.0,
             spare_at: Micros::MAX,
--- a/crates/policy/tests/stored_state.rs
+++ b/crates/policy/tests/stored_state.rs
@@ -6,8 +6,12 @@
 use common::{entry, settings, Stand, KEYED_ALL, MS, S, SAFE};
 use saffronpaddle_policy::interface::*;
 use saffronpaddle_policy::{PolicyEngine, StateSnapshot};
-use saffronpaddle_quota::{Ask, Keeper, Memory, Start, Terms, Wish};
-use saffronpaddle_slow_start::{Answer, Budget, Gift, Natural, Rules};
+use saffronpaddle_quota::{
+    GrantRequest, InitialTokens, LeaseDemand, QuotaShard, RejectionCache, ShardLimits,
+};
+use saffronpaddle_slow_start::{
+    AttemptResult, BaselineLatency, SlowStartBudget, SlowStartLimits, TransferredPermit,
+};
 use serde_json::Value;
 
 const NARROW: &str = include_str!("fixtures/state_narrow.json");
@@ -149,45 +153,48 @@
 /// A shard that has granted, lent and given out places, and what a node remembers of it.
 #[test]
 fn a_shard_with_leases_and_what_is_remembered_of_it_have_the_form_of_the_fixture() {
-    let terms = Terms {
+    let terms = ShardLimits {
         rate: 8.0,
-        depth: 16.0,
-        at_once: Some(3),
-        ceiling: Some((10.0, 20.0)),
+        capacity: 16.0,
+        max_in_flight: Some(3),
+        hard_limit: Some((10.0, 20.0)),
     };
-    let mut shard = Keeper::open(5 * S, Start::Since(8.0, S), S, &terms);
-    let ask = |serial| Ask {
-        from: 4,
+    let mut shard = QuotaShard::open(5 * S, InitialTokens::AccruedSince(8.0, S), S, &terms);
+    let ask = |serial| GrantRequest {
+        requester: 4,
         serial,
         units: 1.0,
     };
-    let said = shard.ask(5 * S + MS, ask(1), &terms, 100 * MS);
-    shard.ask(5 * S + 2 * MS, ask(2), &terms, 100 * MS);
-    let wish = Wish {
+    let said = shard.request_grant(5 * S + MS, ask(1), &terms, 100 * MS);
+    shard.request_grant(5 * S + 2 * MS, ask(2), &terms, 100 * MS);
+    let wish = LeaseDemand {
         rate: 1.0,
-        held: Some((0.5, 1.0, S)),
+        current: Some((0.5, 1.0, S)),
     };
-    shard.lend(5 * S + 3 * MS, ask(3), &wish, &terms, 1.0);
-    let none_held = Wish { held: None, ..wish };
-    let home = Ask {
-        from: 9,
+    shard.issue_lease(5 * S + 3 * MS, ask(3), &wish, &terms, 1.0);
+    let none_held = LeaseDemand {
+        current: None,
+        ..wish
+    };
+    let home = GrantRequest {
+        requester: 9,
         serial: 7,
         units: 0.0,
     };
-    shard.lend(5 * S + 4 * MS, home, &none_held, &terms, 1.0);
-    let mut memory = Memory::default();
-    memory.said(5 * S, &said, true);
-    memory.granted(5 * S, 1.0);
-    memory.alone(6 * S, 1.0);
+    shard.issue_lease(5 * S + 4 * MS, home, &none_held, &terms, 1.0);
+    let mut memory = RejectionCache::default();
+    memory.record_response(5 * S, &said, true);
+    memory.record_grant(5 * S, 1.0);
+    memory.admit_without_owner(6 * S, 1.0);
     let written = serde_json::json!({"shard": shard, "memory": memory});
     let fixture: Value = serde_json::from_str(SHARD).expect("a fixture of JSON");
     assert!(written == fixture, "\n{written:#}");
     assert_eq!(
-        serde_json::from_value::<Keeper>(fixture["shard"].clone()).expect("it is read"),
+        serde_json::from_value::<QuotaShard>(fixture["shard"].clone()).expect("it is read"),
         shard
     );
     assert_eq!(
-        serde_json::from_value::<Memory>(fixture["memory"].clone()).expect("it is read"),
+        serde_json::from_value::<RejectionCache>(fixture["memory"].clone()).expect("it is read"),
         memory
     );
 }
@@ -195,38 +202,38 @@
 /// Rights to send to a cold server that were earned, given away and taken.
 #[test]
 fn rights_to_a_cold_server_have_the_form_of_the_fixture() {
-    let rules = Rules {
-        gateways: 3,
-        me: 1,
+    let rules = SlowStartLimits {
+        node_count: 3,
+        node: 1,
         up_since: 0,
-        fall_multiple: 3.0,
-        fall_window: S,
+        overload_multiple: 3.0,
+        overload_window: S,
     };
-    let mut budget = Budget::default();
-    budget.begins(5 * S, 10 * S);
-    budget.begins(6 * S, 10 * S);
-    budget.spend(8 * S, 4, &rules);
-    let answer = Answer {
+    let mut budget = SlowStartBudget::default();
+    budget.on_server_start(5 * S, 10 * S);
+    budget.on_server_start(6 * S, 10 * S);
+    budget.consume(8 * S, 4, &rules);
+    let answer = AttemptResult {
         served: true,
-        took: 40 * MS,
-        aim: 400 * MS,
-        warmth: 0.3,
-        draw: 0.9,
+        latency: 40 * MS,
+        latency_objective: 400 * MS,
+        capacity_fraction: 0.3,
+        random_fraction: 0.9,
     };
-    let mut natural = Natural::default();
-    budget.ended(8 * S, 1, answer, &mut natural, &rules);
-    let gift = Gift {
-        started: 6 * S,
-        until: 8 * S + 500 * MS,
-        serial: 3,
+    let mut natural = BaselineLatency::default();
+    budget.record_result(8 * S, 1, answer, &mut natural, &rules);
+    let gift = TransferredPermit {
+        server_started_at: 6 * S,
+        expires_at: 8 * S + 500 * MS,
+        sequence: 3,
     };
-    budget.take(8 * S + MS, 2, gift, &rules);
-    budget.spare(8 * S + 2 * MS, 4, &rules);
+    budget.receive(8 * S + MS, 2, gift, &rules);
+    budget.transfer_unused(8 * S + 2 * MS, 4, &rules);
     let written = serde_json::json!({"budget": budget, "natural": natural});
     let fixture: Value = serde_json::from_str(RIGHTS).expect("a fixture of JSON");
     assert!(written == fixture, "\n{written:#}");
     assert_eq!(
-        serde_json::from_value::<Budget>(fixture["budget"].clone()).expect("it is read"),
+        serde_json::from_value::<SlowStartBudget>(fixture["budget"].clone()).expect("it is read"),
         budget
     );
 }
--- a/crates/policy/tests/walks.rs
+++ b/crates/policy/tests/walks.rs
@@ -82,7 +82,7 @@
             .map(|number| at(EndpointStatus::Removed, number))
             .collect();
         let zone = looked_at(&mut stand, |stand| {
-            stand.servers(EndpointUpdate::Delta, zone)
+            stand.servers(EndpointUpdate::Delta, zone);
         });
         assert!(
             zone <= 2 * 4_400,
