--- a/crates/quota/src/lease.rs
+++ b/crates/quota/src/lease.rs
@@ -6,8 +6,8 @@
 //! So the sum of all levels never passes what one store of the whole would hold, whoever hears whom.
 //!
 //! **The old holder's part ends before the new one's begins.** A borrower counts the life of a lease from when it *asked*, less
-//! [`DRIFT`]; the keeper from when it *answered*, whole. The ask left before it came, so the borrower's end is the earlier
-//! one, with clocks that need not agree and may run [`DRIFT`] apart. A word that is late only shortens the borrower's part; one that is
+//! [`CLOCK_DRIFT_DIVISOR`]; the keeper from when it *answered*, whole. The ask left before it came, so the borrower's end is the earlier
+//! one, with clocks that need not agree and may run [`CLOCK_DRIFT_DIVISOR`] apart. A word that is late only shortens the borrower's part; one that is
 //! doubled is answered as before and lends nothing more; one that is lost leaves the keeper with less for a lease's life.
 //!
 //! What is lent and not used by its end lapses: it is lost to the customer, not to the quota.
@@ -17,9 +17,9 @@
 
 /// How long a lease lasts, µs. Danger of longer: rate that lies idle where a customer's traffic has moved on. Of shorter: a
 /// cut-off gateway that has nothing left before its peers are back.
-pub const LEASE: Micros = 6_000_000;
+pub const LEASE_DURATION: Micros = 6_000_000;
 /// How far apart clocks may run: a part in so many.
-pub const DRIFT: Micros = 100;
+pub const CLOCK_DRIFT_DIVISOR: Micros = 100;
 /// A borrower asks anew once less than this is left of its lease, µs.
 const RENEWED: Micros = 2_000_000;
 /// Most of a part's rate and depth that is lent at a time, of a store; the rest serves those that have borrowed nothing.
@@ -46,23 +46,25 @@
     /// Units a second.
     pub rate: f64,
     /// Most units at once.
-    pub room: f64,
+    #[serde(rename = "room")]
+    pub capacity: f64,
     /// Units from the first moment.
-    pub units: f64,
+    #[serde(rename = "units")]
+    pub initial_tokens: f64,
 }
 
 /// What who asks says of leases.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Wish {
+pub struct LeaseDemand {
     /// Units a second that it would use.
     pub rate: f64,
     /// What it still holds of this keeper's: the rate, the room, and for how long.
-    pub held: Option<(f64, f64, Micros)>,
+    pub current: Option<(f64, f64, Micros)>,
 }
 
 /// A lease at the keeper.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-struct Lent {
+struct IssuedLease {
     from: u32,
     serial: u16,
     /// Builds before read it under this name when a node is upgraded in place.
@@ -76,26 +78,27 @@
 /// What a keeper has lent.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Lender {
-    lent: Vec<Lent>,
+pub struct LeaseIssuer {
+    lent: Vec<IssuedLease>,
 }
 
-impl Lender {
+impl LeaseIssuer {
     /// Units that borrowers have taken in between two moments, and the room that is lent at the second: of the store, or of the
     /// ceiling.
-    pub fn between(&self, from: Micros, to: Micros, of_store: bool) -> (f64, f64) {
+    pub fn issued_between(&self, from: Micros, to: Micros, of_store: bool) -> (f64, f64) {
         let of = || self.lent.iter().filter(|lent| lent.of_store || !of_store);
-        let units =
-            |lent: &Lent| lent.lease.rate * lent.until.min(to).saturating_sub(from) as f64 / 1e6;
+        let units = |lent: &IssuedLease| {
+            lent.lease.rate * lent.until.min(to).saturating_sub(from) as f64 / 1e6
+        };
         let stands = of().filter(|lent| lent.until > to);
         (
             of().map(units).sum(),
-            stands.map(|lent| lent.lease.room).sum(),
+            stands.map(|lent| lent.lease.capacity).sum(),
         )
     }
 
     /// Drops what has ended.
-    pub fn tidy(&mut self, now: Micros) {
+    pub fn remove_expired(&mut self, now: Micros) {
         self.lent.retain(|lent| lent.until > now);
     }
 
@@ -106,8 +109,14 @@
 
     /// Notes a lease that who asks still holds and that is not known here. Danger: a keeper that was restarted and fills at a rate
     /// that its last life has lent.
-    pub fn told(&mut self, now: Micros, from: u32, wish: &Wish, of_store: bool) {
-        let Some((rate, room, left)) = wish.held else {
+    pub fn record_reported_lease(
+        &mut self,
+        now: Micros,
+        from: u32,
+        wish: &LeaseDemand,
+        of_store: bool,
+    ) {
+        let Some((rate, room, left)) = wish.current else {
             return;
         };
         let known = self
@@ -117,14 +126,14 @@
         if known || self.lent.len() >= LEASES_MOST {
             return;
         }
-        let until = now.saturating_add(left.min(LEASE));
-        self.lent.push(Lent {
+        let until = now.saturating_add(left.min(LEASE_DURATION));
+        self.lent.push(IssuedLease {
             from,
             serial: 0,
             lease: Lease {
                 rate,
-                room,
-                units: 0.0,
+                capacity: room,
+                initial_tokens: 0.0,
             },
             until,
             of_store,
@@ -132,13 +141,13 @@
     }
 
     /// A ceiling of which nobody knows what an earlier life of this keeper has lent, until then: as much as may have been.
-    pub fn unknown(&mut self, (rate, depth): (f64, f64), until: Micros) {
+    pub fn reserve_unknown(&mut self, (rate, depth): (f64, f64), until: Micros) {
         let lease = Lease {
             rate: rate * OF_CEILING,
-            room: depth * OF_CEILING,
-            units: 0.0,
+            capacity: depth * OF_CEILING,
+            initial_tokens: 0.0,
         };
-        self.lent.push(Lent {
+        self.lent.push(IssuedLease {
             from: u32::MAX,
             serial: 0,
             lease,
@@ -149,16 +158,16 @@
 
     /// Lends to who asks under this number, of what may be lent of a rate and a depth, where so many units are held. The same ask again is
     /// answered as before; whether it is a new one. `all`: to another keeper, which uses all that may be lent.
-    pub fn lend(
+    pub fn issue(
         &mut self,
         now: Micros,
         (from, serial): (u32, u16),
-        wish: &Wish,
+        wish: &LeaseDemand,
         (rate, depth, level): (f64, f64, f64),
         (try_units, of_store, all): (f64, bool, bool),
     ) -> Option<(Lease, bool)> {
-        self.tidy(now);
-        let mine = |lent: &&Lent| lent.from == from;
+        self.remove_expired(now);
+        let mine = |lent: &&IssuedLease| lent.from == from;
         if let Some(again) = self
             .lent
             .iter()
@@ -177,12 +186,13 @@
             .iter_mut()
             .find(|lent| lent.from == from && lent.of_store == of_store)
         {
-            if last.until > now + RENEWED + LEASE / 10 || wish.rate * WANTED < last.lease.rate / 2.0
+            if last.until > now + RENEWED + LEASE_DURATION / 10
+                || wish.rate * WANTED < last.lease.rate / 2.0
             {
                 return None;
             }
-            (last.serial, last.until) = (serial, now.saturating_add(LEASE));
-            last.lease.units = 0.0;
+            (last.serial, last.until) = (serial, now.saturating_add(LEASE_DURATION));
+            last.lease.initial_tokens = 0.0;
             return Some((last.lease, false));
         }
         if self.lent.len() >= LEASES_MOST {
@@ -192,7 +202,7 @@
             |of: fn(&Lease) -> f64| self.lent.iter().map(|lent| of(&lent.lease)).sum::<f64>();
         let (free_rate, free_depth) = (
             rate - lent(|lease| lease.rate),
-            depth - lent(|lease| lease.room),
+            depth - lent(|lease| lease.capacity),
         );
         let wanted = (wish.rate * WANTED).min(free_rate);
         if wanted < LEAST || free_depth < try_units {
@@ -211,14 +221,14 @@
         };
         let lease = Lease {
             rate: wanted,
-            room: most,
-            units,
+            capacity: most,
+            initial_tokens: units,
         };
-        self.lent.push(Lent {
+        self.lent.push(IssuedLease {
             from,
             serial,
             lease,
-            until: now.saturating_add(LEASE),
+            until: now.saturating_add(LEASE_DURATION),
             of_store,
         });
         Some((lease, true))
@@ -227,60 +237,60 @@
 
 /// A lease at who has it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Held {
+pub struct ActiveLease {
     /// Which of the customer's keepers lent it.
-    pub keeper: u32,
+    pub issuer: u32,
     lease: Lease,
     level: f64,
     filled: Micros,
     until: Micros,
 }
 
-impl Held {
+impl ActiveLease {
     /// What came of an ask that was first put then, behind one that may still have units.
-    pub fn after(
-        last: Option<Held>,
+    pub fn renewed(
+        last: Option<ActiveLease>,
         now: Micros,
         asked: Micros,
         keeper: u32,
         lease: Lease,
-    ) -> Held {
+    ) -> ActiveLease {
         let left = match last {
-            Some(mut last) if last.keeper == keeper && !last.is_over(now) => {
+            Some(mut last) if last.issuer == keeper && !last.is_expired(now) => {
                 last.take(now, 0.0);
                 last.level
             }
             _ => 0.0,
         };
         // It fills from now on: its keeper had lent it before the word left.
-        let until = asked.saturating_add(LEASE - LEASE / DRIFT);
-        Held {
-            keeper,
+        let until = asked.saturating_add(LEASE_DURATION - LEASE_DURATION / CLOCK_DRIFT_DIVISOR);
+        ActiveLease {
+            issuer: keeper,
             lease,
-            level: (lease.units + left).min(lease.room),
+            level: (lease.initial_tokens + left).min(lease.capacity),
             filled: now,
             until,
         }
     }
 
     /// Whether it has ended.
-    pub fn is_over(&self, now: Micros) -> bool {
+    pub fn is_expired(&self, now: Micros) -> bool {
         now >= self.until
     }
 
     /// Whether it is time to ask for the next one.
-    pub fn is_due(&self, now: Micros) -> bool {
+    pub fn needs_renewal(&self, now: Micros) -> bool {
         now.saturating_add(RENEWED) >= self.until
     }
 
     /// Takes so many units, if they are there.
     pub fn take(&mut self, now: Micros, units: f64) -> bool {
-        if self.is_over(now) {
+        if self.is_expired(now) {
             return false;
         }
         let span = now.saturating_sub(self.filled) as f64 / 1e6;
         self.filled = self.filled.max(now);
-        self.level = (self.level + self.lease.rate * span).min(self.lease.room);
+        self.level = (self.level + self.lease.rate * span).min(self.lease.capacity);
         let takes = self.level >= units;
         self.level -= if takes { units } else { 0.0 };
         takes
@@ -288,7 +298,7 @@
 
     /// Units a second that it brings.
     pub fn rate(&self, now: Micros) -> f64 {
-        if self.is_over(now) {
+        if self.is_expired(now) {
             0.0
         } else {
             self.lease.rate
@@ -296,7 +306,7 @@
     }
 
     /// What its keeper is told of it: the rate, the room, and for how long.
-    pub fn told(&self, now: Micros) -> Option<(f64, f64, Micros)> {
-        (!self.is_over(now)).then(|| (self.lease.rate, self.lease.room, self.until - now))
+    pub fn report(&self, now: Micros) -> Option<(f64, f64, Micros)> {
+        (!self.is_expired(now)).then(|| (self.lease.rate, self.lease.capacity, self.until - now))
     }
 }
--- a/crates/quota/tests/exhaustive.rs
+++ b/crates/quota/tests/exhaustive.rs
@@ -2,16 +2,16 @@
 //! that is killed and back at once. In every state the tries that went stay under what the quota holds; a planted fault is found
 //! each time, so the checks can fail.
 
-use saffronpaddle_quota::{Ask, Keeper, Start, Terms, Verdict};
+use saffronpaddle_quota::{GrantDecision, GrantRequest, InitialTokens, QuotaShard, ShardLimits};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 /// No time goes by: nothing comes in, and no number is forgotten.
-const TERMS: Terms = Terms {
+const TERMS: ShardLimits = ShardLimits {
     rate: 1e-9,
-    depth: 2.0,
-    at_once: None,
-    ceiling: None,
+    capacity: 2.0,
+    max_in_flight: None,
+    hard_limit: None,
 };
 const PUTS: u8 = 2;
 /// Guards the machine's memory.
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug)]
 struct World {
     tries: Vec<Try>,
-    homes: [Keeper; 2],
+    homes: [QuotaShard; 2],
     /// What is under way. What is lost is never taken out.
     mail: BTreeSet<Word>,
     /// Doublings and deaths that may still be, and deaths that were.
@@ -58,7 +58,14 @@
 
 impl World {
     fn new(units: [u8; 2]) -> World {
-        let home = |units: u8| Keeper::open(0, Start::Since(f64::from(units), 0), 0, &TERMS);
+        let home = |units: u8| {
+            QuotaShard::open(
+                0,
+                InitialTokens::AccruedSince(f64::from(units), 0),
+                0,
+                &TERMS,
+            )
+        };
         let mut world = World {
             tries: Vec::new(),
             homes: units.map(home),
@@ -84,20 +91,20 @@
     fn arrives(&mut self, word: Word) {
         match word {
             Word::Ask { of, home, serial } => {
-                let ask = Ask {
-                    from: u32::from(of % 2),
+                let ask = GrantRequest {
+                    requester: u32::from(of % 2),
                     serial,
                     units: 1.0,
                 };
-                let before = self.homes[usize::from(home)].level();
-                let said = self.homes[usize::from(home)].ask(0, ask, &TERMS, 1_000_000);
-                if self.homes[usize::from(home)].level() < before {
+                let before = self.homes[usize::from(home)].tokens();
+                let said = self.homes[usize::from(home)].request_grant(0, ask, &TERMS, 1_000_000);
+                if self.homes[usize::from(home)].tokens() < before {
                     *self.taken.entry((of, home)).or_default() += 1;
                 }
                 self.mail.insert(Word::Answer {
                     of,
                     serial,
-                    granted: said.verdict == Verdict::Granted,
+                    granted: said.decision == GrantDecision::Granted,
                 });
             }
             Word::Answer {
@@ -180,11 +187,11 @@
             world.left.1 -= 1;
             world.deaths += 1;
             let start = if fault == Some(Fault::BackFull) {
-                Start::Full
+                InitialTokens::Full
             } else {
-                Start::Since(0.0, 0)
+                InitialTokens::AccruedSince(0.0, 0)
             };
-            world.homes[0] = Keeper::open(0, start, 0, &TERMS);
+            world.homes[0] = QuotaShard::open(0, start, 0, &TERMS);
             all.push(world);
         }
         all
--- a/crates/quota/tests/lease.rs
+++ b/crates/quota/tests/lease.rs
@@ -4,7 +4,8 @@
 use proptest::prelude::*;
 use proptest::test_runner::FileFailurePersistence;
 use saffronpaddle_quota::{
-    Ask, Keeper, Lease, Memory, Micros, Start, Terms, Verdict, Wish, DRIFT, LEASE,
+    GrantDecision, GrantRequest, InitialTokens, Lease, LeaseDemand, Micros, QuotaShard,
+    RejectionCache, ShardLimits, CLOCK_DRIFT_DIVISOR, LEASE_DURATION,
 };
 use std::collections::BTreeMap;
 
@@ -85,68 +86,73 @@
 
 /// Plays a course of one keeper and three askers whose clocks run apart by as much as is allowed. Returns the lowest level of
 /// the store and of the ceiling, and how many tries went by leases.
-fn play(terms: &Terms, steps: &[Step], restarts: bool, fault: Option<Fault>) -> (f64, f64, u32) {
-    let store = (terms.rate, terms.depth);
-    let (mut whole, ceiling) = (Whole::new(store), terms.ceiling.unwrap_or((1e9, 1e9)));
+fn play(
+    terms: &ShardLimits,
+    steps: &[Step],
+    restarts: bool,
+    fault: Option<Fault>,
+) -> (f64, f64, u32) {
+    let store = (terms.rate, terms.capacity);
+    let (mut whole, ceiling) = (Whole::new(store), terms.hard_limit.unwrap_or((1e9, 1e9)));
     let mut hard = Whole::new(ceiling);
     hard.level = 0.0;
     let (mut now, mut born) = (60 * S, 0);
     (whole.at, hard.at) = (now, 0);
     hard.level = ceiling.1;
     hard.at = now;
-    let mut home = Keeper::open(now, Start::Full, now, terms);
-    let mut memories = [Memory::default(); 3];
+    let mut home = QuotaShard::open(now, InitialTokens::Full, now, terms);
+    let mut memories = [RejectionCache::default(); 3];
     let (mut low, mut low_hard, mut by_lease) = (f64::MAX, f64::MAX, 0);
     let mut late: BTreeMap<(Micros, u32), (u32, Micros, Lease)> = BTreeMap::new();
     let mut serial = 0;
     // Clocks of askers run slow, the worst that a lender can meet.
     let clock = |now: Micros, who: u32| match who {
         0 => now,
-        _ => now - now / (DRIFT * 2) * Micros::from(who) / 2,
+        _ => now - now / (CLOCK_DRIFT_DIVISOR * 2) * Micros::from(who) / 2,
     };
     for step in steps {
         now += step.after;
         while let Some(first) = late.first_entry().filter(|entry| entry.key().0 <= now) {
             let ((at, _), (who, asked, lease)) = first.remove_entry();
-            memories[who as usize].borrowed(clock(at, who), clock(asked, who), 0, lease);
+            memories[who as usize].lease_received(clock(at, who), clock(asked, who), 0, lease);
         }
         if step.restart && restarts {
             born = now;
-            let start = Start::Since(1.0, 0);
+            let start = InitialTokens::AccruedSince(1.0, 0);
             let up = if fault == Some(Fault::ForgetsCeiling) {
-                LEASE
+                LEASE_DURATION
             } else {
                 0
             };
-            home = Keeper::open(now, start, up, terms);
+            home = QuotaShard::open(now, start, up, terms);
             if fault == Some(Fault::ForgetsCeiling) {
-                home = Keeper::open(now, Start::Full, 60 * S, terms);
+                home = QuotaShard::open(now, InitialTokens::Full, 60 * S, terms);
             }
         }
         let _ = born;
         let (who, me) = (step.who, clock(now, step.who));
         let memory = &mut memories[who as usize];
-        let mut gone = memory.lent(me, 1.0, false);
+        let mut gone = memory.take_from_lease(me, 1.0, false);
         by_lease += u32::from(gone);
         if !gone && !step.ask_lost {
             serial += 1;
-            let wish: Wish = memory.wish(me, 0, 1.0);
+            let wish: LeaseDemand = memory.lease_demand(me, 0, 1.0);
             for copy in 0..=u16::from(step.doubled) {
-                let ask = Ask {
-                    from: who,
+                let ask = GrantRequest {
+                    requester: who,
                     serial,
                     units: 1.0,
                 };
-                let said = home.ask(now, ask, terms, LASTS);
+                let said = home.request_grant(now, ask, terms, LASTS);
                 let mut other = home.clone();
                 let lease = match fault {
-                    Some(Fault::RateKept) => other.lend(now, ask, &wish, terms, 1.0),
-                    _ => home.lend(now, ask, &wish, terms, 1.0),
+                    Some(Fault::RateKept) => other.issue_lease(now, ask, &wish, terms, 1.0),
+                    _ => home.issue_lease(now, ask, &wish, terms, 1.0),
                 };
                 if copy == 0 {
-                    gone = said.verdict == Verdict::Granted && !step.answer_lost;
+                    gone = said.decision == GrantDecision::Granted && !step.answer_lost;
                     if gone {
-                        memory.granted(me, 1.0);
+                        memory.record_grant(me, 1.0);
                     }
                 }
                 if let Some(lease) = lease.filter(|_| !step.answer_lost) {
@@ -167,7 +173,7 @@
         }
         if !gone && step.answer_lost {
             // With no answer, what is lent goes.
-            gone = memory.lent(me, 1.0, true);
+            gone = memory.take_from_lease(me, 1.0, true);
             by_lease += u32::from(gone);
         }
         if gone {
@@ -178,12 +184,12 @@
     (low, low_hard, by_lease)
 }
 
-fn plan(rate: f64, depth: f64, ceiling: Option<(f64, f64)>) -> Terms {
-    Terms {
+fn plan(rate: f64, depth: f64, ceiling: Option<(f64, f64)>) -> ShardLimits {
+    ShardLimits {
         rate,
-        depth,
-        at_once: None,
-        ceiling,
+        capacity: depth,
+        max_in_flight: None,
+        hard_limit: ceiling,
     }
 }
 
@@ -265,28 +271,34 @@
 #[test]
 fn a_home_uses_the_whole_while_it_hears_who_stands_by_and_its_part_otherwise() {
     let (home_terms, beside_terms) = (plan(3.0, 6.0, None), plan(1.0, 2.0, None));
-    let mut home = Keeper::open(60 * S, Start::Full, 60 * S, &home_terms);
-    let mut beside = Keeper::open(60 * S, Start::Since(0.0, 0), 60 * S, &beside_terms);
+    let mut home = QuotaShard::open(60 * S, InitialTokens::Full, 60 * S, &home_terms);
+    let mut beside = QuotaShard::open(
+        60 * S,
+        InitialTokens::AccruedSince(0.0, 0),
+        60 * S,
+        &beside_terms,
+    );
     let (mut went, mut alone) = ([0_u32; 3], 0_u32);
     for tick in 0..900_u64 {
         let now = 60 * S + tick * 50 * MS;
         let third = (tick / 300) as usize;
-        let ask = Ask {
-            from: 5,
+        let ask = GrantRequest {
+            requester: 5,
             serial: tick as u16,
             units: 1.0,
         };
-        went[third] +=
-            u32::from(home.ask(now, ask, &home_terms, LASTS).verdict == Verdict::Granted);
+        went[third] += u32::from(
+            home.request_grant(now, ask, &home_terms, LASTS).decision == GrantDecision::Granted,
+        );
         // Cut apart in the second third.
-        if third != 1 && home.wants_to_borrow(now) {
+        if third != 1 && home.should_request_lease(now) {
             let serial = 10_000 + tick as u16;
-            let wish = home.wish(now);
-            beside.look(now, &beside_terms);
-            let lease = beside.lend(
+            let wish = home.lease_demand(now);
+            beside.status(now, &beside_terms);
+            let lease = beside.issue_lease(
                 now,
-                Ask {
-                    from: 1,
+                GrantRequest {
+                    requester: 1,
                     serial,
                     units: 0.0,
                 },
@@ -296,16 +308,20 @@
             );
             lease
                 .into_iter()
-                .for_each(|lease| home.borrowed(now, now, lease));
+                .for_each(|lease| home.lease_received(now, now, lease));
         }
         if third == 1 {
-            let ask = Ask {
-                from: 6,
+            let ask = GrantRequest {
+                requester: 6,
                 serial: tick as u16,
                 units: 1.0,
             };
-            alone +=
-                u32::from(beside.ask(now, ask, &beside_terms, LASTS).verdict == Verdict::Granted);
+            alone += u32::from(
+                beside
+                    .request_grant(now, ask, &beside_terms, LASTS)
+                    .decision
+                    == GrantDecision::Granted,
+            );
         }
     }
     // 15 s each, at 3 units a second of its own and up to 0.75 borrowed.
@@ -323,32 +339,32 @@
 #[test]
 fn a_lease_ends_by_when_it_was_asked_for_and_not_by_when_the_answer_came() {
     let terms = plan(4.0, 8.0, None);
-    let mut home = Keeper::open(60 * S, Start::Full, 60 * S, &terms);
-    let ask = Ask {
-        from: 3,
+    let mut home = QuotaShard::open(60 * S, InitialTokens::Full, 60 * S, &terms);
+    let ask = GrantRequest {
+        requester: 3,
         serial: 1,
         units: 1.0,
     };
     let asked = 60 * S;
-    home.ask(asked + 20 * MS, ask, &terms, LASTS);
-    let wish = Wish {
+    home.request_grant(asked + 20 * MS, ask, &terms, LASTS);
+    let wish = LeaseDemand {
         rate: 2.0,
-        held: None,
+        current: None,
     };
     let lease = home
-        .lend(asked + 20 * MS, ask, &wish, &terms, 1.0)
+        .issue_lease(asked + 20 * MS, ask, &wish, &terms, 1.0)
         .expect("it lends");
     // From here on the keeper has it back.
-    let back = asked + 20 * MS + LEASE;
-    for late in [30 * MS, 3 * S, LEASE, 2 * LEASE] {
-        let mut memory = Memory::default();
-        memory.borrowed(asked + late, asked, 0, lease);
+    let back = asked + 20 * MS + LEASE_DURATION;
+    for late in [30 * MS, 3 * S, LEASE_DURATION, 2 * LEASE_DURATION] {
+        let mut memory = RejectionCache::default();
+        memory.lease_received(asked + late, asked, 0, lease);
         let mut went = 0;
         for tick in 0..200 {
             // By the borrower's clock; the true time runs ahead of it by a part in a hundred.
             let local = asked + late + tick * 100 * MS;
-            let truly = asked + (local - asked) * (DRIFT + 1) / DRIFT;
-            if memory.lent(local, 1.0, true) {
+            let truly = asked + (local - asked) * (CLOCK_DRIFT_DIVISOR + 1) / CLOCK_DRIFT_DIVISOR;
+            if memory.take_from_lease(local, 1.0, true) {
                 assert!(
                     truly <= back,
                     "used {} us after the keeper had it back",
@@ -357,6 +373,10 @@
                 went += 1;
             }
         }
-        assert_eq!(went > 0, late < LEASE / 2 + S, "{went} after {late} us");
+        assert_eq!(
+            went > 0,
+            late < LEASE_DURATION / 2 + S,
+            "{went} after {late} us"
+        );
     }
 }
--- a/crates/slow-start/src/lib.rs
+++ b/crates/slow-start/src/lib.rs
@@ -6,16 +6,16 @@
 //!   Who has the turn may send one request in it, if it has one. However many gateways come up alone, the sum is one
 //!   request a turn.
 //! - **Answers.** An answer in good time is proof of what the server can do: it brings its gateway up to
-//!   [`Rules::growth`] rights to send again, which lapse after [`Rules::life`].
+//!   [`SlowStartLimits::growth`] rights to send again, which lapse after [`SlowStartLimits::life`].
 //!
-//! - **Gifts.** A right that finds no use here within [`IDLE`] goes to another gateway, drawn at random: while servers are
+//! - **Gifts.** A right that finds no use here within [`IDLE_BEFORE_TRANSFER`] goes to another gateway, drawn at random: while servers are
 //!   cold nearly each has requests that wait. The giver's part ends before the word leaves, a gift that comes twice counts
 //!   once and is not given on, and one that is lost is a right less.
 //!
 //! **The bound.** Let C be what the server can do a second, which does not fall while it lives. In any span W the fleet
 //! sends at most what was earned in W and the life before it: growth x C x (W + life), and a turn's request for each turn
 //! that W touches. A lost answer or a gateway that dies takes rights away; no word can double them. Growth and life are
-//! chosen so that the first part is at most [`USED`] of what makes the server fall (see `docs/design/cold-start.md`).
+//! chosen so that the first part is at most [`USED_SHARE`] of what makes the server fall (see `docs/design/cold-start.md`).
 //!
 //! No input or output, and time is an argument.
 #![forbid(unsafe_code)]
@@ -28,7 +28,7 @@
 pub type Micros = u64;
 
 /// Share of what makes a server fall that answers may bring a fleet to send, in the worst case.
-pub const USED: f64 = 0.6;
+pub const USED_SHARE: f64 = 0.6;
 /// Requests a second that all gateways together send in turns. Danger: a server of one core, which bears some seven requests
 /// in its first second: turns must leave room for what answers bring (seen at 1.5: 1.09 of what makes one fall).
 const TURNS_A_SECOND: f64 = 0.75;
@@ -43,7 +43,7 @@
 /// Weights of a sample in what a request takes where nobody waits: of a quicker one, and of a slower one.
 const LEARNS: (f64, f64) = (0.2, 0.02);
 /// How long a right stays idle before it is given away, µs: a few ways to a waiting request's turn.
-pub const IDLE: Micros = 20_000;
+pub const IDLE_BEFORE_TRANSFER: Micros = 20_000;
 /// A right is given while it has this much of its life left, µs: less would lapse on the way.
 const WORTH_GIVING: Micros = 80_000;
 /// Most rights that one gateway holds for one server. Guards memory.
@@ -51,34 +51,34 @@
 
 /// What binds a fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Rules {
+pub struct SlowStartLimits {
     /// How many gateways there are, and which one this is.
-    pub gateways: u32,
+    pub node_count: u32,
     /// See there.
-    pub me: u32,
+    pub node: u32,
     /// Since when this gateway's process knows what it has sent: a turn that began before is not its own. Danger: a gateway
     /// that is killed in its turn, and is back in it.
     pub up_since: Micros,
     /// More than this multiple of what a server can do ...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ... within this span pushes it over.
-    pub fall_window: Micros,
+    pub overload_window: Micros,
 }
 
-impl Rules {
+impl SlowStartLimits {
     /// Rights that an answer brings at the most. Where little is needed to push a server over, the fleet only keeps up.
     pub fn growth(&self) -> f64 {
-        (self.fall_multiple / 2.0).min(GROWTH.0).max(1.0)
+        (self.overload_multiple / 2.0).min(GROWTH.0).max(1.0)
     }
 
-    /// How long a right may be used: growth x (window + life) is [`USED`] of the multiple x window.
-    pub fn life(&self) -> Micros {
-        let spans = USED * self.fall_multiple / self.growth() - 1.0;
-        (spans.clamp(0.02, 1.0) * self.fall_window as f64) as Micros
+    /// How long a right may be used: growth x (window + life) is [`USED_SHARE`] of the multiple x window.
+    pub fn permit_lifetime(&self) -> Micros {
+        let spans = USED_SHARE * self.overload_multiple / self.growth() - 1.0;
+        (spans.clamp(0.02, 1.0) * self.overload_window as f64) as Micros
     }
 
     /// How long a turn lasts. One that started again soon after its last start is given half as many: it has fallen.
-    fn turn(fallen: bool) -> Micros {
+    fn turn_length(fallen: bool) -> Micros {
         let a_second = if fallen {
             TURNS_A_SECOND / 2.0
         } else {
@@ -90,44 +90,44 @@
 
 /// A right on its way to another gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Gift {
+pub struct TransferredPermit {
     /// Which life of the server it is for.
-    pub started: Micros,
+    pub server_started_at: Micros,
     /// Until when it may be used, by the clock that all machines read.
-    pub until: Micros,
+    pub expires_at: Micros,
     /// Its number at who gives it.
-    pub serial: u16,
+    pub sequence: u16,
 }
 
 /// An answer, or the end of an attempt without one.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Answer {
+pub struct AttemptResult {
     /// Whether the server did the work.
     pub served: bool,
     /// How long it took, and the aim of its class.
-    pub took: Micros,
+    pub latency: Micros,
     /// See there.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// Share of its capacity that the server has.
-    pub warmth: f64,
+    pub capacity_fraction: f64,
     /// Anything from 0 to 1: parts of a right are a chance of a whole one.
-    pub draw: f64,
+    pub random_fraction: f64,
 }
 
 /// What a request of each class takes on a warm server that nobody waits for, as far as this gateway has seen.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Natural {
+pub struct BaselineLatency {
     least: Vec<f64>,
 }
 
-impl Natural {
+impl BaselineLatency {
     /// Takes in what one took; what it should take on a server of that warmth.
-    fn learn(&mut self, class: usize, answer: &Answer) -> f64 {
+    fn learn(&mut self, class: usize, answer: &AttemptResult) -> f64 {
         if self.least.len() <= class {
             self.least.resize(class + 1, 0.0);
         }
-        let sample = answer.took as f64 * answer.warmth;
+        let sample = answer.latency as f64 * answer.capacity_fraction;
         let least = &mut self.least[class];
         let weight = if sample < *least { LEARNS.0 } else { LEARNS.1 };
         *least = if *least > 0.0 {
@@ -135,14 +135,14 @@
         } else {
             sample
         };
-        *least / answer.warmth.max(0.01)
+        *least / answer.capacity_fraction.max(0.01)
     }
 }
 
 /// One gateway's rights to send to one server that warms up.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Budget {
+pub struct SlowStartBudget {
     /// When the server started: rights of another life are void.
     started: Micros,
     /// Whether it had started not long before.
@@ -163,39 +163,39 @@
     late: bool,
 }
 
-impl Budget {
+impl SlowStartBudget {
     /// The server's start is known; `cold_for` is how long it takes to warm up. All that was held of an earlier life is
     /// void. Danger: a server that fell, pushed over again by rights that its last life earned.
-    pub fn begins(&mut self, started: Micros, cold_for: Micros) {
+    pub fn on_server_start(&mut self, started: Micros, cold_for: Micros) {
         if started != self.started {
             let fallen = self.started > 0 && started < self.started.saturating_add(2 * cold_for);
-            *self = Budget {
+            *self = SlowStartBudget {
                 started,
                 fallen,
-                ..Budget::default()
+                ..SlowStartBudget::default()
             };
         }
     }
 
-    fn turn(&self, now: Micros, server: u64, rules: &Rules) -> Option<u64> {
-        let length = Rules::turn(self.fallen);
+    fn turn(&self, now: Micros, server: u64, rules: &SlowStartLimits) -> Option<u64> {
+        let length = SlowStartLimits::turn_length(self.fallen);
         let turn = now.checked_sub(self.started)? / length;
         if self.started.saturating_add(turn.saturating_mul(length)) <= rules.up_since {
             return None;
         }
-        let whose =
-            (server % u64::from(rules.gateways.max(1)) + turn) % u64::from(rules.gateways.max(1));
-        (whose == u64::from(rules.me) && turn + 1 > self.used_turn).then_some(turn + 1)
+        let whose = (server % u64::from(rules.node_count.max(1)) + turn)
+            % u64::from(rules.node_count.max(1));
+        (whose == u64::from(rules.node) && turn + 1 > self.used_turn).then_some(turn + 1)
     }
 
     /// Whether one more may be sent now. `server` is a number that all gateways have for it.
-    pub fn may(&self, now: Micros, server: u64, rules: &Rules) -> bool {
+    pub fn permits(&self, now: Micros, server: u64, rules: &SlowStartLimits) -> bool {
         let lives = |rights: &VecDeque<Micros>| rights.back().is_some_and(|until| *until > now);
         lives(&self.gifted) || lives(&self.rights) || self.turn(now, server, rules).is_some()
     }
 
     /// One is sent: it takes the right that lapses first, or the turn. Whether there was one.
-    pub fn spend(&mut self, now: Micros, server: u64, rules: &Rules) -> bool {
+    pub fn consume(&mut self, now: Micros, server: u64, rules: &SlowStartLimits) -> bool {
         self.lapse(now);
         self.idle = None;
         if self
@@ -213,21 +213,21 @@
 
     /// An attempt has ended. Danger: a gateway that stood still and reads all its answers at once, which prove nothing
     /// of now: they took longer than the aim, and bring nothing.
-    pub fn ended(
+    pub fn record_result(
         &mut self,
         now: Micros,
         class: usize,
-        answer: Answer,
-        natural: &mut Natural,
-        rules: &Rules,
+        answer: AttemptResult,
+        natural: &mut BaselineLatency,
+        rules: &SlowStartLimits,
     ) {
-        let whole = if !answer.served || answer.took > answer.aim {
+        let whole = if !answer.served || answer.latency > answer.latency_objective {
             self.late = true;
             0.0
         } else {
-            let aim = answer.aim as f64;
+            let aim = answer.latency_objective as f64;
             let good = (natural.learn(class, &answer) * GOOD_TIMES.0).min(aim * GOOD_TIMES.1);
-            if answer.took as f64 > good.max(aim * GOOD_SHARE) {
+            if answer.latency as f64 > good.max(aim * GOOD_SHARE) {
                 self.late = true;
                 SLOW
             } else if self.late || self.fallen {
@@ -236,9 +236,9 @@
                 rules.growth()
             }
         };
-        let rights = (whole + answer.draw.clamp(0.0, 1.0)).floor() as usize;
+        let rights = (whole + answer.random_fraction.clamp(0.0, 1.0)).floor() as usize;
         self.lapse(now);
-        let until = now.saturating_add(rules.life());
+        let until = now.saturating_add(rules.permit_lifetime());
         let room = HELD_MOST.saturating_sub(self.rights.len());
         self.rights
             .extend(std::iter::repeat_n(until, rights.min(room)));
@@ -246,14 +246,24 @@
 
     /// A right that nobody here has used for a while, to be given away: it is gone from here. To be asked now and then,
     /// while no request waits.
-    pub fn spare(&mut self, now: Micros, server: u64, rules: &Rules) -> Option<Gift> {
+    pub fn transfer_unused(
+        &mut self,
+        now: Micros,
+        server: u64,
+        rules: &SlowStartLimits,
+    ) -> Option<TransferredPermit> {
         self.lapse(now);
         let turn = self.turn(now, server, rules);
         if self.rights.is_empty() && turn.is_none() {
             self.idle = None;
             return None;
         }
-        if now < self.idle.get_or_insert(now).saturating_add(IDLE) {
+        if now
+            < self
+                .idle
+                .get_or_insert(now)
+                .saturating_add(IDLE_BEFORE_TRANSFER)
+        {
             return None;
         }
         let until = match (self.rights.pop_front(), turn) {
@@ -262,45 +272,63 @@
                 self.used_turn = turn;
                 // Its life is the turn's rest.
                 self.started
-                    .saturating_add(turn.saturating_mul(Rules::turn(self.fallen)))
+                    .saturating_add(turn.saturating_mul(SlowStartLimits::turn_length(self.fallen)))
             }
             (None, None) => return None,
         };
         self.serial = self.serial.wrapping_add(1);
-        let lives = until.saturating_sub(now) >= WORTH_GIVING && rules.gateways > 1;
-        lives.then_some(Gift {
-            started: self.started,
-            until,
-            serial: self.serial,
+        let lives = until.saturating_sub(now) >= WORTH_GIVING && rules.node_count > 1;
+        lives.then_some(TransferredPermit {
+            server_started_at: self.started,
+            expires_at: until,
+            sequence: self.serial,
         })
     }
 
     /// Takes a gift. Danger: a word that is doubled, forged or of an earlier life, which would be a right that nobody gave.
-    pub fn take(&mut self, now: Micros, from: u32, gift: Gift, rules: &Rules) -> bool {
+    pub fn receive(
+        &mut self,
+        now: Micros,
+        from: u32,
+        gift: TransferredPermit,
+        rules: &SlowStartLimits,
+    ) -> bool {
         self.came.retain(|(_, _, until)| *until > now);
         // Danger: a gateway that was killed and forgot what it took, and is given the same again by a word that was doubled. No gift
         // lives longer than a turn.
-        if now < rules.up_since.saturating_add(Rules::turn(self.fallen)) {
+        if now
+            < rules
+                .up_since
+                .saturating_add(SlowStartLimits::turn_length(self.fallen))
+        {
             return false;
         }
-        let until = gift
-            .until
-            .min(now.saturating_add(rules.life().max(Rules::turn(self.fallen))));
+        let until = gift.expires_at.min(
+            now.saturating_add(
+                rules
+                    .permit_lifetime()
+                    .max(SlowStartLimits::turn_length(self.fallen)),
+            ),
+        );
         let known = self
             .came
             .iter()
-            .any(|(whose, serial, _)| (*whose, *serial) == (from, gift.serial));
-        if known || gift.started != self.started || until <= now || self.came.len() >= HELD_MOST {
+            .any(|(whose, serial, _)| (*whose, *serial) == (from, gift.sequence));
+        if known
+            || gift.server_started_at != self.started
+            || until <= now
+            || self.came.len() >= HELD_MOST
+        {
             return false;
         }
-        self.came.push_back((from, gift.serial, until));
+        self.came.push_back((from, gift.sequence, until));
         let place = self.gifted.partition_point(|other| *other <= until);
         self.gifted.insert(place, until);
         true
     }
 
     /// Rights that were earned here and are held now, turns left out.
-    pub fn held(&self, now: Micros) -> usize {
+    pub fn earned_permits(&self, now: Micros) -> usize {
         self.rights.iter().filter(|until| **until > now).count()
     }
 
--- a/crates/slow-start/tests/exhaustive.rs
+++ b/crates/slow-start/tests/exhaustive.rs
@@ -3,7 +3,9 @@
 //! its life stays within what its answers earned and its turns allow, however the words went. Planted faults are found, each
 //! with a shortest course (`stateright`'s search by breadth).
 
-use saffronpaddle_slow_start::{Answer, Budget, Gift, Micros, Natural, Rules};
+use saffronpaddle_slow_start::{
+    AttemptResult, BaselineLatency, Micros, SlowStartBudget, SlowStartLimits, TransferredPermit,
+};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
@@ -52,13 +54,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     tick: u8,
-    budgets: [[Budget; 2]; 3],
+    budgets: [[SlowStartBudget; 2]; 3],
     up_since: [Micros; 3],
     started: [Micros; 2],
     /// Attempts that are out: whose, at which server, at which life of it.
     out: Vec<(u8, u8, Micros)>,
     /// Gifts under way: to whom, from whom, at which server.
-    gifts: BTreeSet<(u8, u8, u8, Gift)>,
+    gifts: BTreeSet<(u8, u8, u8, TransferredPermit)>,
     /// Of each server's life: rights that answers earned, and requests that were sent.
     earned: [u8; 2],
     sent: [u8; 2],
@@ -72,18 +74,18 @@
 }
 
 impl Courses {
-    fn rules(&self, world: &World, me: u8) -> Rules {
+    fn rules(&self, world: &World, me: u8) -> SlowStartLimits {
         let plant = self.fault == Some(Fault::EachIsFirst);
-        Rules {
-            gateways: if plant { 1 } else { u32::from(GATEWAYS) },
-            me: if plant { 0 } else { u32::from(me) },
+        SlowStartLimits {
+            node_count: if plant { 1 } else { u32::from(GATEWAYS) },
+            node: if plant { 0 } else { u32::from(me) },
             up_since: if self.fault == Some(Fault::TurnAgain) {
                 0
             } else {
                 world.up_since[usize::from(me)]
             },
-            fall_multiple: 3.0,
-            fall_window: S,
+            overload_multiple: 3.0,
+            overload_window: S,
         }
     }
 }
@@ -97,8 +99,8 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<World> {
-        let mut budget = Budget::default();
-        budget.begins(BEGIN, COLD_FOR);
+        let mut budget = SlowStartBudget::default();
+        budget.on_server_start(BEGIN, COLD_FOR);
         let row = [budget.clone(), budget];
         vec![World {
             tick: 0,
@@ -118,7 +120,7 @@
         for me in 0..GATEWAYS {
             for server in 0..2 {
                 // Each server may number turns otherwise.
-                let may = world.budgets[usize::from(me)][usize::from(server)].may(
+                let may = world.budgets[usize::from(me)][usize::from(server)].permits(
                     now(world),
                     u64::from(server),
                     &self.rules(world, me),
@@ -146,7 +148,7 @@
             Step::Wait => world.tick += 1,
             Step::Send(me, server) => {
                 let (rules, at) = (self.rules(&world, me), usize::from(server));
-                if !world.budgets[usize::from(me)][at].spend(now, u64::from(server), &rules) {
+                if !world.budgets[usize::from(me)][at].consume(now, u64::from(server), &rules) {
                     return None;
                 }
                 world.sent[at] += 1;
@@ -162,19 +164,19 @@
                 }
                 // The best that an answer may be: in good time, and its part of a right is a whole one.
                 let draw = 1.0 - 1e-9;
-                let answer = Answer {
+                let answer = AttemptResult {
                     served: true,
-                    took: 100_000,
-                    aim: 800_000,
-                    warmth: 0.3,
-                    draw,
+                    latency: 100_000,
+                    latency_objective: 800_000,
+                    capacity_fraction: 0.3,
+                    random_fraction: draw,
                 };
                 let rules = self.rules(&world, me);
-                let mut natural = Natural::default();
+                let mut natural = BaselineLatency::default();
                 let told = self.fault == Some(Fault::AnswerTold);
                 for whose in (0..GATEWAYS).filter(|whose| *whose == me || told) {
                     let budget = &mut world.budgets[usize::from(whose)][at];
-                    budget.ended(now, 0, answer, &mut natural, &rules);
+                    budget.record_result(now, 0, answer, &mut natural, &rules);
                 }
                 if life == world.started[at] {
                     world.earned[at] += (rules.growth() + draw).floor() as u8;
@@ -184,7 +186,7 @@
                 let rules = self.rules(&world, me);
                 let budget = &mut world.budgets[usize::from(me)][usize::from(server)];
                 let kept = budget.clone();
-                let gift = budget.spare(now, u64::from(server), &rules);
+                let gift = budget.transfer_unused(now, u64::from(server), &rules);
                 if gift.is_some() && self.fault == Some(Fault::GiverKeeps) {
                     *budget = kept;
                 }
@@ -200,13 +202,15 @@
                 }
                 match self.fault {
                     Some(Fault::DoubledCounts) if !again => {
-                        gift.serial = gift.serial.wrapping_add(99);
+                        gift.sequence = gift.sequence.wrapping_add(99);
+                    }
+                    Some(Fault::OldLifeCounts) => {
+                        gift.server_started_at = world.started[usize::from(server)];
                     }
-                    Some(Fault::OldLifeCounts) => gift.started = world.started[usize::from(server)],
                     _ => {}
                 }
                 let rules = self.rules(&world, to);
-                world.budgets[usize::from(to)][usize::from(server)].take(
+                world.budgets[usize::from(to)][usize::from(server)].receive(
                     now,
                     u32::from(from),
                     gift,
@@ -218,8 +222,8 @@
                 world.up_since[usize::from(me)] = now;
                 for server in 0..2 {
                     let budget = &mut world.budgets[usize::from(me)][server];
-                    *budget = Budget::default();
-                    budget.begins(world.started[server], COLD_FOR);
+                    *budget = SlowStartBudget::default();
+                    budget.on_server_start(world.started[server], COLD_FOR);
                 }
                 world.out.retain(|(whose, ..)| *whose != me);
             }
@@ -232,7 +236,7 @@
                     if self.fault == Some(Fault::OldRightsKept) {
                         continue;
                     }
-                    row[at].begins(now, COLD_FOR);
+                    row[at].on_server_start(now, COLD_FOR);
                 }
             }
         }
@@ -244,21 +248,21 @@
             NAME,
             |courses: &Courses, world: &World| {
                 (0..2).all(|at| {
-                    let rules = Rules {
-                        gateways: 1,
-                        me: 0,
+                    let rules = SlowStartLimits {
+                        node_count: 1,
+                        node: 0,
                         ..courses.rules(world, 0)
                     };
                     // Turns that have begun since the server's start: a turn is as long as a gateway alone may send one in.
-                    let mut alone = Budget::default();
-                    alone.begins(world.started[at], COLD_FOR);
+                    let mut alone = SlowStartBudget::default();
+                    alone.on_server_start(world.started[at], COLD_FOR);
                     let from = (world.started[at] - BEGIN) / TICK;
                     let turns = (from..=Micros::from(world.tick))
                         .filter(|tick| {
-                            alone.spend(
+                            alone.consume(
                                 BEGIN + 1000 + tick * TICK,
                                 0,
-                                &Rules {
+                                &SlowStartLimits {
                                     up_since: 0,
                                     ..rules
                                 },
--- a/crates/slow-start/tests/fleet.rs
+++ b/crates/slow-start/tests/fleet.rs
@@ -3,7 +3,10 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::FileFailurePersistence;
-use saffronpaddle_slow_start::{Answer, Budget, Gift, Micros, Natural, Rules, USED};
+use saffronpaddle_slow_start::{
+    AttemptResult, BaselineLatency, Micros, SlowStartBudget, SlowStartLimits, TransferredPermit,
+    USED_SHARE,
+};
 use std::collections::{BinaryHeap, VecDeque};
 
 const MS: Micros = 1000;
@@ -52,26 +55,29 @@
 
 /// A gateway's life.
 struct Life {
-    budget: Budget,
-    natural: Natural,
+    budget: SlowStartBudget,
+    natural: BaselineLatency,
     /// When its process began: it knows of nothing that was sent before.
     born: Micros,
 }
 
 impl Life {
     fn new(born: Micros) -> Life {
-        let mut budget = Budget::default();
-        budget.begins(1, COLD_FOR);
+        let mut budget = SlowStartBudget::default();
+        budget.on_server_start(1, COLD_FOR);
         Life {
             budget,
-            natural: Natural::default(),
+            natural: BaselineLatency::default(),
             born,
         }
     }
 }
 
 /// Plays a fleet at one server. `plant` may plant an error: it changes what gateways make of an answer.
-fn play(world: &World, plant: impl Fn(&mut Budget, Micros, &Rules, Answer, &mut Natural)) -> Seen {
+fn play(
+    world: &World,
+    plant: impl Fn(&mut SlowStartBudget, Micros, &SlowStartLimits, AttemptResult, &mut BaselineLatency),
+) -> Seen {
     play_born(world, |now| now, plant)
 }
 
@@ -79,15 +85,15 @@
 fn play_born(
     world: &World,
     born: impl Fn(Micros) -> Micros,
-    plant: impl Fn(&mut Budget, Micros, &Rules, Answer, &mut Natural),
+    plant: impl Fn(&mut SlowStartBudget, Micros, &SlowStartLimits, AttemptResult, &mut BaselineLatency),
 ) -> Seen {
     let mut random = fastrand::Rng::with_seed(world.seed);
-    let rules = |me: usize, life: &Life| Rules {
-        gateways: world.gateways,
-        me: me as u32,
+    let rules = |me: usize, life: &Life| SlowStartLimits {
+        node_count: world.gateways,
+        node: me as u32,
         up_since: life.born,
-        fall_multiple: 3.0,
-        fall_window: S,
+        overload_multiple: 3.0,
+        overload_window: S,
     };
     // The first of them have been up for longer than the server.
     let mut fleet: Vec<Life> = (0..world.gateways).map(|_| Life::new(0)).collect();
@@ -100,7 +106,7 @@
     // Requests that wait for a right, by gateway: until when.
     let mut waiting: Vec<VecDeque<Micros>> = vec![VecDeque::new(); world.gateways as usize];
     // Gifts on their way: when, to whom, from whom.
-    let mut gifts: Vec<(Micros, usize, u32, Gift)> = Vec::new();
+    let mut gifts: Vec<(Micros, usize, u32, TransferredPermit)> = Vec::new();
     for turn in 0..world.seconds * S / step {
         let now = 1 + turn * step;
         could += world.cores as f64 * warmth(now) * step as f64;
@@ -112,12 +118,12 @@
                 break;
             };
             let took = at - from;
-            let answer = Answer {
+            let answer = AttemptResult {
                 served: true,
-                took,
-                aim: AIM,
-                warmth: warmth(from),
-                draw: random.f64(),
+                latency: took,
+                latency_objective: AIM,
+                capacity_fraction: warmth(from),
+                random_fraction: random.f64(),
             };
             let life = &mut fleet[me as usize];
             let rules = rules(me as usize, life);
@@ -126,7 +132,7 @@
         for (_, to, from, gift) in gifts.extract_if(.., |(at, ..)| *at <= now) {
             if to as u32 != from {
                 let rules = rules(to, &fleet[to]);
-                fleet[to].budget.take(now, from, gift, &rules);
+                fleet[to].budget.receive(now, from, gift, &rules);
             }
         }
         let mut due = world.rate * step as f64 / 1e6;
@@ -147,7 +153,7 @@
             }
             if queue.is_empty() {
                 // Where it goes is drawn; it may be lost, late or doubled.
-                if let Some(gift) = life.budget.spare(now, 7, &rules) {
+                if let Some(gift) = life.budget.transfer_unused(now, 7, &rules) {
                     let to = random.usize(0..world.gateways as usize);
                     let way = 5 * MS + random.u64(0..=33 * MS);
                     let copies = usize::from(random.f64() >= world.lost);
@@ -158,7 +164,7 @@
                 }
                 continue;
             }
-            if !life.budget.spend(now, 7, &rules) {
+            if !life.budget.consume(now, 7, &rules) {
                 continue;
             }
             queue.pop_front();
@@ -195,8 +201,14 @@
     }
 }
 
-fn sound(budget: &mut Budget, now: Micros, rules: &Rules, answer: Answer, natural: &mut Natural) {
-    budget.ended(now, 0, answer, natural, rules);
+fn sound(
+    budget: &mut SlowStartBudget,
+    now: Micros,
+    rules: &SlowStartLimits,
+    answer: AttemptResult,
+    natural: &mut BaselineLatency,
+) {
+    budget.record_result(now, 0, answer, natural, rules);
 }
 
 fn world(gateways: u32, cores: usize, rate: f64) -> World {
@@ -228,7 +240,7 @@
         let seen = play(&world(gateways, cores, 100.0 * cores as f64), sound);
         println!("{gateways} gateways, {cores} cores: {seen:?}");
         assert!(
-            seen.used > 0.6 && seen.worst < USED,
+            seen.used > 0.6 && seen.worst < USED_SHARE,
             "{gateways} gateways, {cores} cores: {seen:?}"
         );
     }
@@ -260,41 +272,45 @@
         ..world(40, 4, 200.0)
     };
     let seen = play(&late, sound);
-    assert!(seen.worst < USED && seen.used > 0.6, "{seen:?}");
+    assert!(seen.worst < USED_SHARE && seen.used > 0.6, "{seen:?}");
 }
 
 #[test]
 fn what_an_earlier_life_earned_is_void_and_one_that_fell_is_given_less() {
-    let rules = Rules {
-        gateways: 5,
-        me: 0,
+    let rules = SlowStartLimits {
+        node_count: 5,
+        node: 0,
         up_since: 0,
-        fall_multiple: 3.0,
-        fall_window: S,
+        overload_multiple: 3.0,
+        overload_window: S,
     };
-    let (mut budget, mut natural) = (Budget::default(), Natural::default());
-    budget.begins(S, COLD_FOR);
-    let answer = Answer {
+    let (mut budget, mut natural) = (SlowStartBudget::default(), BaselineLatency::default());
+    budget.on_server_start(S, COLD_FOR);
+    let answer = AttemptResult {
         served: true,
-        took: 100 * MS,
-        aim: AIM,
-        warmth: 0.3,
-        draw: 0.9,
+        latency: 100 * MS,
+        latency_objective: AIM,
+        capacity_fraction: 0.3,
+        random_fraction: 0.9,
     };
-    budget.ended(2 * S, 0, answer, &mut natural, &rules);
-    assert_eq!(budget.held(2 * S), 2, "1.35 and a draw of 0.9");
-    budget.begins(S, COLD_FOR);
-    assert_eq!(budget.held(2 * S), 2, "the same word again changes nothing");
-    budget.begins(3 * S, COLD_FOR);
-    assert_eq!(budget.held(3 * S), 0);
-    let turns = |budget: &Budget| {
+    budget.record_result(2 * S, 0, answer, &mut natural, &rules);
+    assert_eq!(budget.earned_permits(2 * S), 2, "1.35 and a draw of 0.9");
+    budget.on_server_start(S, COLD_FOR);
+    assert_eq!(
+        budget.earned_permits(2 * S),
+        2,
+        "the same word again changes nothing"
+    );
+    budget.on_server_start(3 * S, COLD_FOR);
+    assert_eq!(budget.earned_permits(3 * S), 0);
+    let turns = |budget: &SlowStartBudget| {
         let mut budget = budget.clone();
         (0..10_000)
-            .filter(|tick| budget.spend(3 * S + tick * 10 * MS, 0, &rules))
+            .filter(|tick| budget.consume(3 * S + tick * 10 * MS, 0, &rules))
             .count()
     };
-    let mut new = Budget::default();
-    new.begins(3 * S, COLD_FOR);
+    let mut new = SlowStartBudget::default();
+    new.on_server_start(3 * S, COLD_FOR);
     assert!(
         turns(&budget) * 2 <= turns(&new) + 1,
         "{} {}",
@@ -305,26 +321,26 @@
 
 #[test]
 fn a_gateway_that_stood_still_earns_nothing_by_answers_that_it_reads_late() {
-    let rules = Rules {
-        gateways: 5,
-        me: 3,
+    let rules = SlowStartLimits {
+        node_count: 5,
+        node: 3,
         up_since: 0,
-        fall_multiple: 3.0,
-        fall_window: S,
+        overload_multiple: 3.0,
+        overload_window: S,
     };
-    let (mut budget, mut natural) = (Budget::default(), Natural::default());
-    budget.begins(S, COLD_FOR);
+    let (mut budget, mut natural) = (SlowStartBudget::default(), BaselineLatency::default());
+    budget.on_server_start(S, COLD_FOR);
     for took in [6 * S, 7 * S] {
-        let answer = Answer {
+        let answer = AttemptResult {
             served: true,
-            took,
-            aim: AIM,
-            warmth: 0.3,
-            draw: 1.0 - 1e-9,
+            latency: took,
+            latency_objective: AIM,
+            capacity_fraction: 0.3,
+            random_fraction: 1.0 - 1e-9,
         };
-        budget.ended(8 * S, 0, answer, &mut natural, &rules);
+        budget.record_result(8 * S, 0, answer, &mut natural, &rules);
     }
-    assert_eq!(budget.held(8 * S), 0);
+    assert_eq!(budget.earned_permits(8 * S), 0);
 }
 
 /// Each turn belongs to one gateway: all courses of three gateways with clocks that differ, at two servers.
@@ -333,22 +349,22 @@
     let skews = [0, 40 * MS, 300 * MS];
     for server in [4_u64, 11] {
         for order in [[0, 1, 2], [2, 1, 0], [1, 2, 0]] {
-            let mut budgets = vec![Budget::default(); 3];
+            let mut budgets = vec![SlowStartBudget::default(); 3];
             budgets
                 .iter_mut()
-                .for_each(|budget| budget.begins(S, COLD_FOR));
+                .for_each(|budget| budget.on_server_start(S, COLD_FOR));
             let mut sent: VecDeque<Micros> = VecDeque::new();
             for tick in 0..2000 {
                 let now = 2 * S + tick * 10 * MS;
                 for me in order {
-                    let rules = Rules {
-                        gateways: 3,
-                        me: me as u32,
+                    let rules = SlowStartLimits {
+                        node_count: 3,
+                        node: me as u32,
                         up_since: 0,
-                        fall_multiple: 3.0,
-                        fall_window: S,
+                        overload_multiple: 3.0,
+                        overload_window: S,
                     };
-                    if budgets[me].spend(now + skews[me], server, &rules) {
+                    if budgets[me].consume(now + skews[me], server, &rules) {
                         sent.push_back(now);
                     }
                 }
@@ -364,17 +380,34 @@
 /// Errors that the runs above must find.
 #[test]
 fn planted_errors_push_the_server_over() {
-    let never = |budget: &mut Budget, now, rules: &Rules, answer: Answer, natural: &mut Natural| {
+    let never = |budget: &mut SlowStartBudget,
+                 now,
+                 rules: &SlowStartLimits,
+                 answer: AttemptResult,
+                 natural: &mut BaselineLatency| {
         // Late answers bring as much as good ones.
-        budget.ended(now, 0, Answer { took: 1, ..answer }, natural, rules);
+        budget.record_result(
+            now,
+            0,
+            AttemptResult {
+                latency: 1,
+                ..answer
+            },
+            natural,
+            rules,
+        );
     };
-    let twice = |budget: &mut Budget, now, rules: &Rules, answer: Answer, natural: &mut Natural| {
+    let twice = |budget: &mut SlowStartBudget,
+                 now,
+                 rules: &SlowStartLimits,
+                 answer: AttemptResult,
+                 natural: &mut BaselineLatency| {
         for _ in 0..3 {
-            budget.ended(
+            budget.record_result(
                 now,
                 0,
-                Answer {
-                    draw: 0.99,
+                AttemptResult {
+                    random_fraction: 0.99,
                     ..answer
                 },
                 natural,
@@ -385,15 +418,18 @@
     let busy = world(30, 4, 800.0);
     let (one, two) = (play(&busy, never), play(&busy, twice));
     assert!(one.late > 0.3, "late answers that count: {one:?}");
-    assert!(two.worst > USED, "answers that count thrice: {two:?}");
+    assert!(two.worst > USED_SHARE, "answers that count thrice: {two:?}");
     let thin = World {
         doubled: 1.0,
         ..world(300, 4, 400.0)
     };
     let gifts = play(&thin, sound);
-    assert!(gifts.worst < USED, "doubled gifts count once: {gifts:?}");
+    assert!(
+        gifts.worst < USED_SHARE,
+        "doubled gifts count once: {gifts:?}"
+    );
     let sound = play(&busy, sound);
-    assert!(sound.worst < USED && sound.late < 0.3, "{sound:?}");
+    assert!(sound.worst < USED_SHARE && sound.late < 0.3, "{sound:?}");
 }
 
 /// The input of a run that failed while each new life of a gateway was played as one that knew what the last had sent: a
@@ -420,7 +456,7 @@
                 ..starts_anew_all_the_time()
             };
             let seen = play(&world, sound);
-            assert!(seen.worst < USED + 0.3, "{world:?}: {seen:?}");
+            assert!(seen.worst < USED_SHARE + 0.3, "{world:?}: {seen:?}");
         }
     }
 }
@@ -454,6 +490,6 @@
         let seen = play(&world, sound);
         // A few requests of chance work weigh much at one core.
         let chance = if cores < 4 { 0.3 } else { 0.1 };
-        prop_assert!(seen.worst < USED + chance, "{seen:?}");
+        prop_assert!(seen.worst < USED_SHARE + chance, "{seen:?}");
     }
 }
--- a/crates/subsetting/src/lib.rs
+++ b/crates/subsetting/src/lib.rs
@@ -4,8 +4,8 @@
 //! gateway then meets each server once in minutes, nearly every attempt is a handshake, and what it knows of a server is
 //! always old.
 //!
-//! - [`Set`]: up to [`WHOLE`] servers each gateway sends to all of them. Of a longer list each server has
-//!   [`Set::cover`] gateways, drawn by its number alone, so a server that comes or goes moves no other, and the gateways
+//! - [`Subset`]: up to [`FULL_LIST_MAX`] servers each gateway sends to all of them. Of a longer list each server has
+//!   [`Subset::cover`] gateways, drawn by its number alone, so a server that comes or goes moves no other, and the gateways
 //!   of a server can be reckoned by each of them without a word.
 //! - [`Median`]: the median of numbers that change one by one.
 //!
@@ -17,4 +17,4 @@
 mod set;
 
 pub use median::Median;
-pub use set::{Set, CARERS, SOUGHT, WHOLE};
+pub use set::{Subset, FULL_LIST_MAX, SLOW_START_GROUP, TARGET_SIZE};
--- a/crates/subsetting/src/set.rs
+++ b/crates/subsetting/src/set.rs
@@ -1,12 +1,12 @@
 //! Which gateways send to which servers.
 
 /// Servers up to which each gateway sends to all of them.
-pub const WHOLE: usize = 512;
+pub const FULL_LIST_MAX: usize = 512;
 /// Servers that a gateway looks for of a longer list: enough to choose from well, few enough that each is met often.
-pub const SOUGHT: usize = 256;
+pub const TARGET_SIZE: usize = 256;
 /// Gateways that each server has at the least, where there are so many. The first so many of a server are the same
 /// whatever the list's length: they share what may be sent to it while nobody knows what it can do.
-pub const CARERS: u32 = 8;
+pub const SLOW_START_GROUP: u32 = 8;
 /// How far a set may grow beyond what is sought before servers leave it. Guards against a list that goes up and down by
 /// one server and moves a part of all sets each time.
 const SLACK: f64 = 1.5;
@@ -15,93 +15,94 @@
 
 /// What one gateway sends to, of a list of which it is told no more than its length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Set {
-    me: u32,
-    gateways: u32,
-    cover: u32,
+pub struct Subset {
+    node: u32,
+    node_count: u32,
+    nodes_per_server: u32,
 }
 
-impl Set {
+impl Subset {
     /// The whole list, as gateway `me` of so many.
-    pub fn new(me: u32, gateways: u32) -> Set {
+    pub fn new(me: u32, gateways: u32) -> Subset {
         let gateways = gateways.max(1);
-        Set {
-            me,
-            gateways,
-            cover: gateways,
+        Subset {
+            node: me,
+            node_count: gateways,
+            nodes_per_server: gateways,
         }
     }
 
     /// So many servers are listed now; whether other servers are in the set than before.
     pub fn resize(&mut self, servers: usize) -> bool {
-        let before = self.cover;
-        let needed = (SOUGHT as f64 * f64::from(self.gateways) / servers.max(1) as f64).ceil();
+        let before = self.nodes_per_server;
+        let needed =
+            (TARGET_SIZE as f64 * f64::from(self.node_count) / servers.max(1) as f64).ceil();
         let within = |cover: f64| {
             cover
-                .clamp(f64::from(CARERS), f64::MAX)
-                .min(f64::from(self.gateways)) as u32
+                .clamp(f64::from(SLOW_START_GROUP), f64::MAX)
+                .min(f64::from(self.node_count)) as u32
         };
-        self.cover = if servers <= WHOLE {
-            self.gateways
+        self.nodes_per_server = if servers <= FULL_LIST_MAX {
+            self.node_count
         } else if before >= within(needed) && before <= within(needed * SLACK) {
             before
         } else {
             within((needed * STEP).ceil())
         };
-        self.cover != before
+        self.nodes_per_server != before
     }
 
     /// Whether each gateway sends to all servers.
-    pub fn is_whole(&self) -> bool {
-        self.cover == self.gateways
+    pub fn is_complete(&self) -> bool {
+        self.nodes_per_server == self.node_count
     }
 
     /// How many gateways send to each server.
-    pub fn cover(&self) -> u32 {
-        self.cover
+    pub fn nodes_per_server(&self) -> u32 {
+        self.nodes_per_server
     }
 
     /// How many gateways share what is earned by nobody, and the place of this one among those of a server: below the count
     /// if it is one of them.
-    pub fn carers(&self, server: u64) -> (u32, u32) {
-        if self.is_whole() {
-            return (self.gateways, self.me);
+    pub fn slow_start_group(&self, server: u64) -> (u32, u32) {
+        if self.is_complete() {
+            return (self.node_count, self.node);
         }
-        (CARERS.min(self.gateways), self.rank(server))
+        (SLOW_START_GROUP.min(self.node_count), self.rank(server))
     }
 
     /// Whether this gateway sends to a server.
-    pub fn holds(&self, server: u64) -> bool {
-        self.is_whole() || self.rank(server) < self.cover
+    pub fn contains(&self, server: u64) -> bool {
+        self.is_complete() || self.rank(server) < self.nodes_per_server
     }
 
     /// The gateway at a place among those that share what is earned by nobody.
-    pub fn carer(&self, server: u64, place: u32) -> u32 {
-        if self.is_whole() {
-            return place % self.gateways;
+    pub fn slow_start_member(&self, server: u64, place: u32) -> u32 {
+        if self.is_complete() {
+            return place % self.node_count;
         }
-        self.gateway(server, place)
+        self.member(server, place)
     }
 
     /// The gateway at a place among those of a server, of a list that is not whole.
-    pub fn gateway(&self, server: u64, place: u32) -> u32 {
+    pub fn member(&self, server: u64, place: u32) -> u32 {
         let (first, step) = self.order(server);
-        ((u64::from(first) + u64::from(place % self.gateways) * u64::from(step))
-            % u64::from(self.gateways)) as u32
+        ((u64::from(first) + u64::from(place % self.node_count) * u64::from(step))
+            % u64::from(self.node_count)) as u32
     }
 
     /// This gateway's place among all, in the order in which a server would take them.
     fn rank(&self, server: u64) -> u32 {
         let (first, step) = self.order(server);
-        let gateways = u64::from(self.gateways);
-        let beyond = (u64::from(self.me) + gateways - u64::from(first)) % gateways;
+        let gateways = u64::from(self.node_count);
+        let beyond = (u64::from(self.node) + gateways - u64::from(first)) % gateways;
         (beyond * inverse(u64::from(step), gateways) % gateways) as u32
     }
 
     /// A server's order of gateways: where it begins, and a step that has no divisor in common with their count, so that it
     /// comes by each once.
     fn order(&self, server: u64) -> (u32, u32) {
-        let gateways = u64::from(self.gateways);
+        let gateways = u64::from(self.node_count);
         let hash = scramble(server);
         let first = (hash & 0xffff_ffff) % gateways;
         let mut step = (hash >> 32) % gateways;
--- a/crates/subsetting/tests/workset.rs
+++ b/crates/subsetting/tests/workset.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::FileFailurePersistence;
-use saffronpaddle_subsetting::{Median, Set, CARERS, SOUGHT, WHOLE};
+use saffronpaddle_subsetting::{Median, Subset, FULL_LIST_MAX, SLOW_START_GROUP, TARGET_SIZE};
 
 /// Servers' numbers, as hashes of names are spread.
 fn servers(count: usize) -> Vec<u64> {
@@ -10,8 +10,8 @@
     (0..count).map(|_| random.u64(..)).collect()
 }
 
-fn set(me: u32, gateways: u32, listed: usize) -> Set {
-    let mut set = Set::new(me, gateways);
+fn set(me: u32, gateways: u32, listed: usize) -> Subset {
+    let mut set = Subset::new(me, gateways);
     set.resize(listed);
     set
 }
@@ -20,8 +20,9 @@
 /// the largest set.
 fn spread(gateways: u32, servers: &[u64]) -> (f64, usize, usize) {
     let set = set(0, gateways, servers.len());
-    let holders =
-        |server: u64| (0..set.cover()).map(move |place| set.gateway(server, place) as usize);
+    let holders = |server: u64| {
+        (0..set.nodes_per_server()).map(move |place| set.member(server, place) as usize)
+    };
     let mut sizes = vec![0_usize; gateways as usize];
     servers
         .iter()
@@ -45,10 +46,15 @@
 fn up_to_a_size_each_gateway_sends_to_all_servers() {
     for gateways in [1, 3, 300, 2_700] {
         for me in [0, gateways / 2, gateways - 1] {
-            let set = set(me, gateways, WHOLE);
-            assert!(set.is_whole() && servers(WHOLE).iter().all(|server| set.holds(*server)));
+            let set = set(me, gateways, FULL_LIST_MAX);
+            assert!(
+                set.is_complete()
+                    && servers(FULL_LIST_MAX)
+                        .iter()
+                        .all(|server| set.contains(*server))
+            );
             assert_eq!(
-                set.carers(7),
+                set.slow_start_group(7),
                 (gateways, me),
                 "turns are those of all gateways"
             );
@@ -60,28 +66,31 @@
 fn each_server_of_a_long_list_has_as_many_gateways_as_every_other() {
     for (gateways, listed) in [(30, 5_000), (300, 4_000), (2_700, 3_000)] {
         let servers = servers(listed);
-        let sets: Vec<Set> = (0..gateways).map(|me| set(me, gateways, listed)).collect();
-        let cover = sets[0].cover();
-        assert!(cover >= CARERS.min(gateways));
+        let sets: Vec<Subset> = (0..gateways).map(|me| set(me, gateways, listed)).collect();
+        let cover = sets[0].nodes_per_server();
+        assert!(cover >= SLOW_START_GROUP.min(gateways));
         for server in servers {
             let holders: Vec<u32> = (0..gateways)
-                .filter(|me| sets[*me as usize].holds(server))
+                .filter(|me| sets[*me as usize].contains(server))
                 .collect();
             assert_eq!(holders.len(), cover as usize);
             // Each can reckon who the others are.
             let mut named: Vec<u32> = (0..cover)
-                .map(|place| sets[0].gateway(server, place))
+                .map(|place| sets[0].member(server, place))
                 .collect();
             named.sort_unstable();
             assert_eq!(holders, named);
             // Turns are shared by some of them, each at a place of its own.
             let places = sets
                 .iter()
-                .map(|set| set.carers(server))
+                .map(|set| set.slow_start_group(server))
                 .filter(|(count, place)| place < count);
             let mut places: Vec<u32> = places.map(|(_, place)| place).collect();
             places.sort_unstable();
-            assert_eq!(places, (0..CARERS.min(gateways)).collect::<Vec<_>>());
+            assert_eq!(
+                places,
+                (0..SLOW_START_GROUP.min(gateways)).collect::<Vec<_>>()
+            );
         }
     }
 }
@@ -100,10 +109,11 @@
             "{gateways} gateways: the busiest server has {busiest} times the mean"
         );
         assert!(
-            least >= SOUGHT * 3 / 4,
+            least >= TARGET_SIZE * 3 / 4,
             "{gateways} gateways: a set of {least}"
         );
-        let mean = listed * set(0, gateways, listed).cover() as usize / gateways as usize;
+        let mean =
+            listed * set(0, gateways, listed).nodes_per_server() as usize / gateways as usize;
         assert!(
             most < mean * 13 / 10,
             "{gateways} gateways: a set of {most}, in the mean {mean}"
@@ -117,7 +127,7 @@
     let servers = servers(listed);
     for me in 0..20 {
         let mut set = set(me, gateways, listed);
-        let before: Vec<bool> = servers.iter().map(|server| set.holds(*server)).collect();
+        let before: Vec<bool> = servers.iter().map(|server| set.contains(*server)).collect();
         for count in [listed - 1, listed + 1, listed - 400, listed + 400, listed] {
             assert!(!set.resize(count), "{count} servers move the set");
         }
@@ -125,7 +135,7 @@
             before,
             servers
                 .iter()
-                .map(|server| set.holds(*server))
+                .map(|server| set.contains(*server))
                 .collect::<Vec<_>>()
         );
     }
@@ -144,10 +154,10 @@
         .collect();
     for me in (0..gateways).step_by(27) {
         let mut set = set(me, gateways, listed);
-        let held = |set: &Set, of: &[u64]| {
+        let held = |set: &Subset, of: &[u64]| {
             of.iter()
                 .copied()
-                .filter(|id| set.holds(*id))
+                .filter(|id| set.contains(*id))
                 .collect::<Vec<_>>()
         };
         let (before, stays) = (held(&set, &servers), held(&set, &left));
@@ -159,7 +169,11 @@
         );
         set.resize(left.len());
         let after = held(&set, &left);
-        assert!(after.len() >= SOUGHT * 3 / 4, "a set of {}", after.len());
+        assert!(
+            after.len() >= TARGET_SIZE * 3 / 4,
+            "a set of {}",
+            after.len()
+        );
         assert!(
             stays.iter().all(|server| after.contains(server)),
             "what is left stays known"
@@ -183,7 +197,7 @@
 #[test]
 fn three_gateways_hold_all_servers_however_many_there_are() {
     let set = set(1, 3, 40_000);
-    assert!(set.is_whole());
+    assert!(set.is_complete());
 }
 
 proptest! {
@@ -197,9 +211,9 @@
     ) {
         let me = me % gateways;
         let set = set(me, gateways, 100_000);
-        let (_, place) = set.carers(server);
-        if !set.is_whole() {
-            prop_assert_eq!(set.gateway(server, place), me);
+        let (_, place) = set.slow_start_group(server);
+        if !set.is_complete() {
+            prop_assert_eq!(set.member(server, place), me);
         }
     }
 
