--- a/crates/fleet-harness/src/virtually/mod.rs
+++ b/crates/fleet-harness/src/virtually/mod.rs
@@ -605,7 +605,7 @@
                     self.over(at, id, Outcome::Cancelled);
                 }
             }
-            Action::SendToSiblings(_) | Action::Subscribe | Action::Log(_) => {}
+            Action::SendToSiblings(_) | Action::Subscribe | Action::Report(_) => {}
         }
     }
 
--- a/crates/hollow/src/shard.rs
+++ b/crates/hollow/src/shard.rs
@@ -572,7 +572,7 @@
                 self.said(1, bytes.len());
             }
             Action::SetTimer { after, token } => self.later(node, now + after, What::Wake(token)),
-            Action::Log(_) => self.figures.borrow_mut().logged += 1,
+            Action::Report(_) => self.figures.borrow_mut().logged += 1,
             // As in a process: the list is always followed, there is no twin, and the rest is the exchange's.
             Action::Subscribe
             | Action::SendToSiblings(_)
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -453,7 +453,7 @@
                 });
             }
             Action::SendToSiblings(twin) => self.links.tell_twin(twin),
-            Action::Log(line) => eprintln!("{line}"),
+            Action::Report(diagnostic) => eprintln!("{diagnostic}"),
             // Discovery is always followed, and the rest is the exchange's.
             Action::Subscribe
             | Action::Send { .. }
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -205,7 +205,7 @@
             .zip(state)
             .map(|(no, state)| (state.policy, no));
         if let Some((kept, _)) = &kept {
-            let (customers, servers) = kept.size();
+            let saffronpaddle_policy::snapshot::SnapshotSize { customers, servers } = kept.size();
             eprintln!(
                 "hand-over: taken over from a process of this node: {customers} customers, {servers} servers"
             );
--- /dev/null
+++ b/crates/policy/src/controller_period.rs
@@ -0,0 +1,184 @@
+//! The controller period: twice a second the statistics are closed, the concurrency limit moves, evidence decays and what
+//! is no longer needed is dropped.
+
+use crate::concurrency_limit::{InFlight, LatencySamples};
+use crate::engine::{Actions, OwnedShard, PolicyEngine};
+use crate::gossip_average::LATENCY_DECAY_S;
+use crate::interface::{Action, Diagnostic, Micros, Plan, MILLISECOND};
+use crate::load_statistics::UNKNOWN_LATENCY;
+use crate::request::Request;
+use crate::server_selection::INITIAL_WAIT_SHARE;
+use crate::shard_owners::ShardOwners;
+use crate::token_bucket::{silent_peers, KEEP_UNUSED_FOR};
+use crate::utilization::SERVICE_RATE_WEIGHT;
+
+/// Length of a period. The paper's 4 s is longer than the bursts here.
+pub(crate) const CONTROLLER_PERIOD: Micros = 500 * MILLISECOND;
+/// Length of a period, seconds.
+pub(crate) const CONTROLLER_PERIOD_S: f64 = CONTROLLER_PERIOD as f64 / 1e6;
+/// Weight of a period in the mean of what is in flight, in a large fleet: at most times it is nothing.
+const IN_FLIGHT_WEIGHT: f64 = 0.2;
+/// Seconds over which the rate of responses is averaged in a small fleet.
+const SERVICE_RATE_SPAN_S: f64 = 4.0;
+
+impl PolicyEngine {
+    /// Ends a period, where one is over.
+    pub(crate) fn run_controller_period(&mut self, now: Micros, actions: &mut Actions) {
+        if now < self.timers.next_period_at {
+            return;
+        }
+        self.timers.next_period_at = now + CONTROLLER_PERIOD;
+        self.close_latencies(now);
+        self.move_concurrency_limit(actions);
+        self.close_service_rate(now);
+        let initial_wait = self.shortest_objective * INITIAL_WAIT_SHARE;
+        self.load.typical_wait = self.endpoints.median_wait().unwrap_or(initial_wait);
+        let in_flight = self.requests.in_flight();
+        self.load.utilization.sample(CONTROLLER_PERIOD_S, in_flight);
+        self.earn_slow_start_credit(now);
+        self.decay_evidence(now, CONTROLLER_PERIOD_S);
+        self.measure_capacity(now);
+        self.drop_unused(now);
+    }
+
+    /// Averages the latencies of the period, by class. What is still open counts once it is late: a back end that hangs
+    /// answers nothing and would look fast.
+    fn close_latencies(&mut self, now: Micros) {
+        let mut samples = self.concurrency_limit.take_samples();
+        for request in self.requests.open.values() {
+            if self.waits_for_back_end(request) {
+                let class = &self.settings.classes[request.class.0];
+                let objective = class.latency_objective.max(1) as f64;
+                let age = now.saturating_sub(request.queued_since) as f64 / objective;
+                let samples = &mut samples[request.class.0];
+                if age > 1.0 || samples.is_exceeded_by(age) {
+                    samples.add(age);
+                }
+            }
+        }
+        // An overload that is over must not keep on shedding. Where each node sees little, the fleet's samples count.
+        let decay = if self.large_fleet {
+            CONTROLLER_PERIOD_S / LATENCY_DECAY_S
+        } else {
+            f64::INFINITY
+        };
+        let averages = self.load.fleet_latencies.iter_mut();
+        let latencies = self.load.normalized_latencies.iter_mut();
+        for ((latency, average), LatencySamples { sum, count }) in
+            latencies.zip(averages).zip(samples)
+        {
+            average.decay(decay);
+            average.add(sum, count);
+            *latency = average.mean().unwrap_or(UNKNOWN_LATENCY);
+        }
+    }
+
+    /// Whether only the back end holds a request up, as far as is known here.
+    fn waits_for_back_end(&self, request: &Request) -> bool {
+        let waits = !request.body_incomplete && request.deadline < Micros::MAX;
+        waits && (!self.large_fleet || request.grant.granted.is_some())
+    }
+
+    fn move_concurrency_limit(&mut self, actions: &mut Actions) {
+        let worst = self.load.worst_normalized_latency(self.lowest_class);
+        let weight = if self.large_fleet {
+            IN_FLIGHT_WEIGHT
+        } else {
+            1.0
+        };
+        let lowest_now = self.requests.in_flight_of(self.lowest_class);
+        let all_now = self.requests.in_flight();
+        self.load.lowest_in_flight += (lowest_now - self.load.lowest_in_flight) * weight;
+        self.load.in_flight += (all_now - self.load.in_flight) * weight;
+        let lowest_class = self.load.lowest_in_flight;
+        self.concurrency_limit.observe_in_flight(lowest_class);
+        if let Some(worst) = worst {
+            let had_limit = self.concurrency_limit.limit().is_some();
+            let in_flight = InFlight {
+                lowest_class,
+                total: self.load.in_flight,
+                part: 1.0 / f64::from(self.settings.node_count),
+            };
+            self.concurrency_limit.step(worst, in_flight);
+            let started = self.concurrency_limit.limit().is_some() && !had_limit;
+            // Hundreds of nodes would flood the logs.
+            if started && !self.large_fleet {
+                actions.push(Action::Report(Diagnostic::ConcurrencyLimitStarted {
+                    normalized_latency: worst,
+                    in_flight: lowest_class,
+                }));
+            }
+        }
+        self.concurrency_limit.begin_period(lowest_class);
+    }
+
+    fn close_service_rate(&mut self, now: Micros) {
+        let weight = if self.large_fleet {
+            SERVICE_RATE_WEIGHT
+        } else {
+            CONTROLLER_PERIOD_S / SERVICE_RATE_SPAN_S
+        };
+        let rate = self.load.responses / CONTROLLER_PERIOD_S;
+        self.load.service_rate.add(rate, weight);
+        self.count_warm_servers(now, weight);
+        self.load.responses = 0.0;
+    }
+
+    /// Determines the capacity of the healthy servers, in warm servers.
+    pub(crate) fn measure_capacity(&mut self, now: Micros) {
+        self.update_slow_start_mode(now);
+        let rules = self.settings.slow_start;
+        let ready = self.endpoints.ready();
+        let healthy = self.endpoints.healthy(self.lowest_class).healthy;
+        let missing: f64 = self
+            .recently_started_servers()
+            .filter(|server| server.next_probe_at(self.lowest_class.0).is_none())
+            .map(|server| 1.0 - server.capacity_fraction(&rules, now))
+            .sum();
+        // The servers in the subset stand for all.
+        let scale = if ready.listed > ready.in_subset {
+            ready.listed / ready.in_subset.max(1.0)
+        } else {
+            1.0
+        };
+        self.load
+            .utilization
+            .set_capacity((healthy - missing) * scale);
+    }
+
+    /// Drops what is no longer needed, so that memory does not grow with every customer and server ever seen.
+    fn drop_unused(&mut self, now: Micros) {
+        let plans = &self.settings.plans;
+        self.grants.forget_unreachable(now);
+        let last_reports = &self.peers.last_report_at;
+        self.quotas.buckets.retain(|_, bucket| {
+            let silent = silent_peers(last_reports, bucket, now);
+            !bucket.is_idle(now, &plans[bucket.plan.0], silent)
+        });
+        let max_units = self.settings.max_request_units;
+        let partition_safe = self.settings.partition_safe;
+        self.quotas
+            .shards
+            .retain(|_, owned| !owned.is_idle(now, plans, max_units, partition_safe));
+        let recent = self.recent_start_window();
+        let large_fleet = self.large_fleet;
+        self.endpoints.remove_unused(now, recent, |server| {
+            PolicyEngine::has_evidence(server, large_fleet, now)
+        });
+    }
+}
+
+impl OwnedShard {
+    fn is_idle(
+        &mut self,
+        now: Micros,
+        plans: &[Plan],
+        max_units: f64,
+        partition_safe: bool,
+    ) -> bool {
+        let plan = &plans[self.plan.0];
+        let owners = ShardOwners::of(plan, self.subset_size);
+        let limits = owners.limits(plan, self.owner, max_units, partition_safe);
+        self.shard.is_idle(now, &limits, KEEP_UNUSED_FOR)
+    }
+}
--- /dev/null
+++ b/crates/policy/src/endpoint_table/edit.rs
@@ -0,0 +1,54 @@
+//! Changes of one server that keep the sums over all servers right.
+
+use super::aggregates::{known_wait, Aggregates};
+use crate::server::Server;
+use std::ops::{Deref, DerefMut};
+
+/// A server that is being changed; when this is dropped it is back in the sums.
+pub(crate) struct ServerEdit<'a> {
+    aggregates: &'a mut Aggregates,
+    server: &'a mut Server,
+    wait_before: Option<f64>,
+}
+
+impl<'a> ServerEdit<'a> {
+    pub(super) fn begin(aggregates: &'a mut Aggregates, server: &'a mut Server) -> ServerEdit<'a> {
+        let wait_before = known_wait(server);
+        aggregates.remove(server);
+        server.ensure_statistics(aggregates.classes);
+        ServerEdit {
+            aggregates,
+            server,
+            wait_before,
+        }
+    }
+}
+
+impl Deref for ServerEdit<'_> {
+    type Target = Server;
+
+    fn deref(&self) -> &Server {
+        self.server
+    }
+}
+
+impl DerefMut for ServerEdit<'_> {
+    fn deref_mut(&mut self) -> &mut Server {
+        self.server
+    }
+}
+
+impl Drop for ServerEdit<'_> {
+    fn drop(&mut self) {
+        let id = self.server.endpoint.server;
+        if self.server.in_subset {
+            self.aggregates.with_evidence.insert(id);
+        } else if self.server.in_flight == 0 {
+            // Nothing is kept of a server that this node no longer uses: memory must not grow with the list.
+            self.server.forget();
+        }
+        self.aggregates.add(self.server);
+        self.aggregates
+            .replace_wait(id, self.wait_before, known_wait(self.server));
+    }
+}
--- /dev/null
+++ b/crates/policy/src/grants/owner.rs
@@ -0,0 +1,264 @@
+//! The side that owns a shard of a customer's quota and decides on grant requests.
+//!
+//! The rule, in one sentence: a request is granted if it fits the shard's tokens, hard limit and in-flight permits; what
+//! the shard can spare is issued as leases (`saffronpaddle_quota`).
+//!
+//! A node that was restarted must not grant again what its last incarnation granted: it notices by the requester's uptime,
+//! and begins with what the requester was told the shard held. A standby begins with one request's units, so that a lost
+//! response does not make two buckets of one quota.
+
+use super::{GrantAnswer, LeaseRequest};
+use crate::counters::Counter;
+use crate::engine::{Actions, OwnedShard, PolicyEngine};
+use crate::interface::{Action, CustomerId, Micros, NodeId, SECOND};
+use crate::peer_message::{encode, GrantRequestMessage, LeaseOffer, PeerMessage, RequesterState};
+use crate::peers::RESTART_WINDOW;
+use crate::shard_owners::{NodeSubset, ShardOwners};
+use saffronpaddle_quota::{
+    GrantDecision, GrantRequest, InitialTokens, Lease, QuotaShard, ShardLimits, LEASE_DURATION,
+};
+
+/// Requests for leases of standbys that are open at a time.
+const MAX_LEASE_REQUESTS: usize = 256;
+/// Fill ratio below which an owner requests a lease of its standby.
+const LEASE_BELOW_FILL: f64 = 0.5;
+
+impl PolicyEngine {
+    /// Answers a peer's grant request.
+    pub(crate) fn answer_grant_request(
+        &mut self,
+        now: Micros,
+        from: NodeId,
+        request: &GrantRequestMessage,
+        actions: &mut Actions,
+    ) {
+        let Some(answer) = self.decide_grant(now, from, request, actions) else {
+            return;
+        };
+        let serial = request.serial;
+        let response = answer.response;
+        let message = if request.requester.is_some() {
+            let lease = match (request.lease_demand, answer.lease) {
+                (None, _) => LeaseOffer::NotAsked,
+                (Some(_), None) => LeaseOffer::Denied,
+                (Some(_), Some(lease)) => LeaseOffer::Issued(lease),
+            };
+            PeerMessage::GrantResponse {
+                serial,
+                response,
+                lease,
+                payload: self.payload_if_due(now),
+            }
+        } else {
+            PeerMessage::LegacyGrantResponse {
+                serial,
+                response,
+                payload: self.payload(now),
+            }
+        };
+        actions.push(Action::SendToPeer {
+            to: from,
+            bytes: encode(&message),
+        });
+    }
+
+    /// Decides on a grant request; `None` for one that means another node or makes no sense.
+    pub(super) fn decide_grant(
+        &mut self,
+        now: Micros,
+        from: NodeId,
+        request: &GrantRequestMessage,
+        actions: &mut Actions,
+    ) -> Option<GrantAnswer> {
+        let plan = self.settings.plans.get(request.plan.0)?;
+        let node_count = self.settings.node_count;
+        let subset = NodeSubset {
+            first: request.subset.first,
+            size: request.subset.size.clamp(1, node_count),
+        };
+        let owners = ShardOwners::of(plan, subset.size);
+        let owner = u32::from(request.owner);
+        let meant = owners.node(request.customer, subset, owner, node_count);
+        if meant != self.settings.node || owner >= owners.owners {
+            return None;
+        }
+        self.counters.add(Counter::GrantRequestsReceived);
+        let max_units = self.settings.max_request_units;
+        let limits = owners.limits(plan, owner, max_units, self.settings.partition_safe);
+        self.open_shard(now, request, subset, owners, &limits);
+        let answer = self.decide_by_shard(now, from, request, &limits)?;
+        self.count_decision(answer.response.decision);
+        let is_primary = owner < owners.shards;
+        let is_low = answer.response.fill_ratio < LEASE_BELOW_FILL;
+        if self.settings.partition_safe && is_primary && is_low {
+            self.request_lease_of_standby(now, request, owners, actions);
+        }
+        Some(answer)
+    }
+
+    /// Opens the shard where it does not exist yet.
+    fn open_shard(
+        &mut self,
+        now: Micros,
+        request: &GrantRequestMessage,
+        subset: NodeSubset,
+        owners: ShardOwners,
+        limits: &ShardLimits,
+    ) {
+        let uptime = self.uptime(now);
+        let requester = request.requester.unwrap_or(RequesterState {
+            uptime_s: 0,
+            reported_fill: None,
+        });
+        self.restarted |= u64::from(requester.uptime_s) * SECOND > uptime + RESTART_WINDOW;
+        let owner = u32::from(request.owner);
+        let initial_tokens = match requester.reported_fill {
+            _ if owner >= owners.shards => InitialTokens::AccruedSince {
+                units: request.units,
+                elapsed: 0,
+            },
+            _ if !self.restarted => InitialTokens::Full,
+            Some(fill) if fill.age > uptime => InitialTokens::Reported(fill),
+            _ => InitialTokens::AccruedSince {
+                units: request.units,
+                elapsed: uptime,
+            },
+        };
+        let owned = self
+            .quotas
+            .shards
+            .entry(request.customer)
+            .or_insert_with(|| OwnedShard {
+                shard: QuotaShard::open(now, initial_tokens, uptime, limits),
+                ..OwnedShard::default()
+            });
+        owned.plan = request.plan;
+        owned.subset_size = subset.size;
+        owned.owner = owner;
+    }
+
+    fn decide_by_shard(
+        &mut self,
+        now: Micros,
+        from: NodeId,
+        request: &GrantRequestMessage,
+        limits: &ShardLimits,
+    ) -> Option<GrantAnswer> {
+        let shard = &mut self.quotas.shards.get_mut(&request.customer)?.shard;
+        let grant_request = GrantRequest {
+            requester: from.0,
+            serial: request.serial,
+            units: request.units,
+        };
+        // An owner that requests a lease of its standby asks for no units.
+        let asks_for_units = request.units > 0.0;
+        let (response, request_units, may_issue) = if asks_for_units {
+            let attempt_duration = self.load.mean_latency as Micros;
+            let response = shard.request_grant(now, grant_request, limits, attempt_duration);
+            (response, request.units, shard.is_uncontended(now))
+        } else {
+            let max_units = self.settings.max_request_units;
+            (shard.status(now, limits), max_units, true)
+        };
+        let demand = request.lease_demand.filter(|_| may_issue);
+        let lease = demand.and_then(|demand| {
+            shard.issue_lease(now, grant_request, &demand, limits, request_units)
+        });
+        if lease.is_some() {
+            self.counters.add(Counter::LeasesIssued);
+        }
+        Some(GrantAnswer { response, lease })
+    }
+
+    fn count_decision(&mut self, decision: GrantDecision) {
+        match decision {
+            GrantDecision::Granted => {}
+            GrantDecision::OverQuota => self.counters.add(Counter::GrantsDeniedOverQuota),
+            GrantDecision::TooManyInFlight => self.counters.add(Counter::GrantsDeniedInFlight),
+            GrantDecision::OverHardLimit => self.counters.add(Counter::GrantsDeniedHardLimit),
+        }
+    }
+
+    /// Requests a lease of what the standby holds. In partition-safe mode each owner holds a share of its own: two that
+    /// each granted the whole would exceed it while they do not reach each other.
+    fn request_lease_of_standby(
+        &mut self,
+        now: Micros,
+        request: &GrantRequestMessage,
+        owners: ShardOwners,
+        actions: &mut Actions,
+    ) {
+        let Some(owned) = self.quotas.shards.get_mut(&request.customer) else {
+            return;
+        };
+        let standby = u32::from(request.owner) + owners.shards;
+        if standby >= owners.owners || !owned.shard.should_request_lease(now) {
+            return;
+        }
+        let node_count = self.settings.node_count;
+        let to = owners.node(request.customer, request.subset, standby, node_count);
+        let serial = self.grants.next_serial();
+        // A lease of a request that was never answered would be over by now.
+        self.grants
+            .lease_requests
+            .retain(|_, request| request.sent_at + LEASE_DURATION > now);
+        let too_many = self.grants.lease_requests.len() >= MAX_LEASE_REQUESTS;
+        if to == self.settings.node || too_many {
+            return;
+        }
+        let lease_request = LeaseRequest {
+            customer: request.customer,
+            sent_at: now,
+        };
+        self.grants.lease_requests.insert(serial, lease_request);
+        let lease_demand = Some(owned.shard.lease_demand(now));
+        let message = GrantRequestMessage {
+            serial,
+            owner: standby as u8,
+            units: 0.0,
+            requester: Some(RequesterState {
+                uptime_s: self.uptime_s(now),
+                reported_fill: None,
+            }),
+            lease_demand,
+            ..*request
+        };
+        let message = PeerMessage::GrantRequest {
+            request: message,
+            payload: None,
+        };
+        actions.push(Action::SendToPeer {
+            to,
+            bytes: encode(&message),
+        });
+    }
+
+    /// A standby has answered a lease request; the result is whether the serial number is one of those.
+    pub(super) fn on_lease_response(
+        &mut self,
+        now: Micros,
+        serial: u16,
+        lease: Option<Lease>,
+    ) -> bool {
+        let Some(request) = self.grants.lease_requests.remove(&serial) else {
+            return false;
+        };
+        let owned = self.quotas.shards.get_mut(&request.customer);
+        if let (Some(owned), Some(lease)) = (owned, lease) {
+            owned.shard.lease_received(now, request.sent_at, lease);
+        }
+        true
+    }
+
+    /// An attempt has ended that held an in-flight permit of a shard here.
+    pub(crate) fn on_permit_release(
+        &mut self,
+        customer: CustomerId,
+        requester: NodeId,
+        serial: u16,
+    ) {
+        if let Some(owned) = self.quotas.shards.get_mut(&customer) {
+            owned.shard.release(requester.0, serial);
+        }
+    }
+}
--- /dev/null
+++ b/crates/policy/src/load_statistics.rs
@@ -0,0 +1,67 @@
+//! Statistics of the load that several rules go by: latency, attempts in flight, responses per second.
+
+use crate::decaying_mean::DecayingMean;
+use crate::gossip_average::GossipAverage;
+use crate::interface::ClassId;
+use crate::utilization::Utilization;
+
+/// Normalized latency of a class of which nothing is known.
+pub(crate) const UNKNOWN_LATENCY: f64 = -1.0;
+/// Weight of a new sample in the mean latency of all servers.
+const LATENCY_WEIGHT: f64 = 0.02;
+
+/// Statistics of the load.
+#[derive(Clone, Debug)]
+pub(crate) struct LoadStatistics {
+    /// Mean latency of attempts, µs.
+    pub mean_latency: f64,
+    /// Median wait for each attempt in flight at a server, µs.
+    pub typical_wait: f64,
+    /// Mean attempts in flight of the lowest class.
+    pub lowest_in_flight: f64,
+    /// Mean attempts in flight.
+    pub in_flight: f64,
+    /// Latency of each class as a multiple of its objective; [`UNKNOWN_LATENCY`] while unknown.
+    pub normalized_latencies: Vec<f64>,
+    /// The same as the fleet sees it.
+    pub fleet_latencies: Vec<GossipAverage>,
+    pub utilization: Utilization,
+    /// Responses per second at one node.
+    pub service_rate: DecayingMean,
+    /// Responses since the last controller period.
+    pub responses: f64,
+}
+
+impl LoadStatistics {
+    pub fn new(classes: usize, initial_wait: f64) -> Self {
+        LoadStatistics {
+            mean_latency: initial_wait,
+            typical_wait: initial_wait,
+            lowest_in_flight: 0.0,
+            in_flight: 0.0,
+            normalized_latencies: vec![UNKNOWN_LATENCY; classes],
+            fleet_latencies: vec![GossipAverage::default(); classes],
+            utilization: Utilization::default(),
+            service_rate: DecayingMean::default(),
+            responses: 0.0,
+        }
+    }
+
+    /// Adds the latency of an attempt, µs. Cancelled attempts belong in as well, so that a slow fleet does not look
+    /// fast.
+    pub fn record_latency(&mut self, took: f64) {
+        self.mean_latency += (took - self.mean_latency) * LATENCY_WEIGHT;
+    }
+
+    /// The worst class's latency as a multiple of its objective, of all but the lowest class; `None` while unknown.
+    pub fn worst_normalized_latency(&self, lowest: ClassId) -> Option<f64> {
+        let only_one = self.normalized_latencies.len() == 1;
+        self.normalized_latencies
+            .iter()
+            .enumerate()
+            .filter(|(class, _)| *class != lowest.0 || only_one)
+            .map(|(_, latency)| *latency)
+            .max_by(f64::total_cmp)
+            .filter(|worst| *worst >= 0.0)
+    }
+}
--- /dev/null
+++ b/crates/policy/src/message_budget/tests.rs
@@ -0,0 +1,37 @@
+use super::*;
+
+#[test]
+fn messages_that_must_be_sent_go_first_and_both_kinds_together_keep_to_the_budget() {
+    let mut budget = MessageBudget::default();
+    let (mut retransmitted, mut required) = (0, 0);
+    for tick in 0..1000_u64 {
+        let now = 1_000_000 + tick * 10_000;
+        // Thirty a second that must be sent, and as many retransmissions as may be.
+        if tick % 10 < 3 {
+            budget.record(now, 1.0, 42.0);
+            required += 1;
+        }
+        for _ in 0..3 {
+            if budget.allows(now, 42.0) {
+                budget.record(now, 1.0, 42.0);
+                retransmitted += 1;
+            }
+        }
+    }
+    assert!(
+        f64::from(required + retransmitted) <= 42.0 * 10.5,
+        "{required} and {retransmitted} in 10 s"
+    );
+    assert!(retransmitted >= 100, "the rest is used: {retransmitted}");
+}
+
+#[test]
+fn a_debt_is_bounded() {
+    let mut budget = MessageBudget::default();
+    budget.record(1_000_000, 10_000.0, 42.0);
+    assert!(!budget.allows(1_500_000, 42.0));
+    assert!(
+        budget.allows(2_100_000, 42.0),
+        "a flood of responses silences nobody for long"
+    );
+}
--- /dev/null
+++ b/crates/policy/src/outlier_ejection.rs
@@ -0,0 +1,277 @@
+//! Outlier ejection: servers that fail more than the rest get health probes only, by class.
+//!
+//! The rule, in one sentence: a server is ejected for a class once its fault rate is over [`EJECTION_FAULT_RATE`] and over
+//! twice the fleet's, and comes back once it is below half of that.
+//!
+//! Inputs: the outcomes of attempts here and, in a large fleet, what peers observed, as a gossip average; the mean fault
+//! rate of all servers. Result: for each server and class, whether it is ejected and when its next health probe may go,
+//! µs. In a large fleet the probes of all nodes that use a server together come at a steady rate.
+
+use crate::counters::Counter;
+use crate::engine::PolicyEngine;
+use crate::gossip_average::FAULT_DECAY_S;
+use crate::interface::{ClassId, Micros, Outcome, ServerId, ZoneId, MILLISECOND, SECOND};
+use crate::peer_message::Observation;
+use crate::request::Attempt;
+use crate::server::{OutlierStatistics, Server};
+use std::collections::BTreeMap;
+
+/// Fault rate at which a server is ejected, unless the whole fleet's is half as high.
+pub(crate) const EJECTION_FAULT_RATE: f64 = 0.35;
+/// Time between two health probes of an ejected server.
+const PROBE_INTERVAL: Micros = 700 * MILLISECOND;
+/// How long an observation counts as evidence.
+pub(crate) const EVIDENCE_LIFETIME: Micros = 4 * SECOND;
+/// Weight of a new outcome in a server's fault rate.
+const FAULT_WEIGHT: f64 = 0.2;
+/// Part of an outcome's weight that counts for the server's other classes: one class may fail alone.
+const OTHER_CLASS_SHARE: f64 = 0.25;
+/// Weight of a new sample in a server's wait.
+const WAIT_WEIGHT: f64 = 0.15;
+/// Weight of a peer's observation in a server's wait.
+const OBSERVATION_WEIGHT: f64 = 0.4;
+/// Weight of an attempt in the share of a zone's attempts that find no connection.
+const ZONE_WEIGHT: f64 = 0.2;
+
+/// The share of attempts into each zone that found no connection. The links of a whole zone may be cut, which is found
+/// much later server by server. Peers elsewhere may still reach them, so only what is seen here counts.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct ZoneReachability(BTreeMap<ZoneId, f64>);
+
+impl ZoneReachability {
+    fn record(&mut self, zone: ZoneId, unreachable: bool) {
+        let share = self.0.entry(zone).or_default();
+        *share += (as_share(unreachable) - *share) * ZONE_WEIGHT;
+    }
+
+    pub fn unreachable_share(&self, zone: ZoneId) -> f64 {
+        self.0.get(&zone).copied().unwrap_or(0.0)
+    }
+}
+
+fn as_share(holds: bool) -> f64 {
+    f64::from(u8::from(holds))
+}
+
+/// Time until the next health probe of an ejected server; with `nodes_per_server` (large fleets) the probes of so many
+/// nodes together come at a steady rate.
+fn next_probe_interval(random: &mut fastrand::Rng, nodes_per_server: Option<f64>) -> Micros {
+    let jitter = 0.5 + random.f64();
+    let factor = nodes_per_server.map_or(1.0, |nodes| nodes * jitter);
+    (PROBE_INTERVAL as f64 * factor) as Micros
+}
+
+impl OutlierStatistics {
+    /// Ejects the server for the class or takes it back in, against the mean fault rate of all; the result is whether it
+    /// is newly ejected. `nodes_per_server` is given in large fleets.
+    fn judge(
+        &mut self,
+        nodes_per_server: Option<f64>,
+        mean_fault_rate: f64,
+        probe_at: Micros,
+    ) -> bool {
+        if let Some(nodes) = nodes_per_server {
+            let usual = mean_fault_rate.min(EJECTION_FAULT_RATE / 2.0);
+            self.fault_rate = self.fleet_faults.estimate(nodes, usual);
+        }
+        if self.fault_rate > EJECTION_FAULT_RATE.max(2.0 * mean_fault_rate) {
+            let newly_ejected = !self.is_ejected();
+            self.next_probe_at = self.next_probe_at.or(Some(probe_at));
+            return newly_ejected;
+        }
+        if self.fault_rate < EJECTION_FAULT_RATE / 2.0 {
+            self.next_probe_at = None;
+        }
+        false
+    }
+
+    /// An attempt succeeded. A health probe that succeeds halves the fault rate, and the next one may go at once.
+    fn record_success(&mut self, now: Micros) {
+        if !self.is_ejected() {
+            return;
+        }
+        self.fault_rate *= 0.5;
+        let still_suspect = self.fault_rate >= EJECTION_FAULT_RATE / 2.0;
+        self.next_probe_at = still_suspect.then_some(now);
+    }
+}
+
+impl Server {
+    /// Counts an outcome in the fault rates of all classes.
+    fn record_fault(&mut self, class: usize, fault: bool) {
+        for (other, statistics) in self.statistics.iter_mut().enumerate() {
+            let share = if other == class {
+                1.0
+            } else {
+                OTHER_CLASS_SHARE
+            };
+            let weight = if other == class {
+                FAULT_WEIGHT
+            } else {
+                FAULT_WEIGHT * OTHER_CLASS_SHARE
+            };
+            statistics.fault_rate += (as_share(fault) - statistics.fault_rate) * weight;
+            statistics.fleet_faults.add(as_share(fault) * share, share);
+        }
+    }
+
+    /// Takes in a peer's observation of a class that exists; the result is whether it is newer than what was known.
+    fn observe(&mut self, now: Micros, observation: &Observation, unknown_wait: f64) -> bool {
+        let observed_at = now.saturating_sub(observation.age);
+        let Some(statistics) = self.statistics.get_mut(observation.class.0) else {
+            return false;
+        };
+        statistics.fleet_faults.mix(observation.fleet_faults);
+        let newer = observed_at > statistics.observed_at;
+        if newer {
+            statistics.observed_at = observed_at;
+            self.record_wait(
+                observed_at,
+                observation.wait_per_attempt,
+                OBSERVATION_WEIGHT,
+                unknown_wait,
+            );
+        }
+        newer
+    }
+}
+
+impl PolicyEngine {
+    /// How many nodes use each server, where ejections are decided over the fleet.
+    fn fleet_nodes_per_server(&self) -> Option<f64> {
+        self.large_fleet.then(|| self.endpoints.nodes_per_server())
+    }
+
+    /// Time until the next health probe of an ejected server, µs.
+    pub(crate) fn probe_interval(&mut self) -> Micros {
+        let nodes_per_server = self.fleet_nodes_per_server();
+        next_probe_interval(&mut self.random, nodes_per_server)
+    }
+
+    /// Learns from the end of an attempt. `stalled`: it was cancelled because its server stalled.
+    pub(crate) fn learn(
+        &mut self,
+        now: Micros,
+        attempt: &Attempt,
+        outcome: Outcome,
+        stalled: bool,
+    ) {
+        let took = now.saturating_sub(attempt.sent_at) as f64;
+        self.counters.attempt_ended(outcome, stalled);
+        self.record_slow_start_result(now, attempt, outcome);
+        let Some(mut server) = self.endpoints.edit(attempt.server) else {
+            return;
+        };
+        let class = attempt.class.0;
+        let responded_since =
+            server.statistics[class].last_response_at > attempt.sent_at && !stalled;
+        let fault = match outcome {
+            Outcome::Ok => false,
+            Outcome::Cancelled | Outcome::TimedOut => !responded_since,
+            Outcome::NotSent => return,
+            _ => true,
+        };
+        server.record_fault(class, fault);
+        // A probe of an ejected server says nothing of its zone, though a machine that hangs takes no connection.
+        let unreachable = outcome == Outcome::Unreachable;
+        if !unreachable || !server.statistics[class].is_ejected() {
+            self.zones.record(server.endpoint.zone, unreachable);
+        }
+        server.statistics[class].observed_at = now;
+        let took = if fault {
+            took.max(self.shortest_objective / 2.0)
+        } else {
+            took
+        };
+        let per_attempt = took / attempt.in_flight_at_server;
+        let unknown_wait = if self.large_fleet {
+            self.load.typical_wait
+        } else {
+            per_attempt
+        };
+        server.record_wait(now, per_attempt, WAIT_WEIGHT, unknown_wait);
+        self.load.record_latency(took);
+        if outcome == Outcome::Ok {
+            server.last_response_at = now;
+            server.statistics[class].last_response_at = now;
+            if !self.large_fleet {
+                server.statistics[class].record_success(now);
+            }
+        }
+        drop(server);
+        if self.large_fleet || outcome != Outcome::Ok && fault {
+            self.judge_server(now, attempt.server, attempt.class);
+        }
+    }
+
+    /// Ejects a server for a class, or takes it back in.
+    fn judge_server(&mut self, now: Micros, id: ServerId, class: ClassId) {
+        let mean_fault_rate = self.endpoints.mean_fault_rate(class);
+        let probe_at = now.saturating_add(self.probe_interval());
+        let nodes_per_server = self.fleet_nodes_per_server();
+        let Some(mut server) = self.endpoints.edit(id) else {
+            return;
+        };
+        if server.statistics[class.0].judge(nodes_per_server, mean_fault_rate, probe_at) {
+            self.counters.add(Counter::Ejections);
+        }
+    }
+
+    /// Takes in a peer's observation of one server.
+    pub(crate) fn on_observation(&mut self, now: Micros, observation: &Observation) {
+        let Some(id) = self.endpoints.by_short_id(observation.short_server_id) else {
+            return;
+        };
+        // A forged datagram may name a class that does not exist.
+        let class_exists = observation.class.0 < self.settings.classes.len();
+        if observation.age >= EVIDENCE_LIFETIME || !class_exists {
+            return;
+        }
+        let mean_fault_rate = self.endpoints.mean_fault_rate(observation.class);
+        let nodes_per_server = self.fleet_nodes_per_server();
+        let Some(mut server) = self.endpoints.edit(id) else {
+            return;
+        };
+        if server.observe(now, observation, self.load.typical_wait) {
+            self.counters.add(Counter::ObservationsReceived);
+        }
+        let interval = next_probe_interval(&mut self.random, nodes_per_server);
+        let probe_at = now.saturating_add(interval);
+        let statistics = &mut server.statistics[observation.class.0];
+        if statistics.judge(nodes_per_server, mean_fault_rate, probe_at) {
+            self.counters.add(Counter::Ejections);
+        }
+    }
+
+    /// Lets evidence decay over a span in seconds, and judges all servers: what nobody has observed for long keeps none
+    /// ejected. The mean is taken once a class, as this walks over the servers already.
+    pub(crate) fn decay_evidence(&mut self, now: Micros, elapsed_s: f64) {
+        if !self.large_fleet {
+            return;
+        }
+        self.endpoints.decay_evidence(elapsed_s / FAULT_DECAY_S);
+        let mean_fault_rates: Vec<f64> = (0..self.settings.classes.len())
+            .map(|class| self.endpoints.mean_fault_rate(ClassId(class)))
+            .collect();
+        let nodes_per_server = Some(self.endpoints.nodes_per_server());
+        let random = &mut self.random;
+        let counters = &mut self.counters;
+        self.endpoints.judge(|server| {
+            for (statistics, mean) in server.statistics.iter_mut().zip(&mean_fault_rates) {
+                let probe_at = now.saturating_add(next_probe_interval(random, nodes_per_server));
+                if statistics.judge(nodes_per_server, *mean, probe_at) {
+                    counters.add(Counter::Ejections);
+                }
+            }
+        });
+    }
+
+    /// Whether what is known of a server may still count.
+    pub(crate) fn has_evidence(server: &Server, large_fleet: bool, now: Micros) -> bool {
+        server.statistics.iter().any(|statistics| {
+            let averaged = large_fleet && statistics.fleet_faults.mean().is_some();
+            let recent = now < statistics.observed_at.saturating_add(EVIDENCE_LIFETIME);
+            statistics.is_ejected() || averaged || recent
+        })
+    }
+}
--- /dev/null
+++ b/crates/policy/src/peer_message/tests.rs
@@ -0,0 +1,235 @@
+//! The bytes of peer messages. Nodes of two builds run side by side in one fleet, so a datagram that one build writes
+//! must be read by the other: the fixture holds one message of each kind as the build before this test wrote it.
+
+use super::*;
+use crate::endpoint_table::short_server_id;
+use crate::interface::{NodeId, ServerId};
+use saffronpaddle_quota::LeaseReport;
+
+const CUSTOMER: CustomerId = CustomerId(0x0A_0B0C_0D0E);
+const FIXTURE: &str = include_str!("../../tests/fixtures/peer_messages.txt");
+
+fn payload() -> GossipPayload {
+    let observation = |server: u64, class: usize, fault_rate: f64, age: Micros| Observation {
+        short_server_id: short_server_id(ServerId(server)),
+        class: ClassId(class),
+        fault_rate,
+        fleet_faults: GossipAverage::of(fault_rate, 2.25),
+        wait_per_attempt: 96_000.0,
+        age,
+    };
+    GossipPayload {
+        service_rate: 3.5,
+        normalized_latencies: vec![GossipAverage::of(0.75, 4.0), GossipAverage::of(1.5, 0.25)],
+        in_flight: GossipAverage::of(2.0, 1.0),
+        observations: vec![
+            observation(7, 0, 0.5, 320_000),
+            observation(99, 1, 0.0, 3_200_000),
+        ],
+    }
+}
+
+fn request(
+    requester: Option<RequesterState>,
+    lease_demand: Option<LeaseDemand>,
+    payload: Option<GossipPayload>,
+) -> PeerMessage {
+    let request = GrantRequestMessage {
+        serial: 0x0102,
+        customer: CUSTOMER,
+        plan: PlanId(3),
+        subset: NodeSubset {
+            first: NodeId(258),
+            size: 24,
+        },
+        owner: 5,
+        units: 2.5,
+        requester,
+        lease_demand,
+    };
+    PeerMessage::GrantRequest { request, payload }
+}
+
+fn requester(uptime_s: u8, reported_fill: Option<ReportedFill>) -> RequesterState {
+    RequesterState {
+        uptime_s,
+        reported_fill,
+    }
+}
+
+fn grant_response(decision: GrantDecision) -> GrantResponse {
+    GrantResponse {
+        decision,
+        sampling_probability: 0.6,
+        retry_after: 40_000,
+        fill_ratio: 0.8,
+    }
+}
+
+fn response(
+    serial: u16,
+    decision: GrantDecision,
+    lease: LeaseOffer,
+    payload: Option<GossipPayload>,
+) -> PeerMessage {
+    PeerMessage::GrantResponse {
+        serial,
+        response: grant_response(decision),
+        lease,
+        payload,
+    }
+}
+
+fn legacy_response(decision: GrantDecision) -> PeerMessage {
+    PeerMessage::LegacyGrantResponse {
+        serial: 9,
+        response: grant_response(decision),
+        payload: payload(),
+    }
+}
+
+fn usage_report(incarnation: u32, usages: &[(CustomerId, u16)]) -> PeerMessage {
+    let usage = |(customer, counter): &(CustomerId, u16)| CustomerUsage {
+        customer: *customer,
+        counter: *counter,
+    };
+    PeerMessage::UsageReport(UsageReport {
+        incarnation,
+        usages: usages.iter().map(usage).collect(),
+    })
+}
+
+fn samples() -> Vec<(&'static str, PeerMessage)> {
+    use GrantDecision::{Granted, OverHardLimit, OverQuota, TooManyInFlight};
+    let fill = Some(ReportedFill {
+        ratio: 0.4,
+        age: 640_000,
+    });
+    let current = Some(LeaseReport {
+        rate: 1.25,
+        capacity: 0.625,
+        remaining: 1_280_000,
+    });
+    let demand = |rate, current| Some(LeaseDemand { rate, current });
+    let lease = LeaseOffer::Issued(Lease {
+        rate: 0.75,
+        capacity: 1.5,
+        initial_tokens: 0.5,
+    });
+    let permit = TransferredPermit {
+        server_started_at: 1_700_000,
+        expires_at: 2_900_000,
+        sequence: 513,
+    };
+    vec![
+        (
+            "counts",
+            usage_report(1_234_567, &[(CUSTOMER, 0xFFFE), (CustomerId(1), 8)]),
+        ),
+        ("counts_of_nobody", usage_report(1, &[])),
+        ("ask_old", request(None, None, Some(payload()))),
+        ("ask", request(Some(requester(17, fill)), None, None)),
+        (
+            "ask_never_told",
+            request(Some(requester(255, None)), None, Some(payload())),
+        ),
+        (
+            "ask_with_wish",
+            request(Some(requester(17, fill)), demand(2.0, current), None),
+        ),
+        (
+            "ask_with_wish_and_nothing_held",
+            request(Some(requester(0, None)), demand(0.5, None), Some(payload())),
+        ),
+        (
+            "answer_granted",
+            response(9, Granted, LeaseOffer::NotAsked, None),
+        ),
+        (
+            "answer_short",
+            response(9, OverQuota, LeaseOffer::NotAsked, Some(payload())),
+        ),
+        (
+            "answer_full",
+            response(65_535, TooManyInFlight, LeaseOffer::NotAsked, None),
+        ),
+        (
+            "answer_over",
+            response(9, OverHardLimit, LeaseOffer::NotAsked, None),
+        ),
+        ("answer_that_lends", response(9, Granted, lease, None)),
+        (
+            "answer_that_lends_nothing",
+            response(9, OverQuota, LeaseOffer::Denied, Some(payload())),
+        ),
+        ("old_answer_granted", legacy_response(Granted)),
+        ("old_answer_short", legacy_response(OverQuota)),
+        (
+            "done",
+            PeerMessage::PermitRelease {
+                serial: 0x0304,
+                customer: CUSTOMER,
+            },
+        ),
+        (
+            "gift",
+            PeerMessage::PermitTransfer {
+                short_server_id: short_server_id(ServerId(7)),
+                permit,
+            },
+        ),
+    ]
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn fixture() -> Vec<(&'static str, Vec<u8>)> {
+    let byte = |pair: &[u8]| {
+        u8::from_str_radix(std::str::from_utf8(pair).expect("ASCII"), 16).expect("hex")
+    };
+    let line = |line: &'static str| {
+        let (name, digits) = line.split_once(' ').expect("a name and its bytes");
+        (name, digits.as_bytes().chunks(2).map(byte).collect())
+    };
+    FIXTURE.lines().map(line).collect()
+}
+
+#[test]
+fn every_kind_of_message_is_encoded_as_the_fixture_has_it() {
+    let written: String = samples()
+        .iter()
+        .map(|(name, message)| format!("{name} {}\n", hex(&encode(message))))
+        .collect();
+    assert_eq!(written, FIXTURE, "\n{written}");
+}
+
+#[test]
+fn every_message_of_the_fixture_is_decoded_and_encodes_to_the_same_bytes() {
+    for (name, bytes) in fixture() {
+        let message = decode(&bytes).unwrap_or_else(|| panic!("{name} is read"));
+        let mut again = bytes.clone();
+        if name == "ask_with_wish" {
+            // How long a lease has left is rounded up each time it is told.
+            *again.last_mut().expect("it holds bytes") += 1;
+        }
+        assert_eq!(hex(&encode(&message)), hex(&again), "{name}");
+    }
+}
+
+/// A datagram that breaks off is noise, unless what is left is a message by itself: usage reports and observations are lists.
+#[test]
+fn a_message_that_is_cut_short_in_its_first_fields_is_not_decoded() {
+    for (name, bytes) in fixture()
+        .into_iter()
+        .filter(|(name, _)| !name.starts_with("counts"))
+    {
+        for length in 0..7.min(bytes.len()) {
+            assert!(
+                decode(&bytes[..length]).is_none(),
+                "{name} of {length} bytes"
+            );
+        }
+    }
+}
--- a/crates/policy/src/begun.rs
+++ b/crates/policy/src/serde_optional_budget.rs
@@ -1,15 +1,15 @@
-//! Rights that a server may have, as serde reads and writes them: builds before had them always.
+//! Serializes an optional slow-start budget as one that always exists: earlier builds expect it.
 
 use saffronpaddle_slow_start::SlowStartBudget;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
 #[allow(clippy::ref_option)] // The signature that serde asks for.
 pub fn serialize<S: Serializer>(
-    rights: &Option<Box<SlowStartBudget>>,
+    budget: &Option<Box<SlowStartBudget>>,
     serializer: S,
 ) -> Result<S::Ok, S::Error> {
-    match rights {
-        Some(rights) => rights.serialize(serializer),
+    match budget {
+        Some(budget) => budget.serialize(serializer),
         None => SlowStartBudget::default().serialize(serializer),
     }
 }
--- /dev/null
+++ b/crates/policy/src/siblings.rs
@@ -0,0 +1,93 @@
+//! Two processes of one node, while a hot restart lasts.
+//!
+//! A token bucket, a hard limit, a limit on attempts in flight or a slow-start budget would count twice while a process
+//! and its successor both take requests. So each draws here on what the other sends, as if it had sent it, and both
+//! refill at the one rate: together they count as one node, but for the time that a message takes.
+
+use crate::engine::PolicyEngine;
+use crate::interface::{CustomerId, Micros, QuotaCharge, SiblingAttempt, SiblingMessage};
+use crate::request::{Attempt, RemoteAttempt};
+use crate::shard_owners::NodeSubset;
+use crate::token_bucket::{silent_peers, TokenBucket};
+
+impl PolicyEngine {
+    /// A message from another process of this node.
+    pub(crate) fn on_sibling_message(&mut self, now: Micros, link: u32, message: SiblingMessage) {
+        match message {
+            SiblingMessage::AttemptStarted(sibling) => {
+                self.on_sibling_attempt(now, link, sibling);
+            }
+            SiblingMessage::AttemptEnded { request, attempt } => {
+                let ended = self.requests.sibling_attempts.remove(&(request, attempt));
+                if let Some(remote) = ended {
+                    self.release_attempt(&remote.attempt);
+                }
+            }
+        }
+    }
+
+    fn on_sibling_attempt(&mut self, now: Micros, link: u32, sibling: SiblingAttempt) {
+        let customer = sibling.customer;
+        let charge = sibling.charge.as_ref();
+        let units = charge.and_then(|charge| self.charge(now, customer, charge));
+        let limits = self.slow_start_limits(sibling.server);
+        let uninformed = self.slow_start.uninformed;
+        if let Some(mut server) = self.endpoints.edit(sibling.server) {
+            server.in_flight += 1;
+            server.spend_slow_start(&limits, uninformed, now);
+        }
+        if let Some(bucket) = self.quotas.buckets.get_mut(&customer) {
+            bucket.record_attempt(now, units.unwrap_or(0.0), units.is_some());
+        }
+        let (key, attempt) = Attempt::of_sibling(sibling);
+        self.requests
+            .sibling_attempts
+            .insert(key, RemoteAttempt { link, attempt });
+    }
+
+    /// Takes the units of a first attempt of the other process off the customer's bucket here; the result is those units,
+    /// `None` for a plan that does not exist.
+    fn charge(&mut self, now: Micros, customer: CustomerId, charge: &QuotaCharge) -> Option<f64> {
+        let plan = self.settings.plans.get(charge.plan.0)?;
+        let max_units = self.settings.max_request_units;
+        let uptime = now.saturating_sub(self.started_at);
+        let (first, size) = charge.set;
+        let subset = NodeSubset {
+            first,
+            size: size.clamp(1, self.settings.node_count),
+        };
+        let bucket =
+            self.quotas.buckets.entry(customer).or_insert_with(|| {
+                TokenBucket::new(now, uptime, charge.plan, plan, subset, max_units)
+            });
+        let silent = silent_peers(&self.peers.last_report_at, bucket, now);
+        bucket.refill(now, &self.settings.plans[bucket.plan.0], silent);
+        let largest = if max_units > 0.0 { max_units } else { f64::MAX };
+        let units = charge.units.clamp(0.0, largest);
+        bucket.tokens -= units;
+        bucket.last_used_at = now;
+        Some(units)
+    }
+
+    /// The processes of this node have changed.
+    pub(crate) fn on_siblings_changed(
+        &mut self,
+        ended_link: Option<u32>,
+        share_attempts: bool,
+        peer_messages_delegated: bool,
+    ) {
+        self.requests.share_attempts = share_attempts;
+        self.requests.peer_messages_delegated = peer_messages_delegated;
+        let Some(ended_link) = ended_link else {
+            return;
+        };
+        let all = std::mem::take(&mut self.requests.sibling_attempts);
+        for (key, remote) in all {
+            if remote.link == ended_link {
+                self.release_attempt(&remote.attempt);
+            } else {
+                self.requests.sibling_attempts.insert(key, remote);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/policy/src/stalled_attempts.rs
@@ -0,0 +1,129 @@
+//! Stalled attempts: servers that accept work and answer nothing, and links that are cut.
+//!
+//! The rule, in one sentence: a server is ejected once an attempt there is far older than the fleet's latency and no
+//! response came from it since; the attempt is cancelled where the request may be retried.
+//!
+//! Inputs: for each attempt its age in µs, the mean latency, the class's latency objective, when its server last
+//! responded. Where a rare expensive request is alone on its server it may be executed again elsewhere; it is given half
+//! as much time again.
+
+use crate::counters::Counter;
+use crate::engine::{Actions, PolicyEngine};
+use crate::interface::{Action, ClassId, Diagnostic, Idempotency, Micros, ServerId};
+use crate::request::{Attempt, AttemptKey, AttemptStage};
+use crate::server::Server;
+
+/// Multiple of the fleet's mean latency from which an attempt may be stalled.
+const LATENCY_MULTIPLE: f64 = 4.0;
+/// Multiple of its class's latency objective from which it may be stalled.
+const OBJECTIVE_MULTIPLE: f64 = 0.5;
+/// Smallest capacity by which a server in slow start is given more time.
+const MIN_CAPACITY_FRACTION: f64 = 0.25;
+/// Factor on the time of an attempt that is alone at its server.
+const ALONE_FACTOR: f64 = 1.5;
+
+/// An attempt that has stalled.
+struct StalledAttempt {
+    key: AttemptKey,
+    server: ServerId,
+    class: ClassId,
+    sent_at: Micros,
+}
+
+impl PolicyEngine {
+    /// Ejects servers that are silent, and cancels attempts there that may be retried.
+    pub(crate) fn handle_stalled_attempts(&mut self, now: Micros, actions: &mut Actions) {
+        for stalled in self.stalled_attempts(now) {
+            let probe_at = now.saturating_add(self.probe_interval());
+            if self.endpoints.get(stalled.server).is_none() {
+                continue;
+            }
+            self.eject_silent_server(now, &stalled, probe_at, actions);
+            self.cancel_for_retry(stalled.key, actions);
+        }
+    }
+
+    fn stalled_attempts(&self, now: Micros) -> Vec<StalledAttempt> {
+        let is_stalled = |attempt: &Attempt| {
+            let server = self.endpoints.get(attempt.server);
+            server.is_some_and(|server| self.is_stalled(now, attempt, server))
+        };
+        self.requests
+            .attempts
+            .iter()
+            .filter(|(_, attempt)| attempt.stage == AttemptStage::AtServer && is_stalled(attempt))
+            .map(|(key, attempt)| StalledAttempt {
+                key: key.clone(),
+                server: attempt.server,
+                class: attempt.class,
+                sent_at: attempt.sent_at,
+            })
+            .collect()
+    }
+
+    fn is_stalled(&self, now: Micros, attempt: &Attempt, server: &Server) -> bool {
+        let class = &self.settings.classes[attempt.class.0];
+        let by_objective = class.latency_objective as f64 * OBJECTIVE_MULTIPLE;
+        let limit = by_objective.max(self.load.mean_latency * LATENCY_MULTIPLE);
+        // A server in slow start takes that much longer, and must not be ejected for it while it warms up.
+        let rules = &self.settings.slow_start;
+        let fraction = server.capacity_fraction(rules, attempt.sent_at);
+        let limit = limit / fraction.max(MIN_CAPACITY_FRACTION);
+        let alone = if server.in_flight < 2 {
+            ALONE_FACTOR
+        } else {
+            1.0
+        };
+        let responded_since = server.last_response_of(attempt.class.0) >= attempt.sent_at;
+        let age = now.saturating_sub(attempt.sent_at) as f64;
+        !responded_since && age > limit * alone
+    }
+
+    /// Ejects a server for the class of a stalled attempt; for all classes where it has answered nothing since.
+    fn eject_silent_server(
+        &mut self,
+        now: Micros,
+        stalled: &StalledAttempt,
+        probe_at: Micros,
+        actions: &mut Actions,
+    ) {
+        let Some(mut server) = self.endpoints.edit(stalled.server) else {
+            return;
+        };
+        let class = stalled.class.0;
+        if server.statistics[class].is_ejected() {
+            return;
+        }
+        self.counters.add(Counter::Ejections);
+        // Hundreds of nodes would flood the logs.
+        if !self.large_fleet {
+            actions.push(Action::Report(Diagnostic::ServerSilent {
+                server: stalled.server,
+            }));
+        }
+        let silent_for_all = server.last_response_at < stalled.sent_at;
+        server.statistics[class].observed_at = now;
+        for (other, statistics) in server.statistics.iter_mut().enumerate() {
+            if other == class || silent_for_all {
+                statistics.fault_rate = 1.0;
+                statistics.next_probe_at = Some(probe_at);
+            }
+        }
+    }
+
+    /// Cancels an attempt whose request may be retried.
+    fn cancel_for_retry(&mut self, (id, attempt): AttemptKey, actions: &mut Actions) {
+        let Some(request) = self.requests.open.get_mut(&id) else {
+            return;
+        };
+        let class = &self.settings.classes[request.class.0];
+        let permissions = &self.settings.permissions;
+        let repeatable = class.idempotency != Idempotency::NonIdempotent && !request.streamed;
+        let has_attempts = request.attempts < permissions.max_attempts;
+        let may_cancel = permissions.cancellation && !request.cancelled;
+        if repeatable && has_attempts && may_cancel && self.retries.allows() {
+            request.cancelled = true;
+            actions.push(Action::Cancel { id, attempt });
+        }
+    }
+}
--- /dev/null
+++ b/crates/policy/src/token_bucket.rs
@@ -0,0 +1,275 @@
+//! A customer's token bucket at a node that counts for itself, and what its peers report of their use.
+//!
+//! In a small fleet every node broadcasts what it forwarded for each customer, and each takes what it receives off its
+//! own bucket: together they keep one quota, as long as they hear each other. A peer that falls silent keeps its even
+//! share until it is taken for dead, so that two sides of a partition do not both grant the whole. In a large fleet the
+//! owners of the customer's shards decide (`grants`), and this bucket only tells a rejected client when to retry.
+//!
+//! Inputs: the plan (units per second, burst), the time in µs, the number of silent peers of the customer's subset.
+//! Results: tokens, in units. The hard limit is kept by a fixed share per node that is empty at first: it needs no
+//! message, and holds through lost messages and restarts.
+
+use crate::interface::{HardLimit, Micros, NodeId, Plan, PlanId, QuotaCharge, MILLISECOND, SECOND};
+use crate::shard_owners::NodeSubset;
+use saffronpaddle_quota::RejectionCache;
+use serde::{Deserialize, Serialize};
+use std::collections::{BTreeMap, VecDeque};
+
+/// Age at which what peers reported no longer counts.
+pub(crate) const USAGE_WINDOW: Micros = 2 * SECOND;
+/// A peer that was silent for so long keeps its even share back for itself.
+const SILENT_FROM: Micros = 800 * MILLISECOND;
+/// A peer that was silent for so long is dead: its share is used by the others.
+const DEAD_FROM: Micros = 25 * SECOND;
+/// How long a customer's bucket is kept at least after its last request.
+pub(crate) const KEEP_UNUSED_FOR: Micros = 60 * SECOND;
+/// Seconds of the peers' use that a bucket keeps back: forwarded, but not yet reported.
+const UNREPORTED_USE_S: f64 = 0.5;
+/// Requests in a row that name another plan or subset before the bucket follows them. One request with a wrong plan, by
+/// mistake or malice, must not change its customer's quota.
+const MISMATCHES_BEFORE_CHANGE: u32 = 3;
+
+/// Units that a peer reported at one time.
+type ReportedUnits = (Micros, f64);
+
+/// What one peer reports of its use for a customer: a running counter, and when how much came.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+#[serde(default)]
+pub(crate) struct PeerUsage {
+    /// The peer's incarnation: when it started, ms modulo 2^32.
+    #[serde(rename = "birth")]
+    pub incarnation: u32,
+    #[serde(rename = "count")]
+    pub counter: u16,
+    /// When it last reported.
+    #[serde(rename = "at")]
+    pub received_at: Micros,
+    pub recent: VecDeque<ReportedUnits>,
+}
+
+impl PeerUsage {
+    /// Takes in a running counter; the result is by how much it rose. Messages may be late, doubled or out of order. A
+    /// lower counter after `silence` has begun anew, as its sender had dropped the customer.
+    pub fn advance(&mut self, now: Micros, silence: Micros, incarnation: u32, counter: u16) -> u16 {
+        let last_received_at = std::mem::replace(&mut self.received_at, now);
+        let was_silent = now.saturating_sub(last_received_at) > silence;
+        let began_anew = was_silent && counter < self.counter;
+        let rise = match self.incarnation {
+            known if known == incarnation && began_anew => counter,
+            known if known == incarnation => counter.wrapping_sub(self.counter),
+            0 => 0, // First report: what was forwarded before is not news.
+            _ => counter,
+        };
+        if rise > u16::MAX / 2 {
+            return 0; // The counter went back: an old message.
+        }
+        self.incarnation = incarnation;
+        self.counter = counter;
+        rise
+    }
+}
+
+/// The token bucket of one customer at this node.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+#[serde(default)]
+pub(crate) struct TokenBucket {
+    pub plan: PlanId,
+    /// First node of the customer's subset.
+    #[serde(rename = "first")]
+    pub first_node: NodeId,
+    #[serde(rename = "spread")]
+    pub subset_size: f64,
+    /// This node's even share of the burst, at least the largest request.
+    #[serde(rename = "depth")]
+    pub even_capacity: f64,
+    #[serde(rename = "level")]
+    pub tokens: f64,
+    #[serde(rename = "filled")]
+    pub refilled_at: Micros,
+    /// Requests in a row that named another plan or subset.
+    #[serde(rename = "doubts")]
+    pub mismatches: u32,
+    /// When a request last drew on it.
+    #[serde(rename = "used")]
+    pub last_used_at: Micros,
+    /// Units forwarded so far, as they are reported to peers, and when the last were.
+    #[serde(rename = "sent")]
+    pub units_forwarded: f64,
+    #[serde(rename = "sent_at")]
+    pub forwarded_at: Micros,
+    #[serde(rename = "open")]
+    pub in_flight: u32,
+    #[serde(rename = "heard", with = "crate::serde_map_as_pairs")]
+    pub peer_usage: BTreeMap<NodeId, PeerUsage>,
+    #[serde(rename = "ceiling")]
+    pub hard_limit_tokens: f64,
+    /// Share of the quota that is granted here.
+    pub share: f64,
+    /// Share of the hard limit that is granted here.
+    #[serde(rename = "ceiling_share")]
+    pub hard_limit_share: f64,
+    /// What the customer's owners have answered.
+    #[serde(rename = "memory")]
+    pub rejections: RejectionCache,
+}
+
+impl TokenBucket {
+    /// A bucket that was not used since this node started, `uptime` ago. It holds the whole burst: peers' use is
+    /// reported soon enough, while a customer that uses nearly all of its quota would never get back what was missing at
+    /// first. Its share of the hard limit holds what has accrued since the start, as it may have been used up before.
+    pub(crate) fn new(
+        now: Micros,
+        uptime: Micros,
+        plan_id: PlanId,
+        plan: &Plan,
+        subset: NodeSubset,
+        max_request_units: f64,
+    ) -> Self {
+        let subset_size = f64::from(subset.size.max(1));
+        let even_capacity = (plan.burst / subset_size).max(max_request_units);
+        let mut bucket = TokenBucket {
+            plan: plan_id,
+            first_node: subset.first,
+            subset_size,
+            even_capacity,
+            tokens: plan.burst.max(even_capacity),
+            refilled_at: now,
+            share: 1.0,
+            hard_limit_share: 1.0 / subset_size,
+            ..TokenBucket::default()
+        };
+        bucket.refill_hard_limit(plan, uptime as f64 / 1e6);
+        bucket
+    }
+
+    /// The customer's subset of nodes.
+    pub(crate) fn subset(&self) -> NodeSubset {
+        NodeSubset {
+            first: self.first_node,
+            size: self.subset_size as u32,
+        }
+    }
+
+    /// Records whether a request names the bucket's own plan and subset; the result is whether the bucket has to follow
+    /// another one.
+    pub(crate) fn has_changed(&mut self, plan: PlanId, subset: NodeSubset) -> bool {
+        let named = (plan, subset.first, f64::from(subset.size));
+        let same = named == (self.plan, self.first_node, self.subset_size);
+        self.mismatches = if same { 0 } else { self.mismatches + 1 };
+        self.mismatches >= MISMATCHES_BEFORE_CHANGE
+    }
+
+    /// Changes over to another plan or subset. Nothing is gained by that, and all that is in flight or reported stays.
+    pub(crate) fn follow(&mut self, fresh: TokenBucket, hard_limit_tokens: f64) {
+        let old = std::mem::take(self);
+        *self = TokenBucket {
+            tokens: old.tokens.min(fresh.tokens),
+            hard_limit_tokens,
+            in_flight: old.in_flight,
+            units_forwarded: old.units_forwarded,
+            forwarded_at: old.forwarded_at,
+            peer_usage: old.peer_usage,
+            ..fresh
+        };
+    }
+
+    /// Refills up to now, where so many of the customer's nodes are silent.
+    pub(crate) fn refill(&mut self, now: Micros, plan: &Plan, silent_peers: f64) {
+        let elapsed_s = now.saturating_sub(self.refilled_at) as f64 / 1e6;
+        self.refilled_at = now;
+        let reachable_share = 1.0 - silent_peers / self.subset_size;
+        let refilled = self.tokens + self.share * plan.rate * reachable_share * elapsed_s;
+        self.tokens = refilled.min(self.capacity(plan));
+        self.refill_hard_limit(plan, elapsed_s);
+    }
+
+    fn capacity(&self, plan: &Plan) -> f64 {
+        (plan.burst * self.share).max(self.even_capacity)
+    }
+
+    fn refill_hard_limit(&mut self, plan: &Plan, elapsed_s: f64) {
+        let Some(limit) = plan.hard_limit else {
+            return;
+        };
+        let refilled = self.hard_limit_tokens + limit.rate * self.hard_limit_share * elapsed_s;
+        self.hard_limit_tokens = refilled.min(self.hard_limit_capacity(&limit));
+    }
+
+    fn hard_limit_capacity(&self, limit: &HardLimit) -> f64 {
+        limit.capacity * self.hard_limit_share
+    }
+
+    /// Units of the burst that are kept back for what peers forwarded and have not reported yet.
+    pub(crate) fn reserved_for_peers(&mut self, now: Micros, plan: &Plan) -> f64 {
+        (self.peer_units_per_s(now, USAGE_WINDOW) * UNREPORTED_USE_S)
+            .min(plan.burst - self.even_capacity)
+            .max(0.0)
+    }
+
+    /// Units per second that the peers reported over a window.
+    pub(crate) fn peer_units_per_s(&mut self, now: Micros, window: Micros) -> f64 {
+        let mut units = 0.0;
+        for usage in self.peer_usage.values_mut() {
+            while usage
+                .recent
+                .front()
+                .is_some_and(|(at, _)| at + window < now)
+            {
+                usage.recent.pop_front();
+            }
+            units += usage.recent.iter().map(|(_, units)| units).sum::<f64>();
+        }
+        units / (window as f64 / 1e6)
+    }
+
+    /// One more attempt of the customer is in flight. A first attempt is reported to peers and draws on the hard limit.
+    pub(crate) fn record_attempt(&mut self, now: Micros, units: f64, first: bool) {
+        self.in_flight += 1;
+        if first {
+            self.units_forwarded += units;
+            self.forwarded_at = now;
+            self.hard_limit_tokens -= units;
+        }
+    }
+
+    /// What a request draws on it, for another process of this node.
+    pub(crate) fn charge(&self, units: f64) -> QuotaCharge {
+        QuotaCharge {
+            plan: self.plan,
+            units,
+            set: (self.first_node, self.subset_size as u32),
+        }
+    }
+
+    /// Whether nothing would be gained or lost by dropping it: unused for long, and full.
+    pub(crate) fn is_idle(&mut self, now: Micros, plan: &Plan, silent_peers: f64) -> bool {
+        if self.in_flight > 0 || now.saturating_sub(self.last_used_at) < KEEP_UNUSED_FOR {
+            return false;
+        }
+        self.refill(now, plan, silent_peers);
+        let hard_limit_full = plan
+            .hard_limit
+            .as_ref()
+            .is_none_or(|limit| self.hard_limit_tokens >= self.hard_limit_capacity(limit));
+        let full = plan.rate <= 0.0 || self.tokens >= self.capacity(plan);
+        hard_limit_full && full && self.peer_units_per_s(now, USAGE_WINDOW) <= 0.0
+    }
+}
+
+/// How many of a customer's nodes are silent, given when each node last reported. The even share of each is kept back.
+pub(crate) fn silent_peers(last_reports: &[Micros], bucket: &TokenBucket, now: Micros) -> f64 {
+    let first = bucket.first_node.0 as usize;
+    let members = (0..bucket.subset_size as usize).map(|step| (first + step) % last_reports.len());
+    let is_silent = |member: &usize| {
+        (SILENT_FROM..DEAD_FROM).contains(&now.saturating_sub(last_reports[*member]))
+    };
+    members.filter(is_silent).count() as f64
+}
+
+/// Seconds for which a node's share was kept back for it, where it last reported at `last_report`.
+pub(crate) fn kept_back_s(now: Micros, last_report: Micros) -> f64 {
+    now.saturating_sub(last_report)
+        .min(DEAD_FROM)
+        .saturating_sub(SILENT_FROM) as f64
+        / 1e6
+}
--- /dev/null
+++ b/crates/policy/src/utilization/tests.rs
@@ -0,0 +1,51 @@
+use super::*;
+
+fn after_ten_seconds(in_flight: f64, capacity: f64) -> Utilization {
+    let mut utilization = Utilization::default();
+    utilization.set_capacity(capacity);
+    (0..20).for_each(|_| utilization.sample(0.5, in_flight));
+    utilization
+}
+
+#[test]
+fn servers_that_drop_out_raise_it_at_once_whatever_the_size_of_the_fleet() {
+    for nodes in [30.0, 100.0, 1000.0] {
+        // 120 in flight in all at 60 servers, which is easy; at 20 it is not.
+        let mut utilization = after_ten_seconds(120.0 / nodes, 60.0);
+        assert!(utilization.value(nodes, 450.0 / nodes, 0.6) < 0.6);
+        utilization.set_capacity(20.0);
+        assert!(utilization.value(nodes, 450.0 / nodes, 0.6) > 0.85);
+        utilization.set_capacity(12.0);
+        assert!(utilization.value(nodes, 450.0 / nodes, 0.6) > 1.4);
+    }
+}
+
+#[test]
+fn large_servers_bear_what_they_are_known_to_answer() {
+    // 60 servers that each answer 100 a second have 1,200 in flight at a latency of 200 ms: a third of the objective.
+    assert!(after_ten_seconds(12.0, 60.0).value(100.0, 60.0, 0.6) < 0.7);
+    assert!(after_ten_seconds(48.0, 60.0).value(100.0, 60.0, 0.6) > 2.0);
+}
+
+/// Responses are divided by the servers that gave them, not by those of this moment.
+#[test]
+fn servers_that_return_in_slow_start_or_drop_out_do_not_change_what_each_bears() {
+    let nodes = 100.0;
+    // Each of 60 answers 50 a second, and bears 15 at an objective of 0.6 s. Then half of them are gone, and the rate of
+    // responses halves.
+    let mut utilization = after_ten_seconds(600.0 / nodes, 60.0);
+    let before = utilization.value(nodes, 30.0, 0.6);
+    utilization.set_capacity(30.0);
+    let after = utilization.value(nodes, 30.0, 0.6);
+    assert!(
+        (after / before - 2.0).abs() < 0.01,
+        "half as many bear half: {before:.2}, {after:.2}"
+    );
+    // Long after, with half in flight: the servers are few or in slow start for as long as they answer less.
+    (0..200).for_each(|_| utilization.sample(0.5, 300.0 / nodes));
+    let long_after = utilization.value(nodes, 15.0, 0.6);
+    assert!(
+        (long_after / before - 1.0).abs() < 0.01,
+        "the same for each: {before:.2}, {long_after:.2}"
+    );
+}
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -328,7 +328,7 @@
             Action::Cancel { .. }
             | Action::Subscribe
             | Action::SendToSiblings(_)
-            | Action::Log(_) => {}
+            | Action::Report(_) => {}
         }
     }
 
--- a/crates/policy/tests/module.rs
+++ b/crates/policy/tests/module.rs
@@ -3,17 +3,17 @@
 mod common;
 
 use common::*;
-use saffronpaddle_policy::control::inferred;
+use saffronpaddle_policy::concurrency_limit::infer_step;
 use saffronpaddle_policy::interface::*;
 use saffronpaddle_policy::{PolicyEngine, StateSnapshot};
 use std::collections::BTreeMap;
 
 fn change_of(error: f64, change: f64) -> f64 {
-    inferred(error, change).0
+    infer_step(error, change).change
 }
 
 fn alpha_of(error: f64, change: f64) -> f64 {
-    inferred(error, change).1
+    infer_step(error, change).gain
 }
 
 fn steps() -> impl Iterator<Item = f64> {
@@ -600,7 +600,7 @@
     assert!(stand
         .log
         .iter()
-        .any(|action| matches!(action, Action::Log(_))));
+        .any(|action| matches!(action, Action::Report(_))));
     stand.end(&id, Outcome::Cancelled);
     assert_ne!(stand.out[0].2, server, "sent elsewhere");
 }
@@ -623,8 +623,13 @@
                 stand.end(&id, Outcome::Ok);
             }
         }
-        let cap = |action: &Action| matches!(action, Action::Log(words) if words.starts_with("aim missed"));
-        stand.log.iter().any(cap)
+        let limit_started = |action: &Action| {
+            matches!(
+                action,
+                Action::Report(Diagnostic::ConcurrencyLimitStarted { .. })
+            )
+        };
+        stand.log.iter().any(limit_started)
     };
     assert!(capped(1));
     assert!(!capped(3));
@@ -1374,7 +1379,7 @@
     let store = r#"{"plan":0,"first":0,"spread":60.0,"depth":4.0,"level":2.0,"home":true,"granted":[],"chance":1.0}"#;
     let kept = format!(r#"{{"born":1000000,"stores":[[7,{store}]],"homes":[[7,{store}]]}}"#);
     let kept: StateSnapshot = serde_json::from_str(&kept).expect("it is read");
-    assert_eq!(kept.size(), (1, 0));
+    assert_eq!((kept.size().customers, kept.size().servers), (1, 0));
     let mut gateway = PolicyEngine::new(1, settings(0, 300), 2 * S).expect("sound settings");
     gateway.restore(kept, 0);
     assert_eq!(gateway.tracked(), 1, "the customer's store, and no part");
--- a/crates/policy/tests/stored_state.rs
+++ b/crates/policy/tests/stored_state.rs
@@ -92,7 +92,11 @@
             then["stores"].as_array().map(Vec::len),
             then["servers"].as_array().map(Vec::len),
         );
-        assert_eq!((Some(kept.size().0), Some(kept.size().1)), sizes, "{name}");
+        assert_eq!(
+            (Some(kept.size().customers), Some(kept.size().servers)),
+            sizes,
+            "{name}"
+        );
         let mut gateway = PolicyEngine::new(11, settings.clone(), 20 * S).expect("sound settings");
         gateway.restore(kept, 1);
         let after = serde_json::to_value(gateway.snapshot()).expect("it is JSON");
--- a/crates/policy/tests/walks.rs
+++ b/crates/policy/tests/walks.rs
@@ -195,7 +195,7 @@
         end_all(&mut stand);
     }
     tick(&mut stand);
-    let held = stand.gateway.snapshot().size().1;
+    let held = stand.gateway.snapshot().size().servers;
     assert!(held >= 256 * 3 / 4, "{held} servers are sent to");
 }
 
@@ -297,9 +297,9 @@
     end_all(&mut stand);
     let kept = stand.gateway.snapshot();
     assert!(
-        kept.size().1 <= 512,
+        kept.size().servers <= 512,
         "{} of 6,000 servers are handed over",
-        kept.size().1
+        kept.size().servers
     );
     let text = serde_json::to_string(&kept).expect("plain data");
     let read: StateSnapshot = serde_json::from_str(&text).expect("its own words");
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -354,6 +354,8 @@
         Action::Subscribe => writeln!(reply, "track\ti={number}\tactive=1"),
         // No other process of the same gateway is ever told of.
         Action::SendToSiblings(_) => Ok(()),
-        Action::Log(words) => writeln!(reply, "say_log\ti={number}\twords={words}"),
+        Action::Report(diagnostic) => {
+            writeln!(reply, "say_log\ti={number}\twords={diagnostic}")
+        }
     };
 }
