--- a/crates/fleet-harness/src/virtually/mod.rs
+++ b/crates/fleet-harness/src/virtually/mod.rs
@@ -233,7 +233,7 @@
         run.begin_servers();
         for at in 0..run.scenario.instances {
             let mut named =
-                setup::read(&run.fleet.settings(at).to_string()).map_err(anyhow::Error::msg)?;
+                setup::read(&run.fleet.settings(at).to_string()).map_err(anyhow::Error::new)?;
             (
                 named.settings.partition_safe,
                 named.settings.retransmission_budget,
--- a/crates/hollow/src/shard.rs
+++ b/crates/hollow/src/shard.rs
@@ -252,7 +252,7 @@
 
 impl Shard {
     fn new(spec: Spec, trial: Trial) -> Result<Shard> {
-        let named = setup::read(&spec.settings).map_err(anyhow::Error::msg)?;
+        let named = setup::read(&spec.settings).map_err(anyhow::Error::new)?;
         let tenants = Tenants::new(
             spec.tenants.0,
             spec.tenants.1,
--- a/crates/model-checker/src/nodes.rs
+++ b/crates/model-checker/src/nodes.rs
@@ -182,7 +182,7 @@
 impl Sim {
     fn new(play: Play) -> Result<Sim> {
         let fleet = Fleet::usual(play.nodes);
-        let read = |me| setup::read(&fleet.settings(me).to_string()).map_err(anyhow::Error::msg);
+        let read = |me| setup::read(&fleet.settings(me).to_string()).map_err(anyhow::Error::new);
         let named: Vec<NamedSettings> = (0..play.nodes).map(read).collect::<Result<_>>()?;
         let mut sim = Sim {
             random: fastrand::Rng::with_seed(play.seed),
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -11,17 +11,14 @@
 use crate::engine::{Actions, PolicyEngine};
 use crate::idempotency::rejection_allowed;
 use crate::interface::{Action, CustomerId, HardLimit, Micros, RequestId, MILLISECOND, SECOND};
-use crate::peers::RESTART_WINDOW;
 use crate::request::Request;
 use crate::shard_owners::NodeSubset;
+use crate::state::{LAST_CALL, MAX_RETRY_AFTER, RESTART_WINDOW};
 use crate::statistics::poisson_below;
-use crate::timer::LAST_CALL;
 use crate::token_bucket::{silent_peers, TokenBucket, KEEP_UNUSED_FOR, USAGE_WINDOW};
 
 /// Shortest time after which a rejected client is told to retry.
 const MIN_RETRY_AFTER: Micros = 20 * MILLISECOND;
-/// Longest time after which a rejected client is told to retry.
-pub(crate) const MAX_RETRY_AFTER: Micros = 100 * MILLISECOND;
 /// Multiple of the even share that a node is given where nodes may not talk to each other: customers' requests come
 /// unevenly to the nodes of their subset.
 const UNEVEN_SHARE: f64 = 2.0;
@@ -32,9 +29,9 @@
 /// flight.
 const MAX_IN_FLIGHT_RISK: f64 = 0.2;
 /// A customer that was seen this recently counts as [`Counter::SeenWithinOneSecond`].
-const SEEN_RECENTLY: Micros = SECOND;
+const SEEN_WITHIN_ONE_SECOND: Micros = SECOND;
 /// A customer that was seen this recently counts as [`Counter::SeenWithinTenSeconds`].
-const SEEN_LATELY: Micros = 10 * SECOND;
+const SEEN_WITHIN_TEN_SECONDS: Micros = 10 * SECOND;
 
 /// What becomes of a request that has come in.
 enum Admission {
@@ -340,8 +337,8 @@
 
 fn seen_counter(unused_for: Micros) -> Counter {
     match unused_for {
-        0..SEEN_RECENTLY => Counter::SeenWithinOneSecond,
-        SEEN_RECENTLY..SEEN_LATELY => Counter::SeenWithinTenSeconds,
+        0..SEEN_WITHIN_ONE_SECOND => Counter::SeenWithinOneSecond,
+        SEEN_WITHIN_ONE_SECOND..SEEN_WITHIN_TEN_SECONDS => Counter::SeenWithinTenSeconds,
         _ => Counter::SeenForTheFirstTime,
     }
 }
--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -88,6 +88,7 @@
 }
 
 impl LatencySamples {
+    /// Adds one sample.
     pub fn add(&mut self, normalized_latency: f64) {
         self.sum += normalized_latency;
         self.count += 1.0;
@@ -132,6 +133,7 @@
 }
 
 impl FuzzyConcurrencyLimit {
+    /// A controller of so many classes, without a limit.
     pub fn new(classes: usize) -> Self {
         FuzzyConcurrencyLimit {
             samples: vec![LatencySamples::default(); classes],
@@ -150,6 +152,7 @@
         })
     }
 
+    /// The limit, attempts in flight at this node.
     pub fn limit(&self) -> Option<f64> {
         self.limit
     }
--- a/crates/policy/src/controller_period.rs
+++ b/crates/policy/src/controller_period.rs
@@ -2,20 +2,16 @@
 //! is no longer needed is dropped.
 
 use crate::concurrency_limit::{InFlight, LatencySamples};
-use crate::engine::{Actions, OwnedShard, PolicyEngine};
+use crate::engine::{Actions, PolicyEngine};
 use crate::gossip_average::LATENCY_DECAY_S;
-use crate::interface::{Action, Diagnostic, Micros, Plan, MILLISECOND};
-use crate::load_statistics::UNKNOWN_LATENCY;
+use crate::interface::{Action, Diagnostic, Micros, Plan};
+use crate::load_statistics::{INITIAL_WAIT_SHARE, UNKNOWN_LATENCY};
 use crate::request::Request;
-use crate::server_selection::INITIAL_WAIT_SHARE;
 use crate::shard_owners::ShardOwners;
+use crate::state::{OwnedShard, CONTROLLER_PERIOD, CONTROLLER_PERIOD_S};
 use crate::token_bucket::{silent_peers, KEEP_UNUSED_FOR};
 use crate::utilization::SERVICE_RATE_WEIGHT;
 
-/// Length of a period. The paper's 4 s is longer than the bursts here.
-pub(crate) const CONTROLLER_PERIOD: Micros = 500 * MILLISECOND;
-/// Length of a period, seconds.
-pub(crate) const CONTROLLER_PERIOD_S: f64 = CONTROLLER_PERIOD as f64 / 1e6;
 /// Weight of a period in the mean of what is in flight, in a large fleet: at most times it is nothing.
 const IN_FLIGHT_WEIGHT: f64 = 0.2;
 /// Seconds over which the rate of responses is averaged in a small fleet.
--- a/crates/policy/src/endpoint_table.rs
+++ b/crates/policy/src/endpoint_table.rs
@@ -263,6 +263,7 @@
         self.aggregates.examined()
     }
 
+    /// A server, if it is known.
     pub fn get(&self, id: ServerId) -> Option<&Server> {
         self.servers.get(&id)
     }
--- a/crates/policy/src/endpoint_table/aggregates.rs
+++ b/crates/policy/src/endpoint_table/aggregates.rs
@@ -59,6 +59,7 @@
 }
 
 impl Aggregates {
+    /// Sums over no server.
     pub fn new(classes: usize) -> Aggregates {
         Aggregates {
             classes,
@@ -77,10 +78,12 @@
         }
     }
 
+    /// Counts servers that are looked at.
     pub fn examine(&self, servers: usize) {
         self.examined.add(servers as u64);
     }
 
+    /// How many servers were looked at.
     pub fn examined(&self) -> u64 {
         self.examined.get()
     }
--- a/crates/policy/src/endpoint_table/short_ids.rs
+++ b/crates/policy/src/endpoint_table/short_ids.rs
@@ -62,6 +62,7 @@
         self.members.get(&short_id).copied().filter(|_| !shared)
     }
 
+    /// How many members there are.
     pub fn len(&self) -> usize {
         self.members.len()
     }
--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -3,24 +3,17 @@
 use crate::concurrency_limit::FuzzyConcurrencyLimit;
 use crate::counters::Counters;
 use crate::endpoint_table::EndpointTable;
-use crate::grants::GrantState;
 use crate::interface::{
-    Action, ClassId, CustomerId, DiscoveryMode, Event, Micros, Plan, PlanId, Settings,
-    SettingsError,
+    Action, ClassId, CustomerId, DiscoveryMode, Event, Micros, Plan, Settings, SettingsError,
 };
 use crate::load_statistics::LoadStatistics;
-use crate::outlier_ejection::ZoneReachability;
-use crate::peers::{usage_report_interval, PeerTable};
 use crate::request::{Request, RequestTable, RequestTerms};
 use crate::retry_budget::RetryBudget;
-use crate::server_selection::INITIAL_WAIT_SHARE;
 use crate::shard_owners::NodeSubset;
-use crate::slow_start::SlowStartState;
-use crate::timer::{Timers, TIMER_INTERVAL};
-use crate::token_bucket::TokenBucket;
-use saffronpaddle_quota::QuotaShard;
-use serde::{Deserialize, Serialize};
-use std::collections::BTreeMap;
+use crate::state::{
+    usage_report_interval, GrantState, PeerTable, QuotaTable, SlowStartState, Timers,
+    ZoneReachability, TIMER_INTERVAL,
+};
 
 /// Where actions are gathered.
 pub(crate) type Actions = Vec<Action>;
@@ -29,27 +22,6 @@
 /// customers' quotas are asked instead.
 const LARGE_FLEET_REPORT_INTERVAL: f64 = 500_000.0;
 
-/// A part of a customer's quota that this node owns.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-#[serde(default)]
-pub(crate) struct OwnedShard {
-    pub plan: PlanId,
-    #[serde(rename = "spread")]
-    pub subset_size: u32,
-    /// Its number among the owners.
-    #[serde(rename = "number")]
-    pub owner: u32,
-    #[serde(rename = "keeper")]
-    pub shard: QuotaShard,
-}
-
-/// What is kept of customers' quotas here.
-#[derive(Clone, Debug, Default)]
-pub(crate) struct QuotaTable {
-    pub buckets: BTreeMap<CustomerId, TokenBucket>,
-    pub shards: BTreeMap<CustomerId, OwnedShard>,
-}
-
 /// Decides for one node. It does no input or output, and reads no clock.
 #[derive(Clone, Debug)]
 pub struct PolicyEngine {
@@ -91,7 +63,6 @@
         let report_interval = usage_report_interval(&settings);
         let large_fleet = (LARGE_FLEET_REPORT_INTERVAL..f64::INFINITY).contains(&report_interval);
         let shortest_objective = settings.shortest_objective();
-        let initial_wait = shortest_objective * INITIAL_WAIT_SHARE;
         Ok(PolicyEngine {
             random: fastrand::Rng::with_seed(seed),
             started_at: now,
@@ -105,7 +76,7 @@
             quotas: QuotaTable::default(),
             grants: GrantState::new(now),
             peers: PeerTable::new(now, settings.node, node_count, large_fleet),
-            load: LoadStatistics::new(classes, initial_wait),
+            load: LoadStatistics::new(classes, shortest_objective),
             concurrency_limit: FuzzyConcurrencyLimit::new(classes),
             retries: RetryBudget::default(),
             zones: ZoneReachability::default(),
--- a/crates/policy/src/grants/mod.rs
+++ b/crates/policy/src/grants/mod.rs
@@ -10,29 +10,17 @@
 mod requester;
 
 use crate::engine::{Actions, PolicyEngine};
-use crate::interface::{Action, CustomerId, Micros, NodeId, RequestId, MILLISECOND, SECOND};
-use crate::message_budget::MessageBudget;
+use crate::interface::{Action, CustomerId, Micros, MILLISECOND, SECOND};
 use crate::peer_message::{encode, PeerMessage};
-use crate::peers::messages_per_s;
 use crate::request::GrantId;
-use crate::retransmission_timeout::RetransmissionTimeout;
+use crate::state::messages_per_s;
 use saffronpaddle_quota::{GrantResponse, Lease};
-use std::collections::BTreeMap;
 
 /// How long an owner that did not answer is passed over; any message from it ends that.
 const UNREACHABLE_FOR: Micros = 4 * SECOND;
-/// Requests in a row without an answer, and nothing received from anybody, from which this node is isolated.
-const ISOLATED_AFTER: u32 = 5;
 /// Time between grant requests of an isolated node, which find out when that is over.
 const ISOLATION_PROBE_INTERVAL: Micros = 200 * MILLISECOND;
 
-/// A request of an owner for the lease of its standby.
-#[derive(Clone, Copy, Debug)]
-struct LeaseRequest {
-    customer: CustomerId,
-    sent_at: Micros,
-}
-
 /// An owner's answer to a grant request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct GrantAnswer {
@@ -40,65 +28,6 @@
     pub lease: Option<Lease>,
 }
 
-/// The state of grant requests.
-#[derive(Clone, Debug)]
-pub(crate) struct GrantState {
-    /// Open grant requests by their serial numbers.
-    pub open: BTreeMap<u16, RequestId>,
-    last_serial: u16,
-    /// Open lease requests of this node as an owner.
-    lease_requests: BTreeMap<u16, LeaseRequest>,
-    /// Owners that did not answer, and until when they are passed over.
-    unreachable_until: BTreeMap<NodeId, Micros>,
-    retransmission_timeout: RetransmissionTimeout,
-    message_budget: MessageBudget,
-    /// Requests without an answer since anything was received.
-    unanswered: u32,
-    next_isolation_probe_at: Micros,
-}
-
-impl GrantState {
-    pub fn new(now: Micros) -> Self {
-        GrantState {
-            open: BTreeMap::new(),
-            last_serial: 0,
-            lease_requests: BTreeMap::new(),
-            unreachable_until: BTreeMap::new(),
-            retransmission_timeout: RetransmissionTimeout::default(),
-            message_budget: MessageBudget::default(),
-            unanswered: 0,
-            next_isolation_probe_at: now,
-        }
-    }
-
-    /// Something was received from a peer.
-    pub fn record_received(&mut self, from: NodeId) {
-        self.unreachable_until.remove(&from);
-        self.unanswered = 0;
-    }
-
-    /// Forgets who was unreachable until now.
-    pub fn forget_unreachable(&mut self, now: Micros) {
-        self.unreachable_until.retain(|_, until| *until > now);
-    }
-
-    fn next_serial(&mut self) -> u16 {
-        self.last_serial = self.last_serial.wrapping_add(1);
-        self.last_serial
-    }
-
-    fn is_reachable(&self, node: NodeId, now: Micros) -> bool {
-        self.unreachable_until
-            .get(&node)
-            .is_none_or(|until| *until <= now)
-    }
-
-    /// Whether this node receives nothing from anybody, and it is not time to try again.
-    fn is_isolated(&self, now: Micros) -> bool {
-        self.unanswered >= ISOLATED_AFTER && now < self.next_isolation_probe_at
-    }
-}
-
 impl PolicyEngine {
     /// Takes messages to peers off the message budget.
     pub(crate) fn charge_message_budget(&mut self, now: Micros, actions: &[Action]) {
--- a/crates/policy/src/grants/owner.rs
+++ b/crates/policy/src/grants/owner.rs
@@ -7,13 +7,13 @@
 //! and begins with what the requester was told the shard held. A standby begins with one request's units, so that a lost
 //! response does not make two buckets of one quota.
 
-use super::{GrantAnswer, LeaseRequest};
+use super::GrantAnswer;
 use crate::counters::Counter;
-use crate::engine::{Actions, OwnedShard, PolicyEngine};
+use crate::engine::{Actions, PolicyEngine};
 use crate::interface::{Action, CustomerId, Micros, NodeId, SECOND};
 use crate::peer_message::{encode, GrantRequestMessage, LeaseOffer, PeerMessage, RequesterState};
-use crate::peers::RESTART_WINDOW;
 use crate::shard_owners::{NodeSubset, ShardOwners};
+use crate::state::{LeaseRequest, OwnedShard, RESTART_WINDOW};
 use saffronpaddle_quota::{
     GrantDecision, GrantRequest, InitialTokens, Lease, QuotaShard, ShardLimits, LEASE_DURATION,
 };
--- a/crates/policy/src/grants/requester.rs
+++ b/crates/policy/src/grants/requester.rs
@@ -11,9 +11,9 @@
 use crate::engine::{Actions, PolicyEngine};
 use crate::interface::{Action, Micros, RequestId, MILLISECOND};
 use crate::peer_message::{encode, GrantRequestMessage, PeerMessage, RequesterState};
-use crate::peers::messages_per_s;
 use crate::request::{GrantId, Owner, Request};
 use crate::shard_owners::ShardOwners;
+use crate::state::messages_per_s;
 use saffronpaddle_quota::{GrantDecision, GrantResponse, GRANT_LIFETIME};
 
 /// Owners that may deny one request, and owners that it waits for in vain.
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -50,6 +50,7 @@
 mod slow_start;
 pub mod snapshot;
 mod stalled_attempts;
+mod state;
 mod statistics;
 mod streaming;
 mod timer;
--- a/crates/policy/src/load_statistics.rs
+++ b/crates/policy/src/load_statistics.rs
@@ -5,6 +5,8 @@
 use crate::interface::ClassId;
 use crate::utilization::Utilization;
 
+/// Expected wait before anything is known, as a share of the shortest latency objective.
+pub(crate) const INITIAL_WAIT_SHARE: f64 = 0.12;
 /// Normalized latency of a class of which nothing is known.
 pub(crate) const UNKNOWN_LATENCY: f64 = -1.0;
 /// Weight of a new sample in the mean latency of all servers.
@@ -33,7 +35,9 @@
 }
 
 impl LoadStatistics {
-    pub fn new(classes: usize, initial_wait: f64) -> Self {
+    /// Nothing is known yet; `shortest_objective` in µs.
+    pub fn new(classes: usize, shortest_objective: f64) -> Self {
+        let initial_wait = shortest_objective * INITIAL_WAIT_SHARE;
         LoadStatistics {
             mean_latency: initial_wait,
             typical_wait: initial_wait,
--- a/crates/policy/src/outlier_ejection.rs
+++ b/crates/policy/src/outlier_ejection.rs
@@ -10,11 +10,11 @@
 use crate::counters::Counter;
 use crate::engine::PolicyEngine;
 use crate::gossip_average::FAULT_DECAY_S;
-use crate::interface::{ClassId, Micros, Outcome, ServerId, ZoneId, MILLISECOND, SECOND};
+use crate::interface::{ClassId, Micros, Outcome, ServerId, MILLISECOND, SECOND};
 use crate::peer_message::Observation;
 use crate::request::Attempt;
 use crate::server::{OutlierStatistics, Server};
-use std::collections::BTreeMap;
+use crate::statistics::as_share;
 
 /// Fault rate at which a server is ejected, unless the whole fleet's is half as high.
 pub(crate) const EJECTION_FAULT_RATE: f64 = 0.35;
@@ -30,29 +30,6 @@
 const WAIT_WEIGHT: f64 = 0.15;
 /// Weight of a peer's observation in a server's wait.
 const OBSERVATION_WEIGHT: f64 = 0.4;
-/// Weight of an attempt in the share of a zone's attempts that find no connection.
-const ZONE_WEIGHT: f64 = 0.2;
-
-/// The share of attempts into each zone that found no connection. The links of a whole zone may be cut, which is found
-/// much later server by server. Peers elsewhere may still reach them, so only what is seen here counts.
-#[derive(Clone, Debug, Default)]
-pub(crate) struct ZoneReachability(BTreeMap<ZoneId, f64>);
-
-impl ZoneReachability {
-    fn record(&mut self, zone: ZoneId, unreachable: bool) {
-        let share = self.0.entry(zone).or_default();
-        *share += (as_share(unreachable) - *share) * ZONE_WEIGHT;
-    }
-
-    pub fn unreachable_share(&self, zone: ZoneId) -> f64 {
-        self.0.get(&zone).copied().unwrap_or(0.0)
-    }
-}
-
-fn as_share(holds: bool) -> f64 {
-    f64::from(u8::from(holds))
-}
-
 /// Time until the next health probe of an ejected server; with `nodes_per_server` (large fleets) the probes of so many
 /// nodes together come at a steady rate.
 fn next_probe_interval(random: &mut fastrand::Rng, nodes_per_server: Option<f64>) -> Micros {
--- a/crates/policy/src/peer_message/mod.rs
+++ b/crates/policy/src/peer_message/mod.rs
@@ -64,14 +64,23 @@
 
 /// Kinds of messages by their numbers.
 mod kind {
+    /// [`super::PeerMessage::UsageReport`].
     pub const USAGE_REPORT: u8 = 0;
+    /// [`super::PeerMessage::PermitRelease`].
     pub const PERMIT_RELEASE: u8 = 3;
+    /// A grant request of an earlier build, without what the requester tells about itself.
     pub const LEGACY_GRANT_REQUEST: u8 = 4;
+    /// [`super::PeerMessage::LegacyGrantResponse`].
     pub const LEGACY_GRANT_RESPONSE: u8 = 5;
+    /// [`super::PeerMessage::GrantRequest`] without a lease demand.
     pub const GRANT_REQUEST: u8 = 6;
+    /// [`super::PeerMessage::GrantResponse`] that says nothing of leases.
     pub const GRANT_RESPONSE: u8 = 7;
+    /// [`super::PeerMessage::PermitTransfer`].
     pub const PERMIT_TRANSFER: u8 = 8;
+    /// [`super::PeerMessage::GrantRequest`] with a lease demand.
     pub const GRANT_REQUEST_WITH_LEASE: u8 = 9;
+    /// [`super::PeerMessage::GrantResponse`] that says whether a lease is issued.
     pub const GRANT_RESPONSE_WITH_LEASE: u8 = 10;
 }
 
@@ -149,6 +158,7 @@
 }
 
 impl LeaseOffer {
+    /// The lease, if one is issued.
     pub fn lease(self) -> Option<Lease> {
         match self {
             LeaseOffer::Issued(lease) => Some(lease),
--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -52,6 +52,7 @@
 }
 
 impl Request {
+    /// A request that has come in now.
     pub fn new(now: Micros, terms: RequestTerms) -> Self {
         Request {
             class: terms.class,
--- a/crates/policy/src/retry_budget.rs
+++ b/crates/policy/src/retry_budget.rs
@@ -24,6 +24,7 @@
         RetryBudget { tokens }
     }
 
+    /// Retries that are saved up.
     pub fn tokens(self) -> f64 {
         self.tokens
     }
--- a/crates/policy/src/serde_map_as_pairs.rs
+++ b/crates/policy/src/serde_map_as_pairs.rs
@@ -3,6 +3,7 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::collections::BTreeMap;
 
+/// Serializes, as serde's `with` attribute asks for.
 pub fn serialize<K: Serialize, V: Serialize, S: Serializer>(
     map: &BTreeMap<K, V>,
     serializer: S,
@@ -10,6 +11,7 @@
     serializer.collect_seq(map)
 }
 
+/// Deserializes, as serde's `with` attribute asks for.
 pub fn deserialize<'de, K, V, D>(deserializer: D) -> Result<BTreeMap<K, V>, D::Error>
 where
     K: Deserialize<'de> + Ord,
--- a/crates/policy/src/serde_optional_budget.rs
+++ b/crates/policy/src/serde_optional_budget.rs
@@ -3,6 +3,7 @@
 use saffronpaddle_slow_start::SlowStartBudget;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
+/// Serializes, as serde's `with` attribute asks for.
 #[allow(clippy::ref_option)] // The signature that serde asks for.
 pub fn serialize<S: Serializer>(
     budget: &Option<Box<SlowStartBudget>>,
@@ -14,6 +15,7 @@
     }
 }
 
+/// Deserializes, as serde's `with` attribute asks for.
 pub fn deserialize<'de, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<Option<Box<SlowStartBudget>>, D::Error> {
--- a/crates/policy/src/server.rs
+++ b/crates/policy/src/server.rs
@@ -57,6 +57,7 @@
 }
 
 impl OutlierStatistics {
+    /// Whether the server gets health probes only for the class.
     pub fn is_ejected(&self) -> bool {
         self.next_probe_at.is_some()
     }
@@ -108,14 +109,17 @@
         self.slow_start_credit = 0.0;
     }
 
+    /// Whether its process runs and takes requests.
     pub fn is_ready(&self) -> bool {
         self.endpoint.status == EndpointStatus::Ready
     }
 
+    /// Whether it is on the endpoint list.
     pub fn is_listed(&self) -> bool {
         self.endpoint.status != EndpointStatus::Removed
     }
 
+    /// Where it is, as far as deduplication goes.
     pub fn location(&self) -> ServerLocation {
         ServerLocation {
             zone: self.endpoint.zone,
--- a/crates/policy/src/server_selection.rs
+++ b/crates/policy/src/server_selection.rs
@@ -13,8 +13,6 @@
 use crate::request::Request;
 use crate::server::Server;
 
-/// Expected wait before anything is known, as a share of the shortest latency objective.
-pub(crate) const INITIAL_WAIT_SHARE: f64 = 0.12;
 /// Share of the shortest objective that the expected wait at a server may reach.
 const MAX_WAIT_SHARE: f64 = 0.3;
 /// The same over all servers together.
@@ -64,7 +62,7 @@
         server.wait_per_attempt * kept + typical * (1.0 - kept)
     }
 
-    /// The servers that may be chosen from now: ready and with capacity. Empty where so much is in flight that no
+    /// The servers that an attempt may go to now: ready and with capacity. Empty where so much is in flight that no
     /// server may take more.
     pub(crate) fn selectable_servers(&mut self, now: Micros) -> Vec<ServerId> {
         let random = &mut self.random;
--- a/crates/policy/src/setup.rs
+++ b/crates/policy/src/setup.rs
@@ -1,27 +1,32 @@
-//! The settings as JSON, from the wire's words into the module's. The simulator's adapter and the edge node
-//! share this reading.
+//! Reads the settings from the JSON that the platform writes, and maps its names to the terms of this crate. The
+//! simulator's adapter and the edge node share it.
 
 use crate::interface::{
     Class, DeduplicationScope, DiscoveryMode, HardLimit, Idempotency, Micros, NodeId, Permissions,
     Plan, Settings, SlowStartRules, ZoneId,
 };
 use serde::Deserialize;
+use std::fmt;
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Setup {
-    balancers: u32,
-    me: u32,
+    #[serde(rename = "balancers")]
+    node_count: u32,
+    #[serde(rename = "me")]
+    node: u32,
     zone: String,
     zones: Vec<String>,
     classes: Vec<WireClass>,
-    packages: Vec<WirePlan>,
-    ceilings: Limits,
+    #[serde(rename = "packages")]
+    plans: Vec<WirePlan>,
+    #[serde(rename = "ceilings")]
+    limits: WireLimits,
     rules: WireRules,
+    #[serde(default, rename = "deductions")]
+    costs: WireCosts,
     #[serde(default)]
-    deductions: Deductions,
-    #[serde(default)]
-    extra: Extra,
+    extra: WireExtra,
     discovery: WireDiscovery,
     period_us: u64,
 }
@@ -30,12 +35,14 @@
 #[serde(rename_all = "camelCase")]
 struct WireClass {
     name: String,
-    aim_us: u64,
+    #[serde(rename = "aimUs")]
+    latency_objective_us: u64,
     #[serde(default)]
     deadline_us: u64,
     #[serde(default)]
     late_value: f64,
-    worth: f64,
+    #[serde(rename = "worth")]
+    priority_weight: f64,
     repeat: Repeat,
     #[serde(default)]
     group: Option<WireGroup>,
@@ -64,63 +71,71 @@
 struct WirePlan {
     name: String,
     rate: f64,
-    store_size: f64,
-    #[serde(default)]
-    at_once: u32,
-    price: f64,
-    #[serde(default)]
-    over_worth: f64,
-    #[serde(default)]
-    overrun_cost: f64,
-    #[serde(default)]
-    cap_rate: f64,
-    #[serde(default)]
-    never_over_depth: f64,
+    #[serde(rename = "storeSize")]
+    burst: f64,
+    #[serde(default, rename = "atOnce")]
+    max_in_flight: u32,
+    #[serde(rename = "price")]
+    priority_weight: f64,
+    #[serde(default, rename = "overWorth")]
+    over_quota_value: f64,
+    #[serde(default, rename = "overrunCost")]
+    over_quota_cost: f64,
+    #[serde(default, rename = "capRate")]
+    hard_limit_rate: f64,
+    #[serde(default, rename = "neverOverDepth")]
+    hard_limit_capacity: f64,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Limits {
-    send_cap: u32,
+struct WireLimits {
+    #[serde(rename = "sendCap")]
+    max_attempts: u32,
     cancel: bool,
-    may_tell: bool,
-    #[serde(default = "default_idle")]
-    conn_idle_us: u64,
-    #[serde(default = "default_connect")]
+    #[serde(rename = "mayTell")]
+    peer_messages: bool,
+    #[serde(default = "default_idle_timeout_us", rename = "connIdleUs")]
+    server_idle_timeout_us: u64,
+    #[serde(default = "default_connect_timeout_us")]
     connect_timeout_us: u64,
 }
 
-fn default_idle() -> u64 {
+fn default_idle_timeout_us() -> u64 {
     15_000_000
 }
 
-fn default_connect() -> u64 {
+fn default_connect_timeout_us() -> u64 {
     250_000
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct WireRules {
-    cold_from: f64,
-    cold_us: u64,
-    fall_multiple: f64,
-    overload_for_us: u64,
+    #[serde(rename = "coldFrom")]
+    initial_capacity: f64,
+    #[serde(rename = "coldUs")]
+    warm_up_us: u64,
+    #[serde(rename = "fallMultiple")]
+    overload_multiple: f64,
+    #[serde(rename = "overloadForUs")]
+    overload_window_us: u64,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase")]
-struct Deductions {
-    #[serde(default)]
-    cross_zone: f64,
+struct WireCosts {
+    #[serde(default, rename = "crossZone")]
+    cross_zone_cost: f64,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "camelCase")]
-struct Extra {
-    #[serde(default)]
-    peer_in_per_s: f64,
-    #[serde(default)]
-    max_units: f64,
+struct WireExtra {
+    #[serde(default, rename = "peerInPerS")]
+    peer_messages_per_s: f64,
+    #[serde(default, rename = "maxUnits")]
+    max_request_units: f64,
 }
 
 #[derive(Deserialize)]
@@ -130,114 +145,159 @@
     Subscribe,
 }
 
-/// Settings, with the names that later lines use and the figures that only sockets need.
+/// Settings, with the names that requests use for classes, plans and zones, and what only connections need.
 #[derive(Clone, Debug)]
 pub struct NamedSettings {
-    /// What the module is told.
+    /// The engine's settings.
     pub settings: Settings,
     /// Names of the classes, in the order of their ids.
     pub classes: Vec<String>,
-    /// Names of the plans, likewise.
+    /// Names of the plans, in the order of their ids.
     pub plans: Vec<String>,
-    /// Names of the zones, likewise.
+    /// Names of the zones, in the order of their ids.
     pub zones: Vec<String>,
-    /// How long a client of any class waits at the most.
+    /// How long a client of any class waits at most, µs.
     pub longest_deadline: Micros,
-    /// A server closes a connection that has stood idle for so long.
+    /// A server closes a connection that has been idle for so long, µs.
     pub server_idle_timeout: Micros,
-    /// A connection that has not come up by then never will.
+    /// A connection that is not established by then never will be, µs.
     pub connect_timeout: Micros,
 }
 
+/// Why settings could not be read.
+#[derive(Debug)]
+pub enum ReadError {
+    /// The text is no JSON of the platform's form.
+    Json(serde_json::Error),
+    /// The node's zone is not among the zones.
+    UnknownZone,
+    /// A class with idempotency keys does not say where they are known.
+    MissingGroup {
+        /// The class.
+        class: String,
+    },
+}
+
+impl fmt::Display for ReadError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            ReadError::Json(error) => error.fmt(f),
+            ReadError::UnknownZone => f.write_str("zone is not among zones"),
+            ReadError::MissingGroup { class } => write!(f, "class {class}: group is missing"),
+        }
+    }
+}
+
+impl std::error::Error for ReadError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            ReadError::Json(error) => Some(error),
+            ReadError::UnknownZone | ReadError::MissingGroup { .. } => None,
+        }
+    }
+}
+
 /// Reads settings from their JSON text.
 ///
 /// # Errors
 /// What is wrong with them, in a line.
-pub fn read(text: &str) -> Result<NamedSettings, String> {
-    let setup: Setup = serde_json::from_str(text).map_err(|error| error.to_string())?;
-    let zone = setup.zones.iter().position(|name| *name == setup.zone);
-    let zone = ZoneId(zone.ok_or("zone is not among zones")? as u32);
-    let classes = setup.classes.iter().map(class).collect::<Result<_, _>>()?;
-    let settings = Settings {
-        node: NodeId(setup.me),
-        node_count: setup.balancers,
-        zone,
-        classes,
-        plans: setup.packages.iter().map(plan).collect(),
-        slow_start: SlowStartRules {
-            initial_capacity: setup.rules.cold_from,
-            warm_up_period: setup.rules.cold_us,
-            overload_multiple: setup.rules.fall_multiple,
-            overload_window: setup.rules.overload_for_us,
-        },
-        permissions: Permissions {
-            max_attempts: setup.ceilings.send_cap,
-            cancellation: setup.ceilings.cancel,
-            peer_messages: setup.ceilings.may_tell,
-        },
-        cross_zone_cost: setup.deductions.cross_zone,
-        discovery: match setup.discovery {
-            WireDiscovery::Automatic => DiscoveryMode::Pushed,
-            WireDiscovery::Subscribe => DiscoveryMode::Subscribed,
-        },
-        event_interval: setup.period_us,
-        peer_messages_per_s: setup.extra.peer_in_per_s,
-        max_request_units: setup.extra.max_units,
-        server_idle_timeout: setup.ceilings.conn_idle_us,
-        // The installation's to set, not the platform's.
-        partition_safe: false,
-        retransmission_budget: false,
-        subsetting: false,
-    };
+pub fn read(text: &str) -> Result<NamedSettings, ReadError> {
+    let setup: Setup = serde_json::from_str(text).map_err(ReadError::Json)?;
+    let settings = setup.to_settings()?;
+    let deadlines = setup.classes.iter().map(|class| class.deadline_us);
     Ok(NamedSettings {
         settings,
-        longest_deadline: setup
-            .classes
-            .iter()
-            .map(|class| class.deadline_us)
-            .max()
-            .unwrap_or(0),
-        server_idle_timeout: setup.ceilings.conn_idle_us,
-        connect_timeout: setup.ceilings.connect_timeout_us,
+        longest_deadline: deadlines.max().unwrap_or(0),
+        server_idle_timeout: setup.limits.server_idle_timeout_us,
+        connect_timeout: setup.limits.connect_timeout_us,
         classes: setup.classes.into_iter().map(|class| class.name).collect(),
-        plans: setup.packages.into_iter().map(|plan| plan.name).collect(),
+        plans: setup.plans.into_iter().map(|plan| plan.name).collect(),
         zones: setup.zones,
     })
 }
 
-fn class(wire: &WireClass) -> Result<Class, String> {
-    let effect = match wire.repeat {
-        Repeat::ReadLike => Idempotency::Idempotent,
-        Repeat::NonIdempotent => Idempotency::NonIdempotent,
-        Repeat::IdempotencyKey => Idempotency::WithKey {
-            scope: match wire.group {
-                Some(WireGroup::All) => DeduplicationScope::All,
-                Some(WireGroup::Zone) => DeduplicationScope::Zone,
-                Some(WireGroup::Cell) => DeduplicationScope::Domain,
-                None => return Err(format!("class {}: group is missing", wire.name)),
+impl Setup {
+    fn to_settings(&self) -> Result<Settings, ReadError> {
+        let zone = self.zones.iter().position(|name| *name == self.zone);
+        let zone = zone.ok_or(ReadError::UnknownZone)?;
+        let classes = self.classes.iter().map(WireClass::to_class);
+        Ok(Settings {
+            node: NodeId(self.node),
+            node_count: self.node_count,
+            zone: ZoneId(zone as u32),
+            classes: classes.collect::<Result<_, _>>()?,
+            plans: self.plans.iter().map(WirePlan::to_plan).collect(),
+            slow_start: SlowStartRules {
+                initial_capacity: self.rules.initial_capacity,
+                warm_up_period: self.rules.warm_up_us,
+                overload_multiple: self.rules.overload_multiple,
+                overload_window: self.rules.overload_window_us,
             },
-            window: wire.window_us,
-        },
-    };
-    Ok(Class {
-        latency_objective: wire.aim_us,
-        late_value: wire.late_value,
-        priority_weight: wire.worth,
-        idempotency: effect,
-    })
+            permissions: Permissions {
+                max_attempts: self.limits.max_attempts,
+                cancellation: self.limits.cancel,
+                peer_messages: self.limits.peer_messages,
+            },
+            cross_zone_cost: self.costs.cross_zone_cost,
+            discovery: match self.discovery {
+                WireDiscovery::Automatic => DiscoveryMode::Pushed,
+                WireDiscovery::Subscribe => DiscoveryMode::Subscribed,
+            },
+            event_interval: self.period_us,
+            peer_messages_per_s: self.extra.peer_messages_per_s,
+            max_request_units: self.extra.max_request_units,
+            server_idle_timeout: self.limits.server_idle_timeout_us,
+            // The operator sets these, not the platform.
+            partition_safe: false,
+            retransmission_budget: false,
+            subsetting: false,
+        })
+    }
+}
+
+impl WireClass {
+    fn to_class(&self) -> Result<Class, ReadError> {
+        let idempotency = match self.repeat {
+            Repeat::ReadLike => Idempotency::Idempotent,
+            Repeat::NonIdempotent => Idempotency::NonIdempotent,
+            Repeat::IdempotencyKey => Idempotency::WithKey {
+                scope: self.scope()?,
+                window: self.window_us,
+            },
+        };
+        Ok(Class {
+            latency_objective: self.latency_objective_us,
+            late_value: self.late_value,
+            priority_weight: self.priority_weight,
+            idempotency,
+        })
+    }
+
+    fn scope(&self) -> Result<DeduplicationScope, ReadError> {
+        let class = self.name.clone();
+        let group = self.group.ok_or(ReadError::MissingGroup { class })?;
+        Ok(match group {
+            WireGroup::All => DeduplicationScope::All,
+            WireGroup::Zone => DeduplicationScope::Zone,
+            WireGroup::Cell => DeduplicationScope::Domain,
+        })
+    }
 }
 
-fn plan(wire: &WirePlan) -> Plan {
-    Plan {
-        rate: wire.rate,
-        burst: wire.store_size,
-        max_in_flight: (wire.at_once > 0).then_some(wire.at_once),
-        priority_weight: wire.price,
-        over_quota_value: wire.over_worth,
-        over_quota_cost: wire.overrun_cost,
-        hard_limit: (wire.cap_rate > 0.0).then_some(HardLimit {
-            rate: wire.cap_rate,
-            capacity: wire.never_over_depth,
-        }),
+impl WirePlan {
+    fn to_plan(&self) -> Plan {
+        let hard_limit = HardLimit {
+            rate: self.hard_limit_rate,
+            capacity: self.hard_limit_capacity,
+        };
+        Plan {
+            rate: self.rate,
+            burst: self.burst,
+            max_in_flight: (self.max_in_flight > 0).then_some(self.max_in_flight),
+            priority_weight: self.priority_weight,
+            over_quota_value: self.over_quota_value,
+            over_quota_cost: self.over_quota_cost,
+            hard_limit: (hard_limit.rate > 0.0).then_some(hard_limit),
+        }
     }
 }
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -8,10 +8,7 @@
 //! Inputs: start times of servers in µs, responses per second, results of attempts. Results: whether a server may be sent
 //! one more; attempts that are given up because they could not be sent in time.
 
-use crate::admission::MAX_RETRY_AFTER;
-use crate::controller_period::CONTROLLER_PERIOD_S;
 use crate::counters::Counter;
-use crate::decaying_mean::DecayingMean;
 use crate::endpoint_table::short_server_id;
 use crate::engine::{Actions, PolicyEngine};
 use crate::interface::{
@@ -20,8 +17,9 @@
 use crate::peer_message::{encode, PeerMessage};
 use crate::request::Attempt;
 use crate::server::Server;
+use crate::state::{CONTROLLER_PERIOD_S, MAX_RETRY_AFTER};
 use saffronpaddle_slow_start::{
-    AttemptResult, BaselineLatency, SlowStartLimits, TransferredPermit, IDLE_BEFORE_TRANSFER,
+    AttemptResult, SlowStartLimits, TransferredPermit, IDLE_BEFORE_TRANSFER,
 };
 
 /// Attempts per second of all nodes to one server, while no warm server shows that it can take more.
@@ -43,7 +41,7 @@
 /// queueing.
 const PRESSED_PERIODS: u64 = 4;
 /// Seconds that requests may wait for servers in slow start: half of the time that clients have.
-const WORTH_WAITING_S: f64 = 1.5;
+const MAX_USEFUL_WAIT_S: f64 = 1.5;
 /// Requests that may wait in any case.
 const MIN_QUEUED: f64 = 2.0;
 /// Longest time after which a client is told to retry while servers are in slow start, µs.
@@ -55,46 +53,6 @@
 /// Lowest rate by which a queue is divided, attempts per second.
 const MIN_RATE: f64 = 1e-3;
 
-/// The state of slow start at this node.
-#[derive(Clone, Debug)]
-pub(crate) struct SlowStartState {
-    /// Whether hardly any warm server shows what servers can do, nor has shown it.
-    pub uninformed: bool,
-    /// Responses per second of one warm server to this node, when half of the servers were warm for the last time.
-    responses_per_server: f64,
-    /// What requests take on a server that nobody waits for.
-    baseline: BaselineLatency,
-    /// Attempts to servers in slow start since the last period.
-    pub attempts: f64,
-    /// The same per second.
-    attempts_per_s: f64,
-    /// Warm servers, over the time in which responses are counted.
-    mean_warm_servers: DecayingMean,
-    /// When unused permits are looked for; the end of time while there are none.
-    pub transfer_check_at: Micros,
-    next_transfer_at: Micros,
-}
-
-impl SlowStartState {
-    pub fn new(now: Micros) -> Self {
-        SlowStartState {
-            uninformed: false,
-            responses_per_server: 0.0,
-            baseline: BaselineLatency::default(),
-            attempts: 0.0,
-            attempts_per_s: 0.0,
-            mean_warm_servers: DecayingMean::default(),
-            transfer_check_at: Micros::MAX,
-            next_transfer_at: now,
-        }
-    }
-
-    fn check_transfers_soon(&mut self, now: Micros) {
-        let at = now.saturating_add(IDLE_BEFORE_TRANSFER);
-        self.transfer_check_at = self.transfer_check_at.min(at);
-    }
-}
-
 /// The limits of slow start at one server. Time slots are those of the nodes that surely use it; `group` is their count
 /// and this node's place among them. Slots of nodes that never use a server of a long list would leave it without any
 /// attempt.
@@ -242,7 +200,7 @@
         server
             .budget_mut()
             .record_result(now, attempt.class.0, result, baseline, &limits);
-        self.slow_start.check_transfers_soon(now);
+        self.slow_start.schedule_transfer_check(now);
     }
 
     /// A permit that another node could not use.
@@ -262,7 +220,7 @@
         };
         if server.budget_mut().receive(now, from.0, permit, &limits) {
             self.counters.add(Counter::PermitsReceived);
-            self.slow_start.check_transfers_soon(now);
+            self.slow_start.schedule_transfer_check(now);
         }
     }
 
@@ -282,7 +240,7 @@
     /// Rejects the least valuable of what is queued beyond what can be sent in time. A queue in which all requests fail
     /// at the end of their time serves nobody; rejecting most at once serves the rest.
     fn reject_excess(&mut self, now: Micros, actions: &mut Actions) {
-        let most = (MIN_QUEUED + self.slow_start.attempts_per_s * WORTH_WAITING_S) as usize;
+        let most = (MIN_QUEUED + self.slow_start.attempts_per_s * MAX_USEFUL_WAIT_S) as usize;
         if self.requests.queue.len() <= most {
             return;
         }
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -3,11 +3,12 @@
 
 use crate::concurrency_limit::FuzzyConcurrencyLimit;
 use crate::decaying_mean::DecayingMean;
-use crate::engine::{OwnedShard, PolicyEngine};
+use crate::engine::PolicyEngine;
 use crate::interface::{CustomerId, Micros, SiblingAttempt};
 use crate::request::{Attempt, AttemptStage, RemoteAttempt};
 use crate::retry_budget::RetryBudget;
 use crate::server::Server;
+use crate::state::OwnedShard;
 use crate::token_bucket::TokenBucket;
 use serde::{Deserialize, Serialize};
 
--- /dev/null
+++ b/crates/policy/src/state/mod.rs
@@ -0,0 +1,17 @@
+//! The engine's state, split by the rules that own it. Plain data: the rules are in the modules of their names.
+
+mod grant_state;
+mod peer_table;
+mod quota_table;
+mod slow_start;
+mod timers;
+mod zones;
+
+pub(crate) use grant_state::{GrantState, LeaseRequest};
+pub(crate) use peer_table::{messages_per_s, usage_report_interval, PeerTable, RESTART_WINDOW};
+pub(crate) use quota_table::{OwnedShard, QuotaTable};
+pub(crate) use slow_start::SlowStartState;
+pub(crate) use timers::{
+    Timers, CONTROLLER_PERIOD, CONTROLLER_PERIOD_S, LAST_CALL, MAX_RETRY_AFTER, TIMER_INTERVAL,
+};
+pub(crate) use zones::ZoneReachability;
--- a/crates/policy/src/statistics.rs
+++ b/crates/policy/src/statistics.rs
@@ -26,3 +26,8 @@
 pub(crate) fn hash_number(number: u64) -> u64 {
     number.wrapping_mul(0x9E37_79B9_7F4A_7C15)
 }
+
+/// 1 where a condition holds, else 0.
+pub(crate) fn as_share(holds: bool) -> f64 {
+    f64::from(u8::from(holds))
+}
--- a/crates/policy/src/timer.rs
+++ b/crates/policy/src/timer.rs
@@ -6,37 +6,14 @@
 //! Inputs: the time, each request's arrival, deadline and latency objective, µs. Result: final answers, cancellations,
 //! and the periodic work of other rules.
 
-use crate::controller_period::CONTROLLER_PERIOD;
 use crate::counters::Counter;
 use crate::engine::{Actions, PolicyEngine};
 use crate::interface::{Action, Class, Micros, RequestId, MILLISECOND};
 use crate::request::Request;
+use crate::state::LAST_CALL;
 
-/// Time between two firings while requests are open, well under the latency objectives.
-pub(crate) const TIMER_INTERVAL: Micros = 10 * MILLISECOND;
 /// Delay of the timer from which this node itself is what is slow: responses lie here unread.
 const OVERLOADED_DELAY: Micros = 50 * MILLISECOND;
-/// How long before its time is up a request is answered, as the next timer may be late.
-pub(crate) const LAST_CALL: Micros = 2 * TIMER_INTERVAL;
-
-/// When what is due.
-#[derive(Clone, Copy, Debug)]
-pub(crate) struct Timers {
-    /// When the timer fires; the end of time while none is set.
-    pub fires_at: Micros,
-    /// When the next controller period begins.
-    pub next_period_at: Micros,
-}
-
-impl Timers {
-    pub fn new(now: Micros) -> Self {
-        Timers {
-            fires_at: Micros::MAX,
-            next_period_at: now + CONTROLLER_PERIOD,
-        }
-    }
-}
-
 /// What is due for a request.
 enum Due {
     Nothing,
