--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -15,9 +15,11 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod action;
 pub mod readiness;
 mod stop;
 
+pub use action::{Action, LifecycleEvent, ManagerMessage};
 pub use readiness::{Conditions, Facts, Readiness, Reason, Reasons};
 pub use stop::{kill_after, ShutdownPlan, MAX_SCHEDULING_DELAY};
 
@@ -120,46 +122,6 @@
     Tick,
 }
 
-/// What the service manager is told (`sd_notify(3)`).
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ManagerMessage {
-    /// `READY=1`: started, or done with a reload.
-    Ready,
-    /// `RELOADING=1` with `MONOTONIC_USEC=`.
-    Reloading,
-    /// `STOPPING=1`.
-    Stopping,
-    /// `STATUS=`, a line for people.
-    Status(String),
-    /// `EXTEND_TIMEOUT_USEC=`: the stop may take so long from now.
-    ExtendTimeout(Duration),
-}
-
-/// What is to be done.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Action {
-    /// Tell the service manager.
-    NotifyManager(ManagerMessage),
-    /// Read the configuration anew and answer with [`Event::Reloaded`].
-    ReadConfiguration,
-    /// Answer each request from now on with `Connection: close`.
-    CloseAfterAnswers,
-    /// Close connections that are idle or fall idle from now on, and go on accepting: who comes is served once.
-    CloseIdle,
-    /// Keep connections open again, as before [`Action::CloseAfterAnswers`].
-    KeepOpen,
-    /// Accept no more for now: what comes is another process's. Connections that stand are served on.
-    PauseAccepting,
-    /// Accept again: the other process has gone.
-    ResumeAccepting,
-    /// Accept no more; close idle connections; say [`Event::Served`] once all have ended.
-    StopAccepting,
-    /// End the process, whatever is still open.
-    Exit,
-    /// A line for the log.
-    Log(String),
-}
-
 /// An edge node's life cycle.
 #[derive(Clone, Debug)]
 pub struct Lifecycle {
@@ -283,7 +245,9 @@
             if !self.limits.readiness.is_none()
                 || before.0 != after.0 && self.state >= State::Draining
             {
-                out.push(Action::Log(format!("life cycle: {}", after.1)));
+                out.push(Action::Report(LifecycleEvent::StatusChanged {
+                    status: after.1,
+                }));
             }
         }
     }
@@ -347,14 +311,14 @@
         if self.lame.is_none() && self.state < State::Draining {
             self.lame = Some(Lame::Until(now.saturating_add(Self::LINGER)));
             out.push(Action::CloseAfterAnswers);
-            out.push(Action::Log("clients are sent away".to_owned()));
+            out.push(Action::Report(LifecycleEvent::LameDuckStarted));
         }
     }
 
     fn rejoin(&mut self, out: &mut Vec<Action>) {
         if self.state < State::Draining && self.lame.take().is_some() {
             out.push(Action::KeepOpen);
-            out.push(Action::Log("back to work".to_owned()));
+            out.push(Action::Report(LifecycleEvent::LameDuckEnded));
         }
     }
 
@@ -372,7 +336,7 @@
             }
             State::Starting | State::Reloading => self.again = true,
             State::Draining | State::Closing | State::Gone => {
-                out.push(Action::Log("no reload: the node is stopping".to_owned()));
+                out.push(Action::Report(LifecycleEvent::ReloadRejected));
             }
         }
     }
@@ -383,9 +347,7 @@
             self.back_to_ready(out);
         }
         if !taken {
-            out.push(Action::Log(
-                "reload: the old configuration stays".to_owned(),
-            ));
+            out.push(Action::Report(LifecycleEvent::ReloadFailed));
         }
         if std::mem::take(&mut self.again) && self.state < State::Draining {
             self.reload(now, out);
@@ -436,14 +398,12 @@
         if self.deadline.is_some_and(|until| now >= until) {
             match self.state {
                 State::Reloading => {
-                    out.push(Action::Log("reload: given up, it took too long".to_owned()));
+                    out.push(Action::Report(LifecycleEvent::ReloadTimedOut));
                     self.back_to_ready(out);
                 }
                 State::Draining => self.close(now, out),
                 State::Closing => {
-                    out.push(Action::Log(
-                        "closing: the bound is reached, connections are dropped".to_owned(),
-                    ));
+                    out.push(Action::Report(LifecycleEvent::CloseTimedOut));
                     self.gone(out);
                 }
                 _ => {}
