--- /dev/null
+++ b/crates/lifecycle/tests/lifecycle/readiness.rs
@@ -0,0 +1,167 @@
+//! Readiness: when it is reached, lost and regained.
+
+use crate::support::*;
+use saffronpaddle_lifecycle::*;
+
+#[test]
+fn ready_is_sent_once_when_the_node_listens_and_all_conditions_hold() {
+    let mut node = TestNode::new();
+    assert_eq!(
+        messages(
+            &node.send(Event::Observed(healthy())),
+            &ManagerMessage::Ready
+        ),
+        0,
+        "it does not listen yet"
+    );
+    assert_eq!(
+        messages(&node.send(Event::Listening), &ManagerMessage::Ready),
+        1
+    );
+    assert!(node.lifecycle.ready());
+    let out = node.observe_for(&healthy(), 5_000);
+    assert_eq!(messages(&out, &ManagerMessage::Ready), 0);
+}
+
+#[test]
+fn a_start_with_discovery_and_peers_silent_waits_then_serves_from_the_configured_list() {
+    let silent = Facts {
+        endpoint_list_age: None,
+        reachable_peers: 0,
+        ..healthy()
+    };
+    let mut node = TestNode::new();
+    node.send(Event::Listening);
+    node.observe_for(&silent, 1_900);
+    assert!(
+        node.lifecycle.reasons().contains(Reason::NoList)
+            && node.lifecycle.reasons().contains(Reason::PeersUnreachable)
+    );
+    node.observe_for(&silent, 200);
+    assert!(
+        !node.lifecycle.reasons().contains(Reason::PeersUnreachable),
+        "silent peers count as down"
+    );
+    assert!(!node.lifecycle.ready());
+    let out = node.observe_for(&silent, 3_000);
+    assert!(
+        node.lifecycle.ready() && messages(&out, &ManagerMessage::Ready) == 1,
+        "{}",
+        node.lifecycle.status()
+    );
+}
+
+#[test]
+fn without_any_list_a_node_is_never_ready() {
+    let nothing = Facts {
+        servers: 0,
+        endpoint_list_age: None,
+        ..healthy()
+    };
+    let mut node = TestNode::new();
+    node.send(Event::Listening);
+    node.observe_for(&nothing, 60_000);
+    assert_eq!(node.lifecycle.status(), "starting: waits for no-list");
+    node.observe_for(&healthy(), 100);
+    assert!(node.lifecycle.ready());
+}
+
+#[test]
+fn a_condition_must_fail_and_hold_for_its_delay_before_readiness_follows() {
+    let cases = [
+        (
+            Facts {
+                endpoint_list_age: Some(ms(10_001)),
+                ..healthy()
+            },
+            "list-stale",
+        ),
+        (
+            Facts {
+                free_descriptors: 15,
+                ..healthy()
+            },
+            "descriptors",
+        ),
+        (
+            Facts {
+                memory: 91,
+                ..healthy()
+            },
+            "memory",
+        ),
+        (
+            Facts {
+                clock_moved: ms(2_001),
+                ..healthy()
+            },
+            "clock",
+        ),
+        (
+            Facts {
+                clock_implausible: true,
+                ..healthy()
+            },
+            "clock",
+        ),
+        (
+            Facts {
+                event_loop_lag: ms(1_001),
+                ..healthy()
+            },
+            "lagging",
+        ),
+    ];
+    for (bad, name) in cases {
+        let mut node = TestNode::ready();
+        node.observe_for(&bad, 1_900);
+        assert!(node.lifecycle.ready(), "{name}: not at once");
+        let out = node.observe_for(&bad, 300);
+        assert!(
+            !node.lifecycle.ready() && node.lifecycle.state() == State::Ready,
+            "{name}"
+        );
+        assert_eq!(
+            messages(&out, &ManagerMessage::Status(format!("not ready: {name}"))),
+            1,
+            "{out:?}"
+        );
+        node.observe_for(&healthy(), 900);
+        assert!(!node.lifecycle.ready(), "{name}: not back at once");
+        let out = node.observe_for(&healthy(), 300);
+        assert!(node.lifecycle.ready(), "{name}");
+        assert_eq!(
+            messages(&out, &ManagerMessage::Ready),
+            0,
+            "READY is sent once: {out:?}"
+        );
+    }
+}
+
+#[test]
+fn a_condition_that_flaps_faster_than_its_delay_changes_nothing() {
+    let mut node = TestNode::ready();
+    let bad = Facts {
+        event_loop_lag: ms(5_000),
+        ..healthy()
+    };
+    for _ in 0..50 {
+        let out = [
+            node.observe_for(&bad, 1_500),
+            node.observe_for(&healthy(), 200),
+        ]
+        .concat();
+        assert!(node.lifecycle.ready() && out.is_empty(), "{out:?}");
+    }
+}
+
+#[test]
+fn a_condition_that_fails_at_the_start_counts_at_once() {
+    let mut node = TestNode::new();
+    node.send(Event::Listening);
+    node.send(Event::Observed(Facts {
+        free_descriptors: 0,
+        ..healthy()
+    }));
+    assert_eq!(node.lifecycle.status(), "starting: waits for descriptors");
+}
