--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -1,24 +1,24 @@
-//! Two processes that are one edge node: what they say to each other while the second takes over from the first.
+//! Hot restart: two processes that are one edge node while the second takes over from the first.
 //!
-//! While a process (the *elder*) serves, a second one (the *heir*) is started with the same name. Until the elder has
-//! gone, both take requests, and for rules and limits they count as one node. So the heir takes over what the elder keeps
-//! in mind, and from that moment each tells the other of every attempt that begins and ends: both draw on stores, ceilings,
-//! places and cold servers' budgets as if these were one.
+//! While a process (the *parent*) serves, a second one (the *child*) is started under the same node name. Until the parent
+//! has exited, both accept requests, and quotas and limits count them as one node. To that end the child restores the
+//! parent's state, and from then on each process tells the other of every attempt that starts or ends: both charge the
+//! same token buckets, hard limits, concurrency limits and slow-start budgets.
 //!
-//! No input or output, and no clock. [`Link`] is one such conversation, [`ProcessGroup`] all that a process has: a third may be
-//! started while two run. What is said are [`Message`]s, a line of JSON each, so that builds of different age understand
-//! each other as far as they can.
+//! The crate does no I/O and reads no clock. A [`Link`] is the conversation with one other process; a [`ProcessGroup`] holds
+//! all links of a process, as a third process may be started while two run. Processes exchange [`Message`]s, one line of
+//! JSON each. Fields and messages that a build does not know are tolerated, so that builds of different age work together.
 //!
-//! How far the two can differ: an attempt is told when it is sent, and heard one way over a local socket and one round of
-//! the other's loop later. Within that span both may grant the same last units; so what they let through beyond a store or
-//! a ceiling is at most what one of them lets through in that span, one try each in practice.
+//! The two processes can differ by what one of them dispatches while a message travels: an attempt is announced when it is
+//! sent and received after one way over a local socket and one round of the other's event loop. Within that span both may
+//! grant the same last units of a bucket or hard limit, in practice one attempt each.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod family;
 mod link;
-mod word;
+mod message;
+mod process_group;
 
-pub use family::{LinkId, ProcessGroup};
 pub use link::{CloseReason, Link, LinkAction, Role};
-pub use word::{read, write, Hello, Message, TransferredState, MAX_LINE_BYTES, VERSION};
+pub use message::{read, write, Hello, Message, TransferredState, MAX_LINE_BYTES, VERSION};
+pub use process_group::{LinkId, ProcessGroup};
--- a/crates/hot-restart/src/link.rs
+++ b/crates/hot-restart/src/link.rs
@@ -1,31 +1,31 @@
-//! One conversation of two processes.
+//! The conversation of a parent and a child.
 
-use crate::word::{Hello, Message, TransferredState, VERSION};
+use crate::message::{Hello, Message, TransferredState, VERSION};
 use saffronpaddle_policy::interface::{NodeId, SiblingMessage};
 use std::fmt;
 use std::time::Duration;
 
-/// Which side a process is on.
+/// The side of a link that a process is on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It was there first.
+    /// It was running first.
     Parent,
     /// It has just started.
     Child,
 }
 
-/// Why a conversation ended.
+/// Why a link ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// The other process has gone, or closed it.
+    /// The other process has exited or closed the connection.
     Disconnected,
-    /// The first word did not come in time.
+    /// The first message did not come in time.
     Silent,
-    /// The other process is of another node.
+    /// The other process belongs to another node.
     OtherNode,
-    /// It speaks a form that this build does not understand.
+    /// The other process sent a version that this build does not understand.
     NewerVersion,
-    /// What came was no word, or not its turn.
+    /// A line was malformed, or a message came out of order.
     Malformed,
 }
 
@@ -41,53 +41,55 @@
     }
 }
 
-/// What is to be done.
+/// What the I/O layer has to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LinkAction {
-    /// Say this.
+    /// Send this message.
     Send(Message),
-    /// Elder: say what is kept in mind, and tell of every attempt from the same moment on.
+    /// Parent: send the state, and announce every attempt from the same moment on.
     SendState,
-    /// Heir: go on from what the elder kept in mind, and tell of every attempt from then on.
+    /// Child: restore the parent's state, and announce every attempt from then on.
     Restore(Box<TransferredState>),
-    /// An attempt of the other process has begun or ended.
+    /// An attempt of the other process has started or ended.
     Sibling(SiblingMessage),
-    /// A datagram of a peer that the other process got.
+    /// A peer's datagram that the other process received: the peer's node and the payload.
     Peer(NodeId, Vec<u8>),
-    /// The heir takes clients and speaks to peers.
+    /// The child accepts clients and exchanges peer messages from now on.
     SuccessorServing,
-    /// It is over.
+    /// The link has ended.
     End(CloseReason),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// The other side's first word is due.
-    Greeting(Duration),
-    /// Both are one node.
+    /// The other side's first message is awaited.
+    Greeting { deadline: Duration },
+    /// Both processes count as one node.
     Live,
-    Over,
+    /// The link has ended.
+    Closed,
 }
 
-/// One conversation.
+/// A link to one other process.
 #[derive(Clone, Debug)]
 pub struct Link {
     role: Role,
-    name: String,
+    node_name: String,
     stage: Stage,
-    serving: bool,
+    /// The child at the other end accepts clients.
+    child_serving: bool,
 }
 
 impl Link {
-    /// How long an heir waits for the state. An elder may be busy; but an heir must be ready within seconds, with or
-    /// without it.
+    /// How long a child waits for the state. The parent may be busy, but the child must be ready within seconds, with or
+    /// without the state.
     pub const STATE_TIMEOUT: Duration = Duration::from_millis(1500);
-    /// How long an elder waits to be greeted. Guards against processes that connect and say nothing.
+    /// How long a parent waits for the child's greeting. It frees the link of a process that connects and sends nothing.
     pub const HELLO_TIMEOUT: Duration = Duration::from_secs(1);
 
-    /// A conversation that has just been opened by a node of this name.
+    /// A link that a process of the node `name` has just opened.
     pub fn new(now: Duration, role: Role, name: &str, out: &mut Vec<LinkAction>) -> Link {
-        let within = match role {
+        let timeout = match role {
             Role::Parent => Self::HELLO_TIMEOUT,
             Role::Child => Self::STATE_TIMEOUT,
         };
@@ -99,86 +101,119 @@
         }
         Link {
             role,
-            name: name.to_owned(),
-            stage: Stage::Greeting(now + within),
-            serving: false,
+            node_name: name.to_owned(),
+            stage: Stage::Greeting {
+                deadline: now + timeout,
+            },
+            child_serving: false,
         }
     }
 
-    /// Whether both are one node now.
+    /// Whether both processes count as one node now.
     pub fn is_live(&self) -> bool {
         self.stage == Stage::Live
     }
 
-    /// Whether the other side is an heir that takes clients.
+    /// Whether the other process is a child that accepts clients.
     pub fn has_successor(&self) -> bool {
-        self.is_live() && self.serving
+        self.is_live() && self.child_serving
     }
 
-    /// Whether the other side was there first.
+    /// Whether the other process is this one's parent.
     pub fn is_to_parent(&self) -> bool {
         self.role == Role::Child
     }
 
-    /// When its time is up, if it has one.
+    /// When [`Link::tick`] is due, if the link waits for a first message.
     pub fn deadline(&self) -> Option<Duration> {
         match self.stage {
-            Stage::Greeting(until) => Some(until),
-            Stage::Live | Stage::Over => None,
+            Stage::Greeting { deadline } => Some(deadline),
+            Stage::Live | Stage::Closed => None,
         }
     }
 
     /// Time has passed.
     pub fn tick(&mut self, now: Duration, out: &mut Vec<LinkAction>) {
-        if matches!(self.stage, Stage::Greeting(until) if now >= until) {
-            self.over(CloseReason::Silent, out);
+        if self.deadline().is_some_and(|deadline| now >= deadline) {
+            self.close(CloseReason::Silent, out);
         }
     }
 
-    /// The other side has gone.
+    /// The other process has closed the connection.
     pub fn on_disconnect(&mut self, out: &mut Vec<LinkAction>) {
-        self.over(CloseReason::Disconnected, out);
+        self.close(CloseReason::Disconnected, out);
     }
 
-    /// A line has come; `None` if it is no word.
-    pub fn on_message(&mut self, word: Option<Message>, out: &mut Vec<LinkAction>) {
-        match (self.stage, word) {
-            (Stage::Over, _) => {}
-            (Stage::Greeting(_), Some(Message::Hello(hello))) if self.role == Role::Parent => {
-                if hello.name != self.name {
-                    return self.over(CloseReason::OtherNode, out);
-                }
-                // An heir that speaks a newer form understands this one.
-                self.stage = Stage::Live;
+    /// A line was received; `None` if [`read`](crate::read) found no message in it.
+    pub fn on_message(&mut self, message: Option<Message>, out: &mut Vec<LinkAction>) {
+        let handled = match (self.stage, message) {
+            (Stage::Closed, _) => Ok(()),
+            (Stage::Greeting { .. }, Some(message)) => self.on_greeting(message, out),
+            (Stage::Live, Some(message)) => self.on_live_message(message, out),
+            (Stage::Greeting { .. } | Stage::Live, None) => Err(CloseReason::Malformed),
+        };
+        if let Err(reason) = handled {
+            self.close(reason, out);
+        }
+    }
+
+    fn on_greeting(
+        &mut self,
+        message: Message,
+        out: &mut Vec<LinkAction>,
+    ) -> Result<(), CloseReason> {
+        match (self.role, message) {
+            (Role::Parent, Message::Hello(hello)) => {
+                self.check_node(&hello.name)?;
+                // The version is not checked: a newer child understands this build's messages.
                 out.push(LinkAction::SendState);
             }
-            (Stage::Greeting(_), Some(Message::State(state))) if self.role == Role::Child => {
-                if state.name != self.name {
-                    return self.over(CloseReason::OtherNode, out);
-                }
+            (Role::Child, Message::State(state)) => {
+                self.check_node(&state.name)?;
                 if state.version > VERSION {
-                    return self.over(CloseReason::NewerVersion, out);
+                    return Err(CloseReason::NewerVersion);
                 }
-                self.stage = Stage::Live;
                 out.push(LinkAction::Restore(state));
             }
-            (Stage::Live, Some(Message::Sibling(twin))) => out.push(LinkAction::Sibling(twin)),
-            (Stage::Live, Some(Message::Peer { from, bytes })) => {
-                out.push(LinkAction::Peer(from, bytes));
-            }
-            (Stage::Live, Some(Message::Serving)) if self.role == Role::Parent => {
-                if !std::mem::replace(&mut self.serving, true) {
+            _ => return Err(CloseReason::Malformed),
+        }
+        self.stage = Stage::Live;
+        Ok(())
+    }
+
+    fn on_live_message(
+        &mut self,
+        message: Message,
+        out: &mut Vec<LinkAction>,
+    ) -> Result<(), CloseReason> {
+        match message {
+            Message::Sibling(message) => out.push(LinkAction::Sibling(message)),
+            Message::Peer { from, bytes } => out.push(LinkAction::Peer(from, bytes)),
+            Message::Serving if self.role == Role::Parent => {
+                if !self.child_serving {
+                    self.child_serving = true;
                     out.push(LinkAction::SuccessorServing);
                 }
             }
-            _ => self.over(CloseReason::Malformed, out),
+            Message::Serving | Message::Hello(_) | Message::State(_) => {
+                return Err(CloseReason::Malformed);
+            }
+        }
+        Ok(())
+    }
+
+    fn check_node(&self, name: &str) -> Result<(), CloseReason> {
+        if name == self.node_name {
+            Ok(())
+        } else {
+            Err(CloseReason::OtherNode)
         }
     }
 
-    fn over(&mut self, why: CloseReason, out: &mut Vec<LinkAction>) {
-        if self.stage != Stage::Over {
-            self.stage = Stage::Over;
-            out.push(LinkAction::End(why));
+    fn close(&mut self, reason: CloseReason, out: &mut Vec<LinkAction>) {
+        if self.stage != Stage::Closed {
+            self.stage = Stage::Closed;
+            out.push(LinkAction::End(reason));
         }
     }
 }
