--- /dev/null
+++ b/crates/hot-restart/tests/links.rs
@@ -0,0 +1,131 @@
+//! Links between processes: greetings, timeouts, malformed lines, and which link a message is sent to.
+
+mod support;
+
+use proptest::prelude::*;
+use proptest::test_runner::FileFailurePersistence;
+use saffronpaddle_hot_restart::*;
+use saffronpaddle_policy::interface::*;
+use std::time::Duration;
+use support::{hello, state, Process, START};
+
+const NODE: &str = "n0";
+
+fn open(role: Role) -> Link {
+    Link::new(Duration::ZERO, role, NODE, &mut Vec::new())
+}
+
+fn receive(link: &mut Link, message: Option<Message>) -> Vec<LinkAction> {
+    let mut out = Vec::new();
+    link.on_message(message, &mut out);
+    out
+}
+
+/// A child must start as if it were the first process when what answers its greeting is not its parent's state.
+#[test]
+fn a_child_ends_its_link_on_anything_but_a_state_of_its_node() {
+    let cases = [
+        (None, CloseReason::Malformed),
+        (Some(state("n1", VERSION)), CloseReason::OtherNode),
+        (Some(state(NODE, VERSION + 1)), CloseReason::NewerVersion),
+        (Some(Message::Serving), CloseReason::Malformed),
+        (Some(hello(NODE, VERSION)), CloseReason::Malformed),
+    ];
+    for (message, reason) in cases {
+        let mut link = open(Role::Child);
+        assert_eq!(receive(&mut link, message), [LinkAction::End(reason)]);
+        assert!(
+            receive(&mut link, Some(state(NODE, VERSION))).is_empty(),
+            "the link has ended"
+        );
+    }
+    // A parent that stalls is given up.
+    let (mut link, mut out) = (open(Role::Child), Vec::new());
+    let before_timeout = Link::STATE_TIMEOUT
+        .checked_sub(Duration::from_millis(1))
+        .unwrap();
+    link.tick(before_timeout, &mut out);
+    assert!(out.is_empty());
+    link.tick(Link::STATE_TIMEOUT, &mut out);
+    assert_eq!(out, [LinkAction::End(CloseReason::Silent)]);
+    // A newer child greets an older parent, which understands what it knows.
+    let mut link = open(Role::Parent);
+    assert_eq!(
+        receive(&mut link, Some(hello(NODE, VERSION + 1))),
+        [LinkAction::SendState]
+    );
+    assert!(link.is_live() && !link.has_successor());
+    assert_eq!(
+        receive(&mut link, Some(Message::Serving)),
+        [LinkAction::SuccessorServing]
+    );
+    assert!(link.has_successor() && receive(&mut link, Some(Message::Serving)).is_empty());
+}
+
+#[test]
+fn attempts_go_to_all_other_processes_and_peer_datagrams_to_parents_only() {
+    let mut middle = ProcessGroup::new(NODE);
+    let (parent, _) = middle.open(Duration::ZERO, Role::Child).expect("a link");
+    let (child, _) = middle.open(Duration::ZERO, Role::Parent).expect("a link");
+    let attempt_ended = Message::Sibling(SiblingMessage::AttemptEnded {
+        request: RequestId("a".into()),
+        attempt: AttemptNumber(0),
+    });
+    assert!(middle.recipients(&attempt_ended, None).is_empty());
+    assert!(!middle.is_shared() && !middle.is_last());
+    middle.with(parent, |link, out| {
+        link.on_message(Some(state(NODE, VERSION)), out);
+    });
+    middle.with(child, |link, out| {
+        link.on_message(Some(hello(NODE, VERSION)), out);
+    });
+    assert_eq!(middle.recipients(&attempt_ended, None), [parent, child]);
+    assert_eq!(middle.recipients(&attempt_ended, Some(parent)), [child]);
+    assert_eq!(middle.recipients(&attempt_ended, Some(child)), [parent]);
+    let peer = Message::Peer {
+        from: NodeId(1),
+        bytes: vec![1],
+    };
+    assert_eq!(middle.recipients(&peer, Some(child)), [parent]);
+    middle.with(child, Link::on_disconnect);
+    assert!(middle.is_shared() && middle.is_last());
+    // The number of links is bounded.
+    while middle.open(Duration::ZERO, Role::Parent).is_some() {}
+    assert!(middle.open(Duration::ZERO, Role::Parent).is_none());
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig::with_failure_persistence(
+        FileFailurePersistence::WithSource("proptest-regressions")
+    ))]
+
+    /// Arbitrary bytes in place of a message end the link and do nothing else.
+    #[test]
+    fn malformed_lines_end_the_link(bytes in prop::collection::vec(any::<u8>(), 0..300), live: bool) {
+        let mut link = open(Role::Parent);
+        if live {
+            receive(&mut link, Some(hello(NODE, VERSION)));
+        }
+        if read(&bytes).is_none() {
+            let expected = vec![LinkAction::End(CloseReason::Malformed)];
+            prop_assert_eq!(receive(&mut link, read(&bytes)), expected);
+        }
+    }
+
+    /// A state that was cut short, or in which a byte was changed, is restored as a whole or not at all; the policy engine
+    /// works on after it.
+    #[test]
+    fn a_corrupted_state_is_rejected_or_restored(at in 0usize..10_000, byte: u8, cut: bool) {
+        let mut line = write(&state(NODE, VERSION)).into_bytes();
+        let at = at % line.len();
+        if cut { line.truncate(at) } else { line[at] = byte }
+        let mut link = open(Role::Child);
+        for action in receive(&mut link, read(&line)) {
+            if let LinkAction::Restore(state) = action {
+                let mut process = Process::new(START);
+                process.engine.restore(state.policy, 0);
+                process.request(START + 100_000, 1);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/hot-restart/tests/sibling_attempts.rs
@@ -0,0 +1,156 @@
+//! Two processes of one node, each with its policy engine: what they admit together, and what is left of one that exits.
+
+mod support;
+
+use saffronpaddle_policy::interface::*;
+use support::{Process, HARD_LIMIT_CAPACITY, HARD_LIMIT_RATE, START};
+
+/// Delivers all sibling messages of both processes.
+fn exchange(now: Micros, parent: &mut Process, child: &mut Process) {
+    while !(parent.sibling_messages.is_empty() && child.sibling_messages.is_empty()) {
+        deliver(now, parent, child);
+        deliver(now, child, parent);
+    }
+}
+
+fn deliver(now: Micros, from: &mut Process, to: &mut Process) {
+    for message in std::mem::take(&mut from.sibling_messages) {
+        to.handle(now, Event::SiblingMessage { link: 0, message });
+    }
+}
+
+/// What two processes have sent, and what the hard limit allows.
+struct Overlap {
+    sent: u32,
+    allowed: f64,
+}
+
+/// Sends requests to a parent and its child in turn, whose processes are linked or know nothing of each other.
+fn overlap(linked: bool, requests: u32) -> Overlap {
+    let mut parent = Process::new(START);
+    // A node's part of a hard limit starts empty and fills.
+    let mut now = START + 20_000_000;
+    parent.request(now, 0);
+    let snapshot = serde_json::to_string(&parent.engine.snapshot()).expect("it is written");
+    let mut child = Process::new(now);
+    if linked {
+        let snapshot = serde_json::from_str(&snapshot).expect("it is read");
+        child.engine.restore(snapshot, 0);
+        let live = Event::SiblingsChanged {
+            ended_link: None,
+            share_attempts: true,
+            peer_messages_delegated: false,
+        };
+        parent.handle(now, live.clone());
+        child.handle(now, live);
+    }
+    let overlap_start = now;
+    for number in 1..=requests {
+        now += 20_000;
+        if number % 2 == 0 {
+            parent.request(now, number);
+        } else {
+            child.request(now, number);
+        }
+        exchange(now, &mut parent, &mut child);
+    }
+    let seconds = (now - overlap_start) as f64 / 1e6;
+    Overlap {
+        sent: parent.attempts_sent + child.attempts_sent,
+        allowed: HARD_LIMIT_CAPACITY + HARD_LIMIT_RATE * seconds,
+    }
+}
+
+/// Two linked processes use a hard limit fully and never exceed it together. Without the link the child's part of the limit,
+/// which starts empty, fills beside the parent's, and both together exceed the limit.
+#[test]
+fn two_linked_processes_keep_one_hard_limit() {
+    let Overlap { sent, allowed } = overlap(true, 400);
+    assert!(f64::from(sent) <= allowed + 1.0, "{sent} of {allowed}");
+    assert!(f64::from(sent) > allowed * 0.8, "used: {sent} of {allowed}");
+    let Overlap { sent, allowed } = overlap(false, 400);
+    assert!(
+        f64::from(sent) > allowed * 1.3,
+        "without the link they exceed it: {sent} of {allowed}"
+    );
+}
+
+/// A sibling process exits with attempts in flight and never reports their end. They must not count against concurrency
+/// limits for ever, nor stay in memory.
+#[test]
+fn attempts_of_an_exited_process_are_released() {
+    let mut process = Process::new(START);
+    let attempt = |number: u32| SiblingAttempt {
+        request: RequestId(format!("t{number}").into()),
+        attempt: AttemptNumber(0),
+        server: ServerId(1),
+        customer: CustomerId(9),
+        class: ClassId(0),
+        queued_since: START,
+        sent_at: START,
+        in_flight: 1.0,
+        charge: None,
+    };
+    for number in 0..10_000 {
+        process.handle(
+            START,
+            Event::SiblingMessage {
+                link: number % 2,
+                message: SiblingMessage::AttemptStarted(attempt(number)),
+            },
+        );
+    }
+    let with_attempts = snapshot_bytes(&process);
+    for (ended_link, share_attempts) in [(0, true), (1, false)] {
+        process.handle(
+            START,
+            Event::SiblingsChanged {
+                ended_link: Some(ended_link),
+                share_attempts,
+                peer_messages_delegated: false,
+            },
+        );
+    }
+    let left = snapshot_bytes(&process);
+    assert!(left * 100 < with_attempts, "{left} of {with_attempts}");
+}
+
+fn snapshot_bytes(process: &Process) -> usize {
+    serde_json::to_string(&process.engine.snapshot())
+        .expect("it is written")
+        .len()
+}
+
+/// Of two processes one exchanges messages with peers; if it exits, the other does so again.
+#[test]
+fn one_of_two_processes_exchanges_peer_messages() {
+    let mut now = START;
+    let mut process = Process::new(now);
+    let mut broadcasts_in_two_seconds = |process: &mut Process| {
+        let before = process.broadcasts;
+        for _ in 0..100 {
+            now += 20_000;
+            process.handle(now, Event::TimerFired { token: 0 });
+        }
+        process.broadcasts - before
+    };
+    assert!(broadcasts_in_two_seconds(&mut process) > 5);
+    process.handle(
+        START + 2_000_000,
+        Event::SiblingsChanged {
+            ended_link: None,
+            share_attempts: true,
+            peer_messages_delegated: true,
+        },
+    );
+    assert_eq!(broadcasts_in_two_seconds(&mut process), 0);
+    process.handle(
+        START + 4_000_000,
+        Event::SiblingsChanged {
+            ended_link: Some(0),
+            share_attempts: false,
+            peer_messages_delegated: false,
+        },
+    );
+    assert!(broadcasts_in_two_seconds(&mut process) > 5);
+}
