--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,8 +1,8 @@
-//! The operators' address of a running node: what a line that comes there asks for, what is answered, which callers are
-//! kept, and the figures that are told.
+//! The admin interface of a running node: the commands that staff send, the callers that are kept, and the metrics that
+//! are answered and logged.
 //!
-//! No input or output, and no clock. A connection carries one line and gets one answer, whose first line begins with
-//! `SUCCESS` or `FAILURE`; the figures end with a line `EOT`.
+//! A connection carries one command, a line, and gets one answer, whose first line begins with `SUCCESS` or `FAILURE`;
+//! metrics end with a line `EOT` instead. The crate does no I/O and reads no clock.
 //!
 //! ```
 //! use saffronpaddle_admin::{Call, Line};
@@ -13,22 +13,24 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod desk;
-mod fields;
-mod figures;
+mod callers;
+mod counters;
 mod line;
+mod log_fields;
+mod metrics;
 
-pub use desk::{Caller, CallerTable};
-pub use fields::Fields;
-pub use figures::{ClassCounts, Metrics, RequestCounters, RequestEnd};
+pub use callers::{Caller, CallerTable};
+pub use counters::{ClassCounts, RequestCounters, RequestEnd};
 pub use line::{Call, CallError, Line, LINE_MOST};
+pub use log_fields::Fields;
+pub use metrics::{Metrics, PeerMessageCounts};
 
-/// The line of a call that was done, or of a question whose answer is yes.
-pub fn success(words: &str) -> String {
-    format!("SUCCESS {words}\n")
+/// The answer to a command that was carried out, or to a question whose answer is yes.
+pub fn success(text: &str) -> String {
+    format!("SUCCESS {text}\n")
 }
 
-/// The line of a call that was not done, or of a question whose answer is no.
-pub fn failure(words: &str) -> String {
-    format!("FAILURE {words}\n")
+/// The answer to a command that was not carried out, or to a question whose answer is no.
+pub fn failure(text: &str) -> String {
+    format!("FAILURE {text}\n")
 }
--- a/crates/admin/src/line.rs
+++ b/crates/admin/src/line.rs
@@ -1,50 +1,52 @@
-//! What a caller writes: one line.
+//! The line that a caller sends: one command.
 
 use std::fmt;
 
-/// Most bytes of a call's line, its end not counted. Guards memory against a line without end; the longest call has
-/// eight.
+/// The longest line of a command, in bytes without its end. It bounds the memory that a line without end can take; the
+/// longest command has eight bytes.
 pub const LINE_MOST: usize = 64;
 
-/// What staff may ask for.
+/// A command of staff.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// Whether this process is ready to serve.
+    /// Ask whether this process is ready.
     Ping,
-    /// The figures.
+    /// Ask for the metrics.
     Info,
     /// Send clients away; the process goes on.
     Lameduck,
-    /// Back to work.
+    /// Put the node back in service.
     Rejoin,
 }
 
 impl Call {
-    /// All calls, with the words that stand for them.
-    pub const ALL: [(&'static str, Call); 4] = [
-        ("PING", Call::Ping),
-        ("INFO", Call::Info),
-        ("LAMEDUCK", Call::Lameduck),
-        ("REJOIN", Call::Rejoin),
-    ];
+    /// All commands.
+    pub const ALL: [Call; 4] = [Call::Ping, Call::Info, Call::Lameduck, Call::Rejoin];
 
-    /// The call that a word stands for, to the letter.
-    pub fn parse(word: &str) -> Option<Call> {
-        Call::ALL
-            .iter()
-            .find(|(name, _)| *name == word)
-            .map(|(_, call)| *call)
+    /// The command as it is sent.
+    pub fn name(self) -> &'static str {
+        match self {
+            Call::Ping => "PING",
+            Call::Info => "INFO",
+            Call::Lameduck => "LAMEDUCK",
+            Call::Rejoin => "REJOIN",
+        }
+    }
+
+    /// The command of this exact name.
+    pub fn parse(name: &str) -> Option<Call> {
+        Call::ALL.into_iter().find(|call| call.name() == name)
     }
 }
 
-/// Why a line is no call.
+/// Why a line is no command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallError {
     /// It has more than [`LINE_MOST`] bytes.
     TooLong,
-    /// No call is named so.
+    /// There is no command of this name.
     Unknown,
-    /// The caller stopped in mid-line. Guards against half a call being taken for a whole one.
+    /// The caller stopped sending before the end of the line. Part of a command is not carried out.
     Half,
 }
 
@@ -58,26 +60,27 @@
     }
 }
 
-/// A line as it comes in, in pieces that are cut anywhere.
+impl std::error::Error for CallError {}
+
+/// A line that is received in pieces, which may be cut anywhere.
 #[derive(Debug, Default)]
 pub struct Line {
-    held: Vec<u8>,
+    received: Vec<u8>,
 }
 
 impl Line {
-    /// Takes more bytes; the call once its line has ended. What comes behind the line counts for nothing.
+    /// Takes more bytes, and returns the command once its line has ended. Bytes after the line are ignored.
     pub fn take(&mut self, bytes: &[u8]) -> Option<Result<Call, CallError>> {
         let end = bytes.iter().position(|byte| *byte == b'\n');
         let more = &bytes[..end.unwrap_or(bytes.len())];
-        // One byte more may be the carriage return before the end.
-        if self.held.len() + more.len() > LINE_MOST + 1 {
+        // One byte more may be the carriage return before the line's end.
+        if self.received.len() + more.len() > LINE_MOST + 1 {
             return Some(Err(CallError::TooLong));
         }
-        self.held.extend_from_slice(more);
-        end.map(|_| {
-            let word = std::str::from_utf8(self.held.trim_ascii()).unwrap_or_default();
-            Call::parse(word).ok_or(CallError::Unknown)
-        })
+        self.received.extend_from_slice(more);
+        end?;
+        let name = std::str::from_utf8(self.received.trim_ascii()).unwrap_or_default();
+        Some(Call::parse(name).ok_or(CallError::Unknown))
     }
 }
 
--- /dev/null
+++ b/crates/admin/src/metrics.rs
@@ -0,0 +1,112 @@
+//! The metrics of a node, as the answer to `INFO` and as a line of the log.
+
+use crate::counters::{ClassCounts, RequestCounters};
+use crate::log_fields::Fields;
+use std::fmt::Write;
+
+/// Written after the metrics, so that a caller knows that it has all.
+const END_OF_TEXT: &str = "EOT\n";
+
+/// Messages exchanged with peers since the process started.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct PeerMessageCounts {
+    /// Sent to peers.
+    pub sent: u64,
+    /// Received from peers.
+    pub received: u64,
+}
+
+/// All metrics of a node at one time.
+#[derive(Clone, Debug, Default)]
+pub struct Metrics<'a> {
+    /// The names of the classes, in the order of the settings.
+    pub names: &'a [String],
+    /// The request counters.
+    pub tally: RequestCounters,
+    /// App servers on the list.
+    pub registry_entries: usize,
+    /// Those of them that get no new requests at present.
+    pub out_of_rotation: usize,
+    /// Messages exchanged with peers.
+    pub peer_messages: PeerMessageCounts,
+    /// Counters of the policy engine by name. Summed over a fleet, they tell where requests and attempts go.
+    pub policy_counters: Vec<(&'static str, u64)>,
+}
+
+/// A count of a class that is exposed with the class's name as a label.
+struct ClassMetric {
+    name: &'static str,
+    count: fn(&ClassCounts) -> u64,
+}
+
+/// The counts that are exposed for each class.
+const CLASS_METRICS: [ClassMetric; 3] = [
+    ClassMetric {
+        name: "fulfilled",
+        count: |counts| counts.fulfilled,
+    },
+    ClassMetric {
+        name: "throttled",
+        count: |counts| counts.throttled,
+    },
+    ClassMetric {
+        name: "faulted",
+        count: |counts| counts.faulted,
+    },
+];
+
+impl Metrics<'_> {
+    /// The metrics in the text format of Prometheus, one sample a line, and the line `EOT`.
+    pub fn exposition(&self) -> String {
+        let mut text = String::new();
+        // Writing to a string does not fail.
+        for metric in CLASS_METRICS {
+            for (class, class_name) in self.names.iter().enumerate() {
+                let count = self.tally.classes.get(class).map_or(0, metric.count);
+                let label = escape_label(class_name);
+                let _ = writeln!(text, "lb_{}{{priority=\"{label}\"}} {count}", metric.name);
+            }
+        }
+        for (name, count) in self.unlabelled() {
+            let _ = writeln!(text, "lb_{name} {count}");
+        }
+        text.push_str(END_OF_TEXT);
+        text
+    }
+
+    /// The metrics as one line of fields for the log, without its end; the counts of requests are summed over all classes.
+    /// `at_ms` are the milliseconds since the process started.
+    pub fn log_line(&self, node: u32, at_ms: u64) -> String {
+        let sums = [
+            ("taken", self.tally.sum(|counts| counts.taken)),
+            ("fulfilled", self.tally.sum(|counts| counts.fulfilled)),
+            ("throttled", self.tally.sum(|counts| counts.throttled)),
+            ("faulted", self.tally.sum(|counts| counts.faulted)),
+        ];
+        Fields::line(node, at_ms, sums.into_iter().chain(self.unlabelled()))
+    }
+
+    /// The metrics that have no label.
+    fn unlabelled(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
+        let own = [
+            ("relayed", self.tally.relayed),
+            ("connects", self.tally.connects),
+            ("connects_failed", self.tally.connects_failed),
+            ("connections_kept_used", self.tally.connections_reused),
+            ("open_requests", self.tally.open()),
+            ("registry_entries", self.registry_entries as u64),
+            ("out_of_rotation", self.out_of_rotation as u64),
+            ("words_told", self.peer_messages.sent),
+            ("words_heard", self.peer_messages.received),
+        ];
+        own.into_iter().chain(self.policy_counters.iter().copied())
+    }
+}
+
+/// A label's value in the text format of Prometheus.
+fn escape_label(value: &str) -> String {
+    value
+        .replace('\\', "\\\\")
+        .replace('"', "\\\"")
+        .replace('\n', "\\n")
+}
--- /dev/null
+++ b/crates/admin/tests/callers.rs
@@ -0,0 +1,25 @@
+//! Which callers are kept.
+
+use saffronpaddle_admin::CallerTable;
+use std::time::Duration;
+
+const fn ms(span: u64) -> Duration {
+    Duration::from_millis(span)
+}
+
+#[test]
+fn the_longest_waiting_caller_is_closed_for_the_next_and_each_times_out() {
+    let mut table = CallerTable::new(2, ms(100));
+    let (first, closed) = table.arrived(ms(0));
+    assert_eq!(closed, None);
+    let (second, closed) = table.arrived(ms(10));
+    assert_eq!(closed, None);
+    let (third, closed) = table.arrived(ms(20));
+    assert_eq!(closed, Some(first));
+    table.left(second);
+    assert_eq!(table.len(), 1);
+    assert_eq!(table.deadline(), Some(ms(120)));
+    assert_eq!(table.stale(ms(119)), None);
+    assert_eq!(table.stale(ms(120)), Some(third));
+    assert!(table.is_empty() && table.deadline().is_none());
+}
--- /dev/null
+++ b/crates/admin/tests/counters.rs
@@ -0,0 +1,81 @@
+//! After any order of events, the requests received are those that have ended and those that are open; and the metrics say
+//! so.
+
+use proptest::prelude::*;
+use proptest::test_runner::FileFailurePersistence;
+use saffronpaddle_admin::{ClassCounts, Metrics, RequestCounters, RequestEnd};
+
+/// The value of a sample in the text of the metrics.
+fn sample(text: &str, name: &str) -> u64 {
+    let line = text
+        .lines()
+        .find_map(|line| line.strip_prefix(name))
+        .unwrap_or_else(|| panic!("{name}: {text}"));
+    line.trim().parse().expect("a number")
+}
+
+/// The sum of the samples of all ways in which a request ends with an answer.
+fn answered(text: &str, class_names: &[String]) -> u64 {
+    let mut sum = 0;
+    for end in ["fulfilled", "throttled", "faulted"] {
+        for class in class_names {
+            sum += sample(text, &format!("lb_{end}{{priority=\"{class}\"}}"));
+        }
+    }
+    sum
+}
+
+#[derive(Clone, Copy, Debug)]
+enum Step {
+    Received,
+    Ended(RequestEnd),
+}
+
+fn any_step() -> impl Strategy<Value = Step> {
+    prop_oneof![
+        2 => Just(Step::Received),
+        1 => Just(Step::Ended(RequestEnd::Fulfilled)),
+        1 => Just(Step::Ended(RequestEnd::Throttled)),
+        1 => Just(Step::Ended(RequestEnd::Faulted)),
+        1 => Just(Step::Ended(RequestEnd::Gone)),
+    ]
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig::with_failure_persistence(
+        FileFailurePersistence::WithSource("proptest-regressions")
+    ))]
+
+    #[test]
+    fn requests_received_are_those_ended_and_those_open(
+        steps in prop::collection::vec((0usize..3, any_step()), 0..200),
+    ) {
+        let names = ["a", "b", "c"].map(str::to_owned);
+        let mut counters = RequestCounters::default();
+        let mut open = [0u64; 3];
+        for (class, step) in steps {
+            match step {
+                Step::Received => {
+                    open[class] += 1;
+                    counters.taken(class);
+                }
+                Step::Ended(end) if open[class] > 0 => {
+                    open[class] -= 1;
+                    counters.ended(class, end);
+                }
+                Step::Ended(_) => {}
+            }
+            for (class, counts) in counters.classes.iter().enumerate() {
+                prop_assert_eq!(counts.open(), open[class]);
+            }
+            let metrics = Metrics { names: &names, tally: counters.clone(), ..Metrics::default() };
+            let text = metrics.exposition();
+            let all_open: u64 = open.iter().sum();
+            prop_assert_eq!(sample(&text, "lb_open_requests"), all_open);
+            let sum = |count: fn(&ClassCounts) -> u64| counters.classes.iter().map(count).sum::<u64>();
+            let gone = sum(|counts| counts.gone);
+            let taken = sum(|counts| counts.taken);
+            prop_assert_eq!(taken, answered(&text, &names) + gone + all_open);
+        }
+    }
+}
--- a/crates/admin/src/fields/tests.rs
+++ b/crates/admin/tests/log_fields.rs
@@ -1,14 +1,14 @@
-use super::*;
+//! The lines of counts in a log.
+
+use saffronpaddle_admin::Fields;
 
 #[test]
-fn a_line_is_read_as_it_was_written_and_others_are_passed_over() {
+fn a_line_is_read_as_it_was_written_and_other_lines_are_skipped() {
     let line = Fields::line(7, 5_000, [("asked", 12), ("granted", 9)].into_iter());
     assert_eq!(line, "counts node=7 at_ms=5000 asked=12 granted=9");
-    let read = Fields::read(&format!("2026-12-01T08:00:00Z n7: {line}")).expect("it is one");
-    assert_eq!(
-        (read.node, read.at_ms, read.of["asked"], read.of.len()),
-        (7, 5_000, 12, 2)
-    );
+    let read = Fields::read(&format!("2026-12-01T08:00:00Z n7: {line}")).expect("a line of counts");
+    assert_eq!((read.node, read.at_ms), (7, 5_000));
+    assert_eq!((read.of["asked"], read.of.len()), (12, 2));
     for other in [
         "",
         "n7: listening on 127.0.0.1:1",
@@ -18,9 +18,6 @@
     ] {
         assert_eq!(Fields::read(other), None, "{other}");
     }
-    assert_eq!(
-        Fields::read("counts node=1 at_ms=5 asked=1 gran"),
-        None,
-        "cut short"
-    );
+    let truncated = "counts node=1 at_ms=5 asked=1 gran";
+    assert_eq!(Fields::read(truncated), None);
 }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -13,7 +13,7 @@
 use anyhow::Context;
 use bytes::Bytes;
 use hyper::StatusCode;
-use saffronpaddle_admin::{Metrics, RequestEnd};
+use saffronpaddle_admin::{Metrics, PeerMessageCounts, RequestEnd};
 use saffronpaddle_endpoints::{EndpointRecord, EndpointUpdate, Merge, Source};
 use saffronpaddle_exchange::{
     Command, Event, Exchange, FinalAnswer, Invariant, Limits, OpenRequest, Ticket, Violation,
@@ -337,13 +337,13 @@
         decided.extend(
             Invariant::ALL.map(|invariant| (invariant.figure(), violations.count(invariant))),
         );
-        let words = self.peers.as_ref().map_or((0, 0), Peers::words);
+        let (sent, received) = self.peers.as_ref().map_or((0, 0), Peers::words);
         told(&Metrics {
             names,
             tally,
             registry_entries,
             out_of_rotation,
-            peer_messages: words,
+            peer_messages: PeerMessageCounts { sent, received },
             policy_counters: decided,
         })
     }
