--- a/crates/netio/src/accept.rs
+++ b/crates/netio/src/accept.rs
@@ -1,24 +1,22 @@
-//! What a failed `accept` means (`accept(2)`, "Errors" and "Notes").
+//! What an error of `accept` means (`accept(2)`, "Errors" and "Notes").
 
 use nix::errno::Errno;
 use std::io;
 
-/// What a failed `accept` means for the listener.
+/// What an error of `accept` means for the listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptFailure {
-    /// The connection that would have been returned is gone, or the call was interrupted: the next one is accepted at
-    /// once.
+    /// The connection that would have been returned has failed, or the call was interrupted: accept the next one at once.
     OfOneConnection,
-    /// This process has as many descriptors as it may have: one has to be closed first.
+    /// This process has no file descriptor left: one has to be closed first.
     NoDescriptor,
-    /// The machine lacks something for a moment, or the cause is not known: the call is made again after a pause. Closing
+    /// The machine lacks a resource for a moment, or the cause is not known: accept again after a pause. Closing
     /// connections of this process would not help.
     Passing,
 }
 
 impl AcceptFailure {
-    /// What an error of `accept` means. Linux hands pending errors of the network on to `accept`; they are those of the
-    /// connection.
+    /// Classifies an error of `accept`. Linux returns pending network errors of the new connection from `accept`.
     pub fn of(error: &io::Error) -> AcceptFailure {
         match error.raw_os_error().map(Errno::from_raw) {
             Some(
--- a/crates/netio/src/lib.rs
+++ b/crates/netio/src/lib.rs
@@ -1,10 +1,10 @@
-//! What a failed system call on a socket means, and what is done about it, for all sockets of a node.
+//! What a failed system call on a socket means, and how it is retried, for all sockets of a node.
 //!
-//! - A call that a signal has interrupted (`EINTR`) did nothing, and is made again at once: [`Socket`] for TCP, [`Uninterrupted`] for other streams,
-//!   [`retry_interrupted`] for single calls.
-//! - `accept` reports errors of the connection that it would have returned, and shortages of this process or of the whole
+//! - A call that a signal has interrupted (`EINTR`) did nothing and is retried at once: by [`Socket`] for TCP, by
+//!   [`Uninterrupted`] for other streams, by [`retry_interrupted`] for single calls.
+//! - `accept` fails for the connection that it would have returned, or for a shortage of this process or of the whole
 //!   machine: [`AcceptFailure`].
-//! - A shortage that passes by itself keeps no process from starting: [`retry_shortage`].
+//! - A call that fails for a shortage while the process starts is retried for some time: [`retry_shortage`].
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/netio/src/shortage.rs
+++ b/crates/netio/src/shortage.rs
@@ -1,4 +1,4 @@
-//! Shortages of this process or this machine that pass by themselves.
+//! Calls that fail because this process or this machine lacks a resource.
 
 use nix::errno::Errno;
 use std::future::Future;
@@ -6,12 +6,12 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// Pause between two tries.
-const PAUSE: Duration = Duration::from_millis(20);
-/// How long is tried; whoever started the process waits for longer.
-const TRY_FOR: Duration = Duration::from_secs(5);
+/// Between two attempts.
+const RETRY_INTERVAL: Duration = Duration::from_millis(20);
+/// For how long a failing call is repeated. A service manager waits longer for a start.
+const RETRY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Whether a call failed for a lack of something that others of this machine may give back in a moment, or was interrupted.
+/// Whether a call failed for a resource that other processes may free in a moment, or was interrupted.
 pub fn is_shortage(error: &io::Error) -> bool {
     let errno = error.raw_os_error().map(Errno::from_raw);
     matches!(
@@ -20,24 +20,26 @@
     )
 }
 
-/// Whether a connection could not be made for a lack on this side: it says nothing of the other side.
+/// Whether connecting failed for a resource on this side, which says nothing about the other side.
 pub fn is_local_failure(error: &io::Error) -> bool {
     let errno = error.raw_os_error().map(Errno::from_raw);
     is_shortage(error) || matches!(errno, Some(Errno::EMFILE | Errno::EADDRNOTAVAIL))
 }
 
-/// Makes a call again while it fails for a shortage, for a few seconds.
+/// Repeats a call while it fails for a shortage, for at most 5 s.
 ///
 /// # Errors
-/// The call's last.
+/// The last error of the call.
 pub async fn retry_shortage<T, F: Future<Output = io::Result<T>>>(
     mut call: impl FnMut() -> F,
 ) -> io::Result<T> {
-    let until = Instant::now() + TRY_FOR;
+    let deadline = Instant::now() + RETRY_TIMEOUT;
     loop {
         match call().await {
-            Err(error) if is_shortage(&error) && Instant::now() < until => sleep(PAUSE).await,
-            done => return done,
+            Err(error) if is_shortage(&error) && Instant::now() < deadline => {
+                sleep(RETRY_INTERVAL).await;
+            }
+            result => return result,
         }
     }
 }
--- a/crates/netio/src/socket.rs
+++ b/crates/netio/src/socket.rs
@@ -1,7 +1,7 @@
-//! A TCP connection that one reads and writes and others look at.
+//! A TCP connection that one task reads and writes while others observe it.
 //!
-//! The runtime's own stream takes a read or write that moved less than was asked for as a sign that the machine has no
-//! more; where that is not so, it waits for an event that does not come. This one goes by what the machine says.
+//! tokio's own stream takes a read or write that moved fewer bytes than asked for as a sign that the kernel would block
+//! next. If that is wrong, it waits for an event that never comes. This one goes by `EWOULDBLOCK` only.
 
 use crate::retry_interrupted;
 use socket2::SockRef;
@@ -15,23 +15,24 @@
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Whether the other side of a connection has ended it, as far as the machine knows: also behind bytes that nobody has read.
+/// Whether the other side has closed the connection, as far as the kernel knows, even if there are unread bytes before its
+/// end.
 pub fn has_ended(stream: &TcpStream) -> bool {
     let ready = std::pin::pin!(stream.ready(Interest::READABLE));
     match ready.poll(&mut Context::from_waker(Waker::noop())) {
-        Poll::Ready(seen) => seen.is_ok_and(tokio::io::Ready::is_read_closed),
+        Poll::Ready(readiness) => readiness.is_ok_and(tokio::io::Ready::is_read_closed),
         Poll::Pending => false,
     }
 }
 
-/// Whether nothing has come on a connection that was not read, not even an end. The machine is asked, as nobody may have
-/// looked yet.
+/// Whether a connection has nothing to read, not even its end. It asks the kernel, as the runtime learns of an event only
+/// when it polls next.
 pub fn is_quiet(stream: &TcpStream) -> bool {
-    let seen = retry_interrupted(|| SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]));
-    seen.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
+    let peeked = retry_interrupted(|| SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]));
+    peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
 }
 
-/// The one that reads and writes. Calls that a signal interrupts are made again.
+/// The reading and writing side. Calls that a signal interrupts are retried.
 #[derive(Debug)]
 pub struct Socket(Arc<TcpStream>);
 
@@ -41,17 +42,17 @@
         Socket(stream.into())
     }
 
-    /// The connection, to be looked at.
+    /// The connection, to observe it.
     pub fn stream(&self) -> &TcpStream {
         &self.0
     }
 
-    /// The connection, no longer wrapped; none where somebody looks at it in this very moment, which nobody does for longer.
+    /// The connection without its wrapper; `None` while another handle to it exists.
     pub fn into_inner(self) -> Option<TcpStream> {
         Arc::try_unwrap(self.0).ok()
     }
 
-    /// Writes as soon as the machine takes something.
+    /// Calls `write` until the kernel takes some bytes.
     fn write(
         &self,
         context: &mut Context<'_>,
@@ -109,7 +110,7 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // A socket keeps nothing back.
+        // A socket has no buffer of its own.
         Poll::Ready(Ok(()))
     }
 
--- a/crates/netio/src/uninterrupted.rs
+++ b/crates/netio/src/uninterrupted.rs
@@ -1,24 +1,24 @@
-//! Calls that a signal has interrupted are made again.
+//! Retries of calls that a signal has interrupted.
 
 use std::io::{self, ErrorKind, IoSlice};
 use std::pin::Pin;
 use std::task::{ready, Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Makes a call again for as long as signals interrupt it.
+/// Repeats a call while signals interrupt it.
 ///
 /// # Errors
-/// All others of the call.
+/// All other errors of the call.
 pub fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
-            done => return done,
+            result => return result,
         }
     }
 }
 
-/// A stream whose reads and writes are made again where a signal has interrupted them.
+/// A stream whose reads and writes are retried if a signal has interrupted them.
 #[derive(Debug)]
 pub struct Uninterrupted<S>(S);
 
@@ -34,12 +34,12 @@
     }
 }
 
-/// Polls again for as long as signals interrupt the call.
+/// Polls again while signals interrupt the call.
 fn poll_uninterrupted<T>(mut poll: impl FnMut() -> Poll<io::Result<T>>) -> Poll<io::Result<T>> {
     loop {
         match ready!(poll()) {
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
-            done => return Poll::Ready(done),
+            result => return Poll::Ready(result),
         }
     }
 }
--- a/crates/netio/tests/failures.rs
+++ b/crates/netio/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Each errno that the manual pages document, and what is done about it.
+//! The documented errnos of socket calls, and how each is classified and retried.
 
 use saffronpaddle_netio::{
     is_local_failure, is_shortage, retry_shortage, AcceptFailure, Uninterrupted,
@@ -9,7 +9,7 @@
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, ReadBuf};
 
-/// A stream each of whose calls is interrupted so many times first, and then moves one byte.
+/// A stream on which each call is interrupted `times` times and then moves one byte.
 struct Interrupted {
     times: u32,
     left: u32,
@@ -65,15 +65,15 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn interrupted_calls_are_made_again_and_nothing_is_lost_or_doubled() {
+async fn interrupted_calls_are_retried_and_no_byte_is_lost_or_doubled() {
     let mut stream = Uninterrupted::new(Interrupted {
         times: 3,
         left: 3,
         written: Vec::new(),
     });
     let mut read = [0; 5];
-    stream.read_exact(&mut read).await.expect("it is read");
-    stream.write_all(b"a request").await.expect("it is written");
+    stream.read_exact(&mut read).await.expect("it reads");
+    stream.write_all(b"a request").await.expect("it writes");
     assert_eq!(
         (&read, &stream.get_ref().written[..]),
         (b"xxxxx", &b"a request"[..])
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn accept_tells_errors_of_one_connection_from_shortages() {
+fn accept_errors_of_one_connection_are_told_from_shortages() {
     use nix::errno::Errno::*;
     let failure =
         |errno: nix::errno::Errno| AcceptFailure::of(&io::Error::from_raw_os_error(errno as i32));
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn what_is_lacking_here_says_nothing_of_a_server() {
+fn local_shortages_are_no_failures_of_the_server() {
     use nix::errno::Errno::*;
     let local =
         |errno: nix::errno::Errno| is_local_failure(&io::Error::from_raw_os_error(errno as i32));
@@ -137,28 +137,28 @@
 }
 
 #[tokio::test(flavor = "current_thread", start_paused = true)]
-async fn a_shortage_is_waited_out_and_an_end_comes_all_the_same() {
-    let tries = Cell::new(0);
-    let after = |times| {
-        let tries = &tries;
+async fn a_shortage_is_retried_for_a_limited_time() {
+    let calls = Cell::new(0);
+    let succeeds_after = |failures| {
+        let calls = &calls;
         move || {
-            tries.set(tries.get() + 1);
+            calls.set(calls.get() + 1);
             let error = nix::errno::Errno::ENFILE as i32;
-            let done = if tries.get() > times {
+            let result = if calls.get() > failures {
                 Ok(())
             } else {
                 Err(io::Error::from_raw_os_error(error))
             };
-            std::future::ready(done)
+            std::future::ready(result)
         }
     };
-    assert!(retry_shortage(after(5)).await.is_ok());
-    tries.set(0);
-    let error = retry_shortage(after(u32::MAX))
+    assert!(retry_shortage(succeeds_after(5)).await.is_ok());
+    calls.set(0);
+    let error = retry_shortage(succeeds_after(u32::MAX))
         .await
-        .expect_err("it does not pass");
+        .expect_err("the shortage lasts");
     assert!(is_shortage(&error));
-    // What others have to change is told at once.
+    // Any other error is returned at once.
     let refused = || std::future::ready(Err::<(), _>(io::Error::from(ErrorKind::AddrInUse)));
     assert!(retry_shortage(refused).await.is_err());
 }
