--- a/crates/endpoints/src/follower/tests.rs
+++ b/crates/endpoints/src/follower/tests.rs
@@ -1,16 +1,19 @@
 use super::*;
+use crate::record::EndpointStatus;
 use std::mem::size_of;
 
-/// Bytes of one server in the table and beside it, its name aside. A bound: growth is to be seen, not forbidden.
+/// A list of 40,000 servers has to fit in memory. The bound, in bytes of one server without its name, makes growth show.
 #[test]
-fn a_server_costs_few_bytes() {
-    let (row, held) = (size_of::<(Arc<str>, Box<Held>)>(), size_of::<Held>());
-    assert!(row + held <= 136, "{row} in the table, {held} beside it");
+fn a_server_takes_few_bytes() {
+    let row = size_of::<(Arc<str>, Box<KnownEndpoint>)>();
+    let boxed = size_of::<KnownEndpoint>();
+    assert!(row + boxed <= 136, "{row} in the table, {boxed} boxed");
 }
 
-/// A zone that goes at one instant, each server by a revision of its own.
+/// A zone fails at one moment, and each of its servers is put in a revision of its own.
 #[test]
-fn changes_that_come_in_one_response_are_one_change_that_costs_what_it_names() {
+fn events_of_one_response_are_one_change_of_the_servers_that_they_name() {
+    /// Of the first list.
     const HEADER: Header = Header {
         cluster_id: 1,
         member_id: 1,
--- a/crates/endpoints/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -1,44 +1,44 @@
-//! The roster of app servers: from etcd's snapshots and watch events, with their revisions, to the list that the
-//! decision module is told. No input or output and no clock; what was read comes in with the moment at which it was
-//! read, and that moment is when the 250 ms of a drain begin.
+//! The list of app servers: from the snapshots and watch events of etcd and from the platform's discovery to the changes
+//! that the policy engine receives.
 //!
-//! - [`follower`]: one etcd prefix, through breaks, compaction, lag, fragments, restored and wiped clusters.
-//! - [`merge`]: several sources at once; the more careful standing wins.
-//! - [`entry`]: what stands under a key.
-//! - [`objects`]: lists out of a stream of bytes.
-//! - [`pace`]: when discovery is called on again.
+//! - [`Follower`] follows one etcd prefix through reconnects, compaction, lagging members, fragmented responses, and
+//!   restored or wiped clusters.
+//! - [`Merge`] merges several sources; of contradicting statuses the more careful one wins.
+//! - [`read_value`] reads the value of a server's key.
+//! - [`JsonObjects`] splits a stream of bytes into the lists of the platform's discovery.
+//! - [`PollBackoff`], [`PollLimits`] and [`EmptyListProtection`] decide when the platform's discovery is called again, and
+//!   when an empty list is believed.
+//!
+//! The crate does no I/O and reads no clock. What was read comes in with the time at which it was read, which is when the
+//! time that a drain allows begins.
+//!
+//! ```
+//! use saffronpaddle_endpoints::{read_value, EndpointStatus};
+//! let value = br#"{"dial": "127.0.0.1:80", "site": "a", "health": "draining"}"#;
+//! let record = read_value("server-1", value).expect("a value");
+//! assert_eq!(record.status, EndpointStatus::Draining);
+//! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod entry;
-pub mod follower;
-pub mod merge;
-pub mod objects;
-pub mod pace;
+mod compact;
+mod follower;
+mod json_objects;
+mod merge;
+mod poll;
+mod record;
+mod time;
+mod update;
+mod value;
 
-pub use entry::{EndpointRecord, EndpointStatus};
-pub use follower::{Follower, Header, KeyValue, Listing, Rules, WatchEvent, WatchStep};
+pub use follower::{
+    Follower, FollowerEvent, FollowerStats, Header, KeyValue, LeaveReason, Listing, RereadReason,
+    Rules, WatchEvent, WatchStep,
+};
+pub use json_objects::{JsonObjects, Unreadable};
 pub use merge::{Merge, Source};
-pub use objects::{JsonObjects, Unreadable};
-pub use pace::{EmptyListProtection, HedgedPolls, PollBackoff, PollLimits};
-
-/// A point in time: the span since some fixed moment of a clock that never goes back.
-pub type Time = std::time::Duration;
-
-/// News of the roster from one source: each host at most once.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct EndpointUpdate {
-    /// Entries that changed; one that is gone is among them as such.
-    pub endpoints: Vec<EndpointRecord>,
-    /// The moment at which the first byte of it was read off the socket: when it was told.
-    pub received_at: Time,
-    /// Whether hosts that are not among the entries are unknown to this source: its first whole list.
-    pub snapshot: bool,
-}
-
-impl EndpointUpdate {
-    /// Whether it tells of anything: of an entry, or that there is none beside those it has.
-    pub fn says_something(&self) -> bool {
-        self.snapshot || !self.endpoints.is_empty()
-    }
-}
+pub use poll::{EmptyListProtection, HedgedPolls, PollBackoff, PollLimits};
+pub use record::{EndpointRecord, EndpointStatus};
+pub use time::Time;
+pub use update::EndpointUpdate;
+pub use value::{read_value, ValueError, MAX_HOST_BYTES, MAX_VALUE_BYTES};
--- a/crates/endpoints/src/merge.rs
+++ b/crates/endpoints/src/merge.rs
@@ -1,16 +1,17 @@
-//! Several sources of the roster at once: platform discovery and etcd.
+//! Merges the lists of several sources: the platform's discovery and etcd.
 //!
-//! The rule, host by host: a source has a say once it has listed the host. Of what they say **the more careful standing
-//! wins** (gone before draining before ready), and the later start. A source that no longer lists a host says "gone" for
-//! as long as another one lists it. Where it is and what it is (address, hall, group, share) is taken from the platform's
-//! discovery where that lists it, since an address may differ from one edge node to the next; else from etcd.
+//! Host by host, a source counts once it has listed the host. Of the statuses that sources give, **the more careful one
+//! wins** (removed before draining before ready), and the later start. A source that no longer lists a host counts as
+//! "removed" for as long as another one lists it. Address, zone, domain and weight are those of the platform's discovery if
+//! that lists the host, as an address may differ from one node to the next; otherwise those of etcd.
 
-use crate::entry::{CompactEndpoint, EndpointRecord, EndpointStatus, Sites};
-use crate::EndpointUpdate;
+use crate::compact::{CompactEndpoint, ZoneNames};
+use crate::record::{EndpointRecord, EndpointStatus};
+use crate::update::EndpointUpdate;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Where news of the roster comes from.
+/// A source of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Source {
     /// The platform's discovery.
@@ -19,96 +20,136 @@
     Etcd = 1,
 }
 
-const SOURCES: usize = 2;
-
-/// What each source says of a host. Danger: room for two entries where one source lists 40,000 hosts.
-type Says = [Option<Box<CompactEndpoint>>; SOURCES];
+/// The number of sources.
+const SOURCE_COUNT: usize = 2;
 
 /// All sources, merged.
 #[derive(Clone, Debug, Default)]
 pub struct Merge {
-    hosts: BTreeMap<Arc<str>, Says>,
-    sites: Sites,
+    hosts: BTreeMap<Arc<str>, HostRecords>,
+    zones: ZoneNames,
     contradictions: u64,
 }
 
 impl Merge {
-    /// Nothing is known from any source.
+    /// No source has listed anything.
     pub fn new() -> Merge {
         Merge::default()
     }
 
-    /// Takes in news of one source; what the decision module is to be told of it.
-    pub fn take(&mut self, source: Source, change: EndpointUpdate) -> EndpointUpdate {
-        let mut touched: BTreeMap<Arc<str>, Option<EndpointRecord>> = BTreeMap::new();
-        if change.snapshot {
-            // Who is not on the whole list is gone for this source, if it ever had a say.
-            for (host, says) in &self.hosts {
-                if says[source as usize]
-                    .as_ref()
-                    .is_some_and(|kept| kept.standing() != EndpointStatus::Removed)
-                {
-                    touched.insert(Arc::clone(host), None);
-                }
+    /// Takes in a change of one source. Returns the change of the merged list.
+    pub fn take(&mut self, source: Source, update: EndpointUpdate) -> EndpointUpdate {
+        let mut changed: BTreeMap<Arc<str>, Option<EndpointRecord>> = BTreeMap::new();
+        if update.snapshot {
+            // A host that is missing in a complete list is removed.
+            for host in self.hosts_listed_by(source) {
+                changed.insert(host, None);
             }
         }
-        touched.extend(
-            change
-                .endpoints
-                .into_iter()
-                .map(|entry| (Arc::clone(&entry.host), Some(entry))),
-        );
-        let mut entries = Vec::new();
-        for (host, entry) in touched {
-            let says = self.hosts.entry(Arc::clone(&host)).or_default();
-            let before = merged(&host, says);
-            let place = &mut says[source as usize];
-            *place = match (entry, place.take()) {
-                (Some(entry), _) => Some(Box::new(CompactEndpoint::new(&entry, &mut self.sites))),
-                (None, Some(held)) => Some(Box::new(held.at(EndpointStatus::Removed))),
-                (None, None) => None,
-            };
-            let after = merged(&host, says);
-            let standings: Vec<_> = says.iter().flatten().map(|kept| kept.standing()).collect();
-            self.contradictions += u64::from(standings.windows(2).any(|two| two[0] != two[1]));
-            // Guards memory: a host that nobody lists any more is forgotten.
-            if says
-                .iter()
-                .flatten()
-                .all(|kept| kept.standing() == EndpointStatus::Removed)
-            {
-                self.hosts.remove(&host);
-            }
-            entries.extend(after.filter(|after| before.as_ref() != Some(after)));
+        for record in update.endpoints {
+            changed.insert(Arc::clone(&record.host), Some(record));
+        }
+        let mut endpoints = Vec::new();
+        for (host, record) in changed {
+            endpoints.extend(self.update_host(source, &host, record));
         }
         EndpointUpdate {
-            endpoints: entries,
-            received_at: change.received_at,
+            endpoints,
+            received_at: update.received_at,
             snapshot: false,
         }
     }
 
-    /// How often sources were seen to contradict each other on a standing.
+    fn hosts_listed_by(&self, source: Source) -> impl Iterator<Item = Arc<str>> + '_ {
+        self.hosts
+            .iter()
+            .filter(move |(_, records)| records.is_listed_by(source))
+            .map(|(host, _)| Arc::clone(host))
+    }
+
+    /// Takes in what a source says of a host now; `None` if it does not list it any more. Returns the merged record if that
+    /// has changed.
+    fn update_host(
+        &mut self,
+        source: Source,
+        host: &Arc<str>,
+        record: Option<EndpointRecord>,
+    ) -> Option<EndpointRecord> {
+        let records = self.hosts.entry(Arc::clone(host)).or_default();
+        let before = records.merged(host);
+        match record {
+            Some(record) => records.set(source, CompactEndpoint::new(&record, &mut self.zones)),
+            None => records.remove(source),
+        }
+        let after = records.merged(host);
+        self.contradictions += u64::from(records.contradict());
+        // A host that no source lists is forgotten, so that memory does not grow with every host that ever was.
+        if records.all_removed() {
+            self.hosts.remove(host);
+        }
+        after.filter(|after| before.as_ref() != Some(after))
+    }
+
+    /// How many changes left sources with contradicting statuses of a host.
     pub fn contradictions(&self) -> u64 {
         self.contradictions
     }
 
-    /// Hosts that are known.
+    /// How many hosts are known.
     pub fn hosts(&self) -> usize {
         self.hosts.len()
     }
 }
 
-fn merged(host: &Arc<str>, says: &Says) -> Option<EndpointRecord> {
-    let said = || says.iter().flatten().map(Box::as_ref);
-    let standing = said().map(CompactEndpoint::standing).max()?;
-    let born_ms = said().map(CompactEndpoint::born_ms).max().unwrap_or(0);
-    let place = said()
-        .find(|kept| kept.standing() != EndpointStatus::Removed)
-        .or(said().next())?;
-    Some(EndpointRecord {
-        status: standing,
-        started_at_ms: born_ms,
-        ..place.entry(host)
-    })
+/// The records of one host, by source. They are boxed because most hosts of a long list have one source only.
+#[derive(Clone, Debug, Default)]
+struct HostRecords {
+    by_source: [Option<Box<CompactEndpoint>>; SOURCE_COUNT],
+}
+
+impl HostRecords {
+    fn all(&self) -> impl Iterator<Item = &CompactEndpoint> {
+        self.by_source.iter().flatten().map(Box::as_ref)
+    }
+
+    fn is_listed_by(&self, source: Source) -> bool {
+        let record = self.by_source[source as usize].as_ref();
+        record.is_some_and(|record| !record.is_removed())
+    }
+
+    fn set(&mut self, source: Source, record: CompactEndpoint) {
+        self.by_source[source as usize] = Some(Box::new(record));
+    }
+
+    /// Marks a source's record as removed, if it has one.
+    fn remove(&mut self, source: Source) {
+        let record = &mut self.by_source[source as usize];
+        *record = record
+            .take()
+            .map(|record| Box::new(record.with_status(EndpointStatus::Removed)));
+    }
+
+    fn all_removed(&self) -> bool {
+        self.all().all(CompactEndpoint::is_removed)
+    }
+
+    fn contradict(&self) -> bool {
+        let mut statuses = self.all().map(CompactEndpoint::status);
+        let first = statuses.next();
+        statuses.any(|status| Some(status) != first)
+    }
+
+    fn merged(&self, host: &Arc<str>) -> Option<EndpointRecord> {
+        let status = self.all().map(CompactEndpoint::status).max()?;
+        let started_at_ms = self.all().map(CompactEndpoint::started_at_ms).max()?;
+        let preferred = self
+            .all()
+            .find(|record| !record.is_removed())
+            .or_else(|| self.all().next())?;
+        Some(EndpointRecord {
+            status,
+            started_at_ms,
+            ..preferred.record(host)
+        })
+    }
 }
--- /dev/null
+++ b/crates/endpoints/src/poll.rs
@@ -0,0 +1,9 @@
+//! When a node calls the platform's discovery, so that a whole fleet does not overload it.
+
+mod backoff;
+mod empty_list;
+mod limits;
+
+pub use backoff::{HedgedPolls, PollBackoff};
+pub use empty_list::EmptyListProtection;
+pub use limits::PollLimits;
--- /dev/null
+++ b/crates/endpoints/src/time.rs
@@ -0,0 +1,4 @@
+//! The clock by which the crate reckons.
+
+/// A point in time: the span since some fixed moment of a clock that never goes back.
+pub type Time = std::time::Duration;
--- /dev/null
+++ b/crates/endpoints/src/value.rs
@@ -0,0 +1,116 @@
+//! How a server stands in etcd: the host in its key, all else as JSON in its value.
+
+use crate::record::{EndpointRecord, EndpointStatus};
+use serde::Deserialize;
+use std::borrow::Cow;
+use std::fmt;
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+/// The longest name of a host, in bytes, so that every name fits in a line of the log.
+pub const MAX_HOST_BYTES: usize = 253;
+/// The longest value, in bytes. It bounds the memory that values of some other use of the prefix can take.
+pub const MAX_VALUE_BYTES: usize = 4096;
+/// The weight of a server whose value names none.
+const DEFAULT_WEIGHT: f64 = 1.0;
+
+/// Why a value cannot be read.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum ValueError {
+    /// It has more than [`MAX_VALUE_BYTES`].
+    TooLong {
+        /// How many it has.
+        bytes: usize,
+    },
+    /// It is not a JSON object with the fields of a server.
+    Malformed {
+        /// What the JSON parser reports.
+        message: String,
+    },
+    /// It names another host than its key.
+    OtherHost,
+    /// Its weight is not above 0.
+    InvalidWeight,
+}
+
+impl fmt::Display for ValueError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            ValueError::TooLong { bytes } => {
+                write!(f, "{bytes} bytes, more than {MAX_VALUE_BYTES}")
+            }
+            ValueError::Malformed { message } => f.write_str(message),
+            ValueError::OtherHost => f.write_str("its host is not the one of its key"),
+            ValueError::InvalidWeight => f.write_str("its share is not above 0"),
+        }
+    }
+}
+
+impl std::error::Error for ValueError {}
+
+/// The fields of a value. Unknown fields are ignored.
+#[derive(Deserialize)]
+struct WireValue<'a> {
+    #[serde(borrow)]
+    host: Option<Cow<'a, str>>,
+    #[serde(rename = "dial")]
+    address: SocketAddr,
+    #[serde(borrow, rename = "site")]
+    zone: Cow<'a, str>,
+    #[serde(default, rename = "block")]
+    domain: u64,
+    #[serde(default = "default_status", rename = "health")]
+    status: EndpointStatus,
+    #[serde(default = "default_weight", rename = "share")]
+    weight: f64,
+    #[serde(default, rename = "born_ms")]
+    started_at_ms: u64,
+}
+
+fn default_status() -> EndpointStatus {
+    EndpointStatus::Ready
+}
+
+fn default_weight() -> f64 {
+    DEFAULT_WEIGHT
+}
+
+/// The host that a key names: what follows the prefix, if that is a name without a slash.
+pub(crate) fn host_of_key<'a>(prefix: &str, key: &'a [u8]) -> Option<&'a str> {
+    let host = std::str::from_utf8(key.strip_prefix(prefix.as_bytes())?).ok()?;
+    let valid = !host.is_empty()
+        && host.len() <= MAX_HOST_BYTES
+        && !host.contains('/')
+        && !host.chars().any(char::is_control);
+    valid.then_some(host)
+}
+
+/// Reads the value of a host's key: a JSON object with the fields of the platform's discovery, of which `dial` and `site`
+/// are required.
+///
+/// # Errors
+/// Why the value cannot be read.
+pub fn read_value(host: &str, value: &[u8]) -> Result<EndpointRecord, ValueError> {
+    if value.len() > MAX_VALUE_BYTES {
+        return Err(ValueError::TooLong { bytes: value.len() });
+    }
+    let value: WireValue =
+        serde_json::from_slice(value).map_err(|error| ValueError::Malformed {
+            message: error.to_string(),
+        })?;
+    if value.host.is_some_and(|other| other != host) {
+        return Err(ValueError::OtherHost);
+    }
+    if !(value.weight.is_finite() && value.weight > 0.0) {
+        return Err(ValueError::InvalidWeight);
+    }
+    Ok(EndpointRecord {
+        host: host.into(),
+        address: value.address,
+        zone: Arc::from(&*value.zone),
+        domain: value.domain,
+        status: value.status,
+        weight: value.weight,
+        started_at_ms: value.started_at_ms,
+    })
+}
--- /dev/null
+++ b/crates/endpoints/tests/follower.rs
@@ -0,0 +1,388 @@
+//! The list from etcd's revisions: each hard case by name.
+
+mod support;
+
+use saffronpaddle_endpoints::*;
+use support::*;
+
+#[test]
+fn an_update_is_received_when_its_response_was_read() {
+    let mut follower = three_servers();
+    let (update, _) = follower.events(
+        header(11),
+        vec![put("a", 2, 11, "draining")],
+        false,
+        ms(777),
+        NOW,
+    );
+    assert_eq!(
+        (update.received_at, statuses(&update)["a"]),
+        (ms(777), EndpointStatus::Draining)
+    );
+}
+
+#[test]
+fn several_keys_in_one_revision_are_one_change() {
+    let mut follower = three_servers();
+    let events = vec![
+        put("a", 2, 11, "draining"),
+        delete("b", 11),
+        put("d", 11, 11, "ready"),
+    ];
+    let update = respond(&mut follower, 11, events);
+    let expected = [
+        ("a", EndpointStatus::Draining),
+        ("b", EndpointStatus::Removed),
+        ("d", EndpointStatus::Ready),
+    ];
+    assert_eq!(statuses(&update), expected.into());
+    assert_eq!(follower.resume(), Some(12));
+}
+
+#[test]
+fn a_watch_that_breaks_resumes_from_the_next_revision_and_skips_old_events() {
+    let mut follower = three_servers();
+    respond(&mut follower, 11, vec![put("a", 2, 11, "draining")]);
+    follower.reconnected();
+    assert_eq!(follower.resume(), Some(12));
+    // The member sends more than was asked for.
+    let update = respond(
+        &mut follower,
+        12,
+        vec![
+            put("a", 2, 11, "draining"),
+            put("a", 2, 9, "ready"),
+            delete("b", 12),
+        ],
+    );
+    assert_eq!(statuses(&update), [("b", EndpointStatus::Removed)].into());
+    assert_eq!(follower.seen().old, 2);
+    let update = respond(&mut follower, 12, vec![delete("b", 12)]);
+    assert!(update.endpoints.is_empty(), "known already");
+}
+
+/// While the watch was broken, one server began to drain, another was removed and a third one was added. Then the
+/// revisions were compacted.
+#[test]
+fn after_compaction_a_range_gives_the_difference() {
+    let mut follower = three_servers();
+    assert_eq!(
+        follower.compacted(500),
+        WatchStep::Reread(RereadReason::Compacted)
+    );
+    let kvs = [
+        kv("a", 2, 400, value(80, "draining", 7)),
+        kv("c", 2, 3, value(80, "ready", 7)),
+        kv("d", 450, 450, value(80, "ready", 0)),
+    ];
+    let update = follower.range(header(600), &kvs, ms(900), NOW);
+    let expected = [
+        ("a", EndpointStatus::Draining),
+        ("b", EndpointStatus::Removed),
+        ("d", EndpointStatus::Ready),
+    ];
+    assert_eq!(
+        (statuses(&update), update.received_at, update.snapshot),
+        (expected.into(), ms(900), false)
+    );
+    let new = update
+        .endpoints
+        .iter()
+        .find(|entry| &*entry.host == "d")
+        .expect("it is new");
+    assert_eq!(new.started_at_ms, NOW, "it is new and names no start");
+    assert_eq!(follower.resume(), Some(601));
+}
+
+#[test]
+fn a_reconnect_between_a_drain_and_the_last_fragment_loses_neither() {
+    let mut follower = three_servers();
+    let drain = vec![put("a", 2, 11, "draining"), delete("c", 11)];
+    let (update, step) = follower.events(header(11), drain.clone(), true, ms(50), NOW);
+    // Both are announced at once, the removal as a drain until the response is complete.
+    let expected = [
+        ("a", EndpointStatus::Draining),
+        ("c", EndpointStatus::Draining),
+    ];
+    assert_eq!(
+        (statuses(&update), step),
+        (expected.into(), WatchStep::Continue)
+    );
+    follower.reconnected();
+    assert_eq!(
+        follower.resume(),
+        Some(11),
+        "the whole revision is asked for again"
+    );
+    let (first, _) = follower.events(header(11), drain, true, ms(200), NOW);
+    let (update, _) = follower.events(header(11), vec![delete("b", 11)], false, ms(210), NOW);
+    assert_eq!(first.received_at, ms(200));
+    let expected = [
+        ("a", EndpointStatus::Draining),
+        ("b", EndpointStatus::Removed),
+        ("c", EndpointStatus::Removed),
+    ];
+    assert_eq!(
+        (statuses(&update), update.received_at),
+        (expected.into(), ms(200)),
+        "received with its first fragment"
+    );
+    assert_eq!(follower.resume(), Some(12));
+}
+
+#[test]
+fn a_drain_that_the_same_response_takes_back_is_withdrawn() {
+    let mut follower = three_servers();
+    let (update, _) = follower.events(
+        header(12),
+        vec![put("a", 2, 11, "draining")],
+        true,
+        ms(50),
+        NOW,
+    );
+    assert_eq!(statuses(&update)["a"], EndpointStatus::Draining);
+    let (update, _) = follower.events(
+        header(12),
+        vec![put("a", 2, 12, "ready")],
+        false,
+        ms(60),
+        NOW,
+    );
+    assert_eq!(statuses(&update), [("a", EndpointStatus::Ready)].into());
+}
+
+/// A lease expires and is granted anew: a new process runs at the same host. It has to start slowly, also if its value
+/// names no start.
+#[test]
+fn a_key_that_is_created_anew_is_a_new_start() {
+    for (born, expected) in [(0, NOW), (NOW - 50, NOW - 50)] {
+        let mut follower = three_servers();
+        assert_eq!(
+            statuses(&respond(&mut follower, 20, vec![delete("a", 20)]))["a"],
+            EndpointStatus::Removed
+        );
+        let again = WatchEvent {
+            delete: false,
+            kv: kv("a", 21, 21, value(80, "ready", born)),
+        };
+        let update = respond(&mut follower, 21, vec![again]);
+        assert_eq!(
+            (
+                update.endpoints[0].status,
+                update.endpoints[0].started_at_ms
+            ),
+            (EndpointStatus::Ready, expected)
+        );
+        // A later value of the same process does not change its start.
+        let later = WatchEvent {
+            delete: false,
+            kv: kv("a", 21, 22, value(81, "ready", 0)),
+        };
+        let update = respond(&mut follower, 22, vec![later]);
+        assert_eq!(
+            (
+                update.endpoints[0].address.port(),
+                update.endpoints[0].started_at_ms
+            ),
+            (81, expected)
+        );
+    }
+}
+
+#[test]
+fn of_several_events_of_a_key_in_one_response_the_last_one_counts() {
+    let mut follower = three_servers();
+    let last = WatchEvent {
+        delete: false,
+        kv: kv("a", 13, 13, value(90, "ready", 0)),
+    };
+    let update = respond(
+        &mut follower,
+        13,
+        vec![put("a", 2, 11, "draining"), delete("a", 12), last],
+    );
+    assert_eq!(update.endpoints.len(), 1);
+    let entry = &update.endpoints[0];
+    assert_eq!(
+        (entry.status, entry.address.port(), entry.started_at_ms),
+        (EndpointStatus::Ready, 90, NOW),
+        "a new process"
+    );
+    let update = respond(
+        &mut follower,
+        15,
+        vec![put("a", 13, 14, "ready"), delete("a", 15)],
+    );
+    assert_eq!(statuses(&update), [("a", EndpointStatus::Removed)].into());
+}
+
+#[test]
+fn an_unreadable_value_keeps_the_last_good_record_and_is_reported_once() {
+    let mut follower = three_servers();
+    for (revision, bad) in [
+        (11, &b"{"[..]),
+        (12, br#"{"dial":"nowhere","site":"a"}"#),
+        (13, &[0xff; 5000]),
+    ] {
+        let event = WatchEvent {
+            delete: false,
+            kv: kv("a", 2, revision, bad.to_vec()),
+        };
+        assert!(respond(&mut follower, revision, vec![event])
+            .endpoints
+            .is_empty());
+    }
+    let logs = follower.logs();
+    assert!(
+        logs.len() == 1 && logs[0].to_string().contains("/board/a"),
+        "{logs:?}"
+    );
+    assert_eq!((follower.seen().unreadable, follower.hosts()), (3, 3));
+    // Readable again, then unreadable: reported again.
+    assert_eq!(
+        statuses(&respond(
+            &mut follower,
+            14,
+            vec![put("a", 2, 14, "draining")]
+        ))["a"],
+        EndpointStatus::Draining
+    );
+    let event = WatchEvent {
+        delete: false,
+        kv: kv("a", 2, 15, b"x".to_vec()),
+    };
+    respond(&mut follower, 15, vec![event]);
+    assert_eq!(follower.logs().len(), 1);
+    // A host whose value was never readable is not listed, and its removal changes nothing.
+    let event = WatchEvent {
+        delete: false,
+        kv: kv("new", 16, 16, b"x".to_vec()),
+    };
+    assert!(respond(&mut follower, 16, vec![event]).endpoints.is_empty());
+    assert!(respond(&mut follower, 17, vec![delete("new", 17)])
+        .endpoints
+        .is_empty());
+}
+
+#[test]
+fn keys_that_name_no_host_are_skipped() {
+    let mut follower = three_servers();
+    let mut odd = put("x/y", 2, 11, "ready");
+    assert!(respond(
+        &mut follower,
+        11,
+        vec![odd.clone(), put("", 2, 11, "ready")]
+    )
+    .endpoints
+    .is_empty());
+    odd.kv.key = b"/other/z".to_vec();
+    odd.kv.mod_revision = 12;
+    assert!(respond(&mut follower, 12, vec![odd]).endpoints.is_empty());
+}
+
+#[test]
+fn a_lagging_member_is_left_and_the_list_stands() {
+    let mut follower = three_servers();
+    respond(&mut follower, 20, vec![put("a", 2, 20, "draining")]);
+    assert_eq!(
+        follower.header(header(19)),
+        WatchStep::Leave(LeaveReason::Lagging)
+    );
+    let (update, step) = follower.events(
+        header(19),
+        vec![put("a", 2, 19, "ready")],
+        false,
+        ms(5),
+        NOW,
+    );
+    assert!(update.endpoints.is_empty() && matches!(step, WatchStep::Leave(_)));
+    let older = Header {
+        raft_term: 4,
+        ..header(30)
+    };
+    assert!(matches!(follower.progress(older), WatchStep::Leave(_)));
+    assert_eq!(follower.resume(), Some(21));
+}
+
+/// Another cluster, one that was restored from a backup, and one whose terms started anew. Events of it in place of the
+/// known cluster's must change nothing; a range of it replaces the list.
+#[test]
+fn a_recreated_or_restored_cluster_is_read_as_a_whole() {
+    let other = Header {
+        cluster_id: 0xee,
+        ..header(50)
+    };
+    let mut follower = three_servers();
+    let (update, step) = follower.events(other, vec![delete("a", 50)], false, ms(5), NOW);
+    assert_eq!(
+        (update.endpoints.len(), step),
+        (0, WatchStep::Reread(RereadReason::OtherCluster))
+    );
+    let restored = [
+        (other, "another cluster"),
+        (header(4), "revisions that run backwards"),
+        (
+            Header {
+                raft_term: 2,
+                ..header(40)
+            },
+            "terms that run backwards",
+        ),
+    ];
+    for (header, what) in restored {
+        let mut follower = three_servers();
+        let kvs = [
+            kv("b", 2, 3, value(80, "ready", 7)),
+            kv("z", 3, 4, value(80, "ready", 9)),
+        ];
+        let update = follower.range(header, &kvs, ms(5), NOW);
+        let expected = [
+            ("a", EndpointStatus::Removed),
+            ("c", EndpointStatus::Removed),
+            ("z", EndpointStatus::Ready),
+        ];
+        assert_eq!(statuses(&update), expected.into(), "{what}");
+        assert_eq!(
+            (follower.seen().replaced, follower.resume()),
+            (1, Some(header.revision + 1)),
+            "{what}"
+        );
+        assert_eq!(follower.header(header), WatchStep::Continue, "{what}");
+    }
+}
+
+#[test]
+fn progress_advances_the_revision_so_that_quiet_watches_are_not_compacted() {
+    let mut follower = three_servers();
+    assert_eq!(follower.progress(header(90)), WatchStep::Continue);
+    assert_eq!(follower.resume(), Some(11), "only after a second response");
+    assert_eq!(follower.progress(header(95)), WatchStep::Continue);
+    assert_eq!(follower.resume(), Some(91));
+    // But not past a response whose last fragment has not come.
+    follower.events(header(95), vec![put("a", 2, 92, "ready")], true, ms(5), NOW);
+    follower.progress(header(99));
+    assert_eq!(follower.resume(), Some(91));
+}
+
+/// A member of etcd before 3.5.8 may send progress before it has sent the events up to its revision. The events must not
+/// be skipped as old.
+#[test]
+fn progress_that_overtakes_its_events_loses_none() {
+    let mut follower = three_servers();
+    follower.progress(header(12));
+    assert_eq!(
+        statuses(&respond(
+            &mut follower,
+            12,
+            vec![put("a", 2, 11, "draining")]
+        ))["a"],
+        EndpointStatus::Draining
+    );
+    follower.progress(header(14));
+    follower.reconnected();
+    assert_eq!(
+        follower.resume(),
+        Some(13),
+        "13 and 14, which it may not have sent, are asked for again"
+    );
+}
--- a/crates/endpoints/src/objects/tests.rs
+++ b/crates/endpoints/tests/json_objects.rs
@@ -1,7 +1,10 @@
-use super::*;
+//! Objects out of a stream of bytes.
+
 use proptest::prelude::*;
+use proptest::test_runner::FileFailurePersistence;
+use saffronpaddle_endpoints::{JsonObjects, Unreadable};
 
-/// All objects of a stream that comes in pieces of so many bytes.
+/// All objects of a stream that comes in pieces of `piece` bytes.
 fn read(stream: &[u8], piece: usize) -> Result<Vec<String>, Unreadable> {
     let (mut objects, mut all) = (JsonObjects::new(1000), Vec::new());
     for mut bytes in stream.chunks(piece) {
@@ -13,11 +16,11 @@
 }
 
 #[test]
-fn objects_end_where_they_end_however_they_are_laid_out_and_cut() {
+fn objects_are_split_however_they_are_laid_out_and_cut() {
     let indented = "{\n  \"seq\": 4,\n  \"hosts\": [\n    {\"host\": \"a}\\\"{\"}\n  ]\n}";
     let stream = format!("\n\n{indented}\n\n{{\"seq\":5}}{{\"seq\":6}}\r\n");
     for piece in 1..=stream.len() {
-        let all = read(stream.as_bytes(), piece).expect("it can be read");
+        let all = read(stream.as_bytes(), piece).expect("objects");
         assert_eq!(
             all,
             [indented, "{\"seq\":5}", "{\"seq\":6}"],
@@ -27,29 +30,33 @@
 }
 
 #[test]
-fn what_is_no_object_or_has_no_end_is_told() {
+fn a_stream_of_anything_else_and_an_endless_object_are_errors() {
     assert_eq!(read(b"\n noise", 3), Err(Unreadable::NoObject(b'n')));
     assert_eq!(read(b"{\"seq\":1}]", 100), Err(Unreadable::NoObject(b']')));
     assert_eq!(
         read(&[b"{\"a\":\"", &[b'x'; 2000][..]].concat(), 100),
         Err(Unreadable::TooLong)
     );
-    assert_eq!(read(b"{\"seq\":1", 2), Ok(vec![]), "half an object is none");
+    assert_eq!(read(b"{\"seq\":1", 2), Ok(vec![]), "an incomplete object");
 }
 
 proptest! {
+    #![proptest_config(ProptestConfig::with_failure_persistence(
+        FileFailurePersistence::WithSource("proptest-regressions")
+    ))]
+
     #[test]
-    fn any_objects_in_any_pieces_come_out_as_they_went_in(
+    fn any_objects_in_any_pieces_are_read_as_they_were_written(
         values in prop::collection::vec(prop::collection::btree_map(".*", ".*", 0..4), 0..6),
         indented in any::<bool>(), piece in 1usize..40,
     ) {
         let write = |value| if indented { serde_json::to_string_pretty(value) } else { serde_json::to_string(value) };
-        let written: Vec<String> = values.iter().map(|value| write(value).expect("it can be")).collect();
+        let written: Vec<String> = values.iter().map(|value| write(value).expect("JSON")).collect();
         prop_assert_eq!(read(written.join("\n").as_bytes(), piece), Ok(written));
     }
 
     #[test]
-    fn noise_never_ends_the_process(noise in prop::collection::vec(any::<u8>(), 0..300), piece in 1usize..40) {
-        let _ = read(&noise, piece);
+    fn arbitrary_bytes_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..300), piece in 1usize..40) {
+        let _ = read(&bytes, piece);
     }
 }
--- /dev/null
+++ b/crates/endpoints/tests/merge.rs
@@ -0,0 +1,122 @@
+//! Several sources of the list.
+
+mod support;
+
+use saffronpaddle_endpoints::*;
+use support::*;
+
+/// An update of one host that listens at `port`.
+fn update_of(host: &str, status: EndpointStatus, port: u16, started_at_ms: u64) -> EndpointUpdate {
+    let record = EndpointRecord {
+        host: host.into(),
+        address: ([127, 0, 0, 1], port).into(),
+        zone: "a".into(),
+        domain: 1,
+        status,
+        weight: 1.0,
+        started_at_ms,
+    };
+    EndpointUpdate {
+        endpoints: vec![record],
+        received_at: ms(1),
+        snapshot: false,
+    }
+}
+
+#[test]
+fn of_contradicting_sources_the_more_careful_status_wins() {
+    use EndpointStatus::{Draining, Ready, Removed};
+    use Source::{Discovery, Etcd};
+    for first in [Ready, Draining, Removed] {
+        for second in [Ready, Draining, Removed] {
+            let mut merge = Merge::new();
+            // Both have listed the host before they contradict each other.
+            merge.take(Discovery, update_of("a", Ready, 80, 0));
+            merge.take(Etcd, update_of("a", Ready, 90, 0));
+            let mut last = Ready;
+            for update in [
+                merge.take(Discovery, update_of("a", first, 80, 0)),
+                merge.take(Etcd, update_of("a", second, 90, 0)),
+            ] {
+                last = update.endpoints.first().map_or(last, |entry| entry.status);
+            }
+            assert_eq!(last, first.max(second), "{first:?} and {second:?}");
+        }
+    }
+}
+
+#[test]
+fn a_source_counts_only_once_it_has_listed_a_host() {
+    use Source::{Discovery, Etcd};
+    let mut merge = Merge::new();
+    let update = merge.take(Etcd, update_of("a", EndpointStatus::Ready, 90, 5));
+    assert_eq!(
+        (
+            update.endpoints[0].status,
+            update.endpoints[0].address.port()
+        ),
+        (EndpointStatus::Ready, 90)
+    );
+    // A complete list of discovery without `a`, which it never listed.
+    let complete = EndpointUpdate {
+        snapshot: true,
+        ..update_of("b", EndpointStatus::Ready, 80, 0)
+    };
+    assert_eq!(
+        statuses(&merge.take(Discovery, complete)),
+        [("b", EndpointStatus::Ready)].into()
+    );
+    // Once it has listed `a`, a complete list without it is a removal. Discovery's address and the later start count.
+    let update = merge.take(Discovery, update_of("a", EndpointStatus::Ready, 80, 3));
+    assert_eq!(
+        (
+            update.endpoints[0].address.port(),
+            update.endpoints[0].started_at_ms
+        ),
+        (80, 5)
+    );
+    let complete = EndpointUpdate {
+        snapshot: true,
+        ..update_of("b", EndpointStatus::Ready, 80, 0)
+    };
+    assert_eq!(
+        statuses(&merge.take(Discovery, complete)),
+        [("a", EndpointStatus::Removed)].into()
+    );
+    assert!(merge
+        .take(Etcd, update_of("a", EndpointStatus::Ready, 91, 9))
+        .endpoints
+        .iter()
+        .all(|entry| entry.status == EndpointStatus::Removed));
+    // When both have removed it, it is forgotten and may be listed again.
+    merge.take(Etcd, update_of("a", EndpointStatus::Removed, 91, 9));
+    assert_eq!(merge.hosts(), 1);
+    assert_eq!(
+        statuses(&merge.take(Etcd, update_of("a", EndpointStatus::Ready, 91, 9))),
+        [("a", EndpointStatus::Ready)].into()
+    );
+}
+
+#[test]
+fn a_record_that_changes_nothing_gives_no_update() {
+    let mut merge = Merge::new();
+    assert_eq!(
+        merge
+            .take(Source::Etcd, update_of("a", EndpointStatus::Ready, 80, 0))
+            .endpoints
+            .len(),
+        1
+    );
+    assert!(merge
+        .take(Source::Etcd, update_of("a", EndpointStatus::Ready, 80, 0))
+        .endpoints
+        .is_empty());
+    assert!(merge
+        .take(
+            Source::Discovery,
+            update_of("a", EndpointStatus::Ready, 80, 0)
+        )
+        .endpoints
+        .is_empty());
+    assert_eq!(merge.contradictions(), 0);
+}
--- a/crates/etcd/src/client.rs
+++ b/crates/etcd/src/client.rs
@@ -487,7 +487,7 @@
                 WatchStep::Leave(why) => {
                     return Err(Left {
                         behind: true,
-                        ..left(why)
+                        ..left(why.to_string())
                     })
                 }
             }
