--- a/crates/policy/src/interface/ids.rs
+++ b/crates/policy/src/interface/ids.rs
@@ -7,48 +7,50 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestId(pub Arc<str>);
 
-/// A server of the shared back end.
-#[derive(
-    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
-)]
-pub struct ServerId(pub u64);
-
-/// A customer, whom a quota binds.
-#[derive(
-    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
-)]
-pub struct CustomerId(pub u64);
-
-/// A node of the fleet, numbered from 0.
-#[derive(
-    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
-)]
-pub struct NodeId(pub u32);
-
-/// Index of a class in [`Settings::classes`](super::Settings::classes).
-#[derive(
-    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
-)]
-pub struct ClassId(pub usize);
-
-/// Index of a plan in [`Settings::plans`](super::Settings::plans).
-#[derive(
-    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
-)]
-pub struct PlanId(pub usize);
-
-/// An availability zone, numbered by whoever embeds the engine; only equality counts.
-#[derive(
-    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
-)]
-pub struct ZoneId(pub u32);
-
-/// A group of servers that share what they know of idempotency keys.
-#[derive(
-    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
-)]
-pub struct DeduplicationDomainId(pub u64);
-
 /// Number of an attempt of one request, from 0 in the order of dispatch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptNumber(pub u32);
+
+macro_rules! numeric_id {
+    ($(#[$doc:meta])+ $name:ident($number:ty)) => {
+        $(#[$doc])+
+        #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
+        #[derive(Serialize, Deserialize)]
+        pub struct $name(pub $number);
+    };
+}
+
+numeric_id! {
+    /// A server of the shared back end.
+    ServerId(u64)
+}
+
+numeric_id! {
+    /// A customer, whom a quota binds.
+    CustomerId(u64)
+}
+
+numeric_id! {
+    /// A node of the fleet, numbered from 0.
+    NodeId(u32)
+}
+
+numeric_id! {
+    /// Index of a class in [`Settings::classes`](super::Settings::classes).
+    ClassId(usize)
+}
+
+numeric_id! {
+    /// Index of a plan in [`Settings::plans`](super::Settings::plans).
+    PlanId(usize)
+}
+
+numeric_id! {
+    /// An availability zone, numbered by whoever embeds the engine; only equality counts.
+    ZoneId(u32)
+}
+
+numeric_id! {
+    /// A group of servers that share what they know of idempotency keys.
+    DeduplicationDomainId(u64)
+}
--- a/crates/subsetting/src/lib.rs
+++ b/crates/subsetting/src/lib.rs
@@ -5,7 +5,7 @@
 //! always old.
 //!
 //! - [`Subset`]: up to [`FULL_LIST_MAX`] servers each gateway sends to all of them. Of a longer list each server has
-//!   [`Subset::cover`] gateways, drawn by its number alone, so a server that comes or goes moves no other, and the gateways
+//!   [`Subset::nodes_per_server`] gateways, drawn by its number alone, so a server that comes or goes moves no other, and the gateways
 //!   of a server can be reckoned by each of them without a word.
 //! - [`Median`]: the median of numbers that change one by one.
 //!
