--- a/crates/policy/src/cold.rs
+++ b/crates/policy/src/cold.rs
@@ -14,6 +14,7 @@
 use saffronpaddle_slow_start::{
     AttemptResult, SlowStartLimits as Warming, TransferredPermit, IDLE_BEFORE_TRANSFER,
 };
+use saffronpaddle_subsetting::SlowStartGroup;
 
 const COLD_BLIND: f64 = 1.5; // sends a second of all gateways to a cold server while no warm one tells more
 const COLD_SAVED: f64 = 1.5; // sends to it that one gateway saves up, and for how many that is safe
@@ -41,15 +42,15 @@
 
 /// What binds the fleet at a cold server: turns are those of the gateways that surely send to it, of whom this is one if its place
 /// is below their count. Danger: turns of gateways that never send to a server of a long list, so that it is sent nothing.
-fn rules(settings: &Settings, up_since: Micros, (gateways, me): (u32, u32)) -> Warming {
+fn rules(settings: &Settings, up_since: Micros, group: SlowStartGroup) -> Warming {
     let SlowStartRules {
         overload_multiple: fall_multiple,
         overload_window: fall_window,
         ..
     } = settings.slow_start;
     Warming {
-        node_count: gateways,
-        node: me,
+        node_count: group.size,
+        node: group.rank,
         up_since,
         overload_multiple: fall_multiple,
         overload_window: fall_window,
@@ -248,10 +249,11 @@
         }
         if let Some((server, gift)) = gift {
             self.next_gift = now.saturating_add(GIFTS_EVERY);
-            let (count, place) = self.servers.carers(server);
-            let to = self
-                .servers
-                .carer(server, place % count + self.random.u32(1..count));
+            let group = self.servers.carers(server);
+            let to = self.servers.carer(
+                server,
+                group.rank % group.size + self.random.u32(1..group.size),
+            );
             self.counts.add(Counter::PermitsTransferred);
             let gift = Message::Gift(message::short(server), gift);
             out.push(Action::SendToPeer {
--- a/crates/policy/src/servers.rs
+++ b/crates/policy/src/servers.rs
@@ -10,7 +10,7 @@
 };
 use crate::message;
 use crate::state::Server;
-use saffronpaddle_subsetting::{Median, Subset, FULL_LIST_MAX, TARGET_SIZE};
+use saffronpaddle_subsetting::{Median, SlowStartGroup, Subset, FULL_LIST_MAX, TARGET_SIZE};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::{Deref, DerefMut};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -388,7 +388,7 @@
     }
 
     /// How many gateways share what is earned by nobody at a server, and which of them this is, if it is one.
-    pub fn carers(&self, server: ServerId) -> (u32, u32) {
+    pub fn carers(&self, server: ServerId) -> SlowStartGroup {
         self.set.slow_start_group(server.0)
     }
 
--- a/crates/subsetting/src/median.rs
+++ b/crates/subsetting/src/median.rs
@@ -1,58 +1,80 @@
-//! The median of numbers that change one by one.
+//! The median of values that change one by one.
+//!
+//! Values are kept in a lower and an upper half of equal size, so the median is at the end of one of them; a change costs a
+//! few steps down a tree instead of a sort.
 
 use std::collections::BTreeSet;
 
-/// Numbers by their keys, in two halves: what lies in the middle is at an end of one of them. Danger: a sort of all
-/// numbers at each tick.
+/// A value by its bits, and its key. The bits of numbers that aren't negative have the order of the numbers.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Entry {
+    bits: u64,
+    key: u64,
+}
+
+impl Entry {
+    fn new(value: f64, key: u64) -> Entry {
+        Entry {
+            bits: value.to_bits(),
+            key,
+        }
+    }
+
+    fn value(self) -> f64 {
+        f64::from_bits(self.bits)
+    }
+}
+
+/// Values by their keys, and their median.
 #[derive(Clone, Debug, Default)]
 pub struct Median {
-    low: BTreeSet<(u64, u64)>,
-    high: BTreeSet<(u64, u64)>,
+    /// As many values as the upper half has, or one less.
+    lower: BTreeSet<Entry>,
+    upper: BTreeSet<Entry>,
 }
 
 impl Median {
-    /// Takes a number in, which must be above 0 or 0; its key must not be in already.
-    pub fn add(&mut self, number: f64, key: u64) {
-        let entry = (number.to_bits(), key);
-        if self.low.last().is_some_and(|last| entry < *last) {
-            self.low.insert(entry);
+    /// Adds a value, which must not be negative, under a key that is not in use.
+    pub fn add(&mut self, value: f64, key: u64) {
+        let entry = Entry::new(value, key);
+        if self.lower.last().is_some_and(|last| entry < *last) {
+            self.lower.insert(entry);
         } else {
-            self.high.insert(entry);
+            self.upper.insert(entry);
         }
-        self.level();
+        self.rebalance();
     }
 
-    /// Takes a number out that was taken in with this key.
-    pub fn remove(&mut self, number: f64, key: u64) {
-        let entry = (number.to_bits(), key);
-        if !self.low.remove(&entry) {
-            self.high.remove(&entry);
+    /// Removes a value that was added under this key.
+    pub fn remove(&mut self, value: f64, key: u64) {
+        let entry = Entry::new(value, key);
+        if !self.lower.remove(&entry) {
+            self.upper.remove(&entry);
         }
-        self.level();
+        self.rebalance();
     }
 
-    /// Of an even count the upper of the two in the middle; `None` of none.
+    /// The median; of an even number of values the upper of the two in the middle. `None` if there are no values.
     pub fn get(&self) -> Option<f64> {
-        self.high.first().map(|(bits, _)| f64::from_bits(*bits))
+        self.upper.first().map(|entry| entry.value())
     }
 
-    /// How many there are.
+    /// Number of values.
     pub fn len(&self) -> usize {
-        self.low.len() + self.high.len()
+        self.lower.len() + self.upper.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no values.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// The lower half is as large as the upper, or one less.
-    fn level(&mut self) {
-        while self.low.len() > self.high.len() {
-            self.high.extend(self.low.pop_last());
+    fn rebalance(&mut self) {
+        while self.lower.len() > self.upper.len() {
+            self.upper.extend(self.lower.pop_last());
         }
-        while self.high.len() > self.low.len() + 1 {
-            self.low.extend(self.high.pop_first());
+        while self.upper.len() > self.lower.len() + 1 {
+            self.lower.extend(self.upper.pop_first());
         }
     }
 }
