--- a/crates/policy/src/endpoint_table.rs
+++ b/crates/policy/src/endpoint_table.rs
@@ -17,7 +17,7 @@
 };
 use crate::server::Server;
 use aggregates::{known_wait, Aggregates};
-use saffronpaddle_subsetting::{Subset, FULL_LIST_MAX, TARGET_SIZE};
+use saffronpaddle_subsetting::{SlowStartGroup, Subset, FULL_LIST_MAX, TARGET_SIZE};
 use short_ids::ShortIds;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -247,15 +247,14 @@
         f64::from(self.subset.nodes_per_server())
     }
 
-    /// How many nodes share the slow-start slots of a server, and this node's place among them, below the count if it is
-    /// one of them.
-    pub fn slow_start_group(&self, server: ServerId) -> (u32, u32) {
+    /// The nodes that share the slow-start slots of a server, and this node's rank among them.
+    pub fn slow_start_group(&self, server: ServerId) -> SlowStartGroup {
         self.subset.slow_start_group(server.0)
     }
 
-    /// The node at a place of that group.
-    pub fn slow_start_member(&self, server: ServerId, place: u32) -> NodeId {
-        NodeId(self.subset.slow_start_member(server.0, place))
+    /// The node of a rank in that group.
+    pub fn slow_start_member(&self, server: ServerId, rank: u32) -> NodeId {
+        NodeId(self.subset.slow_start_member(server.0, rank))
     }
 
     /// How many servers have been examined since the start.
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -21,6 +21,7 @@
 use saffronpaddle_slow_start::{
     AttemptResult, SlowStartLimits, TransferredPermit, IDLE_BEFORE_TRANSFER,
 };
+use saffronpaddle_subsetting::SlowStartGroup;
 
 /// Attempts per second of all nodes to one server, while no warm server shows that it can take more.
 const UNINFORMED_ATTEMPTS_PER_S: f64 = 1.5;
@@ -53,14 +54,12 @@
 /// Lowest rate by which a queue is divided, attempts per second.
 const MIN_RATE: f64 = 1e-3;
 
-/// The limits of slow start at one server. Time slots are those of the nodes that surely use it; `group` is their count
-/// and this node's place among them. Slots of nodes that never use a server of a long list would leave it without any
-/// attempt.
-fn limits(settings: &Settings, up_since: Micros, group: (u32, u32)) -> SlowStartLimits {
-    let (node_count, node) = group;
+/// The limits of slow start at one server. Time slots are those of the nodes that surely use it: slots of nodes that never
+/// use a server of a long list would leave it without any attempt.
+fn limits(settings: &Settings, up_since: Micros, group: SlowStartGroup) -> SlowStartLimits {
     SlowStartLimits {
-        node_count,
-        node,
+        node_count: group.size,
+        node: group.rank,
         up_since,
         overload_multiple: settings.slow_start.overload_multiple,
         overload_window: settings.slow_start.overload_window,
@@ -279,8 +278,8 @@
             return;
         };
         self.slow_start.next_transfer_at = now.saturating_add(TRANSFER_INTERVAL);
-        let (count, place) = self.endpoints.slow_start_group(server);
-        let other = place % count + self.random.u32(1..count);
+        let group = self.endpoints.slow_start_group(server);
+        let other = group.rank % group.size + self.random.u32(1..group.size);
         let to = self.endpoints.slow_start_member(server, other);
         self.counters.add(Counter::PermitsTransferred);
         let message = PeerMessage::PermitTransfer {
