--- a/crates/exchange/src/bugs.rs
+++ b/crates/exchange/src/bugs.rs
@@ -1,66 +1,66 @@
-//! Faults that can be planted to see the checker find them.
+//! Faults that can be planted to prove that the model checker finds them.
 
-/// A fault. What each does stands where it is planted.
+/// A fault that can be planted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Bug {
-    /// An answer counts though its attempt was called off.
+    /// A response counts though its attempt was cancelled.
     AnswerAfterCancel,
-    /// An attempt that is called off ends without its connection being closed.
+    /// A cancelled attempt ends without its connection being closed.
     CancelWithoutClose,
-    /// A kept connection that breaks is replaced though bytes of the request were written.
+    /// A reused connection that breaks is replaced though bytes of the request were written.
     ResendAfterFirstByte,
-    /// A connection is used again with bytes waiting on it.
+    /// A connection is reused with unread bytes on it.
     ReuseWithBytesWaiting,
-    /// The list is looked at before the connect only.
+    /// The endpoint list is checked before the connect only.
     DrainCheckedBeforeConnectOnly,
-    /// A connection counts as leading to its server whatever its address.
+    /// A connection counts as reaching its server whatever its address.
     AddressNotCompared,
-    /// A request that is past its time fails though it was answered.
+    /// A request that is past its deadline fails though it was answered.
     DeadlineRacedByReply,
-    /// A connection is given back and closed too.
+    /// A connection is both kept idle and closed.
     DoubleRelease,
-    /// A refusal is passed on though an attempt may have run.
+    /// A rejection is passed on though an attempt may have run.
     RefusalAfterRun,
-    /// The key's window is measured from the last attempt that may have run.
+    /// The deduplication window begins at the last attempt that may have run, in place of the first.
     WindowFromLastSend,
-    /// The key's window is looked at when the attempt is chosen, not before its first byte.
+    /// The deduplication window is checked at the choice of the attempt, not before its first byte.
     WindowCheckedAtChoiceOnly,
-    /// The key's group is not looked at.
+    /// The deduplication scope is not checked.
     GroupForgotten,
-    /// An unsafe request is sent again after it may have run.
+    /// A non-idempotent request is sent again after it may have run.
     UnsafeResent,
-    /// A connection that could not be made keeps its place.
+    /// A connection that could not be made keeps its slot.
     SlotLost,
-    /// An attempt whose time is up ends at once, and again when its connection is closed.
+    /// The end of an attempt that times out is reported at once, and again when its connection is closed.
     EndToldTwice,
-    /// A request whose client is gone is forgotten with its attempt.
+    /// A request whose client is gone is removed together with its attempt.
     EndNeverTold,
-    /// Connections are used again at once after an answer.
+    /// Connections are reused without a rest after a response.
     NoSettling,
-    /// A second attempt goes out while one is.
+    /// A second attempt is dispatched while one is outstanding.
     TwoAttemptsOut,
-    /// The alarm is not set anew when a connection has come up.
+    /// The alarm is not updated when a connection has come up.
     AlarmForgotten,
-    /// Connections are kept though the node leaves.
+    /// Connections are kept though the node drains.
     KeptAfterStop,
-    /// Who was answered and goes ends the next request of the same id.
+    /// A client that was answered and leaves ends the next request of the same id.
     TicketIgnored,
-    /// The bound on connections counts only those that carry a request.
+    /// Idle connections do not count towards the limit of connections.
     IdleNotCounted,
-    /// A body that is not kept counts as if it could go again.
+    /// A body that was not buffered counts as if it could be sent again.
     GoneBodySentAgain,
-    /// An answer that goes by is called off by the module.
+    /// The policy cancels an attempt whose response streams to the client.
     PassingCalledOff,
-    /// A connection that was answered before its request was whole is kept.
+    /// A connection that was answered before its request was complete is kept.
     EarlyAnswerKept,
-    /// A request counts as one that may have run before its last byte went.
+    /// A request counts as one that may have run before its last byte was sent.
     RunsBeforeWhole,
-    /// Requests that are open when the process is told to stop keep their own time.
+    /// Requests that are open at the announcement of a shutdown keep their own deadline.
     EndForgotten,
 }
 
 impl Bug {
-    /// All of them.
+    /// All faults.
     pub const ALL: [Bug; 27] = [
         Bug::AnswerAfterCancel,
         Bug::CancelWithoutClose,
@@ -92,13 +92,13 @@
     ];
 }
 
-/// Says which fault is planted. The program uses [`Sound`], of which the compiler leaves nothing.
+/// Says which fault is planted. Production code uses [`Sound`], which the compiler optimizes away.
 pub trait Bugs: Clone {
-    /// Whether this one is.
+    /// Whether this fault is planted.
     fn planted(&self, bug: Bug) -> bool;
 }
 
-/// No fault at all.
+/// No fault is planted.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Sound;
 
--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -1,295 +1,246 @@
-//! The machine itself: its tables, and the way of each event to the part that takes it.
-
-mod attempts;
-mod checks;
-mod choice;
-mod connections;
+//! The state machine: its tables, and the dispatch of each event to the module that handles it.
+
+mod attempt_end;
+mod bodies;
+mod dispatch;
+mod eligibility;
+mod endpoints;
+mod first_byte;
+mod inspection;
+mod pool;
 mod requests;
-mod servers;
-mod time;
+mod responses;
+mod statistics;
+mod timers;
 
-use crate::table::{Alarms, ByNumber, Link, Place, Row};
+use crate::number_map::NumberMap;
+use crate::tables::{Alarms, Connection, ReadyServer, RequestState};
 use crate::{
-    Bug, Bugs, Command, ConnectionId, Denial, Event, FinalAnswer, Invariant, Limits, OpenRequest,
-    Policy, Sound, Ticket, Violation, Violations, WaitsFor,
+    Bug, Bugs, Command, ConnectionId, Denial, Event, FinalAnswer, Limits, Policy, Sound, Ticket,
+    Violations,
 };
-use saffronpaddle_admin::{RequestCounters, RequestEnd};
+use saffronpaddle_admin::RequestCounters;
 use saffronpaddle_policy::interface::{
-    Action, AttemptNumber, Event as ModuleEvent, Micros, Outcome, RequestId, ServerId,
+    Action, AttemptNumber, Event as PolicyEvent, Micros, Outcome, RequestId, ServerId,
 };
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::hash::Hash;
 
-/// Requests, attempts and connections of one node. See the [crate's](crate) words.
+/// Requests, attempts and connections of one node. See the [crate's](crate) overview.
 #[derive(Clone)]
 pub struct Exchange<A, M, B = Sound> {
-    bounds: Limits,
+    limits: Limits,
     policy: M,
     bugs: B,
-    rows: HashMap<RequestId, Row>,
-    links: ByNumber<ConnectionId, Link<A>>,
-    places: ByNumber<ServerId, Place<A>>,
+    requests: HashMap<RequestId, RequestState>,
+    connections: NumberMap<ConnectionId, Connection<A>>,
+    servers: NumberMap<ServerId, ReadyServer<A>>,
     alarms: Alarms,
-    /// Idle connections in the order in which they came back.
+    /// Idle connections in the order in which they became idle.
     idle: BTreeSet<(Micros, ConnectionId)>,
     stopped: bool,
-    /// All is answered by then, as the process ends; the end of time where it was not told to.
-    answer_by: Micros,
-    next_link: u64,
+    /// All requests are answered by then, as the process ends; [`Micros::MAX`] until a shutdown is announced.
+    shutdown_deadline: Micros,
+    last_connection: u64,
     next_ticket: u64,
-    /// A request whose last piece waits for what the module says of it.
-    releasing: Option<RequestId>,
-    /// How requests have ended. Nothing hangs on it here.
-    tally: RequestCounters,
-    /// Steps that the guard did not let through, by why.
+    /// A request whose last piece of body is held back until the policy has handled its completion.
+    unreleased_body: Option<RequestId>,
+    /// How requests have ended. No decision depends on it.
+    counters: RequestCounters,
+    /// Steps that the guard denied, by reason.
     denials: HashMap<Denial, u64>,
     violations: Violations,
-    /// What the module is told when it has done with what it was told before.
-    pending: VecDeque<ModuleEvent>,
-}
-
-/// How much later than that a process that was held up may still give an answer, µs.
-const LATE: Micros = 150_000;
-
-/// How a request ends with an answer.
-fn end_of(verdict: FinalAnswer) -> RequestEnd {
-    match verdict {
-        FinalAnswer::Served => RequestEnd::Fulfilled,
-        FinalAnswer::Rejected(_) => RequestEnd::Throttled,
-        FinalAnswer::Failed => RequestEnd::Faulted,
-    }
+    /// Events that the policy has not handled yet.
+    pending_events: VecDeque<PolicyEvent>,
 }
 
 /// Commands, in the order in which they are to be carried out.
 type Commands<A> = Vec<Command<A>>;
 
 impl<A: Copy + Eq + Hash, M: Policy> Exchange<A, M> {
-    /// An exchange with nothing in it.
-    pub fn new(bounds: Limits, module: M) -> Self {
-        Exchange::with_bugs(bounds, module, Sound)
+    /// An empty exchange.
+    pub fn new(limits: Limits, policy: M) -> Self {
+        Exchange::with_bugs(limits, policy, Sound)
     }
 }
 
 impl<A: Copy + Eq + Hash, M: Policy, B: Bugs> Exchange<A, M, B> {
-    /// An exchange with faults in it, for the checker.
-    pub fn with_bugs(bounds: Limits, module: M, bugs: B) -> Self {
+    /// An empty exchange with planted faults, for the model checker.
+    pub fn with_bugs(limits: Limits, policy: M, bugs: B) -> Self {
         Exchange {
-            bounds,
-            policy: module,
+            limits,
+            policy,
             bugs,
-            rows: HashMap::new(),
-            links: ByNumber::default(),
-            places: ByNumber::default(),
+            requests: HashMap::new(),
+            connections: NumberMap::default(),
+            servers: NumberMap::default(),
             alarms: Alarms::new(),
             idle: BTreeSet::new(),
             stopped: false,
-            answer_by: Micros::MAX,
-            next_link: 0,
+            shutdown_deadline: Micros::MAX,
+            last_connection: 0,
             next_ticket: 0,
-            releasing: None,
-            tally: RequestCounters::default(),
+            unreleased_body: None,
+            counters: RequestCounters::default(),
             denials: HashMap::new(),
             violations: Violations::default(),
-            pending: VecDeque::new(),
+            pending_events: VecDeque::new(),
         }
     }
 
-    /// The module inside.
+    /// The policy.
     pub fn policy(&self) -> &M {
         &self.policy
     }
 
-    /// The module inside, to be looked at by a checker.
+    /// The policy, for the model checker.
     pub fn policy_mut(&mut self) -> &mut M {
         &mut self.policy
     }
 
-    /// Whether a request's id is in use: it has no answer yet, or its attempt is still out.
+    /// Whether a request's id is in use: it has no answer yet, or its attempt is still outstanding.
     pub fn contains(&self, id: &RequestId) -> bool {
-        self.rows.contains_key(id)
+        self.requests.contains_key(id)
     }
 
-    /// The ticket of the request that is taken next.
+    /// The ticket of the request that is received next.
     pub fn next_ticket(&self) -> Ticket {
         Ticket(self.next_ticket)
     }
 
-    /// How many servers are ready.
-    pub fn ready_servers(&self) -> usize {
-        self.places.len()
-    }
-
-    /// How many requests, and how many connections, there are; nothing else is kept of either.
-    pub fn table_sizes(&self) -> (usize, usize) {
-        (self.rows.len(), self.links.len())
-    }
-
-    /// The requests that have no final answer yet, in no order.
-    pub fn open_requests(&self) -> impl Iterator<Item = OpenRequest> + '_ {
-        let state = |link: ConnectionId| self.links.get(&link).map(|link| link.state);
-        self.rows
-            .iter()
-            .filter(|(_, row)| row.open)
-            .map(move |(id, row)| OpenRequest {
-                id: id.clone(),
-                class: row.class,
-                deadline: row.deadline,
-                attempts: row.attempts,
-                waits_for: WaitsFor::of(row, state),
-            })
-    }
-
-    /// Other bounds on connections from now on; those beyond it go as they fall idle and room is wanted.
-    pub fn set_max_connections(&mut self, most: usize) {
-        self.bounds.max_connections = most;
-    }
-
-    /// How requests have ended so far, and attempts been written.
-    pub fn tally(&self) -> &RequestCounters {
-        &self.tally
-    }
-
-    /// How often an attempt was kept from its next step, by why.
-    pub fn denials(&self) -> impl Iterator<Item = (Denial, u64)> + '_ {
-        Denial::ALL
-            .into_iter()
-            .map(|denial| (denial, self.denials.get(&denial).copied().unwrap_or(0)))
-    }
-
-    /// How often an invariant did not hold.
-    pub fn violations(&self) -> &Violations {
-        &self.violations
-    }
-
-    /// Violations that nobody was told of yet.
-    pub fn take_violations(&mut self) -> Vec<Violation> {
-        if self.violations.any_untold() {
-            self.violations.take()
-        } else {
-            Vec::new()
-        }
-    }
-
-    /// The process ends now: whoever still waits is never answered.
-    pub fn process_exits(&mut self) {
-        for (id, row) in &self.rows {
-            self.violations
-                .check(!row.open, Invariant::AnsweredBeforeExit, id);
-        }
-    }
-
-    /// A request that could not be taken was answered by the shell: its words made no request, or its id is in use.
-    pub fn turned_away(&mut self, class: usize, end: RequestEnd) {
-        self.tally.taken(class);
-        self.tally.ended(class, end);
+    /// Another limit of connections from now on. Connections beyond it are closed when they are idle and their slot is
+    /// needed.
+    pub fn set_max_connections(&mut self, max_connections: usize) {
+        self.limits.max_connections = max_connections;
     }
 
-    /// When [`Event::Tick`] is due next.
+    /// When [`Event::TimerFired`] is due next, µs.
     pub fn next_alarm(&self) -> Option<Micros> {
-        let row = self.alarms.first().map(|(at, _)| *at);
+        let request = self.alarms.first().map(|(at, _)| *at);
         let idle = self
             .idle
             .first()
-            .map(|(since, _)| since.saturating_add(self.bounds.idle_for));
-        row.into_iter().chain(idle).min()
+            .map(|(since, _)| since.saturating_add(self.limits.idle_for));
+        request.into_iter().chain(idle).min()
     }
 
-    /// Takes an event in, and adds what is to be done.
+    /// Handles an event at `now` (µs) and appends the commands to carry out.
     pub fn handle(&mut self, now: Micros, event: Event<A>, commands: &mut Commands<A>) {
-        // What is past its time is so before anything that comes now. Danger: a late loop that still serves it.
-        self.expire(now, commands);
+        // A late event loop may deliver a response after its request's deadline. The deadline passed first, so the
+        // request fails first.
+        self.answer_overdue(now, commands);
+        self.handle_event(now, event, commands);
+        self.run_policy(now, commands);
+    }
+
+    /// Carries out one action as if the policy had asked for it, for the model checker.
+    pub fn act(&mut self, now: Micros, action: Action, commands: &mut Commands<A>) {
+        self.answer_overdue(now, commands);
+        self.apply_action(now, action, commands);
+        self.run_policy(now, commands);
+    }
+
+    fn handle_event(&mut self, now: Micros, event: Event<A>, commands: &mut Commands<A>) {
         match event {
             Event::RequestReceived {
                 effect,
                 deadline,
-                policy_event: tell,
-            } => self.asked(now, effect, deadline, tell, commands),
+                policy_event,
+            } => self.request_received(now, effect, deadline, policy_event, commands),
             Event::ClientGone { id, ticket } => self.client_gone(&id, ticket),
-            Event::Connected { connection: link } => self.connected(now, link, commands),
+            Event::Connected { connection } => self.connected(now, connection, commands),
             Event::ConnectFailed {
-                connection: link,
-                local_shortage: lack,
-            } => self.connect_failed(link, lack),
-            Event::FirstByteReady {
-                connection: link,
-                quiet,
-            } => self.begin(now, link, quiet, commands),
+                connection,
+                local_shortage,
+            } => self.connect_failed(connection, local_shortage),
+            Event::FirstByteReady { connection, quiet } => {
+                self.first_byte_ready(now, connection, quiet, commands);
+            }
             Event::ResponseComplete {
-                connection: link,
+                connection,
                 outcome,
-            } => self.replied(now, link, outcome, commands),
-            Event::ResponseStreaming { connection: link } => self.passing(now, link, commands),
-            Event::ResponseAbandoned { connection: link } => self.left(link, commands),
+            } => self.response_complete(now, connection, outcome, commands),
+            Event::ResponseStreaming { connection } => {
+                self.response_streaming(now, connection, commands);
+            }
+            Event::ResponseAbandoned { connection } => {
+                self.response_abandoned(connection, commands);
+            }
             Event::BodyComplete {
                 id,
                 ticket,
                 deadline,
-            } => self.whole(now, &id, ticket, deadline),
-            Event::Upgraded { connection: link } => self.upgraded(now, link, commands),
-            Event::ConnectionLost { connection: link } => self.broken(now, link, commands),
-            Event::ClosedByPeer { connection: link } => self.gone(link, commands),
-            Event::Closed { connection: link } => self.closed(now, link, commands),
+            } => self.body_complete(now, &id, ticket, deadline),
+            Event::Upgraded { connection } => self.upgraded(now, connection, commands),
+            Event::ConnectionLost { connection } => self.connection_lost(now, connection, commands),
+            Event::ClosedByPeer { connection } => self.closed_by_peer(connection, commands),
+            Event::Closed { connection } => self.closed(now, connection, commands),
             Event::EndpointsChanged {
-                snapshot: whole,
-                endpoints: entries,
-            } => self.listed(whole, entries, commands),
-            Event::ShutdownAnnounced { answer_by } => self.ending(answer_by),
+                snapshot,
+                endpoints,
+            } => self.endpoints_changed(snapshot, endpoints, commands),
+            Event::ShutdownAnnounced { answer_by } => self.shutdown_announced(answer_by),
             Event::Stop => self.stop(commands),
-            Event::TimerFired => self.tick(now, commands),
-            Event::PolicyEvent(event) => self.pending.push_back(event),
+            Event::TimerFired => self.timer_fired(now, commands),
+            Event::PolicyEvent(event) => self.pending_events.push_back(event),
         }
-        self.pump(now, commands);
     }
 
-    /// Carries out one action as if the module had asked for it, at any time: a checker's module.
-    pub fn act(&mut self, now: Micros, action: Action, commands: &mut Commands<A>) {
-        self.expire(now, commands);
-        self.apply(now, action, commands);
-        self.pump(now, commands);
-    }
-
-    /// The module is never entered twice, and what it asks for is done in the order in which it asks.
-    fn pump(&mut self, now: Micros, commands: &mut Commands<A>) {
+    /// Lets the policy handle all pending events. Its actions may add events: these are queued, so that the policy is
+    /// never entered twice and its actions are carried out in their order.
+    fn run_policy(&mut self, now: Micros, commands: &mut Commands<A>) {
         let mut actions = Vec::new();
-        while let Some(event) = self.pending.pop_front() {
+        while let Some(event) = self.pending_events.pop_front() {
             self.policy.handle(now, event, &mut actions);
             actions
                 .drain(..)
-                .for_each(|action| self.apply(now, action, commands));
+                .for_each(|action| self.apply_action(now, action, commands));
         }
-        self.release(commands);
+        self.release_body(commands);
     }
 
-    fn apply(&mut self, now: Micros, action: Action, commands: &mut Commands<A>) {
+    fn apply_action(&mut self, now: Micros, action: Action, commands: &mut Commands<A>) {
         match action {
             Action::Send {
                 id,
                 server,
-                timeout: time_out,
-            } => self.send(now, &id, server, time_out, commands),
-            Action::Reject {
-                id,
-                retry_after: retry_in,
-            } => {
-                let may_refuse = self.rows.get(&id).is_some_and(Row::may_be_refused);
-                let kept = may_refuse || self.bugs.planted(Bug::RefusalAfterRun);
-                let verdict = if kept {
-                    FinalAnswer::Rejected(retry_in)
-                } else {
-                    FinalAnswer::Failed
-                };
-                self.answer(now, &id, verdict, commands);
+                timeout,
+            } => self.dispatch(now, &id, server, timeout, commands),
+            Action::Reject { id, retry_after } => {
+                let answer = self.checked_rejection(&id, retry_after);
+                self.answer(now, &id, answer, commands);
             }
             Action::Fail { id } => self.answer(now, &id, FinalAnswer::Failed, commands),
-            Action::Cancel { id, attempt } => {
-                let out = self.rows.get(&id).and_then(|row| row.out.as_ref());
-                let passing = self.rows.get(&id).is_some_and(|row| row.passing)
-                    && !self.bugs.planted(Bug::PassingCalledOff);
-                if !passing && out.is_some_and(|out| AttemptNumber(out.number) == attempt) {
-                    self.give_up(&id, Outcome::Cancelled, commands);
-                }
-            }
+            Action::Cancel { id, attempt } => self.cancel(&id, attempt, commands),
             other => commands.push(Command::ForPolicy(other)),
         }
     }
+
+    /// The answer to a request that the policy rejects: a failure where a rejection would promise too much.
+    fn checked_rejection(&self, id: &RequestId, retry_after: Option<Micros>) -> FinalAnswer {
+        let allowed = self
+            .requests
+            .get(id)
+            .is_some_and(RequestState::rejection_allowed);
+        if allowed || self.bugs.planted(Bug::RefusalAfterRun) {
+            FinalAnswer::Rejected(retry_after)
+        } else {
+            FinalAnswer::Failed
+        }
+    }
+
+    /// Cancels an attempt, unless its response streams: the client has a part of that response already.
+    fn cancel(&mut self, id: &RequestId, attempt: AttemptNumber, commands: &mut Commands<A>) {
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        let streaming = request.streaming && !self.bugs.planted(Bug::PassingCalledOff);
+        let outstanding = request
+            .outstanding
+            .as_ref()
+            .is_some_and(|outstanding| AttemptNumber(outstanding.number) == attempt);
+        if outstanding && !streaming {
+            self.abort_attempt(id, Outcome::Cancelled, commands);
+        }
+    }
 }
--- /dev/null
+++ b/crates/exchange/src/exchange/attempt_end.rs
@@ -0,0 +1,105 @@
+//! The end of an attempt: aborted, or over by itself.
+
+use super::{Commands, Exchange};
+use crate::tables::AttemptStage;
+use crate::{Bug, Bugs, Policy};
+use saffronpaddle_policy::interface::{AttemptNumber, Event as PolicyEvent, Outcome, RequestId};
+use std::hash::Hash;
+
+impl<A: Copy + Eq + Hash, M: Policy, B: Bugs> Exchange<A, M, B> {
+    /// Aborts the outstanding attempt of a request, for a reason that becomes its outcome if it may have run. The
+    /// attempt ends when its connection is closed: were it over at once, a retry could run while the server still runs
+    /// this attempt.
+    pub(super) fn abort_attempt(
+        &mut self,
+        id: &RequestId,
+        reason: Outcome,
+        commands: &mut Commands<A>,
+    ) {
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        let Some(attempt) = request.outstanding.as_ref() else {
+            return;
+        };
+        // A server can't have run a request that is not complete.
+        let complete = request.body_complete || self.bugs.planted(Bug::RunsBeforeWhole);
+        let may_have_run = attempt.dispatched.is_some() && complete;
+        let outcome = aborted_outcome(reason, may_have_run);
+        let number = attempt.number;
+        let deadline = attempt.deadline;
+        match attempt.stage {
+            AttemptStage::Closing(..) => {}
+            AttemptStage::AwaitingSlot(_) => self.end_attempt(id, Outcome::NotSent),
+            AttemptStage::OnConnection(connection)
+                if reason == Outcome::Cancelled && self.bugs.planted(Bug::CancelWithoutClose) =>
+            {
+                self.keep_idle(deadline, connection, commands);
+                self.end_attempt(id, outcome);
+            }
+            AttemptStage::OnConnection(connection) => {
+                self.close_for(connection, id, commands);
+                self.set_stage(id, AttemptStage::Closing(connection, outcome), None);
+                if reason == Outcome::TimedOut && self.bugs.planted(Bug::EndToldTwice) {
+                    self.notify_attempt_ended(id, number, outcome, false);
+                }
+            }
+        }
+    }
+
+    /// The attempt of a request is over, and its connection is closed or idle.
+    pub(super) fn end_attempt(&mut self, id: &RequestId, outcome: Outcome) {
+        let window_from_last = self.bugs.planted(Bug::WindowFromLastSend);
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        let Some(attempt) = request.outstanding.take() else {
+            return;
+        };
+        let was_streaming = std::mem::take(&mut request.streaming);
+        self.counters.streaming -= u64::from(was_streaming);
+        if may_have_run(outcome) {
+            request.first_dispatched = if window_from_last {
+                attempt.dispatched.or(request.first_dispatched)
+            } else {
+                request.first_dispatched.or(attempt.dispatched)
+            };
+        }
+        let request_closed = !request.open;
+        self.notify_attempt_ended(id, attempt.number, outcome, request_closed);
+        self.update_or_remove(id);
+    }
+
+    /// Tells the policy of the end of an attempt.
+    pub(super) fn notify_attempt_ended(
+        &mut self,
+        id: &RequestId,
+        number: u32,
+        outcome: Outcome,
+        request_closed: bool,
+    ) {
+        self.pending_events.push_back(PolicyEvent::AttemptEnded {
+            id: id.clone(),
+            attempt: AttemptNumber(number),
+            outcome,
+            request_closed,
+        });
+    }
+}
+
+/// The outcome of an attempt that is aborted: of one that can't have run, the policy is told so, and may retry it.
+fn aborted_outcome(reason: Outcome, may_have_run: bool) -> Outcome {
+    match reason {
+        _ if may_have_run => reason,
+        Outcome::ConnectionLost | Outcome::TimedOut => Outcome::Unreachable,
+        _ => Outcome::NotSent,
+    }
+}
+
+/// Whether an attempt with this outcome may have run without the request being served.
+fn may_have_run(outcome: Outcome) -> bool {
+    !matches!(
+        outcome,
+        Outcome::Ok | Outcome::Rejected | Outcome::Unreachable | Outcome::NotSent
+    )
+}
--- /dev/null
+++ b/crates/exchange/src/exchange/bodies.rs
@@ -0,0 +1,63 @@
+//! Request bodies that stream to the server while they arrive from the client.
+
+use super::{Commands, Exchange};
+use crate::tables::{AttemptStage, ConnectionState};
+use crate::{Bugs, Command, Policy, Ticket};
+use saffronpaddle_policy::interface::{Event as PolicyEvent, Micros, RequestId};
+use std::hash::Hash;
+
+impl<A: Copy + Eq + Hash, M: Policy, B: Bugs> Exchange<A, M, B> {
+    /// All of a streaming body has arrived. Its client's time begins now, and the last piece is held back until the
+    /// policy has handled this: before that piece, the server can't have run the request, so it may still be rejected.
+    pub(super) fn body_complete(
+        &mut self,
+        now: Micros,
+        id: &RequestId,
+        ticket: Ticket,
+        deadline: Micros,
+    ) {
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        if request.ticket != ticket || !request.open || request.body_complete {
+            return;
+        }
+        request.deadline = deadline;
+        request.shortened_by_shutdown = false;
+        request.limit_to_shutdown(self.shutdown_deadline);
+        let deadline = request.deadline;
+        if let Some(attempt) = request.outstanding.as_mut() {
+            attempt.deadline = deadline;
+            attempt.step_deadline = attempt.step_deadline.min(deadline);
+        }
+        self.update_alarm(id);
+        self.pending_events.push_back(PolicyEvent::BodyComplete {
+            id: id.clone(),
+            timeout: deadline.saturating_sub(now),
+        });
+        self.unreleased_body = Some(id.clone());
+    }
+
+    /// Releases the last piece of a body, unless the policy has ended the request.
+    pub(super) fn release_body(&mut self, commands: &mut Commands<A>) {
+        let Some(id) = self.unreleased_body.take() else {
+            return;
+        };
+        let Some(request) = self.requests.get_mut(&id).filter(|request| request.open) else {
+            return;
+        };
+        let stage = request.outstanding.as_ref().map(|attempt| attempt.stage);
+        let Some(AttemptStage::OnConnection(connection)) = stage else {
+            return;
+        };
+        let written = self
+            .connections
+            .get(&connection)
+            .is_some_and(|found| found.state == ConnectionState::Written);
+        if written {
+            request.body_complete = true;
+            self.counters.relayed += 1;
+            commands.push(Command::ReleaseBody { connection });
+        }
+    }
+}
--- /dev/null
+++ b/crates/exchange/src/exchange/first_byte.rs
@@ -0,0 +1,203 @@
+//! An attempt whose connection is up, until its first byte is written.
+
+use super::{Commands, Exchange};
+use crate::tables::{AttemptStage, Connection, ConnectionState, RequestState};
+use crate::{Bug, Bugs, Command, ConnectionId, Invariant, Policy};
+use saffronpaddle_policy::idempotency::{retry_allowed, DispatchedAttempt, ServerLocation};
+use saffronpaddle_policy::interface::{
+    DeduplicationDomainId, Idempotency, Micros, Outcome, RequestId, ServerId, ZoneId,
+};
+use std::hash::Hash;
+
+impl<A: Copy + Eq + Hash, M: Policy, B: Bugs> Exchange<A, M, B> {
+    pub(super) fn connected(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        commands: &mut Commands<A>,
+    ) {
+        let Some(id) = self.request_on(connection) else {
+            return;
+        };
+        let Some(connected) = self
+            .connections
+            .get_mut(&connection)
+            .filter(|found| found.state == ConnectionState::Connecting)
+        else {
+            return;
+        };
+        connected.state = ConnectionState::Assigned;
+        let server = connected.server;
+        if !self.still_eligible(now, &id, connection) {
+            // Nothing was written: the request has not run, and the connection is as good as new.
+            self.keep_idle(now, connection, commands);
+            return self.end_attempt(&id, Outcome::NotSent);
+        }
+        commands.push(Command::Send {
+            connection,
+            id: id.clone(),
+            server,
+        });
+        if self.bugs.planted(Bug::AlarmForgotten) {
+            self.drop_alarm(&id);
+        } else {
+            self.set_stage(&id, AttemptStage::OnConnection(connection), None);
+        }
+    }
+
+    /// What [`Bug::AlarmForgotten`] does in place of an update of the alarm.
+    fn drop_alarm(&mut self, id: &RequestId) {
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        if let (Some(attempt), Some(at)) = (request.outstanding.as_mut(), request.alarm.take()) {
+            attempt.step_deadline = attempt.deadline;
+            self.alarms.remove(&(at, id.clone()));
+        }
+    }
+
+    pub(super) fn connect_failed(&mut self, connection: ConnectionId, local_shortage: bool) {
+        if !self.is_in_state(connection, ConnectionState::Connecting) {
+            return;
+        }
+        self.counters.connects_failed += u64::from(!local_shortage);
+        let id = self.request_on(connection);
+        if !self.bugs.planted(Bug::SlotLost) {
+            self.connections.remove(&connection);
+        }
+        // A shortage on this side says nothing about the server: the policy would otherwise eject a healthy one.
+        let outcome = if local_shortage {
+            Outcome::NotSent
+        } else {
+            Outcome::Unreachable
+        };
+        if let Some(id) = id {
+            self.end_attempt(&id, outcome);
+        }
+    }
+
+    /// The last check before the first byte. Since the attempt was chosen, its server may have drained, its request may
+    /// have been answered, its deadline may have passed, and the connection may have received bytes that would be read
+    /// as the response to this request.
+    pub(super) fn first_byte_ready(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        quiet: bool,
+        commands: &mut Commands<A>,
+    ) {
+        let Some(id) = self
+            .request_on(connection)
+            .filter(|_| self.is_in_state(connection, ConnectionState::Assigned))
+        else {
+            return;
+        };
+        if !self.still_eligible(now, &id, connection) {
+            return self.abort_attempt(&id, Outcome::Cancelled, commands);
+        }
+        if !quiet && !self.bugs.planted(Bug::ReuseWithBytesWaiting) {
+            return self.replace_connection(now, &id, connection, commands);
+        }
+        self.verify_first_byte(now, &id, connection);
+        self.mark_written(now, &id, connection);
+        commands.push(Command::Write { connection });
+    }
+
+    fn mark_written(&mut self, now: Micros, id: &RequestId, connection: ConnectionId) {
+        let Some(written) = self.connections.get_mut(&connection) else {
+            return;
+        };
+        written.state = ConnectionState::Written;
+        let server = written.server;
+        let dispatched = DispatchedAttempt {
+            location: self.location_of(server),
+            at: now,
+        };
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        request.body_consumed = !request.body_complete;
+        self.counters.relayed += u64::from(request.body_complete);
+        if let Some(attempt) = request.outstanding.as_mut() {
+            attempt.dispatched = Some(dispatched);
+        }
+    }
+
+    /// The location of a server; only planted faults write to a server that is not ready and has none.
+    fn location_of(&self, server: ServerId) -> ServerLocation {
+        self.servers.get(&server).map_or(
+            ServerLocation {
+                zone: ZoneId::default(),
+                domain: DeduplicationDomainId::default(),
+            },
+            |ready| ready.location,
+        )
+    }
+
+    /// Verifies, from the tables alone, a first byte that the guard has let through.
+    fn verify_first_byte(&mut self, now: Micros, id: &RequestId, connection: ConnectionId) {
+        let (Some(request), Some(carrier)) =
+            (self.requests.get(id), self.connections.get(&connection))
+        else {
+            return;
+        };
+        let in_time = now <= request.deadline.min(self.shutdown_deadline);
+        let ready = self
+            .servers
+            .get(&carrier.server)
+            .is_some_and(|server| server.address == carrier.address);
+        let once = request.open && awaits_first_byte(request, connection);
+        let safely = self.is_safe_to_write(now, request, carrier);
+        self.violations.check(in_time, Invariant::SentInTime, id);
+        self.violations
+            .check(ready, Invariant::SentToReadyServer, id);
+        self.violations.check(once, Invariant::SentOnce, id);
+        self.violations.check(safely, Invariant::RepeatedSafely, id);
+    }
+
+    fn is_safe_to_write(
+        &self,
+        now: Micros,
+        request: &RequestState,
+        carrier: &Connection<A>,
+    ) -> bool {
+        if request.first_dispatched.is_none() || request.idempotency == Idempotency::Idempotent {
+            return true;
+        }
+        self.servers.get(&carrier.server).is_some_and(|server| {
+            retry_allowed(
+                request.idempotency,
+                request.first_dispatched,
+                server.location,
+                now,
+            )
+        })
+    }
+
+    /// A connection turned out bad before a byte was written. A reused one is replaced by another; a new one counts as
+    /// a timeout of its server.
+    pub(super) fn replace_connection(
+        &mut self,
+        now: Micros,
+        id: &RequestId,
+        connection: ConnectionId,
+        commands: &mut Commands<A>,
+    ) {
+        let reused = self
+            .connections
+            .get(&connection)
+            .is_some_and(|found| found.reused);
+        if !reused {
+            return self.abort_attempt(id, Outcome::TimedOut, commands);
+        }
+        self.close(connection, commands);
+        self.start_attempt(now, id, commands);
+    }
+}
+
+/// Whether the request's attempt is on this connection and nothing of it is written.
+fn awaits_first_byte(request: &RequestState, connection: ConnectionId) -> bool {
+    request.outstanding.as_ref().is_some_and(|attempt| {
+        attempt.stage == AttemptStage::OnConnection(connection) && attempt.dispatched.is_none()
+    })
+}
--- /dev/null
+++ b/crates/exchange/src/exchange/inspection.rs
@@ -0,0 +1,143 @@
+//! What the model checker asks of the tables.
+
+use super::Exchange;
+use crate::tables::{Alarms, AttemptStage, ConnectionState, OutstandingAttempt, RequestState};
+use crate::{Bugs, ConnectionId, Policy};
+use saffronpaddle_policy::interface::{Outcome, RequestId};
+use std::collections::BTreeSet;
+use std::hash::{Hash, Hasher};
+
+impl<A: Copy + Eq + Hash, M: Policy, B: Bugs> Exchange<A, M, B> {
+    /// Hashes all that the future of the exchange depends on. Connections are hashed by their rank, not by their ids,
+    /// so that two states that differ in their history only are one.
+    pub fn digest(&self, hasher: &mut impl Hasher) {
+        let mut ids: Vec<_> = self.connections.keys().copied().collect();
+        ids.sort();
+        let rank_of = |id: ConnectionId| ids.binary_search(&id).unwrap_or(usize::MAX);
+        let mut requests: Vec<_> = self.requests.iter().collect();
+        requests.sort_by_key(|(id, _)| *id);
+        for (id, request) in requests {
+            hash_request(id, request, hasher);
+            if let Some(attempt) = &request.outstanding {
+                hash_attempt(attempt, rank_of, hasher);
+            }
+        }
+        for id in &ids {
+            let connection = &self.connections[id];
+            connection.server.hash(hasher);
+            connection.address.hash(hasher);
+            connection.state.hash(hasher);
+            connection.reused.hash(hasher);
+            connection.closed_by_peer.hash(hasher);
+            connection.request.hash(hasher);
+        }
+        let mut servers: Vec<_> = self.servers.iter().collect();
+        servers.sort_by_key(|(id, _)| **id);
+        for (id, server) in servers {
+            let idle: Vec<usize> = server.idle.iter().map(|id| rank_of(*id)).collect();
+            (id, server.address, server.location, idle).hash(hasher);
+        }
+        (self.stopped, self.shutdown_deadline, self.next_ticket).hash(hasher);
+    }
+
+    /// Checks that the tables, which say the same in several ways, agree.
+    ///
+    /// # Errors
+    /// The first disagreement, in words.
+    pub fn consistent(&self) -> Result<(), &'static str> {
+        self.check_requests()?;
+        self.check_idle_connections()?;
+        check(
+            self.connections.len() <= self.limits.max_connections,
+            "there are more connections than may be",
+        )
+    }
+
+    fn check_requests(&self) -> Result<(), &'static str> {
+        let alarms: Alarms = self
+            .requests
+            .iter()
+            .filter_map(|(id, request)| Some((request.alarm?, id.clone())))
+            .collect();
+        check(
+            alarms == self.alarms,
+            "the order of alarms is not that of the rows",
+        )?;
+        let due = self
+            .requests
+            .values()
+            .all(|request| request.alarm == request.next_due(self.limits.answer_grace));
+        check(due, "an alarm is not set as its row needs")?;
+        let needed = self
+            .requests
+            .values()
+            .all(|request| request.open || request.outstanding.is_some());
+        check(needed, "a row is kept though nothing is owed")
+    }
+
+    fn check_idle_connections(&self) -> Result<(), &'static str> {
+        let idle: BTreeSet<_> = self
+            .connections
+            .iter()
+            .filter_map(|(id, connection)| match connection.state {
+                ConnectionState::Idle(since) => Some((since, *id)),
+                _ => None,
+            })
+            .collect();
+        check(
+            idle == self.idle,
+            "the order of idle connections is not theirs",
+        )?;
+        let idle_at_servers: BTreeSet<ConnectionId> = self
+            .servers
+            .values()
+            .flat_map(|server| server.idle.iter().copied())
+            .collect();
+        check(
+            idle_at_servers == self.idle.iter().map(|(_, id)| *id).collect(),
+            "a server's idle connections are not those that are idle",
+        )?;
+        let reach_servers = self.idle.iter().all(|(_, id)| self.reaches_server(*id));
+        check(reach_servers, "a connection is kept that leads nowhere")
+    }
+}
+
+fn check(holds: bool, disagreement: &'static str) -> Result<(), &'static str> {
+    if holds {
+        Ok(())
+    } else {
+        Err(disagreement)
+    }
+}
+
+/// Hashes a request without its outstanding attempt.
+fn hash_request(id: &RequestId, request: &RequestState, hasher: &mut impl Hasher) {
+    id.hash(hasher);
+    request.deadline.hash(hasher);
+    request.shutdown_deadline.hash(hasher);
+    request.shortened_by_shutdown.hash(hasher);
+    request.open.hash(hasher);
+    request.attempts.hash(hasher);
+    request.first_dispatched.hash(hasher);
+    request.alarm.hash(hasher);
+    request.body_complete.hash(hasher);
+    request.body_consumed.hash(hasher);
+    request.streaming.hash(hasher);
+}
+
+fn hash_attempt(
+    attempt: &OutstandingAttempt,
+    rank_of: impl Fn(ConnectionId) -> usize,
+    hasher: &mut impl Hasher,
+) {
+    attempt.number.hash(hasher);
+    attempt.server.hash(hasher);
+    attempt.deadline.hash(hasher);
+    attempt.step_deadline.hash(hasher);
+    attempt.dispatched.hash(hasher);
+    match attempt.stage {
+        AttemptStage::AwaitingSlot(id) => (0, rank_of(id), None::<Outcome>).hash(hasher),
+        AttemptStage::OnConnection(id) => (1, rank_of(id), None::<Outcome>).hash(hasher),
+        AttemptStage::Closing(id, outcome) => (2, rank_of(id), Some(outcome)).hash(hasher),
+    }
+}
--- /dev/null
+++ b/crates/exchange/src/exchange/pool.rs
@@ -0,0 +1,159 @@
+//! The pool of connections to servers: kept idle, reused and closed.
+
+use super::{Commands, Exchange};
+use crate::tables::{AttemptStage, Connection, ConnectionState};
+use crate::{Bug, Bugs, Command, ConnectionId, Policy};
+use saffronpaddle_policy::interface::{Micros, Outcome, RequestId, ServerId};
+use std::hash::Hash;
+
+impl<A: Copy + Eq + Hash, M: Policy, B: Bugs> Exchange<A, M, B> {
+    /// Takes the rested connection to a server that became idle last, so that the others reach their idle timeout.
+    /// Connections that are past it are closed.
+    pub(super) fn take_idle(
+        &mut self,
+        now: Micros,
+        server: ServerId,
+        commands: &mut Commands<A>,
+    ) -> Option<ConnectionId> {
+        let reuse_delay = if self.bugs.planted(Bug::NoSettling) {
+            0
+        } else {
+            self.limits.reuse_delay
+        };
+        loop {
+            let ready = self.servers.get(&server)?;
+            let rested = |id: &&ConnectionId| {
+                self.idle_since(**id)
+                    .is_none_or(|since| now >= since.saturating_add(reuse_delay))
+            };
+            let connection = *ready.idle.iter().rev().find(rested)?;
+            let fresh = self
+                .idle_since(connection)
+                .is_some_and(|since| now < since.saturating_add(self.limits.idle_for));
+            if fresh {
+                self.remove_from_idle(connection);
+                return Some(connection);
+            }
+            self.close(connection, commands);
+        }
+    }
+
+    fn idle_since(&self, connection: ConnectionId) -> Option<Micros> {
+        match self.connections.get(&connection)?.state {
+            ConnectionState::Idle(since) => Some(since),
+            _ => None,
+        }
+    }
+
+    /// Removes a connection from the idle ones, if it is one.
+    fn remove_from_idle(&mut self, connection: ConnectionId) {
+        let Some(found) = self.connections.get(&connection) else {
+            return;
+        };
+        if let ConnectionState::Idle(since) = found.state {
+            self.idle.remove(&(since, connection));
+            if let Some(server) = self.servers.get_mut(&found.server) {
+                server.idle.retain(|other| *other != connection);
+            }
+        }
+    }
+
+    /// Keeps a connection that has become idle, or closes it if it is of no use.
+    pub(super) fn keep_idle(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        commands: &mut Commands<A>,
+    ) {
+        let keeps_connections = !self.stopped || self.bugs.planted(Bug::KeptAfterStop);
+        let useful = self.reaches_server(connection) && keeps_connections;
+        let max_idle = self.limits.max_idle_per_server;
+        let Some(freed) = self.connections.get_mut(&connection) else {
+            return;
+        };
+        match self.servers.get_mut(&freed.server) {
+            Some(server) if useful && !freed.closed_by_peer && server.idle.len() < max_idle => {
+                freed.reused |= freed.state == ConnectionState::Written;
+                freed.state = ConnectionState::Idle(now);
+                freed.request = None;
+                server.idle.push(connection);
+                self.idle.insert((now, connection));
+            }
+            _ => self.close(connection, commands),
+        }
+    }
+
+    pub(super) fn close(&mut self, connection: ConnectionId, commands: &mut Commands<A>) {
+        self.remove_from_idle(connection);
+        let Some(closing) = self
+            .connections
+            .get_mut(&connection)
+            .filter(|found| found.state != ConnectionState::Closing)
+        else {
+            return;
+        };
+        closing.state = ConnectionState::Closing;
+        closing.request = None;
+        commands.push(Command::Close { connection });
+    }
+
+    /// Closes a connection for a request whose attempt waits until it is closed.
+    pub(super) fn close_for(
+        &mut self,
+        connection: ConnectionId,
+        id: &RequestId,
+        commands: &mut Commands<A>,
+    ) {
+        self.close(connection, commands);
+        if let Some(closing) = self.connections.get_mut(&connection) {
+            closing.request = Some(id.clone());
+        }
+    }
+
+    pub(super) fn closed_by_peer(&mut self, connection: ConnectionId, commands: &mut Commands<A>) {
+        match self.connections.get_mut(&connection) {
+            Some(found) if matches!(found.state, ConnectionState::Idle(_)) => {
+                self.close(connection, commands);
+            }
+            // How the attempt on it ended is reported by another event.
+            Some(found) => found.closed_by_peer = true,
+            None => {}
+        }
+    }
+
+    pub(super) fn closed(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        commands: &mut Commands<A>,
+    ) {
+        if !self.is_in_state(connection, ConnectionState::Closing) {
+            return;
+        }
+        let Some(Connection {
+            request: Some(id), ..
+        }) = self.connections.remove(&connection)
+        else {
+            return;
+        };
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
+        let Some(attempt) = request.outstanding.as_ref() else {
+            return;
+        };
+        let still_wanted = request.open && now < attempt.deadline;
+        match attempt.stage {
+            AttemptStage::Closing(other, outcome) if other == connection => {
+                self.end_attempt(&id, outcome);
+            }
+            AttemptStage::AwaitingSlot(other) if other == connection && still_wanted => {
+                self.start_attempt(now, &id, commands);
+            }
+            AttemptStage::AwaitingSlot(other) if other == connection => {
+                self.end_attempt(&id, Outcome::NotSent);
+            }
+            _ => {}
+        }
+    }
+}
--- a/crates/exchange/src/exchange/requests.rs
+++ b/crates/exchange/src/exchange/requests.rs
@@ -1,171 +1,185 @@
-//! The life of a request: taken, answered, abandoned, and when it has to be looked at.
+//! The life of a request: received, answered, abandoned, and when it has to be looked at.
 
-use super::{end_of, Commands, Exchange, LATE};
-use crate::table::Row;
+use super::{Commands, Exchange};
+use crate::tables::RequestState;
 use crate::{Bug, Bugs, Command, FinalAnswer, Invariant, Policy, Ticket};
 use saffronpaddle_admin::RequestEnd;
-use saffronpaddle_policy::interface::{
-    DeduplicationScope, Event as ModuleEvent, Idempotency, Micros, RequestId,
-};
+use saffronpaddle_policy::interface::{Event as PolicyEvent, Idempotency, Micros, RequestId};
 use std::hash::Hash;
 
+/// How late an answer may be before it counts as a violation, µs: the operating system may suspend the process for a
+/// while.
+const ANSWER_TOLERANCE: Micros = 150_000;
+
 impl<A: Copy + Eq + Hash, M: Policy, B: Bugs> Exchange<A, M, B> {
-    pub(super) fn asked(
+    pub(super) fn request_received(
         &mut self,
         now: Micros,
-        effect: Idempotency,
+        idempotency: Idempotency,
         deadline: Micros,
-        mut tell: ModuleEvent,
+        mut policy_event: PolicyEvent,
         commands: &mut Commands<A>,
     ) {
-        let ModuleEvent::RequestArrived {
+        let PolicyEvent::RequestArrived {
             id,
             class,
-            complete: whole,
-            timeout: patience,
+            complete,
+            timeout,
             ..
-        } = &mut tell
+        } = &mut policy_event
         else {
             return;
         };
         if self.contains(id) {
             return;
         }
-        *patience = (*patience).min(self.answer_by.saturating_sub(now));
+        *timeout = (*timeout).min(self.shutdown_deadline.saturating_sub(now));
+        let id = id.clone();
+        let class = class.0;
+        let body_complete = *complete;
         let ticket = self.next_ticket();
         self.next_ticket += 1;
-        let (class, whole) = (class.0, *whole);
-        self.tally.taken(class);
-        if now >= self.answer_by {
-            // The process has no time left for it. Nothing of it has been sent, so that trying again is harmless.
-            self.tally.ended(class, RequestEnd::Throttled);
-            return commands.push(Command::Answer {
-                id: id.clone(),
-                answer: FinalAnswer::Rejected(None),
-            });
+        self.counters.taken(class);
+        if now >= self.shutdown_deadline {
+            return self.reject_at_shutdown(id, class, commands);
         }
-        let mut row = Row {
+        let mut request = RequestState {
             ticket,
             class,
-            effect,
+            idempotency,
             deadline,
-            process_end: Micros::MAX,
-            cut_short: false,
+            shutdown_deadline: Micros::MAX,
+            shortened_by_shutdown: false,
             open: true,
-            whole,
-            spent: false,
-            passing: false,
+            body_complete,
+            body_consumed: false,
+            streaming: false,
             attempts: 0,
-            out: None,
-            ran: None,
+            outstanding: None,
+            first_dispatched: None,
             alarm: None,
         };
-        row.cut(self.answer_by);
-        self.rows.insert(id.clone(), row);
-        let id = id.clone();
-        self.arm(&id);
-        self.pending.push_back(tell);
+        request.limit_to_shutdown(self.shutdown_deadline);
+        self.requests.insert(id.clone(), request);
+        self.update_alarm(&id);
+        self.pending_events.push_back(policy_event);
+    }
+
+    /// The process has no time left for a request. Nothing of it was sent, so that a retry is harmless.
+    fn reject_at_shutdown(&mut self, id: RequestId, class: usize, commands: &mut Commands<A>) {
+        self.counters.ended(class, RequestEnd::Throttled);
+        commands.push(Command::Answer {
+            id,
+            answer: FinalAnswer::Rejected(None),
+        });
     }
 
     pub(super) fn client_gone(&mut self, id: &RequestId, ticket: Ticket) {
-        let Some(row) = self.rows.get(id) else { return };
-        if row.ticket == ticket || self.bugs.planted(Bug::TicketIgnored) {
-            self.abandon(id, false);
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        if request.ticket == ticket || self.bugs.planted(Bug::TicketIgnored) {
+            self.abandon(id, Some(RequestEnd::Gone));
         }
     }
 
-    /// Nobody waits for an answer any more. The module calls the attempt off, where that is allowed.
-    pub(super) fn abandon(&mut self, id: &RequestId, answered: bool) {
-        let Some(row) = self.rows.get_mut(id).filter(|row| row.open) else {
+    /// No answer is wanted any more. The policy is told, and cancels the attempt where that is allowed. `end` is counted
+    /// unless the end of the request was counted before.
+    fn abandon(&mut self, id: &RequestId, end: Option<RequestEnd>) {
+        let Some(request) = self.requests.get_mut(id).filter(|request| request.open) else {
             return;
         };
-        row.open = false;
-        if !answered {
-            self.tally.ended(row.class, RequestEnd::Gone);
+        request.open = false;
+        if let Some(end) = end {
+            self.counters.ended(request.class, end);
         }
         if self.bugs.planted(Bug::EndNeverTold) {
-            self.rows.remove(id);
+            self.requests.remove(id);
             self.alarms.retain(|(_, other)| other != id);
         }
-        self.pending
-            .push_back(ModuleEvent::RequestAbandoned { id: id.clone() });
-        self.settle_row(id);
+        self.pending_events
+            .push_back(PolicyEvent::RequestAbandoned { id: id.clone() });
+        self.update_or_remove(id);
     }
 
-    /// Answers a request, unless that has been done: an open row is the right to answer.
+    /// Gives a request the answer that the policy or a response brings, unless it has one already.
     pub(super) fn answer(
         &mut self,
         now: Micros,
         id: &RequestId,
-        verdict: FinalAnswer,
+        answer: FinalAnswer,
         commands: &mut Commands<A>,
     ) {
-        let Some(row) = self.rows.get_mut(id).filter(|row| row.open) else {
+        if !self.count_answer(now, id, answer) {
             return;
-        };
-        self.violations.check(
-            row.is_in_time(now, self.bounds.answer_grace),
-            Invariant::AnsweredInTime,
-            id,
-        );
-        row.open = false;
-        self.tally.ended(row.class, end_of(verdict));
+        }
+        if let Some(request) = self.requests.get_mut(id) {
+            request.open = false;
+        }
         commands.push(Command::Answer {
             id: id.clone(),
-            answer: verdict,
+            answer,
         });
-        self.settle_row(id);
+        self.update_or_remove(id);
     }
 
-    /// Ends a request, whatever the module says, which hears of it.
-    pub(super) fn end(
+    /// Gives a request an answer that the policy did not decide; the policy is told that the request is over.
+    pub(super) fn force_answer(
         &mut self,
         now: Micros,
         id: &RequestId,
-        verdict: FinalAnswer,
+        answer: FinalAnswer,
         commands: &mut Commands<A>,
     ) {
-        if let Some(row) = self.rows.get(id).filter(|row| row.open) {
-            self.violations.check(
-                row.is_in_time(now, self.bounds.answer_grace),
-                Invariant::AnsweredInTime,
-                id,
-            );
-            self.tally.ended(row.class, end_of(verdict));
-        }
+        self.count_answer(now, id, answer);
         commands.push(Command::Answer {
             id: id.clone(),
-            answer: verdict,
+            answer,
         });
-        self.abandon(id, true);
+        self.abandon(id, None);
     }
 
-    /// Sets a row's alarm anew, or lets go of a row of which nothing is owed any more.
-    pub(super) fn settle_row(&mut self, id: &RequestId) {
-        if self
-            .rows
+    /// Counts the answer to a request that is open, and verifies that it is in time. False if the request is not open.
+    fn count_answer(&mut self, now: Micros, id: &RequestId, answer: FinalAnswer) -> bool {
+        let Some(request) = self.requests.get(id).filter(|request| request.open) else {
+            return false;
+        };
+        let latest = request
+            .answered_by(self.limits.answer_grace)
+            .saturating_add(ANSWER_TOLERANCE);
+        self.violations
+            .check(now <= latest, Invariant::AnsweredInTime, id);
+        self.counters.ended(request.class, request_end(answer));
+        true
+    }
+
+    /// Updates a request's alarm, or removes a request that is answered and has no attempt.
+    pub(super) fn update_or_remove(&mut self, id: &RequestId) {
+        let needed = self
+            .requests
             .get(id)
-            .is_some_and(|row| row.open || row.out.is_some())
-        {
-            return self.arm(id);
+            .is_some_and(|request| request.open || request.outstanding.is_some());
+        if needed {
+            return self.update_alarm(id);
         }
-        if let Some(Row {
+        if let Some(RequestState {
             alarm: Some(at), ..
-        }) = self.rows.remove(id)
+        }) = self.requests.remove(id)
         {
             self.alarms.remove(&(at, id.clone()));
         }
     }
 
-    pub(super) fn arm(&mut self, id: &RequestId) {
-        let Some(row) = self.rows.get_mut(id) else {
+    /// Sets a request's alarm to when it is due.
+    pub(super) fn update_alarm(&mut self, id: &RequestId) {
+        let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        let due = row.due(self.bounds.answer_grace);
-        if row.alarm == due {
+        let due = request.next_due(self.limits.answer_grace);
+        if request.alarm == due {
             return;
         }
-        if let Some(at) = std::mem::replace(&mut row.alarm, due) {
+        if let Some(at) = std::mem::replace(&mut request.alarm, due) {
             self.alarms.remove(&(at, id.clone()));
         }
         if let Some(at) = due {
@@ -174,23 +188,11 @@
     }
 }
 
-impl Row {
-    /// Whether an answer of now is in time, or late by no more than a process may be held up.
-    fn is_in_time(&self, now: Micros, overdue: Micros) -> bool {
-        now <= self.answered_by(overdue).saturating_add(LATE)
-    }
-
-    /// Whether trying again is harmless, as a refusal promises.
-    pub(super) fn may_be_refused(&self) -> bool {
-        let began = self.out.as_ref().is_some_and(|out| out.began.is_some());
-        let may_have_run = self.ran.is_some() || (began && self.whole);
-        match self.effect {
-            Idempotency::Idempotent
-            | Idempotency::WithKey {
-                scope: DeduplicationScope::All,
-                ..
-            } => true,
-            Idempotency::WithKey { .. } | Idempotency::NonIdempotent => !may_have_run,
-        }
+/// How a request with this answer ended, for the counters.
+fn request_end(answer: FinalAnswer) -> RequestEnd {
+    match answer {
+        FinalAnswer::Served => RequestEnd::Fulfilled,
+        FinalAnswer::Rejected(_) => RequestEnd::Throttled,
+        FinalAnswer::Failed => RequestEnd::Faulted,
     }
 }
--- /dev/null
+++ b/crates/exchange/src/exchange/responses.rs
@@ -0,0 +1,161 @@
+//! Responses to attempts: complete, streaming, upgraded, or lost with their connection.
+
+use super::{Commands, Exchange};
+use crate::tables::ConnectionState;
+use crate::{Bug, Bugs, Command, ConnectionId, FinalAnswer, Policy};
+use saffronpaddle_policy::interface::{Event as PolicyEvent, Micros, Outcome, RequestId};
+use std::hash::Hash;
+
+impl<A: Copy + Eq + Hash, M: Policy, B: Bugs> Exchange<A, M, B> {
+    pub(super) fn response_complete(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        outcome: Outcome,
+        commands: &mut Commands<A>,
+    ) {
+        let Some(id) = self.request_on(connection) else {
+            return self.late_response(now, connection, outcome, commands);
+        };
+        if !self.is_in_state(connection, ConnectionState::Written) {
+            return;
+        }
+        let answered_early = self
+            .requests
+            .get(&id)
+            .is_some_and(|request| !request.body_complete);
+        if answered_early && !self.bugs.planted(Bug::EarlyAnswerKept) {
+            return self.early_response(&id, connection, outcome, commands);
+        }
+        self.keep_idle(now, connection, commands);
+        if self.bugs.planted(Bug::DoubleRelease) {
+            commands.push(Command::Close { connection });
+        }
+        if outcome == Outcome::Ok {
+            self.answer(now, &id, FinalAnswer::Served, commands);
+        }
+        self.end_attempt(&id, outcome);
+    }
+
+    /// A response to an attempt that was aborted is ignored; [`Bug::AnswerAfterCancel`] takes it for an answer.
+    fn late_response(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        outcome: Outcome,
+        commands: &mut Commands<A>,
+    ) {
+        if outcome != Outcome::Ok || !self.bugs.planted(Bug::AnswerAfterCancel) {
+            return;
+        }
+        let id = self
+            .connections
+            .get(&connection)
+            .and_then(|found| found.request.clone());
+        if let Some(id) = id {
+            self.answer(now, &id, FinalAnswer::Served, commands);
+        }
+    }
+
+    /// A response came before the request was complete. The connection is closed, as the server would read the rest of
+    /// the body as the next request; and a successful response can't be one to this request.
+    fn early_response(
+        &mut self,
+        id: &RequestId,
+        connection: ConnectionId,
+        outcome: Outcome,
+        commands: &mut Commands<A>,
+    ) {
+        self.close(connection, commands);
+        let outcome = if outcome == Outcome::Ok {
+            Outcome::Error
+        } else {
+            outcome
+        };
+        self.end_attempt(id, outcome);
+    }
+
+    /// The head of a streaming response has come: the response belongs to the client for as long as it takes.
+    pub(super) fn response_streaming(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        commands: &mut Commands<A>,
+    ) {
+        let Some(id) = self.request_on(connection) else {
+            return;
+        };
+        let written = self.is_in_state(connection, ConnectionState::Written);
+        let Some(request) = self.requests.get_mut(&id).filter(|_| written) else {
+            return;
+        };
+        if !request.body_complete || !request.open {
+            // It came before the request was complete, or the client is gone: nobody takes it.
+            return self.abort_attempt(&id, Outcome::ConnectionLost, commands);
+        }
+        request.streaming = true;
+        self.counters.streaming += 1;
+        if let Some(attempt) = request.outstanding.as_mut() {
+            attempt.deadline = Micros::MAX;
+            attempt.step_deadline = Micros::MAX;
+        }
+        self.answer(now, &id, FinalAnswer::Served, commands);
+        self.pending_events
+            .push_back(PolicyEvent::ResponseStarted { id });
+    }
+
+    /// The client of a streaming response is gone.
+    pub(super) fn response_abandoned(
+        &mut self,
+        connection: ConnectionId,
+        commands: &mut Commands<A>,
+    ) {
+        let streaming = self.request_on(connection).filter(|id| {
+            self.requests
+                .get(id)
+                .is_some_and(|request| request.streaming)
+        });
+        if let Some(id) = streaming {
+            self.abort_attempt(&id, Outcome::Cancelled, commands);
+        }
+    }
+
+    /// The connection leaves the exchange with the response. Its new owner closes it if the client is gone.
+    pub(super) fn upgraded(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        commands: &mut Commands<A>,
+    ) {
+        let Some(id) = self.request_on(connection) else {
+            return;
+        };
+        if !self.is_in_state(connection, ConnectionState::Written) {
+            return;
+        }
+        self.connections.remove(&connection);
+        self.answer(now, &id, FinalAnswer::Served, commands);
+        self.end_attempt(&id, Outcome::Ok);
+    }
+
+    pub(super) fn connection_lost(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        commands: &mut Commands<A>,
+    ) {
+        let Some(id) = self.request_on(connection) else {
+            return;
+        };
+        let Some(lost) = self.connections.get(&connection) else {
+            return;
+        };
+        let resend = lost.reused && self.bugs.planted(Bug::ResendAfterFirstByte);
+        match lost.state {
+            ConnectionState::Assigned => self.replace_connection(now, &id, connection, commands),
+            _ if resend => self.replace_connection(now, &id, connection, commands),
+            ConnectionState::Written => self.abort_attempt(&id, Outcome::ConnectionLost, commands),
+            _ => {}
+        }
+    }
+}
--- /dev/null
+++ b/crates/exchange/src/exchange/statistics.rs
@@ -0,0 +1,75 @@
+//! Counts and lists for staff.
+
+use super::Exchange;
+use crate::{
+    Bugs, ConnectionId, Denial, Invariant, OpenRequest, Policy, Violation, Violations, WaitsFor,
+};
+use saffronpaddle_admin::{RequestCounters, RequestEnd};
+use std::hash::Hash;
+
+impl<A: Copy + Eq + Hash, M: Policy, B: Bugs> Exchange<A, M, B> {
+    /// How many servers are ready.
+    pub fn ready_servers(&self) -> usize {
+        self.servers.len()
+    }
+
+    /// How many requests and how many connections are kept; nothing else is kept of either.
+    pub fn table_sizes(&self) -> (usize, usize) {
+        (self.requests.len(), self.connections.len())
+    }
+
+    /// The requests that have no final answer yet, in no order.
+    pub fn open_requests(&self) -> impl Iterator<Item = OpenRequest> + '_ {
+        let state_of = |id: ConnectionId| self.connections.get(&id).map(|found| found.state);
+        self.requests
+            .iter()
+            .filter(|(_, request)| request.open)
+            .map(move |(id, request)| OpenRequest {
+                id: id.clone(),
+                class: request.class,
+                deadline: request.deadline,
+                attempts: request.attempts,
+                waits_for: WaitsFor::of(request, state_of),
+            })
+    }
+
+    /// How requests have ended so far, and how many attempts were written.
+    pub fn tally(&self) -> &RequestCounters {
+        &self.counters
+    }
+
+    /// How often the guard denied a step, by reason.
+    pub fn denials(&self) -> impl Iterator<Item = (Denial, u64)> + '_ {
+        Denial::ALL
+            .into_iter()
+            .map(|denial| (denial, self.denials.get(&denial).copied().unwrap_or(0)))
+    }
+
+    /// How often each invariant was violated.
+    pub fn violations(&self) -> &Violations {
+        &self.violations
+    }
+
+    /// Takes the violations that were not reported yet.
+    pub fn take_violations(&mut self) -> Vec<Violation> {
+        if self.violations.any_unreported() {
+            self.violations.take_unreported()
+        } else {
+            Vec::new()
+        }
+    }
+
+    /// The process ends now: requests that are still open are never answered, which is counted as a violation.
+    pub fn process_exits(&mut self) {
+        for (id, request) in &self.requests {
+            self.violations
+                .check(!request.open, Invariant::AnsweredBeforeExit, id);
+        }
+    }
+
+    /// Counts a request that the I/O layer answered itself: it was malformed, or its id is in use.
+    pub fn turned_away(&mut self, class: usize, end: RequestEnd) {
+        self.counters.taken(class);
+        self.counters.ended(class, end);
+    }
+}
--- a/crates/exchange/src/guard.rs
+++ b/crates/exchange/src/guard.rs
@@ -1,54 +1,54 @@
-//! The one place that says whether a request may go on to its next step, and if not, why.
+//! Decides whether an attempt may take its next step, and if not, why.
 //!
-//! An attempt that is chosen (also a repeat), its connection that has come up and its first byte pass here, with the same facts.
-//! Not yet here, each with a check of its own: a request that is taken, a wait for a connection that is over, the last piece of a
-//! body, and closes. What carries the work may have less time than
-//! the work: a request's time is never longer than its process has, and an attempt's never longer than its request has.
+//! The choice of an attempt (also of a retry), its connection that has come up and its first byte are checked here, with
+//! the same facts. The admission of a request, the end of a wait for a connection slot, the last piece of a body and
+//! closes have checks of their own. The deadlines are nested: a request's is never later than the process's, and an
+//! attempt's never later than its request's.
 
 use saffronpaddle_policy::interface::Micros;
 
 /// All that a step depends on.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Facts {
-    /// The time now.
+pub(crate) struct StepFacts {
+    /// The time now, µs.
     pub now: Micros,
-    /// The attempt is given up then; no later than the request's deadline.
-    pub until: Micros,
-    /// The process answers all it has taken by then.
-    pub answer_by: Micros,
+    /// When the attempt is given up, µs; no later than the request's deadline.
+    pub attempt_deadline: Micros,
+    /// The process answers all requests by then, µs.
+    pub shutdown_deadline: Micros,
     /// The request has no final answer, and its client waits for one.
     pub client_waits: bool,
-    /// Another attempt of the request is out.
-    pub attempt_out: bool,
-    /// Some of a body that is not kept may have gone to a server.
-    pub body_gone: bool,
+    /// Another attempt of the request is outstanding.
+    pub attempt_outstanding: bool,
+    /// Some of a body that is not buffered may have gone to a server.
+    pub body_consumed: bool,
     /// The server is ready, and at the address that the connection leads to.
     pub server_ready: bool,
-    /// No attempt may have run, or the request's effect allows a repeat at this server now.
-    pub repeat_allowed: bool,
+    /// No attempt may have run, or the request may be dispatched to this server again now.
+    pub retry_allowed: bool,
 }
 
 /// Why a step is not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Denial {
-    /// Nobody waits for the answer.
+    /// The client no longer waits for the answer.
     ClientGone,
-    /// The attempt's time is up, or the request's.
+    /// The deadline of the attempt or of the request has passed.
     TimeIsUp,
     /// The process ends before an answer could be given.
     ProcessEnds,
-    /// Another attempt of the request is out.
+    /// Another attempt of the request is outstanding.
     AttemptOut,
-    /// The request's body was not kept.
+    /// The request's body was not buffered and is consumed.
     BodyGone,
-    /// The server drains, is gone or has moved.
+    /// The server drains, is gone or has another address.
     ServerNotReady,
-    /// An attempt may have run, and a repeat could take effect a second time.
+    /// An attempt may have run, and a retry could take effect a second time.
     RepeatNotAllowed,
 }
 
 impl Denial {
-    /// All of them, in the order in which they are looked for.
+    /// All reasons, in the order in which they are checked.
     pub const ALL: [Denial; 7] = [
         Denial::ClientGone,
         Denial::AttemptOut,
@@ -59,7 +59,7 @@
         Denial::RepeatNotAllowed,
     ];
 
-    /// The name of its count among the figures.
+    /// The name of its counter.
     pub fn figure(self) -> &'static str {
         match self {
             Denial::ClientGone => "denied_client_gone",
@@ -74,18 +74,18 @@
 }
 
 /// Whether a step may be taken.
-pub(crate) fn check(facts: &Facts) -> Result<(), Denial> {
-    let stands_in_the_way = |denial: &Denial| match denial {
+///
+/// # Errors
+/// The first reason that stands against it.
+pub(crate) fn check(facts: &StepFacts) -> Result<(), Denial> {
+    let applies = |denial: &Denial| match denial {
         Denial::ClientGone => !facts.client_waits,
-        Denial::AttemptOut => facts.attempt_out,
-        Denial::BodyGone => facts.body_gone,
-        Denial::ProcessEnds => facts.now >= facts.answer_by,
-        Denial::TimeIsUp => facts.now >= facts.until,
+        Denial::AttemptOut => facts.attempt_outstanding,
+        Denial::BodyGone => facts.body_consumed,
+        Denial::ProcessEnds => facts.now >= facts.shutdown_deadline,
+        Denial::TimeIsUp => facts.now >= facts.attempt_deadline,
         Denial::ServerNotReady => !facts.server_ready,
-        Denial::RepeatNotAllowed => !facts.repeat_allowed,
+        Denial::RepeatNotAllowed => !facts.retry_allowed,
     };
-    Denial::ALL
-        .into_iter()
-        .find(stands_in_the_way)
-        .map_or(Ok(()), Err)
+    Denial::ALL.into_iter().find(applies).map_or(Ok(()), Err)
 }
--- a/crates/exchange/src/invariants.rs
+++ b/crates/exchange/src/invariants.rs
@@ -1,34 +1,34 @@
-//! What must hold of each request at run time, and how often it did not.
+//! Invariants of each request at run time, and how often each was violated.
 //!
-//! The guard keeps steps from being taken; this looks, by other means, at what was done. A violation is counted and told, and
-//! never stops the process.
+//! The guard keeps a wrong step from being taken; the invariants verify, from the tables alone, the steps that were taken.
+//! A violation is counted and reported, and never stops the process.
 
 use saffronpaddle_policy::interface::RequestId;
 
-/// Something that must hold.
+/// An invariant of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Invariant {
-    /// A request that was taken has its final answer before the process ends.
+    /// A request that was received has its final answer before the process ends.
     AnsweredBeforeExit,
     /// A final answer is given while the client still waits for it.
     AnsweredInTime,
-    /// The first byte of an attempt is written only while the request has time left.
+    /// The first byte of an attempt is written only before the deadline of its request.
     SentInTime,
-    /// It is written only to a server that is ready, at the address that it has now.
+    /// The first byte is written only to a server that is ready, at the address that it has now.
     SentToReadyServer,
-    /// It is written only while no other attempt is out and somebody waits for the answer.
+    /// The first byte is written only while no other attempt is outstanding and the client waits for the answer.
     SentOnce,
-    /// It is written again only where a repeat can't take effect a second time.
+    /// A request is written again only where a retry can't take effect a second time.
     RepeatedSafely,
 }
 
-/// How many there are.
+/// How many invariants there are.
 const COUNT: usize = 6;
-/// Violations that are kept until they are taken to be told. Limits the memory; all are counted.
-const KEPT_MOST: usize = 16;
+/// Violations that are kept until they are reported; all are counted. Bounds the memory.
+const MAX_UNREPORTED: usize = 16;
 
 impl Invariant {
-    /// All of them.
+    /// All invariants.
     pub const ALL: [Invariant; COUNT] = [
         Invariant::AnsweredBeforeExit,
         Invariant::AnsweredInTime,
@@ -38,7 +38,7 @@
         Invariant::RepeatedSafely,
     ];
 
-    /// The name of its count among the figures.
+    /// The name of its counter.
     pub fn figure(self) -> &'static str {
         match self {
             Invariant::AnsweredBeforeExit => "violated_answered_before_exit",
@@ -63,49 +63,49 @@
     }
 }
 
-/// An invariant that did not hold of a request.
+/// An invariant that a request violated.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// What did not hold.
+    /// The invariant.
     pub invariant: Invariant,
-    /// Of which request.
+    /// The request.
     pub request: RequestId,
 }
 
-/// The violations since the process began.
+/// The violations since the process started.
 #[derive(Clone, Debug, Default)]
 pub struct Violations {
     counts: [u64; COUNT],
-    untold: Vec<Violation>,
+    unreported: Vec<Violation>,
 }
 
 impl Violations {
-    /// Counts one if `holds` is false.
+    /// Counts a violation if `holds` is false.
     pub(crate) fn check(&mut self, holds: bool, invariant: Invariant, request: &RequestId) {
         if holds {
             return;
         }
         self.counts[invariant as usize] += 1;
-        if self.untold.len() < KEPT_MOST {
-            self.untold.push(Violation {
+        if self.unreported.len() < MAX_UNREPORTED {
+            self.unreported.push(Violation {
                 invariant,
                 request: request.clone(),
             });
         }
     }
 
-    /// How often an invariant did not hold.
+    /// How often an invariant was violated.
     pub fn count(&self, invariant: Invariant) -> u64 {
         self.counts[invariant as usize]
     }
 
-    /// Those that have not been told yet; a few at the most.
-    pub(crate) fn take(&mut self) -> Vec<Violation> {
-        std::mem::take(&mut self.untold)
+    /// Takes the violations that have not been reported yet.
+    pub(crate) fn take_unreported(&mut self) -> Vec<Violation> {
+        std::mem::take(&mut self.unreported)
     }
 
-    /// Whether any has not been told yet.
-    pub(crate) fn any_untold(&self) -> bool {
-        !self.untold.is_empty()
+    /// Whether any has not been reported yet.
+    pub(crate) fn any_unreported(&self) -> bool {
+        !self.unreported.is_empty()
     }
 }
--- a/crates/exchange/src/open.rs
+++ b/crates/exchange/src/open_request.rs
@@ -1,7 +1,7 @@
-//! What is told of requests that have no final answer yet.
+//! What staff see of requests that have no final answer yet.
 
-use crate::table::{Row, Stage, State};
-use crate::ConnectionId;
+use crate::ids::ConnectionId;
+use crate::tables::{AttemptStage, ConnectionState, RequestState};
 use saffronpaddle_policy::interface::{Micros, RequestId, ServerId};
 use std::fmt;
 
@@ -10,11 +10,11 @@
 pub struct OpenRequest {
     /// Its id, as the client gave it.
     pub id: RequestId,
-    /// Its class, by its place in the settings.
+    /// The index of its class in the settings.
     pub class: usize,
-    /// When it is answered at the latest, in µs of the exchange's clock.
+    /// When its client stops waiting, µs of the exchange's clock.
     pub deadline: Micros,
-    /// Attempts that the decision module has asked for so far.
+    /// Attempts that the policy has asked for so far.
     pub attempts: u32,
     /// What it waits for.
     pub waits_for: WaitsFor,
@@ -23,9 +23,9 @@
 /// What a request without a final answer waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WaitsFor {
-    /// The decision module has no attempt out for it: a quota, a server or a retry is waited for.
+    /// No attempt is outstanding: the request waits for a quota, a server or a retry.
     Decision,
-    /// A connection has to end before its own can be made.
+    /// Another connection has to close before the connection to this server can be made.
     ConnectionSlot(ServerId),
     /// Its connection to this server is being made.
     Connect(ServerId),
@@ -33,23 +33,26 @@
     FirstByte(ServerId),
     /// This server has the request, or a part of it.
     Answer(ServerId),
-    /// Its attempt was given up, and the connection is being closed.
+    /// Its attempt was aborted, and the connection is being closed.
     Close(ServerId),
 }
 
 impl WaitsFor {
-    /// What a row waits for; `state` is that of the connection that its attempt is on.
-    pub(crate) fn of(row: &Row, state: impl Fn(ConnectionId) -> Option<State>) -> WaitsFor {
-        let Some(out) = &row.out else {
+    /// What a request waits for; `state_of` gives the state of a connection.
+    pub(crate) fn of(
+        request: &RequestState,
+        state_of: impl Fn(ConnectionId) -> Option<ConnectionState>,
+    ) -> WaitsFor {
+        let Some(attempt) = &request.outstanding else {
             return WaitsFor::Decision;
         };
-        match out.stage {
-            Stage::Waiting(_) => WaitsFor::ConnectionSlot(out.server),
-            Stage::Ending(..) => WaitsFor::Close(out.server),
-            Stage::On(link) => match state(link) {
-                Some(State::Connecting) => WaitsFor::Connect(out.server),
-                Some(State::Written) => WaitsFor::Answer(out.server),
-                _ => WaitsFor::FirstByte(out.server),
+        match attempt.stage {
+            AttemptStage::AwaitingSlot(_) => WaitsFor::ConnectionSlot(attempt.server),
+            AttemptStage::Closing(..) => WaitsFor::Close(attempt.server),
+            AttemptStage::OnConnection(connection) => match state_of(connection) {
+                Some(ConnectionState::Connecting) => WaitsFor::Connect(attempt.server),
+                Some(ConnectionState::Written) => WaitsFor::Answer(attempt.server),
+                _ => WaitsFor::FirstByte(attempt.server),
             },
         }
     }
