--- /dev/null
+++ b/crates/model-checker/src/bin/saffronpaddle-model-checker/main.rs
@@ -0,0 +1,31 @@
+//! `saffronpaddle-model-checker`: visits worlds, and prints what was visited, in which bounds and how long it took.
+
+mod arguments;
+mod fleet_runs;
+mod worlds;
+
+use anyhow::{bail, Result};
+use arguments::{Arguments, USAGE};
+
+fn main() -> Result<()> {
+    let Some(arguments) = Arguments::from_env()? else {
+        print!("{USAGE}");
+        return Ok(());
+    };
+    let threads = std::thread::available_parallelism().map_or(1, usize::from);
+    let words: Vec<&str> = arguments.words.iter().map(String::as_str).collect();
+    match words[..] {
+        ["small"] => worlds::visit_small(threads),
+        ["large"] => worlds::visit_large(threads),
+        ["world", name] => worlds::visit_one(name, arguments.bug, threads),
+        ["real"] => worlds::visit_real(arguments.depth, threads),
+        ["bugs"] => worlds::find_planted(threads),
+        ["gap"] => worlds::show_gap(threads),
+        ["walk"] => worlds::walk_random(arguments.seed, arguments.walks, arguments.steps),
+        ["nodes"] => fleet_runs::play(&arguments),
+        _ => {
+            print!("{USAGE}");
+            bail!("what is to be visited?")
+        }
+    }
+}
--- /dev/null
+++ b/crates/model-checker/src/bin/saffronpaddle-model-checker/worlds.rs
@@ -0,0 +1,131 @@
+//! The subcommands that visit worlds.
+
+use anyhow::{bail, Context, Result};
+use saffronpaddle_exchange::Bug;
+use saffronpaddle_model_checker::search::{search, Found, Limits};
+use saffronpaddle_model_checker::world::{AnyPolicy, PolicyModel, Setup};
+use saffronpaddle_model_checker::{chart, planted, setups, walk};
+use saffronpaddle_policy::interface::{DeduplicationScope, Idempotency};
+
+/// Visits all small worlds.
+pub fn visit_small(threads: usize) -> Result<()> {
+    visit_all(setups::small(), threads)
+}
+
+/// Visits all large worlds.
+pub fn visit_large(threads: usize) -> Result<()> {
+    visit_all(setups::large(), threads)
+}
+
+fn visit_all(setups: Vec<Setup>, threads: usize) -> Result<()> {
+    for setup in setups {
+        let found = search(&setup, AnyPolicy, None, Limits::default(), threads);
+        report(&setup, AnyPolicy, None, &found)?;
+    }
+    Ok(())
+}
+
+/// Visits the world of a name, with a fault if one is to be planted.
+pub fn visit_one(name: &str, bug: Option<Bug>, threads: usize) -> Result<()> {
+    let setup = setups::small()
+        .into_iter()
+        .chain(setups::large())
+        .chain([setups::late_copies()])
+        .find(|setup| setup.name == name)
+        .with_context(|| format!("no world is named {name}"))?;
+    let found = search(&setup, AnyPolicy, bug, Limits::default(), threads);
+    report(&setup, AnyPolicy, bug, &found)
+}
+
+/// Visits the worlds with the real policy to a depth.
+pub fn visit_real(depth: usize, threads: usize) -> Result<()> {
+    let keyed = Idempotency::WithKey {
+        scope: DeduplicationScope::Domain,
+        window: 0,
+    };
+    let limits = Limits {
+        depth,
+        ..Limits::default()
+    };
+    for idempotency in [Idempotency::Idempotent, keyed, Idempotency::NonIdempotent] {
+        let setup = setups::real(idempotency);
+        let policy = setups::real_policy(&setup)?;
+        let found = search(&setup, policy.clone(), None, limits, threads);
+        report(&setup, policy, None, &found)?;
+    }
+    Ok(())
+}
+
+/// Shows the known gap.
+pub fn show_gap(threads: usize) -> Result<()> {
+    let setup = setups::late_copies();
+    let found = search(&setup, AnyPolicy, None, Limits::default(), threads);
+    if found.violation.is_none() {
+        bail!("the gap was not found");
+    }
+    // The violation that it reports is the expected one.
+    let _ = report(&setup, AnyPolicy, None, &found);
+    Ok(())
+}
+
+/// Walks through random worlds.
+pub fn walk_random(first_seed: u64, walks: u64, steps: usize) -> Result<()> {
+    let mut taken = 0;
+    for seed in first_seed..first_seed + walks {
+        let setup = setups::random(seed);
+        let found = walk::walk(&setup, AnyPolicy, seed, steps);
+        taken += found.steps;
+        if let Some((trace, violation)) = &found.violation {
+            println!("seed {seed}, {} steps: {violation}", trace.len());
+            bail!("replay with: saffronpaddle-model-checker walk --seed {seed} --walks 1 --steps {steps}");
+        }
+    }
+    println!("{walks} walks from seed {first_seed}, {taken} steps: nothing is broken");
+    Ok(())
+}
+
+/// Looks for all planted faults.
+pub fn find_planted(threads: usize) -> Result<()> {
+    let mut missed = Vec::new();
+    for bug in Bug::ALL {
+        let (setup, found) = planted::hunt(bug, threads).context("a world for each fault")?;
+        let name = format!("{bug:?}");
+        let seconds = found.duration.as_secs_f64();
+        let result = if let Some((trace, violation)) = &found.violation {
+            format!("{} steps  {violation}", trace.len())
+        } else {
+            missed.push(name.clone());
+            "NOT FOUND".to_owned()
+        };
+        println!(
+            "{name:<30} {:<10} {:>8} states {seconds:>5.1} s  {result}",
+            setup.name, found.states
+        );
+    }
+    if !missed.is_empty() {
+        bail!("not found: {}", missed.join(", "));
+    }
+    Ok(())
+}
+
+/// Prints what a search found; a violation with its chart.
+///
+/// # Errors
+/// The violation.
+fn report<M: PolicyModel>(setup: &Setup, policy: M, bug: Option<Bug>, found: &Found) -> Result<()> {
+    let extent = if found.complete { "whole" } else { "in part" };
+    println!(
+        "{:<12} {:>9} states {:>10} steps  depth {:>3}  {:>6.1} s  {extent}: {}",
+        setup.name,
+        found.states,
+        found.steps,
+        found.depth,
+        found.duration.as_secs_f64(),
+        setup.about
+    );
+    let Some((trace, violation)) = &found.violation else {
+        return Ok(());
+    };
+    println!("{}", chart::draw(setup, policy, bug, trace, violation));
+    bail!("{}: {violation}", setup.name)
+}
--- a/crates/model-checker/src/chart.rs
+++ b/crates/model-checker/src/chart.rs
@@ -1,67 +1,154 @@
-//! Draws a way to a breach as a sequence chart in text.
+//! Draws a path to a violation as a sequence chart in text.
 
-use crate::world::{Breach, Inside, Setup, Step, World};
+use crate::world::{PolicyModel, PropertyViolation, Setup, Step, World};
 use saffronpaddle_exchange::Bug;
+use std::cmp::Ordering;
 use std::fmt::Write;
 
-/// Columns of the lanes: clients, the node, its connections, servers.
-const LANES: [usize; 4] = [4, 24, 44, 64];
+/// A lane of the chart.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+enum Lane {
+    Clients,
+    Node,
+    Connections,
+    Servers,
+}
+
+impl Lane {
+    /// Its column in characters.
+    fn column(self) -> usize {
+        match self {
+            Lane::Clients => 4,
+            Lane::Node => 24,
+            Lane::Connections => 44,
+            Lane::Servers => 64,
+        }
+    }
+}
+
+/// A line of the chart: who acts, on whom, in which words.
+struct Arrow {
+    from: Lane,
+    to: Lane,
+    words: String,
+}
+
+impl Arrow {
+    fn new(from: Lane, to: Lane, words: impl Into<String>) -> Arrow {
+        Arrow {
+            from,
+            to,
+            words: words.into(),
+        }
+    }
+
+    fn of(step: Step) -> Arrow {
+        client_arrow(step)
+            .or_else(|| policy_arrow(step))
+            .or_else(|| server_arrow(step))
+            .or_else(|| connection_arrow(step))
+            .unwrap_or_else(|| node_arrow(step))
+    }
+
+    /// The arrow between its lanes; `*` for what happens inside a lane.
+    fn line(&self) -> String {
+        let left = self.from.min(self.to).column();
+        let right = self.from.max(self.to).column();
+        let indent = " ".repeat(left);
+        let shaft = "-".repeat(right - left);
+        match self.from.cmp(&self.to) {
+            Ordering::Less => format!("{indent}{shaft}>"),
+            Ordering::Greater => format!("{indent}<{shaft}"),
+            Ordering::Equal => format!("{indent}*"),
+        }
+    }
+}
+
+fn client_arrow(step: Step) -> Option<Arrow> {
+    let words = match step {
+        Step::RequestArrives(r) => format!("request {r} is whole"),
+        Step::ClientLeaves(r) => format!("client {r} goes"),
+        Step::BodyArrives(r) => format!("the last byte of {r} comes"),
+        Step::ResponseDropped(c) => {
+            format!("the client of wire {c}'s long answer takes no more")
+        }
+        _ => return None,
+    };
+    Some(Arrow::new(Lane::Clients, Lane::Node, words))
+}
+
+fn policy_arrow(step: Step) -> Option<Arrow> {
+    let words = match step {
+        Step::PolicySends {
+            request,
+            server,
+            short,
+        } => {
+            let timeout = if short { " for one step" } else { "" };
+            format!("module: send {request} to s{server}{timeout}")
+        }
+        Step::PolicyRejects(r) => format!("module: refuse {r}"),
+        Step::PolicyFails(r) => format!("module: fail {r}"),
+        Step::PolicyCancels(r) => format!("module: call off {r}"),
+        _ => return None,
+    };
+    Some(Arrow::new(Lane::Node, Lane::Node, words))
+}
+
+fn server_arrow(step: Step) -> Option<Arrow> {
+    let words = match step {
+        Step::ResponseFinishes(c) => format!("the rest of a long answer on wire {c}"),
+        Step::ServerResponds(c, response) => format!("answer {response:?} on wire {c}"),
+        Step::ServerRepeats(c) => format!("the same answer again on wire {c}"),
+        Step::ConnectionResets {
+            connection,
+            unread_lost,
+        } => {
+            let lost = if unread_lost {
+                ", what it held is lost"
+            } else {
+                ""
+            };
+            format!("wire {connection} is reset{lost}")
+        }
+        _ => return None,
+    };
+    Some(Arrow::new(Lane::Servers, Lane::Connections, words))
+}
 
-/// Who moves, who is moved, and in which words.
-fn arrow(step: Step) -> (usize, usize, String) {
+fn connection_arrow(step: Step) -> Option<Arrow> {
+    let words = match step {
+        Step::ConnectSucceeds(c) => format!("wire {c} is up"),
+        Step::ConnectFails(c) => format!("wire {c} can't be made"),
+        Step::ConnectLacksResource(c) => format!("no descriptor for wire {c}"),
+        Step::FirstByteReady(c) => format!("wire {c} takes bytes"),
+        Step::NodeReads(c) => format!("an answer is read from wire {c}"),
+        Step::NodeSeesEnd(c) => format!("wire {c} has ended"),
+        Step::ConnectionCloses(c) => format!("wire {c} is closed"),
+        _ => return None,
+    };
+    Some(Arrow::new(Lane::Connections, Lane::Node, words))
+}
+
+fn node_arrow(step: Step) -> Arrow {
     match step {
-        Step::Asks(r) => (0, 1, format!("request {r} is whole")),
-        Step::Leaves(r) => (0, 1, format!("client {r} goes")),
-        Step::Ends(r) => (0, 1, format!("the last byte of {r} comes")),
-        Step::Finishes(l) => (3, 2, format!("the rest of a long answer on wire {l}")),
-        Step::Drops(l) => (
-            0,
-            1,
-            format!("the client of wire {l}'s long answer takes no more"),
-        ),
-        Step::Sends(r, server, short) => (
-            1,
-            1,
-            format!(
-                "module: send {r} to s{server}{}",
-                if short { " for one step" } else { "" }
-            ),
-        ),
-        Step::Refuses(r) => (1, 1, format!("module: refuse {r}")),
-        Step::Fails(r) => (1, 1, format!("module: fail {r}")),
-        Step::CallsOff(r) => (1, 1, format!("module: call off {r}")),
-        Step::Connects(l) => (2, 1, format!("wire {l} is up")),
-        Step::CantConnect(l) => (2, 1, format!("wire {l} can't be made")),
-        Step::Lacks(l) => (2, 1, format!("no descriptor for wire {l}")),
-        Step::Begins(l) => (2, 1, format!("wire {l} takes bytes")),
-        Step::Answers(l, reply) => (3, 2, format!("answer {reply:?} on wire {l}")),
-        Step::Repeats(l) => (3, 2, format!("the same answer again on wire {l}")),
-        Step::Resets(l, lost) => (
-            3,
-            2,
-            format!(
-                "wire {l} is reset{}",
-                if lost { ", what it held is lost" } else { "" }
-            ),
-        ),
-        Step::Reads(l) => (2, 1, format!("an answer is read from wire {l}")),
-        Step::SeesEnd(l) => (2, 1, format!("wire {l} has ended")),
-        Step::Closes(l) => (2, 1, format!("wire {l} is closed")),
-        Step::Changes => (3, 1, "the list changes".to_owned()),
-        Step::Ending => (1, 1, "the process is told when it ends".to_owned()),
-        Step::Stops => (1, 1, "the node is told to leave".to_owned()),
-        Step::Passes => (1, 1, "a step of the clock".to_owned()),
-        Step::Rings => (1, 1, "the alarm rings".to_owned()),
+        Step::EndpointsChange => Arrow::new(Lane::Servers, Lane::Node, "the list changes"),
+        Step::ShutdownAnnounced => {
+            Arrow::new(Lane::Node, Lane::Node, "the process is told when it ends")
+        }
+        Step::NodeStops => Arrow::new(Lane::Node, Lane::Node, "the node is told to leave"),
+        Step::ClockTicks => Arrow::new(Lane::Node, Lane::Node, "a step of the clock"),
+        _ => Arrow::new(Lane::Node, Lane::Node, "the alarm rings"),
     }
 }
 
-/// The chart of a trace: one line for what happens, and under it what the exchange does about it.
-pub fn draw<M: Inside>(
+/// The chart of a trace: a line for each step, and under it what the exchange does about it.
+pub fn draw<M: PolicyModel>(
     setup: &Setup,
-    module: M,
+    policy: M,
     bug: Option<Bug>,
     trace: &[Step],
-    breach: &Breach,
+    violation: &PropertyViolation,
 ) -> String {
     let mut text = String::new();
     let _ = writeln!(
@@ -69,29 +156,21 @@
         "step  time  {:<18}  {:<18}  {:<18}  {:<18}",
         "clients", "node", "wires", "servers"
     );
-    let mut world = World::new(setup, module, bug);
-    for (number, step) in trace.iter().enumerate() {
+    let mut world = World::new(setup, policy, bug);
+    for (index, step) in trace.iter().enumerate() {
         let clock = world.clock();
-        let end = world.take(setup, *step);
-        let (from, to, words) = arrow(*step);
-        let (left, right) = (LANES[from.min(to)], LANES[from.max(to)]);
-        let line = match from.cmp(&to) {
-            std::cmp::Ordering::Less => {
-                format!("{}{}>", " ".repeat(left), "-".repeat(right - left))
-            }
-            std::cmp::Ordering::Greater => {
-                format!("{}<{}", " ".repeat(left), "-".repeat(right - left))
-            }
-            std::cmp::Ordering::Equal => format!("{}*", " ".repeat(left)),
-        };
-        let _ = writeln!(text, "{:>4}  {clock:>4}{line:<70}{words}", number + 1);
+        let taken = world.take(setup, *step);
+        let arrow = Arrow::of(*step);
+        let number = index + 1;
+        let line = arrow.line();
+        let _ = writeln!(text, "{number:>4}  {clock:>4}{line:<70}{}", arrow.words);
         for note in &world.notes {
             let _ = writeln!(text, "{:>34} {note}", "|");
         }
-        if end.is_err() {
+        if taken.is_err() {
             break;
         }
     }
-    let _ = writeln!(text, "broken: {breach}");
+    let _ = writeln!(text, "broken: {violation}");
     text
 }
--- /dev/null
+++ b/crates/model-checker/src/fleet/clients.rs
@@ -0,0 +1,86 @@
+//! The clients: their requests, and their leaving.
+
+use super::occurrence::{NodeRef, Occurrence};
+use super::simulation::{Simulation, CUSTOMERS};
+use saffronpaddle_exchange::{Event, Ticket};
+use saffronpaddle_policy::interface::{
+    ClassId, CustomerId, Event as PolicyEvent, Micros, NodeId, PlanId, RequestId,
+};
+use saffronpaddle_test_doubles::ledger::{Asked, Repeats, Unanswered};
+
+/// What a front end reserves of a client's time for the delivery of the answer, µs.
+const DELIVERY_RESERVE: Micros = 5_000;
+/// Nodes that serve a customer, at the most.
+const MAX_SUBSET_SIZE: u32 = 2;
+/// One in so many clients leaves before it is answered.
+const LEAVING_CLIENT_ODDS: u8 = 25;
+
+impl Simulation {
+    /// A client's request arrives at one of its customer's nodes.
+    pub fn request_arrives(&mut self, number: usize) {
+        let customer = self.random.u64(..CUSTOMERS);
+        let class = usize::from(self.random.f64() > self.fleet.classes[0].share);
+        let nodes = self.nodes.len() as u32;
+        let subset_size = MAX_SUBSET_SIZE.min(nodes);
+        let first_node = customer as u32 % nodes;
+        let node = (first_node + self.random.u32(..subset_size)) as usize % self.nodes.len();
+        let id = RequestId(format!("{}-{number}", self.fleet.classes[class].name).into());
+        self.record_request(&id, class, node, customer);
+        let deadline = self.fleet.classes[class].deadline;
+        let timeout = deadline.as_micros() as Micros - DELIVERY_RESERVE;
+        let ticket = self.nodes[node].exchange.next_ticket();
+        self.nodes[node].waiting.insert(id.clone(), ticket);
+        self.open.insert(id.clone(), node);
+        if self.random.u8(..LEAVING_CLIENT_ODDS) == 0 {
+            self.schedule_leaving(node, id.clone(), ticket, timeout);
+        }
+        let plan = customer as usize % self.fleet.plans.len();
+        let event = Event::RequestReceived {
+            effect: self.settings[node].settings.classes[class].idempotency,
+            deadline: self.now + timeout,
+            policy_event: PolicyEvent::RequestArrived {
+                id,
+                class: ClassId(class),
+                plan: PlanId(plan),
+                customer: CustomerId(customer),
+                units: 1.0,
+                first: NodeId(first_node),
+                spread: subset_size,
+                timeout,
+                complete: true,
+            },
+        };
+        self.tell(node, event, None);
+    }
+
+    fn record_request(&mut self, id: &RequestId, class: usize, node: usize, customer: u64) {
+        let keyed = self.fleet.classes[class].keyed;
+        let asked = Asked {
+            id: id.0.to_string(),
+            key: keyed.then(|| id.0.to_string()),
+            repeats: if keyed { Repeats::Keyed } else { Repeats::Safe },
+            node,
+            customer,
+            units: 1.0,
+            patience: self.fleet.classes[class].deadline,
+        };
+        self.ledger.asked(self.elapsed(), asked);
+    }
+
+    fn schedule_leaving(&mut self, node: usize, id: RequestId, ticket: Ticket, timeout: Micros) {
+        let delay = self.random.u64(..timeout);
+        let node = self.node_ref(node);
+        self.schedule(delay, Occurrence::ClientLeaves { node, id, ticket });
+    }
+
+    pub fn client_leaves(&mut self, node: NodeRef, id: RequestId, ticket: Ticket) {
+        let waits = self.nodes[node.index].waiting.get(&id) == Some(&ticket);
+        if !self.is_alive(node) || !waits {
+            return;
+        }
+        self.ledger.unanswered(&id.0, Unanswered::Left);
+        self.nodes[node.index].waiting.remove(&id);
+        self.open.remove(&id);
+        self.tell(node.index, Event::ClientGone { id, ticket }, None);
+    }
+}
--- /dev/null
+++ b/crates/model-checker/src/fleet/commands.rs
@@ -0,0 +1,189 @@
+//! Tells exchanges what happened, and carries out their commands.
+
+use super::nodes::Connection;
+use super::occurrence::{AttemptRef, ConnectionRef, Occurrence};
+use super::servers::ServerFault;
+use super::simulation::Simulation;
+use saffronpaddle_exchange::{Command, ConnectionId, Event, FinalAnswer};
+use saffronpaddle_policy::interface::{Action, Micros, NodeId, RequestId};
+use saffronpaddle_test_doubles::ledger::Answer;
+use std::hash::Hash;
+use std::ops::Range;
+
+/// How long a connect takes, µs.
+const CONNECT_DELAY: Range<Micros> = 100..3_000;
+/// One in so many connects is slow.
+const SLOW_CONNECT_ODDS: u8 = 60;
+/// How many times longer a slow connect takes.
+const SLOW_CONNECT_FACTOR: Micros = 200;
+/// How long a request takes to be prepared, µs at the most.
+const MAX_PREPARE_DELAY: Micros = 300;
+/// How long a request takes to reach its server, µs.
+const REQUEST_DELAY: Range<Micros> = 50..2_000;
+/// How long a connection takes to close, µs at the most.
+const MAX_CLOSE_DELAY: Micros = 200;
+/// How late the timer of an exchange fires, µs at the most.
+const MAX_TIMER_DELAY: Micros = 2_000;
+
+impl Simulation {
+    /// Tells a node's exchange of an event, and carries out its commands. `response_to` is the request whose response the
+    /// event is.
+    pub fn tell(&mut self, node: usize, event: Event<u32>, response_to: Option<RequestId>) {
+        let mut commands = Vec::new();
+        self.nodes[node]
+            .exchange
+            .handle(self.now, event, &mut commands);
+        for command in commands {
+            (node, format!("{command:?}")).hash(&mut self.commands_hash);
+            self.carry_out(node, command, response_to.as_ref());
+        }
+        if let Err(disagreement) = self.nodes[node].exchange.consistent() {
+            self.inconsistencies
+                .push(format!("node {node}: {disagreement}"));
+        }
+        self.set_exchange_timer(node);
+    }
+
+    fn set_exchange_timer(&mut self, index: usize) {
+        let node = &mut self.nodes[index];
+        let due = node.exchange.next_alarm().unwrap_or(Micros::MAX);
+        if due >= node.timer_at {
+            return;
+        }
+        node.timer_at = due;
+        let lateness = self.random.u64(..MAX_TIMER_DELAY);
+        let delay = due.saturating_sub(self.now) + lateness;
+        let node = self.node_ref(index);
+        self.schedule(delay, Occurrence::ExchangeTimer { node, due });
+    }
+
+    fn carry_out(&mut self, node: usize, command: Command<u32>, response_to: Option<&RequestId>) {
+        match command {
+            // Requests arrive complete here.
+            Command::ReleaseBody { .. } => {}
+            Command::Connect {
+                connection,
+                address,
+            } => self.connect(node, connection, address),
+            Command::Send { connection, id, .. } => self.prepare(node, connection, id),
+            Command::Write { connection } => self.write(node, connection),
+            Command::Close { connection } => self.close(node, connection),
+            Command::Answer { id, answer } => self.answer(node, &id, answer, response_to),
+            Command::ForPolicy(action) => self.carry_out_action(node, action),
+        }
+    }
+
+    fn connection_ref(&self, node: usize, id: ConnectionId) -> ConnectionRef {
+        ConnectionRef {
+            node: self.node_ref(node),
+            id,
+        }
+    }
+
+    fn connect(&mut self, node: usize, id: ConnectionId, address: u32) {
+        let server = self
+            .servers
+            .iter()
+            .position(|server| server.address == address);
+        let connection = Connection::connecting(server.unwrap_or(0), address);
+        self.nodes[node].connections.insert(id, connection);
+        let refused = server
+            .is_none_or(|server| self.servers[server].fault == ServerFault::RefusesConnections);
+        let delay = self.random.u64(CONNECT_DELAY);
+        let delay = if self.random.u8(..SLOW_CONNECT_ODDS) == 0 {
+            delay * SLOW_CONNECT_FACTOR
+        } else {
+            delay
+        };
+        let connection = self.connection_ref(node, id);
+        let occurrence = if refused {
+            Occurrence::ConnectFails(connection)
+        } else {
+            Occurrence::ConnectSucceeds(connection)
+        };
+        self.schedule(delay, occurrence);
+    }
+
+    fn prepare(&mut self, node: usize, id: ConnectionId, request: RequestId) {
+        let delay = self.random.u64(..MAX_PREPARE_DELAY);
+        if let Some(connection) = self.nodes[node].connections.get_mut(&id) {
+            connection.carried = Some(request);
+            connection.attempts += 1;
+            let connection = self.connection_ref(node, id);
+            self.schedule(delay, Occurrence::FirstByteReady(connection));
+        }
+    }
+
+    fn write(&mut self, node: usize, id: ConnectionId) {
+        let delay = self.random.u64(REQUEST_DELAY);
+        let Some(connection) = self.nodes[node].connections.get(&id) else {
+            return;
+        };
+        let attempt = AttemptRef {
+            connection: self.connection_ref(node, id),
+            number: connection.attempts,
+        };
+        // A server that has moved is no longer at the address that the connection leads to.
+        let moved = self.servers[connection.server].address != connection.address;
+        let occurrence = if moved {
+            Occurrence::ConnectionBreaks(attempt)
+        } else {
+            Occurrence::RequestReachesServer {
+                attempt,
+                written_at: self.now,
+            }
+        };
+        self.schedule(delay, occurrence);
+    }
+
+    fn close(&mut self, node: usize, id: ConnectionId) {
+        let delay = self.random.u64(..MAX_CLOSE_DELAY);
+        match self.nodes[node].connections.get_mut(&id) {
+            Some(connection) if !connection.closing => {
+                connection.closing = true;
+                let connection = self.connection_ref(node, id);
+                self.schedule(delay, Occurrence::ConnectionCloses(connection));
+            }
+            _ => self
+                .inconsistencies
+                .push(format!("node {node} closes what is closed")),
+        }
+    }
+
+    fn answer(
+        &mut self,
+        node: usize,
+        id: &RequestId,
+        answer: FinalAnswer,
+        response_to: Option<&RequestId>,
+    ) {
+        self.nodes[node].waiting.remove(id);
+        self.open.remove(id);
+        if answer == FinalAnswer::Served && response_to != Some(id) {
+            self.ledger.foreign(&id.0);
+        }
+        let answer = match answer {
+            FinalAnswer::Served => Answer::Served,
+            FinalAnswer::Rejected(_) => Answer::Refused,
+            FinalAnswer::Failed => Answer::Failed,
+        };
+        self.ledger.answered(self.elapsed(), &id.0, answer);
+    }
+
+    fn carry_out_action(&mut self, node: usize, action: Action) {
+        let from = NodeId(node as u32);
+        match action {
+            Action::SetTimer { after, token } => {
+                let node = self.node_ref(node);
+                self.schedule(after, Occurrence::PolicyTimer { node, token });
+            }
+            Action::Broadcast { bytes } => {
+                for to in (0..self.nodes.len()).filter(|to| *to != node) {
+                    self.send_datagram(from, to, &bytes);
+                }
+            }
+            Action::SendToPeer { to, bytes } => self.send_datagram(from, to.0 as usize, &bytes),
+            _ => {}
+        }
+    }
+}
--- /dev/null
+++ b/crates/model-checker/src/fleet/nodes.rs
@@ -0,0 +1,220 @@
+//! The nodes: their exchanges, their timers and their deaths.
+
+use super::occurrence::{AttemptRef, ConnectionRef, NodeRef};
+use super::simulation::Simulation;
+use super::FleetError;
+use saffronpaddle_exchange::{Bug, ConnectionId, Event, Exchange, Limits, Ticket};
+use saffronpaddle_policy::interface::{
+    Endpoint, EndpointStatus, Event as PolicyEvent, Micros, RequestId,
+};
+use saffronpaddle_policy::PolicyEngine;
+use saffronpaddle_test_doubles::ledger::Unanswered;
+use std::collections::HashMap;
+
+/// Connections that a node may have to servers.
+const MAX_CONNECTIONS: usize = 60;
+
+/// The exchange of a node, with the real policy engine inside.
+pub(super) type NodeExchange = Exchange<u32, PolicyEngine, Option<Bug>>;
+
+/// A node.
+pub(super) struct Node {
+    pub exchange: NodeExchange,
+    /// Counts its starts.
+    pub incarnation: u32,
+    pub connections: HashMap<ConnectionId, Connection>,
+    /// When the timer of its exchange is set to fire; [`Micros::MAX`] if it is not set.
+    pub timer_at: Micros,
+    /// The requests whose clients wait for an answer.
+    pub waiting: HashMap<RequestId, Ticket>,
+}
+
+/// A connection of a node to a server.
+pub(super) struct Connection {
+    /// The index of the server.
+    pub server: usize,
+    pub address: u32,
+    pub up: bool,
+    pub carried: Option<RequestId>,
+    /// The request is at the server and not over there.
+    pub at_server: bool,
+    /// Bytes that nobody asked for, or its end, wait at the node.
+    pub unexpected_bytes: bool,
+    pub closing: bool,
+    /// Counts the attempts on it.
+    pub attempts: u32,
+}
+
+impl Node {
+    pub fn new(exchange: NodeExchange) -> Node {
+        Node {
+            exchange,
+            incarnation: 0,
+            connections: HashMap::new(),
+            timer_at: Micros::MAX,
+            waiting: HashMap::new(),
+        }
+    }
+}
+
+impl Connection {
+    /// A connection that is being made.
+    pub fn connecting(server: usize, address: u32) -> Connection {
+        Connection {
+            server,
+            address,
+            up: false,
+            carried: None,
+            at_server: false,
+            unexpected_bytes: false,
+            closing: false,
+            attempts: 0,
+        }
+    }
+}
+
+impl Simulation {
+    /// A fresh exchange for a node.
+    pub fn new_exchange(&self, node: usize) -> Result<NodeExchange, FleetError> {
+        let named = &self.settings[node];
+        let seed = self.setup.seed ^ node as u64;
+        let policy = PolicyEngine::new(seed, named.settings.clone(), self.now)?;
+        let limits = Limits::for_node(
+            MAX_CONNECTIONS,
+            named.server_idle_timeout,
+            named.connect_timeout,
+        );
+        Ok(Exchange::with_bugs(limits, policy, self.setup.bug))
+    }
+
+    /// A node in its present incarnation.
+    pub fn node_ref(&self, index: usize) -> NodeRef {
+        NodeRef {
+            index,
+            incarnation: self.nodes[index].incarnation,
+        }
+    }
+
+    /// Whether a node is still in this incarnation.
+    pub fn is_alive(&self, node: NodeRef) -> bool {
+        self.nodes[node.index].incarnation == node.incarnation
+    }
+
+    /// A connection of a node that is still alive.
+    pub fn connection(&mut self, connection: ConnectionRef) -> Option<&mut Connection> {
+        if !self.is_alive(connection.node) {
+            return None;
+        }
+        self.nodes[connection.node.index]
+            .connections
+            .get_mut(&connection.id)
+    }
+
+    /// A connection that is not being closed.
+    pub fn open_connection(&mut self, connection: ConnectionRef) -> Option<&mut Connection> {
+        self.connection(connection).filter(|found| !found.closing)
+    }
+
+    /// The connection of an attempt, if that is the last one on it and it is not being closed.
+    pub fn open_attempt(&mut self, attempt: AttemptRef) -> Option<&mut Connection> {
+        self.open_connection(attempt.connection)
+            .filter(|found| found.attempts == attempt.number)
+    }
+
+    /// Tells a node the whole endpoint list.
+    pub fn send_endpoint_snapshot(&mut self, node: usize) {
+        let endpoints = (0..self.servers.len())
+            .map(|server| self.endpoint(server))
+            .collect();
+        self.tell(
+            node,
+            Event::EndpointsChanged {
+                snapshot: true,
+                endpoints,
+            },
+            None,
+        );
+    }
+
+    pub fn endpoint_update(
+        &mut self,
+        node: NodeRef,
+        server: usize,
+        endpoint: Endpoint,
+        address: u32,
+    ) {
+        if !self.is_alive(node) {
+            return;
+        }
+        let ready = endpoint.status == EndpointStatus::Ready;
+        self.ledger.told(
+            self.elapsed(),
+            node.index,
+            &self.servers[server].name,
+            ready,
+        );
+        self.tell(
+            node.index,
+            Event::EndpointsChanged {
+                snapshot: false,
+                endpoints: vec![(endpoint, address)],
+            },
+            None,
+        );
+    }
+
+    pub fn exchange_timer(&mut self, node: NodeRef, due: Micros) {
+        if self.is_alive(node) && self.nodes[node.index].timer_at == due {
+            self.nodes[node.index].timer_at = Micros::MAX;
+            self.tell(node.index, Event::TimerFired, None);
+        }
+    }
+
+    pub fn policy_timer(&mut self, node: NodeRef, token: u64) {
+        if self.is_alive(node) {
+            let fired = PolicyEvent::TimerFired { token };
+            self.tell(node.index, Event::PolicyEvent(fired), None);
+        }
+    }
+
+    /// Kills a node and starts it again: what it kept and what is under way to it is lost.
+    pub fn kill_node(&mut self, index: usize) -> Result<(), FleetError> {
+        self.lose_requests(index);
+        self.close_all_connections(index);
+        self.ledger.restarted(index);
+        let exchange = self.new_exchange(index)?;
+        let node = &mut self.nodes[index];
+        node.exchange = exchange;
+        node.timer_at = Micros::MAX;
+        node.incarnation += 1;
+        node.waiting.clear();
+        self.send_endpoint_snapshot(index);
+        Ok(())
+    }
+
+    fn lose_requests(&mut self, node: usize) {
+        let lost: Vec<RequestId> = self
+            .open
+            .iter()
+            .filter(|(_, owner)| **owner == node)
+            .map(|(id, _)| id.clone())
+            .collect();
+        for id in lost {
+            self.ledger.unanswered(&id.0, Unanswered::Killed);
+            self.open.remove(&id);
+        }
+    }
+
+    fn close_all_connections(&mut self, node: usize) {
+        let connections = std::mem::take(&mut self.nodes[node].connections);
+        let mut at_servers: Vec<RequestId> = connections
+            .into_values()
+            .filter(|connection| connection.at_server)
+            .filter_map(|connection| connection.carried)
+            .collect();
+        at_servers.sort();
+        for id in &at_servers {
+            self.ledger.closed(self.elapsed(), &id.0);
+        }
+    }
+}
--- a/crates/model-checker/src/planted.rs
+++ b/crates/model-checker/src/planted.rs
@@ -1,12 +1,12 @@
-//! The faults that the checker must find, and in which world it looks for each.
+//! The planted faults that the checker must find, and the world in which it looks for each.
 
 use crate::search::{search, Found, Limits};
 use crate::setups;
-use crate::world::{Anything, Setup};
+use crate::world::{AnyPolicy, Setup};
 use saffronpaddle_exchange::Bug;
 
-/// The world in which a fault shows.
-pub fn home(bug: Bug) -> &'static str {
+/// The name of the world in which a fault shows.
+pub fn world_of(bug: Bug) -> &'static str {
     match bug {
         Bug::AnswerAfterCancel
         | Bug::CancelWithoutClose
@@ -27,11 +27,11 @@
     }
 }
 
-/// Looks for a planted fault.
+/// Looks for a planted fault. None if there is no world of its name.
 pub fn hunt(bug: Bug, threads: usize) -> Option<(Setup, Found)> {
     let setup = setups::small()
         .into_iter()
-        .find(|setup| setup.name == home(bug))?;
-    let found = search(&setup, Anything, Some(bug), Limits::default(), threads);
+        .find(|setup| setup.name == world_of(bug))?;
+    let found = search(&setup, AnyPolicy, Some(bug), Limits::default(), threads);
     Some((setup, found))
 }
--- /dev/null
+++ b/crates/model-checker/src/world/occurrences.rs
@@ -0,0 +1,430 @@
+//! Lets a step happen: changes the world and tells the exchange.
+
+use super::client::WrittenAttempt;
+use super::connection::{Connection, Response, SentResponse};
+use super::policy::PolicyModel;
+use super::property::{violated, Property, PropertyViolation};
+use super::setup::{class_of, EndpointChange, Setup};
+use super::step::{ServerResponse, Step};
+use super::World;
+use saffronpaddle_exchange::{ConnectionId, Event, Ticket};
+use saffronpaddle_policy::interface::{
+    Action, AttemptNumber, ClassId, CustomerId, Event as PolicyEvent, Micros, NodeId, Outcome,
+    PlanId, ServerId,
+};
+
+/// The customer of all requests.
+const CUSTOMER: CustomerId = CustomerId(7);
+
+/// What the node notices of a step.
+pub(super) struct Occurrence {
+    event: Event<u8>,
+    read: Option<ReadResponse>,
+}
+
+/// The response that the node reads in a step.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct ReadResponse {
+    /// The request that it is a response to.
+    pub request: u8,
+    /// It was read from a connection that is being closed.
+    pub while_closing: bool,
+}
+
+impl From<Event<u8>> for Occurrence {
+    fn from(event: Event<u8>) -> Occurrence {
+        Occurrence { event, read: None }
+    }
+}
+
+impl<M: PolicyModel> World<M> {
+    /// Lets a step happen.
+    ///
+    /// # Errors
+    /// The property that does not hold.
+    pub fn take(&mut self, setup: &Setup, step: Step) -> Result<(), PropertyViolation> {
+        self.notes.clear();
+        if step == Step::ClockTicks {
+            return self.clock_ticks(setup);
+        }
+        if let Some(action) = self.policy_action(setup, step) {
+            return self.policy_acts(setup, action);
+        }
+        let Some(occurrence) = self.occurrence(setup, step) else {
+            return Ok(());
+        };
+        let mut commands = Vec::new();
+        self.exchange
+            .handle(self.now(setup), occurrence.event, &mut commands);
+        self.carry_out(setup, commands, occurrence.read)?;
+        if step == Step::TimerFires && self.timer_due(setup) {
+            return violated(Property::Liveness, "the alarm rings again at once");
+        }
+        Ok(())
+    }
+
+    fn clock_ticks(&mut self, setup: &Setup) -> Result<(), PropertyViolation> {
+        self.clock += 1;
+        self.timer_fired = false;
+        let now = self.now(setup);
+        let (due, later) = self.policy_timers.iter().partition(|timer| timer.at <= now);
+        self.policy_timers = later;
+        let due: Vec<super::PolicyTimer> = due;
+        let mut commands = Vec::new();
+        for timer in due {
+            let fired = PolicyEvent::TimerFired { token: timer.token };
+            self.exchange
+                .handle(now, Event::PolicyEvent(fired), &mut commands);
+        }
+        self.carry_out(setup, commands, None)
+    }
+
+    /// The policy acts of its own accord.
+    fn policy_acts(&mut self, setup: &Setup, action: Action) -> Result<(), PropertyViolation> {
+        let mut commands = Vec::new();
+        let now = self.now(setup);
+        self.exchange.policy_mut().actions.push(action.clone());
+        self.policy_rejects = matches!(action, Action::Reject { .. });
+        self.exchange.act(now, action, &mut commands);
+        let done = self.carry_out(setup, commands, None);
+        self.policy_rejects = false;
+        done
+    }
+
+    /// The action of the policy that a step is, if it is one.
+    fn policy_action(&self, setup: &Setup, step: Step) -> Option<Action> {
+        match step {
+            Step::PolicySends {
+                request,
+                server,
+                short,
+            } => Some(Action::Send {
+                id: setup.request_id(request),
+                server: ServerId(u64::from(server)),
+                timeout: short.then_some(setup.tick),
+            }),
+            Step::PolicyRejects(request) => Some(Action::Reject {
+                id: setup.request_id(request),
+                retry_after: None,
+            }),
+            Step::PolicyFails(request) => Some(Action::Fail {
+                id: setup.request_id(request),
+            }),
+            Step::PolicyCancels(request) => {
+                let unended = self.client(request).unended_sends();
+                Some(Action::Cancel {
+                    id: setup.request_id(request),
+                    attempt: AttemptNumber(unended.checked_ilog2().unwrap_or(0)),
+                })
+            }
+            _ => None,
+        }
+    }
+
+    /// Changes the world by a step, and returns what the node notices of it: nothing where a server acts.
+    fn occurrence(&mut self, setup: &Setup, step: Step) -> Option<Occurrence> {
+        match step {
+            Step::RequestArrives(request) => Some(self.request_arrives(setup, request).into()),
+            Step::ClientLeaves(request) => Some(self.client_leaves(setup, request).into()),
+            Step::BodyArrives(request) => Some(self.body_arrives(setup, request).into()),
+            Step::EndpointsChange => Some(self.endpoints_change(setup).into()),
+            Step::ShutdownAnnounced => Some(self.shutdown_announced(setup).into()),
+            Step::NodeStops => {
+                self.stopped = true;
+                Some(Event::Stop.into())
+            }
+            Step::TimerFires => {
+                self.timer_fired = true;
+                Some(Event::TimerFired.into())
+            }
+            Step::ResponseFinishes(rank)
+            | Step::ResponseDropped(rank)
+            | Step::ConnectSucceeds(rank)
+            | Step::ConnectFails(rank)
+            | Step::ConnectLacksResource(rank)
+            | Step::FirstByteReady(rank)
+            | Step::NodeReads(rank)
+            | Step::NodeSeesEnd(rank)
+            | Step::ConnectionCloses(rank) => {
+                let connection = self.connection_id(rank)?;
+                self.connection_occurrence(setup, step, connection)
+            }
+            Step::ServerResponds(rank, _)
+            | Step::ServerRepeats(rank)
+            | Step::ConnectionResets {
+                connection: rank, ..
+            } => {
+                let now = self.now(setup);
+                let id = self.connection_id(rank)?;
+                server_acts(self.connections.get_mut(&id)?, step, now);
+                None
+            }
+            Step::ClockTicks
+            | Step::PolicySends { .. }
+            | Step::PolicyRejects(_)
+            | Step::PolicyFails(_)
+            | Step::PolicyCancels(_) => None,
+        }
+    }
+
+    fn connection_occurrence(
+        &mut self,
+        setup: &Setup,
+        step: Step,
+        connection: ConnectionId,
+    ) -> Option<Occurrence> {
+        let event = match step {
+            Step::ResponseFinishes(_) => self.response_finishes(connection)?,
+            Step::ResponseDropped(_) => {
+                self.connections.get_mut(&connection)?.response_dropped = true;
+                Event::ResponseAbandoned { connection }
+            }
+            Step::ConnectSucceeds(_) => {
+                self.connections.get_mut(&connection)?.up = true;
+                Event::Connected { connection }
+            }
+            Step::ConnectFails(_) | Step::ConnectLacksResource(_) => {
+                self.connections.remove(&connection);
+                Event::ConnectFailed {
+                    connection,
+                    local_shortage: matches!(step, Step::ConnectLacksResource(_)),
+                }
+            }
+            Step::FirstByteReady(_) => {
+                let ready = self.connections.get(&connection)?;
+                Event::FirstByteReady {
+                    connection,
+                    quiet: ready.inbound.is_empty() && !ready.reset,
+                }
+            }
+            Step::NodeSeesEnd(_) => {
+                node_sees_end(connection, self.connections.get_mut(&connection)?)
+            }
+            Step::ConnectionCloses(_) => self.connection_closes(setup, connection),
+            Step::NodeReads(_) => return self.node_reads(setup, connection),
+            _ => return None,
+        };
+        Some(event.into())
+    }
+
+    fn request_arrives(&mut self, setup: &Setup, request: u8) -> Event<u8> {
+        let now = self.now(setup);
+        let ticket = self.exchange.next_ticket().0;
+        let client = self.client_mut(request);
+        client.arrived_at = Some(now);
+        client.ticket = ticket;
+        let idempotency = setup.idempotency(request);
+        Event::RequestReceived {
+            effect: idempotency,
+            deadline: now + setup.timeout(),
+            policy_event: PolicyEvent::RequestArrived {
+                id: setup.request_id(request),
+                class: ClassId(class_of(idempotency)),
+                plan: PlanId(0),
+                customer: CUSTOMER,
+                units: 1.0,
+                first: NodeId(0),
+                spread: 1,
+                timeout: setup.timeout(),
+                complete: !setup.streaming_bodies,
+            },
+        }
+    }
+
+    fn client_leaves(&mut self, setup: &Setup, request: u8) -> Event<u8> {
+        let client = self.client_mut(request);
+        client.left = true;
+        Event::ClientGone {
+            id: setup.request_id(request),
+            ticket: Ticket(client.ticket),
+        }
+    }
+
+    fn body_arrives(&mut self, setup: &Setup, request: u8) -> Event<u8> {
+        let now = self.now(setup);
+        let client = self.client_mut(request);
+        client.body_arrived = true;
+        if client.waits() {
+            client.arrived_at = Some(now);
+        }
+        Event::BodyComplete {
+            id: setup.request_id(request),
+            ticket: Ticket(client.ticket),
+            deadline: now + setup.timeout(),
+        }
+    }
+
+    fn endpoints_change(&mut self, setup: &Setup) -> Event<u8> {
+        let change = setup.endpoint_changes[self.changes_applied];
+        self.changes_applied += 1;
+        let endpoints = self
+            .apply_change(change)
+            .into_iter()
+            .map(|server| {
+                let state = self.endpoints[server];
+                (setup.endpoint(server, state.ready), state.address)
+            })
+            .collect();
+        Event::EndpointsChanged {
+            snapshot: false,
+            endpoints,
+        }
+    }
+
+    /// Applies a change of the endpoint list, and returns the servers that it concerns.
+    fn apply_change(&mut self, change: EndpointChange) -> Vec<usize> {
+        match change {
+            EndpointChange::Drain(server) => {
+                self.endpoints[usize::from(server)].ready = false;
+                vec![usize::from(server)]
+            }
+            EndpointChange::Return(server) => {
+                self.endpoints[usize::from(server)].ready = true;
+                vec![usize::from(server)]
+            }
+            EndpointChange::Move(moving, other) => {
+                let moving = usize::from(moving);
+                let other = usize::from(other);
+                self.endpoints[other].address = self.endpoints[moving].address;
+                self.endpoints[moving].address = self.next_address;
+                self.next_address += 1;
+                vec![moving, other]
+            }
+        }
+    }
+
+    fn shutdown_announced(&mut self, setup: &Setup) -> Event<u8> {
+        let answer_by = self.now(setup) + setup.shutdown_ticks.unwrap_or(0) * setup.tick;
+        self.shutdown_deadline = Some(answer_by);
+        Event::ShutdownAnnounced { answer_by }
+    }
+
+    fn response_finishes(&mut self, connection: ConnectionId) -> Option<Event<u8>> {
+        let streaming = self.connections.get_mut(&connection)?;
+        streaming.streaming = false;
+        if !streaming.closing {
+            if let Some(carried) = streaming.carried.take() {
+                streaming.responded = false;
+                self.attempt_over(carried.request, connection, true);
+            }
+        }
+        Some(Event::ResponseComplete {
+            connection,
+            outcome: Outcome::Ok,
+        })
+    }
+
+    fn connection_closes(&mut self, setup: &Setup, connection: ConnectionId) -> Event<u8> {
+        let closed = self.connections.remove(&connection);
+        if let Some(request) = closed.and_then(|closed| closed.written_request()) {
+            let complete = !setup.streaming_bodies || self.client(request).body_released;
+            self.attempt_over(request, connection, complete);
+        }
+        Event::Closed { connection }
+    }
+
+    fn node_reads(&mut self, setup: &Setup, connection: ConnectionId) -> Option<Occurrence> {
+        let source = self.connections.get_mut(&connection)?;
+        let response = source.inbound.remove(0);
+        let request = source.carried?.request;
+        if setup.responses_carry_id && response.request != request {
+            return Some(Event::ConnectionLost { connection }.into());
+        }
+        let client = &self.clients[usize::from(request)];
+        let while_closing = source.closing;
+        let streaming = response.kind == ServerResponse::Long;
+        source.streaming = streaming && !while_closing && client.waits();
+        source.responded_early = setup.streaming_bodies && !client.body_released;
+        if !while_closing && !streaming {
+            source.carried = None;
+            source.responded = false;
+            // A response before the last byte says that the request has run, unless it says that the server is full.
+            let may_have_run = response.kind != ServerResponse::Full;
+            self.attempt_over(request, connection, may_have_run);
+        }
+        Some(Occurrence {
+            event: self.response_event(connection, response.kind, while_closing),
+            read: Some(ReadResponse {
+                request: response.request,
+                while_closing,
+            }),
+        })
+    }
+
+    fn response_event(
+        &mut self,
+        connection: ConnectionId,
+        kind: ServerResponse,
+        while_closing: bool,
+    ) -> Event<u8> {
+        match kind {
+            ServerResponse::Upgrade => {
+                if !while_closing {
+                    // The connection belongs to the client now.
+                    self.connections.remove(&connection);
+                }
+                Event::Upgraded { connection }
+            }
+            ServerResponse::Long => Event::ResponseStreaming { connection },
+            ServerResponse::Ok | ServerResponse::Error | ServerResponse::Full => {
+                Event::ResponseComplete {
+                    connection,
+                    outcome: kind.outcome(),
+                }
+            }
+        }
+    }
+
+    /// The attempt of a request with bytes written on a connection is over.
+    fn attempt_over(&mut self, request: u8, connection: ConnectionId, may_have_run: bool) {
+        let client = self.client_mut(request);
+        let on_connection = |attempt: &mut WrittenAttempt| attempt.connection == connection;
+        if let Some(attempt) = client.written.take_if(on_connection) {
+            if may_have_run {
+                client.first_dispatched.get_or_insert(attempt.dispatched);
+            }
+        }
+    }
+}
+
+/// A server responds, repeats its response or resets the connection.
+fn server_acts(connection: &mut Connection, step: Step, now: Micros) {
+    match step {
+        Step::ServerResponds(_, kind) => {
+            connection.responded = true;
+            if let Some(carried) = connection.carried {
+                let response = Response {
+                    request: carried.request,
+                    kind,
+                };
+                connection.inbound.push(response);
+                connection.last_response = Some(SentResponse { response, at: now });
+            }
+        }
+        Step::ServerRepeats(_) => {
+            connection.repeated = true;
+            let repeated = connection.last_response.map(|sent| sent.response);
+            connection.inbound.extend(repeated);
+        }
+        Step::ConnectionResets { unread_lost, .. } => {
+            connection.reset = true;
+            if unread_lost {
+                connection.inbound.clear();
+            }
+        }
+        _ => {}
+    }
+}
+
+fn node_sees_end(id: ConnectionId, connection: &mut Connection) -> Event<u8> {
+    connection.end_seen = true;
+    let lost = connection.carried.is_some_and(|carried| {
+        // A response that is still unread decides how the attempt ends.
+        !carried.written || connection.inbound.is_empty()
+    });
+    if lost {
+        Event::ConnectionLost { connection: id }
+    } else {
+        Event::ClosedByPeer { connection: id }
+    }
+}
--- /dev/null
+++ b/crates/model-checker/src/world/policy_events.rs
@@ -0,0 +1,99 @@
+//! Verifies what the policy was told, and notes the attempts that it asked for.
+
+use super::policy::PolicyModel;
+use super::property::{violated, Property, PropertyViolation};
+use super::setup::Setup;
+use super::World;
+use saffronpaddle_policy::interface::{
+    Action, AttemptNumber, Event as PolicyEvent, Outcome, RequestId,
+};
+
+impl<M: PolicyModel> World<M> {
+    /// Verifies the recorded events and actions of the policy.
+    pub(super) fn verify_policy_events(&mut self, setup: &Setup) -> Result<(), PropertyViolation> {
+        let recording = self.exchange.policy_mut();
+        let events = std::mem::take(&mut recording.events);
+        let actions = std::mem::take(&mut recording.actions);
+        for action in &actions {
+            if let Action::Send { id, .. } = action {
+                self.notes.push(format!("{action:?}"));
+                self.note_send(setup, id);
+            }
+        }
+        for event in events {
+            self.verify_policy_event(setup, event)?;
+        }
+        Ok(())
+    }
+
+    /// Notes an attempt that the policy asked for, unless its request is answered, abandoned or past its deadline: of
+    /// such an attempt the policy is told no end.
+    fn note_send(&mut self, setup: &Setup, id: &RequestId) {
+        let now = self.now(setup);
+        let shutdown_deadline = self.shutdown_deadline;
+        let Some(request) = self.request_of(setup, id) else {
+            return;
+        };
+        let client = self.client_mut(request);
+        if client.waits() && now < client.answered_by(setup, shutdown_deadline) {
+            client.sends |= 1 << client.sends.count_ones();
+        }
+    }
+
+    fn verify_policy_event(
+        &mut self,
+        setup: &Setup,
+        event: PolicyEvent,
+    ) -> Result<(), PropertyViolation> {
+        match event {
+            PolicyEvent::AttemptEnded {
+                id,
+                attempt,
+                outcome,
+                request_closed,
+            } => {
+                self.notes.push(format!(
+                    "module hears: attempt {} ended, {outcome:?}, closed {request_closed}",
+                    attempt.0
+                ));
+                self.verify_attempt_end(setup, &id, attempt, outcome)
+            }
+            PolicyEvent::RequestAbandoned { .. } => {
+                self.notes.push("module hears: abandoned".to_owned());
+                Ok(())
+            }
+            _ => Ok(()),
+        }
+    }
+
+    fn verify_attempt_end(
+        &mut self,
+        setup: &Setup,
+        id: &RequestId,
+        attempt: AttemptNumber,
+        outcome: Outcome,
+    ) -> Result<(), PropertyViolation> {
+        let Some(request) = self.request_of(setup, id) else {
+            return Ok(());
+        };
+        let client = self.client_mut(request);
+        let bit = 1 << attempt.0;
+        if client.ends & bit != 0 || client.sends & bit == 0 {
+            return violated(
+                Property::OneEnd,
+                format!("an end of attempt {} of {request} too many", attempt.0),
+            );
+        }
+        client.ends |= bit;
+        if client
+            .written
+            .is_some_and(|written| written.number == attempt.0)
+        {
+            return violated(
+                Property::HonestEnd,
+                format!("an attempt of {request} ends {outcome:?} and is still out"),
+            );
+        }
+        Ok(())
+    }
+}
--- a/crates/model-checker/tests/explored.rs
+++ b/crates/model-checker/tests/explored.rs
@@ -3,9 +3,9 @@
 use proptest::prelude::ProptestConfig;
 use proptest::test_runner::FileFailurePersistence;
 use saffronpaddle_exchange::Bug;
-use saffronpaddle_model_checker::nodes::{play, Play};
+use saffronpaddle_model_checker::fleet::{run, FleetSetup};
 use saffronpaddle_model_checker::search::{search, Limits};
-use saffronpaddle_model_checker::world::{Anything, Step};
+use saffronpaddle_model_checker::world::{AnyPolicy, Property, Step, World};
 use saffronpaddle_model_checker::{chart, planted, setups, walk};
 use saffronpaddle_policy::interface::{DeduplicationScope, Idempotency};
 
@@ -16,15 +16,15 @@
 #[test]
 fn every_small_world_is_visited_whole_and_keeps_its_properties() {
     for setup in setups::small() {
-        let found = search(&setup, Anything, None, Limits::default(), THREADS);
-        if let Some((trace, breach)) = &found.breach {
+        let found = search(&setup, AnyPolicy, None, Limits::default(), THREADS);
+        if let Some((trace, violation)) = &found.violation {
             panic!(
                 "{}\n{}",
                 setup.name,
-                chart::draw(&setup, Anything, None, trace, breach)
+                chart::draw(&setup, AnyPolicy, None, trace, violation)
             );
         }
-        assert!(found.whole, "{}", setup.name);
+        assert!(found.complete, "{}", setup.name);
         assert!(
             found.states > FEWEST,
             "{}: {} states",
@@ -38,16 +38,16 @@
 fn every_planted_fault_is_found_with_its_trace() {
     for bug in Bug::ALL {
         let (setup, found) = planted::hunt(bug, THREADS).expect("a world for each fault");
-        let Some((trace, breach)) = found.breach else {
+        let Some((trace, violation)) = found.violation else {
             panic!("{bug:?} is not found in {}", setup.name)
         };
-        let drawn = chart::draw(&setup, Anything, Some(bug), &trace, &breach);
+        let drawn = chart::draw(&setup, AnyPolicy, Some(bug), &trace, &violation);
         assert!(drawn.contains("broken: "), "{drawn}");
         // The same steps without the fault break nothing: it is the fault that was found.
-        let mut sound = saffronpaddle_model_checker::world::World::new(&setup, Anything, None);
+        let mut sound = World::new(&setup, AnyPolicy, None);
         for step in &trace {
-            let possible =
-                sound.steps(&setup).contains(step) || sound.left_alone(&setup) == Some(*step);
+            let possible = sound.possible_steps(&setup).contains(step)
+                || sound.step_if_left_alone(&setup) == Some(*step);
             if !possible {
                 break;
             }
@@ -65,14 +65,14 @@
 fn a_copy_that_comes_late_passes_for_an_answer_where_answers_bear_no_id() {
     let found = search(
         &setups::late_copies(),
-        Anything,
+        AnyPolicy,
         None,
         Limits::default(),
         THREADS,
     );
-    let (trace, breach) = found.breach.expect("the gap");
-    assert_eq!(breach.property, "own answer");
-    assert!(trace.contains(&Step::Repeats(0)));
+    let (trace, violation) = found.violation.expect("the gap");
+    assert_eq!(violation.property, Property::OwnAnswer);
+    assert!(trace.contains(&Step::ServerRepeats(0)));
 }
 
 #[test]
@@ -83,7 +83,7 @@
     };
     for effect in [Idempotency::Idempotent, keyed, Idempotency::NonIdempotent] {
         let setup = setups::real(effect);
-        let module = setups::module(&setup).expect("settings that make sense");
+        let module = setups::real_policy(&setup).expect("settings that make sense");
         let found = search(
             &setup,
             module.clone(),
@@ -94,11 +94,11 @@
             },
             THREADS,
         );
-        if let Some((trace, breach)) = &found.breach {
+        if let Some((trace, violation)) = &found.violation {
             panic!(
                 "{}\n{}",
                 setup.name,
-                chart::draw(&setup, module, None, trace, breach)
+                chart::draw(&setup, module, None, trace, violation)
             );
         }
         assert!(
@@ -113,10 +113,10 @@
 #[test]
 fn random_walks_through_a_large_world_break_nothing() {
     for seed in 0..60 {
-        let found = walk::walk(&setups::wide(seed), Anything, seed, 3_000);
+        let found = walk::walk(&setups::random(seed), AnyPolicy, seed, 3_000);
         let broken = found
-            .breach
-            .map(|(trace, breach)| format!("{breach} after {} steps", trace.len()));
+            .violation
+            .map(|(trace, violation)| format!("{violation} after {} steps", trace.len()));
         assert_eq!(
             broken, None,
             "saffronpaddle-model-checker walk --seed {seed} --walks 1 --steps 3000"
@@ -134,8 +134,8 @@
         Bug::AddressNotCompared,
     ] {
         let found = (0..40).any(|seed| {
-            walk::walk_with(&setups::wide(seed), Anything, Some(bug), seed, 3_000)
-                .breach
+            walk::walk_with(&setups::random(seed), AnyPolicy, Some(bug), seed, 3_000)
+                .violation
                 .is_some()
         });
         assert!(found, "{bug:?}");
@@ -147,10 +147,14 @@
 #[test]
 fn whole_nodes_in_virtual_time_keep_the_rules() {
     for seed in 1..=4 {
-        let played = play(&Play::usual(seed)).expect("settings that make sense");
+        let played = run(&FleetSetup::usual(seed)).expect("settings that make sense");
         let again = format!("saffronpaddle-model-checker nodes --seed {seed} --runs 1");
         assert_eq!(played.verdict.breaches, [], "{again}");
-        assert_eq!((played.tables, played.kept), (Vec::new(), 0), "{again}");
+        assert_eq!(
+            (played.inconsistencies, played.kept),
+            (Vec::new(), 0),
+            "{again}"
+        );
         assert!(
             played.verdict.served > played.verdict.tries / 4,
             "{again}: {:?}",
@@ -165,26 +169,28 @@
 
 #[test]
 fn a_seed_is_played_the_same_way_each_time() {
-    let short = Play {
-        tries: 500,
-        ..Play::usual(11)
+    let short = FleetSetup {
+        requests: 500,
+        ..FleetSetup::usual(11)
     };
-    let runs = [play(&short), play(&short)].map(|played| played.expect("settings that make sense"));
+    let runs = [run(&short), run(&short)].map(|run| run.expect("settings that make sense"));
     assert_eq!(runs[0], runs[1]);
-    let other = play(&Play { seed: 12, ..short }).expect("settings that make sense");
-    assert_ne!(runs[0].course, other.course);
+    let other = run(&FleetSetup { seed: 12, ..short }).expect("settings that make sense");
+    assert_ne!(runs[0].commands_hash, other.commands_hash);
 }
 
 #[test]
 fn whole_nodes_in_virtual_time_show_faults() {
     for bug in [Bug::CancelWithoutClose, Bug::SlotLost, Bug::EndNeverTold] {
         let found = (1..=6).any(|seed| {
-            let played = play(&Play {
+            let played = run(&FleetSetup {
                 bug: Some(bug),
-                ..Play::usual(seed)
+                ..FleetSetup::usual(seed)
             })
             .expect("settings that make sense");
-            !played.verdict.breaches.is_empty() || !played.tables.is_empty() || played.kept > 0
+            !played.verdict.breaches.is_empty()
+                || !played.inconsistencies.is_empty()
+                || played.kept > 0
         });
         assert!(found, "{bug:?}");
     }
@@ -203,18 +209,18 @@
     fn any_choices_in_a_large_world_break_nothing(
         seed in 0_u64..1_000_000, choices in proptest::collection::vec(proptest::prelude::any::<u16>(), 0..600),
     ) {
-        let setup = setups::wide(seed);
-        let mut world = saffronpaddle_model_checker::world::World::new(&setup, Anything, None);
+        let setup = setups::random(seed);
+        let mut world = World::new(&setup, AnyPolicy, None);
         for choice in choices {
-            let steps = world.steps(&setup);
+            let steps = world.possible_steps(&setup);
             let Some(step) = steps.get(usize::from(choice) % steps.len().max(1)).copied() else { break };
             proptest::prop_assert_eq!(world.take(&setup, step), Ok(()), "{:?}", step);
         }
         let mut left = 20_000;
-        while let Some(step) = world.left_alone(&setup).filter(|_| left > 0) {
+        while let Some(step) = world.step_if_left_alone(&setup).filter(|_| left > 0) {
             left -= 1;
             proptest::prop_assert_eq!(world.take(&setup, step), Ok(()), "{:?}", step);
         }
-        proptest::prop_assert_eq!(world.over_and_done(), Ok(()));
+        proptest::prop_assert_eq!(world.verify_end(), Ok(()));
     }
 }
