--- /dev/null
+++ b/crates/websocket/tests/sockets.rs
@@ -0,0 +1,254 @@
+//! How many sockets there may be, how long each may be silent, and how they close.
+
+use saffronpaddle_policy::interface::{CustomerId, Micros, ServerId};
+use saffronpaddle_websocket::frames::Side;
+use saffronpaddle_websocket::table::{Command, Limits, SocketId, Sockets};
+
+/// Microseconds in a millisecond.
+const MS: Micros = 1_000;
+/// A server.
+const ONE: ServerId = ServerId(1);
+/// Another server.
+const OTHER: ServerId = ServerId(2);
+
+fn limits() -> Limits {
+    Limits {
+        per_node: 20_000,
+        per_customer: 6,
+        per_server: 20_000,
+        opens_per_s: 100_000.0,
+        ping_after: 1_000 * MS,
+        silent_after: 3_000 * MS,
+        idle_for: 0,
+        life_for: 0,
+        drain_within: 200 * MS,
+        close_within: 1_000 * MS,
+        back_per_s: 100.0,
+        restart: false,
+    }
+}
+
+/// Sockets of `count` customers to one server.
+fn open_sockets(limits: Limits, count: u64) -> Sockets {
+    let mut sockets = Sockets::new(limits, 0);
+    for customer in 0..count {
+        let id = sockets.admit(0, CustomerId(customer), 1).expect("admitted");
+        assert!(sockets.opened(0, id, ONE).is_empty());
+    }
+    sockets
+}
+
+/// Ticks from `now` until nothing is due by `end`. Returns each command with its time.
+fn run_until(sockets: &mut Sockets, mut now: Micros, end: Micros) -> Vec<(Micros, Command)> {
+    let mut all = Vec::new();
+    while let Some(at) = sockets.next_alarm().filter(|at| *at <= end) {
+        now = now.max(at);
+        all.extend(sockets.tick(now).into_iter().map(|command| (now, command)));
+    }
+    all
+}
+
+fn drain_commands(commands: &[Command]) -> usize {
+    commands
+        .iter()
+        .filter(|command| matches!(command, Command::Drain(..)))
+        .count()
+}
+
+#[test]
+fn a_drain_of_thousands_closes_in_batches_within_its_time_and_spreads_their_return() {
+    let mut sockets = open_sockets(limits(), 10_000);
+    let other = sockets.admit(0, CustomerId(99_999), 1).expect("admitted");
+    assert!(sockets.opened(0, other, OTHER).is_empty());
+    let now = 500 * MS;
+    let first = sockets.told(now, ONE, false);
+    assert!(
+        drain_commands(&first) > 0 && drain_commands(&first) < 1_000,
+        "some at once, not all: {}",
+        drain_commands(&first)
+    );
+    let later = run_until(&mut sockets, now, now + 150 * MS);
+    let closes: Vec<_> = later
+        .iter()
+        .filter(|(_, command)| matches!(command, Command::Drain(..)))
+        .collect();
+    assert_eq!(drain_commands(&first) + closes.len(), 10_000);
+    let last = closes.iter().map(|(at, _)| *at).max().expect("not empty");
+    assert!(
+        last <= now + 110 * MS,
+        "the last after {} ms",
+        (last - now) / MS
+    );
+    let most = closes
+        .chunk_by(|one, next| one.0 == next.0)
+        .map(<[_]>::len)
+        .max()
+        .expect("not empty");
+    assert!(most < 400, "{most} at once");
+    // All that are left are cut at the end of the drain's time and not before.
+    let cuts = run_until(&mut sockets, now + 150 * MS, now + 300 * MS);
+    assert_eq!(cuts.len(), 10_000);
+    assert!(cuts
+        .iter()
+        .all(|(at, command)| *at == now + 200 * MS && matches!(command, Command::Cut(_))));
+    // Clients are told to come back one after the other.
+    let Some((_, Command::Drain(_, 1001, advice, _))) = closes.last() else {
+        panic!("a close")
+    };
+    let wait: f64 = advice
+        .strip_prefix("retry-after=")
+        .and_then(|text| text.parse().ok())
+        .expect("a number");
+    assert!(
+        (wait - 100.0).abs() < 2.0,
+        "10,000 at 100 a second: {advice}"
+    );
+}
+
+#[test]
+fn a_socket_that_opens_to_a_draining_server_closes_at_once() {
+    let mut sockets = open_sockets(limits(), 0);
+    let id = sockets.admit(0, CustomerId(1), 1).expect("admitted");
+    assert!(sockets.told(10, ONE, false).is_empty());
+    let closes = sockets.opened(20, id, ONE);
+    assert!(
+        matches!(closes[..], [Command::Drain(_, 1001, _, at)] if at == 20 + 200 * MS),
+        "{closes:?}"
+    );
+    sockets.ended(id);
+    // The server is ready again, and nothing is kept of the drain.
+    assert!(sockets.told(30, ONE, true).is_empty());
+    let id = sockets.admit(40, CustomerId(1), 1).expect("admitted");
+    assert!(sockets.opened(50, id, ONE).is_empty());
+}
+
+#[test]
+fn a_customers_limit_is_divided_over_its_nodes_and_freed_again() {
+    let mut sockets = Sockets::new(limits(), 0);
+    let three: Vec<_> = (0..3)
+        .map(|_| sockets.admit(0, CustomerId(1), 2).expect("admitted"))
+        .collect();
+    assert!(
+        sockets.admit(0, CustomerId(1), 2).is_err(),
+        "three of six at one of two nodes"
+    );
+    assert!(
+        sockets.admit(0, CustomerId(2), 2).is_ok(),
+        "another customer"
+    );
+    sockets.ended(three[0]);
+    assert!(sockets.admit(0, CustomerId(1), 2).is_ok());
+    // If there are more nodes than sockets, each node has one.
+    assert!(sockets.admit(0, CustomerId(3), 9).is_ok());
+    assert!(sockets.admit(0, CustomerId(3), 9).is_err());
+}
+
+#[test]
+fn nodes_and_servers_have_limits_of_their_own() {
+    let mut sockets = Sockets::new(
+        Limits {
+            per_node: 2,
+            per_server: 1,
+            ..limits()
+        },
+        0,
+    );
+    let one = sockets.admit(0, CustomerId(1), 1).expect("admitted");
+    let two = sockets.admit(0, CustomerId(2), 1).expect("admitted");
+    assert!(sockets.admit(0, CustomerId(3), 1).is_err());
+    assert!(sockets.opened(1, one, ONE).is_empty());
+    assert!(matches!(
+        sockets.opened(2, two, ONE)[..],
+        [Command::Close(_, 1013, _)]
+    ));
+    sockets.ended(one);
+    sockets.ended(two);
+    assert_eq!(
+        (sockets.count(), sockets.next_alarm()),
+        (0, None),
+        "nothing is kept"
+    );
+}
+
+#[test]
+fn upgrades_are_admitted_at_a_rate_and_rejected_with_retry_after() {
+    let mut sockets = Sockets::new(
+        Limits {
+            opens_per_s: 10.0,
+            ..limits()
+        },
+        0,
+    );
+    let admitted = (0..100)
+        .filter(|customer| sockets.admit(0, CustomerId(*customer), 1).is_ok())
+        .count();
+    assert_eq!(admitted, 10);
+    let rejected = sockets.admit(0, CustomerId(200), 1).expect_err("too many");
+    assert_eq!(rejected.retry_in, 100 * MS);
+    assert!(sockets.admit(100 * MS + 1, CustomerId(200), 1).is_ok());
+}
+
+#[test]
+fn a_silent_side_is_pinged_then_the_socket_is_closed_then_cut() {
+    let mut sockets = open_sockets(limits(), 1);
+    let id = SocketId(0);
+    sockets.heard(900 * MS, id, Side::Client, true);
+    let first = run_until(&mut sockets, 0, 1_000 * MS);
+    assert_eq!(first, [(1_000 * MS, Command::Ping(id, Side::Server))]);
+    sockets.heard(1_010 * MS, id, Side::Server, false);
+    // Both sides sent bytes: each is pinged a second later, and the server answers.
+    let again = run_until(&mut sockets, 1_010 * MS, 2_010 * MS);
+    assert_eq!(again.len(), 2, "{again:?}");
+    sockets.heard(2_020 * MS, id, Side::Server, false);
+    let end = run_until(&mut sockets, 2_020 * MS, 3_900 * MS);
+    assert!(
+        matches!(end.last(), Some((at, Command::Close(..))) if *at == 3_900 * MS),
+        "{end:?}"
+    );
+    let cut = run_until(&mut sockets, 3_900 * MS, 10_000 * MS);
+    assert_eq!(cut, [(4_900 * MS, Command::Cut(id))]);
+}
+
+#[test]
+fn idle_and_old_sockets_close() {
+    let bounds = Limits {
+        idle_for: 500 * MS,
+        life_for: 2_000 * MS,
+        ping_after: 9_000 * MS,
+        silent_after: 10_000 * MS,
+        ..limits()
+    };
+    let mut sockets = open_sockets(bounds, 1);
+    sockets.heard(400 * MS, SocketId(0), Side::Server, false);
+    let idle = run_until(&mut sockets, 0, 600 * MS);
+    assert!(
+        matches!(idle[..], [(at, Command::Close(..))] if at == 500 * MS),
+        "{idle:?}"
+    );
+    let mut sockets = open_sockets(
+        Limits {
+            idle_for: 0,
+            ..limits()
+        },
+        1,
+    );
+    assert!(run_until(&mut sockets, 0, 900 * MS).is_empty());
+}
+
+#[test]
+fn a_stop_closes_all_sockets_and_rejects_upgrades() {
+    let mut sockets = open_sockets(limits(), 50);
+    let pending = sockets.admit(0, CustomerId(777), 1).expect("admitted");
+    let mut closes = sockets.stop(10);
+    closes.extend(
+        run_until(&mut sockets, 10, 150 * MS)
+            .into_iter()
+            .map(|(_, command)| command),
+    );
+    assert_eq!(drain_commands(&closes), 50);
+    assert!(sockets.admit(20, CustomerId(1_000), 1).is_err());
+    assert!(
+        matches!(sockets.opened(30, pending, ONE)[..], [Command::Drain(..)]),
+        "a pending upgrade"
+    );
+}
--- a/crates/websocket/src/upgrade/tests.rs
+++ b/crates/websocket/tests/upgrade.rs
@@ -1,5 +1,10 @@
-use super::*;
+//! Which upgrade requests and responses are valid.
 
+use http::header::{HeaderMap, HeaderName, HeaderValue};
+use http::{Method, Version};
+use saffronpaddle_websocket::upgrade::{read, verify, Bad, Offer, Switch};
+
+/// The key of RFC 6455, section 1.3.
 const KEY: &str = "dGhlIHNhbXBsZSBub25jZQ==";
 
 fn head(lines: &[(&'static str, &str)]) -> HeaderMap {
@@ -10,7 +15,7 @@
         .collect()
 }
 
-fn good() -> Vec<(&'static str, &'static str)> {
+fn valid_lines() -> Vec<(&'static str, &'static str)> {
     vec![
         ("upgrade", "WebSocket"),
         ("connection", "keep-alive, Upgrade"),
@@ -19,33 +24,33 @@
     ]
 }
 
-fn asked(lines: &[(&'static str, &str)]) -> Result<Option<Offer>, Bad> {
+fn request(lines: &[(&'static str, &str)]) -> Result<Option<Offer>, Bad> {
     read(&Method::GET, Version::HTTP_11, &head(lines))
 }
 
 #[test]
-fn a_good_upgrade_is_read_and_an_ordinary_request_is_none() {
-    let offer = asked(&good()).expect("good").expect("an upgrade");
+fn a_valid_upgrade_is_read_and_an_ordinary_request_is_none() {
+    let offer = request(&valid_lines()).expect("valid").expect("an upgrade");
     assert_eq!(
         (offer.key, offer.protocols),
         (HeaderValue::from_static(KEY), None)
     );
     assert_eq!(
-        asked(&[("upgrade", "h2c"), ("connection", "upgrade")]),
+        request(&[("upgrade", "h2c"), ("connection", "upgrade")]),
         Ok(None)
     );
-    assert_eq!(asked(&[]), Ok(None));
+    assert_eq!(request(&[]), Ok(None));
 }
 
 #[test]
-fn bad_upgrades_are_turned_away() {
+fn invalid_upgrades_are_rejected() {
     let with = |name: &'static str, text: &'static str| {
-        let mut lines = good();
+        let mut lines = valid_lines();
         lines.retain(|(other, _)| *other != name);
         if !text.is_empty() {
             lines.push((name, text));
         }
-        asked(&lines).map_err(|(status, _)| status.as_u16())
+        request(&lines).map_err(|(status, _)| status.as_u16())
     };
     assert_eq!(with("sec-websocket-version", "8"), Err(426));
     assert_eq!(with("sec-websocket-version", ""), Err(426));
@@ -56,19 +61,19 @@
     assert_eq!(with("upgrade", ""), Err(400), "a key without an upgrade");
     assert_eq!(with("content-length", "5"), Err(400));
     assert_eq!(with("transfer-encoding", "chunked"), Err(400));
-    let twice = [good(), vec![("sec-websocket-key", KEY)]].concat();
+    let twice = [valid_lines(), vec![("sec-websocket-key", KEY)]].concat();
     assert_eq!(
-        asked(&twice).map_err(|(status, _)| status.as_u16()),
+        request(&twice).map_err(|(status, _)| status.as_u16()),
         Err(400)
     );
-    let lines = head(&good());
+    let lines = head(&valid_lines());
     assert!(read(&Method::POST, Version::HTTP_11, &lines).is_err());
     assert!(read(&Method::GET, Version::HTTP_10, &lines).is_err());
 }
 
 #[test]
-fn an_answer_must_be_for_this_key_and_within_the_offer() {
-    let mut lines = good();
+fn a_response_must_match_the_key_and_the_offer() {
+    let mut lines = valid_lines();
     lines.extend([
         ("sec-websocket-protocol", "ranks, clock"),
         (
@@ -76,30 +81,31 @@
             "permessage-deflate; client_max_window_bits",
         ),
     ]);
-    let offer = asked(&lines).expect("good").expect("an upgrade");
-    // Section 1.3 has this pair.
+    let offer = request(&lines).expect("valid").expect("an upgrade");
+    // The pair of key and response in section 1.3.
     let accept = "s3pPLMBiTxaQ9kYGzzhZRbK+xOo=";
     let yes = [
         ("upgrade", "websocket"),
         ("connection", "Upgrade"),
         ("sec-websocket-accept", accept),
     ];
-    let answer = |more: &[(&'static str, &str)]| verify(&offer, &head(&[&yes[..], more].concat()));
+    let response =
+        |more: &[(&'static str, &str)]| verify(&offer, &head(&[&yes[..], more].concat()));
     assert_eq!(
-        answer(&[]),
+        response(&[]),
         Ok(Switch {
             protocol: None,
             extensions: None,
             deflate: false
         })
     );
-    let both = answer(&[
+    let both = response(&[
         ("sec-websocket-protocol", "clock"),
         ("sec-websocket-extensions", "permessage-deflate"),
     ]);
     assert!(both.is_ok_and(|switch| switch.deflate && switch.protocol.is_some()));
-    assert!(answer(&[("sec-websocket-protocol", "chat")]).is_err());
-    assert!(answer(&[("sec-websocket-extensions", "x-other")]).is_err());
+    assert!(response(&[("sec-websocket-protocol", "chat")]).is_err());
+    assert!(response(&[("sec-websocket-extensions", "x-other")]).is_err());
     let other = head(&[
         yes[0],
         yes[1],
