--- a/crates/exchange/src/bugs.rs
+++ b/crates/exchange/src/bugs.rs
@@ -92,7 +92,7 @@
     ];
 }
 
-/// Says which fault is planted. Production code uses [`Sound`], which the compiler optimizes away.
+/// Says which fault is planted. Production code uses [`NoBugs`], which the compiler optimizes away.
 pub trait Bugs: Clone {
     /// Whether this fault is planted.
     fn planted(&self, bug: Bug) -> bool;
@@ -100,9 +100,9 @@
 
 /// No fault is planted.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Sound;
+pub struct NoBugs;
 
-impl Bugs for Sound {
+impl Bugs for NoBugs {
     #[inline]
     fn planted(&self, _: Bug) -> bool {
         false
--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -16,7 +16,7 @@
 use crate::number_map::NumberMap;
 use crate::tables::{Alarms, Connection, ReadyServer, RequestState};
 use crate::{
-    Bug, Bugs, Command, ConnectionId, Denial, Event, FinalAnswer, Limits, Policy, Sound, Ticket,
+    Bug, Bugs, Command, ConnectionId, Denial, Event, FinalAnswer, Limits, NoBugs, Policy, Ticket,
     Violations,
 };
 use saffronpaddle_admin::RequestCounters;
@@ -28,7 +28,7 @@
 
 /// Requests, attempts and connections of one node. See the [crate's](crate) overview.
 #[derive(Clone)]
-pub struct Exchange<A, M, B = Sound> {
+pub struct Exchange<A, M, B = NoBugs> {
     limits: Limits,
     policy: M,
     bugs: B,
@@ -60,7 +60,7 @@
 impl<A: Copy + Eq + Hash, M: Policy> Exchange<A, M> {
     /// An empty exchange.
     pub fn new(limits: Limits, policy: M) -> Self {
-        Exchange::with_bugs(limits, policy, Sound)
+        Exchange::with_bugs(limits, policy, NoBugs)
     }
 }
 
--- a/crates/exchange/src/exchange/eligibility.rs
+++ b/crates/exchange/src/exchange/eligibility.rs
@@ -13,7 +13,7 @@
 /// The step of an attempt that is checked.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum CheckedStep {
-    /// The policy has chosen the attempt.
+    /// The policy asks for the attempt.
     Choice,
     /// The connection is up, or the first byte is about to be written.
     Dispatch,
@@ -131,7 +131,7 @@
     }
 
     /// Whether a connection leads to its server's current address. A server that drained must get no request, and an
-    /// address may pass from one server to another: a request would then reach a server that was not chosen.
+    /// address may pass from one server to another: a request would then reach another server than its attempt is for.
     pub(super) fn reaches_server(&self, connection: ConnectionId) -> bool {
         let Some(connection) = self.connections.get(&connection) else {
             return false;
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -37,7 +37,7 @@
 mod policy;
 mod tables;
 
-pub use bugs::{Bug, Bugs, Sound};
+pub use bugs::{Bug, Bugs, NoBugs};
 pub use command::{Command, FinalAnswer};
 pub use event::Event;
 pub use exchange::Exchange;
--- a/crates/model-checker/src/bin/saffronpaddle-model-checker/arguments.rs
+++ b/crates/model-checker/src/bin/saffronpaddle-model-checker/arguments.rs
@@ -20,7 +20,7 @@
 #[derive(Debug)]
 pub struct Arguments {
     /// The subcommand and its operands.
-    pub words: Vec<String>,
+    pub operands: Vec<String>,
     /// A fault to plant.
     pub bug: Option<Bug>,
     /// Most steps from the first state of a world with the real policy.
@@ -40,7 +40,7 @@
 impl Default for Arguments {
     fn default() -> Arguments {
         Arguments {
-            words: Vec::new(),
+            operands: Vec::new(),
             bug: None,
             depth: 12,
             seed: 1,
@@ -59,8 +59,8 @@
         let mut parser = lexopt::Parser::from_env();
         while let Some(argument) = parser.next()? {
             match argument {
-                Value(word) => arguments.words.push(word.string()?),
-                Long("bug") => arguments.bug = Some(bug_named(&parser.value()?.string()?)?),
+                Value(word) => arguments.operands.push(word.string()?),
+                Long("bug") => arguments.bug = Some(parse_bug(&parser.value()?.string()?)?),
                 Long("depth") => arguments.depth = parser.value()?.parse()?,
                 Long("seed") => arguments.seed = parser.value()?.parse()?,
                 Long("walks") => arguments.walks = parser.value()?.parse()?,
@@ -75,7 +75,7 @@
     }
 }
 
-fn bug_named(name: &str) -> Result<Bug> {
+fn parse_bug(name: &str) -> Result<Bug> {
     Bug::ALL
         .into_iter()
         .find(|bug| format!("{bug:?}") == name)
--- a/crates/model-checker/src/bin/saffronpaddle-model-checker/main.rs
+++ b/crates/model-checker/src/bin/saffronpaddle-model-checker/main.rs
@@ -13,8 +13,8 @@
         return Ok(());
     };
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
-    let words: Vec<&str> = arguments.words.iter().map(String::as_str).collect();
-    match words[..] {
+    let operands: Vec<&str> = arguments.operands.iter().map(String::as_str).collect();
+    match operands[..] {
         ["small"] => worlds::visit_small(threads),
         ["large"] => worlds::visit_large(threads),
         ["world", name] => worlds::visit_one(name, arguments.bug, threads),
--- a/crates/model-checker/src/chart.rs
+++ b/crates/model-checker/src/chart.rs
@@ -26,19 +26,19 @@
     }
 }
 
-/// A line of the chart: who acts, on whom, in which words.
+/// A line of the chart: who acts, on whom, and what happens.
 struct Arrow {
     from: Lane,
     to: Lane,
-    words: String,
+    caption: String,
 }
 
 impl Arrow {
-    fn new(from: Lane, to: Lane, words: impl Into<String>) -> Arrow {
+    fn new(from: Lane, to: Lane, caption: impl Into<String>) -> Arrow {
         Arrow {
             from,
             to,
-            words: words.into(),
+            caption: caption.into(),
         }
     }
 
@@ -65,7 +65,7 @@
 }
 
 fn client_arrow(step: Step) -> Option<Arrow> {
-    let words = match step {
+    let caption = match step {
         Step::RequestArrives(r) => format!("request {r} is whole"),
         Step::ClientLeaves(r) => format!("client {r} goes"),
         Step::BodyArrives(r) => format!("the last byte of {r} comes"),
@@ -74,11 +74,11 @@
         }
         _ => return None,
     };
-    Some(Arrow::new(Lane::Clients, Lane::Node, words))
+    Some(Arrow::new(Lane::Clients, Lane::Node, caption))
 }
 
 fn policy_arrow(step: Step) -> Option<Arrow> {
-    let words = match step {
+    let caption = match step {
         Step::PolicySends {
             request,
             server,
@@ -92,11 +92,11 @@
         Step::PolicyCancels(r) => format!("module: call off {r}"),
         _ => return None,
     };
-    Some(Arrow::new(Lane::Node, Lane::Node, words))
+    Some(Arrow::new(Lane::Node, Lane::Node, caption))
 }
 
 fn server_arrow(step: Step) -> Option<Arrow> {
-    let words = match step {
+    let caption = match step {
         Step::ResponseFinishes(c) => format!("the rest of a long answer on wire {c}"),
         Step::ServerResponds(c, response) => format!("answer {response:?} on wire {c}"),
         Step::ServerRepeats(c) => format!("the same answer again on wire {c}"),
@@ -113,11 +113,11 @@
         }
         _ => return None,
     };
-    Some(Arrow::new(Lane::Servers, Lane::Connections, words))
+    Some(Arrow::new(Lane::Servers, Lane::Connections, caption))
 }
 
 fn connection_arrow(step: Step) -> Option<Arrow> {
-    let words = match step {
+    let caption = match step {
         Step::ConnectSucceeds(c) => format!("wire {c} is up"),
         Step::ConnectFails(c) => format!("wire {c} can't be made"),
         Step::ConnectLacksResource(c) => format!("no descriptor for wire {c}"),
@@ -127,7 +127,7 @@
         Step::ConnectionCloses(c) => format!("wire {c} is closed"),
         _ => return None,
     };
-    Some(Arrow::new(Lane::Connections, Lane::Node, words))
+    Some(Arrow::new(Lane::Connections, Lane::Node, caption))
 }
 
 fn node_arrow(step: Step) -> Arrow {
@@ -163,7 +163,7 @@
         let arrow = Arrow::of(*step);
         let number = index + 1;
         let line = arrow.line();
-        let _ = writeln!(text, "{number:>4}  {clock:>4}{line:<70}{}", arrow.words);
+        let _ = writeln!(text, "{number:>4}  {clock:>4}{line:<70}{}", arrow.caption);
         for note in &world.notes {
             let _ = writeln!(text, "{:>34} {note}", "|");
         }
--- a/crates/model-checker/src/fleet/clients.rs
+++ b/crates/model-checker/src/fleet/clients.rs
@@ -50,7 +50,7 @@
                 complete: true,
             },
         };
-        self.tell(node, event, None);
+        self.deliver(node, event, None);
     }
 
     fn record_request(&mut self, id: &RequestId, class: usize, node: usize, customer: u64) {
@@ -73,6 +73,7 @@
         self.schedule(delay, Occurrence::ClientLeaves { node, id, ticket });
     }
 
+    /// The client of a request leaves before it is answered.
     pub fn client_leaves(&mut self, node: NodeRef, id: RequestId, ticket: Ticket) {
         let waits = self.nodes[node.index].waiting.get(&id) == Some(&ticket);
         if !self.is_alive(node) || !waits {
@@ -81,6 +82,6 @@
         self.ledger.unanswered(&id.0, Unanswered::Left);
         self.nodes[node.index].waiting.remove(&id);
         self.open.remove(&id);
-        self.tell(node.index, Event::ClientGone { id, ticket }, None);
+        self.deliver(node.index, Event::ClientGone { id, ticket }, None);
     }
 }
--- a/crates/model-checker/src/fleet/network.rs
+++ b/crates/model-checker/src/fleet/network.rs
@@ -14,6 +14,7 @@
 const DISTURBED_DATAGRAM_ODDS: u8 = 50;
 
 impl Simulation {
+    /// A connection has come up.
     pub fn connect_succeeds(&mut self, connection: ConnectionRef) {
         let Some(connected) = self.open_connection(connection) else {
             return;
@@ -22,9 +23,10 @@
         let event = Event::Connected {
             connection: connection.id,
         };
-        self.tell(connection.node.index, event, None);
+        self.deliver(connection.node.index, event, None);
     }
 
+    /// A connection could not be made.
     pub fn connect_fails(&mut self, connection: ConnectionRef) {
         if self.open_connection(connection).is_none() {
             return;
@@ -37,9 +39,10 @@
             connection: connection.id,
             local_shortage,
         };
-        self.tell(connection.node.index, event, None);
+        self.deliver(connection.node.index, event, None);
     }
 
+    /// A connection is ready for the first byte of its request.
     pub fn first_byte_ready(&mut self, connection: ConnectionRef) {
         let Some(ready) = self.open_connection(connection) else {
             return;
@@ -48,9 +51,10 @@
             connection: connection.id,
             quiet: !ready.unexpected_bytes,
         };
-        self.tell(connection.node.index, event, None);
+        self.deliver(connection.node.index, event, None);
     }
 
+    /// A server's response reaches the node.
     pub fn response_reaches_node(&mut self, attempt: AttemptRef, id: RequestId, outcome: Outcome) {
         let Some(connection) = self.open_attempt(attempt) else {
             return;
@@ -60,9 +64,10 @@
             connection: attempt.connection.id,
             outcome,
         };
-        self.tell(attempt.connection.node.index, event, Some(id));
+        self.deliver(attempt.connection.node.index, event, Some(id));
     }
 
+    /// A connection breaks in the middle of an attempt.
     pub fn connection_breaks(&mut self, attempt: AttemptRef) {
         let elapsed = self.elapsed();
         let Some(broken) = self.open_attempt(attempt) else {
@@ -78,35 +83,38 @@
         let event = Event::ConnectionLost {
             connection: attempt.connection.id,
         };
-        self.tell(attempt.connection.node.index, event, None);
+        self.deliver(attempt.connection.node.index, event, None);
     }
 
+    /// Bytes reach the node that it has not asked for.
     pub fn unexpected_bytes(&mut self, connection: ConnectionRef) {
         let Some(found) = self.open_connection(connection) else {
             return;
         };
         found.unexpected_bytes = true;
         if found.carried.is_none() {
-            self.tell_closed_by_peer(connection);
+            self.report_closed_by_peer(connection);
         }
     }
 
+    /// A server closes a connection; the node notices where it is idle.
     pub fn peer_closes(&mut self, connection: ConnectionRef) {
         let idle = self
             .open_connection(connection)
             .is_some_and(|found| found.carried.is_none());
         if idle {
-            self.tell_closed_by_peer(connection);
+            self.report_closed_by_peer(connection);
         }
     }
 
-    fn tell_closed_by_peer(&mut self, connection: ConnectionRef) {
+    fn report_closed_by_peer(&mut self, connection: ConnectionRef) {
         let event = Event::ClosedByPeer {
             connection: connection.id,
         };
-        self.tell(connection.node.index, event, None);
+        self.deliver(connection.node.index, event, None);
     }
 
+    /// A connection that the node closes is closed.
     pub fn connection_closes(&mut self, connection: ConnectionRef) {
         if !self.is_alive(connection.node) {
             return;
@@ -123,7 +131,7 @@
         let event = Event::Closed {
             connection: connection.id,
         };
-        self.tell(connection.node.index, event, None);
+        self.deliver(connection.node.index, event, None);
     }
 
     /// Sends a datagram: some are lost, some arrive twice, none in order.
@@ -142,8 +150,9 @@
         }
     }
 
+    /// A datagram of a peer reaches a node.
     pub fn datagram_arrives(&mut self, to: usize, from: NodeId, bytes: Vec<u8>) {
         let message = PolicyEvent::PeerMessage { from, bytes };
-        self.tell(to, Event::PolicyEvent(message), None);
+        self.deliver(to, Event::PolicyEvent(message), None);
     }
 }
--- a/crates/model-checker/src/fleet/nodes.rs
+++ b/crates/model-checker/src/fleet/nodes.rs
@@ -46,6 +46,7 @@
 }
 
 impl Node {
+    /// A node that has just started.
     pub fn new(exchange: NodeExchange) -> Node {
         Node {
             exchange,
@@ -126,7 +127,7 @@
         let endpoints = (0..self.servers.len())
             .map(|server| self.endpoint(server))
             .collect();
-        self.tell(
+        self.deliver(
             node,
             Event::EndpointsChanged {
                 snapshot: true,
@@ -136,6 +137,7 @@
         );
     }
 
+    /// A change of the endpoint list reaches a node.
     pub fn endpoint_update(
         &mut self,
         node: NodeRef,
@@ -153,7 +155,7 @@
             &self.servers[server].name,
             ready,
         );
-        self.tell(
+        self.deliver(
             node.index,
             Event::EndpointsChanged {
                 snapshot: false,
@@ -163,17 +165,19 @@
         );
     }
 
+    /// The timer of a node's exchange fires, unless it was set anew.
     pub fn exchange_timer(&mut self, node: NodeRef, due: Micros) {
         if self.is_alive(node) && self.nodes[node.index].timer_at == due {
             self.nodes[node.index].timer_at = Micros::MAX;
-            self.tell(node.index, Event::TimerFired, None);
+            self.deliver(node.index, Event::TimerFired, None);
         }
     }
 
+    /// A timer of a node's policy fires.
     pub fn policy_timer(&mut self, node: NodeRef, token: u64) {
         if self.is_alive(node) {
             let fired = PolicyEvent::TimerFired { token };
-            self.tell(node.index, Event::PolicyEvent(fired), None);
+            self.deliver(node.index, Event::PolicyEvent(fired), None);
         }
     }
 
--- a/crates/model-checker/src/fleet/servers.rs
+++ b/crates/model-checker/src/fleet/servers.rs
@@ -65,6 +65,7 @@
 }
 
 impl Server {
+    /// A server that is ready.
     pub fn new(index: usize) -> Server {
         Server {
             name: format!("s-{index}"),
--- a/crates/model-checker/src/fleet/simulation.rs
+++ b/crates/model-checker/src/fleet/simulation.rs
@@ -55,6 +55,10 @@
 }
 
 impl Simulation {
+    /// A fleet in which nothing has happened.
+    ///
+    /// # Errors
+    /// The settings of the fleet are unreadable or invalid.
     pub fn new(setup: FleetSetup) -> Result<Simulation, FleetError> {
         let fleet = Fleet::usual(setup.nodes);
         let settings = (0..setup.nodes)
@@ -110,6 +114,10 @@
         self.scheduled.insert(self.last_serial, occurrence);
     }
 
+    /// Simulates until all is over.
+    ///
+    /// # Errors
+    /// The policy engine rejects the settings of a node that starts again.
     pub fn run(&mut self) -> Result<(), FleetError> {
         for node in 0..self.nodes.len() {
             self.send_endpoint_snapshot(node);
@@ -190,6 +198,7 @@
         Ok(())
     }
 
+    /// How the run went.
     pub fn judge(self) -> FleetRun {
         let kept = self
             .nodes
--- a/crates/model-checker/src/world/commands.rs
+++ b/crates/model-checker/src/world/commands.rs
@@ -217,7 +217,7 @@
         }
         if !client.body_arrived || std::mem::replace(&mut client.body_released, true) {
             return violated(
-                Property::Whole,
+                Property::CompleteBody,
                 format!("the last piece of {request}, which has not come or has gone"),
             );
         }
@@ -232,7 +232,7 @@
             .any(|connection| connection.responded_early && !connection.closing);
         if kept_early {
             return violated(
-                Property::Whole,
+                Property::CompleteBody,
                 "a connection is kept though the request on it never went whole",
             );
         }
--- a/crates/model-checker/src/world/policy.rs
+++ b/crates/model-checker/src/world/policy.rs
@@ -52,6 +52,7 @@
 }
 
 impl<M> RecordingPolicy<M> {
+    /// A policy of which nothing is recorded yet.
     pub fn new(model: M) -> RecordingPolicy<M> {
         RecordingPolicy {
             model,
--- a/crates/model-checker/src/world/property.rs
+++ b/crates/model-checker/src/world/property.rs
@@ -34,7 +34,7 @@
     /// A body that is not buffered is sent once.
     KeptBody,
     /// The last piece of a body is sent once, after the rest.
-    Whole,
+    CompleteBody,
     /// A streaming response is cut only by its server or its client.
     Uncut,
     /// Connections stay within their limit, and nothing is kept when all is over.
@@ -61,7 +61,7 @@
             Property::OneEnd => "one end",
             Property::HonestEnd => "honest end",
             Property::KeptBody => "kept body",
-            Property::Whole => "whole",
+            Property::CompleteBody => "whole",
             Property::Uncut => "uncut",
             Property::Resources => "resources",
             Property::Tables => "tables",
--- a/crates/model-checker/tests/explored.rs
+++ b/crates/model-checker/tests/explored.rs
@@ -1,20 +1,23 @@
-//! The worlds that are visited whole, the faults that must be found in them, and walks through a large one.
+//! The worlds whose states are all visited, the planted faults that must be found in them, walks through random worlds
+//! and fleets in virtual time.
 
 use proptest::prelude::ProptestConfig;
 use proptest::test_runner::FileFailurePersistence;
 use saffronpaddle_exchange::Bug;
-use saffronpaddle_model_checker::fleet::{run, FleetSetup};
+use saffronpaddle_model_checker::fleet::{self, FleetSetup};
 use saffronpaddle_model_checker::search::{search, Limits};
 use saffronpaddle_model_checker::world::{AnyPolicy, Property, Step, World};
 use saffronpaddle_model_checker::{chart, planted, setups, walk};
 use saffronpaddle_policy::interface::{DeduplicationScope, Idempotency};
 
+/// Threads of a search.
 const THREADS: usize = 4;
-/// No world of CI is as small as this: one that is has lost its events.
-const FEWEST: usize = 10_000;
+/// States that each world has at the least: a smaller one has lost its events.
+const MIN_STATES: usize = 10_000;
 
+/// In every state that a small world can come to, the exchange keeps its properties, whatever the policy does.
 #[test]
-fn every_small_world_is_visited_whole_and_keeps_its_properties() {
+fn every_small_world_is_visited_completely_and_keeps_its_properties() {
     for setup in setups::small() {
         let found = search(&setup, AnyPolicy, None, Limits::default(), THREADS);
         if let Some((trace, violation)) = &found.violation {
@@ -26,7 +29,7 @@
         }
         assert!(found.complete, "{}", setup.name);
         assert!(
-            found.states > FEWEST,
+            found.states > MIN_STATES,
             "{}: {} states",
             setup.name,
             found.states
@@ -34,6 +37,8 @@
     }
 }
 
+/// A checker that finds nothing may be blind. So each fault that the exchange can be built with must be found, and the
+/// steps that show it must break nothing without the fault.
 #[test]
 fn every_planted_fault_is_found_with_its_trace() {
     for bug in Bug::ALL {
@@ -43,26 +48,26 @@
         };
         let drawn = chart::draw(&setup, AnyPolicy, Some(bug), &trace, &violation);
         assert!(drawn.contains("broken: "), "{drawn}");
-        // The same steps without the fault break nothing: it is the fault that was found.
-        let mut sound = World::new(&setup, AnyPolicy, None);
+        let mut without_fault = World::new(&setup, AnyPolicy, None);
         for step in &trace {
-            let possible = sound.possible_steps(&setup).contains(step)
-                || sound.step_if_left_alone(&setup) == Some(*step);
+            let possible = without_fault.possible_steps(&setup).contains(step)
+                || without_fault.step_if_left_alone(&setup) == Some(*step);
             if !possible {
                 break;
             }
             assert_eq!(
-                sound.take(&setup, *step),
+                without_fault.take(&setup, *step),
                 Ok(()),
-                "{bug:?}: {step:?} breaks the sound machine too"
+                "{bug:?}: {step:?} violates a property without the fault too"
             );
         }
     }
 }
 
-/// What can't be proved, as README says: an answer without its request's id may be a copy of the one before.
+/// A server sends a response twice, and the duplicate arrives after the next request was written on the connection. Where
+/// responses carry no request id, nothing tells the two apart: the known gap, which README names.
 #[test]
-fn a_copy_that_comes_late_passes_for_an_answer_where_answers_bear_no_id() {
+fn a_late_duplicate_passes_for_a_response_where_responses_carry_no_id() {
     let found = search(
         &setups::late_copies(),
         AnyPolicy,
@@ -75,18 +80,19 @@
     assert!(trace.contains(&Step::ServerRepeats(0)));
 }
 
+/// The exchange keeps its properties with the policy engine that nodes run, in all states up to a depth.
 #[test]
-fn the_decision_module_itself_is_visited_to_a_depth() {
+fn the_real_policy_keeps_the_properties_to_a_depth() {
     let keyed = Idempotency::WithKey {
         scope: DeduplicationScope::Domain,
         window: 0,
     };
-    for effect in [Idempotency::Idempotent, keyed, Idempotency::NonIdempotent] {
-        let setup = setups::real(effect);
-        let module = setups::real_policy(&setup).expect("settings that make sense");
+    for idempotency in [Idempotency::Idempotent, keyed, Idempotency::NonIdempotent] {
+        let setup = setups::real(idempotency);
+        let policy = setups::real_policy(&setup).expect("settings that make sense");
         let found = search(
             &setup,
-            module.clone(),
+            policy.clone(),
             None,
             Limits {
                 depth: 9,
@@ -98,11 +104,11 @@
             panic!(
                 "{}\n{}",
                 setup.name,
-                chart::draw(&setup, module, None, trace, violation)
+                chart::draw(&setup, policy, None, trace, violation)
             );
         }
         assert!(
-            found.states > FEWEST,
+            found.states > MIN_STATES,
             "{}: {} states",
             setup.name,
             found.states
@@ -110,23 +116,24 @@
     }
 }
 
+/// Worlds that are too large for all of their states to be visited are walked through at random.
 #[test]
-fn random_walks_through_a_large_world_break_nothing() {
+fn random_walks_through_a_large_world_violate_no_property() {
     for seed in 0..60 {
         let found = walk::walk(&setups::random(seed), AnyPolicy, seed, 3_000);
-        let broken = found
+        let violation = found
             .violation
             .map(|(trace, violation)| format!("{violation} after {} steps", trace.len()));
         assert_eq!(
-            broken, None,
+            violation, None,
             "saffronpaddle-model-checker walk --seed {seed} --walks 1 --steps 3000"
         );
     }
 }
 
-/// A walk that meets a fault says so: planted in the large world, each of these shows within a few seeds.
+/// Random walks could miss what they pass. Each of these planted faults shows within a few seeds.
 #[test]
-fn random_walks_find_faults_too() {
+fn random_walks_find_planted_faults() {
     for bug in [
         Bug::UnsafeResent,
         Bug::CancelWithoutClose,
@@ -142,55 +149,58 @@
     }
 }
 
-/// Three nodes with the decision module inside, six servers that fail, drain and move, lost datagrams, a node that is
-/// killed: the fleet rig's ledger finds nothing, and nothing is kept.
+/// Three nodes with the real policy inside, six servers that fail, drain and move, lost datagrams, a node that is
+/// killed: the ledger finds no rule broken, and nothing is kept.
 #[test]
-fn whole_nodes_in_virtual_time_keep_the_rules() {
+fn nodes_in_virtual_time_keep_the_rules() {
     for seed in 1..=4 {
-        let played = run(&FleetSetup::usual(seed)).expect("settings that make sense");
+        let fleet_run = fleet::run(&FleetSetup::usual(seed)).expect("settings that make sense");
         let again = format!("saffronpaddle-model-checker nodes --seed {seed} --runs 1");
-        assert_eq!(played.verdict.breaches, [], "{again}");
+        assert_eq!(fleet_run.verdict.breaches, [], "{again}");
         assert_eq!(
-            (played.inconsistencies, played.kept),
+            (fleet_run.inconsistencies, fleet_run.kept),
             (Vec::new(), 0),
             "{again}"
         );
         assert!(
-            played.verdict.served > played.verdict.tries / 4,
+            fleet_run.verdict.served > fleet_run.verdict.tries / 4,
             "{again}: {:?}",
-            played.verdict
+            fleet_run.verdict
         );
         assert!(
-            played.verdict.attempts > played.verdict.served,
-            "{again}: some were tried again"
+            fleet_run.verdict.attempts > fleet_run.verdict.served,
+            "{again}: no request was retried"
         );
     }
 }
 
+/// A run that breaks a rule is replayed by its seed, so a seed must give the same run each time, and another seed another.
 #[test]
-fn a_seed_is_played_the_same_way_each_time() {
+fn a_seed_gives_the_same_run_each_time() {
     let short = FleetSetup {
         requests: 500,
         ..FleetSetup::usual(11)
     };
-    let runs = [run(&short), run(&short)].map(|run| run.expect("settings that make sense"));
+    let runs =
+        [fleet::run(&short), fleet::run(&short)].map(|run| run.expect("settings that make sense"));
     assert_eq!(runs[0], runs[1]);
-    let other = run(&FleetSetup { seed: 12, ..short }).expect("settings that make sense");
+    let other = fleet::run(&FleetSetup { seed: 12, ..short }).expect("settings that make sense");
     assert_ne!(runs[0].commands_hash, other.commands_hash);
 }
 
+/// A fleet in which nothing shows proves little. Each of these planted faults shows within a few seeds.
 #[test]
-fn whole_nodes_in_virtual_time_show_faults() {
+fn nodes_in_virtual_time_show_planted_faults() {
     for bug in [Bug::CancelWithoutClose, Bug::SlotLost, Bug::EndNeverTold] {
         let found = (1..=6).any(|seed| {
-            let played = run(&FleetSetup {
+            let fleet_run = fleet::run(&FleetSetup {
                 bug: Some(bug),
                 ..FleetSetup::usual(seed)
             })
             .expect("settings that make sense");
-            !played.verdict.breaches.is_empty()
-                || !played.inconsistencies.is_empty()
-                || played.kept > 0
+            !fleet_run.verdict.breaches.is_empty()
+                || !fleet_run.inconsistencies.is_empty()
+                || fleet_run.kept > 0
         });
         assert!(found, "{bug:?}");
     }
@@ -206,7 +216,7 @@
 
     /// Any choices in a large world: where they break something, proptest looks for fewer of them that still do.
     #[test]
-    fn any_choices_in_a_large_world_break_nothing(
+    fn any_choices_in_a_large_world_violate_no_property(
         seed in 0_u64..1_000_000, choices in proptest::collection::vec(proptest::prelude::any::<u16>(), 0..600),
     ) {
         let setup = setups::random(seed);
