--- /dev/null
+++ b/crates/policy/tests/common/test_node.rs
@@ -0,0 +1,293 @@
+//! One node around a policy engine: it keeps the time, the timers and the attempts in flight, and checks every action.
+
+use super::observed_request::ObservedRequest;
+use super::settings::endpoint;
+use saffronpaddle_policy::interface::*;
+use saffronpaddle_policy::PolicyEngine;
+use std::collections::BTreeMap;
+
+/// Time between two looks at the timers, µs.
+const STEP: Micros = 2 * MILLISECOND;
+/// Longest message between nodes, bytes.
+const MAX_MESSAGE_BYTES: usize = 256;
+
+/// A timer that the engine has set.
+#[derive(Clone, Copy)]
+pub struct PendingTimer {
+    pub at: Micros,
+    pub token: u64,
+}
+
+/// An attempt that was sent and has not ended.
+#[derive(Clone)]
+pub struct InFlightAttempt {
+    pub id: RequestId,
+    pub attempt: AttemptNumber,
+    pub server: ServerId,
+}
+
+/// A customer and the subset of nodes that take its requests.
+#[derive(Clone, Copy)]
+pub struct TestCustomer {
+    pub id: u64,
+    pub first: NodeId,
+    pub subset_size: u32,
+}
+
+/// A node that checks the rules of requests (see [`observed_request`](super::observed_request)) at every action.
+pub struct TestNode {
+    pub now: Micros,
+    pub engine: PolicyEngine,
+    pub settings: Settings,
+    pub timers: Vec<PendingTimer>,
+    pub endpoints: BTreeMap<ServerId, Endpoint>,
+    pub in_flight: Vec<InFlightAttempt>,
+    /// All actions since the start.
+    pub actions: Vec<Action>,
+    requests: BTreeMap<RequestId, ObservedRequest>,
+    last_request: u64,
+}
+
+impl TestNode {
+    /// A node that starts at `now` and knows no servers.
+    pub fn new(seed: u64, settings: Settings, now: Micros) -> Self {
+        let engine = PolicyEngine::new(seed, settings.clone(), now).expect("valid settings");
+        TestNode {
+            now,
+            engine,
+            settings,
+            timers: Vec::new(),
+            endpoints: BTreeMap::new(),
+            in_flight: Vec::new(),
+            actions: Vec::new(),
+            requests: BTreeMap::new(),
+            last_request: 0,
+        }
+    }
+
+    /// A node whose endpoint list has `servers` ready servers, numbered from 0.
+    pub fn with_servers(seed: u64, settings: Settings, now: Micros, servers: u64) -> Self {
+        let mut node = TestNode::new(seed, settings, now);
+        let endpoints = (0..servers).map(endpoint).collect();
+        node.update_endpoints(EndpointUpdate::Snapshot, endpoints);
+        node
+    }
+
+    /// Changes the endpoint list.
+    pub fn update_endpoints(&mut self, update: EndpointUpdate, endpoints: Vec<Endpoint>) {
+        if update == EndpointUpdate::Snapshot {
+            self.endpoints.clear();
+        }
+        for endpoint in &endpoints {
+            self.endpoints.insert(endpoint.server, *endpoint);
+        }
+        self.handle(Event::EndpointsChanged { update, endpoints });
+    }
+
+    /// A request of a customer whose subset is the whole fleet.
+    pub fn request(
+        &mut self,
+        class: ClassId,
+        plan: usize,
+        customer: u64,
+        timeout: Micros,
+    ) -> RequestId {
+        let customer = TestCustomer {
+            id: customer,
+            first: NodeId(0),
+            subset_size: self.settings.node_count,
+        };
+        self.request_of(class, plan, customer, timeout)
+    }
+
+    /// A request of a customer whose subset is this node alone.
+    pub fn request_of_own_customer(
+        &mut self,
+        class: ClassId,
+        plan: usize,
+        customer: u64,
+        timeout: Micros,
+    ) -> RequestId {
+        let customer = TestCustomer {
+            id: customer,
+            first: self.settings.node,
+            subset_size: 1,
+        };
+        self.request_of(class, plan, customer, timeout)
+    }
+
+    /// A request of one unit of a customer with a subset of its own.
+    pub fn request_of(
+        &mut self,
+        class: ClassId,
+        plan: usize,
+        customer: TestCustomer,
+        timeout: Micros,
+    ) -> RequestId {
+        self.last_request += 1;
+        let id = RequestId(format!("r{}", self.last_request).into());
+        let observed = ObservedRequest::new(
+            self.settings.classes[class.0].idempotency,
+            self.settings.permissions.max_attempts,
+            self.now + timeout,
+        );
+        self.requests.insert(id.clone(), observed);
+        self.handle(Event::RequestArrived {
+            id: id.clone(),
+            class,
+            plan: PlanId(plan),
+            customer: CustomerId(customer.id),
+            units: 1.0,
+            first: customer.first,
+            spread: customer.subset_size,
+            timeout,
+            complete: true,
+        });
+        id
+    }
+
+    /// The client of a request goes away.
+    pub fn abandon(&mut self, id: &RequestId) {
+        self.requests.get_mut(id).expect("a known request").open = false;
+        self.handle(Event::RequestAbandoned { id: id.clone() });
+    }
+
+    /// Ends the attempt of a request that is in flight.
+    pub fn end_attempt(&mut self, id: &RequestId, outcome: Outcome) -> Vec<Action> {
+        let index = self
+            .in_flight
+            .iter()
+            .position(|in_flight| in_flight.id == *id)
+            .expect("an attempt is in flight");
+        let ended = self.in_flight.remove(index);
+        let request = self.requests.get_mut(&ended.id).expect("a known request");
+        let request_closed = request.attempt_ended(ended.server, outcome);
+        self.handle(Event::AttemptEnded {
+            id: ended.id,
+            attempt: ended.attempt,
+            outcome,
+            request_closed,
+        })
+    }
+
+    /// The server with an attempt of a request in flight.
+    pub fn server_of(&self, id: &RequestId) -> Option<ServerId> {
+        let attempt = self.in_flight.iter().find(|attempt| attempt.id == *id);
+        attempt.map(|attempt| attempt.server)
+    }
+
+    /// Whether an attempt of a request is in flight.
+    pub fn is_in_flight(&self, id: &RequestId) -> bool {
+        self.server_of(id).is_some()
+    }
+
+    /// Answers a request, where an attempt of it is in flight; whether one was.
+    pub fn answer_if_in_flight(&mut self, id: &RequestId) -> bool {
+        let in_flight = self.is_in_flight(id);
+        if in_flight {
+            self.end_attempt(id, Outcome::Ok);
+        }
+        in_flight
+    }
+
+    /// Answers all that is in flight now; how many attempts that were.
+    pub fn answer_all(&mut self) -> usize {
+        let answered = self.in_flight.clone();
+        for attempt in &answered {
+            self.end_attempt(&attempt.id, Outcome::Ok);
+        }
+        answered.len()
+    }
+
+    /// Puts an event to the engine, and checks what it does.
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
+        let mut actions = Vec::new();
+        self.engine.handle(self.now, event, &mut actions);
+        for action in &actions {
+            self.check(action);
+        }
+        self.actions.extend(actions.iter().cloned());
+        actions
+    }
+
+    /// Puts a message of another node to the engine.
+    pub fn receive(&mut self, from: NodeId, bytes: Vec<u8>) -> Vec<Action> {
+        self.handle(Event::PeerMessage { from, bytes })
+    }
+
+    /// Fires the timers that are due.
+    pub fn fire_timers(&mut self) -> Vec<Action> {
+        let now = self.now;
+        let is_due = |timer: &PendingTimer| timer.at <= now;
+        let due: Vec<_> = self.timers.iter().copied().filter(is_due).collect();
+        self.timers.retain(|timer| !is_due(timer));
+        let mut actions = Vec::new();
+        for timer in due {
+            actions.extend(self.handle(Event::TimerFired { token: timer.token }));
+        }
+        actions
+    }
+
+    /// Lets time pass in steps, with every timer that was set.
+    pub fn advance(&mut self, span: Micros) -> Vec<Action> {
+        let end = self.now + span;
+        let mut actions = Vec::new();
+        while self.now < end {
+            self.now += STEP;
+            actions.extend(self.fire_timers());
+            for (id, request) in &self.requests {
+                request.check_deadline(id, self.now);
+            }
+        }
+        actions
+    }
+
+    fn check(&mut self, action: &Action) {
+        match action {
+            Action::Send { id, server, .. } => self.check_send(id, *server),
+            Action::Reject { id, .. } => self.observed(id).check_answer(true),
+            Action::Fail { id } => self.observed(id).check_answer(false),
+            Action::SetTimer { after, token } => self.timers.push(PendingTimer {
+                at: self.now + after,
+                token: *token,
+            }),
+            Action::Broadcast { bytes } | Action::SendToPeer { bytes, .. } => {
+                assert!(bytes.len() <= MAX_MESSAGE_BYTES, "message too long");
+            }
+            Action::Cancel { .. }
+            | Action::Subscribe
+            | Action::SendToSiblings(_)
+            | Action::Report(_) => {}
+        }
+    }
+
+    fn check_send(&mut self, id: &RequestId, server: ServerId) {
+        assert_eq!(
+            self.endpoints[&server].status,
+            EndpointStatus::Ready,
+            "rule 3: sent to a server that is not ready"
+        );
+        let attempt = self.observed(id).check_send(server);
+        self.in_flight.push(InFlightAttempt {
+            id: id.clone(),
+            attempt,
+            server,
+        });
+    }
+
+    fn observed(&mut self, id: &RequestId) -> &mut ObservedRequest {
+        self.requests.get_mut(id).expect("a known request")
+    }
+}
+
+/// How many attempts these actions send.
+pub fn count_sends(actions: &[Action]) -> usize {
+    let is_send = |action: &&Action| matches!(action, Action::Send { .. });
+    actions.iter().filter(is_send).count()
+}
+
+/// How many messages to single nodes these actions send.
+pub fn count_peer_messages(actions: &[Action]) -> usize {
+    let is_message = |action: &&Action| matches!(action, Action::SendToPeer { .. });
+    actions.iter().filter(is_message).count()
+}
--- /dev/null
+++ b/crates/policy/tests/concurrency_limit.rs
@@ -0,0 +1,88 @@
+//! The concurrency limit of the lowest class: the rule bases of its fuzzy controller, and what starts it.
+
+mod common;
+
+use common::settings::{settings, NON_IDEMPOTENT, TWO_IN_FLIGHT, UNLIMITED};
+use common::test_node::TestNode;
+use saffronpaddle_policy::concurrency_limit::infer_step;
+use saffronpaddle_policy::interface::*;
+
+fn change_of(error: f64, change: f64) -> f64 {
+    infer_step(error, change).change
+}
+
+fn gain_of(error: f64, change: f64) -> f64 {
+    infer_step(error, change).gain
+}
+
+/// Values of an input over its whole range.
+fn steps() -> impl Iterator<Item = f64> {
+    (-12..=12).map(|step| f64::from(step) / 12.0)
+}
+
+#[test]
+fn change_rule_has_the_printed_entry_and_is_odd_and_monotonic() {
+    assert!(
+        (change_of(1.0 / 3.0, 2.0 / 3.0) + 1.0).abs() < 1e-9,
+        "(PS, PM) is NL"
+    );
+    assert!(change_of(0.0, 0.0).abs() < 1e-9);
+    for error in steps() {
+        for change in steps() {
+            let expected = change_of(error, change);
+            assert!(
+                (expected + change_of(-error, -change)).abs() < 1e-9,
+                "not odd at {error} {change}"
+            );
+            assert!(change_of((error + 1.0 / 3.0).min(1.0), change) <= expected + 1e-9);
+            assert!(change_of(error, (change + 1.0 / 3.0).min(1.0)) <= expected + 1e-9);
+        }
+    }
+    assert_eq!(change_of(9.0, 9.0), change_of(1.0, 1.0));
+}
+
+#[test]
+fn gain_is_large_when_leaving_the_set_point_small_when_returning_and_zero_at_rest() {
+    assert!(gain_of(0.0, 0.0).abs() < 1e-9);
+    assert!(gain_of(-1.0, -1.0) > 0.9 && gain_of(-1.0, 1.0) < 0.3);
+    assert!(gain_of(0.0, -1.0) > 0.9, "a disturbance");
+    assert!(
+        gain_of(1.0 / 3.0, -1.0 / 3.0) < 0.2,
+        "positive small, negative small"
+    );
+    for error in steps() {
+        for change in steps() {
+            let gain = gain_of(error, change);
+            assert!((0.0..=1.0).contains(&gain));
+            assert!((gain - gain_of(-error, -change)).abs() < 1e-9);
+        }
+    }
+}
+
+/// Requests hang and miss their latency objective: the concurrency limit has to start. Where requests are late only because
+/// their customer has reached its own limit on attempts in flight, the back end is not overloaded, and it must not start.
+#[test]
+fn missed_objectives_start_the_limit_and_a_customer_at_its_own_limit_does_not() {
+    let limit_starts = |plan: usize| {
+        let mut node = TestNode::with_servers(3, settings(0, 1), SECOND, 4);
+        for _ in 0..40 {
+            node.request(NON_IDEMPOTENT, plan, 7, 5 * SECOND);
+        }
+        for _ in 0..16 {
+            node.advance(150 * MILLISECOND);
+            // With a limit of its own, what is in flight is answered soon; without one, all hangs.
+            if plan == TWO_IN_FLIGHT {
+                node.answer_all();
+            }
+        }
+        let reports_start = |action: &Action| {
+            matches!(
+                action,
+                Action::Report(Diagnostic::ConcurrencyLimitStarted { .. })
+            )
+        };
+        node.actions.iter().any(reports_start)
+    };
+    assert!(limit_starts(UNLIMITED));
+    assert!(!limit_starts(TWO_IN_FLIGHT));
+}
--- /dev/null
+++ b/crates/policy/tests/long_endpoint_lists.rs
@@ -0,0 +1,338 @@
+//! Long endpoint lists: the work for a change, a timer and a request does not grow with the list, and the rules hold where a
+//! node sends to a subset of the servers.
+
+mod common;
+
+use common::settings::{endpoint, settings, IDEMPOTENT, KEYED_EVERYWHERE, UNLIMITED};
+use common::test_node::{count_sends, TestNode};
+use saffronpaddle_policy::interface::*;
+use saffronpaddle_policy::{PolicyEngine, StateSnapshot};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Servers of a long list.
+const MANY: u64 = 40_000;
+/// Servers that a node of a large fleet examines for one request or timer, however many there are.
+const FEW: u64 = 512;
+/// Sizes of fleets, nodes.
+const NODE_COUNTS: [u32; 5] = [1, 3, 30, 300, 2_700];
+
+/// A server whose id is spread as hashes of names are.
+fn hashed_endpoint(number: u64) -> Endpoint {
+    let server = ServerId((number + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15));
+    Endpoint {
+        server,
+        // Long ago.
+        started_at: Some(SECOND),
+        ..endpoint(number)
+    }
+}
+
+/// A node of a fleet whose endpoint list has `servers` ready servers.
+fn node_with_list(node_count: u32, servers: u64) -> TestNode {
+    let mut node = TestNode::new(7, settings(3 % node_count, node_count), 1_000 * SECOND);
+    node.update_endpoints(
+        EndpointUpdate::Snapshot,
+        (0..servers).map(hashed_endpoint).collect(),
+    );
+    node
+}
+
+fn with_status(status: EndpointStatus, number: u64) -> Endpoint {
+    Endpoint {
+        status,
+        ..hashed_endpoint(number)
+    }
+}
+
+/// How many servers the engine examines during `work`.
+fn examined_during(node: &mut TestNode, work: impl FnOnce(&mut TestNode)) -> u64 {
+    let before = node.engine.servers_examined();
+    work(node);
+    node.engine.servers_examined() - before
+}
+
+/// Fires the timer after a controller period.
+fn fire_timer(node: &mut TestNode) {
+    node.now += 500 * MILLISECOND;
+    node.handle(Event::TimerFired { token: 0 });
+}
+
+/// Sends requests of customers without a quota, whose only node is this one: no owner is asked for a grant.
+fn send_requests(node: &mut TestNode, count: u64) -> Vec<RequestId> {
+    (0..count)
+        .map(|number| node.request_of_own_customer(IDEMPOTENT, UNLIMITED, number % 50, 3 * SECOND))
+        .collect()
+}
+
+#[test]
+fn change_of_the_list_examines_only_the_servers_that_it_names() {
+    for node_count in NODE_COUNTS {
+        let mut node = node_with_list(node_count, MANY);
+        for number in 0..20 {
+            let examined = examined_during(&mut node, |node| {
+                node.update_endpoints(
+                    EndpointUpdate::Delta,
+                    vec![with_status(EndpointStatus::Draining, number)],
+                );
+            });
+            assert!(
+                examined <= 4,
+                "{node_count} nodes: a change examined {examined} servers"
+            );
+        }
+        let removed_zone = (100..4_500)
+            .map(|number| with_status(EndpointStatus::Removed, number))
+            .collect();
+        let examined = examined_during(&mut node, |node| {
+            node.update_endpoints(EndpointUpdate::Delta, removed_zone);
+        });
+        assert!(
+            examined <= 2 * 4_400,
+            "{node_count} nodes: the removal of 4,400 examined {examined}"
+        );
+    }
+}
+
+#[test]
+fn idle_timer_examines_few_servers_however_many_there_are() {
+    for node_count in NODE_COUNTS {
+        let mut node = node_with_list(node_count, MANY);
+        (0..3).for_each(|_| fire_timer(&mut node));
+        let examined = examined_during(&mut node, fire_timer);
+        assert!(
+            examined <= 2 * FEW,
+            "{node_count} nodes: a timer examined {examined} servers"
+        );
+    }
+}
+
+#[test]
+fn request_examines_few_servers_however_many_there_are() {
+    for node_count in NODE_COUNTS {
+        let mut node = node_with_list(node_count, MANY);
+        for round in 0..30 {
+            let examined = examined_during(&mut node, |node| {
+                send_requests(node, 1);
+            });
+            assert!(
+                examined <= 3 * FEW,
+                "{node_count} nodes: request {round} examined {examined} servers"
+            );
+            node.now += 50 * MILLISECOND;
+            let examined = examined_during(&mut node, |node| {
+                node.answer_all();
+            });
+            assert!(
+                examined <= FEW,
+                "{node_count} nodes: a response examined {examined} servers"
+            );
+        }
+        assert!(count_sends(&node.actions) > 0);
+    }
+}
+
+#[test]
+fn request_examines_as_many_servers_of_a_list_that_is_twenty_times_as_long() {
+    let examined_with = |servers| {
+        let mut node = node_with_list(2_700, servers);
+        let before = node.engine.servers_examined();
+        for _ in 0..50 {
+            send_requests(&mut node, 1);
+            node.now += 50 * MILLISECOND;
+            node.answer_all();
+        }
+        node.engine.servers_examined() - before
+    };
+    assert!(examined_with(40_000) <= 2 * examined_with(2_000));
+}
+
+#[test]
+fn nothing_is_sent_to_a_draining_server_of_a_long_list() {
+    for node_count in [1, 3, 300] {
+        // The node fails where anything is sent to a server that is not ready, in its subset or not.
+        let mut node = node_with_list(node_count, 2_000);
+        let mut reached = BTreeSet::new();
+        for round in 0..40_u64 {
+            send_requests(&mut node, 5);
+            reached.extend(node.in_flight.iter().map(|attempt| attempt.server));
+            let mut draining: Vec<Endpoint> = (round * 40..(round + 1) * 40)
+                .map(|number| with_status(EndpointStatus::Draining, number))
+                .collect();
+            let selected = node
+                .in_flight
+                .iter()
+                .map(|attempt| node.endpoints[&attempt.server])
+                .collect::<Vec<_>>();
+            draining.extend(selected.into_iter().map(|endpoint| Endpoint {
+                status: EndpointStatus::Draining,
+                ..endpoint
+            }));
+            node.update_endpoints(EndpointUpdate::Delta, draining);
+            node.now += 50 * MILLISECOND;
+            node.answer_all();
+            node.advance(20 * MILLISECOND);
+        }
+        assert!(
+            reached.len() > 60,
+            "{node_count} nodes: only {} servers reached",
+            reached.len()
+        );
+    }
+}
+
+/// A zone with a third of the servers fails at once, and with it a third of those that this node sends to. Requests must not
+/// wait until others take their place.
+#[test]
+fn servers_of_a_failed_zone_are_replaced_at_once() {
+    let mut node = node_with_list(300, 6_000);
+    let removed = (0..6_000)
+        .filter(|number| number % 3 == 0)
+        .map(|number| with_status(EndpointStatus::Removed, number))
+        .collect();
+    node.update_endpoints(EndpointUpdate::Delta, removed);
+    for _ in 0..100 {
+        let ids = send_requests(&mut node, 4);
+        assert!(
+            ids.iter().all(|id| node.is_in_flight(id)),
+            "a request had to wait"
+        );
+        node.now += 20 * MILLISECOND;
+        node.answer_all();
+    }
+    fire_timer(&mut node);
+    let members = node.engine.snapshot().size().servers;
+    assert!(members >= 256 * 3 / 4, "{members} servers are sent to");
+}
+
+#[test]
+fn requests_of_a_single_node_spread_over_all_servers() {
+    let mut node = node_with_list(1, 2_000);
+    let mut load: BTreeMap<ServerId, u32> = BTreeMap::new();
+    for round in 0..5_050 {
+        send_requests(&mut node, 4);
+        // Until its first controller periods a node keeps to the first servers that were quick.
+        let counts = u32::from(round >= 50);
+        node.in_flight
+            .iter()
+            .for_each(|attempt| *load.entry(attempt.server).or_default() += counts);
+        node.advance(20 * MILLISECOND);
+        node.answer_all();
+    }
+    // 10 at each on average; chance alone would bring 23 at one of all. Servers that looked quick at first have some more.
+    assert!(load.len() > 1_950, "{} of 2,000 were sent to", load.len());
+    let busy = load.values().filter(|load| **load > 23).count();
+    assert!(busy <= 20, "{busy} servers were sent to more than 23 times");
+    assert!(
+        load.values().all(|load| *load <= 50),
+        "the most is {:?}",
+        load.values().max()
+    );
+}
+
+/// Nearly all servers are removed, and one of them returns. It must be sent requests again, and few while it is in slow start.
+#[test]
+fn returning_server_is_sent_few_requests_in_slow_start() {
+    let mut node = node_with_list(3, 1_000);
+    fire_timer(&mut node);
+    let removed: Vec<u64> = (0..1_000).filter(|number| number % 100 != 0).collect();
+    node.update_endpoints(
+        EndpointUpdate::Delta,
+        removed
+            .iter()
+            .map(|number| with_status(EndpointStatus::Removed, *number))
+            .collect(),
+    );
+    fire_timer(&mut node);
+    let returning = Endpoint {
+        started_at: Some(node.now),
+        ..hashed_endpoint(1)
+    };
+    node.update_endpoints(EndpointUpdate::Delta, vec![returning]);
+    let mut sent = 0;
+    for _ in 0..200 {
+        send_requests(&mut node, 3);
+        sent += node
+            .in_flight
+            .iter()
+            .filter(|attempt| attempt.server == returning.server)
+            .count();
+        node.now += 50 * MILLISECOND;
+        node.answer_all();
+        node.advance(2 * MILLISECOND);
+    }
+    assert!(
+        (1..200).contains(&sent),
+        "{sent} of 600 went to the returning one of eleven"
+    );
+}
+
+/// All servers but one are removed. Every node must send to it, also those in whose subset it was not.
+#[test]
+fn last_server_of_a_long_list_is_sent_to_by_every_node() {
+    for index in [0, 7, 299] {
+        let mut node = TestNode::new(1, settings(index, 300), 1_000 * SECOND);
+        node.update_endpoints(
+            EndpointUpdate::Snapshot,
+            (0..3_000).map(hashed_endpoint).collect(),
+        );
+        node.update_endpoints(EndpointUpdate::Snapshot, vec![hashed_endpoint(17)]);
+        send_requests(&mut node, 1);
+        assert_eq!(node.in_flight.len(), 1);
+    }
+}
+
+#[test]
+fn keyed_request_is_retried_on_a_long_list() {
+    let mut node = node_with_list(1, 2_000);
+    let id = node.request_of_own_customer(KEYED_EVERYWHERE, UNLIMITED, 1, 3 * SECOND);
+    node.now += 20 * MILLISECOND;
+    node.end_attempt(&id, Outcome::Error);
+    assert!(node.is_in_flight(&id), "it was retried");
+}
+
+/// The fields of a state by name, so that a difference says where it is.
+fn fields(state: &StateSnapshot) -> BTreeMap<String, serde_json::Value> {
+    serde_json::from_value(serde_json::to_value(state).expect("plain data"))
+        .expect("fields with names")
+}
+
+#[test]
+fn restored_state_of_a_long_list_is_that_of_the_previous_process() {
+    let mut node = node_with_list(300, 6_000);
+    send_requests(&mut node, 3);
+    node.now += 20 * MILLISECOND;
+    node.answer_all();
+    let state = node.engine.snapshot();
+    assert!(
+        state.size().servers <= 512,
+        "{} of 6,000 servers are handed over",
+        state.size().servers
+    );
+    let json = serde_json::to_string(&state).expect("plain data");
+    let read: StateSnapshot = serde_json::from_str(&json).expect("its own JSON");
+    assert_eq!(fields(&state), fields(&read), "JSON holds all of it");
+    assert_eq!(state, read, "JSON holds all of it");
+    let mut child = PolicyEngine::new(9, settings(3, 300), node.now).expect("valid settings");
+    child.restore(read, 1);
+    let endpoints = (0..6_000).map(hashed_endpoint).collect();
+    child.handle(
+        node.now,
+        Event::EndpointsChanged {
+            update: EndpointUpdate::Snapshot,
+            endpoints,
+        },
+        &mut Vec::new(),
+    );
+    assert_eq!(child.endpoint_counts(), (6_000, 0));
+    // All but what was answered since the last controller period: those of the child begin with it.
+    let (mut expected, restored) = (fields(&state), fields(&child.snapshot()));
+    let seen = expected
+        .get_mut("fuzzy")
+        .and_then(|fuzzy| fuzzy.get_mut("seen"))
+        .expect("it is in the state");
+    *seen = serde_json::json!(vec![(0.0, 0.0); node.settings.classes.len()]);
+    assert!(expected.keys().eq(restored.keys()));
+    for (name, value) in &expected {
+        assert_eq!(Some(value), restored.get(name), "{name}");
+    }
+}
--- /dev/null
+++ b/crates/policy/tests/slow_start.rs
@@ -0,0 +1,255 @@
+//! Servers in slow start are sent what they bear, by one node and by all together.
+
+mod common;
+
+use common::fleet::Fleet;
+use common::settings::{endpoint, settings, IDEMPOTENT, UNLIMITED};
+use common::test_node::{count_sends, TestNode};
+use saffronpaddle_policy::interface::*;
+use saffronpaddle_policy::PolicyEngine;
+use std::collections::BTreeMap;
+
+/// The server that has just started in a fleet of warm ones.
+const STARTING: u64 = 99;
+
+/// A server that started at `now`.
+fn starting_at(now: Micros, server: u64) -> Endpoint {
+    Endpoint {
+        started_at: Some(now),
+        ..endpoint(server)
+    }
+}
+
+/// A server that has just started is the only one. It does a fifth of what a warm one does, and fails at three times that:
+/// it must be sent something, and less than that.
+#[test]
+fn starting_server_is_sent_less_than_it_bears() {
+    let mut node = TestNode::with_servers(3, settings(0, 1), 100 * SECOND, 1);
+    for _ in 0..400 {
+        let id = node.request(IDEMPOTENT, UNLIMITED, 7, 2 * SECOND);
+        node.advance(20 * MILLISECOND);
+        node.answer_if_in_flight(&id);
+    }
+    let starting = starting_at(node.now, 9);
+    node.update_endpoints(EndpointUpdate::Snapshot, vec![starting]);
+    let mut sent = 0;
+    for _ in 0..50 {
+        let before = count_sends(&node.actions);
+        node.request(IDEMPOTENT, UNLIMITED, 7, 2 * SECOND);
+        node.advance(20 * MILLISECOND);
+        sent += count_sends(&node.actions) - before;
+        node.answer_all();
+    }
+    // A warm one answered some 45 a second; this one can answer a fifth of it, and fails at three times that.
+    assert!((1..=27).contains(&sent), "{sent}");
+}
+
+/// A server has just started, and each of 300 nodes has requests for it. Even one attempt of each would make it fail.
+#[test]
+fn hundreds_of_nodes_together_do_not_overload_a_starting_server() {
+    let mut by_second = [0; 5];
+    for index in 0..300 {
+        let mut engine = PolicyEngine::new(u64::from(index), settings(index, 300), SECOND)
+            .expect("valid settings");
+        let mut actions = Vec::new();
+        engine.handle(
+            SECOND,
+            Event::EndpointsChanged {
+                update: EndpointUpdate::Snapshot,
+                endpoints: vec![starting_at(SECOND, 0)],
+            },
+            &mut actions,
+        );
+        for step in 0..500u64 {
+            let now = SECOND + step * 10 * MILLISECOND;
+            engine.handle(now, Event::TimerFired { token: 0 }, &mut actions);
+            if step % 25 == 0 {
+                // A customer whose only node is this one.
+                let event = Event::RequestArrived {
+                    id: RequestId(format!("c{step}").into()),
+                    class: IDEMPOTENT,
+                    plan: PlanId(UNLIMITED),
+                    customer: CustomerId(9),
+                    units: 1.0,
+                    first: NodeId(index),
+                    spread: 1,
+                    timeout: SECOND,
+                    complete: true,
+                };
+                engine.handle(now, event, &mut actions);
+            }
+            by_second[(step / 100) as usize] += count_sends(&actions);
+            actions.clear();
+        }
+    }
+    // No warm server shows what it can do, and it has a fifth to half of its capacity: that share of 1.5 a second for all
+    // nodes, and what chance adds.
+    assert!(by_second.iter().all(|sent| *sent <= 5), "{by_second:?}");
+    assert!(
+        by_second.iter().sum::<usize>() >= 1,
+        "it is sent something all the same"
+    );
+}
+
+/// Requests of one round that were forwarded, by server.
+struct RoundCounts {
+    at_warm: usize,
+    at_starting: usize,
+}
+
+/// Sends a request of a new customer through each node, and answers all. Servers below 12 are warm, and 99 is starting.
+fn one_round(fleet: &mut Fleet, customer: &mut u64) -> RoundCounts {
+    for index in 0..fleet.nodes.len() {
+        *customer += 1;
+        fleet.nodes[index].request(IDEMPOTENT, UNLIMITED, *customer, 2 * SECOND);
+        fleet.send_messages(index);
+    }
+    fleet.advance(80 * MILLISECOND);
+    let count = |counts: fn(u64) -> bool| {
+        let all = fleet.nodes.iter().flat_map(|node| &node.in_flight);
+        all.filter(|attempt| counts(attempt.server.0)).count()
+    };
+    let counts = RoundCounts {
+        at_warm: count(|server| server < 12),
+        at_starting: count(|server| server == STARTING),
+    };
+    fleet.answer_all();
+    counts
+}
+
+/// A fleet has just started, and a mean of its servers' throughput that begins at zero is far too low for long. It would
+/// take them for slow, and send a server in slow start only a part of what it bears.
+#[test]
+fn new_fleet_knows_the_throughput_of_its_servers() {
+    let mut fleet = Fleet::new(30, 12, |_| {});
+    let mut customer = 1000;
+    let (mut warm, mut starting) = (0, 0);
+    for round in 0..60 {
+        if round == 36 {
+            for node in &mut fleet.nodes {
+                let started = vec![starting_at(node.now, STARTING)];
+                node.update_endpoints(EndpointUpdate::Delta, started);
+            }
+        }
+        let counts = one_round(&mut fleet, &mut customer);
+        warm += if round < 36 { counts.at_warm } else { 0 };
+        starting += counts.at_starting;
+    }
+    // One of twelve warm servers answers this many in the 24 rounds in which the starting one has from 0.2 to 0.4 of its
+    // capacity; a fleet sends it 1.2 times what that makes.
+    let warm_answers = warm as f64 / 36.0 * 24.0 / 12.0;
+    let bears = warm_answers * 0.3;
+    assert!(warm_answers > 40.0, "{warm_answers}");
+    assert!(
+        (0.8 * bears..2.0 * bears).contains(&(starting as f64)),
+        "{starting} of {bears}"
+    );
+}
+
+/// Most servers are removed. If what all of them answered lately were divided by the few that are left, each would look
+/// several times as fast, and a starting server would be sent several times what it bears.
+#[test]
+fn throughput_is_that_of_the_servers_that_gave_it_after_most_are_removed() {
+    let mut fleet = Fleet::new(30, 12, |_| {});
+    let mut customer = 1000;
+    let (mut warm, mut starting) = (0, 0);
+    for round in 0..60 {
+        if round == 50 {
+            for node in &mut fleet.nodes {
+                let removed = |server| Endpoint {
+                    status: EndpointStatus::Removed,
+                    ..endpoint(server)
+                };
+                let started = starting_at(node.now, STARTING);
+                let changes = (4..12).map(removed).chain([started]).collect();
+                node.update_endpoints(EndpointUpdate::Delta, changes);
+            }
+        }
+        let counts = one_round(&mut fleet, &mut customer);
+        warm += if (20..50).contains(&round) {
+            counts.at_warm
+        } else {
+            0
+        };
+        starting += counts.at_starting;
+    }
+    // One of twelve answered this many in ten rounds; a starting one has a fifth of its capacity, and is sent 1.2 times what
+    // that makes.
+    let bears = warm as f64 / 30.0 * 10.0 / 12.0 * 0.2;
+    assert!(
+        bears > 3.0 && starting as f64 <= 2.0 * bears,
+        "{starting} of {bears}"
+    );
+}
+
+/// A fleet knows only servers that have just started. If it went by what it knows of warm ones, it would send 1.5 requests a
+/// second, however much they can do. Quick responses must bring more requests, and late ones must not.
+#[test]
+fn responses_of_a_starting_server_bring_more_requests_and_late_ones_do_not() {
+    let sent = |response_steps: u64| {
+        let mut node = TestNode::new(3, settings(0, 1), 100 * SECOND);
+        node.update_endpoints(EndpointUpdate::Snapshot, vec![starting_at(node.now, 9)]);
+        // Requests that were forwarded at once, and the step in which they are answered.
+        let mut answered_in = BTreeMap::new();
+        for step in 0..150 {
+            let id = node.request(IDEMPOTENT, UNLIMITED, 7, 2 * SECOND);
+            node.advance(20 * MILLISECOND);
+            if node.is_in_flight(&id) {
+                answered_in.insert(id, step + response_steps);
+            }
+            for attempt in node.in_flight.clone() {
+                let is_due = |answered_in| answered_in <= step;
+                if answered_in.get(&attempt.id).copied().is_none_or(is_due) {
+                    node.end_attempt(&attempt.id, Outcome::Ok);
+                }
+            }
+        }
+        count_sends(&node.actions)
+    };
+    let (quick, slow) = (sent(10), sent(60));
+    assert!(quick > 20, "{quick} in 3 s");
+    assert!(slow < quick / 2, "{slow} and {quick}");
+}
+
+/// All servers of a fleet in service are replaced at once. A node that forgets what such servers can do sends the new ones
+/// far too little. One that takes the first of them to be warm for the one that does all the work sends them far too much.
+#[test]
+fn throughput_of_warm_servers_is_remembered_when_all_are_replaced() {
+    let forwarded = |node: &mut TestNode, steps: u64| {
+        let before = count_sends(&node.actions);
+        for _ in 0..steps {
+            node.request(IDEMPOTENT, UNLIMITED, 7, 2 * SECOND);
+            node.advance(10 * MILLISECOND);
+            node.answer_all();
+        }
+        count_sends(&node.actions) - before
+    };
+    let mut node = TestNode::with_servers(3, settings(0, 1), 100 * SECOND, 6);
+    forwarded(&mut node, 800);
+    let replacements = |now: Micros| -> Vec<_> {
+        let starting = |server| starting_at(now, server);
+        (10..16).map(starting).collect()
+    };
+    node.update_endpoints(EndpointUpdate::Snapshot, replacements(node.now));
+    // Each answered some 16 a second; these can answer a fifth of it, and may be sent 1.2 times that.
+    let remembered = forwarded(&mut node, 100);
+    assert!(
+        (12..=40).contains(&remembered),
+        "{remembered} in the first second"
+    );
+    // One of seven was there all the time. It must not be taken for one that answered everything.
+    let mut node = TestNode::with_servers(3, settings(0, 1), 100 * SECOND, 6);
+    forwarded(&mut node, 800);
+    let mut mixed = replacements(node.now);
+    mixed.push(endpoint(0));
+    node.update_endpoints(EndpointUpdate::Snapshot, mixed);
+    let before = node.actions.len();
+    forwarded(&mut node, 100);
+    let to_starting =
+        |action: &&Action| matches!(action, Action::Send { server, .. } if server.0 >= 10);
+    let starting = node.actions[before..].iter().filter(to_starting).count();
+    assert!(
+        starting <= 85,
+        "{starting} to starting ones in the first second: at most 2.5 times what one answered"
+    );
+}
--- a/crates/policy/tests/stored_state.rs
+++ b/crates/policy/tests/stored_state.rs
@@ -1,9 +1,10 @@
-//! The state that a process hands to its successor, and what two processes of one node tell each other. The successor
-//! may be of another build: what the build before this test wrote must be read, and written under the same names.
+//! The state that a process hands to its child at a hot restart, and the messages between sibling processes of one node. The
+//! child may be of another build: what the build before this test wrote must be read, and written under the same names.
 
 mod common;
 
-use common::{entry, settings, Stand, KEYED_ALL, MS, S, SAFE};
+use common::settings::{endpoint, settings, IDEMPOTENT, KEYED_EVERYWHERE};
+use common::test_node::{TestCustomer, TestNode};
 use saffronpaddle_policy::interface::*;
 use saffronpaddle_policy::{PolicyEngine, StateSnapshot};
 use saffronpaddle_quota::{
@@ -15,107 +16,123 @@
 };
 use serde_json::Value;
 
-const NARROW: &str = include_str!("fixtures/state_narrow.json");
-const WIDE: &str = include_str!("fixtures/state_wide.json");
+/// State of a node of a small fleet.
+const SMALL_FLEET_STATE: &str = include_str!("fixtures/state_narrow.json");
+/// State of a node of a large fleet.
+const LARGE_FLEET_STATE: &str = include_str!("fixtures/state_wide.json");
+/// A shard, and the rejection cache of a requester.
 const SHARD: &str = include_str!("fixtures/shard.json");
-const RIGHTS: &str = include_str!("fixtures/slow_start.json");
-const TWINS: &str = include_str!("fixtures/twins.jsonl");
+/// Permits to send to a server in slow start.
+const SLOW_START: &str = include_str!("fixtures/slow_start.json");
+/// Messages between sibling processes, one a line.
+const SIBLING_MESSAGES: &str = include_str!("fixtures/twins.jsonl");
 
-/// What a node knows after some seconds of service: attempts out, failures, a cold server, customers with ceilings.
-fn busy(settings: Settings) -> Stand {
-    let (me, gateways) = (settings.node, settings.node_count);
-    let mut stand = Stand::with_servers(11, settings, 5 * S, 4);
-    let cold = Endpoint {
-        started_at: Some(stand.now),
-        ..entry(9)
+/// A node after some seconds of service: attempts in flight, failures, a server in slow start, customers with hard limits.
+fn busy_node(settings: Settings) -> TestNode {
+    let this_node = settings.node;
+    let node_count = settings.node_count;
+    let mut node = TestNode::with_servers(11, settings, 5 * SECOND, 4);
+    let starting = Endpoint {
+        started_at: Some(node.now),
+        ..endpoint(9)
     };
-    stand.servers(EndpointUpdate::Delta, vec![cold]);
+    node.update_endpoints(EndpointUpdate::Delta, vec![starting]);
     for round in 0..40_u64 {
-        let class = if round % 3 == 0 { KEYED_ALL } else { SAFE };
+        let class = if round % 3 == 0 {
+            KEYED_EVERYWHERE
+        } else {
+            IDEMPOTENT
+        };
         let plan = usize::try_from(round % 4).expect("small");
-        let spread = if round % 5 == 0 { 1 } else { gateways };
-        stand.request_of(class, plan, (round % 7, me, spread), 3 * S);
-        stand.pass(90 * MS);
-        if round % 2 == 0 && !stand.out.is_empty() {
-            let id = stand.out[0].0.clone();
+        let customer = TestCustomer {
+            id: round % 7,
+            first: this_node,
+            subset_size: if round % 5 == 0 { 1 } else { node_count },
+        };
+        node.request_of(class, plan, customer, 3 * SECOND);
+        node.advance(90 * MILLISECOND);
+        if round % 2 == 0 && !node.in_flight.is_empty() {
+            let id = node.in_flight[0].id.clone();
             let outcome = if round % 8 == 0 {
                 Outcome::Error
             } else {
                 Outcome::Ok
             };
-            stand.end(&id, outcome);
+            node.end_attempt(&id, outcome);
         }
-        if round % 10 == 3 && gateways > 1 {
-            let peer = NodeId((me.0 + 1) % gateways);
-            stand.event(Event::PeerMessage {
-                from: peer,
-                bytes: vec![2, 0, 9, 0, 0, 0, 1, 0, 0, 0, 0, 8, 0],
-            });
+        if round % 10 == 3 && node_count > 1 {
+            let peer = NodeId((this_node.0 + 1) % node_count);
+            node.receive(peer, vec![2, 0, 9, 0, 0, 0, 1, 0, 0, 0, 0, 8, 0]);
         }
     }
-    stand
+    node
 }
 
-/// Numbers as they are, so that a fixture's text says all.
+/// The state of a busy node as JSON.
 fn state(settings: &Settings) -> Value {
-    serde_json::to_value(busy(settings.clone()).gateway.snapshot()).expect("it is JSON")
+    serde_json::to_value(busy_node(settings.clone()).engine.snapshot()).expect("it is JSON")
 }
 
+/// Name, settings and fixture of each state.
 fn cases() -> [(&'static str, Settings, &'static str); 2] {
     let wide = Settings {
         partition_safe: true,
         ..settings(1, 300)
     };
-    [("narrow", settings(0, 3), NARROW), ("wide", wide, WIDE)]
+    [
+        ("narrow", settings(0, 3), SMALL_FLEET_STATE),
+        ("wide", wide, LARGE_FLEET_STATE),
+    ]
 }
 
 #[test]
-fn a_state_has_the_names_and_values_of_the_fixture() {
+fn state_has_the_names_and_values_of_the_fixture() {
     for (name, settings, fixture) in cases() {
-        let now = state(&settings);
-        let then: Value = serde_json::from_str(fixture).expect("a fixture of JSON");
-        assert!(now == then, "{name}:\n{now:#}");
+        let written = state(&settings);
+        let expected: Value = serde_json::from_str(fixture).expect("a fixture of JSON");
+        assert!(written == expected, "{name}:\n{written:#}");
     }
 }
 
 #[test]
-fn a_state_of_the_build_before_is_read_whole_and_kept_on() {
+fn state_of_the_previous_build_is_read_completely_and_written_again() {
     for (name, settings, fixture) in cases() {
-        let then: Value = serde_json::from_str(fixture).expect("a fixture of JSON");
-        let kept: StateSnapshot = serde_json::from_str(fixture).expect("the state is read");
+        let fixture_json: Value = serde_json::from_str(fixture).expect("a fixture of JSON");
+        let state: StateSnapshot = serde_json::from_str(fixture).expect("the state is read");
         assert_eq!(
-            serde_json::to_value(&kept).expect("it is JSON"),
-            then,
-            "{name}: nothing is passed over"
+            serde_json::to_value(&state).expect("it is JSON"),
+            fixture_json,
+            "{name}: nothing is ignored"
         );
         let sizes = (
-            then["stores"].as_array().map(Vec::len),
-            then["servers"].as_array().map(Vec::len),
+            fixture_json["stores"].as_array().map(Vec::len),
+            fixture_json["servers"].as_array().map(Vec::len),
         );
         assert_eq!(
-            (Some(kept.size().customers), Some(kept.size().servers)),
+            (Some(state.size().customers), Some(state.size().servers)),
             sizes,
             "{name}"
         );
-        let mut gateway = PolicyEngine::new(11, settings.clone(), 20 * S).expect("sound settings");
-        gateway.restore(kept, 1);
-        let after = serde_json::to_value(gateway.snapshot()).expect("it is JSON");
+        let mut engine =
+            PolicyEngine::new(11, settings.clone(), 20 * SECOND).expect("valid settings");
+        engine.restore(state, 1);
+        let written = serde_json::to_value(engine.snapshot()).expect("it is JSON");
         for field in [
             "born", "newcomer", "stores", "parts", "latency", "typical", "aims", "retries", "out",
         ] {
-            assert_eq!(after[field], then[field], "{name}: {field}");
+            assert_eq!(written[field], fixture_json[field], "{name}: {field}");
         }
     }
 }
 
 #[test]
-fn what_two_processes_tell_each_other_has_the_form_of_the_fixture() {
-    let terms = QuotaCharge {
+fn messages_between_sibling_processes_have_the_form_of_the_fixture() {
+    let charge = QuotaCharge {
         plan: PlanId(2),
         units: 1.5,
         set: (NodeId(4), 3),
     };
-    let out = |first| {
+    let started = |charge| {
         SiblingMessage::AttemptStarted(SiblingAttempt {
             request: RequestId("rq".into()),
             attempt: AttemptNumber(1),
@@ -125,40 +142,40 @@
             queued_since: 10,
             sent_at: 11,
             in_flight: 2.0,
-            charge: first,
+            charge,
         })
     };
-    let end = SiblingMessage::AttemptEnded {
+    let ended = SiblingMessage::AttemptEnded {
         request: RequestId("rq".into()),
         attempt: AttemptNumber(1),
     };
-    let told = [out(None), out(Some(terms)), end];
-    let text: String = told
+    let messages = [started(None), started(Some(charge)), ended];
+    let written: String = messages
         .iter()
-        .map(|twin| serde_json::to_string(twin).expect("it is JSON") + "\n")
+        .map(|message| serde_json::to_string(message).expect("it is JSON") + "\n")
         .collect();
-    assert_eq!(text, TWINS, "\n{text}");
-    let read: Vec<SiblingMessage> = TWINS
+    assert_eq!(written, SIBLING_MESSAGES, "\n{written}");
+    let read: Vec<SiblingMessage> = SIBLING_MESSAGES
         .lines()
         .map(|line| serde_json::from_str(line).expect("it is read"))
         .collect();
-    assert_eq!(read, told);
-    // A build before told nothing of a first attempt's terms.
-    let older = TWINS
+    assert_eq!(read, messages);
+    // An earlier build does not send the charge of a first attempt.
+    let older = SIBLING_MESSAGES
         .lines()
         .next()
         .expect("a line")
         .replace(",\"first\":null", "");
     assert_eq!(
         serde_json::from_str::<SiblingMessage>(&older).expect("it is read"),
-        told[0]
+        messages[0]
     );
 }
 
-/// A shard that has granted, lent and given out places, and what a node remembers of it.
+/// A shard that has granted requests, leases and permits, and what a requester remembers of it.
 #[test]
-fn a_shard_with_leases_and_what_is_remembered_of_it_have_the_form_of_the_fixture() {
-    let terms = ShardLimits {
+fn shard_with_leases_and_rejection_cache_have_the_form_of_the_fixture() {
+    let limits = ShardLimits {
         rate: 8.0,
         capacity: 16.0,
         max_in_flight: Some(3),
@@ -168,45 +185,67 @@
         }),
     };
     let mut shard = QuotaShard::open(
-        5 * S,
+        5 * SECOND,
         InitialTokens::AccruedSince {
             units: 8.0,
-            elapsed: S,
+            elapsed: SECOND,
         },
-        S,
-        &terms,
+        SECOND,
+        &limits,
     );
-    let ask = |serial| GrantRequest {
+    let grant_request = |serial| GrantRequest {
         requester: 4,
         serial,
         units: 1.0,
     };
-    let said = shard.request_grant(5 * S + MS, ask(1), &terms, 100 * MS);
-    shard.request_grant(5 * S + 2 * MS, ask(2), &terms, 100 * MS);
-    let wish = LeaseDemand {
+    let response = shard.request_grant(
+        5 * SECOND + MILLISECOND,
+        grant_request(1),
+        &limits,
+        100 * MILLISECOND,
+    );
+    shard.request_grant(
+        5 * SECOND + 2 * MILLISECOND,
+        grant_request(2),
+        &limits,
+        100 * MILLISECOND,
+    );
+    let demand = LeaseDemand {
         rate: 1.0,
         current: Some(LeaseReport {
             rate: 0.5,
             capacity: 1.0,
-            remaining: S,
+            remaining: SECOND,
         }),
     };
-    shard.issue_lease(5 * S + 3 * MS, ask(3), &wish, &terms, 1.0);
-    let none_held = LeaseDemand {
+    shard.issue_lease(
+        5 * SECOND + 3 * MILLISECOND,
+        grant_request(3),
+        &demand,
+        &limits,
+        1.0,
+    );
+    let first_demand = LeaseDemand {
         current: None,
-        ..wish
+        ..demand
     };
-    let home = GrantRequest {
+    let owner_request = GrantRequest {
         requester: 9,
         serial: 7,
         units: 0.0,
     };
-    shard.issue_lease(5 * S + 4 * MS, home, &none_held, &terms, 1.0);
-    let mut memory = RejectionCache::default();
-    memory.record_response(5 * S, &said, true);
-    memory.record_grant(5 * S, 1.0);
-    memory.admit_without_owner(6 * S, 1.0);
-    let written = serde_json::json!({"shard": shard, "memory": memory});
+    shard.issue_lease(
+        5 * SECOND + 4 * MILLISECOND,
+        owner_request,
+        &first_demand,
+        &limits,
+        1.0,
+    );
+    let mut rejection_cache = RejectionCache::default();
+    rejection_cache.record_response(5 * SECOND, &response, true);
+    rejection_cache.record_grant(5 * SECOND, 1.0);
+    rejection_cache.admit_without_owner(6 * SECOND, 1.0);
+    let written = serde_json::json!({"shard": shard, "memory": rejection_cache});
     let fixture: Value = serde_json::from_str(SHARD).expect("a fixture of JSON");
     assert!(written == fixture, "\n{written:#}");
     assert_eq!(
@@ -215,42 +254,42 @@
     );
     assert_eq!(
         serde_json::from_value::<RejectionCache>(fixture["memory"].clone()).expect("it is read"),
-        memory
+        rejection_cache
     );
 }
 
-/// Rights to send to a cold server that were earned, given away and taken.
+/// Permits to send to a server in slow start that were earned, received and transferred.
 #[test]
-fn rights_to_a_cold_server_have_the_form_of_the_fixture() {
-    let rules = SlowStartLimits {
+fn slow_start_permits_have_the_form_of_the_fixture() {
+    let limits = SlowStartLimits {
         node_count: 3,
         node: 1,
         up_since: 0,
         overload_multiple: 3.0,
-        overload_window: S,
+        overload_window: SECOND,
     };
     let mut budget = SlowStartBudget::default();
-    budget.on_server_start(5 * S, 10 * S);
-    budget.on_server_start(6 * S, 10 * S);
-    budget.consume(8 * S, 4, &rules);
-    let answer = AttemptResult {
+    budget.on_server_start(5 * SECOND, 10 * SECOND);
+    budget.on_server_start(6 * SECOND, 10 * SECOND);
+    budget.consume(8 * SECOND, 4, &limits);
+    let result = AttemptResult {
         served: true,
-        latency: 40 * MS,
-        latency_objective: 400 * MS,
+        latency: 40 * MILLISECOND,
+        latency_objective: 400 * MILLISECOND,
         capacity_fraction: 0.3,
         random_fraction: 0.9,
     };
-    let mut natural = BaselineLatency::default();
-    budget.record_result(8 * S, 1, answer, &mut natural, &rules);
-    let gift = TransferredPermit {
-        server_started_at: 6 * S,
-        expires_at: 8 * S + 500 * MS,
+    let mut baseline = BaselineLatency::default();
+    budget.record_result(8 * SECOND, 1, result, &mut baseline, &limits);
+    let permit = TransferredPermit {
+        server_started_at: 6 * SECOND,
+        expires_at: 8 * SECOND + 500 * MILLISECOND,
         sequence: 3,
     };
-    budget.receive(8 * S + MS, 2, gift, &rules);
-    budget.transfer_unused(8 * S + 2 * MS, 4, &rules);
-    let written = serde_json::json!({"budget": budget, "natural": natural});
-    let fixture: Value = serde_json::from_str(RIGHTS).expect("a fixture of JSON");
+    budget.receive(8 * SECOND + MILLISECOND, 2, permit, &limits);
+    budget.transfer_unused(8 * SECOND + 2 * MILLISECOND, 4, &limits);
+    let written = serde_json::json!({"budget": budget, "natural": baseline});
+    let fixture: Value = serde_json::from_str(SLOW_START).expect("a fixture of JSON");
     assert!(written == fixture, "\n{written:#}");
     assert_eq!(
         serde_json::from_value::<SlowStartBudget>(fixture["budget"].clone()).expect("it is read"),
