--- a/crates/policy/src/decaying_mean/tests.rs
+++ b/crates/policy/src/decaying_mean/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn it_tells_what_is_from_the_first_sample_on() {
+fn mean_is_unbiased_from_the_first_sample_on() {
     let mut mean = DecayingMean::default();
     assert!(!mean.is_known());
     for _ in 0..6 {
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn samples_weigh_alike_at_first_and_are_forgotten_later() {
+fn first_samples_have_equal_weights_and_old_ones_decay() {
     let mut mean = DecayingMean::default();
     (1..=10).for_each(|sample| mean.add(f64::from(sample), 0.05));
     assert!((mean.value() - 5.5).abs() < 1e-9, "{}", mean.value());
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn what_another_process_knew_is_not_thrown_away_for_one_sample() {
+fn restored_mean_is_not_replaced_by_one_sample() {
     let mut mean = DecayingMean::known(8.0);
     mean.add(0.0, 0.05);
     assert!((mean.value() - 7.6).abs() < 1e-9, "{}", mean.value());
--- a/crates/policy/src/endpoint_table/tests.rs
+++ b/crates/policy/src/endpoint_table/tests.rs
@@ -1,19 +1,24 @@
-//! The sums are those of a walk over all table, whatever happens to them.
+//! The aggregates are those of a walk over all servers, whatever changes.
 
 use super::*;
 use crate::interface::{DeduplicationDomainId, ZoneId};
 use crate::server::OutlierStatistics;
 
+/// Number of classes.
 const CLASSES: usize = 3;
+/// Slow start of the servers.
 const RULES: SlowStartRules = SlowStartRules {
     initial_capacity: 0.2,
     warm_up_period: 10_000_000,
     overload_multiple: 3.0,
     overload_window: 1_000_000,
 };
-const RECENT: Micros = 40_000_000;
+/// Time for which a server counts as recently started, µs.
+const RECENTLY_STARTED_FOR: Micros = 40_000_000;
+/// Age up to which observations of a server are evidence, µs.
+const EVIDENCE_KEPT_FOR: Micros = 4_000_000;
 
-/// A walk over all table, as it was before there were sums.
+/// All servers of a table: what is kept of them is computed here from each.
 struct Walk<'a>(Vec<&'a Server>);
 
 impl<'a> Walk<'a> {
@@ -29,19 +34,25 @@
             .collect()
     }
 
-    fn members(&self) -> Vec<&'a Server> {
+    fn ready_in_subset(&self) -> Vec<&'a Server> {
         self.ready()
             .into_iter()
             .filter(|server| server.in_subset)
             .collect()
     }
 
+    fn subset(&self) -> Vec<ServerId> {
+        let members = self.0.iter().filter(|server| server.in_subset);
+        members.map(|server| id_of(server)).collect()
+    }
+
+    /// Servers on the list, and those of them that are avoided.
     fn counts(&self) -> (usize, usize) {
         let listed = self
             .0
             .iter()
             .filter(|server| server.endpoint.status != EndpointStatus::Removed);
-        let out = |server: &Server| {
+        let is_avoided = |server: &Server| {
             !server.is_ready()
                 || server
                     .statistics
@@ -49,13 +60,13 @@
                     .any(|statistics| statistics.next_probe_at.is_some())
         };
         listed.fold((0, 0), |(all, avoided), server| {
-            (all + 1, avoided + usize::from(out(server)))
+            (all + 1, avoided + usize::from(is_avoided(server)))
         })
     }
 
-    fn median(&self) -> Option<f64> {
+    fn median_wait(&self) -> Option<f64> {
         let mut waits: Vec<f64> = self
-            .members()
+            .ready_in_subset()
             .iter()
             .map(|server| server.wait_per_attempt)
             .filter(|wait| *wait > 0.0)
@@ -65,233 +76,313 @@
     }
 }
 
-fn entry(server: u64, status: EndpointStatus, started: Option<Micros>) -> Endpoint {
-    let zone = ZoneId((server % 3) as u32);
+fn endpoint(server: u64, status: EndpointStatus, started_at: Option<Micros>) -> Endpoint {
     Endpoint {
         server: ServerId(server),
-        zone,
+        zone: ZoneId((server % 3) as u32),
         domain: DeduplicationDomainId(server),
         status,
         size: 1.0,
-        started_at: started,
+        started_at,
     }
 }
 
-fn compare(table: &EndpointTable, now: Micros) {
+fn ready_endpoint(server: u64) -> Endpoint {
+    endpoint(server, EndpointStatus::Ready, None)
+}
+
+fn removed_endpoint(server: u64) -> Endpoint {
+    endpoint(server, EndpointStatus::Removed, None)
+}
+
+/// Compares all that the table keeps with a walk over its servers.
+fn check_against_walk(table: &EndpointTable, now: Micros) {
     let walk = Walk::over(table);
+    check_counts(table, &walk);
+    for class in 0..CLASSES {
+        check_class(table, &walk, class);
+    }
+    check_recently_started(table, &walk, now);
+    check_servers_with_evidence(table, &walk, now);
+    let members = walk.subset();
+    if table.subsetted {
+        assert_eq!(table.members, members);
+    } else {
+        assert_eq!(members.len(), walk.0.len());
+    }
+    check_short_ids(table, &walk, &members);
+    check_candidates(table, &members);
+}
+
+fn check_counts(table: &EndpointTable, walk: &Walk) {
     assert_eq!(table.counts(), walk.counts());
     assert_eq!(
         table.ready(),
         ReadyServers {
             listed: walk.ready().len() as f64,
-            in_subset: walk.members().len() as f64,
+            in_subset: walk.ready_in_subset().len() as f64,
         }
     );
-    assert_eq!(table.median_wait(), walk.median());
-    for class in 0..CLASSES {
-        let held = walk.members();
-        let well = held
-            .iter()
-            .filter(|server| server.next_probe_at(class).is_none())
-            .count();
-        assert_eq!(
-            table.healthy(ClassId(class)),
-            HealthyServers {
-                in_subset: held.len() as f64,
-                healthy: well as f64,
-            }
-        );
-        let failing: f64 = held.iter().map(|server| server.fault_rate(class)).sum();
-        let failing = failing / held.len().max(1) as f64;
-        assert!((table.mean_fault_rate(ClassId(class)) - failing).abs() < 1e-12);
-    }
-    let cold = |server: &&Server| server.capacity_fraction(&RULES, now) < 1.0;
-    let fresh: Vec<ServerId> = table
+    assert_eq!(table.median_wait(), walk.median_wait());
+}
+
+fn check_class(table: &EndpointTable, walk: &Walk, class: usize) {
+    let ready = walk.ready_in_subset();
+    let healthy = ready
+        .iter()
+        .filter(|server| server.next_probe_at(class).is_none())
+        .count();
+    assert_eq!(
+        table.healthy(ClassId(class)),
+        HealthyServers {
+            in_subset: ready.len() as f64,
+            healthy: healthy as f64,
+        }
+    );
+    let fault_rates: f64 = ready.iter().map(|server| server.fault_rate(class)).sum();
+    let mean_fault_rate = fault_rates / ready.len().max(1) as f64;
+    assert!((table.mean_fault_rate(ClassId(class)) - mean_fault_rate).abs() < 1e-12);
+}
+
+fn check_recently_started(table: &EndpointTable, walk: &Walk, now: Micros) {
+    let in_slow_start = |server: &&Server| server.capacity_fraction(&RULES, now) < 1.0;
+    let kept: Vec<ServerId> = table
         .recently_started()
-        .filter(cold)
-        .map(|server| server.endpoint.server)
+        .filter(in_slow_start)
+        .map(id_of)
         .collect();
-    let all = walk
+    let walked = walk
         .0
         .iter()
         .copied()
         .filter(|server| server.in_subset)
-        .filter(cold);
-    assert_eq!(
-        fresh,
-        all.map(|server| server.endpoint.server).collect::<Vec<_>>()
-    );
-    let seen = |server: &&Server| {
+        .filter(in_slow_start);
+    assert_eq!(kept, walked.map(id_of).collect::<Vec<_>>());
+}
+
+fn check_servers_with_evidence(table: &EndpointTable, walk: &Walk, now: Micros) {
+    let observed_lately = |server: &&Server| {
         server.in_subset
             && server
                 .statistics
                 .iter()
-                .any(|statistics| statistics.observed_at + 4_000_000 > now)
+                .any(|statistics| statistics.observed_at + EVIDENCE_KEPT_FOR > now)
     };
-    let lately: Vec<ServerId> = table
+    let kept: Vec<ServerId> = table
         .with_evidence()
-        .filter(seen)
-        .map(|server| server.endpoint.server)
+        .filter(observed_lately)
+        .map(id_of)
         .collect();
-    let all = walk
-        .0
-        .iter()
-        .copied()
-        .filter(seen)
-        .map(|server| server.endpoint.server);
-    assert_eq!(lately, all.collect::<Vec<_>>());
-    let held: Vec<ServerId> = walk
-        .0
-        .iter()
-        .filter(|server| server.in_subset)
-        .map(|server| server.endpoint.server)
-        .collect();
-    if table.subsetted {
-        assert_eq!(table.members, held);
-    } else {
-        assert_eq!(held.len(), walk.0.len());
-    }
-    for server in &held {
-        let name = short_server_id(*server);
-        let same = |other: &&&Server| short_server_id(other.endpoint.server) == name;
-        let shared = walk.0.iter().filter(same).count() > 1;
-        assert!(shared || table.by_short_id(name) == Some(*server));
+    let walked = walk.0.iter().copied().filter(observed_lately).map(id_of);
+    assert_eq!(kept, walked.collect::<Vec<_>>());
+}
+
+/// A server is found by its short id, unless another server has the same.
+fn check_short_ids(table: &EndpointTable, walk: &Walk, members: &[ServerId]) {
+    for server in members {
+        let short_id = short_server_id(*server);
+        let has_same = |other: &&&Server| short_server_id(id_of(other)) == short_id;
+        let shared = walk.0.iter().filter(has_same).count() > 1;
+        assert!(shared || table.by_short_id(short_id) == Some(*server));
         assert!(
-            !table.subsetted || !shared || table.by_short_id(name).is_none(),
-            "a name that several have"
+            !table.subsetted || !shared || table.by_short_id(short_id).is_none(),
+            "a short id of several servers"
         );
     }
-    let chosen: Vec<ServerId> = table
-        .candidates(|_| 0)
-        .into_iter()
-        .map(|server| server.endpoint.server)
-        .collect();
-    assert!(chosen.iter().all(|server| held.contains(server)));
-    let ready = held
+}
+
+fn check_candidates(table: &EndpointTable, members: &[ServerId]) {
+    let candidates: Vec<ServerId> = table.candidates(|_| 0).into_iter().map(id_of).collect();
+    assert!(candidates.iter().all(|server| members.contains(server)));
+    let ready = members
         .iter()
         .copied()
         .filter(|id| table.get(*id).is_some_and(Server::is_ready));
-    assert!(table.aggregates.waits_ordered || chosen == ready.collect::<Vec<_>>());
+    assert!(table.aggregates.waits_ordered || candidates == ready.collect::<Vec<_>>());
     assert!(table.aggregates.waits_ordered || table.aggregates.ordered_waits.is_empty());
 }
 
-/// Drives table through random news of the list, outcomes and ticks, and compares with a walk after each.
-fn drive(seed: u64, nodes: u32, most: u64, steps: u64) -> EndpointTable {
-    let mut random = fastrand::Rng::with_seed(seed);
-    let mut table = EndpointTable::new(NodeId(random.u32(..nodes)), nodes, CLASSES, true);
-    let mut now = 1_000_000_000;
-    for step in 0..steps {
-        now += random.u64(..3_000_000);
-        match random.u32(..12) {
-            0 => {
-                let count = random.u64(..most);
-                let entries = (0..count)
-                    .map(|id| entry(id, EndpointStatus::Ready, None))
-                    .collect();
-                table.apply(now, EndpointUpdate::Snapshot, entries, &RULES, RECENT);
-            }
-            1..=3 => {
-                let count = random.u64(..most.div_ceil(4));
-                let one = |_| {
-                    let status = match random.u32(..4) {
-                        0 => EndpointStatus::Removed,
-                        1 => EndpointStatus::Draining,
-                        _ => EndpointStatus::Ready,
-                    };
-                    let started = random.bool().then(|| now - random.u64(..60_000_000));
-                    entry(random.u64(..most), status, started)
-                };
-                let entries = (0..count).map(one).collect();
-                table.apply(now, EndpointUpdate::Delta, entries, &RULES, RECENT);
-            }
-            4 => {
-                let counts = |statistics: &OutlierStatistics| {
-                    statistics.next_probe_at.is_some()
-                        || statistics.fleet_faults.mean().is_some()
-                        || now < statistics.observed_at + 4_000_000
-                };
-                table.remove_unused(now, RECENT, |server| server.statistics.iter().any(counts));
-            }
-            5 => {
-                table.decay_evidence(0.5);
-                table.judge(|server| {
-                    server
-                        .statistics
-                        .iter_mut()
-                        .for_each(|statistics| statistics.fault_rate /= 2.0);
-                });
-            }
-            _ => {
-                for _ in 0..10 {
-                    let Some(mut server) = table.edit(ServerId(random.u64(..most))) else {
-                        continue;
-                    };
-                    server.in_flight = random.u32(..2);
-                    server.wait_per_attempt = f64::from(random.u32(..5)) * 1000.0;
-                    let statistics = &mut server.statistics[random.usize(..CLASSES)];
-                    statistics.fault_rate = random.f64();
-                    statistics.next_probe_at = random.bool().then_some(now);
-                    statistics.observed_at = now;
-                    statistics.fleet_faults.add(0.0, 1.0);
-                }
+fn id_of(server: &Server) -> ServerId {
+    server.endpoint.server
+}
+
+/// A table that is changed at random.
+struct RandomChanges {
+    random: fastrand::Rng,
+    table: EndpointTable,
+    now: Micros,
+    /// Servers are numbered up to this.
+    max_servers: u64,
+}
+
+impl RandomChanges {
+    fn new(seed: u64, node_count: u32, max_servers: u64) -> Self {
+        let mut random = fastrand::Rng::with_seed(seed);
+        let node = NodeId(random.u32(..node_count));
+        RandomChanges {
+            random,
+            table: EndpointTable::new(node, node_count, CLASSES, true),
+            now: 1_000_000_000,
+            max_servers,
+        }
+    }
+
+    /// Changes the table in steps, and compares it with a walk: after each step at first, later after every fourth.
+    fn run(mut self, steps: u64) {
+        for step in 0..steps {
+            self.now += self.random.u64(..3_000_000);
+            self.step();
+            if step % 4 == 0 || step < 200 {
+                check_against_walk(&self.table, self.now);
             }
         }
-        if step % 4 == 0 || steps < 200 {
-            compare(&table, now);
+    }
+
+    fn step(&mut self) {
+        match self.random.u32(..12) {
+            0 => self.apply_snapshot(),
+            1..=3 => self.apply_delta(),
+            4 => self.remove_unused(),
+            5 => self.decay_evidence(),
+            _ => self.edit_servers(),
+        }
+    }
+
+    fn apply_snapshot(&mut self) {
+        let count = self.random.u64(..self.max_servers);
+        let endpoints = (0..count).map(ready_endpoint).collect();
+        self.apply(EndpointUpdate::Snapshot, endpoints);
+    }
+
+    fn apply_delta(&mut self) {
+        let count = self.random.u64(..self.max_servers.div_ceil(4));
+        let endpoints = (0..count).map(|_| self.random_endpoint()).collect();
+        self.apply(EndpointUpdate::Delta, endpoints);
+    }
+
+    fn apply(&mut self, update: EndpointUpdate, endpoints: Vec<Endpoint>) {
+        self.table
+            .apply(self.now, update, endpoints, &RULES, RECENTLY_STARTED_FOR);
+    }
+
+    fn random_endpoint(&mut self) -> Endpoint {
+        let status = match self.random.u32(..4) {
+            0 => EndpointStatus::Removed,
+            1 => EndpointStatus::Draining,
+            _ => EndpointStatus::Ready,
+        };
+        let started_at = if self.random.bool() {
+            Some(self.now - self.random.u64(..60_000_000))
+        } else {
+            None
+        };
+        endpoint(self.random.u64(..self.max_servers), status, started_at)
+    }
+
+    fn remove_unused(&mut self) {
+        let now = self.now;
+        let is_needed = |statistics: &OutlierStatistics| {
+            statistics.next_probe_at.is_some()
+                || statistics.fleet_faults.mean().is_some()
+                || now < statistics.observed_at + EVIDENCE_KEPT_FOR
+        };
+        self.table
+            .remove_unused(now, RECENTLY_STARTED_FOR, |server| {
+                server.statistics.iter().any(is_needed)
+            });
+    }
+
+    fn decay_evidence(&mut self) {
+        self.table.decay_evidence(0.5);
+        self.table.judge(|server| {
+            server
+                .statistics
+                .iter_mut()
+                .for_each(|statistics| statistics.fault_rate /= 2.0);
+        });
+    }
+
+    fn edit_servers(&mut self) {
+        for _ in 0..10 {
+            let id = ServerId(self.random.u64(..self.max_servers));
+            let Some(mut server) = self.table.edit(id) else {
+                continue;
+            };
+            server.in_flight = self.random.u32(..2);
+            server.wait_per_attempt = f64::from(self.random.u32(..5)) * 1000.0;
+            let statistics = &mut server.statistics[self.random.usize(..CLASSES)];
+            statistics.fault_rate = self.random.f64();
+            statistics.next_probe_at = self.random.bool().then_some(self.now);
+            statistics.observed_at = self.now;
+            statistics.fleet_faults.add(0.0, 1.0);
         }
     }
-    table
 }
 
 #[test]
-fn sums_are_those_of_a_walk_over_a_list_that_is_sent_to_as_a_whole() {
+fn aggregates_are_those_of_a_walk_where_all_servers_are_in_the_subset() {
     for seed in 0..20 {
-        drive(seed, 30, 60, 400);
+        RandomChanges::new(seed, 30, 60).run(400);
     }
 }
 
 #[test]
-fn sums_are_those_of_a_walk_while_a_list_grows_and_shrinks_across_the_size_of_a_whole_one() {
-    for (seed, nodes) in [(1, 3), (2, 30), (3, 300), (4, 2_700)] {
-        drive(seed, nodes, 1_200, 150);
+fn aggregates_are_those_of_a_walk_while_the_list_outgrows_a_subset_and_shrinks_again() {
+    for (seed, node_count) in [(1, 3), (2, 30), (3, 300), (4, 2_700)] {
+        RandomChanges::new(seed, node_count, 1_200).run(150);
     }
 }
 
 #[test]
-fn a_server_that_is_gone_is_forgotten_once_nothing_is_out_at_it() {
+fn removed_server_is_dropped_once_no_attempt_is_in_flight_there() {
     let mut table = EndpointTable::new(NodeId(0), 3, CLASSES, true);
-    let ready = (0..20)
-        .map(|id| entry(id, EndpointStatus::Ready, None))
-        .collect();
-    table.apply(1, EndpointUpdate::Snapshot, ready, &RULES, RECENT);
+    let ready = (0..20).map(ready_endpoint).collect();
+    table.apply(
+        1,
+        EndpointUpdate::Snapshot,
+        ready,
+        &RULES,
+        RECENTLY_STARTED_FOR,
+    );
     table.edit(ServerId(3)).expect("listed").in_flight = 1;
-    let gone = vec![
-        entry(3, EndpointStatus::Removed, None),
-        entry(4, EndpointStatus::Removed, None),
-    ];
-    table.apply(2, EndpointUpdate::Delta, gone, &RULES, RECENT);
-    table.remove_unused(3, RECENT, |_| false);
+    let removed = vec![removed_endpoint(3), removed_endpoint(4)];
+    table.apply(
+        2,
+        EndpointUpdate::Delta,
+        removed,
+        &RULES,
+        RECENTLY_STARTED_FOR,
+    );
+    table.remove_unused(3, RECENTLY_STARTED_FOR, |_| false);
     assert!(table.get(ServerId(3)).is_some() && table.get(ServerId(4)).is_none());
     table
         .edit(ServerId(3))
         .expect("something is in flight")
         .in_flight = 0;
-    table.remove_unused(3, RECENT, |_| false);
+    table.remove_unused(3, RECENTLY_STARTED_FOR, |_| false);
     assert!(table.get(ServerId(3)).is_none());
     assert_eq!(table.counts(), (18, 0));
 }
 
 #[test]
-fn what_is_not_sent_to_from_here_keeps_nothing_that_was_known_of_it() {
+fn servers_outside_the_subset_keep_no_statistics() {
     let mut table = EndpointTable::new(NodeId(0), 2_700, CLASSES, true);
-    let ready = |count| {
-        (0..count)
-            .map(|id| entry(id, EndpointStatus::Ready, None))
-            .collect()
-    };
-    table.apply(1, EndpointUpdate::Snapshot, ready(500), &RULES, RECENT);
+    let ready = |count| (0..count).map(ready_endpoint).collect();
+    table.apply(
+        1,
+        EndpointUpdate::Snapshot,
+        ready(500),
+        &RULES,
+        RECENTLY_STARTED_FOR,
+    );
     (0..500).for_each(|id| table.edit(ServerId(id)).expect("listed").wait_per_attempt = 5.0);
-    table.apply(2, EndpointUpdate::Snapshot, ready(40_000), &RULES, RECENT);
+    table.apply(
+        2,
+        EndpointUpdate::Snapshot,
+        ready(40_000),
+        &RULES,
+        RECENTLY_STARTED_FOR,
+    );
     let known = table
         .servers
         .values()
@@ -299,13 +390,14 @@
     assert!(known.clone().all(|server| server.in_subset));
     assert!(
         known.count() < 50,
-        "of 500 that were known, this one keeps its part"
+        "of 500 that were known, those in the subset are kept"
     );
 }
 
-/// Bytes of one server in the table of which nothing is known. A bound: growth is to be seen, not forbidden.
+/// Endpoint lists have tens of thousands of servers, and a node keeps each, so the bytes of one that it knows nothing of are
+/// what its memory depends on. The bound makes growth visible; it may be raised.
 #[test]
-fn a_server_of_which_nothing_is_known_costs_few_bytes() {
-    let row = std::mem::size_of::<(ServerId, Server)>();
-    assert!(row <= 144, "{row}");
+fn unused_server_takes_few_bytes() {
+    let bytes = std::mem::size_of::<(ServerId, Server)>();
+    assert!(bytes <= 144, "{bytes}");
 }
--- a/crates/policy/src/gossip_average/tests.rs
+++ b/crates/policy/src/gossip_average/tests.rs
@@ -1,51 +1,70 @@
 use super::*;
 
-/// A fleet whose nodes each see one sample in `every` seconds and send `messages` times a second to a random
-/// one: after `seconds` of samples of 3, then `later` of samples of 1, the worst distance of a node from 1.
-fn farthest(nodes: usize, every: f64, messages: usize, later: usize) -> f64 {
+/// Controller periods per second.
+const PERIODS_PER_S: usize = 2;
+/// Seconds in which samples are high.
+const HIGH_FOR_S: usize = 20;
+
+/// A fleet whose nodes each see one sample in `sample_interval_s` seconds and send `messages_per_s` messages to random nodes.
+/// Samples are 3 for [`HIGH_FOR_S`] and then 1 for `low_for_s`: the largest difference of a node's average from 1.
+fn largest_error(
+    nodes: usize,
+    sample_interval_s: f64,
+    messages_per_s: usize,
+    low_for_s: usize,
+) -> f64 {
     let mut random = fastrand::Rng::with_seed(5);
-    let mut pools = vec![GossipAverage::default(); nodes];
-    for tick in 0..2 * (20 + later) {
-        let sample = if tick < 40 { 3.0 } else { 1.0 };
-        for place in 0..nodes {
-            pools[place].decay(0.5 / LATENCY_DECAY_S);
-            if random.f64() < 0.5 / every {
-                pools[place].add(sample, 1.0);
+    let mut averages = vec![GossipAverage::default(); nodes];
+    for period in 0..PERIODS_PER_S * (HIGH_FOR_S + low_for_s) {
+        let sample = if period < PERIODS_PER_S * HIGH_FOR_S {
+            3.0
+        } else {
+            1.0
+        };
+        for node in 0..nodes {
+            averages[node].decay(0.5 / LATENCY_DECAY_S);
+            if random.f64() < 0.5 / sample_interval_s {
+                averages[node].add(sample, 1.0);
             }
-            for _ in 0..messages / 2 {
-                let (to, sent) = (random.usize(0..nodes), pools[place]);
-                pools[to].mix(GossipAverage::decoded(
+            for _ in 0..messages_per_s / PERIODS_PER_S {
+                let (to, sent) = (random.usize(0..nodes), averages[node]);
+                averages[to].mix(GossipAverage::decoded(
                     sent.mean().unwrap_or(0.0),
                     sent.encoded_count(),
                 ));
             }
         }
     }
-    pools
+    averages
         .iter()
-        .map(|pool| (pool.mean().unwrap_or(9.0) - 1.0).abs())
+        .map(|average| (average.mean().unwrap_or(9.0) - 1.0).abs())
         .fold(0.0, f64::max)
 }
 
+/// After an overload the latencies of a fleet with few requests are low again. Each node sees little itself, and would go on
+/// shedding load; averages have to follow within seconds.
 #[test]
-fn a_fleet_that_sees_little_forgets_a_jam_in_seconds() {
+fn average_of_a_fleet_with_few_samples_follows_a_change_within_seconds() {
     for nodes in [3, 30, 100, 1000] {
-        let far = farthest(nodes, 2.0, 16, 8);
-        assert!(far < 0.25, "{nodes} nodes: {far}");
+        let error = largest_error(nodes, 2.0, 16, 8);
+        assert!(error < 0.25, "{nodes} nodes: {error}");
     }
 }
 
 #[test]
-fn nothing_is_known_once_nothing_was_seen_for_long() {
-    let mut pool = GossipAverage::of(2.0, 5.0);
-    pool.decay(20.0);
-    assert_eq!(pool.mean(), None);
+fn average_is_unknown_after_long_without_samples() {
+    let mut average = GossipAverage::of(2.0, 5.0);
+    average.decay(20.0);
+    assert_eq!(average.mean(), None);
 }
 
 #[test]
-fn a_weight_keeps_its_size_on_the_way() {
+fn encoded_sample_count_keeps_its_size() {
     for count in [0.05, 0.3, 1.0, 4.0, 12.0] {
-        let told = GossipAverage::decoded(1.5, GossipAverage::of(1.5, count).encoded_count());
-        assert!((told.count / count - 1.0).abs() < 0.1, "{count}: {told:?}");
+        let received = GossipAverage::decoded(1.5, GossipAverage::of(1.5, count).encoded_count());
+        assert!(
+            (received.count / count - 1.0).abs() < 0.1,
+            "{count}: {received:?}"
+        );
     }
 }
--- a/crates/policy/src/message_budget/tests.rs
+++ b/crates/policy/src/message_budget/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 
 #[test]
-fn messages_that_must_be_sent_go_first_and_both_kinds_together_keep_to_the_budget() {
+fn required_messages_and_retransmissions_together_keep_to_the_budget() {
     let mut budget = MessageBudget::default();
     let (mut retransmitted, mut required) = (0, 0);
     for tick in 0..1000_u64 {
         let now = 1_000_000 + tick * 10_000;
-        // Thirty a second that must be sent, and as many retransmissions as may be.
+        // Thirty a second that must be sent, and as many retransmissions as the budget allows.
         if tick % 10 < 3 {
             budget.record(now, 1.0, 42.0);
             required += 1;
@@ -25,13 +25,14 @@
     assert!(retransmitted >= 100, "the rest is used: {retransmitted}");
 }
 
+/// A flood of responses overdraws the budget by far. The node must not be silent for long after it.
 #[test]
-fn a_debt_is_bounded() {
+fn overdraft_is_bounded() {
     let mut budget = MessageBudget::default();
     budget.record(1_000_000, 10_000.0, 42.0);
     assert!(!budget.allows(1_500_000, 42.0));
     assert!(
         budget.allows(2_100_000, 42.0),
-        "a flood of responses silences nobody for long"
+        "the overdraft is paid back soon"
     );
 }
--- a/crates/policy/src/peer_message/tests.rs
+++ b/crates/policy/src/peer_message/tests.rs
@@ -6,7 +6,9 @@
 use crate::interface::{NodeId, ServerId};
 use saffronpaddle_quota::LeaseReport;
 
+/// A customer that takes all five bytes of its field.
 const CUSTOMER: CustomerId = CustomerId(0x0A_0B0C_0D0E);
+/// One message a line: its name and its bytes in hexadecimal digits.
 const FIXTURE: &str = include_str!("../../tests/fixtures/peer_messages.txt");
 
 fn payload() -> GossipPayload {
@@ -99,8 +101,31 @@
     })
 }
 
-fn samples() -> Vec<(&'static str, PeerMessage)> {
-    use GrantDecision::{Granted, OverHardLimit, OverQuota, TooManyInFlight};
+/// A message with the name that it has in the fixture.
+type NamedMessage = (&'static str, PeerMessage);
+
+/// One message of each kind, in the order of the fixture.
+fn samples() -> Vec<NamedMessage> {
+    let kinds = [
+        usage_reports(),
+        grant_requests(),
+        grant_responses(),
+        permit_messages(),
+    ];
+    kinds.into_iter().flatten().collect()
+}
+
+fn usage_reports() -> Vec<NamedMessage> {
+    vec![
+        (
+            "counts",
+            usage_report(1_234_567, &[(CUSTOMER, 0xFFFE), (CustomerId(1), 8)]),
+        ),
+        ("counts_of_nobody", usage_report(1, &[])),
+    ]
+}
+
+fn grant_requests() -> Vec<NamedMessage> {
     let fill = Some(ReportedFill {
         ratio: 0.4,
         age: 640_000,
@@ -111,22 +136,7 @@
         remaining: 1_280_000,
     });
     let demand = |rate, current| Some(LeaseDemand { rate, current });
-    let lease = LeaseOffer::Issued(Lease {
-        rate: 0.75,
-        capacity: 1.5,
-        initial_tokens: 0.5,
-    });
-    let permit = TransferredPermit {
-        server_started_at: 1_700_000,
-        expires_at: 2_900_000,
-        sequence: 513,
-    };
     vec![
-        (
-            "counts",
-            usage_report(1_234_567, &[(CUSTOMER, 0xFFFE), (CustomerId(1), 8)]),
-        ),
-        ("counts_of_nobody", usage_report(1, &[])),
         ("ask_old", request(None, None, Some(payload()))),
         ("ask", request(Some(requester(17, fill)), None, None)),
         (
@@ -141,6 +151,17 @@
             "ask_with_wish_and_nothing_held",
             request(Some(requester(0, None)), demand(0.5, None), Some(payload())),
         ),
+    ]
+}
+
+fn grant_responses() -> Vec<NamedMessage> {
+    use GrantDecision::{Granted, OverHardLimit, OverQuota, TooManyInFlight};
+    let lease = LeaseOffer::Issued(Lease {
+        rate: 0.75,
+        capacity: 1.5,
+        initial_tokens: 0.5,
+    });
+    vec![
         (
             "answer_granted",
             response(9, Granted, LeaseOffer::NotAsked, None),
@@ -164,6 +185,16 @@
         ),
         ("old_answer_granted", legacy_response(Granted)),
         ("old_answer_short", legacy_response(OverQuota)),
+    ]
+}
+
+fn permit_messages() -> Vec<NamedMessage> {
+    let permit = TransferredPermit {
+        server_started_at: 1_700_000,
+        expires_at: 2_900_000,
+        sequence: 513,
+    };
+    vec![
         (
             "done",
             PeerMessage::PermitRelease {
@@ -185,6 +216,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
+/// Names and bytes of the messages in the fixture.
 fn fixture() -> Vec<(&'static str, Vec<u8>)> {
     let byte = |pair: &[u8]| {
         u8::from_str_radix(std::str::from_utf8(pair).expect("ASCII"), 16).expect("hex")
@@ -197,7 +229,7 @@
 }
 
 #[test]
-fn every_kind_of_message_is_encoded_as_the_fixture_has_it() {
+fn every_kind_of_message_is_encoded_to_the_bytes_of_the_fixture() {
     let written: String = samples()
         .iter()
         .map(|(name, message)| format!("{name} {}\n", hex(&encode(message))))
@@ -208,19 +240,20 @@
 #[test]
 fn every_message_of_the_fixture_is_decoded_and_encodes_to_the_same_bytes() {
     for (name, bytes) in fixture() {
-        let message = decode(&bytes).unwrap_or_else(|| panic!("{name} is read"));
-        let mut again = bytes.clone();
+        let message = decode(&bytes).unwrap_or_else(|| panic!("{name} is not decoded"));
+        let mut expected = bytes.clone();
         if name == "ask_with_wish" {
-            // How long a lease has left is rounded up each time it is told.
-            *again.last_mut().expect("it holds bytes") += 1;
+            // The remaining time of a lease is rounded up each time it is encoded.
+            *expected.last_mut().expect("it has bytes") += 1;
         }
-        assert_eq!(hex(&encode(&message)), hex(&again), "{name}");
+        assert_eq!(hex(&encode(&message)), hex(&expected), "{name}");
     }
 }
 
-/// A datagram that breaks off is noise, unless what is left is a message by itself: usage reports and observations are lists.
+/// A datagram is cut short. What is left must not be decoded, unless it is a message by itself: usage reports and
+/// observations are lists.
 #[test]
-fn a_message_that_is_cut_short_in_its_first_fields_is_not_decoded() {
+fn message_cut_short_in_its_first_fields_is_not_decoded() {
     for (name, bytes) in fixture()
         .into_iter()
         .filter(|(name, _)| !name.starts_with("counts"))
--- a/crates/policy/src/shard_owners/tests.rs
+++ b/crates/policy/src/shard_owners/tests.rs
@@ -1,7 +1,8 @@
 use super::*;
+use std::collections::BTreeSet;
 
 #[test]
-fn owners_are_different_nodes_and_each_is_asked_once() {
+fn owners_are_different_nodes_and_each_is_tried_once() {
     let plan = |rate| Plan {
         rate,
         burst: 4.0 * rate,
@@ -21,17 +22,21 @@
         let owners = ShardOwners::of(&plan(rate), subset_size);
         assert_eq!(owners.shards, shards, "{rate}");
         for start in 0..shards {
-            let mut asked: Vec<u32> = owners.in_order(start).collect();
-            assert_eq!(asked[0], start);
-            asked.sort_unstable();
-            assert_eq!(asked, (0..owners.owners).collect::<Vec<_>>());
+            let mut order: Vec<u32> = owners.in_order(start).collect();
+            assert_eq!(order[0], start);
+            order.sort_unstable();
+            assert_eq!(order, (0..owners.owners).collect::<Vec<_>>());
         }
         let subset = NodeSubset {
             first: NodeId(90),
             size: subset_size,
         };
         let node = |owner| owners.node(CustomerId(77), subset, owner, 100);
-        let all: std::collections::BTreeSet<_> = (0..owners.owners).map(node).collect();
-        assert_eq!(all.len(), owners.owners as usize, "no node owns two parts");
+        let nodes: BTreeSet<_> = (0..owners.owners).map(node).collect();
+        assert_eq!(
+            nodes.len(),
+            owners.owners as usize,
+            "no node owns two shards"
+        );
     }
 }
--- a/crates/policy/src/utilization/tests.rs
+++ b/crates/policy/src/utilization/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 
+/// Utilization after ten seconds with so many in flight at this node and so many warm servers.
 fn after_ten_seconds(in_flight: f64, capacity: f64) -> Utilization {
     let mut utilization = Utilization::default();
     utilization.set_capacity(capacity);
@@ -7,8 +8,9 @@
     utilization
 }
 
+/// Servers drop out, and those left take the whole load. Latency shows the overload too late; utilization has to rise at once.
 #[test]
-fn servers_that_drop_out_raise_it_at_once_whatever_the_size_of_the_fleet() {
+fn removed_servers_raise_utilization_at_once_in_fleets_of_any_size() {
     for nodes in [30.0, 100.0, 1000.0] {
         // 120 in flight in all at 60 servers, which is easy; at 20 it is not.
         let mut utilization = after_ten_seconds(120.0 / nodes, 60.0);
@@ -21,15 +23,16 @@
 }
 
 #[test]
-fn large_servers_bear_what_they_are_known_to_answer() {
+fn capacity_of_large_servers_follows_their_throughput() {
     // 60 servers that each answer 100 a second have 1,200 in flight at a latency of 200 ms: a third of the objective.
     assert!(after_ten_seconds(12.0, 60.0).value(100.0, 60.0, 0.6) < 0.7);
     assert!(after_ten_seconds(48.0, 60.0).value(100.0, 60.0, 0.6) > 2.0);
 }
 
-/// Responses are divided by the servers that gave them, not by those of this moment.
+/// Servers drop out or return in slow start. If responses were divided by the servers of this moment, those left would look
+/// fast, and those that return slow; they are divided by the servers that gave them.
 #[test]
-fn servers_that_return_in_slow_start_or_drop_out_do_not_change_what_each_bears() {
+fn throughput_per_server_does_not_change_when_servers_drop_out_or_return() {
     let nodes = 100.0;
     // Each of 60 answers 50 a second, and bears 15 at an objective of 0.6 s. Then half of them are gone, and the rate of
     // responses halves.
