--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -26,7 +26,7 @@
 use tokio::sync::{watch, Notify};
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout, timeout_at, Instant};
-use tracing::debug;
+use tracing::{debug, warn};
 
 /// A watch says something every 2 s; one that is this late is taken for dead. Guards drains: what discovery
 /// has to tell counts as told 6 s later, also on a watch that nobody serves any more.
@@ -131,9 +131,10 @@
             terms.empty_after,
         );
         if !believed {
-            eprintln!(
-                "discovery: its list is empty; {known} servers are kept until that has lasted {} ms",
-                terms.empty_after.as_millis()
+            warn!(
+                servers = known,
+                empty_for_ms = terms.empty_after.as_millis() as u64,
+                "discovery: its list is empty; the known servers are kept until that has lasted"
             );
         }
         believed
@@ -252,7 +253,7 @@
         }
         if let Err(error) = ended {
             if !std::mem::replace(&mut told, true) {
-                eprintln!("discovery: {error:#}");
+                warn!("discovery: {error:#}");
             }
         }
         let pause = match follower.come_back.take() {
@@ -397,7 +398,7 @@
             };
             debug!(error = format!("{error:#}"), "discovery: a call failed");
             if !std::mem::replace(&mut told, true) {
-                eprintln!("discovery: {error:#}");
+                warn!("discovery: {error:#}");
             }
         }
         beside = pace.hedge_delay(fastrand::f64()).unwrap_or(beside);
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/handover.rs
@@ -19,6 +19,7 @@
 use tokio::net::{UnixListener, UnixStream};
 use tokio::sync::{mpsc, watch, Notify};
 use tokio::time::{sleep, timeout, timeout_at, Instant};
+use tracing::{error, info, warn};
 
 /// Words that may wait for a process that does not read. One that is so far behind is no part of this node any more: what
 /// it draws can't be counted.
@@ -194,7 +195,7 @@
                         *state,
                     ));
                 }
-                LinkAction::End(why) => eprintln!("hand-over: nothing taken over, {why}"),
+                LinkAction::End(why) => warn!("hand-over: nothing taken over, {why}"),
                 _ => {}
             }
         }
@@ -245,7 +246,11 @@
             Ok(listener) => listener,
             Err(error) => {
                 // A node that can't be found serves all the same.
-                eprintln!("hand-over: {}: {error}", meeting.path.display());
+                error!(
+                    path = %meeting.path.display(),
+                    %error,
+                    "hand-over: the socket cannot be bound"
+                );
                 return;
             }
         };
@@ -355,9 +360,7 @@
                 // It was resumed from before this conversation was taken up here.
                 LinkAction::Restore(_) => {}
                 LinkAction::End(why) => {
-                    eprintln!(
-                        "hand-over: the other process is no part of this node any more: {why}"
-                    );
+                    info!("hand-over: the other process is no part of this node any more: {why}");
                     node.links.lines.borrow_mut().remove(&no);
                     shared(&node, Some(no));
                     // Guards against one that only knocked: the place where it did is this process's still.
--- a/crates/node/src/life.rs
+++ b/crates/node/src/life.rs
@@ -140,7 +140,7 @@
                     Action::PauseAccepting => accepts = false,
                     Action::ResumeAccepting => accepts = true,
                     Action::StopAccepting => phase = Phase::Closing,
-                    Action::Log(line) => eprintln!("{line}"),
+                    Action::Log(line) => info!("{line}"),
                     Action::Exit => gone = true,
                 }
             }
--- a/crates/node/src/manager.rs
+++ b/crates/node/src/manager.rs
@@ -13,6 +13,7 @@
 use std::os::unix::ffi::OsStrExt;
 use std::os::unix::net::{SocketAddr, UnixDatagram};
 use std::time::Duration;
+use tracing::warn;
 
 /// Words that may wait for a manager whose socket is full. Guards memory against one that never reads.
 const WAITING_MOST: usize = 16;
@@ -131,7 +132,7 @@
             Err(error) if is_full(error) => {}
             // Missing or gone: it may come back under the same address, and until then nobody need know.
             Err(error) if !self.told.replace(true) => {
-                eprintln!("the service manager can't be told: {error}");
+                warn!("the service manager can't be told: {error}");
             }
             Err(_) => {}
         }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -25,13 +25,14 @@
 use saffronpaddle_policy::{PolicyEngine, StateSnapshot};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::io::{self, Write};
 use std::net::SocketAddr;
 use std::rc::{Rc, Weak};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::sync::oneshot;
 use tokio::time::Instant;
-use tracing::{debug, error};
+use tracing::{debug, error, info};
 
 /// Rounds of the loop between an alarm and what comes of it: the driver's, the connection's, the exchange's.
 const LATE_LOOKS: usize = 3;
@@ -316,10 +317,10 @@
         loop {
             tokio::time::sleep(every).await;
             let at_ms = born.elapsed().as_millis() as u64;
-            eprintln!(
-                "{}",
-                self.with_figures(|figures| figures.log_line(me, at_ms))
-            );
+            let line = self.with_figures(|figures| figures.log_line(me, at_ms));
+            // `fleet counts` reads these lines, at every level of the log: they are records, not events. A log that
+            // cannot be written ends no node.
+            let _ = writeln!(io::stderr(), "{line}");
         }
     }
 
@@ -453,7 +454,7 @@
                 });
             }
             Action::SendToSiblings(twin) => self.links.tell_twin(twin),
-            Action::Log(line) => eprintln!("{line}"),
+            Action::Log(line) => info!("{line}"),
             // Discovery is always followed, and the rest is the exchange's.
             Action::Subscribe
             | Action::Send { .. }
--- a/crates/node/src/roster.rs
+++ b/crates/node/src/roster.rs
@@ -8,6 +8,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::sync::watch;
+#[cfg(not(feature = "etcd"))]
+use tracing::warn;
 
 /// Follows what the operator file names, for ever. Without etcd that is the platform's discovery alone.
 pub async fn follow(
@@ -22,7 +24,7 @@
     #[cfg(not(feature = "etcd"))]
     {
         let _ = etcd;
-        eprintln!("etcd: this program was built without it; the platform's discovery is followed");
+        warn!("etcd: this program was built without it; the platform's discovery is followed");
         discovery::follow(node, address, known, terms).await
     }
     #[cfg(feature = "etcd")]
@@ -59,6 +61,7 @@
     use std::sync::Arc;
     use std::time::{Duration, Instant};
     use tokio::sync::mpsc;
+    use tracing::{error, info, warn};
 
     /// A change that waited for longer between socket and decision module is told in the log: it is time off the 250 ms
     /// of a drain.
@@ -119,7 +122,7 @@
     pub async fn follow(node: Rc<Node>, etcd: Etcd) {
         let settings = match settings(&etcd) {
             Ok(settings) => settings,
-            Err(error) => return eprintln!("etcd: not followed: {error}"),
+            Err(error) => return error!(%error, "etcd: not followed"),
         };
         let (tell, mut news) = mpsc::channel(NEWS_MOST);
         let thread = std::thread::Builder::new()
@@ -135,11 +138,11 @@
                         // It ends as the node does.
                         let _ = tokio::spawn(saffronpaddle_etcd::follow(settings, tell)).await;
                     }),
-                    Err(error) => eprintln!("etcd: not followed: {error}"),
+                    Err(error) => error!(%error, "etcd: not followed"),
                 }
             });
         if let Err(error) = thread {
-            return eprintln!("etcd: not followed: {error}");
+            return error!(%error, "etcd: not followed");
         }
         let mut waiting = Vec::new();
         while news.recv_many(&mut waiting, NEWS_MOST).await > 0 {
@@ -148,7 +151,7 @@
                 match news {
                     News::Changed { change, read } => changes.take(&node, change, read),
                     News::Alive => node.heard_list(),
-                    News::Log(line) => eprintln!("{line}"),
+                    News::Log(line) => info!("{line}"),
                 }
             }
             changes.flush(&node);
@@ -189,7 +192,7 @@
             };
             let waited = first.elapsed();
             if waited > LATE {
-                eprintln!(
+                warn!(
                     "etcd: a change waited {} ms for its turn",
                     waited.as_millis()
                 );
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -25,6 +25,7 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
+use tracing::{info, warn};
 
 /// Descriptors for all but clients and app servers: listener, discovery, peers, the runtime's own; the operators' and its
 /// callers.
@@ -103,7 +104,7 @@
             let watchdog = sd_notify::watchdog_enabled().filter(|_| says.manager.watchdog);
             // A node that can't tell how it goes still serves.
             manager = Manager::at(&address, watchdog).unwrap_or_else(|error| {
-                eprintln!("NOTIFY_SOCKET: {error}");
+                warn!(%error, "NOTIFY_SOCKET: no notifications are sent");
                 Manager::none()
             });
         }
@@ -206,7 +207,7 @@
             .map(|(no, state)| (state.policy, no));
         if let Some((kept, _)) = &kept {
             let (customers, servers) = kept.size();
-            eprintln!(
+            info!(
                 "hand-over: taken over from a process of this node: {customers} customers, {servers} servers"
             );
         }
@@ -254,7 +255,7 @@
             None => None,
         };
         let address = listener.local_addr().context("listen")?;
-        eprintln!("{}: listening on {address}", config.name);
+        info!("{}: listening on {address}", config.name);
         Ok(Edge {
             node,
             listener,
@@ -416,11 +417,11 @@
         Ok((config, operator)) => {
             // Also when it is the same address as before: its numbering may have begun anew.
             discovery.send_replace(config.discovery);
-            eprintln!("reloaded: discovery at {}", config.discovery);
+            info!("reloaded: discovery at {}", config.discovery);
             Some(operator)
         }
         Err(error) => {
-            eprintln!("the old configuration stays: {error:#}");
+            warn!("the old configuration stays: {error:#}");
             None
         }
     }
--- a/crates/saffronpaddle/src/main.rs
+++ b/crates/saffronpaddle/src/main.rs
@@ -71,7 +71,10 @@
         "run" => run(None, arguments),
         "check" => check(arguments),
         "call" => call::call(arguments),
-        "demo" => demo::demo(arguments),
+        "demo" => {
+            log::start()?;
+            demo::demo(arguments)
+        }
         "fleet" => fleet::fleet(arguments),
         _ => anyhow::bail!("unknown job {job:?}; --help tells which there are"),
     }
