--- a/crates/hollow/src/lib.rs
+++ b/crates/hollow/src/lib.rs
@@ -23,5 +23,5 @@
 pub mod tenants;
 
 pub use list::LIST_MOST;
-pub use saffronpaddle_node::listed::server_id;
+pub use saffronpaddle_node::endpoints::server_id;
 pub use shard::{serve, Spec};
--- a/crates/hollow/src/shard.rs
+++ b/crates/hollow/src/shard.rs
@@ -25,7 +25,7 @@
 use saffronpaddle_endpoints::EndpointRecord;
 use saffronpaddle_exchange::{Command, ConnectionId, Event, FinalAnswer, Limits};
 use saffronpaddle_node::config::{List, PeerAddresses};
-use saffronpaddle_node::listed::{server_entry, server_id};
+use saffronpaddle_node::endpoints::{server_entry, server_id};
 use saffronpaddle_node::peers::Peers;
 use saffronpaddle_policy::interface::{
     Action, ClassId, CustomerId, Event as ModuleEvent, Micros, NodeId, Outcome, PlanId, RequestId,
@@ -561,14 +561,14 @@
                 node.peers
                     .borrow()
                     .iter()
-                    .for_each(|peers| peers.tell_all(&bytes));
+                    .for_each(|peers| peers.broadcast(&bytes));
                 self.said(u64::from(self.spec.gateways.saturating_sub(1)), bytes.len());
             }
             Action::SendToPeer { to, bytes } => {
                 node.peers
                     .borrow()
                     .iter()
-                    .for_each(|peers| peers.tell(to, &bytes));
+                    .for_each(|peers| peers.send_to(to, &bytes));
                 self.said(1, bytes.len());
             }
             Action::SetTimer { after, token } => self.later(node, now + after, What::Wake(token)),
--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -16,12 +16,12 @@
 use tokio::time::{sleep, timeout, Instant};
 
 /// Calls that may wait for the life cycle. Each caller asks once.
-pub const CALLS_MOST: usize = CallerTable::MOST;
+pub const MAX_QUEUED_CALLS: usize = CallerTable::MOST;
 /// Pause after a connection that could not be accepted.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY: Duration = Duration::from_millis(20);
 /// How long an answer may take on its way out, and its reader to close. Guards descriptors against callers that never
 /// read.
-const LEAVE_WITHIN: Duration = Duration::from_millis(500);
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Bytes read of a caller at once.
 const PIECE: usize = 64;
 
@@ -31,15 +31,15 @@
 }
 
 /// A call, and where its answer goes.
-pub struct Asked {
+pub struct AdminCall {
     pub call: Call,
-    pub answer: oneshot::Sender<Said>,
+    pub answer: oneshot::Sender<AdminReply>,
 }
 
 /// What is said to a call.
-pub struct Said {
-    pub done: bool,
-    pub words: String,
+pub struct AdminReply {
+    pub ok: bool,
+    pub text: String,
 }
 
 impl Admin {
@@ -58,14 +58,14 @@
 }
 
 /// Callers and the tasks that serve them.
-struct Room {
-    desk: CallerTable,
+struct CallerTasks {
+    table: CallerTable,
     tasks: HashMap<Caller, AbortHandle>,
 }
 
-impl Room {
+impl CallerTasks {
     fn leaves(&mut self, caller: Caller) {
-        self.desk.left(caller);
+        self.table.left(caller);
         self.tasks.remove(&caller);
     }
 
@@ -77,37 +77,37 @@
 }
 
 /// Serves callers for ever. None of them waits for another.
-pub async fn serve(admin: Option<Admin>, node: Rc<Node>, ask: mpsc::Sender<Asked>) {
+pub async fn serve(admin: Option<Admin>, node: Rc<Node>, ask: mpsc::Sender<AdminCall>) {
     let Some(Admin { listener }) = admin else {
         return;
     };
     let began = Instant::now();
-    let room = Rc::new(RefCell::new(Room {
-        desk: CallerTable::new(CallerTable::MOST, CallerTable::STAY),
+    let callers = Rc::new(RefCell::new(CallerTasks {
+        table: CallerTable::new(CallerTable::MOST, CallerTable::STAY),
         tasks: HashMap::new(),
     }));
     loop {
-        let until = room.borrow().desk.deadline().map(|until| began + until);
+        let until = callers.borrow().table.deadline().map(|until| began + until);
         tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => {
-                    let (caller, goes) = room.borrow_mut().desk.arrived(began.elapsed());
-                    goes.into_iter().for_each(|caller| room.borrow_mut().dismiss(caller));
-                    let (held, node, ask) = (Rc::clone(&room), Rc::clone(&node), ask.clone());
+                    let (caller, goes) = callers.borrow_mut().table.arrived(began.elapsed());
+                    goes.into_iter().for_each(|caller| callers.borrow_mut().dismiss(caller));
+                    let (held, node, ask) = (Rc::clone(&callers), Rc::clone(&node), ask.clone());
                     let task = tokio::task::spawn_local(async move {
                         // A caller that has gone needs nothing.
                         let _ = converse(stream, &node, &ask).await;
                         held.borrow_mut().leaves(caller);
                     });
-                    room.borrow_mut().tasks.insert(caller, task.abort_handle());
+                    callers.borrow_mut().tasks.insert(caller, task.abort_handle());
                 }
                 Err(error) if AcceptFailure::of(&error) == AcceptFailure::OfOneConnection => {}
-                Err(_) => sleep(ACCEPT_AGAIN).await,
+                Err(_) => sleep(ACCEPT_RETRY).await,
             },
             () = over(until) => {
-                let mut room = room.borrow_mut();
-                while let Some(caller) = room.desk.stale(began.elapsed()) {
-                    room.dismiss(caller);
+                let mut callers = callers.borrow_mut();
+                while let Some(caller) = callers.table.stale(began.elapsed()) {
+                    callers.dismiss(caller);
                 }
             }
         }
@@ -124,7 +124,7 @@
 async fn converse(
     stream: TcpStream,
     node: &Rc<Node>,
-    ask: &mpsc::Sender<Asked>,
+    ask: &mpsc::Sender<AdminCall>,
 ) -> std::io::Result<()> {
     let mut stream = Socket::new(stream);
     let (mut line, mut piece) = (Line::default(), [0; PIECE]);
@@ -137,22 +137,22 @@
             break call;
         }
     };
-    let words = match call {
+    let text = match call {
         Ok(Call::Info) => node.figures(),
         Ok(call) => {
             let (answer, said) = oneshot::channel();
             // It fails at the node's very end.
-            let _ = ask.send(Asked { call, answer }).await;
+            let _ = ask.send(AdminCall { call, answer }).await;
             match said.await {
-                Ok(Said { done: true, words }) => success(&words),
-                Ok(Said { done: false, words }) => failure(&words),
+                Ok(AdminReply { ok: true, text }) => success(&text),
+                Ok(AdminReply { ok: false, text }) => failure(&text),
                 Err(_) => failure("gone"),
             }
         }
         Err(bad) => failure(&bad.to_string()),
     };
-    let _ = timeout(LEAVE_WITHIN, async {
-        stream.write_all(words.as_bytes()).await?;
+    let _ = timeout(CLOSE_TIMEOUT, async {
+        stream.write_all(text.as_bytes()).await?;
         stream.shutdown().await?;
         // What the caller still writes is read, so that closing does not take the answer back.
         while stream.read(&mut piece).await? > 0 {}
--- a/crates/node/src/alarm.rs
+++ b/crates/node/src/alarm.rs
@@ -6,7 +6,7 @@
 use tokio::sync::Notify;
 
 /// How long it sleeps where nothing is due.
-const FOR_LONG: Duration = Duration::from_hours(1);
+const IDLE_SLEEP: Duration = Duration::from_hours(1);
 
 /// When it is set to ring, and the word that it must sooner.
 pub struct Alarm {
@@ -36,7 +36,7 @@
             self.armed.set(next.unwrap_or(Micros::MAX));
             let span = next.map(|at| Duration::from_micros(at.saturating_sub(now())));
             tokio::select! {
-                () = tokio::time::sleep(span.unwrap_or(FOR_LONG)) => return,
+                () = tokio::time::sleep(span.unwrap_or(IDLE_SLEEP)) => return,
                 () = self.sooner.notified() => {}
             }
         }
--- a/crates/node/src/bodies.rs
+++ b/crates/node/src/bodies.rs
@@ -1,8 +1,8 @@
 //! Bodies that go by as they come: of requests on their way to a server, of answers on their way to a client. Each holds a
 //! few pieces at a time; how fast it goes is up to the slower of its ends.
 
+use crate::downstream::BusyGuard;
 use crate::node::Node;
-use crate::seats::Busy;
 use bytes::{Bytes, BytesMut};
 use http_body_util::Full;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -23,9 +23,9 @@
 
 /// Most bytes of a body that is kept whole, either way: up to here a request can be sent again, and an answer is passed on
 /// once it is whole.
-pub const BODY_MOST: usize = 64 * 1024;
+pub const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
 /// Most bytes of a body that goes by. Guards against bodies without end.
-pub const LARGEST: u64 = 40 << 20;
+pub const MAX_BODY_BYTES: u64 = 40 << 20;
 /// How long a body that goes by may stand still. Guards against ends that have gone without a word: for as long, it holds a
 /// connection on either side.
 const STALL: Duration = Duration::from_secs(10);
@@ -45,72 +45,74 @@
     whole.freeze()
 }
 
-type Polled = Poll<Option<Result<Frame<Bytes>, io::Error>>>;
+type PolledFrame = Poll<Option<Result<Frame<Bytes>, io::Error>>>;
 
 /// The body of a request on its way to a server.
-pub enum Outgoing {
+pub enum UpstreamRequestBody {
     /// Kept whole.
-    Full(Full<Bytes>),
+    Buffered(Full<Bytes>),
     /// It goes by.
-    Coming(Rc<Pipe>),
+    Streamed(Rc<StreamedRequestBody>),
 }
 
-impl Body for Outgoing {
+impl Body for UpstreamRequestBody {
     type Data = Bytes;
     type Error = io::Error;
 
-    fn poll_frame(self: Pin<&mut Self>, context: &mut Context<'_>) -> Polled {
+    fn poll_frame(self: Pin<&mut Self>, context: &mut Context<'_>) -> PolledFrame {
         match self.get_mut() {
-            Outgoing::Full(full) => Pin::new(full)
+            UpstreamRequestBody::Buffered(full) => Pin::new(full)
                 .poll_frame(context)
                 .map_err(|never| match never {}),
-            Outgoing::Coming(pipe) => pipe.poll(context),
+            UpstreamRequestBody::Streamed(pipe) => pipe.poll(context),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Outgoing::Full(full) => full.is_end_stream(),
-            Outgoing::Coming(pipe) => pipe.is_over(),
+            UpstreamRequestBody::Buffered(full) => full.is_end_stream(),
+            UpstreamRequestBody::Streamed(pipe) => pipe.is_over(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Outgoing::Full(full) => full.size_hint(),
-            Outgoing::Coming(pipe) => pipe.size.map_or_else(SizeHint::new, SizeHint::with_exact),
+            UpstreamRequestBody::Buffered(full) => full.size_hint(),
+            UpstreamRequestBody::Streamed(pipe) => {
+                pipe.size.map_or_else(SizeHint::new, SizeHint::with_exact)
+            }
         }
     }
 }
 
 /// A body that has not come whole, between the client that writes it and the server that it goes to. Its last piece is held
 /// back until the exchange lets it go.
-pub struct Pipe {
+pub struct StreamedRequestBody {
     /// By number, as a body may outlive its node's loop.
     node: u64,
     id: RequestId,
     ticket: Cell<Option<Ticket>>,
-    patience: Duration,
+    client_timeout: Duration,
     size: Option<u64>,
-    told: Cell<bool>,
+    completion_reported: Cell<bool>,
     released: Cell<bool>,
     waker: RefCell<Option<Waker>>,
-    piped: RefCell<Piped>,
+    state: RefCell<RequestBodyState>,
 }
 
-struct Piped {
+struct RequestBodyState {
     /// What had come before it was clear that it would not be whole soon.
     first: VecDeque<Bytes>,
     rest: Incoming,
     /// The newest piece: it may be the last.
-    held: Option<Bytes>,
+    last_piece: Option<Bytes>,
     /// Nothing more comes, well or not.
     ended: bool,
     failed: bool,
     bytes: u64,
 }
 
-impl Piped {
+impl RequestBodyState {
     /// The next piece that comes; none at the end.
     fn next(&mut self, context: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
         if let Some(piece) = self.first.pop_front() {
@@ -127,7 +129,7 @@
                 continue;
             };
             self.bytes += data.len() as u64;
-            if self.bytes > LARGEST {
+            if self.bytes > MAX_BODY_BYTES {
                 return Poll::Ready(Some(Err(io::Error::other("the body is too large"))));
             }
             if !data.is_empty() {
@@ -137,35 +139,35 @@
     }
 
     fn fail(&mut self) {
-        (self.ended, self.failed, self.held) = (true, true, None);
+        (self.ended, self.failed, self.last_piece) = (true, true, None);
         self.first.clear();
     }
 }
 
-impl Pipe {
+impl StreamedRequestBody {
     /// A body of which these pieces have come; its client waits for so long once the last has.
     pub fn new(
         node: u64,
         id: RequestId,
-        patience: Duration,
+        client_timeout: Duration,
         size: Option<u64>,
         first: VecDeque<Bytes>,
         rest: Incoming,
-    ) -> Pipe {
+    ) -> StreamedRequestBody {
         let bytes = first.iter().map(|piece| piece.len() as u64).sum();
-        Pipe {
+        StreamedRequestBody {
             node,
             id,
             ticket: Cell::new(None),
-            patience,
+            client_timeout,
             size,
-            told: Cell::new(false),
+            completion_reported: Cell::new(false),
             released: Cell::new(false),
             waker: RefCell::default(),
-            piped: RefCell::new(Piped {
+            state: RefCell::new(RequestBodyState {
                 first,
                 rest,
-                held: None,
+                last_piece: None,
                 ended: false,
                 failed: false,
                 bytes,
@@ -174,7 +176,7 @@
     }
 
     /// Which taking of its request it belongs to.
-    pub fn taken(&self, ticket: Ticket) {
+    pub fn set_ticket(&self, ticket: Ticket) {
         self.ticket.set(Some(ticket));
     }
 
@@ -189,33 +191,36 @@
     }
 
     fn is_over(&self) -> bool {
-        let piped = self.piped.borrow();
-        piped.ended && piped.held.is_none() && !piped.failed
+        let state = self.state.borrow();
+        state.ended && state.last_piece.is_none() && !state.failed
     }
 
-    fn poll(&self, context: &mut Context<'_>) -> Polled {
+    fn poll(&self, context: &mut Context<'_>) -> PolledFrame {
         loop {
-            let mut piped = self.piped.borrow_mut();
-            if piped.failed {
+            let mut state = self.state.borrow_mut();
+            if state.failed {
                 return Poll::Ready(Some(Err(io::ErrorKind::ConnectionAborted.into())));
             }
-            if piped.ended {
-                if piped.held.is_none() {
+            if state.ended {
+                if state.last_piece.is_none() {
                     return Poll::Ready(None);
                 }
                 if self.released.get() {
-                    return Poll::Ready(piped.held.take().map(|piece| Ok(Frame::data(piece))));
+                    return Poll::Ready(
+                        state.last_piece.take().map(|piece| Ok(Frame::data(piece))),
+                    );
                 }
                 *self.waker.borrow_mut() = Some(context.waker().clone());
-                drop(piped);
-                if self.told.replace(true) {
+                drop(state);
+                if self.completion_reported.replace(true) {
                     return Poll::Pending;
                 }
-                let (Some(node), Some(ticket)) = (Node::here(self.node), self.ticket.get()) else {
+                let (Some(node), Some(ticket)) = (Node::by_number(self.node), self.ticket.get())
+                else {
                     return Poll::Pending;
                 };
-                let deadline = node.now() + self.patience.as_micros() as Micros;
-                node.happened(
+                let deadline = node.now() + self.client_timeout.as_micros() as Micros;
+                node.handle(
                     Event::BodyComplete {
                         id: self.id.clone(),
                         ticket,
@@ -228,14 +233,14 @@
                 }
                 continue;
             }
-            match ready!(piped.next(context)) {
+            match ready!(state.next(context)) {
                 Some(Ok(piece)) => {
-                    if let Some(before) = piped.held.replace(piece) {
+                    if let Some(before) = state.last_piece.replace(piece) {
                         return Poll::Ready(Some(Ok(Frame::data(before))));
                     }
                 }
-                Some(Err(_)) => piped.fail(),
-                None => piped.ended = true,
+                Some(Err(_)) => state.fail(),
+                None => state.ended = true,
             }
         }
     }
@@ -243,76 +248,76 @@
     /// Reads what is left and drops it, so that an answer meets a client that has written all. Whoever else read from it
     /// does so no more.
     pub async fn drain(&self) {
-        let next = || std::future::poll_fn(|context| self.piped.borrow_mut().next(context));
-        while !self.piped.borrow().ended {
+        let next = || std::future::poll_fn(|context| self.state.borrow_mut().next(context));
+        while !self.state.borrow().ended {
             if !matches!(tokio::time::timeout(STALL, next()).await, Ok(Some(Ok(_)))) {
-                self.piped.borrow_mut().ended = true;
+                self.state.borrow_mut().ended = true;
             }
         }
     }
 }
 
 /// The body of an answer on its way to a client.
-pub struct Reply {
-    body: Answering,
+pub struct DownstreamBody {
+    body: ResponseBody,
     /// The client's connection has a request for as long as its answer is not out.
-    busy_guard: Option<Busy>,
+    busy_guard: Option<BusyGuard>,
 }
 
-enum Answering {
-    Full(Full<Bytes>),
-    Passing(Passing),
+enum ResponseBody {
+    Buffered(Full<Bytes>),
+    Streaming(StreamedResponseBody),
 }
 
-impl Reply {
+impl DownstreamBody {
     /// Which connection is busy with it.
-    pub fn keep(&mut self, busy: Busy) {
+    pub fn keep(&mut self, busy: BusyGuard) {
         self.busy_guard = Some(busy);
     }
 }
 
-impl<B: Into<Bytes>> From<B> for Reply {
-    fn from(bytes: B) -> Reply {
-        Reply {
-            body: Answering::Full(Full::new(bytes.into())),
+impl<B: Into<Bytes>> From<B> for DownstreamBody {
+    fn from(bytes: B) -> DownstreamBody {
+        DownstreamBody {
+            body: ResponseBody::Buffered(Full::new(bytes.into())),
             busy_guard: None,
         }
     }
 }
 
-impl From<Passing> for Reply {
-    fn from(passing: Passing) -> Reply {
-        Reply {
-            body: Answering::Passing(passing),
+impl From<StreamedResponseBody> for DownstreamBody {
+    fn from(passing: StreamedResponseBody) -> DownstreamBody {
+        DownstreamBody {
+            body: ResponseBody::Streaming(passing),
             busy_guard: None,
         }
     }
 }
 
-impl Body for Reply {
+impl Body for DownstreamBody {
     type Data = Bytes;
     type Error = io::Error;
 
-    fn poll_frame(self: Pin<&mut Self>, context: &mut Context<'_>) -> Polled {
+    fn poll_frame(self: Pin<&mut Self>, context: &mut Context<'_>) -> PolledFrame {
         match &mut self.get_mut().body {
-            Answering::Full(full) => Pin::new(full)
+            ResponseBody::Buffered(full) => Pin::new(full)
                 .poll_frame(context)
                 .map_err(|never| match never {}),
-            Answering::Passing(passing) => passing.poll(context),
+            ResponseBody::Streaming(passing) => passing.poll(context),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match &self.body {
-            Answering::Full(full) => full.is_end_stream(),
-            Answering::Passing(passing) => passing.is_over(),
+            ResponseBody::Buffered(full) => full.is_end_stream(),
+            ResponseBody::Streaming(passing) => passing.is_over(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.body {
-            Answering::Full(full) => full.size_hint(),
-            Answering::Passing(passing) => passing
+            ResponseBody::Buffered(full) => full.size_hint(),
+            ResponseBody::Streaming(passing) => passing
                 .size
                 .map_or_else(SizeHint::new, SizeHint::with_exact),
         }
@@ -320,11 +325,11 @@
 }
 
 /// An answer that goes by as it comes, and the connection that it comes on.
-pub struct Passing {
+pub struct StreamedResponseBody {
     node: u64,
     link: ConnectionId,
     left: mpsc::UnboundedSender<ConnectionId>,
-    sender: Option<SendRequest<Outgoing>>,
+    sender: Option<SendRequest<UpstreamRequestBody>>,
     size: Option<u64>,
     first: VecDeque<Bytes>,
     rest: Incoming,
@@ -332,7 +337,7 @@
     stall: Pin<Box<tokio::time::Sleep>>,
 }
 
-impl fmt::Debug for Passing {
+impl fmt::Debug for StreamedResponseBody {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Passing")
             .field("link", &self.link)
@@ -341,20 +346,20 @@
     }
 }
 
-impl Passing {
+impl StreamedResponseBody {
     /// An answer of which these pieces have come on a connection.
     pub fn new(
         node: u64,
         link: ConnectionId,
         left: mpsc::UnboundedSender<ConnectionId>,
-        sender: SendRequest<Outgoing>,
+        sender: SendRequest<UpstreamRequestBody>,
         first: VecDeque<Bytes>,
         rest: Incoming,
-    ) -> Passing {
+    ) -> StreamedResponseBody {
         let come: u64 = first.iter().map(|piece| piece.len() as u64).sum();
         let size = rest.size_hint().exact().map(|rest| come + rest);
         let stall = Box::pin(tokio::time::sleep(STALL));
-        Passing {
+        StreamedResponseBody {
             node,
             link,
             left,
@@ -376,14 +381,14 @@
         if std::mem::replace(&mut self.over, true) {
             return;
         }
-        let Some(node) = Node::here(self.node) else {
+        let Some(node) = Node::by_number(self.node) else {
             return;
         };
         let (link, outcome) = (self.link, Outcome::Ok);
         if let Some(sender) = self.sender.take() {
-            node.upstream.free_again(link, sender);
+            node.upstream.return_connection(link, sender);
         }
-        node.happened(
+        node.handle(
             if whole {
                 Event::ResponseComplete {
                     connection: link,
@@ -396,7 +401,7 @@
         );
     }
 
-    fn poll(&mut self, context: &mut Context<'_>) -> Polled {
+    fn poll(&mut self, context: &mut Context<'_>) -> PolledFrame {
         if let Some(piece) = self.first.pop_front() {
             if self.first.is_empty() && self.rest.is_end_stream() {
                 self.ends(true);
@@ -434,7 +439,7 @@
     }
 }
 
-impl Drop for Passing {
+impl Drop for StreamedResponseBody {
     fn drop(&mut self) {
         if !self.over {
             // At the node's end nobody listens any more.
--- a/crates/node/src/clients.rs
+++ b/crates/node/src/clients.rs
@@ -3,13 +3,12 @@
 mod backlog;
 mod connection;
 mod connections;
-pub mod late;
 mod reply;
 mod request;
 mod respond;
 
 use crate::node::Node;
-use backlog::{Accepted, Backlog, ACCEPT_AGAIN};
+use backlog::{Accepted, Backlog, ACCEPT_RETRY};
 use connections::Connections;
 use saffronpaddle_lifecycle::Reasons;
 use saffronpaddle_netio::AcceptFailure;
@@ -20,11 +19,11 @@
 use tokio::time::{Instant, MissedTickBehavior};
 
 /// How often connections are looked at for those whose time is up.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+pub const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
 /// How soon, and how often from then on, a connection is looked at whose client would not be seen to leave.
-const UNWATCHED_EVERY: Duration = Duration::from_millis(25);
+const UNWATCHED_SWEEP_INTERVAL: Duration = Duration::from_millis(25);
 /// How often who may make way is looked for while one waits for a place and nobody has ended.
-const ROOM_AGAIN: Duration = Duration::from_millis(5);
+const EVICTION_RETRY: Duration = Duration::from_millis(5);
 
 /// How far the edge node is on its way out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -40,44 +39,44 @@
 
 /// How the node stands towards clients.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Standing {
+pub struct ServingStatus {
     pub phase: Phase,
     /// Whether connections are taken from the listener.
     pub accepts: bool,
     /// Whether the five rules can be kept for new work, and if not, why.
     pub ready: bool,
-    pub why: Reasons,
+    pub reasons: Reasons,
     /// The process was told to stop, and answers all that it has by then.
     pub answer_by: Option<Instant>,
 }
 
-impl Standing {
+impl ServingStatus {
     /// How it stands before anything was seen.
-    pub fn unready() -> Standing {
-        Standing {
+    pub fn unready() -> ServingStatus {
+        ServingStatus {
             phase: Phase::Serving,
             accepts: true,
             ready: false,
-            why: Reasons::default(),
+            reasons: Reasons::default(),
             answer_by: None,
         }
     }
 }
 
 /// Comes back when the edge node has come so far on its way out, or when nobody is left to say so.
-async fn reached(mut standing: watch::Receiver<Standing>, phase: Phase) {
-    let _ = standing.wait_for(|standing| standing.phase >= phase).await;
+async fn reached(mut status: watch::Receiver<ServingStatus>, phase: Phase) {
+    let _ = status.wait_for(|status| status.phase >= phase).await;
 }
 
 /// When unwatched connections are looked at next.
-struct Soon {
+struct UnwatchedSweep {
     /// Told where there is one that was none before.
     unwatched: Rc<Notify>,
     /// None while there is none.
     at: Option<Instant>,
 }
 
-impl Soon {
+impl UnwatchedSweep {
     /// Comes back when they are to be looked at. What has been waited for is kept where this is dropped before.
     async fn due(&mut self) {
         if self.at.is_none() {
@@ -91,7 +90,7 @@
 
     /// They have been looked at; whether there are more.
     fn again(&mut self, more: bool) {
-        self.at = more.then(|| Instant::now() + UNWATCHED_EVERY);
+        self.at = more.then(|| Instant::now() + UNWATCHED_SWEEP_INTERVAL);
     }
 }
 
@@ -102,69 +101,69 @@
     shared: bool,
     node: Rc<Node>,
     most: usize,
-    phase: watch::Receiver<Standing>,
+    phase: watch::Receiver<ServingStatus>,
 ) {
     let (mut connections, mut backlog) = (Connections::new(), Backlog::new(listener));
-    let mut look = tokio::time::interval(LOOK_EVERY);
-    look.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut soon = Soon {
+    let mut sweep = tokio::time::interval(SWEEP_INTERVAL);
+    sweep.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut unwatched_sweep = UnwatchedSweep {
         unwatched: Rc::clone(&connections.unwatched),
         at: None,
     };
-    let mut standing = phase.clone();
+    let mut status = phase.clone();
     let closed = reached(phase.clone(), Phase::Closing);
     tokio::pin!(closed);
     // Accepted, and without a place as yet.
-    let mut waits: Option<Accepted> = None;
+    let mut waiting: Option<Accepted> = None;
     // The machine has no descriptor left for another.
-    let mut lacks = false;
+    let mut descriptors_exhausted = false;
     loop {
         // Ended connections are let go of.
         while connections.tasks.try_join_next().is_some() {}
         let most = node.links.part(most);
-        if waits.is_some() {
+        if waiting.is_some() {
             if connections.tasks.len() >= most {
-                connections.make_way(most);
-            } else if let Some(came) = waits.take() {
+                connections.evict(most);
+            } else if let Some(came) = waiting.take() {
                 connections.admit(came, &node, &phase);
             }
         }
-        let full = waits.is_some() || lacks;
-        let accepts = standing.borrow_and_update().accepts && !full;
+        let full = waiting.is_some() || descriptors_exhausted;
+        let accepts = status.borrow_and_update().accepts && !full;
         if !accepts {
-            backlog.left_alone();
+            backlog.pause();
         }
         tokio::select! {
             accepted = backlog.accept(), if accepts => match accepted {
                 Ok(came) => {
-                    connections.press.accepted(connections.began.elapsed());
-                    waits = Some(came);
+                    connections.pressure.accepted(connections.began.elapsed());
+                    waiting = Some(came);
                 }
                 Err(error) => match AcceptFailure::of(&error) {
                     AcceptFailure::OfOneConnection => {}
                     // The connection waits until there is a descriptor for it.
                     AcceptFailure::NoDescriptor => {
-                        connections.make_way(connections.tasks.len());
-                        lacks = true;
+                        connections.evict(connections.tasks.len());
+                        descriptors_exhausted = true;
                     }
-                    AcceptFailure::Passing => lacks = true,
+                    AcceptFailure::Passing => descriptors_exhausted = true,
                 },
             },
             () = &mut closed => break,
-            Ok(()) = standing.changed() => {}
-            _ = look.tick() => connections.look(),
-            () = soon.due() => soon.again(connections.look_at_unwatched()),
+            Ok(()) = status.changed() => {}
+            _ = sweep.tick() => connections.sweep(),
+            () = unwatched_sweep.due() => unwatched_sweep.again(connections.sweep_unwatched()),
             // One that ends, by itself or not, has closed its socket.
             Some(_) = connections.tasks.join_next(), if full => {
-                lacks = false;
+                descriptors_exhausted = false;
             }
-            () = tokio::time::sleep(if lacks { ACCEPT_AGAIN } else { ROOM_AGAIN }), if full => {
-                lacks = false;
+            () = tokio::time::sleep(if descriptors_exhausted { ACCEPT_RETRY } else { EVICTION_RETRY }), if full => {
+                descriptors_exhausted = false;
             }
         }
     }
-    node.leave();
-    waits
+    node.stop();
+    waiting
         .into_iter()
         .for_each(|came| connections.admit(came, &node, &phase));
     if !shared {
@@ -178,12 +177,12 @@
             ended = connections.tasks.join_next() => if ended.is_none() {
                 break;
             },
-            _ = look.tick() => connections.look(),
-            () = soon.due() => soon.again(connections.look_at_unwatched()),
+            _ = sweep.tick() => connections.sweep(),
+            () = unwatched_sweep.due() => unwatched_sweep.again(connections.sweep_unwatched()),
         }
     }
-    if let Some(front) = &node.front {
-        front.all_over().await;
+    if let Some(websockets) = &node.websockets {
+        websockets.all_closed().await;
     }
 }
 
--- a/crates/node/src/clients/backlog.rs
+++ b/crates/node/src/clients/backlog.rs
@@ -1,6 +1,6 @@
 //! The connections that the machine holds until they are accepted.
 
-use super::late;
+use crate::event_loop;
 use saffronpaddle_netio::AcceptFailure;
 use std::future::poll_fn;
 use std::io;
@@ -11,15 +11,15 @@
 use tokio::time::Instant;
 
 /// Pause after a connection that could not be accepted, for lack of descriptors mostly; shorter where one is closed.
-pub(super) const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
+pub(super) const ACCEPT_RETRY: Duration = Duration::from_millis(20);
 /// How often that is waited for once the node takes no more.
-const PAUSES_AT_THE_END: u32 = 10;
+const MAX_FINAL_RETRIES: u32 = 10;
 
 /// A connection that was accepted.
 pub(super) struct Accepted {
     pub stream: TcpStream,
     /// It came to the machine after this.
-    pub came_after: Instant,
+    pub arrived_after: Instant,
 }
 
 /// The connections that the machine holds until they are accepted.
@@ -48,7 +48,7 @@
     pub(super) async fn accept(&mut self) -> io::Result<Accepted> {
         poll_fn(|context| {
             let accepted = self.listener.poll_accept(context);
-            let since = || late::since().unwrap_or_else(Instant::now);
+            let since = || event_loop::arrived_after().unwrap_or_else(Instant::now);
             match &accepted {
                 // A task that has had its share of the loop is told of nothing, whatever there is.
                 Poll::Pending if !coop::has_budget_remaining() => {}
@@ -58,7 +58,7 @@
             }
             accepted.map_ok(|(stream, _)| Accepted {
                 stream,
-                came_after: self.clear,
+                arrived_after: self.clear,
             })
         })
         .await
@@ -73,13 +73,13 @@
             match accepted {
                 Ok((stream, _)) => rest.push(Accepted {
                     stream,
-                    came_after: self.clear,
+                    arrived_after: self.clear,
                 }),
                 Err(error) if AcceptFailure::of(&error) == AcceptFailure::OfOneConnection => {}
-                Err(_) if pauses >= PAUSES_AT_THE_END => break,
+                Err(_) if pauses >= MAX_FINAL_RETRIES => break,
                 Err(_) => {
                     pauses += 1;
-                    tokio::time::sleep(ACCEPT_AGAIN).await;
+                    tokio::time::sleep(ACCEPT_RETRY).await;
                 }
             }
         }
@@ -87,7 +87,7 @@
     }
 
     /// Nobody waits for what comes.
-    pub(super) fn left_alone(&mut self) {
+    pub(super) fn pause(&mut self) {
         self.behind = true;
     }
 }
--- a/crates/node/src/clients/connection.rs
+++ b/crates/node/src/clients/connection.rs
@@ -2,9 +2,9 @@
 
 use super::reply::CLOSE;
 use super::respond::respond;
-use super::{reached, Phase, Standing};
+use super::{reached, Phase, ServingStatus};
+use crate::downstream::{BusyGuard, DownstreamConnection, ObservedStream};
 use crate::node::Node;
-use crate::seats::{Busy, Seat, Watched};
 use hyper::header::CONNECTION;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
@@ -22,27 +22,27 @@
 use tracing::debug;
 
 /// Most bytes buffered for one client, so that all together stay far from the memory limit.
-const BUFFER_MOST: usize = 32 * 1024;
+const MAX_BUFFER_BYTES: usize = 32 * 1024;
 /// How long a connection that has never asked may still ask once the edge node closes. Guards a request that is on its
 /// way when the node that the machine gave the connection to is told to stop.
-const FIRST_WITHIN: Duration = Duration::from_millis(500);
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 /// Rounds of the loop in which bytes that the machine holds reach a request's reader: the driver's, the connection's and one more.
-const LAST_LOOKS: usize = 3;
+const FINAL_READ_ROUNDS: usize = 3;
 
 /// One client's connection, until it ends or is sent away.
 pub(super) async fn converse(
     stream: Arc<TcpStream>,
     node: Rc<Node>,
-    phase: watch::Receiver<Standing>,
-    seat: Arc<Seat>,
+    phase: watch::Receiver<ServingStatus>,
+    downstream: Arc<DownstreamConnection>,
     unwatched: Rc<Notify>,
 ) {
-    let talk = talk(stream, node, phase, Arc::clone(&seat));
+    let talk = talk(stream, node, phase, Arc::clone(&downstream));
     tokio::pin!(talk);
     loop {
         let watched = poll_fn(|context| {
             let polled = talk.as_mut().poll(context);
-            if polled.is_pending() && seat.is_newly_unwatched() {
+            if polled.is_pending() && downstream.is_newly_unwatched() {
                 unwatched.notify_one();
             }
             polled
@@ -50,44 +50,44 @@
         tokio::select! {
             biased;
             () = watched => return,
-            () = seat.sent_away() => {}
+            () = downstream.evicted() => {}
         }
         // Danger: a request whose last byte comes in the instant in which its connection is closed. What the machine holds
         // is read first; who turns out to have asked stays.
-        for _ in 0..LAST_LOOKS {
+        for _ in 0..FINAL_READ_ROUNDS {
             tokio::task::yield_now().await;
             // No timer: each would take a tick of its own, and a crowd would be let in by the tick.
             if poll_fn(|context| Poll::Ready(talk.as_mut().poll(context).is_ready())).await {
                 return;
             }
         }
-        if !seat.is_busy() {
+        if !downstream.is_busy() {
             debug!(
                 why = "sent_away",
-                asked = seat.asked(),
+                asked = downstream.has_requested(),
                 "a connection closes"
             );
             return;
         }
-        seat.stays();
+        downstream.cancel_eviction();
     }
 }
 
 async fn talk(
     stream: Arc<TcpStream>,
     node: Rc<Node>,
-    phase: watch::Receiver<Standing>,
-    seat: Arc<Seat>,
+    phase: watch::Receiver<ServingStatus>,
+    downstream: Arc<DownstreamConnection>,
 ) {
     let _ = stream.set_nodelay(true);
     let seen = phase.clone();
-    let held = Arc::clone(&seat);
-    let watched = Watched::new(stream, Arc::clone(&seat));
+    let held = Arc::clone(&downstream);
+    let watched = ObservedStream::new(stream, Arc::clone(&downstream));
     let service = service_fn(move |request| {
-        let (node, seen, seat) = (Rc::clone(&node), seen.clone(), Arc::clone(&held));
+        let (node, seen, downstream) = (Rc::clone(&node), seen.clone(), Arc::clone(&held));
         async move {
-            let busy = Busy::new(&seat);
-            let mut reply = respond(&node, request, &seen, &seat).await;
+            let busy = BusyGuard::new(&downstream);
+            let mut reply = respond(&node, request, &seen, &downstream).await;
             reply.body_mut().keep(busy);
             if seen.borrow().phase > Phase::Serving {
                 reply.headers_mut().insert(CONNECTION, CLOSE);
@@ -97,7 +97,8 @@
     });
     let mut http = http1::Builder::new();
     // How long heads may take is seen to from outside.
-    http.header_read_timeout(None).max_buf_size(BUFFER_MOST);
+    http.header_read_timeout(None)
+        .max_buf_size(MAX_BUFFER_BYTES);
     http.auto_date_header(false);
     let connection = http
         .serve_connection(TokioIo::new(watched), service)
@@ -111,10 +112,10 @@
     // What the machine holds is read before the connection counts as idle.
     tokio::task::yield_now().await;
     // Danger: the library takes a kept connection for idle though half of a head has come on it.
-    let wait = match seat.seen() {
+    let wait = match downstream.state() {
         seen if seen.head_started_at.is_some() => Limits::USUAL.head_timeout,
         seen if seen.has_requested => Duration::ZERO,
-        _ => FIRST_WITHIN,
+        _ => FIRST_REQUEST_TIMEOUT,
     };
     // No longer than the process takes requests at all.
     let left = phase
@@ -127,7 +128,7 @@
     }
     debug!(
         why = "process_stops",
-        asked = seat.asked(),
+        asked = downstream.has_requested(),
         waited_ms = wait.as_millis() as u64,
         "a connection closes"
     );
--- a/crates/node/src/clients/connections.rs
+++ b/crates/node/src/clients/connections.rs
@@ -2,9 +2,9 @@
 
 use super::backlog::Accepted;
 use super::connection::converse;
-use super::Standing;
+use super::ServingStatus;
+use crate::downstream::DownstreamConnection;
 use crate::node::Node;
-use crate::seats::Seat;
 use saffronpaddle_connection_eviction::{EvictionPressure, Limits};
 use std::rc::Rc;
 use std::sync::Arc;
@@ -14,33 +14,33 @@
 use tracing::debug;
 
 /// Ended connections that may wait to be forgotten together.
-const ENDED_KEPT: usize = 32;
+const MAX_ENDED_ENTRIES: usize = 32;
 
 /// The connections of all clients.
 pub(super) struct Connections {
     pub(super) began: Instant,
     pub(super) tasks: JoinSet<()>,
     pub(super) entries: Vec<Entry>,
-    pub(super) press: EvictionPressure,
+    pub(super) pressure: EvictionPressure,
     /// A connection is unwatched from now on.
     pub(super) unwatched: Rc<Notify>,
 }
 
 /// One of them. Its socket is its task's; here it is only looked at.
 pub(super) struct Entry {
-    pub(super) seat: Arc<Seat>,
+    pub(super) downstream: Arc<DownstreamConnection>,
     task: AbortHandle,
 }
 
 impl Connections {
     /// None yet.
     pub(super) fn new() -> Connections {
-        let (tasks, entries, press) = (JoinSet::new(), Vec::new(), EvictionPressure::default());
+        let (tasks, entries, pressure) = (JoinSet::new(), Vec::new(), EvictionPressure::default());
         Connections {
             began: Instant::now(),
             tasks,
             entries,
-            press,
+            pressure,
             unwatched: Rc::default(),
         }
     }
@@ -50,23 +50,26 @@
         &mut self,
         accepted: Accepted,
         node: &Rc<Node>,
-        phase: &watch::Receiver<Standing>,
+        phase: &watch::Receiver<ServingStatus>,
     ) {
-        let Accepted { stream, came_after } = accepted;
+        let Accepted {
+            stream,
+            arrived_after,
+        } = accepted;
         let stream = Arc::new(stream);
-        let seat = Seat::new(self.began, came_after, &stream);
+        let downstream = DownstreamConnection::new(self.began, arrived_after, &stream);
         let unwatched = Rc::clone(&self.unwatched);
         let talk = converse(
             stream,
             Rc::clone(node),
             phase.clone(),
-            Arc::clone(&seat),
+            Arc::clone(&downstream),
             unwatched,
         );
         let task = self.tasks.spawn_local(talk);
-        self.entries.push(Entry { seat, task });
+        self.entries.push(Entry { downstream, task });
         // Guards memory: a handle keeps what its task has left behind.
-        if self.entries.len() > self.tasks.len() + ENDED_KEPT {
+        if self.entries.len() > self.tasks.len() + MAX_ENDED_ENTRIES {
             self.tidy();
         }
     }
@@ -77,13 +80,13 @@
     }
 
     /// Has connections go whose time is up, and closes those whose client has gone.
-    pub(super) fn look(&mut self) {
+    pub(super) fn sweep(&mut self) {
         self.tidy();
-        self.look_at_unwatched();
+        self.sweep_unwatched();
         let now = self.began.elapsed();
-        for Entry { seat, .. } in &self.entries {
-            if Limits::USUAL.over(now, &seat.seen()) {
-                seat.send_away();
+        for Entry { downstream, .. } in &self.entries {
+            if Limits::USUAL.over(now, &downstream.state()) {
+                downstream.evict();
             }
         }
     }
@@ -91,11 +94,11 @@
     /// Closes connections whose client has gone unseen, and says whether others are still unwatched. Danger: the library stops
     /// reading where a client has sent more than its request, and does not see that it leaves: what waits would be sent on for
     /// nobody.
-    pub(super) fn look_at_unwatched(&self) -> bool {
+    pub(super) fn sweep_unwatched(&self) -> bool {
         let mut more = false;
-        for Entry { seat, task } in &self.entries {
-            if seat.unwatched() {
-                if seat.has_left() {
+        for Entry { downstream, task } in &self.entries {
+            if downstream.unwatched() {
+                if downstream.client_is_gone() {
                     debug!(why = "client_left", "a connection closes");
                     task.abort();
                 } else {
@@ -108,21 +111,25 @@
 
     /// Has as many make way as are needed for one more, and some for those who come behind it. Guards against crowds that shut
     /// out others: where all places are taken, who has been silent longest goes. None of them is waited for.
-    pub(super) fn make_way(&mut self, most: usize) {
+    pub(super) fn evict(&mut self, most: usize) {
         self.tidy();
         let now = self.began.elapsed();
         let going = self
             .entries
             .iter()
-            .filter(|entry| entry.seat.is_going())
+            .filter(|entry| entry.downstream.is_evicted())
             .count();
-        let way = self.press.evictions(now, most, self.tasks.len(), going);
+        let way = self.pressure.evictions(now, most, self.tasks.len(), going);
         if way.required + way.allowed == 0 {
             return;
         }
-        let seen: Vec<_> = self.entries.iter().map(|entry| entry.seat.seen()).collect();
+        let seen: Vec<_> = self
+            .entries
+            .iter()
+            .map(|entry| entry.downstream.state())
+            .collect();
         for place in Limits::USUAL.choose_evictions(now, &seen, way) {
-            self.entries[place].seat.send_away();
+            self.entries[place].downstream.evict();
         }
     }
 }
--- a/crates/node/src/clients/reply.rs
+++ b/crates/node/src/clients/reply.rs
@@ -15,11 +15,11 @@
 pub(super) const CLOSE: HeaderValue = HeaderValue::from_static("close");
 
 /// An answer to a client.
-pub(super) type Reply = Response<bodies::Reply>;
+pub(super) type Reply = Response<bodies::DownstreamBody>;
 
 /// Turns an upgrade away, and says which version is spoken.
-pub(super) fn not_upgraded(status: StatusCode, words: &'static str) -> Reply {
-    let mut reply = turned_away(status, words);
+pub(super) fn reject_upgrade(status: StatusCode, words: &'static str) -> Reply {
+    let mut reply = reject_and_close(status, words);
     reply
         .headers_mut()
         .insert(SEC_WEBSOCKET_VERSION, upgrade::VERSION);
@@ -27,14 +27,14 @@
 }
 
 /// An answer to what can't be served, after which nothing that comes on the connection is believed.
-pub(super) fn turned_away(status: StatusCode, words: &'static str) -> Reply {
-    let mut reply = plain(status, words);
+pub(super) fn reject_and_close(status: StatusCode, words: &'static str) -> Reply {
+    let mut reply = text_reply(status, words);
     reply.headers_mut().insert(CONNECTION, CLOSE);
     reply
 }
 
 /// The same to what makes no request, which counts as one of its class if its head names one.
-pub(super) fn unread(node: &Node, headers: &HeaderMap, rejected: Rejected) -> Reply {
+pub(super) fn reject_unread(node: &Node, headers: &HeaderMap, rejected: Rejected) -> Reply {
     let Rejected { status, reason } = rejected;
     debug!(
         request = text(headers, "x-request-id"),
@@ -43,41 +43,43 @@
         "turned away"
     );
     if let Some(class) = class_of(&node.named, headers) {
-        node.turned_away(class, RequestEnd::Faulted);
+        node.record_rejection(class, RequestEnd::Faulted);
     }
-    turned_away(status, reason)
+    reject_and_close(status, reason)
 }
 
 /// Two owners of one id would mix up their answers.
-pub(super) fn in_use() -> Reply {
-    turned_away(StatusCode::BAD_REQUEST, "X-Request-Id: in use\n")
+pub(super) fn duplicate_id() -> Reply {
+    reject_and_close(StatusCode::BAD_REQUEST, "X-Request-Id: in use\n")
 }
 
 /// The answer that a request's end stands for.
 pub(super) fn reply(answer: Answer) -> Reply {
     match answer {
         Answer::Served(Payload::Body(body)) => Response::new(body.into()),
-        Answer::Served(Payload::Passing(passing)) => Response::new((*passing).into()),
-        Answer::Served(Payload::Passed(status, body)) => {
+        Answer::Served(Payload::Streaming(passing)) => Response::new((*passing).into()),
+        Answer::Served(Payload::UpgradeRejected(status, body)) => {
             let mut reply = Response::new(body.into());
             *reply.status_mut() = status;
             reply
         }
-        Answer::Refused(retry_in) => refused(retry_in),
+        Answer::Rejected(retry_in) => unavailable(retry_in),
         // Who asked for no socket gets none.
-        Answer::Served(Payload::Switched(_)) | Answer::Failed => plain(StatusCode::BAD_GATEWAY, ""),
+        Answer::Served(Payload::Upgraded(_)) | Answer::Failed => {
+            text_reply(StatusCode::BAD_GATEWAY, "")
+        }
     }
 }
 
 /// Its time was up before it was read: it is refused at once, and nothing of it is sent on.
-pub(super) fn too_late(node: &Node, class: ClassId) -> Reply {
-    node.turned_away(class, RequestEnd::Throttled);
-    refused(None)
+pub(super) fn deadline_passed(node: &Node, class: ClassId) -> Reply {
+    node.record_rejection(class, RequestEnd::Throttled);
+    unavailable(None)
 }
 
 /// Trying again is harmless, and may help after so long.
-pub(super) fn refused(retry_in: Option<Duration>) -> Reply {
-    let mut reply = plain(StatusCode::SERVICE_UNAVAILABLE, "");
+pub(super) fn unavailable(retry_in: Option<Duration>) -> Reply {
+    let mut reply = text_reply(StatusCode::SERVICE_UNAVAILABLE, "");
     let seconds = retry_in.map(|span| format!("{:.3}", span.as_secs_f64()));
     if let Some(value) = seconds.and_then(|seconds| HeaderValue::try_from(seconds).ok()) {
         reply.headers_mut().insert(RETRY_AFTER, value);
@@ -86,7 +88,7 @@
 }
 
 /// A status and a line.
-pub(super) fn plain(status: StatusCode, words: &'static str) -> Reply {
+pub(super) fn text_reply(status: StatusCode, words: &'static str) -> Reply {
     let mut reply = Response::new(words.into());
     *reply.status_mut() = status;
     reply
--- a/crates/node/src/clients/request.rs
+++ b/crates/node/src/clients/request.rs
@@ -1,7 +1,7 @@
 //! The head of a client's request: what it says, all of it within the settings.
 
-use crate::seats::Seat;
-use crate::upstream::{Forward, Going};
+use crate::downstream::DownstreamConnection;
+use crate::upstream::{Forward, ForwardBody};
 use bytes::Bytes;
 use hyper::header::HeaderMap;
 use hyper::{Method, StatusCode};
@@ -23,7 +23,7 @@
     pub plan: PlanId,
     pub customer: CustomerId,
     pub terms: Terms,
-    pub patience: Duration,
+    pub timeout: Duration,
     pub effect: Idempotency,
 }
 
@@ -82,10 +82,10 @@
         .and_then(customer)
         .ok_or(bad("the path does not end with a customer\n"))?;
     let longest = Duration::from_micros(named.longest_deadline);
-    let patience = text(headers, "x-deadline")
+    let timeout = text(headers, "x-deadline")
         .and_then(span)
         .filter(|span| *span <= longest);
-    let patience = patience.ok_or(bad("X-Deadline: missing or bad\n"))?;
+    let timeout = timeout.ok_or(bad("X-Deadline: missing or bad\n"))?;
     let terms = text(headers, "x-call-terms").and_then(|text| Terms::read(text, &named.settings));
     let terms = terms.ok_or(bad("X-Call-Terms: missing or bad\n"))?;
     let effect = named.settings.classes[number].idempotency;
@@ -103,7 +103,7 @@
         plan,
         customer,
         terms,
-        patience,
+        timeout,
         effect,
     })
 }
@@ -111,9 +111,9 @@
 impl RequestHead {
     /// Its client's time began so long ago; `false` where nothing is left of it. Danger: a request that has waited in the machine
     /// while this node was late to take it. Its server would be told time that its client no longer has.
-    pub(super) fn has_waited(&mut self, rested: Duration) -> bool {
-        self.patience = self.patience.saturating_sub(rested);
-        rested.is_zero() || self.patience > DELIVERY
+    pub(super) fn deduct_wait(&mut self, rested: Duration) -> bool {
+        self.timeout = self.timeout.saturating_sub(rested);
+        rested.is_zero() || self.timeout > DELIVERY
     }
 
     /// The request is whole; its client's time runs.
@@ -121,19 +121,19 @@
         self,
         head: hyper::http::request::Parts,
         body: Bytes,
-        seat: &Arc<Seat>,
+        downstream: &Arc<DownstreamConnection>,
     ) -> (Event, Forward) {
-        let patience = self.patience.saturating_sub(DELIVERY);
-        let deadline = Instant::now() + patience;
+        let timeout = self.timeout.saturating_sub(DELIVERY);
+        let deadline = Instant::now() + timeout;
         let event = Event::RequestArrived {
             id: self.id.clone(),
             class: self.class,
             plan: self.plan,
             customer: self.customer,
             units: self.terms.units,
-            first: self.terms.first,
-            spread: self.terms.spread,
-            timeout: patience.as_micros() as u64,
+            first: self.terms.first_member,
+            spread: self.terms.subset_size,
+            timeout: timeout.as_micros() as u64,
             complete: true,
         };
         let target = head
@@ -150,10 +150,10 @@
                 method: head.method,
                 target,
                 key,
-                body: Going::Whole(body),
+                body: ForwardBody::Buffered(body),
                 offer: None,
                 deadline,
-                client: Arc::clone(seat),
+                client: Arc::clone(downstream),
             },
         )
     }
@@ -210,15 +210,15 @@
 #[derive(Debug)]
 pub(super) struct Terms {
     pub units: f64,
-    pub spread: u32,
-    pub first: NodeId,
+    pub subset_size: u32,
+    pub first_member: NodeId,
 }
 
 impl Terms {
     /// Units and a set that the settings have room for. Names that are unknown are passed over; a term that is no
     /// term, or stands twice, spoils all.
     fn read(text: &str, settings: &Settings) -> Option<Terms> {
-        let (mut units, mut spread, mut first) = (None, None, None);
+        let (mut units, mut subset_size, mut first) = (None, None, None);
         let whole = |value: &str| {
             value
                 .bytes()
@@ -237,8 +237,8 @@
                     .replace(number(value).filter(|units| *units > 0.0 && *units <= most)?)
                     .is_some(),
                 "spread" => {
-                    let fits = |spread: &u32| (1..=settings.node_count).contains(spread);
-                    spread.replace(whole(value).filter(fits)?).is_some()
+                    let fits = |subset_size: &u32| (1..=settings.node_count).contains(subset_size);
+                    subset_size.replace(whole(value).filter(fits)?).is_some()
                 }
                 "first" => first
                     .replace(whole(value).filter(|first| *first < settings.node_count)?)
@@ -251,8 +251,8 @@
         }
         Some(Terms {
             units: units?,
-            spread: spread?,
-            first: NodeId(first?),
+            subset_size: subset_size?,
+            first_member: NodeId(first?),
         })
     }
 }
--- a/crates/node/src/clients/respond.rs
+++ b/crates/node/src/clients/respond.rs
@@ -1,15 +1,18 @@
 //! What is done with one request: its body is read, it goes through the node, and its answer is made.
 
 use super::reply::{
-    in_use, not_upgraded, plain, refused, reply, too_late, turned_away, unread, Reply,
+    deadline_passed, duplicate_id, reject_and_close, reject_unread, reject_upgrade, reply,
+    text_reply, unavailable, Reply,
 };
 use super::request::{read, Rejected, RequestHead, DELIVERY};
-use super::Standing;
-use crate::bodies::{joined, Gathered, Pipe, BODY_MOST, LARGEST};
+use super::ServingStatus;
+use crate::bodies::{
+    joined, Gathered, StreamedRequestBody, MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES,
+};
+use crate::downstream::{DownstreamConnection, ObservedStream};
 use crate::node::{Answer, Node, Payload};
-use crate::seats::{Seat, Watched};
-use crate::sockets;
-use crate::upstream::{Forward, Going};
+use crate::upstream::{Forward, ForwardBody};
+use crate::websocket;
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
@@ -30,47 +33,47 @@
 
 /// How long the part of a body that is kept may take from its head on, before any of it has come. Guards against bodies that
 /// stop half-way.
-const BODY_WITHIN: Duration = Duration::from_millis(2500);
+const BODY_TIMEOUT: Duration = Duration::from_millis(2500);
 /// How long so many bytes of it take a slow client that means well; twice what one at 64 kB a second needs.
 const BODY_PACE: (Duration, u32) = (Duration::from_secs(1), 32_000);
 /// How long a body that goes by may take, where its client goes on: the largest at the slowest. What is out for it draws on
 /// nothing meanwhile.
-const COMING_WITHIN: Duration = Duration::from_mins(20);
+const STREAMED_BODY_TIMEOUT: Duration = Duration::from_mins(20);
 
 /// Answers a request.
 pub(super) async fn respond(
     node: &Rc<Node>,
     request: Request<Incoming>,
-    phase: &watch::Receiver<Standing>,
-    seat: &Arc<Seat>,
+    phase: &watch::Receiver<ServingStatus>,
+    downstream: &Arc<DownstreamConnection>,
 ) -> Reply {
     // Guards against a request that hides another in its body: of a length and an encoding, hyper drops one unseen.
     let coding = request.headers().get(TRANSFER_ENCODING);
-    if coding
-        .is_some_and(|coding| seat.hides() || !coding.as_bytes().eq_ignore_ascii_case(b"chunked"))
-    {
+    if coding.is_some_and(|coding| {
+        downstream.is_ambiguously_framed() || !coding.as_bytes().eq_ignore_ascii_case(b"chunked")
+    }) {
         let reason = "a body has a Content-Length or is chunked, not both\n";
         let rejected = Rejected {
             status: StatusCode::BAD_REQUEST,
             reason,
         };
-        return unread(node, request.headers(), rejected);
+        return reject_unread(node, request.headers(), rejected);
     }
     if request.method() == Method::GET && request.uri().path() == "/-/ready" {
-        let standing = phase.borrow().clone();
-        let status = if standing.ready {
+        let serving = phase.borrow().clone();
+        let status = if serving.ready {
             StatusCode::OK
         } else {
             StatusCode::SERVICE_UNAVAILABLE
         };
-        let mut reply = Response::new(standing.why.to_string().into());
+        let mut reply = Response::new(serving.reasons.to_string().into());
         *reply.status_mut() = status;
         return reply;
     }
-    let (mut request, offer) = match node.front {
+    let (mut request, offer) = match node.websockets {
         Some(_) => match upgrade::read(request.method(), request.version(), request.headers()) {
             Ok(offer) => (request, offer),
-            Err((status, what)) => return not_upgraded(status, what),
+            Err((status, what)) => return reject_upgrade(status, what),
         },
         None => (request, None),
     };
@@ -78,39 +81,39 @@
     let (head, body) = request.into_parts();
     let mut asked = match read(&node.named, &head) {
         Ok(asked) => asked,
-        Err(rejected) => return unread(node, &head.headers, rejected),
+        Err(rejected) => return reject_unread(node, &head.headers, rejected),
     };
     let class = asked.class;
-    let turned_away = |status, what| {
-        node.turned_away(class, RequestEnd::Faulted);
-        turned_away(status, what)
+    let reject_and_close = |status, what| {
+        node.record_rejection(class, RequestEnd::Faulted);
+        reject_and_close(status, what)
     };
     if let (Some(offer), Some(upgrades)) = (offer, upgrades) {
-        return socket(node, asked, head, offer, upgrades, seat).await;
+        return socket(node, asked, head, offer, upgrades, downstream).await;
     }
-    if body.size_hint().lower() > LARGEST {
-        return turned_away(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large\n");
+    if body.size_hint().lower() > MAX_BODY_BYTES {
+        return reject_and_close(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large\n");
     }
     let size = body.size_hint().exact();
     let (body, pipe) = match gather(body).await {
         Some(Ok(body)) => (body, None),
         Some(Err((first, rest))) => (Bytes::new(), Some((first, rest))),
-        None => return turned_away(StatusCode::BAD_REQUEST, "the body did not come whole\n"),
+        None => return reject_and_close(StatusCode::BAD_REQUEST, "the body did not come whole\n"),
     };
     if asked.effect == Idempotency::Idempotent && (pipe.is_some() || !body.is_empty()) {
-        return turned_away(StatusCode::BAD_REQUEST, "this class takes no body\n");
+        return reject_and_close(StatusCode::BAD_REQUEST, "this class takes no body\n");
     }
     // The time of one whose body goes by has not begun.
-    if pipe.is_none() && !asked.has_waited(seat.rested()) {
-        return too_late(node, class);
+    if pipe.is_none() && !asked.deduct_wait(downstream.time_queued()) {
+        return deadline_passed(node, class);
     }
-    let patience = asked.patience.saturating_sub(DELIVERY);
-    let (mut event, mut forward) = asked.arrived(head, body, seat);
+    let timeout = asked.timeout.saturating_sub(DELIVERY);
+    let (mut event, mut forward) = asked.arrived(head, body, downstream);
     let pipe = pipe.map(|(first, rest)| {
-        Rc::new(Pipe::new(
+        Rc::new(StreamedRequestBody::new(
             node.number(),
             forward.id.clone(),
-            patience,
+            timeout,
             size,
             first,
             rest,
@@ -118,15 +121,15 @@
     });
     if let Some(pipe) = &pipe {
         // Its client's time begins with its last byte.
-        forward.body = Going::Coming(Rc::clone(pipe));
-        forward.deadline = Instant::now() + COMING_WITHIN;
+        forward.body = ForwardBody::Streamed(Rc::clone(pipe));
+        forward.deadline = Instant::now() + STREAMED_BODY_TIMEOUT;
         if let Event::RequestArrived {
-            timeout: patience,
+            timeout,
             complete: whole,
             ..
         } = &mut event
         {
-            (*patience, *whole) = (COMING_WITHIN.as_micros() as u64, false);
+            (*timeout, *whole) = (STREAMED_BODY_TIMEOUT.as_micros() as u64, false);
         }
     }
     let answer = ask(node, event, forward).await;
@@ -137,15 +140,15 @@
     if let Some(answer) = answer {
         return reply(answer);
     }
-    node.turned_away(class, RequestEnd::Faulted);
-    in_use()
+    node.record_rejection(class, RequestEnd::Faulted);
+    duplicate_id()
 }
 
 /// Reads a body that is kept; of one that is too large for that, what had come when that was clear. `None` if it broke off, or
 /// came too slowly.
 async fn gather(mut body: Incoming) -> Option<Gathered> {
     let (mut pieces, mut size) = (VecDeque::new(), 0);
-    if body.size_hint().lower() > BODY_MOST as u64 {
+    if body.size_hint().lower() > MAX_BUFFERED_BODY_BYTES as u64 {
         return Some(Err((pieces, body)));
     }
     if body.is_end_stream() {
@@ -153,7 +156,8 @@
     }
     let began = Instant::now();
     loop {
-        let until = began + BODY_WITHIN + BODY_PACE.0.mul_f64(size as f64 / f64::from(BODY_PACE.1));
+        let until =
+            began + BODY_TIMEOUT + BODY_PACE.0.mul_f64(size as f64 / f64::from(BODY_PACE.1));
         let Some(frame) = tokio::time::timeout_at(until, body.frame()).await.ok()? else {
             break;
         };
@@ -162,7 +166,7 @@
         };
         size += data.len();
         pieces.push_back(data);
-        if size > BODY_MOST {
+        if size > MAX_BUFFERED_BODY_BYTES {
             return Some(Err((pieces, body)));
         }
     }
@@ -176,38 +180,38 @@
     head: hyper::http::request::Parts,
     offer: Offer,
     upgrades: OnUpgrade,
-    seat: &Arc<Seat>,
+    downstream: &Arc<DownstreamConnection>,
 ) -> Reply {
-    let Some(front) = node
-        .front
+    let Some(websockets) = node
+        .websockets
         .as_ref()
-        .filter(|front| front.class == asked.class)
+        .filter(|websockets| websockets.class == asked.class)
     else {
-        return not_upgraded(
+        return reject_upgrade(
             StatusCode::BAD_REQUEST,
             "this class is not that of sockets\n",
         );
     };
-    if !asked.has_waited(seat.rested()) {
-        return too_late(node, asked.class);
+    if !asked.deduct_wait(downstream.time_queued()) {
+        return deadline_passed(node, asked.class);
     }
-    let place = match front.admit(node, asked.customer, asked.terms.spread) {
+    let place = match websockets.admit(node, asked.customer, asked.terms.subset_size) {
         Ok(place) => place,
         Err(shut) => {
-            let mut reply = refused(Some(Duration::from_micros(shut.retry_in)));
+            let mut reply = unavailable(Some(Duration::from_micros(shut.retry_in)));
             *reply.body_mut() = shut.why.into();
             return reply;
         }
     };
-    let (event, mut forward) = asked.arrived(head, Bytes::new(), seat);
+    let (event, mut forward) = asked.arrived(head, Bytes::new(), downstream);
     forward.offer = Some(offer);
     let Some(answer) = ask(node, event, forward).await else {
-        return in_use();
+        return duplicate_id();
     };
-    let Answer::Served(Payload::Switched(switched)) = answer else {
+    let Answer::Served(Payload::Upgraded(switched)) = answer else {
         return reply(answer);
     };
-    let mut answer = plain(StatusCode::SWITCHING_PROTOCOLS, "");
+    let mut answer = text_reply(StatusCode::SWITCHING_PROTOCOLS, "");
     let headers = answer.headers_mut();
     headers.insert(CONNECTION, HeaderValue::from_static("upgrade"));
     headers.insert(UPGRADE, HeaderValue::from_static("websocket"));
@@ -215,11 +219,11 @@
     tokio::task::spawn_local(async move {
         // It fails where the client has gone before its answer.
         let Ok(upgraded) = upgrades.await else { return };
-        let Ok(parts) = upgraded.downcast::<TokioIo<Watched>>() else {
+        let Ok(parts) = upgraded.downcast::<TokioIo<ObservedStream>>() else {
             return;
         };
         if let Some(stream) = parts.io.into_inner().into_inner() {
-            sockets::relay(place, stream, parts.read_buf, *switched).await;
+            websocket::relay(place, stream, parts.read_buf, *switched).await;
         }
     });
     answer
@@ -241,7 +245,7 @@
 /// Waits for a request's final answer; `None` if its id is in use.
 async fn ask(node: &Rc<Node>, event: Event, forward: Forward) -> Option<Answer> {
     let id = forward.id.clone();
-    let (answered, ticket) = node.take(event, forward)?;
+    let (answered, ticket) = node.submit(event, forward)?;
     let _waiting = Waiting { node, id, ticket };
     Some(answered.await.unwrap_or(Answer::Failed))
 }
--- a/crates/node/src/clients/tests.rs
+++ b/crates/node/src/clients/tests.rs
@@ -1,7 +1,7 @@
 use super::request::{customer, span};
 use super::*;
 use crate::config::Config;
-use crate::handover::Links;
+use crate::hot_restart::ProcessLinks;
 use crate::upstream::Upstream;
 use saffronpaddle_policy::interface::CustomerId;
 use saffronpaddle_test_doubles::settings::{configuration, Fleet, Places};
@@ -25,7 +25,7 @@
     let named = Config::parse(std::path::Path::new("none"), &text)
         .expect("a good configuration")
         .named;
-    let bounds = (100, Links::new("n0", false));
+    let bounds = (100, ProcessLinks::new("n0", false));
     Node::new(1, named, Upstream::new(), bounds, None, None, None).expect("a node")
 }
 
@@ -38,7 +38,7 @@
         .build()
         .expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let (node, (_standing, seen)) = (node(), watch::channel(Standing::unready()));
+        let (node, (_standing, seen)) = (node(), watch::channel(ServingStatus::unready()));
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let (half, rest) = ("GET /-/ready HTTP/1.1\r\nHo", "st: n0\r\n\r\n");
         for (first, then, status) in [(half, rest, "HTTP/1.1 503"), (half, "", ""), ("", "", "")] {
@@ -49,18 +49,24 @@
             connections.admit(
                 Accepted {
                     stream,
-                    came_after: Instant::now(),
+                    arrived_after: Instant::now(),
                 },
                 &node,
                 &seen,
             );
             client.write_all(first.as_bytes()).expect("written");
-            while connections.entries[0].seat.seen().head_started_at.is_some() == first.is_empty() {
+            while connections.entries[0]
+                .downstream
+                .state()
+                .head_started_at
+                .is_some()
+                == first.is_empty()
+            {
                 tokio::task::yield_now().await;
             }
             // The machine has the rest, and this node's loop has not looked yet.
             client.write_all(then.as_bytes()).expect("written");
-            connections.make_way(1);
+            connections.evict(1);
             connections.tasks.join_next().await;
             client.set_nonblocking(true).expect("it can be");
             let mut got = String::new();
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -53,13 +53,13 @@
     #[serde(default)]
     pub block: u64,
     pub health: Health,
-    #[serde(default = "full_share")]
+    #[serde(default = "default_weight")]
     pub share: f64,
     #[serde(default)]
     pub born_ms: u64,
 }
 
-fn full_share() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
@@ -91,31 +91,31 @@
 
 #[derive(Deserialize)]
 struct Limits {
-    #[serde(default = "few_sockets")]
+    #[serde(default = "default_sockets")]
     sockets: usize,
-    #[serde(default = "little_memory")]
+    #[serde(default = "default_memory_mb")]
     memory_mb: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Limits {
-            sockets: few_sockets(),
-            memory_mb: little_memory(),
+            sockets: default_sockets(),
+            memory_mb: default_memory_mb(),
         }
     }
 }
 
-fn few_sockets() -> usize {
+fn default_sockets() -> usize {
     1024
 }
 
-fn little_memory() -> usize {
+fn default_memory_mb() -> usize {
     32
 }
 
 /// Fewer descriptors than this leave no room for clients beside app servers.
-const FEWEST_SOCKETS: usize = 64;
+const MIN_SOCKETS: usize = 64;
 
 impl From<Health> for EndpointStatus {
     fn from(health: Health) -> EndpointStatus {
@@ -192,8 +192,8 @@
             .context("settings")?;
         named.settings.check().context("settings")?;
         ensure!(
-            file.limits.sockets >= FEWEST_SOCKETS,
-            "limits.sockets: {FEWEST_SOCKETS} are needed"
+            file.limits.sockets >= MIN_SOCKETS,
+            "limits.sockets: {MIN_SOCKETS} are needed"
         );
         let peers = file.peer_listen.map(|listen| PeerAddresses {
             listen,
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -19,8 +19,8 @@
 use std::net::SocketAddr;
 use std::pin::{pin, Pin};
 use std::rc::{Rc, Weak};
-use std::sync::{Arc, Weak as Looked};
-use std::task::{Context as Polled, Poll};
+use std::sync::{Arc, Weak as WeakArc};
+use std::task::{Context as TaskContext, Poll};
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::sync::{watch, Notify};
@@ -30,114 +30,114 @@
 
 /// A watch says something every 2 s; one that is this late is taken for dead. Guards drains: what discovery
 /// has to tell counts as told 6 s later, also on a watch that nobody serves any more.
-const SILENT_FOR: Duration = Duration::from_secs(3);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(3);
 /// Servers of the longest list that is read, and bytes of one in the full form with room for long names: 40,000 of ten letters each take
 /// 124 bytes a server.
-const SERVERS_MOST: usize = 40_000;
-const SERVER_MOST: usize = 256;
+const MAX_SERVERS: usize = 40_000;
+const MAX_BYTES_PER_SERVER: usize = 256;
 /// Most bytes of one list. Guards memory: its text is kept until its last byte has come, and then stands beside its entries.
-const LIST_MOST: usize = SERVERS_MOST * SERVER_MOST;
+const MAX_LIST_BYTES: usize = MAX_SERVERS * MAX_BYTES_PER_SERVER;
 
 /// How one address stands to the list.
 #[derive(Default)]
-struct Word {
+struct WatchStatus {
     /// It has told its first list.
-    told: Cell<bool>,
+    listed: Cell<bool>,
     first: Notify,
     /// A watch of it is open.
     open: Cell<bool>,
     /// The connection of that watch, and whether all that was read of it has been taken.
-    watch: RefCell<Looked<TcpStream>>,
+    watch: RefCell<WeakArc<TcpStream>>,
     taken: Cell<bool>,
     /// Connections of calls that are not answered yet.
-    asked: RefCell<Vec<Looked<TcpStream>>>,
+    calls: RefCell<Vec<WeakArc<TcpStream>>>,
     /// Discovery has moved: nothing new is asked of this one.
-    left: Cell<bool>,
+    abandoned: Cell<bool>,
 }
 
-impl Word {
+impl WatchStatus {
     /// Whether something of it has come that the node has not taken yet: on its watch, or as the answer to a call.
-    fn is_behind(&self) -> bool {
+    fn is_unread(&self) -> bool {
         let has_more =
-            |stream: &Looked<TcpStream>| stream.upgrade().is_some_and(|stream| !is_quiet(&stream));
+            |stream: &WeakArc<TcpStream>| stream.upgrade().is_some_and(|stream| !is_quiet(&stream));
         (self.open.get() && (!self.taken.get() || has_more(&self.watch.borrow())))
-            || self.asked.borrow().iter().any(has_more)
+            || self.calls.borrow().iter().any(has_more)
     }
 
     /// A call is out.
-    fn asks(&self, stream: &Arc<TcpStream>) {
-        let mut asked = self.asked.borrow_mut();
-        asked.retain(|stream| stream.strong_count() > 0);
-        asked.push(Arc::downgrade(stream));
+    fn record_call(&self, stream: &Arc<TcpStream>) {
+        let mut calls = self.calls.borrow_mut();
+        calls.retain(|stream| stream.strong_count() > 0);
+        calls.push(Arc::downgrade(stream));
     }
 }
 
 /// The addresses of discovery that are followed now: one, or two while it moves.
 #[derive(Default)]
-pub struct Words(RefCell<Vec<Weak<Word>>>);
+pub struct WatchStatuses(RefCell<Vec<Weak<WatchStatus>>>);
 
-impl Words {
-    fn follow(&self, word: &Rc<Word>) {
-        let mut words = self.0.borrow_mut();
-        words.retain(|word| word.strong_count() > 0);
-        words.push(Rc::downgrade(word));
+impl WatchStatuses {
+    fn follow(&self, status: &Rc<WatchStatus>) {
+        let mut statuses = self.0.borrow_mut();
+        statuses.retain(|status| status.strong_count() > 0);
+        statuses.push(Rc::downgrade(status));
     }
 
     /// Whether news of the list has come to this machine that the node has not taken yet. Danger: a loop that was late, which
     /// finds a drain and a request waiting for it and writes the request first.
-    pub fn are_behind(&self) -> bool {
+    pub fn are_unread(&self) -> bool {
         self.0
             .borrow()
             .iter()
             .filter_map(Weak::upgrade)
-            .any(|word| word.is_behind())
+            .any(|status| status.is_unread())
     }
 }
 
 /// Applies versions of one address in order. `known` may be old, and a watch may tell again what is known.
 struct Follower {
     node: Rc<Node>,
-    word: Rc<Word>,
+    status: Rc<WatchStatus>,
     /// The version that was taken last, as this address numbers them.
     seq: Option<u64>,
     /// Whether the last call was answered with a watch.
     opened: bool,
     /// What the installation says of its list service, if it says anything; and what the service said of the next call.
-    terms: Option<PollLimits>,
-    come_back: Option<Duration>,
+    poll_limits: Option<PollLimits>,
+    retry_after: Option<Duration>,
     /// Whether an empty list is in doubt.
-    doubt: EmptyListProtection,
-    born: Instant,
+    empty_list: EmptyListProtection,
+    started_at: Instant,
 }
 
 impl Follower {
     /// How long a call may take to be answered.
-    fn answers(&self) -> Duration {
-        self.terms
+    fn answer_timeout(&self) -> Duration {
+        self.poll_limits
             .as_ref()
-            .map_or(SILENT_FOR, |terms| terms.answer_within)
+            .map_or(WATCH_TIMEOUT, |poll_limits| poll_limits.answer_within)
     }
 
     /// Whether a list is to be believed; one that is not is asked for whole again.
-    fn believes(&mut self, list: &List) -> bool {
-        let Some(terms) = self.terms.as_ref().filter(|_| list.whole) else {
+    fn accepts_list(&mut self, list: &List) -> bool {
+        let Some(poll_limits) = self.poll_limits.as_ref().filter(|_| list.whole) else {
             return true;
         };
         let known = self.node.ready();
-        let believed = self.doubt.accepts(
-            self.born.elapsed(),
+        let accepted = self.empty_list.accepts(
+            self.started_at.elapsed(),
             list.hosts.len(),
             known,
-            terms.empty_after,
+            poll_limits.empty_after,
         );
-        if !believed {
+        if !accepted {
             warn!(
                 servers = known,
-                empty_for_ms = terms.empty_after.as_millis() as u64,
+                empty_for_ms = poll_limits.empty_after.as_millis() as u64,
                 "discovery: its list is empty; the known servers are kept until that has lasted"
             );
         }
-        believed
+        accepted
     }
 
     fn take(&mut self, list: &List) {
@@ -147,16 +147,16 @@
             hosts = list.hosts.len(),
             "discovery: a list"
         );
-        if !self.believes(list) {
+        if !self.accepts_list(list) {
             return;
         }
         if list.whole || self.seq.is_none_or(|seq| list.seq > seq) {
             self.seq = Some(list.seq);
-            self.node.listed(list);
-            self.node.remember(list);
+            self.node.on_discovery_list(list);
+            self.node.record_list(list);
         }
-        if !self.word.told.replace(true) {
-            self.word.first.notify_one();
+        if !self.status.listed.replace(true) {
+            self.status.first.notify_one();
         }
     }
 }
@@ -168,19 +168,19 @@
     node: Rc<Node>,
     mut address: watch::Receiver<SocketAddr>,
     known: Option<List>,
-    terms: Option<PollLimits>,
+    poll_limits: Option<PollLimits>,
 ) {
     let place = (node.named.settings.node.0, node.named.settings.node_count);
-    let born = Instant::now();
+    let started_at = Instant::now();
     let follower = || Follower {
         node: Rc::clone(&node),
-        word: Rc::default(),
+        status: Rc::default(),
         seq: None,
         opened: false,
-        terms: terms.clone(),
-        come_back: None,
-        doubt: EmptyListProtection::default(),
-        born,
+        poll_limits: poll_limits.clone(),
+        retry_after: None,
+        empty_list: EmptyListProtection::default(),
+        started_at,
     };
     let mut first = follower();
     if let Some(known) = known {
@@ -188,80 +188,80 @@
             whole: true,
             ..known
         });
-        first.word = Rc::default();
+        first.status = Rc::default();
     }
     // Danger: a fleet that starts at one stroke, whose first calls take the service away from all that it serves.
-    if let Some(first) = terms
+    if let Some(first) = poll_limits
         .as_ref()
-        .map(|terms| terms.first_call(place, fastrand::f64()))
+        .map(|poll_limits| poll_limits.first_call(place, fastrand::f64()))
     {
         tokio::time::sleep(first).await;
     }
     let mut next = Some(first);
-    let mut before: Option<Staying> = None;
+    let mut previous: Option<WatchTask> = None;
     loop {
         // Guards against versions of one discovery that are numbered otherwise than those of the next: each has its own.
         let follower = next.take().unwrap_or_else(follower);
-        let (word, now) = (Rc::clone(&follower.word), *address.borrow_and_update());
-        node.words.follow(&word);
-        let mut staying: Staying = (Rc::clone(&word), Box::pin(stay(follower, now)));
+        let (status, now) = (Rc::clone(&follower.status), *address.borrow_and_update());
+        node.watch_statuses.follow(&status);
+        let mut current: WatchTask = (Rc::clone(&status), Box::pin(follow_address(follower, now)));
         loop {
             tokio::select! {
                 biased;
                 Ok(()) = address.changed() => break,
-                () = word.first.notified() => before = None,
-                () = &mut staying.1 => {}
-                () = left(&mut before) => before = None,
+                () = status.first.notified() => previous = None,
+                () = &mut current.1 => {}
+                () = follow_previous(&mut previous) => previous = None,
             }
         }
         // Of two that were left, the one that is heard: there are never more than two.
-        if word.told.get() || before.is_none() {
-            word.left.set(true);
-            before = Some(staying).filter(|_| word.open.get());
+        if status.listed.get() || previous.is_none() {
+            status.abandoned.set(true);
+            previous = Some(current).filter(|_| status.open.get());
         }
     }
 }
 
 /// A call on one address that goes on, and how that stands.
-type Staying = (Rc<Word>, Pin<Box<dyn Future<Output = ()>>>);
+type WatchTask = (Rc<WatchStatus>, Pin<Box<dyn Future<Output = ()>>>);
 
 /// Hears on the watch of an address that was left, until it ends.
-async fn left(before: &mut Option<Staying>) {
-    match before {
-        Some((_, staying)) => staying.await,
+async fn follow_previous(previous: &mut Option<WatchTask>) {
+    match previous {
+        Some((_, current)) => current.await,
         None => pending().await,
     }
 }
 
 /// Follows the list at one address, until that was left and its watch has ended.
-async fn stay(mut follower: Follower, address: SocketAddr) {
+async fn follow_address(mut follower: Follower, address: SocketAddr) {
     let nodes = follower.node.named.settings.node_count;
     let pushed = follower.node.named.settings.discovery == DiscoveryMode::Pushed;
-    let mut pace = match &follower.terms {
-        Some(terms) => PollBackoff::with_limits(nodes, terms),
+    let mut backoff = match &follower.poll_limits {
+        Some(poll_limits) => PollBackoff::with_limits(nodes, poll_limits),
         // Where lists are pushed the address is the agent of this machine.
         None if pushed => PollBackoff::for_agent(),
         None => PollBackoff::for_fleet(nodes),
     };
-    let mut told = false;
+    let mut logged = false;
     loop {
         follower.opened = false;
-        let ended = watch_list(&mut follower, address, &mut pace).await;
-        follower.word.open.set(false);
-        if follower.word.left.get() {
+        let ended = watch_list(&mut follower, address, &mut backoff).await;
+        follower.status.open.set(false);
+        if follower.status.abandoned.get() {
             return;
         }
         if let Err(error) = ended {
-            if !std::mem::replace(&mut told, true) {
+            if !std::mem::replace(&mut logged, true) {
                 warn!("discovery: {error:#}");
             }
         }
-        let pause = match follower.come_back.take() {
-            Some(after) => pace.after_response(after, fastrand::f64()),
-            None if follower.opened => pace.after_watch_end(fastrand::f64()),
-            None => pace.after_failure(fastrand::f64()),
+        let pause = match follower.retry_after.take() {
+            Some(after) => backoff.after_response(after, fastrand::f64()),
+            None if follower.opened => backoff.after_watch_end(fastrand::f64()),
+            None => backoff.after_failure(fastrand::f64()),
         };
-        told &= !follower.opened;
+        logged &= !follower.opened;
         tokio::time::sleep(pause).await;
     }
 }
@@ -271,7 +271,7 @@
 struct Driver(Option<Pin<Box<dyn Future<Output = ()>>>>);
 
 impl Driver {
-    fn drive(&mut self, context: &mut Polled<'_>) {
+    fn drive(&mut self, context: &mut TaskContext<'_>) {
         // How it ended shows in the watch.
         if self
             .0
@@ -288,12 +288,15 @@
     driver: Driver,
     body: Incoming,
     /// Its connection, to be looked at.
-    stream: Looked<TcpStream>,
+    stream: WeakArc<TcpStream>,
 }
 
 impl Watch {
     /// The next frame; none has come only once all that the machine holds was read.
-    fn poll_next(&mut self, context: &mut Polled<'_>) -> Poll<Option<hyper::Result<Frame<Bytes>>>> {
+    fn poll_next(
+        &mut self,
+        context: &mut TaskContext<'_>,
+    ) -> Poll<Option<hyper::Result<Frame<Bytes>>>> {
         // Danger: the library reads on only once the last frame has been taken and the next is asked for.
         for _ in 0..2 {
             self.driver.drive(context);
@@ -307,28 +310,28 @@
 }
 
 /// What a call was answered that is no watch.
-enum NoWatch {
+enum WatchError {
     /// The service has said when to come back.
-    ComeBack(StatusCode, Duration),
+    RetryAfter(StatusCode, Duration),
     Failed(anyhow::Error),
 }
 
 /// One call, until it is answered. `answers`: how long that may take, with the connection.
 async fn call(
-    word: Rc<Word>,
+    status: Rc<WatchStatus>,
     address: SocketAddr,
     path: String,
-    answers: Duration,
-) -> Result<Watch, NoWatch> {
+    answer_timeout: Duration,
+) -> Result<Watch, WatchError> {
     let opened = async {
-        let by = Instant::now() + answers;
+        let by = Instant::now() + answer_timeout;
         let connect = TcpStream::connect(address);
-        let stream = timeout(SILENT_FOR.min(answers), connect)
+        let stream = timeout(WATCH_TIMEOUT.min(answer_timeout), connect)
             .await
             .context("it does not come up")??;
         let stream = Arc::new(stream);
-        let looked = Arc::downgrade(&stream);
-        word.asks(&stream);
+        let weak_stream = Arc::downgrade(&stream);
+        status.record_call(&stream);
         let (mut sender, connection) = http1::handshake(TokioIo::new(Socket::new(stream))).await?;
         let mut driver = Driver(Some(Box::pin(async move { _ = connection.await })));
         let request = Request::builder()
@@ -342,9 +345,9 @@
         let answer = timeout_at(by, answer)
             .await
             .context("the call is not answered")??;
-        anyhow::Ok((driver, looked, answer))
+        anyhow::Ok((driver, weak_stream, answer))
     };
-    let (driver, stream, answer) = opened.await.map_err(NoWatch::Failed)?;
+    let (driver, stream, answer) = opened.await.map_err(WatchError::Failed)?;
     if answer.status() == StatusCode::OK {
         return Ok(Watch {
             driver,
@@ -356,37 +359,42 @@
         .headers()
         .get(RETRY_AFTER)
         .and_then(|after| after.to_str().ok()?.trim().parse().ok());
-    let failed = || NoWatch::Failed(anyhow!("the watch was answered {}", answer.status()));
+    let failed = || WatchError::Failed(anyhow!("the watch was answered {}", answer.status()));
     Err(after.map_or_else(failed, |after| {
-        NoWatch::ComeBack(answer.status(), Duration::from_secs(after))
+        WatchError::RetryAfter(answer.status(), Duration::from_secs(after))
     }))
 }
 
 /// Calls again and again, also while earlier calls are still open, until one is answered with a watch. The others end with it.
-async fn soonest(
-    word: &Rc<Word>,
+async fn call_hedged(
+    status: &Rc<WatchStatus>,
     address: SocketAddr,
     path: &str,
-    answers: Duration,
-    pace: &mut PollBackoff,
-    mut beside: Duration,
+    answer_timeout: Duration,
+    backoff: &mut PollBackoff,
+    mut hedge_delay: Duration,
 ) -> Watch {
     let mut calls = JoinSet::new();
-    let mut told = false;
+    let mut logged = false;
     loop {
         let begun = Instant::now();
         debug!(%address, "discovery: a call begins");
-        calls.spawn_local(call(Rc::clone(word), address, path.to_owned(), answers));
-        let next = sleep(beside);
+        calls.spawn_local(call(
+            Rc::clone(status),
+            address,
+            path.to_owned(),
+            answer_timeout,
+        ));
+        let next = sleep(hedge_delay);
         tokio::pin!(next);
         loop {
             let error = tokio::select! {
                 () = &mut next => break,
                 Some(ended) = calls.join_next() => match ended {
                     Ok(Ok(watch)) => return watch,
-                    Ok(Err(NoWatch::Failed(error))) => error,
-                    Ok(Err(NoWatch::ComeBack(status, after))) => {
-                        let pause = pace.after_hedged_response(after, begun.elapsed(), fastrand::f64());
+                    Ok(Err(WatchError::Failed(error))) => error,
+                    Ok(Err(WatchError::RetryAfter(status, after))) => {
+                        let pause = backoff.after_hedged_response(after, begun.elapsed(), fastrand::f64());
                         debug!(%status, ?after, ?pause, "discovery: told to come back");
                         if let Some(pause) = pause {
                             next.as_mut().reset(Instant::now() + pause);
@@ -397,11 +405,11 @@
                 },
             };
             debug!(error = format!("{error:#}"), "discovery: a call failed");
-            if !std::mem::replace(&mut told, true) {
+            if !std::mem::replace(&mut logged, true) {
                 warn!("discovery: {error:#}");
             }
         }
-        beside = pace.hedge_delay(fastrand::f64()).unwrap_or(beside);
+        hedge_delay = backoff.hedge_delay(fastrand::f64()).unwrap_or(hedge_delay);
     }
 }
 
@@ -409,51 +417,65 @@
 async fn watch_list(
     follower: &mut Follower,
     address: SocketAddr,
-    pace: &mut PollBackoff,
+    backoff: &mut PollBackoff,
 ) -> Result<()> {
     // A list that is in doubt is asked for whole.
-    let settles = follower
-        .terms
-        .as_ref()
-        .and_then(|terms| follower.doubt.poll_again_after(terms.empty_after));
+    let settles = follower.poll_limits.as_ref().and_then(|poll_limits| {
+        follower
+            .empty_list
+            .poll_again_after(poll_limits.empty_after)
+    });
     let from = follower.seq.filter(|_| settles.is_none());
     let from = from.map_or(String::new(), |seq| format!("&from={seq}"));
     let path = format!("/api/targets?watch=1{from}");
-    let answers = pace.answer_within().unwrap_or_else(|| follower.answers());
-    let word = Rc::clone(&follower.word);
-    let mut watch = match pace.hedge_delay(fastrand::f64()) {
-        Some(beside) => soonest(&word, address, &path, answers, pace, beside).await,
-        None => match call(Rc::clone(&word), address, path, answers).await {
+    let answer_timeout = backoff
+        .answer_within()
+        .unwrap_or_else(|| follower.answer_timeout());
+    let status = Rc::clone(&follower.status);
+    let mut watch = match backoff.hedge_delay(fastrand::f64()) {
+        Some(hedge_delay) => {
+            call_hedged(
+                &status,
+                address,
+                &path,
+                answer_timeout,
+                backoff,
+                hedge_delay,
+            )
+            .await
+        }
+        None => match call(Rc::clone(&status), address, path, answer_timeout).await {
             Ok(watch) => watch,
-            Err(NoWatch::Failed(error)) => return Err(error),
-            Err(NoWatch::ComeBack(status, after)) => {
-                follower.come_back = Some(after);
+            Err(WatchError::Failed(error)) => return Err(error),
+            Err(WatchError::RetryAfter(status, after)) => {
+                follower.retry_after = Some(after);
                 bail!("the watch was answered {status}");
             }
         },
     };
     follower.opened = true;
-    word.asked.borrow_mut().clear();
-    word.watch.replace(watch.stream.clone());
-    word.taken.set(false);
-    word.open.set(true);
-    let mut lists = JsonObjects::new(LIST_MOST);
+    status.calls.borrow_mut().clear();
+    status.watch.replace(watch.stream.clone());
+    status.taken.set(false);
+    status.open.set(true);
+    let mut lists = JsonObjects::new(MAX_LIST_BYTES);
     // A silent machine keeps its connection open: only the missing signs of life tell.
     loop {
-        let doubt = follower
-            .terms
-            .as_ref()
-            .and_then(|terms| follower.doubt.poll_again_after(terms.empty_after));
-        let settles = doubt.map(|at| at.saturating_sub(follower.born.elapsed()));
-        let patience = settles.map_or(SILENT_FOR, |settles| settles.min(SILENT_FOR));
+        let empty_list = follower.poll_limits.as_ref().and_then(|poll_limits| {
+            follower
+                .empty_list
+                .poll_again_after(poll_limits.empty_after)
+        });
+        let settles = empty_list.map(|at| at.saturating_sub(follower.started_at.elapsed()));
+        let read_timeout = settles.map_or(WATCH_TIMEOUT, |settles| settles.min(WATCH_TIMEOUT));
         let next = poll_fn(|context| {
             let next = watch.poll_next(context);
-            word.taken.set(next.is_pending());
+            status.taken.set(next.is_pending());
             next
         });
-        let frame = match timeout(patience, next).await {
+        let frame = match timeout(read_timeout, next).await {
             Ok(frame) => frame,
-            Err(_) if settles.is_some_and(|settles| settles <= SILENT_FOR) => {
+            Err(_) if settles.is_some_and(|settles| settles <= WATCH_TIMEOUT) => {
                 bail!("its empty list is settled")
             }
             Err(_) => bail!("the watch is silent"),
@@ -463,7 +485,7 @@
             continue;
         };
         // White space too: nothing has changed.
-        follower.node.heard_list();
+        follower.node.record_list_contact();
         let mut rest = &data[..];
         while let Some(list) = lists.next(&mut rest).context("the watch")? {
             follower.take(&serde_json::from_slice(&list).context("a list of the watch")?);
--- a/crates/node/src/discovery/tests.rs
+++ b/crates/node/src/discovery/tests.rs
@@ -25,7 +25,7 @@
 
 /// Reads it as it comes off a connection.
 fn read(bytes: &[u8]) -> Result<Option<List>> {
-    let mut lists = JsonObjects::new(LIST_MOST);
+    let mut lists = JsonObjects::new(MAX_LIST_BYTES);
     for mut piece in bytes.chunks(16 << 10) {
         if let Some(list) = lists.next(&mut piece).context("the watch")? {
             return Ok(Some(
@@ -39,9 +39,9 @@
 #[test]
 fn a_full_list_of_40_000_servers_is_read() {
     for letters in [10, 63] {
-        let bytes = list(SERVERS_MOST, letters);
+        let bytes = list(MAX_SERVERS, letters);
         assert!(
-            bytes.len() <= LIST_MOST,
+            bytes.len() <= MAX_LIST_BYTES,
             "{letters} letters: {} bytes",
             bytes.len()
         );
@@ -50,7 +50,7 @@
             .expect("it has an end");
         assert_eq!(
             (read.seq, read.whole, read.hosts.len()),
-            (7, true, SERVERS_MOST)
+            (7, true, MAX_SERVERS)
         );
         assert_eq!(read.hosts.last().map(|host| host.host.len()), Some(letters));
     }
@@ -58,8 +58,8 @@
 
 #[test]
 fn a_list_beyond_the_bound_is_refused_in_one_line() {
-    let bytes = list(SERVERS_MOST, 253);
-    assert!(bytes.len() > LIST_MOST);
+    let bytes = list(MAX_SERVERS, 253);
+    assert!(bytes.len() > MAX_LIST_BYTES);
     let error = read(&bytes).expect_err("it is too long");
     let line = format!("discovery: {error:#}");
     assert_eq!(
--- a/crates/node/src/seats.rs
+++ b/crates/node/src/downstream.rs
@@ -1,7 +1,7 @@
 //! What is seen of clients' connections: when bytes come, and whether a request is being answered.
 
-use crate::clients::late;
-use crate::heads::Heads;
+use crate::event_loop;
+use crate::head_scanner::HeadScanner;
 use saffronpaddle_connection_eviction::{rested, ConnectionState};
 use saffronpaddle_netio::{has_ended, Socket};
 use std::io;
@@ -16,77 +16,82 @@
 use tokio::time::Instant;
 
 /// One client's connection. Shared within one thread; an upgrade wants what could go to another, though none does.
-pub struct Seat {
-    began: Instant,
+pub struct DownstreamConnection {
+    epoch: Instant,
     /// Its socket is its task's; here it is only looked at.
     stream: Weak<TcpStream>,
-    came: u64,
-    last: AtomicU64,
+    accepted_us: u64,
+    last_active_us: AtomicU64,
     /// What was read last came after this.
-    sent: AtomicU64,
+    sent_after_us: AtomicU64,
     /// µs since `began`, one more than that; 0 for no head.
-    head: AtomicU64,
+    head_started_us: AtomicU64,
     busy: AtomicBool,
-    asked: AtomicBool,
+    has_requested: AtomicBool,
     /// Bytes wait to be taken by the client.
     blocked: AtomicBool,
     /// A head had both a length and an encoding.
-    hides: AtomicBool,
+    is_ambiguously_framed: AtomicBool,
     /// The library waits for bytes: it sees the connection's end by itself.
     reading: AtomicBool,
     /// It was unwatched when that was last asked.
-    noted: AtomicBool,
+    reported_unwatched: AtomicBool,
     /// It was told to go, and looks a last time whether a request has come.
-    going: AtomicBool,
-    go: Notify,
+    evicted: AtomicBool,
+    eviction: Notify,
 }
 
-const fn us(span: Duration) -> u64 {
+const fn micros(span: Duration) -> u64 {
     span.as_micros() as u64
 }
 
-impl Seat {
+impl DownstreamConnection {
     /// One that has just been accepted, and that came to the machine after `connected`.
-    pub fn new(began: Instant, connected: Instant, stream: &Arc<TcpStream>) -> Arc<Seat> {
+    pub fn new(
+        epoch: Instant,
+        connected: Instant,
+        stream: &Arc<TcpStream>,
+    ) -> Arc<DownstreamConnection> {
         let stream = Arc::downgrade(stream);
-        let came = us(began.elapsed());
-        let (last, head) = (AtomicU64::new(came), AtomicU64::new(0));
-        let sent = AtomicU64::new(us(connected.saturating_duration_since(began)).min(came));
-        let [busy, asked, blocked, hides, reading, noted, going] =
+        let accepted_us = micros(epoch.elapsed());
+        let (last_active_us, head_started_us) = (AtomicU64::new(accepted_us), AtomicU64::new(0));
+        let sent_after_us =
+            AtomicU64::new(micros(connected.saturating_duration_since(epoch)).min(accepted_us));
+        let [busy, has_requested, blocked, is_ambiguously_framed, reading, reported_unwatched, evicted] =
             [(); 7].map(|()| AtomicBool::new(false));
-        let go = Notify::new();
-        Arc::new(Seat {
-            began,
+        let eviction = Notify::new();
+        Arc::new(DownstreamConnection {
+            epoch,
             stream,
-            came,
-            last,
-            sent,
-            head,
+            accepted_us,
+            last_active_us,
+            sent_after_us,
+            head_started_us,
             busy,
-            asked,
+            has_requested,
             blocked,
-            hides,
+            is_ambiguously_framed,
             reading,
-            noted,
-            going,
-            go,
+            reported_unwatched,
+            evicted,
+            eviction,
         })
     }
 
     /// Tells the connection to go, unless a request turns out to have come whole.
-    pub fn send_away(&self) {
-        self.going.store(true, Ordering::Relaxed);
-        self.go.notify_one();
+    pub fn evict(&self) {
+        self.evicted.store(true, Ordering::Relaxed);
+        self.eviction.notify_one();
     }
 
     /// Waits for that word.
-    pub async fn sent_away(&self) {
-        self.go.notified().await;
+    pub async fn evicted(&self) {
+        self.eviction.notified().await;
     }
 
     /// A request had come: it stays for now.
-    pub fn stays(&self) {
-        self.going.store(false, Ordering::Relaxed);
+    pub fn cancel_eviction(&self) {
+        self.evicted.store(false, Ordering::Relaxed);
     }
 
     /// Whether a request is being taken or answered.
@@ -100,7 +105,7 @@
     }
 
     /// Whether its client has gone, as far as the machine has told this loop: also behind bytes that nobody has read.
-    pub fn has_left(&self) -> bool {
+    pub fn client_is_gone(&self) -> bool {
         self.stream
             .upgrade()
             .is_none_or(|stream| has_ended(&stream))
@@ -110,115 +115,118 @@
     pub fn is_newly_unwatched(&self) -> bool {
         let unwatched = self.unwatched();
         // Written seldom: this is asked in each round of the connection.
-        unwatched != self.noted.load(Ordering::Relaxed)
-            && !self.noted.swap(unwatched, Ordering::Relaxed)
+        unwatched != self.reported_unwatched.load(Ordering::Relaxed)
+            && !self.reported_unwatched.swap(unwatched, Ordering::Relaxed)
     }
 
     /// Whether it was told to go, and has not gone yet.
-    pub fn is_going(&self) -> bool {
-        self.going.load(Ordering::Relaxed)
+    pub fn is_evicted(&self) -> bool {
+        self.evicted.load(Ordering::Relaxed)
     }
 
     /// What is seen of it now.
-    pub fn seen(&self) -> ConnectionState {
-        let head = self.head.load(Ordering::Relaxed);
+    pub fn state(&self) -> ConnectionState {
+        let head_started_us = self.head_started_us.load(Ordering::Relaxed);
         ConnectionState {
-            accepted_at: Duration::from_micros(self.came),
-            last_active_at: Duration::from_micros(self.last.load(Ordering::Relaxed)),
-            head_started_at: head.checked_sub(1).map(Duration::from_micros),
+            accepted_at: Duration::from_micros(self.accepted_us),
+            last_active_at: Duration::from_micros(self.last_active_us.load(Ordering::Relaxed)),
+            head_started_at: head_started_us.checked_sub(1).map(Duration::from_micros),
             // Danger: an answer that is cut off as its client takes the last of it slowly.
-            busy: self.is_busy() || self.blocked.load(Ordering::Relaxed) || self.is_going(),
-            has_requested: self.asked(),
+            busy: self.is_busy() || self.blocked.load(Ordering::Relaxed) || self.is_evicted(),
+            has_requested: self.has_requested(),
         }
     }
 
     /// Whether it has had a request.
-    pub fn asked(&self) -> bool {
-        self.asked.load(Ordering::Relaxed)
+    pub fn has_requested(&self) -> bool {
+        self.has_requested.load(Ordering::Relaxed)
     }
 
     /// Whether a head on it had both a length and an encoding, of which the library drops one unseen.
-    pub fn hides(&self) -> bool {
-        self.hides.load(Ordering::Relaxed)
+    pub fn is_ambiguously_framed(&self) -> bool {
+        self.is_ambiguously_framed.load(Ordering::Relaxed)
     }
 
     /// How long what was read last may have rested in the machine, or waited here for an earlier answer; nothing where that is too
     /// little to count. Danger: a server is told more time than its client has.
-    pub fn rested(&self) -> Duration {
+    pub fn time_queued(&self) -> Duration {
         rested(
-            Duration::from_micros(self.sent.load(Ordering::Relaxed)),
-            self.began.elapsed(),
+            Duration::from_micros(self.sent_after_us.load(Ordering::Relaxed)),
+            self.epoch.elapsed(),
         )
     }
 
     /// Bytes for the client were taken by the machine, or have to wait.
     fn wrote(&self, taken: bool) {
         if taken {
-            self.last.store(us(self.began.elapsed()), Ordering::Relaxed);
+            self.last_active_us
+                .store(micros(self.epoch.elapsed()), Ordering::Relaxed);
         }
         self.blocked.store(!taken, Ordering::Relaxed);
     }
 
     /// Bytes were read, which the library had waited for or not.
-    fn read(&self, bytes: &[u8], heads: &mut Heads, waited: bool) {
-        let now = us(self.began.elapsed());
-        self.last.store(now, Ordering::Relaxed);
-        match late::since().map(|since| us(since.saturating_duration_since(self.began))) {
+    fn read(&self, bytes: &[u8], heads: &mut HeadScanner, waited: bool) {
+        let now = micros(self.epoch.elapsed());
+        self.last_active_us.store(now, Ordering::Relaxed);
+        match event_loop::arrived_after()
+            .map(|since| micros(since.saturating_duration_since(self.epoch)))
+        {
             // Who was waited for since before the loop's last whole round had sent nothing by then. Else they came after what was
             // read before them, or, on a new connection, after that came to the machine.
-            Some(since) if waited && since > self.came => {
-                self.sent.store(since.min(now), Ordering::Relaxed);
+            Some(since) if waited && since > self.accepted_us => {
+                self.sent_after_us.store(since.min(now), Ordering::Relaxed);
             }
             Some(_) => {}
-            None => self.sent.store(now, Ordering::Relaxed),
+            None => self.sent_after_us.store(now, Ordering::Relaxed),
         }
         if self.busy.load(Ordering::Relaxed) {
             // A body, or the head of a request that is sent ahead.
-        } else if self.head.load(Ordering::Relaxed) == 0 {
-            self.head.store(now + 1, Ordering::Relaxed);
+        } else if self.head_started_us.load(Ordering::Relaxed) == 0 {
+            self.head_started_us.store(now + 1, Ordering::Relaxed);
         }
         if heads.take(bytes) {
-            self.hides.store(true, Ordering::Relaxed);
+            self.is_ambiguously_framed.store(true, Ordering::Relaxed);
         }
     }
 }
 
 /// A connection that has a request, for as long as that is being taken or answered.
-pub struct Busy(Arc<Seat>);
+pub struct BusyGuard(Arc<DownstreamConnection>);
 
-impl Busy {
+impl BusyGuard {
     /// From now on.
-    pub fn new(seat: &Arc<Seat>) -> Busy {
-        seat.busy.store(true, Ordering::Relaxed);
-        seat.asked.store(true, Ordering::Relaxed);
-        seat.head.store(0, Ordering::Relaxed);
-        Busy(Arc::clone(seat))
+    pub fn new(downstream: &Arc<DownstreamConnection>) -> BusyGuard {
+        downstream.busy.store(true, Ordering::Relaxed);
+        downstream.has_requested.store(true, Ordering::Relaxed);
+        downstream.head_started_us.store(0, Ordering::Relaxed);
+        BusyGuard(Arc::clone(downstream))
     }
 }
 
-impl Drop for Busy {
+impl Drop for BusyGuard {
     fn drop(&mut self) {
         self.0
-            .last
-            .store(us(self.0.began.elapsed()), Ordering::Relaxed);
+            .last_active_us
+            .store(micros(self.0.epoch.elapsed()), Ordering::Relaxed);
         self.0.busy.store(false, Ordering::Relaxed);
     }
 }
 
 /// A client's connection whose bytes are seen as they come.
-pub struct Watched {
+pub struct ObservedStream {
     stream: Socket,
-    seat: Arc<Seat>,
-    heads: Heads,
+    downstream: Arc<DownstreamConnection>,
+    heads: HeadScanner,
 }
 
-impl Watched {
+impl ObservedStream {
     /// Watches a connection.
-    pub fn new(stream: Arc<TcpStream>, seat: Arc<Seat>) -> Watched {
-        Watched {
+    pub fn new(stream: Arc<TcpStream>, downstream: Arc<DownstreamConnection>) -> ObservedStream {
+        ObservedStream {
             stream: Socket::new(stream),
-            seat,
-            heads: Heads::new(),
+            downstream,
+            heads: HeadScanner::new(),
         }
     }
 
@@ -228,7 +236,7 @@
     }
 }
 
-impl AsyncRead for Watched {
+impl AsyncRead for ObservedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -236,24 +244,29 @@
     ) -> Poll<io::Result<()>> {
         let before = buffer.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(context, buffer);
-        let waited = self.seat.reading.swap(read.is_pending(), Ordering::Relaxed);
+        let waited = self
+            .downstream
+            .reading
+            .swap(read.is_pending(), Ordering::Relaxed);
         ready!(read)?;
-        let Watched { seat, heads, .. } = &mut *self;
+        let ObservedStream {
+            downstream, heads, ..
+        } = &mut *self;
         if buffer.filled().len() > before {
-            seat.read(&buffer.filled()[before..], heads, waited);
+            downstream.read(&buffer.filled()[before..], heads, waited);
         }
         Poll::Ready(Ok(()))
     }
 }
 
-impl AsyncWrite for Watched {
+impl AsyncWrite for ObservedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write(context, bytes);
-        self.seat.wrote(written.is_ready());
+        self.downstream.wrote(written.is_ready());
         written
     }
 
@@ -263,7 +276,7 @@
         parts: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write_vectored(context, parts);
-        self.seat.wrote(written.is_ready());
+        self.downstream.wrote(written.is_ready());
         written
     }
 
--- a/crates/node/src/roster.rs
+++ b/crates/node/src/endpoint_sources.rs
@@ -41,7 +41,7 @@
                 .for_each(|known| by_etcd::begin_with(&node, known));
             by_etcd::follow(node, etcd).await;
         } else {
-            node.merge_sources();
+            node.merge_endpoint_sources();
             tokio::join!(
                 discovery::follow(Rc::clone(&node), address, known, terms),
                 by_etcd::follow(node, etcd)
@@ -70,7 +70,7 @@
     /// Takes the configuration's list for etcd's first word.
     pub fn begin_with(node: &Rc<Node>, known: &List) {
         let entries = known.hosts.iter().map(EndpointRecord::from).collect();
-        node.roster(
+        node.on_endpoint_update(
             Source::Etcd,
             EndpointUpdate {
                 endpoints: entries,
@@ -150,7 +150,7 @@
             for news in waiting.drain(..) {
                 match news {
                     News::Changed { change, read } => changes.take(&node, change, read),
-                    News::Alive => node.heard_list(),
+                    News::Alive => node.record_list_contact(),
                     News::Log(line) => info!("{line}"),
                 }
             }
@@ -171,11 +171,11 @@
 
     impl Changes {
         fn take(&mut self, node: &Rc<Node>, change: EndpointUpdate, read: Instant) {
-            node.heard_list();
+            node.record_list_contact();
             self.first.get_or_insert(read);
             if change.snapshot {
                 self.flush(node);
-                node.roster(Source::Etcd, change);
+                node.on_endpoint_update(Source::Etcd, change);
                 return;
             }
             self.entries.extend(
@@ -200,7 +200,7 @@
             let entries: Vec<EndpointRecord> =
                 std::mem::take(&mut self.entries).into_values().collect();
             if !entries.is_empty() {
-                node.roster(
+                node.on_endpoint_update(
                     Source::Etcd,
                     EndpointUpdate {
                         endpoints: entries,
--- a/crates/node/src/heads.rs
+++ b/crates/node/src/head_scanner.rs
@@ -4,7 +4,7 @@
 use memchr::memchr;
 
 /// Most bytes of a line that are kept where it comes in pieces; the names that count are shorter.
-const KEPT: usize = 64;
+const MAX_LINE_PREFIX_BYTES: usize = 64;
 
 /// Where in the flow of requests a connection is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -18,7 +18,7 @@
 
 /// The heads on one connection. No more is kept than the beginning of one line.
 #[derive(Debug)]
-pub struct Heads {
+pub struct HeadScanner {
     at: At,
     /// What has come of a line that was cut.
     line: Vec<u8>,
@@ -27,10 +27,10 @@
     coded: bool,
 }
 
-impl Heads {
+impl HeadScanner {
     /// A connection on which nothing has come.
-    pub fn new() -> Heads {
-        Heads {
+    pub fn new() -> HeadScanner {
+        HeadScanner {
             at: At::Head,
             line: Vec::new(),
             begun: false,
@@ -61,7 +61,9 @@
                 both |= self.ends(piece);
                 continue;
             }
-            let room = KEPT.saturating_sub(self.line.len()).min(piece.len());
+            let room = MAX_LINE_PREFIX_BYTES
+                .saturating_sub(self.line.len())
+                .min(piece.len());
             self.line.extend_from_slice(&piece[..room]);
             if end.is_some() {
                 let line = std::mem::take(&mut self.line);
--- a/crates/node/src/heads/tests.rs
+++ b/crates/node/src/head_scanner/tests.rs
@@ -2,7 +2,7 @@
 
 /// How many heads with both there are in a text, in pieces of such a size.
 fn both(text: &[u8], size: usize) -> usize {
-    let mut heads = Heads::new();
+    let mut heads = HeadScanner::new();
     text.chunks(size).filter(|piece| heads.take(piece)).count()
 }
 
@@ -19,10 +19,10 @@
 
 #[test]
 fn a_head_with_both_is_seen_in_either_order_and_behind_others() {
-    let hides =
+    let is_ambiguously_framed =
         b"POST /h HTTP/1.1\r\nTransfer-Encoding: chunked\r\nX-Pad: y\r\ncontent-LENGTH: 4\r\n\r\n";
     let other = b"POST /h HTTP/1.1\r\nContent-Length: 4\r\ntransfer-encoding : x\r\nTRANSFER-ENCODING:chunked\r\n\r\n";
-    for text in [hides.as_slice(), other] {
+    for text in [is_ambiguously_framed.as_slice(), other] {
         for size in 1..text.len() {
             assert_eq!(both(text, size), 1, "alone, in pieces of {size}");
         }
@@ -35,9 +35,9 @@
 
 #[test]
 fn a_line_without_end_takes_no_memory() {
-    let mut heads = Heads::new();
+    let mut heads = HeadScanner::new();
     for _ in 0..1000 {
         heads.take(&[b'a'; 1000]);
     }
-    assert!(heads.line.len() <= KEPT);
+    assert!(heads.line.len() <= MAX_LINE_PREFIX_BYTES);
 }
--- a/crates/node/src/handover.rs
+++ b/crates/node/src/hot_restart.rs
@@ -21,44 +21,44 @@
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 use tracing::{error, info, warn};
 
-/// Words that may wait for a process that does not read. One that is so far behind is no part of this node any more: what
+/// `WatchStatuses` that may wait for a process that does not read. One that is so far behind is no part of this node any more: what
 /// it draws can't be counted.
-const WAITING_MOST: usize = 4096;
+const MAX_QUEUED_MESSAGES: usize = 4096;
 /// How long an elder may take to answer a connection.
-const CONNECT_WITHIN: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Pause after a connection that could not be taken, and between tries to bind.
-const AGAIN: Duration = Duration::from_millis(100);
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// The other processes of this node.
-pub struct Links {
+pub struct ProcessLinks {
     name: String,
     /// Whether this process can meet others.
-    meets: bool,
-    began: Instant,
-    family: RefCell<ProcessGroup>,
+    enabled: bool,
+    started_at: Instant,
+    group: RefCell<ProcessGroup>,
     lines: RefCell<BTreeMap<LinkId, mpsc::Sender<Rc<str>>>>,
     succeeded: watch::Sender<bool>,
     /// An heir has gone: this process has to be found again.
-    found_no_more: Notify,
+    rebind: Notify,
 }
 
-impl Links {
+impl ProcessLinks {
     /// None yet.
-    pub fn new(name: &str, meets: bool) -> Links {
-        Links {
+    pub fn new(name: &str, enabled: bool) -> ProcessLinks {
+        ProcessLinks {
             name: name.to_owned(),
-            meets,
-            began: Instant::now(),
-            family: RefCell::new(ProcessGroup::new(name)),
+            enabled,
+            started_at: Instant::now(),
+            group: RefCell::new(ProcessGroup::new(name)),
             lines: RefCell::default(),
             succeeded: watch::channel(false).0,
-            found_no_more: Notify::new(),
+            rebind: Notify::new(),
         }
     }
 
     /// Whether there can be any.
-    pub fn meets(&self) -> bool {
-        self.meets
+    pub fn enabled(&self) -> bool {
+        self.enabled
     }
 
     /// Whether an heir takes clients.
@@ -68,7 +68,7 @@
 
     /// This process's part of what the node may have: two that are one node share its descriptors.
     pub fn part(&self, all: usize) -> usize {
-        if self.family.borrow().is_shared() {
+        if self.group.borrow().is_shared() {
             all / 2
         } else {
             all
@@ -76,14 +76,14 @@
     }
 
     /// Tells the other processes of an attempt.
-    pub fn tell_twin(&self, twin: SiblingMessage) {
-        self.tell(&Message::Sibling(twin), None);
+    pub fn send_to_siblings(&self, message: SiblingMessage) {
+        self.broadcast(&Message::Sibling(message), None);
     }
 
     /// Passes a peer's datagram on to who gets none any more.
-    pub fn pass_on(&self, from: NodeId, bytes: &[u8]) {
-        if self.family.borrow().is_shared() {
-            self.tell(
+    pub fn forward_peer_message(&self, from: NodeId, bytes: &[u8]) {
+        if self.group.borrow().is_shared() {
+            self.broadcast(
                 &Message::Peer {
                     from,
                     bytes: bytes.to_vec(),
@@ -94,100 +94,104 @@
     }
 
     /// Tells a word to whom it is for, but to whom it came from.
-    fn tell(&self, word: &Message, from: Option<LinkId>) {
-        let to = self.family.borrow().recipients(word, from);
+    fn broadcast(&self, message: &Message, from: Option<LinkId>) {
+        let to = self.group.borrow().recipients(message, from);
         if to.is_empty() {
             return;
         }
-        let line: Rc<str> = write(word).into();
-        to.into_iter().for_each(|no| self.say(no, Rc::clone(&line)));
+        let line: Rc<str> = write(message).into();
+        to.into_iter()
+            .for_each(|id| self.send_line(id, Rc::clone(&line)));
     }
 
-    fn say(&self, no: LinkId, line: Rc<str>) {
+    fn send_line(&self, id: LinkId, line: Rc<str>) {
         let full = self
             .lines
             .borrow()
-            .get(&no)
+            .get(&id)
             .is_some_and(|lines| lines.try_send(line).is_err());
         if full {
             // Its writer ends with it, and the reader hears of that.
-            self.lines.borrow_mut().remove(&no);
+            self.lines.borrow_mut().remove(&id);
         }
     }
 
     fn now(&self) -> Duration {
-        self.began.elapsed()
+        self.started_at.elapsed()
     }
 }
 
 /// Where processes of a node meet.
-pub struct Meeting {
+pub struct Rendezvous {
     path: PathBuf,
 }
 
 /// An elder that was met at the start, and what it said.
-pub struct Met {
-    no: LinkId,
+pub struct ParentLink {
+    id: LinkId,
     reader: BufReader<Uninterrupted<OwnedReadHalf>>,
     writer: Uninterrupted<OwnedWriteHalf>,
     lines: mpsc::Receiver<Rc<str>>,
 }
 
-impl Meeting {
+impl Rendezvous {
     /// The place of a node's processes in a folder that they share. Its name is short: a socket's path has 107 bytes.
-    pub fn new(folder: &Path, name: &str) -> Meeting {
+    pub fn new(folder: &Path, name: &str) -> Rendezvous {
         let hash = name.bytes().fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
             (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
         });
-        Meeting {
+        Rendezvous {
             path: folder.join(format!("node-{hash:016x}")),
         }
     }
 
     /// Meets the process that is there, if there is one, and hears what it keeps in mind. Whatever goes wrong, this
     /// process starts as if it were the first.
-    pub async fn meet(&self, links: &Links) -> Option<(Met, TransferredState)> {
-        let stream = timeout(CONNECT_WITHIN, UnixStream::connect(&self.path))
+    pub async fn connect_to_parent(
+        &self,
+        links: &ProcessLinks,
+    ) -> Option<(ParentLink, TransferredState)> {
+        let stream = timeout(CONNECT_TIMEOUT, UnixStream::connect(&self.path))
             .await
             .ok()?
             .ok()?;
-        let (no, out) = links.family.borrow_mut().open(links.now(), Role::Child)?;
+        let (id, out) = links.group.borrow_mut().open(links.now(), Role::Child)?;
         let (reader, writer) = stream.into_split();
         let (reader, mut writer) = (Uninterrupted::new(reader), Uninterrupted::new(writer));
         let mut reader = BufReader::new(reader);
         for step in out {
-            if let LinkAction::Send(word) = step {
-                writer.write_all(write(&word).as_bytes()).await.ok()?;
+            if let LinkAction::Send(message) = step {
+                writer.write_all(write(&message).as_bytes()).await.ok()?;
             }
         }
         let until = links
-            .family
+            .group
             .borrow()
-            .deadline(no)
-            .map(|until| links.began + until)?;
-        let heard = timeout_at(until, line(&mut reader)).await;
+            .deadline(id)
+            .map(|until| links.started_at + until)?;
+        let heard = timeout_at(until, read_line(&mut reader)).await;
         let out = match heard {
             Ok(Ok(line)) => links
-                .family
+                .group
                 .borrow_mut()
-                .with(no, |link, out| link.on_message(read(&line), out)),
+                .with(id, |link, out| link.on_message(read(&line), out)),
             Ok(Err(_)) => links
-                .family
+                .group
                 .borrow_mut()
-                .with(no, saffronpaddle_hot_restart::Link::on_disconnect),
+                .with(id, saffronpaddle_hot_restart::Link::on_disconnect),
             Err(_) => links
-                .family
+                .group
                 .borrow_mut()
-                .with(no, |link, out| link.tick(until - links.began, out)),
+                .with(id, |link, out| link.tick(until - links.started_at, out)),
         };
         for step in out {
             match step {
                 LinkAction::Restore(state) => {
-                    let (tell, lines) = mpsc::channel(WAITING_MOST);
-                    links.lines.borrow_mut().insert(no, tell);
+                    let (tell, lines) = mpsc::channel(MAX_QUEUED_MESSAGES);
+                    links.lines.borrow_mut().insert(id, tell);
                     return Some((
-                        Met {
-                            no,
+                        ParentLink {
+                            id,
                             reader,
                             writer,
                             lines,
@@ -212,15 +216,15 @@
     }
 }
 
-impl Met {
+impl ParentLink {
     /// By which number the elder is known here.
     pub fn number(&self) -> u32 {
-        self.no.0
+        self.id.0
     }
 }
 
 /// The list that a state holds.
-pub fn list(state: &TransferredState) -> Option<List> {
+pub fn transferred_list(state: &TransferredState) -> Option<List> {
     state
         .list
         .clone()
@@ -228,26 +232,26 @@
 }
 
 /// Speaks to the other processes of this node for ever: the elder that was met, and heirs that come.
-pub async fn serve(node: Rc<Node>, meeting: Option<Meeting>, met: Option<Met>) {
-    if let Some(Met {
-        no,
+pub async fn serve(node: Rc<Node>, rendezvous: Option<Rendezvous>, parent: Option<ParentLink>) {
+    if let Some(ParentLink {
+        id,
         reader,
         writer,
         lines,
-    }) = met
+    }) = parent
     {
-        shared(&node, None);
-        node.links.tell(&Message::Serving, None);
-        tokio::task::spawn_local(talk(Rc::clone(&node), no, reader, writer, lines));
+        publish_siblings(&node, None);
+        node.links.broadcast(&Message::Serving, None);
+        tokio::task::spawn_local(run_link(Rc::clone(&node), id, reader, writer, lines));
     }
-    let Some(meeting) = meeting else { return };
+    let Some(rendezvous) = rendezvous else { return };
     loop {
-        let listener = match meeting.bind() {
+        let listener = match rendezvous.bind() {
             Ok(listener) => listener,
             Err(error) => {
                 // A node that can't be found serves all the same.
                 error!(
-                    path = %meeting.path.display(),
+                    path = %rendezvous.path.display(),
                     %error,
                     "hand-over: the socket cannot be bound"
                 );
@@ -257,30 +261,30 @@
         loop {
             tokio::select! {
                 accepted = listener.accept() => match accepted {
-                    Ok((stream, _)) => come(&node, stream),
-                    Err(_) => sleep(AGAIN).await,
+                    Ok((stream, _)) => on_connection(&node, stream),
+                    Err(_) => sleep(RETRY_PAUSE).await,
                 },
-                () = node.links.found_no_more.notified() => break,
+                () = node.links.rebind.notified() => break,
             }
         }
     }
 }
 
 /// Somebody has come; an heir, if it says so.
-fn come(node: &Rc<Node>, stream: UnixStream) {
+fn on_connection(node: &Rc<Node>, stream: UnixStream) {
     let opened = node
         .links
-        .family
+        .group
         .borrow_mut()
         .open(node.links.now(), Role::Parent);
-    let Some((no, _)) = opened else { return };
+    let Some((id, _)) = opened else { return };
     let (reader, writer) = stream.into_split();
     let (reader, writer) = (Uninterrupted::new(reader), Uninterrupted::new(writer));
-    let (tell, lines) = mpsc::channel(WAITING_MOST);
-    node.links.lines.borrow_mut().insert(no, tell);
-    tokio::task::spawn_local(talk(
+    let (tell, lines) = mpsc::channel(MAX_QUEUED_MESSAGES);
+    node.links.lines.borrow_mut().insert(id, tell);
+    tokio::task::spawn_local(run_link(
         Rc::clone(node),
-        no,
+        id,
         BufReader::new(reader),
         writer,
         lines,
@@ -288,9 +292,9 @@
 }
 
 /// One conversation, to its end.
-async fn talk(
+async fn run_link(
     node: Rc<Node>,
-    no: LinkId,
+    id: LinkId,
     mut reader: BufReader<Uninterrupted<OwnedReadHalf>>,
     mut writer: Uninterrupted<OwnedWriteHalf>,
     mut lines: mpsc::Receiver<Rc<str>>,
@@ -304,68 +308,71 @@
     });
     loop {
         let (until, live) = {
-            let family = node.links.family.borrow();
+            let group = node.links.group.borrow();
             (
-                family.deadline(no).map(|until| node.links.began + until),
-                family.is_live(no),
+                group
+                    .deadline(id)
+                    .map(|until| node.links.started_at + until),
+                group.is_live(id),
             )
         };
         let out = tokio::select! {
-            heard = line(&mut reader) => match heard {
-                Ok(line) => node.links.family.borrow_mut().with(no, |link, out| link.on_message(read(&line), out)),
-                Err(_) => node.links.family.borrow_mut().with(no, saffronpaddle_hot_restart::Link::on_disconnect),
+            heard = read_line(&mut reader) => match heard {
+                Ok(line) => node.links.group.borrow_mut().with(id, |link, out| link.on_message(read(&line), out)),
+                Err(_) => node.links.group.borrow_mut().with(id, saffronpaddle_hot_restart::Link::on_disconnect),
             },
-            () = at(until) => {
+            () = sleep_until_some(until) => {
                 let now = node.links.now();
-                node.links.family.borrow_mut().with(no, |link, out| link.tick(now, out))
+                node.links.group.borrow_mut().with(id, |link, out| link.tick(now, out))
             }
         };
         for step in out {
             match step {
-                LinkAction::Send(word) => node.links.say(no, write(&word).into()),
+                LinkAction::Send(message) => node.links.send_line(id, write(&message).into()),
                 LinkAction::SendState => {
                     // Kept and shared in one go: no attempt lies between.
                     let list = node
-                        .remembered()
+                        .last_list()
                         .and_then(|list| serde_json::to_value(list).ok());
                     let (version, name) = (VERSION, node.links.name.clone());
                     let state = TransferredState {
                         version,
                         name,
-                        policy: node.keep(),
+                        policy: node.policy_snapshot(),
                         list,
                     };
                     node.links
-                        .say(no, write(&Message::State(Box::new(state))).into());
-                    shared(&node, None);
+                        .send_line(id, write(&Message::State(Box::new(state))).into());
+                    publish_siblings(&node, None);
                 }
-                LinkAction::Sibling(twin) => {
-                    node.links.tell(&Message::Sibling(twin.clone()), Some(no));
+                LinkAction::Sibling(message) => {
+                    node.links
+                        .broadcast(&Message::Sibling(message.clone()), Some(id));
                     node.post(ModuleEvent::SiblingMessage {
-                        link: no.0,
-                        message: twin,
+                        link: id.0,
+                        message,
                     });
                 }
                 LinkAction::Peer(from, bytes) => {
-                    node.links.tell(
+                    node.links.broadcast(
                         &Message::Peer {
                             from,
                             bytes: bytes.clone(),
                         },
-                        Some(no),
+                        Some(id),
                     );
-                    node.heard_peer(from, bytes);
+                    node.on_peer_message(from, bytes);
                 }
-                LinkAction::SuccessorServing => shared(&node, None),
+                LinkAction::SuccessorServing => publish_siblings(&node, None),
                 // It was resumed from before this conversation was taken up here.
                 LinkAction::Restore(_) => {}
                 LinkAction::End(why) => {
                     info!("hand-over: the other process is no part of this node any more: {why}");
-                    node.links.lines.borrow_mut().remove(&no);
-                    shared(&node, Some(no));
+                    node.links.lines.borrow_mut().remove(&id);
+                    publish_siblings(&node, Some(id));
                     // Guards against one that only knocked: the place where it did is this process's still.
-                    if live && node.links.family.borrow().is_last() {
-                        node.links.found_no_more.notify_one();
+                    if live && node.links.group.borrow().is_last() {
+                        node.links.rebind.notify_one();
                     }
                     writes.abort();
                     return;
@@ -376,22 +383,22 @@
 }
 
 /// Tells all whom it concerns who else is this node.
-fn shared(node: &Rc<Node>, ended: Option<LinkId>) {
-    let (shared, hushed) = {
-        let family = node.links.family.borrow();
-        (family.is_shared(), family.has_successor())
+fn publish_siblings(node: &Rc<Node>, ended: Option<LinkId>) {
+    let (shared, has_successor) = {
+        let group = node.links.group.borrow();
+        (group.is_shared(), group.has_successor())
     };
     node.post(ModuleEvent::SiblingsChanged {
-        ended_link: ended.map(|no| no.0),
+        ended_link: ended.map(|id| id.0),
         share_attempts: shared,
-        peer_messages_delegated: hushed,
+        peer_messages_delegated: has_successor,
     });
-    node.share_out();
-    node.links.succeeded.send_replace(hushed);
+    node.apply_connection_share();
+    node.links.succeeded.send_replace(has_successor);
 }
 
 /// One line; an error where it has no end.
-async fn line(reader: &mut BufReader<Uninterrupted<OwnedReadHalf>>) -> io::Result<Vec<u8>> {
+async fn read_line(reader: &mut BufReader<Uninterrupted<OwnedReadHalf>>) -> io::Result<Vec<u8>> {
     let mut line = Vec::new();
     let mut bounded = reader.take(MAX_LINE_BYTES as u64);
     bounded.read_until(b'\n', &mut line).await?;
@@ -401,7 +408,7 @@
     Ok(line)
 }
 
-async fn at(until: Option<Instant>) {
+async fn sleep_until_some(until: Option<Instant>) {
     match until {
         Some(until) => tokio::time::sleep_until(until).await,
         None => std::future::pending().await,
--- a/crates/node/src/life.rs
+++ b/crates/node/src/lifecycle_runner.rs
@@ -1,10 +1,11 @@
 //! Runs the life cycle: words in (signals, time, what is seen), what the state machine asks for out.
 
-use crate::admin::{Asked, Said};
-use crate::clients::{late, Phase, Standing};
-use crate::facts::Facing;
+use crate::admin::{AdminCall, AdminReply};
+use crate::clients::{Phase, ServingStatus};
+use crate::event_loop;
 use crate::manager::Manager;
 use crate::node::Node;
+use crate::readiness::ReadinessSampler;
 use crate::shutdown;
 use saffronpaddle_admin::Call;
 use saffronpaddle_lifecycle::{Action, Event, Lifecycle, Limits, ShutdownPlan, State};
@@ -17,7 +18,7 @@
 
 /// What a node is told from outside.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum ProcessSignal {
     /// Stop: finish what was taken, then end.
     Stop,
     /// Read the configuration anew.
@@ -25,60 +26,60 @@
 }
 
 /// Between tries to tell the service manager what its socket had no room for.
-const RETRY: Duration = Duration::from_millis(50);
+const NOTIFY_RETRY: Duration = Duration::from_millis(50);
 /// The decision module asks to be woken at least every half second; a loop in which that has not happened for so much
 /// longer makes no progress, whatever else still runs in it.
-const PROGRESS: Duration = Duration::from_secs(1);
+const MAX_TIMER_GAP: Duration = Duration::from_secs(1);
 /// Signs of life in the time that the manager allows for one.
-const FEEDS: u32 = 4;
+const HEARTBEATS_PER_WATCHDOG_PERIOD: u32 = 4;
 
 /// What the life cycle drives.
-pub struct Life {
+pub struct LifecycleRunner {
     pub machine: Lifecycle,
     pub manager: Rc<Manager>,
-    pub standing: watch::Sender<Standing>,
-    pub facing: Facing,
-    pub born: Instant,
+    pub status: watch::Sender<ServingStatus>,
+    pub sampler: ReadinessSampler,
+    pub started_at: Instant,
 }
 
-impl Life {
+impl LifecycleRunner {
     fn now(&self) -> Duration {
-        self.born.elapsed()
+        self.started_at.elapsed()
     }
 
     /// What is said to a call that the machine has heard.
-    fn answer(&self, call: Call) -> Said {
+    fn answer(&self, call: Call) -> AdminReply {
         match call {
-            Call::Ping => Said {
-                done: self.machine.ready(),
-                words: self.machine.status(),
+            Call::Ping => AdminReply {
+                ok: self.machine.ready(),
+                text: self.machine.status(),
             },
-            Call::Lameduck => Said {
-                done: self.machine.closes_connections(),
-                words: self.machine.status(),
+            Call::Lameduck => AdminReply {
+                ok: self.machine.closes_connections(),
+                text: self.machine.status(),
             },
-            Call::Rejoin => Said {
-                done: self.machine.state() < State::Draining,
-                words: self.machine.status(),
+            Call::Rejoin => AdminReply {
+                ok: self.machine.state() < State::Draining,
+                text: self.machine.status(),
             },
             // The figures are the node's.
-            Call::Info => Said {
-                done: false,
-                words: String::new(),
+            Call::Info => AdminReply {
+                ok: false,
+                text: String::new(),
             },
         }
     }
 
     /// The event of a signal to stop. A loop that was held up reads it late, and the platform's time runs from the signal.
     fn stop(&self) -> Event {
-        let since =
-            late::since().map_or_else(|| self.now(), |since| since.duration_since(self.born));
+        let since = event_loop::arrived_after()
+            .map_or_else(|| self.now(), |since| since.duration_since(self.started_at));
         Event::Stop { since }
     }
 
     /// Bounds all that the node has taken, and all that it takes from now on, by the process's end.
     fn begin_to_stop(&self, now: Duration, plan: ShutdownPlan) {
-        let node = self.facing.node();
+        let node = self.sampler.node();
         info!(
             state = self.machine.state().name(),
             answer_in_ms = plan.answer_by.saturating_sub(now).as_millis() as u64,
@@ -86,14 +87,17 @@
             open_requests = node.open_requests().len(),
             "told to stop"
         );
-        node.answer_all_by(self.born + plan.answer_by);
+        node.announce_shutdown(self.started_at + plan.answer_by);
     }
 
     /// When something must be looked at or ends by itself.
     fn next(&self, looked: Instant) -> Option<Instant> {
-        let until = self.machine.deadline().map(|until| self.born + until);
+        let until = self.machine.deadline().map(|until| self.started_at + until);
         let look = self.machine.next_sample_in().map(|span| looked + span);
-        let retry = self.manager.waits().then(|| Instant::now() + RETRY);
+        let retry = self
+            .manager
+            .has_queued()
+            .then(|| Instant::now() + NOTIFY_RETRY);
         [until, look, retry].into_iter().flatten().min()
     }
 
@@ -101,32 +105,32 @@
     /// it sets, or nothing where it was not taken; it runs beside everything else. `served` ends once all clients have.
     pub async fn run<R: Future<Output = Option<Limits>> + 'static>(
         mut self,
-        mut words: mpsc::UnboundedReceiver<Word>,
-        mut calls: mpsc::Receiver<Asked>,
+        mut signals: mpsc::UnboundedReceiver<ProcessSignal>,
+        mut calls: mpsc::Receiver<AdminCall>,
         reload: impl Fn() -> R,
         served: impl Future,
     ) {
         let (tell, mut reloaded) = mpsc::unbounded_channel();
-        let mut succeeded = self.facing.node().links.succeeded();
+        let mut succeeded = self.sampler.node().links.succeeded();
         tokio::pin!(served);
         let (mut clients_left, mut words_left, mut calls_left) = (true, true, true);
-        let mut asked: Option<Asked> = None;
+        let mut asked: Option<AdminCall> = None;
         // The first look is due at once.
         let mut looked = self
-            .born
+            .started_at
             .checked_sub(Lifecycle::SAMPLE_INTERVAL)
-            .unwrap_or(self.born);
+            .unwrap_or(self.started_at);
         let mut event = Event::Listening;
         let mut stopping: Option<ShutdownPlan> = None;
         loop {
             let mut out = Vec::new();
             let now = self.now();
             self.machine.handle(now, event, &mut out);
-            let before = self.standing.borrow().clone();
+            let before = self.status.borrow().clone();
             let (mut phase, mut accepts, mut gone) = (before.phase, before.accepts, false);
             for action in out {
                 match action {
-                    Action::NotifyManager(word) => self.manager.say(&word),
+                    Action::NotifyManager(word) => self.manager.notify(&word),
                     Action::ReadConfiguration => {
                         let (tell, reading) = (tell.clone(), reload());
                         tokio::task::spawn_local(async move {
@@ -149,25 +153,25 @@
                 self.begin_to_stop(now, plan);
                 stopping = Some(plan);
             }
-            let (ready, why) = (self.machine.ready(), self.machine.reasons());
-            let answer_by = plan.map(|plan| self.born + plan.answer_by);
-            let after = Standing {
+            let (ready, reasons) = (self.machine.ready(), self.machine.reasons());
+            let answer_by = plan.map(|plan| self.started_at + plan.answer_by);
+            let after = ServingStatus {
                 phase,
                 accepts,
                 ready,
-                why,
+                reasons,
                 answer_by,
             };
             if after != before {
-                self.standing.send_replace(after);
+                self.status.send_replace(after);
             }
             if let Some(asked) = asked.take() {
                 // Who asked may have gone meanwhile.
                 let _ = asked.answer.send(self.answer(asked.call));
             }
             if gone {
-                shutdown::tell("gone", self.facing.node());
-                self.facing.node().exits();
+                shutdown::log_open_requests_once("gone", self.sampler.node());
+                self.sampler.node().process_exits();
                 // The last words are worth a moment, but no more: the manager also sees the process end.
                 self.manager.retry();
                 return;
@@ -175,9 +179,9 @@
             let next = self.next(looked);
             event = tokio::select! {
                 biased;
-                word = words.recv(), if words_left => match word {
-                    Some(Word::Stop) => self.stop(),
-                    Some(Word::Reload) => Event::Reload,
+                word = signals.recv(), if words_left => match word {
+                    Some(ProcessSignal::Stop) => self.stop(),
+                    Some(ProcessSignal::Reload) => Event::Reload,
                     None => {
                         words_left = false;
                         Event::Tick
@@ -211,7 +215,7 @@
                     match due.map(|due| Instant::now().checked_duration_since(due)) {
                         Some(Some(lag)) => {
                             looked = Instant::now();
-                            Event::Observed(self.facing.look(lag))
+                            Event::Observed(self.sampler.sample(lag))
                         }
                         _ => Event::Tick,
                     }
@@ -230,14 +234,14 @@
 
 /// Feeds the manager's watchdog for as long as the node's loop makes progress. Danger: a watchdog that is fed by a
 /// thread or timer of its own, while what it should guard is stuck.
-pub async fn feed(node: Rc<Node>, manager: Rc<Manager>) {
+pub async fn feed_watchdog(node: Rc<Node>, manager: Rc<Manager>) {
     let Some(allowed) = manager.watchdog() else {
         return;
     };
     loop {
-        if node.progressed() <= PROGRESS.max(allowed / 2) {
-            manager.feed();
+        if node.since_last_timer() <= MAX_TIMER_GAP.max(allowed / 2) {
+            manager.send_heartbeat();
         }
-        sleep(allowed / FEEDS).await;
+        sleep(allowed / HEARTBEATS_PER_WATCHDOG_PERIOD).await;
     }
 }
--- a/crates/node/src/manager.rs
+++ b/crates/node/src/manager.rs
@@ -15,16 +15,16 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// Words that may wait for a manager whose socket is full. Guards memory against one that never reads.
-const WAITING_MOST: usize = 16;
+/// `WatchStatuses` that may wait for a manager whose socket is full. Guards memory against one that never reads.
+const MAX_QUEUED_MESSAGES: usize = 16;
 
 /// The way to the manager; where there is none, all words are dropped.
 pub struct Manager {
-    way: Option<(UnixDatagram, SocketAddr)>,
-    /// Words that the socket had no room for, in their order. A status or a sign of life never waits.
-    waiting: RefCell<VecDeque<String>>,
+    socket: Option<(UnixDatagram, SocketAddr)>,
+    /// `WatchStatuses` that the socket had no room for, in their order. A status or a sign of life never waits.
+    queued: RefCell<VecDeque<String>>,
     /// Whether the log has been told that the manager can't be reached.
-    told: Cell<bool>,
+    unreachable_logged: Cell<bool>,
     /// How often it wants a sign of life.
     watchdog: Option<Duration>,
 }
@@ -33,9 +33,9 @@
     /// Nobody to be told.
     pub fn none() -> Manager {
         Manager {
-            way: None,
-            waiting: RefCell::default(),
-            told: Cell::new(false),
+            socket: None,
+            queued: RefCell::default(),
+            unreachable_logged: Cell::new(false),
             watchdog: None,
         }
     }
@@ -59,7 +59,7 @@
         // Danger: a manager that does not read stops a node that waits to tell it something.
         socket.set_nonblocking(true)?;
         Ok(Manager {
-            way: Some((socket, to)),
+            socket: Some((socket, to)),
             watchdog,
             ..Manager::none()
         })
@@ -67,12 +67,12 @@
 
     /// How often the manager wants a sign of life; `None` for never.
     pub fn watchdog(&self) -> Option<Duration> {
-        self.watchdog.filter(|_| self.way.is_some())
+        self.watchdog.filter(|_| self.socket.is_some())
     }
 
     /// Tells it a word of the life cycle.
-    pub fn say(&self, word: &ManagerMessage) {
-        let text = match word {
+    pub fn notify(&self, message: &ManagerMessage) {
+        let text = match message {
             ManagerMessage::Ready => NotifyState::Ready.to_string(),
             ManagerMessage::Reloading => match NotifyState::monotonic_usec_now() {
                 Ok(now) => format!("{}\n{now}", NotifyState::Reloading),
@@ -85,53 +85,53 @@
                 NotifyState::ExtendTimeoutUsec(micros).to_string()
             }
         };
-        self.send(text, !matches!(word, ManagerMessage::Status(_)));
+        self.send(text, !matches!(message, ManagerMessage::Status(_)));
     }
 
     /// A sign of life.
-    pub fn feed(&self) {
+    pub fn send_heartbeat(&self) {
         self.send(NotifyState::Watchdog.to_string(), false);
     }
 
     /// Whether words wait for room; they go out with [`Manager::retry`].
-    pub fn waits(&self) -> bool {
-        !self.waiting.borrow().is_empty()
+    pub fn has_queued(&self) -> bool {
+        !self.queued.borrow().is_empty()
     }
 
     /// Sends what waits, as far as there is room.
     pub fn retry(&self) {
-        let mut waiting = self.waiting.borrow_mut();
-        while let Some(text) = waiting.front() {
-            if self.try_send(text).is_err_and(|error| is_full(&error)) {
+        let mut queued = self.queued.borrow_mut();
+        while let Some(text) = queued.front() {
+            if self.send_now(text).is_err_and(|error| is_full(&error)) {
                 return;
             }
-            waiting.pop_front();
+            queued.pop_front();
         }
     }
 
     fn send(&self, text: String, must: bool) {
         self.retry();
-        let full = self.waits() || self.try_send(&text).is_err_and(|error| is_full(&error));
+        let full = self.has_queued() || self.send_now(&text).is_err_and(|error| is_full(&error));
         if !full || !must {
             return;
         }
-        let mut waiting = self.waiting.borrow_mut();
-        if waiting.len() >= WAITING_MOST {
-            waiting.pop_front();
+        let mut queued = self.queued.borrow_mut();
+        if queued.len() >= MAX_QUEUED_MESSAGES {
+            queued.pop_front();
         }
-        waiting.push_back(text);
+        queued.push_back(text);
     }
 
-    fn try_send(&self, text: &str) -> io::Result<()> {
-        let Some((socket, to)) = &self.way else {
+    fn send_now(&self, text: &str) -> io::Result<()> {
+        let Some((socket, to)) = &self.socket else {
             return Ok(());
         };
         let sent = socket.send_to_addr(text.as_bytes(), to);
         match &sent {
-            Ok(_) => self.told.set(false),
+            Ok(_) => self.unreachable_logged.set(false),
             Err(error) if is_full(error) => {}
             // Missing or gone: it may come back under the same address, and until then nobody need know.
-            Err(error) if !self.told.replace(true) => {
+            Err(error) if !self.unreachable_logged.replace(true) => {
                 warn!("the service manager can't be told: {error}");
             }
             Err(_) => {}
--- a/crates/node/src/manager/tests.rs
+++ b/crates/node/src/manager/tests.rs
@@ -31,7 +31,7 @@
         ManagerMessage::Status("not ready: clock".to_owned()),
         ManagerMessage::ExtendTimeout(Duration::from_millis(4600)),
     ];
-    words.iter().for_each(|word| manager.say(word));
+    words.iter().for_each(|word| manager.notify(word));
     let heard = heard(&socket);
     assert_eq!((&heard[0][..], &heard[2][..]), ("READY=1", "STOPPING=1"));
     assert_eq!(
@@ -56,15 +56,15 @@
     let manager = Manager::at(OsStr::new(&name), None).expect("an address");
     let begun = Instant::now();
     let mut fed = 0;
-    while !manager.waits() {
-        manager.say(&ManagerMessage::ExtendTimeout(Duration::from_micros(fed)));
+    while !manager.has_queued() {
+        manager.notify(&ManagerMessage::ExtendTimeout(Duration::from_micros(fed)));
         fed += 1;
         assert!(fed < 100_000, "the socket is never full");
     }
-    (0..1000).for_each(|_| manager.feed());
-    manager.say(&ManagerMessage::Stopping);
+    (0..1000).for_each(|_| manager.send_heartbeat());
+    manager.notify(&ManagerMessage::Stopping);
     assert!(begun.elapsed() < Duration::from_secs(30), "it blocked");
-    assert!(manager.waiting.borrow().len() <= WAITING_MOST);
+    assert!(manager.queued.borrow().len() <= MAX_QUEUED_MESSAGES);
     assert!(!heard(&socket).iter().any(|text| text == "STOPPING=1"));
     manager.retry();
     let later = heard(&socket);
@@ -84,14 +84,20 @@
     let path = std::env::temp_dir().join(format!("saffronpaddle-{}-notify", std::process::id()));
     let _ = std::fs::remove_file(&path);
     let manager = Manager::at(path.as_os_str(), None).expect("an address");
-    manager.say(&ManagerMessage::Ready);
-    assert!(!manager.waits() && manager.told.get(), "missing");
+    manager.notify(&ManagerMessage::Ready);
+    assert!(
+        !manager.has_queued() && manager.unreachable_logged.get(),
+        "missing"
+    );
     let socket = UnixDatagram::bind(&path).expect("a socket");
-    manager.say(&ManagerMessage::Stopping);
+    manager.notify(&ManagerMessage::Stopping);
     assert_eq!(heard(&socket), ["STOPPING=1"]);
     drop(socket);
-    manager.say(&ManagerMessage::Ready);
-    assert!(!manager.waits() && manager.told.get(), "gone");
+    manager.notify(&ManagerMessage::Ready);
+    assert!(
+        !manager.has_queued() && manager.unreachable_logged.get(),
+        "gone"
+    );
     std::fs::remove_file(&path).expect("it was there");
     assert!(
         Manager::at(OsStr::new("notify"), None).is_err(),
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -2,14 +2,14 @@
 //! whose answer goes where. Only here is the exchange entered.
 
 use crate::alarm::Alarm;
-use crate::bodies::Passing;
+use crate::bodies::StreamedResponseBody;
 use crate::config::{Health, Host, List};
-use crate::discovery::Words;
-use crate::handover::Links;
-use crate::listed::server_entry;
+use crate::discovery::WatchStatuses;
+use crate::endpoints::server_entry;
+use crate::hot_restart::ProcessLinks;
 use crate::peers::Peers;
-use crate::sockets::{Front, Switched};
 use crate::upstream::{Forward, Upstream};
+use crate::websocket::{UpgradedConnection, WebsocketProxy};
 use anyhow::Context;
 use bytes::Bytes;
 use hyper::StatusCode;
@@ -35,19 +35,19 @@
 use tracing::{debug, error, info};
 
 /// Rounds of the loop between an alarm and what comes of it: the driver's, the connection's, the exchange's.
-const LATE_LOOKS: usize = 3;
+const LATE_TIMER_ROUNDS: usize = 3;
 
-static NEXT: AtomicU64 = AtomicU64::new(0);
+static NEXT_NUMBER: AtomicU64 = AtomicU64::new(0);
 
 thread_local! {
     /// Nodes of this thread, by their numbers.
-    static HERE: RefCell<HashMap<u64, Weak<Node>>> = RefCell::default();
+    static NODES: RefCell<HashMap<u64, Weak<Node>>> = RefCell::default();
 }
 
 impl Drop for Node {
     fn drop(&mut self) {
         // At the end of the thread it may have gone already.
-        let _ = HERE.try_with(|here| here.borrow_mut().remove(&self.number));
+        let _ = NODES.try_with(|here| here.borrow_mut().remove(&self.number));
     }
 }
 
@@ -55,7 +55,7 @@
 #[derive(Debug)]
 pub enum Answer {
     Served(Payload),
-    Refused(Option<Duration>),
+    Rejected(Option<Duration>),
     Failed,
 }
 
@@ -65,11 +65,11 @@
     /// A body, to a request.
     Body(Bytes),
     /// A body that goes by, to a request.
-    Passing(Box<Passing>),
+    Streaming(Box<StreamedResponseBody>),
     /// A refusal of its own, to an upgrade.
-    Passed(StatusCode, Bytes),
+    UpgradeRejected(StatusCode, Bytes),
     /// A socket, to an upgrade.
-    Switched(Box<Switched>),
+    Upgraded(Box<UpgradedConnection>),
 }
 
 /// A request that has no final answer yet.
@@ -106,11 +106,11 @@
     pub upstream: Upstream,
     pub peers: Option<Peers>,
     /// Other processes of this node.
-    pub links: Links,
+    pub links: ProcessLinks,
     /// What discovery has to say.
-    pub words: Words,
+    pub watch_statuses: WatchStatuses,
     /// Sockets, where the operator has them.
-    pub front: Option<Front>,
+    pub websockets: Option<WebsocketProxy>,
     /// Connections to app servers that the node may have.
     each_side: usize,
     /// Which of this process's nodes it is.
@@ -123,13 +123,13 @@
     /// Where there is more than one source of the list.
     merge: RefCell<Option<Merge>>,
     /// When the module was last woken, as it had asked.
-    woken: Cell<Instant>,
+    last_timer_at: Cell<Instant>,
     /// When a source of the list last said something.
-    list_heard: Cell<Option<Instant>>,
+    list_age: Cell<Option<Instant>>,
     /// The list as discovery last told it, for this process's heir.
-    told: RefCell<(u64, BTreeMap<String, Host>)>,
+    recorded_list: RefCell<(u64, BTreeMap<String, Host>)>,
     /// Peers that were heard in this life, by their numbers.
-    peers_heard: RefCell<BTreeSet<NodeId>>,
+    reachable_peers: RefCell<BTreeSet<NodeId>>,
     /// The process was told to stop, and answers all that it has by then.
     answer_by: Cell<Option<Instant>>,
 }
@@ -140,20 +140,20 @@
         seed: u64,
         named: NamedSettings,
         upstream: Upstream,
-        bounds: (usize, Links),
+        bounds: (usize, ProcessLinks),
         peers: Option<Peers>,
         sockets: Option<saffronpaddle_operator_config::Sockets>,
         kept: Option<(StateSnapshot, u32)>,
     ) -> anyhow::Result<Rc<Node>> {
         let (each_side, links) = bounds;
         let clock = Clock::start();
-        let front = match sockets {
+        let websockets = match sockets {
             Some(says) => {
                 let class = named.classes.iter().position(|class| *class == says.class);
                 let class = class.with_context(|| {
                     format!("sockets.class: there is no class {:?}", says.class)
                 })?;
-                Some(Front::new(ClassId(class), says, clock.now()))
+                Some(WebsocketProxy::new(ClassId(class), says, clock.now()))
             }
             None => None,
         };
@@ -161,14 +161,14 @@
         kept.into_iter()
             .for_each(|(kept, link)| gateway.restore(kept, link));
         let bounds = Limits::for_node(each_side, named.server_idle_timeout, named.connect_timeout);
-        let number = NEXT.fetch_add(1, Ordering::Relaxed);
+        let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
         let node = Rc::new(Node {
             named,
             upstream,
             peers,
             links,
-            words: Words::default(),
-            front,
+            watch_statuses: WatchStatuses::default(),
+            websockets,
             each_side,
             number,
             clock,
@@ -176,22 +176,22 @@
             requests: RefCell::default(),
             alarm: Alarm::new(),
             merge: RefCell::default(),
-            woken: Cell::new(Instant::now()),
-            list_heard: Cell::new(None),
-            told: RefCell::default(),
-            peers_heard: RefCell::default(),
+            last_timer_at: Cell::new(Instant::now()),
+            list_age: Cell::new(None),
+            recorded_list: RefCell::default(),
+            reachable_peers: RefCell::default(),
             answer_by: Cell::default(),
         });
-        HERE.with_borrow_mut(|here| here.insert(number, Rc::downgrade(&node)));
+        NODES.with_borrow_mut(|here| here.insert(number, Rc::downgrade(&node)));
         Ok(node)
     }
 
     /// This process's node of a number, if it runs in this thread: the way back from what must not hold a node itself.
-    pub fn here(number: u64) -> Option<Rc<Node>> {
-        HERE.with_borrow(|here| here.get(&number).and_then(Weak::upgrade))
+    pub fn by_number(number: u64) -> Option<Rc<Node>> {
+        NODES.with_borrow(|here| here.get(&number).and_then(Weak::upgrade))
     }
 
-    /// Its number, for [`Node::here`].
+    /// Its number, for [`Node::by_number`].
     pub fn number(&self) -> u64 {
         self.number
     }
@@ -203,13 +203,13 @@
 
     /// Tells the exchange what happened, and does what it asks for. No command waits, and none makes an event at once:
     /// the exchange is never entered twice. A payload goes with the answer that it belongs to.
-    pub fn happened(self: &Rc<Self>, event: Event<SocketAddr>, payload: Option<Payload>) {
+    pub fn handle(self: &Rc<Self>, event: Event<SocketAddr>, payload: Option<Payload>) {
         let mut commands = Vec::new();
         debug!(?event, "exchange");
         self.exchange
             .borrow_mut()
             .handle(self.clock.now(), event, &mut commands);
-        self.tell_violations();
+        self.log_violations();
         self.alarm.set(self.exchange.borrow().next_alarm());
         let mut payload = payload;
         commands
@@ -218,38 +218,38 @@
     }
 
     /// Hears of answers that went by and that nobody takes any more, for ever.
-    pub async fn hear_left(self: Rc<Self>) {
+    pub async fn handle_abandoned_responses(self: Rc<Self>) {
         let Some(mut left) = self.upstream.left() else {
             return;
         };
         while let Some(link) = left.recv().await {
-            self.happened(Event::ResponseAbandoned { connection: link }, None);
+            self.handle(Event::ResponseAbandoned { connection: link }, None);
         }
     }
 
     /// Rings when the exchange asks for it, for ever.
-    pub async fn ring(self: Rc<Self>) {
+    pub async fn run_timer(self: Rc<Self>) {
         loop {
             self.alarm
                 .rings(|| self.exchange.borrow().next_alarm(), || self.clock.now())
                 .await;
             // Guards against blaming a server for an answer that this node was late to read: what the machine holds is
             // read first.
-            for _ in 0..LATE_LOOKS {
+            for _ in 0..LATE_TIMER_ROUNDS {
                 tokio::task::yield_now().await;
             }
-            self.happened(Event::TimerFired, None);
+            self.handle(Event::TimerFired, None);
         }
     }
 
     /// The process was told to stop: all that the node has taken, and all that it takes from now on, is answered by then.
-    pub fn answer_all_by(self: &Rc<Self>, end: Instant) {
+    pub fn announce_shutdown(self: &Rc<Self>, end: Instant) {
         let earlier = self.answer_by.get().is_some_and(|earlier| earlier <= end);
         if !earlier {
             self.answer_by.set(Some(end));
         }
         let left = end.saturating_duration_since(Instant::now()).as_micros() as Micros;
-        self.happened(
+        self.handle(
             Event::ShutdownAnnounced {
                 answer_by: self.clock.now() + left,
             },
@@ -267,13 +267,13 @@
     }
 
     /// The process ends: requests without an answer are violations, and told as such.
-    pub fn exits(&self) {
+    pub fn process_exits(&self) {
         self.exchange.borrow_mut().process_exits();
-        self.tell_violations();
+        self.log_violations();
     }
 
     /// Tells the log of invariants that did not hold.
-    fn tell_violations(&self) {
+    fn log_violations(&self) {
         for Violation { invariant, request } in self.exchange.borrow_mut().take_violations() {
             error!(
                 invariant = invariant.name(),
@@ -284,10 +284,10 @@
     }
 
     /// The node leaves: no connection to a server is kept any more.
-    pub fn leave(self: &Rc<Self>) {
-        self.happened(Event::Stop, None);
-        if let Some(front) = &self.front {
-            front.stop(self.now());
+    pub fn stop(self: &Rc<Self>) {
+        self.handle(Event::Stop, None);
+        if let Some(websockets) = &self.websockets {
+            websockets.stop(self.now());
         }
     }
 
@@ -310,7 +310,7 @@
     }
 
     /// Tells the log the figures so often, for ever.
-    pub async fn tell_counts(self: Rc<Self>, every: Option<Duration>) {
+    pub async fn log_counts(self: Rc<Self>, every: Option<Duration>) {
         let Some(every) = every else { return };
         let born = Instant::now();
         let me = self.named.settings.node.0;
@@ -324,7 +324,7 @@
         }
     }
 
-    fn with_figures(&self, told: impl FnOnce(&Metrics) -> String) -> String {
+    fn with_figures(&self, write: impl FnOnce(&Metrics) -> String) -> String {
         let exchange = self.exchange.borrow();
         let (registry_entries, out_of_rotation) = exchange.policy().endpoint_counts();
         let (names, tally) = (&self.named.classes, exchange.tally().clone());
@@ -338,59 +338,62 @@
         decided.extend(
             Invariant::ALL.map(|invariant| (invariant.figure(), violations.count(invariant))),
         );
-        let words = self.peers.as_ref().map_or((0, 0), Peers::words);
-        told(&Metrics {
+        let watch_statuses = self.peers.as_ref().map_or((0, 0), Peers::message_counts);
+        write(&Metrics {
             names,
             tally,
             registry_entries,
             out_of_rotation,
-            peer_messages: words,
+            peer_messages: watch_statuses,
             policy_counters: decided,
         })
     }
 
     /// A request that was not taken was answered all the same.
-    pub fn turned_away(&self, class: ClassId, end: RequestEnd) {
+    pub fn record_rejection(&self, class: ClassId, end: RequestEnd) {
         debug!(class = class.0, ?end, "turned away");
         self.exchange.borrow_mut().turned_away(class.0, end);
     }
 
     /// Tells the module something that is none of the exchange's.
     pub fn post(self: &Rc<Self>, event: ModuleEvent) {
-        self.happened(Event::PolicyEvent(event), None);
+        self.handle(Event::PolicyEvent(event), None);
     }
 
     /// Lets the module's clock begin, before any list is known.
-    pub fn begin(self: &Rc<Self>) {
+    pub fn start(self: &Rc<Self>) {
         self.post(ModuleEvent::EndpointsUnavailable);
     }
 
     /// How long ago the module was last woken.
-    pub fn progressed(&self) -> Duration {
-        self.woken.get().elapsed()
+    pub fn since_last_timer(&self) -> Duration {
+        self.last_timer_at.get().elapsed()
     }
 
     /// A source of the list has said something, if only that nothing has changed.
-    pub fn heard_list(&self) {
-        self.list_heard.set(Some(Instant::now()));
+    pub fn record_list_contact(&self) {
+        self.list_age.set(Some(Instant::now()));
     }
 
     /// How long ago a source of the list last said something; `None` if none has yet.
-    pub fn list_heard(&self) -> Option<Duration> {
-        self.list_heard.get().map(|at| at.elapsed())
+    pub fn list_age(&self) -> Option<Duration> {
+        self.list_age.get().map(|at| at.elapsed())
     }
 
     /// Hands a peer's datagram to the module.
-    pub fn heard_peer(self: &Rc<Self>, from: NodeId, bytes: Vec<u8>) {
-        self.peers_heard.borrow_mut().insert(from);
+    pub fn on_peer_message(self: &Rc<Self>, from: NodeId, bytes: Vec<u8>) {
+        self.reachable_peers.borrow_mut().insert(from);
         self.post(ModuleEvent::PeerMessage { from, bytes });
     }
 
     /// How many peers were heard in this life, and how many there are that speak unasked.
-    pub fn peers_heard(&self) -> (usize, usize) {
+    pub fn reachable_peers(&self) -> (usize, usize) {
         let all = self.named.settings.node_count.saturating_sub(1) as usize;
         let speak = self.peers.is_some() && self.exchange.borrow().policy().broadcasts();
-        (self.peers_heard.borrow().len(), if speak { all } else { 0 })
+        (
+            self.reachable_peers.borrow().len(),
+            if speak { all } else { 0 },
+        )
     }
 
     fn carry_out(self: &Rc<Self>, command: Command<SocketAddr>, payload: &mut Option<Payload>) {
@@ -424,7 +427,7 @@
                 let answer = match verdict {
                     FinalAnswer::Served => payload.take().map_or(Answer::Failed, Answer::Served),
                     FinalAnswer::Rejected(retry_in) => {
-                        Answer::Refused(retry_in.map(Duration::from_micros))
+                        Answer::Rejected(retry_in.map(Duration::from_micros))
                     }
                     FinalAnswer::Failed => Answer::Failed,
                 };
@@ -440,20 +443,22 @@
     fn apply(self: &Rc<Self>, action: Action) {
         match action {
             Action::Broadcast { bytes } => {
-                self.peers.iter().for_each(|peers| peers.tell_all(&bytes));
+                self.peers.iter().for_each(|peers| peers.broadcast(&bytes));
             }
             Action::SendToPeer { to, bytes } => {
-                self.peers.iter().for_each(|peers| peers.tell(to, &bytes));
+                self.peers
+                    .iter()
+                    .for_each(|peers| peers.send_to(to, &bytes));
             }
             Action::SetTimer { after, token } => {
                 let node = Rc::clone(self);
                 tokio::task::spawn_local(async move {
                     tokio::time::sleep(Duration::from_micros(after)).await;
-                    node.woken.set(Instant::now());
+                    node.last_timer_at.set(Instant::now());
                     node.post(ModuleEvent::TimerFired { token });
                 });
             }
-            Action::SendToSiblings(twin) => self.links.tell_twin(twin),
+            Action::SendToSiblings(twin) => self.links.send_to_siblings(twin),
             Action::Log(line) => info!("{line}"),
             // Discovery is always followed, and the rest is the exchange's.
             Action::Subscribe
@@ -465,9 +470,9 @@
     }
 
     /// Takes a request in. `None` if its id is in use: two owners of one id would mix up their answers.
-    pub fn take(
+    pub fn submit(
         self: &Rc<Self>,
-        tell: ModuleEvent,
+        arrival: ModuleEvent,
         forward: Forward,
     ) -> Option<(oneshot::Receiver<Answer>, Ticket)> {
         let id = forward.id.clone();
@@ -485,18 +490,18 @@
         forward
             .coming()
             .into_iter()
-            .for_each(|pipe| pipe.taken(ticket));
+            .for_each(|pipe| pipe.set_ticket(ticket));
         let pending = Pending {
             ticket,
             forward: Rc::new(forward),
             answer,
         };
         self.requests.borrow_mut().insert(id, pending);
-        self.happened(
+        self.handle(
             Event::RequestReceived {
                 effect,
                 deadline,
-                policy_event: tell,
+                policy_event: arrival,
             },
             None,
         );
@@ -512,7 +517,7 @@
             .is_some_and(|pending| pending.ticket == ticket);
         if waits {
             self.requests.borrow_mut().remove(id);
-            self.happened(
+            self.handle(
                 Event::ClientGone {
                     id: id.clone(),
                     ticket,
@@ -523,7 +528,7 @@
     }
 
     /// A request's client has gone, and its connection has not said so yet.
-    pub fn left(self: &Rc<Self>, forward: &Rc<Forward>) {
+    pub fn client_gone(self: &Rc<Self>, forward: &Rc<Forward>) {
         let pending = self
             .requests
             .borrow()
@@ -535,51 +540,51 @@
     }
 
     /// What the module keeps in mind, for its next process.
-    pub fn keep(&self) -> StateSnapshot {
+    pub fn policy_snapshot(&self) -> StateSnapshot {
         self.exchange.borrow().policy().snapshot()
     }
 
     /// Keeps to this process's part of the node's connections to app servers.
-    pub fn share_out(&self) {
+    pub fn apply_connection_share(&self) {
         self.exchange
             .borrow_mut()
             .set_max_connections(self.links.part(self.each_side));
     }
 
     /// Keeps what discovery has told, for this process's heir, where there can be one.
-    pub fn remember(&self, list: &List) {
-        if !self.links.meets() {
+    pub fn record_list(&self, list: &List) {
+        if !self.links.enabled() {
             return;
         }
-        let mut told = self.told.borrow_mut();
-        told.0 = list.seq;
+        let mut recorded_list = self.recorded_list.borrow_mut();
+        recorded_list.0 = list.seq;
         if list.whole {
-            told.1.clear();
+            recorded_list.1.clear();
         }
         for host in &list.hosts {
             if host.health == Health::Gone {
-                told.1.remove(&host.host);
+                recorded_list.1.remove(&host.host);
             } else {
-                told.1.insert(host.host.clone(), host.clone());
+                recorded_list.1.insert(host.host.clone(), host.clone());
             }
         }
     }
 
     /// What discovery has told so far, as one list; none if it has told nothing.
-    pub fn remembered(&self) -> Option<List> {
-        let told = self.told.borrow();
-        let hosts: Vec<Host> = told.1.values().cloned().collect();
+    pub fn last_list(&self) -> Option<List> {
+        let recorded_list = self.recorded_list.borrow();
+        let hosts: Vec<Host> = recorded_list.1.values().cloned().collect();
         (!hosts.is_empty()).then_some(List {
-            seq: told.0,
+            seq: recorded_list.0,
             whole: true,
             hosts,
         })
     }
 
     /// Follows the platform's discovery.
-    pub fn listed(self: &Rc<Self>, list: &List) {
+    pub fn on_discovery_list(self: &Rc<Self>, list: &List) {
         let entries = list.hosts.iter().map(EndpointRecord::from).collect();
-        self.roster(
+        self.on_endpoint_update(
             Source::Discovery,
             EndpointUpdate {
                 endpoints: entries,
@@ -590,28 +595,28 @@
     }
 
     /// Follows a source of the list. Where there are several, they are merged.
-    pub fn roster(self: &Rc<Self>, source: Source, change: EndpointUpdate) {
+    pub fn on_endpoint_update(self: &Rc<Self>, source: Source, change: EndpointUpdate) {
         let change = match &mut *self.merge.borrow_mut() {
             Some(merge) => merge.take(source, change),
             None => change,
         };
         if !change.endpoints.is_empty() || change.snapshot {
-            self.take_list(&change.endpoints, change.snapshot);
+            self.apply_endpoints(&change.endpoints, change.snapshot);
         }
     }
 
-    fn take_list(self: &Rc<Self>, list: &[EndpointRecord], whole: bool) {
+    fn apply_endpoints(self: &Rc<Self>, list: &[EndpointRecord], whole: bool) {
         let entries = list
             .iter()
             .map(|entry| server_entry(entry, &self.named.zones));
         let entries: Vec<(Endpoint, SocketAddr)> = entries.collect();
-        if let Some(front) = &self.front {
-            let told = entries
+        if let Some(websockets) = &self.websockets {
+            let recorded_list = entries
                 .iter()
                 .map(|(entry, dial)| (entry.server, entry.status == EndpointStatus::Ready, *dial));
-            front.listed(self.now(), whole, told);
+            websockets.on_endpoints(self.now(), whole, recorded_list);
         }
-        self.happened(
+        self.handle(
             Event::EndpointsChanged {
                 snapshot: whole,
                 endpoints: entries,
@@ -621,7 +626,7 @@
     }
 
     /// Several sources of the list will be followed: from now on they are merged.
-    pub fn merge_sources(&self) {
+    pub fn merge_endpoint_sources(&self) {
         self.merge.borrow_mut().get_or_insert_with(Merge::new);
     }
 }
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -12,7 +12,7 @@
 use tokio::net::UdpSocket;
 
 /// Most bytes of a datagram.
-const MOST: usize = 256;
+const MAX_DATAGRAM_BYTES: usize = 256;
 
 pub struct Peers {
     socket: UdpSocket,
@@ -20,7 +20,7 @@
     all: Option<SocketAddr>,
     me: usize,
     /// Datagrams told and heard.
-    words: Cell<(u64, u64)>,
+    message_counts: Cell<(u64, u64)>,
 }
 
 /// With `reuse` a successor may bind the same address; what comes goes to whoever bound it last (`socket(7)`).
@@ -46,17 +46,17 @@
             each,
             all,
             me: me.0 as usize,
-            words: Cell::default(),
+            message_counts: Cell::default(),
         })
     }
 
-    pub fn tell(&self, to: NodeId, bytes: &[u8]) {
+    pub fn send_to(&self, to: NodeId, bytes: &[u8]) {
         if let Some(address) = self.each.get(to.0 as usize) {
             self.send(bytes, *address);
         }
     }
 
-    pub fn tell_all(&self, bytes: &[u8]) {
+    pub fn broadcast(&self, bytes: &[u8]) {
         if let Some(all) = self.all {
             return self.send(bytes, all);
         }
@@ -69,9 +69,9 @@
     }
 
     fn send(&self, bytes: &[u8], to: SocketAddr) {
-        if bytes.len() <= MOST {
-            let (told, heard) = self.words.get();
-            self.words.set((told + 1, heard));
+        if bytes.len() <= MAX_DATAGRAM_BYTES {
+            let (sent, received) = self.message_counts.get();
+            self.message_counts.set((sent + 1, received));
             // Losing one is in the nature of datagrams.
             let _ = retry_interrupted(|| self.socket.try_send_to(bytes, to));
         }
@@ -79,18 +79,20 @@
 
     /// The next datagram of a peer; `None` where it came from elsewhere, was too long, or the socket failed.
     pub async fn receive(&self) -> Option<(NodeId, Vec<u8>)> {
-        let mut buffer = [0; MOST + 1];
+        let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         let (length, from) = self.socket.recv_from(&mut buffer).await.ok()?;
         let sender = self.each.iter().position(|address| *address == from)?;
-        let bytes = buffer.get(..length).filter(|bytes| bytes.len() <= MOST)?;
-        let (told, heard) = self.words.get();
-        self.words.set((told, heard + 1));
+        let bytes = buffer
+            .get(..length)
+            .filter(|bytes| bytes.len() <= MAX_DATAGRAM_BYTES)?;
+        let (sent, received) = self.message_counts.get();
+        self.message_counts.set((sent, received + 1));
         Some((NodeId(sender as u32), bytes.to_vec()))
     }
 
     /// Datagrams told and heard so far; one to all counts as one.
-    pub fn words(&self) -> (u64, u64) {
-        self.words.get()
+    pub fn message_counts(&self) -> (u64, u64) {
+        self.message_counts.get()
     }
 }
 
@@ -101,8 +103,8 @@
     loop {
         if let Some((from, bytes)) = peers.receive().await {
             // Danger: an elder that hears no peers any more, as the machine gives datagrams to who bound last.
-            node.links.pass_on(from, &bytes);
-            node.heard_peer(from, bytes);
+            node.links.forward_peer_message(from, &bytes);
+            node.on_peer_message(from, bytes);
         }
     }
 }
--- a/crates/node/src/facts.rs
+++ b/crates/node/src/readiness.rs
@@ -9,12 +9,12 @@
 
 /// No clock is right that tells a time before this: 2020-01-01, Unix time.
 #[allow(clippy::duration_suboptimal_units)] // A Unix time.
-const EARLIEST: Duration = Duration::from_secs(1_577_836_800);
+const EARLIEST_PLAUSIBLE_TIME: Duration = Duration::from_secs(1_577_836_800);
 /// Descriptors and memory are counted anew after so long: each takes a look at the machine's files.
-const COUNT_EVERY: Duration = Duration::from_millis(500);
+const COUNT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Sees what readiness hangs on.
-pub struct Facing {
+pub struct ReadinessSampler {
     node: Rc<Node>,
     sockets: u64,
     memory_limit: u64,
@@ -23,11 +23,11 @@
     counted: Option<(Instant, u64, u64)>,
 }
 
-impl Facing {
+impl ReadinessSampler {
     /// What this node may use: descriptors, and bytes of memory.
-    pub fn new(node: Rc<Node>, sockets: usize, memory: usize) -> Facing {
+    pub fn new(node: Rc<Node>, sockets: usize, memory: usize) -> ReadinessSampler {
         let began = (unix(), Instant::now());
-        Facing {
+        ReadinessSampler {
             node,
             sockets: sockets as u64,
             memory_limit: memory as u64,
@@ -42,25 +42,25 @@
     }
 
     /// How it stands now, in a loop that is so late.
-    pub fn look(&mut self, lag: Duration) -> Facts {
+    pub fn sample(&mut self, lag: Duration) -> Facts {
         let (_, open, memory) = match self.counted {
-            Some(counted) if counted.0.elapsed() < COUNT_EVERY => counted,
+            Some(counted) if counted.0.elapsed() < COUNT_INTERVAL => counted,
             _ => *self
                 .counted
                 .insert((Instant::now(), descriptors(), resident())),
         };
         let expected = self.began.0 + self.began.1.elapsed();
-        let (peers_heard, peers) = self.node.peers_heard();
+        let (reachable_peers, peers) = self.node.reachable_peers();
         Facts {
             servers: self.node.ready(),
-            endpoint_list_age: self.node.list_heard(),
-            reachable_peers: peers_heard,
+            endpoint_list_age: self.node.list_age(),
+            reachable_peers,
             peers,
             free_descriptors: self.sockets.saturating_sub(open),
             memory,
             memory_limit: self.memory_limit,
             clock_moved: unix().abs_diff(expected),
-            clock_implausible: self.began.0 < EARLIEST,
+            clock_implausible: self.began.0 < EARLIEST_PLAUSIBLE_TIME,
             event_loop_lag: lag,
         }
     }
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -1,16 +1,17 @@
 //! One edge node from its start to its end: what is bound, what runs, and how it leaves.
 
 use crate::admin::{self, Admin};
-use crate::clients::{self, Standing};
+use crate::clients::{self, ServingStatus};
 use crate::config::Config;
-use crate::facts::Facing;
-use crate::handed;
-use crate::handover::{self, Links, Meeting};
-use crate::life::{self, Life, Word};
+use crate::endpoint_sources;
+use crate::event_loop;
+use crate::hot_restart::{self, ProcessLinks, Rendezvous};
+use crate::inherited_listener;
+use crate::lifecycle_runner::{self, LifecycleRunner, ProcessSignal};
 use crate::manager::Manager;
 use crate::node::Node;
 use crate::peers::{self, Peers};
-use crate::roster;
+use crate::readiness::ReadinessSampler;
 use crate::shutdown;
 use crate::upstream::Upstream;
 use anyhow::{Context, Result};
@@ -29,11 +30,11 @@
 
 /// Descriptors for all but clients and app servers: listener, discovery, peers, the runtime's own; the operators' and its
 /// callers.
-const RESERVED: usize = 32 + Admin::DESCRIPTORS;
+const RESERVED_DESCRIPTORS: usize = 32 + Admin::DESCRIPTORS;
 /// Connections of either side that sockets must leave to requests.
-const LEAST_EACH_SIDE: usize = 32;
+const MIN_CONNECTIONS_PER_SIDE: usize = 32;
 /// Connections that may wait to be accepted.
-const BACKLOG: i32 = 1024;
+const LISTEN_BACKLOG: i32 = 1024;
 
 /// The operator file that a node was given.
 #[derive(Clone, Debug)]
@@ -41,7 +42,7 @@
     /// Where it stands, to be read again.
     pub path: PathBuf,
     /// What it says.
-    pub says: Operator,
+    pub settings: Operator,
 }
 
 impl OperatorFile {
@@ -52,10 +53,10 @@
     pub fn read(path: &Path) -> Result<OperatorFile> {
         let shown = path.display().to_string();
         let text = std::fs::read_to_string(path).with_context(|| shown.clone())?;
-        let says = Operator::parse(&text).with_context(|| shown)?;
+        let settings = Operator::parse(&text).with_context(|| shown)?;
         Ok(OperatorFile {
             path: path.to_owned(),
-            says,
+            settings,
         })
     }
 }
@@ -67,9 +68,9 @@
     /// What the operator sets; `None` leaves all of that off.
     pub operator: Option<OperatorFile>,
     /// A listener that is handed over, in place of one of the node's own.
-    pub handed: Option<std::net::TcpListener>,
+    pub inherited_listener: Option<std::net::TcpListener>,
     /// Where processes of this node meet, if the platform holds the listener that they share.
-    pub meeting: Option<PathBuf>,
+    pub rendezvous: Option<PathBuf>,
     /// Who is told how it goes.
     pub manager: Manager,
 }
@@ -80,7 +81,9 @@
 /// What could not be bound or read.
 pub fn run(operator: Option<PathBuf>) -> Result<()> {
     let mut runtime = tokio::runtime::Builder::new_current_thread();
-    let runtime = clients::late::watch(&mut runtime).enable_all().build()?;
+    let runtime = event_loop::observe_parking(&mut runtime)
+        .enable_all()
+        .build()?;
     tokio::task::LocalSet::new().block_on(&runtime, async {
         // Danger: a reload that is told while the files are still read for the first time, which would end the process.
         let words = signals()?;
@@ -94,14 +97,14 @@
 fn options(operator: Option<PathBuf>) -> Result<Options> {
     let config = Config::from_environment(|key| std::env::var(key).ok())?;
     let operator = operator.as_deref().map(OperatorFile::read).transpose()?;
-    let (mut handed, mut manager) = (None, Manager::none());
-    if let Some(OperatorFile { says, .. }) = &operator {
-        if says.listen.handed_over {
-            handed = handed::take(&says.listen.name)?;
+    let (mut inherited_listener, mut manager) = (None, Manager::none());
+    if let Some(OperatorFile { settings, .. }) = &operator {
+        if settings.listen.handed_over {
+            inherited_listener = inherited_listener::take(&settings.listen.name)?;
         }
-        let socket = std::env::var_os("NOTIFY_SOCKET").filter(|_| says.manager.notify);
+        let socket = std::env::var_os("NOTIFY_SOCKET").filter(|_| settings.manager.notify);
         if let Some(address) = socket.filter(|address| !address.is_empty()) {
-            let watchdog = sd_notify::watchdog_enabled().filter(|_| says.manager.watchdog);
+            let watchdog = sd_notify::watchdog_enabled().filter(|_| settings.manager.watchdog);
             // A node that can't tell how it goes still serves.
             manager = Manager::at(&address, watchdog).unwrap_or_else(|error| {
                 warn!(%error, "NOTIFY_SOCKET: no notifications are sent");
@@ -109,29 +112,31 @@
             });
         }
     }
-    let mut meeting = None;
-    if let Some(inherited) = handed::inherited(std::env::var("LB_LISTEN_FD").ok().as_deref())? {
-        handed = Some(inherited);
-        meeting = std::env::var_os("TMPDIR")
+    let mut rendezvous = None;
+    if let Some(inherited) =
+        inherited_listener::inherited(std::env::var("LB_LISTEN_FD").ok().as_deref())?
+    {
+        inherited_listener = Some(inherited);
+        rendezvous = std::env::var_os("TMPDIR")
             .filter(|folder| !folder.is_empty())
             .map(PathBuf::from);
     }
     Ok(Options {
         config,
         operator,
-        handed,
-        meeting,
+        inherited_listener,
+        rendezvous,
         manager,
     })
 }
 
 /// The words that signals stand for, from now on.
-fn signals() -> Result<mpsc::UnboundedReceiver<Word>> {
+fn signals() -> Result<mpsc::UnboundedReceiver<ProcessSignal>> {
     let (tell, words) = mpsc::unbounded_channel();
     // SIGHUP ends a process that does not ask for it.
     let kinds = [
-        (SignalKind::terminate(), Word::Stop),
-        (SignalKind::hangup(), Word::Reload),
+        (SignalKind::terminate(), ProcessSignal::Stop),
+        (SignalKind::hangup(), ProcessSignal::Reload),
     ];
     for (kind, word) in kinds {
         let mut signal = signal(kind).context("signals")?;
@@ -153,14 +158,14 @@
     address: SocketAddr,
     discovery: SocketAddr,
     known: Option<crate::config::List>,
-    seats: usize,
+    max_clients: usize,
     sockets: usize,
     memory: usize,
     files: Files,
     manager: Rc<Manager>,
     admin: Option<Admin>,
-    meeting: Option<Meeting>,
-    elder: Option<handover::Met>,
+    rendezvous: Option<Rendezvous>,
+    parent: Option<hot_restart::ParentLink>,
 }
 
 /// The files that a reload reads, and what the operator file last said.
@@ -179,30 +184,32 @@
         let Options {
             mut config,
             operator,
-            handed,
-            meeting,
+            inherited_listener,
+            rendezvous,
             manager,
         } = options;
         if let Some(file) = &operator {
             let settings = &mut config.named.settings;
-            (settings.partition_safe, settings.retransmission_budget) =
-                (file.says.quotas.fenced, file.says.quotas.spare_words);
-            settings.subsetting = file.says.servers.working_set;
+            (settings.partition_safe, settings.retransmission_budget) = (
+                file.settings.quotas.fenced,
+                file.settings.quotas.spare_words,
+            );
+            settings.subsetting = file.settings.servers.working_set;
         }
-        let shared = handed.is_some();
-        let overlaps = meeting.is_some();
-        let links = Links::new(&config.name, overlaps);
-        let meeting = meeting.map(|folder| Meeting::new(&folder, &config.name));
+        let shared = inherited_listener.is_some();
+        let overlaps = rendezvous.is_some();
+        let links = ProcessLinks::new(&config.name, overlaps);
+        let rendezvous = rendezvous.map(|folder| Rendezvous::new(&folder, &config.name));
         // Before anything is bound: until then the elder has all to itself.
-        let met = match &meeting {
-            Some(meeting) => meeting.meet(&links).await,
+        let met = match &rendezvous {
+            Some(rendezvous) => rendezvous.connect_to_parent(&links).await,
             None => None,
         };
-        let (elder, state) = met.unzip();
-        let told = state.as_ref().and_then(handover::list);
-        let kept = elder
+        let (parent, state) = met.unzip();
+        let transferred_list = state.as_ref().and_then(hot_restart::transferred_list);
+        let kept = parent
             .as_ref()
-            .map(handover::Met::number)
+            .map(hot_restart::ParentLink::number)
             .zip(state)
             .map(|(no, state)| (state.policy, no));
         if let Some((kept, _)) = &kept {
@@ -213,8 +220,8 @@
         }
         let reuse = operator
             .as_ref()
-            .is_some_and(|file| file.says.listen.reuse_port);
-        let listener = match handed {
+            .is_some_and(|file| file.settings.listen.reuse_port);
+        let listener = match inherited_listener {
             Some(listener) => TcpListener::from_std(listener),
             None if reuse => retry_shortage(|| async { bind_reusing(config.listen) }).await,
             None => retry_shortage(|| TcpListener::bind(config.listen)).await,
@@ -226,17 +233,19 @@
             }
             None => None,
         };
-        let sockets = operator.as_ref().and_then(|file| file.says.sockets.clone());
+        let sockets = operator
+            .as_ref()
+            .and_then(|file| file.settings.sockets.clone());
         let apart = sockets
             .as_ref()
             .map_or(0, |sockets| 2 * sockets.limits.per_node);
-        let both_sides = config.sockets.saturating_sub(RESERVED + apart);
+        let both_sides = config.sockets.saturating_sub(RESERVED_DESCRIPTORS + apart);
         // Clients that are slow, or mean no good, hold theirs far longer than attempts do.
         let each_side = both_sides * 3 / 8;
         // Guards requests: sockets never take the descriptors that these need.
         anyhow::ensure!(
-            apart == 0 || each_side >= LEAST_EACH_SIDE,
-            "sockets.per_node: leaves {each_side} connections for requests of {} descriptors; {LEAST_EACH_SIDE} are \
+            apart == 0 || each_side >= MIN_CONNECTIONS_PER_SIDE,
+            "sockets.per_node: leaves {each_side} connections for requests of {} descriptors; {MIN_CONNECTIONS_PER_SIDE} are \
              the least",
             config.sockets
         );
@@ -262,9 +271,9 @@
             shared,
             address,
             discovery: config.discovery,
-            known: told.or(config.known),
+            known: transferred_list.or(config.known),
             overlaps,
-            seats: both_sides - each_side,
+            max_clients: both_sides - each_side,
             sockets: config.sockets,
             memory: config.memory,
             files: Files {
@@ -273,8 +282,8 @@
             },
             manager: Rc::new(manager),
             admin,
-            meeting,
-            elder,
+            rendezvous,
+            parent,
         })
     }
 
@@ -284,12 +293,12 @@
     }
 
     /// A task that the node's loop runs. Tests use it to make the loop stick.
-    pub fn beside(&self, task: impl std::future::Future<Output = ()> + 'static) {
+    pub fn spawn(&self, task: impl std::future::Future<Output = ()> + 'static) {
         tokio::task::spawn_local(task);
     }
 
     /// Runs it until its life cycle ends. Inside a `LocalSet` only.
-    pub async fn run(self, words: mpsc::UnboundedReceiver<Word>) {
+    pub async fn run(self, words: mpsc::UnboundedReceiver<ProcessSignal>) {
         let Edge {
             node,
             manager,
@@ -297,56 +306,63 @@
             ..
         } = self;
         // Danger: a module that was told nothing yet asks for no wake-up, and a loop without one looks stuck.
-        node.begin();
+        node.start();
         let longest = Duration::from_micros(node.named.longest_deadline);
         // What comes to a listener that is handed over waits for its next owner; but where processes overlap, the next
         // owner is there, or there is none yet.
         let leave_at_once = self.shared && !self.overlaps;
         let limits = limits(
-            files.operator.as_ref().map(|file| &file.says),
+            files.operator.as_ref().map(|file| &file.settings),
             longest,
             leave_at_once,
         );
-        let facing = Facing::new(Rc::clone(&node), self.sockets, self.memory);
-        let born = Instant::now();
-        let (standing, seen) = watch::channel(Standing::unready());
+        let sampler = ReadinessSampler::new(Rc::clone(&node), self.sockets, self.memory);
+        let started_at = Instant::now();
+        let (status, seen) = watch::channel(ServingStatus::unready());
         let (moved, discovery) = watch::channel(self.discovery);
-        let says = files.operator.as_ref().map(|file| &file.says);
-        let sources = says
-            .map(|says| (says.etcd.clone(), says.list.clone()))
+        let operator = files.operator.as_ref().map(|file| &file.settings);
+        let sources = operator
+            .map(|operator| (operator.etcd.clone(), operator.list.clone()))
             .unwrap_or_default();
         let counts_every = files
             .operator
             .as_ref()
-            .and_then(|file| file.says.log.counts_every);
-        let (ask, calls) = mpsc::channel(admin::CALLS_MOST);
-        let beside = [
-            tokio::task::spawn_local(roster::follow(
+            .and_then(|file| file.settings.log.counts_every);
+        let (ask, calls) = mpsc::channel(admin::MAX_QUEUED_CALLS);
+        let tasks = [
+            tokio::task::spawn_local(endpoint_sources::follow(
                 Rc::clone(&node),
                 sources,
                 discovery,
                 self.known,
             )),
             tokio::task::spawn_local(peers::listen(Rc::clone(&node))),
-            tokio::task::spawn_local(Rc::clone(&node).ring()),
-            tokio::task::spawn_local(Rc::clone(&node).hear_left()),
-            tokio::task::spawn_local(handover::serve(Rc::clone(&node), self.meeting, self.elder)),
+            tokio::task::spawn_local(Rc::clone(&node).run_timer()),
+            tokio::task::spawn_local(Rc::clone(&node).handle_abandoned_responses()),
+            tokio::task::spawn_local(hot_restart::serve(
+                Rc::clone(&node),
+                self.rendezvous,
+                self.parent,
+            )),
             tokio::task::spawn_local(admin::serve(self.admin, Rc::clone(&node), ask)),
             tokio::task::spawn_local(ring_sockets(Rc::clone(&node))),
-            tokio::task::spawn_local(Rc::clone(&node).tell_counts(counts_every)),
-            tokio::task::spawn_local(clients::late::prove()),
-            tokio::task::spawn_local(life::feed(Rc::clone(&node), Rc::clone(&manager))),
-            tokio::task::spawn_local(shutdown::tell_open_requests(Rc::clone(&node), seen.clone())),
+            tokio::task::spawn_local(Rc::clone(&node).log_counts(counts_every)),
+            tokio::task::spawn_local(event_loop::confirm_rounds()),
+            tokio::task::spawn_local(lifecycle_runner::feed_watchdog(
+                Rc::clone(&node),
+                Rc::clone(&manager),
+            )),
+            tokio::task::spawn_local(shutdown::log_open_requests(Rc::clone(&node), seen.clone())),
         ];
-        let clients = clients::serve(self.listener, self.shared, node, self.seats, seen);
+        let clients = clients::serve(self.listener, self.shared, node, self.max_clients, seen);
         let clients = tokio::task::spawn_local(clients);
         let machine = Lifecycle::new(limits, Duration::ZERO);
-        let life = Life {
+        let life = LifecycleRunner {
             machine,
             manager,
-            standing,
-            facing,
-            born,
+            status,
+            sampler,
+            started_at,
         };
         let moved = Rc::new(moved);
         let shared = leave_at_once;
@@ -358,7 +374,7 @@
             }
         };
         life.run(words, calls, reload, clients).await;
-        beside.iter().for_each(tokio::task::JoinHandle::abort);
+        tasks.iter().for_each(tokio::task::JoinHandle::abort);
     }
 }
 
@@ -373,7 +389,7 @@
     socket.set_reuse_port(true)?;
     socket.set_nonblocking(true)?;
     socket.bind(&address.into())?;
-    socket.listen(BACKLOG)?;
+    socket.listen(LISTEN_BACKLOG)?;
     TcpListener::from_std(socket.into())
 }
 
@@ -407,7 +423,7 @@
             .as_ref()
             .map(|file| OperatorFile::read(&file.path))
             .transpose()?;
-        Ok((config, operator.map(|file| file.says)))
+        Ok((config, operator.map(|file| file.settings)))
     });
     match read
         .await
@@ -428,7 +444,7 @@
 }
 
 async fn ring_sockets(node: Rc<Node>) {
-    if let Some(front) = &node.front {
-        front.ring(&node).await;
+    if let Some(websockets) = &node.websockets {
+        websockets.run_timer(&node).await;
     }
 }
