--- a/crates/node/src/upstream.rs
+++ b/crates/node/src/upstream.rs
@@ -1,9 +1,12 @@
 //! Connections to app servers: made, written to, read and closed as the exchange has it, and only so.
 
-use crate::bodies::{joined, Gathered, Outgoing, Passing, Pipe, BODY_MOST, LARGEST};
+use crate::bodies::{
+    joined, Gathered, StreamedRequestBody, StreamedResponseBody, UpstreamRequestBody,
+    MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES,
+};
+use crate::downstream::DownstreamConnection;
 use crate::node::{Node, Payload};
-use crate::seats::Seat;
-use crate::sockets::Switched;
+use crate::websocket::UpgradedConnection;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body, Incoming};
@@ -36,10 +39,10 @@
 use tokio::time::{timeout_at, Instant};
 
 /// Most bytes buffered of one app server's answer before its body. Guards memory against heads that never end.
-const HEAD_MOST: usize = 32 * 1024;
+const MAX_HEAD_BYTES: usize = 32 * 1024;
 /// Rounds of the loop that a first byte waits for news of the list to be taken: the driver's, the connection's, the watch's, and
 /// some to spare. Guards against a watch that is never read.
-const BEHIND_MOST: u32 = 16;
+const MAX_DISCOVERY_ROUNDS: u32 = 16;
 /// A client's request as it goes on to an app server.
 pub struct Forward {
     pub id: RequestId,
@@ -49,44 +52,44 @@
     /// Path and query.
     pub target: String,
     pub key: Option<HeaderValue>,
-    pub body: Going,
+    pub body: ForwardBody,
     /// The socket that is asked for.
     pub offer: Option<Offer>,
     /// When the edge node stops waiting.
     pub deadline: Instant,
     /// Who waits for the answer.
-    pub client: Arc<Seat>,
+    pub client: Arc<DownstreamConnection>,
 }
 
 /// The body of a request that goes on.
-pub enum Going {
+pub enum ForwardBody {
     /// It has come whole, and can go again.
-    Whole(Bytes),
+    Buffered(Bytes),
     /// It goes by, once.
-    Coming(Rc<Pipe>),
+    Streamed(Rc<StreamedRequestBody>),
 }
 
 impl Forward {
     /// Its body, if that goes by.
-    pub fn coming(&self) -> Option<&Rc<Pipe>> {
+    pub fn coming(&self) -> Option<&Rc<StreamedRequestBody>> {
         match &self.body {
-            Going::Whole(_) => None,
-            Going::Coming(pipe) => Some(pipe),
+            ForwardBody::Buffered(_) => None,
+            ForwardBody::Streamed(pipe) => Some(pipe),
         }
     }
 }
 
 /// A connection, from the command to connect until it is closed.
-struct Wire {
+struct UpstreamConnection {
     dial: SocketAddr,
     /// Connects, then drives the connection; the socket is closed with it.
     driver: JoinHandle<()>,
     /// Free for a request.
-    sender: Option<SendRequest<Outgoing>>,
+    sender: Option<SendRequest<UpstreamRequestBody>>,
     /// Writes a request and reads its answer.
     exchange: Option<AbortHandle>,
     /// The body that goes by on it.
-    pipe: Option<Rc<Pipe>>,
+    pipe: Option<Rc<StreamedRequestBody>>,
     /// The request that was last made ready on it.
     forward: Option<Rc<Forward>>,
     /// Whether bytes may be written. Shut when a request is made ready: before its first byte the exchange is asked.
@@ -95,7 +98,7 @@
 
 /// All connections to app servers. What they are for is the exchange's matter.
 pub struct Upstream {
-    wires: RefCell<HashMap<ConnectionId, Wire>>,
+    wires: RefCell<HashMap<ConnectionId, UpstreamConnection>>,
     /// Where answers that nobody takes any more are told. As many as there are connections at the most.
     tell_left: mpsc::UnboundedSender<ConnectionId>,
     left: RefCell<Option<mpsc::UnboundedReceiver<ConnectionId>>>,
@@ -117,7 +120,7 @@
     }
 
     /// An answer that went by has come to its end.
-    pub fn free_again(&self, link: ConnectionId, sender: SendRequest<Outgoing>) {
+    pub fn return_connection(&self, link: ConnectionId, sender: SendRequest<UpstreamRequestBody>) {
         if let Some(wire) = self.wires.borrow_mut().get_mut(&link) {
             (wire.sender, wire.exchange, wire.forward) = (Some(sender), None, None);
         }
@@ -138,7 +141,7 @@
         let open = Arc::new(AtomicBool::new(false));
         let driver =
             tokio::task::spawn_local(drive(Rc::clone(node), link, dial, Arc::clone(&open)));
-        let wire = Wire {
+        let wire = UpstreamConnection {
             dial,
             driver,
             sender: None,
@@ -174,25 +177,26 @@
             let left = node.time_left(&forward);
             let answer = exchange(&mut sender, &forward, left, server, dial).await;
             match answer {
-                Came::Switched(switched) => {
+                AttemptOutcome::Upgraded(switched) => {
                     // The connection is the socket's now.
                     node.upstream.wires.borrow_mut().remove(&link);
-                    node.happened(
+                    node.handle(
                         Event::Upgraded { connection: link },
-                        Some(Payload::Switched(switched)),
+                        Some(Payload::Upgraded(switched)),
                     );
                 }
-                Came::Passing(first, rest) => {
+                AttemptOutcome::Streaming(first, rest) => {
                     let left = node.upstream.tell_left.clone();
-                    let passing = Passing::new(node.number(), link, left, sender, first, rest);
-                    node.happened(
+                    let passing =
+                        StreamedResponseBody::new(node.number(), link, left, sender, first, rest);
+                    node.handle(
                         Event::ResponseStreaming { connection: link },
-                        Some(Payload::Passing(Box::new(passing))),
+                        Some(Payload::Streaming(Box::new(passing))),
                     );
                 }
-                Came::Whole(outcome, payload) => {
-                    node.upstream.free_again(link, sender);
-                    node.happened(
+                AttemptOutcome::Complete(outcome, payload) => {
+                    node.upstream.return_connection(link, sender);
+                    node.handle(
                         Event::ResponseComplete {
                             connection: link,
                             outcome,
@@ -200,9 +204,9 @@
                         payload,
                     );
                 }
-                Came::Lost => {
-                    node.upstream.free_again(link, sender);
-                    node.happened(Event::ConnectionLost { connection: link }, None);
+                AttemptOutcome::Lost => {
+                    node.upstream.return_connection(link, sender);
+                    node.handle(Event::ConnectionLost { connection: link }, None);
                 }
             }
         });
@@ -235,7 +239,7 @@
         tokio::task::spawn_local(async move {
             // It was aborted or has ended: either way the socket is closed.
             let _ = wire.driver.await;
-            node.happened(Event::Closed { connection: link }, None);
+            node.handle(Event::Closed { connection: link }, None);
         });
     }
 }
@@ -248,7 +252,7 @@
             // Guards against blaming a server for what is lacking here.
             let lack = is_local_failure(&error);
             node.upstream.wires.borrow_mut().remove(&link);
-            return node.happened(
+            return node.handle(
                 Event::ConnectFailed {
                     connection: link,
                     local_shortage: lack,
@@ -260,7 +264,7 @@
     // Without it a request in two pieces would wait for an acknowledgement; it works all the same.
     let _ = stream.set_nodelay(true);
     let stream = TokioIo::new(Socket::new(stream));
-    let io = Gated {
+    let io = GatedStream {
         stream,
         node: node.number(),
         link,
@@ -269,12 +273,12 @@
         round: None,
     };
     let handshake = http1::Builder::new()
-        .max_buf_size(HEAD_MOST)
+        .max_buf_size(MAX_HEAD_BYTES)
         .handshake(io)
         .await;
     let Ok((sender, connection)) = handshake else {
         node.upstream.wires.borrow_mut().remove(&link);
-        return node.happened(
+        return node.handle(
             Event::ConnectFailed {
                 connection: link,
                 local_shortage: false,
@@ -285,48 +289,48 @@
     if let Some(wire) = node.upstream.wires.borrow_mut().get_mut(&link) {
         wire.sender = Some(sender);
     }
-    node.happened(Event::Connected { connection: link }, None);
+    node.handle(Event::Connected { connection: link }, None);
     // How it ended shows in the exchange.
     let _ = connection.with_upgrades().await;
-    node.happened(Event::ClosedByPeer { connection: link }, None);
+    node.handle(Event::ClosedByPeer { connection: link }, None);
 }
 
 /// What came of a request.
-enum Came {
+enum AttemptOutcome {
     /// An answer that is whole.
-    Whole(Outcome, Option<Payload>),
+    Complete(Outcome, Option<Payload>),
     /// An answer of which so much has come, and that goes on as it comes.
-    Passing(VecDeque<Bytes>, Incoming),
+    Streaming(VecDeque<Bytes>, Incoming),
     /// A socket.
-    Switched(Box<Switched>),
+    Upgraded(Box<UpgradedConnection>),
     /// Nothing whole, or no answer to this request.
     Lost,
 }
 
 /// How long an answer of unknown length may take to show that it is a short one.
-const SHORT_WITHIN: Duration = Duration::from_millis(100);
+const SHORT_BODY_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Writes the request and reads its answer: whole if it is a short one, so that a client never gets one that was cut where
 /// another attempt can help.
 async fn exchange(
-    sender: &mut SendRequest<Outgoing>,
+    sender: &mut SendRequest<UpstreamRequestBody>,
     forward: &Forward,
     left: Duration,
     server: ServerId,
     dial: SocketAddr,
-) -> Came {
+) -> AttemptOutcome {
     let Some(answer) = head(sender, forward, left, dial).await else {
-        return Came::Lost;
+        return AttemptOutcome::Lost;
     };
     let (status, outcome) = (answer.status(), outcome(&answer));
     if let (StatusCode::SWITCHING_PROTOCOLS, Some(offer)) = (status, &forward.offer) {
         return switched(offer, server, answer)
             .await
-            .map_or(Came::Lost, Came::Switched);
+            .map_or(AttemptOutcome::Lost, AttemptOutcome::Upgraded);
     }
     // Guards against an answer that turns the connection into something else.
     if status.is_informational() {
-        return Came::Lost;
+        return AttemptOutcome::Lost;
     }
     // Guards against a second copy of the last answer, where servers say whose it is.
     if answer
@@ -334,7 +338,7 @@
         .get("x-request-id")
         .is_some_and(|id| id.as_bytes() != forward.id.0.as_bytes())
     {
-        return Came::Lost;
+        return AttemptOutcome::Lost;
     }
     // Guards against an answer that ends with its connection, unasked: nobody could tell whether it is whole.
     let headers = answer.headers();
@@ -346,21 +350,21 @@
             .get(CONNECTION)
             .is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"close"));
     if !framed && !ends {
-        return Came::Lost;
+        return AttemptOutcome::Lost;
     }
     let passes = outcome == Outcome::Ok && forward.offer.is_none();
     let body = match short(answer.into_body()).await {
         Some(Ok(body)) => body,
-        Some(Err((first, rest))) if passes => return Came::Passing(first, rest),
-        _ => return Came::Lost,
+        Some(Err((first, rest))) if passes => return AttemptOutcome::Streaming(first, rest),
+        _ => return AttemptOutcome::Lost,
     };
     match (outcome, &forward.offer) {
         // What a server has against an upgrade is the client's to know.
         (Outcome::Error, Some(_)) if status.is_client_error() => {
-            Came::Whole(Outcome::Ok, Some(Payload::Passed(status, body)))
+            AttemptOutcome::Complete(Outcome::Ok, Some(Payload::UpgradeRejected(status, body)))
         }
-        (Outcome::Ok, Some(_)) => Came::Whole(Outcome::Error, None),
-        _ => Came::Whole(
+        (Outcome::Ok, Some(_)) => AttemptOutcome::Complete(Outcome::Error, None),
+        _ => AttemptOutcome::Complete(
             outcome,
             (outcome == Outcome::Ok).then_some(Payload::Body(body)),
         ),
@@ -371,13 +375,13 @@
 async fn short(mut body: Incoming) -> Option<Gathered> {
     let (mut pieces, mut size) = (VecDeque::new(), 0);
     let known = body.size_hint().exact();
-    if known.is_some_and(|known| known > LARGEST) {
+    if known.is_some_and(|known| known > MAX_BODY_BYTES) {
         return None;
     }
-    if known.is_some_and(|known| known > BODY_MOST as u64) {
+    if known.is_some_and(|known| known > MAX_BUFFERED_BODY_BYTES as u64) {
         return Some(Err((pieces, body)));
     }
-    let until = Instant::now() + SHORT_WITHIN;
+    let until = Instant::now() + SHORT_BODY_TIMEOUT;
     loop {
         let frame = match known {
             Some(_) => body.frame().await,
@@ -392,7 +396,7 @@
         };
         size += data.len();
         pieces.push_back(data);
-        if size > BODY_MOST {
+        if size > MAX_BUFFERED_BODY_BYTES {
             return Some(Err((pieces, body)));
         }
     }
@@ -401,7 +405,7 @@
 
 /// Writes the request and reads the head of its answer.
 async fn head(
-    sender: &mut SendRequest<Outgoing>,
+    sender: &mut SendRequest<UpstreamRequestBody>,
     forward: &Forward,
     left: Duration,
     dial: SocketAddr,
@@ -433,8 +437,8 @@
         }
     }
     let body = match &forward.body {
-        Going::Whole(bytes) => Outgoing::Full(Full::new(bytes.clone())),
-        Going::Coming(pipe) => Outgoing::Coming(Rc::clone(pipe)),
+        ForwardBody::Buffered(bytes) => UpstreamRequestBody::Buffered(Full::new(bytes.clone())),
+        ForwardBody::Streamed(pipe) => UpstreamRequestBody::Streamed(Rc::clone(pipe)),
     };
     let request = request.body(body).ok()?;
     sender.ready().await.ok()?;
@@ -446,12 +450,12 @@
     offer: &Offer,
     server: ServerId,
     answer: Response<Incoming>,
-) -> Option<Box<Switched>> {
+) -> Option<Box<UpgradedConnection>> {
     let switch = upgrade::verify(offer, answer.headers()).ok()?;
     let upgraded = hyper::upgrade::on(answer).await.ok()?;
-    let parts = upgraded.downcast::<Gated>().ok()?;
+    let parts = upgraded.downcast::<GatedStream>().ok()?;
     let (stream, early) = (parts.io.stream.into_inner().into_inner()?, parts.read_buf);
-    let switched = Switched {
+    let switched = UpgradedConnection {
         key: offer.key.clone(),
         switch,
         server,
@@ -476,7 +480,7 @@
 }
 
 /// A socket to which no request's first byte goes before the exchange was asked.
-struct Gated {
+struct GatedStream {
     stream: TokioIo<Socket>,
     /// By number: an upgrade wants a socket that could go to another thread, though none does.
     node: u64,
@@ -487,20 +491,20 @@
     round: Option<Pin<Box<dyn Future<Output = ()> + Send>>>,
 }
 
-impl Gated {
+impl GatedStream {
     /// Asks before the first byte. Drains that have been told are taken before that: a loop that was late may find both at once.
     fn ask(&mut self, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         if self.open.load(Ordering::Relaxed) {
             return Poll::Ready(Ok(()));
         }
-        if let Some(node) = Node::here(self.node) {
+        if let Some(node) = Node::by_number(self.node) {
             let forward = node.upstream.ready(self.link);
             // Danger: a new connection is read before the machine has told of it, so also not that its client has left again.
             let untold = forward
                 .as_ref()
                 .is_some_and(|forward| forward.client.unwatched());
             while (untold && self.waited == 0)
-                || (self.waited < BEHIND_MOST && node.words.are_behind())
+                || (self.waited < MAX_DISCOVERY_ROUNDS && node.watch_statuses.are_unread())
             {
                 let round = self.round.get_or_insert_with(|| Box::pin(yield_now()));
                 ready!(round.as_mut().poll(context));
@@ -509,12 +513,12 @@
             self.waited = 0;
             // Danger: a client that has gone while this loop was late, or behind bytes that nobody reads. Who waits for the first byte
             // is asked in the same instant.
-            if let Some(forward) = forward.filter(|forward| forward.client.has_left()) {
-                node.left(&forward);
+            if let Some(forward) = forward.filter(|forward| forward.client.client_is_gone()) {
+                node.client_gone(&forward);
             }
             // Guards against the rest of one answer being read as the next.
             let quiet = is_quiet(self.stream.inner().stream());
-            node.happened(
+            node.handle(
                 Event::FirstByteReady {
                     connection: self.link,
                     quiet,
@@ -530,7 +534,7 @@
     }
 }
 
-impl Read for Gated {
+impl Read for GatedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -540,7 +544,7 @@
     }
 }
 
-impl Write for Gated {
+impl Write for GatedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/crates/node/src/sockets.rs
+++ b/crates/node/src/websocket.rs
@@ -22,16 +22,16 @@
 
 /// Most bytes that are read of one side at once; no more wait to be written to the other. Guards memory against a reader
 /// that is slower than its writer: the writer is not read until all of it is written.
-const BUFFER_MOST: usize = 16 * 1024;
+const MAX_BUFFER_BYTES: usize = 16 * 1024;
 
 thread_local! {
     /// Where bytes are read to: one buffer for all sockets, none for each that is idle.
-    static SCRATCH: RefCell<Vec<u8>> = RefCell::new(vec![0; BUFFER_MOST]);
+    static READ_BUFFER: RefCell<Vec<u8>> = RefCell::new(vec![0; MAX_BUFFER_BYTES]);
 }
 
 /// An upgrade that a server has agreed to: its connection, and what came right behind its answer.
 #[derive(Debug)]
-pub struct Switched {
+pub struct UpgradedConnection {
     /// The client's key, and what the server agreed to.
     pub key: HeaderValue,
     pub switch: Switch,
@@ -40,7 +40,7 @@
     pub early: Bytes,
 }
 
-impl Switched {
+impl UpgradedConnection {
     /// The headers of the client's answer.
     pub fn accepted(&self) -> HeaderMap {
         upgrade::accepted(&self.key, &self.switch)
@@ -49,100 +49,109 @@
 
 /// What a relay is told.
 #[derive(Default)]
-struct Control {
+struct RelayControl {
     close: RefCell<Option<(u16, String)>>,
     /// When nothing may be written to the server any more.
     by: Cell<Option<Micros>>,
     ping: [Cell<bool>; 2],
     cut: Cell<bool>,
-    word: Notify,
+    changed: Notify,
 }
 
 /// All sockets of a node.
-pub struct Front {
+pub struct WebsocketProxy {
     pub class: ClassId,
-    says: saffronpaddle_operator_config::Sockets,
+    settings: saffronpaddle_operator_config::Sockets,
     table: RefCell<Sockets>,
-    relays: RefCell<HashMap<SocketId, Rc<Control>>>,
+    relays: RefCell<HashMap<SocketId, Rc<RelayControl>>>,
     /// Where each server was, as the list had it last.
-    dials: RefCell<HashMap<ServerId, SocketAddr>>,
+    addresses: RefCell<HashMap<ServerId, SocketAddr>>,
     alarm: Alarm,
     over: Notify,
 }
 
 /// A place among the sockets, for as long as an upgrade or its socket has it.
-pub struct Place {
+pub struct WebsocketPermit {
     node: Rc<Node>,
     id: SocketId,
 }
 
-impl Drop for Place {
+impl Drop for WebsocketPermit {
     fn drop(&mut self) {
-        if let Some(front) = &self.node.front {
-            front.relays.borrow_mut().remove(&self.id);
-            front.table.borrow_mut().ended(self.id);
-            front.over.notify_one();
+        if let Some(websockets) = &self.node.websockets {
+            websockets.relays.borrow_mut().remove(&self.id);
+            websockets.table.borrow_mut().ended(self.id);
+            websockets.over.notify_one();
         }
     }
 }
 
-impl Front {
-    pub fn new(class: ClassId, says: saffronpaddle_operator_config::Sockets, now: Micros) -> Front {
-        Front {
+impl WebsocketProxy {
+    pub fn new(
+        class: ClassId,
+        settings: saffronpaddle_operator_config::Sockets,
+        now: Micros,
+    ) -> WebsocketProxy {
+        WebsocketProxy {
             class,
-            table: RefCell::new(Sockets::new(says.limits.clone(), now)),
-            says,
+            table: RefCell::new(Sockets::new(settings.limits.clone(), now)),
+            settings,
             relays: RefCell::default(),
-            dials: RefCell::default(),
+            addresses: RefCell::default(),
             alarm: Alarm::new(),
             over: Notify::new(),
         }
     }
 
     /// Lets an upgrade in, or not.
-    pub fn admit(&self, node: &Rc<Node>, customer: CustomerId, spread: u32) -> Result<Place, Shut> {
+    pub fn admit(
+        &self,
+        node: &Rc<Node>,
+        customer: CustomerId,
+        spread: u32,
+    ) -> Result<WebsocketPermit, Shut> {
         let id = self
             .table
             .borrow_mut()
             .admit(node.now(), customer, spread)?;
-        Ok(Place {
+        Ok(WebsocketPermit {
             node: Rc::clone(node),
             id,
         })
     }
 
     /// Follows the list: who is not ready any more, or has moved, loses its sockets.
-    pub fn listed(
+    pub fn on_endpoints(
         &self,
         now: Micros,
         whole: bool,
         servers: impl Iterator<Item = (ServerId, bool, SocketAddr)>,
     ) {
-        let mut dials = self.dials.borrow_mut();
-        let (mut words, mut named) = (Vec::new(), HashSet::new());
-        for (server, ready, dial) in servers {
+        let mut addresses = self.addresses.borrow_mut();
+        let (mut changes, mut named) = (Vec::new(), HashSet::new());
+        for (server, ready, address) in servers {
             let old = if ready {
-                dials.insert(server, dial)
+                addresses.insert(server, address)
             } else {
-                dials.remove(&server)
+                addresses.remove(&server)
             };
-            if !ready || old.is_some_and(|old| old != dial) {
-                words.push((server, false));
+            if !ready || old.is_some_and(|old| old != address) {
+                changes.push((server, false));
             }
             if ready {
-                words.push((server, true));
+                changes.push((server, true));
             }
             named.insert(server);
         }
         if whole {
-            words.extend(
-                dials
+            changes.extend(
+                addresses
                     .extract_if(|server, _| !named.contains(server))
                     .map(|(server, _)| (server, false)),
             );
         }
-        drop(dials);
-        for (server, ready) in words {
+        drop(addresses);
+        for (server, ready) in changes {
             let commands = self.table.borrow_mut().told(now, server, ready);
             self.carry_out(commands);
         }
@@ -155,7 +164,7 @@
     }
 
     /// Comes back when there is no socket.
-    pub async fn all_over(&self) {
+    pub async fn all_closed(&self) {
         while self.table.borrow().count() > 0 {
             self.over.notified().await;
         }
@@ -182,7 +191,7 @@
                 Command::Ping(_, side) => control.ping[side as usize].set(true),
                 Command::Cut(_) => control.cut.set(true),
             }
-            control.word.notify_one();
+            control.changed.notify_one();
         }
         drop(relays);
         self.set();
@@ -193,13 +202,13 @@
     }
 
     /// A socket's closing handshake has begun.
-    fn closes(&self, now: Micros, id: SocketId) {
+    fn on_close_started(&self, now: Micros, id: SocketId) {
         self.table.borrow_mut().closes(now, id);
         self.set();
     }
 
     /// Rings when the table asks for it, for ever.
-    pub async fn ring(&self, node: &Rc<Node>) {
+    pub async fn run_timer(&self, node: &Rc<Node>) {
         loop {
             self.alarm
                 .rings(|| self.table.borrow().next_alarm(), || node.now())
@@ -211,16 +220,16 @@
 
     fn rules(&self, switch: &Switch) -> Rules {
         Rules {
-            frame_most: self.says.frame_most,
-            message_most: self.says.message_most,
+            frame_most: self.settings.frame_most,
+            message_most: self.settings.message_most,
             deflate: switch.deflate,
-            utf8: self.says.utf8,
+            utf8: self.settings.utf8,
         }
     }
 }
 
 /// What goes from one side to the other.
-struct Way {
+struct Direction {
     scanner: Scanner,
     out: Vec<u8>,
     /// A close has gone, or is about to: nothing comes after it.
@@ -229,12 +238,12 @@
 
 /// One socket.
 struct Relay {
-    place: Place,
-    control: Rc<Control>,
+    place: WebsocketPermit,
+    control: Rc<RelayControl>,
     /// By side: the client's, the server's.
     streams: [TcpStream; 2],
     /// By who speaks.
-    ways: [Way; 2],
+    directions: [Direction; 2],
     /// By side: it has ended, and neither says nor hears anything more.
     ended: [bool; 2],
     /// By side: how it is to be closed.
@@ -242,28 +251,35 @@
 }
 
 /// Relays until the socket is over. Early bytes are those that came before the relay began.
-pub async fn relay(place: Place, client: TcpStream, early: Bytes, switched: Switched) {
+pub async fn relay(
+    place: WebsocketPermit,
+    client: TcpStream,
+    early: Bytes,
+    switched: UpgradedConnection,
+) {
     let node = Rc::clone(&place.node);
-    let Some(front) = &node.front else { return };
-    let Switched {
+    let Some(websockets) = &node.websockets else {
+        return;
+    };
+    let UpgradedConnection {
         switch,
         server,
         stream,
         early: behind,
         ..
     } = switched;
-    let rules = front.rules(&switch);
-    let control = Rc::new(Control::default());
-    front
+    let rules = websockets.rules(&switch);
+    let control = Rc::new(RelayControl::default());
+    websockets
         .relays
         .borrow_mut()
         .insert(place.id, Rc::clone(&control));
-    let commands = front
+    let commands = websockets
         .table
         .borrow_mut()
         .opened(node.now(), place.id, server);
-    front.carry_out(commands);
-    let way = |side| Way {
+    websockets.carry_out(commands);
+    let direction = |side| Direction {
         scanner: Scanner::new(side, rules),
         out: Vec::new(),
         shut: false,
@@ -272,21 +288,21 @@
         place,
         control,
         streams: [client, stream],
-        ways: [way(Side::Client), way(Side::Server)],
+        directions: [direction(Side::Client), direction(Side::Server)],
         ended: [false; 2],
         close: [None, None],
     };
-    relay.came(&node, front, Side::Client, &early);
-    relay.came(&node, front, Side::Server, &behind);
+    relay.on_bytes(&node, websockets, Side::Client, &early);
+    relay.on_bytes(&node, websockets, Side::Server, &behind);
     // An idle socket holds no buffer: these are parts of those that the heads were read to.
     drop((early, behind, switch));
-    relay.run(&node, front).await;
+    relay.run(&node, websockets).await;
 }
 
 impl Relay {
-    async fn run(&mut self, node: &Rc<Node>, front: &Front) {
+    async fn run(&mut self, node: &Rc<Node>, websockets: &WebsocketProxy) {
         loop {
-            self.obey();
+            self.take_close();
             // Guards the drain where the loop is late: what was not written in time is not written.
             if self.control.by.get().is_some_and(|by| node.now() >= by) {
                 self.control.cut.set(true);
@@ -295,46 +311,53 @@
                 break;
             }
             for to in [Side::Client, Side::Server] {
-                self.put_in(to);
-                self.write(node, front, to);
+                self.insert_own_frames(to);
+                self.write(node, websockets, to);
             }
-            let over =
-                |side: Side| self.ways[side as usize].scanner.closed() || self.ended[side as usize];
-            let written = self.ways.iter().all(|way| way.out.is_empty());
+            let over = |side: Side| {
+                self.directions[side as usize].scanner.closed() || self.ended[side as usize]
+            };
+            let written = self
+                .directions
+                .iter()
+                .all(|direction| direction.out.is_empty());
             if over(Side::Client) && over(Side::Server) && written {
                 break;
             }
             // Both have been told: others are still to be, and that comes first.
-            if written && self.control.by.get().is_some() && self.ways.iter().all(|way| way.shut) {
-                self.control.word.notified().await;
+            if written
+                && self.control.by.get().is_some()
+                && self.directions.iter().all(|direction| direction.shut)
+            {
+                self.control.changed.notified().await;
                 continue;
             }
             let [client, server] = &self.streams;
             let reads = |side: Side| {
-                let way = &self.ways[side as usize];
+                let direction = &self.directions[side as usize];
                 !self.ended[side as usize]
-                    && !way.scanner.closed()
-                    && (way.out.is_empty() || way.shut)
+                    && !direction.scanner.closed()
+                    && (direction.out.is_empty() || direction.shut)
             };
-            let writes = |to: Side| !self.ways[to.other() as usize].out.is_empty();
+            let writes = |to: Side| !self.directions[to.other() as usize].out.is_empty();
             tokio::select! {
-                () = self.control.word.notified() => {}
-                _ = client.readable(), if reads(Side::Client) => self.read(node, front, Side::Client),
-                _ = server.readable(), if reads(Side::Server) => self.read(node, front, Side::Server),
+                () = self.control.changed.notified() => {}
+                _ = client.readable(), if reads(Side::Client) => self.read(node, websockets, Side::Client),
+                _ = server.readable(), if reads(Side::Server) => self.read(node, websockets, Side::Server),
                 _ = client.writable(), if writes(Side::Client) => {}
                 _ = server.writable(), if writes(Side::Server) => {}
             }
         }
         // Guards the drain: what the machine still holds for the server is dropped with the connection. One that has
         // answered the close holds nothing.
-        self.read(node, front, Side::Server);
-        if self.control.cut.get() && !self.ways[Side::Server as usize].scanner.closed() {
+        self.read(node, websockets, Side::Server);
+        if self.control.cut.get() && !self.directions[Side::Server as usize].scanner.closed() {
             let _ = SockRef::from(&self.streams[Side::Server as usize])
                 .set_linger(Some(Duration::ZERO));
         }
     }
 
-    fn obey(&mut self) {
+    fn take_close(&mut self) {
         if let Some((code, reason)) = self.control.close.borrow_mut().take() {
             self.close
                 .iter_mut()
@@ -343,105 +366,113 @@
     }
 
     /// Puts in the node's own frames for a side, where a frame of the other's ends.
-    fn put_in(&mut self, to: Side) {
-        let way = &mut self.ways[to.other() as usize];
-        if way.shut || self.ended[to as usize] || !way.scanner.at_boundary() {
+    fn insert_own_frames(&mut self, to: Side) {
+        let direction = &mut self.directions[to.other() as usize];
+        if direction.shut || self.ended[to as usize] || !direction.scanner.at_boundary() {
             return;
         }
         let mask = fastrand::u32(..).to_ne_bytes();
         if self.control.ping[to as usize].take() {
-            way.out.extend(frames::ping(to, mask));
+            direction.out.extend(frames::ping(to, mask));
         }
         if let Some((code, reason)) = &self.close[to as usize] {
-            way.out.extend(frames::close(to, *code, reason, mask));
-            way.shut = true;
+            direction.out.extend(frames::close(to, *code, reason, mask));
+            direction.shut = true;
         }
     }
 
     /// Reads once what a side says.
-    fn read(&mut self, node: &Rc<Node>, front: &Front, from: Side) {
-        SCRATCH.with_borrow_mut(|scratch| {
+    fn read(&mut self, node: &Rc<Node>, websockets: &WebsocketProxy, from: Side) {
+        READ_BUFFER.with_borrow_mut(|scratch| {
             match retry_interrupted(|| self.streams[from as usize].try_read(scratch)) {
-                Ok(0) => self.end(node, front, from),
-                Ok(length) => self.came(node, front, from, &scratch[..length]),
+                Ok(0) => self.end(node, websockets, from),
+                Ok(length) => self.on_bytes(node, websockets, from, &scratch[..length]),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-                Err(_) => self.end(node, front, from),
+                Err(_) => self.end(node, websockets, from),
             }
         });
     }
 
-    fn came(&mut self, node: &Rc<Node>, front: &Front, from: Side, bytes: &[u8]) {
+    fn on_bytes(&mut self, node: &Rc<Node>, websockets: &WebsocketProxy, from: Side, bytes: &[u8]) {
         if bytes.is_empty() {
             return;
         }
         let (mut seen, mut dropped) = (Vec::new(), Vec::new());
         let closing = self.close[from.other() as usize].is_some();
-        let way = &mut self.ways[from as usize];
-        let scanned = if way.shut {
+        let direction = &mut self.directions[from as usize];
+        let scanned = if direction.shut {
             // It has been told to close: all that counts now is that it does.
-            way.scanner.scan(bytes, &mut dropped, &mut seen)
+            direction.scanner.scan(bytes, &mut dropped, &mut seen)
         } else if closing {
             // Only the rest of the frame that is under way goes on.
             let mut bytes = bytes.iter();
             let mut scanned = Ok(());
-            while !way.scanner.at_boundary() && scanned.is_ok() {
+            while !direction.scanner.at_boundary() && scanned.is_ok() {
                 let Some(byte) = bytes.next() else { break };
-                scanned = way.scanner.scan(&[*byte], &mut way.out, &mut seen);
+                scanned = direction
+                    .scanner
+                    .scan(&[*byte], &mut direction.out, &mut seen);
             }
-            scanned.and_then(|()| way.scanner.scan(bytes.as_slice(), &mut dropped, &mut seen))
+            scanned.and_then(|()| {
+                direction
+                    .scanner
+                    .scan(bytes.as_slice(), &mut dropped, &mut seen)
+            })
         } else {
-            way.scanner.scan(bytes, &mut way.out, &mut seen)
+            direction.scanner.scan(bytes, &mut direction.out, &mut seen)
         };
         let data = seen.contains(&Seen::Data);
-        front
+        websockets
             .table
             .borrow_mut()
             .heard(node.now(), self.place.id, from, data);
         if seen.iter().any(|seen| matches!(seen, Seen::Close(_))) {
             // Where the node has not closed by itself, the close has gone on to the other side, which answers it.
-            way.shut = true;
-            front.closes(node.now(), self.place.id);
+            direction.shut = true;
+            websockets.on_close_started(node.now(), self.place.id);
         }
         if let Err(fault) = scanned {
             self.close[from as usize].get_or_insert((fault.code, fault.why.to_owned()));
-            self.ended_badly(node, front, from);
+            self.fail_side(node, websockets, from);
         }
     }
 
     /// What a side says from now on means nothing.
-    fn ended_badly(&mut self, node: &Rc<Node>, front: &Front, side: Side) {
+    fn fail_side(&mut self, node: &Rc<Node>, websockets: &WebsocketProxy, side: Side) {
         // It is still to be told why, and hears that while nothing more of it is read.
-        self.put_in(side);
-        self.write(node, front, side);
-        self.end(node, front, side);
+        self.insert_own_frames(side);
+        self.write(node, websockets, side);
+        self.end(node, websockets, side);
     }
 
     /// A side has ended: the other is told to go.
-    fn end(&mut self, node: &Rc<Node>, front: &Front, side: Side) {
+    fn end(&mut self, node: &Rc<Node>, websockets: &WebsocketProxy, side: Side) {
         self.ended[side as usize] = true;
-        self.ways[side.other() as usize].out.clear();
-        self.ways[side.other() as usize].shut = true;
+        self.directions[side.other() as usize].out.clear();
+        self.directions[side.other() as usize].shut = true;
         let why = "the other side is gone".to_owned();
         self.close[side.other() as usize].get_or_insert((1001, why));
-        front.closes(node.now(), self.place.id);
+        websockets.on_close_started(node.now(), self.place.id);
     }
 
     /// Writes what there is for a side, as far as the machine takes it.
-    fn write(&mut self, node: &Rc<Node>, front: &Front, to: Side) {
-        let way = &mut self.ways[to.other() as usize];
+    fn write(&mut self, node: &Rc<Node>, websockets: &WebsocketProxy, to: Side) {
+        let direction = &mut self.directions[to.other() as usize];
         let mut written = 0;
-        while written < way.out.len() {
-            match retry_interrupted(|| self.streams[to as usize].try_write(&way.out[written..])) {
+        while written < direction.out.len() {
+            match retry_interrupted(|| {
+                self.streams[to as usize].try_write(&direction.out[written..])
+            }) {
                 Ok(length) => written += length,
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
-                Err(_) => return self.end(node, front, to),
+                Err(_) => return self.end(node, websockets, to),
             }
         }
-        if written == way.out.len() {
+        if written == direction.out.len() {
             // An idle socket holds no buffer.
-            way.out = Vec::new();
+            direction.out = Vec::new();
         } else {
-            way.out.drain(..written);
+            direction.out.drain(..written);
         }
     }
 }
--- a/crates/node/tests/watchdog.rs
+++ b/crates/node/tests/watchdog.rs
@@ -1,6 +1,6 @@
 //! The watchdog of a node that is driven in process.
 
-use saffronpaddle_node::{Config, Edge, Manager, OperatorFile, Options, Word};
+use saffronpaddle_node::{Config, Edge, Manager, OperatorFile, Options, ProcessSignal};
 use saffronpaddle_test_doubles::settings::{configuration, Fleet, Places};
 use std::os::unix::net::UnixDatagram;
 use std::path::Path;
@@ -28,14 +28,14 @@
     let says = saffronpaddle_operator_config::Operator::default();
     let operator = Some(OperatorFile {
         path: "none".into(),
-        says,
+        settings: says,
     });
     let manager = Manager::at(notify.as_os_str(), Some(ALLOWED)).expect("an address");
     Options {
         config,
         operator,
-        handed: None,
-        meeting: None,
+        inherited_listener: None,
+        rendezvous: None,
         manager,
     }
 }
@@ -60,12 +60,12 @@
             .expect("a runtime");
         tokio::task::LocalSet::new().block_on(&runtime, async {
             let edge = Edge::bind(options).await.expect("it binds");
-            edge.beside(beside());
+            edge.spawn(beside());
             edge.run(words).await;
         });
     });
     watch(&socket);
-    tell.send(Word::Stop).expect("it runs");
+    tell.send(ProcessSignal::Stop).expect("it runs");
     node.join().expect("it ends");
     let _ = std::fs::remove_file(path);
 }
--- a/crates/saffronpaddle/src/demo.rs
+++ b/crates/saffronpaddle/src/demo.rs
@@ -1,7 +1,7 @@
 //! `saffronpaddle demo`: one edge node before three stand-in app servers, all on loopback, with nothing to set up.
 
 use anyhow::{Context, Result};
-use saffronpaddle_node::{Config, Edge, Manager, Options, Word};
+use saffronpaddle_node::{Config, Edge, Manager, Options, ProcessSignal};
 use saffronpaddle_test_doubles::discovery::{Discovery, Entry};
 use saffronpaddle_test_doubles::servers::{AppServer, Spec};
 use saffronpaddle_test_doubles::settings::{configuration, Fleet, Places};
@@ -79,8 +79,8 @@
     let options = Options {
         config,
         operator: None,
-        handed: None,
-        meeting: None,
+        inherited_listener: None,
+        rendezvous: None,
         manager: Manager::none(),
     };
     let edge = Edge::bind(options).await?;
@@ -99,7 +99,7 @@
     for kind in [SignalKind::interrupt(), SignalKind::terminate()] {
         let (mut signal, tell) = (signal(kind)?, tell.clone());
         tokio::task::spawn_local(async move {
-            while signal.recv().await.is_some() && tell.send(Word::Stop).is_ok() {}
+            while signal.recv().await.is_some() && tell.send(ProcessSignal::Stop).is_ok() {}
         });
     }
     edge.run(words).await;
