--- a/crates/node/src/lifecycle_runner.rs
+++ b/crates/node/src/lifecycle_runner.rs
@@ -144,7 +144,7 @@
                     Action::PauseAccepting => accepts = false,
                     Action::ResumeAccepting => accepts = true,
                     Action::StopAccepting => phase = Phase::Closing,
-                    Action::Log(line) => info!("{line}"),
+                    Action::Report(event) => info!("{event}"),
                     Action::Exit => gone = true,
                 }
             }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -13,7 +13,7 @@
 use anyhow::Context;
 use bytes::Bytes;
 use hyper::StatusCode;
-use saffronpaddle_admin::{Metrics, RequestEnd};
+use saffronpaddle_admin::{Metrics, PeerMessageCounts, RequestEnd};
 use saffronpaddle_endpoints::{EndpointRecord, EndpointUpdate, Merge, Source};
 use saffronpaddle_exchange::{
     Command, Event, Exchange, FinalAnswer, Invariant, Limits, OpenRequest, Ticket, Violation,
@@ -338,13 +338,13 @@
         decided.extend(
             Invariant::ALL.map(|invariant| (invariant.figure(), violations.count(invariant))),
         );
-        let watch_statuses = self.peers.as_ref().map_or((0, 0), Peers::message_counts);
+        let (sent, received) = self.peers.as_ref().map_or((0, 0), Peers::message_counts);
         write(&Metrics {
             names,
             tally,
             registry_entries,
             out_of_rotation,
-            peer_messages: watch_statuses,
+            peer_messages: PeerMessageCounts { sent, received },
             policy_counters: decided,
         })
     }
