--- a/crates/node/src/clients.rs
+++ b/crates/node/src/clients.rs
@@ -7,6 +7,7 @@
 mod request;
 mod respond;
 
+use crate::event_loop::SWEEP_INTERVAL;
 use crate::node::Node;
 use backlog::{Accepted, Backlog, ACCEPT_RETRY};
 use connections::Connections;
@@ -18,8 +19,6 @@
 use tokio::sync::{watch, Notify};
 use tokio::time::{Instant, MissedTickBehavior};
 
-/// How often connections are looked at for those whose time is up.
-pub const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
 /// How soon, and how often from then on, a connection is looked at whose client would not be seen to leave.
 const UNWATCHED_SWEEP_INTERVAL: Duration = Duration::from_millis(25);
 /// How often who may make way is looked for while one waits for a place and nobody has ended.
--- a/crates/node/src/clients/reply.rs
+++ b/crates/node/src/clients/reply.rs
@@ -1,8 +1,9 @@
 //! Answers to clients.
 
 use super::request::{class_of, text, Rejected};
+use crate::answer::{Answer, Payload};
 use crate::bodies;
-use crate::node::{Answer, Node, Payload};
+use crate::node::Node;
 use hyper::header::{HeaderMap, HeaderValue, CONNECTION, RETRY_AFTER, SEC_WEBSOCKET_VERSION};
 use hyper::{Response, StatusCode};
 use saffronpaddle_admin::RequestEnd;
--- a/crates/node/src/clients/request.rs
+++ b/crates/node/src/clients/request.rs
@@ -1,7 +1,7 @@
 //! The head of a client's request: what it says, all of it within the settings.
 
 use crate::downstream::DownstreamConnection;
-use crate::upstream::{Forward, ForwardBody};
+use crate::forward::{Forward, ForwardBody};
 use bytes::Bytes;
 use hyper::header::HeaderMap;
 use hyper::{Method, StatusCode};
--- a/crates/node/src/clients/respond.rs
+++ b/crates/node/src/clients/respond.rs
@@ -6,12 +6,13 @@
 };
 use super::request::{read, Rejected, RequestHead, DELIVERY};
 use super::ServingStatus;
+use crate::answer::{Answer, Payload};
 use crate::bodies::{
     joined, Gathered, StreamedRequestBody, MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES,
 };
 use crate::downstream::{DownstreamConnection, ObservedStream};
-use crate::node::{Answer, Node, Payload};
-use crate::upstream::{Forward, ForwardBody};
+use crate::forward::{Forward, ForwardBody};
+use crate::node::Node;
 use crate::websocket;
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -110,10 +111,9 @@
     let timeout = asked.timeout.saturating_sub(DELIVERY);
     let (mut event, mut forward) = asked.arrived(head, body, downstream);
     let pipe = pipe.map(|(first, rest)| {
+        let on_complete = node.report_body_complete(forward.id.clone(), timeout);
         Rc::new(StreamedRequestBody::new(
-            node.number(),
-            forward.id.clone(),
-            timeout,
+            Box::new(on_complete),
             size,
             first,
             rest,
@@ -195,7 +195,7 @@
     if !asked.deduct_wait(downstream.time_queued()) {
         return deadline_passed(node, asked.class);
     }
-    let place = match websockets.admit(node, asked.customer, asked.terms.subset_size) {
+    let place = match websockets.admit(asked.customer, asked.terms.subset_size) {
         Ok(place) => place,
         Err(shut) => {
             let mut reply = unavailable(Some(Duration::from_micros(shut.retry_in)));
--- a/crates/node/src/clients/tests.rs
+++ b/crates/node/src/clients/tests.rs
@@ -1,8 +1,8 @@
 use super::request::{customer, span};
 use super::*;
 use crate::config::Config;
-use crate::hot_restart::ProcessLinks;
-use crate::upstream::Upstream;
+use crate::node::NodeParts;
+use crate::process_links::ProcessLinks;
 use saffronpaddle_policy::interface::CustomerId;
 use saffronpaddle_test_doubles::settings::{configuration, Fleet, Places};
 use std::io::Write;
@@ -25,8 +25,16 @@
     let named = Config::parse(std::path::Path::new("none"), &text)
         .expect("a good configuration")
         .named;
-    let bounds = (100, ProcessLinks::new("n0", false));
-    Node::new(1, named, Upstream::new(), bounds, None, None, None).expect("a node")
+    Node::new(NodeParts {
+        seed: 1,
+        named,
+        max_upstream_connections: 100,
+        links: ProcessLinks::new("n0", false),
+        peers: None,
+        sockets: None,
+        restored: None,
+    })
+    .expect("a node")
 }
 
 /// Danger: a crowd presses, and the last byte of a request comes in the instant in which its connection makes way. What came
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -2,6 +2,7 @@
 //! address moves until the new one has spoken.
 
 use crate::config::List;
+use crate::discovery_status::WatchStatus;
 use crate::node::Node;
 use anyhow::{anyhow, bail, Context, Result};
 use bytes::Bytes;
@@ -12,18 +13,17 @@
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
 use saffronpaddle_endpoints::{EmptyListProtection, JsonObjects, PollBackoff, PollLimits};
-use saffronpaddle_netio::{is_quiet, Socket};
+use saffronpaddle_netio::Socket;
 use saffronpaddle_policy::interface::DiscoveryMode;
-use std::cell::{Cell, RefCell};
 use std::future::{pending, poll_fn, Future};
 use std::net::SocketAddr;
 use std::pin::{pin, Pin};
-use std::rc::{Rc, Weak};
+use std::rc::Rc;
 use std::sync::{Arc, Weak as WeakArc};
 use std::task::{Context as TaskContext, Poll};
 use std::time::Duration;
 use tokio::net::TcpStream;
-use tokio::sync::{watch, Notify};
+use tokio::sync::watch;
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 use tracing::{debug, warn};
@@ -38,62 +38,6 @@
 /// Most bytes of one list. Guards memory: its text is kept until its last byte has come, and then stands beside its entries.
 const MAX_LIST_BYTES: usize = MAX_SERVERS * MAX_BYTES_PER_SERVER;
 
-/// How one address stands to the list.
-#[derive(Default)]
-struct WatchStatus {
-    /// It has told its first list.
-    listed: Cell<bool>,
-    first: Notify,
-    /// A watch of it is open.
-    open: Cell<bool>,
-    /// The connection of that watch, and whether all that was read of it has been taken.
-    watch: RefCell<WeakArc<TcpStream>>,
-    taken: Cell<bool>,
-    /// Connections of calls that are not answered yet.
-    calls: RefCell<Vec<WeakArc<TcpStream>>>,
-    /// Discovery has moved: nothing new is asked of this one.
-    abandoned: Cell<bool>,
-}
-
-impl WatchStatus {
-    /// Whether something of it has come that the node has not taken yet: on its watch, or as the answer to a call.
-    fn is_unread(&self) -> bool {
-        let has_more =
-            |stream: &WeakArc<TcpStream>| stream.upgrade().is_some_and(|stream| !is_quiet(&stream));
-        (self.open.get() && (!self.taken.get() || has_more(&self.watch.borrow())))
-            || self.calls.borrow().iter().any(has_more)
-    }
-
-    /// A call is out.
-    fn record_call(&self, stream: &Arc<TcpStream>) {
-        let mut calls = self.calls.borrow_mut();
-        calls.retain(|stream| stream.strong_count() > 0);
-        calls.push(Arc::downgrade(stream));
-    }
-}
-
-/// The addresses of discovery that are followed now: one, or two while it moves.
-#[derive(Default)]
-pub struct WatchStatuses(RefCell<Vec<Weak<WatchStatus>>>);
-
-impl WatchStatuses {
-    fn follow(&self, status: &Rc<WatchStatus>) {
-        let mut statuses = self.0.borrow_mut();
-        statuses.retain(|status| status.strong_count() > 0);
-        statuses.push(Rc::downgrade(status));
-    }
-
-    /// Whether news of the list has come to this machine that the node has not taken yet. Danger: a loop that was late, which
-    /// finds a drain and a request waiting for it and writes the request first.
-    pub fn are_unread(&self) -> bool {
-        self.0
-            .borrow()
-            .iter()
-            .filter_map(Weak::upgrade)
-            .any(|status| status.is_unread())
-    }
-}
-
 /// Applies versions of one address in order. `known` may be old, and a watch may tell again what is known.
 struct Follower {
     node: Rc<Node>,
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -1,6 +1,5 @@
 //! How late this thread's loop reads what has come, as its sleeps and rounds show.
 
-use crate::clients::SWEEP_INTERVAL;
 use saffronpaddle_connection_eviction::{rested, IdleSweep};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -9,6 +8,8 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
+/// How often the loop is woken at least, as clients' connections are swept: it sleeps no longer.
+pub const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
 /// The loop always asks to be woken for its next look at the connections; so much later, it was made to stand still.
 const LONGEST: Duration = SWEEP_INTERVAL.saturating_add(Duration::from_millis(10));
 
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -4,25 +4,33 @@
 
 mod admin;
 mod alarm;
+mod answer;
 mod bodies;
 mod clients;
+mod clock;
 pub mod config;
 mod discovery;
+mod discovery_status;
 mod downstream;
 mod endpoint_sources;
 pub mod endpoints;
+mod error;
 mod event_loop;
+mod forward;
 mod head_scanner;
 mod hot_restart;
 mod inherited_listener;
 mod lifecycle_runner;
 mod manager;
 mod node;
+mod peer_listener;
 pub mod peers;
+mod process_links;
 mod readiness;
 pub mod serve;
 mod shutdown;
 mod upstream;
+mod upstream_events;
 mod websocket;
 
 pub use config::Config;
--- a/crates/node/src/lifecycle_runner.rs
+++ b/crates/node/src/lifecycle_runner.rs
@@ -111,7 +111,7 @@
         served: impl Future,
     ) {
         let (tell, mut reloaded) = mpsc::unbounded_channel();
-        let mut succeeded = self.sampler.node().links.succeeded();
+        let mut succeeded = self.sampler.node().links.successor();
         tokio::pin!(served);
         let (mut clients_left, mut words_left, mut calls_left) = (true, true, true);
         let mut asked: Option<AdminCall> = None;
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -1,14 +1,12 @@
 //! Datagrams between edge nodes. They may be late, lost or forged: what they say is the module's concern.
 
 use crate::config::PeerAddresses;
-use crate::node::Node;
 use anyhow::{Context, Result};
 use saffronpaddle_netio::{retry_interrupted, retry_shortage};
 use saffronpaddle_policy::interface::NodeId;
 use socket2::{Domain, Socket, Type};
 use std::cell::Cell;
 use std::net::SocketAddr;
-use std::rc::Rc;
 use tokio::net::UdpSocket;
 
 /// Most bytes of a datagram.
@@ -95,16 +93,3 @@
         self.message_counts.get()
     }
 }
-
-/// Hands what peers say to the node, for ever. Who sent it is told by its address alone; datagrams from
-/// elsewhere, or too long, are passed over.
-pub async fn listen(node: Rc<Node>) {
-    let Some(peers) = &node.peers else { return };
-    loop {
-        if let Some((from, bytes)) = peers.receive().await {
-            // Danger: an elder that hears no peers any more, as the machine gives datagrams to who bound last.
-            node.links.forward_peer_message(from, &bytes);
-            node.on_peer_message(from, bytes);
-        }
-    }
-}
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -5,15 +5,16 @@
 use crate::config::Config;
 use crate::endpoint_sources;
 use crate::event_loop;
-use crate::hot_restart::{self, ProcessLinks, Rendezvous};
+use crate::hot_restart::{self, Rendezvous};
 use crate::inherited_listener;
 use crate::lifecycle_runner::{self, LifecycleRunner, ProcessSignal};
 use crate::manager::Manager;
-use crate::node::Node;
-use crate::peers::{self, Peers};
+use crate::node::{Node, NodeParts};
+use crate::peer_listener;
+use crate::peers::Peers;
+use crate::process_links::ProcessLinks;
 use crate::readiness::ReadinessSampler;
 use crate::shutdown;
-use crate::upstream::Upstream;
 use anyhow::{Context, Result};
 use saffronpaddle_lifecycle::{Lifecycle, Limits};
 use saffronpaddle_netio::retry_shortage;
@@ -249,16 +250,15 @@
              the least",
             config.sockets
         );
-        let upstream = Upstream::new();
-        let node = Node::new(
-            config.seed,
-            config.named,
-            upstream,
-            (each_side, links),
+        let node = Node::new(NodeParts {
+            seed: config.seed,
+            named: config.named,
+            max_upstream_connections: each_side,
+            links,
             peers,
             sockets,
-            kept,
-        )?;
+            restored: kept,
+        })?;
         let admin = match config.admin {
             Some(address) => Some(Admin::bind(address).await?),
             None => None,
@@ -336,7 +336,7 @@
                 discovery,
                 self.known,
             )),
-            tokio::task::spawn_local(peers::listen(Rc::clone(&node))),
+            tokio::task::spawn_local(peer_listener::run(Rc::clone(&node))),
             tokio::task::spawn_local(Rc::clone(&node).run_timer()),
             tokio::task::spawn_local(Rc::clone(&node).handle_abandoned_responses()),
             tokio::task::spawn_local(hot_restart::serve(
@@ -445,6 +445,6 @@
 
 async fn ring_sockets(node: Rc<Node>) {
     if let Some(websockets) = &node.websockets {
-        websockets.run_timer(&node).await;
+        websockets.run_timer().await;
     }
 }
