--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -1,7 +1,7 @@
 //! The operators' address: callers' connections, and the way of what they ask to who can answer.
 
+use crate::error::NodeError;
 use crate::node::Node;
-use anyhow::{Context, Result};
 use saffronpaddle_admin::{failure, success, Call, CallError, Caller, CallerTable, Line};
 use saffronpaddle_netio::{retry_shortage, AcceptFailure, Socket};
 use std::cell::RefCell;
@@ -50,9 +50,13 @@
     ///
     /// # Errors
     /// It is taken.
-    pub async fn bind(address: SocketAddr) -> Result<Admin> {
+    pub async fn bind(address: SocketAddr) -> Result<Admin, NodeError> {
         let bound = retry_shortage(|| TcpListener::bind(address)).await;
-        let listener = bound.with_context(|| format!("admin_addr {address}"))?;
+        let listener = bound.map_err(|source| NodeError::Bind {
+            setting: "admin_addr",
+            address,
+            source,
+        })?;
         Ok(Admin { listener })
     }
 }
--- a/crates/node/src/clients.rs
+++ b/crates/node/src/clients.rs
@@ -13,11 +13,12 @@
 use connections::Connections;
 use saffronpaddle_lifecycle::Reasons;
 use saffronpaddle_netio::AcceptFailure;
+use std::io;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::sync::{watch, Notify};
-use tokio::time::{Instant, MissedTickBehavior};
+use tokio::time::{Instant, Interval, MissedTickBehavior};
 
 /// How soon, and how often from then on, a connection is looked at whose client would not be seen to leave.
 const UNWATCHED_SWEEP_INTERVAL: Duration = Duration::from_millis(25);
@@ -93,95 +94,168 @@
     }
 }
 
-/// Accepts clients until the edge node closes, then serves out those that it has. At most `most` at a time. A listener
-/// that is `shared` goes on in other hands: what waits in its backlog is theirs.
+/// Accepts clients until the edge node closes, then serves out those that it has. At most `max_clients` at a time. A
+/// listener that is `shared` goes on in other hands: what waits in its backlog is theirs.
 pub async fn serve(
     listener: TcpListener,
     shared: bool,
     node: Rc<Node>,
-    most: usize,
-    phase: watch::Receiver<ServingStatus>,
+    max_clients: usize,
+    status: watch::Receiver<ServingStatus>,
 ) {
-    let (mut connections, mut backlog) = (Connections::new(), Backlog::new(listener));
-    let mut sweep = tokio::time::interval(SWEEP_INTERVAL);
-    sweep.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut unwatched_sweep = UnwatchedSweep {
-        unwatched: Rc::clone(&connections.unwatched),
-        at: None,
-    };
-    let mut status = phase.clone();
-    let closed = reached(phase.clone(), Phase::Closing);
-    tokio::pin!(closed);
-    // Accepted, and without a place as yet.
-    let mut waiting: Option<Accepted> = None;
-    // The machine has no descriptor left for another.
-    let mut descriptors_exhausted = false;
-    loop {
-        // Ended connections are let go of.
-        while connections.tasks.try_join_next().is_some() {}
-        let most = node.links.part(most);
-        if waiting.is_some() {
-            if connections.tasks.len() >= most {
-                connections.evict(most);
-            } else if let Some(came) = waiting.take() {
-                connections.admit(came, &node, &phase);
-            }
-        }
-        let full = waiting.is_some() || descriptors_exhausted;
-        let accepts = status.borrow_and_update().accepts && !full;
-        if !accepts {
-            backlog.pause();
+    let mut acceptor = Acceptor::new(listener, node, max_clients, status);
+    acceptor.accept_until_closing().await;
+    acceptor.node.stop();
+    let node = Rc::clone(&acceptor.node);
+    acceptor.serve_out(shared).await;
+    if let Some(websockets) = &node.websockets {
+        websockets.all_closed().await;
+    }
+}
+
+/// Accepts clients, and evicts connections where there is no capacity for more.
+struct Acceptor {
+    node: Rc<Node>,
+    max_clients: usize,
+    status: watch::Receiver<ServingStatus>,
+    connections: Connections,
+    backlog: Backlog,
+    sweep: Interval,
+    unwatched_sweep: UnwatchedSweep,
+    /// Accepted, and without capacity as yet.
+    waiting: Option<Accepted>,
+    /// The machine has no descriptor left for another.
+    descriptors_exhausted: bool,
+}
+
+impl Acceptor {
+    fn new(
+        listener: TcpListener,
+        node: Rc<Node>,
+        max_clients: usize,
+        status: watch::Receiver<ServingStatus>,
+    ) -> Acceptor {
+        let (connections, backlog) = (Connections::new(), Backlog::new(listener));
+        let mut sweep = tokio::time::interval(SWEEP_INTERVAL);
+        sweep.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let unwatched_sweep = UnwatchedSweep {
+            unwatched: Rc::clone(&connections.unwatched),
+            at: None,
+        };
+        Acceptor {
+            node,
+            max_clients,
+            status,
+            connections,
+            backlog,
+            sweep,
+            unwatched_sweep,
+            waiting: None,
+            descriptors_exhausted: false,
         }
-        tokio::select! {
-            accepted = backlog.accept(), if accepts => match accepted {
-                Ok(came) => {
-                    connections.pressure.accepted(connections.began.elapsed());
-                    waiting = Some(came);
-                }
-                Err(error) => match AcceptFailure::of(&error) {
-                    AcceptFailure::OfOneConnection => {}
-                    // The connection waits until there is a descriptor for it.
-                    AcceptFailure::NoDescriptor => {
-                        connections.evict(connections.tasks.len());
-                        descriptors_exhausted = true;
-                    }
-                    AcceptFailure::Passing => descriptors_exhausted = true,
-                },
-            },
-            () = &mut closed => break,
-            Ok(()) = status.changed() => {}
-            _ = sweep.tick() => connections.sweep(),
-            () = unwatched_sweep.due() => unwatched_sweep.again(connections.sweep_unwatched()),
-            // One that ends, by itself or not, has closed its socket.
-            Some(_) = connections.tasks.join_next(), if full => {
-                descriptors_exhausted = false;
+    }
+
+    /// Accepts clients until the edge node closes.
+    async fn accept_until_closing(&mut self) {
+        let mut status = self.status.clone();
+        let closing = reached(self.status.clone(), Phase::Closing);
+        tokio::pin!(closing);
+        loop {
+            // Ended connections are let go of.
+            while self.connections.tasks.try_join_next().is_some() {}
+            self.admit_waiting();
+            let full = self.waiting.is_some() || self.descriptors_exhausted;
+            let accepts = status.borrow_and_update().accepts && !full;
+            if !accepts {
+                self.backlog.pause();
             }
-            () = tokio::time::sleep(if descriptors_exhausted { ACCEPT_RETRY } else { EVICTION_RETRY }), if full => {
-                descriptors_exhausted = false;
+            let retry = if self.descriptors_exhausted {
+                ACCEPT_RETRY
+            } else {
+                EVICTION_RETRY
+            };
+            tokio::select! {
+                accepted = self.backlog.accept(), if accepts => self.on_accepted(accepted),
+                () = &mut closing => return,
+                Ok(()) = status.changed() => {}
+                _ = self.sweep.tick() => self.connections.sweep(),
+                () = self.unwatched_sweep.due() => self.sweep_unwatched(),
+                // One that ends, by itself or not, has closed its socket.
+                Some(_) = self.connections.tasks.join_next(), if full => {
+                    self.descriptors_exhausted = false;
+                }
+                () = tokio::time::sleep(retry), if full => self.descriptors_exhausted = false,
             }
         }
     }
-    node.stop();
-    waiting
-        .into_iter()
-        .for_each(|came| connections.admit(came, &node, &phase));
-    if !shared {
-        for came in backlog.rest().await {
-            connections.admit(came, &node, &phase);
+
+    /// Admits the connection that waits if there is capacity, or evicts others for it.
+    fn admit_waiting(&mut self) {
+        let max_clients = self.node.links.part(self.max_clients);
+        if self.waiting.is_none() {
+            return;
+        }
+        if self.connections.tasks.len() >= max_clients {
+            self.connections.evict(max_clients);
+        } else if let Some(accepted) = self.waiting.take() {
+            self.connections.admit(accepted, &self.node, &self.status);
         }
     }
-    drop(backlog);
-    loop {
-        tokio::select! {
-            ended = connections.tasks.join_next() => if ended.is_none() {
-                break;
-            },
-            _ = sweep.tick() => connections.sweep(),
-            () = unwatched_sweep.due() => unwatched_sweep.again(connections.sweep_unwatched()),
+
+    fn on_accepted(&mut self, accepted: io::Result<Accepted>) {
+        let error = match accepted {
+            Ok(accepted) => {
+                let now = self.connections.began.elapsed();
+                self.connections.pressure.accepted(now);
+                self.waiting = Some(accepted);
+                return;
+            }
+            Err(error) => error,
+        };
+        match AcceptFailure::of(&error) {
+            AcceptFailure::OfOneConnection => {}
+            // The connection waits until there is a descriptor for it.
+            AcceptFailure::NoDescriptor => {
+                self.connections.evict(self.connections.tasks.len());
+                self.descriptors_exhausted = true;
+            }
+            AcceptFailure::Passing => self.descriptors_exhausted = true,
         }
     }
-    if let Some(websockets) = &node.websockets {
-        websockets.all_closed().await;
+
+    fn sweep_unwatched(&mut self) {
+        let more = self.connections.sweep_unwatched();
+        self.unwatched_sweep.again(more);
+    }
+
+    /// Serves the connections that there are to their end, with those in the backlog unless that is `shared`.
+    async fn serve_out(mut self, shared: bool) {
+        if let Some(accepted) = self.waiting.take() {
+            self.connections.admit(accepted, &self.node, &self.status);
+        }
+        if !shared {
+            for accepted in self.backlog.rest().await {
+                self.connections.admit(accepted, &self.node, &self.status);
+            }
+        }
+        // From here on the machine rejects connections.
+        let Acceptor {
+            mut connections,
+            backlog,
+            mut sweep,
+            mut unwatched_sweep,
+            ..
+        } = self;
+        drop(backlog);
+        loop {
+            tokio::select! {
+                ended = connections.tasks.join_next() => if ended.is_none() {
+                    return;
+                },
+                _ = sweep.tick() => connections.sweep(),
+                () = unwatched_sweep.due() => unwatched_sweep.again(connections.sweep_unwatched()),
+            }
+        }
     }
 }
 
--- a/crates/node/src/clients/connection.rs
+++ b/crates/node/src/clients/connection.rs
@@ -111,18 +111,7 @@
     }
     // What the machine holds is read before the connection counts as idle.
     tokio::task::yield_now().await;
-    // Danger: the library takes a kept connection for idle though half of a head has come on it.
-    let wait = match downstream.state() {
-        seen if seen.head_started_at.is_some() => Limits::USUAL.head_timeout,
-        seen if seen.has_requested => Duration::ZERO,
-        _ => FIRST_REQUEST_TIMEOUT,
-    };
-    // No longer than the process takes requests at all.
-    let left = phase
-        .borrow()
-        .answer_by
-        .map(|end| end.saturating_duration_since(Instant::now()));
-    let wait = left.map_or(wait, |left| wait.min(left));
+    let wait = last_request_timeout(&downstream, &phase.borrow());
     if tokio::time::timeout(wait, &mut connection).await.is_ok() {
         return;
     }
@@ -136,3 +125,18 @@
     // A client that broke off has been told to the node by the request's guard.
     let _ = connection.await;
 }
+
+/// How long a connection may still make a request once the node empties. The library takes a kept connection for idle though
+/// half of a head has come on it, and would close it under a client that is still writing.
+fn last_request_timeout(downstream: &DownstreamConnection, status: &ServingStatus) -> Duration {
+    let wait = match downstream.state() {
+        state if state.head_started_at.is_some() => Limits::USUAL.head_timeout,
+        state if state.has_requested => Duration::ZERO,
+        _ => FIRST_REQUEST_TIMEOUT,
+    };
+    // No longer than the process takes requests at all.
+    let left = status
+        .answer_by
+        .map(|end| end.saturating_duration_since(Instant::now()));
+    left.map_or(wait, |left| wait.min(left))
+}
--- a/crates/node/src/clients/respond.rs
+++ b/crates/node/src/clients/respond.rs
@@ -45,31 +45,18 @@
 pub(super) async fn respond(
     node: &Rc<Node>,
     request: Request<Incoming>,
-    phase: &watch::Receiver<ServingStatus>,
+    status: &watch::Receiver<ServingStatus>,
     downstream: &Arc<DownstreamConnection>,
 ) -> Reply {
-    // Guards against a request that hides another in its body: of a length and an encoding, hyper drops one unseen.
-    let coding = request.headers().get(TRANSFER_ENCODING);
-    if coding.is_some_and(|coding| {
-        downstream.is_ambiguously_framed() || !coding.as_bytes().eq_ignore_ascii_case(b"chunked")
-    }) {
-        let reason = "a body has a Content-Length or is chunked, not both\n";
+    if is_ambiguously_framed(&request, downstream) {
         let rejected = Rejected {
             status: StatusCode::BAD_REQUEST,
-            reason,
+            reason: "a body has a Content-Length or is chunked, not both\n",
         };
         return reject_unread(node, request.headers(), rejected);
     }
     if request.method() == Method::GET && request.uri().path() == "/-/ready" {
-        let serving = phase.borrow().clone();
-        let status = if serving.ready {
-            StatusCode::OK
-        } else {
-            StatusCode::SERVICE_UNAVAILABLE
-        };
-        let mut reply = Response::new(serving.reasons.to_string().into());
-        *reply.status_mut() = status;
-        return reply;
+        return readiness(&status.borrow());
     }
     let (mut request, offer) = match node.websockets {
         Some(_) => match upgrade::read(request.method(), request.version(), request.headers()) {
@@ -84,58 +71,92 @@
         Ok(asked) => asked,
         Err(rejected) => return reject_unread(node, &head.headers, rejected),
     };
-    let class = asked.class;
-    let reject_and_close = |status, what| {
-        node.record_rejection(class, RequestEnd::Faulted);
-        reject_and_close(status, what)
-    };
     if let (Some(offer), Some(upgrades)) = (offer, upgrades) {
         return socket(node, asked, head, offer, upgrades, downstream).await;
     }
+    let size = body.size_hint().exact();
+    match receive_body(node, &mut asked, body, downstream).await {
+        Ok(body) => forward(node, asked, head, (body, size), downstream).await,
+        Err(reply) => reply,
+    }
+}
+
+/// Whether a request could hide another in its body: of a length and an encoding, the library drops one unseen.
+fn is_ambiguously_framed(request: &Request<Incoming>, downstream: &DownstreamConnection) -> bool {
+    let coding = request.headers().get(TRANSFER_ENCODING);
+    coding.is_some_and(|coding| {
+        downstream.is_ambiguously_framed() || !coding.as_bytes().eq_ignore_ascii_case(b"chunked")
+    })
+}
+
+/// The answer to a readiness probe.
+fn readiness(serving: &ServingStatus) -> Reply {
+    let mut reply = Response::new(serving.reasons.to_string().into());
+    *reply.status_mut() = if serving.ready {
+        StatusCode::OK
+    } else {
+        StatusCode::SERVICE_UNAVAILABLE
+    };
+    reply
+}
+
+/// Reads a request's body as far as it is buffered. An error is the reply that the request is rejected with.
+async fn receive_body(
+    node: &Node,
+    asked: &mut RequestHead,
+    body: Incoming,
+    downstream: &DownstreamConnection,
+) -> Result<Gathered, Reply> {
+    let reject = |status, reason| {
+        node.record_rejection(asked.class, RequestEnd::Faulted);
+        reject_and_close(status, reason)
+    };
     if body.size_hint().lower() > MAX_BODY_BYTES {
-        return reject_and_close(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large\n");
+        let status = StatusCode::PAYLOAD_TOO_LARGE;
+        return Err(reject(status, "the body is too large\n"));
     }
-    let size = body.size_hint().exact();
-    let (body, pipe) = match gather(body).await {
-        Some(Ok(body)) => (body, None),
-        Some(Err((first, rest))) => (Bytes::new(), Some((first, rest))),
-        None => return reject_and_close(StatusCode::BAD_REQUEST, "the body did not come whole\n"),
+    let Some(body) = gather(body).await else {
+        let status = StatusCode::BAD_REQUEST;
+        return Err(reject(status, "the body did not come whole\n"));
     };
-    if asked.effect == Idempotency::Idempotent && (pipe.is_some() || !body.is_empty()) {
-        return reject_and_close(StatusCode::BAD_REQUEST, "this class takes no body\n");
+    let is_empty = body.as_ref().is_ok_and(Bytes::is_empty);
+    if asked.effect == Idempotency::Idempotent && !is_empty {
+        let status = StatusCode::BAD_REQUEST;
+        return Err(reject(status, "this class takes no body\n"));
     }
-    // The time of one whose body goes by has not begun.
-    if pipe.is_none() && !asked.deduct_wait(downstream.time_queued()) {
-        return deadline_passed(node, class);
+    // The time of one whose body is streamed has not begun.
+    if body.is_ok() && !asked.deduct_wait(downstream.time_queued()) {
+        return Err(deadline_passed(node, asked.class));
     }
-    let timeout = asked.timeout.saturating_sub(DELIVERY);
+    Ok(body)
+}
+
+/// Has a request served. `body`: what was read of its body, and the whole body's bytes if they are known.
+async fn forward(
+    node: &Rc<Node>,
+    asked: RequestHead,
+    head: hyper::http::request::Parts,
+    body: (Gathered, Option<u64>),
+    downstream: &Arc<DownstreamConnection>,
+) -> Reply {
+    let (class, timeout) = (asked.class, asked.timeout.saturating_sub(DELIVERY));
+    let (body, streamed) = match body {
+        (Ok(body), _) => (body, None),
+        (Err((first, rest)), size) => (Bytes::new(), Some((first, rest, size))),
+    };
     let (mut event, mut forward) = asked.arrived(head, body, downstream);
-    let pipe = pipe.map(|(first, rest)| {
+    let streamed = streamed.map(|(first, rest, size)| {
         let on_complete = node.report_body_complete(forward.id.clone(), timeout);
-        Rc::new(StreamedRequestBody::new(
-            Box::new(on_complete),
-            size,
-            first,
-            rest,
-        ))
+        let body = StreamedRequestBody::new(Box::new(on_complete), size, first, rest);
+        Rc::new(body)
     });
-    if let Some(pipe) = &pipe {
-        // Its client's time begins with its last byte.
-        forward.body = ForwardBody::Streamed(Rc::clone(pipe));
-        forward.deadline = Instant::now() + STREAMED_BODY_TIMEOUT;
-        if let Event::RequestArrived {
-            timeout,
-            complete: whole,
-            ..
-        } = &mut event
-        {
-            (*timeout, *whole) = (STREAMED_BODY_TIMEOUT.as_micros() as u64, false);
-        }
+    if let Some(body) = &streamed {
+        stream_body(&mut event, &mut forward, Rc::clone(body));
     }
     let answer = ask(node, event, forward).await;
-    if let Some(pipe) = &pipe {
-        // Guards against an answer that is lost as its client still writes.
-        pipe.drain().await;
+    if let Some(body) = &streamed {
+        // A client that is still writing would lose its answer with the connection: the rest is read first.
+        body.drain().await;
     }
     if let Some(answer) = answer {
         return reply(answer);
@@ -144,6 +165,18 @@
     duplicate_id()
 }
 
+/// Has a request forwarded while its body still comes. Its client's time begins with the last byte.
+fn stream_body(event: &mut Event, forward: &mut Forward, body: Rc<StreamedRequestBody>) {
+    forward.body = ForwardBody::Streamed(body);
+    forward.deadline = Instant::now() + STREAMED_BODY_TIMEOUT;
+    if let Event::RequestArrived {
+        timeout, complete, ..
+    } = event
+    {
+        (*timeout, *complete) = (STREAMED_BODY_TIMEOUT.as_micros() as u64, false);
+    }
+}
+
 /// Reads a body that is kept; of one that is too large for that, what had come when that was clear. `None` if it broke off, or
 /// came too slowly.
 async fn gather(mut body: Incoming) -> Option<Gathered> {
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,12 +1,14 @@
 //! What the edge node is told at its start: `LB_*` and the JSON of `LB_CONFIG`, as typed values.
 
-use anyhow::{ensure, Context, Result};
 use saffronpaddle_endpoints::{EndpointRecord, EndpointStatus};
+use saffronpaddle_policy::interface::SettingsError;
 use saffronpaddle_policy::setup::{self, NamedSettings};
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
-use std::net::SocketAddr;
+use std::io;
+use std::net::{AddrParseError, SocketAddr};
 use std::path::{Path, PathBuf};
+use thiserror::Error;
 
 /// All that the edge node is told.
 pub struct Config {
@@ -141,13 +143,69 @@
     }
 }
 
+/// Why the platform's configuration cannot be used.
+#[derive(Debug, Error)]
+pub enum ConfigError {
+    /// No file is named.
+    #[error("LB_CONFIG is not set")]
+    NotSet,
+    /// The file cannot be read.
+    #[error("LB_CONFIG: {}", path.display())]
+    Read {
+        /// The file.
+        path: PathBuf,
+        /// What the machine says.
+        source: io::Error,
+    },
+    /// The file's text makes no sense.
+    #[error("LB_CONFIG: {}", path.display())]
+    Invalid {
+        /// The file.
+        path: PathBuf,
+        /// What is wrong with it.
+        source: Box<ConfigError>,
+    },
+    /// A variable is no address.
+    #[error("{key}: {text:?} is no address")]
+    Address {
+        /// The variable.
+        key: &'static str,
+        /// What it says.
+        text: String,
+        /// Why that is no address.
+        source: AddrParseError,
+    },
+    /// The text is not the JSON that is expected.
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    /// The policy's settings cannot be read.
+    #[error("settings: {0}")]
+    NamedSettings(String),
+    /// The policy's settings make no sense.
+    #[error("settings")]
+    Settings(#[source] SettingsError),
+    /// The process may have too few descriptors.
+    #[error("limits.sockets: {MIN_SOCKETS} are needed")]
+    TooFewDescriptors,
+}
+
+fn parse_address(key: &'static str, text: &str) -> Result<SocketAddr, ConfigError> {
+    text.parse().map_err(|source| ConfigError::Address {
+        key,
+        text: text.to_owned(),
+        source,
+    })
+}
+
 impl Config {
     /// Reads the file that `LB_CONFIG` names; the other variables overrule what it says.
     ///
     /// # Errors
     /// A variable or the file that cannot be read or makes no sense.
-    pub fn from_environment(variable: impl Fn(&str) -> Option<String>) -> Result<Config> {
-        let path = variable("LB_CONFIG").context("LB_CONFIG is not set")?;
+    pub fn from_environment(
+        variable: impl Fn(&str) -> Option<String>,
+    ) -> Result<Config, ConfigError> {
+        let path = variable("LB_CONFIG").ok_or(ConfigError::NotSet)?;
         let mut config = Config::read(Path::new(&path))?;
         if let Some(name) = variable("LB_NAME") {
             config.name = name;
@@ -157,16 +215,11 @@
             ("LB_DISCOVERY", &mut config.discovery),
         ] {
             if let Some(text) = variable(key) {
-                *address = text
-                    .parse()
-                    .with_context(|| format!("{key}: {text:?} is no address"))?;
+                *address = parse_address(key, &text)?;
             }
         }
         if let Some(text) = variable("LB_ADMIN_ADDR").filter(|text| !text.is_empty()) {
-            let address = text
-                .parse()
-                .with_context(|| format!("LB_ADMIN_ADDR: {text:?} is no address"))?;
-            config.admin = Some(address);
+            config.admin = Some(parse_address("LB_ADMIN_ADDR", &text)?);
         }
         Ok(config)
     }
@@ -175,26 +228,28 @@
     ///
     /// # Errors
     /// A file that cannot be read or makes no sense.
-    pub fn read(path: &Path) -> Result<Config> {
-        let text = std::fs::read_to_string(path)
-            .with_context(|| format!("LB_CONFIG: {}", path.display()))?;
-        Config::parse(path, &text).with_context(|| format!("LB_CONFIG: {}", path.display()))
+    pub fn read(path: &Path) -> Result<Config, ConfigError> {
+        let text = std::fs::read_to_string(path).map_err(|source| ConfigError::Read {
+            path: path.to_owned(),
+            source,
+        })?;
+        Config::parse(path, &text).map_err(|source| ConfigError::Invalid {
+            path: path.to_owned(),
+            source: Box::new(source),
+        })
     }
 
     /// Reads its text; `path` is where it would be read again.
     ///
     /// # Errors
     /// What is wrong with it.
-    pub fn parse(path: &Path, text: &str) -> Result<Config> {
+    pub fn parse(path: &Path, text: &str) -> Result<Config, ConfigError> {
         let file: File = serde_json::from_str(text)?;
-        let named = setup::read(file.settings.get())
-            .map_err(anyhow::Error::msg)
-            .context("settings")?;
-        named.settings.check().context("settings")?;
-        ensure!(
-            file.limits.sockets >= MIN_SOCKETS,
-            "limits.sockets: {MIN_SOCKETS} are needed"
-        );
+        let named = setup::read(file.settings.get()).map_err(ConfigError::NamedSettings)?;
+        named.settings.check().map_err(ConfigError::Settings)?;
+        if file.limits.sockets < MIN_SOCKETS {
+            return Err(ConfigError::TooFewDescriptors);
+        }
         let peers = file.peer_listen.map(|listen| PeerAddresses {
             listen,
             each: file.peers,
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -1,31 +1,25 @@
 //! Discovery: a watch on the list of app servers, opened again whenever it ends or falls silent, and held on to while its
 //! address moves until the new one has spoken.
 
+mod call;
+mod error;
+
 use crate::config::List;
 use crate::discovery_status::WatchStatus;
+use crate::error::chain;
 use crate::node::Node;
-use anyhow::{anyhow, bail, Context, Result};
 use bytes::Bytes;
-use http_body_util::Empty;
-use hyper::body::{Body, Frame, Incoming};
-use hyper::client::conn::http1;
-use hyper::header::{HOST, RETRY_AFTER};
-use hyper::{Request, StatusCode};
-use hyper_util::rt::TokioIo;
+use call::{call, call_hedged, Watch, WatchError};
+use error::DiscoveryError;
 use saffronpaddle_endpoints::{EmptyListProtection, JsonObjects, PollBackoff, PollLimits};
-use saffronpaddle_netio::Socket;
 use saffronpaddle_policy::interface::DiscoveryMode;
 use std::future::{pending, poll_fn, Future};
 use std::net::SocketAddr;
-use std::pin::{pin, Pin};
+use std::pin::Pin;
 use std::rc::Rc;
-use std::sync::{Arc, Weak as WeakArc};
-use std::task::{Context as TaskContext, Poll};
 use std::time::Duration;
-use tokio::net::TcpStream;
 use tokio::sync::watch;
-use tokio::task::JoinSet;
-use tokio::time::{sleep, timeout, timeout_at, Instant};
+use tokio::time::{timeout, Instant};
 use tracing::{debug, warn};
 
 /// A watch says something every 2 s; one that is this late is taken for dead. Guards drains: what discovery
@@ -62,6 +56,12 @@
             .map_or(WATCH_TIMEOUT, |poll_limits| poll_limits.answer_within)
     }
 
+    /// When an empty list that is not believed is read again, since `started_at`; `None` where there is none.
+    fn empty_list_settles_at(&self) -> Option<Duration> {
+        let limits = self.poll_limits.as_ref()?;
+        self.empty_list.poll_again_after(limits.empty_after)
+    }
+
     /// Whether a list is to be believed; one that is not is asked for whole again.
     fn accepts_list(&mut self, list: &List) -> bool {
         let Some(poll_limits) = self.poll_limits.as_ref().filter(|_| list.whole) else {
@@ -197,7 +197,7 @@
         }
         if let Err(error) = ended {
             if !std::mem::replace(&mut logged, true) {
-                warn!("discovery: {error:#}");
+                warn!("discovery: {}", chain(&error));
             }
         }
         let pause = match follower.retry_after.take() {
@@ -210,232 +210,88 @@
     }
 }
 
-/// What drives a call's connection until that ends; it goes with its owner. No task of its own. Danger: news that one task has
-/// read off the socket and another has not taken yet, while a first byte finds the socket empty.
-struct Driver(Option<Pin<Box<dyn Future<Output = ()>>>>);
-
-impl Driver {
-    fn drive(&mut self, context: &mut TaskContext<'_>) {
-        // How it ended shows in the watch.
-        if self
-            .0
-            .as_mut()
-            .is_some_and(|connection| connection.as_mut().poll(context).is_ready())
-        {
-            self.0 = None;
-        }
-    }
-}
-
-/// A call that was answered with a watch, and what drives its connection.
-struct Watch {
-    driver: Driver,
-    body: Incoming,
-    /// Its connection, to be looked at.
-    stream: WeakArc<TcpStream>,
-}
-
-impl Watch {
-    /// The next frame; none has come only once all that the machine holds was read.
-    fn poll_next(
-        &mut self,
-        context: &mut TaskContext<'_>,
-    ) -> Poll<Option<hyper::Result<Frame<Bytes>>>> {
-        // Danger: the library reads on only once the last frame has been taken and the next is asked for.
-        for _ in 0..2 {
-            self.driver.drive(context);
-            let next = Pin::new(&mut self.body).poll_frame(context);
-            if next.is_ready() {
-                return next;
-            }
-        }
-        Poll::Pending
-    }
-}
-
-/// What a call was answered that is no watch.
-enum WatchError {
-    /// The service has said when to come back.
-    RetryAfter(StatusCode, Duration),
-    Failed(anyhow::Error),
-}
-
-/// One call, until it is answered. `answers`: how long that may take, with the connection.
-async fn call(
-    status: Rc<WatchStatus>,
-    address: SocketAddr,
-    path: String,
-    answer_timeout: Duration,
-) -> Result<Watch, WatchError> {
-    let opened = async {
-        let by = Instant::now() + answer_timeout;
-        let connect = TcpStream::connect(address);
-        let stream = timeout(WATCH_TIMEOUT.min(answer_timeout), connect)
-            .await
-            .context("it does not come up")??;
-        let stream = Arc::new(stream);
-        let weak_stream = Arc::downgrade(&stream);
-        status.record_call(&stream);
-        let (mut sender, connection) = http1::handshake(TokioIo::new(Socket::new(stream))).await?;
-        let mut driver = Driver(Some(Box::pin(async move { _ = connection.await })));
-        let request = Request::builder()
-            .uri(path)
-            .header(HOST, address.to_string());
-        let mut answer = pin!(sender.send_request(request.body(Empty::<Bytes>::new())?));
-        let answer = poll_fn(|context| {
-            driver.drive(context);
-            answer.as_mut().poll(context)
-        });
-        let answer = timeout_at(by, answer)
-            .await
-            .context("the call is not answered")??;
-        anyhow::Ok((driver, weak_stream, answer))
-    };
-    let (driver, stream, answer) = opened.await.map_err(WatchError::Failed)?;
-    if answer.status() == StatusCode::OK {
-        return Ok(Watch {
-            driver,
-            body: answer.into_body(),
-            stream,
-        });
-    }
-    let after = answer
-        .headers()
-        .get(RETRY_AFTER)
-        .and_then(|after| after.to_str().ok()?.trim().parse().ok());
-    let failed = || WatchError::Failed(anyhow!("the watch was answered {}", answer.status()));
-    Err(after.map_or_else(failed, |after| {
-        WatchError::RetryAfter(answer.status(), Duration::from_secs(after))
-    }))
-}
-
-/// Calls again and again, also while earlier calls are still open, until one is answered with a watch. The others end with it.
-async fn call_hedged(
-    status: &Rc<WatchStatus>,
+/// One watch, until it ends.
+async fn watch_list(
+    follower: &mut Follower,
     address: SocketAddr,
-    path: &str,
-    answer_timeout: Duration,
     backoff: &mut PollBackoff,
-    mut hedge_delay: Duration,
-) -> Watch {
-    let mut calls = JoinSet::new();
-    let mut logged = false;
-    loop {
-        let begun = Instant::now();
-        debug!(%address, "discovery: a call begins");
-        calls.spawn_local(call(
-            Rc::clone(status),
-            address,
-            path.to_owned(),
-            answer_timeout,
-        ));
-        let next = sleep(hedge_delay);
-        tokio::pin!(next);
-        loop {
-            let error = tokio::select! {
-                () = &mut next => break,
-                Some(ended) = calls.join_next() => match ended {
-                    Ok(Ok(watch)) => return watch,
-                    Ok(Err(WatchError::Failed(error))) => error,
-                    Ok(Err(WatchError::RetryAfter(status, after))) => {
-                        let pause = backoff.after_hedged_response(after, begun.elapsed(), fastrand::f64());
-                        debug!(%status, ?after, ?pause, "discovery: told to come back");
-                        if let Some(pause) = pause {
-                            next.as_mut().reset(Instant::now() + pause);
-                        }
-                        anyhow!("the watch was answered {status}")
-                    }
-                    Err(_) => continue,
-                },
-            };
-            debug!(error = format!("{error:#}"), "discovery: a call failed");
-            if !std::mem::replace(&mut logged, true) {
-                warn!("discovery: {error:#}");
-            }
+) -> Result<(), DiscoveryError> {
+    let mut watch = open_watch(follower, address, backoff).await?;
+    let status = Rc::clone(&follower.status);
+    follower.opened = true;
+    status.calls.borrow_mut().clear();
+    status.watch.replace(watch.stream.clone());
+    status.taken.set(false);
+    status.open.set(true);
+    let mut lists = JsonObjects::new(MAX_LIST_BYTES);
+    while let Some(data) = next_data(follower, &mut watch).await? {
+        // White space too: nothing has changed.
+        follower.node.record_list_contact();
+        let mut rest = &data[..];
+        while let Some(list) = lists.next(&mut rest)? {
+            follower.take(&serde_json::from_slice(&list)?);
         }
-        hedge_delay = backoff.hedge_delay(fastrand::f64()).unwrap_or(hedge_delay);
     }
+    Err(DiscoveryError::Ended)
 }
 
-/// One watch, until it ends.
-async fn watch_list(
+/// Calls until the service answers with a watch.
+async fn open_watch(
     follower: &mut Follower,
     address: SocketAddr,
     backoff: &mut PollBackoff,
-) -> Result<()> {
-    // A list that is in doubt is asked for whole.
-    let settles = follower.poll_limits.as_ref().and_then(|poll_limits| {
-        follower
-            .empty_list
-            .poll_again_after(poll_limits.empty_after)
-    });
-    let from = follower.seq.filter(|_| settles.is_none());
+) -> Result<Watch, DiscoveryError> {
+    // While an empty list is not believed the whole list is read again.
+    let from = follower
+        .seq
+        .filter(|_| follower.empty_list_settles_at().is_none());
     let from = from.map_or(String::new(), |seq| format!("&from={seq}"));
     let path = format!("/api/targets?watch=1{from}");
     let answer_timeout = backoff
         .answer_within()
         .unwrap_or_else(|| follower.answer_timeout());
     let status = Rc::clone(&follower.status);
-    let mut watch = match backoff.hedge_delay(fastrand::f64()) {
-        Some(hedge_delay) => {
-            call_hedged(
-                &status,
-                address,
-                &path,
-                answer_timeout,
-                backoff,
-                hedge_delay,
-            )
-            .await
+    if let Some(delay) = backoff.hedge_delay(fastrand::f64()) {
+        return Ok(call_hedged(&status, address, &path, answer_timeout, backoff, delay).await);
+    }
+    match call(status, address, path, answer_timeout).await {
+        Ok(watch) => Ok(watch),
+        Err(WatchError::Failed(error)) => Err(error),
+        Err(WatchError::RetryAfter(status, after)) => {
+            follower.retry_after = Some(after);
+            Err(DiscoveryError::Status(status))
         }
-        None => match call(Rc::clone(&status), address, path, answer_timeout).await {
-            Ok(watch) => watch,
-            Err(WatchError::Failed(error)) => return Err(error),
-            Err(WatchError::RetryAfter(status, after)) => {
-                follower.retry_after = Some(after);
-                bail!("the watch was answered {status}");
-            }
-        },
-    };
-    follower.opened = true;
-    status.calls.borrow_mut().clear();
-    status.watch.replace(watch.stream.clone());
-    status.taken.set(false);
-    status.open.set(true);
-    let mut lists = JsonObjects::new(MAX_LIST_BYTES);
-    // A silent machine keeps its connection open: only the missing signs of life tell.
+    }
+}
+
+/// The next data of a watch; `None` at its end. A silent machine keeps its connection open: only missing data shows that it
+/// is gone.
+async fn next_data(
+    follower: &Follower,
+    watch: &mut Watch,
+) -> Result<Option<Bytes>, DiscoveryError> {
     loop {
-        let empty_list = follower.poll_limits.as_ref().and_then(|poll_limits| {
-            follower
-                .empty_list
-                .poll_again_after(poll_limits.empty_after)
-        });
-        let settles = empty_list.map(|at| at.saturating_sub(follower.started_at.elapsed()));
-        let read_timeout = settles.map_or(WATCH_TIMEOUT, |settles| settles.min(WATCH_TIMEOUT));
+        let settles_in = follower
+            .empty_list_settles_at()
+            .map(|at| at.saturating_sub(follower.started_at.elapsed()));
+        let read_timeout = settles_in.map_or(WATCH_TIMEOUT, |span| span.min(WATCH_TIMEOUT));
         let next = poll_fn(|context| {
             let next = watch.poll_next(context);
-            status.taken.set(next.is_pending());
+            follower.status.taken.set(next.is_pending());
             next
         });
         let frame = match timeout(read_timeout, next).await {
-            Ok(frame) => frame,
-            Err(_) if settles.is_some_and(|settles| settles <= WATCH_TIMEOUT) => {
-                bail!("its empty list is settled")
+            Ok(Some(frame)) => frame?,
+            Ok(None) => return Ok(None),
+            Err(_) if settles_in.is_some_and(|span| span <= WATCH_TIMEOUT) => {
+                return Err(DiscoveryError::EmptyListSettled)
             }
-            Err(_) => bail!("the watch is silent"),
-        };
-        let Some(frame) = frame else { break };
-        let Ok(data) = frame?.into_data() else {
-            continue;
+            Err(_) => return Err(DiscoveryError::Silent),
         };
-        // White space too: nothing has changed.
-        follower.node.record_list_contact();
-        let mut rest = &data[..];
-        while let Some(list) = lists.next(&mut rest).context("the watch")? {
-            follower.take(&serde_json::from_slice(&list).context("a list of the watch")?);
+        if let Ok(data) = frame.into_data() {
+            return Ok(Some(data));
         }
     }
-    bail!("the watch ended")
 }
 
 #[cfg(test)]
--- /dev/null
+++ b/crates/node/src/discovery/call.rs
@@ -0,0 +1,173 @@
+//! Calls to the list service, until one is answered with a watch.
+
+use super::error::DiscoveryError;
+use super::WATCH_TIMEOUT;
+use crate::discovery_status::WatchStatus;
+use crate::error::chain;
+use bytes::Bytes;
+use http_body_util::Empty;
+use hyper::body::{Body, Frame, Incoming};
+use hyper::client::conn::http1;
+use hyper::header::{HOST, RETRY_AFTER};
+use hyper::{Request, StatusCode};
+use hyper_util::rt::TokioIo;
+use saffronpaddle_endpoints::PollBackoff;
+use saffronpaddle_netio::Socket;
+use std::future::{poll_fn, Future};
+use std::net::SocketAddr;
+use std::pin::{pin, Pin};
+use std::rc::Rc;
+use std::sync::{Arc, Weak as WeakArc};
+use std::task::{Context as TaskContext, Poll};
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio::task::JoinSet;
+use tokio::time::{sleep, timeout, timeout_at, Instant};
+use tracing::{debug, warn};
+
+/// What drives a call's connection until that ends; it goes with its owner. No task of its own. Danger: news that one task has
+/// read off the socket and another has not taken yet, while a first byte finds the socket empty.
+struct Driver(Option<Pin<Box<dyn Future<Output = ()>>>>);
+
+impl Driver {
+    fn drive(&mut self, context: &mut TaskContext<'_>) {
+        // How it ended shows in the watch.
+        if self
+            .0
+            .as_mut()
+            .is_some_and(|connection| connection.as_mut().poll(context).is_ready())
+        {
+            self.0 = None;
+        }
+    }
+}
+
+/// A call that was answered with a watch, and what drives its connection.
+pub(super) struct Watch {
+    driver: Driver,
+    body: Incoming,
+    /// Its connection, to be looked at.
+    pub(super) stream: WeakArc<TcpStream>,
+}
+
+impl Watch {
+    /// The next frame; none has come only once all that the machine holds was read.
+    pub(super) fn poll_next(
+        &mut self,
+        context: &mut TaskContext<'_>,
+    ) -> Poll<Option<hyper::Result<Frame<Bytes>>>> {
+        // Danger: the library reads on only once the last frame has been taken and the next is asked for.
+        for _ in 0..2 {
+            self.driver.drive(context);
+            let next = Pin::new(&mut self.body).poll_frame(context);
+            if next.is_ready() {
+                return next;
+            }
+        }
+        Poll::Pending
+    }
+}
+
+/// What a call was answered that is no watch.
+pub(super) enum WatchError {
+    /// The service has said when to come back.
+    RetryAfter(StatusCode, Duration),
+    Failed(DiscoveryError),
+}
+
+/// One call, until it is answered. `answers`: how long that may take, with the connection.
+pub(super) async fn call(
+    status: Rc<WatchStatus>,
+    address: SocketAddr,
+    path: String,
+    answer_timeout: Duration,
+) -> Result<Watch, WatchError> {
+    let opened = async {
+        let by = Instant::now() + answer_timeout;
+        let connect = TcpStream::connect(address);
+        let stream = timeout(WATCH_TIMEOUT.min(answer_timeout), connect)
+            .await
+            .map_err(DiscoveryError::ConnectTimeout)??;
+        let stream = Arc::new(stream);
+        let weak_stream = Arc::downgrade(&stream);
+        status.record_call(&stream);
+        let (mut sender, connection) = http1::handshake(TokioIo::new(Socket::new(stream))).await?;
+        let mut driver = Driver(Some(Box::pin(async move { _ = connection.await })));
+        let request = Request::builder()
+            .uri(path)
+            .header(HOST, address.to_string());
+        let mut answer = pin!(sender.send_request(request.body(Empty::<Bytes>::new())?));
+        let answer = poll_fn(|context| {
+            driver.drive(context);
+            answer.as_mut().poll(context)
+        });
+        let answer = timeout_at(by, answer)
+            .await
+            .map_err(DiscoveryError::AnswerTimeout)??;
+        Ok((driver, weak_stream, answer))
+    };
+    let (driver, stream, answer) = opened.await.map_err(WatchError::Failed)?;
+    if answer.status() == StatusCode::OK {
+        return Ok(Watch {
+            driver,
+            body: answer.into_body(),
+            stream,
+        });
+    }
+    let after = answer
+        .headers()
+        .get(RETRY_AFTER)
+        .and_then(|after| after.to_str().ok()?.trim().parse().ok());
+    let failed = || WatchError::Failed(DiscoveryError::Status(answer.status()));
+    Err(after.map_or_else(failed, |after| {
+        WatchError::RetryAfter(answer.status(), Duration::from_secs(after))
+    }))
+}
+
+/// Calls again and again, also while earlier calls are still open, until one is answered with a watch. The others end with it.
+pub(super) async fn call_hedged(
+    status: &Rc<WatchStatus>,
+    address: SocketAddr,
+    path: &str,
+    answer_timeout: Duration,
+    backoff: &mut PollBackoff,
+    mut hedge_delay: Duration,
+) -> Watch {
+    let mut calls = JoinSet::new();
+    let mut logged = false;
+    loop {
+        let begun = Instant::now();
+        debug!(%address, "discovery: a call begins");
+        calls.spawn_local(call(
+            Rc::clone(status),
+            address,
+            path.to_owned(),
+            answer_timeout,
+        ));
+        let next = sleep(hedge_delay);
+        tokio::pin!(next);
+        loop {
+            let error = tokio::select! {
+                () = &mut next => break,
+                Some(ended) = calls.join_next() => match ended {
+                    Ok(Ok(watch)) => return watch,
+                    Ok(Err(WatchError::Failed(error))) => error,
+                    Ok(Err(WatchError::RetryAfter(status, after))) => {
+                        let pause = backoff.after_hedged_response(after, begun.elapsed(), fastrand::f64());
+                        debug!(%status, ?after, ?pause, "discovery: told to come back");
+                        if let Some(pause) = pause {
+                            next.as_mut().reset(Instant::now() + pause);
+                        }
+                        DiscoveryError::Status(status)
+                    }
+                    Err(_) => continue,
+                },
+            };
+            debug!(error = chain(&error), "discovery: a call failed");
+            if !std::mem::replace(&mut logged, true) {
+                warn!("discovery: {}", chain(&error));
+            }
+        }
+        hedge_delay = backoff.hedge_delay(fastrand::f64()).unwrap_or(hedge_delay);
+    }
+}
--- a/crates/node/src/discovery/tests.rs
+++ b/crates/node/src/discovery/tests.rs
@@ -24,13 +24,11 @@
 }
 
 /// Reads it as it comes off a connection.
-fn read(bytes: &[u8]) -> Result<Option<List>> {
+fn read(bytes: &[u8]) -> Result<Option<List>, DiscoveryError> {
     let mut lists = JsonObjects::new(MAX_LIST_BYTES);
     for mut piece in bytes.chunks(16 << 10) {
-        if let Some(list) = lists.next(&mut piece).context("the watch")? {
-            return Ok(Some(
-                serde_json::from_slice(&list).context("a list of the watch")?,
-            ));
+        if let Some(list) = lists.next(&mut piece)? {
+            return Ok(Some(serde_json::from_slice(&list)?));
         }
     }
     Ok(None)
@@ -61,7 +59,7 @@
     let bytes = list(MAX_SERVERS, 253);
     assert!(bytes.len() > MAX_LIST_BYTES);
     let error = read(&bytes).expect_err("it is too long");
-    let line = format!("discovery: {error:#}");
+    let line = format!("discovery: {}", chain(&error));
     assert_eq!(
         (line.lines().count(), &*line),
         (1, "discovery: the watch: an object has no end")
--- /dev/null
+++ b/crates/node/src/edge.rs
@@ -0,0 +1,332 @@
+//! One edge node from its start to its end: what is bound, what runs, and how it leaves.
+
+use crate::admin::{self, Admin};
+use crate::clients::{self, ServingStatus};
+use crate::config::{Config, List};
+use crate::endpoint_sources;
+use crate::error::NodeError;
+use crate::event_loop;
+use crate::hot_restart::{self, ParentLink, Rendezvous};
+use crate::lifecycle_runner::{self, Inputs, LifecycleRunner, ProcessSignal};
+use crate::manager::Manager;
+use crate::node::{Node, NodeParts};
+use crate::peer_listener;
+use crate::peers::Peers;
+use crate::process_links::ProcessLinks;
+use crate::readiness::ReadinessSampler;
+use crate::reload::{reload, Files, LimitTerms, OperatorFile};
+use crate::shutdown;
+use saffronpaddle_hot_restart::TransferredState;
+use saffronpaddle_lifecycle::Lifecycle;
+use saffronpaddle_netio::retry_shortage;
+use saffronpaddle_operator_config::{Operator, Sockets};
+use saffronpaddle_policy::StateSnapshot;
+use std::future::Future;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::sync::{mpsc, watch};
+use tokio::task::{spawn_local, JoinHandle};
+use tokio::time::Instant;
+use tracing::info;
+
+/// Descriptors for all but clients and app servers: listener, discovery, peers, the runtime's own; the admin listener and its
+/// callers.
+const RESERVED_DESCRIPTORS: usize = 32 + Admin::DESCRIPTORS;
+/// Connections of either side that web sockets must leave to requests.
+const MIN_CONNECTIONS_PER_SIDE: usize = 32;
+/// Connections that may wait to be accepted.
+const LISTEN_BACKLOG: i32 = 1024;
+
+/// What one node is made of.
+pub struct Options {
+    /// What the platform tells it.
+    pub config: Config,
+    /// What the operator sets; `None` leaves all of that off.
+    pub operator: Option<OperatorFile>,
+    /// A listener that is handed over, in place of one of the node's own.
+    pub inherited_listener: Option<std::net::TcpListener>,
+    /// The folder where processes of this node meet, if the platform holds the listener that they share.
+    pub rendezvous: Option<PathBuf>,
+    /// The service manager, which is notified of the node's state.
+    pub manager: Manager,
+}
+
+/// A node that is bound: connections wait in its backlog, but nothing runs yet.
+pub struct Edge {
+    node: Rc<Node>,
+    listener: TcpListener,
+    /// The listener goes on in other hands.
+    shared: bool,
+    address: SocketAddr,
+    discovery: SocketAddr,
+    known: Option<List>,
+    capacity: Capacity,
+    /// Descriptors that the process may have.
+    descriptors: usize,
+    /// Memory that the process may have, bytes.
+    memory: usize,
+    files: Files,
+    manager: Rc<Manager>,
+    admin: Option<Admin>,
+    rendezvous: Option<Rendezvous>,
+    parent: Option<ParentLink>,
+}
+
+/// How the process's descriptors are shared out.
+#[derive(Clone, Copy)]
+struct Capacity {
+    /// Connections of clients.
+    clients: usize,
+    /// Connections to app servers.
+    upstream: usize,
+}
+
+impl Capacity {
+    /// Shares descriptors out. web sockets have their own.
+    fn new(descriptors: usize, sockets: Option<&Sockets>) -> Result<Capacity, NodeError> {
+        let apart = sockets.map_or(0, |sockets| 2 * sockets.limits.per_node);
+        let both_sides = descriptors.saturating_sub(RESERVED_DESCRIPTORS + apart);
+        // Slow and hostile clients keep their connections far longer than attempts do.
+        let upstream = both_sides * 3 / 8;
+        // Otherwise web sockets would take the descriptors that requests need.
+        if apart > 0 && upstream < MIN_CONNECTIONS_PER_SIDE {
+            return Err(NodeError::TooManySockets {
+                connections: upstream,
+                descriptors,
+                min: MIN_CONNECTIONS_PER_SIDE,
+            });
+        }
+        Ok(Capacity {
+            clients: both_sides - upstream,
+            upstream,
+        })
+    }
+}
+
+/// What a parent process has handed over.
+struct Handover {
+    link: ParentLink,
+    list: Option<List>,
+    policy: StateSnapshot,
+}
+
+impl Handover {
+    fn new((link, state): (ParentLink, TransferredState)) -> Handover {
+        let list = hot_restart::transferred_list(&state);
+        let (customers, servers) = state.policy.size();
+        info!(
+            "hand-over: taken over from a process of this node: {customers} customers, {servers} servers"
+        );
+        Handover {
+            link,
+            list,
+            policy: state.policy,
+        }
+    }
+}
+
+impl Edge {
+    /// Binds a node's sockets.
+    ///
+    /// # Errors
+    /// What could not be bound, or is set wrong.
+    pub async fn bind(options: Options) -> Result<Edge, NodeError> {
+        let Options {
+            mut config,
+            operator,
+            inherited_listener,
+            rendezvous,
+            manager,
+        } = options;
+        let settings = operator.as_ref().map(|file| &file.settings);
+        if let Some(settings) = settings {
+            apply_operator(&mut config, settings);
+        }
+        let shared = inherited_listener.is_some();
+        let links = ProcessLinks::new(&config.name, rendezvous.is_some());
+        let rendezvous = rendezvous.map(|folder| Rendezvous::new(&folder, &config.name));
+        // Before anything is bound: until then the parent has all to itself.
+        let handover = match &rendezvous {
+            Some(rendezvous) => rendezvous.connect_to_parent(&links).await,
+            None => None,
+        };
+        let handover = handover.map(Handover::new);
+        let reuse = settings.is_some_and(|settings| settings.listen.reuse_port);
+        let listener = listen(config.listen, inherited_listener, reuse).await?;
+        let peers = match config.peers {
+            Some(addresses) => {
+                Some(Peers::bind(addresses, config.named.settings.node, reuse || shared).await?)
+            }
+            None => None,
+        };
+        let sockets = settings.and_then(|settings| settings.sockets.clone());
+        let capacity = Capacity::new(config.sockets, sockets.as_ref())?;
+        let (parent, transferred_list, restored) = match handover {
+            Some(Handover { link, list, policy }) => {
+                let number = link.number();
+                (Some(link), list, Some((policy, number)))
+            }
+            None => (None, None, None),
+        };
+        let node = Node::new(NodeParts {
+            seed: config.seed,
+            named: config.named,
+            max_upstream_connections: capacity.upstream,
+            links,
+            peers,
+            sockets,
+            restored,
+        })?;
+        let admin = match config.admin {
+            Some(address) => Some(Admin::bind(address).await?),
+            None => None,
+        };
+        let address = listener.local_addr().map_err(NodeError::ListenerAddress)?;
+        info!("{}: listening on {address}", config.name);
+        Ok(Edge {
+            node,
+            listener,
+            shared,
+            address,
+            discovery: config.discovery,
+            known: transferred_list.or(config.known),
+            capacity,
+            descriptors: config.sockets,
+            memory: config.memory,
+            files: Files {
+                config: config.path,
+                operator,
+            },
+            manager: Rc::new(manager),
+            admin,
+            rendezvous,
+            parent,
+        })
+    }
+
+    /// Where clients connect.
+    pub fn address(&self) -> SocketAddr {
+        self.address
+    }
+
+    /// Spawns a task on the node's loop. Tests use it to block the loop.
+    pub fn spawn(&self, task: impl Future<Output = ()> + 'static) {
+        spawn_local(task);
+    }
+
+    /// Runs it until its life cycle ends. Inside a `LocalSet` only.
+    pub async fn run(self, signals: mpsc::UnboundedReceiver<ProcessSignal>) {
+        // A policy that was notified of nothing yet asks for no timer, and a loop without one looks stuck to the watchdog.
+        self.node.start();
+        let terms = LimitTerms {
+            longest_deadline: Duration::from_micros(self.node.named.longest_deadline),
+            // What comes to a listener that is handed over waits for its next owner; but where processes overlap, the next
+            // owner is there, or there is none yet.
+            leaves_at_once: self.shared && self.rendezvous.is_none(),
+        };
+        let files = self.files.clone();
+        let sampler = ReadinessSampler::new(Rc::clone(&self.node), self.descriptors, self.memory);
+        let started_at = Instant::now();
+        let (status, seen) = watch::channel(ServingStatus::unready());
+        let (moved, discovery) = watch::channel(self.discovery);
+        let (ask, calls) = mpsc::channel(admin::MAX_QUEUED_CALLS);
+        let manager = Rc::clone(&self.manager);
+        let (tasks, clients) = self.spawn_tasks(discovery, ask, seen);
+        let machine = Lifecycle::new(terms.limits(files.operator()), Duration::ZERO);
+        let runner = LifecycleRunner::new(machine, manager, status, sampler, started_at);
+        let reload = move || reload(files.clone(), terms, moved.clone());
+        let inputs = Inputs {
+            signals: Some(signals),
+            calls: Some(calls),
+        };
+        runner.run(inputs, reload, clients).await;
+        tasks.iter().for_each(JoinHandle::abort);
+    }
+
+    /// Spawns all that runs beside the life cycle, for ever; and what serves clients, until they are gone.
+    fn spawn_tasks(
+        self,
+        discovery: watch::Receiver<SocketAddr>,
+        calls: mpsc::Sender<admin::AdminCall>,
+        status: watch::Receiver<ServingStatus>,
+    ) -> (Vec<JoinHandle<()>>, JoinHandle<()>) {
+        let node = || Rc::clone(&self.node);
+        let operator = self.files.operator();
+        let sources = operator
+            .map(|operator| (operator.etcd.clone(), operator.list.clone()))
+            .unwrap_or_default();
+        let counts_every = operator.and_then(|operator| operator.log.counts_every);
+        let manager = Rc::clone(&self.manager);
+        let tasks = vec![
+            spawn_local(endpoint_sources::follow(
+                node(),
+                sources,
+                discovery,
+                self.known,
+            )),
+            spawn_local(peer_listener::run(node())),
+            spawn_local(node().run_timer()),
+            spawn_local(node().handle_abandoned_responses()),
+            spawn_local(hot_restart::serve(node(), self.rendezvous, self.parent)),
+            spawn_local(admin::serve(self.admin, node(), calls)),
+            spawn_local(run_websocket_timer(node())),
+            spawn_local(node().log_counts(counts_every)),
+            spawn_local(event_loop::confirm_rounds()),
+            spawn_local(lifecycle_runner::feed_watchdog(node(), manager)),
+            spawn_local(shutdown::log_open_requests(node(), status.clone())),
+        ];
+        let clients = self.capacity.clients;
+        let clients = clients::serve(self.listener, self.shared, node(), clients, status);
+        (tasks, spawn_local(clients))
+    }
+}
+
+/// Sets what the operator's file says of the policy.
+fn apply_operator(config: &mut Config, operator: &Operator) {
+    let settings = &mut config.named.settings;
+    settings.partition_safe = operator.quotas.fenced;
+    settings.retransmission_budget = operator.quotas.spare_words;
+    settings.subsetting = operator.servers.working_set;
+}
+
+/// The clients' listener: one that was handed over, or one of the node's own.
+async fn listen(
+    address: SocketAddr,
+    inherited: Option<std::net::TcpListener>,
+    reuse: bool,
+) -> Result<TcpListener, NodeError> {
+    let listener = match inherited {
+        Some(listener) => TcpListener::from_std(listener),
+        None if reuse => retry_shortage(|| async { bind_reusing(address) }).await,
+        None => retry_shortage(|| TcpListener::bind(address)).await,
+    };
+    listener.map_err(|source| NodeError::Bind {
+        setting: "listen",
+        address,
+        source,
+    })
+}
+
+/// A listener that a successor can bind beside this node.
+fn bind_reusing(address: SocketAddr) -> std::io::Result<TcpListener> {
+    let socket = socket2::Socket::new(
+        socket2::Domain::for_address(address),
+        socket2::Type::STREAM,
+        None,
+    )?;
+    socket.set_reuse_address(true)?;
+    socket.set_reuse_port(true)?;
+    socket.set_nonblocking(true)?;
+    socket.bind(&address.into())?;
+    socket.listen(LISTEN_BACKLOG)?;
+    TcpListener::from_std(socket.into())
+}
+
+async fn run_websocket_timer(node: Rc<Node>) {
+    if let Some(websockets) = &node.websockets {
+        websockets.run_timer().await;
+    }
+}
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -50,7 +50,7 @@
     pub links: ProcessLinks,
     /// Other nodes.
     pub peers: Option<Peers>,
-    /// Settings of `WebSockets`, where the operator has them.
+    /// Settings of `web sockets`, where the operator has them.
     pub sockets: Option<Sockets>,
     /// The state of a parent process, and the number of the link that it came by.
     pub restored: Option<(StateSnapshot, u32)>,
@@ -68,7 +68,7 @@
     pub links: ProcessLinks,
     /// Watches on the endpoint list.
     pub watch_statuses: WatchStatuses,
-    /// `WebSockets`, where the operator has them.
+    /// `web sockets`, where the operator has them.
     pub websockets: Option<Rc<WebsocketProxy>>,
     max_upstream_connections: usize,
     registration: Registration,
@@ -122,7 +122,7 @@
     /// A node that serves nobody yet.
     ///
     /// # Errors
-    /// The settings make no sense, or the `WebSockets`' class is not among them.
+    /// The settings make no sense, or the `web sockets`' class is not among them.
     pub fn new(parts: NodeParts) -> Result<Rc<Node>, NodeError> {
         let NodeParts {
             seed,
@@ -326,7 +326,7 @@
     }
 }
 
-/// The `WebSockets` of a node, whose class is known by name.
+/// The `web sockets` of a node, whose class is known by name.
 fn websocket_proxy(
     named: &NamedSettings,
     sockets: Sockets,
--- a/crates/node/src/node/endpoint_list.rs
+++ b/crates/node/src/node/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: changes of all sources on their way to the exchange and to the `WebSockets`.
+//! The endpoint list: changes of all sources on their way to the exchange and to the `web sockets`.
 
 use super::Node;
 use crate::config::{Health, Host, List};
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -1,7 +1,7 @@
 //! Datagrams between edge nodes. They may be late, lost or forged: what they say is the module's concern.
 
 use crate::config::PeerAddresses;
-use anyhow::{Context, Result};
+use crate::error::NodeError;
 use saffronpaddle_netio::{retry_interrupted, retry_shortage};
 use saffronpaddle_policy::interface::NodeId;
 use socket2::{Domain, Socket, Type};
@@ -35,10 +35,18 @@
     ///
     /// # Errors
     /// The address cannot be bound.
-    pub async fn bind(addresses: PeerAddresses, me: NodeId, reuse: bool) -> Result<Peers> {
+    pub async fn bind(
+        addresses: PeerAddresses,
+        me: NodeId,
+        reuse: bool,
+    ) -> Result<Peers, NodeError> {
         let PeerAddresses { listen, each, all } = addresses;
         let bound = retry_shortage(|| async { bind_datagrams(listen, reuse) }).await;
-        let socket = bound.with_context(|| format!("peer_listen {listen}"))?;
+        let socket = bound.map_err(|source| NodeError::Bind {
+            setting: "peer_listen",
+            address: listen,
+            source,
+        })?;
         Ok(Peers {
             socket,
             each,
--- a/crates/node/src/websocket/relay.rs
+++ b/crates/node/src/websocket/relay.rs
@@ -108,14 +108,11 @@
                 self.insert_own_frames(to);
                 self.write(websockets, to);
             }
-            let over = |side: Side| {
-                self.directions[side as usize].scanner.closed() || self.ended[side as usize]
-            };
             let written = self
                 .directions
                 .iter()
                 .all(|direction| direction.out.is_empty());
-            if over(Side::Client) && over(Side::Server) && written {
+            if self.is_over(Side::Client) && self.is_over(Side::Server) && written {
                 break;
             }
             // Both have been told: others are still to be, and that comes first.
@@ -127,12 +124,7 @@
                 continue;
             }
             let [client, server] = &self.streams;
-            let reads = |side: Side| {
-                let direction = &self.directions[side as usize];
-                !self.ended[side as usize]
-                    && !direction.scanner.closed()
-                    && (direction.out.is_empty() || direction.shut)
-            };
+            let reads = |side| self.reads(side);
             let writes = |to: Side| !self.directions[to.other() as usize].out.is_empty();
             tokio::select! {
                 () = self.control.changed.notified() => {}
@@ -151,6 +143,17 @@
         }
     }
 
+    /// Whether nothing that a side sends counts any more.
+    fn is_over(&self, side: Side) -> bool {
+        self.directions[side as usize].scanner.closed() || self.ended[side as usize]
+    }
+
+    /// Whether a side is read: nothing of it waits to be written, or nothing will be.
+    fn reads(&self, side: Side) -> bool {
+        let direction = &self.directions[side as usize];
+        !self.is_over(side) && (direction.out.is_empty() || direction.shut)
+    }
+
     fn take_close(&mut self) {
         if let Some((code, reason)) = self.control.close.borrow_mut().take() {
             self.close
