--- a/crates/node/src/clients.rs
+++ b/crates/node/src/clients.rs
@@ -3,28 +3,27 @@
 mod backlog;
 mod connection;
 mod connections;
-pub mod late;
 mod reply;
 mod request;
 mod respond;
 
+use crate::event_loop::SWEEP_INTERVAL;
 use crate::node::Node;
-use backlog::{Accepted, Backlog, ACCEPT_AGAIN};
+use backlog::{Accepted, Backlog, ACCEPT_RETRY};
 use connections::Connections;
 use saffronpaddle_lifecycle::Reasons;
 use saffronpaddle_netio::AcceptFailure;
+use std::io;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::sync::{watch, Notify};
-use tokio::time::{Instant, MissedTickBehavior};
+use tokio::time::{Instant, Interval, MissedTickBehavior};
 
-/// How often connections are looked at for those whose time is up.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
 /// How soon, and how often from then on, a connection is looked at whose client would not be seen to leave.
-const UNWATCHED_EVERY: Duration = Duration::from_millis(25);
+const UNWATCHED_SWEEP_INTERVAL: Duration = Duration::from_millis(25);
 /// How often who may make way is looked for while one waits for a place and nobody has ended.
-const ROOM_AGAIN: Duration = Duration::from_millis(5);
+const EVICTION_RETRY: Duration = Duration::from_millis(5);
 
 /// How far the edge node is on its way out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -40,44 +39,44 @@
 
 /// How the node stands towards clients.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Standing {
+pub struct ServingStatus {
     pub phase: Phase,
     /// Whether connections are taken from the listener.
     pub accepts: bool,
     /// Whether the five rules can be kept for new work, and if not, why.
     pub ready: bool,
-    pub why: Reasons,
+    pub reasons: Reasons,
     /// The process was told to stop, and answers all that it has by then.
     pub answer_by: Option<Instant>,
 }
 
-impl Standing {
+impl ServingStatus {
     /// How it stands before anything was seen.
-    pub fn unready() -> Standing {
-        Standing {
+    pub fn unready() -> ServingStatus {
+        ServingStatus {
             phase: Phase::Serving,
             accepts: true,
             ready: false,
-            why: Reasons::default(),
+            reasons: Reasons::default(),
             answer_by: None,
         }
     }
 }
 
 /// Comes back when the edge node has come so far on its way out, or when nobody is left to say so.
-async fn reached(mut standing: watch::Receiver<Standing>, phase: Phase) {
-    let _ = standing.wait_for(|standing| standing.phase >= phase).await;
+async fn reached(mut status: watch::Receiver<ServingStatus>, phase: Phase) {
+    let _ = status.wait_for(|status| status.phase >= phase).await;
 }
 
 /// When unwatched connections are looked at next.
-struct Soon {
+struct UnwatchedSweep {
     /// Told where there is one that was none before.
     unwatched: Rc<Notify>,
     /// None while there is none.
     at: Option<Instant>,
 }
 
-impl Soon {
+impl UnwatchedSweep {
     /// Comes back when they are to be looked at. What has been waited for is kept where this is dropped before.
     async fn due(&mut self) {
         if self.at.is_none() {
@@ -91,99 +90,172 @@
 
     /// They have been looked at; whether there are more.
     fn again(&mut self, more: bool) {
-        self.at = more.then(|| Instant::now() + UNWATCHED_EVERY);
+        self.at = more.then(|| Instant::now() + UNWATCHED_SWEEP_INTERVAL);
     }
 }
 
-/// Accepts clients until the edge node closes, then serves out those that it has. At most `most` at a time. A listener
-/// that is `shared` goes on in other hands: what waits in its backlog is theirs.
+/// Accepts clients until the edge node closes, then serves out those that it has. At most `max_clients` at a time. A
+/// listener that is `shared` goes on in other hands: what waits in its backlog is theirs.
 pub async fn serve(
     listener: TcpListener,
     shared: bool,
     node: Rc<Node>,
-    most: usize,
-    phase: watch::Receiver<Standing>,
+    max_clients: usize,
+    status: watch::Receiver<ServingStatus>,
 ) {
-    let (mut connections, mut backlog) = (Connections::new(), Backlog::new(listener));
-    let mut look = tokio::time::interval(LOOK_EVERY);
-    look.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut soon = Soon {
-        unwatched: Rc::clone(&connections.unwatched),
-        at: None,
-    };
-    let mut standing = phase.clone();
-    let closed = reached(phase.clone(), Phase::Closing);
-    tokio::pin!(closed);
-    // Accepted, and without a place as yet.
-    let mut waits: Option<Accepted> = None;
-    // The machine has no descriptor left for another.
-    let mut lacks = false;
-    loop {
-        // Ended connections are let go of.
-        while connections.tasks.try_join_next().is_some() {}
-        let most = node.links.part(most);
-        if waits.is_some() {
-            if connections.tasks.len() >= most {
-                connections.make_way(most);
-            } else if let Some(came) = waits.take() {
-                connections.admit(came, &node, &phase);
-            }
-        }
-        let full = waits.is_some() || lacks;
-        let accepts = standing.borrow_and_update().accepts && !full;
-        if !accepts {
-            backlog.left_alone();
+    let mut acceptor = Acceptor::new(listener, node, max_clients, status);
+    acceptor.accept_until_closing().await;
+    acceptor.node.stop();
+    let node = Rc::clone(&acceptor.node);
+    acceptor.serve_out(shared).await;
+    if let Some(websockets) = &node.websockets {
+        websockets.all_closed().await;
+    }
+}
+
+/// Accepts clients, and evicts connections where there is no capacity for more.
+struct Acceptor {
+    node: Rc<Node>,
+    max_clients: usize,
+    status: watch::Receiver<ServingStatus>,
+    connections: Connections,
+    backlog: Backlog,
+    sweep: Interval,
+    unwatched_sweep: UnwatchedSweep,
+    /// Accepted, and without capacity as yet.
+    waiting: Option<Accepted>,
+    /// The machine has no descriptor left for another.
+    descriptors_exhausted: bool,
+}
+
+impl Acceptor {
+    fn new(
+        listener: TcpListener,
+        node: Rc<Node>,
+        max_clients: usize,
+        status: watch::Receiver<ServingStatus>,
+    ) -> Acceptor {
+        let (connections, backlog) = (Connections::new(), Backlog::new(listener));
+        let mut sweep = tokio::time::interval(SWEEP_INTERVAL);
+        sweep.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let unwatched_sweep = UnwatchedSweep {
+            unwatched: Rc::clone(&connections.unwatched),
+            at: None,
+        };
+        Acceptor {
+            node,
+            max_clients,
+            status,
+            connections,
+            backlog,
+            sweep,
+            unwatched_sweep,
+            waiting: None,
+            descriptors_exhausted: false,
         }
-        tokio::select! {
-            accepted = backlog.accept(), if accepts => match accepted {
-                Ok(came) => {
-                    connections.press.accepted(connections.began.elapsed());
-                    waits = Some(came);
-                }
-                Err(error) => match AcceptFailure::of(&error) {
-                    AcceptFailure::OfOneConnection => {}
-                    // The connection waits until there is a descriptor for it.
-                    AcceptFailure::NoDescriptor => {
-                        connections.make_way(connections.tasks.len());
-                        lacks = true;
-                    }
-                    AcceptFailure::Passing => lacks = true,
-                },
-            },
-            () = &mut closed => break,
-            Ok(()) = standing.changed() => {}
-            _ = look.tick() => connections.look(),
-            () = soon.due() => soon.again(connections.look_at_unwatched()),
-            // One that ends, by itself or not, has closed its socket.
-            Some(_) = connections.tasks.join_next(), if full => {
-                lacks = false;
+    }
+
+    /// Accepts clients until the edge node closes.
+    async fn accept_until_closing(&mut self) {
+        let mut status = self.status.clone();
+        let closing = reached(self.status.clone(), Phase::Closing);
+        tokio::pin!(closing);
+        loop {
+            // Ended connections are let go of.
+            while self.connections.tasks.try_join_next().is_some() {}
+            self.admit_waiting();
+            let full = self.waiting.is_some() || self.descriptors_exhausted;
+            let accepts = status.borrow_and_update().accepts && !full;
+            if !accepts {
+                self.backlog.pause();
             }
-            () = tokio::time::sleep(if lacks { ACCEPT_AGAIN } else { ROOM_AGAIN }), if full => {
-                lacks = false;
+            let retry = if self.descriptors_exhausted {
+                ACCEPT_RETRY
+            } else {
+                EVICTION_RETRY
+            };
+            tokio::select! {
+                accepted = self.backlog.accept(), if accepts => self.on_accepted(accepted),
+                () = &mut closing => return,
+                Ok(()) = status.changed() => {}
+                _ = self.sweep.tick() => self.connections.sweep(),
+                () = self.unwatched_sweep.due() => self.sweep_unwatched(),
+                // One that ends, by itself or not, has closed its socket.
+                Some(_) = self.connections.tasks.join_next(), if full => {
+                    self.descriptors_exhausted = false;
+                }
+                () = tokio::time::sleep(retry), if full => self.descriptors_exhausted = false,
             }
         }
     }
-    node.leave();
-    waits
-        .into_iter()
-        .for_each(|came| connections.admit(came, &node, &phase));
-    if !shared {
-        for came in backlog.rest().await {
-            connections.admit(came, &node, &phase);
+
+    /// Admits the connection that waits if there is capacity, or evicts others for it.
+    fn admit_waiting(&mut self) {
+        let max_clients = self.node.links.part(self.max_clients);
+        if self.waiting.is_none() {
+            return;
+        }
+        if self.connections.tasks.len() >= max_clients {
+            self.connections.evict(max_clients);
+        } else if let Some(accepted) = self.waiting.take() {
+            self.connections.admit(accepted, &self.node, &self.status);
         }
     }
-    drop(backlog);
-    loop {
-        tokio::select! {
-            ended = connections.tasks.join_next() => if ended.is_none() {
-                break;
-            },
-            _ = look.tick() => connections.look(),
-            () = soon.due() => soon.again(connections.look_at_unwatched()),
+
+    fn on_accepted(&mut self, accepted: io::Result<Accepted>) {
+        let error = match accepted {
+            Ok(accepted) => {
+                let now = self.connections.began.elapsed();
+                self.connections.pressure.accepted(now);
+                self.waiting = Some(accepted);
+                return;
+            }
+            Err(error) => error,
+        };
+        match AcceptFailure::of(&error) {
+            AcceptFailure::OfOneConnection => {}
+            // The connection waits until there is a descriptor for it.
+            AcceptFailure::NoDescriptor => {
+                self.connections.evict(self.connections.tasks.len());
+                self.descriptors_exhausted = true;
+            }
+            AcceptFailure::Passing => self.descriptors_exhausted = true,
         }
     }
-    if let Some(front) = &node.front {
-        front.all_over().await;
+
+    fn sweep_unwatched(&mut self) {
+        let more = self.connections.sweep_unwatched();
+        self.unwatched_sweep.again(more);
+    }
+
+    /// Serves the connections that there are to their end, with those in the backlog unless that is `shared`.
+    async fn serve_out(mut self, shared: bool) {
+        if let Some(accepted) = self.waiting.take() {
+            self.connections.admit(accepted, &self.node, &self.status);
+        }
+        if !shared {
+            for accepted in self.backlog.rest().await {
+                self.connections.admit(accepted, &self.node, &self.status);
+            }
+        }
+        // From here on the machine rejects connections.
+        let Acceptor {
+            mut connections,
+            backlog,
+            mut sweep,
+            mut unwatched_sweep,
+            ..
+        } = self;
+        drop(backlog);
+        loop {
+            tokio::select! {
+                ended = connections.tasks.join_next() => if ended.is_none() {
+                    return;
+                },
+                _ = sweep.tick() => connections.sweep(),
+                () = unwatched_sweep.due() => unwatched_sweep.again(connections.sweep_unwatched()),
+            }
+        }
     }
 }
 
--- a/crates/node/src/clients/respond.rs
+++ b/crates/node/src/clients/respond.rs
@@ -1,15 +1,19 @@
 //! What is done with one request: its body is read, it goes through the node, and its answer is made.
 
 use super::reply::{
-    in_use, not_upgraded, plain, refused, reply, too_late, turned_away, unread, Reply,
+    deadline_passed, duplicate_id, reject_and_close, reject_unread, reject_upgrade, reply,
+    text_reply, unavailable, Reply,
 };
 use super::request::{read, Rejected, RequestHead, DELIVERY};
-use super::Standing;
-use crate::bodies::{joined, Gathered, Pipe, BODY_MOST, LARGEST};
-use crate::node::{Answer, Node, Payload};
-use crate::seats::{Seat, Watched};
-use crate::sockets;
-use crate::upstream::{Forward, Going};
+use super::ServingStatus;
+use crate::answer::{Answer, Payload};
+use crate::bodies::{
+    joined, Gathered, StreamedRequestBody, MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES,
+};
+use crate::downstream::{DownstreamConnection, ObservedStream};
+use crate::forward::{Forward, ForwardBody};
+use crate::node::Node;
+use crate::websocket;
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
@@ -30,47 +34,34 @@
 
 /// How long the part of a body that is kept may take from its head on, before any of it has come. Guards against bodies that
 /// stop half-way.
-const BODY_WITHIN: Duration = Duration::from_millis(2500);
+const BODY_TIMEOUT: Duration = Duration::from_millis(2500);
 /// How long so many bytes of it take a slow client that means well; twice what one at 64 kB a second needs.
 const BODY_PACE: (Duration, u32) = (Duration::from_secs(1), 32_000);
 /// How long a body that goes by may take, where its client goes on: the largest at the slowest. What is out for it draws on
 /// nothing meanwhile.
-const COMING_WITHIN: Duration = Duration::from_mins(20);
+const STREAMED_BODY_TIMEOUT: Duration = Duration::from_mins(20);
 
 /// Answers a request.
 pub(super) async fn respond(
     node: &Rc<Node>,
     request: Request<Incoming>,
-    phase: &watch::Receiver<Standing>,
-    seat: &Arc<Seat>,
+    status: &watch::Receiver<ServingStatus>,
+    downstream: &Arc<DownstreamConnection>,
 ) -> Reply {
-    // Guards against a request that hides another in its body: of a length and an encoding, hyper drops one unseen.
-    let coding = request.headers().get(TRANSFER_ENCODING);
-    if coding
-        .is_some_and(|coding| seat.hides() || !coding.as_bytes().eq_ignore_ascii_case(b"chunked"))
-    {
-        let reason = "a body has a Content-Length or is chunked, not both\n";
+    if is_ambiguously_framed(&request, downstream) {
         let rejected = Rejected {
             status: StatusCode::BAD_REQUEST,
-            reason,
+            reason: "a body has a Content-Length or is chunked, not both\n",
         };
-        return unread(node, request.headers(), rejected);
+        return reject_unread(node, request.headers(), rejected);
     }
     if request.method() == Method::GET && request.uri().path() == "/-/ready" {
-        let standing = phase.borrow().clone();
-        let status = if standing.ready {
-            StatusCode::OK
-        } else {
-            StatusCode::SERVICE_UNAVAILABLE
-        };
-        let mut reply = Response::new(standing.why.to_string().into());
-        *reply.status_mut() = status;
-        return reply;
+        return readiness(&status.borrow());
     }
-    let (mut request, offer) = match node.front {
+    let (mut request, offer) = match node.websockets {
         Some(_) => match upgrade::read(request.method(), request.version(), request.headers()) {
             Ok(offer) => (request, offer),
-            Err((status, what)) => return not_upgraded(status, what),
+            Err((status, what)) => return reject_upgrade(status, what),
         },
         None => (request, None),
     };
@@ -78,74 +69,119 @@
     let (head, body) = request.into_parts();
     let mut asked = match read(&node.named, &head) {
         Ok(asked) => asked,
-        Err(rejected) => return unread(node, &head.headers, rejected),
-    };
-    let class = asked.class;
-    let turned_away = |status, what| {
-        node.turned_away(class, RequestEnd::Faulted);
-        turned_away(status, what)
+        Err(rejected) => return reject_unread(node, &head.headers, rejected),
     };
     if let (Some(offer), Some(upgrades)) = (offer, upgrades) {
-        return socket(node, asked, head, offer, upgrades, seat).await;
-    }
-    if body.size_hint().lower() > LARGEST {
-        return turned_away(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large\n");
+        return socket(node, asked, head, offer, upgrades, downstream).await;
     }
     let size = body.size_hint().exact();
-    let (body, pipe) = match gather(body).await {
-        Some(Ok(body)) => (body, None),
-        Some(Err((first, rest))) => (Bytes::new(), Some((first, rest))),
-        None => return turned_away(StatusCode::BAD_REQUEST, "the body did not come whole\n"),
+    match receive_body(node, &mut asked, body, downstream).await {
+        Ok(body) => forward(node, asked, head, (body, size), downstream).await,
+        Err(reply) => reply,
+    }
+}
+
+/// Whether a request could hide another in its body: of a length and an encoding, the library drops one unseen.
+fn is_ambiguously_framed(request: &Request<Incoming>, downstream: &DownstreamConnection) -> bool {
+    let coding = request.headers().get(TRANSFER_ENCODING);
+    coding.is_some_and(|coding| {
+        downstream.is_ambiguously_framed() || !coding.as_bytes().eq_ignore_ascii_case(b"chunked")
+    })
+}
+
+/// The answer to a readiness probe.
+fn readiness(serving: &ServingStatus) -> Reply {
+    let mut reply = Response::new(serving.reasons.to_string().into());
+    *reply.status_mut() = if serving.ready {
+        StatusCode::OK
+    } else {
+        StatusCode::SERVICE_UNAVAILABLE
+    };
+    reply
+}
+
+/// Reads a request's body as far as it is buffered. An error is the reply that the request is rejected with.
+async fn receive_body(
+    node: &Node,
+    asked: &mut RequestHead,
+    body: Incoming,
+    downstream: &DownstreamConnection,
+) -> Result<Gathered, Reply> {
+    let reject = |status, reason| {
+        node.record_rejection(asked.class, RequestEnd::Faulted);
+        reject_and_close(status, reason)
     };
-    if asked.effect == Idempotency::Idempotent && (pipe.is_some() || !body.is_empty()) {
-        return turned_away(StatusCode::BAD_REQUEST, "this class takes no body\n");
-    }
-    // The time of one whose body goes by has not begun.
-    if pipe.is_none() && !asked.has_waited(seat.rested()) {
-        return too_late(node, class);
-    }
-    let patience = asked.patience.saturating_sub(DELIVERY);
-    let (mut event, mut forward) = asked.arrived(head, body, seat);
-    let pipe = pipe.map(|(first, rest)| {
-        Rc::new(Pipe::new(
-            node.number(),
-            forward.id.clone(),
-            patience,
-            size,
-            first,
-            rest,
-        ))
+    if body.size_hint().lower() > MAX_BODY_BYTES {
+        let status = StatusCode::PAYLOAD_TOO_LARGE;
+        return Err(reject(status, "the body is too large\n"));
+    }
+    let Some(body) = gather(body).await else {
+        let status = StatusCode::BAD_REQUEST;
+        return Err(reject(status, "the body did not come whole\n"));
+    };
+    let is_empty = body.as_ref().is_ok_and(Bytes::is_empty);
+    if asked.effect == Idempotency::Idempotent && !is_empty {
+        let status = StatusCode::BAD_REQUEST;
+        return Err(reject(status, "this class takes no body\n"));
+    }
+    // The time of one whose body is streamed has not begun.
+    if body.is_ok() && !asked.deduct_wait(downstream.time_queued()) {
+        return Err(deadline_passed(node, asked.class));
+    }
+    Ok(body)
+}
+
+/// Has a request served. `body`: what was read of its body, and the whole body's bytes if they are known.
+async fn forward(
+    node: &Rc<Node>,
+    asked: RequestHead,
+    head: hyper::http::request::Parts,
+    body: (Gathered, Option<u64>),
+    downstream: &Arc<DownstreamConnection>,
+) -> Reply {
+    let (class, timeout) = (asked.class, asked.timeout.saturating_sub(DELIVERY));
+    let (body, streamed) = match body {
+        (Ok(body), _) => (body, None),
+        (Err((first, rest)), size) => (Bytes::new(), Some((first, rest, size))),
+    };
+    let (mut event, mut forward) = asked.arrived(head, body, downstream);
+    let streamed = streamed.map(|(first, rest, size)| {
+        let on_complete = node.report_body_complete(forward.id.clone(), timeout);
+        let body = StreamedRequestBody::new(Box::new(on_complete), size, first, rest);
+        Rc::new(body)
     });
-    if let Some(pipe) = &pipe {
-        // Its client's time begins with its last byte.
-        forward.body = Going::Coming(Rc::clone(pipe));
-        forward.deadline = Instant::now() + COMING_WITHIN;
-        if let Event::RequestArrived {
-            timeout: patience,
-            complete: whole,
-            ..
-        } = &mut event
-        {
-            (*patience, *whole) = (COMING_WITHIN.as_micros() as u64, false);
-        }
+    if let Some(body) = &streamed {
+        stream_body(&mut event, &mut forward, Rc::clone(body));
     }
     let answer = ask(node, event, forward).await;
-    if let Some(pipe) = &pipe {
-        // Guards against an answer that is lost as its client still writes.
-        pipe.drain().await;
+    if let Some(body) = &streamed {
+        // A client that is still writing would lose its answer with the connection: the rest is read first.
+        body.drain().await;
     }
     if let Some(answer) = answer {
         return reply(answer);
     }
-    node.turned_away(class, RequestEnd::Faulted);
-    in_use()
+    node.record_rejection(class, RequestEnd::Faulted);
+    duplicate_id()
+}
+
+/// Has a request forwarded while its body still comes. Its client's time begins with the last byte.
+fn stream_body(event: &mut Event, forward: &mut Forward, body: Rc<StreamedRequestBody>) {
+    forward.body = ForwardBody::Streamed(body);
+    forward.deadline = Instant::now() + STREAMED_BODY_TIMEOUT;
+    if let Event::RequestArrived {
+        timeout, complete, ..
+    } = event
+    {
+        (*timeout, *complete) = (STREAMED_BODY_TIMEOUT.as_micros() as u64, false);
+    }
 }
 
 /// Reads a body that is kept; of one that is too large for that, what had come when that was clear. `None` if it broke off, or
 /// came too slowly.
 async fn gather(mut body: Incoming) -> Option<Gathered> {
     let (mut pieces, mut size) = (VecDeque::new(), 0);
-    if body.size_hint().lower() > BODY_MOST as u64 {
+    if body.size_hint().lower() > MAX_BUFFERED_BODY_BYTES as u64 {
         return Some(Err((pieces, body)));
     }
     if body.is_end_stream() {
@@ -153,7 +189,8 @@
     }
     let began = Instant::now();
     loop {
-        let until = began + BODY_WITHIN + BODY_PACE.0.mul_f64(size as f64 / f64::from(BODY_PACE.1));
+        let until =
+            began + BODY_TIMEOUT + BODY_PACE.0.mul_f64(size as f64 / f64::from(BODY_PACE.1));
         let Some(frame) = tokio::time::timeout_at(until, body.frame()).await.ok()? else {
             break;
         };
@@ -162,7 +199,7 @@
         };
         size += data.len();
         pieces.push_back(data);
-        if size > BODY_MOST {
+        if size > MAX_BUFFERED_BODY_BYTES {
             return Some(Err((pieces, body)));
         }
     }
@@ -176,38 +213,38 @@
     head: hyper::http::request::Parts,
     offer: Offer,
     upgrades: OnUpgrade,
-    seat: &Arc<Seat>,
+    downstream: &Arc<DownstreamConnection>,
 ) -> Reply {
-    let Some(front) = node
-        .front
+    let Some(websockets) = node
+        .websockets
         .as_ref()
-        .filter(|front| front.class == asked.class)
+        .filter(|websockets| websockets.class == asked.class)
     else {
-        return not_upgraded(
+        return reject_upgrade(
             StatusCode::BAD_REQUEST,
             "this class is not that of sockets\n",
         );
     };
-    if !asked.has_waited(seat.rested()) {
-        return too_late(node, asked.class);
+    if !asked.deduct_wait(downstream.time_queued()) {
+        return deadline_passed(node, asked.class);
     }
-    let place = match front.admit(node, asked.customer, asked.terms.spread) {
+    let place = match websockets.admit(asked.customer, asked.terms.subset_size) {
         Ok(place) => place,
         Err(shut) => {
-            let mut reply = refused(Some(Duration::from_micros(shut.retry_in)));
+            let mut reply = unavailable(Some(Duration::from_micros(shut.retry_in)));
             *reply.body_mut() = shut.why.into();
             return reply;
         }
     };
-    let (event, mut forward) = asked.arrived(head, Bytes::new(), seat);
+    let (event, mut forward) = asked.arrived(head, Bytes::new(), downstream);
     forward.offer = Some(offer);
     let Some(answer) = ask(node, event, forward).await else {
-        return in_use();
+        return duplicate_id();
     };
-    let Answer::Served(Payload::Switched(switched)) = answer else {
+    let Answer::Served(Payload::Upgraded(switched)) = answer else {
         return reply(answer);
     };
-    let mut answer = plain(StatusCode::SWITCHING_PROTOCOLS, "");
+    let mut answer = text_reply(StatusCode::SWITCHING_PROTOCOLS, "");
     let headers = answer.headers_mut();
     headers.insert(CONNECTION, HeaderValue::from_static("upgrade"));
     headers.insert(UPGRADE, HeaderValue::from_static("websocket"));
@@ -215,11 +252,11 @@
     tokio::task::spawn_local(async move {
         // It fails where the client has gone before its answer.
         let Ok(upgraded) = upgrades.await else { return };
-        let Ok(parts) = upgraded.downcast::<TokioIo<Watched>>() else {
+        let Ok(parts) = upgraded.downcast::<TokioIo<ObservedStream>>() else {
             return;
         };
         if let Some(stream) = parts.io.into_inner().into_inner() {
-            sockets::relay(place, stream, parts.read_buf, *switched).await;
+            websocket::relay(place, stream, parts.read_buf, *switched).await;
         }
     });
     answer
@@ -241,7 +278,7 @@
 /// Waits for a request's final answer; `None` if its id is in use.
 async fn ask(node: &Rc<Node>, event: Event, forward: Forward) -> Option<Answer> {
     let id = forward.id.clone();
-    let (answered, ticket) = node.take(event, forward)?;
+    let (answered, ticket) = node.submit(event, forward)?;
     let _waiting = Waiting { node, id, ticket };
     Some(answered.await.unwrap_or(Answer::Failed))
 }
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -1,18 +1,16 @@
 //! Datagrams between edge nodes. They may be late, lost or forged: what they say is the module's concern.
 
 use crate::config::PeerAddresses;
-use crate::node::Node;
-use anyhow::{Context, Result};
+use crate::error::NodeError;
 use saffronpaddle_netio::{retry_interrupted, retry_shortage};
 use saffronpaddle_policy::interface::NodeId;
 use socket2::{Domain, Socket, Type};
 use std::cell::Cell;
 use std::net::SocketAddr;
-use std::rc::Rc;
 use tokio::net::UdpSocket;
 
 /// Most bytes of a datagram.
-const MOST: usize = 256;
+const MAX_DATAGRAM_BYTES: usize = 256;
 
 pub struct Peers {
     socket: UdpSocket,
@@ -20,7 +18,7 @@
     all: Option<SocketAddr>,
     me: usize,
     /// Datagrams told and heard.
-    words: Cell<(u64, u64)>,
+    message_counts: Cell<(u64, u64)>,
 }
 
 /// With `reuse` a successor may bind the same address; what comes goes to whoever bound it last (`socket(7)`).
@@ -37,26 +35,34 @@
     ///
     /// # Errors
     /// The address cannot be bound.
-    pub async fn bind(addresses: PeerAddresses, me: NodeId, reuse: bool) -> Result<Peers> {
+    pub async fn bind(
+        addresses: PeerAddresses,
+        me: NodeId,
+        reuse: bool,
+    ) -> Result<Peers, NodeError> {
         let PeerAddresses { listen, each, all } = addresses;
         let bound = retry_shortage(|| async { bind_datagrams(listen, reuse) }).await;
-        let socket = bound.with_context(|| format!("peer_listen {listen}"))?;
+        let socket = bound.map_err(|source| NodeError::Bind {
+            setting: "peer_listen",
+            address: listen,
+            source,
+        })?;
         Ok(Peers {
             socket,
             each,
             all,
             me: me.0 as usize,
-            words: Cell::default(),
+            message_counts: Cell::default(),
         })
     }
 
-    pub fn tell(&self, to: NodeId, bytes: &[u8]) {
+    pub fn send_to(&self, to: NodeId, bytes: &[u8]) {
         if let Some(address) = self.each.get(to.0 as usize) {
             self.send(bytes, *address);
         }
     }
 
-    pub fn tell_all(&self, bytes: &[u8]) {
+    pub fn broadcast(&self, bytes: &[u8]) {
         if let Some(all) = self.all {
             return self.send(bytes, all);
         }
@@ -69,9 +75,9 @@
     }
 
     fn send(&self, bytes: &[u8], to: SocketAddr) {
-        if bytes.len() <= MOST {
-            let (told, heard) = self.words.get();
-            self.words.set((told + 1, heard));
+        if bytes.len() <= MAX_DATAGRAM_BYTES {
+            let (sent, received) = self.message_counts.get();
+            self.message_counts.set((sent + 1, received));
             // Losing one is in the nature of datagrams.
             let _ = retry_interrupted(|| self.socket.try_send_to(bytes, to));
         }
@@ -79,30 +85,19 @@
 
     /// The next datagram of a peer; `None` where it came from elsewhere, was too long, or the socket failed.
     pub async fn receive(&self) -> Option<(NodeId, Vec<u8>)> {
-        let mut buffer = [0; MOST + 1];
+        let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         let (length, from) = self.socket.recv_from(&mut buffer).await.ok()?;
         let sender = self.each.iter().position(|address| *address == from)?;
-        let bytes = buffer.get(..length).filter(|bytes| bytes.len() <= MOST)?;
-        let (told, heard) = self.words.get();
-        self.words.set((told, heard + 1));
+        let bytes = buffer
+            .get(..length)
+            .filter(|bytes| bytes.len() <= MAX_DATAGRAM_BYTES)?;
+        let (sent, received) = self.message_counts.get();
+        self.message_counts.set((sent, received + 1));
         Some((NodeId(sender as u32), bytes.to_vec()))
     }
 
     /// Datagrams told and heard so far; one to all counts as one.
-    pub fn words(&self) -> (u64, u64) {
-        self.words.get()
-    }
-}
-
-/// Hands what peers say to the node, for ever. Who sent it is told by its address alone; datagrams from
-/// elsewhere, or too long, are passed over.
-pub async fn listen(node: Rc<Node>) {
-    let Some(peers) = &node.peers else { return };
-    loop {
-        if let Some((from, bytes)) = peers.receive().await {
-            // Danger: an elder that hears no peers any more, as the machine gives datagrams to who bound last.
-            node.links.pass_on(from, &bytes);
-            node.heard_peer(from, bytes);
-        }
+    pub fn message_counts(&self) -> (u64, u64) {
+        self.message_counts.get()
     }
 }
