--- a/crates/quota/src/shard/grants.rs
+++ b/crates/quota/src/shard/grants.rs
@@ -1,4 +1,8 @@
 //! The decision on a grant request: granted if the quota, the hard limit and the permits in flight all allow it.
+//!
+//! Inputs are a request in quota units, the shard's limits and times in µs. A rejection comes with the µs after which the
+//! missing tokens will have come in, or a permit is likely to be released; and with the fraction of the customer's requests
+//! for which nodes should ask, so that an owner receives about twice as many requests as it can grant.
 
 use super::QuotaShard;
 use crate::grant::{GrantDecision, GrantRequest, GrantResponse, GRANT_LIFETIME};
