--- a/crates/exchange/src/exchange/first_byte.rs
+++ b/crates/exchange/src/exchange/first_byte.rs
@@ -76,9 +76,9 @@
         }
     }
 
-    /// The last check before the first byte. Since the policy asked for the attempt, its server may have drained, its request may
-    /// have been answered, its deadline may have passed, and the connection may have received bytes that would be read
-    /// as the response to this request.
+    /// The last check before the first byte. Since the policy asked for the attempt, its server may have drained, its
+    /// request may have been answered, its deadline may have passed, and the connection may have received bytes that
+    /// would be read as the response to this request.
     pub(super) fn first_byte_ready(
         &mut self,
         now: Micros,
--- a/crates/exchange/src/exchange/requests.rs
+++ b/crates/exchange/src/exchange/requests.rs
@@ -83,8 +83,8 @@
         }
     }
 
-    /// No answer is wanted any more. The policy is told, and cancels the attempt where that is allowed. `end` is counted
-    /// unless the end of the request was counted before.
+    /// No answer is wanted any more. The policy is told, and cancels the attempt where that is allowed. `end` is
+    /// counted unless the end of the request was counted before.
     fn abandon(&mut self, id: &RequestId, end: Option<RequestEnd>) {
         let Some(request) = self.requests.get_mut(id).filter(|request| request.open) else {
             return;
--- a/crates/exchange/src/guard.rs
+++ b/crates/exchange/src/guard.rs
@@ -1,8 +1,8 @@
 //! Decides whether an attempt may take its next step, and if not, why.
 //!
-//! The choice of an attempt (also of a retry), its connection that has come up and its first byte are checked here, with
-//! the same facts. The admission of a request, the end of a wait for a connection slot, the last piece of a body and
-//! closes have checks of their own. The deadlines are nested: a request's is never later than the process's, and an
+//! The choice of an attempt (also of a retry), its connection that has come up and its first byte are checked here,
+//! with the same facts. The admission of a request, the end of a wait for a connection slot, the last piece of a body
+//! and closes have checks of their own. The deadlines are nested: a request's is never later than the process's, and an
 //! attempt's never later than its request's.
 
 use saffronpaddle_policy::interface::Micros;
--- a/crates/exchange/src/invariants.rs
+++ b/crates/exchange/src/invariants.rs
@@ -1,7 +1,7 @@
 //! Invariants of each request at run time, and how often each was violated.
 //!
-//! The guard keeps a wrong step from being taken; the invariants verify, from the tables alone, the steps that were taken.
-//! A violation is counted and reported, and never stops the process.
+//! The guard keeps a wrong step from being taken; the invariants verify, from the tables alone, the steps that were
+//! taken. A violation is counted and reported, and never stops the process.
 
 use saffronpaddle_policy::interface::RequestId;
 
--- a/crates/model-checker/src/fleet.rs
+++ b/crates/model-checker/src/fleet.rs
@@ -1,5 +1,6 @@
 //! A small fleet in virtual time: several exchanges with the real policy engine inside, servers that fail, an endpoint
-//! list that changes, datagrams that are lost. Everything follows from the seed; the ledger of the fleet tests judges it.
+//! list that changes, datagrams that are lost. Everything follows from the seed; the ledger of the fleet tests judges
+//! it.
 
 mod clients;
 mod commands;
--- a/crates/model-checker/src/fleet/commands.rs
+++ b/crates/model-checker/src/fleet/commands.rs
@@ -26,8 +26,8 @@
 const MAX_TIMER_DELAY: Micros = 2_000;
 
 impl Simulation {
-    /// Tells a node's exchange of an event, and carries out its commands. `response_to` is the request whose response the
-    /// event is.
+    /// Tells a node's exchange of an event, and carries out its commands. `response_to` is the request whose response
+    /// the event is.
     pub fn deliver(&mut self, node: usize, event: Event<u32>, response_to: Option<RequestId>) {
         let mut commands = Vec::new();
         self.nodes[node]
--- a/crates/model-checker/src/walk.rs
+++ b/crates/model-checker/src/walk.rs
@@ -11,8 +11,8 @@
 /// One in so many steps ends something or lets time pass. With more of them, no walk would get far.
 const ENDING_STEP_ODDS: u8 = 8;
 
-/// Walks so many steps at random from a seed, then leaves the world alone until it is over. The same seed walks the same
-/// way.
+/// Walks so many steps at random from a seed, then leaves the world alone until it is over. The same seed walks the
+/// same way.
 pub fn walk<M: PolicyModel>(setup: &Setup, policy: M, seed: u64, steps: usize) -> Found {
     walk_with(setup, policy, None, seed, steps)
 }
