--- a/crates/exchange/src/event.rs
+++ b/crates/exchange/src/event.rs
@@ -103,13 +103,14 @@
         /// The entries, with the address of each.
         endpoints: Vec<(Endpoint, A)>,
     },
-    /// The process was told to stop: all requests that it has and will receive are answered by then, whatever time
+    /// The process was told to stop, and the life cycle has a shutdown plan: all requests that it has and will receive are answered by then, whatever time
     /// their clients have left.
     ShutdownAnnounced {
         /// The shutdown deadline.
         answer_by: Micros,
     },
-    /// The node drains: idle connections are closed and none is kept any more. Open requests go on.
+    /// The node accepts no more connections (the life cycle's `StopAccepting`): idle connections to servers are closed and none
+    /// is kept any more. Open requests go on.
     Stop,
     /// The time of [`Exchange::next_alarm`] has come.
     ///
--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -1,4 +1,7 @@
 //! The state machine: its tables, and the dispatch of each event to the module that handles it.
+//!
+//! Conditions on `self.bugs.planted(...)` are for the model checker, which plants one fault at a time to show that it would be
+//! found. In service nothing is planted ([`NoBugs`]), and each of them is false.
 
 mod attempt_end;
 mod bodies;
--- a/crates/exchange/src/exchange/first_byte.rs
+++ b/crates/exchange/src/exchange/first_byte.rs
@@ -174,8 +174,8 @@
         })
     }
 
-    /// A connection turned out bad before a byte was written. A reused one is replaced by another; a new one counts as
-    /// a timeout of its server.
+    /// A connection turned out bad before a byte was written. A reused one is replaced by another; with a new
+    /// one the attempt ends, as unreachable, since nothing of it was written.
     pub(super) fn replace_connection(
         &mut self,
         now: Micros,
--- a/crates/exchange/src/guard.rs
+++ b/crates/exchange/src/guard.rs
@@ -48,7 +48,7 @@
 }
 
 impl Denial {
-    /// All reasons, in the order in which they are checked.
+    /// All reasons in the order in which they are checked: the first that holds is reported.
     pub const ALL: [Denial; 7] = [
         Denial::ClientGone,
         Denial::AttemptOut,
--- a/crates/lifecycle/src/machine.rs
+++ b/crates/lifecycle/src/machine.rs
@@ -12,8 +12,8 @@
 /// Added to the stop timeout that the service manager is asked for, so that it never kills a node that keeps its limits.
 const MANAGER_TIMEOUT_MARGIN: Duration = Duration::from_secs(1);
 
-/// How long a lame duck keeps idle connections open. A front end polls readiness every 0.1 s and sends new connections for
-/// up to 0.2 s more; without the wait its requests would cross the close of their connection and be lost.
+/// How long a lame duck keeps idle connections open. A front end polls readiness every 0.1 s and, once a lame duck says no,
+/// sends new connections for up to 0.2 s more (0.4 s where a process is told to stop, see `Limits`); without the wait its requests would cross the close of their connection and be lost.
 const LAME_DUCK_LINGER: Duration = Duration::from_millis(500);
 
 /// The life cycle of an edge node.
@@ -112,7 +112,8 @@
         }
     }
 
-    /// How the process ends, once it was told to stop.
+    /// How the process ends, once it was told to stop. No action announces it: whoever runs the machine looks at it after
+    /// each event, and hands a new one to the exchange (`ShutdownAnnounced`), which bounds all requests by it.
     pub fn shutdown_plan(&self) -> Option<ShutdownPlan> {
         self.shutdown_plan
     }
--- a/crates/quota/src/grant.rs
+++ b/crates/quota/src/grant.rs
@@ -43,7 +43,8 @@
     pub decision: GrantDecision,
     /// Fraction of the customer's requests for which the node should ask an owner, 0 to 1.
     pub sampling_probability: f64,
-    /// Time within which no request can be granted, µs.
+    /// Time within which no request of the customer can be granted, µs. The node rejects by itself meanwhile. What its clients
+    /// are told is decided there, and is shorter: their requests may also be covered by a lease or another owner.
     pub retry_after: Micros,
     /// Tokens of the shard as a fraction of its capacity, 0 to 1.
     pub fill_ratio: f64,
--- a/crates/quota/src/shard/grants.rs
+++ b/crates/quota/src/shard/grants.rs
@@ -99,6 +99,7 @@
             self.last_shortage_at = now;
             return self.reject_shortage(now, shortage, request.units, limits);
         }
+        // Too many recent grants to remember are treated like too many in flight: the requester retries a little later.
         if !self.has_free_permit(limits) || self.recent_grants.len() >= MAX_RECENT_GRANTS {
             return self.reject_in_flight(usual_latency, limits);
         }
