--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' address: callers' connections, and the way of what they ask to who can answer.
+//! The admin listener: accepts callers, and has each command answered by the node or its life cycle.
 
 use crate::error::NodeError;
 use crate::node::Node;
@@ -15,41 +15,42 @@
 use tokio::task::AbortHandle;
 use tokio::time::{sleep, timeout, Instant};
 
-/// Calls that may wait for the life cycle. Each caller asks once.
+/// Calls that may be queued for the life cycle. Each caller makes one.
 pub const MAX_QUEUED_CALLS: usize = CallerTable::MOST;
 /// Pause after a connection that could not be accepted.
 const ACCEPT_RETRY: Duration = Duration::from_millis(20);
-/// How long an answer may take on its way out, and its reader to close. Guards descriptors against callers that never
-/// read.
+/// How long a reply may take to be written, and its reader to close. It bounds how long a caller that never reads keeps
+/// a descriptor.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Bytes read of a caller at once.
+/// Bytes read of a caller at a time.
 const PIECE: usize = 64;
 
-/// The operators' listener.
+/// The admin listener.
 pub struct Admin {
     listener: TcpListener,
 }
 
-/// A call, and where its answer goes.
+/// A call, and where its reply goes.
 pub struct AdminCall {
     pub call: Call,
     pub answer: oneshot::Sender<AdminReply>,
 }
 
-/// What is said to a call.
+/// The reply to a call.
 pub struct AdminReply {
     pub ok: bool,
     pub text: String,
 }
 
 impl Admin {
-    /// Set aside for it: the listener, callers that wait, one that comes, and those that have their answer.
+    /// Descriptors set aside for it: the listener, callers that wait, one that arrives, and those that have their
+    /// reply.
     pub const DESCRIPTORS: usize = CallerTable::MOST + 4;
 
     /// Binds the address.
     ///
     /// # Errors
-    /// It is taken.
+    /// The address cannot be bound.
     pub async fn bind(address: SocketAddr) -> Result<Admin, NodeError> {
         let bound = retry_shortage(|| TcpListener::bind(address)).await;
         let listener = bound.map_err(|source| NodeError::Bind {
@@ -80,7 +81,7 @@
     }
 }
 
-/// Serves callers for ever. None of them waits for another.
+/// Serves callers, for ever. None of them waits for another.
 pub async fn serve(admin: Option<Admin>, node: Rc<Node>, ask: mpsc::Sender<AdminCall>) {
     let Some(Admin { listener }) = admin else {
         return;
@@ -145,7 +146,7 @@
         Ok(Call::Info) => node.figures(),
         Ok(call) => {
             let (answer, said) = oneshot::channel();
-            // It fails at the node's very end.
+            // Sending fails only at the node's very end.
             let _ = ask.send(AdminCall { call, answer }).await;
             match said.await {
                 Ok(AdminReply { ok: true, text }) => success(&text),
@@ -158,7 +159,7 @@
     let _ = timeout(CLOSE_TIMEOUT, async {
         stream.write_all(text.as_bytes()).await?;
         stream.shutdown().await?;
-        // What the caller still writes is read, so that closing does not take the answer back.
+        // What the caller still writes is read, so that closing the socket does not discard the reply.
         while stream.read(&mut piece).await? > 0 {}
         Ok::<_, std::io::Error>(())
     })
--- a/crates/node/src/alarm.rs
+++ b/crates/node/src/alarm.rs
@@ -1,4 +1,4 @@
-//! An alarm for a machine that does no I/O and says when it wants to be looked at.
+//! A timer for a state machine that does no I/O and says when it is to be woken.
 
 use saffronpaddle_policy::interface::Micros;
 use std::cell::Cell;
@@ -8,13 +8,14 @@
 /// How long it sleeps where nothing is due.
 const IDLE_SLEEP: Duration = Duration::from_hours(1);
 
-/// When it is set to ring, and the word that it must sooner.
+/// The time that a timer sleeps until, and a notification that it must wake earlier.
 pub struct Alarm {
     armed: Cell<Micros>,
     sooner: Notify,
 }
 
 impl Alarm {
+    /// A timer that nothing is due for.
     pub fn new() -> Alarm {
         Alarm {
             armed: Cell::new(Micros::MAX),
@@ -22,14 +23,14 @@
         }
     }
 
-    /// The machine wants to be looked at then: it rings sooner, if need be.
+    /// The machine is to be woken at this time: a sleep that would last longer is cut short.
     pub fn set(&self, next: Option<Micros>) {
         if next.is_some_and(|at| at < self.armed.get()) {
             self.sooner.notify_one();
         }
     }
 
-    /// Comes back when what the machine says is due, however often that changes meanwhile.
+    /// Returns when the machine is due, however often its time changes meanwhile.
     pub async fn rings(&self, next: impl Fn() -> Option<Micros>, now: impl Fn() -> Micros) {
         loop {
             let next = next();
--- a/crates/node/src/bodies.rs
+++ b/crates/node/src/bodies.rs
@@ -18,16 +18,16 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// Most bytes of a body that is kept whole, either way: up to here a request can be sent again, and an answer is passed on
-/// once it is whole.
+/// Most bytes of a body that is buffered whole, either way: up to here a request can be sent again, and a response is
+/// passed on once it is complete.
 pub const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
-/// Most bytes of a body that goes by. Guards against bodies without end.
+/// Most bytes of a body that is streamed. It ends bodies that would never end.
 pub const MAX_BODY_BYTES: u64 = 40 << 20;
-/// How long a body that goes by may stand still. Guards against ends that have gone without a word: for as long, it holds a
-/// connection on either side.
+/// How long a streamed body may make no progress. An end that has gone silently would otherwise keep a connection on
+/// either side for ever.
 const STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What has come of a body: all of it, or its first pieces and the rest.
+/// What was read of a body: all of it, or its first pieces and the rest.
 pub type Gathered = Result<Bytes, (VecDeque<Bytes>, Incoming)>;
 
 /// The pieces of a body as one; copied only where there are several.
@@ -46,9 +46,9 @@
 
 /// The body of a request on its way to a server.
 pub enum UpstreamRequestBody {
-    /// Kept whole.
+    /// Buffered whole.
     Buffered(Full<Bytes>),
-    /// It goes by.
+    /// Streamed as it is received.
     Streamed(Rc<StreamedRequestBody>),
 }
 
@@ -82,10 +82,10 @@
     }
 }
 
-/// The body of an answer on its way to a client.
+/// The body of a response on its way to a client.
 pub struct DownstreamBody {
     body: ResponseBody,
-    /// The client's connection has a request for as long as its answer is not out.
+    /// Marks the client's connection busy until the response is written.
     busy_guard: Option<BusyGuard>,
 }
 
@@ -95,7 +95,7 @@
 }
 
 impl DownstreamBody {
-    /// Which connection is busy with it.
+    /// Keeps a connection marked as busy for as long as this body lives.
     pub fn keep(&mut self, busy: BusyGuard) {
         self.busy_guard = Some(busy);
     }
@@ -111,9 +111,9 @@
 }
 
 impl From<StreamedResponseBody> for DownstreamBody {
-    fn from(passing: StreamedResponseBody) -> DownstreamBody {
+    fn from(body: StreamedResponseBody) -> DownstreamBody {
         DownstreamBody {
-            body: ResponseBody::Streaming(passing),
+            body: ResponseBody::Streaming(body),
             busy_guard: None,
         }
     }
@@ -128,23 +128,23 @@
             ResponseBody::Buffered(full) => Pin::new(full)
                 .poll_frame(context)
                 .map_err(|never| match never {}),
-            ResponseBody::Streaming(passing) => passing.poll(context),
+            ResponseBody::Streaming(body) => body.poll(context),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match &self.body {
             ResponseBody::Buffered(full) => full.is_end_stream(),
-            ResponseBody::Streaming(passing) => passing.is_over(),
+            ResponseBody::Streaming(body) => body.is_over(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.body {
             ResponseBody::Buffered(full) => full.size_hint(),
-            ResponseBody::Streaming(passing) => passing
-                .size
-                .map_or_else(SizeHint::new, SizeHint::with_exact),
+            ResponseBody::Streaming(body) => {
+                body.size.map_or_else(SizeHint::new, SizeHint::with_exact)
+            }
         }
     }
 }
--- a/crates/node/src/bodies/request.rs
+++ b/crates/node/src/bodies/request.rs
@@ -10,10 +10,10 @@
 use std::pin::Pin;
 use std::task::{ready, Context, Poll, Waker};
 
-/// A body that has not come whole, between the client that writes it and the server that it goes to. Its last piece is held
-/// back until the exchange lets it go.
+/// A request body that is forwarded while it is still received. Its last piece is held back until the exchange releases
+/// it.
 pub struct StreamedRequestBody {
-    /// Called once, when all has come and the last piece waits. The body may outlive its node's loop.
+    /// Called once, when all has been received and the last piece waits. The body may outlive its node's loop.
     on_complete: Box<dyn Fn(Ticket)>,
     ticket: Cell<Option<Ticket>>,
     pub(super) size: Option<u64>,
@@ -24,19 +24,19 @@
 }
 
 struct RequestBodyState {
-    /// What had come before it was clear that it would not be whole soon.
+    /// What was received before the body counted as streamed.
     first: VecDeque<Bytes>,
     rest: Incoming,
-    /// The newest piece: it may be the last.
+    /// The newest piece, which may be the last.
     last_piece: Option<Bytes>,
-    /// Nothing more comes, well or not.
+    /// Nothing more is received, whether the body is complete or not.
     ended: bool,
     failed: bool,
     bytes: u64,
 }
 
 impl RequestBodyState {
-    /// The next piece that comes; none at the end.
+    /// The next piece; `None` at the end.
     fn next(&mut self, context: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
         if let Some(piece) = self.first.pop_front() {
             return Poll::Ready(Some(Ok(piece)));
@@ -47,7 +47,7 @@
                 Some(Err(error)) => return Poll::Ready(Some(Err(io::Error::other(error)))),
                 None => return Poll::Ready(None),
             };
-            // Trailers are the client's matter with this node.
+            // Trailers are not forwarded.
             let Ok(data) = frame.into_data() else {
                 continue;
             };
@@ -68,7 +68,7 @@
 }
 
 impl StreamedRequestBody {
-    /// A body of `size` bytes, if that is known, of which these pieces have come.
+    /// A body of `size` bytes, if that is known, of which these pieces were received.
     pub fn new(
         on_complete: Box<dyn Fn(Ticket)>,
         size: Option<u64>,
@@ -94,12 +94,12 @@
         }
     }
 
-    /// Which taking of its request it belongs to.
+    /// Sets the ticket of its request.
     pub fn set_ticket(&self, ticket: Ticket) {
         self.ticket.set(Some(ticket));
     }
 
-    /// The last piece may go.
+    /// Releases the last piece.
     pub fn release(&self) {
         self.released.set(true);
         self.waker
@@ -155,8 +155,8 @@
         }
     }
 
-    /// Reads what is left and drops it, so that an answer meets a client that has written all. Whoever else read from it
-    /// does so no more.
+    /// Reads what is left and drops it, so that the response meets a client that has written everything. No other
+    /// reader gets any of it from then on.
     pub async fn drain(&self) {
         let next = || std::future::poll_fn(|context| self.state.borrow_mut().next(context));
         while !self.state.borrow().ended {
--- a/crates/node/src/bodies/response.rs
+++ b/crates/node/src/bodies/response.rs
@@ -11,9 +11,9 @@
 use std::task::{ready, Context, Poll};
 use tokio::time::Instant;
 
-/// An answer that goes by as it comes, and the connection that it comes on.
+/// A response body that is passed on while it is still received.
 pub struct StreamedResponseBody {
-    /// Called once, when all has come (`true`) or never will.
+    /// Called once: with `true` when all was received, with `false` when it never will be.
     on_end: Option<Box<dyn FnOnce(bool)>>,
     /// Called when it is dropped before its end.
     on_abandoned: Box<dyn Fn()>,
@@ -32,7 +32,7 @@
 }
 
 impl StreamedResponseBody {
-    /// An answer of which these pieces have come on a connection.
+    /// A body of which these pieces were received.
     pub fn new(
         on_end: Box<dyn FnOnce(bool)>,
         on_abandoned: Box<dyn Fn()>,
@@ -56,7 +56,7 @@
         self.first.is_empty() && (self.on_end.is_none() || self.rest.is_end_stream())
     }
 
-    /// All has come, or never will.
+    /// All was received, or never will be.
     fn ends(&mut self, complete: bool) {
         if let Some(on_end) = self.on_end.take() {
             on_end(complete);
@@ -77,7 +77,7 @@
                         continue;
                     };
                     self.stall.as_mut().reset(Instant::now() + STALL_TIMEOUT);
-                    // Who knows the length asks no more after the last byte.
+                    // A reader that knows the length polls no more after the last byte.
                     if self.rest.is_end_stream() {
                         self.ends(true);
                     }
--- a/crates/node/src/clients.rs
+++ b/crates/node/src/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: their connections, what they ask and the answers that they get.
+//! Clients: their connections, their requests and the responses that they get.
 
 mod backlog;
 mod connection;
@@ -20,30 +20,32 @@
 use tokio::sync::{watch, Notify};
 use tokio::time::{Instant, Interval, MissedTickBehavior};
 
-/// How soon, and how often from then on, a connection is looked at whose client would not be seen to leave.
+/// How soon, and how often from then on, a connection is checked whose client would disconnect unnoticed.
 const UNWATCHED_SWEEP_INTERVAL: Duration = Duration::from_millis(25);
-/// How often who may make way is looked for while one waits for a place and nobody has ended.
+/// How often connections are evicted while one waits for capacity and none has ended.
 const EVICTION_RETRY: Duration = Duration::from_millis(5);
 
-/// How far the edge node is on its way out.
+/// How far the edge node has got in leaving.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
+    /// It serves.
     Serving,
-    /// Not ready any more; all that comes is served, and each answer closes its connection.
+    /// Not ready any more; every request is served, and each response closes its connection.
     Leaving,
-    /// The same, and connections that are idle are closed. It may go back to serving.
+    /// The same, and idle connections are closed. It may go back to serving.
     Emptying,
     /// No new connection is accepted, and idle ones are closed.
     Closing,
 }
 
-/// How the node stands towards clients.
+/// How the node serves its clients.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServingStatus {
+    /// How far it has got in leaving.
     pub phase: Phase,
     /// Whether connections are taken from the listener.
     pub accepts: bool,
-    /// Whether the five rules can be kept for new work, and if not, why.
+    /// Whether new requests can be served as promised, and if not, why.
     pub ready: bool,
     pub reasons: Reasons,
     /// The process was told to stop, and answers all that it has by then.
@@ -51,7 +53,7 @@
 }
 
 impl ServingStatus {
-    /// How it stands before anything was seen.
+    /// The status before anything was sampled.
     pub fn unready() -> ServingStatus {
         ServingStatus {
             phase: Phase::Serving,
@@ -63,21 +65,21 @@
     }
 }
 
-/// Comes back when the edge node has come so far on its way out, or when nobody is left to say so.
+/// Returns when the edge node has reached a phase, or when nobody is left to set it.
 async fn reached(mut status: watch::Receiver<ServingStatus>, phase: Phase) {
     let _ = status.wait_for(|status| status.phase >= phase).await;
 }
 
-/// When unwatched connections are looked at next.
+/// When unwatched connections are checked next.
 struct UnwatchedSweep {
-    /// Told where there is one that was none before.
+    /// Notified when a connection becomes unwatched.
     unwatched: Rc<Notify>,
-    /// None while there is none.
+    /// `None` while there is none.
     at: Option<Instant>,
 }
 
 impl UnwatchedSweep {
-    /// Comes back when they are to be looked at. What has been waited for is kept where this is dropped before.
+    /// Returns when they are to be checked. The time is kept where this future is dropped before.
     async fn due(&mut self) {
         if self.at.is_none() {
             self.unwatched.notified().await;
@@ -88,7 +90,7 @@
         }
     }
 
-    /// They have been looked at; whether there are more.
+    /// They were checked; whether there are more.
     fn again(&mut self, more: bool) {
         self.at = more.then(|| Instant::now() + UNWATCHED_SWEEP_INTERVAL);
     }
@@ -161,7 +163,7 @@
         let closing = reached(self.status.clone(), Phase::Closing);
         tokio::pin!(closing);
         loop {
-            // Ended connections are let go of.
+            // Removes tasks that have ended.
             while self.connections.tasks.try_join_next().is_some() {}
             self.admit_waiting();
             let full = self.waiting.is_some() || self.descriptors_exhausted;
@@ -214,7 +216,7 @@
         };
         match AcceptFailure::of(&error) {
             AcceptFailure::OfOneConnection => {}
-            // The connection waits until there is a descriptor for it.
+            // The connection stays queued until there is a descriptor for it.
             AcceptFailure::NoDescriptor => {
                 self.connections.evict(self.connections.tasks.len());
                 self.descriptors_exhausted = true;
--- a/crates/node/src/clients/backlog.rs
+++ b/crates/node/src/clients/backlog.rs
@@ -10,29 +10,30 @@
 use tokio::task::coop;
 use tokio::time::Instant;
 
-/// Pause after a connection that could not be accepted, for lack of descriptors mostly; shorter where one is closed.
+/// Pause after a connection that could not be accepted, mostly for lack of descriptors; it ends earlier where one is
+/// closed.
 pub(super) const ACCEPT_RETRY: Duration = Duration::from_millis(20);
-/// How often that is waited for once the node takes no more.
+/// Pauses of that kind once the node accepts no more.
 const MAX_FINAL_RETRIES: u32 = 10;
 
 /// A connection that was accepted.
 pub(super) struct Accepted {
     pub stream: TcpStream,
-    /// It came to the machine after this.
+    /// A time before which the machine did not have it.
     pub arrived_after: Instant,
 }
 
 /// The connections that the machine holds until they are accepted.
 pub(super) struct Backlog {
     listener: TcpListener,
-    /// What waits in it came after this.
+    /// A time before which the machine did not have what is queued now.
     clear: Instant,
-    /// What is accepted now may have been there before the last look.
+    /// What is accepted now may have been queued before the queue was last polled.
     behind: bool,
 }
 
 impl Backlog {
-    /// What waits at a listener.
+    /// The queue of a listener.
     pub(super) fn new(listener: TcpListener) -> Backlog {
         Backlog {
             listener,
@@ -41,16 +42,17 @@
         }
     }
 
-    /// Accepts the next. The machine does not say when a connection came: no later than it is accepted, and after the backlog was
-    /// last found empty. That is an upper bound of its wait. It is small where all is let in at once that comes; in a node whose
-    /// places are all taken by requests that are answered it may take more off a newcomer's time than it has waited, down to a
-    /// refusal at once: that makes room, so that the backlog is found empty soon.
+    /// Accepts the next connection. The machine does not report when a connection arrived: it was before the connection
+    /// is accepted, and after the queue was last found empty. The second time is an upper bound of its wait. The bound
+    /// is close where every connection is accepted at once. In a node whose capacity is used up it may deduct more from
+    /// a new request's time than that has waited, down to a rejection at once: that frees capacity, so that the queue
+    /// is soon found empty.
     pub(super) async fn accept(&mut self) -> io::Result<Accepted> {
         poll_fn(|context| {
             let accepted = self.listener.poll_accept(context);
             let since = || event_loop::arrived_after().unwrap_or_else(Instant::now);
             match &accepted {
-                // A task that has had its share of the loop is told of nothing, whatever there is.
+                // A task that has used up its budget sees nothing, whatever is queued.
                 Poll::Pending if !coop::has_budget_remaining() => {}
                 Poll::Pending => (self.clear, self.behind) = (self.clear.max(since()), false),
                 Poll::Ready(_) if self.behind => {}
@@ -64,8 +66,8 @@
         .await
     }
 
-    /// All that wait in it. What the machine has accepted counts as taken, and would be reset with the listener; a call that
-    /// fails for a moment is made again.
+    /// All that is queued. The machine has completed these connections and would reset them with the listener. A call
+    /// that fails for a moment is made again.
     pub(super) async fn rest(&self) -> Vec<Accepted> {
         let (mut rest, mut pauses) = (Vec::new(), 0);
         while let Ok(accepted) = tokio::time::timeout(Duration::ZERO, self.listener.accept()).await
@@ -86,7 +88,7 @@
         rest
     }
 
-    /// Nobody waits for what comes.
+    /// The queue is not polled from now on.
     pub(super) fn pause(&mut self) {
         self.behind = true;
     }
--- a/crates/node/src/clients/connection.rs
+++ b/crates/node/src/clients/connection.rs
@@ -21,15 +21,16 @@
 use tokio::time::Instant;
 use tracing::debug;
 
-/// Most bytes buffered for one client, so that all together stay far from the memory limit.
+/// Most bytes buffered for one client, so that all together stay far below the memory limit.
 const MAX_BUFFER_BYTES: usize = 32 * 1024;
-/// How long a connection that has never asked may still ask once the edge node closes. Guards a request that is on its
+/// How long a connection without a request so far may still make one once the edge node closes. A request may be on its
 /// way when the node that the machine gave the connection to is told to stop.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
-/// Rounds of the loop in which bytes that the machine holds reach a request's reader: the driver's, the connection's and one more.
-const FINAL_READ_ROUNDS: usize = 3;
+/// Rounds of the loop in which bytes that the machine holds reach a request's reader: the driver's, the connection's
+/// and one more.
+const FINAL_READ_YIELDS: usize = 3;
 
-/// One client's connection, until it ends or is sent away.
+/// One client's connection, until it ends or is evicted.
 pub(super) async fn converse(
     stream: Arc<TcpStream>,
     node: Rc<Node>,
@@ -52,11 +53,12 @@
             () = watched => return,
             () = downstream.evicted() => {}
         }
-        // Danger: a request whose last byte comes in the instant in which its connection is closed. What the machine holds
-        // is read first; who turns out to have asked stays.
-        for _ in 0..FINAL_READ_ROUNDS {
+        // The last byte of a request may arrive in the instant in which its connection is evicted, and the client would
+        // lose it unanswered. What the machine holds is read first; a connection that turns out to have a request
+        // stays.
+        for _ in 0..FINAL_READ_YIELDS {
             tokio::task::yield_now().await;
-            // No timer: each would take a tick of its own, and a crowd would be let in by the tick.
+            // No timer: each would take a tick of its own, and new connections would be admitted no faster than that.
             if poll_fn(|context| Poll::Ready(talk.as_mut().poll(context).is_ready())).await {
                 return;
             }
@@ -96,7 +98,7 @@
         }
     });
     let mut http = http1::Builder::new();
-    // How long heads may take is seen to from outside.
+    // The time for a head is checked by the sweep.
     http.header_read_timeout(None)
         .max_buf_size(MAX_BUFFER_BYTES);
     http.auto_date_header(false);
@@ -122,7 +124,7 @@
         "a connection closes"
     );
     connection.as_mut().graceful_shutdown();
-    // A client that broke off has been told to the node by the request's guard.
+    // A client that disconnected was reported to the node by the request's guard.
     let _ = connection.await;
 }
 
--- a/crates/node/src/clients/connections.rs
+++ b/crates/node/src/clients/connections.rs
@@ -1,4 +1,4 @@
-//! The connections of all clients: who is let in, who makes way, and whose client has gone.
+//! The connections of all clients: which are admitted and evicted, and whose client has gone.
 
 use super::backlog::Accepted;
 use super::connection::converse;
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 use tracing::debug;
 
-/// Ended connections that may wait to be forgotten together.
+/// Ended connections whose entries may be kept until they are removed together.
 const MAX_ENDED_ENTRIES: usize = 32;
 
 /// The connections of all clients.
@@ -22,18 +22,18 @@
     pub(super) tasks: JoinSet<()>,
     pub(super) entries: Vec<Entry>,
     pub(super) pressure: EvictionPressure,
-    /// A connection is unwatched from now on.
+    /// Notified when a connection becomes unwatched.
     pub(super) unwatched: Rc<Notify>,
 }
 
-/// One of them. Its socket is its task's; here it is only looked at.
+/// One of them. Its socket belongs to its task; here it is only inspected.
 pub(super) struct Entry {
     pub(super) downstream: Arc<DownstreamConnection>,
     task: AbortHandle,
 }
 
 impl Connections {
-    /// None yet.
+    /// No connections yet.
     pub(super) fn new() -> Connections {
         let (tasks, entries, pressure) = (JoinSet::new(), Vec::new(), EvictionPressure::default());
         Connections {
@@ -68,18 +68,18 @@
         );
         let task = self.tasks.spawn_local(talk);
         self.entries.push(Entry { downstream, task });
-        // Guards memory: a handle keeps what its task has left behind.
+        // A handle keeps the memory of its ended task: entries are removed before they are many.
         if self.entries.len() > self.tasks.len() + MAX_ENDED_ENTRIES {
             self.tidy();
         }
     }
 
-    /// Forgets connections that have ended.
+    /// Removes the entries of connections that have ended.
     fn tidy(&mut self) {
         self.entries.retain(|entry| !entry.task.is_finished());
     }
 
-    /// Has connections go whose time is up, and closes those whose client has gone.
+    /// Evicts connections whose time is up, and closes those whose client has gone.
     pub(super) fn sweep(&mut self) {
         self.tidy();
         self.sweep_unwatched();
@@ -91,9 +91,9 @@
         }
     }
 
-    /// Closes connections whose client has gone unseen, and says whether others are still unwatched. Danger: the library stops
-    /// reading where a client has sent more than its request, and does not see that it leaves: what waits would be sent on for
-    /// nobody.
+    /// Closes connections whose client has gone unnoticed; whether others are still unwatched. The library stops
+    /// reading where a client has sent more than its request, and does not see that the client disconnects: a queued
+    /// request would be forwarded for nobody.
     pub(super) fn sweep_unwatched(&self) -> bool {
         let mut more = false;
         for Entry { downstream, task } in &self.entries {
@@ -109,8 +109,9 @@
         more
     }
 
-    /// Has as many make way as are needed for one more, and some for those who come behind it. Guards against crowds that shut
-    /// out others: where all places are taken, who has been silent longest goes. None of them is waited for.
+    /// Evicts as many connections as are needed for one more, and some for those behind it: without this, many silent
+    /// connections would shut out all others. Where the capacity is used up those go that have been silent longest.
+    /// None of them is waited for.
     pub(super) fn evict(&mut self, most: usize) {
         self.tidy();
         let now = self.began.elapsed();
--- a/crates/node/src/clients/reply.rs
+++ b/crates/node/src/clients/reply.rs
@@ -1,4 +1,4 @@
-//! Answers to clients.
+//! Responses to clients.
 
 use super::request::{class_of, text, Rejected};
 use crate::answer::{Answer, Payload};
@@ -12,13 +12,13 @@
 use std::time::Duration;
 use tracing::debug;
 
-/// Ends a connection with the answer.
+/// Ends a connection with the response.
 pub(super) const CLOSE: HeaderValue = HeaderValue::from_static("close");
 
-/// An answer to a client.
+/// A response to a client.
 pub(super) type Reply = Response<bodies::DownstreamBody>;
 
-/// Turns an upgrade away, and says which version is spoken.
+/// Rejects an upgrade, and names the version that is spoken.
 pub(super) fn reject_upgrade(status: StatusCode, words: &'static str) -> Reply {
     let mut reply = reject_and_close(status, words);
     reply
@@ -27,14 +27,14 @@
     reply
 }
 
-/// An answer to what can't be served, after which nothing that comes on the connection is believed.
+/// A rejection after which the connection is closed: nothing that follows on it can be trusted.
 pub(super) fn reject_and_close(status: StatusCode, words: &'static str) -> Reply {
     let mut reply = text_reply(status, words);
     reply.headers_mut().insert(CONNECTION, CLOSE);
     reply
 }
 
-/// The same to what makes no request, which counts as one of its class if its head names one.
+/// The same for what is no valid request, which counts as one of its class if its head names one.
 pub(super) fn reject_unread(node: &Node, headers: &HeaderMap, rejected: Rejected) -> Reply {
     let Rejected { status, reason } = rejected;
     debug!(
@@ -49,12 +49,12 @@
     reject_and_close(status, reason)
 }
 
-/// Two owners of one id would mix up their answers.
+/// A rejection of an id that is in use: two owners of one id would mix up their responses.
 pub(super) fn duplicate_id() -> Reply {
     reject_and_close(StatusCode::BAD_REQUEST, "X-Request-Id: in use\n")
 }
 
-/// The answer that a request's end stands for.
+/// The response that a final answer stands for.
 pub(super) fn reply(answer: Answer) -> Reply {
     match answer {
         Answer::Served(Payload::Body(body)) => Response::new(body.into()),
@@ -65,20 +65,20 @@
             reply
         }
         Answer::Rejected(retry_in) => unavailable(retry_in),
-        // Who asked for no socket gets none.
+        // A request that was no upgrade gets no socket.
         Answer::Served(Payload::Upgraded(_)) | Answer::Failed => {
             text_reply(StatusCode::BAD_GATEWAY, "")
         }
     }
 }
 
-/// Its time was up before it was read: it is refused at once, and nothing of it is sent on.
+/// The deadline passed before the request was read: it is rejected at once, and nothing of it is forwarded.
 pub(super) fn deadline_passed(node: &Node, class: ClassId) -> Reply {
     node.record_rejection(class, RequestEnd::Throttled);
     unavailable(None)
 }
 
-/// Trying again is harmless, and may help after so long.
+/// A rejection after which a retry is harmless, and may help after so long.
 pub(super) fn unavailable(retry_in: Option<Duration>) -> Reply {
     let mut reply = text_reply(StatusCode::SERVICE_UNAVAILABLE, "");
     let seconds = retry_in.map(|span| format!("{:.3}", span.as_secs_f64()));
@@ -88,7 +88,7 @@
     reply
 }
 
-/// A status and a line.
+/// A status and a line of text.
 pub(super) fn text_reply(status: StatusCode, words: &'static str) -> Reply {
     let mut reply = Response::new(words.into());
     *reply.status_mut() = status;
--- a/crates/node/src/clients/request.rs
+++ b/crates/node/src/clients/request.rs
@@ -1,4 +1,4 @@
-//! The head of a client's request: what it says, all of it within the settings.
+//! The head of a client's request: parsed, and checked against the settings.
 
 use crate::downstream::DownstreamConnection;
 use crate::forward::{Forward, ForwardBody};
@@ -13,25 +13,27 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time kept back for an answer's way to the client.
+/// Time kept back for the response's way to the client.
 pub(super) const DELIVERY: Duration = Duration::from_millis(5);
 
-/// What a request's head says, all of it within the settings.
+/// A request's head, which agrees with the settings.
 pub(super) struct RequestHead {
     pub id: RequestId,
     pub class: ClassId,
     pub plan: PlanId,
     pub customer: CustomerId,
     pub terms: Terms,
+    /// How long its client waits for the response.
     pub timeout: Duration,
+    /// What a second execution would do.
     pub effect: Idempotency,
 }
 
-/// Why a request is turned away before it is taken.
+/// Why a request is rejected before it is taken.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Rejected {
     pub status: StatusCode,
-    /// A line for whoever sent it.
+    /// A line of text for the client.
     pub reason: &'static str,
 }
 
@@ -45,8 +47,10 @@
         .map(ClassId)
 }
 
-/// Reads the head of a client's request. Nothing has been touched by then: what is wrong with it is told, and that
-/// is all.
+/// Reads the head of a client's request.
+///
+/// # Errors
+/// What is wrong with it. Nothing has been changed by then.
 pub(super) fn read(
     named: &NamedSettings,
     head: &hyper::http::request::Parts,
@@ -56,7 +60,7 @@
         reason,
     };
     let headers = &head.headers;
-    // Guards against a header that two readers take in two ways.
+    // Two readers could take a repeated header in two ways: such a request is rejected.
     if READ_ONCE
         .iter()
         .any(|name| headers.get_all(*name).iter().nth(1).is_some())
@@ -109,14 +113,15 @@
 }
 
 impl RequestHead {
-    /// Its client's time began so long ago; `false` where nothing is left of it. Danger: a request that has waited in the machine
-    /// while this node was late to take it. Its server would be told time that its client no longer has.
+    /// Deducts the time that the request has been queued since its client sent it; `false` where nothing is left. A
+    /// request may have waited in the machine while this node was late to read it, and its server would be promised
+    /// time that its client no longer has.
     pub(super) fn deduct_wait(&mut self, rested: Duration) -> bool {
         self.timeout = self.timeout.saturating_sub(rested);
         rested.is_zero() || self.timeout > DELIVERY
     }
 
-    /// The request is whole; its client's time runs.
+    /// The request is complete: its client's time runs from now on.
     pub(super) fn arrived(
         self,
         head: hyper::http::request::Parts,
@@ -159,6 +164,7 @@
     }
 }
 
+/// The header that makes a request safe to repeat.
 const KEY: &str = "idempotency-key";
 /// Headers that a request may have once at the most.
 const READ_ONCE: [&str; 8] = [
@@ -176,7 +182,7 @@
     headers.get(name)?.to_str().ok()
 }
 
-/// A customer: 16 hex digits and no sign, a number below 2^33.
+/// A customer: 16 hex digits without a sign, a number below 2^33.
 pub(super) fn customer(text: &str) -> Option<CustomerId> {
     let digits = text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
     let number = digits
@@ -185,7 +191,7 @@
     (number < 1 << 33).then_some(CustomerId(number))
 }
 
-/// A plain decimal number; no sign, no exponent, no word that stands for one.
+/// A plain decimal number: no sign, no exponent, no name of a number.
 fn number(text: &str) -> Option<f64> {
     let plain = !text.is_empty()
         && text
@@ -194,7 +200,7 @@
     plain.then(|| text.parse().ok()).flatten()
 }
 
-/// A number with its unit, `m` or `u`; an hour at the most.
+/// A duration: a number with its unit, `m` (ms) or `u` (µs); an hour at the most.
 pub(super) fn span(text: &str) -> Option<Duration> {
     let (digits, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
     let number = number(digits)?;
@@ -206,7 +212,7 @@
     (seconds > 0.0 && seconds <= 3600.0).then(|| Duration::from_secs_f64(seconds))
 }
 
-/// What a request takes from its customer's quota, and the customer's set of nodes.
+/// What a request takes from its customer's quota, and the customer's node subset.
 #[derive(Debug)]
 pub(super) struct Terms {
     pub units: f64,
@@ -215,8 +221,8 @@
 }
 
 impl Terms {
-    /// Units and a set that the settings have room for. Names that are unknown are passed over; a term that is no
-    /// term, or stands twice, spoils all.
+    /// Units and a node subset that agree with the settings. Unknown names are ignored; a malformed or repeated term
+    /// invalidates all.
     fn read(text: &str, settings: &Settings) -> Option<Terms> {
         let (mut units, mut subset_size, mut first) = (None, None, None);
         let whole = |value: &str| {
--- a/crates/node/src/clients/respond.rs
+++ b/crates/node/src/clients/respond.rs
@@ -1,4 +1,4 @@
-//! What is done with one request: its body is read, it goes through the node, and its answer is made.
+//! Serves one request: reads its body, submits it to the node, and makes the response.
 
 use super::reply::{
     deadline_passed, duplicate_id, reject_and_close, reject_unread, reject_upgrade, reply,
@@ -32,13 +32,13 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// How long the part of a body that is kept may take from its head on, before any of it has come. Guards against bodies that
-/// stop half-way.
+/// How long the buffered part of a body may take from its head on, before the time that its size allows. It ends bodies
+/// that stop half-way.
 const BODY_TIMEOUT: Duration = Duration::from_millis(2500);
-/// How long so many bytes of it take a slow client that means well; twice what one at 64 kB a second needs.
-const BODY_PACE: (Duration, u32) = (Duration::from_secs(1), 32_000);
-/// How long a body that goes by may take, where its client goes on: the largest at the slowest. What is out for it draws on
-/// nothing meanwhile.
+/// Bytes of a buffered body that a client must send in a second at least: half of what a slow client does.
+const MIN_BODY_BYTES_PER_SECOND: u32 = 32_000;
+/// How long a streamed body may take while its client makes progress: the largest at the slowest rate. It takes nothing
+/// from quotas meanwhile.
 const STREAMED_BODY_TIMEOUT: Duration = Duration::from_mins(20);
 
 /// Answers a request.
@@ -177,8 +177,8 @@
     }
 }
 
-/// Reads a body that is kept; of one that is too large for that, what had come when that was clear. `None` if it broke off, or
-/// came too slowly.
+/// Reads a body that is buffered; of one that is too large for that, what was read when that was clear. `None` if it
+/// broke off, or was sent too slowly.
 async fn gather(mut body: Incoming) -> Option<Gathered> {
     let (mut pieces, mut size) = (VecDeque::new(), 0);
     if body.size_hint().lower() > MAX_BUFFERED_BODY_BYTES as u64 {
@@ -189,8 +189,9 @@
     }
     let began = Instant::now();
     loop {
-        let until =
-            began + BODY_TIMEOUT + BODY_PACE.0.mul_f64(size as f64 / f64::from(BODY_PACE.1));
+        let until = began
+            + BODY_TIMEOUT
+            + Duration::from_secs(1).mul_f64(size as f64 / f64::from(MIN_BODY_BYTES_PER_SECOND));
         let Some(frame) = tokio::time::timeout_at(until, body.frame()).await.ok()? else {
             break;
         };
@@ -206,7 +207,7 @@
     Some(Ok(joined(pieces)))
 }
 
-/// Has a socket opened: a request like any other, whose answer is the socket.
+/// Opens a web socket: a request like any other, whose response is the socket.
 async fn socket(
     node: &Rc<Node>,
     mut asked: RequestHead,
@@ -250,7 +251,7 @@
     headers.insert(UPGRADE, HeaderValue::from_static("websocket"));
     headers.extend(switched.accepted());
     tokio::task::spawn_local(async move {
-        // It fails where the client has gone before its answer.
+        // It fails where the client has gone before its response.
         let Ok(upgraded) = upgrades.await else { return };
         let Ok(parts) = upgraded.downcast::<TokioIo<ObservedStream>>() else {
             return;
@@ -262,7 +263,7 @@
     answer
 }
 
-/// Tells the node when the client goes away: the answer's future is dropped then.
+/// Notifies the node when the client goes away: the future of its response is dropped then.
 struct Waiting<'a> {
     node: &'a Rc<Node>,
     id: RequestId,
--- a/crates/node/src/clients/tests.rs
+++ b/crates/node/src/clients/tests.rs
@@ -37,23 +37,24 @@
     .expect("a node")
 }
 
-/// Danger: a crowd presses, and the last byte of a request comes in the instant in which its connection makes way. What came
-/// whole is answered; half a head, and an idle connection, go without a word.
+/// Many connections compete for the capacity, and the last byte of a request is received in the instant in which its
+/// connection is evicted. A request that was received whole is answered; half a head, and an idle connection, are closed
+/// without a response.
 #[test]
-fn a_request_that_comes_whole_as_its_connection_makes_way_is_answered() {
+fn a_request_received_whole_as_its_connection_is_evicted_is_answered() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let (node, (_standing, seen)) = (node(), watch::channel(ServingStatus::unready()));
+        let (node, (_status, seen)) = (node(), watch::channel(ServingStatus::unready()));
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let (half, rest) = ("GET /-/ready HTTP/1.1\r\nHo", "st: n0\r\n\r\n");
         for (first, then, status) in [(half, rest, "HTTP/1.1 503"), (half, "", ""), ("", "", "")] {
             let mut connections = Connections::new();
             let address = listener.local_addr().expect("an address");
             let mut client = std::net::TcpStream::connect(address).expect("it listens");
-            let (stream, _) = listener.accept().await.expect("one has come");
+            let (stream, _) = listener.accept().await.expect("one was accepted");
             connections.admit(
                 Accepted {
                     stream,
@@ -72,7 +73,7 @@
             {
                 tokio::task::yield_now().await;
             }
-            // The machine has the rest, and this node's loop has not looked yet.
+            // The machine has the rest, and this node's loop has not read it yet.
             client.write_all(then.as_bytes()).expect("written");
             connections.evict(1);
             connections.tasks.join_next().await;
@@ -89,7 +90,7 @@
 }
 
 #[test]
-fn spans_have_a_number_and_a_unit() {
+fn durations_have_a_number_and_a_unit() {
     assert_eq!(span("480m"), Some(Duration::from_millis(480)));
     assert_eq!(span("1500u"), Some(Duration::from_micros(1500)));
     for bad in [
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,4 +1,4 @@
-//! What the edge node is told at its start: `LB_*` and the JSON of `LB_CONFIG`, as typed values.
+//! The platform's configuration: `LB_*` and the JSON of `LB_CONFIG`, as typed values.
 
 use saffronpaddle_endpoints::{EndpointRecord, EndpointStatus};
 use saffronpaddle_policy::interface::SettingsError;
@@ -10,53 +10,73 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// All that the edge node is told.
+/// The platform's configuration of a node.
 pub struct Config {
     /// The file that it was read from, to be read again.
     pub path: PathBuf,
+    /// The node's name.
     pub name: String,
+    /// Where clients connect.
     pub listen: SocketAddr,
+    /// Where the list service is.
     pub discovery: SocketAddr,
-    /// Where operators' staff call, if they may.
+    /// Where the admin listener binds, if there is one.
     pub admin: Option<SocketAddr>,
+    /// The seed of the policy's draws.
     pub seed: u64,
-    /// File descriptors that the process may hold.
+    /// File descriptors that the process may have.
     pub sockets: usize,
-    /// Bytes of memory that it may use.
+    /// Memory that the process may use, bytes.
     pub memory: usize,
+    /// Other nodes, if there are any.
     pub peers: Option<PeerAddresses>,
-    /// The list of app servers as it was last held. It may be old.
+    /// The endpoint list as it was last known. It may be old.
     pub known: Option<List>,
+    /// The policy's settings, with the names that requests use.
     pub named: NamedSettings,
 }
 
-/// Where datagrams arrive and go. Peers stand in the order of their numbers, this node among them.
+/// The addresses of datagrams between nodes.
 pub struct PeerAddresses {
+    /// Where this node receives.
     pub listen: SocketAddr,
+    /// All nodes in the order of their numbers, this one among them.
     pub each: Vec<SocketAddr>,
+    /// Reaches all other nodes at once, if there is such an address.
     pub all: Option<SocketAddr>,
 }
 
-/// The list of app servers, or changes to it, as discovery writes it.
+/// The endpoint list, or changes to it, as discovery writes it.
 #[derive(Deserialize, Serialize, Clone, Debug, PartialEq)]
 pub struct List {
+    /// Its version. It grows with each change.
     pub seq: u64,
+    /// Whether it names all servers, or only those that have changed.
     #[serde(default)]
     pub whole: bool,
+    /// The servers.
     #[serde(default)]
     pub hosts: Vec<Host>,
 }
 
+/// An app server, as discovery writes it.
 #[derive(Deserialize, Serialize, Clone, Debug, PartialEq)]
 pub struct Host {
+    /// Its name.
     pub host: String,
+    /// Its address.
     pub dial: SocketAddr,
+    /// Its zone.
     pub site: String,
+    /// Its deduplication domain.
     #[serde(default)]
     pub block: u64,
+    /// Its status.
     pub health: Health,
+    /// Its weight, relative to a full server's.
     #[serde(default = "default_weight")]
     pub share: f64,
+    /// When it started, Unix time in ms; 0 if that is not known.
     #[serde(default)]
     pub born_ms: u64,
 }
@@ -65,11 +85,15 @@
     1.0
 }
 
+/// The status of an app server.
 #[derive(Deserialize, Serialize, Clone, Copy, Debug, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Health {
+    /// It takes requests.
     Ready,
+    /// It takes no new requests.
     Draining,
+    /// It is no longer there.
     Gone,
 }
 
@@ -116,7 +140,7 @@
     32
 }
 
-/// Fewer descriptors than this leave no room for clients beside app servers.
+/// Descriptors that are needed for clients beside app servers.
 const MIN_SOCKETS: usize = 64;
 
 impl From<Health> for EndpointStatus {
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery: a watch on the list of app servers, opened again whenever it ends or falls silent, and held on to while its
-//! address moves until the new one has spoken.
+//! Discovery: a watch on the list of app servers. It is opened again whenever it ends or falls silent, and kept while
+//! the service's address changes until the new address has sent a list.
 
 mod call;
 mod error;
@@ -22,28 +22,29 @@
 use tokio::time::{timeout, Instant};
 use tracing::{debug, warn};
 
-/// A watch says something every 2 s; one that is this late is taken for dead. Guards drains: what discovery
-/// has to tell counts as told 6 s later, also on a watch that nobody serves any more.
+/// A watch sends something every 2 s; one that is this late is taken for dead. A drain counts as announced 6 s after
+/// discovery has it, also on a watch that nobody serves any more: a new watch must be open by then.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(3);
-/// Servers of the longest list that is read, and bytes of one in the full form with room for long names: 40,000 of ten letters each take
-/// 124 bytes a server.
+/// Servers of the longest list that is read.
 const MAX_SERVERS: usize = 40_000;
+/// Bytes of a server in the longest list that is read. Its full form with a name of ten letters takes 124.
 const MAX_BYTES_PER_SERVER: usize = 256;
-/// Most bytes of one list. Guards memory: its text is kept until its last byte has come, and then stands beside its entries.
+/// Most bytes of one list. It bounds memory: the text is kept until its last byte was read, and then stands beside the
+/// parsed entries.
 const MAX_LIST_BYTES: usize = MAX_SERVERS * MAX_BYTES_PER_SERVER;
 
-/// Applies versions of one address in order. `known` may be old, and a watch may tell again what is known.
+/// Applies versions of one address in order. `known` may be old, and a watch may repeat what is known.
 struct Follower {
     node: Rc<Node>,
     status: Rc<WatchStatus>,
-    /// The version that was taken last, as this address numbers them.
+    /// The version that was applied last, as this address numbers them.
     seq: Option<u64>,
     /// Whether the last call was answered with a watch.
     opened: bool,
-    /// What the installation says of its list service, if it says anything; and what the service said of the next call.
+    /// The installation's limits for polling its list service, if it has any; and when the service wants the next call.
     poll_limits: Option<PollLimits>,
     retry_after: Option<Duration>,
-    /// Whether an empty list is in doubt.
+    /// Whether an empty list is applied or doubted.
     empty_list: EmptyListProtection,
     started_at: Instant,
 }
@@ -62,7 +63,7 @@
         self.empty_list.poll_again_after(limits.empty_after)
     }
 
-    /// Whether a list is to be believed; one that is not is asked for whole again.
+    /// Whether a list is applied; one that is not is read whole again.
     fn accepts_list(&mut self, list: &List) -> bool {
         let Some(poll_limits) = self.poll_limits.as_ref().filter(|_| list.whole) else {
             return true;
@@ -105,9 +106,9 @@
     }
 }
 
-/// Follows the list for ever, and moves when discovery gets another address. While it is down, and until the
-/// new one has spoken, the old list stands, and a watch that is open at the old address is heard on. Danger: a drain that
-/// the old one still tells while the new one is silent.
+/// Follows the list for ever, and moves when discovery gets another address. While the service is down, and until the
+/// new address has sent a list, the old list stays, and a watch that is open at the old address is still read: it may
+/// announce a drain while the new address is silent.
 pub async fn follow(
     node: Rc<Node>,
     mut address: watch::Receiver<SocketAddr>,
@@ -134,7 +135,8 @@
         });
         first.status = Rc::default();
     }
-    // Danger: a fleet that starts at one stroke, whose first calls take the service away from all that it serves.
+    // The first calls of a fleet whose nodes start together would take the service away from all that it serves: they
+    // are spread over time.
     if let Some(first) = poll_limits
         .as_ref()
         .map(|poll_limits| poll_limits.first_call(place, fastrand::f64()))
@@ -144,7 +146,7 @@
     let mut next = Some(first);
     let mut previous: Option<WatchTask> = None;
     loop {
-        // Guards against versions of one discovery that are numbered otherwise than those of the next: each has its own.
+        // Each address has its own version: the next may number its lists otherwise, and a newer list would look old.
         let follower = next.take().unwrap_or_else(follower);
         let (status, now) = (Rc::clone(&follower.status), *address.borrow_and_update());
         node.watch_statuses.follow(&status);
@@ -158,7 +160,7 @@
                 () = follow_previous(&mut previous) => previous = None,
             }
         }
-        // Of two that were left, the one that is heard: there are never more than two.
+        // Of two abandoned addresses the one that is still read is kept: there are never more than two.
         if status.listed.get() || previous.is_none() {
             status.abandoned.set(true);
             previous = Some(current).filter(|_| status.open.get());
@@ -166,10 +168,10 @@
     }
 }
 
-/// A call on one address that goes on, and how that stands.
+/// The status of an address, and the task that follows it.
 type WatchTask = (Rc<WatchStatus>, Pin<Box<dyn Future<Output = ()>>>);
 
-/// Hears on the watch of an address that was left, until it ends.
+/// Reads on from the watch of an abandoned address, until it ends.
 async fn follow_previous(previous: &mut Option<WatchTask>) {
     match previous {
         Some((_, current)) => current.await,
@@ -177,13 +179,13 @@
     }
 }
 
-/// Follows the list at one address, until that was left and its watch has ended.
+/// Follows the list at one address, until that is abandoned and its watch has ended.
 async fn follow_address(mut follower: Follower, address: SocketAddr) {
     let nodes = follower.node.named.settings.node_count;
     let pushed = follower.node.named.settings.discovery == DiscoveryMode::Pushed;
     let mut backoff = match &follower.poll_limits {
         Some(poll_limits) => PollBackoff::with_limits(nodes, poll_limits),
-        // Where lists are pushed the address is the agent of this machine.
+        // Where lists are pushed the address is this machine's agent.
         None if pushed => PollBackoff::for_agent(),
         None => PollBackoff::for_fleet(nodes),
     };
@@ -225,7 +227,7 @@
     status.open.set(true);
     let mut lists = JsonObjects::new(MAX_LIST_BYTES);
     while let Some(data) = next_data(follower, &mut watch).await? {
-        // White space too: nothing has changed.
+        // White space counts too: it says that nothing has changed.
         follower.node.record_list_contact();
         let mut rest = &data[..];
         while let Some(list) = lists.next(&mut rest)? {
--- a/crates/node/src/discovery/call.rs
+++ b/crates/node/src/discovery/call.rs
@@ -25,8 +25,9 @@
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 use tracing::{debug, warn};
 
-/// What drives a call's connection until that ends; it goes with its owner. No task of its own. Danger: news that one task has
-/// read off the socket and another has not taken yet, while a first byte finds the socket empty.
+/// Drives a call's connection until that ends. It is no task of its own: a task could have read a change off the socket
+/// that its owner has not taken yet, and a first byte would find the socket empty and go to a server that is being
+/// drained.
 struct Driver(Option<Pin<Box<dyn Future<Output = ()>>>>);
 
 impl Driver {
@@ -42,21 +43,22 @@
     }
 }
 
-/// A call that was answered with a watch, and what drives its connection.
+/// A call that was answered with a watch, and the driver of its connection.
 pub(super) struct Watch {
     driver: Driver,
     body: Incoming,
-    /// Its connection, to be looked at.
+    /// Its connection, to be inspected.
     pub(super) stream: WeakArc<TcpStream>,
 }
 
 impl Watch {
-    /// The next frame; none has come only once all that the machine holds was read.
+    /// The next frame; pending only once all that the machine holds was read.
     pub(super) fn poll_next(
         &mut self,
         context: &mut TaskContext<'_>,
     ) -> Poll<Option<hyper::Result<Frame<Bytes>>>> {
-        // Danger: the library reads on only once the last frame has been taken and the next is asked for.
+        // The library reads on only once the last frame was taken and the next is polled for: one poll could leave
+        // bytes in the machine.
         for _ in 0..2 {
             self.driver.drive(context);
             let next = Pin::new(&mut self.body).poll_frame(context);
@@ -68,14 +70,14 @@
     }
 }
 
-/// What a call was answered that is no watch.
+/// Why a call gave no watch.
 pub(super) enum WatchError {
-    /// The service has said when to come back.
+    /// The service has said when to call again.
     RetryAfter(StatusCode, Duration),
     Failed(DiscoveryError),
 }
 
-/// One call, until it is answered. `answers`: how long that may take, with the connection.
+/// One call, until it is answered. `answer_timeout` covers the connection too.
 pub(super) async fn call(
     status: Rc<WatchStatus>,
     address: SocketAddr,
@@ -124,7 +126,8 @@
     }))
 }
 
-/// Calls again and again, also while earlier calls are still open, until one is answered with a watch. The others end with it.
+/// Calls again and again, also while earlier calls are still open, until one is answered with a watch. The others end
+/// with it.
 pub(super) async fn call_hedged(
     status: &Rc<WatchStatus>,
     address: SocketAddr,
--- a/crates/node/src/discovery/tests.rs
+++ b/crates/node/src/discovery/tests.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_list_beyond_the_bound_is_refused_in_one_line() {
+fn a_list_beyond_the_bound_is_rejected_in_one_line() {
     let bytes = list(MAX_SERVERS, 253);
     assert!(bytes.len() > MAX_LIST_BYTES);
     let error = read(&bytes).expect_err("it is too long");
--- a/crates/node/src/discovery_status.rs
+++ b/crates/node/src/discovery_status.rs
@@ -6,25 +6,27 @@
 use std::sync::{Arc, Weak as WeakArc};
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
-/// How one address stands to the list.
+/// What is known of one address of the list service.
 #[derive(Default)]
 pub struct WatchStatus {
-    /// It has told its first list.
+    /// It has sent its first list.
     pub listed: Cell<bool>,
+    /// Notified at its first list.
     pub first: Notify,
     /// A watch of it is open.
     pub open: Cell<bool>,
-    /// The connection of that watch, and whether all that was read of it has been taken.
+    /// The connection of that watch.
     pub watch: RefCell<WeakArc<TcpStream>>,
+    /// Whether all that was read of that connection was taken.
     pub taken: Cell<bool>,
     /// Connections of calls that are not answered yet.
     pub calls: RefCell<Vec<WeakArc<TcpStream>>>,
-    /// Discovery has moved: nothing new is asked of this one.
+    /// Discovery has moved: no new call is made at this address.
     pub abandoned: Cell<bool>,
 }
 
 impl WatchStatus {
-    /// Whether something of it has come that the node has not taken yet: on its watch, or as the answer to a call.
+    /// Whether something was sent that the node has not read yet: on the watch, or as the answer to a call.
     fn is_unread(&self) -> bool {
         let has_more =
             |stream: &WeakArc<TcpStream>| stream.upgrade().is_some_and(|stream| !is_quiet(&stream));
@@ -32,7 +34,7 @@
             || self.calls.borrow().iter().any(has_more)
     }
 
-    /// A call is out.
+    /// A call was made on this connection.
     pub fn record_call(&self, stream: &Arc<TcpStream>) {
         let mut calls = self.calls.borrow_mut();
         calls.retain(|stream| stream.strong_count() > 0);
@@ -40,7 +42,7 @@
     }
 }
 
-/// The addresses of discovery that are followed now: one, or two while it moves.
+/// The addresses of the list service that are followed now: one, or two while it moves.
 #[derive(Default)]
 pub struct WatchStatuses(RefCell<Vec<Weak<WatchStatus>>>);
 
@@ -52,8 +54,8 @@
         statuses.push(Rc::downgrade(status));
     }
 
-    /// Whether news of the list has come to this machine that the node has not taken yet. Danger: a loop that was late, which
-    /// finds a drain and a request waiting for it and writes the request first.
+    /// Whether a change of the list has reached this machine that the node has not read yet. A loop that was late may
+    /// find a drain and a request at once, and would write the request to the draining server first.
     pub fn are_unread(&self) -> bool {
         self.0
             .borrow()
--- a/crates/node/src/downstream.rs
+++ b/crates/node/src/downstream.rs
@@ -1,4 +1,4 @@
-//! What is seen of clients' connections: when bytes come, and whether a request is being answered.
+//! Clients' connections as they are observed: when bytes are received, and whether a request is being answered.
 
 use crate::event_loop;
 use crate::head_scanner::HeadScanner;
@@ -15,16 +15,17 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// One client's connection. Shared within one thread; an upgrade wants what could go to another, though none does.
+/// One client's connection. It is shared within one thread only; an upgrade requires a type that could go to another.
 pub struct DownstreamConnection {
+    /// The start of this type's times.
     epoch: Instant,
-    /// Its socket is its task's; here it is only looked at.
+    /// Its socket belongs to its task; here it is only inspected.
     stream: Weak<TcpStream>,
     accepted_us: u64,
     last_active_us: AtomicU64,
-    /// What was read last came after this.
+    /// A time before which the bytes that were read last had not reached the machine, µs since `epoch`.
     sent_after_us: AtomicU64,
-    /// µs since `began`, one more than that; 0 for no head.
+    /// When the head that is being read began, µs since `epoch` and one more; 0 for no head.
     head_started_us: AtomicU64,
     busy: AtomicBool,
     has_requested: AtomicBool,
@@ -36,17 +37,18 @@
     reading: AtomicBool,
     /// It was unwatched when that was last asked.
     reported_unwatched: AtomicBool,
-    /// It was told to go, and looks a last time whether a request has come.
+    /// It is being evicted, and checks a last time whether a request was received.
     evicted: AtomicBool,
     eviction: Notify,
 }
 
+/// A span in µs.
 const fn micros(span: Duration) -> u64 {
     span.as_micros() as u64
 }
 
 impl DownstreamConnection {
-    /// One that has just been accepted, and that came to the machine after `connected`.
+    /// A connection that was just accepted, and that reached the machine after `connected`.
     pub fn new(
         epoch: Instant,
         connected: Instant,
@@ -78,60 +80,63 @@
         })
     }
 
-    /// Tells the connection to go, unless a request turns out to have come whole.
+    /// Evicts the connection, unless a request turns out to have been received whole.
     pub fn evict(&self) {
         self.evicted.store(true, Ordering::Relaxed);
         self.eviction.notify_one();
     }
 
-    /// Waits for that word.
+    /// Waits for its eviction.
     pub async fn evicted(&self) {
         self.eviction.notified().await;
     }
 
-    /// A request had come: it stays for now.
+    /// A request was received: the connection stays for now.
     pub fn cancel_eviction(&self) {
         self.evicted.store(false, Ordering::Relaxed);
     }
 
-    /// Whether a request is being taken or answered.
+    /// Whether a request is being read or answered.
     pub fn is_busy(&self) -> bool {
         self.busy.load(Ordering::Relaxed)
     }
 
-    /// Whether a request is answered while nobody reads what comes behind it, so that its client's end is not seen either.
+    /// Whether a request is answered while nobody reads what follows it, so that the client's disconnection goes
+    /// unnoticed.
     pub fn unwatched(&self) -> bool {
         self.is_busy() && !self.reading.load(Ordering::Relaxed)
     }
 
-    /// Whether its client has gone, as far as the machine has told this loop: also behind bytes that nobody has read.
+    /// Whether its client has disconnected, as far as the machine has reported that: also behind bytes that nobody has
+    /// read.
     pub fn client_is_gone(&self) -> bool {
         self.stream
             .upgrade()
             .is_none_or(|stream| has_ended(&stream))
     }
 
-    /// Whether it has begun to be unwatched since this was last asked.
+    /// Whether it has become unwatched since this was last asked.
     pub fn is_newly_unwatched(&self) -> bool {
         let unwatched = self.unwatched();
-        // Written seldom: this is asked in each round of the connection.
+        // Written seldom, as this is asked in each round of the connection.
         unwatched != self.reported_unwatched.load(Ordering::Relaxed)
             && !self.reported_unwatched.swap(unwatched, Ordering::Relaxed)
     }
 
-    /// Whether it was told to go, and has not gone yet.
+    /// Whether it is being evicted.
     pub fn is_evicted(&self) -> bool {
         self.evicted.load(Ordering::Relaxed)
     }
 
-    /// What is seen of it now.
+    /// Its state now.
     pub fn state(&self) -> ConnectionState {
         let head_started_us = self.head_started_us.load(Ordering::Relaxed);
         ConnectionState {
             accepted_at: Duration::from_micros(self.accepted_us),
             last_active_at: Duration::from_micros(self.last_active_us.load(Ordering::Relaxed)),
             head_started_at: head_started_us.checked_sub(1).map(Duration::from_micros),
-            // Danger: an answer that is cut off as its client takes the last of it slowly.
+            // A client that takes the last bytes of a response slowly would lose them if the connection counted as
+            // idle.
             busy: self.is_busy() || self.blocked.load(Ordering::Relaxed) || self.is_evicted(),
             has_requested: self.has_requested(),
         }
@@ -147,8 +152,8 @@
         self.is_ambiguously_framed.load(Ordering::Relaxed)
     }
 
-    /// How long what was read last may have rested in the machine, or waited here for an earlier answer; nothing where that is too
-    /// little to count. Danger: a server is told more time than its client has.
+    /// How long the bytes that were read last may have been queued, in the machine or here behind an earlier response;
+    /// zero where that is too little to count. A server would otherwise be promised time that its client no longer has.
     pub fn time_queued(&self) -> Duration {
         rested(
             Duration::from_micros(self.sent_after_us.load(Ordering::Relaxed)),
@@ -165,15 +170,16 @@
         self.blocked.store(!taken, Ordering::Relaxed);
     }
 
-    /// Bytes were read, which the library had waited for or not.
+    /// Bytes were read, for which the library had waited or not.
     fn read(&self, bytes: &[u8], heads: &mut HeadScanner, waited: bool) {
         let now = micros(self.epoch.elapsed());
         self.last_active_us.store(now, Ordering::Relaxed);
         match event_loop::arrived_after()
             .map(|since| micros(since.saturating_duration_since(self.epoch)))
         {
-            // Who was waited for since before the loop's last whole round had sent nothing by then. Else they came after what was
-            // read before them, or, on a new connection, after that came to the machine.
+            // Where the connection was polled in vain before the loop's last whole round, the client had sent nothing
+            // by then. Otherwise the bytes came after those that were read before them, or, on a new connection, after
+            // that reached the machine.
             Some(since) if waited && since > self.accepted_us => {
                 self.sent_after_us.store(since.min(now), Ordering::Relaxed);
             }
@@ -181,7 +187,7 @@
             None => self.sent_after_us.store(now, Ordering::Relaxed),
         }
         if self.busy.load(Ordering::Relaxed) {
-            // A body, or the head of a request that is sent ahead.
+            // A body, or the head of a pipelined request.
         } else if self.head_started_us.load(Ordering::Relaxed) == 0 {
             self.head_started_us.store(now + 1, Ordering::Relaxed);
         }
@@ -191,11 +197,11 @@
     }
 }
 
-/// A connection that has a request, for as long as that is being taken or answered.
+/// Marks a connection as busy for as long as it lives.
 pub struct BusyGuard(Arc<DownstreamConnection>);
 
 impl BusyGuard {
-    /// From now on.
+    /// Marks it from now on.
     pub fn new(downstream: &Arc<DownstreamConnection>) -> BusyGuard {
         downstream.busy.store(true, Ordering::Relaxed);
         downstream.has_requested.store(true, Ordering::Relaxed);
@@ -213,7 +219,7 @@
     }
 }
 
-/// A client's connection whose bytes are seen as they come.
+/// A client's connection whose bytes are observed as they are read and written.
 pub struct ObservedStream {
     stream: Socket,
     downstream: Arc<DownstreamConnection>,
@@ -221,7 +227,7 @@
 }
 
 impl ObservedStream {
-    /// Watches a connection.
+    /// Observes a connection.
     pub fn new(stream: Arc<TcpStream>, downstream: Arc<DownstreamConnection>) -> ObservedStream {
         ObservedStream {
             stream: Socket::new(stream),
@@ -230,7 +236,8 @@
         }
     }
 
-    /// The connection, no longer watched; none where somebody looks at it in this very moment, which nobody does for longer.
+    /// The connection, no longer observed; `None` where it is being inspected in this very moment, which lasts no
+    /// longer than a call.
     pub fn into_inner(self) -> Option<TcpStream> {
         self.stream.into_inner()
     }
--- a/crates/node/src/edge.rs
+++ b/crates/node/src/edge.rs
@@ -2,7 +2,7 @@
 
 use crate::admin::{self, Admin};
 use crate::clients::{self, ServingStatus};
-use crate::config::{Config, List};
+use crate::config::{Config, List, PeerAddresses};
 use crate::endpoint_sources;
 use crate::error::NodeError;
 use crate::event_loop;
@@ -16,10 +16,10 @@
 use crate::readiness::ReadinessSampler;
 use crate::reload::{reload, Files, LimitTerms, OperatorFile};
 use crate::shutdown;
-use saffronpaddle_hot_restart::TransferredState;
 use saffronpaddle_lifecycle::Lifecycle;
 use saffronpaddle_netio::retry_shortage;
 use saffronpaddle_operator_config::{Operator, Sockets};
+use saffronpaddle_policy::interface::NodeId;
 use saffronpaddle_policy::StateSnapshot;
 use std::future::Future;
 use std::net::SocketAddr;
@@ -106,25 +106,50 @@
     }
 }
 
-/// What a parent process has handed over.
+/// What a parent process has handed over; nothing where there is none.
+#[derive(Default)]
 struct Handover {
-    link: ParentLink,
+    link: Option<ParentLink>,
     list: Option<List>,
-    policy: StateSnapshot,
+    /// The policy's state, and the number of the link.
+    policy: Option<(StateSnapshot, u32)>,
 }
 
-impl Handover {
-    fn new((link, state): (ParentLink, TransferredState)) -> Handover {
-        let list = hot_restart::transferred_list(&state);
-        let (customers, servers) = state.policy.size();
-        info!(
-            "hand-over: taken over from a process of this node: {customers} customers, {servers} servers"
-        );
-        Handover {
-            link,
-            list,
-            policy: state.policy,
-        }
+/// Takes over from the process that serves the node, if there is one.
+async fn take_over(rendezvous: Option<&Rendezvous>, links: &ProcessLinks) -> Handover {
+    let Some(rendezvous) = rendezvous else {
+        return Handover::default();
+    };
+    let Some((link, state)) = rendezvous.connect_to_parent(links).await else {
+        return Handover::default();
+    };
+    let list = hot_restart::transferred_list(&state);
+    let (customers, servers) = state.policy.size();
+    info!(
+        "hand-over: taken over from a process of this node: {customers} customers, {servers} servers"
+    );
+    Handover {
+        policy: Some((state.policy, link.number())),
+        link: Some(link),
+        list,
+    }
+}
+
+async fn bind_peers(
+    addresses: Option<PeerAddresses>,
+    me: NodeId,
+    reuse: bool,
+) -> Result<Option<Peers>, NodeError> {
+    match addresses {
+        Some(addresses) => Ok(Some(Peers::bind(addresses, me, reuse).await?)),
+        None => Ok(None),
+    }
+}
+
+async fn bind_admin(address: Option<SocketAddr>) -> Result<Option<Admin>, NodeError> {
+    match address {
+        Some(address) => Ok(Some(Admin::bind(address).await?)),
+        None => Ok(None),
     }
 }
 
@@ -149,28 +174,18 @@
         let links = ProcessLinks::new(&config.name, rendezvous.is_some());
         let rendezvous = rendezvous.map(|folder| Rendezvous::new(&folder, &config.name));
         // Before anything is bound: until then the parent has all to itself.
-        let handover = match &rendezvous {
-            Some(rendezvous) => rendezvous.connect_to_parent(&links).await,
-            None => None,
-        };
-        let handover = handover.map(Handover::new);
+        let handover = take_over(rendezvous.as_ref(), &links).await;
         let reuse = settings.is_some_and(|settings| settings.listen.reuse_port);
         let listener = listen(config.listen, inherited_listener, reuse).await?;
-        let peers = match config.peers {
-            Some(addresses) => {
-                Some(Peers::bind(addresses, config.named.settings.node, reuse || shared).await?)
-            }
-            None => None,
-        };
+        let me = config.named.settings.node;
+        let peers = bind_peers(config.peers, me, reuse || shared).await?;
         let sockets = settings.and_then(|settings| settings.sockets.clone());
         let capacity = Capacity::new(config.sockets, sockets.as_ref())?;
-        let (parent, transferred_list, restored) = match handover {
-            Some(Handover { link, list, policy }) => {
-                let number = link.number();
-                (Some(link), list, Some((policy, number)))
-            }
-            None => (None, None, None),
-        };
+        let Handover {
+            link: parent,
+            list: transferred_list,
+            policy: restored,
+        } = handover;
         let node = Node::new(NodeParts {
             seed: config.seed,
             named: config.named,
@@ -180,10 +195,7 @@
             sockets,
             restored,
         })?;
-        let admin = match config.admin {
-            Some(address) => Some(Admin::bind(address).await?),
-            None => None,
-        };
+        let admin = bind_admin(config.admin).await?;
         let address = listener.local_addr().map_err(NodeError::ListenerAddress)?;
         info!("{}: listening on {address}", config.name);
         Ok(Edge {
@@ -255,15 +267,15 @@
     ) -> (Vec<JoinHandle<()>>, JoinHandle<()>) {
         let node = || Rc::clone(&self.node);
         let operator = self.files.operator();
-        let sources = operator
-            .map(|operator| (operator.etcd.clone(), operator.list.clone()))
-            .unwrap_or_default();
+        let etcd = operator.and_then(|operator| operator.etcd.clone());
+        let poll_limits = operator.and_then(|operator| operator.list.clone());
         let counts_every = operator.and_then(|operator| operator.log.counts_every);
         let manager = Rc::clone(&self.manager);
         let tasks = vec![
             spawn_local(endpoint_sources::follow(
                 node(),
-                sources,
+                etcd,
+                poll_limits,
                 discovery,
                 self.known,
             )),
@@ -274,7 +286,7 @@
             spawn_local(admin::serve(self.admin, node(), calls)),
             spawn_local(run_websocket_timer(node())),
             spawn_local(node().log_counts(counts_every)),
-            spawn_local(event_loop::confirm_rounds()),
+            spawn_local(event_loop::confirm_iterations()),
             spawn_local(lifecycle_runner::feed_watchdog(node(), manager)),
             spawn_local(shutdown::log_open_requests(node(), status.clone())),
         ];
--- a/crates/node/src/endpoint_sources.rs
+++ b/crates/node/src/endpoint_sources.rs
@@ -1,4 +1,4 @@
-//! The sources of the list of app servers: the platform's discovery, etcd, or both.
+//! The sources of the endpoint list: the platform's discovery, etcd, or both.
 
 use crate::config::List;
 use crate::discovery;
@@ -11,27 +11,28 @@
 #[cfg(not(feature = "etcd"))]
 use tracing::warn;
 
-/// Follows what the operator file names, for ever. Without etcd that is the platform's discovery alone.
+/// Follows the sources that the operator's file names, for ever. Without etcd that is the platform's discovery alone.
 pub async fn follow(
     node: Rc<Node>,
-    (etcd, terms): (Option<Etcd>, Option<PollLimits>),
+    etcd: Option<Etcd>,
+    poll_limits: Option<PollLimits>,
     address: watch::Receiver<SocketAddr>,
     known: Option<List>,
 ) {
     let Some(etcd) = etcd else {
-        return discovery::follow(node, address, known, terms).await;
+        return discovery::follow(node, address, known, poll_limits).await;
     };
     #[cfg(not(feature = "etcd"))]
     {
         let _ = etcd;
         warn!("etcd: this program was built without it; the platform's discovery is followed");
-        discovery::follow(node, address, known, terms).await
+        discovery::follow(node, address, known, poll_limits).await
     }
     #[cfg(feature = "etcd")]
     {
         if etcd.instead {
-            // One source at a time: nothing is to be merged, and no second copy of the list is kept.
-            // The configuration's list stands until etcd has spoken, and has no say from then on.
+            // With a single source nothing is merged, and no second copy of the list is kept. The configuration's list
+            // stands until etcd has sent one.
             let known = known.map(|known| List {
                 whole: true,
                 ..known
@@ -43,7 +44,7 @@
         } else {
             node.merge_endpoint_sources();
             tokio::join!(
-                discovery::follow(Rc::clone(&node), address, known, terms),
+                discovery::follow(Rc::clone(&node), address, known, poll_limits),
                 by_etcd::follow(node, etcd)
             );
         }
@@ -63,11 +64,10 @@
     use tokio::sync::mpsc;
     use tracing::{error, info, warn};
 
-    /// A change that waited for longer between socket and decision module is told in the log: it is time off the 250 ms
-    /// of a drain.
+    /// A change that waited longer between socket and policy is logged: it is time off the 250 ms of a drain.
     const LATE: Duration = Duration::from_millis(50);
 
-    /// Takes the configuration's list for etcd's first word.
+    /// Applies the configuration's list as if etcd had sent it.
     pub fn begin_with(node: &Rc<Node>, known: &List) {
         let entries = known.hosts.iter().map(EndpointRecord::from).collect();
         node.on_endpoint_update(
@@ -117,8 +117,8 @@
         })
     }
 
-    /// Follows etcd for ever. What comes is read and decoded by a thread of its own, so that ten thousand changes hold up
-    /// no request; here they are taken in, all that wait at one stroke.
+    /// Follows etcd for ever. A thread of its own reads and decodes, so that ten thousand changes hold up no request;
+    /// here they are applied, all that are queued at once.
     pub async fn follow(node: Rc<Node>, etcd: Etcd) {
         let settings = match settings(&etcd) {
             Ok(settings) => settings,
@@ -132,10 +132,10 @@
                     .enable_all()
                     .build();
                 match runtime {
-                    // As a task: what a message wakes then runs in the same round, where the future that is blocked on
-                    // would wait for one more look at all descriptors.
+                    // As a task: what a message wakes then runs in the same round, where a future that is blocked on
+                    // would wait for one more poll of all descriptors.
                     Ok(runtime) => runtime.block_on(async {
-                        // It ends as the node does.
+                        // It ends when the node does.
                         let _ = tokio::spawn(saffronpaddle_etcd::follow(settings, tell)).await;
                     }),
                     Err(error) => error!(%error, "etcd: not followed"),
@@ -155,14 +155,14 @@
                 }
             }
             changes.flush(&node);
-            // Others have their turn between two strokes. Where nothing waits they have it anyway.
+            // Other tasks run between two batches. Where nothing is queued they run anyway.
             if !news.is_empty() {
                 tokio::task::yield_now().await;
             }
         }
     }
 
-    /// Changes that wait: host by host the last one.
+    /// Changes that are queued: the last one of each host.
     #[derive(Default)]
     struct Changes {
         entries: BTreeMap<Arc<str>, EndpointRecord>,
--- a/crates/node/src/endpoints.rs
+++ b/crates/node/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! What the decision module and the exchange are told of an app server on the list.
+//! App servers as the exchange and the policy know them.
 
 use saffronpaddle_endpoints::EndpointRecord;
 use saffronpaddle_policy::interface::{
@@ -12,8 +12,8 @@
     ServerId(host.bytes().fold(0xcbf2_9ce4_8422_2325, step))
 }
 
-/// An entry of the list, and where its server is found. `zones` are the names that the settings have, in their order; a zone
-/// that is not among them is none of them.
+/// An entry of the endpoint list for the policy, and its server's address. `zones` are the settings' names in their
+/// order; a zone that is not among them is none of them.
 pub fn server_entry(entry: &EndpointRecord, zones: &[String]) -> (Endpoint, SocketAddr) {
     let zone = zones.iter().position(|zone| **zone == *entry.zone);
     let server = Endpoint {
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -1,4 +1,4 @@
-//! How late this thread's loop reads what has come, as its sleeps and rounds show.
+//! How late this thread's loop reads what has reached the machine, as its sleeps and rounds show.
 
 use saffronpaddle_connection_eviction::{rested, IdleSweep};
 use std::cell::Cell;
@@ -8,16 +8,17 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// How often the loop is woken at least, as clients' connections are swept: it sleeps no longer.
+/// How often the loop is woken at least, for the sweep of clients' connections.
 pub const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
-/// The loop always asks to be woken for its next look at the connections; so much later, it was made to stand still.
+/// The loop always asks to be woken for its next sweep. If it sleeps this long it was kept from running.
 const LONGEST: Duration = SWEEP_INTERVAL.saturating_add(Duration::from_millis(10));
 
 thread_local! {
-    /// Since when the loop is watched; nothing is known of one that is not.
+    /// Since when the loop's sleeps are observed; nothing is known of a loop that is not.
     static BEGAN: Cell<Option<Instant>> = const { Cell::new(None) };
-    static SWEEP: Cell<IdleSweep> = const { Cell::new(IdleSweep::NEW) };
-    /// A round is to be proved.
+    /// The sleeps and rounds that were observed.
+    static SLEEPS: Cell<IdleSweep> = const { Cell::new(IdleSweep::NEW) };
+    /// Notified when a round is to be confirmed.
     static PROVE: Rc<Notify> = Rc::default();
 }
 
@@ -27,31 +28,31 @@
         BEGAN.set(Some(now));
         now
     });
-    let mut rounds = SWEEP.get();
+    let mut rounds = SLEEPS.get();
     change(&mut rounds, began.elapsed());
-    SWEEP.set(rounds);
+    SLEEPS.set(rounds);
 }
 
-/// Has a loop's sleeps watched. Costs two looks at the clock for each.
+/// Observes a loop's sleeps. It costs two reads of the clock for each.
 pub fn observe_parking(runtime: &mut Builder) -> &mut Builder {
     runtime.on_thread_park(|| with(IdleSweep::sleeps));
     runtime.on_thread_unpark(|| with(|rounds, now| rounds.wakes(now, LONGEST)))
 }
 
-/// What this loop reads now came after this, as far as is known; `None` for a loop that is not watched.
+/// A time before which what this loop reads now had not reached the machine; `None` for a loop that is not observed.
 pub fn arrived_after() -> Option<Instant> {
     let began = BEGAN.get()?;
-    let since = began + SWEEP.get().since();
+    let since = began + SLEEPS.get().since();
     if !rested(since.duration_since(began), began.elapsed()).is_zero() {
         PROVE.with(|prove| prove.notify_one());
     }
     Some(since)
 }
 
-/// Proves rounds of the loop when it looks late, for ever. Danger: a loop that has much to do sleeps seldom, and would take all
-/// that it reads for old. Tasks run in the order in which they are woken, and who yields is woken behind all that the machine
-/// told of then.
-pub async fn confirm_rounds() {
+/// Confirms rounds of the loop when it looks late, for ever. A busy loop sleeps seldom, and would take everything that
+/// it reads for old. Tasks run in the order in which they are woken, and a task that yields is woken behind all that
+/// the machine had reported by then.
+pub async fn confirm_iterations() {
     let prove = PROVE.with(Rc::clone);
     loop {
         prove.notified().await;
--- a/crates/node/src/forward.rs
+++ b/crates/node/src/forward.rs
@@ -11,38 +11,42 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// A client's request as it goes on to an app server.
+/// A client's request as it is forwarded to an app server.
 pub struct Forward {
+    /// Its id.
     pub id: RequestId,
     /// What a second execution would do.
     pub effect: Idempotency,
+    /// Its method.
     pub method: Method,
     /// Path and query.
     pub target: String,
+    /// Its idempotency key.
     pub key: Option<HeaderValue>,
+    /// Its body.
     pub body: ForwardBody,
-    /// The socket that is asked for.
+    /// The upgrade that is requested.
     pub offer: Option<Offer>,
-    /// When the edge node stops waiting.
+    /// When the edge node stops waiting for a response.
     pub deadline: Instant,
-    /// Who waits for the answer.
+    /// The connection whose client waits.
     pub client: Arc<DownstreamConnection>,
 }
 
-/// The body of a request that goes on.
+/// The body of a request that is forwarded.
 pub enum ForwardBody {
-    /// It has come whole, and can go again.
+    /// It was received whole, and can be sent again.
     Buffered(Bytes),
-    /// It goes by, once.
+    /// It is streamed, once.
     Streamed(Rc<StreamedRequestBody>),
 }
 
 impl Forward {
-    /// Its body, if that goes by.
+    /// Its body, if that is streamed.
     pub fn streamed_body(&self) -> Option<&Rc<StreamedRequestBody>> {
         match &self.body {
             ForwardBody::Buffered(_) => None,
-            ForwardBody::Streamed(pipe) => Some(pipe),
+            ForwardBody::Streamed(body) => Some(body),
         }
     }
 }
--- a/crates/node/src/head_scanner.rs
+++ b/crates/node/src/head_scanner.rs
@@ -1,9 +1,9 @@
-//! Follows the heads of requests on a connection, beside the library that reads them: of a length and an encoding together
-//! that library drops one unseen, and the request may hide another in its body.
+//! Scans the heads of requests on a connection, beside the library that reads them: where a head has both a length and
+//! an encoding that library drops one unseen, and the request may hide another in its body.
 
 use memchr::memchr;
 
-/// Most bytes of a line that are kept where it comes in pieces; the names that count are shorter.
+/// Most bytes of a line that are kept where it is received in pieces; the names that matter are shorter.
 const MAX_LINE_PREFIX_BYTES: usize = 64;
 
 /// Where in the flow of requests a connection is.
@@ -20,7 +20,7 @@
 #[derive(Debug)]
 pub struct HeadScanner {
     at: At,
-    /// What has come of a line that was cut.
+    /// What was received of a line that is not complete.
     line: Vec<u8>,
     begun: bool,
     length: Option<u64>,
@@ -28,7 +28,7 @@
 }
 
 impl HeadScanner {
-    /// A connection on which nothing has come.
+    /// A connection on which nothing was received.
     pub fn new() -> HeadScanner {
         HeadScanner {
             at: At::Head,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Takes what has come; whether a head was among it that has both a length and an encoding.
+    /// Scans what was received; whether a head that ended in it has both a length and an encoding.
     pub fn take(&mut self, mut bytes: &[u8]) -> bool {
         let mut both = false;
         while !bytes.is_empty() {
@@ -73,11 +73,11 @@
         both
     }
 
-    /// A line has ended.
+    /// Scans a complete line; whether it ends a head that has both.
     fn ends(&mut self, line: &[u8]) -> bool {
         let line = line.strip_suffix(b"\r").unwrap_or(line);
         match self.at {
-            // Empty lines before a head count for nothing.
+            // Empty lines before a head are ignored.
             At::Head if line.is_empty() && !self.begun => {}
             At::Head if line.is_empty() => {
                 let (length, coded) = (self.length.take(), std::mem::take(&mut self.coded));
@@ -109,7 +109,7 @@
                 let size = std::str::from_utf8(digits)
                     .ok()
                     .and_then(|text| u64::from_str_radix(text, 16).ok());
-                // The data's own line end follows it. What is no size is the library's to refuse.
+                // The data's own line end follows it. An invalid size is the library's to reject.
                 self.at = match size {
                     Some(0) | None => At::Trailer,
                     Some(size) => At::Chunk(size.saturating_add(2)),
--- a/crates/node/src/inherited_listener.rs
+++ b/crates/node/src/inherited_listener.rs
@@ -77,7 +77,7 @@
 /// # Errors
 /// What it names is no descriptor, or no TCP listener.
 pub fn inherited(descriptor: Option<&str>) -> Result<Option<TcpListener>, InheritedListenerError> {
-    /// Where handed-over descriptors begin.
+    /// The first descriptor that can be handed over.
     const FIRST: usize = 3;
     let Some(descriptor) = descriptor.filter(|text| !text.is_empty()) else {
         return Ok(None);
@@ -88,7 +88,7 @@
         .filter(|number| (FIRST..1024).contains(number));
     let number: usize =
         number.ok_or_else(|| InheritedListenerError::NoDescriptor(descriptor.to_owned()))?;
-    // The library checks what it is and takes it over; it is told in the service manager's way.
+    // The library checks what it is and takes it over; it reads the service manager's variables.
     std::env::set_var("LISTEN_FDS", (number - FIRST + 1).to_string());
     std::env::set_var("LISTEN_PID", std::process::id().to_string());
     let mut handed = ListenFd::from_env();
@@ -102,7 +102,7 @@
     Ok(Some(listener))
 }
 
-/// Which of so many it is. Without names it is the first.
+/// The place of a name among so many listeners. Without names it is the first.
 fn place(names: Option<&str>, name: &str, count: usize) -> Result<usize, ListenerNamesError> {
     let Some(names) = names.filter(|names| !names.is_empty()) else {
         return Ok(0);
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,6 +1,5 @@
-//! The edge node as a library: a shell of sockets round the decision module. It makes no policy.
+//! The edge node as a library: the I/O round the state machines of the other crates. It makes no policy.
 #![forbid(unsafe_code)]
-#![allow(missing_docs)] // Until each module's items are documented.
 
 mod admin;
 mod alarm;
--- a/crates/node/src/manager.rs
+++ b/crates/node/src/manager.rs
@@ -1,7 +1,7 @@
-//! The service manager: its notify socket (`sd_notify(3)`), and the watchdog that it asks to be fed.
+//! The service manager: its notify socket (`sd_notify(3)`), and the watchdog that expects heartbeats.
 //!
-//! The protocol's words come from the `sd-notify` crate. Its own sending blocks while the manager's socket is full and
-//! knows no abstract sockets, so the datagrams are sent here.
+//! The protocol's messages come from the `sd-notify` crate. Its own sending blocks while the manager's socket is full
+//! and knows no abstract sockets, so the datagrams are sent here.
 
 use saffronpaddle_lifecycle::ManagerMessage;
 use sd_notify::NotifyState;
@@ -15,22 +15,22 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// `WatchStatuses` that may wait for a manager whose socket is full. Guards memory against one that never reads.
+/// Messages that may be queued for a manager whose socket is full. It bounds memory where a manager never reads.
 const MAX_QUEUED_MESSAGES: usize = 16;
 
-/// The way to the manager; where there is none, all words are dropped.
+/// The service manager; where there is none, all messages are dropped.
 pub struct Manager {
     socket: Option<(UnixDatagram, SocketAddr)>,
-    /// `WatchStatuses` that the socket had no room for, in their order. A status or a sign of life never waits.
+    /// Messages that the socket had no room for, in their order. A status or a heartbeat is never queued.
     queued: RefCell<VecDeque<String>>,
-    /// Whether the log has been told that the manager can't be reached.
+    /// Whether it was logged that the manager cannot be reached.
     unreachable_logged: Cell<bool>,
-    /// How often it wants a sign of life.
+    /// Within which time it expects a heartbeat.
     watchdog: Option<Duration>,
 }
 
 impl Manager {
-    /// Nobody to be told.
+    /// No manager.
     pub fn none() -> Manager {
         Manager {
             socket: None,
@@ -56,7 +56,7 @@
             }
         };
         let socket = UnixDatagram::unbound()?;
-        // Danger: a manager that does not read stops a node that waits to tell it something.
+        // A manager that does not read would otherwise block the node.
         socket.set_nonblocking(true)?;
         Ok(Manager {
             socket: Some((socket, to)),
@@ -65,12 +65,12 @@
         })
     }
 
-    /// How often the manager wants a sign of life; `None` for never.
+    /// Within which time the manager expects a heartbeat; `None` for never.
     pub fn watchdog(&self) -> Option<Duration> {
         self.watchdog.filter(|_| self.socket.is_some())
     }
 
-    /// Tells it a word of the life cycle.
+    /// Sends a message of the life cycle.
     pub fn notify(&self, message: &ManagerMessage) {
         let text = match message {
             ManagerMessage::Ready => NotifyState::Ready.to_string(),
@@ -88,17 +88,17 @@
         self.send(text, !matches!(message, ManagerMessage::Status(_)));
     }
 
-    /// A sign of life.
+    /// Sends a heartbeat.
     pub fn send_heartbeat(&self) {
         self.send(NotifyState::Watchdog.to_string(), false);
     }
 
-    /// Whether words wait for room; they go out with [`Manager::retry`].
+    /// Whether messages are queued; they go out with [`Manager::retry`].
     pub fn has_queued(&self) -> bool {
         !self.queued.borrow().is_empty()
     }
 
-    /// Sends what waits, as far as there is room.
+    /// Sends what is queued, as far as there is room.
     pub fn retry(&self) {
         let mut queued = self.queued.borrow_mut();
         while let Some(text) = queued.front() {
@@ -130,7 +130,7 @@
         match &sent {
             Ok(_) => self.unreachable_logged.set(false),
             Err(error) if is_full(error) => {}
-            // Missing or gone: it may come back under the same address, and until then nobody need know.
+            // Missing or gone: it may return under the same address, and one line of the log is enough until then.
             Err(error) if !self.unreachable_logged.replace(true) => {
                 warn!("the service manager can't be told: {error}");
             }
--- a/crates/node/src/manager/tests.rs
+++ b/crates/node/src/manager/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use std::time::Instant;
 
-fn heard(socket: &UnixDatagram) -> Vec<String> {
+fn received(socket: &UnixDatagram) -> Vec<String> {
     socket.set_nonblocking(true).expect("a mode");
     let mut buffer = [0; 4096];
     let mut all = Vec::new();
@@ -21,37 +21,39 @@
 }
 
 #[test]
-fn words_have_the_protocols_form_on_an_abstract_socket() {
-    let (socket, name) = abstract_name("words");
+fn messages_have_the_protocols_form_on_an_abstract_socket() {
+    let (socket, name) = abstract_name("messages");
     let manager = Manager::at(OsStr::new(&name), None).expect("an address");
-    let words = [
+    let messages = [
         ManagerMessage::Ready,
         ManagerMessage::Reloading,
         ManagerMessage::Stopping,
         ManagerMessage::Status("not ready: clock".to_owned()),
         ManagerMessage::ExtendTimeout(Duration::from_millis(4600)),
     ];
-    words.iter().for_each(|word| manager.notify(word));
-    let heard = heard(&socket);
-    assert_eq!((&heard[0][..], &heard[2][..]), ("READY=1", "STOPPING=1"));
+    messages.iter().for_each(|message| manager.notify(message));
+    let received = received(&socket);
     assert_eq!(
-        (&heard[3][..], &heard[4][..]),
+        (&received[0][..], &received[2][..]),
+        ("READY=1", "STOPPING=1")
+    );
+    assert_eq!(
+        (&received[3][..], &received[4][..]),
         ("STATUS=not ready: clock", "EXTEND_TIMEOUT_USEC=4600000")
     );
-    let lines: Vec<&str> = heard[1].lines().collect();
+    let lines: Vec<&str> = received[1].lines().collect();
     let usec = lines[1]
         .strip_prefix("MONOTONIC_USEC=")
         .and_then(|usec| usec.parse::<u64>().ok());
     assert!(
         lines[0] == "RELOADING=1" && usec.is_some_and(|usec| usec > 0),
-        "{heard:?}"
+        "{received:?}"
     );
 }
 
-/// A manager that does not read must not stop the node; what it must know waits, in its order, and no more than
-/// the bound.
+/// A manager that does not read must not block the node; what it must know is queued, in its order, up to the bound.
 #[test]
-fn a_full_notify_socket_holds_nobody_up_and_keeps_what_must_be_told() {
+fn a_full_notify_socket_blocks_nobody_and_keeps_what_must_be_sent() {
     let (socket, name) = abstract_name("full");
     let manager = Manager::at(OsStr::new(&name), None).expect("an address");
     let begun = Instant::now();
@@ -65,9 +67,9 @@
     manager.notify(&ManagerMessage::Stopping);
     assert!(begun.elapsed() < Duration::from_secs(30), "it blocked");
     assert!(manager.queued.borrow().len() <= MAX_QUEUED_MESSAGES);
-    assert!(!heard(&socket).iter().any(|text| text == "STOPPING=1"));
+    assert!(!received(&socket).iter().any(|text| text == "STOPPING=1"));
     manager.retry();
-    let later = heard(&socket);
+    let later = received(&socket);
     assert_eq!(
         later.last().map(String::as_str),
         Some("STOPPING=1"),
@@ -91,7 +93,7 @@
     );
     let socket = UnixDatagram::bind(&path).expect("a socket");
     manager.notify(&ManagerMessage::Stopping);
-    assert_eq!(heard(&socket), ["STOPPING=1"]);
+    assert_eq!(received(&socket), ["STOPPING=1"]);
     drop(socket);
     manager.notify(&ManagerMessage::Ready);
     assert!(
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -36,7 +36,7 @@
 
 /// Rounds of the loop between an alarm and its event, in which what the machine holds is read: the driver's, the
 /// connection's, the exchange's.
-const LATE_TIMER_ROUNDS: usize = 3;
+const LATE_TIMER_YIELDS: usize = 3;
 
 /// What a node is made of.
 pub struct NodeParts {
@@ -50,7 +50,7 @@
     pub links: ProcessLinks,
     /// Other nodes.
     pub peers: Option<Peers>,
-    /// Settings of `web sockets`, where the operator has them.
+    /// Settings of web sockets, where the operator has them.
     pub sockets: Option<Sockets>,
     /// The state of a parent process, and the number of the link that it came by.
     pub restored: Option<(StateSnapshot, u32)>,
@@ -68,7 +68,7 @@
     pub links: ProcessLinks,
     /// Watches on the endpoint list.
     pub watch_statuses: WatchStatuses,
-    /// `web sockets`, where the operator has them.
+    /// web sockets, where the operator has them.
     pub websockets: Option<Rc<WebsocketProxy>>,
     max_upstream_connections: usize,
     registration: Registration,
@@ -122,7 +122,7 @@
     /// A node that serves nobody yet.
     ///
     /// # Errors
-    /// The settings make no sense, or the `web sockets`' class is not among them.
+    /// The settings make no sense, or the web sockets' class is not among them.
     pub fn new(parts: NodeParts) -> Result<Rc<Node>, NodeError> {
         let NodeParts {
             seed,
@@ -173,8 +173,8 @@
         self.clock.now()
     }
 
-    /// Tells the exchange what happened, and does what it asks for. No command waits, and none makes an event at once:
-    /// the exchange is never entered twice. A payload goes with the answer that it belongs to.
+    /// Has the exchange handle an event, and carries out its commands. No command waits, and none makes an event at
+    /// once: the exchange is never entered twice. A payload goes with the answer that the event completes.
     pub fn handle(self: &Rc<Self>, event: Event<SocketAddr>, payload: Option<Payload>) {
         let mut commands = Vec::new();
         debug!(?event, "exchange");
@@ -189,7 +189,7 @@
             .for_each(|command| self.carry_out(command, &mut payload));
     }
 
-    /// Hears of answers that went by and that nobody takes any more, for ever.
+    /// Handles responses that were streamed and that nobody reads any more, for ever.
     pub async fn handle_abandoned_responses(self: Rc<Self>) {
         let Some(mut abandoned) = self.upstream.take_abandoned() else {
             return;
@@ -199,22 +199,23 @@
         }
     }
 
-    /// Rings when the exchange asks for it, for ever.
+    /// Fires the exchange's timer when it is due, for ever.
     pub async fn run_timer(self: Rc<Self>) {
         loop {
             self.alarm
                 .rings(|| self.exchange.borrow().next_alarm(), || self.clock.now())
                 .await;
-            // Guards against blaming a server for an answer that this node was late to read: what the machine holds is
+            // A server must not be blamed for a response that this node was late to read: what the machine holds is
             // read first.
-            for _ in 0..LATE_TIMER_ROUNDS {
+            for _ in 0..LATE_TIMER_YIELDS {
                 tokio::task::yield_now().await;
             }
             self.handle(Event::TimerFired, None);
         }
     }
 
-    /// The process was told to stop: all that the node has taken, and all that it takes from now on, is answered by then.
+    /// The process was told to stop: all that the node has taken, and all that it takes from now on, is answered by
+    /// `end`.
     pub fn announce_shutdown(self: &Rc<Self>, end: Instant) {
         let earlier = self.answer_by.get().is_some_and(|earlier| earlier <= end);
         if !earlier {
@@ -229,13 +230,13 @@
         );
     }
 
-    /// The process ends: requests without an answer are violations, and told as such.
+    /// The process ends: requests without an answer are violations, and logged as such.
     pub fn process_exits(&self) {
         self.exchange.borrow_mut().process_exits();
         self.log_violations();
     }
 
-    /// Tells the log of invariants that did not hold.
+    /// Logs invariants that did not hold.
     fn log_violations(&self) {
         for Violation { invariant, request } in self.exchange.borrow_mut().take_violations() {
             error!(
@@ -246,7 +247,7 @@
         }
     }
 
-    /// The node leaves: no connection to a server is kept any more.
+    /// The node stops: no connection to a server is kept any more.
     pub fn stop(self: &Rc<Self>) {
         self.handle(Event::Stop, None);
         if let Some(websockets) = &self.websockets {
@@ -266,44 +267,44 @@
         open
     }
 
-    /// A request that was not taken was answered all the same.
+    /// Counts a request that was answered without being taken.
     pub fn record_rejection(&self, class: ClassId, end: RequestEnd) {
         debug!(class = class.0, ?end, "turned away");
         self.exchange.borrow_mut().turned_away(class.0, end);
     }
 
-    /// Tells the module something that is none of the exchange's.
+    /// Has the policy handle an event that is not the exchange's.
     pub fn post(self: &Rc<Self>, event: PolicyEvent) {
         self.handle(Event::PolicyEvent(event), None);
     }
 
-    /// Lets the module's clock begin, before any list is known.
+    /// Starts the policy's timers, before any endpoint list is known.
     pub fn start(self: &Rc<Self>) {
         self.post(PolicyEvent::EndpointsUnavailable);
     }
 
-    /// How long ago the module was last woken.
+    /// The time since a timer of the policy last fired.
     pub fn since_last_timer(&self) -> Duration {
         self.last_timer_at.get().elapsed()
     }
 
-    /// A source of the list has said something, if only that nothing has changed.
+    /// A source of the endpoint list has sent something, if only that nothing has changed.
     pub fn record_list_contact(&self) {
         self.list_contact_at.set(Some(Instant::now()));
     }
 
-    /// How long ago a source of the list last said something; `None` if none has yet.
+    /// The time since a source of the endpoint list last sent something; `None` if none has yet.
     pub fn list_age(&self) -> Option<Duration> {
         self.list_contact_at.get().map(|at| at.elapsed())
     }
 
-    /// Hands a peer's datagram to the module.
+    /// Hands a peer's datagram to the policy.
     pub fn on_peer_message(self: &Rc<Self>, from: NodeId, bytes: Vec<u8>) {
         self.reachable_peers.borrow_mut().insert(from);
         self.post(PolicyEvent::PeerMessage { from, bytes });
     }
 
-    /// How many peers were heard in this life, and how many there are that speak unasked.
+    /// How many peers were heard of in this process, and how many there are that broadcast.
     pub fn reachable_peers(&self) -> (usize, usize) {
         let all = self.named.settings.node_count.saturating_sub(1) as usize;
         let speak = self.peers.is_some() && self.exchange.borrow().policy().broadcasts();
@@ -313,12 +314,12 @@
         )
     }
 
-    /// What the module keeps in mind, for its next process.
+    /// The policy's state, for a child of this process.
     pub fn policy_snapshot(&self) -> StateSnapshot {
         self.exchange.borrow().policy().snapshot()
     }
 
-    /// Keeps to this process's part of the node's connections to app servers.
+    /// Applies this process's part of the node's connections to app servers.
     pub fn apply_connection_share(&self) {
         self.exchange
             .borrow_mut()
@@ -326,7 +327,7 @@
     }
 }
 
-/// The `web sockets` of a node, whose class is known by name.
+/// The web sockets of a node, whose class is known by name.
 fn websocket_proxy(
     named: &NamedSettings,
     sockets: Sockets,
--- a/crates/node/src/node/endpoint_list.rs
+++ b/crates/node/src/node/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: changes of all sources on their way to the exchange and to the `web sockets`.
+//! The endpoint list: changes of all sources on their way to the exchange and to the web sockets.
 
 use super::Node;
 use crate::config::{Health, Host, List};
@@ -19,7 +19,7 @@
 }
 
 impl Node {
-    /// Keeps what discovery has told, for this process's heir, where there can be one.
+    /// Records a list of discovery for a child of this process, where there can be one.
     pub fn record_list(&self, list: &List) {
         if !self.links.enabled() {
             return;
@@ -38,7 +38,7 @@
         }
     }
 
-    /// What discovery has told so far, as one list; none if it has told nothing.
+    /// What discovery has sent so far, as one list; `None` if it has sent nothing.
     pub fn last_list(&self) -> Option<List> {
         let recorded = self.recorded_list.borrow();
         let hosts: Vec<Host> = recorded.hosts.values().cloned().collect();
@@ -49,7 +49,7 @@
         })
     }
 
-    /// Follows the platform's discovery.
+    /// Applies a list of the platform's discovery.
     pub fn on_discovery_list(self: &Rc<Self>, list: &List) {
         let entries = list.hosts.iter().map(EndpointRecord::from).collect();
         self.on_endpoint_update(
@@ -62,7 +62,7 @@
         );
     }
 
-    /// Follows a source of the list. Where there are several, they are merged.
+    /// Applies an update of a source. Where there are several sources, they are merged.
     pub fn on_endpoint_update(self: &Rc<Self>, source: Source, change: EndpointUpdate) {
         let change = match &mut *self.merge.borrow_mut() {
             Some(merge) => merge.take(source, change),
@@ -93,7 +93,7 @@
         );
     }
 
-    /// Several sources of the list will be followed: from now on they are merged.
+    /// Several sources are followed: from now on they are merged.
     pub fn merge_endpoint_sources(&self) {
         self.merge.borrow_mut().get_or_insert_with(Merge::new);
     }
--- a/crates/node/src/node/figures.rs
+++ b/crates/node/src/node/figures.rs
@@ -10,13 +10,13 @@
 use tokio::time::Instant;
 
 impl Node {
-    /// The figures as staff are told them.
+    /// The figures as staff read them.
     #[allow(clippy::redundant_closure_for_method_calls)] // The method is not general over its lifetime.
     pub fn figures(&self) -> String {
         self.with_figures(|figures| figures.exposition())
     }
 
-    /// Tells the log the figures so often, for ever.
+    /// Writes the figures to the log at this interval, for ever.
     pub async fn log_counts(self: Rc<Self>, every: Option<Duration>) {
         let Some(every) = every else { return };
         let started_at = Instant::now();
--- a/crates/node/src/node/requests.rs
+++ b/crates/node/src/node/requests.rs
@@ -18,7 +18,7 @@
 }
 
 impl Node {
-    /// Takes a request in. `None` if its id is in use: two owners of one id would mix up their answers.
+    /// Submits a request. `None` if its id is in use: two owners of one id would mix up their responses.
     pub fn submit(
         self: &Rc<Self>,
         arrival: PolicyEvent,
@@ -57,7 +57,7 @@
         Some((answered, ticket))
     }
 
-    /// Nobody waits for this request any more. One that was answered needs no such word.
+    /// Abandons a request whose client waits no more. One that was answered is left alone.
     pub fn abandon(self: &Rc<Self>, id: &RequestId, ticket: Ticket) {
         let open = self
             .requests
@@ -76,7 +76,7 @@
         }
     }
 
-    /// A request's client has gone, and its connection has not said so yet.
+    /// Abandons a request whose client has disconnected, before its connection reports that.
     pub(super) fn abandon_forward(self: &Rc<Self>, forward: &Rc<Forward>) {
         let pending = self
             .requests
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -1,4 +1,4 @@
-//! Datagrams between edge nodes. They may be late, lost or forged: what they say is the module's concern.
+//! Datagrams between edge nodes. They may be late, lost or forged: what they say is the policy's concern.
 
 use crate::config::PeerAddresses;
 use crate::error::NodeError;
@@ -12,12 +12,13 @@
 /// Most bytes of a datagram.
 const MAX_DATAGRAM_BYTES: usize = 256;
 
+/// The other nodes of the fleet.
 pub struct Peers {
     socket: UdpSocket,
     each: Vec<SocketAddr>,
     all: Option<SocketAddr>,
     me: usize,
-    /// Datagrams told and heard.
+    /// Datagrams sent and received.
     message_counts: Cell<(u64, u64)>,
 }
 
@@ -56,12 +57,14 @@
         })
     }
 
+    /// Sends a datagram to one node.
     pub fn send_to(&self, to: NodeId, bytes: &[u8]) {
         if let Some(address) = self.each.get(to.0 as usize) {
             self.send(bytes, *address);
         }
     }
 
+    /// Sends a datagram to all other nodes.
     pub fn broadcast(&self, bytes: &[u8]) {
         if let Some(all) = self.all {
             return self.send(bytes, all);
@@ -78,7 +81,7 @@
         if bytes.len() <= MAX_DATAGRAM_BYTES {
             let (sent, received) = self.message_counts.get();
             self.message_counts.set((sent + 1, received));
-            // Losing one is in the nature of datagrams.
+            // Datagrams may be lost.
             let _ = retry_interrupted(|| self.socket.try_send_to(bytes, to));
         }
     }
@@ -96,7 +99,7 @@
         Some((NodeId(sender as u32), bytes.to_vec()))
     }
 
-    /// Datagrams told and heard so far; one to all counts as one.
+    /// Datagrams sent and received so far; one to all counts as one.
     pub fn message_counts(&self) -> (u64, u64) {
         self.message_counts.get()
     }
--- a/crates/node/src/readiness.rs
+++ b/crates/node/src/readiness.rs
@@ -1,4 +1,4 @@
-//! What readiness hangs on, as it is seen on this machine.
+//! What readiness depends on, as it is sampled on this machine.
 
 use crate::node::Node;
 use saffronpaddle_lifecycle::Facts;
@@ -7,13 +7,13 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// No clock is right that tells a time before this: 2020-01-01, Unix time.
+/// A clock that shows an earlier time is wrong: 2020-01-01, Unix time.
 #[allow(clippy::duration_suboptimal_units)] // A Unix time.
 const EARLIEST_PLAUSIBLE_TIME: Duration = Duration::from_secs(1_577_836_800);
-/// Descriptors and memory are counted anew after so long: each takes a look at the machine's files.
+/// Descriptors and memory are counted again after so long: each takes a read of `/proc`.
 const COUNT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Sees what readiness hangs on.
+/// Samples what readiness depends on.
 pub struct ReadinessSampler {
     node: Rc<Node>,
     sockets: u64,
@@ -24,7 +24,7 @@
 }
 
 impl ReadinessSampler {
-    /// What this node may use: descriptors, and bytes of memory.
+    /// A sampler for a node that may use so many descriptors, and so many bytes of memory.
     pub fn new(node: Rc<Node>, sockets: usize, memory: usize) -> ReadinessSampler {
         let began = (unix(), Instant::now());
         ReadinessSampler {
@@ -36,12 +36,12 @@
         }
     }
 
-    /// The node that it looks at.
+    /// The node that is sampled.
     pub fn node(&self) -> &Rc<Node> {
         &self.node
     }
 
-    /// How it stands now, in a loop that is so late.
+    /// A sample of now, in a loop that is so late.
     pub fn sample(&mut self, lag: Duration) -> Facts {
         let (_, open, memory) = match self.counted {
             Some(counted) if counted.0.elapsed() < COUNT_INTERVAL => counted,
@@ -72,10 +72,10 @@
         .unwrap_or_default()
 }
 
-/// Descriptors that are open; none where the machine does not tell.
+/// Descriptors that are open; 0 where the machine does not say.
 fn descriptors() -> u64 {
-    // The folder's size is their number (`proc(5)`, since Linux 6.2; 0 before). A list of them all, made twice a second, is 2%
-    // of a core with 20,000.
+    // The folder's size is their number (`proc(5)`, since Linux 6.2; 0 before). Listing 20,000 of them twice a second
+    // would take 2% of a core.
     match fs::metadata("/proc/self/fd").map_or(0, |folder| folder.len()) {
         0 => listed_descriptors(),
         open => open,
@@ -83,11 +83,11 @@
 }
 
 fn listed_descriptors() -> u64 {
-    // The look itself takes one.
+    // Listing them takes one.
     fs::read_dir("/proc/self/fd").map_or(0, |list| (list.count() as u64).saturating_sub(1))
 }
 
-/// Bytes of memory in use; none where the machine does not tell.
+/// Bytes of memory in use; 0 where the machine does not say.
 fn resident() -> u64 {
     // In pages, the second figure (`proc(5)`, statm).
     let text = fs::read_to_string("/proc/self/statm").unwrap_or_default();
--- a/crates/node/src/readiness/tests.rs
+++ b/crates/node/src/readiness/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn the_machine_tells_of_descriptors_and_memory() {
+fn descriptors_and_memory_in_use_are_counted() {
     let before = descriptors();
     let more: Vec<_> = (0..5)
         .map(|_| fs::File::open("/proc/self/status").expect("it is there"))
--- a/crates/node/src/shutdown.rs
+++ b/crates/node/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! What the log tells of a node that is stopping: when it ends, and which requests still have no answer.
+//! Logs a node that is stopping: which requests still have no answer.
 
 use crate::clients::{Phase, ServingStatus};
 use crate::node::Node;
@@ -9,12 +9,12 @@
 use tokio::time::sleep;
 use tracing::info;
 
-/// How often open requests are told while the node closes.
+/// How often open requests are logged while the node closes.
 const LOG_INTERVAL: Duration = Duration::from_millis(500);
-/// Requests that are told one by one at a time; the rest are only counted. Bounds the log.
+/// Requests that are logged one by one at a time; the rest are only counted. It bounds the log.
 const MAX_LOGGED_REQUESTS: usize = 16;
 
-/// Tells the log of requests without an answer while the node closes, until it is dropped.
+/// Logs requests without an answer while the node closes, until it is dropped.
 pub async fn log_open_requests(node: Rc<Node>, mut status: watch::Receiver<ServingStatus>) {
     if status
         .wait_for(|status| status.phase >= Phase::Closing)
@@ -29,7 +29,7 @@
     }
 }
 
-/// Tells the log of each request without an answer.
+/// Logs each request without an answer.
 pub fn log_open_requests_once(state: &str, node: &Node) {
     let open = node.open_requests();
     if open.is_empty() {
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -32,20 +32,20 @@
 
 /// What came of an attempt.
 pub(super) enum AttemptOutcome {
-    /// An answer that is whole.
+    /// A whole response.
     Complete(Outcome, Option<Payload>),
-    /// An answer of which so much has come, and that goes on as it comes.
+    /// A response of which so much was received, and that is streamed.
     Streaming(VecDeque<Bytes>, Incoming),
-    /// A socket.
+    /// The server agreed to an upgrade.
     Upgraded(Box<UpgradedConnection>),
-    /// Nothing whole, or no answer to this request.
+    /// No whole response, or none to this request.
     Lost,
 }
 
-/// How long an answer of unknown length may take to show that it is a short one.
+/// How long a response of unknown length may take to show that it is short.
 const SHORT_BODY_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Writes the request and reads its answer: whole if it is a short one, so that a client never gets one that was cut where
+/// Writes the request and reads its response: whole if it is short, so that a client never gets a cut response where
 /// another attempt can help.
 pub(super) async fn run(
     sender: &mut SendRequest<UpstreamRequestBody>,
@@ -72,7 +72,7 @@
         _ => return AttemptOutcome::Lost,
     };
     match (outcome, &forward.offer) {
-        // What a server has against an upgrade is the client's to know.
+        // Why a server rejects an upgrade is the client's to know.
         (Outcome::Error, Some(_)) if status.is_client_error() => {
             AttemptOutcome::Complete(Outcome::Ok, Some(Payload::UpgradeRejected(status, body)))
         }
@@ -91,14 +91,15 @@
     if answer.status().is_informational() {
         return false;
     }
-    // A server that repeats its last answer would give one client another's: where it names the request, the name must match.
+    // A server that repeats its last response would give one client another's: where it names the request, the name
+    // must match.
     if headers
         .get("x-request-id")
         .is_some_and(|id| id.as_bytes() != forward.id.0.as_bytes())
     {
         return false;
     }
-    // Of an answer that ends with its connection, unannounced, nobody could tell whether it is whole.
+    // Of a response that ends with its connection, unannounced, nobody could tell whether it is whole.
     let framed = [CONTENT_LENGTH, TRANSFER_ENCODING]
         .iter()
         .any(|name| headers.contains_key(name));
@@ -109,7 +110,7 @@
     framed || closes
 }
 
-/// Reads a short body whole; of a long one, what had come when that was clear. `None` if it broke before.
+/// Reads a short body whole; of a long one, what was received when that was clear. `None` if it broke before.
 async fn read_short(mut body: Incoming) -> Option<Gathered> {
     let (mut pieces, mut size) = (VecDeque::new(), 0);
     let known = body.size_hint().exact();
@@ -141,7 +142,7 @@
     Some(Ok(joined(pieces)))
 }
 
-/// Writes the request and reads the head of its answer.
+/// Writes the request and reads the head of its response.
 async fn exchange_heads(
     sender: &mut SendRequest<UpstreamRequestBody>,
     forward: &Forward,
--- a/crates/node/src/upstream/gate.rs
+++ b/crates/node/src/upstream/gate.rs
@@ -17,9 +17,9 @@
 
 /// Rounds of the loop that a first byte waits for changes of the endpoint list to be read: the driver's, the connection's, the
 /// watch's, and some to spare. It ends the wait where a watch is never read.
-const MAX_DISCOVERY_ROUNDS: u32 = 16;
+const MAX_DISCOVERY_YIELDS: u32 = 16;
 
-/// Whether bytes may be written on a connection, and who is asked.
+/// Whether bytes may be written on a connection, and who decides that.
 pub(super) struct Gate {
     /// By number, as an upgrade requires a stream that could go to another thread, though none does.
     pub owner: u64,
@@ -27,7 +27,7 @@
     pub open: Arc<AtomicBool>,
 }
 
-/// A socket to which no request's first byte goes before the exchange was asked.
+/// A stream on which no request's first byte is written before the exchange has decided.
 pub(super) struct GatedStream {
     stream: TokioIo<Socket>,
     gate: Gate,
@@ -47,36 +47,38 @@
         }
     }
 
-    /// The stream, no longer gated; `None` where somebody looks at it in this very moment.
+    /// The stream, no longer gated; `None` where it is being inspected in this very moment.
     pub(super) fn into_stream(self) -> Option<TcpStream> {
         self.stream.into_inner().into_inner()
     }
 
-    /// Asks before the first byte. Drains that have been told are taken before that: a loop that was late may find both at once.
+    /// Has the exchange decide on the first byte. Drains that were announced are applied before that: a loop that was
+    /// late may find both at once.
     fn ask(&mut self, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         if self.gate.open.load(Ordering::Relaxed) {
             return Poll::Ready(Ok(()));
         }
         if let Some(owner) = upstream_events::owner(self.gate.owner) {
             let forward = owner.ready_request(self.gate.connection);
-            // Danger: a new connection is read before the machine has told of it, so also not that its client has left again.
+            // The client of a connection that was just accepted may have disconnected again before the machine has
+            // reported either: one round shows it.
             let untold = forward
                 .as_ref()
                 .is_some_and(|forward| forward.client.unwatched());
             while (untold && self.waited == 0)
-                || (self.waited < MAX_DISCOVERY_ROUNDS && owner.has_unread_endpoints())
+                || (self.waited < MAX_DISCOVERY_YIELDS && owner.has_unread_endpoints())
             {
                 let round = self.round.get_or_insert_with(|| Box::pin(yield_now()));
                 ready!(round.as_mut().poll(context));
                 (self.waited, self.round) = (self.waited + 1, None);
             }
             self.waited = 0;
-            // Danger: a client that has gone while this loop was late, or behind bytes that nobody reads. Who waits for the first byte
-            // is asked in the same instant.
+            // A client may have disconnected while this loop was late, or behind bytes that nobody reads. Its request
+            // would be executed for nobody: this is checked in the same instant as the first byte.
             if let Some(forward) = forward.filter(|forward| forward.client.client_is_gone()) {
                 Rc::clone(&owner).client_gone(&forward);
             }
-            // Guards against the rest of one answer being read as the next.
+            // Bytes that are left of one response would be read as the next: the exchange must know of them.
             let quiet = is_quiet(self.stream.inner().stream());
             owner.on_event(
                 Event::FirstByteReady {
--- a/crates/node/src/websocket.rs
+++ b/crates/node/src/websocket.rs
@@ -1,5 +1,5 @@
-//! WebSocket (RFC 6455): relays frames between a client and a server, as the table of sockets and the scanners of
-//! `saffronpaddle-websocket` have it. It makes no policy.
+//! WebSocket (RFC 6455): relays frames between a client and a server, as the table and the scanners of
+//! `saffronpaddle-websocket` decide. It makes no policy.
 
 mod relay;
 
@@ -20,36 +20,40 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// An upgrade that a server has agreed to: its connection, and what came right behind its answer.
+/// An upgrade that a server has agreed to: its connection, and what followed its response.
 #[derive(Debug)]
 pub struct UpgradedConnection {
-    /// The client's key, and what the server agreed to.
+    /// The client's key.
     pub key: HeaderValue,
+    /// What the server agreed to.
     pub switch: Switch,
+    /// The server.
     pub server: ServerId,
+    /// The connection to it.
     pub stream: TcpStream,
+    /// Bytes that followed its response.
     pub early: Bytes,
 }
 
 impl UpgradedConnection {
-    /// The headers of the client's answer.
+    /// The headers of the client's response.
     pub fn accepted(&self) -> HeaderMap {
         upgrade::accepted(&self.key, &self.switch)
     }
 }
 
-/// What a relay is told.
+/// What a relay is to do.
 #[derive(Default)]
 struct RelayControl {
     close: RefCell<Option<(u16, String)>>,
-    /// When nothing may be written to the server any more.
+    /// When nothing may be written to the server any more, µs.
     by: Cell<Option<Micros>>,
     ping: [Cell<bool>; 2],
     cut: Cell<bool>,
     changed: Notify,
 }
 
-/// All sockets of a node.
+/// All web sockets of a node.
 pub struct WebsocketProxy {
     /// The class of upgrade requests.
     pub class: ClassId,
@@ -57,13 +61,13 @@
     settings: saffronpaddle_operator_config::Sockets,
     table: RefCell<Sockets>,
     relays: RefCell<HashMap<SocketId, Rc<RelayControl>>>,
-    /// Where each server was, as the list had it last.
+    /// Each server's address, as the endpoint list last had it.
     addresses: RefCell<HashMap<ServerId, SocketAddr>>,
     alarm: Alarm,
     over: Notify,
 }
 
-/// A place among the sockets, for as long as an upgrade or its socket has it.
+/// A permit for one socket, for as long as an upgrade or its socket has it.
 pub struct WebsocketPermit {
     proxy: Rc<WebsocketProxy>,
     id: SocketId,
@@ -120,49 +124,50 @@
         })
     }
 
-    /// Follows the list: who is not ready any more, or has moved, loses its sockets.
+    /// Applies endpoints: sockets are closed whose server is not ready any more, or has moved.
     pub fn on_endpoints(
         &self,
         snapshot: bool,
         servers: impl Iterator<Item = (ServerId, bool, SocketAddr)>,
     ) {
+        let now = self.now();
         let mut addresses = self.addresses.borrow_mut();
-        let (mut changes, mut named) = (Vec::new(), HashSet::new());
+        let (mut changes, mut listed) = (Vec::new(), HashSet::new());
         for (server, ready, address) in servers {
-            let old = if ready {
+            let previous = if ready {
                 addresses.insert(server, address)
             } else {
                 addresses.remove(&server)
             };
-            if !ready || old.is_some_and(|old| old != address) {
+            if !ready || previous.is_some_and(|previous| previous != address) {
                 changes.push((server, false));
             }
             if ready {
                 changes.push((server, true));
             }
-            named.insert(server);
+            listed.insert(server);
         }
         if snapshot {
             changes.extend(
                 addresses
-                    .extract_if(|server, _| !named.contains(server))
+                    .extract_if(|server, _| !listed.contains(server))
                     .map(|(server, _)| (server, false)),
             );
         }
         drop(addresses);
         for (server, ready) in changes {
-            let commands = self.table.borrow_mut().told(self.now(), server, ready);
+            let commands = self.table.borrow_mut().told(now, server, ready);
             self.carry_out(commands);
         }
     }
 
-    /// The node leaves.
+    /// The node stops: all sockets are drained.
     pub fn stop(&self) {
         let commands = self.table.borrow_mut().stop(self.now());
         self.carry_out(commands);
     }
 
-    /// Comes back when there is no socket.
+    /// Returns when there is no socket.
     pub async fn all_closed(&self) {
         while self.table.borrow().count() > 0 {
             self.over.notified().await;
@@ -206,7 +211,7 @@
         self.set();
     }
 
-    /// Rings when the table asks for it, for ever.
+    /// Fires the table's timer when it is due, for ever.
     pub async fn run_timer(&self) {
         loop {
             self.alarm
--- a/crates/node/src/websocket/relay.rs
+++ b/crates/node/src/websocket/relay.rs
@@ -11,20 +11,20 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// Most bytes that are read of one side at once; no more wait to be written to the other. Guards memory against a reader
-/// that is slower than its writer: the writer is not read until all of it is written.
+/// Most bytes that are read of one side at once; no more wait to be written to the other. It bounds memory where a
+/// reader is slower than its writer: the writer is not read until all of it is written.
 const MAX_BUFFER_BYTES: usize = 16 * 1024;
 
 thread_local! {
-    /// Where bytes are read to: one buffer for all sockets, none for each that is idle.
+    /// The buffer that bytes are read to: one for all sockets, as an idle socket needs none.
     static READ_BUFFER: RefCell<Vec<u8>> = RefCell::new(vec![0; MAX_BUFFER_BYTES]);
 }
 
-/// What goes from one side to the other.
+/// Bytes from one side to the other.
 struct Direction {
     scanner: Scanner,
     out: Vec<u8>,
-    /// A close has gone, or is about to: nothing comes after it.
+    /// A close was written, or is about to be: nothing follows it.
     shut: bool,
 }
 
@@ -34,15 +34,15 @@
     control: Rc<RelayControl>,
     /// By side: the client's, the server's.
     streams: [TcpStream; 2],
-    /// By who speaks.
+    /// By sender.
     directions: [Direction; 2],
-    /// By side: it has ended, and neither says nor hears anything more.
+    /// By side: it has ended, and is neither read nor written any more.
     ended: [bool; 2],
     /// By side: how it is to be closed.
     close: [Option<(u16, String)>; 2],
 }
 
-/// Relays until the socket is over. Early bytes are those that came before the relay began.
+/// Relays until the socket is closed. `early`: bytes that the client sent before the relay began.
 pub async fn relay(
     permit: WebsocketPermit,
     client: TcpStream,
@@ -83,7 +83,7 @@
     };
     relay.on_bytes(&websockets, Side::Client, &early);
     relay.on_bytes(&websockets, Side::Server, &behind);
-    // An idle socket holds no buffer: these are parts of those that the heads were read to.
+    // An idle socket keeps no buffer: these are parts of those that the heads were read to.
     drop((early, behind, switch));
     relay.run(&websockets).await;
 }
@@ -92,7 +92,7 @@
     async fn run(&mut self, websockets: &WebsocketProxy) {
         loop {
             self.take_close();
-            // Guards the drain where the loop is late: what was not written in time is not written.
+            // What was not written by the drain's deadline is not written any more, also where the loop is late.
             if self
                 .control
                 .by
@@ -115,7 +115,7 @@
             if self.is_over(Side::Client) && self.is_over(Side::Server) && written {
                 break;
             }
-            // Both have been told: others are still to be, and that comes first.
+            // Both sides have got their close. Other sockets have not, and come first.
             if written
                 && self.control.by.get().is_some()
                 && self.directions.iter().all(|direction| direction.shut)
@@ -134,8 +134,8 @@
                 _ = server.writable(), if writes(Side::Server) => {}
             }
         }
-        // Guards the drain: what the machine still holds for the server is dropped with the connection. One that has
-        // answered the close holds nothing.
+        // What the machine still holds for the server would be sent after the drain's deadline: it is dropped with the
+        // connection. A server that has answered the close is owed nothing.
         self.read(websockets, Side::Server);
         if self.control.cut.get() && !self.directions[Side::Server as usize].scanner.closed() {
             let _ = SockRef::from(&self.streams[Side::Server as usize])
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Puts in the node's own frames for a side, where a frame of the other's ends.
+    /// Inserts the node's own frames for a side, where a frame of the other side ends.
     fn insert_own_frames(&mut self, to: Side) {
         let direction = &mut self.directions[to.other() as usize];
         if direction.shut || self.ended[to as usize] || !direction.scanner.at_boundary() {
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Reads once what a side says.
+    /// Reads once from a side.
     fn read(&mut self, websockets: &WebsocketProxy, from: Side) {
         READ_BUFFER.with_borrow_mut(|scratch| {
             match retry_interrupted(|| self.streams[from as usize].try_read(scratch)) {
@@ -198,10 +198,10 @@
         let closing = self.close[from.other() as usize].is_some();
         let direction = &mut self.directions[from as usize];
         let scanned = if direction.shut {
-            // It has been told to close: all that counts now is that it does.
+            // It was sent a close: all that matters is that it answers.
             direction.scanner.scan(bytes, &mut dropped, &mut seen)
         } else if closing {
-            // Only the rest of the frame that is under way goes on.
+            // Only the rest of the current frame is relayed.
             let mut bytes = bytes.iter();
             let mut scanned = Ok(());
             while !direction.scanner.at_boundary() && scanned.is_ok() {
@@ -224,7 +224,7 @@
             .borrow_mut()
             .heard(websockets.now(), self.permit.id, from, data);
         if seen.iter().any(|seen| matches!(seen, Seen::Close(_))) {
-            // Where the node has not closed by itself, the close has gone on to the other side, which answers it.
+            // Where the node has not closed by itself, the close was relayed to the other side, which answers it.
             direction.shut = true;
             websockets.on_close_started(self.permit.id);
         }
@@ -234,15 +234,15 @@
         }
     }
 
-    /// What a side says from now on means nothing.
+    /// What a side sends from now on is ignored.
     fn fail_side(&mut self, websockets: &WebsocketProxy, side: Side) {
-        // It is still to be told why, and hears that while nothing more of it is read.
+        // It is still sent the reason, while nothing more of it is read.
         self.insert_own_frames(side);
         self.write(websockets, side);
         self.end(websockets, side);
     }
 
-    /// A side has ended: the other is told to go.
+    /// A side has ended: the other is closed.
     fn end(&mut self, websockets: &WebsocketProxy, side: Side) {
         self.ended[side as usize] = true;
         self.directions[side.other() as usize].out.clear();
@@ -252,7 +252,7 @@
         websockets.on_close_started(self.permit.id);
     }
 
-    /// Writes what there is for a side, as far as the machine takes it.
+    /// Writes what is queued for a side, as far as the machine takes it.
     fn write(&mut self, websockets: &WebsocketProxy, to: Side) {
         let direction = &mut self.directions[to.other() as usize];
         let mut written = 0;
@@ -266,7 +266,7 @@
             }
         }
         if written == direction.out.len() {
-            // An idle socket holds no buffer.
+            // An idle socket keeps no buffer.
             direction.out = Vec::new();
         } else {
             direction.out.drain(..written);
