--- a/crates/policy/src/peer_message/tests.rs
+++ b/crates/policy/src/peer_message/tests.rs
@@ -102,20 +102,20 @@
 }
 
 /// A message with the name that it has in the fixture.
-type NamedMessage = (&'static str, PeerMessage);
+type Sample = (&'static str, PeerMessage);
 
 /// One message of each kind, in the order of the fixture.
-fn samples() -> Vec<NamedMessage> {
-    let kinds = [
+fn samples() -> Vec<Sample> {
+    let all = [
         usage_reports(),
         grant_requests(),
         grant_responses(),
         permit_messages(),
     ];
-    kinds.into_iter().flatten().collect()
+    all.into_iter().flatten().collect()
 }
 
-fn usage_reports() -> Vec<NamedMessage> {
+fn usage_reports() -> Vec<Sample> {
     vec![
         (
             "counts",
@@ -125,7 +125,7 @@
     ]
 }
 
-fn grant_requests() -> Vec<NamedMessage> {
+fn grant_requests() -> Vec<Sample> {
     let fill = Some(ReportedFill {
         ratio: 0.4,
         age: 640_000,
@@ -154,7 +154,7 @@
     ]
 }
 
-fn grant_responses() -> Vec<NamedMessage> {
+fn grant_responses() -> Vec<Sample> {
     use GrantDecision::{Granted, OverHardLimit, OverQuota, TooManyInFlight};
     let lease = LeaseOffer::Issued(Lease {
         rate: 0.75,
@@ -188,7 +188,7 @@
     ]
 }
 
-fn permit_messages() -> Vec<NamedMessage> {
+fn permit_messages() -> Vec<Sample> {
     let permit = TransferredPermit {
         server_started_at: 1_700_000,
         expires_at: 2_900_000,
--- a/crates/policy/tests/stored_state.rs
+++ b/crates/policy/tests/stored_state.rs
@@ -8,8 +8,8 @@
 use saffronpaddle_policy::interface::*;
 use saffronpaddle_policy::{PolicyEngine, StateSnapshot};
 use saffronpaddle_quota::{
-    GrantRequest, HardLimit, InitialTokens, LeaseDemand, LeaseReport, QuotaShard, RejectionCache,
-    ShardLimits,
+    GrantRequest, GrantResponse, HardLimit, InitialTokens, LeaseDemand, LeaseReport, QuotaShard,
+    RejectionCache, ShardLimits,
 };
 use saffronpaddle_slow_start::{
     AttemptResult, BaselineLatency, SlowStartBudget, SlowStartLimits, TransferredPermit,
@@ -172,10 +172,9 @@
     );
 }
 
-/// A shard that has granted requests, leases and permits, and what a requester remembers of it.
-#[test]
-fn shard_with_leases_and_rejection_cache_have_the_form_of_the_fixture() {
-    let limits = ShardLimits {
+/// Limits of a shard, all of them set.
+fn shard_limits() -> ShardLimits {
+    ShardLimits {
         rate: 8.0,
         capacity: 16.0,
         max_in_flight: Some(3),
@@ -183,7 +182,12 @@
             rate: 10.0,
             capacity: 20.0,
         }),
-    };
+    }
+}
+
+/// A shard that has granted requests, leases and permits, and its response to the first request.
+fn shard_with_leases() -> (QuotaShard, GrantResponse) {
+    let limits = shard_limits();
     let mut shard = QuotaShard::open(
         5 * SECOND,
         InitialTokens::AccruedSince {
@@ -198,7 +202,7 @@
         serial,
         units: 1.0,
     };
-    let response = shard.request_grant(
+    let first_response = shard.request_grant(
         5 * SECOND + MILLISECOND,
         grant_request(1),
         &limits,
@@ -229,18 +233,24 @@
         current: None,
         ..demand
     };
-    let owner_request = GrantRequest {
+    let request_for_lease_only = GrantRequest {
         requester: 9,
         serial: 7,
         units: 0.0,
     };
     shard.issue_lease(
         5 * SECOND + 4 * MILLISECOND,
-        owner_request,
+        request_for_lease_only,
         &first_demand,
         &limits,
         1.0,
     );
+    (shard, first_response)
+}
+
+#[test]
+fn shard_with_leases_and_rejection_cache_have_the_form_of_the_fixture() {
+    let (shard, response) = shard_with_leases();
     let mut rejection_cache = RejectionCache::default();
     rejection_cache.record_response(5 * SECOND, &response, true);
     rejection_cache.record_grant(5 * SECOND, 1.0);
