--- a/crates/bench/tests/size/fixture.rs
+++ b/crates/bench/tests/size/fixture.rs
@@ -103,7 +103,8 @@
         set.resize(FULL_LIST_MAX + 1);
         let real = |cover: usize| {
             let number = server_id(&format!("s-{at}")).0;
-            (0..cover.min(NODES) as u32).any(|place| (set.member(number, place) as usize) < REAL)
+            (0..cover.min(NODES) as u32)
+                .any(|place| (set.node_at_rank(number, place) as usize) < REAL)
         };
         // A set may be half as large again as is sought.
         lengths.into_iter().any(|length| {
--- a/crates/exchange/src/command.rs
+++ b/crates/exchange/src/command.rs
@@ -58,7 +58,7 @@
         answer: FinalAnswer,
     },
     /// An action of the policy that does not concern the exchange.
-    ForPolicy(Action),
+    PolicyAction(Action),
 }
 
 /// A final answer.
--- a/crates/exchange/src/event.rs
+++ b/crates/exchange/src/event.rs
@@ -13,7 +13,7 @@
     /// [`Exchange::contains`]: crate::Exchange::contains
     RequestReceived {
         /// What a second execution of the request would do.
-        effect: Idempotency,
+        idempotency: Idempotency,
         /// When its client stops waiting.
         deadline: Micros,
         /// What the policy is told: a [`PolicyEvent::RequestArrived`].
@@ -111,7 +111,7 @@
     },
     /// The node accepts no more connections (the life cycle's `StopAccepting`): idle connections to servers are closed and none
     /// is kept any more. Open requests go on.
-    Stop,
+    Drain,
     /// The time of [`Exchange::next_alarm`] has come.
     ///
     /// [`Exchange::next_alarm`]: crate::Exchange::next_alarm
--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -146,7 +146,7 @@
     fn handle_event(&mut self, now: Micros, event: Event<A>, commands: &mut Commands<A>) {
         match event {
             Event::RequestReceived {
-                effect,
+                idempotency: effect,
                 deadline,
                 policy_event,
             } => self.request_received(now, effect, deadline, policy_event, commands),
@@ -183,7 +183,7 @@
                 endpoints,
             } => self.endpoints_changed(snapshot, endpoints, commands),
             Event::ShutdownAnnounced { answer_by } => self.shutdown_announced(answer_by),
-            Event::Stop => self.stop(commands),
+            Event::Drain => self.stop(commands),
             Event::TimerFired => self.timer_fired(now, commands),
             Event::PolicyEvent(event) => self.pending_events.push_back(event),
         }
@@ -215,7 +215,7 @@
             }
             Action::Fail { id } => self.answer(now, &id, FinalAnswer::Failed, commands),
             Action::Cancel { id, attempt } => self.cancel(&id, attempt, commands),
-            other => commands.push(Command::ForPolicy(other)),
+            other => commands.push(Command::PolicyAction(other)),
         }
     }
 
--- a/crates/exchange/src/exchange/statistics.rs
+++ b/crates/exchange/src/exchange/statistics.rs
@@ -34,7 +34,7 @@
     }
 
     /// How requests have ended so far, and how many attempts were written.
-    pub fn tally(&self) -> &RequestCounters {
+    pub fn counters(&self) -> &RequestCounters {
         &self.counters
     }
 
@@ -68,7 +68,7 @@
     }
 
     /// Counts a request that the I/O layer answered itself: it was malformed, or its id is in use.
-    pub fn turned_away(&mut self, class: usize, end: RequestEnd) {
+    pub fn count_unreceived(&mut self, class: usize, end: RequestEnd) {
         self.counters.taken(class);
         self.counters.ended(class, end);
     }
--- a/crates/fleet-harness/src/virtually/mod.rs
+++ b/crates/fleet-harness/src/virtually/mod.rs
@@ -19,7 +19,7 @@
     Action, AttemptNumber, ClassId, CustomerId, Endpoint, EndpointUpdate, Event, Micros, NodeId,
     Outcome, PlanId, RequestId, ServerId,
 };
-use saffronpaddle_policy::setup::{self, NamedSettings};
+use saffronpaddle_policy::setup::{self, PlatformSettings};
 use saffronpaddle_policy::PolicyEngine;
 use saffronpaddle_test_doubles::ledger::{Answer, Asked, Ledger, Repeats, Unanswered};
 use saffronpaddle_test_doubles::links::{End, Links, Which};
@@ -114,7 +114,7 @@
 
 struct Node {
     gateway: PolicyEngine,
-    named: NamedSettings,
+    named: PlatformSettings,
     /// Counts its processes: what is under way to an earlier one is lost.
     life: u32,
     runs: bool,
@@ -440,7 +440,7 @@
 
     /// Adds up what its module has counted.
     fn count(&mut self, at: usize) {
-        for (name, count) in self.nodes[at].gateway.counters().named() {
+        for (name, count) in self.nodes[at].gateway.counters().by_name() {
             *self.decided.entry(name).or_default() += count;
         }
         *self.decided.entry("servers_looked_at").or_default() +=
@@ -533,8 +533,8 @@
             plan: PlanId(customer.plan),
             customer: CustomerId(customer.id),
             units: 1.0,
-            first: NodeId(customer.first as u32),
-            spread: customer.spread as u32,
+            subset_first: NodeId(customer.first as u32),
+            subset_size: customer.spread as u32,
             timeout: class.deadline.as_micros() as Micros - DELIVERY,
             complete: true,
         };
--- a/crates/hollow/src/shard.rs
+++ b/crates/hollow/src/shard.rs
@@ -549,7 +549,7 @@
                 id,
                 answer: verdict,
             } => self.answered(node, now, &id, verdict),
-            Command::ForPolicy(action) => self.act(node, now, action),
+            Command::PolicyAction(action) => self.act(node, now, action),
             // Tries come whole.
             Command::ReleaseBody { .. } => {}
         }
@@ -675,8 +675,8 @@
             plan: PlanId(tenant.plan),
             customer: CustomerId(tenant.id),
             units: 1.0,
-            first: NodeId(tenant.first),
-            spread: tenant.spread,
+            subset_first: NodeId(tenant.first),
+            subset_size: tenant.spread,
             timeout: patience,
             complete: true,
         };
@@ -695,7 +695,7 @@
         self.happened(
             node,
             Event::RequestReceived {
-                effect,
+                idempotency: effect,
                 deadline,
                 policy_event: tell,
             },
--- a/crates/hot-restart/tests/lines.rs
+++ b/crates/hot-restart/tests/lines.rs
@@ -27,7 +27,7 @@
         charge: Some(QuotaCharge {
             plan: PlanId(2),
             units: 1.5,
-            set: (NodeId(4), 3),
+            subset: (NodeId(4), 3),
         }),
     };
     vec![
--- a/crates/model-checker/src/fleet/clients.rs
+++ b/crates/model-checker/src/fleet/clients.rs
@@ -36,7 +36,7 @@
         }
         let plan = customer as usize % self.fleet.plans.len();
         let event = Event::RequestReceived {
-            effect: self.settings[node].settings.classes[class].idempotency,
+            idempotency: self.settings[node].settings.classes[class].idempotency,
             deadline: self.now + timeout,
             policy_event: PolicyEvent::RequestArrived {
                 id,
@@ -44,8 +44,8 @@
                 plan: PlanId(plan),
                 customer: CustomerId(customer),
                 units: 1.0,
-                first: NodeId(first_node),
-                spread: subset_size,
+                subset_first: NodeId(first_node),
+                subset_size: subset_size,
                 timeout,
                 complete: true,
             },
--- a/crates/model-checker/src/fleet/commands.rs
+++ b/crates/model-checker/src/fleet/commands.rs
@@ -69,7 +69,7 @@
             Command::Write { connection } => self.write(node, connection),
             Command::Close { connection } => self.close(node, connection),
             Command::Answer { id, answer } => self.answer(node, &id, answer, response_to),
-            Command::ForPolicy(action) => self.carry_out_action(node, action),
+            Command::PolicyAction(action) => self.carry_out_action(node, action),
         }
     }
 
--- a/crates/model-checker/src/fleet/simulation.rs
+++ b/crates/model-checker/src/fleet/simulation.rs
@@ -5,7 +5,7 @@
 use super::servers::Server;
 use super::{FleetError, FleetRun, FleetSetup};
 use saffronpaddle_policy::interface::{Micros, RequestId};
-use saffronpaddle_policy::setup::{self, NamedSettings};
+use saffronpaddle_policy::setup::{self, PlatformSettings};
 use saffronpaddle_test_doubles::ledger::Ledger;
 use saffronpaddle_test_doubles::settings::Fleet;
 use std::cmp::Reverse;
@@ -36,7 +36,7 @@
     pub setup: FleetSetup,
     pub fleet: Fleet,
     /// The settings of each node.
-    pub settings: Vec<NamedSettings>,
+    pub settings: Vec<PlatformSettings>,
     pub random: fastrand::Rng,
     pub now: Micros,
     queue: BinaryHeap<Reverse<Scheduled>>,
@@ -63,7 +63,7 @@
         let fleet = Fleet::usual(setup.nodes);
         let settings = (0..setup.nodes)
             .map(|node| setup::read(&fleet.settings(node).to_string()))
-            .collect::<Result<Vec<NamedSettings>, setup::ReadError>>()
+            .collect::<Result<Vec<PlatformSettings>, setup::ReadError>>()
             .map_err(FleetError::UnreadableSettings)?;
         let mut simulation = Simulation {
             random: fastrand::Rng::with_seed(setup.seed),
--- a/crates/model-checker/src/world/commands.rs
+++ b/crates/model-checker/src/world/commands.rs
@@ -20,7 +20,7 @@
     ) -> Result<(), PropertyViolation> {
         self.verify_policy_events(setup)?;
         for command in commands {
-            if !matches!(command, Command::ForPolicy(_)) {
+            if !matches!(command, Command::PolicyAction(_)) {
                 self.notes.push(format!("{command:?}"));
             }
             self.carry_out_one(setup, command, read)?;
@@ -44,13 +44,13 @@
             Command::ReleaseBody { connection } => self.release_body(connection),
             Command::Close { connection } => self.close(connection),
             Command::Answer { id, answer } => self.answer(setup, &id, answer, read),
-            Command::ForPolicy(Action::SetTimer { after, token }) => {
+            Command::PolicyAction(Action::SetTimer { after, token }) => {
                 let at = self.now(setup) + after;
                 self.policy_timers.push(PolicyTimer { at, token });
                 self.policy_timers.sort_unstable();
                 Ok(())
             }
-            Command::ForPolicy(_) => Ok(()),
+            Command::PolicyAction(_) => Ok(()),
         }
     }
 
--- a/crates/model-checker/src/world/occurrences.rs
+++ b/crates/model-checker/src/world/occurrences.rs
@@ -131,7 +131,7 @@
             Step::ShutdownAnnounced => Some(self.shutdown_announced(setup).into()),
             Step::NodeStops => {
                 self.stopped = true;
-                Some(Event::Stop.into())
+                Some(Event::Drain.into())
             }
             Step::TimerFires => {
                 self.timer_fired = true;
@@ -215,7 +215,7 @@
         client.ticket = ticket;
         let idempotency = setup.idempotency(request);
         Event::RequestReceived {
-            effect: idempotency,
+            idempotency: idempotency,
             deadline: now + setup.timeout(),
             policy_event: PolicyEvent::RequestArrived {
                 id: setup.request_id(request),
@@ -223,8 +223,8 @@
                 plan: PlanId(0),
                 customer: CUSTOMER,
                 units: 1.0,
-                first: NodeId(0),
-                spread: 1,
+                subset_first: NodeId(0),
+                subset_size: 1,
                 timeout: setup.timeout(),
                 complete: !setup.streaming_bodies,
             },
--- a/crates/node/src/clients/request.rs
+++ b/crates/node/src/clients/request.rs
@@ -8,7 +8,7 @@
 use saffronpaddle_policy::interface::{
     ClassId, CustomerId, Event, Idempotency, NodeId, PlanId, RequestId, Settings,
 };
-use saffronpaddle_policy::setup::NamedSettings;
+use saffronpaddle_policy::setup::PlatformSettings;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -38,7 +38,7 @@
 }
 
 /// The class that a request's head names.
-pub(super) fn class_of(named: &NamedSettings, headers: &HeaderMap) -> Option<ClassId> {
+pub(super) fn class_of(named: &PlatformSettings, headers: &HeaderMap) -> Option<ClassId> {
     let class = text(headers, "x-class")?;
     named
         .classes
@@ -52,7 +52,7 @@
 /// # Errors
 /// What is wrong with it. Nothing has been changed by then.
 pub(super) fn read(
-    named: &NamedSettings,
+    named: &PlatformSettings,
     head: &hyper::http::request::Parts,
 ) -> Result<RequestHead, Rejected> {
     let bad = |reason| Rejected {
@@ -136,8 +136,8 @@
             plan: self.plan,
             customer: self.customer,
             units: self.terms.units,
-            first: self.terms.first_member,
-            spread: self.terms.subset_size,
+            subset_first: self.terms.first_member,
+            subset_size: self.terms.subset_size,
             timeout: timeout.as_micros() as u64,
             complete: true,
         };
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -2,7 +2,7 @@
 
 use saffronpaddle_endpoints::{EndpointRecord, EndpointStatus};
 use saffronpaddle_policy::interface::SettingsError;
-use saffronpaddle_policy::setup::{self, NamedSettings};
+use saffronpaddle_policy::setup::{self, PlatformSettings};
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 use std::io;
@@ -33,7 +33,7 @@
     /// The endpoint list as it was last known. It may be old.
     pub known: Option<List>,
     /// The policy's settings, with the names that requests use.
-    pub named: NamedSettings,
+    pub named: PlatformSettings,
 }
 
 /// The addresses of datagrams between nodes.
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -24,7 +24,7 @@
 use saffronpaddle_exchange::{ConnectionId, Event, Exchange, Limits, OpenRequest, Violation};
 use saffronpaddle_operator_config::Sockets;
 use saffronpaddle_policy::interface::{ClassId, Event as PolicyEvent, Micros, NodeId, RequestId};
-use saffronpaddle_policy::setup::NamedSettings;
+use saffronpaddle_policy::setup::PlatformSettings;
 use saffronpaddle_policy::{PolicyEngine, StateSnapshot};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeSet, HashMap};
@@ -43,7 +43,7 @@
     /// The seed of the policy's draws.
     pub seed: u64,
     /// The policy's settings, with the names that requests use.
-    pub named: NamedSettings,
+    pub named: PlatformSettings,
     /// Connections to app servers that all processes of the node may have open.
     pub max_upstream_connections: usize,
     /// Other processes of this node.
@@ -59,7 +59,7 @@
 /// One edge node.
 pub struct Node {
     /// The policy's settings, with the names that requests use.
-    pub named: NamedSettings,
+    pub named: PlatformSettings,
     /// Connections to app servers.
     pub upstream: Rc<Upstream>,
     /// Other nodes.
@@ -249,7 +249,7 @@
 
     /// The node stops: no connection to a server is kept any more.
     pub fn stop(self: &Rc<Self>) {
-        self.handle(Event::Stop, None);
+        self.handle(Event::Drain, None);
         if let Some(websockets) = &self.websockets {
             websockets.stop();
         }
@@ -270,7 +270,7 @@
     /// Counts a request that was answered without being taken.
     pub fn record_rejection(&self, class: ClassId, end: RequestEnd) {
         debug!(class = class.0, ?end, "turned away");
-        self.exchange.borrow_mut().turned_away(class.0, end);
+        self.exchange.borrow_mut().count_unreceived(class.0, end);
     }
 
     /// Has the policy handle an event that is not the exchange's.
@@ -329,7 +329,7 @@
 
 /// The web sockets of a node, whose class is known by name.
 fn websocket_proxy(
-    named: &NamedSettings,
+    named: &PlatformSettings,
     sockets: Sockets,
     clock: Clock,
 ) -> Result<Rc<WebsocketProxy>, NodeError> {
--- a/crates/node/src/node/commands.rs
+++ b/crates/node/src/node/commands.rs
@@ -56,7 +56,7 @@
                 };
                 self.answer(&id, answer);
             }
-            Command::ForPolicy(action) => self.apply(action),
+            Command::PolicyAction(action) => self.apply(action),
         }
     }
 
--- a/crates/node/src/node/figures.rs
+++ b/crates/node/src/node/figures.rs
@@ -34,8 +34,9 @@
     fn with_figures(&self, write: impl FnOnce(&Metrics) -> String) -> String {
         let exchange = self.exchange.borrow();
         let (registry_entries, out_of_rotation) = exchange.policy().endpoint_counts();
-        let (names, tally) = (&self.named.classes, exchange.tally().clone());
-        let mut decided: Vec<(&'static str, u64)> = exchange.policy().counters().named().collect();
+        let (names, tally) = (&self.named.classes, exchange.counters().clone());
+        let mut decided: Vec<(&'static str, u64)> =
+            exchange.policy().counters().by_name().collect();
         decided.extend(
             exchange
                 .denials()
--- a/crates/node/src/node/requests.rs
+++ b/crates/node/src/node/requests.rs
@@ -48,7 +48,7 @@
         self.requests.borrow_mut().insert(id, pending);
         self.handle(
             Event::RequestReceived {
-                effect,
+                idempotency: effect,
                 deadline,
                 policy_event: arrival,
             },
--- a/crates/policy/src/counters.rs
+++ b/crates/policy/src/counters.rs
@@ -133,7 +133,7 @@
     }
 
     /// All counters by name.
-    pub fn named(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
+    pub fn by_name(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
         NAMES.iter().copied().zip(self.0)
     }
 }
--- a/crates/policy/src/endpoint_table.rs
+++ b/crates/policy/src/endpoint_table.rs
@@ -254,7 +254,7 @@
 
     /// The node of a rank in that group.
     pub fn slow_start_member(&self, server: ServerId, rank: u32) -> NodeId {
-        NodeId(self.subset.slow_start_member(server.0, rank))
+        NodeId(self.subset.slow_start_node_at_rank(server.0, rank))
     }
 
     /// How many servers have been examined since the start.
--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -125,8 +125,8 @@
                 plan,
                 customer,
                 units,
-                first,
-                spread,
+                subset_first: first,
+                subset_size: spread,
                 timeout,
                 complete,
             } => {
--- a/crates/policy/src/grants/owner.rs
+++ b/crates/policy/src/grants/owner.rs
@@ -154,7 +154,7 @@
         let asks_for_units = request.units > 0.0;
         let (response, request_units, may_issue) = if asks_for_units {
             let attempt_duration = self.load.mean_latency as Micros;
-            let response = shard.request_grant(now, grant_request, limits, attempt_duration);
+            let response = shard.decide_grant(now, grant_request, limits, attempt_duration);
             (response, request.units, shard.is_uncontended(now))
         } else {
             let max_units = self.settings.max_request_units;
@@ -245,7 +245,7 @@
         };
         let owned = self.quotas.shards.get_mut(&request.customer);
         if let (Some(owned), Some(lease)) = (owned, lease) {
-            owned.shard.lease_received(now, request.sent_at, lease);
+            owned.shard.on_lease_received(now, request.sent_at, lease);
         }
         true
     }
--- a/crates/policy/src/grants/requester.rs
+++ b/crates/policy/src/grants/requester.rs
@@ -182,7 +182,7 @@
             let issuer = request.grant.owner.number;
             bucket
                 .rejections
-                .lease_received(now, requested_at, issuer, lease);
+                .on_lease_received(now, requested_at, issuer, lease);
         }
         if answer.response.decision == GrantDecision::Granted {
             bucket
--- a/crates/policy/src/interface/event.rs
+++ b/crates/policy/src/interface/event.rs
@@ -66,9 +66,9 @@
         /// Units that it counts against the quota.
         units: f64,
         /// First node of the customer's subset; the others follow by number, wrapping around.
-        first: NodeId,
+        subset_first: NodeId,
         /// Size of the customer's subset of nodes.
-        spread: u32,
+        subset_size: u32,
         /// How long the client waits for an answer, µs.
         timeout: Micros,
         /// Whether its body is complete. Of one that is not, the rest is streamed to one server, once;
--- a/crates/policy/src/interface/sibling.rs
+++ b/crates/policy/src/interface/sibling.rs
@@ -40,7 +40,7 @@
     /// Units.
     pub units: f64,
     /// The customer's subset of nodes: the first, and how many.
-    pub set: (NodeId, u32),
+    pub subset: (NodeId, u32),
 }
 
 /// A message between two processes of one node.
--- a/crates/policy/src/setup.rs
+++ b/crates/policy/src/setup.rs
@@ -147,7 +147,7 @@
 
 /// Settings, with the names that requests use for classes, plans and zones, and what only connections need.
 #[derive(Clone, Debug)]
-pub struct NamedSettings {
+pub struct PlatformSettings {
     /// The engine's settings.
     pub settings: Settings,
     /// Names of the classes, in the order of their ids.
@@ -201,11 +201,11 @@
 ///
 /// # Errors
 /// What is wrong with them, in a line.
-pub fn read(text: &str) -> Result<NamedSettings, ReadError> {
+pub fn read(text: &str) -> Result<PlatformSettings, ReadError> {
     let setup: Setup = serde_json::from_str(text).map_err(ReadError::Json)?;
     let settings = setup.to_settings()?;
     let deadlines = setup.classes.iter().map(|class| class.deadline_us);
-    Ok(NamedSettings {
+    Ok(PlatformSettings {
         settings,
         longest_deadline: deadlines.max().unwrap_or(0),
         server_idle_timeout: setup.limits.server_idle_timeout_us,
--- a/crates/policy/src/siblings.rs
+++ b/crates/policy/src/siblings.rs
@@ -51,7 +51,7 @@
         let plan = self.settings.plans.get(charge.plan.0)?;
         let max_units = self.settings.max_request_units;
         let uptime = now.saturating_sub(self.started_at);
-        let (first, size) = charge.set;
+        let (first, size) = charge.subset;
         let subset = NodeSubset {
             first,
             size: size.clamp(1, self.settings.node_count),
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -112,8 +112,8 @@
         let id = server.endpoint.server;
         let limits = self.slow_start_limits(id);
         match &server.slow_start_budget {
-            Some(budget) => budget.permits(now, id.0, &limits),
-            None => server.current_budget().permits(now, id.0, &limits),
+            Some(budget) => budget.has_permit(now, id.0, &limits),
+            None => server.current_budget().has_permit(now, id.0, &limits),
         }
     }
 
@@ -217,7 +217,10 @@
         let Some(mut server) = self.endpoints.edit(id) else {
             return;
         };
-        if server.budget_mut().receive(now, from.0, permit, &limits) {
+        if server
+            .budget_mut()
+            .receive_transfer(now, from.0, permit, &limits)
+        {
             self.counters.add(Counter::PermitsReceived);
             self.slow_start.schedule_transfer_check(now);
         }
--- a/crates/policy/src/token_bucket.rs
+++ b/crates/policy/src/token_bucket.rs
@@ -239,7 +239,7 @@
         QuotaCharge {
             plan: self.plan,
             units,
-            set: (self.first_node, self.subset_size as u32),
+            subset: (self.first_node, self.subset_size as u32),
         }
     }
 
--- a/crates/policy/tests/common/test_node.rs
+++ b/crates/policy/tests/common/test_node.rs
@@ -138,8 +138,8 @@
             plan: PlanId(plan),
             customer: CustomerId(customer.id),
             units: 1.0,
-            first: customer.first,
-            spread: customer.subset_size,
+            subset_first: customer.first,
+            subset_size: customer.subset_size,
             timeout,
             complete: true,
         });
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -71,8 +71,8 @@
                     plan: PlanId(UNLIMITED),
                     customer: CustomerId(9),
                     units: 1.0,
-                    first: NodeId(index),
-                    spread: 1,
+                    subset_first: NodeId(index),
+                    subset_size: 1,
                     timeout: SECOND,
                     complete: true,
                 };
--- a/crates/policy/tests/stored_state.rs
+++ b/crates/policy/tests/stored_state.rs
@@ -130,7 +130,7 @@
     let charge = QuotaCharge {
         plan: PlanId(2),
         units: 1.5,
-        set: (NodeId(4), 3),
+        subset: (NodeId(4), 3),
     };
     let started = |charge| {
         SiblingMessage::AttemptStarted(SiblingAttempt {
@@ -202,13 +202,13 @@
         serial,
         units: 1.0,
     };
-    let first_response = shard.request_grant(
+    let first_response = shard.decide_grant(
         5 * SECOND + MILLISECOND,
         grant_request(1),
         &limits,
         100 * MILLISECOND,
     );
-    shard.request_grant(
+    shard.decide_grant(
         5 * SECOND + 2 * MILLISECOND,
         grant_request(2),
         &limits,
@@ -296,7 +296,7 @@
         expires_at: 8 * SECOND + 500 * MILLISECOND,
         sequence: 3,
     };
-    budget.receive(8 * SECOND + MILLISECOND, 2, permit, &limits);
+    budget.receive_transfer(8 * SECOND + MILLISECOND, 2, permit, &limits);
     budget.transfer_unused(8 * SECOND + 2 * MILLISECOND, 4, &limits);
     let written = serde_json::json!({"budget": budget, "natural": baseline});
     let fixture: Value = serde_json::from_str(SLOW_START).expect("a fixture of JSON");
--- a/crates/quota/src/rejection_cache.rs
+++ b/crates/quota/src/rejection_cache.rs
@@ -139,7 +139,13 @@
     }
 
     /// An owner, by its number, has issued this lease, requested at that time.
-    pub fn lease_received(&mut self, now: Micros, requested_at: Micros, owner: u32, lease: Lease) {
+    pub fn on_lease_received(
+        &mut self,
+        now: Micros,
+        requested_at: Micros,
+        owner: u32,
+        lease: Lease,
+    ) {
         let lease = ActiveLease::renewed(self.lease, now, requested_at, owner, lease);
         self.lease = Some(lease);
     }
--- a/crates/quota/src/shard/grants.rs
+++ b/crates/quota/src/shard/grants.rs
@@ -78,7 +78,7 @@
     ///
     /// `usual_latency` is how long an attempt usually takes, µs: the permit of an attempt whose end nobody reports is free
     /// again after a multiple of it.
-    pub fn request_grant(
+    pub fn decide_grant(
         &mut self,
         now: Micros,
         request: GrantRequest,
--- a/crates/quota/src/shard/leasing.rs
+++ b/crates/quota/src/shard/leasing.rs
@@ -123,7 +123,7 @@
     }
 
     /// The standby has issued this lease, requested at that time.
-    pub fn lease_received(&mut self, now: Micros, requested_at: Micros, lease: Lease) {
+    pub fn on_lease_received(&mut self, now: Micros, requested_at: Micros, lease: Lease) {
         let lease = ActiveLease::renewed(self.borrowed_lease, now, requested_at, STANDBY, lease);
         self.borrowed_lease = Some(lease);
     }
--- a/crates/quota/tests/exhaustive.rs
+++ b/crates/quota/tests/exhaustive.rs
@@ -138,7 +138,7 @@
         };
         let shard = &mut self.owners[usize::from(owner)];
         let tokens_before = shard.tokens();
-        let response = shard.request_grant(0, grant_request, &LIMITS, 1_000_000);
+        let response = shard.decide_grant(0, grant_request, &LIMITS, 1_000_000);
         if shard.tokens() < tokens_before {
             *self.debits.entry((request, owner)).or_default() += 1;
         }
--- a/crates/quota/tests/lease.rs
+++ b/crates/quota/tests/lease.rs
@@ -144,7 +144,7 @@
         {
             let ((arrives_at, _), message) = first.remove_entry();
             let node = message.node;
-            self.caches[node as usize].lease_received(
+            self.caches[node as usize].on_lease_received(
                 local_time(arrives_at, node),
                 local_time(message.requested_at, node),
                 0,
@@ -197,7 +197,7 @@
             };
             let response = self
                 .shard
-                .request_grant(self.now, request, self.limits, USUAL_LATENCY);
+                .decide_grant(self.now, request, self.limits, USUAL_LATENCY);
             let lease = self.issue_lease(request, &demand);
             if copy == 0 {
                 is_granted = response.decision == GrantDecision::Granted && !step.response_lost;
@@ -397,7 +397,7 @@
     };
     let is_granted = |shard: &mut QuotaShard, now, request, limits: &ShardLimits| {
         shard
-            .request_grant(now, request, limits, USUAL_LATENCY)
+            .decide_grant(now, request, limits, USUAL_LATENCY)
             .decision
             == GrantDecision::Granted
     };
@@ -412,7 +412,7 @@
             standby.status(now, &standby_limits);
             let lease = standby.issue_lease(now, lease_request, &demand, &standby_limits, 1.0);
             if let Some(lease) = lease {
-                owner.lease_received(now, now, lease);
+                owner.on_lease_received(now, now, lease);
             }
         }
         if phase == PARTITION {
@@ -453,7 +453,7 @@
     };
     let requested_at = START;
     let answered_at = requested_at + 20 * MS;
-    shard.request_grant(answered_at, request, &limits, USUAL_LATENCY);
+    shard.decide_grant(answered_at, request, &limits, USUAL_LATENCY);
     let demand = LeaseDemand {
         rate: 2.0,
         current: None,
@@ -464,7 +464,7 @@
     let ends_at_issuer = answered_at + LEASE_DURATION;
     for delay in [30 * MS, 3 * S, LEASE_DURATION, 2 * LEASE_DURATION] {
         let mut cache = RejectionCache::default();
-        cache.lease_received(requested_at + delay, requested_at, 0, lease);
+        cache.on_lease_received(requested_at + delay, requested_at, 0, lease);
         let mut admitted = 0;
         for tick in 0..200 {
             // The true time runs ahead of the holder's clock by one part in a hundred.
--- a/crates/quota/tests/shard.rs
+++ b/crates/quota/tests/shard.rs
@@ -36,7 +36,7 @@
     limits: &ShardLimits,
 ) -> GrantDecision {
     shard
-        .request_grant(now, request, limits, USUAL_LATENCY)
+        .decide_grant(now, request, limits, USUAL_LATENCY)
         .decision
 }
 
@@ -105,7 +105,7 @@
         for serial in 0..first_requests {
             decide(&mut shard, 0, request(1, serial), &limits);
         }
-        let response = shard.request_grant(0, request(2, 0), &limits, USUAL_LATENCY);
+        let response = shard.decide_grant(0, request(2, 0), &limits, USUAL_LATENCY);
         if response.decision == GrantDecision::OverQuota {
             let before = (response.retry_after as f64 * early) as Micros;
             let decision = decide(&mut shard.clone(), before, request(3, 0), &limits);
@@ -156,7 +156,7 @@
         decide(&mut shard, 0, request(1, 1), &limits),
         GrantDecision::Granted
     );
-    let response = shard.request_grant(USUAL_LATENCY, request(2, 1), &limits, USUAL_LATENCY);
+    let response = shard.decide_grant(USUAL_LATENCY, request(2, 1), &limits, USUAL_LATENCY);
     assert_eq!(
         (response.decision, response.retry_after),
         (GrantDecision::TooManyInFlight, USUAL_LATENCY / 2)
@@ -251,7 +251,7 @@
         for serial in 0..(12.0 * demand) as u16 {
             now += step;
             let node = random.usize(0..nodes);
-            let response = shard.request_grant(now, request(node as u32, serial), &limits, USUAL_LATENCY);
+            let response = shard.decide_grant(now, request(node as u32, serial), &limits, USUAL_LATENCY);
             caches[node].record_response(now, &response, true);
             if response.decision == GrantDecision::Granted {
                 caches[node].record_grant(now, 1.0);
@@ -282,7 +282,7 @@
             now += S / requests_per_s;
             if !cache.is_rejecting(now) {
                 let request = request(1, serial as u16);
-                let response = shard.request_grant(now, request, &limits, USUAL_LATENCY);
+                let response = shard.decide_grant(now, request, &limits, USUAL_LATENCY);
                 cache.record_response(now, &response, true);
                 if response.decision == GrantDecision::Granted {
                     cache.record_grant(now, 1.0);
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -20,7 +20,7 @@
 
 struct Instance {
     gateway: PolicyEngine,
-    named: setup::NamedSettings,
+    named: setup::PlatformSettings,
 }
 
 #[derive(Default)]
@@ -228,7 +228,7 @@
 
 fn translate(
     line: &Line,
-    named: &setup::NamedSettings,
+    named: &setup::PlatformSettings,
     lists: &BTreeMap<u8, Vec<Item>>,
 ) -> Result<Option<Event>> {
     Ok(Some(match line.name {
@@ -263,8 +263,8 @@
             plan: PlanId(place(line, "package", &named.plans)?),
             customer: CustomerId(line.number("clientId")?),
             units: line.measure("quotaUnits")?,
-            first: NodeId(line.number("base")?),
-            spread: line.number("setSize")?,
+            subset_first: NodeId(line.number("base")?),
+            subset_size: line.number("setSize")?,
             timeout: line.number("ttlUs")?,
             complete: true,
         },
--- a/crates/slow-start/src/budget.rs
+++ b/crates/slow-start/src/budget.rs
@@ -106,7 +106,7 @@
     }
 
     /// Whether one more request may be sent now. `server` is a number that all nodes have for the server.
-    pub fn permits(&self, now: Micros, server: u64, limits: &SlowStartLimits) -> bool {
+    pub fn has_permit(&self, now: Micros, server: u64, limits: &SlowStartLimits) -> bool {
         let has_valid =
             |permits: &VecDeque<Micros>| permits.back().is_some_and(|expires_at| *expires_at > now);
         has_valid(&self.received)
--- a/crates/slow-start/src/budget/transfer.rs
+++ b/crates/slow-start/src/budget/transfer.rs
@@ -93,7 +93,7 @@
     /// Takes in a permit from another node; whether it counts.
     ///
     /// A message that is duplicated, forged or of an earlier start of the server would be a permit that nobody gave up.
-    pub fn receive(
+    pub fn receive_transfer(
         &mut self,
         now: Micros,
         sender: u32,
--- a/crates/slow-start/tests/exhaustive.rs
+++ b/crates/slow-start/tests/exhaustive.rs
@@ -219,7 +219,7 @@
             _ => {}
         }
         let (now, limits) = (world.now(), self.limits(world, transfer.to));
-        world.budget(transfer.to, transfer.server).receive(
+        world.budget(transfer.to, transfer.server).receive_transfer(
             now,
             u32::from(transfer.from),
             permit,
@@ -308,7 +308,7 @@
         for node in 0..NODES {
             for server in 0..SERVERS {
                 // Servers number their time slots differently.
-                let has_permit = world.budgets[usize::from(node)][usize::from(server)].permits(
+                let has_permit = world.budgets[usize::from(node)][usize::from(server)].has_permit(
                     world.now(),
                     u64::from(server),
                     &self.limits(world, node),
--- a/crates/slow-start/tests/fleet.rs
+++ b/crates/slow-start/tests/fleet.rs
@@ -230,7 +230,7 @@
         for transfer in arrived {
             if transfer.to as u32 != transfer.from {
                 let limits = self.limits_of(transfer.to);
-                self.fleet[transfer.to].budget.receive(
+                self.fleet[transfer.to].budget.receive_transfer(
                     now,
                     transfer.from,
                     transfer.permit,
--- a/crates/subsetting/src/subset.rs
+++ b/crates/subsetting/src/subset.rs
@@ -105,15 +105,15 @@
     }
 
     /// The node with a rank in the group that shares a server's slow start.
-    pub fn slow_start_member(&self, server: u64, rank: u32) -> u32 {
+    pub fn slow_start_node_at_rank(&self, server: u64, rank: u32) -> u32 {
         if self.is_complete() {
             return rank % self.node_count;
         }
-        self.member(server, rank)
+        self.node_at_rank(server, rank)
     }
 
     /// The node with a rank among a server's nodes, in a subset that is not complete.
-    pub fn member(&self, server: u64, rank: u32) -> u32 {
+    pub fn node_at_rank(&self, server: u64, rank: u32) -> u32 {
         let order = self.order(server);
         let distance = u64::from(rank % self.node_count) * order.step;
         ((order.first + distance) % u64::from(self.node_count)) as u32
--- a/crates/subsetting/tests/subset.rs
+++ b/crates/subsetting/tests/subset.rs
@@ -29,7 +29,7 @@
 fn spread(node_count: u32, servers: &[u64]) -> Spread {
     let subset = subset(0, node_count, servers.len());
     let nodes_of = |server: u64| {
-        (0..subset.nodes_per_server()).map(move |rank| subset.member(server, rank) as usize)
+        (0..subset.nodes_per_server()).map(move |rank| subset.node_at_rank(server, rank) as usize)
     };
     let mut sizes = vec![0_usize; node_count as usize];
     servers
@@ -88,7 +88,7 @@
             assert_eq!(nodes.len(), nodes_per_server as usize);
             // Each node can compute which the others are.
             let mut computed: Vec<u32> = (0..nodes_per_server)
-                .map(|rank| subsets[0].member(server, rank))
+                .map(|rank| subsets[0].node_at_rank(server, rank))
                 .collect();
             computed.sort_unstable();
             assert_eq!(nodes, computed);
@@ -237,7 +237,7 @@
         let subset = subset(node, node_count, 100_000);
         let group = subset.slow_start_group(server);
         if !subset.is_complete() {
-            prop_assert_eq!(subset.member(server, group.rank), node);
+            prop_assert_eq!(subset.node_at_rank(server, group.rank), node);
         }
     }
 }
