--- a/crates/connection-eviction/src/lib.rs
+++ b/crates/connection-eviction/src/lib.rs
@@ -7,7 +7,7 @@
 //!
 //! - [`Limits`] says when a connection times out, and which ones are closed to make room.
 //! - [`EvictionPressure`] says how many are closed at once.
-//! - [`IdleSweep`] says how long what the event loop reads may have waited unread.
+//! - [`ReceiveTimeBound`] says how long what the event loop reads may have waited unread.
 //!
 //! The crate does no I/O and reads no clock.
 //!
@@ -31,13 +31,13 @@
 #![warn(missing_docs)]
 
 mod connection;
-mod idle_sweep;
 mod limits;
 mod pressure;
+mod receive_time_bound;
 mod time;
 
 pub use connection::ConnectionState;
-pub use idle_sweep::{rested, IdleSweep};
 pub use limits::Limits;
 pub use pressure::{EvictionCount, EvictionPressure};
+pub use receive_time_bound::{rested, ReceiveTimeBound};
 pub use time::Time;
--- a/crates/connection-eviction/src/idle_sweep.rs
+++ b/crates/connection-eviction/src/receive_time_bound.rs
@@ -18,25 +18,25 @@
 /// meanwhile; its requests would get more time than their clients wait. So a sleep that was longer than the loop ever asks
 /// for proves nothing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct IdleSweep {
+pub struct ReceiveTimeBound {
     earliest: Time,
     asleep_since: Option<Time>,
 }
 
-impl IdleSweep {
+impl ReceiveTimeBound {
     /// Of a loop that has not started.
-    pub const NEW: IdleSweep = IdleSweep {
+    pub const NEW: ReceiveTimeBound = ReceiveTimeBound {
         earliest: Time::ZERO,
         asleep_since: None,
     };
 
     /// The loop goes to sleep with nothing left to do.
-    pub fn sleeps(&mut self, now: Time) {
+    pub fn on_sleep(&mut self, now: Time) {
         self.asleep_since = Some(now);
     }
 
     /// The loop wakes. It never asks for a sleep longer than `longest`.
-    pub fn wakes(&mut self, now: Time, longest: Duration) {
+    pub fn on_wake(&mut self, now: Time, longest: Duration) {
         let Some(asleep_since) = self.asleep_since.take() else {
             return;
         };
@@ -47,12 +47,12 @@
     }
 
     /// The loop has completed a round that started at `round_start`.
-    pub fn passed(&mut self, round_start: Time) {
+    pub fn on_round_completed(&mut self, round_start: Time) {
         self.earliest = self.earliest.max(round_start);
     }
 
     /// What the loop reads now was received after this time.
-    pub fn since(&self) -> Time {
+    pub fn earliest(&self) -> Time {
         self.earliest
     }
 }
--- a/crates/endpoints/src/follower/wipe.rs
+++ b/crates/endpoints/src/follower/wipe.rs
@@ -53,15 +53,15 @@
 impl Follower {
     /// Whether an empty list has stayed so for long enough that a range should confirm it; after that range
     /// [`Follower::believe`] has to be called.
-    pub fn doubts(&self, now: Time) -> bool {
+    pub fn confirmation_due(&self, now: Time) -> bool {
         let since = self.suspected_wipe.since;
         since.is_some_and(|since| now.saturating_sub(since) >= self.rules.empty_after)
     }
 
     /// Removes the servers that are kept although a range has just shown their keys to be gone, if that has lasted for long
     /// enough. Returns the change, if there is one.
-    pub fn believe(&mut self, now: Time) -> Option<EndpointUpdate> {
-        if !self.doubts(now) {
+    pub fn confirm_empty(&mut self, now: Time) -> Option<EndpointUpdate> {
+        if !self.confirmation_due(now) {
             return None;
         }
         self.suspected_wipe.since = None;
--- a/crates/endpoints/src/update.rs
+++ b/crates/endpoints/src/update.rs
@@ -16,7 +16,7 @@
 
 impl EndpointUpdate {
     /// Whether it changes anything: a server, or, as a snapshot, that there are no others.
-    pub fn says_something(&self) -> bool {
+    pub fn is_relevant(&self) -> bool {
         self.snapshot || !self.endpoints.is_empty()
     }
 }
--- a/crates/endpoints/tests/wiped_prefix.rs
+++ b/crates/endpoints/tests/wiped_prefix.rs
@@ -28,8 +28,8 @@
         .is_empty());
     for follower in [&mut watched, &mut ranged] {
         assert_eq!((follower.hosts(), follower.seen().doubted), (3, 1));
-        assert!(!follower.doubts(ms(100) + Duration::from_secs(29)));
-        assert_eq!(follower.believe(ms(20_000)), None);
+        assert!(!follower.confirmation_due(ms(100) + Duration::from_secs(29)));
+        assert_eq!(follower.confirm_empty(ms(20_000)), None);
         // One is put again: it is listed, and the others are kept for the rest of the time.
         let update = respond(follower, 12, vec![put("b", 12, 12, "draining")]);
         assert_eq!(statuses(&update), [("b", EndpointStatus::Draining)].into());
@@ -43,8 +43,8 @@
             .endpoints
             .is_empty());
         let late = ms(100) + Duration::from_secs(30);
-        assert!(follower.doubts(late));
-        let update = follower.believe(late).expect("it has lasted");
+        assert!(follower.confirmation_due(late));
+        let update = follower.confirm_empty(late).expect("it has lasted");
         assert_eq!(
             statuses(&update),
             [
@@ -53,7 +53,7 @@
             ]
             .into()
         );
-        assert_eq!(follower.believe(late + late), None, "only once");
+        assert_eq!(follower.confirm_empty(late + late), None, "only once");
     }
     // Deleted one after the other they are removed at once: staff did that.
     let mut follower = three_servers();
@@ -78,7 +78,7 @@
     let update = respond(&mut follower, 11, vec![put("a", 11, 11, "ready")]);
     assert!(!update.snapshot && statuses(&update) == [("a", EndpointStatus::Ready)].into());
     let update = follower
-        .believe(ms(1) + Duration::from_secs(30))
+        .confirm_empty(ms(1) + Duration::from_secs(30))
         .expect("it has lasted");
     assert!(
         update.snapshot && statuses(&update) == [("a", EndpointStatus::Ready)].into(),
--- a/crates/etcd/src/client.rs
+++ b/crates/etcd/src/client.rs
@@ -180,7 +180,7 @@
 
     /// Tells what has changed, and what the follower has for the log.
     async fn told(&mut self, change: EndpointUpdate, read: Instant) -> Result<(), Unwanted> {
-        if change.says_something() {
+        if change.is_relevant() {
             self.tell(News::Changed { change, read }).await?;
         }
         for line in self.follower.logs() {
@@ -214,7 +214,7 @@
                 let change = self
                     .follower
                     .range_of(header, listing, self.at(read), unix_ms());
-                let believed = self.follower.believe(self.at(Instant::now()));
+                let believed = self.follower.confirm_empty(self.at(Instant::now()));
                 if self.told(change, read).await.is_err() {
                     return Ok(Unwanted);
                 }
@@ -430,7 +430,7 @@
                 biased;
                 answer = answers.message() => answer?.ok_or_else(|| left("its watch has ended"))?,
                 _ = probe.tick() => {
-                    if self.follower.doubts(self.at(Instant::now())) {
+                    if self.follower.confirmation_due(self.at(Instant::now())) {
                         return Ok(Ended::Reread);
                     }
                     // A full queue: the member does not even read.
@@ -475,7 +475,7 @@
                         .events(header, events, answer.fragment, told, unix_ms());
                 next
             };
-            if !change.says_something() && self.tell(News::Alive).await.is_err() {
+            if !change.is_relevant() && self.tell(News::Alive).await.is_err() {
                 return Ok(Ended::Unwanted);
             }
             if self.told(change, read).await.is_err() {
--- a/crates/fleet-harness/src/scenario.rs
+++ b/crates/fleet-harness/src/scenario.rs
@@ -419,7 +419,7 @@
         overrides.apply(&mut table);
         let mut random = fastrand::Rng::with_seed(seed);
         let (written, parted) = (table.remove("step"), table.remove("side"));
-        let mut file = Section::whole(table);
+        let mut file = Section::root(table);
         let mut scenario = Scenario {
             name: file
                 .parsed("name", "a text", |name| Some(name.to_owned()))
@@ -504,7 +504,7 @@
                 file.fault("step", "must be a list of sections");
                 break;
             };
-            let mut section = Section::whole(table);
+            let mut section = Section::root(table);
             scenario.draw(&mut section, &mut random);
             let key = |fault: Fault| Fault {
                 key: format!("step[{place}].{}", fault.key),
--- a/crates/fleet-harness/src/virtually/mod.rs
+++ b/crates/fleet-harness/src/virtually/mod.rs
@@ -237,8 +237,11 @@
             (
                 named.settings.partition_safe,
                 named.settings.retransmission_budget,
-            ) = (says.quotas.fenced, says.quotas.spare_words);
-            named.settings.subsetting = says.servers.working_set;
+            ) = (
+                says.quotas.partition_safe,
+                says.quotas.retransmission_budget,
+            );
+            named.settings.subsetting = says.servers.subsetting;
             let gateway = PolicyEngine::new(seed ^ at as u64, named.settings.clone(), run.now)?;
             let follower = Follower::new(run.scenario.instances as u32, run.terms.as_ref());
             run.nodes.push(Node {
--- a/crates/node/src/edge.rs
+++ b/crates/node/src/edge.rs
@@ -299,9 +299,9 @@
 /// Sets what the operator's file says of the policy.
 fn apply_operator(config: &mut Config, operator: &Operator) {
     let settings = &mut config.named.settings;
-    settings.partition_safe = operator.quotas.fenced;
-    settings.retransmission_budget = operator.quotas.spare_words;
-    settings.subsetting = operator.servers.working_set;
+    settings.partition_safe = operator.quotas.partition_safe;
+    settings.retransmission_budget = operator.quotas.retransmission_budget;
+    settings.subsetting = operator.servers.subsetting;
 }
 
 /// The clients' listener: one that was handed over, or one of the node's own.
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -1,6 +1,6 @@
 //! How late this thread's loop reads what has reached the machine, as its sleeps and rounds show.
 
-use saffronpaddle_connection_eviction::{rested, IdleSweep};
+use saffronpaddle_connection_eviction::{rested, ReceiveTimeBound};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,12 +17,12 @@
     /// Since when the loop's sleeps are observed; nothing is known of a loop that is not.
     static BEGAN: Cell<Option<Instant>> = const { Cell::new(None) };
     /// The sleeps and rounds that were observed.
-    static SLEEPS: Cell<IdleSweep> = const { Cell::new(IdleSweep::NEW) };
+    static SLEEPS: Cell<ReceiveTimeBound> = const { Cell::new(ReceiveTimeBound::NEW) };
     /// Notified when a round is to be confirmed.
     static PROVE: Rc<Notify> = Rc::default();
 }
 
-fn with(change: impl FnOnce(&mut IdleSweep, Duration)) {
+fn with(change: impl FnOnce(&mut ReceiveTimeBound, Duration)) {
     let began = BEGAN.get().unwrap_or_else(|| {
         let now = Instant::now();
         BEGAN.set(Some(now));
@@ -35,14 +35,14 @@
 
 /// Observes a loop's sleeps. It costs two reads of the clock for each.
 pub fn observe_parking(runtime: &mut Builder) -> &mut Builder {
-    runtime.on_thread_park(|| with(IdleSweep::sleeps));
-    runtime.on_thread_unpark(|| with(|rounds, now| rounds.wakes(now, LONGEST)))
+    runtime.on_thread_park(|| with(ReceiveTimeBound::on_sleep));
+    runtime.on_thread_unpark(|| with(|rounds, now| rounds.on_wake(now, LONGEST)))
 }
 
 /// A time before which what this loop reads now had not reached the machine; `None` for a loop that is not observed.
 pub fn arrived_after() -> Option<Instant> {
     let began = BEGAN.get()?;
-    let since = began + SLEEPS.get().since();
+    let since = began + SLEEPS.get().earliest();
     if !rested(since.duration_since(began), began.elapsed()).is_zero() {
         PROVE.with(|prove| prove.notify_one());
     }
@@ -59,6 +59,6 @@
         let mut then = Duration::ZERO;
         with(|_, now| then = now);
         tokio::task::yield_now().await;
-        with(|rounds, _| rounds.passed(then));
+        with(|rounds, _| rounds.on_round_completed(then));
     }
 }
--- a/crates/node/src/websocket.rs
+++ b/crates/node/src/websocket.rs
@@ -156,7 +156,7 @@
         }
         drop(addresses);
         for (server, ready) in changes {
-            let commands = self.table.borrow_mut().told(now, server, ready);
+            let commands = self.table.borrow_mut().on_server_status(now, server, ready);
             self.carry_out(commands);
         }
     }
--- a/crates/node/src/websocket/relay.rs
+++ b/crates/node/src/websocket/relay.rs
@@ -222,7 +222,7 @@
         websockets
             .table
             .borrow_mut()
-            .heard(websockets.now(), self.permit.id, from, data);
+            .on_received(websockets.now(), self.permit.id, from, data);
         if seen.iter().any(|seen| matches!(seen, Seen::Close(_))) {
             // Where the node has not closed by itself, the close was relayed to the other side, which answers it.
             direction.shut = true;
--- a/crates/operator-config/src/operator.rs
+++ b/crates/operator-config/src/operator.rs
@@ -47,7 +47,7 @@
         let table = text
             .parse::<Table>()
             .map_err(|error| syntax_fault(text, &error))?;
-        let mut file = Section::whole(table);
+        let mut file = Section::root(table);
         let operator = Operator::read(&mut file);
         let faults = file.rest();
         if faults.is_empty() {
@@ -77,7 +77,7 @@
 impl Default for Operator {
     /// What an empty file sets.
     fn default() -> Operator {
-        Operator::read(&mut Section::whole(Table::new()))
+        Operator::read(&mut Section::root(Table::new()))
     }
 }
 
--- a/crates/operator-config/src/section.rs
+++ b/crates/operator-config/src/section.rs
@@ -16,7 +16,7 @@
 
 impl Section {
     /// The whole file.
-    pub fn whole(table: Table) -> Section {
+    pub fn root(table: Table) -> Section {
         Section {
             path: String::new(),
             table,
--- a/crates/operator-config/src/traffic.rs
+++ b/crates/operator-config/src/traffic.rs
@@ -7,16 +7,16 @@
 pub struct Quotas {
     /// Partition-safe mode: each owner of a customer's quota holds its own share of it, so that owners that cannot reach
     /// each other never grant more than the whole quota together.
-    pub fenced: bool,
+    pub partition_safe: bool,
     /// Whether unanswered grant requests are repeated only within a budget of messages.
-    pub spare_words: bool,
+    pub retransmission_budget: bool,
 }
 
 impl Quotas {
     pub(crate) fn read(section: &mut Section) -> Quotas {
         Quotas {
-            fenced: section.flag("fenced", false),
-            spare_words: section.flag("spare_words", false),
+            partition_safe: section.flag("fenced", false),
+            retransmission_budget: section.flag("spare_words", false),
         }
     }
 }
@@ -25,13 +25,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Servers {
     /// Whether each server of a list of more than 512 gets requests from a subset of the nodes only.
-    pub working_set: bool,
+    pub subsetting: bool,
 }
 
 impl Servers {
     pub(crate) fn read(section: &mut Section) -> Servers {
         Servers {
-            working_set: section.flag("working_set", false),
+            subsetting: section.flag("working_set", false),
         }
     }
 }
--- a/crates/websocket/src/table.rs
+++ b/crates/websocket/src/table.rs
@@ -150,7 +150,7 @@
     }
 
     /// Bytes of a side were received; `data` if they were more than control frames.
-    pub fn heard(&mut self, now: Micros, id: SocketId, side: Side, data: bool) {
+    pub fn on_received(&mut self, now: Micros, id: SocketId, side: Side, data: bool) {
         if let Some(socket) = self.by_id.get_mut(&id) {
             socket.last_received_at[side as usize] = now;
             socket.ping_sent[side as usize] = false;
--- a/crates/websocket/src/table/drain.rs
+++ b/crates/websocket/src/table/drain.rs
@@ -36,7 +36,7 @@
 impl Sockets {
     /// The list of servers says that a server is ready, or that it is not: it drains, is removed, or has another address.
     /// In the latter case its sockets close, the first at once and all within the time of a drain.
-    pub fn told(&mut self, now: Micros, server: ServerId, ready: bool) -> Vec<Command> {
+    pub fn on_server_status(&mut self, now: Micros, server: ServerId, ready: bool) -> Vec<Command> {
         if ready {
             self.unavailable.remove(&server);
             return Vec::new();
--- a/crates/websocket/src/table/tests.rs
+++ b/crates/websocket/src/table/tests.rs
@@ -39,10 +39,10 @@
             4 => {
                 _ = random
                     .choice(&open)
-                    .map(|id| sockets.heard(now, *id, Side::Client, random.bool()));
+                    .map(|id| sockets.on_received(now, *id, Side::Client, random.bool()));
             }
             5 if !open.is_empty() => sockets.ended(open.swap_remove(random.usize(..open.len()))),
-            6 => _ = sockets.told(now, ServerId(random.u64(..3)), random.bool()),
+            6 => _ = sockets.on_server_status(now, ServerId(random.u64(..3)), random.bool()),
             _ => _ = sockets.tick(now),
         }
         assert_eq!(sockets.count(), open.len());
--- a/crates/websocket/tests/sockets.rs
+++ b/crates/websocket/tests/sockets.rs
@@ -61,7 +61,7 @@
     let other = sockets.admit(0, CustomerId(99_999), 1).expect("admitted");
     assert!(sockets.opened(0, other, OTHER).is_empty());
     let now = 500 * MS;
-    let first = sockets.told(now, ONE, false);
+    let first = sockets.on_server_status(now, ONE, false);
     assert!(
         drain_commands(&first) > 0 && drain_commands(&first) < 1_000,
         "some at once, not all: {}",
@@ -109,7 +109,7 @@
 fn a_socket_that_opens_to_a_draining_server_closes_at_once() {
     let mut sockets = open_sockets(limits(), 0);
     let id = sockets.admit(0, CustomerId(1), 1).expect("admitted");
-    assert!(sockets.told(10, ONE, false).is_empty());
+    assert!(sockets.on_server_status(10, ONE, false).is_empty());
     let closes = sockets.opened(20, id, ONE);
     assert!(
         matches!(closes[..], [Command::Drain(_, 1001, _, at)] if at == 20 + 200 * MS),
@@ -117,7 +117,7 @@
     );
     sockets.ended(id);
     // The server is ready again, and nothing is kept of the drain.
-    assert!(sockets.told(30, ONE, true).is_empty());
+    assert!(sockets.on_server_status(30, ONE, true).is_empty());
     let id = sockets.admit(40, CustomerId(1), 1).expect("admitted");
     assert!(sockets.opened(50, id, ONE).is_empty());
 }
@@ -192,14 +192,14 @@
 fn a_silent_side_is_pinged_then_the_socket_is_closed_then_cut() {
     let mut sockets = open_sockets(limits(), 1);
     let id = SocketId(0);
-    sockets.heard(900 * MS, id, Side::Client, true);
+    sockets.on_received(900 * MS, id, Side::Client, true);
     let first = run_until(&mut sockets, 0, 1_000 * MS);
     assert_eq!(first, [(1_000 * MS, Command::Ping(id, Side::Server))]);
-    sockets.heard(1_010 * MS, id, Side::Server, false);
+    sockets.on_received(1_010 * MS, id, Side::Server, false);
     // Both sides sent bytes: each is pinged a second later, and the server answers.
     let again = run_until(&mut sockets, 1_010 * MS, 2_010 * MS);
     assert_eq!(again.len(), 2, "{again:?}");
-    sockets.heard(2_020 * MS, id, Side::Server, false);
+    sockets.on_received(2_020 * MS, id, Side::Server, false);
     let end = run_until(&mut sockets, 2_020 * MS, 3_900 * MS);
     assert!(
         matches!(end.last(), Some((at, Command::Close(..))) if *at == 3_900 * MS),
@@ -219,7 +219,7 @@
         ..limits()
     };
     let mut sockets = open_sockets(bounds, 1);
-    sockets.heard(400 * MS, SocketId(0), Side::Server, false);
+    sockets.on_received(400 * MS, SocketId(0), Side::Server, false);
     let idle = run_until(&mut sockets, 0, 600 * MS);
     assert!(
         matches!(idle[..], [(at, Command::Close(..))] if at == 500 * MS),
