--- a/crates/endpoints/src/follower/wipe.rs
+++ b/crates/endpoints/src/follower/wipe.rs
@@ -52,7 +52,7 @@
 
 impl Follower {
     /// Whether an empty list has stayed so for long enough that a range should confirm it; after that range
-    /// [`Follower::believe`] has to be called.
+    /// [`Follower::confirm_empty`] has to be called.
     pub fn confirmation_due(&self, now: Time) -> bool {
         let since = self.suspected_wipe.since;
         since.is_some_and(|since| now.saturating_sub(since) >= self.rules.empty_after)
--- a/crates/model-checker/src/fleet/clients.rs
+++ b/crates/model-checker/src/fleet/clients.rs
@@ -45,7 +45,7 @@
                 customer: CustomerId(customer),
                 units: 1.0,
                 subset_first: NodeId(first_node),
-                subset_size: subset_size,
+                subset_size,
                 timeout,
                 complete: true,
             },
--- a/crates/model-checker/src/world/occurrences.rs
+++ b/crates/model-checker/src/world/occurrences.rs
@@ -215,7 +215,7 @@
         client.ticket = ticket;
         let idempotency = setup.idempotency(request);
         Event::RequestReceived {
-            idempotency: idempotency,
+            idempotency,
             deadline: now + setup.timeout(),
             policy_event: PolicyEvent::RequestArrived {
                 id: setup.request_id(request),
