--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -1,5 +1,6 @@
 //! The admin listener: accepts callers, and has each command answered by the node or its life cycle.
 
+use crate::deadline::reached;
 use crate::error::NodeError;
 use crate::node::Node;
 use saffronpaddle_admin::{failure, success, Call, CallError, Caller, CallerTable, Line};
@@ -23,14 +24,14 @@
 /// a descriptor.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Bytes read of a caller at a time.
-const PIECE: usize = 64;
+const READ_BYTES: usize = 64;
 
 /// The admin listener.
 pub struct Admin {
     listener: TcpListener,
 }
 
-/// A call, and where its reply goes.
+/// A call, and where its reply evicted.
 pub struct AdminCall {
     pub call: Call,
     pub answer: oneshot::Sender<AdminReply>,
@@ -69,12 +70,12 @@
 }
 
 impl CallerTasks {
-    fn leaves(&mut self, caller: Caller) {
+    fn remove(&mut self, caller: Caller) {
         self.table.left(caller);
         self.tasks.remove(&caller);
     }
 
-    fn dismiss(&mut self, caller: Caller) {
+    fn abort(&mut self, caller: Caller) {
         if let Some(task) = self.tasks.remove(&caller) {
             task.abort();
         }
@@ -82,57 +83,52 @@
 }
 
 /// Serves callers, for ever. None of them waits for another.
-pub async fn serve(admin: Option<Admin>, node: Rc<Node>, ask: mpsc::Sender<AdminCall>) {
+pub async fn serve(admin: Option<Admin>, node: Rc<Node>, calls: mpsc::Sender<AdminCall>) {
     let Some(Admin { listener }) = admin else {
         return;
     };
-    let began = Instant::now();
+    let started_at = Instant::now();
     let callers = Rc::new(RefCell::new(CallerTasks {
         table: CallerTable::new(CallerTable::MOST, CallerTable::STAY),
         tasks: HashMap::new(),
     }));
     loop {
-        let until = callers.borrow().table.deadline().map(|until| began + until);
+        let deadline = callers.borrow().table.deadline();
+        let deadline = deadline.map(|span| started_at + span);
         tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => {
-                    let (caller, goes) = callers.borrow_mut().table.arrived(began.elapsed());
-                    goes.into_iter().for_each(|caller| callers.borrow_mut().dismiss(caller));
-                    let (held, node, ask) = (Rc::clone(&callers), Rc::clone(&node), ask.clone());
+                    let (caller, evicted) = callers.borrow_mut().table.arrived(started_at.elapsed());
+                    evicted.into_iter().for_each(|caller| callers.borrow_mut().abort(caller));
+                    let (served, node, calls) = (Rc::clone(&callers), Rc::clone(&node), calls.clone());
                     let task = tokio::task::spawn_local(async move {
                         // A caller that has gone needs nothing.
-                        let _ = converse(stream, &node, &ask).await;
-                        held.borrow_mut().leaves(caller);
+                        let _ = serve_caller(stream, &node, &calls).await;
+                        served.borrow_mut().remove(caller);
                     });
                     callers.borrow_mut().tasks.insert(caller, task.abort_handle());
                 }
                 Err(error) if AcceptFailure::of(&error) == AcceptFailure::OfOneConnection => {}
                 Err(_) => sleep(ACCEPT_RETRY).await,
             },
-            () = over(until) => {
+            () = reached(deadline) => {
                 let mut callers = callers.borrow_mut();
-                while let Some(caller) = callers.table.stale(began.elapsed()) {
-                    callers.dismiss(caller);
+                while let Some(caller) = callers.table.stale(started_at.elapsed()) {
+                    callers.abort(caller);
                 }
             }
         }
     }
 }
 
-async fn over(until: Option<Instant>) {
-    match until {
-        Some(until) => tokio::time::sleep_until(until).await,
-        None => std::future::pending().await,
-    }
-}
-
-async fn converse(
+/// Serves one caller.
+async fn serve_caller(
     stream: TcpStream,
     node: &Rc<Node>,
-    ask: &mpsc::Sender<AdminCall>,
+    calls: &mpsc::Sender<AdminCall>,
 ) -> std::io::Result<()> {
     let mut stream = Socket::new(stream);
-    let (mut line, mut piece) = (Line::default(), [0; PIECE]);
+    let (mut line, mut piece) = (Line::default(), [0; READ_BYTES]);
     let call = loop {
         let length = stream.read(&mut piece).await?;
         if length == 0 {
@@ -145,16 +141,16 @@
     let text = match call {
         Ok(Call::Info) => node.figures(),
         Ok(call) => {
-            let (answer, said) = oneshot::channel();
+            let (answer, reply) = oneshot::channel();
             // Sending fails only at the node's very end.
-            let _ = ask.send(AdminCall { call, answer }).await;
-            match said.await {
+            let _ = calls.send(AdminCall { call, answer }).await;
+            match reply.await {
                 Ok(AdminReply { ok: true, text }) => success(&text),
                 Ok(AdminReply { ok: false, text }) => failure(&text),
                 Err(_) => failure("gone"),
             }
         }
-        Err(bad) => failure(&bad.to_string()),
+        Err(error) => failure(&error.to_string()),
     };
     let _ = timeout(CLOSE_TIMEOUT, async {
         stream.write_all(text.as_bytes()).await?;
--- a/crates/node/src/bodies/response.rs
+++ b/crates/node/src/bodies/response.rs
@@ -25,7 +25,7 @@
 
 impl fmt::Debug for StreamedResponseBody {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Passing")
+        f.debug_struct("StreamedResponseBody")
             .field("size", &self.size)
             .finish_non_exhaustive()
     }
@@ -39,8 +39,8 @@
         first: VecDeque<Bytes>,
         rest: Incoming,
     ) -> StreamedResponseBody {
-        let come: u64 = first.iter().map(|piece| piece.len() as u64).sum();
-        let size = rest.size_hint().exact().map(|rest| come + rest);
+        let received: u64 = first.iter().map(|piece| piece.len() as u64).sum();
+        let size = rest.size_hint().exact().map(|rest| received + rest);
         let stall = Box::pin(tokio::time::sleep(STALL_TIMEOUT));
         StreamedResponseBody {
             on_end: Some(on_end),
--- a/crates/node/src/clients.rs
+++ b/crates/node/src/clients.rs
@@ -45,8 +45,9 @@
     pub phase: Phase,
     /// Whether connections are taken from the listener.
     pub accepts: bool,
-    /// Whether new requests can be served as promised, and if not, why.
+    /// Whether new requests can be served as promised.
     pub ready: bool,
+    /// Why they cannot.
     pub reasons: Reasons,
     /// The process was told to stop, and answers all that it has by then.
     pub answer_by: Option<Instant>,
@@ -66,7 +67,7 @@
 }
 
 /// Returns when the edge node has reached a phase, or when nobody is left to set it.
-async fn reached(mut status: watch::Receiver<ServingStatus>, phase: Phase) {
+async fn phase_reached(mut status: watch::Receiver<ServingStatus>, phase: Phase) {
     let _ = status.wait_for(|status| status.phase >= phase).await;
 }
 
@@ -160,7 +161,7 @@
     /// Accepts clients until the edge node closes.
     async fn accept_until_closing(&mut self) {
         let mut status = self.status.clone();
-        let closing = reached(self.status.clone(), Phase::Closing);
+        let closing = phase_reached(self.status.clone(), Phase::Closing);
         tokio::pin!(closing);
         loop {
             // Removes tasks that have ended.
@@ -207,7 +208,7 @@
     fn on_accepted(&mut self, accepted: io::Result<Accepted>) {
         let error = match accepted {
             Ok(accepted) => {
-                let now = self.connections.began.elapsed();
+                let now = self.connections.started_at.elapsed();
                 self.connections.pressure.accepted(now);
                 self.waiting = Some(accepted);
                 return;
--- a/crates/node/src/clients/connection.rs
+++ b/crates/node/src/clients/connection.rs
@@ -2,7 +2,7 @@
 
 use super::reply::CLOSE;
 use super::respond::respond;
-use super::{reached, Phase, ServingStatus};
+use super::{phase_reached, Phase, ServingStatus};
 use crate::downstream::{BusyGuard, DownstreamConnection, ObservedStream};
 use crate::node::Node;
 use hyper::header::CONNECTION;
@@ -31,18 +31,18 @@
 const FINAL_READ_YIELDS: usize = 3;
 
 /// One client's connection, until it ends or is evicted.
-pub(super) async fn converse(
+pub(super) async fn run(
     stream: Arc<TcpStream>,
     node: Rc<Node>,
-    phase: watch::Receiver<ServingStatus>,
+    status: watch::Receiver<ServingStatus>,
     downstream: Arc<DownstreamConnection>,
     unwatched: Rc<Notify>,
 ) {
-    let talk = talk(stream, node, phase, Arc::clone(&downstream));
-    tokio::pin!(talk);
+    let http = serve_http(stream, node, status, Arc::clone(&downstream));
+    tokio::pin!(http);
     loop {
         let watched = poll_fn(|context| {
-            let polled = talk.as_mut().poll(context);
+            let polled = http.as_mut().poll(context);
             if polled.is_pending() && downstream.is_newly_unwatched() {
                 unwatched.notify_one();
             }
@@ -59,7 +59,7 @@
         for _ in 0..FINAL_READ_YIELDS {
             tokio::task::yield_now().await;
             // No timer: each would take a tick of its own, and new connections would be admitted no faster than that.
-            if poll_fn(|context| Poll::Ready(talk.as_mut().poll(context).is_ready())).await {
+            if poll_fn(|context| Poll::Ready(http.as_mut().poll(context).is_ready())).await {
                 return;
             }
         }
@@ -75,18 +75,19 @@
     }
 }
 
-async fn talk(
+/// Serves requests on a connection, until it ends by itself or the node empties.
+async fn serve_http(
     stream: Arc<TcpStream>,
     node: Rc<Node>,
-    phase: watch::Receiver<ServingStatus>,
+    status: watch::Receiver<ServingStatus>,
     downstream: Arc<DownstreamConnection>,
 ) {
     let _ = stream.set_nodelay(true);
-    let seen = phase.clone();
-    let held = Arc::clone(&downstream);
+    let seen = status.clone();
+    let served = Arc::clone(&downstream);
     let watched = ObservedStream::new(stream, Arc::clone(&downstream));
     let service = service_fn(move |request| {
-        let (node, seen, downstream) = (Rc::clone(&node), seen.clone(), Arc::clone(&held));
+        let (node, seen, downstream) = (Rc::clone(&node), seen.clone(), Arc::clone(&served));
         async move {
             let busy = BusyGuard::new(&downstream);
             let mut reply = respond(&node, request, &seen, &downstream).await;
@@ -109,11 +110,11 @@
     tokio::select! {
         biased;
         _ = &mut connection => return,
-        () = reached(phase.clone(), Phase::Emptying) => {}
+        () = phase_reached(status.clone(), Phase::Emptying) => {}
     }
     // What the machine holds is read before the connection counts as idle.
     tokio::task::yield_now().await;
-    let wait = last_request_timeout(&downstream, &phase.borrow());
+    let wait = last_request_timeout(&downstream, &status.borrow());
     if tokio::time::timeout(wait, &mut connection).await.is_ok() {
         return;
     }
--- a/crates/node/src/clients/connections.rs
+++ b/crates/node/src/clients/connections.rs
@@ -1,7 +1,7 @@
 //! The connections of all clients: which are admitted and evicted, and whose client has gone.
 
 use super::backlog::Accepted;
-use super::connection::converse;
+use super::connection;
 use super::ServingStatus;
 use crate::downstream::DownstreamConnection;
 use crate::node::Node;
@@ -18,7 +18,7 @@
 
 /// The connections of all clients.
 pub(super) struct Connections {
-    pub(super) began: Instant,
+    pub(super) started_at: Instant,
     pub(super) tasks: JoinSet<()>,
     pub(super) entries: Vec<Entry>,
     pub(super) pressure: EvictionPressure,
@@ -37,7 +37,7 @@
     pub(super) fn new() -> Connections {
         let (tasks, entries, pressure) = (JoinSet::new(), Vec::new(), EvictionPressure::default());
         Connections {
-            began: Instant::now(),
+            started_at: Instant::now(),
             tasks,
             entries,
             pressure,
@@ -50,23 +50,23 @@
         &mut self,
         accepted: Accepted,
         node: &Rc<Node>,
-        phase: &watch::Receiver<ServingStatus>,
+        status: &watch::Receiver<ServingStatus>,
     ) {
         let Accepted {
             stream,
             arrived_after,
         } = accepted;
         let stream = Arc::new(stream);
-        let downstream = DownstreamConnection::new(self.began, arrived_after, &stream);
+        let downstream = DownstreamConnection::new(self.started_at, arrived_after, &stream);
         let unwatched = Rc::clone(&self.unwatched);
-        let talk = converse(
+        let connection = connection::run(
             stream,
             Rc::clone(node),
-            phase.clone(),
+            status.clone(),
             Arc::clone(&downstream),
             unwatched,
         );
-        let task = self.tasks.spawn_local(talk);
+        let task = self.tasks.spawn_local(connection);
         self.entries.push(Entry { downstream, task });
         // A handle keeps the memory of its ended task: entries are removed before they are many.
         if self.entries.len() > self.tasks.len() + MAX_ENDED_ENTRIES {
@@ -83,7 +83,7 @@
     pub(super) fn sweep(&mut self) {
         self.tidy();
         self.sweep_unwatched();
-        let now = self.began.elapsed();
+        let now = self.started_at.elapsed();
         for Entry { downstream, .. } in &self.entries {
             if Limits::USUAL.over(now, &downstream.state()) {
                 downstream.evict();
@@ -112,25 +112,27 @@
     /// Evicts as many connections as are needed for one more, and some for those behind it: without this, many silent
     /// connections would shut out all others. Where the capacity is used up those go that have been silent longest.
     /// None of them is waited for.
-    pub(super) fn evict(&mut self, most: usize) {
+    pub(super) fn evict(&mut self, max_clients: usize) {
         self.tidy();
-        let now = self.began.elapsed();
-        let going = self
+        let now = self.started_at.elapsed();
+        let evicting = self
             .entries
             .iter()
             .filter(|entry| entry.downstream.is_evicted())
             .count();
-        let way = self.pressure.evictions(now, most, self.tasks.len(), going);
-        if way.required + way.allowed == 0 {
+        let evictions = self
+            .pressure
+            .evictions(now, max_clients, self.tasks.len(), evicting);
+        if evictions.required + evictions.allowed == 0 {
             return;
         }
-        let seen: Vec<_> = self
+        let states: Vec<_> = self
             .entries
             .iter()
             .map(|entry| entry.downstream.state())
             .collect();
-        for place in Limits::USUAL.choose_evictions(now, &seen, way) {
-            self.entries[place].downstream.evict();
+        for index in Limits::USUAL.choose_evictions(now, &states, evictions) {
+            self.entries[index].downstream.evict();
         }
     }
 }
--- a/crates/node/src/endpoints.rs
+++ b/crates/node/src/endpoints.rs
@@ -1,5 +1,6 @@
 //! App servers as the exchange and the policy know them.
 
+use crate::hash::fnv1a;
 use saffronpaddle_endpoints::EndpointRecord;
 use saffronpaddle_policy::interface::{
     DeduplicationDomainId, Endpoint, EndpointStatus, ServerId, ZoneId,
@@ -8,8 +9,7 @@
 
 /// A server's id, the same at every edge node: FNV-1a of its name.
 pub fn server_id(host: &str) -> ServerId {
-    let step = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
-    ServerId(host.bytes().fold(0xcbf2_9ce4_8422_2325, step))
+    ServerId(fnv1a(host))
 }
 
 /// An entry of the endpoint list for the policy, and its server's address. `zones` are the settings' names in their
--- a/crates/node/src/hot_restart.rs
+++ b/crates/node/src/hot_restart.rs
@@ -1,6 +1,8 @@
 //! Hot restart: the processes of one node meet at a socket in their folder, hand their state over and keep in step.
 
 use crate::config::List;
+use crate::deadline::reached;
+use crate::hash::fnv1a;
 use crate::node::Node;
 use crate::process_links::ProcessLinks;
 use saffronpaddle_hot_restart::{
@@ -52,9 +54,7 @@
     /// The rendezvous of a node's processes in a folder that they share. Its name is a hash, as a socket's path has 107
     /// bytes at the most.
     pub fn new(folder: &Path, name: &str) -> Rendezvous {
-        let hash = name.bytes().fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
-            (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
-        });
+        let hash = fnv1a(name);
         Rendezvous {
             path: folder.join(format!("node-{hash:016x}")),
         }
@@ -288,11 +288,3 @@
     }
     Ok(line)
 }
-
-/// Waits for a deadline; for ever if there is none.
-async fn reached(deadline: Option<Instant>) {
-    match deadline {
-        Some(deadline) => tokio::time::sleep_until(deadline).await,
-        None => std::future::pending().await,
-    }
-}
--- a/crates/node/src/lifecycle_runner.rs
+++ b/crates/node/src/lifecycle_runner.rs
@@ -2,6 +2,7 @@
 
 use crate::admin::{AdminCall, AdminReply};
 use crate::clients::{Phase, ServingStatus};
+use crate::deadline::reached;
 use crate::event_loop;
 use crate::manager::Manager;
 use crate::node::Node;
@@ -14,7 +15,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
-use tokio::time::{sleep, sleep_until, Instant};
+use tokio::time::{sleep, Instant};
 use tracing::info;
 
 /// A signal to the process.
@@ -191,7 +192,7 @@
                     served = None;
                     Event::ConnectionsClosed
                 }
-                () = until(wakeup) => self.on_wakeup(),
+                () = reached(wakeup) => self.on_wakeup(),
             };
         }
     }
@@ -339,13 +340,6 @@
     }
 }
 
-async fn until(moment: Option<Instant>) {
-    match moment {
-        Some(moment) => sleep_until(moment).await,
-        None => pending().await,
-    }
-}
-
 /// Feeds the manager's watchdog for as long as the node's loop makes progress. A thread or timer of its own would feed it
 /// while the loop is stuck, and the manager would never restart the node: so what is checked is the policy's own timer.
 pub async fn feed_watchdog(node: Rc<Node>, manager: Rc<Manager>) {
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -307,10 +307,10 @@
     /// How many peers were heard of in this process, and how many there are that broadcast.
     pub fn reachable_peers(&self) -> (usize, usize) {
         let all = self.named.settings.node_count.saturating_sub(1) as usize;
-        let speak = self.peers.is_some() && self.exchange.borrow().policy().broadcasts();
+        let broadcasts = self.peers.is_some() && self.exchange.borrow().policy().broadcasts();
         (
             self.reachable_peers.borrow().len(),
-            if speak { all } else { 0 },
+            if broadcasts { all } else { 0 },
         )
     }
 
--- a/crates/node/src/node/endpoint_list.rs
+++ b/crates/node/src/node/endpoint_list.rs
@@ -3,7 +3,7 @@
 use super::Node;
 use crate::config::{Health, Host, List};
 use crate::endpoints::server_entry;
-use saffronpaddle_endpoints::{EndpointRecord, EndpointUpdate, Merge, Source};
+use saffronpaddle_endpoints::{EndpointRecord, EndpointUpdate, Source};
 use saffronpaddle_exchange::Event;
 use saffronpaddle_policy::interface::{Endpoint, EndpointStatus};
 use std::collections::BTreeMap;
@@ -94,7 +94,10 @@
     }
 
     /// Several sources are followed: from now on they are merged.
+    #[cfg(feature = "etcd")]
     pub fn merge_endpoint_sources(&self) {
-        self.merge.borrow_mut().get_or_insert_with(Merge::new);
+        self.merge
+            .borrow_mut()
+            .get_or_insert_with(saffronpaddle_endpoints::Merge::new);
     }
 }
--- a/crates/node/src/upstream/gate.rs
+++ b/crates/node/src/upstream/gate.rs
@@ -62,10 +62,10 @@
             let forward = owner.ready_request(self.gate.connection);
             // The client of a connection that was just accepted may have disconnected again before the machine has
             // reported either: one round shows it.
-            let untold = forward
+            let unobserved = forward
                 .as_ref()
                 .is_some_and(|forward| forward.client.unwatched());
-            while (untold && self.waited == 0)
+            while (unobserved && self.waited == 0)
                 || (self.waited < MAX_DISCOVERY_YIELDS && owner.has_unread_endpoints())
             {
                 let round = self.round.get_or_insert_with(|| Box::pin(yield_now()));
