--- a/crates/node/src/clients/reply.rs
+++ b/crates/node/src/clients/reply.rs
@@ -43,7 +43,7 @@
         why = reason.trim_end(),
         "turned away"
     );
-    if let Some(class) = class_of(&node.named, headers) {
+    if let Some(class) = class_of(&node.platform, headers) {
         node.record_rejection(class, RequestEnd::Faulted);
     }
     reject_and_close(status, reason)
--- a/crates/node/src/clients/request.rs
+++ b/crates/node/src/clients/request.rs
@@ -38,9 +38,9 @@
 }
 
 /// The class that a request's head names.
-pub(super) fn class_of(named: &PlatformSettings, headers: &HeaderMap) -> Option<ClassId> {
+pub(super) fn class_of(platform: &PlatformSettings, headers: &HeaderMap) -> Option<ClassId> {
     let class = text(headers, "x-class")?;
-    named
+    platform
         .classes
         .iter()
         .position(|known| known == class)
@@ -52,7 +52,7 @@
 /// # Errors
 /// What is wrong with it. Nothing has been changed by then.
 pub(super) fn read(
-    named: &PlatformSettings,
+    platform: &PlatformSettings,
     head: &hyper::http::request::Parts,
 ) -> Result<RequestHead, Rejected> {
     let bad = |reason| Rejected {
@@ -74,8 +74,10 @@
     );
     let place = |names: &[String], name: &str| names.iter().position(|known| known == name);
     let class = text(headers, "x-class").ok_or(bad("X-Class: missing\n"))?;
-    let number = class_of(named, headers).ok_or(bad("X-Class: unknown\n"))?.0;
-    let plan = text(headers, "x-tier").and_then(|plan| place(&named.plans, plan));
+    let number = class_of(platform, headers)
+        .ok_or(bad("X-Class: unknown\n"))?
+        .0;
+    let plan = text(headers, "x-tier").and_then(|plan| place(&platform.plans, plan));
     let plan = PlanId(plan.ok_or(bad("X-Tier: missing or unknown\n"))?);
     let mut path = head.uri.path().trim_start_matches('/').split('/');
     if path.next() != Some(class) {
@@ -85,14 +87,15 @@
         .next_back()
         .and_then(customer)
         .ok_or(bad("the path does not end with a customer\n"))?;
-    let longest = Duration::from_micros(named.longest_deadline);
+    let longest = Duration::from_micros(platform.longest_deadline);
     let timeout = text(headers, "x-deadline")
         .and_then(span)
         .filter(|span| *span <= longest);
     let timeout = timeout.ok_or(bad("X-Deadline: missing or bad\n"))?;
-    let terms = text(headers, "x-call-terms").and_then(|text| Terms::read(text, &named.settings));
+    let terms =
+        text(headers, "x-call-terms").and_then(|text| Terms::read(text, &platform.settings));
     let terms = terms.ok_or(bad("X-Call-Terms: missing or bad\n"))?;
-    let effect = named.settings.classes[number].idempotency;
+    let effect = platform.settings.classes[number].idempotency;
     match (effect, &head.method) {
         (Idempotency::Idempotent, &Method::GET) | (Idempotency::NonIdempotent, &Method::POST) => {}
         (Idempotency::WithKey { .. }, &Method::POST) if headers.contains_key(KEY) => {}
--- a/crates/node/src/clients/respond.rs
+++ b/crates/node/src/clients/respond.rs
@@ -67,7 +67,7 @@
     };
     let upgrades = offer.as_ref().map(|_| hyper::upgrade::on(&mut request));
     let (head, body) = request.into_parts();
-    let mut asked = match read(&node.named, &head) {
+    let mut asked = match read(&node.platform, &head) {
         Ok(asked) => asked,
         Err(rejected) => return reject_unread(node, &head.headers, rejected),
     };
--- a/crates/node/src/clients/tests.rs
+++ b/crates/node/src/clients/tests.rs
@@ -22,12 +22,12 @@
         memory_mb: 64,
     };
     let text = configuration(&places, &Fleet::usual(1).settings(0), None, 1);
-    let named = Config::parse(std::path::Path::new("none"), &text)
+    let platform = Config::parse(std::path::Path::new("none"), &text)
         .expect("a good configuration")
-        .named;
+        .platform;
     Node::new(NodeParts {
         seed: 1,
-        named,
+        platform,
         max_upstream_connections: 100,
         links: ProcessLinks::new("n0", false),
         peers: None,
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -33,7 +33,7 @@
     /// The endpoint list as it was last known. It may be old.
     pub known: Option<List>,
     /// The policy's settings, with the names that requests use.
-    pub named: PlatformSettings,
+    pub platform: PlatformSettings,
 }
 
 /// The addresses of datagrams between nodes.
@@ -204,7 +204,7 @@
     Json(#[from] serde_json::Error),
     /// The policy's settings cannot be read.
     #[error("settings: {0}")]
-    NamedSettings(#[source] setup::ReadError),
+    PlatformSettings(#[source] setup::ReadError),
     /// The policy's settings make no sense.
     #[error("settings")]
     Settings(#[source] SettingsError),
@@ -269,8 +269,8 @@
     /// What is wrong with it.
     pub fn parse(path: &Path, text: &str) -> Result<Config, ConfigError> {
         let file: File = serde_json::from_str(text)?;
-        let named = setup::read(file.settings.get()).map_err(ConfigError::NamedSettings)?;
-        named.settings.check().map_err(ConfigError::Settings)?;
+        let platform = setup::read(file.settings.get()).map_err(ConfigError::PlatformSettings)?;
+        platform.settings.check().map_err(ConfigError::Settings)?;
         if file.limits.sockets < MIN_SOCKETS {
             return Err(ConfigError::TooFewDescriptors);
         }
@@ -296,7 +296,7 @@
             memory,
             peers,
             known: file.known,
-            named,
+            platform,
         })
     }
 }
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -115,7 +115,10 @@
     known: Option<List>,
     poll_limits: Option<PollLimits>,
 ) {
-    let place = (node.named.settings.node.0, node.named.settings.node_count);
+    let place = (
+        node.platform.settings.node.0,
+        node.platform.settings.node_count,
+    );
     let started_at = Instant::now();
     let follower = || Follower {
         node: Rc::clone(&node),
@@ -181,8 +184,8 @@
 
 /// Follows the list at one address, until that is abandoned and its watch has ended.
 async fn follow_address(mut follower: Follower, address: SocketAddr) {
-    let nodes = follower.node.named.settings.node_count;
-    let pushed = follower.node.named.settings.discovery == DiscoveryMode::Pushed;
+    let nodes = follower.node.platform.settings.node_count;
+    let pushed = follower.node.platform.settings.discovery == DiscoveryMode::Pushed;
     let mut backoff = match &follower.poll_limits {
         Some(poll_limits) => PollBackoff::with_limits(nodes, poll_limits),
         // Where lists are pushed the address is this machine's agent.
--- a/crates/node/src/edge.rs
+++ b/crates/node/src/edge.rs
@@ -177,7 +177,7 @@
         let handover = take_over(rendezvous.as_ref(), &links).await;
         let reuse = settings.is_some_and(|settings| settings.listen.reuse_port);
         let listener = listen(config.listen, inherited_listener, reuse).await?;
-        let me = config.named.settings.node;
+        let me = config.platform.settings.node;
         let peers = bind_peers(config.peers, me, reuse || shared).await?;
         let sockets = settings.and_then(|settings| settings.sockets.clone());
         let capacity = Capacity::new(config.sockets, sockets.as_ref())?;
@@ -188,7 +188,7 @@
         } = handover;
         let node = Node::new(NodeParts {
             seed: config.seed,
-            named: config.named,
+            platform: config.platform,
             max_upstream_connections: capacity.upstream,
             links,
             peers,
@@ -234,7 +234,7 @@
         // A policy that was notified of nothing yet asks for no timer, and a loop without one looks stuck to the watchdog.
         self.node.start();
         let terms = LimitTerms {
-            longest_deadline: Duration::from_micros(self.node.named.longest_deadline),
+            longest_deadline: Duration::from_micros(self.node.platform.longest_deadline),
             // What comes to a listener that is handed over waits for its next owner; but where processes overlap, the next
             // owner is there, or there is none yet.
             leaves_at_once: self.shared && self.rendezvous.is_none(),
@@ -298,7 +298,7 @@
 
 /// Sets what the operator's file says of the policy.
 fn apply_operator(config: &mut Config, operator: &Operator) {
-    let settings = &mut config.named.settings;
+    let settings = &mut config.platform.settings;
     settings.partition_safe = operator.quotas.partition_safe;
     settings.retransmission_budget = operator.quotas.retransmission_budget;
     settings.subsetting = operator.servers.subsetting;
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -43,7 +43,7 @@
     /// The seed of the policy's draws.
     pub seed: u64,
     /// The policy's settings, with the names that requests use.
-    pub named: PlatformSettings,
+    pub platform: PlatformSettings,
     /// Connections to app servers that all processes of the node may have open.
     pub max_upstream_connections: usize,
     /// Other processes of this node.
@@ -59,7 +59,7 @@
 /// One edge node.
 pub struct Node {
     /// The policy's settings, with the names that requests use.
-    pub named: PlatformSettings,
+    pub platform: PlatformSettings,
     /// Connections to app servers.
     pub upstream: Rc<Upstream>,
     /// Other nodes.
@@ -126,7 +126,7 @@
     pub fn new(parts: NodeParts) -> Result<Rc<Node>, NodeError> {
         let NodeParts {
             seed,
-            named,
+            platform,
             max_upstream_connections,
             links,
             peers,
@@ -135,19 +135,19 @@
         } = parts;
         let clock = Clock::start();
         let websockets = sockets
-            .map(|sockets| websocket_proxy(&named, sockets, clock))
+            .map(|sockets| websocket_proxy(&platform, sockets, clock))
             .transpose()?;
-        let mut policy = PolicyEngine::new(seed, named.settings.clone(), clock.now())?;
+        let mut policy = PolicyEngine::new(seed, platform.settings.clone(), clock.now())?;
         if let Some((state, link)) = restored {
             policy.restore(state, link);
         }
         let limits = Limits::for_node(
             max_upstream_connections,
-            named.server_idle_timeout,
-            named.connect_timeout,
+            platform.server_idle_timeout,
+            platform.connect_timeout,
         );
         Ok(Rc::new_cyclic(|node: &Weak<Node>| Node {
-            named,
+            platform,
             upstream: Upstream::new(),
             peers,
             links,
@@ -306,7 +306,7 @@
 
     /// How many peers were heard of in this process, and how many there are that broadcast.
     pub fn reachable_peers(&self) -> (usize, usize) {
-        let all = self.named.settings.node_count.saturating_sub(1) as usize;
+        let all = self.platform.settings.node_count.saturating_sub(1) as usize;
         let broadcasts = self.peers.is_some() && self.exchange.borrow().policy().broadcasts();
         (
             self.reachable_peers.borrow().len(),
@@ -329,11 +329,11 @@
 
 /// The web sockets of a node, whose class is known by name.
 fn websocket_proxy(
-    named: &PlatformSettings,
+    platform: &PlatformSettings,
     sockets: Sockets,
     clock: Clock,
 ) -> Result<Rc<WebsocketProxy>, NodeError> {
-    let class = named
+    let class = platform
         .classes
         .iter()
         .position(|class| *class == sockets.class);
--- a/crates/node/src/node/endpoint_list.rs
+++ b/crates/node/src/node/endpoint_list.rs
@@ -76,7 +76,7 @@
     fn apply_endpoints(self: &Rc<Self>, list: &[EndpointRecord], snapshot: bool) {
         let entries = list
             .iter()
-            .map(|entry| server_entry(entry, &self.named.zones));
+            .map(|entry| server_entry(entry, &self.platform.zones));
         let entries: Vec<(Endpoint, SocketAddr)> = entries.collect();
         if let Some(websockets) = &self.websockets {
             let servers = entries
--- a/crates/node/src/node/figures.rs
+++ b/crates/node/src/node/figures.rs
@@ -20,7 +20,7 @@
     pub async fn log_counts(self: Rc<Self>, every: Option<Duration>) {
         let Some(every) = every else { return };
         let started_at = Instant::now();
-        let me = self.named.settings.node.0;
+        let me = self.platform.settings.node.0;
         loop {
             tokio::time::sleep(every).await;
             let at_ms = started_at.elapsed().as_millis() as u64;
@@ -34,7 +34,7 @@
     fn with_figures(&self, write: impl FnOnce(&Metrics) -> String) -> String {
         let exchange = self.exchange.borrow();
         let (registry_entries, out_of_rotation) = exchange.policy().endpoint_counts();
-        let (names, tally) = (&self.named.classes, exchange.counters().clone());
+        let (names, tally) = (&self.platform.classes, exchange.counters().clone());
         let mut decided: Vec<(&'static str, u64)> =
             exchange.policy().counters().by_name().collect();
         decided.extend(
