--- a/crates/saffronpaddle/src/call.rs
+++ b/crates/saffronpaddle/src/call.rs
@@ -1,4 +1,4 @@
-//! A call to a running node at its operators' address.
+//! `saffronpaddle call`: sends one admin command to a running node and prints its response.
 
 use anyhow::{Context, Result};
 use lexopt::prelude::*;
@@ -7,36 +7,46 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// A node answers within a second; one that does not is in trouble, which is an answer too.
-const WITHIN: Duration = Duration::from_secs(3);
-/// Most bytes of an answer. Guards against an address that is none of a node's.
-const MOST: u64 = 1 << 20;
+/// Longest time for the connection, and between two reads of the response. A healthy node takes less than a second.
+const TIMEOUT: Duration = Duration::from_secs(3);
+/// Longest response, in bytes. Whatever listens at an address that is no node's could otherwise fill the memory.
+const MAX_RESPONSE_BYTES: u64 = 1 << 20;
+/// The line that ends a response of many lines.
+const END_OF_TEXT: &str = "EOT\n";
+/// What the response to a command that was carried out begins with.
+const SUCCESS: &str = "SUCCESS";
 
-/// Calls and prints what is answered. Success is an answer of `SUCCESS`, or figures that came whole.
+/// Sends the command that the arguments give and prints the response.
+///
+/// The exit code is success if the command was carried out, or if metrics came completely.
+///
+/// # Errors
+/// The arguments are wrong, or no node responds at the address.
 pub fn call(mut arguments: lexopt::Parser) -> Result<ExitCode> {
     let address: SocketAddr = arguments
         .value()
         .context("call takes an address and a word")?
         .parse()?;
-    let word = arguments
+    let command = arguments
         .value()
         .context("call takes a word: PING, INFO, LAMEDUCK or REJOIN")?;
-    let word = word.to_string_lossy().to_uppercase();
-    let mut stream = TcpStream::connect_timeout(&address, WITHIN)
+    let command = command.to_string_lossy().to_uppercase();
+    let response = exchange(address, &command)?;
+    let complete = response.strip_suffix(END_OF_TEXT);
+    print!("{}", complete.unwrap_or(&response));
+    let succeeded = complete.is_some() || response.starts_with(SUCCESS);
+    Ok(crate::exit_code(succeeded))
+}
+
+fn exchange(address: SocketAddr, command: &str) -> Result<String> {
+    let mut stream = TcpStream::connect_timeout(&address, TIMEOUT)
         .with_context(|| format!("no node at {address}"))?;
-    stream.set_read_timeout(Some(WITHIN))?;
-    stream.write_all(format!("{word}\n").as_bytes())?;
-    let mut answer = String::new();
+    stream.set_read_timeout(Some(TIMEOUT))?;
+    stream.write_all(format!("{command}\n").as_bytes())?;
+    let mut response = String::new();
     stream
-        .take(MOST)
-        .read_to_string(&mut answer)
+        .take(MAX_RESPONSE_BYTES)
+        .read_to_string(&mut response)
         .with_context(|| format!("{address} is silent"))?;
-    let whole = answer.strip_suffix("EOT\n");
-    print!("{}", whole.unwrap_or(&answer));
-    let good = whole.is_some() || answer.starts_with("SUCCESS");
-    Ok(if good {
-        ExitCode::SUCCESS
-    } else {
-        ExitCode::FAILURE
-    })
+    Ok(response)
 }
--- a/crates/saffronpaddle/src/demo.rs
+++ b/crates/saffronpaddle/src/demo.rs
@@ -1,4 +1,4 @@
-//! `saffronpaddle demo`: one edge node before three stand-in app servers, all on loopback, with nothing to set up.
+//! `saffronpaddle demo`: one node in front of stand-in app servers, all on loopback, with nothing to set up.
 
 use anyhow::{Context, Result};
 use saffronpaddle_node::{Config, Edge, Manager, Options, ProcessSignal};
@@ -6,17 +6,33 @@
 use saffronpaddle_test_doubles::servers::{AppServer, Spec};
 use saffronpaddle_test_doubles::settings::{configuration, Fleet, Places};
 use saffronpaddle_test_doubles::World;
-use std::net::SocketAddr;
+use std::net::{SocketAddr, UdpSocket};
+use std::path::Path;
 use std::process::ExitCode;
 use std::sync::Arc;
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
 
+/// Where the node listens unless the command line says otherwise.
+const DEFAULT_LISTEN: &str = "127.0.0.1:8480";
+/// Count of app servers.
 const SERVERS: usize = 3;
+/// Requests that an app server works on at the same time.
+const SERVER_CORES: usize = 4;
+/// Requests that an app server takes at most, queued ones among them.
+const SERVER_SLOTS: usize = 64;
+/// Sockets that the node may open.
+const NODE_SOCKETS: usize = 1024;
+/// Memory of the node, in MB.
+const NODE_MEMORY_MB: usize = 192;
 
+/// Runs the demo until the process is told to stop.
+///
+/// # Errors
+/// The arguments are wrong, or the node or an app server can't be started.
 pub fn demo(mut arguments: lexopt::Parser) -> Result<ExitCode> {
-    let mut listen: SocketAddr = "127.0.0.1:8480".parse()?;
+    let mut listen: SocketAddr = DEFAULT_LISTEN.parse()?;
     while let Some(argument) = arguments.next()? {
         match argument {
             lexopt::Arg::Long("listen") => listen = lexopt::ValueExt::parse(&arguments.value()?)?,
@@ -26,29 +42,48 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    LocalSet::new().block_on(&runtime, play(listen))?;
+    LocalSet::new().block_on(&runtime, run(listen))?;
     Ok(ExitCode::SUCCESS)
 }
 
-async fn play(listen: SocketAddr) -> Result<()> {
+async fn run(listen: SocketAddr) -> Result<()> {
     let fleet = Fleet::usual(1);
     let world = World::begin(fleet.bounds.clone());
     let discovery = Discovery::new(Arc::clone(&world));
+    // The servers run until they are dropped.
+    let _servers = start_servers(&fleet, &world, &discovery)?;
+    let options = Options {
+        config: node_config(listen, &fleet, &discovery).await?,
+        operator: None,
+        inherited_listener: None,
+        rendezvous: None,
+        manager: Manager::none(),
+    };
+    let node = Edge::bind(options).await?;
+    print_instructions(node.address());
+    node.run(stop_signals()?).await;
+    Ok(())
+}
+
+fn start_servers(
+    fleet: &Fleet,
+    world: &Arc<World>,
+    discovery: &Discovery,
+) -> Result<Vec<AppServer>> {
     let mut servers = Vec::new();
     for number in 0..SERVERS {
-        let work = fleet
-            .classes
-            .iter()
-            .map(|class| (class.name.to_owned(), class.work))
-            .collect();
         let spec = Spec {
             name: format!("s-{number}"),
             block: 1,
-            cores: 4,
-            slots: 64,
-            work,
+            cores: SERVER_CORES,
+            slots: SERVER_SLOTS,
+            work: fleet
+                .classes
+                .iter()
+                .map(|class| (class.name.to_owned(), class.work))
+                .collect(),
         };
-        let server = AppServer::start(Arc::clone(&world), spec).context("an app server")?;
+        let server = AppServer::start(Arc::clone(world), spec).context("an app server")?;
         discovery.change(vec![Entry {
             host: server.name().to_owned(),
             dial: server.address(),
@@ -59,15 +94,23 @@
         }]);
         servers.push(server);
     }
-    let free = std::net::UdpSocket::bind("127.0.0.1:0").and_then(|socket| socket.local_addr())?;
+    Ok(servers)
+}
+
+async fn node_config(
+    listen: SocketAddr,
+    fleet: &Fleet,
+    discovery: &Arc<Discovery>,
+) -> Result<Config> {
+    let peer_address = UdpSocket::bind("127.0.0.1:0").and_then(|socket| socket.local_addr())?;
     let places = Places {
         name: "demo".to_owned(),
         listen,
         discovery: discovery.agent(0).await?,
-        peer_listen: free,
-        peers: vec![free],
-        sockets: 1024,
-        memory_mb: 192,
+        peer_listen: peer_address,
+        peers: vec![peer_address],
+        sockets: NODE_SOCKETS,
+        memory_mb: NODE_MEMORY_MB,
     };
     let text = configuration(
         &places,
@@ -75,16 +118,10 @@
         Some(&discovery.known()),
         fastrand::u64(..),
     );
-    let config = Config::parse(std::path::Path::new("demo"), &text)?;
-    let options = Options {
-        config,
-        operator: None,
-        inherited_listener: None,
-        rendezvous: None,
-        manager: Manager::none(),
-    };
-    let edge = Edge::bind(options).await?;
-    let address = edge.address();
+    Ok(Config::parse(Path::new("demo"), &text)?)
+}
+
+fn print_instructions(address: SocketAddr) {
     println!("One edge node before {SERVERS} stand-in app servers. Ask it for ranked times:");
     println!();
     println!(
@@ -95,13 +132,16 @@
     println!(
         "Plan small allows 4 at once, then 0.8 a second: ask more often and it is refused. Ctrl-C ends it."
     );
-    let (tell, words) = mpsc::unbounded_channel();
+}
+
+/// Receives a message whenever the process is told to stop.
+fn stop_signals() -> Result<mpsc::UnboundedReceiver<ProcessSignal>> {
+    let (sender, receiver) = mpsc::unbounded_channel();
     for kind in [SignalKind::interrupt(), SignalKind::terminate()] {
-        let (mut signal, tell) = (signal(kind)?, tell.clone());
+        let (mut signal, sender) = (signal(kind)?, sender.clone());
         tokio::task::spawn_local(async move {
-            while signal.recv().await.is_some() && tell.send(ProcessSignal::Stop).is_ok() {}
+            while signal.recv().await.is_some() && sender.send(ProcessSignal::Stop).is_ok() {}
         });
     }
-    edge.run(words).await;
-    Ok(())
+    Ok(receiver)
 }
--- a/crates/saffronpaddle/src/log.rs
+++ b/crates/saffronpaddle/src/log.rs
@@ -3,10 +3,10 @@
 use anyhow::{Context, Result};
 use tracing_subscriber::filter::LevelFilter;
 
-/// Names the lowest level that is told: `error`, `warn`, `info` (the default), `debug` or `trace`.
+/// Environment variable that names the lowest level to log: `error`, `warn`, `info` (the default), `debug` or `trace`.
 const LEVEL_VARIABLE: &str = "LB_LOG";
 
-/// Sends events to standard error from now on.
+/// Writes events to standard error from now on.
 ///
 /// # Errors
 /// The variable names no level.
@@ -22,10 +22,10 @@
         .with_ansi(false)
         .with_target(false);
     if level > LevelFilter::INFO {
-        // Whoever looks at single events compares the logs of several processes.
+        // Single events are compared across the logs of several processes, which takes their time.
         lines.with_max_level(level).init();
     } else {
-        // The platform and the service manager date each line by themselves.
+        // The platform and the service manager add the time to each line.
         lines.with_max_level(level).without_time().init();
     }
     Ok(())
--- /dev/null
+++ b/crates/saffronpaddle/src/soak.rs
@@ -0,0 +1,107 @@
+//! `saffronpaddle fleet soak`: plays fleets with random faults, one seed after the other.
+
+use anyhow::Result;
+use lexopt::prelude::*;
+use saffronpaddle_fleet_harness::soak::{self, Plan, Size};
+use saffronpaddle_fleet_harness::Options;
+use std::path::{Path, PathBuf};
+use std::process::ExitCode;
+
+/// What the command line sets.
+struct SoakArguments {
+    first_seed: u64,
+    runs: u64,
+    size: Size,
+    /// Whether a plan that fails is made smaller.
+    shrink: bool,
+    /// The program that instances run.
+    program: PathBuf,
+    /// Where the logs of seeds that fail are kept.
+    folder: PathBuf,
+    /// A library that makes system calls of the instances fail.
+    preload: Option<PathBuf>,
+}
+
+/// Plays as many seeds as the arguments say. The exit code is a failure if any of them broke a rule.
+///
+/// # Errors
+/// The arguments are wrong, or a fleet can't be started.
+pub fn soak(arguments: lexopt::Parser) -> Result<ExitCode> {
+    let arguments = SoakArguments::parse(arguments)?;
+    let runs = arguments.runs;
+    let mut failed = 0;
+    for seed in arguments.first_seed..arguments.first_seed + runs {
+        if !arguments.play_seed(seed)? {
+            failed += 1;
+        }
+    }
+    println!("{failed} of {runs} seeds failed");
+    Ok(crate::exit_code(failed == 0))
+}
+
+impl SoakArguments {
+    fn parse(mut arguments: lexopt::Parser) -> Result<Self> {
+        let (mut first_seed, mut runs, mut size, mut shrink) = (1, 1, Size::LONG, true);
+        let (mut program, mut preload) = (None, None);
+        let mut folder =
+            std::env::temp_dir().join(format!("saffronpaddle-soak-{}", std::process::id()));
+        while let Some(argument) = arguments.next()? {
+            match argument {
+                Long("seed") => first_seed = arguments.value()?.parse()?,
+                Long("runs") => runs = arguments.value()?.parse()?,
+                Long("short") => size = Size::SHORT,
+                Long("program") => program = Some(PathBuf::from(arguments.value()?)),
+                Long("keep") => folder = PathBuf::from(arguments.value()?),
+                Long("no-shrink") => shrink = false,
+                Long("preload") => preload = Some(PathBuf::from(arguments.value()?)),
+                other => return Err(other.unexpected().into()),
+            }
+        }
+        Ok(SoakArguments {
+            first_seed,
+            runs,
+            size,
+            shrink,
+            program: crate::instance_program(program)?,
+            folder,
+            preload,
+        })
+    }
+
+    fn options(&self, seed: u64, folder: &Path) -> Options {
+        Options {
+            program: self.program.clone(),
+            seed,
+            folder: folder.to_owned(),
+            operator: String::new(),
+            say: false,
+            log_level: "debug",
+            preload: self.preload.clone(),
+        }
+    }
+
+    /// Plays one seed, prints its report, and says whether all rules were kept.
+    fn play_seed(&self, seed: u64) -> Result<bool> {
+        let folder = self.folder.join(seed.to_string());
+        let plan = Plan::draw(seed, self.size);
+        let report = soak::play(&plan, &self.options(seed, &folder))?;
+        println!("{report}");
+        if report.good() {
+            std::fs::remove_dir_all(&folder)?;
+            return Ok(true);
+        }
+        println!("seed {seed} fails; logs are in {}", folder.display());
+        println!("{}", soak::timeline(&report, &folder));
+        let smallest = if self.shrink {
+            let options = self.options(seed, &self.folder.join("shrinks"));
+            soak::shrink(&plan, &report, &options)?
+        } else {
+            plan
+        };
+        println!(
+            "the smallest plan that was seen to fail:\n{}",
+            smallest.text()
+        );
+        Ok(false)
+    }
+}
