--- a/crates/etcd/src/api.rs
+++ b/crates/etcd/src/api.rs
@@ -1,5 +1,5 @@
-//! Messages of etcd's v3 API (`etcdserverpb`, `mvccpb`), written down from its public definitions with their tags, as far
-//! as a roster and a stand-in need them. Fields that are left out are passed over when read.
+//! Messages of etcd's v3 API (`etcdserverpb`, `mvccpb`) with the tags of its public definitions, as far as the client and
+//! the test double need them. Fields that are left out are skipped when read.
 #![allow(missing_docs)] // The names are those of the public definitions, which document them.
 
 use prost::{Enumeration, Message, Oneof};
@@ -167,7 +167,7 @@
     }
 }
 
-/// A transaction; comparisons are not among what the stand-in knows, so only ones without any succeed.
+/// A transaction. The test double knows no comparisons, so only transactions without any succeed there.
 #[derive(Clone, PartialEq, Message)]
 pub struct TxnRequest {
     #[prost(bytes = "vec", repeated, tag = "1")]
@@ -377,8 +377,8 @@
     pub raft_term: u64,
 }
 
-/// The end of the range of all keys that begin with a prefix (etcd's API guide, "Key ranges"): its last byte that can be
-/// raised is raised, and what follows cut off.
+/// The end of the range of all keys that begin with a prefix (etcd's API guide, "Key ranges"): the last byte below 0xff is
+/// incremented and the bytes after it are cut off.
 pub fn prefix_end(prefix: &[u8]) -> Vec<u8> {
     let mut end = prefix.to_vec();
     while let Some(last) = end.pop() {
@@ -387,23 +387,35 @@
             return end;
         }
     }
-    // All of them are the greatest: from the prefix on, everything.
+    // All bytes are 0xff: etcd takes a zero byte for the end of all keys.
     vec![0]
 }
 
-/// Full names of the calls.
+/// Paths of the gRPC methods.
 pub mod path {
+    /// Reads keys.
     pub const RANGE: &str = "/etcdserverpb.KV/Range";
+    /// Writes a key.
     pub const PUT: &str = "/etcdserverpb.KV/Put";
+    /// Deletes keys.
     pub const DELETE_RANGE: &str = "/etcdserverpb.KV/DeleteRange";
+    /// Runs a transaction.
     pub const TXN: &str = "/etcdserverpb.KV/Txn";
+    /// Forgets revisions before a given one.
     pub const COMPACT: &str = "/etcdserverpb.KV/Compact";
+    /// Streams the changes of keys.
     pub const WATCH: &str = "/etcdserverpb.Watch/Watch";
+    /// Creates a lease.
     pub const LEASE_GRANT: &str = "/etcdserverpb.Lease/LeaseGrant";
+    /// Ends a lease and deletes its keys.
     pub const LEASE_REVOKE: &str = "/etcdserverpb.Lease/LeaseRevoke";
+    /// Renews a lease.
     pub const LEASE_KEEP_ALIVE: &str = "/etcdserverpb.Lease/LeaseKeepAlive";
+    /// Reads a lease's remaining time.
     pub const LEASE_TIME_TO_LIVE: &str = "/etcdserverpb.Lease/LeaseTimeToLive";
+    /// Exchanges a name and a password for a token.
     pub const AUTHENTICATE: &str = "/etcdserverpb.Auth/Authenticate";
+    /// Reads the status of a member.
     pub const STATUS: &str = "/etcdserverpb.Maintenance/Status";
 }
 
--- a/crates/etcd/src/lib.rs
+++ b/crates/etcd/src/lib.rs
@@ -1,12 +1,19 @@
-//! etcd's v3 API as far as a roster needs it, and a client that survives its cluster.
+//! etcd's v3 API as far as an endpoint list needs it, and a client that survives failures of its cluster.
 //!
-//! What is decided (resuming, compaction, lag, restored and wiped clusters) stands in `saffronpaddle-endpoints`; here is
-//! the input and output: gRPC over HTTP/2 by `tonic`, with [`api`]'s messages.
+//! `saffronpaddle-endpoints` decides what a response means: where to resume, and what to do about compaction, lag, and
+//! restored or wiped clusters. This crate does the I/O: gRPC over HTTP/2 by `tonic`, with the messages of [`api`].
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 pub mod api;
 pub mod client;
-mod stamped;
+mod convert;
+mod error;
+mod member;
+mod news;
+mod read_time;
+mod settings;
 
-pub use client::{follow, News, Settings, Timing};
+pub use client::follow;
+pub use news::News;
+pub use settings::{Settings, Timing};
--- a/crates/etcd/src/stamped.rs
+++ b/crates/etcd/src/read_time.rs
@@ -1,5 +1,6 @@
-//! A connection that notes when bytes were read off its socket. Guards the 250 ms of a drain: they run from there, and
-//! not from when the bytes were decoded and their turn came.
+//! A connection that records when bytes were read off its socket.
+//!
+//! The 250 ms of a drain run from that moment. The time at which a message is decoded is later by its wait for the task.
 
 use saffronpaddle_netio::Socket;
 use std::io;
@@ -9,9 +10,9 @@
 use std::time::Instant;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// When a connection's bytes were read.
+/// When the bytes of a connection were read.
 #[derive(Clone, Debug, Default)]
-pub struct Stamp(Arc<Mutex<Reads>>);
+pub struct ReadTimes(Arc<Mutex<Reads>>);
 
 #[derive(Debug, Default)]
 struct Reads {
@@ -20,16 +21,16 @@
     last: Option<Instant>,
 }
 
-impl Stamp {
-    fn note(&self) {
+impl ReadTimes {
+    fn record(&self) {
         let now = Instant::now();
         let mut reads = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         reads.first.get_or_insert(now);
         reads.last = Some(now);
     }
 
-    /// The moment for the message that has just been decoded: the first read since the one before. A message whose bytes
-    /// came with those of the one before was read no later than the last read.
+    /// When the message that has just been decoded was read: at the first read since the message before it. If its bytes
+    /// came together with those of the message before, it was read no later than at the last read.
     pub fn take(&self) -> Instant {
         let mut reads = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         reads
@@ -40,13 +41,15 @@
     }
 }
 
-/// The connection.
-pub struct Stamped {
+/// A socket that records its reads.
+pub struct TimedSocket {
+    /// The socket.
     pub stream: Socket,
-    pub stamp: Stamp,
+    /// Where the reads are recorded.
+    pub read_times: ReadTimes,
 }
 
-impl AsyncRead for Stamped {
+impl AsyncRead for TimedSocket {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -55,13 +58,13 @@
         let before = buffer.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(context, buffer);
         if buffer.filled().len() > before {
-            self.stamp.note();
+            self.read_times.record();
         }
         read
     }
 }
 
-impl AsyncWrite for Stamped {
+impl AsyncWrite for TimedSocket {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
