--- a/crates/node/src/alarm.rs
+++ b/crates/node/src/alarm.rs
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Returns when the machine is due, however often its time changes meanwhile.
+    /// Returns when the state machine is due, however often its time changes meanwhile.
     pub async fn rings(&self, next: impl Fn() -> Option<Micros>, now: impl Fn() -> Micros) {
         loop {
             let next = next();
--- a/crates/node/src/clients.rs
+++ b/crates/node/src/clients.rs
@@ -25,7 +25,7 @@
 /// How often connections are evicted while one waits for capacity and none has ended.
 const EVICTION_RETRY: Duration = Duration::from_millis(5);
 
-/// How far the edge node has got in leaving.
+/// How far this process has got in shutting down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
     /// It serves.
@@ -98,7 +98,7 @@
 }
 
 /// Accepts clients until the edge node closes, then serves out those that it has. At most `max_clients` at a time. A
-/// listener that is `shared` goes on in other hands: what waits in its backlog is theirs.
+/// listener that is `shared` outlives this process: what waits in its backlog is for the next one.
 pub async fn serve(
     listener: TcpListener,
     shared: bool,
@@ -241,7 +241,7 @@
                 self.connections.admit(accepted, &self.node, &self.status);
             }
         }
-        // From here on the machine rejects connections.
+        // From here on the kernel rejects connections.
         let Acceptor {
             mut connections,
             backlog,
--- a/crates/node/src/clients/backlog.rs
+++ b/crates/node/src/clients/backlog.rs
@@ -1,4 +1,4 @@
-//! The connections that the machine holds until they are accepted.
+//! The connections that the kernel holds until they are accepted.
 
 use crate::event_loop;
 use saffronpaddle_netio::AcceptFailure;
@@ -19,14 +19,14 @@
 /// A connection that was accepted.
 pub(super) struct Accepted {
     pub stream: TcpStream,
-    /// A time before which the machine did not have it.
+    /// A time before which the kernel did not have it.
     pub arrived_after: Instant,
 }
 
-/// The connections that the machine holds until they are accepted.
+/// The connections that the kernel holds until they are accepted.
 pub(super) struct Backlog {
     listener: TcpListener,
-    /// A time before which the machine did not have what is queued now.
+    /// A time before which the kernel did not have what is queued now.
     clear: Instant,
     /// What is accepted now may have been queued before the queue was last polled.
     behind: bool,
--- a/crates/node/src/clients/connection.rs
+++ b/crates/node/src/clients/connection.rs
@@ -24,10 +24,10 @@
 /// Most bytes buffered for one client, so that all together stay far below the memory limit.
 const MAX_BUFFER_BYTES: usize = 32 * 1024;
 /// How long a connection without a request so far may still make one once the edge node closes. A request may be on its
-/// way when the node that the machine gave the connection to is told to stop.
+/// way when the node that the kernel gave the connection to is told to stop.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
-/// Rounds of the loop in which bytes that the machine holds reach a request's reader: the driver's, the connection's
-/// and one more.
+/// Scheduler yields in which bytes that the kernel holds reach a request's reader: one each for tokio's I/O driver and the
+/// connection's task, and one more.
 const FINAL_READ_YIELDS: usize = 3;
 
 /// One client's connection, until it ends or is evicted.
@@ -54,7 +54,7 @@
             () = downstream.evicted() => {}
         }
         // The last byte of a request may arrive in the instant in which its connection is evicted, and the client would
-        // lose it unanswered. What the machine holds is read first; a connection that turns out to have a request
+        // lose it unanswered. What the kernel holds is read first; a connection that turns out to have a request
         // stays.
         for _ in 0..FINAL_READ_YIELDS {
             tokio::task::yield_now().await;
@@ -112,7 +112,7 @@
         _ = &mut connection => return,
         () = phase_reached(status.clone(), Phase::Emptying) => {}
     }
-    // What the machine holds is read before the connection counts as idle.
+    // What the kernel holds is read before the connection counts as idle.
     tokio::task::yield_now().await;
     let wait = last_request_timeout(&downstream, &status.borrow());
     if tokio::time::timeout(wait, &mut connection).await.is_ok() {
--- a/crates/node/src/clients/request.rs
+++ b/crates/node/src/clients/request.rs
@@ -117,7 +117,7 @@
 
 impl RequestHead {
     /// Deducts the time that the request has been queued since its client sent it; `false` where nothing is left. A
-    /// request may have waited in the machine while this node was late to read it, and its server would be promised
+    /// request may have waited in the kernel while this node was late to read it, and its server would be promised
     /// time that its client no longer has.
     pub(super) fn deduct_wait(&mut self, rested: Duration) -> bool {
         self.timeout = self.timeout.saturating_sub(rested);
--- a/crates/node/src/clients/respond.rs
+++ b/crates/node/src/clients/respond.rs
@@ -81,7 +81,7 @@
     }
 }
 
-/// Whether a request could hide another in its body: of a length and an encoding, the library drops one unseen.
+/// Whether a request could hide another in its body: of a length and an encoding, hyper drops one unseen.
 fn is_ambiguously_framed(request: &Request<Incoming>, downstream: &DownstreamConnection) -> bool {
     let coding = request.headers().get(TRANSFER_ENCODING);
     coding.is_some_and(|coding| {
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -178,7 +178,7 @@
     Read {
         /// The file.
         path: PathBuf,
-        /// What the machine says.
+        /// The system's error.
         source: io::Error,
     },
     /// The file's text makes no sense.
--- a/crates/node/src/discovery/call.rs
+++ b/crates/node/src/discovery/call.rs
@@ -52,13 +52,13 @@
 }
 
 impl Watch {
-    /// The next frame; pending only once all that the machine holds was read.
+    /// The next frame; pending only once all that the kernel holds was read.
     pub(super) fn poll_next(
         &mut self,
         context: &mut TaskContext<'_>,
     ) -> Poll<Option<hyper::Result<Frame<Bytes>>>> {
         // The library reads on only once the last frame was taken and the next is polled for: one poll could leave
-        // bytes in the machine.
+        // bytes in the kernel.
         for _ in 0..2 {
             self.driver.drive(context);
             let next = Pin::new(&mut self.body).poll_frame(context);
--- a/crates/node/src/discovery_status.rs
+++ b/crates/node/src/discovery_status.rs
@@ -1,4 +1,4 @@
-//! What the node knows of its watches on the endpoint list, and whether the machine holds a change that was not read.
+//! What the node knows of its watches on the endpoint list, and whether the kernel holds a change that was not read.
 
 use saffronpaddle_netio::is_quiet;
 use std::cell::{Cell, RefCell};
--- a/crates/node/src/downstream.rs
+++ b/crates/node/src/downstream.rs
@@ -23,7 +23,7 @@
     stream: Weak<TcpStream>,
     accepted_us: u64,
     last_active_us: AtomicU64,
-    /// A time before which the bytes that were read last had not reached the machine, µs since `epoch`.
+    /// A time before which the bytes that were read last had not reached the kernel, µs since `epoch`.
     sent_after_us: AtomicU64,
     /// When the head that is being read began, µs since `epoch` and one more; 0 for no head.
     head_started_us: AtomicU64,
@@ -48,7 +48,7 @@
 }
 
 impl DownstreamConnection {
-    /// A connection that was just accepted, and that reached the machine after `connected`.
+    /// A connection that was just accepted, and that reached the kernel after `connected`.
     pub fn new(
         epoch: Instant,
         connected: Instant,
@@ -107,7 +107,7 @@
         self.is_busy() && !self.reading.load(Ordering::Relaxed)
     }
 
-    /// Whether its client has disconnected, as far as the machine has reported that: also behind bytes that nobody has
+    /// Whether its client has disconnected, as far as the kernel has reported that: also behind bytes that nobody has
     /// read.
     pub fn client_is_gone(&self) -> bool {
         self.stream
@@ -147,12 +147,12 @@
         self.has_requested.load(Ordering::Relaxed)
     }
 
-    /// Whether a head on it had both a length and an encoding, of which the library drops one unseen.
+    /// Whether a head on it had both a length and an encoding, of which hyper drops one unseen.
     pub fn is_ambiguously_framed(&self) -> bool {
         self.is_ambiguously_framed.load(Ordering::Relaxed)
     }
 
-    /// How long the bytes that were read last may have been queued, in the machine or here behind an earlier response;
+    /// How long the bytes that were read last may have been queued, in the kernel or here behind an earlier response;
     /// zero where that is too little to count. A server would otherwise be promised time that its client no longer has.
     pub fn time_queued(&self) -> Duration {
         rested(
@@ -161,7 +161,7 @@
         )
     }
 
-    /// Bytes for the client were taken by the machine, or have to wait.
+    /// Bytes for the client were taken by the kernel, or have to wait.
     fn wrote(&self, taken: bool) {
         if taken {
             self.last_active_us
@@ -170,7 +170,7 @@
         self.blocked.store(!taken, Ordering::Relaxed);
     }
 
-    /// Bytes were read, for which the library had waited or not.
+    /// Bytes were read, for which hyper had waited or not.
     fn read(&self, bytes: &[u8], heads: &mut HeadScanner, waited: bool) {
         let now = micros(self.epoch.elapsed());
         self.last_active_us.store(now, Ordering::Relaxed);
@@ -179,7 +179,7 @@
         {
             // Where the connection was polled in vain before the loop's last whole round, the client had sent nothing
             // by then. Otherwise the bytes came after those that were read before them, or, on a new connection, after
-            // that reached the machine.
+            // that reached the kernel.
             Some(since) if waited && since > self.accepted_us => {
                 self.sent_after_us.store(since.min(now), Ordering::Relaxed);
             }
--- a/crates/node/src/edge.rs
+++ b/crates/node/src/edge.rs
@@ -1,4 +1,4 @@
-//! One edge node from its start to its end: what is bound, what runs, and how it leaves.
+//! A process of an edge node from its start to its end: what is bound, what runs, and its shutdown.
 
 use crate::admin::{self, Admin};
 use crate::clients::{self, ServingStatus};
@@ -58,7 +58,7 @@
 pub struct Edge {
     node: Rc<Node>,
     listener: TcpListener,
-    /// The listener goes on in other hands.
+    /// The listener was inherited and outlives this process.
     shared: bool,
     address: SocketAddr,
     discovery: SocketAddr,
@@ -173,7 +173,7 @@
         let shared = inherited_listener.is_some();
         let links = ProcessLinks::new(&config.name, rendezvous.is_some());
         let rendezvous = rendezvous.map(|folder| Rendezvous::new(&folder, &config.name));
-        // Before anything is bound: until then the parent has all to itself.
+        // Before anything is bound: a takeover that fails must not disturb the parent, which still serves.
         let handover = take_over(rendezvous.as_ref(), &links).await;
         let reuse = settings.is_some_and(|settings| settings.listen.reuse_port);
         let listener = listen(config.listen, inherited_listener, reuse).await?;
@@ -231,12 +231,12 @@
 
     /// Runs it until its life cycle ends. Inside a `LocalSet` only.
     pub async fn run(self, signals: mpsc::UnboundedReceiver<ProcessSignal>) {
-        // A policy that was notified of nothing yet asks for no timer, and a loop without one looks stuck to the watchdog.
+        // Starts the policy's timers: without one the watchdog would take the loop for stuck.
         self.node.start();
         let terms = LimitTerms {
             longest_deadline: Duration::from_micros(self.node.platform.longest_deadline),
-            // What comes to a listener that is handed over waits for its next owner; but where processes overlap, the next
-            // owner is there, or there is none yet.
+            // On an inherited listener new connections wait in the backlog for the next process, so there is no need to keep
+            // accepting. With a rendezvous this does not hold: a successor already accepts, or none has been started.
             leaves_at_once: self.shared && self.rendezvous.is_none(),
         };
         let files = self.files.clone();
--- a/crates/node/src/endpoints.rs
+++ b/crates/node/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! App servers as the exchange and the policy know them.
+//! Converts endpoint records into the types of the exchange and the policy.
 
 use crate::hash::fnv1a;
 use saffronpaddle_endpoints::EndpointRecord;
--- a/crates/node/src/error.rs
+++ b/crates/node/src/error.rs
@@ -31,7 +31,7 @@
         setting: &'static str,
         /// The address.
         address: SocketAddr,
-        /// What the machine says.
+        /// The system's error.
         source: io::Error,
     },
     /// The clients' listener has no address.
@@ -71,7 +71,7 @@
     Read {
         /// The file.
         path: String,
-        /// What the machine says.
+        /// The system's error.
         source: io::Error,
     },
     /// Its text has faults.
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -1,4 +1,4 @@
-//! How late this thread's loop reads what has reached the machine, as its sleeps and rounds show.
+//! Bounds how late this thread's event loop reads what the kernel has received, from its sleeps and completed rounds.
 
 use saffronpaddle_connection_eviction::{rested, ReceiveTimeBound};
 use std::cell::Cell;
@@ -39,7 +39,7 @@
     runtime.on_thread_unpark(|| with(|rounds, now| rounds.on_wake(now, LONGEST)))
 }
 
-/// A time before which what this loop reads now had not reached the machine; `None` for a loop that is not observed.
+/// A time before which what this loop reads now had not reached the kernel; `None` for a loop that is not observed.
 pub fn arrived_after() -> Option<Instant> {
     let began = BEGAN.get()?;
     let since = began + SLEEPS.get().earliest();
@@ -51,7 +51,7 @@
 
 /// Confirms rounds of the loop when it looks late, for ever. A busy loop sleeps seldom, and would take everything that
 /// it reads for old. Tasks run in the order in which they are woken, and a task that yields is woken behind all that
-/// the machine had reported by then.
+/// the kernel had reported by then.
 pub async fn confirm_iterations() {
     let prove = PROVE.with(Rc::clone);
     loop {
--- a/crates/node/src/head_scanner.rs
+++ b/crates/node/src/head_scanner.rs
@@ -1,4 +1,4 @@
-//! Scans the heads of requests on a connection, beside the library that reads them: where a head has both a length and
+//! Scans the heads of requests on a connection, beside hyper that reads them: where a head has both a length and
 //! an encoding that library drops one unseen, and the request may hide another in its body.
 
 use memchr::memchr;
@@ -109,7 +109,7 @@
                 let size = std::str::from_utf8(digits)
                     .ok()
                     .and_then(|text| u64::from_str_radix(text, 16).ok());
-                // The data's own line end follows it. An invalid size is the library's to reject.
+                // The data's own line end follows it. An invalid size is hyper's to reject.
                 self.at = match size {
                     Some(0) | None => At::Trailer,
                     Some(size) => At::Chunk(size.saturating_add(2)),
--- a/crates/node/src/hot_restart.rs
+++ b/crates/node/src/hot_restart.rs
@@ -225,7 +225,7 @@
     match action {
         LinkAction::Send(message) => node.links.send(id, &message),
         LinkAction::SendState => {
-            // The state is taken and shared at one stroke: no attempt lies between.
+            // Snapshot and publication without an await between them, so that no attempt falls in the gap.
             let state = transferred_state(node);
             node.links.send(id, &Message::State(Box::new(state)));
             publish_siblings(node, None);
@@ -263,7 +263,8 @@
     }
 }
 
-/// Notifies the policy, the upstream connections and the clients' connections of whom this process shares the node with.
+/// Notifies the policy of the processes that share the node, sets this process's part of the upstream connections, and tells
+/// the life cycle whether a successor serves.
 fn publish_siblings(node: &Rc<Node>, ended: Option<LinkId>) {
     let siblings = node.links.siblings();
     node.post(PolicyEvent::SiblingsChanged {
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,4 +1,8 @@
-//! The edge node as a library: the I/O round the state machines of the other crates. It makes no policy.
+//! The edge node's I/O. Decisions are made by the policy, exchange and lifecycle crates.
+//!
+//! Start at `edge` (a process from start to exit). `clients`, `node` and `upstream` are a request's path; `endpoint_sources`
+//! follows the endpoint list; `lifecycle_runner` has signals and shutdown; `hot_restart` and `process_links` the other
+//! processes of the node.
 #![forbid(unsafe_code)]
 
 mod admin;
--- a/crates/node/src/lifecycle_runner.rs
+++ b/crates/node/src/lifecycle_runner.rs
@@ -18,19 +18,19 @@
 use tokio::time::{sleep, Instant};
 use tracing::info;
 
-/// A signal to the process.
+/// A signal to the process, as the program translates it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessSignal {
-    /// Stop: finish what was taken, then end.
+    /// SIGTERM: finish accepted requests, then exit.
     Stop,
-    /// Read the configuration anew.
+    /// SIGHUP: read the configuration again.
     Reload,
 }
 
 /// Pause between attempts to send the service manager what its socket had no room for.
 const NOTIFY_RETRY: Duration = Duration::from_millis(50);
-/// The policy asks to be woken at least every half second; a loop in which that has not happened for so much
-/// longer makes no progress, whatever else still runs in it.
+/// The policy always has a timer due within half a second. If none has fired for this long (or for half of the watchdog's
+/// period, if that is longer), the event loop counts as stuck, whatever else still runs in it.
 const MAX_TIMER_GAP: Duration = Duration::from_secs(1);
 /// Heartbeats in the time that the manager allows for one.
 const HEARTBEATS_PER_WATCHDOG_PERIOD: u32 = 4;
@@ -46,7 +46,7 @@
     sampled_at: Instant,
     /// The plan that the node was last notified of.
     shutdown_plan: Option<ShutdownPlan>,
-    /// A call that is answered once the machine has handled it.
+    /// A call that is answered once the state machine has handled it.
     pending_call: Option<AdminCall>,
 }
 
@@ -90,7 +90,7 @@
         self.started_at.elapsed()
     }
 
-    /// The answer to a call that the machine has handled.
+    /// The answer to a call that the state machine has handled.
     fn answer(&self, call: Call) -> AdminReply {
         match call {
             Call::Ping => AdminReply {
@@ -152,7 +152,7 @@
         span.map(|span| self.sampled_at + span)
     }
 
-    /// Runs until the machine says that the process ends. `reload` reads the configuration again, beside everything else.
+    /// Runs until the state machine says that the process ends. `reload` reads the configuration again, beside everything else.
     /// `served` ends once all clients are gone.
     pub async fn run<R: Future<Output = Reloaded> + 'static>(
         mut self,
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Carries out what the machine asks for; how the node serves from then on.
+    /// Carries out what the state machine asks for; how the node serves from then on.
     fn apply(&self, actions: Vec<Action>, start_reload: &impl Fn()) -> ServingStatus {
         let mut status = self.status.borrow().clone();
         for action in actions {
@@ -243,7 +243,7 @@
         });
     }
 
-    /// Answers the call that the machine has handled.
+    /// Answers the call that the state machine has handled.
     fn answer_pending_call(&mut self) {
         if let Some(pending) = self.pending_call.take() {
             // The caller may have gone meanwhile.
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -34,8 +34,8 @@
 use tokio::time::Instant;
 use tracing::{debug, error};
 
-/// Rounds of the loop between an alarm and its event, in which what the machine holds is read: the driver's, the
-/// connection's, the exchange's.
+/// Scheduler yields before a timeout is handled, so that data already in the kernel is read first: one each for tokio's I/O
+/// driver, the connection's task and the exchange.
 const LATE_TIMER_YIELDS: usize = 3;
 
 /// What a node is made of.
@@ -56,7 +56,7 @@
     pub restored: Option<(StateSnapshot, u32)>,
 }
 
-/// One edge node.
+/// This process's part of an edge node; other processes of the node are reached through `links`.
 pub struct Node {
     /// The policy's settings, with the names that requests use.
     pub platform: PlatformSettings,
@@ -85,7 +85,7 @@
     list_contact_at: Cell<Option<Instant>>,
     /// The endpoint list as discovery last sent it, for a child of this process.
     recorded_list: RefCell<RecordedList>,
-    /// Peers that this process has received a message of.
+    /// Peers that this process has ever received a message of.
     reachable_peers: RefCell<BTreeSet<NodeId>>,
     /// The process was told to stop, and answers all that it has by then.
     answer_by: Cell<Option<Instant>>,
@@ -205,7 +205,7 @@
             self.alarm
                 .rings(|| self.exchange.borrow().next_alarm(), || self.clock.now())
                 .await;
-            // A server must not be blamed for a response that this node was late to read: what the machine holds is
+            // A server must not be blamed for a response that this node was late to read: what the kernel holds is
             // read first.
             for _ in 0..LATE_TIMER_YIELDS {
                 tokio::task::yield_now().await;
@@ -247,7 +247,7 @@
         }
     }
 
-    /// The node stops: no connection to a server is kept any more.
+    /// Accepting has ended: idle connections to servers are no longer kept, and web sockets are closed.
     pub fn stop(self: &Rc<Self>) {
         self.handle(Event::Drain, None);
         if let Some(websockets) = &self.websockets {
--- a/crates/node/src/node/commands.rs
+++ b/crates/node/src/node/commands.rs
@@ -33,6 +33,7 @@
                 connection,
                 address,
             ),
+            // Prepares the request; its first byte waits at the gate for `Command::Write`.
             Command::Send {
                 connection,
                 id,
--- a/crates/node/src/readiness.rs
+++ b/crates/node/src/readiness.rs
@@ -72,7 +72,7 @@
         .unwrap_or_default()
 }
 
-/// Descriptors that are open; 0 where the machine does not say.
+/// Descriptors that are open; 0 where the system does not report it.
 fn descriptors() -> u64 {
     // The folder's size is their number (`proc(5)`, since Linux 6.2; 0 before). Listing 20,000 of them twice a second
     // would take 2% of a core.
@@ -87,7 +87,7 @@
     fs::read_dir("/proc/self/fd").map_or(0, |list| (list.count() as u64).saturating_sub(1))
 }
 
-/// Bytes of memory in use; 0 where the machine does not say.
+/// Bytes of memory in use; 0 where the system does not report it.
 fn resident() -> u64 {
     // In pages, the second figure (`proc(5)`, statm).
     let text = fs::read_to_string("/proc/self/statm").unwrap_or_default();
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -41,7 +41,8 @@
     }
 }
 
-/// The files that a reload reads, and what the operator's file last set.
+/// The paths that a reload reads again, and the operator's settings as they were at the start, which a reload does not
+/// update.
 #[derive(Clone)]
 pub struct Files {
     /// The platform's configuration.
@@ -96,8 +97,8 @@
     }
 }
 
-/// Reads the files again and sends discovery's address on. Gives the limits that hold from now on, or nothing if one of the
-/// files is bad: then none is applied. Only discovery's address and the operator's limits can change in service.
+/// Reads both files again. If either is bad, nothing is applied and the result is `None`. Otherwise discovery's address is
+/// published and the life cycle's new limits are returned. All other settings need a restart.
 pub async fn reload(
     files: Files,
     terms: LimitTerms,
--- a/crates/node/src/upstream/gate.rs
+++ b/crates/node/src/upstream/gate.rs
@@ -15,8 +15,8 @@
 use tokio::net::TcpStream;
 use tokio::task::yield_now;
 
-/// Rounds of the loop that a first byte waits for changes of the endpoint list to be read: the driver's, the connection's, the
-/// watch's, and some to spare. It ends the wait where a watch is never read.
+/// Scheduler yields that a first byte waits for changes of the endpoint list to be read: one each for tokio's I/O driver, the
+/// connection's task and the watch, and some to spare. It ends the wait where a watch is never read.
 const MAX_DISCOVERY_YIELDS: u32 = 16;
 
 /// Whether bytes may be written on a connection, and who decides that.
@@ -60,7 +60,7 @@
         }
         if let Some(owner) = upstream_events::owner(self.gate.owner) {
             let forward = owner.ready_request(self.gate.connection);
-            // The client of a connection that was just accepted may have disconnected again before the machine has
+            // The client of a connection that was just accepted may have disconnected again before the kernel has
             // reported either: one round shows it.
             let unobserved = forward
                 .as_ref()
--- a/crates/node/src/websocket/relay.rs
+++ b/crates/node/src/websocket/relay.rs
@@ -134,7 +134,7 @@
                 _ = server.writable(), if writes(Side::Server) => {}
             }
         }
-        // What the machine still holds for the server would be sent after the drain's deadline: it is dropped with the
+        // What the kernel still holds for the server would be sent after the drain's deadline: it is dropped with the
         // connection. A server that has answered the close is owed nothing.
         self.read(websockets, Side::Server);
         if self.control.cut.get() && !self.directions[Side::Server as usize].scanner.closed() {
@@ -252,7 +252,7 @@
         websockets.on_close_started(self.permit.id);
     }
 
-    /// Writes what is queued for a side, as far as the machine takes it.
+    /// Writes what is queued for a side, as far as the kernel takes it.
     fn write(&mut self, websockets: &WebsocketProxy, to: Side) {
         let direction = &mut self.directions[to.other() as usize];
         let mut written = 0;
