--- a/crates/node/src/clients/request.rs
+++ b/crates/node/src/clients/request.rs
@@ -96,14 +96,7 @@
         text(headers, "x-call-terms").and_then(|text| Terms::read(text, &platform.settings));
     let terms = terms.ok_or(bad("X-Call-Terms: missing or bad\n"))?;
     let effect = platform.settings.classes[number].idempotency;
-    match (effect, &head.method) {
-        (Idempotency::Idempotent, &Method::GET) | (Idempotency::NonIdempotent, &Method::POST) => {}
-        (Idempotency::WithKey { .. }, &Method::POST) if headers.contains_key(KEY) => {}
-        (Idempotency::WithKey { .. }, &Method::POST) => {
-            return Err(bad("Idempotency-Key: missing\n"))
-        }
-        _ => return Err(bad("this class takes another method\n")),
-    }
+    check_method(effect, head).map_err(bad)?;
     Ok(RequestHead {
         id,
         class: ClassId(number),
@@ -115,6 +108,21 @@
     })
 }
 
+/// Checks that the method, and the idempotency key where one is needed, are those of the class.
+fn check_method(
+    idempotency: Idempotency,
+    head: &hyper::http::request::Parts,
+) -> Result<(), &'static str> {
+    match (idempotency, &head.method) {
+        (Idempotency::Idempotent, &Method::GET) | (Idempotency::NonIdempotent, &Method::POST) => {
+            Ok(())
+        }
+        (Idempotency::WithKey { .. }, &Method::POST) if head.headers.contains_key(KEY) => Ok(()),
+        (Idempotency::WithKey { .. }, &Method::POST) => Err("Idempotency-Key: missing\n"),
+        _ => Err("this class takes another method\n"),
+    }
+}
+
 impl RequestHead {
     /// Deducts the time that the request has been queued since its client sent it; `false` where nothing is left. A
     /// request may have waited in the kernel while this node was late to read it, and its server would be promised
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -115,10 +115,8 @@
     known: Option<List>,
     poll_limits: Option<PollLimits>,
 ) {
-    let place = (
-        node.platform.settings.node.0,
-        node.platform.settings.node_count,
-    );
+    let settings = &node.platform.settings;
+    let place = (settings.node.0, settings.node_count);
     let started_at = Instant::now();
     let follower = || Follower {
         node: Rc::clone(&node),
