--- a/crates/policy/src/interface/sibling.rs
+++ b/crates/policy/src/interface/sibling.rs
@@ -40,6 +40,7 @@
     /// Units.
     pub units: f64,
     /// The customer's subset of nodes: the first, and how many.
+    #[serde(rename = "set")]
     pub subset: (NodeId, u32),
 }
 
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -15,9 +15,9 @@
 //! let limits = ShardLimits { rate: 2.0, capacity: 4.0, max_in_flight: None, hard_limit: None };
 //! let mut shard = QuotaShard::open(0, InitialTokens::Full, 0, &limits);
 //! let request = |serial| GrantRequest { requester: 7, serial, units: 3.0 };
-//! let granted = shard.request_grant(0, request(1), &limits, 200_000);
+//! let granted = shard.decide_grant(0, request(1), &limits, 200_000);
 //! assert_eq!(granted.decision, GrantDecision::Granted);
-//! let denied = shard.request_grant(0, request(2), &limits, 200_000);
+//! let denied = shard.decide_grant(0, request(2), &limits, 200_000);
 //! assert_eq!(denied.decision, GrantDecision::OverQuota);
 //! assert_eq!(denied.retry_after, 1_000_000, "two of three units are missing, at two a second");
 //! ```
