--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -1,11 +1,12 @@
-//! Admission: whether a request that has come in may be forwarded at all, and its rejection where it may not.
+//! Admission control: decides whether a new request may be forwarded, and rejects it otherwise.
 //!
-//! The rule, in one sentence: in a small fleet a request is admitted while its customer's token bucket covers it; in a
-//! large fleet while a lease covers it or an owner of the quota grants it, and requests for which asking would be in vain
-//! are rejected at once.
+//! Rule: in a small fleet a request is admitted if its customer's token bucket covers it. In a large fleet it is
+//! admitted if a lease covers it or an owner of the quota grants it; a request that an owner would very likely deny is
+//! rejected without a grant request.
 //!
-//! Inputs: the request (units, deadline in µs), its customer's token bucket and what owners have answered, the load
-//! shedding probability. Result: queued, sent to an owner for a grant, or rejected with `retry_after` in µs.
+//! Inputs: the request (units, deadline in µs), its customer's token bucket and cached grant responses of owners, the
+//! load shedding probability. Result: the request is queued, sent to an owner for a grant, or rejected with
+//! `retry_after` in µs.
 
 use crate::counters::Counter;
 use crate::engine::{Actions, PolicyEngine};
@@ -17,33 +18,36 @@
 use crate::statistics::poisson_below;
 use crate::token_bucket::{silent_peers, TokenBucket, KEEP_UNUSED_FOR, USAGE_WINDOW};
 
-/// Shortest time after which a rejected client is told to retry.
+/// Minimum `retry_after` of a rejection.
 const MIN_RETRY_AFTER: Micros = 20 * MILLISECOND;
-/// Multiple of the even share that a node is given where nodes may not talk to each other: customers' requests come
-/// unevenly to the nodes of their subset.
+/// Multiple of the even share of a quota that each node admits if nodes may not send each other messages. It is above
+/// one because a customer's requests are distributed unevenly over the nodes of its subset.
 const UNEVEN_SHARE: f64 = 2.0;
-/// Grant requests of one customer that a node has open at most. With more, an overloaded owner would get every request
-/// of its customer several times.
+/// Maximum number of open grant requests per customer at one node. With more, an overloaded owner would receive every
+/// request of its customer several times.
 const MAX_OPEN_GRANT_REQUESTS: usize = 4;
-/// Expected loss, as a share of a request's value, that a first attempt may risk by exceeding the limit on attempts in
-/// flight.
+/// Maximum expected loss, as a share of a request's value, at which a first attempt is sent although it may exceed the
+/// customer's limit on attempts in flight.
 const MAX_IN_FLIGHT_RISK: f64 = 0.2;
-/// A customer that was seen this recently counts as [`Counter::SeenWithinOneSecond`].
+/// Time since a customer's last request below which [`Counter::SeenWithinOneSecond`] is incremented.
 const SEEN_WITHIN_ONE_SECOND: Micros = SECOND;
-/// A customer that was seen this recently counts as [`Counter::SeenWithinTenSeconds`].
+/// Time since a customer's last request below which [`Counter::SeenWithinTenSeconds`] is incremented.
 const SEEN_WITHIN_TEN_SECONDS: Micros = 10 * SECOND;
 
-/// What becomes of a request that has come in.
+/// Decision on a new request.
 enum Admission {
+    /// Rejected; the counter gives the reason.
     Reject(Counter),
-    /// A lease covers it.
-    ByLease,
-    AskOwner,
-    Queue,
+    /// Admitted because a lease covers the request.
+    AdmitByLease,
+    /// Undecided until an owner of the quota responds to a grant request.
+    RequestGrant,
+    /// Admitted by this node's token bucket.
+    Enqueue,
 }
 
 impl PolicyEngine {
-    /// A request has come in.
+    /// Handles a new request.
     pub(crate) fn on_request(
         &mut self,
         now: Micros,
@@ -60,13 +64,13 @@
         self.requests.open.insert(id.clone(), request);
         match admission {
             Admission::Reject(counter) => self.finish(&id, counter, actions),
-            Admission::ByLease => self.admit_locally(now, id, Counter::AdmittedByLease),
-            Admission::AskOwner => self.request_grant(now, id, actions),
-            Admission::Queue => self.requests.queue.push(id),
+            Admission::AdmitByLease => self.admit_locally(now, id, Counter::AdmittedByLease),
+            Admission::RequestGrant => self.request_grant(now, id, actions),
+            Admission::Enqueue => self.requests.queue.push(id),
         }
     }
 
-    /// Brings the customer's token bucket up to date: created, following its plan and subset, refilled.
+    /// Creates the customer's token bucket if needed, applies a change of its plan or subset, and refills it.
     fn prepare_bucket(&mut self, now: Micros, request: &Request, subset: NodeSubset) {
         let uptime = self.uptime(now);
         let customer = request.customer;
@@ -92,17 +96,18 @@
         }
         let silent = silent_peers(&self.peers.last_report_at, bucket, now);
         bucket.refill(now, &plans[bucket.plan.0], silent);
-        let unused_for = if bucket.last_used_at == 0 {
+        // A bucket that was just created has 0 as its time of last use.
+        let since_last_use = if bucket.last_used_at == 0 {
             Micros::MAX
         } else {
             now - bucket.last_used_at
         };
         bucket.last_used_at = now;
-        self.counters.add(seen_counter(unused_for));
+        self.counters.add(last_seen_counter(since_last_use));
     }
 
-    /// The bucket of a customer that was not seen before. A node that may have been restarted takes only its even share
-    /// for granted.
+    /// Creates the bucket of a customer without one. If the node may have been restarted, the bucket starts with its
+    /// even share only, until the peers' usage reports show what was used before.
     fn new_bucket(
         &mut self,
         now: Micros,
@@ -119,7 +124,7 @@
         } else {
             bucket.tokens
         };
-        // In a large fleet the bucket only tells rejected clients when to retry.
+        // In a large fleet the bucket only serves to compute `retry_after`.
         let share = if self.large_fleet {
             1.0 / bucket.subset_size
         } else {
@@ -135,18 +140,19 @@
         self.isolated_bucket(request, bucket)
     }
 
-    /// A bucket where nodes may not talk to each other: each would grant the whole quota, so each gets a share. A share
-    /// of less than one request is held whole by some nodes of the subset: so many that all of them together grant no
-    /// more than the quota over the time for which a bucket is kept.
+    /// Adapts a bucket to nodes that may not send each other messages: each node would admit the whole quota, so each
+    /// gets a share of it. If the share is less than one request, randomly chosen nodes of the subset get one whole
+    /// request instead: so many on average that together they admit no more than the quota over the time for which a
+    /// bucket is kept.
     fn isolated_bucket(&mut self, request: &Request, bucket: TokenBucket) -> TokenBucket {
         let plan = &self.settings.plans[request.plan.0];
         let share = (UNEVEN_SHARE / bucket.subset_size).min(1.0);
-        let units_while_kept = plan.burst + plan.rate * KEEP_UNUSED_FOR as f64 / 1e6;
-        let even_units = units_while_kept / bucket.subset_size;
-        let below_one_request = share * plan.burst < bucket.even_capacity;
-        let holds_whole =
-            below_one_request && self.random.f64() * bucket.even_capacity < even_units;
-        let tokens = if holds_whole {
+        let quota_while_kept = plan.burst + plan.rate * KEEP_UNUSED_FOR as f64 / 1e6;
+        let even_quota_while_kept = quota_while_kept / bucket.subset_size;
+        let share_below_one_request = share * plan.burst < bucket.even_capacity;
+        let holds_one_request = share_below_one_request
+            && self.random.f64() * bucket.even_capacity < even_quota_while_kept;
+        let tokens = if holds_one_request {
             bucket.even_capacity
         } else {
             share * plan.burst
@@ -158,9 +164,12 @@
         }
     }
 
-    /// Decides on a request, and takes its units off its customer's bucket. In order: a request that would be answered too late
-    /// is rejected; a lease may cover it; an owner is asked, unless it rejects for now, the customer is sampled out or load is
-    /// shed; in a small fleet the bucket alone decides.
+    /// Decides on a request and debits its units from its customer's bucket. Returns `None` if the customer has no
+    /// bucket.
+    ///
+    /// In this order: a request whose deadline is too near is rejected; in a large fleet a lease may cover the request;
+    /// otherwise a grant is requested from an owner, unless the request is rejected by a cached decision, by sampling
+    /// or by load shedding; in a small fleet the bucket alone decides.
     fn decide_admission(
         &mut self,
         now: Micros,
@@ -171,46 +180,52 @@
         let bucket = self.quotas.buckets.get_mut(&request.customer)?;
         let plan = &self.settings.plans[bucket.plan.0];
         let large_fleet = self.large_fleet;
-        // The next timer would answer such a request too late.
-        let hopeless = request.deadline <= now.saturating_add(LAST_CALL);
-        let rejecting = large_fleet
+        // The next firing of the timer would be too late to answer the request by its deadline.
+        let deadline_too_near = request.deadline <= now.saturating_add(LAST_CALL);
+        // An owner denied the customer's latest requests, or as many grant requests as allowed are open.
+        let rejected_by_cached_decision = large_fleet
             && (bucket.rejections.is_rejecting(now)
                 || open_grant_requests >= MAX_OPEN_GRANT_REQUESTS);
         let sampling_probability = bucket.rejections.sampling_probability(now);
-        // One draw decides on sampling and shedding together, so that both probabilities hold at once.
-        let draw = if large_fleet { self.random.f64() } else { 0.0 };
-        // A permit under a limit on attempts in flight is an owner's to give.
-        let leasable = large_fleet
-            && !hopeless
+        // A single random number decides on both sampling and load shedding, so that both probabilities hold at once.
+        let random_number = if large_fleet { self.random.f64() } else { 0.0 };
+        // Permits under a limit on attempts in flight are issued by owners only, not by leases.
+        let may_use_lease = large_fleet
+            && !deadline_too_near
             && plan.max_in_flight.is_none()
-            && draw <= 1.0 - shed_probability;
-        let leased = leasable && bucket.rejections.take_from_lease(now, request.units, false);
-        let not_sampled = large_fleet && draw > sampling_probability * (1.0 - shed_probability);
-        let not_asking = !leased && (rejecting || not_sampled);
+            && random_number <= 1.0 - shed_probability;
+        let covered_by_lease =
+            may_use_lease && bucket.rejections.take_from_lease(now, request.units, false);
+        let sampled_out_or_shed =
+            large_fleet && random_number > sampling_probability * (1.0 - shed_probability);
+        let rejected_without_asking =
+            !covered_by_lease && (rejected_by_cached_decision || sampled_out_or_shed);
         let reserved = bucket.reserved_for_peers(now, plan);
+        // A plan with a rate of 0 has no quota.
         let over_quota = plan.rate > 0.0 && bucket.tokens - reserved < request.units;
         bucket.tokens -= request.units;
-        let admission = if hopeless || not_asking || over_quota && !large_fleet {
-            Admission::Reject(if !not_asking {
-                Counter::RejectedOverQuota
-            } else if rejecting {
-                Counter::RejectedByCachedDecision
-            } else if draw > sampling_probability {
-                Counter::RejectedBySampling
+        let admission =
+            if deadline_too_near || rejected_without_asking || over_quota && !large_fleet {
+                Admission::Reject(if !rejected_without_asking {
+                    Counter::RejectedOverQuota
+                } else if rejected_by_cached_decision {
+                    Counter::RejectedByCachedDecision
+                } else if random_number > sampling_probability {
+                    Counter::RejectedBySampling
+                } else {
+                    Counter::RejectedByLoadShedding
+                })
+            } else if covered_by_lease {
+                Admission::AdmitByLease
+            } else if large_fleet {
+                Admission::RequestGrant
             } else {
-                Counter::RejectedByLoadShedding
-            })
-        } else if leased {
-            Admission::ByLease
-        } else if large_fleet {
-            Admission::AskOwner
-        } else {
-            Admission::Queue
-        };
+                Admission::Enqueue
+            };
         Some(admission)
     }
 
-    /// Grant requests of one customer that are open here.
+    /// Returns the number of this node's open grant requests for one customer.
     fn open_grant_requests(&self, customer: CustomerId) -> usize {
         let requests = &self.requests.open;
         let is_of_customer = |id: &&RequestId| {
@@ -221,10 +236,11 @@
         self.grants.open.values().filter(is_of_customer).count()
     }
 
-    /// Whether the hard limit and the limit on attempts in flight let a first attempt go now; if not, it stays queued.
+    /// Returns whether the customer's hard limit and its limit on attempts in flight allow a first attempt now. If not,
+    /// the request stays queued.
     pub(crate) fn may_start(&mut self, customer: CustomerId, units: f64, now: Micros) -> bool {
         if self.large_fleet {
-            return true; // An owner has granted it.
+            return true; // Owners enforce these limits when they grant a request.
         }
         let Some(bucket) = self.quotas.buckets.get_mut(&customer) else {
             return true;
@@ -238,7 +254,8 @@
         let Some(limit) = plan.max_in_flight else {
             return true;
         };
-        // Peers' attempts are not reported in time: their rate and the latency make a number likely (Little's law).
+        // Usage reports arrive too late to count the attempts in flight at peers. Their expected number is the rate of
+        // the peers times the mean latency (Little's law).
         let even_share = (f64::from(limit) / bucket.subset_size).round().max(1.0);
         let expected_at_peers =
             bucket.peer_units_per_s(now, USAGE_WINDOW) * self.load.mean_latency / 1e6;
@@ -247,32 +264,33 @@
         f64::from(bucket.in_flight) < even_share && risk < MAX_IN_FLIGHT_RISK
     }
 
-    /// Gives a request its final answer: rejected where that promise holds, else failed.
+    /// Ends a request without a response of a server: rejects it if that is safe (see [`rejection_allowed`]), else
+    /// fails it.
     pub(crate) fn finish(&mut self, id: &RequestId, counter: Counter, actions: &mut Actions) {
         let Some(request) = self.requests.open.get(id) else {
             return;
         };
         self.counters.add(counter);
-        let id_of_answer = id.clone();
-        actions.push(if self.may_reject(request) {
+        let answered_id = id.clone();
+        actions.push(if self.is_rejection_safe(request) {
             Action::Reject {
-                id: id_of_answer,
+                id: answered_id,
                 retry_after: Some(self.retry_after(request)),
             }
         } else {
-            Action::Fail { id: id_of_answer }
+            Action::Fail { id: answered_id }
         });
         self.forget_request(id, actions);
     }
 
-    /// Whether a rejection's promise of no effect holds.
-    fn may_reject(&self, request: &Request) -> bool {
+    /// Returns whether the client may safely repeat the request after a rejection.
+    fn is_rejection_safe(&self, request: &Request) -> bool {
         let in_flight = request.in_flight.is_some() && !request.body_incomplete;
         let idempotency = self.settings.classes[request.class.0].idempotency;
         !in_flight && rejection_allowed(idempotency, request.dispatched)
     }
 
-    /// When a rejected client should retry: once its bucket and hard limit are likely to hold what it asks for.
+    /// Returns the time until the customer's bucket and hard limit are expected to cover the request.
     fn retry_after(&self, request: &Request) -> Micros {
         if let Some(after) = self.slow_start_retry_after() {
             return after;
@@ -281,20 +299,20 @@
             return MIN_RETRY_AFTER;
         };
         let plan = &self.settings.plans[request.plan.0];
-        // What the request takes is off the bucket already, and comes back if it was never sent.
+        // The request's units are already debited from the bucket, and are credited again if it was never sent.
         let quota = if plan.rate > 0.0 {
-            micros_until(-bucket.tokens, plan.rate * bucket.share)
+            micros_to_accrue(-bucket.tokens, plan.rate * bucket.share)
         } else {
             0.0
         };
         let hard_limit = plan.hard_limit.as_ref().map_or(0.0, |limit: &HardLimit| {
             let missing = request.units - bucket.hard_limit_tokens;
-            micros_until(missing, limit.rate * bucket.hard_limit_share)
+            micros_to_accrue(missing, limit.rate * bucket.hard_limit_share)
         });
         (quota.max(hard_limit) as Micros).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 
-    /// Drops a request. Nobody waits for an attempt that is still in flight, so it is cancelled.
+    /// Removes a request, releases its permit, and cancels its attempt in flight, as no client waits for the response.
     pub(crate) fn forget_request(&mut self, id: &RequestId, actions: &mut Actions) {
         let Some(request) = self.remove_request(id) else {
             return;
@@ -313,7 +331,7 @@
         }
     }
 
-    /// Takes a request off all tables; what it took from its bucket goes back if it was never sent.
+    /// Removes a request from all tables. If it was never sent, its units are credited to its customer's bucket.
     fn remove_request(&mut self, id: &RequestId) -> Option<Request> {
         let request = self.requests.open.remove(id)?;
         self.requests.dequeue(id);
@@ -329,8 +347,8 @@
     }
 }
 
-/// µs until so many missing units have come in.
-fn micros_until(missing: f64, per_second: f64) -> f64 {
+/// Returns the time, µs, in which `missing` units accrue at a rate of `per_second`.
+fn micros_to_accrue(missing: f64, per_second: f64) -> f64 {
     if missing > 0.0 {
         missing / per_second.max(f64::EPSILON) * 1e6
     } else {
@@ -338,8 +356,8 @@
     }
 }
 
-fn seen_counter(unused_for: Micros) -> Counter {
-    match unused_for {
+fn last_seen_counter(since_last_use: Micros) -> Counter {
+    match since_last_use {
         0..SEEN_WITHIN_ONE_SECOND => Counter::SeenWithinOneSecond,
         SEEN_WITHIN_ONE_SECOND..SEEN_WITHIN_TEN_SECONDS => Counter::SeenWithinTenSeconds,
         _ => Counter::SeenForTheFirstTime,
--- a/crates/policy/src/attempt_results.rs
+++ b/crates/policy/src/attempt_results.rs
@@ -1,10 +1,10 @@
-//! The end of an attempt: what is learned from it, and whether the request is retried.
+//! Attempt results: updates statistics when an attempt ends, and decides whether the request is retried.
 //!
-//! The rule, in one sentence: a request is retried while it has time, attempts and retry budget left, its answer is still
-//! worth something, and a second execution is harmless.
+//! Rule: a request is retried while it has time, attempts and retry budget left, its response still has a value, and a
+//! second execution is harmless.
 //!
-//! Inputs: the outcome, the request's attempts so far, the retry budget, the class's idempotency and objective. Result:
-//! queued again, or its final answer.
+//! Inputs: the outcome, the request's attempts so far, the retry budget, the class's idempotency and latency objective.
+//! Result: the request is queued again, or gets its final answer.
 
 use crate::counters::Counter;
 use crate::engine::{Actions, PolicyEngine};
@@ -12,18 +12,18 @@
 use crate::interface::{Action, Idempotency, Micros, Outcome, RequestId, SiblingMessage};
 use crate::request::{Attempt, AttemptKey, AttemptStage, Request};
 
-/// What follows the end of an attempt.
+/// What happens to a request after its attempt has ended.
 enum NextStep {
-    /// The request is rejected or failed.
+    /// Reject or fail the request.
     GiveUp,
-    /// It is queued again; `free` retries draw on no budget.
+    /// Queue the request again. A `free` retry is not charged to the retry budget.
     Retry { free: bool },
-    /// It waits for its end: another answer would be worth nothing.
+    /// Keep the request open until the timer ends it, as a late response would have no value.
     Wait,
 }
 
 impl PolicyEngine {
-    /// An attempt has ended. `request_closed`: nobody waits for the request any more.
+    /// Handles the end of an attempt. `request_closed`: the request has been answered or abandoned.
     pub(crate) fn on_attempt_ended(
         &mut self,
         now: Micros,
@@ -44,7 +44,7 @@
         }
         let at_server = attempt.stage == AttemptStage::AtServer;
         if at_server {
-            self.learn_from_end(now, &id, &attempt, outcome);
+            self.record_end_at_server(now, &id, &attempt, outcome);
         }
         let Some(request) = self.requests.open.get_mut(&id) else {
             return;
@@ -54,7 +54,8 @@
             return self.forget_request(&id, actions);
         }
         if !at_server {
-            // The client took its time for the body or the response: nothing is learned of the server.
+            // The client may have been slow to send the body or to read the response, so the attempt says nothing about
+            // the server.
             return self.finish(&id, Counter::EndedAfterAttempts, actions);
         }
         self.record_outcome(&id, &attempt, outcome);
@@ -70,7 +71,13 @@
         }
     }
 
-    fn learn_from_end(&mut self, now: Micros, id: &RequestId, attempt: &Attempt, outcome: Outcome) {
+    fn record_end_at_server(
+        &mut self,
+        now: Micros,
+        id: &RequestId,
+        attempt: &Attempt,
+        outcome: Outcome,
+    ) {
         let request = self.requests.open.get(id);
         let cancelled = request.is_some_and(|request| request.cancelled);
         let stalled = cancelled && outcome == Outcome::Cancelled;
@@ -80,7 +87,7 @@
         }
     }
 
-    /// Counts a response, and its latency since only the back end held the request up.
+    /// Records a response and its latency, measured from the time at which only the back end delayed the request.
     pub(crate) fn record_response(&mut self, now: Micros, attempt: &Attempt) {
         self.load.responses += 1.0;
         let class = &self.settings.classes[attempt.class.0];
@@ -90,7 +97,7 @@
             .record(attempt.class, latency / objective);
     }
 
-    /// Notes at the request how its attempt ended.
+    /// Records the outcome of an attempt at its request.
     fn record_outcome(&mut self, id: &RequestId, attempt: &Attempt, outcome: Outcome) {
         let Some(request) = self.requests.open.get_mut(id) else {
             return;
@@ -115,11 +122,11 @@
         };
         let class = &self.settings.classes[request.class.0];
         let max_attempts = self.settings.permissions.max_attempts;
-        // An attempt that was stopped before its first byte does not count as one, but only so many times.
+        // An attempt that ended before its first byte was written does not count, at most `max_attempts` times.
         let free = outcome == Outcome::NotSent && request.unsent_attempts <= max_attempts;
         let may_have_run = request.dispatched.is_some();
-        let never_again = may_have_run && class.idempotency == Idempotency::NonIdempotent;
-        if now >= request.deadline || self.is_exhausted(request, free) || never_again {
+        let unsafe_to_repeat = may_have_run && class.idempotency == Idempotency::NonIdempotent;
+        if now >= request.deadline || self.is_exhausted(request, free) || unsafe_to_repeat {
             return NextStep::GiveUp;
         }
         let objective_at = request.arrived_at.saturating_add(class.latency_objective);
@@ -130,23 +137,23 @@
         }
     }
 
-    /// Whether a request has no attempts or no retry budget left, or was streamed and cannot be sent again.
+    /// Returns whether a request cannot be retried: no attempts or no retry budget are left, or its body was streamed.
     fn is_exhausted(&self, request: &Request, free: bool) -> bool {
         let max_attempts = self.settings.permissions.max_attempts;
-        let unsent = request.unsent_attempts.min(max_attempts);
-        let used_up = request.attempts >= max_attempts + unsent;
+        let uncounted = request.unsent_attempts.min(max_attempts);
+        let no_attempts_left = request.attempts >= max_attempts + uncounted;
         let no_budget = !free && !self.retries.allows();
-        used_up || no_budget || request.body_streamed
+        no_attempts_left || no_budget || request.body_streamed
     }
 
-    /// Takes an ended attempt off all tables.
+    /// Removes an ended attempt from all tables.
     fn remove_attempt(&mut self, key: &AttemptKey) -> Option<Attempt> {
         let attempt = self.requests.attempts.remove(key)?;
         self.release_attempt(&attempt);
         Some(attempt)
     }
 
-    /// Frees what an attempt held that has ended, here or at another process of this node.
+    /// Stops counting an ended attempt of this process or a sibling process at its server and its customer.
     pub(crate) fn release_attempt(&mut self, attempt: &Attempt) {
         if attempt.stage == AttemptStage::AtServer {
             if let Some(in_flight) = self.endpoints.in_flight_mut(attempt.server) {
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -1,7 +1,7 @@
-//! Dispatch: sends queued requests, the most valuable first, while servers have capacity.
+//! Dispatch: sends queued requests to servers in descending order of value while there is capacity.
 //!
-//! Inputs: the queue, the value of each request now (priority weights, and less after its latency objective), the
-//! concurrency limit of the lowest class, the limits of the customer. Result: attempts.
+//! Inputs: the queue, the current value of each request (its priority weights, reduced after its latency objective),
+//! the concurrency limit of the lowest class, the limits of the customer. Result: the attempts to start.
 
 use crate::counters::Counter;
 use crate::engine::{Actions, PolicyEngine};
@@ -9,7 +9,7 @@
 use crate::request::Request;
 
 impl PolicyEngine {
-    /// The value of answering a request now.
+    /// Returns the value of responding to a request now.
     pub(crate) fn value(&self, request: &Request, now: Micros) -> f64 {
         let class = &self.settings.classes[request.class.0];
         let objective_at = request.arrived_at.saturating_add(class.latency_objective);
@@ -21,7 +21,7 @@
         class.priority_weight * self.settings.plans[request.plan.0].priority_weight * share
     }
 
-    /// Queued requests with their values, the most valuable first.
+    /// Returns the queued requests with their values, in descending order of value.
     pub(crate) fn queue_by_value(&self, now: Micros) -> Vec<(f64, RequestId)> {
         let mut ordered: Vec<(f64, RequestId)> = self
             .requests
@@ -33,7 +33,7 @@
         ordered
     }
 
-    /// Sends what is queued while servers have capacity.
+    /// Sends queued requests while servers have capacity.
     pub(crate) fn dispatch_queue(&mut self, now: Micros, actions: &mut Actions) {
         if self.requests.queue.is_empty() {
             return;
@@ -64,7 +64,8 @@
         request.is_some_and(|request| request.class == self.lowest_class)
     }
 
-    /// The server that a queued request may go to now, if any.
+    /// Selects a server for a queued request. Returns `None` if a limit holds the request back or no server may take
+    /// it.
     fn next_server(
         &mut self,
         now: Micros,
@@ -81,7 +82,8 @@
                 .concurrency_limit
                 .allows(lowest_in_flight, now, self.load.mean_latency);
         if first_attempt && !self.may_start(customer, units, now) {
-            // A customer at its own limit must not look like an overloaded back end, or the concurrency limit closes.
+            // Waiting for the customer's own limit does not count as latency of the back end, as it would otherwise
+            // lower the concurrency limit.
             if let Some(request) = self.requests.open.get_mut(id) {
                 request.queued_since = now;
             }
@@ -93,7 +95,7 @@
         self.choose_server(now, id, selectable)
     }
 
-    /// Sends a request to a server.
+    /// Starts an attempt of a request at a server.
     fn send(&mut self, now: Micros, id: RequestId, server: ServerId, actions: &mut Actions) {
         let probe_interval = self.probe_interval();
         let slow_start_limits = self.slow_start_limits(server);
--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -1,4 +1,4 @@
-//! The engine: its state, and the way of each event to the rule that takes it.
+//! The policy engine: holds the state of all rules and routes each event to the rule that handles it.
 
 use crate::concurrency_limit::FuzzyConcurrencyLimit;
 use crate::counters::Counters;
@@ -15,27 +15,28 @@
     ZoneReachability, TIMER_INTERVAL,
 };
 
-/// Where actions are gathered.
+/// Output buffer to which handlers append actions.
 pub(crate) type Actions = Vec<Action>;
 
-/// Span between a node's usage reports to all peers, µs, from which they are too rare to keep a quota: owners of the
-/// customers' quotas are asked instead.
+/// Interval between a node's usage reports to all peers, µs, from which a fleet counts as large. Reports at this
+/// interval or above are too infrequent to enforce quotas, so nodes request grants from the owners of the quotas
+/// instead.
 const LARGE_FLEET_REPORT_INTERVAL: f64 = 500_000.0;
 
-/// Decides for one node. It does no input or output, and reads no clock.
+/// Makes the decisions of one node. It performs no I/O and reads no clock.
 #[derive(Clone, Debug)]
 pub struct PolicyEngine {
     pub(crate) settings: Settings,
     pub(crate) random: fastrand::Rng,
     pub(crate) started_at: Micros,
-    /// Whether the endpoint list was subscribed to.
+    /// Whether the endpoint list has been subscribed to.
     pub(crate) subscribed: bool,
-    /// Whether peers are much older: this node was restarted.
+    /// Whether this node was restarted, inferred from peers that have been up for much longer.
     pub(crate) restarted: bool,
-    /// Whether the fleet is so large, for the messages that each node may send, that usage reports to all would come too
-    /// seldom: owners keep the quotas instead, and statistics are gossiped. False where nodes may not talk at all.
+    /// Whether the fleet is too large for usage reports to all peers within each node's message rate. Owners then
+    /// enforce the quotas, and statistics are gossiped. False if nodes may not send each other messages at all.
     pub(crate) large_fleet: bool,
-    /// The shortest latency objective, µs.
+    /// The shortest latency objective of all classes, µs.
     pub(crate) shortest_objective: f64,
     pub(crate) lowest_class: ClassId,
     pub(crate) requests: RequestTable,
@@ -53,10 +54,10 @@
 }
 
 impl PolicyEngine {
-    /// An engine that knows its settings and nothing else. The same seed and events give the same actions.
+    /// Creates an engine without endpoints, customers or requests. The same seed and events produce the same actions.
     ///
     /// # Errors
-    /// Settings that make no sense.
+    /// Returns an error if the settings are invalid.
     pub fn new(seed: u64, settings: Settings, now: Micros) -> Result<Self, SettingsError> {
         settings.check()?;
         let classes = settings.classes.len();
@@ -88,9 +89,9 @@
         })
     }
 
-    /// Takes in one event; what is to be done about it is added to `actions`.
+    /// Processes one event and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
-        let first_new = actions.len();
+        let first_new_action = actions.len();
         self.subscribe_once(actions);
         if let Event::RequestArrived {
             id, class, plan, ..
@@ -105,7 +106,7 @@
         self.on_event(now, event, actions);
         self.dispatch_queue(now, actions);
         if self.settings.retransmission_budget {
-            self.charge_message_budget(now, &actions[first_new..]);
+            self.charge_message_budget(now, &actions[first_new_action..]);
         }
         self.set_timer(now, actions);
     }
@@ -126,7 +127,7 @@
                 customer,
                 units,
                 subset_first: first,
-                subset_size: spread,
+                subset_size,
                 timeout,
                 complete,
             } => {
@@ -140,7 +141,7 @@
                 };
                 let subset = NodeSubset {
                     first,
-                    size: spread.clamp(1, self.settings.node_count),
+                    size: subset_size.clamp(1, self.settings.node_count),
                 };
                 self.on_request(now, id, Request::new(now, terms), subset, actions);
             }
@@ -153,7 +154,7 @@
                 request_closed,
             } => self.on_attempt_ended(now, (id, attempt), outcome, request_closed, actions),
             Event::RequestAbandoned { id } => self.forget_request(&id, actions),
-            // A timer that was superseded by an earlier one.
+            // Superseded by a timer that was set for an earlier time.
             Event::TimerFired { .. } if now < self.timers.fires_at => {}
             Event::TimerFired { .. } => self.on_timer(now, actions),
             Event::PeerMessage { from, bytes } => self.on_peer_message(now, from, &bytes, actions),
@@ -179,7 +180,7 @@
         }
     }
 
-    /// Sets the timer, where it has to fire sooner than it would.
+    /// Sets the timer if it has to fire earlier than the one that is already set.
     fn set_timer(&mut self, now: Micros, actions: &mut Actions) {
         let soonest = now + TIMER_INTERVAL;
         let mut next = self.timers.next_period_at;
@@ -201,29 +202,30 @@
         }
     }
 
-    /// Whether all peers are told of what is forwarded, so that a silent one is a sign of trouble. In large fleets the
-    /// owners of the customers' quotas are asked instead.
+    /// Whether this node broadcasts usage reports to all peers, in which case a peer that sends none is likely to be
+    /// unreachable. In large fleets nodes request grants from the owners of the quotas instead.
     pub fn broadcasts(&self) -> bool {
         !self.large_fleet && self.settings.permissions.peer_messages
     }
 
-    /// How many servers are on the endpoint list, and how many of these get nothing new at present, or health probes
-    /// only for some class.
+    /// Returns the number of servers on the endpoint list, and how many of these currently receive no new attempts, or
+    /// only health probes for at least one class.
     pub fn endpoint_counts(&self) -> (usize, usize) {
         self.endpoints.counts()
     }
 
-    /// How many servers were examined since the start: what a period, a list update or a request costs, on any machine.
+    /// Number of server entries examined since the start: a measure of the work per controller period, list update or
+    /// request that does not depend on the machine.
     pub fn servers_examined(&self) -> u64 {
         self.endpoints.examined()
     }
 
-    /// What it has done since its start.
+    /// Counters since the engine's start.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// How many servers and customers are kept in memory.
+    /// Number of servers, token buckets and quota shards kept in memory.
     pub fn tracked(&self) -> usize {
         self.endpoints.len() + self.quotas.buckets.len() + self.quotas.shards.len()
     }
--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -1,4 +1,4 @@
-//! Requests that have no final answer yet, their attempts, and the attempts of sibling processes. Plain data.
+//! Open requests, their attempts, and the attempts of sibling processes. Plain data without rules.
 
 use crate::idempotency::DispatchedAttempt;
 use crate::interface::{
@@ -6,10 +6,10 @@
 };
 use std::collections::BTreeMap;
 
-/// An attempt, by its request and its number.
+/// Identifies an attempt by its request and its number.
 pub(crate) type AttemptKey = (RequestId, AttemptNumber);
 
-/// What a request is, as its client sent it.
+/// Properties of a request as given by the event that announces it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RequestTerms {
     pub class: ClassId,
@@ -17,11 +17,11 @@
     pub customer: CustomerId,
     pub units: f64,
     pub timeout: Micros,
-    /// Its body is complete: it can be sent again.
+    /// Whether the body has been received in full, so that the request can be retried.
     pub complete: bool,
 }
 
-/// A request that has no final answer yet.
+/// An open request: one without a final answer.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Request {
     pub class: ClassId,
@@ -29,30 +29,34 @@
     pub customer: CustomerId,
     pub units: f64,
     pub arrived_at: Micros,
-    /// Since when it waits for the back end: it has been admitted, and its customer's own limits no longer delay it.
+    /// Time from which only the back end delays the request: it has been admitted, and its customer's own limits no
+    /// longer hold it back.
     pub queued_since: Micros,
     pub deadline: Micros,
+    /// Number of attempts started.
     pub attempts: u32,
-    /// Attempts of which no byte was written.
+    /// Number of these of which no byte was written.
     pub unsent_attempts: u32,
-    /// The attempt in flight.
+    /// The attempt in flight; `None` if there is none.
     pub in_flight: Option<AttemptNumber>,
-    /// That attempt must not be cancelled: it already was, or its response is streamed to the client.
+    /// Whether the attempt in flight must not be cancelled: it already was, or its response is being streamed to the
+    /// client.
     pub cancelled: bool,
-    /// Its body is not complete: what is in flight has not begun at the server, and draws nothing yet.
+    /// Whether the body is still being received. The attempt in flight has then not started at the server and is not
+    /// charged yet.
     pub body_incomplete: bool,
-    /// Its body is streamed as it comes, and cannot be sent again.
+    /// Whether the body is streamed to the server as it arrives, so that the request cannot be retried.
     pub body_streamed: bool,
-    /// An attempt has reached a server.
+    /// Whether an attempt has reached a server.
     pub reached_server: bool,
-    /// The first attempt that may have run.
+    /// The first attempt that may have been executed by a server.
     pub dispatched: Option<DispatchedAttempt>,
     pub last_server: Option<ServerId>,
     pub grant: GrantProgress,
 }
 
 impl Request {
-    /// A request that has come in now.
+    /// Creates a request that arrives at `now`.
     pub fn new(now: Micros, terms: RequestTerms) -> Self {
         Request {
             class: terms.class,
@@ -68,13 +72,13 @@
         }
     }
 
-    /// A streamed response has begun: there is no deadline any more, and nothing to cancel.
-    pub fn hand_over_to_client(&mut self) {
+    /// Records that the streaming of the response has started: from then on there is no deadline and no cancellation.
+    pub fn start_response_stream(&mut self) {
         self.deadline = Micros::MAX;
         self.cancelled = true;
     }
 
-    /// Records that one more attempt is in flight at this server.
+    /// Records a new attempt in flight at `server` and returns its number.
     pub fn start_attempt(&mut self, server: ServerId) -> AttemptNumber {
         let number = AttemptNumber(self.attempts);
         self.attempts += 1;
@@ -84,7 +88,7 @@
         number
     }
 
-    /// The attempt at a server that has `in_flight_at_server` attempts in flight, with this one.
+    /// Creates the attempt at `server`; `in_flight_at_server` includes this attempt.
     pub fn attempt(&self, server: ServerId, sent_at: Micros, in_flight_at_server: f64) -> Attempt {
         let stage = if self.body_incomplete {
             AttemptStage::ReceivingBody
@@ -103,14 +107,15 @@
     }
 }
 
-/// An owner of a customer's quota, by its number among the owners and as a node.
+/// An owner of a customer's quota.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Owner {
+    /// Index among the owners of the quota.
     pub number: u32,
     pub node: NodeId,
 }
 
-/// A grant request that was not answered yet.
+/// A grant request without a response so far.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct OpenGrantRequest {
     pub serial: u16,
@@ -118,34 +123,34 @@
     pub sent_at: Micros,
 }
 
-/// A grant, by who gave it and under which grant request.
+/// Identifies a grant by the owner that issued it and the serial number of the grant request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct GrantId {
     pub owner: NodeId,
     pub serial: u16,
 }
 
-/// How a request fares with the owners of its customer's quota.
+/// State of a request's grant requests to the owners of its customer's quota.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct GrantProgress {
-    /// The owner asked last.
+    /// The owner to which the last grant request was sent.
     pub owner: Owner,
     pub open: Option<OpenGrantRequest>,
     /// When the open grant request was first sent.
     pub first_sent_at: Micros,
-    /// How often it was sent.
+    /// Number of times the open grant request was sent.
     pub transmissions: u32,
-    /// Owners that denied it.
+    /// Number of owners that denied the request.
     pub denials: u32,
-    /// Owners that did not answer.
+    /// Number of owners that did not respond in time.
     pub timeouts: u32,
     pub granted: Option<GrantId>,
-    /// Until when the grant holds under a hard limit.
+    /// Time at which the grant expires under a hard limit.
     pub granted_until: Micros,
 }
 
 impl GrantProgress {
-    /// A grant request goes to another owner.
+    /// Records the first transmission of a grant request to another owner.
     pub fn begin(&mut self, now: Micros, serial: u16, owner: Owner) {
         self.owner = owner;
         self.open = Some(OpenGrantRequest {
@@ -156,7 +161,7 @@
         self.transmissions = 1;
     }
 
-    /// The open grant request is sent once more.
+    /// Records a retransmission of the open grant request.
     pub fn retransmit(&mut self, now: Micros) {
         if let Some(open) = &mut self.open {
             open.sent_at = now;
@@ -165,19 +170,19 @@
     }
 }
 
-/// How far an attempt is.
+/// Stage of an attempt in flight.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum AttemptStage {
-    /// Its request's body is still coming: it counts nowhere yet.
+    /// The request's body is still being received: the attempt counts neither for the server nor for the customer.
     ReceivingBody,
-    /// The server has it.
+    /// The server processes the request: the attempt counts for both.
     #[default]
     AtServer,
-    /// Its response is streamed: it counts for its customer, and no longer at the server.
+    /// The response is being streamed: the attempt counts for the customer, and no longer for the server.
     StreamingResponse,
 }
 
-/// An attempt that is in flight.
+/// An attempt in flight.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Attempt {
     pub server: ServerId,
@@ -185,13 +190,14 @@
     pub class: ClassId,
     pub queued_since: Micros,
     pub sent_at: Micros,
-    /// Attempts in flight at the server when it was sent, with this one.
+    /// Attempts in flight at the server when this one was sent, itself included.
     pub in_flight_at_server: f64,
     pub stage: AttemptStage,
 }
 
 impl Attempt {
-    /// How it is described to sibling processes. The charge goes with a first attempt only.
+    /// Converts the attempt for a message to sibling processes, without a charge. The caller adds the charge of a first
+    /// attempt.
     pub(crate) fn to_sibling(&self, request: &RequestId, number: AttemptNumber) -> SiblingAttempt {
         SiblingAttempt {
             request: request.clone(),
@@ -206,7 +212,7 @@
         }
     }
 
-    /// An attempt of a sibling process, and its key.
+    /// Returns an attempt of a sibling process and its key.
     pub(crate) fn of_sibling(sibling: SiblingAttempt) -> (AttemptKey, Attempt) {
         let attempt = Attempt {
             server: sibling.server,
@@ -224,7 +230,7 @@
 /// An attempt of another process of this node.
 #[derive(Clone, Debug)]
 pub(crate) struct RemoteAttempt {
-    /// The link over which it was announced.
+    /// Link to the sibling process that announced the attempt.
     pub link: u32,
     pub attempt: Attempt,
 }
@@ -233,24 +239,23 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RequestTable {
     pub open: BTreeMap<RequestId, Request>,
-    /// Admitted requests that wait for a server.
+    /// Admitted requests waiting for a server.
     pub queue: Vec<RequestId>,
     pub attempts: BTreeMap<AttemptKey, Attempt>,
     /// Attempts of sibling processes.
     pub sibling_attempts: BTreeMap<AttemptKey, RemoteAttempt>,
-    /// Whether sibling processes have to be told of attempts.
+    /// Whether attempts are announced to sibling processes.
     pub share_attempts: bool,
     /// Whether a sibling process sends this node's messages to peers.
     pub peer_messages_delegated: bool,
 }
 
 impl RequestTable {
-    /// Takes a request off the queue.
     pub fn dequeue(&mut self, id: &RequestId) {
         self.queue.retain(|queued| queued != id);
     }
 
-    /// All attempts that servers have, those of sibling processes among them.
+    /// Returns the attempts in stage [`AttemptStage::AtServer`], including those of sibling processes.
     pub fn at_servers(&self) -> impl Iterator<Item = &Attempt> {
         let siblings = self.sibling_attempts.values().map(|remote| &remote.attempt);
         self.attempts
@@ -259,12 +264,12 @@
             .filter(|attempt| attempt.stage == AttemptStage::AtServer)
     }
 
-    /// How many of them there are.
+    /// Returns the number of attempts at servers.
     pub fn in_flight(&self) -> f64 {
         self.at_servers().count() as f64
     }
 
-    /// How many of them are of one class.
+    /// Returns the number of attempts at servers of one class.
     pub fn in_flight_of(&self, class: ClassId) -> f64 {
         self.at_servers()
             .filter(|attempt| attempt.class == class)
--- a/crates/policy/src/server_selection.rs
+++ b/crates/policy/src/server_selection.rs
@@ -1,11 +1,11 @@
-//! Server selection: which server an attempt goes to.
+//! Server selection: chooses the server for an attempt.
 //!
-//! The rule, in one sentence: of the servers that are ready, have capacity and may take the request, the one with the
-//! least expected wait, weighed with zone, faults and chance.
+//! Rule: among the servers that are ready, have capacity and may take the request, choose the one with the lowest
+//! expected cost: its expected wait, weighted by zone, faults, handshakes and a random factor.
 //!
 //! Inputs: for each server, attempts in flight, expected wait per attempt in µs, fault rate; the request's class,
-//! idempotency and last server. Result: a server, or none. The bounds on what is in flight follow from the shortest
-//! latency objective: beyond them a server's queue alone would use it up.
+//! idempotency and last server. Result: a server, or none. The bounds on attempts in flight are derived from the
+//! shortest latency objective: beyond them the wait in a server's queue alone would exceed it.
 
 use crate::engine::PolicyEngine;
 use crate::idempotency::retry_allowed;
@@ -13,46 +13,47 @@
 use crate::request::Request;
 use crate::server::Server;
 
-/// Share of the shortest objective that the expected wait at a server may reach.
+/// Maximum expected wait at a server, as a share of the shortest latency objective.
 const MAX_WAIT_SHARE: f64 = 0.3;
-/// The same over all servers together.
+/// The same bound over all servers together.
 const MAX_TOTAL_WAIT_SHARE: f64 = 0.25;
-/// Attempts that all nodes may always have in flight at each server. Without this bound hundreds of nodes with one
-/// attempt each would overload it.
+/// Attempts that all nodes together may always have in flight per server. The allowance is for the whole fleet because
+/// hundreds of nodes with one attempt each would overload a server.
 const MIN_IN_FLIGHT_PER_SERVER: f64 = 4.0;
-/// Time in which a server's known wait moves halfway to the typical one.
+/// Time in which a server's last known wait moves halfway to the typical wait.
 const WAIT_HALF_LIFE: Micros = 5 * SECOND;
-/// Spread of the choice among equal servers, so that nodes do not choose alike.
+/// Maximum random increase of the cost, as a share, in a small fleet, so that nodes choose differently among equal
+/// servers.
 const JITTER: f64 = 0.1;
-/// Attempts in flight that another zone counts for, per 1.0 of the cost of crossing zones: the own zone is left only when it
-/// is far more loaded.
+/// Penalty for a server in another zone, in attempts in flight per 1.0 of the cross-zone cost. It is so large that
+/// attempts leave the node's own zone only if that zone is far more loaded.
 const CROSS_ZONE_PENALTY: f64 = 30.0;
-/// Attempts in flight that the server of the last attempt counts for.
+/// Penalty for the server of the request's last attempt, in attempts in flight.
 const SAME_SERVER_PENALTY: f64 = 4.0;
-/// Factor on the wait where no connection is kept. It is so large that a node stays with the servers it is connected to
-/// until these are overloaded: in a large fleet nearly every attempt would be a handshake otherwise.
+/// Cost factor for a server without an open connection. It is so large that a node keeps to the servers it is connected
+/// to until these are overloaded; in a large fleet nearly every attempt would need a handshake otherwise.
 const HANDSHAKE_FACTOR: f64 = 40.0;
-/// Added factor on the wait at a fault rate of 1: failing fast must not look quick.
+/// Added to the cost factor at a fault rate of 1, so that a server that fails fast does not look fast.
 const FAULT_FACTOR: f64 = 4.0;
-/// Added factor on the wait of servers in a zone that no attempt reaches: such a zone is a last resort.
+/// Added to the cost factor of servers in a zone that no attempt reaches, so that they are chosen last.
 const UNREACHABLE_ZONE_FACTOR: f64 = 20.0;
-/// Share of the servers that must be healthy for any of them to count as ejected. With fewer the fault is elsewhere, and
-/// ejecting more would only overload the rest.
+/// Minimum share of healthy servers for ejections to apply. With fewer healthy servers the cause is probably not the
+/// servers, and the ejections would only overload the remaining ones.
 const MIN_HEALTHY_SHARE: f64 = 0.5;
 
-/// What the choice for one request depends on, beside the servers.
+/// Inputs to the selection for one request that do not depend on the server.
 #[derive(Clone, Copy)]
 struct SelectionContext {
     now: Micros,
     class: ClassId,
-    /// So many servers are ejected that none counts as ejected.
+    /// Whether ejections are ignored because too few servers are healthy (see [`MIN_HEALTHY_SHARE`]).
     ignore_ejections: bool,
     first_attempt: bool,
     last_server: Option<ServerId>,
 }
 
 impl PolicyEngine {
-    /// Expected wait for each attempt in flight at a server, µs; what is old moves to the typical wait.
+    /// Returns the expected wait per attempt in flight at a server, µs. An old value decays towards the typical wait.
     fn wait_per_attempt(&self, server: &Server, now: Micros) -> f64 {
         let typical = self.load.typical_wait;
         if server.wait_per_attempt <= 0.0 {
@@ -64,8 +65,8 @@
         server.wait_per_attempt * kept + typical * (1.0 - kept)
     }
 
-    /// The servers that an attempt may go to now: ready and with capacity. Empty where so much is in flight that no
-    /// server may take more.
+    /// Returns the servers that may take an attempt now: ready and with capacity. Empty if the total number of attempts
+    /// in flight is at its limit.
     pub(crate) fn selectable_servers(&mut self, now: Micros) -> Vec<ServerId> {
         let random = &mut self.random;
         let candidates = self.endpoints.candidates(|count| random.usize(..count));
@@ -79,7 +80,7 @@
             .collect()
     }
 
-    /// Whether the attempts in flight here use up what all servers together can take in time.
+    /// Returns whether this node's attempts in flight have reached the limit over all servers together.
     fn is_saturated(&self, candidates: &[&Server], now: Micros) -> bool {
         let ready = self.endpoints.ready();
         let nodes = f64::from(self.settings.node_count);
@@ -88,13 +89,13 @@
             .iter()
             .map(|server| self.shortest_objective / self.wait_per_attempt(server, now).max(1.0))
             .sum();
-        // The candidates stand for the whole subset.
+        // The candidates are a sample of the subset.
         let scale = ready.in_subset.max(1.0) / candidates.len().max(1) as f64;
         let in_flight = self.requests.in_flight();
         in_flight >= always_allowed && in_flight >= MAX_TOTAL_WAIT_SHARE * scale * in_objective
     }
 
-    /// Whether one more attempt at a server would be answered in time.
+    /// Returns whether a server is expected to respond to one more attempt in time.
     fn has_capacity(&self, server: &Server, now: Micros) -> bool {
         if self.is_warming_up(server, now) && !self.may_warm_up(server, now) {
             return false;
@@ -103,7 +104,7 @@
         server.in_flight == 0 || wait <= MAX_WAIT_SHARE * self.shortest_objective
     }
 
-    /// The server for a request, of the selectable ones.
+    /// Chooses the server for a request among the selectable ones.
     pub(crate) fn choose_server(
         &mut self,
         now: Micros,
@@ -122,7 +123,7 @@
         let mut candidates: Vec<&Server> = selectable
             .iter()
             .filter_map(|id| self.endpoints.get(*id))
-            .filter(|server| self.fits(request, server, selectable.len(), context))
+            .filter(|server| self.may_take_request(request, server, selectable.len(), context))
             .collect();
         if self.large_fleet {
             self.random.shuffle(&mut candidates);
@@ -131,7 +132,8 @@
                 let probe = is_probe(server, context) && !context.ignore_ejections;
                 probe || server.capacity_fraction(slow_start, now) < 1.0
             };
-            // A slow-start permit is rare and is spent first, so that the server warms up; then come health probes.
+            // Attempts under a slow-start permit, which are rare, come first so that the servers warm up; so do health
+            // probes.
             if let Some(server) = candidates.iter().find(preferred) {
                 candidates = vec![server];
             }
@@ -140,10 +142,14 @@
         let mut chosen = None;
         for server in candidates {
             let cost = self.expected_cost(server, context);
-            let draw = self.random.f64();
+            let random_number = self.random.f64();
             let probe =
                 is_probe(server, context) && !(context.ignore_ejections && self.large_fleet);
-            let score = if probe { 0.0 } else { cost * self.spread(draw) };
+            let score = if probe {
+                0.0
+            } else {
+                cost * self.random_cost_factor(random_number)
+            };
             if score < least_score {
                 least_score = score;
                 chosen = Some(server.endpoint.server);
@@ -152,18 +158,19 @@
         chosen
     }
 
-    /// Turns a random number between 0 and 1 into a factor on the cost. Hundreds of nodes would all flock to the server
-    /// last observed to be quick; where each knows little, a server's share should be in inverse to its cost, and the
-    /// least of exponentially distributed draws does that.
-    fn spread(&self, draw: f64) -> f64 {
+    /// Converts a random number between 0 and 1 to a factor on the cost. In a large fleet hundreds of nodes would
+    /// otherwise all choose the server that was last observed to be fast. As each node knows little, a server's share
+    /// of the attempts should be inversely proportional to its cost; choosing the minimum of exponentially distributed
+    /// values achieves that.
+    fn random_cost_factor(&self, random_number: f64) -> f64 {
         if self.large_fleet {
-            -draw.max(1e-9).ln()
+            -random_number.max(1e-9).ln()
         } else {
-            1.0 + JITTER * draw
+            1.0 + JITTER * random_number
         }
     }
 
-    /// What an attempt at a server is expected to cost: its wait, µs, weighed with zone, faults and handshakes.
+    /// Returns the expected cost of an attempt at a server: its wait, µs, weighted by zone, faults and handshakes.
     fn expected_cost(&self, server: &Server, context: SelectionContext) -> f64 {
         let cross_zone_cost = if server.endpoint.zone == self.settings.zone {
             0.0
@@ -181,8 +188,8 @@
             self.zones.unreachable_share(server.endpoint.zone) * UNREACHABLE_ZONE_FACTOR;
         let faults = 1.0 + server.fault_rate(context.class.0) * FAULT_FACTOR + zone_faults;
         let cost = in_flight * self.wait_per_attempt(server, context.now) * faults;
-        // Hundreds of nodes that each use every server would pay a handshake for nearly every attempt. Each keeps to
-        // those that it has a connection to; as their waits rise it turns to others, one by one.
+        // If hundreds of nodes each used every server, nearly every attempt would need a handshake. Each node keeps to
+        // the servers that it has a connection to, and opens connections to others one by one as the waits rise.
         let idle_limit = self.settings.server_idle_timeout / 2;
         let connected = server.in_flight == 0
             && context.now < server.last_response_at.saturating_add(idle_limit);
@@ -193,8 +200,8 @@
         }
     }
 
-    /// Whether a server may take a request at all.
-    fn fits(
+    /// Returns whether a server may take a request, regardless of its load.
+    fn may_take_request(
         &self,
         request: &Request,
         server: &Server,
@@ -205,13 +212,13 @@
         let idempotency = self.settings.classes[class].idempotency;
         let next_probe_at = server.next_probe_at(class);
         let probe_due = next_probe_at.is_none_or(|at| at <= context.now && server.in_flight == 0);
-        // A health probe may be lost, so it takes only what can be sent again.
-        let risky =
+        // A health probe may fail, so it is used only for requests that can be retried.
+        let unsafe_to_probe =
             next_probe_at.is_some() && idempotency != Idempotency::Idempotent && selectable > 1;
-        let free = request.in_flight.is_none() || request.body_incomplete;
+        let startable = request.in_flight.is_none() || request.body_incomplete;
         (context.ignore_ejections || probe_due)
-            && !risky
-            && free
+            && !unsafe_to_probe
+            && startable
             && retry_allowed(
                 idempotency,
                 request.dispatched,
@@ -221,7 +228,7 @@
     }
 }
 
-/// Whether an attempt at a server would be a health probe.
+/// Returns whether an attempt at a server would be a health probe.
 fn is_probe(server: &Server, context: SelectionContext) -> bool {
     server.next_probe_at(context.class.0).is_some() && context.first_attempt
 }
--- a/crates/policy/src/streaming.rs
+++ b/crates/policy/src/streaming.rs
@@ -65,7 +65,7 @@
         let Some(request) = self.requests.open.get_mut(id) else {
             return;
         };
-        request.hand_over_to_client();
+        request.start_response_stream();
         let Some(number) = request.in_flight else {
             return;
         };
