--- a/crates/policy/src/idempotency.rs
+++ b/crates/policy/src/idempotency.rs
@@ -1,38 +1,40 @@
-//! When a request may be dispatched again, and when it may be rejected with a promise of no effect.
+//! Idempotency: decides whether a request may be dispatched again, and whether it may be rejected, which tells the
+//! client that repeating it is safe.
 //!
-//! The rule, in one sentence: once an attempt may have run, the request is dispatched again only where a second
-//! execution has no effect. The policy engine asks this module when it chooses a server, and the exchange asks it again right
-//! before the first byte. Other modules only draw conclusions from the class's [`Idempotency`]: a request that must never
-//! run twice is given up at once (`attempt_results`), is not cancelled for a retry (`stalled_attempts`), and only an
-//! idempotent one is risked as a health probe (`server_selection`).
+//! Rule: once an attempt may have been executed, the request is dispatched again only if a second execution has no
+//! effect. The policy engine calls this module when it chooses a server, and the exchange calls it again right before
+//! it writes the first byte. Other modules only apply the class's [`Idempotency`]: a request that must never be
+//! executed twice is ended at once (`attempt_results`) and is not cancelled for a retry (`stalled_attempts`), and only
+//! idempotent requests are used as health probes (`server_selection`).
 //!
-//! Inputs: what a second execution of the request's class would do ([`Idempotency`]), and where and when its first
-//! attempt that may have run was dispatched ([`DispatchedAttempt`]). An attempt that certainly did not run (rejected,
-//! unreachable, not sent) is not one. The deduplication window runs from the dispatch, in µs; it comes from the
-//! settings of the class.
+//! Inputs: the effect of a second execution of a request of the class ([`Idempotency`]), and the location and time of
+//! the first dispatched attempt that may have been executed ([`DispatchedAttempt`]). Attempts that were certainly not
+//! executed (rejected, unreachable, not sent) do not count. The deduplication window, in µs, starts at the dispatch;
+//! its length is a setting of the class.
 
 use crate::interface::{DeduplicationDomainId, DeduplicationScope, Idempotency, Micros, ZoneId};
 
-/// Where a server is, as far as deduplication goes.
+/// Location of a server for deduplication.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ServerLocation {
-    /// Its availability zone.
+    /// Availability zone of the server.
     pub zone: ZoneId,
-    /// Its deduplication domain.
+    /// Deduplication domain: the servers that recognize each other's idempotency keys.
     pub domain: DeduplicationDomainId,
 }
 
-/// The first attempt of a request that may have run.
+/// The first attempt of a request that may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct DispatchedAttempt {
-    /// Where it went.
+    /// Location of the server that it was dispatched to.
     pub location: ServerLocation,
-    /// When it was dispatched, µs: the deduplication window begins then. The policy counts from its decision, the exchange
-    /// from the first byte, which is later; the stricter of the two governs.
+    /// Time of the dispatch, µs, at which the deduplication window starts. The policy uses the time of its decision and
+    /// the exchange the time of the first byte, which is later; the stricter check of the two applies.
     pub at: Micros,
 }
 
-/// Whether a request may be dispatched to a server now, given its first attempt that may have run, if any.
+/// Returns whether a request may be dispatched to a server at `target` now. `dispatched` is the first attempt that may
+/// have been executed, `None` if there is none.
 pub fn retry_allowed(
     idempotency: Idempotency,
     dispatched: Option<DispatchedAttempt>,
@@ -56,7 +58,7 @@
     }
 }
 
-/// Whether a request may be rejected, which promises its client that trying again is harmless.
+/// Returns whether a request may be rejected, which tells the client that repeating the request is safe.
 pub fn rejection_allowed(idempotency: Idempotency, dispatched: Option<DispatchedAttempt>) -> bool {
     if dispatched.is_none() {
         return true;
--- a/crates/policy/src/load_shedding.rs
+++ b/crates/policy/src/load_shedding.rs
@@ -1,14 +1,13 @@
-//! Load shedding: as the back end comes near overload, requests are rejected at random, those of the lowest priority
-//! first.
+//! Load shedding: rejects requests at random as the back end approaches overload, beginning with the lowest priority.
 //!
-//! Only in a large fleet: requests of a small one are shed by its token buckets and its concurrency limit alone.
+//! Used in large fleets only; a small fleet limits the load by its token buckets and its concurrency limit.
 //!
-//! The rule, in one sentence: the probability rises with the pressure on the back end, twice as fast as the request's
-//! rank by priority, up to a maximum that never closes any class entirely. A concurrency limit alone cannot do this where
-//! hundreds of nodes have one attempt in flight each: none of them has enough in flight for a limit to bind.
+//! Rule: the probability is twice the pressure on the back end minus the request's rank by priority, up to a maximum
+//! below one, so that no class is ever rejected entirely. A concurrency limit alone does not suffice where hundreds of
+//! nodes have one attempt in flight each: no node has enough attempts in flight to reach its limit.
 //!
-//! Inputs: the worst normalized latency (multiple of the objective), the utilization of the back end (multiple of what it
-//! bears, large fleets only), the priority weights of classes and plans. Result: a probability, 0 to
+//! Inputs: the worst normalized latency (multiple of the objective), the utilization of the back end (multiple of its
+//! capacity, large fleets only), the priority weights of classes and plans. Result: a probability, 0 to
 //! [`MAX_SHED_PROBABILITY`].
 
 use crate::engine::PolicyEngine;
@@ -16,23 +15,25 @@
 use crate::request::Request;
 use crate::statistics::rank;
 
-/// Normalized latency at which shedding begins.
-const SHED_FROM_LATENCY: f64 = 0.5;
-/// Normalized latency at which all but the highest priority is shed.
-const SHED_ALL_AT_LATENCY: f64 = 1.5;
-/// Highest probability of being shed.
+/// Normalized latency up to which the pressure is 0.
+const NO_PRESSURE_LATENCY: f64 = 0.5;
+/// Normalized latency from which the pressure is 1 and requests of every priority are shed with
+/// [`MAX_SHED_PROBABILITY`].
+const FULL_PRESSURE_LATENCY: f64 = 1.5;
+/// Maximum probability with which a request is shed.
 const MAX_SHED_PROBABILITY: f64 = 0.9;
 
-/// The priority weight of a request of a class and a plan.
+/// Returns the priority weight of a request of a class and a plan.
 fn priority_weight(class: &Class, plan: &Plan) -> f64 {
     class.priority_weight * plan.priority_weight
 }
 
 impl PolicyEngine {
-    /// The probability with which a request is shed.
+    /// Returns the probability with which a request is shed.
     pub(crate) fn shed_probability(&self, request: &Request) -> f64 {
         if self.slow_start.uninformed {
-            // Responses of servers in slow start are late by nature, and what is sent to them has a bound of its own.
+            // Servers in slow start respond slowly even without overload, and the attempts sent to them are limited by
+            // permits.
             return 0.0;
         }
         let settings = &self.settings;
@@ -46,17 +47,18 @@
         (2.0 * self.pressure() - rank).clamp(0.0, MAX_SHED_PROBABILITY)
     }
 
-    /// How close the back end is to overload: 0 for not at all, 1 for fully.
+    /// Returns how close the back end is to overload, from 0 (not at all) to 1 (overloaded).
     fn pressure(&self) -> f64 {
         let worst = self
             .load
             .worst_normalized_latency(self.lowest_class)
             .unwrap_or(0.0);
-        let by_latency = (worst - SHED_FROM_LATENCY) / (SHED_ALL_AT_LATENCY - SHED_FROM_LATENCY);
+        let by_latency =
+            (worst - NO_PRESSURE_LATENCY) / (FULL_PRESSURE_LATENCY - NO_PRESSURE_LATENCY);
         by_latency.max(self.utilization() - 1.0).clamp(0.0, 1.0)
     }
 
-    /// Utilization of the back end by the whole fleet; 0 in a small fleet, whose nodes have no gossip averages.
+    /// Returns the utilization of the back end by the whole fleet; 0 in a small fleet, which has no gossip averages.
     fn utilization(&self) -> f64 {
         if !self.large_fleet {
             return 0.0;
--- a/crates/policy/src/load_statistics.rs
+++ b/crates/policy/src/load_statistics.rs
@@ -1,23 +1,22 @@
-//! Statistics of the load that several rules go by: latency, attempts in flight, responses per second.
+//! Load statistics that several rules use: latency, attempts in flight, responses per second.
 
 use crate::decaying_mean::DecayingMean;
 use crate::gossip_average::GossipAverage;
 use crate::interface::ClassId;
 use crate::utilization::Utilization;
 
-/// Expected wait before anything is known, as a share of the shortest latency objective.
+/// Expected wait before the first sample, as a share of the shortest latency objective.
 pub(crate) const INITIAL_WAIT_SHARE: f64 = 0.12;
-/// Normalized latency of a class of which nothing is known.
+/// Stands for the normalized latency of a class without samples.
 pub(crate) const UNKNOWN_LATENCY: f64 = -1.0;
 /// Weight of a new sample in the mean latency of all servers.
 const LATENCY_WEIGHT: f64 = 0.02;
 
-/// Statistics of the load.
 #[derive(Clone, Debug)]
 pub(crate) struct LoadStatistics {
-    /// Mean latency of attempts, µs.
+    /// Mean latency of attempts at all servers, µs.
     pub mean_latency: f64,
-    /// Median wait for each attempt in flight at a server, µs.
+    /// Median over the servers of the wait per attempt in flight, µs.
     pub typical_wait: f64,
     /// Mean attempts in flight of the lowest class.
     pub lowest_in_flight: f64,
@@ -25,7 +24,7 @@
     pub in_flight: f64,
     /// Latency of each class as a multiple of its objective; [`UNKNOWN_LATENCY`] while unknown.
     pub normalized_latencies: Vec<f64>,
-    /// The same as the fleet sees it.
+    /// Normalized latencies by class over the whole fleet, as gossip averages.
     pub fleet_latencies: Vec<GossipAverage>,
     pub utilization: Utilization,
     /// Responses per second at one node.
@@ -35,7 +34,7 @@
 }
 
 impl LoadStatistics {
-    /// Nothing is known yet; `shortest_objective` in µs.
+    /// Creates statistics without samples; `shortest_objective` in µs.
     pub fn new(classes: usize, shortest_objective: f64) -> Self {
         let initial_wait = shortest_objective * INITIAL_WAIT_SHARE;
         LoadStatistics {
@@ -51,13 +50,14 @@
         }
     }
 
-    /// Adds the latency of an attempt, µs. Cancelled attempts belong in as well, so that a slow fleet does not look
-    /// fast.
-    pub fn record_latency(&mut self, took: f64) {
-        self.mean_latency += (took - self.mean_latency) * LATENCY_WEIGHT;
+    /// Adds the latency of an attempt, µs. Cancelled attempts have to be included, as the mean would otherwise be too
+    /// low when servers are slow.
+    pub fn record_latency(&mut self, latency: f64) {
+        self.mean_latency += (latency - self.mean_latency) * LATENCY_WEIGHT;
     }
 
-    /// The worst class's latency as a multiple of its objective, of all but the lowest class; `None` while unknown.
+    /// Returns the highest normalized latency of all classes but the lowest, which counts only if there is no other;
+    /// `None` while unknown.
     pub fn worst_normalized_latency(&self, lowest: ClassId) -> Option<f64> {
         let only_one = self.normalized_latencies.len() == 1;
         self.normalized_latencies
--- a/crates/policy/src/outlier_ejection.rs
+++ b/crates/policy/src/outlier_ejection.rs
@@ -1,15 +1,17 @@
-//! Outlier ejection: servers that fail more than the rest get health probes only, by class.
+//! Outlier ejection: a server that fails more often than the others is ejected per class; it then receives health
+//! probes only.
 //!
-//! The rule, in one sentence: a server is ejected for a class once its fault rate is over [`EJECTION_FAULT_RATE`] and over
-//! twice the mean of all servers, and comes back once it is below half of that.
+//! Rule: a server is ejected for a class once its fault rate exceeds both [`EJECTION_FAULT_RATE`] and twice the mean of
+//! all servers. The ejection ends once the fault rate is below half of [`EJECTION_FAULT_RATE`].
 //!
-//! In a small fleet the rate is this node's own, so a server comes back by health probes that succeed, each of which halves
-//! it. In a large fleet it is the estimate of the gossip average, which fades without new faults. A server that stalls is
-//! ejected by `stalled_attempts`. With less than half of the servers healthy, `server_selection` ignores ejections.
+//! In a small fleet each node uses the fault rate that it measures itself; each successful health probe halves it,
+//! which ends the ejection. In a large fleet the fault rate is estimated from the gossip average, which decays without
+//! new faults. A server that stalls is ejected by `stalled_attempts`. If less than half of the servers are healthy,
+//! `server_selection` ignores ejections.
 //!
-//! Inputs: the outcomes of attempts here and, in a large fleet, what peers observed, as a gossip average; the mean fault
-//! rate of all servers. Result: for each server and class, whether it is ejected and when its next health probe may go,
-//! µs. In a large fleet the probes of all nodes that use a server together come at a steady rate.
+//! Inputs: the outcomes of this node's attempts and, in a large fleet, the observations of peers as a gossip average;
+//! the mean fault rate of all servers. Result: for each server and class, whether it is ejected and when the next
+//! health probe may be sent, µs. In a large fleet the probes of all nodes that use a server add up to a steady rate.
 
 use crate::counters::Counter;
 use crate::engine::PolicyEngine;
@@ -20,22 +22,22 @@
 use crate::server::{OutlierStatistics, Server};
 use crate::statistics::as_share;
 
-/// Fault rate at which a server is ejected, unless the mean of all servers is half as high.
+/// Fault rate above which a server is ejected. Twice the mean of all servers applies instead if that is higher.
 pub(crate) const EJECTION_FAULT_RATE: f64 = 0.35;
-/// Time between two health probes of an ejected server.
+/// Interval between health probes of an ejected server.
 const PROBE_INTERVAL: Micros = 700 * MILLISECOND;
 /// How long an observation counts as evidence.
 pub(crate) const EVIDENCE_LIFETIME: Micros = 4 * SECOND;
 /// Weight of a new outcome in a server's fault rate.
 const FAULT_WEIGHT: f64 = 0.2;
-/// Part of an outcome's weight that counts for the server's other classes: one class may fail alone.
+/// Share of an outcome's weight that counts for the server's other classes; it is below one as a single class may fail.
 const OTHER_CLASS_SHARE: f64 = 0.25;
 /// Weight of a new sample in a server's wait.
 const WAIT_WEIGHT: f64 = 0.15;
 /// Weight of a peer's observation in a server's wait.
 const OBSERVATION_WEIGHT: f64 = 0.4;
-/// Time until the next health probe of an ejected server; with `nodes_per_server` (large fleets) the probes of so many
-/// nodes together come at a steady rate.
+/// Returns the time until the next health probe of an ejected server, µs. `nodes_per_server` is given in a large fleet:
+/// the interval is then multiplied by it and jittered, so that the probes of that many nodes add up to a steady rate.
 fn next_probe_interval(random: &mut fastrand::Rng, nodes_per_server: Option<f64>) -> Micros {
     let jitter = 0.5 + random.f64();
     let factor = nodes_per_server.map_or(1.0, |nodes| nodes * jitter);
@@ -43,17 +45,17 @@
 }
 
 impl OutlierStatistics {
-    /// Ejects the server for the class or takes it back in, against the mean fault rate of all; the result is whether it
-    /// is newly ejected. `nodes_per_server` is given in large fleets.
-    fn judge(
+    /// Starts or ends the ejection of the server for the class by its fault rate and the mean of all servers. Returns
+    /// whether an ejection started. `nodes_per_server` is given in large fleets.
+    fn update_ejection(
         &mut self,
         nodes_per_server: Option<f64>,
         mean_fault_rate: f64,
         probe_at: Micros,
     ) -> bool {
         if let Some(nodes) = nodes_per_server {
-            let usual = mean_fault_rate.min(EJECTION_FAULT_RATE / 2.0);
-            self.fault_rate = self.fleet_faults.estimate(nodes, usual);
+            let prior = mean_fault_rate.min(EJECTION_FAULT_RATE / 2.0);
+            self.fault_rate = self.fleet_faults.estimate(nodes, prior);
         }
         if self.fault_rate > EJECTION_FAULT_RATE.max(2.0 * mean_fault_rate) {
             let newly_ejected = !self.is_ejected();
@@ -66,7 +68,8 @@
         false
     }
 
-    /// An attempt succeeded. A health probe that succeeds halves the fault rate, and the next one may go at once.
+    /// Records a successful attempt. At an ejected server it halves the fault rate, and the next health probe may be
+    /// sent at once.
     fn record_success(&mut self, now: Micros) {
         if !self.is_ejected() {
             return;
@@ -78,7 +81,7 @@
 }
 
 impl Server {
-    /// Counts an outcome in the fault rates of all classes.
+    /// Updates the fault rates of all classes with the outcome of an attempt of one class.
     fn record_fault(&mut self, class: usize, fault: bool) {
         for (other, statistics) in self.statistics.iter_mut().enumerate() {
             let share = if other == class {
@@ -96,7 +99,8 @@
         }
     }
 
-    /// Takes in a peer's observation of a class that exists; the result is whether it is newer than what was known.
+    /// Merges a peer's observation of the server. Returns whether it is newer than what was known, and `false` if its
+    /// class does not exist.
     fn observe(&mut self, now: Micros, observation: &Observation, unknown_wait: f64) -> bool {
         let observed_at = now.saturating_sub(observation.age);
         let Some(statistics) = self.statistics.get_mut(observation.class.0) else {
@@ -118,19 +122,20 @@
 }
 
 impl PolicyEngine {
-    /// How many nodes use each server, where ejections are decided over the fleet.
+    /// Returns the mean number of nodes that use a server in a large fleet, `None` in a small one.
     fn fleet_nodes_per_server(&self) -> Option<f64> {
         self.large_fleet.then(|| self.endpoints.nodes_per_server())
     }
 
-    /// Time until the next health probe of an ejected server, µs.
+    /// Returns the time until the next health probe of an ejected server, µs.
     pub(crate) fn probe_interval(&mut self) -> Micros {
         let nodes_per_server = self.fleet_nodes_per_server();
         next_probe_interval(&mut self.random, nodes_per_server)
     }
 
-    /// Learns from the end of an attempt. `stalled`: it was cancelled here, because its server stalled or its answer came too
-    /// late to have a value; either way the server counts as at fault.
+    /// Updates the statistics of a server and of the load with the outcome of an attempt. `stalled`: this node
+    /// cancelled the attempt because the server stalled or because a later response would have had no value; both count
+    /// as a fault.
     pub(crate) fn learn(
         &mut self,
         now: Micros,
@@ -138,7 +143,7 @@
         outcome: Outcome,
         stalled: bool,
     ) {
-        let took = now.saturating_sub(attempt.sent_at) as f64;
+        let duration = now.saturating_sub(attempt.sent_at) as f64;
         self.counters.attempt_ended(outcome, stalled);
         self.record_slow_start_result(now, attempt, outcome);
         let Some(mut server) = self.endpoints.edit(attempt.server) else {
@@ -154,25 +159,26 @@
             _ => true,
         };
         server.record_fault(class, fault);
-        // A probe of an ejected server says nothing of its zone, though a machine that hangs takes no connection.
+        // A failed probe of an ejected server is no evidence against its zone: a machine that hangs accepts no
+        // connections either.
         let unreachable = outcome == Outcome::Unreachable;
         if !unreachable || !server.statistics[class].is_ejected() {
             self.zones.record(server.endpoint.zone, unreachable);
         }
         server.statistics[class].observed_at = now;
-        let took = if fault {
-            took.max(self.shortest_objective / 2.0)
+        let duration = if fault {
+            duration.max(self.shortest_objective / 2.0)
         } else {
-            took
+            duration
         };
-        let per_attempt = took / attempt.in_flight_at_server;
+        let per_attempt = duration / attempt.in_flight_at_server;
         let unknown_wait = if self.large_fleet {
             self.load.typical_wait
         } else {
             per_attempt
         };
         server.record_wait(now, per_attempt, WAIT_WEIGHT, unknown_wait);
-        self.load.record_latency(took);
+        self.load.record_latency(duration);
         if outcome == Outcome::Ok {
             server.last_response_at = now;
             server.statistics[class].last_response_at = now;
@@ -182,24 +188,24 @@
         }
         drop(server);
         if self.large_fleet || outcome != Outcome::Ok && fault {
-            self.judge_server(now, attempt.server, attempt.class);
+            self.update_server_ejection(now, attempt.server, attempt.class);
         }
     }
 
-    /// Ejects a server for a class, or takes it back in.
-    fn judge_server(&mut self, now: Micros, id: ServerId, class: ClassId) {
+    /// Starts or ends the ejection of a server for a class.
+    fn update_server_ejection(&mut self, now: Micros, id: ServerId, class: ClassId) {
         let mean_fault_rate = self.endpoints.mean_fault_rate(class);
         let probe_at = now.saturating_add(self.probe_interval());
         let nodes_per_server = self.fleet_nodes_per_server();
         let Some(mut server) = self.endpoints.edit(id) else {
             return;
         };
-        if server.statistics[class.0].judge(nodes_per_server, mean_fault_rate, probe_at) {
+        if server.statistics[class.0].update_ejection(nodes_per_server, mean_fault_rate, probe_at) {
             self.counters.add(Counter::Ejections);
         }
     }
 
-    /// Takes in a peer's observation of one server.
+    /// Handles a peer's observation of one server.
     pub(crate) fn on_observation(&mut self, now: Micros, observation: &Observation) {
         let Some(id) = self.endpoints.by_short_id(observation.short_server_id) else {
             return;
@@ -220,13 +226,14 @@
         let interval = next_probe_interval(&mut self.random, nodes_per_server);
         let probe_at = now.saturating_add(interval);
         let statistics = &mut server.statistics[observation.class.0];
-        if statistics.judge(nodes_per_server, mean_fault_rate, probe_at) {
+        if statistics.update_ejection(nodes_per_server, mean_fault_rate, probe_at) {
             self.counters.add(Counter::Ejections);
         }
     }
 
-    /// Lets evidence decay over a span in seconds, and judges all servers: what nobody has observed for long keeps none
-    /// ejected. The mean is taken once a class, as this walks over the servers already.
+    /// Decays the gossip averages by `elapsed_s` seconds and updates the ejections of all servers, so that old
+    /// observations keep no server ejected. The mean fault rate is computed once per class, not per server, as all
+    /// servers are visited.
     pub(crate) fn decay_evidence(&mut self, now: Micros, elapsed_s: f64) {
         if !self.large_fleet {
             return;
@@ -241,14 +248,15 @@
         self.endpoints.judge(|server| {
             for (statistics, mean) in server.statistics.iter_mut().zip(&mean_fault_rates) {
                 let probe_at = now.saturating_add(next_probe_interval(random, nodes_per_server));
-                if statistics.judge(nodes_per_server, *mean, probe_at) {
+                if statistics.update_ejection(nodes_per_server, *mean, probe_at) {
                     counters.add(Counter::Ejections);
                 }
             }
         });
     }
 
-    /// Whether what is known of a server may still count.
+    /// Returns whether the statistics of a server still contain evidence: an ejection, a gossip average or a recent
+    /// observation.
     pub(crate) fn has_evidence(server: &Server, large_fleet: bool, now: Micros) -> bool {
         server.statistics.iter().any(|statistics| {
             let averaged = large_fleet && statistics.fleet_faults.mean().is_some();
--- a/crates/policy/src/retry_budget.rs
+++ b/crates/policy/src/retry_budget.rs
@@ -1,13 +1,13 @@
-//! The retry budget: retries may be a share of first attempts, so that retries of failing requests never multiply the
-//! load of a back end that fails because of its load.
+//! The retry budget: limits retries to a share of the first attempts, so that retries cannot multiply the load on a
+//! back end that fails because it is overloaded.
 
-/// Retries that each first attempt earns: retries add at most a fifth to the load.
-const EARNED_PER_ATTEMPT: f64 = 0.2;
-/// Most retries that can be saved up, and the balance at the start: enough for a server that fails with its attempts in
-/// flight.
-const MAX_SAVED: f64 = 20.0;
+/// Retries earned per first attempt: retries add at most a fifth to the load.
+const EARNED_PER_FIRST_ATTEMPT: f64 = 0.2;
+/// Maximum balance, in retries, and the balance at the start: enough to retry the attempts in flight at a server that
+/// fails.
+const MAX_TOKENS: f64 = 20.0;
 
-/// Retries that may be sent now.
+/// A token bucket that is refilled by first attempts; one token allows one retry.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RetryBudget {
     tokens: f64,
@@ -15,32 +15,32 @@
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        RetryBudget { tokens: MAX_SAVED }
+        RetryBudget { tokens: MAX_TOKENS }
     }
 }
 
 impl RetryBudget {
-    /// A budget that another process of this node had.
+    /// Restores the budget of another process of this node.
     pub fn with_tokens(tokens: f64) -> Self {
         RetryBudget { tokens }
     }
 
-    /// Retries that are saved up.
+    /// Balance, in retries.
     pub fn tokens(self) -> f64 {
         self.tokens
     }
 
-    /// A first attempt was sent.
+    /// Credits a first attempt.
     pub fn earn(&mut self) {
-        self.tokens = (self.tokens + EARNED_PER_ATTEMPT).min(MAX_SAVED);
+        self.tokens = (self.tokens + EARNED_PER_FIRST_ATTEMPT).min(MAX_TOKENS);
     }
 
-    /// Whether there is one for a retry.
+    /// Returns whether the balance covers a retry.
     pub fn allows(self) -> bool {
         self.tokens >= 1.0
     }
 
-    /// A retry is sent.
+    /// Debits a retry.
     pub fn spend(&mut self) {
         self.tokens -= 1.0;
     }
--- a/crates/policy/src/server.rs
+++ b/crates/policy/src/server.rs
@@ -1,4 +1,5 @@
-//! What a node knows of one server. Its names in JSON are those that earlier builds read. Plain data; the rules are in `outlier_ejection`, `server_selection` and `slow_start`.
+//! State of one server at this node. Plain data; the rules are in `outlier_ejection`, `server_selection` and
+//! `slow_start`. The serialized names are those that earlier builds read.
 
 use crate::gossip_average::GossipAverage;
 use crate::idempotency::ServerLocation;
@@ -6,7 +7,7 @@
 use saffronpaddle_slow_start::SlowStartBudget;
 use serde::{Deserialize, Serialize};
 
-/// A server that is listed, or has attempts in flight.
+/// A server that is on the endpoint list or has attempts in flight.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub(crate) struct Server {
@@ -14,30 +15,31 @@
     pub endpoint: Endpoint,
     #[serde(rename = "open")]
     pub in_flight: u32,
-    /// Expected wait for each attempt in flight there, µs; 0 while unknown.
+    /// Expected wait per attempt in flight at the server, µs; 0 while unknown.
     #[serde(rename = "wait")]
     pub wait_per_attempt: f64,
-    /// When that was last learned.
+    /// When the expected wait was last updated.
     #[serde(rename = "learned")]
-    pub wait_learned_at: Micros,
+    pub wait_updated_at: Micros,
     #[serde(rename = "answered")]
     pub last_response_at: Micros,
-    /// By class; empty while nothing is known. A list of 40,000 servers would cost much memory otherwise.
+    /// Statistics by class; empty while nothing is known, which saves memory with lists of 40,000 servers.
     #[serde(rename = "health")]
     pub statistics: Vec<OutlierStatistics>,
-    /// Attempts that may be sent to it in slow start, as earned from what warm servers do.
+    /// Attempts that may be sent to the server in slow start, earned at a rate derived from the throughput of warm
+    /// servers.
     #[serde(rename = "cold_credit")]
     pub slow_start_credit: f64,
-    /// Permits to send to it in slow start while no warm server shows what servers can do; `None` while nothing has come
-    /// of its start.
+    /// Permits for attempts to the server in slow start while no warm server shows the throughput of a server; `None`
+    /// while the budget is in its initial state.
     #[serde(rename = "budget", with = "crate::serde_optional_budget")]
     pub slow_start_budget: Option<Box<SlowStartBudget>>,
-    /// Whether it is in this node's subset.
+    /// Whether the server is in this node's subset.
     #[serde(skip)]
     pub in_subset: bool,
 }
 
-/// How a server fares with one class.
+/// Statistics of one server and class that decide on its ejection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub(crate) struct OutlierStatistics {
@@ -45,36 +47,36 @@
     pub fault_rate: f64,
     #[serde(rename = "answered")]
     pub last_response_at: Micros,
-    /// When the next health probe may go; set while it is ejected.
+    /// When the next health probe may be sent; `Some` while the server is ejected.
     #[serde(rename = "trial")]
     pub next_probe_at: Option<Micros>,
-    /// The faults that the fleet has seen lately.
+    /// Recent fault rate over the whole fleet, as a gossip average.
     #[serde(rename = "pool")]
     pub fleet_faults: GossipAverage,
-    /// When the newest observation was made, here or at a peer.
+    /// Time of the latest observation by this node or a peer.
     #[serde(rename = "seen")]
     pub observed_at: Micros,
 }
 
 impl OutlierStatistics {
-    /// Whether the server gets health probes only for the class.
+    /// Returns whether the server receives health probes only for the class.
     pub fn is_ejected(&self) -> bool {
         self.next_probe_at.is_some()
     }
 }
 
 impl Server {
-    /// A server of which nothing is known yet.
+    /// Creates a server without statistics.
     pub fn unknown(endpoint: Endpoint, now: Micros) -> Self {
         Server {
             endpoint,
-            wait_learned_at: now,
+            wait_updated_at: now,
             in_subset: true,
             ..Server::default()
         }
     }
 
-    /// Takes in what the endpoint list says of it. One that has started again is unknown again.
+    /// Applies a change of the endpoint list. If the server has been restarted, its statistics are reset.
     pub fn update(&mut self, endpoint: Endpoint, now: Micros, warm_up_period: Micros) {
         if self.endpoint.started_at != endpoint.started_at {
             self.restart(endpoint, now, warm_up_period);
@@ -94,14 +96,14 @@
         self.slow_start_budget = differs.then(|| Box::new(budget));
     }
 
-    /// Makes room for statistics of each class.
+    /// Allocates the statistics of each class if they are not allocated yet.
     pub fn ensure_statistics(&mut self, classes: usize) {
         if self.statistics.is_empty() {
             self.statistics = vec![OutlierStatistics::default(); classes];
         }
     }
 
-    /// Drops what is known of how it fares.
+    /// Resets the statistics, the expected wait and the slow-start credit.
     pub fn forget(&mut self) {
         self.statistics = Vec::new();
         self.wait_per_attempt = 0.0;
@@ -109,17 +111,17 @@
         self.slow_start_credit = 0.0;
     }
 
-    /// Whether its process runs and takes requests.
+    /// Returns whether the endpoint list marks the server as ready for requests.
     pub fn is_ready(&self) -> bool {
         self.endpoint.status == EndpointStatus::Ready
     }
 
-    /// Whether it is on the endpoint list.
+    /// Returns whether the server is on the endpoint list.
     pub fn is_listed(&self) -> bool {
         self.endpoint.status != EndpointStatus::Removed
     }
 
-    /// Where it is, as far as deduplication goes.
+    /// Returns the location of the server for deduplication.
     pub fn location(&self) -> ServerLocation {
         ServerLocation {
             zone: self.endpoint.zone,
@@ -127,14 +129,15 @@
         }
     }
 
-    /// Whether it started less than a span ago.
+    /// Returns whether the server started less than `span` ago; `false` if its start is unknown.
     pub fn started_within(&self, now: Micros, span: Micros) -> bool {
         self.endpoint
             .started_at
             .is_some_and(|started| now < started.saturating_add(span))
     }
 
-    /// Share of its capacity that it has at least: 1 once it is warm.
+    /// Returns the minimum share of its full capacity that the server has: 1 once it is warm or if its start is
+    /// unknown.
     pub fn capacity_fraction(&self, rules: &SlowStartRules, now: Micros) -> f64 {
         let Some(started) = self.endpoint.started_at else {
             return 1.0;
@@ -143,28 +146,28 @@
         (rules.initial_capacity + (1.0 - rules.initial_capacity) * age).min(1.0)
     }
 
-    /// When its next health probe may go, where it is ejected for a class.
+    /// Returns when the next health probe of a class may be sent; `None` if the server is not ejected for the class.
     pub fn next_probe_at(&self, class: usize) -> Option<Micros> {
         self.statistics
             .get(class)
             .and_then(|statistics| statistics.next_probe_at)
     }
 
-    /// The share of a class's attempts that fail there.
+    /// Returns the share of a class's attempts that fail at the server; 0 while unknown.
     pub fn fault_rate(&self, class: usize) -> f64 {
         self.statistics
             .get(class)
             .map_or(0.0, |statistics| statistics.fault_rate)
     }
 
-    /// When it last answered a request of a class.
-    pub fn last_response_of(&self, class: usize) -> Micros {
+    /// Returns when the server last responded to a request of a class; 0 if it never did.
+    pub fn last_response_for_class(&self, class: usize) -> Micros {
         self.statistics
             .get(class)
             .map_or(0, |statistics| statistics.last_response_at)
     }
 
-    /// Its slow-start budget, as it is or as it begins.
+    /// Returns a copy of the slow-start budget, in its initial state if none is stored.
     pub fn current_budget(&self) -> SlowStartBudget {
         self.slow_start_budget
             .as_deref()
@@ -176,7 +179,7 @@
             })
     }
 
-    /// Its slow-start budget, to be changed.
+    /// Returns the slow-start budget for a change, and stores the initial one first if there is none.
     pub fn budget_mut(&mut self) -> &mut SlowStartBudget {
         if self.slow_start_budget.is_none() {
             self.slow_start_budget = Some(Box::new(self.current_budget()));
@@ -184,7 +187,7 @@
         self.slow_start_budget.get_or_insert_with(Box::default)
     }
 
-    /// All of it, as another process of this node reads it.
+    /// Returns a copy for another process of this node, with all optional parts filled in.
     pub fn to_snapshot(&self, classes: usize) -> Server {
         let mut server = Server {
             slow_start_budget: Some(Box::new(self.current_budget())),
@@ -195,7 +198,7 @@
         server
     }
 
-    /// Adds a sample of its wait, observed at some time; `unknown` stands for what it was without any.
+    /// Updates the expected wait with a sample of this weight. `unknown` is the value before the first sample.
     pub fn record_wait(&mut self, observed_at: Micros, sample: f64, weight: f64, unknown: f64) {
         let before = if self.wait_per_attempt > 0.0 {
             self.wait_per_attempt
@@ -203,6 +206,6 @@
             unknown
         };
         self.wait_per_attempt = before + (sample - before) * weight;
-        self.wait_learned_at = self.wait_learned_at.max(observed_at);
+        self.wait_updated_at = self.wait_updated_at.max(observed_at);
     }
 }
--- a/crates/policy/src/server_selection.rs
+++ b/crates/policy/src/server_selection.rs
@@ -60,7 +60,7 @@
             let fraction = server.capacity_fraction(&self.settings.slow_start, now);
             return typical / fraction.max(0.1);
         }
-        let age = now.saturating_sub(server.wait_learned_at) as f64;
+        let age = now.saturating_sub(server.wait_updated_at) as f64;
         let kept = 0.5f64.powf(age / WAIT_HALF_LIFE as f64);
         server.wait_per_attempt * kept + typical * (1.0 - kept)
     }
--- a/crates/policy/src/stalled_attempts.rs
+++ b/crates/policy/src/stalled_attempts.rs
@@ -1,11 +1,11 @@
-//! Stalled attempts: servers that accept work and answer nothing, and links that are cut.
+//! Stalled attempts: detects servers that accept requests without responding, and broken network links.
 //!
-//! The rule, in one sentence: a server is ejected once an attempt there is far older than the mean latency and no response
-//! came from it since; the attempt is cancelled where the request may be retried.
+//! Rule: a server is ejected once one of its attempts is far older than the mean latency and the server has sent no
+//! response since that attempt started. The attempt is cancelled if its request may be retried.
 //!
-//! Inputs: for each attempt its age in µs, the mean latency, the class's latency objective, when its server last
-//! responded. A rare expensive request may be alone on its server, which then has no other response to show that it
-//! works; such an attempt is given [`ALONE_FACTOR`] times as long.
+//! Inputs: for each attempt its age in µs, the mean latency, the class's latency objective, and the time of its
+//! server's last response. A rare expensive request may be the only one at its server, which then sends no other
+//! response that would show that it works; the time limit of such an attempt is [`ALONE_FACTOR`] times as long.
 
 use crate::counters::Counter;
 use crate::engine::{Actions, PolicyEngine};
@@ -13,16 +13,15 @@
 use crate::request::{Attempt, AttemptKey, AttemptStage};
 use crate::server::Server;
 
-/// Multiple of the mean latency from which an attempt may be stalled.
+/// Age, as a multiple of the mean latency, below which an attempt never counts as stalled.
 const LATENCY_MULTIPLE: f64 = 4.0;
-/// Multiple of its class's latency objective from which it may be stalled.
+/// Age, as a multiple of its class's latency objective, below which an attempt never counts as stalled.
 const OBJECTIVE_MULTIPLE: f64 = 0.5;
-/// Smallest capacity by which a server in slow start is given more time.
+/// Lower bound on the capacity fraction by which the time limit of a server in slow start is divided.
 const MIN_CAPACITY_FRACTION: f64 = 0.25;
-/// Factor on the time of an attempt that is alone at its server.
+/// Factor on the time limit of the only attempt at a server.
 const ALONE_FACTOR: f64 = 1.5;
 
-/// An attempt that has stalled.
 struct StalledAttempt {
     key: AttemptKey,
     server: ServerId,
@@ -31,7 +30,7 @@
 }
 
 impl PolicyEngine {
-    /// Ejects servers that are silent, and cancels attempts there that may be retried.
+    /// Ejects the servers of stalled attempts, and cancels those attempts whose requests may be retried.
     pub(crate) fn handle_stalled_attempts(&mut self, now: Micros, actions: &mut Actions) {
         for stalled in self.stalled_attempts(now) {
             let probe_at = now.saturating_add(self.probe_interval());
@@ -63,23 +62,24 @@
 
     fn is_stalled(&self, now: Micros, attempt: &Attempt, server: &Server) -> bool {
         let class = &self.settings.classes[attempt.class.0];
-        let by_objective = class.latency_objective as f64 * OBJECTIVE_MULTIPLE;
-        let limit = by_objective.max(self.load.mean_latency * LATENCY_MULTIPLE);
-        // A server in slow start takes that much longer, and must not be ejected for it while it warms up.
+        let objective_limit = class.latency_objective as f64 * OBJECTIVE_MULTIPLE;
+        let limit = objective_limit.max(self.load.mean_latency * LATENCY_MULTIPLE);
+        // A server in slow start is slower by its capacity fraction, and must not be ejected for that.
         let rules = &self.settings.slow_start;
         let fraction = server.capacity_fraction(rules, attempt.sent_at);
         let limit = limit / fraction.max(MIN_CAPACITY_FRACTION);
-        let alone = if server.in_flight < 2 {
+        let alone_factor = if server.in_flight < 2 {
             ALONE_FACTOR
         } else {
             1.0
         };
-        let responded_since = server.last_response_of(attempt.class.0) >= attempt.sent_at;
+        let responded_since = server.last_response_for_class(attempt.class.0) >= attempt.sent_at;
         let age = now.saturating_sub(attempt.sent_at) as f64;
-        !responded_since && age > limit * alone
+        !responded_since && age > limit * alone_factor
     }
 
-    /// Ejects a server for the class of a stalled attempt; for all classes where it has answered nothing since.
+    /// Ejects a server for the class of a stalled attempt, or for all classes if it has sent no response at all since
+    /// that attempt started.
     fn eject_silent_server(
         &mut self,
         now: Micros,
@@ -95,33 +95,33 @@
             return;
         }
         self.counters.add(Counter::Ejections);
-        // Hundreds of nodes would flood the logs.
+        // Not in a large fleet, where hundreds of nodes would log the same server.
         if !self.large_fleet {
             actions.push(Action::Report(Diagnostic::ServerSilent {
                 server: stalled.server,
             }));
         }
-        let silent_for_all = server.last_response_at < stalled.sent_at;
+        let silent_for_all_classes = server.last_response_at < stalled.sent_at;
         server.statistics[class].observed_at = now;
         for (other, statistics) in server.statistics.iter_mut().enumerate() {
-            if other == class || silent_for_all {
+            if other == class || silent_for_all_classes {
                 statistics.fault_rate = 1.0;
                 statistics.next_probe_at = Some(probe_at);
             }
         }
     }
 
-    /// Cancels an attempt whose request may be retried.
+    /// Cancels an attempt if its request may be retried.
     fn cancel_for_retry(&mut self, (id, attempt): AttemptKey, actions: &mut Actions) {
         let Some(request) = self.requests.open.get_mut(&id) else {
             return;
         };
         let class = &self.settings.classes[request.class.0];
         let permissions = &self.settings.permissions;
-        let repeatable = class.idempotency != Idempotency::NonIdempotent && !request.body_streamed;
+        let retryable = class.idempotency != Idempotency::NonIdempotent && !request.body_streamed;
         let has_attempts = request.attempts < permissions.max_attempts;
         let may_cancel = permissions.cancellation && !request.cancelled;
-        if repeatable && has_attempts && may_cancel && self.retries.allows() {
+        if retryable && has_attempts && may_cancel && self.retries.allows() {
             request.cancelled = true;
             actions.push(Action::Cancel { id, attempt });
         }
--- a/crates/policy/src/streaming.rs
+++ b/crates/policy/src/streaming.rs
@@ -1,4 +1,4 @@
-//! Requests and responses that are streamed: they go by as they come, and are not kept.
+//! Streamed requests and responses: bodies that are relayed as they arrive and are not buffered.
 
 use crate::counters::Counter;
 use crate::engine::{Actions, PolicyEngine};
@@ -6,7 +6,8 @@
 use crate::request::AttemptStage;
 
 impl PolicyEngine {
-    /// The last byte of a request's body has come. Now the request is decided on: it counts, and draws its units.
+    /// Handles the last byte of a request's body. From then on the attempt counts at the server and for the customer,
+    /// which is charged the request's units; the deadline is set anew.
     pub(crate) fn on_body_complete(
         &mut self,
         now: Micros,
@@ -26,7 +27,8 @@
         let customer = request.customer;
         let units = request.units;
         let in_flight = request.in_flight;
-        // The hard limit may have been used up, or the limit on attempts reached, since the body began to come.
+        // The customer's hard limit or its limit on attempts in flight may have been reached while the body was
+        // received.
         let Some(number) = in_flight.filter(|_| self.may_start(customer, units, now)) else {
             return self.finish(&id, Counter::RejectedOverQuota, actions);
         };
@@ -60,7 +62,8 @@
         }
     }
 
-    /// A streamed response has begun. Its first bytes are its latency, and the server is free for others.
+    /// Handles the start of a streamed response. The time to its first bytes counts as its latency, and the attempt no
+    /// longer counts at the server.
     pub(crate) fn on_response_started(&mut self, now: Micros, id: &RequestId) {
         let Some(request) = self.requests.open.get_mut(id) else {
             return;
