--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -360,6 +360,6 @@
     match since_last_use {
         0..SEEN_WITHIN_ONE_SECOND => Counter::SeenWithinOneSecond,
         SEEN_WITHIN_ONE_SECOND..SEEN_WITHIN_TEN_SECONDS => Counter::SeenWithinTenSeconds,
-        _ => Counter::SeenForTheFirstTime,
+        _ => Counter::NotSeenRecently,
     }
 }
--- a/crates/policy/src/controller_period.rs
+++ b/crates/policy/src/controller_period.rs
@@ -1,5 +1,5 @@
-//! The controller period: twice a second the statistics are closed, the concurrency limit moves, evidence decays and what
-//! is no longer needed is dropped.
+//! The controller period: twice a second updates the load statistics and the concurrency limit, decays old observations
+//! and removes unused state.
 
 use crate::concurrency_limit::{InFlight, LatencySamples};
 use crate::engine::{Actions, PolicyEngine};
@@ -12,21 +12,22 @@
 use crate::token_bucket::{silent_peers, KEEP_UNUSED_FOR};
 use crate::utilization::SERVICE_RATE_WEIGHT;
 
-/// Weight of a period in the mean of what is in flight, in a large fleet: at most times it is nothing.
+/// Weight of a period in the mean number of attempts in flight, in a large fleet, where a node has none most of the
+/// time.
 const IN_FLIGHT_WEIGHT: f64 = 0.2;
 /// Seconds over which the rate of responses is averaged in a small fleet.
 const SERVICE_RATE_SPAN_S: f64 = 4.0;
 
 impl PolicyEngine {
-    /// Ends a period, where one is over.
+    /// Does the work of a controller period if one has ended.
     pub(crate) fn run_controller_period(&mut self, now: Micros, actions: &mut Actions) {
         if now < self.timers.next_period_at {
             return;
         }
         self.timers.next_period_at = now + CONTROLLER_PERIOD;
-        self.close_latencies(now);
-        self.move_concurrency_limit(actions);
-        self.close_service_rate(now);
+        self.update_normalized_latencies(now);
+        self.update_concurrency_limit(actions);
+        self.update_service_rate(now);
         let initial_wait = self.shortest_objective * INITIAL_WAIT_SHARE;
         self.load.typical_wait = self.endpoints.median_wait().unwrap_or(initial_wait);
         let in_flight = self.requests.in_flight();
@@ -34,12 +35,12 @@
         self.earn_slow_start_credit(now);
         self.decay_evidence(now, CONTROLLER_PERIOD_S);
         self.measure_capacity(now);
-        self.drop_unused(now);
+        self.remove_unused_state(now);
     }
 
-    /// Averages the latencies of the period, by class. What is still open counts once it is late: a back end that hangs
-    /// answers nothing and would look fast.
-    fn close_latencies(&mut self, now: Micros) {
+    /// Updates the normalized latencies by class with the samples of the period. Open requests count once they are
+    /// late, as a back end that hangs sends no responses and would otherwise look fast.
+    fn update_normalized_latencies(&mut self, now: Micros) {
         let mut samples = self.concurrency_limit.take_samples();
         for request in self.requests.open.values() {
             if self.waits_for_back_end(request) {
@@ -52,7 +53,8 @@
                 }
             }
         }
-        // An overload that is over must not keep on shedding. Where each node sees little, the fleet's samples count.
+        // A small fleet uses the samples of this period only, so that load shedding ends with the overload. In a large
+        // fleet each node has few samples, and those of the fleet count until they have decayed.
         let decay = if self.large_fleet {
             CONTROLLER_PERIOD_S / LATENCY_DECAY_S
         } else {
@@ -69,13 +71,13 @@
         }
     }
 
-    /// Whether only the back end holds a request up, as far as is known here.
+    /// Returns whether only the back end delays a request, as far as this node knows.
     fn waits_for_back_end(&self, request: &Request) -> bool {
-        let waits = !request.body_incomplete && request.deadline < Micros::MAX;
-        waits && (!self.large_fleet || request.grant.granted.is_some())
+        let waiting = !request.body_incomplete && request.deadline < Micros::MAX;
+        waiting && (!self.large_fleet || request.grant.granted.is_some())
     }
 
-    fn move_concurrency_limit(&mut self, actions: &mut Actions) {
+    fn update_concurrency_limit(&mut self, actions: &mut Actions) {
         let worst = self.load.worst_normalized_latency(self.lowest_class);
         let weight = if self.large_fleet {
             IN_FLIGHT_WEIGHT
@@ -93,11 +95,11 @@
             let in_flight = InFlight {
                 lowest_class,
                 total: self.load.in_flight,
-                part: 1.0 / f64::from(self.settings.node_count),
+                node_share: 1.0 / f64::from(self.settings.node_count),
             };
             self.concurrency_limit.step(worst, in_flight);
             let started = self.concurrency_limit.limit().is_some() && !had_limit;
-            // Hundreds of nodes would flood the logs.
+            // Not in a large fleet, where hundreds of nodes would log the same overload.
             if started && !self.large_fleet {
                 actions.push(Action::Report(Diagnostic::ConcurrencyLimitStarted {
                     normalized_latency: worst,
@@ -108,7 +110,7 @@
         self.concurrency_limit.begin_period(lowest_class);
     }
 
-    fn close_service_rate(&mut self, now: Micros) {
+    fn update_service_rate(&mut self, now: Micros) {
         let weight = if self.large_fleet {
             SERVICE_RATE_WEIGHT
         } else {
@@ -120,18 +122,18 @@
         self.load.responses = 0.0;
     }
 
-    /// Determines the capacity of the healthy servers, in warm servers.
+    /// Updates the capacity of the healthy servers, in warm servers.
     pub(crate) fn measure_capacity(&mut self, now: Micros) {
         self.update_slow_start_mode(now);
         let rules = self.settings.slow_start;
         let ready = self.endpoints.ready();
         let healthy = self.endpoints.healthy(self.lowest_class).healthy;
-        let missing: f64 = self
+        let missing_capacity: f64 = self
             .recently_started_servers()
             .filter(|server| server.next_probe_at(self.lowest_class.0).is_none())
             .map(|server| 1.0 - server.capacity_fraction(&rules, now))
             .sum();
-        // The servers in the subset stand for all.
+        // Extrapolates from the servers in the subset to all listed servers.
         let scale = if ready.listed > ready.in_subset {
             ready.listed / ready.in_subset.max(1.0)
         } else {
@@ -139,11 +141,11 @@
         };
         self.load
             .utilization
-            .set_capacity((healthy - missing) * scale);
+            .set_capacity((healthy - missing_capacity) * scale);
     }
 
-    /// Drops what is no longer needed, so that memory does not grow with every customer and server ever seen.
-    fn drop_unused(&mut self, now: Micros) {
+    /// Removes the state of idle customers and removed servers, which would otherwise accumulate in memory.
+    fn remove_unused_state(&mut self, now: Micros) {
         let plans = &self.settings.plans;
         self.grants.forget_unreachable(now);
         let last_reports = &self.peers.last_report_at;
--- a/crates/policy/src/counters.rs
+++ b/crates/policy/src/counters.rs
@@ -1,101 +1,103 @@
-//! Counts of what the engine has done since its start. Added up over a fleet they tell where requests and attempts go;
-//! no rule depends on them. Their names among the figures are older than the terms of this crate, and stay as staff know
-//! them.
+//! Counters of the engine's decisions since its start. Summed over a fleet they show what happens to requests and
+//! attempts; no rule depends on them. The exported names are older than the terms of this crate, and are kept for
+//! operators.
 
 use crate::interface::Outcome;
 
 macro_rules! counters {
     ($($(#[doc = $doc:literal])+ $variant:ident => $name:literal,)+) => {
-        /// What is counted, each an event at this node.
+        /// A counted event at this node.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
         pub enum Counter {
             $($(#[doc = $doc])+ $variant,)+
         }
 
-        /// Names of the counters among the figures, in the order of the enum.
+        /// Exported names of the counters, in the order of the enum.
         const NAMES: &[&str] = &[$($name,)+];
     };
 }
 
 counters! {
-    /// A request whose customer was last seen here less than a second ago.
+    /// A request of a customer whose previous request at this node was less than a second ago.
     SeenWithinOneSecond => "seen_within_1s",
-    /// A request whose customer was last seen here less than ten seconds ago.
+    /// A request of a customer whose previous request at this node was 1 s to 10 s ago.
     SeenWithinTenSeconds => "seen_within_10s",
-    /// A request whose customer was last seen here longer ago, or never.
-    SeenForTheFirstTime => "seen_anew",
-    /// Rejected: the customer's bucket or shards have no tokens, an owner denied the request for any reason, its deadline was
-    /// too near, or a limit was full when its body was complete.
+    /// A request of a customer whose previous request at this node was at least 10 s ago, or of a new customer.
+    NotSeenRecently => "seen_anew",
+    /// A rejection because the customer's bucket or shards have no tokens, an owner denied the request for any reason,
+    /// its deadline was too near, or a limit had been reached when its body was complete.
     RejectedOverQuota => "refused_short",
-    /// Rejected without a grant request: an owner has said that none can be granted yet.
+    /// A rejection without a grant request, because an owner has responded that nothing can be granted yet, or because
+    /// too many grant requests of the customer are open.
     RejectedByCachedDecision => "refused_held",
-    /// Rejected without a grant request: the customer asks for far too much, and a sample of its requests asks.
+    /// A rejection without a grant request, because the customer is far over its quota and only a sample of its
+    /// requests is sent to an owner.
     RejectedBySampling => "refused_thinned",
-    /// Rejected without a grant request: the back end is overloaded and the request has a low priority.
+    /// A rejection without a grant request, because the back end is overloaded and the request has a low priority.
     RejectedByLoadShedding => "refused_shed",
-    /// Rejected: no owner answered, and nothing allows the request without one.
+    /// A rejection because no owner responded and the request is not allowed without one.
     RejectedNoOwner => "refused_homeless",
-    /// Admitted without an owner, as none can be reached.
+    /// An admission without an owner, because none can be reached.
     AdmittedWithoutOwner => "alone",
-    /// Admitted by a lease.
+    /// An admission by a lease.
     AdmittedByLease => "went_by_loan",
-    /// As an owner, issued a lease.
+    /// As an owner: a lease issued.
     LeasesIssued => "loans",
-    /// Rejected: not sent by half of its time, or its objective was out of reach.
+    /// A rejection because the request was not sent within half of its time, or its latency objective could not be met.
     RejectedNotSent => "refused_unsent",
-    /// Rejected or failed at its deadline, or as it may not be sent again.
+    /// A rejection or failure after at least one attempt, because the deadline was reached or no retry is allowed.
     EndedAfterAttempts => "refused_spent",
-    /// A grant request to an owner.
+    /// A grant request sent to an owner.
     GrantRequests => "asked",
-    /// A grant request that was not answered in time.
+    /// A grant request without a response in time.
     GrantRequestTimeouts => "unanswered",
-    /// A grant request that was given up with retransmissions left: its time was over, or there was no message budget.
+    /// A grant request that was abandoned with retransmissions left, because its time was over or the message budget
+    /// was exhausted.
     GrantRequestsGivenUp => "given_up_early",
-    /// A grant response whose request is no longer open: it came too late, twice, or after the request had ended.
+    /// A grant response without an open grant request: it was late or a duplicate, or the request had ended.
     GrantResponsesLate => "answered_late",
-    /// An owner granted a request.
+    /// A grant received from an owner.
     GrantsReceived => "granted",
-    /// A grant expired before its request was sent.
+    /// A grant that expired before its request was sent.
     GrantsExpired => "grants_expired",
-    /// As an owner, received a grant request.
+    /// As an owner: a grant request received.
     GrantRequestsReceived => "homed",
-    /// As an owner, denied one: the shard has no tokens.
+    /// As an owner: a grant request denied because the shard has no tokens.
     GrantsDeniedOverQuota => "home_short",
-    /// As an owner, denied one: too many attempts are in flight.
+    /// As an owner: a grant request denied because too many attempts are in flight.
     GrantsDeniedInFlight => "home_full",
-    /// As an owner, denied one: the hard limit is near.
+    /// As an owner: a grant request denied because the hard limit is nearly reached.
     GrantsDeniedHardLimit => "home_over_ceiling",
-    /// A first attempt.
+    /// A first attempt sent.
     FirstAttempts => "first_attempts",
-    /// A retry.
+    /// A retry sent.
     Retries => "further_attempts",
-    /// An attempt at an ejected server, as a health probe.
+    /// An attempt sent to an ejected server as a health probe.
     HealthProbes => "trials",
-    /// An attempt at a server in slow start.
+    /// An attempt sent to a server in slow start.
     SlowStartAttempts => "cold_sends",
-    /// A slow-start permit that another node transferred here.
+    /// A slow-start permit received from another node.
     PermitsReceived => "rights_given_to",
-    /// A slow-start permit that was transferred to another node.
+    /// A slow-start permit transferred to another node.
     PermitsTransferred => "rights_given_away",
-    /// Rejected at once: servers in slow start cannot take it in time.
+    /// An immediate rejection because servers in slow start cannot take the request in time.
     RejectedBySlowStart => "refused_too_cold",
     /// An attempt that succeeded.
     AttemptsSucceeded => "attempts_good",
-    /// An attempt whose server gave an error, lost the connection or was silent.
+    /// An attempt that ended with an error of the server, a lost connection, a time-out or a stall.
     AttemptsFaulted => "attempts_bad",
     /// An attempt that the server rejected.
     AttemptsRejected => "attempts_full",
-    /// An attempt that could not connect.
+    /// An attempt that failed to connect.
     AttemptsUnreachable => "attempts_unreachable",
-    /// A server was ejected for a class.
+    /// An ejection of a server for a class.
     Ejections => "ejections",
-    /// An observation from a peer that was newer than what was known.
+    /// An observation of a peer that was newer than the latest one known here.
     ObservationsReceived => "rumours_heard",
-    /// A dispatch that found no server with capacity while requests were queued.
+    /// A dispatch with queued requests that found no server with capacity.
     NoCapacity => "no_room",
 }
 
-/// How many counters there are.
 const COUNT: usize = NAMES.len();
 
 /// All counters, from 0 at the engine's start.
@@ -109,13 +111,13 @@
 }
 
 impl Counters {
-    /// Adds one.
+    /// Increments a counter by one.
     pub(crate) fn add(&mut self, counter: Counter) {
         self.0[counter as usize] += 1;
     }
 
-    /// Counts the end of an attempt. One that was cancelled or never sent says nothing of a server, unless it was
-    /// cancelled because the server stalled.
+    /// Counts the end of an attempt. An attempt that was cancelled or never sent is not counted, as it says nothing
+    /// about the server, unless it was cancelled because the server stalled.
     pub(crate) fn attempt_ended(&mut self, outcome: Outcome, stalled: bool) {
         match outcome {
             _ if stalled => self.add(Counter::AttemptsFaulted),
@@ -127,12 +129,12 @@
         }
     }
 
-    /// The value of one counter.
+    /// Current value of one counter.
     pub fn get(&self, counter: Counter) -> u64 {
         self.0[counter as usize]
     }
 
-    /// All counters by name.
+    /// Exported names and current values of all counters.
     pub fn by_name(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
         NAMES.iter().copied().zip(self.0)
     }
--- a/crates/policy/src/decaying_mean.rs
+++ b/crates/policy/src/decaying_mean.rs
@@ -1,10 +1,11 @@
-//! An exponentially weighted mean that is unbiased from its first sample on.
+//! An exponentially weighted mean without a bias towards its initial value.
 //!
-//! A mean that starts at zero and moves by a small share per sample reports too little for as long as it remembers. At
-//! the start of a fleet that would make servers look slow, shed requests they could serve, and give servers in slow
-//! start too little. Here the first samples weigh alike, until there are so many that each has its final weight.
+//! A mean that starts at zero and is updated with a small weight stays too low for its whole memory. At the start of a
+//! fleet the throughput of servers would be underestimated: requests that they could serve would be shed, and servers
+//! in slow start would be sent too few. Here the first samples have equal weights, until the weight of a sample reaches
+//! its final value.
 
-/// The mean of the samples so far, the latest weighing most.
+/// Exponentially weighted mean of samples.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DecayingMean {
     value: f64,
@@ -12,7 +13,7 @@
 }
 
 impl DecayingMean {
-    /// A mean that another process computed: it moves like one of many samples.
+    /// Restores a mean that another process computed. New samples have their final weight from the start.
     pub fn known(value: f64) -> Self {
         DecayingMean {
             value,
@@ -20,23 +21,24 @@
         }
     }
 
-    /// Adds a sample of this weight (above 0, at most 1), or of an even part of all samples so far where that is more.
+    /// Adds a sample with this weight (above 0, at most 1), or with one divided by the number of samples if that is
+    /// greater.
     pub fn add(&mut self, sample: f64, weight: f64) {
         self.samples += 1.0;
         self.mix(sample, weight.max(1.0 / self.samples));
     }
 
-    /// Moves this part of the way towards a mean that somebody else computed.
-    pub fn mix(&mut self, other: f64, part: f64) {
-        self.value += (other - self.value) * part;
+    /// Moves the mean towards `other` by the share `weight` of the difference, without counting a sample.
+    pub fn mix(&mut self, other: f64, weight: f64) {
+        self.value += (other - self.value) * weight;
     }
 
-    /// The mean; 0 before the first sample.
+    /// Current mean; 0 before the first sample.
     pub fn value(&self) -> f64 {
         self.value
     }
 
-    /// Whether there was a sample.
+    /// Returns whether the mean has at least one sample or was restored.
     pub fn is_known(&self) -> bool {
         self.samples > 0.0
     }
--- a/crates/policy/src/decaying_mean/tests.rs
+++ b/crates/policy/src/decaying_mean/tests.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn restored_mean_is_not_replaced_by_one_sample() {
+fn first_sample_after_a_restore_has_its_final_weight() {
     let mut mean = DecayingMean::known(8.0);
     mean.add(0.0, 0.05);
     assert!((mean.value() - 7.6).abs() < 1e-9, "{}", mean.value());
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,20 +1,20 @@
-//! The policy of an edge node that holds customers to their quotas before a shared back end: events in, actions out. It
-//! does no input or output, and time is an argument, so that every run can be repeated.
+//! Policy engine of a gateway node that enforces customers' quotas in front of a shared back end. The engine turns
+//! events into actions. It performs no I/O and gets the time as an argument, so that every run is reproducible.
 //!
-//! [`PolicyEngine::handle`] takes an [`Event`](interface::Event) and adds [`Action`](interface::Action)s. The path of a
-//! request through the rules:
+//! [`PolicyEngine::handle`] processes an [`Event`](interface::Event) and appends [`Action`](interface::Action)s. A
+//! request passes through these modules:
 //!
-//! 1. `admission` decides whether it is admitted: by its customer's token bucket (`token_bucket`), by an owner of its
-//!    quota (`grants`, `shard_owners`), or not at all (`load_shedding`).
-//! 2. `dispatch` sends queued requests, the most valuable first, while there is capacity (`concurrency_limit`,
+//! 1. `admission` decides whether the request is admitted: by its customer's token bucket (`token_bucket`) or by an owner
+//!    of the quota (`grants`, `shard_owners`), unless it is shed (`load_shedding`).
+//! 2. `dispatch` sends queued requests in descending order of value while there is capacity (`concurrency_limit`,
 //!    `server_selection`, `slow_start`).
-//! 3. `attempt_results` takes the end of each attempt: it learns from it (`outlier_ejection`) and decides on a retry
-//!    (`idempotency`, `retry_budget`).
-//! 4. `timer` ends requests whose time is over, calls off stalled attempts (`stalled_attempts`) and runs the periodic
-//!    work (`controller_period`).
+//! 3. `attempt_results` handles the end of each attempt: it updates the statistics (`outlier_ejection`) and decides on a
+//!    retry (`idempotency`, `retry_budget`).
+//! 4. `timer` ends overdue requests, cancels stalled attempts (`stalled_attempts`) and runs the periodic work
+//!    (`controller_period`).
 //!
-//! What nodes tell each other is in `peer_message` (layout), `peers` (usage reports) and `gossip` (observations); what two
-//! processes of one node tell each other in `siblings` and [`snapshot`].
+//! Messages between nodes are in `peer_message` (layout), `peers` (usage reports) and `gossip` (observations). Messages
+//! between the processes of one node are in `siblings` and [`snapshot`].
 #![forbid(unsafe_code)]
 
 mod admission;
--- a/crates/policy/src/statistics.rs
+++ b/crates/policy/src/statistics.rs
@@ -1,6 +1,6 @@
-//! Small statistics that several rules use.
+//! Statistical helper functions that several rules use.
 
-/// The probability that fewer than `limit` are in flight where `mean` are on average (Poisson).
+/// Returns the probability that a Poisson variable with this mean is below `limit`.
 pub(crate) fn poisson_below(limit: u32, mean: f64) -> f64 {
     let mut term = (-mean).exp();
     let mut below = 0.0;
@@ -11,7 +11,7 @@
     below
 }
 
-/// The share of the values that lie below `value`.
+/// Returns the share of the values that are below `value`, 0 if there are none.
 pub(crate) fn rank(value: f64, values: impl Iterator<Item = f64>) -> f64 {
     let mut below = 0.0;
     let mut count = 0.0_f64;
@@ -22,12 +22,12 @@
     below / count.max(1.0)
 }
 
-/// Spreads numbers evenly, for hashes (Fibonacci hashing).
+/// Hashes a number by Fibonacci hashing; the upper bits are the well distributed ones.
 pub(crate) fn hash_number(number: u64) -> u64 {
     number.wrapping_mul(0x9E37_79B9_7F4A_7C15)
 }
 
-/// 1 where a condition holds, else 0.
+/// Returns 1 if the condition holds, else 0.
 pub(crate) fn as_share(holds: bool) -> f64 {
     f64::from(u8::from(holds))
 }
--- a/crates/policy/src/timer.rs
+++ b/crates/policy/src/timer.rs
@@ -1,11 +1,12 @@
-//! The timer: ends requests whose time is over, and runs everything that is not caused by an event.
+//! The timer: ends overdue requests, and runs the periodic work of other rules.
 //!
-//! The rule, in one sentence: a request of which nothing reached a server is answered by half of its time, so that its
-//! client can still try elsewhere; any other at its deadline. Where late answers have no value, one that cannot be answered
-//! within its objective any more is answered before it, and an attempt still in flight after it is cancelled.
+//! Rule: a request of which no attempt has reached a server gets its final answer within half of its time, so that its
+//! client can still try another node; any other request by its deadline. In classes whose late responses have no value,
+//! a request without an attempt in flight is ended before its latency objective if it can no longer meet it, and an
+//! attempt in flight is cancelled after the objective.
 //!
-//! Inputs: the time, each request's arrival, deadline and latency objective, µs. Result: final answers, cancellations,
-//! and the periodic work of other rules.
+//! Inputs: the time, and each request's arrival, deadline and latency objective, µs. Result: final answers and
+//! cancellations.
 
 use crate::counters::Counter;
 use crate::engine::{Actions, PolicyEngine};
@@ -13,64 +14,66 @@
 use crate::request::Request;
 use crate::state::LAST_CALL;
 
-/// Delay of the timer from which this node itself is too slow to judge servers: their responses may lie unread.
+/// Delay of the timer above which servers are not checked for stalled attempts: this node is overloaded itself, and may
+/// not have read their responses yet.
 const OVERLOADED_DELAY: Micros = 50 * MILLISECOND;
-/// What is due for a request.
-enum Due {
+
+/// Action that is due for a request.
+enum DueAction {
     Nothing,
-    /// Its final answer.
-    Answer,
-    /// The end of its attempt.
+    /// Give the request its final answer.
+    FinalAnswer,
+    /// Cancel the attempt in flight.
     Cancellation,
 }
 
-/// The instants that bound a request, µs.
-struct RequestBounds {
+/// Inputs to the decision on a request that are the same for all requests.
+struct DueCheck {
     now: Micros,
-    /// How much later an attempt that starts now is answered.
-    expected_response: f64,
+    /// Optimistic estimate of the latency of an attempt that starts now, µs.
+    optimistic_latency: f64,
 }
 
-impl RequestBounds {
-    fn due(&self, request: &Request, class: &Class) -> Due {
-        let last_call = self.now + LAST_CALL;
+impl DueCheck {
+    fn due_action(&self, request: &Request, class: &Class) -> DueAction {
+        let now_with_margin = self.now + LAST_CALL;
         if request.body_incomplete {
-            // What takes long is its client's doing.
-            return if last_call >= request.deadline {
-                Due::Answer
+            // Only the client delays the request, so only its deadline counts.
+            return if now_with_margin >= request.deadline {
+                DueAction::FinalAnswer
             } else {
-                Due::Nothing
+                DueAction::Nothing
             };
         }
-        let idle = request.in_flight.is_none();
-        let untouched = idle && !request.reached_server;
-        let time = request.deadline.saturating_sub(request.arrived_at);
-        let answer_by = if untouched {
-            request.arrived_at + time / 2
+        let no_attempt_in_flight = request.in_flight.is_none();
+        let reached_no_server = no_attempt_in_flight && !request.reached_server;
+        let allowed_time = request.deadline.saturating_sub(request.arrived_at);
+        let answer_by = if reached_no_server {
+            request.arrived_at + allowed_time / 2
         } else {
             request.deadline
         };
-        if last_call >= answer_by {
-            return Due::Answer;
+        if now_with_margin >= answer_by {
+            return DueAction::FinalAnswer;
         }
         if class.late_value > 0.0 {
-            return Due::Nothing;
+            return DueAction::Nothing;
         }
         let objective_at = request.arrived_at.saturating_add(class.latency_objective);
-        let out_of_reach = self.now as f64 + self.expected_response > objective_at as f64;
-        if idle && self.now < objective_at && out_of_reach {
-            return Due::Answer;
+        let objective_unreachable = self.now as f64 + self.optimistic_latency > objective_at as f64;
+        if no_attempt_in_flight && self.now < objective_at && objective_unreachable {
+            return DueAction::FinalAnswer;
         }
         if self.now > objective_at && !request.cancelled {
-            // Servers must not be busy with responses that have no value any more.
-            return Due::Cancellation;
+            // Frees servers from work on responses that no longer have a value.
+            return DueAction::Cancellation;
         }
-        Due::Nothing
+        DueAction::Nothing
     }
 }
 
 impl PolicyEngine {
-    /// The timer has fired.
+    /// Handles the firing of the timer.
     pub(crate) fn on_timer(&mut self, now: Micros, actions: &mut Actions) {
         if now <= self.timers.fires_at.saturating_add(OVERLOADED_DELAY) {
             self.handle_stalled_attempts(now, actions);
@@ -86,7 +89,7 @@
         self.broadcast_usage(now, actions);
     }
 
-    /// Requests of a large fleet that were not sent yet: a grant may be missing or have expired.
+    /// Returns the requests of a large fleet that were not sent yet, whose grants may be missing or have expired.
     fn unsent_requests(&self) -> Vec<RequestId> {
         if !self.large_fleet {
             return Vec::new();
@@ -100,18 +103,18 @@
     }
 
     fn end_overdue_requests(&mut self, now: Micros, actions: &mut Actions) {
-        let bounds = RequestBounds {
+        let check = DueCheck {
             now,
-            expected_response: self.load.mean_latency / 2.0,
+            optimistic_latency: self.load.mean_latency / 2.0,
         };
         let cancellation = self.settings.permissions.cancellation;
         let mut overdue = Vec::new();
         for (id, request) in &mut self.requests.open {
             let class = &self.settings.classes[request.class.0];
-            match bounds.due(request, class) {
-                Due::Nothing => {}
-                Due::Answer => overdue.push(id.clone()),
-                Due::Cancellation => {
+            match check.due_action(request, class) {
+                DueAction::Nothing => {}
+                DueAction::FinalAnswer => overdue.push(id.clone()),
+                DueAction::Cancellation => {
                     let Some(attempt) = request.in_flight.filter(|_| cancellation) else {
                         continue;
                     };
--- a/crates/policy/src/utilization.rs
+++ b/crates/policy/src/utilization.rs
@@ -1,62 +1,67 @@
-//! How much of the back end's capacity is in use by what the whole fleet has in flight.
+//! Utilization of the back end: the attempts that the whole fleet has in flight, relative to the capacity of the
+//! servers.
 //!
-//! When servers drop out at once, drained or lost with their zone, those left take the whole load, and the latency of
-//! what is answered tells of the overload only when it is there. What is in flight and which servers can take it are
-//! known at once: the first is a gossip average over the fleet, the second is on the endpoint list. By Little's law the
-//! number in flight is throughput times time, so a server that is known to answer so many a second can bear what it
-//! answers in a part of the shortest latency objective, whatever its size.
+//! When many servers become unavailable at once, drained or with a failed zone, the remaining ones take the whole load,
+//! and latency shows the overload only after it has occurred. The attempts in flight and the available servers are
+//! known earlier: the first is a gossip average over the fleet, the second is on the endpoint list. By Little's law the
+//! number in flight is throughput times latency. A server with a known throughput can therefore sustain the number of
+//! attempts that it completes within a share of the shortest latency objective, whatever its size.
 //!
-//! Inputs: attempts in flight at this node, healthy servers counted by their present capacity (a server in slow start
-//! counts as a part), responses per second of a node, the shortest latency objective in seconds. Result: a multiple, 1
-//! where the fleet has in flight what the servers bear.
+//! Inputs: attempts in flight at this node, the capacity of the healthy servers (a server in slow start counts in
+//! part), responses per second per node, the shortest latency objective in seconds. Result: a ratio, 1 if the fleet has
+//! as many attempts in flight as the servers sustain.
 
 use crate::decaying_mean::DecayingMean;
 use crate::gossip_average::{GossipAverage, IN_FLIGHT_DECAY_S};
 
-/// Part of the shortest latency objective in which what is in flight at a server should be answered.
+/// Share of the shortest latency objective within which a server should complete the attempts in flight.
 const OBJECTIVE_SHARE: f64 = 0.5;
-/// Weight of a controller period in the mean rate of responses and in the mean of the servers that gave them.
+/// Weight of one controller period in the mean rate of responses and in the mean capacity of the servers that sent
+/// them.
 pub const SERVICE_RATE_WEIGHT: f64 = 0.05;
-/// Attempts that all nodes together may always have in flight at a warm server: its throughput is seen late.
+/// Minimum number of attempts that a warm server counts as able to sustain for all nodes together, as its throughput is
+/// measured with a delay.
 const MIN_IN_FLIGHT_PER_SERVER: f64 = 4.0;
 
-/// What is in flight, and what can take it.
+/// Attempts in flight over the fleet, and the capacity of the servers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Utilization {
-    /// Attempts in flight per node.
+    /// Mean number of attempts in flight per node.
     pub in_flight: GossipAverage,
-    /// Capacity of the healthy servers now, in warm servers.
+    /// Current capacity of the healthy servers, in warm servers.
     capacity: f64,
-    /// The mean of that over the time in which responses were counted. Responses of the last seconds divided by the
-    /// servers of this moment would make those left after a failure look fast, and those that return look slow.
+    /// Mean capacity over the time in which responses were counted. If the responses of the last seconds were divided
+    /// by the current capacity, the throughput per server would be overestimated after servers fail, and underestimated
+    /// after they return.
     mean_capacity: DecayingMean,
 }
 
 impl Utilization {
-    /// Sets the capacity of the servers that are ready and not ejected, in warm servers.
+    /// Sets the current capacity of the servers that are ready and not ejected, in warm servers.
     pub fn set_capacity(&mut self, servers: f64) {
         self.capacity = servers;
     }
 
-    /// Takes a sample of what is in flight at this node, `elapsed_s` seconds after the last one.
+    /// Adds a sample of the attempts in flight at this node, `elapsed_s` seconds after the previous sample.
     pub fn sample(&mut self, elapsed_s: f64, in_flight: f64) {
         self.in_flight.decay(elapsed_s / IN_FLIGHT_DECAY_S);
         self.in_flight.add(in_flight, 1.0);
         self.mean_capacity.add(self.capacity, SERVICE_RATE_WEIGHT);
     }
 
-    /// What `nodes` nodes have in flight, as a multiple of what the servers bear. `service_rate`: responses per second
-    /// of one node; `objective_s`: the shortest latency objective, seconds.
+    /// Returns the utilization by `nodes` nodes. `service_rate`: responses per second of one node; `objective_s`: the
+    /// shortest latency objective, seconds.
     pub fn value(&self, nodes: f64, service_rate: f64, objective_s: f64) -> f64 {
         let in_flight = self.in_flight.mean().unwrap_or(0.0) * nodes;
-        let responding = if self.mean_capacity.is_known() {
+        let responding_capacity = if self.mean_capacity.is_known() {
             self.mean_capacity.value()
         } else {
             self.capacity
         };
-        let per_server = service_rate * nodes / responding.max(1.0) * objective_s * OBJECTIVE_SHARE;
-        let bearable = per_server.max(MIN_IN_FLIGHT_PER_SERVER) * self.capacity;
-        in_flight / bearable.max(1.0)
+        let sustainable_per_server =
+            service_rate * nodes / responding_capacity.max(1.0) * objective_s * OBJECTIVE_SHARE;
+        let sustainable = sustainable_per_server.max(MIN_IN_FLIGHT_PER_SERVER) * self.capacity;
+        in_flight / sustainable.max(1.0)
     }
 }
 
