--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Which requests are admitted at a node that decides for itself, and when rejected clients are told to retry.
+//! Admission at a node that decides without owners, and `retry_after` of its rejections.
 
 mod common;
 
@@ -6,8 +6,9 @@
 use common::test_node::{count_sends, TestNode};
 use saffronpaddle_policy::interface::*;
 
-/// Nodes that may not send each other messages cannot know what the others admit. If each admitted the whole quota, a
-/// customer would get it many times. Each keeps twice the even share, as requests come unevenly, and at least one request.
+/// Nodes that may not send each other messages do not know what the others admit. If each admitted the whole quota, a
+/// customer would get it many times. Each node admits twice the even share, as requests are distributed unevenly, and
+/// at least one request.
 #[test]
 fn nodes_without_peer_messages_admit_a_share_of_the_quota_each() {
     for node_count in [1, 2, 8, 100] {
@@ -35,9 +36,9 @@
     }
 }
 
-/// The even share of a small quota over hundreds of nodes is far less than one request. If each node admitted one, the
-/// quota would be exceeded many times; if none did, the customer would get nothing. Over many customers and nodes, what is
-/// admitted at first stays within what the quota gives while a token bucket is kept.
+/// The even share of a small quota over hundreds of nodes is far less than one request. If each node admitted one
+/// request, the quota would be exceeded many times; if none did, the customer would get nothing. Over many customers
+/// and nodes, the first requests admitted stay within the quota over the time for which a token bucket is kept.
 #[test]
 fn small_quotas_are_kept_on_average_by_many_nodes_without_peer_messages() {
     let mut admitted = 0;
@@ -50,14 +51,14 @@
             admitted += u32::from(node.answer_if_in_flight(&id));
         }
     }
-    // 4 units and one a second for 60 s, over 400 nodes: 0.16 each of 400 requests.
+    // 4 units plus 1 unit per second for 60 s, over 400 nodes: a share of 0.16 of each of the 400 requests.
     assert!((40..=95).contains(&admitted), "{admitted}");
 }
 
-/// A client whose request was held back until its token bucket covers it would wait in vain. It is rejected instead, with
-/// the time after which a retry is covered.
+/// A request that its token bucket does not cover is rejected at once, with the time after which a retry is covered. If
+/// it were queued until then, its client would wait without a response in time.
 #[test]
-fn rejection_says_when_the_token_bucket_will_cover_the_request() {
+fn retry_after_is_the_time_until_the_token_bucket_covers_the_request() {
     let mut node = TestNode::with_servers(1, settings(0, 1), SECOND, 8);
     let mut retry_after = |wait: Micros| {
         node.now += wait;
@@ -74,26 +75,26 @@
     assert_eq!(
         retry_after(0),
         Some(100 * MILLISECOND),
-        "a whole unit is missing, but the latency objective would be missed"
+        "a whole unit is missing: the upper bound of retry_after applies"
     );
     let soon = retry_after(950 * MILLISECOND).expect("not yet covered");
     assert!(
         (49 * MILLISECOND..51 * MILLISECOND).contains(&soon),
         "{soon}"
     );
-    assert_eq!(retry_after(50 * MILLISECOND), None, "it is covered then");
+    assert_eq!(retry_after(50 * MILLISECOND), None, "the retry is covered");
 }
 
 #[test]
-fn attempts_in_flight_stay_under_the_even_share_of_their_limit() {
+fn attempts_in_flight_do_not_exceed_the_even_share_of_the_limit() {
     let mut node = TestNode::with_servers(1, settings(0, 2), SECOND, 4);
     for _ in 0..5 {
         node.request(IDEMPOTENT, TWO_IN_FLIGHT, 7, 2 * SECOND);
     }
-    assert_eq!(node.in_flight.len(), 1, "two in flight over two nodes");
+    assert_eq!(node.in_flight.len(), 1, "a limit of two over two nodes");
     let id = node.in_flight[0].id.clone();
     node.end_attempt(&id, Outcome::Ok);
-    assert_eq!(node.in_flight.len(), 1, "the next one follows");
+    assert_eq!(node.in_flight.len(), 1, "the next attempt starts");
 }
 
 #[test]
--- a/crates/policy/tests/attempt_results.rs
+++ b/crates/policy/tests/attempt_results.rs
@@ -1,4 +1,4 @@
-//! What follows the end of an attempt.
+//! Actions after the end of an attempt: retry, rejection or failure.
 
 mod common;
 
@@ -15,7 +15,7 @@
     NON_IDEMPOTENT,
     KEYED_EVERYWHERE,
 ];
-/// Every outcome of an attempt but a response.
+/// All outcomes of an attempt except a response.
 const FAILURES: [Outcome; 7] = [
     Outcome::Error,
     Outcome::Rejected,
@@ -26,9 +26,8 @@
     Outcome::NotSent,
 ];
 
-/// Every outcome for every class: what may follow at once.
 #[test]
-fn every_outcome_is_followed_by_what_the_idempotency_of_the_class_allows() {
+fn failed_attempt_is_retried_only_as_the_idempotency_of_its_class_allows() {
     for class in CLASSES {
         for outcome in FAILURES {
             let mut node = TestNode::with_servers(3, settings(0, 1), SECOND, 4);
@@ -46,23 +45,23 @@
             assert_eq!(
                 count_sends(&actions),
                 1,
-                "{class:?} {outcome:?}: sent again"
+                "{class:?} {outcome:?}: must be retried"
             );
             if class == KEYED_IN_DOMAIN && !not_executed {
                 assert_eq!(
                     domain_of(node.in_flight[0].server),
                     domain_of(server),
-                    "in its deduplication domain"
+                    "must be retried in its deduplication domain"
                 );
             }
         }
     }
 }
 
-/// A server begins to drain between its selection and the first byte, so that the attempt is not sent. That must not use up
-/// one of the request's attempts. A request whose attempts are not sent again and again must come to an end all the same.
+/// A server begins to drain between its selection and the first byte, so that the attempt is not sent. Such an attempt
+/// must not count against the limit on attempts. The number of unsent attempts must have a limit nevertheless.
 #[test]
-fn attempt_of_which_nothing_was_sent_does_not_use_up_an_attempt() {
+fn unsent_attempt_does_not_count_against_the_limit_on_attempts() {
     for class in CLASSES {
         let mut node = TestNode::with_servers(3, settings(0, 1), SECOND, 4);
         let id = node.request(class, UNLIMITED, 7, 2 * SECOND);
@@ -77,7 +76,7 @@
             assert_eq!(
                 count_sends(&node.end_attempt(&id, Outcome::Unreachable)),
                 1,
-                "{class:?}: all of its own are left"
+                "{class:?}: unsent attempts must not count"
             );
         }
         assert_eq!(
@@ -97,10 +96,10 @@
     );
 }
 
-/// An attempt fails after the time in which servers recognize its key. A retry might execute it twice, and so might its
-/// client after a rejection: the request has to fail.
+/// An attempt fails after the deduplication window of its key. A retry might execute the request a second time, and so
+/// might the client's retry after a rejection, so the request has to fail.
 #[test]
-fn keyed_request_outside_its_window_fails_and_is_not_rejected() {
+fn keyed_request_fails_instead_of_being_rejected_after_its_deduplication_window() {
     let mut node = TestNode::with_servers(3, settings(0, 1), SECOND, 4);
     let id = node.request(KEYED_IN_DOMAIN, UNLIMITED, 7, 2 * SECOND);
     node.now += 600 * MILLISECOND;
--- a/crates/policy/tests/common/fleet.rs
+++ b/crates/policy/tests/common/fleet.rs
@@ -1,40 +1,40 @@
-//! Many nodes with lost, late, repeated and reordered messages between them.
+//! A fleet of test nodes that exchange messages over a network with loss, delay, duplicates and reordering.
 
 use super::settings::{settings, IDEMPOTENT};
 use super::test_node::TestNode;
 use saffronpaddle_policy::interface::*;
 use std::collections::BTreeMap;
 
-/// Time between two deliveries of messages, µs.
+/// Interval between deliveries of messages, µs.
 const STEP: Micros = 2 * MILLISECOND;
-/// The customer that [`Fleet::send_burst`] and [`Fleet::send_at_rate`] send for.
+/// The customer whose requests [`Fleet::send_burst`] and [`Fleet::send_at_rate`] send.
 const CUSTOMER: u64 = 7;
-/// Seed of the loss, the delays and the choice of nodes.
+/// Seed of the random loss, delays and choice of nodes.
 const SEED: u64 = 7;
 
-/// A message under way.
+/// A message in transit.
 struct Datagram {
     arrives_at: Micros,
-    /// Index of the receiver.
+    /// Index of the receiving node.
     to: usize,
     event: Event,
 }
 
-/// Nodes that send each other messages over a lossy network.
+/// Nodes that exchange messages over an unreliable network.
 pub struct Fleet {
     pub nodes: Vec<TestNode>,
-    /// Messages that nodes have sent.
+    /// Number of messages sent by all nodes.
     pub messages_sent: u64,
-    /// Messages that each node has received.
+    /// Number of messages received, by the index of the node.
     pub messages_received: BTreeMap<usize, u64>,
     random: fastrand::Rng,
     in_transit: Vec<Datagram>,
-    /// For each node, how many of its actions were looked at for messages.
+    /// For each node, how many of its actions have been scanned for messages.
     actions_read: Vec<usize>,
 }
 
 impl Fleet {
-    /// A fleet of nodes whose settings are changed by `change`.
+    /// Creates a fleet of `node_count` nodes with `servers` servers; `change` is applied to the settings of each node.
     pub fn new(node_count: u32, servers: u64, change: impl Fn(&mut Settings)) -> Self {
         let node = |index| {
             let mut settings = settings(index, node_count);
@@ -53,13 +53,13 @@
         }
     }
 
-    /// Puts a node that has just started in place of another.
+    /// Replaces a node by one that has just started.
     pub fn replace_node(&mut self, index: usize, node: TestNode) {
         self.nodes[index] = node;
         self.actions_read[index] = 0;
     }
 
-    /// Lets time pass at all nodes, and delivers messages.
+    /// Advances the time at all nodes by `span`, and delivers messages.
     pub fn advance(&mut self, span: Micros) {
         let end = self.nodes[0].now + span;
         while self.nodes[0].now < end {
@@ -85,7 +85,9 @@
         }
     }
 
-    /// Puts the new messages of a node on their way: a tenth is lost, and a twentieth arrives twice.
+    /// Sends the new messages of a node with a random delay. Each message is put in transit with a probability of 18/20
+    /// and, independently, a second time with a probability of 1/20, so that about a tenth is lost and a twentieth
+    /// duplicated.
     pub fn send_messages(&mut self, from: usize) {
         let node = &self.nodes[from];
         for action in &node.actions[self.actions_read[from]..] {
@@ -93,8 +95,8 @@
                 continue;
             };
             self.messages_sent += 1;
-            for chance_of_20 in [18, 1] {
-                if self.random.u8(0..20) < chance_of_20 {
+            for probability_in_20ths in [18, 1] {
+                if self.random.u8(0..20) < probability_in_20ths {
                     self.in_transit.push(Datagram {
                         arrives_at: node.now + self.random.u64(5..40) * MILLISECOND,
                         to: to.0 as usize,
@@ -109,12 +111,13 @@
         self.actions_read[from] = node.actions.len();
     }
 
-    /// Answers all that is in flight at all nodes; how many attempts that were.
+    /// Ends all attempts in flight at all nodes with a response, and returns their number.
     pub fn answer_all(&mut self) -> usize {
         self.nodes.iter_mut().map(TestNode::answer_all).sum()
     }
 
-    /// Sends requests of one customer at once through random nodes, and lets seconds pass; how many were forwarded.
+    /// Sends `requests` requests of one customer at once through random nodes, and advances the time by `seconds`.
+    /// Returns how many were forwarded within the first half of that time.
     pub fn send_burst(&mut self, plan: usize, requests: usize, seconds: u64) -> usize {
         for _ in 0..requests {
             self.request_at_random_node(plan);
@@ -125,7 +128,8 @@
         forwarded
     }
 
-    /// Sends requests of one customer through random nodes at a rate, and answers what is forwarded; how many that were.
+    /// Sends requests of one customer through random nodes at a rate, and ends each attempt with a response. Returns
+    /// how many requests were forwarded.
     pub fn send_at_rate(&mut self, plan: usize, per_s: u64, seconds: u64) -> usize {
         let mut forwarded = 0;
         for _ in 0..seconds * per_s {
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,5 +1,6 @@
-//! What the tests of the policy share: settings, a node that checks the rules of requests itself, and a fleet of such nodes.
-// Each test file uses a part of it.
+//! Shared by the tests of the policy: settings, a node that checks the invariants of requests, and a fleet of such
+//! nodes.
+// Each test binary uses only a part of these modules.
 #![allow(dead_code)]
 
 pub mod fleet;
--- a/crates/policy/tests/common/observed_request.rs
+++ b/crates/policy/tests/common/observed_request.rs
@@ -1,32 +1,32 @@
-//! What is known of a request from outside the policy, and the rules that its actions have to keep:
+//! The state of a request as observed from outside the policy, and the rules that the policy's actions must follow:
 //!
-//! 1. Each request gets exactly one answer, by its deadline.
-//! 2. One attempt is in flight at a time, and a request is executed again only where its class allows that.
+//! 1. Each request gets exactly one final answer, by its deadline.
+//! 2. At most one attempt is in flight at a time, and a request is executed again only if its class allows that.
 //! 3. Nothing is sent to a server that is not ready (checked by [`TestNode`](super::test_node::TestNode)).
 
 use super::settings::domain_of;
 use saffronpaddle_policy::interface::*;
 
-/// Time after its deadline by which an answer must have come: timers have a resolution.
-const ANSWER_DELAY: Micros = 8 * MILLISECOND;
+/// Maximum delay of a final answer after the deadline, because of the resolution of the timers, µs.
+const MAX_ANSWER_DELAY: Micros = 8 * MILLISECOND;
 
-/// A request as its client and the servers see it.
+/// A request as observed by its client and the servers.
 pub struct ObservedRequest {
     idempotency: Idempotency,
     max_attempts: u32,
     deadline: Micros,
-    /// Neither answered nor abandoned.
+    /// Whether the request is neither answered nor abandoned.
     pub open: bool,
     attempts: u32,
-    /// Of these, attempts of which no byte was written.
+    /// Number of these of which no byte was written.
     unsent_attempts: u32,
     attempt_in_flight: bool,
-    /// Where it may first have been executed.
+    /// Deduplication domain of the first attempt that may have been executed.
     executed_in: Option<DeduplicationDomainId>,
 }
 
 impl ObservedRequest {
-    /// A request of a class with this idempotency that has just arrived.
+    /// Creates a request without attempts.
     pub fn new(idempotency: Idempotency, max_attempts: u32, deadline: Micros) -> Self {
         ObservedRequest {
             idempotency,
@@ -40,10 +40,10 @@
         }
     }
 
-    /// Checks that an attempt may be sent to `server`, and counts it.
+    /// Asserts that an attempt may be sent to `server`, records it and returns its number.
     pub fn check_send(&mut self, server: ServerId) -> AttemptNumber {
-        assert!(self.open, "rule 1: sent after its answer");
-        assert!(!self.attempt_in_flight, "rule 2: two attempts at once");
+        assert!(self.open, "rule 1: sent after its final answer");
+        assert!(!self.attempt_in_flight, "rule 2: two attempts in flight");
         assert!(
             self.attempts - self.unsent_attempts < self.max_attempts
                 && self.attempts < 2 * self.max_attempts,
@@ -65,15 +65,15 @@
             (Some(domain), Idempotency::WithKey { scope, .. }) => {
                 assert!(
                     scope == DeduplicationScope::All || domain == domain_of(server),
-                    "rule 2: left its deduplication domain"
+                    "rule 2: sent again outside its deduplication domain"
                 );
             }
         }
     }
 
-    /// Checks that the request may be answered without a response of a server.
+    /// Asserts that the request may get a final answer without a response of a server, and records it.
     pub fn check_answer(&mut self, rejected: bool) {
-        assert!(self.open, "rule 1: a second answer");
+        assert!(self.open, "rule 1: a second final answer");
         self.open = false;
         let maybe_executed = self.executed_in.is_some() || self.attempt_in_flight;
         let may_be_repeated_anywhere = matches!(
@@ -86,19 +86,19 @@
         );
         assert!(
             !rejected || !maybe_executed || may_be_repeated_anywhere,
-            "rule 2: rejected, so that its client repeats it"
+            "rule 2: rejected although a repetition by its client may execute it twice"
         );
     }
 
-    /// Checks that the request is answered by its deadline.
+    /// Asserts that the request is not open after its deadline.
     pub fn check_deadline(&self, id: &RequestId, now: Micros) {
         assert!(
-            !self.open || now <= self.deadline + ANSWER_DELAY,
-            "rule 1: {id:?} had no answer"
+            !self.open || now <= self.deadline + MAX_ANSWER_DELAY,
+            "rule 1: {id:?} has no final answer by its deadline"
         );
     }
 
-    /// Records the end of the attempt at `server`; whether the request is closed.
+    /// Records the end of the attempt at `server`. Returns whether the request is closed.
     pub fn attempt_ended(&mut self, server: ServerId, outcome: Outcome) -> bool {
         self.attempt_in_flight = false;
         self.unsent_attempts += u32::from(outcome == Outcome::NotSent);
--- a/crates/policy/tests/common/settings.rs
+++ b/crates/policy/tests/common/settings.rs
@@ -2,7 +2,7 @@
 
 use saffronpaddle_policy::interface::*;
 
-/// A class whose requests may be executed several times.
+/// A class whose requests may be executed any number of times.
 pub const IDEMPOTENT: ClassId = ClassId(0);
 /// A class whose requests carry a key that servers of one deduplication domain recognize.
 pub const KEYED_IN_DOMAIN: ClassId = ClassId(1);
@@ -20,10 +20,10 @@
 /// Index of a plan with two attempts in flight over all nodes.
 pub const TWO_IN_FLIGHT: usize = 3;
 
-/// Time in which a server recognizes the key of a repeated request, µs.
+/// Deduplication window of keyed requests, µs.
 const KEY_WINDOW: Micros = 500 * MILLISECOND;
 
-/// Settings of node `node` of a fleet of `node_count`.
+/// Returns the settings of node `node` in a fleet of `node_count` nodes.
 pub fn settings(node: u32, node_count: u32) -> Settings {
     Settings {
         node: NodeId(node),
@@ -105,7 +105,7 @@
     vec![metered, unlimited, hard_limited, two_in_flight]
 }
 
-/// A ready server; odd and even ids are in different zones and deduplication domains.
+/// Returns a ready server. Odd and even ids are in different zones and deduplication domains.
 pub fn endpoint(server: u64) -> Endpoint {
     Endpoint {
         server: ServerId(server),
@@ -117,7 +117,7 @@
     }
 }
 
-/// The deduplication domain of a server of [`endpoint`].
+/// Returns the deduplication domain of a server created by [`endpoint`].
 pub fn domain_of(server: ServerId) -> DeduplicationDomainId {
     DeduplicationDomainId(server.0 % 2)
 }
--- a/crates/policy/tests/common/test_node.rs
+++ b/crates/policy/tests/common/test_node.rs
@@ -1,4 +1,4 @@
-//! One node around a policy engine: it keeps the time, the timers and the attempts in flight, and checks every action.
+//! A test node with a policy engine: it keeps the time, the timers and the attempts in flight, and checks every action.
 
 use super::observed_request::ObservedRequest;
 use super::settings::endpoint;
@@ -6,19 +6,19 @@
 use saffronpaddle_policy::PolicyEngine;
 use std::collections::BTreeMap;
 
-/// Time between two looks at the timers, µs.
+/// Interval at which timers are checked, µs.
 const STEP: Micros = 2 * MILLISECOND;
-/// Longest message between nodes, bytes.
+/// Maximum length of a message between nodes, bytes.
 const MAX_MESSAGE_BYTES: usize = 256;
 
-/// A timer that the engine has set.
+/// A timer set by the engine.
 #[derive(Clone, Copy)]
 pub struct PendingTimer {
     pub at: Micros,
     pub token: u64,
 }
 
-/// An attempt that was sent and has not ended.
+/// An attempt that has been sent and has not ended.
 #[derive(Clone)]
 pub struct InFlightAttempt {
     pub id: RequestId,
@@ -26,7 +26,7 @@
     pub server: ServerId,
 }
 
-/// A customer and the subset of nodes that take its requests.
+/// A customer and the subset of nodes that receive its requests.
 #[derive(Clone, Copy)]
 pub struct TestCustomer {
     pub id: u64,
@@ -34,7 +34,7 @@
     pub subset_size: u32,
 }
 
-/// A node that checks the rules of requests (see [`observed_request`](super::observed_request)) at every action.
+/// A node that asserts the rules of [`observed_request`](super::observed_request) at every action.
 pub struct TestNode {
     pub now: Micros,
     pub engine: PolicyEngine,
@@ -42,14 +42,14 @@
     pub timers: Vec<PendingTimer>,
     pub endpoints: BTreeMap<ServerId, Endpoint>,
     pub in_flight: Vec<InFlightAttempt>,
-    /// All actions since the start.
+    /// All actions of the engine since the start.
     pub actions: Vec<Action>,
     requests: BTreeMap<RequestId, ObservedRequest>,
     last_request: u64,
 }
 
 impl TestNode {
-    /// A node that starts at `now` and knows no servers.
+    /// Creates a node that starts at `now` with an empty endpoint list.
     pub fn new(seed: u64, settings: Settings, now: Micros) -> Self {
         let engine = PolicyEngine::new(seed, settings.clone(), now).expect("valid settings");
         TestNode {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// A node whose endpoint list has `servers` ready servers, numbered from 0.
+    /// Creates a node whose endpoint list has `servers` ready servers, numbered from 0.
     pub fn with_servers(seed: u64, settings: Settings, now: Micros, servers: u64) -> Self {
         let mut node = TestNode::new(seed, settings, now);
         let endpoints = (0..servers).map(endpoint).collect();
@@ -73,7 +73,7 @@
         node
     }
 
-    /// Changes the endpoint list.
+    /// Applies a change of the endpoint list.
     pub fn update_endpoints(&mut self, update: EndpointUpdate, endpoints: Vec<Endpoint>) {
         if update == EndpointUpdate::Snapshot {
             self.endpoints.clear();
@@ -84,7 +84,7 @@
         self.handle(Event::EndpointsChanged { update, endpoints });
     }
 
-    /// A request of a customer whose subset is the whole fleet.
+    /// Sends a request of a customer whose subset is the whole fleet.
     pub fn request(
         &mut self,
         class: ClassId,
@@ -100,7 +100,7 @@
         self.request_of(class, plan, customer, timeout)
     }
 
-    /// A request of a customer whose subset is this node alone.
+    /// Sends a request of a customer whose subset is this node alone.
     pub fn request_of_own_customer(
         &mut self,
         class: ClassId,
@@ -116,7 +116,7 @@
         self.request_of(class, plan, customer, timeout)
     }
 
-    /// A request of one unit of a customer with a subset of its own.
+    /// Sends a request of one unit of a customer with the given subset.
     pub fn request_of(
         &mut self,
         class: ClassId,
@@ -146,13 +146,13 @@
         id
     }
 
-    /// The client of a request goes away.
+    /// Abandons a request, as when its client disconnects.
     pub fn abandon(&mut self, id: &RequestId) {
         self.requests.get_mut(id).expect("a known request").open = false;
         self.handle(Event::RequestAbandoned { id: id.clone() });
     }
 
-    /// Ends the attempt of a request that is in flight.
+    /// Ends the attempt in flight of a request.
     pub fn end_attempt(&mut self, id: &RequestId, outcome: Outcome) -> Vec<Action> {
         let index = self
             .in_flight
@@ -170,18 +170,18 @@
         })
     }
 
-    /// The server with an attempt of a request in flight.
+    /// Returns the server of the request's attempt in flight, if there is one.
     pub fn server_of(&self, id: &RequestId) -> Option<ServerId> {
         let attempt = self.in_flight.iter().find(|attempt| attempt.id == *id);
         attempt.map(|attempt| attempt.server)
     }
 
-    /// Whether an attempt of a request is in flight.
+    /// Returns whether an attempt of a request is in flight.
     pub fn is_in_flight(&self, id: &RequestId) -> bool {
         self.server_of(id).is_some()
     }
 
-    /// Answers a request, where an attempt of it is in flight; whether one was.
+    /// Ends the request's attempt in flight, if there is one, with a response. Returns whether there was one.
     pub fn answer_if_in_flight(&mut self, id: &RequestId) -> bool {
         let in_flight = self.is_in_flight(id);
         if in_flight {
@@ -190,7 +190,7 @@
         in_flight
     }
 
-    /// Answers all that is in flight now; how many attempts that were.
+    /// Ends all attempts in flight with a response, and returns their number.
     pub fn answer_all(&mut self) -> usize {
         let answered = self.in_flight.clone();
         for attempt in &answered {
@@ -199,7 +199,7 @@
         answered.len()
     }
 
-    /// Puts an event to the engine, and checks what it does.
+    /// Passes an event to the engine, and checks and returns its actions.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.engine.handle(self.now, event, &mut actions);
@@ -210,12 +210,12 @@
         actions
     }
 
-    /// Puts a message of another node to the engine.
+    /// Passes a message of another node to the engine.
     pub fn receive(&mut self, from: NodeId, bytes: Vec<u8>) -> Vec<Action> {
         self.handle(Event::PeerMessage { from, bytes })
     }
 
-    /// Fires the timers that are due.
+    /// Fires all due timers.
     pub fn fire_timers(&mut self) -> Vec<Action> {
         let now = self.now;
         let is_due = |timer: &PendingTimer| timer.at <= now;
@@ -228,7 +228,7 @@
         actions
     }
 
-    /// Lets time pass in steps, with every timer that was set.
+    /// Advances the time in steps, and fires due timers and checks deadlines at each step.
     pub fn advance(&mut self, span: Micros) -> Vec<Action> {
         let end = self.now + span;
         let mut actions = Vec::new();
@@ -252,7 +252,10 @@
                 token: *token,
             }),
             Action::Broadcast { bytes } | Action::SendToPeer { bytes, .. } => {
-                assert!(bytes.len() <= MAX_MESSAGE_BYTES, "message too long");
+                assert!(
+                    bytes.len() <= MAX_MESSAGE_BYTES,
+                    "message longer than {MAX_MESSAGE_BYTES} bytes"
+                );
             }
             Action::Cancel { .. }
             | Action::Subscribe
@@ -280,13 +283,13 @@
     }
 }
 
-/// How many attempts these actions send.
+/// Returns the number of attempts that these actions send.
 pub fn count_sends(actions: &[Action]) -> usize {
     let is_send = |action: &&Action| matches!(action, Action::Send { .. });
     actions.iter().filter(is_send).count()
 }
 
-/// How many messages to single nodes these actions send.
+/// Returns the number of messages that these actions send to single peers.
 pub fn count_peer_messages(actions: &[Action]) -> usize {
     let is_message = |action: &&Action| matches!(action, Action::SendToPeer { .. });
     actions.iter().filter(is_message).count()
--- a/crates/policy/tests/concurrency_limit.rs
+++ b/crates/policy/tests/concurrency_limit.rs
@@ -1,4 +1,5 @@
-//! The concurrency limit of the lowest class: the rule bases of its fuzzy controller, and what starts it.
+//! The concurrency limit of the lowest class: the rule bases of its fuzzy controller, and the condition that creates
+//! it.
 
 mod common;
 
@@ -15,7 +16,7 @@
     infer_step(error, change).gain
 }
 
-/// Values of an input over its whole range.
+/// Input values over the whole range from -1 to 1.
 fn steps() -> impl Iterator<Item = f64> {
     (-12..=12).map(|step| f64::from(step) / 12.0)
 }
@@ -24,7 +25,7 @@
 fn change_rule_has_the_printed_entry_and_is_odd_and_monotonic() {
     assert!(
         (change_of(1.0 / 3.0, 2.0 / 3.0) + 1.0).abs() < 1e-9,
-        "(PS, PM) is NL"
+        "(PS, PM) must be NL"
     );
     assert!(change_of(0.0, 0.0).abs() < 1e-9);
     for error in steps() {
@@ -45,7 +46,7 @@
 fn gain_is_large_when_leaving_the_set_point_small_when_returning_and_zero_at_rest() {
     assert!(gain_of(0.0, 0.0).abs() < 1e-9);
     assert!(gain_of(-1.0, -1.0) > 0.9 && gain_of(-1.0, 1.0) < 0.3);
-    assert!(gain_of(0.0, -1.0) > 0.9, "a disturbance");
+    assert!(gain_of(0.0, -1.0) > 0.9, "a disturbance begins");
     assert!(
         gain_of(1.0 / 3.0, -1.0 / 3.0) < 0.2,
         "positive small, negative small"
@@ -59,8 +60,9 @@
     }
 }
 
-/// Requests hang and miss their latency objective: the concurrency limit has to start. Where requests are late only because
-/// their customer has reached its own limit on attempts in flight, the back end is not overloaded, and it must not start.
+/// Requests that hang and miss their latency objective have to create the concurrency limit. Requests that are late
+/// only because their customer has reached its own limit on attempts in flight must not, as the back end is not
+/// overloaded.
 #[test]
 fn missed_objectives_start_the_limit_and_a_customer_at_its_own_limit_does_not() {
     let limit_starts = |plan: usize| {
@@ -70,7 +72,7 @@
         }
         for _ in 0..16 {
             node.advance(150 * MILLISECOND);
-            // With a limit of its own, what is in flight is answered soon; without one, all hangs.
+            // Attempts of the customer with its own limit get responses soon; those of the other customer hang.
             if plan == TWO_IN_FLIGHT {
                 node.answer_all();
             }
--- a/crates/policy/tests/engine.rs
+++ b/crates/policy/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The engine as a whole: settings, repeatability, and the memory it keeps.
+//! The engine as a whole: validation of settings, determinism, and memory use.
 
 mod common;
 
@@ -7,10 +7,10 @@
 use saffronpaddle_policy::interface::*;
 use saffronpaddle_policy::PolicyEngine;
 
-/// Over a long day servers come under ever new ids, and customers that come once. If they were kept, memory would grow
+/// Servers return under new ids, and many customers send one request only. If their state were kept, memory would grow
 /// without bound.
 #[test]
-fn removed_servers_and_idle_customers_are_dropped() {
+fn state_of_removed_servers_and_idle_customers_is_removed() {
     let mut node = TestNode::with_servers(1, settings(0, 2), SECOND, 4);
     for number in 0..300 {
         let removed = Endpoint {
--- a/crates/policy/tests/long_endpoint_lists.rs
+++ b/crates/policy/tests/long_endpoint_lists.rs
@@ -1,5 +1,5 @@
-//! Long endpoint lists: the work for a change, a timer and a request does not grow with the list, and the rules hold where a
-//! node sends to a subset of the servers.
+//! Long endpoint lists: the work per list update, timer and request does not grow with the list, and the rules also
+//! hold for a node that sends to a subset of the servers.
 
 mod common;
 
@@ -9,25 +9,26 @@
 use saffronpaddle_policy::{PolicyEngine, StateSnapshot};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Servers of a long list.
-const MANY: u64 = 40_000;
-/// Servers that a node of a large fleet examines for one request or timer, however many there are.
-const FEW: u64 = 512;
-/// Sizes of fleets, nodes.
+/// Number of servers on a long list.
+const LONG_LIST: u64 = 40_000;
+/// Bound on the servers that a node of a large fleet examines for one request or timer, up to a small factor and
+/// independent of the length of the list. It is the longest list of which a node uses every server.
+const EXAMINED_BOUND: u64 = 512;
+/// Fleet sizes, in nodes.
 const NODE_COUNTS: [u32; 5] = [1, 3, 30, 300, 2_700];
 
-/// A server whose id is spread as hashes of names are.
+/// A server whose id is distributed like a hash of its name.
 fn hashed_endpoint(number: u64) -> Endpoint {
     let server = ServerId((number + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15));
     Endpoint {
         server,
-        // Long ago.
+        // Long before the tests start, so that the server is warm.
         started_at: Some(SECOND),
         ..endpoint(number)
     }
 }
 
-/// A node of a fleet whose endpoint list has `servers` ready servers.
+/// A node of a fleet with `servers` ready servers on its endpoint list.
 fn node_with_list(node_count: u32, servers: u64) -> TestNode {
     let mut node = TestNode::new(7, settings(3 % node_count, node_count), 1_000 * SECOND);
     node.update_endpoints(
@@ -44,7 +45,7 @@
     }
 }
 
-/// How many servers the engine examines during `work`.
+/// Returns the number of servers that the engine examines during `work`.
 fn examined_during(node: &mut TestNode, work: impl FnOnce(&mut TestNode)) -> u64 {
     let before = node.engine.servers_examined();
     work(node);
@@ -57,7 +58,7 @@
     node.handle(Event::TimerFired { token: 0 });
 }
 
-/// Sends requests of customers without a quota, whose only node is this one: no owner is asked for a grant.
+/// Sends requests of customers without a quota whose subset is this node alone, so that no grant requests are sent.
 fn send_requests(node: &mut TestNode, count: u64) -> Vec<RequestId> {
     (0..count)
         .map(|number| node.request_of_own_customer(IDEMPOTENT, UNLIMITED, number % 50, 3 * SECOND))
@@ -65,9 +66,9 @@
 }
 
 #[test]
-fn change_of_the_list_examines_only_the_servers_that_it_names() {
+fn list_update_examines_only_the_servers_that_it_contains() {
     for node_count in NODE_COUNTS {
-        let mut node = node_with_list(node_count, MANY);
+        let mut node = node_with_list(node_count, LONG_LIST);
         for number in 0..20 {
             let examined = examined_during(&mut node, |node| {
                 node.update_endpoints(
@@ -94,28 +95,28 @@
 }
 
 #[test]
-fn idle_timer_examines_few_servers_however_many_there_are() {
+fn idle_timer_examines_few_servers_of_a_long_list() {
     for node_count in NODE_COUNTS {
-        let mut node = node_with_list(node_count, MANY);
+        let mut node = node_with_list(node_count, LONG_LIST);
         (0..3).for_each(|_| fire_timer(&mut node));
         let examined = examined_during(&mut node, fire_timer);
         assert!(
-            examined <= 2 * FEW,
+            examined <= 2 * EXAMINED_BOUND,
             "{node_count} nodes: a timer examined {examined} servers"
         );
     }
 }
 
 #[test]
-fn request_examines_few_servers_however_many_there_are() {
+fn request_examines_few_servers_of_a_long_list() {
     for node_count in NODE_COUNTS {
-        let mut node = node_with_list(node_count, MANY);
+        let mut node = node_with_list(node_count, LONG_LIST);
         for round in 0..30 {
             let examined = examined_during(&mut node, |node| {
                 send_requests(node, 1);
             });
             assert!(
-                examined <= 3 * FEW,
+                examined <= 3 * EXAMINED_BOUND,
                 "{node_count} nodes: request {round} examined {examined} servers"
             );
             node.now += 50 * MILLISECOND;
@@ -123,7 +124,7 @@
                 node.answer_all();
             });
             assert!(
-                examined <= FEW,
+                examined <= EXAMINED_BOUND,
                 "{node_count} nodes: a response examined {examined} servers"
             );
         }
@@ -132,7 +133,7 @@
 }
 
 #[test]
-fn request_examines_as_many_servers_of_a_list_that_is_twenty_times_as_long() {
+fn servers_examined_per_request_do_not_grow_with_the_length_of_the_list() {
     let examined_with = |servers| {
         let mut node = node_with_list(2_700, servers);
         let before = node.engine.servers_examined();
@@ -149,7 +150,7 @@
 #[test]
 fn nothing_is_sent_to_a_draining_server_of_a_long_list() {
     for node_count in [1, 3, 300] {
-        // The node fails where anything is sent to a server that is not ready, in its subset or not.
+        // TestNode fails the test if an attempt is sent to a server that is not ready, inside or outside its subset.
         let mut node = node_with_list(node_count, 2_000);
         let mut reached = BTreeSet::new();
         for round in 0..40_u64 {
@@ -180,8 +181,8 @@
     }
 }
 
-/// A zone with a third of the servers fails at once, and with it a third of those that this node sends to. Requests must not
-/// wait until others take their place.
+/// A zone with a third of the servers fails at once, and with it a third of the node's subset. Requests must not wait
+/// until the subset is filled again.
 #[test]
 fn servers_of_a_failed_zone_are_replaced_at_once() {
     let mut node = node_with_list(300, 6_000);
@@ -201,7 +202,10 @@
     }
     fire_timer(&mut node);
     let members = node.engine.snapshot().size().servers;
-    assert!(members >= 256 * 3 / 4, "{members} servers are sent to");
+    assert!(
+        members >= 256 * 3 / 4,
+        "only {members} servers in the subset"
+    );
 }
 
 #[test]
@@ -210,7 +214,7 @@
     let mut load: BTreeMap<ServerId, u32> = BTreeMap::new();
     for round in 0..5_050 {
         send_requests(&mut node, 4);
-        // Until its first controller periods a node keeps to the first servers that were quick.
+        // Until its first controller periods a node prefers the servers that were fast first.
         let counts = u32::from(round >= 50);
         node.in_flight
             .iter()
@@ -218,7 +222,8 @@
         node.advance(20 * MILLISECOND);
         node.answer_all();
     }
-    // 10 at each on average; chance alone would bring 23 at one of all. Servers that looked quick at first have some more.
+    // 10 attempts per server on average. By chance alone the most loaded server would have 23; servers that looked fast
+    // at first have some more.
     assert!(load.len() > 1_950, "{} of 2,000 were sent to", load.len());
     let busy = load.values().filter(|load| **load > 23).count();
     assert!(busy <= 20, "{busy} servers were sent to more than 23 times");
@@ -229,7 +234,8 @@
     );
 }
 
-/// Nearly all servers are removed, and one of them returns. It must be sent requests again, and few while it is in slow start.
+/// Nearly all servers are removed, and one of them returns. It must receive requests again, but few while it is in slow
+/// start.
 #[test]
 fn returning_server_is_sent_few_requests_in_slow_start() {
     let mut node = node_with_list(3, 1_000);
@@ -266,7 +272,7 @@
     );
 }
 
-/// All servers but one are removed. Every node must send to it, also those in whose subset it was not.
+/// All servers but one are removed. Every node must send to it, even if it was not in the node's subset.
 #[test]
 fn last_server_of_a_long_list_is_sent_to_by_every_node() {
     for index in [0, 7, 299] {
@@ -287,10 +293,10 @@
     let id = node.request_of_own_customer(KEYED_EVERYWHERE, UNLIMITED, 1, 3 * SECOND);
     node.now += 20 * MILLISECOND;
     node.end_attempt(&id, Outcome::Error);
-    assert!(node.is_in_flight(&id), "it was retried");
+    assert!(node.is_in_flight(&id), "must be retried");
 }
 
-/// The fields of a state by name, so that a difference says where it is.
+/// Returns the fields of a state by name, so that a failed comparison names the field.
 fn fields(state: &StateSnapshot) -> BTreeMap<String, serde_json::Value> {
     serde_json::from_value(serde_json::to_value(state).expect("plain data"))
         .expect("fields with names")
@@ -324,12 +330,12 @@
         &mut Vec::new(),
     );
     assert_eq!(child.endpoint_counts(), (6_000, 0));
-    // All but what was answered since the last controller period: those of the child begin with it.
+    // The latency samples since the last controller period are not restored.
     let (mut expected, restored) = (fields(&state), fields(&child.snapshot()));
     let seen = expected
         .get_mut("fuzzy")
         .and_then(|fuzzy| fuzzy.get_mut("seen"))
-        .expect("it is in the state");
+        .expect("the samples are part of the state");
     *seen = serde_json::json!(vec![(0.0, 0.0); node.settings.classes.len()]);
     assert!(expected.keys().eq(restored.keys()));
     for (name, value) in &expected {
--- a/crates/policy/tests/random_events.rs
+++ b/crates/policy/tests/random_events.rs
@@ -1,4 +1,4 @@
-//! The rules of requests hold whatever happens.
+//! The invariants of requests hold for random sequences of events.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use common::test_node::{count_sends, TestNode};
 use saffronpaddle_policy::interface::*;
 
-/// Outcomes of an attempt, of which a response is the most frequent.
+/// Outcomes to draw from; a response is the most frequent.
 const OUTCOMES: [Outcome; 10] = [
     Outcome::Ok,
     Outcome::Ok,
@@ -19,16 +19,16 @@
     Outcome::Cancelled,
     Outcome::NotSent,
 ];
-/// What an endpoint list may say of a server.
+/// Endpoint statuses to draw from.
 const STATUSES: [EndpointStatus; 3] = [
     EndpointStatus::Ready,
     EndpointStatus::Draining,
     EndpointStatus::Removed,
 ];
 
-/// Random legal events, with fixed seeds; [`TestNode`] checks the rules at every action.
+/// Random valid events with fixed seeds; [`TestNode`] checks the invariants at every action.
 #[test]
-fn rules_of_requests_hold_for_random_events() {
+fn request_invariants_hold_for_random_events() {
     let mut sent = 0;
     let mut answered = 0;
     for seed in 0..40u64 {
@@ -45,7 +45,7 @@
     }
     assert!(
         sent > 3000 && answered > 1000,
-        "too little happened: {sent} {answered}"
+        "too few events for a meaningful test: {sent} sent, {answered} answered"
     );
 }
 
--- a/crates/policy/tests/server_selection.rs
+++ b/crates/policy/tests/server_selection.rs
@@ -1,4 +1,4 @@
-//! Which server an attempt is sent to.
+//! Selection of the server for an attempt.
 
 mod common;
 
@@ -27,7 +27,8 @@
     assert_eq!(count_sends(&node.actions[before..]), 0);
 }
 
-/// All servers are slow. If each of many nodes had one attempt in flight at every server, they would overload them all.
+/// All servers are slow. If each of many nodes had one attempt in flight at every server, all servers would be
+/// overloaded.
 #[test]
 fn many_nodes_have_few_attempts_in_flight_at_slow_servers() {
     let in_flight = |node_count: u32| {
@@ -47,14 +48,18 @@
         node.in_flight.len()
     };
     let (few, many) = (in_flight(2), in_flight(12));
-    assert!((8..=12).contains(&few), "with few, one at each: {few}");
+    assert!(
+        (8..=12).contains(&few),
+        "two nodes, about one attempt per server: {few}"
+    );
     assert!(
         (1..=6).contains(&many),
-        "with many, a share of that: {many}"
+        "twelve nodes, a share of that: {many}"
     );
 }
 
-/// Sends one request of a customer of this node alone, whose attempts end as `outcome` says; the server of the first.
+/// Sends one request of a customer whose subset is this node alone, and ends its attempts with `outcome`. Returns the
+/// server of the first attempt.
 fn first_server(
     node: &mut TestNode,
     customer: u64,
@@ -71,8 +76,8 @@
     first
 }
 
-/// Hundreds of nodes with a few requests a second each: if servers were selected at random, the connection to each would
-/// have been closed as idle before the next request goes there, and 180 and more of 240 requests would need a handshake.
+/// Hundreds of nodes send a few requests per second each. If servers were selected at random, each connection would be
+/// closed as idle before its next request, and 180 and more of 240 requests would need a handshake.
 #[test]
 fn node_of_a_large_fleet_prefers_servers_with_an_open_connection() {
     let mut node = TestNode::with_servers(3, settings(0, 300), SECOND, 100);
@@ -89,9 +94,9 @@
 }
 
 /// The servers that a node has connections to begin to fail. The preference for open connections must not keep requests
-/// there.
+/// at these servers.
 #[test]
-fn failing_servers_with_an_open_connection_are_left() {
+fn failing_servers_with_an_open_connection_lose_their_requests() {
     let mut node = TestNode::with_servers(3, settings(0, 300), SECOND, 100);
     let connected: BTreeSet<_> = (0..100)
         .filter_map(|customer| first_server(&mut node, customer, |_| Outcome::Ok))
@@ -119,8 +124,8 @@
     );
 }
 
-/// Each node keeps to a few servers. If all preferred the same, these would be overloaded; each node draws its own, so that
-/// all together load the servers evenly.
+/// Each node keeps to a few servers. If all nodes preferred the same servers, these would be overloaded. Each node
+/// chooses its own at random, so that the nodes together load all servers evenly.
 #[test]
 fn nodes_that_prefer_few_servers_load_all_servers_evenly_together() {
     let mut load: BTreeMap<ServerId, u32> = BTreeMap::new();
@@ -136,6 +141,6 @@
     let (most, least) = (load.values().max().copied(), load.values().min().copied());
     assert!(
         load.len() == 40 && most < Some(270) && least > Some(70),
-        "150 each on the mean: {least:?} to {most:?}"
+        "150 each on average: {least:?} to {most:?}"
     );
 }
--- a/crates/policy/tests/timer.rs
+++ b/crates/policy/tests/timer.rs
@@ -1,4 +1,4 @@
-//! Requests whose time is over, and the timers that a node sets.
+//! Overdue requests, and the timers that a node sets.
 
 mod common;
 
@@ -6,10 +6,10 @@
 use common::test_node::TestNode;
 use saffronpaddle_policy::interface::*;
 
-/// No server is there. A client that learns of that only at its deadline cannot try elsewhere: it is rejected by half of its
-/// time, with the time after which to retry.
+/// There is no server. A client that is rejected only at its deadline has no time left to try another node, so it is
+/// rejected within half of its time, with `retry_after`.
 #[test]
-fn request_not_sent_by_half_of_its_time_is_rejected() {
+fn request_not_sent_within_half_of_its_timeout_is_rejected() {
     let mut node = TestNode::new(1, settings(0, 2), SECOND);
     for (class, timeout) in [
         (IDEMPOTENT, 2 * SECOND),
@@ -29,8 +29,8 @@
     }
 }
 
-/// A node had no CPU for a while, and responses lie there unread. Its timer comes late and sees old attempts. It must read
-/// what has come before it takes a server for silent.
+/// A node gets no CPU time for a while and has unread responses. Its timer fires late and finds old attempts. It must
+/// read the responses before it treats a server as silent.
 #[test]
 fn late_timer_does_not_cancel_attempts_before_responses_are_read() {
     let mut node = TestNode::with_servers(1, settings(0, 2), SECOND, 4);
@@ -44,11 +44,14 @@
     node.now += 1500 * MILLISECOND;
     let late = node.handle(Event::TimerFired { token: 0 });
     assert!(!cancels(&late));
-    assert!(cancels(&node.advance(50 * MILLISECOND)), "still silent");
+    assert!(
+        cancels(&node.advance(50 * MILLISECOND)),
+        "no response was read in the meantime"
+    );
 }
 
-/// A time that nothing moves on stays due, so that an idle node wakes at every timer sweep, a hundred times a second. It
-/// must wake a few times a second.
+/// If a scheduled time is not moved on after it has passed, an idle node wakes at every timer interval, a hundred times
+/// per second. It must wake only a few times per second.
 #[test]
 fn idle_node_sets_few_timers() {
     for node_count in [1, 3, 300] {
