--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -91,11 +91,11 @@
             };
             let plan = &plans[request.plan.0];
             let max_units = self.settings.max_request_units;
-            let fresh = TokenBucket::new(now, 0, request.plan, plan, subset, max_units);
-            bucket.follow(fresh, hard_limit_tokens);
+            let replacement = TokenBucket::new(now, 0, request.plan, plan, subset, max_units);
+            bucket.follow(replacement, hard_limit_tokens);
         }
-        let silent = silent_peers(&self.peers.last_report_at, bucket, now);
-        bucket.refill(now, &plans[bucket.plan.0], silent);
+        let silent_peer_count = silent_peers(&self.peers.last_report_at, bucket, now);
+        bucket.refill(now, &plans[bucket.plan.0], silent_peer_count);
         // A bucket that was just created has 0 as its time of last use.
         let since_last_use = if bucket.last_used_at == 0 {
             Micros::MAX
@@ -246,8 +246,8 @@
             return true;
         };
         let plan = &self.settings.plans[bucket.plan.0];
-        let silent = silent_peers(&self.peers.last_report_at, bucket, now);
-        bucket.refill(now, plan, silent);
+        let silent_peer_count = silent_peers(&self.peers.last_report_at, bucket, now);
+        bucket.refill(now, plan, silent_peer_count);
         if plan.hard_limit.is_some() && bucket.hard_limit_tokens < units {
             return false;
         }
@@ -259,9 +259,10 @@
         let even_share = (f64::from(limit) / bucket.subset_size).round().max(1.0);
         let expected_at_peers =
             bucket.peer_units_per_s(now, USAGE_WINDOW) * self.load.mean_latency / 1e6;
-        let within = poisson_below(limit.saturating_sub(bucket.in_flight), expected_at_peers);
-        let risk = (1.0 - within) * (1.0 + plan.over_quota_cost);
-        f64::from(bucket.in_flight) < even_share && risk < MAX_IN_FLIGHT_RISK
+        let probability_within_limit =
+            poisson_below(limit.saturating_sub(bucket.in_flight), expected_at_peers);
+        let expected_loss = (1.0 - probability_within_limit) * (1.0 + plan.over_quota_cost);
+        f64::from(bucket.in_flight) < even_share && expected_loss < MAX_IN_FLIGHT_RISK
     }
 
     /// Ends a request without a response of a server: rejects it if that is safe (see [`rejection_allowed`]), else
@@ -280,7 +281,7 @@
         } else {
             Action::Fail { id: answered_id }
         });
-        self.forget_request(id, actions);
+        self.discard_request(id, actions);
     }
 
     /// Returns whether the client may safely repeat the request after a rejection.
@@ -300,20 +301,20 @@
         };
         let plan = &self.settings.plans[request.plan.0];
         // The request's units are already debited from the bucket, and are credited again if it was never sent.
-        let quota = if plan.rate > 0.0 {
+        let quota_wait = if plan.rate > 0.0 {
             micros_to_accrue(-bucket.tokens, plan.rate * bucket.share)
         } else {
             0.0
         };
-        let hard_limit = plan.hard_limit.as_ref().map_or(0.0, |limit: &HardLimit| {
+        let hard_limit_wait = plan.hard_limit.as_ref().map_or(0.0, |limit: &HardLimit| {
             let missing = request.units - bucket.hard_limit_tokens;
             micros_to_accrue(missing, limit.rate * bucket.hard_limit_share)
         });
-        (quota.max(hard_limit) as Micros).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
+        (quota_wait.max(hard_limit_wait) as Micros).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 
     /// Removes a request, releases its permit, and cancels its attempt in flight, as no client waits for the response.
-    pub(crate) fn forget_request(&mut self, id: &RequestId, actions: &mut Actions) {
+    pub(crate) fn discard_request(&mut self, id: &RequestId, actions: &mut Actions) {
         let Some(request) = self.remove_request(id) else {
             return;
         };
--- a/crates/policy/src/attempt_results.rs
+++ b/crates/policy/src/attempt_results.rs
@@ -16,8 +16,11 @@
 enum NextStep {
     /// Reject or fail the request.
     GiveUp,
-    /// Queue the request again. A `free` retry is not charged to the retry budget.
-    Retry { free: bool },
+    /// Queue the request again.
+    Retry {
+        /// Whether the retry is not charged to the retry budget.
+        exempt_from_budget: bool,
+    },
     /// Keep the request open until the timer ends it, as a late response would have no value.
     Wait,
 }
@@ -51,7 +54,7 @@
         };
         request.in_flight = None;
         if request_closed {
-            return self.forget_request(&id, actions);
+            return self.discard_request(&id, actions);
         }
         if !at_server {
             // The client may have been slow to send the body or to read the response, so the attempt says nothing about
@@ -61,8 +64,8 @@
         self.record_outcome(&id, &attempt, outcome);
         match self.next_step(now, &id, outcome) {
             NextStep::GiveUp => self.finish(&id, Counter::EndedAfterAttempts, actions),
-            NextStep::Retry { free } => {
-                if !free {
+            NextStep::Retry { exempt_from_budget } => {
+                if !exempt_from_budget {
                     self.retries.spend();
                 }
                 self.requests.queue.push(id);
@@ -81,7 +84,7 @@
         let request = self.requests.open.get(id);
         let cancelled = request.is_some_and(|request| request.cancelled);
         let stalled = cancelled && outcome == Outcome::Cancelled;
-        self.learn(now, attempt, outcome, stalled);
+        self.update_statistics(now, attempt, outcome, stalled);
         if outcome == Outcome::Ok {
             self.record_response(now, attempt);
         }
@@ -123,26 +126,30 @@
         let class = &self.settings.classes[request.class.0];
         let max_attempts = self.settings.permissions.max_attempts;
         // An attempt that ended before its first byte was written does not count, at most `max_attempts` times.
-        let free = outcome == Outcome::NotSent && request.unsent_attempts <= max_attempts;
+        let exempt_from_budget =
+            outcome == Outcome::NotSent && request.unsent_attempts <= max_attempts;
         let may_have_run = request.dispatched.is_some();
         let unsafe_to_repeat = may_have_run && class.idempotency == Idempotency::NonIdempotent;
-        if now >= request.deadline || self.is_exhausted(request, free) || unsafe_to_repeat {
+        if now >= request.deadline
+            || self.cannot_be_retried(request, exempt_from_budget)
+            || unsafe_to_repeat
+        {
             return NextStep::GiveUp;
         }
         let objective_at = request.arrived_at.saturating_add(class.latency_objective);
         if class.late_value > 0.0 || now < objective_at {
-            NextStep::Retry { free }
+            NextStep::Retry { exempt_from_budget }
         } else {
             NextStep::Wait
         }
     }
 
     /// Returns whether a request cannot be retried: no attempts or no retry budget are left, or its body was streamed.
-    fn is_exhausted(&self, request: &Request, free: bool) -> bool {
+    fn cannot_be_retried(&self, request: &Request, exempt_from_budget: bool) -> bool {
         let max_attempts = self.settings.permissions.max_attempts;
         let uncounted = request.unsent_attempts.min(max_attempts);
         let no_attempts_left = request.attempts >= max_attempts + uncounted;
-        let no_budget = !free && !self.retries.allows();
+        let no_budget = !exempt_from_budget && !self.retries.allows();
         no_attempts_left || no_budget || request.body_streamed
     }
 
--- a/crates/policy/src/controller_period.rs
+++ b/crates/policy/src/controller_period.rs
@@ -98,9 +98,9 @@
                 node_share: 1.0 / f64::from(self.settings.node_count),
             };
             self.concurrency_limit.step(worst, in_flight);
-            let started = self.concurrency_limit.limit().is_some() && !had_limit;
+            let limit_created = self.concurrency_limit.limit().is_some() && !had_limit;
             // Not in a large fleet, where hundreds of nodes would log the same overload.
-            if started && !self.large_fleet {
+            if limit_created && !self.large_fleet {
                 actions.push(Action::Report(Diagnostic::ConcurrencyLimitStarted {
                     normalized_latency: worst,
                     in_flight: lowest_class,
@@ -150,19 +150,20 @@
         self.grants.forget_unreachable(now);
         let last_reports = &self.peers.last_report_at;
         self.quotas.buckets.retain(|_, bucket| {
-            let silent = silent_peers(last_reports, bucket, now);
-            !bucket.is_idle(now, &plans[bucket.plan.0], silent)
+            let silent_peer_count = silent_peers(last_reports, bucket, now);
+            !bucket.is_idle(now, &plans[bucket.plan.0], silent_peer_count)
         });
         let max_units = self.settings.max_request_units;
         let partition_safe = self.settings.partition_safe;
         self.quotas
             .shards
             .retain(|_, owned| !owned.is_idle(now, plans, max_units, partition_safe));
-        let recent = self.recent_start_window();
+        let recent_start_window = self.recent_start_window();
         let large_fleet = self.large_fleet;
-        self.endpoints.remove_unused(now, recent, |server| {
-            PolicyEngine::has_evidence(server, large_fleet, now)
-        });
+        self.endpoints
+            .remove_unused(now, recent_start_window, |server| {
+                PolicyEngine::has_evidence(server, large_fleet, now)
+            });
     }
 }
 
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -106,15 +106,15 @@
         let Some(mut target) = self.endpoints.edit(server) else {
             return;
         };
-        let first = request.attempts == 0;
-        let counts = !request.body_incomplete;
-        if counts {
+        let is_first_attempt = request.attempts == 0;
+        let body_complete = !request.body_incomplete;
+        if body_complete {
             if let Some(bucket) = self.quotas.buckets.get_mut(&request.customer) {
-                bucket.record_attempt(now, request.units, first);
+                bucket.record_attempt(now, request.units, is_first_attempt);
             }
             target.in_flight += 1;
         }
-        if first {
+        if is_first_attempt {
             self.retries.earn();
             self.counters.add(Counter::FirstAttempts);
         } else {
@@ -133,10 +133,10 @@
         let number = request.start_attempt(server);
         let attempt = request.attempt(server, now, f64::from(target.in_flight));
         drop(target);
-        if self.requests.share_attempts && counts {
+        if self.requests.share_attempts && body_complete {
             let bucket = self.quotas.buckets.get(&request.customer);
             let charge = bucket
-                .filter(|_| first)
+                .filter(|_| is_first_attempt)
                 .map(|bucket| bucket.charge(request.units));
             actions.push(Action::SendToSiblings(SiblingMessage::AttemptStarted(
                 SiblingAttempt {
--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -153,7 +153,7 @@
                 outcome,
                 request_closed,
             } => self.on_attempt_ended(now, (id, attempt), outcome, request_closed, actions),
-            Event::RequestAbandoned { id } => self.forget_request(&id, actions),
+            Event::RequestAbandoned { id } => self.discard_request(&id, actions),
             // Superseded by a timer that was set for an earlier time.
             Event::TimerFired { .. } if now < self.timers.fires_at => {}
             Event::TimerFired { .. } => self.on_timer(now, actions),
@@ -182,17 +182,17 @@
 
     /// Sets the timer if it has to fire earlier than the one that is already set.
     fn set_timer(&mut self, now: Micros, actions: &mut Actions) {
-        let soonest = now + TIMER_INTERVAL;
+        let earliest = now + TIMER_INTERVAL;
         let mut next = self.timers.next_period_at;
         if !self.large_fleet {
             next = next.min(self.peers.next_report_at);
         }
         next = if self.requests.open.is_empty() {
-            next.max(soonest)
+            next.max(earliest)
         } else {
-            soonest
+            earliest
         };
-        next = next.min(self.slow_start.transfer_check_at.max(soonest));
+        next = next.min(self.slow_start.transfer_check_at.max(earliest));
         if next < self.timers.fires_at {
             self.timers.fires_at = next;
             actions.push(Action::SetTimer {
--- a/crates/policy/src/outlier_ejection.rs
+++ b/crates/policy/src/outlier_ejection.rs
@@ -136,7 +136,7 @@
     /// Updates the statistics of a server and of the load with the outcome of an attempt. `stalled`: this node
     /// cancelled the attempt because the server stalled or because a later response would have had no value; both count
     /// as a fault.
-    pub(crate) fn learn(
+    pub(crate) fn update_statistics(
         &mut self,
         now: Micros,
         attempt: &Attempt,
--- a/crates/policy/src/server.rs
+++ b/crates/policy/src/server.rs
@@ -79,12 +79,12 @@
     /// Applies a change of the endpoint list. If the server has been restarted, its statistics are reset.
     pub fn update(&mut self, endpoint: Endpoint, now: Micros, warm_up_period: Micros) {
         if self.endpoint.started_at != endpoint.started_at {
-            self.restart(endpoint, now, warm_up_period);
+            self.reset_after_restart(endpoint, now, warm_up_period);
         }
         self.endpoint = endpoint;
     }
 
-    fn restart(&mut self, endpoint: Endpoint, now: Micros, warm_up_period: Micros) {
+    fn reset_after_restart(&mut self, endpoint: Endpoint, now: Micros, warm_up_period: Micros) {
         let mut budget = self.current_budget();
         budget.on_server_start(endpoint.started_at.unwrap_or(0), warm_up_period);
         *self = Server {
@@ -142,8 +142,9 @@
         let Some(started) = self.endpoint.started_at else {
             return 1.0;
         };
-        let age = now.saturating_sub(started) as f64 / rules.warm_up_period.max(1) as f64;
-        (rules.initial_capacity + (1.0 - rules.initial_capacity) * age).min(1.0)
+        let warm_up_progress =
+            now.saturating_sub(started) as f64 / rules.warm_up_period.max(1) as f64;
+        (rules.initial_capacity + (1.0 - rules.initial_capacity) * warm_up_progress).min(1.0)
     }
 
     /// Returns when the next health probe of a class may be sent; `None` if the server is not ejected for the class.
--- a/crates/policy/src/server_selection.rs
+++ b/crates/policy/src/server_selection.rs
@@ -61,8 +61,8 @@
             return typical / fraction.max(0.1);
         }
         let age = now.saturating_sub(server.wait_updated_at) as f64;
-        let kept = 0.5f64.powf(age / WAIT_HALF_LIFE as f64);
-        server.wait_per_attempt * kept + typical * (1.0 - kept)
+        let remaining_weight = 0.5f64.powf(age / WAIT_HALF_LIFE as f64);
+        server.wait_per_attempt * remaining_weight + typical * (1.0 - remaining_weight)
     }
 
     /// Returns the servers that may take an attempt now: ready and with capacity. Empty if the total number of attempts
@@ -85,14 +85,15 @@
         let ready = self.endpoints.ready();
         let nodes = f64::from(self.settings.node_count);
         let always_allowed = (MIN_IN_FLIGHT_PER_SERVER * ready.listed / nodes).max(1.0);
-        let in_objective: f64 = candidates
+        let attempts_within_objective: f64 = candidates
             .iter()
             .map(|server| self.shortest_objective / self.wait_per_attempt(server, now).max(1.0))
             .sum();
-        // The candidates are a sample of the subset.
+        // The candidates are a sample, so their sum is scaled to the size of the subset.
         let scale = ready.in_subset.max(1.0) / candidates.len().max(1) as f64;
         let in_flight = self.requests.in_flight();
-        in_flight >= always_allowed && in_flight >= MAX_TOTAL_WAIT_SHARE * scale * in_objective
+        in_flight >= always_allowed
+            && in_flight >= MAX_TOTAL_WAIT_SHARE * scale * attempts_within_objective
     }
 
     /// Returns whether a server is expected to respond to one more attempt in time.
@@ -138,7 +139,7 @@
                 candidates = vec![server];
             }
         }
-        let mut least_score = f64::INFINITY;
+        let mut lowest_score = f64::INFINITY;
         let mut chosen = None;
         for server in candidates {
             let cost = self.expected_cost(server, context);
@@ -150,8 +151,8 @@
             } else {
                 cost * self.random_cost_factor(random_number)
             };
-            if score < least_score {
-                least_score = score;
+            if score < lowest_score {
+                lowest_score = score;
                 chosen = Some(server.endpoint.server);
             }
         }
@@ -177,17 +178,19 @@
         } else {
             self.settings.cross_zone_cost
         };
-        let same_server = if context.last_server == Some(server.endpoint.server) {
+        let same_server_penalty = if context.last_server == Some(server.endpoint.server) {
             SAME_SERVER_PENALTY
         } else {
             0.0
         };
-        let in_flight =
-            f64::from(server.in_flight) + 1.0 + CROSS_ZONE_PENALTY * cross_zone_cost + same_server;
-        let zone_faults =
+        let in_flight = f64::from(server.in_flight)
+            + 1.0
+            + CROSS_ZONE_PENALTY * cross_zone_cost
+            + same_server_penalty;
+        let zone_penalty =
             self.zones.unreachable_share(server.endpoint.zone) * UNREACHABLE_ZONE_FACTOR;
-        let faults = 1.0 + server.fault_rate(context.class.0) * FAULT_FACTOR + zone_faults;
-        let cost = in_flight * self.wait_per_attempt(server, context.now) * faults;
+        let fault_factor = 1.0 + server.fault_rate(context.class.0) * FAULT_FACTOR + zone_penalty;
+        let cost = in_flight * self.wait_per_attempt(server, context.now) * fault_factor;
         // If hundreds of nodes each used every server, nearly every attempt would need a handshake. Each node keeps to
         // the servers that it has a connection to, and opens connections to others one by one as the waits rise.
         let idle_limit = self.settings.server_idle_timeout / 2;
@@ -205,7 +208,7 @@
         &self,
         request: &Request,
         server: &Server,
-        selectable: usize,
+        selectable_count: usize,
         context: SelectionContext,
     ) -> bool {
         let class = context.class.0;
@@ -213,8 +216,9 @@
         let next_probe_at = server.next_probe_at(class);
         let probe_due = next_probe_at.is_none_or(|at| at <= context.now && server.in_flight == 0);
         // A health probe may fail, so it is used only for requests that can be retried.
-        let unsafe_to_probe =
-            next_probe_at.is_some() && idempotency != Idempotency::Idempotent && selectable > 1;
+        let unsafe_to_probe = next_probe_at.is_some()
+            && idempotency != Idempotency::Idempotent
+            && selectable_count > 1;
         let startable = request.in_flight.is_none() || request.body_incomplete;
         (context.ignore_ejections || probe_due)
             && !unsafe_to_probe
--- a/crates/policy/src/streaming.rs
+++ b/crates/policy/src/streaming.rs
@@ -76,7 +76,7 @@
         let Some(attempt) = self.requests.attempts.get(&key).cloned() else {
             return;
         };
-        self.learn(now, &attempt, Outcome::Ok, false);
+        self.update_statistics(now, &attempt, Outcome::Ok, false);
         self.record_response(now, &attempt);
         if let Some(in_flight) = self.endpoints.in_flight_mut(attempt.server) {
             *in_flight = in_flight.saturating_sub(1);
