--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -1,4 +1,4 @@
-//! The admin listener: accepts callers, and has each command answered by the node or its life cycle.
+//! The admin listener: accepts callers and passes each command to the node or its life cycle for an answer.
 
 use crate::deadline::reached;
 use crate::error::NodeError;
@@ -16,14 +16,14 @@
 use tokio::task::AbortHandle;
 use tokio::time::{sleep, timeout, Instant};
 
-/// Calls that may be queued for the life cycle. Each caller makes one.
+/// Most calls queued for the life cycle. Each caller makes one.
 pub const MAX_QUEUED_CALLS: usize = CallerTable::MOST;
-/// Pause after a connection that could not be accepted.
-const ACCEPT_RETRY: Duration = Duration::from_millis(20);
-/// How long a reply may take to be written, and its reader to close. It bounds how long a caller that never reads keeps
-/// a descriptor.
+/// Pause after a failure to accept a connection.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
+/// Time limit for writing the reply and for the caller to close the connection. It bounds how long a caller that never
+/// reads occupies a descriptor.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Bytes read of a caller at a time.
+/// Size of the buffer for reading from a caller, in bytes.
 const READ_BYTES: usize = 64;
 
 /// The admin listener.
@@ -31,24 +31,24 @@
     listener: TcpListener,
 }
 
-/// A call, and where its reply evicted.
+/// A call that the life cycle answers, and the channel for its reply.
 pub struct AdminCall {
     pub call: Call,
     pub answer: oneshot::Sender<AdminReply>,
 }
 
-/// The reply to a call.
+/// The reply to a call: whether it succeeded, and the text for the caller.
 pub struct AdminReply {
     pub ok: bool,
     pub text: String,
 }
 
 impl Admin {
-    /// Descriptors set aside for it: the listener, callers that wait, one that arrives, and those that have their
-    /// reply.
+    /// Descriptors reserved for the admin listener: the listener itself, waiting callers, a caller being accepted, and
+    /// callers that have their reply but have not closed.
     pub const DESCRIPTORS: usize = CallerTable::MOST + 4;
 
-    /// Binds the address.
+    /// Binds the admin listener.
     ///
     /// # Errors
     /// The address cannot be bound.
@@ -82,7 +82,7 @@
     }
 }
 
-/// Serves callers, for ever. None of them waits for another.
+/// Serves callers concurrently until it is dropped. Returns at once if there is no admin listener.
 pub async fn serve(admin: Option<Admin>, node: Rc<Node>, calls: mpsc::Sender<AdminCall>) {
     let Some(Admin { listener }) = admin else {
         return;
@@ -94,22 +94,22 @@
     }));
     loop {
         let deadline = callers.borrow().table.deadline();
-        let deadline = deadline.map(|span| started_at + span);
+        let deadline = deadline.map(|elapsed| started_at + elapsed);
         tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => {
                     let (caller, evicted) = callers.borrow_mut().table.arrived(started_at.elapsed());
                     evicted.into_iter().for_each(|caller| callers.borrow_mut().abort(caller));
-                    let (served, node, calls) = (Rc::clone(&callers), Rc::clone(&node), calls.clone());
+                    let (callers_of_task, node, calls) = (Rc::clone(&callers), Rc::clone(&node), calls.clone());
                     let task = tokio::task::spawn_local(async move {
-                        // A caller that has gone needs nothing.
+                        // An error means that the caller has disconnected.
                         let _ = serve_caller(stream, &node, &calls).await;
-                        served.borrow_mut().remove(caller);
+                        callers_of_task.borrow_mut().remove(caller);
                     });
                     callers.borrow_mut().tasks.insert(caller, task.abort_handle());
                 }
                 Err(error) if AcceptFailure::of(&error) == AcceptFailure::OfOneConnection => {}
-                Err(_) => sleep(ACCEPT_RETRY).await,
+                Err(_) => sleep(ACCEPT_RETRY_INTERVAL).await,
             },
             () = reached(deadline) => {
                 let mut callers = callers.borrow_mut();
@@ -121,28 +121,28 @@
     }
 }
 
-/// Serves one caller.
+/// Reads the command of one caller and answers it.
 async fn serve_caller(
     stream: TcpStream,
     node: &Rc<Node>,
     calls: &mpsc::Sender<AdminCall>,
 ) -> std::io::Result<()> {
     let mut stream = Socket::new(stream);
-    let (mut line, mut piece) = (Line::default(), [0; READ_BYTES]);
+    let (mut line, mut buffer) = (Line::default(), [0; READ_BYTES]);
     let call = loop {
-        let length = stream.read(&mut piece).await?;
+        let length = stream.read(&mut buffer).await?;
         if length == 0 {
             break Err(CallError::Half);
         }
-        if let Some(call) = line.take(&piece[..length]) {
+        if let Some(call) = line.take(&buffer[..length]) {
             break call;
         }
     };
     let text = match call {
-        Ok(Call::Info) => node.figures(),
+        Ok(Call::Info) => node.metrics_text(),
         Ok(call) => {
             let (answer, reply) = oneshot::channel();
-            // Sending fails only at the node's very end.
+            // Sending fails only if the life cycle has ended; waiting for the reply fails then, too.
             let _ = calls.send(AdminCall { call, answer }).await;
             match reply.await {
                 Ok(AdminReply { ok: true, text }) => success(&text),
@@ -155,8 +155,8 @@
     let _ = timeout(CLOSE_TIMEOUT, async {
         stream.write_all(text.as_bytes()).await?;
         stream.shutdown().await?;
-        // What the caller still writes is read, so that closing the socket does not discard the reply.
-        while stream.read(&mut piece).await? > 0 {}
+        // Reads what the caller still sends, because closing a socket with unread data could discard the reply.
+        while stream.read(&mut buffer).await? > 0 {}
         Ok::<_, std::io::Error>(())
     })
     .await;
--- a/crates/node/src/alarm.rs
+++ b/crates/node/src/alarm.rs
@@ -1,44 +1,47 @@
-//! A timer for a state machine that does no I/O and says when it is to be woken.
+//! A timer for a state machine without I/O that reports when it is next due.
 
 use saffronpaddle_policy::interface::Micros;
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// How long it sleeps where nothing is due.
+/// How long the timer sleeps if nothing is due.
 const IDLE_SLEEP: Duration = Duration::from_hours(1);
 
-/// The time that a timer sleeps until, and a notification that it must wake earlier.
+/// A timer that can be moved to an earlier time while a task waits for it.
 pub struct Alarm {
-    armed: Cell<Micros>,
-    sooner: Notify,
+    /// When the waiting task wakes; [`Micros::MAX`] if nothing is due.
+    wake_at: Cell<Micros>,
+    /// Notified when the timer has to wake before `wake_at`.
+    due_earlier: Notify,
 }
 
 impl Alarm {
-    /// A timer that nothing is due for.
+    /// A timer for which nothing is due.
     pub fn new() -> Alarm {
         Alarm {
-            armed: Cell::new(Micros::MAX),
-            sooner: Notify::new(),
+            wake_at: Cell::new(Micros::MAX),
+            due_earlier: Notify::new(),
         }
     }
 
-    /// The machine is to be woken at this time: a sleep that would last longer is cut short.
+    /// Sets when the state machine is next due. Ends a sleep that would last longer.
     pub fn set(&self, next: Option<Micros>) {
-        if next.is_some_and(|at| at < self.armed.get()) {
-            self.sooner.notify_one();
+        if next.is_some_and(|at| at < self.wake_at.get()) {
+            self.due_earlier.notify_one();
         }
     }
 
-    /// Returns when the state machine is due, however often its time changes meanwhile.
+    /// Waits until the state machine is due, even if [`Alarm::set`] changes that time meanwhile. `next` returns the
+    /// time at which it is due, and `now` the current time, both in µs.
     pub async fn rings(&self, next: impl Fn() -> Option<Micros>, now: impl Fn() -> Micros) {
         loop {
             let next = next();
-            self.armed.set(next.unwrap_or(Micros::MAX));
-            let span = next.map(|at| Duration::from_micros(at.saturating_sub(now())));
+            self.wake_at.set(next.unwrap_or(Micros::MAX));
+            let remaining = next.map(|at| Duration::from_micros(at.saturating_sub(now())));
             tokio::select! {
-                () = tokio::time::sleep(span.unwrap_or(IDLE_SLEEP)) => return,
-                () = self.sooner.notified() => {}
+                () = tokio::time::sleep(remaining.unwrap_or(IDLE_SLEEP)) => return,
+                () = self.due_earlier.notified() => {}
             }
         }
     }
--- a/crates/node/src/answer.rs
+++ b/crates/node/src/answer.rs
@@ -1,4 +1,4 @@
-//! What becomes of a client's request.
+//! The final answer to a client's request.
 
 use crate::bodies::StreamedResponseBody;
 use crate::websocket::UpgradedConnection;
@@ -11,21 +11,21 @@
 pub enum Answer {
     /// A server answered.
     Served(Payload),
-    /// The node rejected it; the client may try again after so long, if that is known.
+    /// The node rejected the request. The client may retry after this time; `None` if that is unknown.
     Rejected(Option<Duration>),
-    /// No server gave a whole answer in time.
+    /// No server gave a complete answer in time.
     Failed,
 }
 
-/// What a server answered.
+/// A server's response as it is passed on to the client.
 #[derive(Debug)]
 pub enum Payload {
-    /// A whole body, to a request.
+    /// The complete body of the response to a request.
     Body(Bytes),
-    /// A body that is streamed, to a request.
+    /// The streamed body of the response to a request.
     Streaming(Box<StreamedResponseBody>),
     /// The server rejected an upgrade with this status and body.
     UpgradeRejected(StatusCode, Bytes),
-    /// The server agreed to an upgrade.
+    /// The server accepted an upgrade.
     Upgraded(Box<UpgradedConnection>),
 }
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -1,11 +1,11 @@
-//! The node's time: Unix time that never goes back.
+//! The node's clock: Unix time that never goes back.
 
 use saffronpaddle_policy::interface::Micros;
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// Unix time, µs, that never goes back: it is read once and runs with the steady clock from then on. Starts that
-/// discovery reports need no conversion but of units.
+/// Unix time in µs that never goes back: the system clock is read once, and the monotonic clock advances the time from
+/// then on. As it is Unix time, the start times of servers that discovery reports only need a conversion of units.
 #[derive(Clone, Copy)]
 pub struct Clock {
     started_at: Instant,
@@ -13,7 +13,7 @@
 }
 
 impl Clock {
-    /// A clock that is right now, as far as the system's is.
+    /// Creates a clock that agrees with the system clock now.
     pub fn start() -> Clock {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -24,7 +24,7 @@
         }
     }
 
-    /// The time now, µs.
+    /// Unix time now, in µs.
     pub fn now(&self) -> Micros {
         self.started_at_unix + self.started_at.elapsed().as_micros() as Micros
     }
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration: `LB_*` and the JSON of `LB_CONFIG`, as typed values.
+//! The platform's configuration: the `LB_*` environment variables and the JSON file that `LB_CONFIG` names.
 
 use saffronpaddle_endpoints::{EndpointRecord, EndpointStatus};
 use saffronpaddle_policy::interface::SettingsError;
@@ -12,71 +12,71 @@
 
 /// The platform's configuration of a node.
 pub struct Config {
-    /// The file that it was read from, to be read again.
+    /// The file that the configuration was read from. A reload reads it again.
     pub path: PathBuf,
-    /// The node's name.
+    /// Name of the node, the same for all its processes.
     pub name: String,
-    /// Where clients connect.
+    /// Address on which the node accepts clients.
     pub listen: SocketAddr,
-    /// Where the list service is.
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
-    /// Where the admin listener binds, if there is one.
+    /// Address of the admin listener; `None` for no listener.
     pub admin: Option<SocketAddr>,
-    /// The seed of the policy's draws.
+    /// Seed of the policy's random number generator.
     pub seed: u64,
-    /// File descriptors that the process may have.
+    /// Limit on the process's open file descriptors.
     pub sockets: usize,
-    /// Memory that the process may use, bytes.
+    /// Limit on the process's memory, in bytes.
     pub memory: usize,
-    /// Other nodes, if there are any.
+    /// Addresses for messages between nodes; `None` on a node without peers.
     pub peers: Option<PeerAddresses>,
-    /// The endpoint list as it was last known. It may be old.
+    /// The endpoint list as last known to the platform. It may be outdated.
     pub known: Option<List>,
-    /// The policy's settings, with the names that requests use.
+    /// The policy's settings, and the names by which requests refer to classes and zones.
     pub platform: PlatformSettings,
 }
 
-/// The addresses of datagrams between nodes.
+/// The addresses for datagrams between nodes.
 pub struct PeerAddresses {
-    /// Where this node receives.
+    /// Address on which this node receives.
     pub listen: SocketAddr,
-    /// All nodes in the order of their numbers, this one among them.
+    /// Addresses of all nodes, including this one, indexed by node number.
     pub each: Vec<SocketAddr>,
-    /// Reaches all other nodes at once, if there is such an address.
+    /// Broadcast address that reaches all other nodes; `None` if there is none.
     pub all: Option<SocketAddr>,
 }
 
-/// The endpoint list, or changes to it, as discovery writes it.
+/// The endpoint list, or changes to it, in discovery's format.
 #[derive(Deserialize, Serialize, Clone, Debug, PartialEq)]
 pub struct List {
-    /// Its version. It grows with each change.
+    /// Version number, which increases with each change.
     pub seq: u64,
-    /// Whether it names all servers, or only those that have changed.
+    /// Whether the list contains all servers; otherwise it contains only those that have changed.
     #[serde(default)]
     pub whole: bool,
-    /// The servers.
+    /// The entries, one per server.
     #[serde(default)]
     pub hosts: Vec<Host>,
 }
 
-/// An app server, as discovery writes it.
+/// An app server in discovery's format.
 #[derive(Deserialize, Serialize, Clone, Debug, PartialEq)]
 pub struct Host {
-    /// Its name.
+    /// Name of the server, unique in the list.
     pub host: String,
-    /// Its address.
+    /// Address on which the server accepts requests.
     pub dial: SocketAddr,
-    /// Its zone.
+    /// Name of the server's zone.
     pub site: String,
-    /// Its deduplication domain.
+    /// Deduplication domain: the group of servers that drops repeats of an idempotency key.
     #[serde(default)]
     pub block: u64,
-    /// Its status.
+    /// Status of the server.
     pub health: Health,
-    /// Its weight, relative to a full server's.
+    /// Weight relative to a server of full size, whose weight is 1.
     #[serde(default = "default_weight")]
     pub share: f64,
-    /// When it started, Unix time in ms; 0 if that is not known.
+    /// Start time as Unix time in ms; 0 if unknown.
     #[serde(default)]
     pub born_ms: u64,
 }
@@ -89,16 +89,17 @@
 #[derive(Deserialize, Serialize, Clone, Copy, Debug, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Health {
-    /// It takes requests.
+    /// Accepts requests.
     Ready,
-    /// It takes no new requests.
+    /// Accepts no new requests.
     Draining,
-    /// It is no longer there.
+    /// No longer exists.
     Gone,
 }
 
+/// The JSON file as written.
 #[derive(Deserialize)]
-struct File {
+struct ConfigFile {
     name: String,
     listen: SocketAddr,
     discovery: SocketAddr,
@@ -140,7 +141,7 @@
     32
 }
 
-/// Descriptors that are needed for clients beside app servers.
+/// Least number of descriptors that leaves enough for clients beside app servers.
 const MIN_SOCKETS: usize = 64;
 
 impl From<Health> for EndpointStatus {
@@ -170,46 +171,46 @@
 /// Why the platform's configuration cannot be used.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// No file is named.
+    /// `LB_CONFIG` does not name a file.
     #[error("LB_CONFIG is not set")]
     NotSet,
     /// The file cannot be read.
-    #[error("LB_CONFIG: {}", path.display())]
+    #[error("LB_CONFIG: cannot read {}", path.display())]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The system's error.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// The file's text makes no sense.
-    #[error("LB_CONFIG: {}", path.display())]
+    /// The file was read, but its contents are invalid.
+    #[error("LB_CONFIG: {} is invalid", path.display())]
     Invalid {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The fault in the file.
         source: Box<ConfigError>,
     },
-    /// A variable is no address.
-    #[error("{key}: {text:?} is no address")]
+    /// An environment variable does not contain a valid address.
+    #[error("{key}: {text:?} is not an IP address with a port")]
     Address {
-        /// The variable.
+        /// Name of the variable.
         key: &'static str,
-        /// What it says.
+        /// Value of the variable.
         text: String,
-        /// Why that is no address.
+        /// The parser's error.
         source: AddrParseError,
     },
-    /// The text is not the JSON that is expected.
+    /// The file is not JSON, or a field is missing or has the wrong type.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The policy's settings cannot be read.
+    /// The policy's settings cannot be parsed.
     #[error("settings: {0}")]
     PlatformSettings(#[source] setup::ReadError),
-    /// The policy's settings make no sense.
-    #[error("settings")]
+    /// The policy's settings are inconsistent or out of range.
+    #[error("settings are invalid")]
     Settings(#[source] SettingsError),
-    /// The process may have too few descriptors.
-    #[error("limits.sockets: {MIN_SOCKETS} are needed")]
+    /// The limit on descriptors is less than the node needs.
+    #[error("limits.sockets: at least {MIN_SOCKETS} are required")]
     TooFewDescriptors,
 }
 
@@ -222,10 +223,11 @@
 }
 
 impl Config {
-    /// Reads the file that `LB_CONFIG` names; the other variables overrule what it says.
+    /// Reads the file that `LB_CONFIG` names. The other `LB_*` variables override its values. `variable` looks up an
+    /// environment variable.
     ///
     /// # Errors
-    /// A variable or the file that cannot be read or makes no sense.
+    /// `LB_CONFIG` is not set, the file cannot be read or is invalid, or a variable is invalid.
     pub fn from_environment(
         variable: impl Fn(&str) -> Option<String>,
     ) -> Result<Config, ConfigError> {
@@ -248,10 +250,10 @@
         Ok(config)
     }
 
-    /// Reads the file alone.
+    /// Reads the file without applying environment variables.
     ///
     /// # Errors
-    /// A file that cannot be read or makes no sense.
+    /// The file cannot be read or is invalid.
     pub fn read(path: &Path) -> Result<Config, ConfigError> {
         let text = std::fs::read_to_string(path).map_err(|source| ConfigError::Read {
             path: path.to_owned(),
@@ -263,12 +265,12 @@
         })
     }
 
-    /// Reads its text; `path` is where it would be read again.
+    /// Parses the file's text. `path` is stored as the path that a reload reads.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// The text is not valid JSON, or a setting in it is invalid.
     pub fn parse(path: &Path, text: &str) -> Result<Config, ConfigError> {
-        let file: File = serde_json::from_str(text)?;
+        let file: ConfigFile = serde_json::from_str(text)?;
         let platform = setup::read(file.settings.get()).map_err(ConfigError::PlatformSettings)?;
         platform.settings.check().map_err(ConfigError::Settings)?;
         if file.limits.sockets < MIN_SOCKETS {
--- a/crates/node/src/deadline.rs
+++ b/crates/node/src/deadline.rs
@@ -1,8 +1,8 @@
-//! Waits for deadlines that may not exist.
+//! Waiting for optional deadlines.
 
 use tokio::time::{sleep_until, Instant};
 
-/// Waits for a deadline; for ever if there is none.
+/// Waits until a deadline. Is pending for ever if there is none.
 pub async fn reached(deadline: Option<Instant>) {
     match deadline {
         Some(deadline) => sleep_until(deadline).await,
--- a/crates/node/src/edge.rs
+++ b/crates/node/src/edge.rs
@@ -1,4 +1,4 @@
-//! A process of an edge node from its start to its end: what is bound, what runs, and its shutdown.
+//! A process of an edge node from start to exit: binds its sockets, spawns its tasks and shuts it down.
 
 use crate::admin::{self, Admin};
 use crate::clients::{self, ServingStatus};
@@ -14,7 +14,7 @@
 use crate::peers::Peers;
 use crate::process_links::ProcessLinks;
 use crate::readiness::ReadinessSampler;
-use crate::reload::{reload, Files, LimitTerms, OperatorFile};
+use crate::reload::{reload, Files, LimitParameters, OperatorFile};
 use crate::shutdown;
 use saffronpaddle_lifecycle::Lifecycle;
 use saffronpaddle_netio::retry_shortage;
@@ -32,42 +32,44 @@
 use tokio::time::Instant;
 use tracing::info;
 
-/// Descriptors for all but clients and app servers: listener, discovery, peers, the runtime's own; the admin listener and its
-/// callers.
+/// Descriptors that are neither clients' nor app servers': the listener, discovery, peers, the runtime, and the admin
+/// listener with its callers.
 const RESERVED_DESCRIPTORS: usize = 32 + Admin::DESCRIPTORS;
-/// Connections of either side that web sockets must leave to requests.
+/// Least number of connections per side (clients, app servers) that WebSocket connections must leave to requests.
 const MIN_CONNECTIONS_PER_SIDE: usize = 32;
-/// Connections that may wait to be accepted.
+/// Length of the queue of connections that wait to be accepted.
 const LISTEN_BACKLOG: i32 = 1024;
 
-/// What one node is made of.
+/// What a process of an edge node is started with.
 pub struct Options {
-    /// What the platform tells it.
+    /// The platform's configuration.
     pub config: Config,
-    /// What the operator sets; `None` leaves all of that off.
+    /// The operator file; `None` turns off everything that it configures.
     pub operator: Option<OperatorFile>,
-    /// A listener that is handed over, in place of one of the node's own.
+    /// An inherited listener for clients; `None` binds `Config::listen`.
     pub inherited_listener: Option<std::net::TcpListener>,
-    /// The folder where processes of this node meet, if the platform holds the listener that they share.
+    /// Directory of the socket over which processes of this node find each other. Set if the platform holds a listener
+    /// that they share.
     pub rendezvous: Option<PathBuf>,
-    /// The service manager, which is notified of the node's state.
+    /// The service manager to notify of the node's state.
     pub manager: Manager,
 }
 
-/// A node that is bound: connections wait in its backlog, but nothing runs yet.
+/// A node whose sockets are bound. Connections wait in the listener's backlog until [`Edge::run`].
 pub struct Edge {
     node: Rc<Node>,
     listener: TcpListener,
-    /// The listener was inherited and outlives this process.
-    shared: bool,
+    /// Whether the listener was inherited, so that it outlives this process.
+    listener_inherited: bool,
     address: SocketAddr,
     discovery: SocketAddr,
-    known: Option<List>,
+    /// The endpoint list to start from: the parent's, else the one in the configuration.
+    initial_list: Option<List>,
     capacity: Capacity,
-    /// Descriptors that the process may have.
-    descriptors: usize,
-    /// Memory that the process may have, bytes.
-    memory: usize,
+    /// Limit on the process's open descriptors.
+    descriptor_limit: usize,
+    /// Limit on the process's memory, in bytes.
+    memory_limit: usize,
     files: Files,
     manager: Rc<Manager>,
     admin: Option<Admin>,
@@ -75,24 +77,25 @@
     parent: Option<ParentLink>,
 }
 
-/// How the process's descriptors are shared out.
+/// How the process's descriptors are divided between the two sides.
 #[derive(Clone, Copy)]
 struct Capacity {
-    /// Connections of clients.
+    /// Limit on connections of clients.
     clients: usize,
-    /// Connections to app servers.
+    /// Limit on connections to app servers.
     upstream: usize,
 }
 
 impl Capacity {
-    /// Shares descriptors out. web sockets have their own.
+    /// Divides the descriptors that remain after the reserved ones and those of WebSocket connections, two for each.
     fn new(descriptors: usize, sockets: Option<&Sockets>) -> Result<Capacity, NodeError> {
-        let apart = sockets.map_or(0, |sockets| 2 * sockets.limits.per_node);
-        let both_sides = descriptors.saturating_sub(RESERVED_DESCRIPTORS + apart);
-        // Slow and hostile clients keep their connections far longer than attempts do.
-        let upstream = both_sides * 3 / 8;
-        // Otherwise web sockets would take the descriptors that requests need.
-        if apart > 0 && upstream < MIN_CONNECTIONS_PER_SIDE {
+        let websocket_descriptors = sockets.map_or(0, |sockets| 2 * sockets.limits.per_node);
+        let connections = descriptors.saturating_sub(RESERVED_DESCRIPTORS + websocket_descriptors);
+        // Clients get more than half, because slow and hostile clients hold their connections far longer than attempts
+        // do.
+        let upstream = connections * 3 / 8;
+        // Without this check WebSocket connections could take the descriptors that requests need.
+        if websocket_descriptors > 0 && upstream < MIN_CONNECTIONS_PER_SIDE {
             return Err(NodeError::TooManySockets {
                 connections: upstream,
                 descriptors,
@@ -100,22 +103,22 @@
             });
         }
         Ok(Capacity {
-            clients: both_sides - upstream,
+            clients: connections - upstream,
             upstream,
         })
     }
 }
 
-/// What a parent process has handed over; nothing where there is none.
+/// What a parent process has handed over; empty if there is no parent.
 #[derive(Default)]
 struct Handover {
     link: Option<ParentLink>,
     list: Option<List>,
-    /// The policy's state, and the number of the link.
+    /// The policy's state, and the number of the link to the parent.
     policy: Option<(StateSnapshot, u32)>,
 }
 
-/// Takes over from the process that serves the node, if there is one.
+/// Takes over the state of the process that serves the node now, if there is one.
 async fn take_over(rendezvous: Option<&Rendezvous>, links: &ProcessLinks) -> Handover {
     let Some(rendezvous) = rendezvous else {
         return Handover::default();
@@ -137,11 +140,11 @@
 
 async fn bind_peers(
     addresses: Option<PeerAddresses>,
-    me: NodeId,
-    reuse: bool,
+    node_id: NodeId,
+    reuse_address: bool,
 ) -> Result<Option<Peers>, NodeError> {
     match addresses {
-        Some(addresses) => Ok(Some(Peers::bind(addresses, me, reuse).await?)),
+        Some(addresses) => Ok(Some(Peers::bind(addresses, node_id, reuse_address).await?)),
         None => Ok(None),
     }
 }
@@ -154,10 +157,10 @@
 }
 
 impl Edge {
-    /// Binds a node's sockets.
+    /// Takes over the state of a parent process, if there is one, and binds the node's sockets.
     ///
     /// # Errors
-    /// What could not be bound, or is set wrong.
+    /// An address cannot be bound, or a setting is invalid.
     pub async fn bind(options: Options) -> Result<Edge, NodeError> {
         let Options {
             mut config,
@@ -170,15 +173,15 @@
         if let Some(settings) = settings {
             apply_operator(&mut config, settings);
         }
-        let shared = inherited_listener.is_some();
+        let listener_inherited = inherited_listener.is_some();
         let links = ProcessLinks::new(&config.name, rendezvous.is_some());
-        let rendezvous = rendezvous.map(|folder| Rendezvous::new(&folder, &config.name));
-        // Before anything is bound: a takeover that fails must not disturb the parent, which still serves.
+        let rendezvous = rendezvous.map(|directory| Rendezvous::new(&directory, &config.name));
+        // Precedes all binding, so that a failed takeover does not disturb the parent, which still serves.
         let handover = take_over(rendezvous.as_ref(), &links).await;
-        let reuse = settings.is_some_and(|settings| settings.listen.reuse_port);
-        let listener = listen(config.listen, inherited_listener, reuse).await?;
-        let me = config.platform.settings.node;
-        let peers = bind_peers(config.peers, me, reuse || shared).await?;
+        let reuse_port = settings.is_some_and(|settings| settings.listen.reuse_port);
+        let listener = listen(config.listen, inherited_listener, reuse_port).await?;
+        let node_id = config.platform.settings.node;
+        let peers = bind_peers(config.peers, node_id, reuse_port || listener_inherited).await?;
         let sockets = settings.and_then(|settings| settings.sockets.clone());
         let capacity = Capacity::new(config.sockets, sockets.as_ref())?;
         let Handover {
@@ -201,13 +204,13 @@
         Ok(Edge {
             node,
             listener,
-            shared,
+            listener_inherited,
             address,
             discovery: config.discovery,
-            known: transferred_list.or(config.known),
+            initial_list: transferred_list.or(config.known),
             capacity,
-            descriptors: config.sockets,
-            memory: config.memory,
+            descriptor_limit: config.sockets,
+            memory_limit: config.memory,
             files: Files {
                 config: config.path,
                 operator,
@@ -219,37 +222,41 @@
         })
     }
 
-    /// Where clients connect.
+    /// The address on which the node accepts clients.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Spawns a task on the node's loop. Tests use it to block the loop.
+    /// Spawns a task on the node's event loop. Tests use it to block the loop.
     pub fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         spawn_local(task);
     }
 
-    /// Runs it until its life cycle ends. Inside a `LocalSet` only.
+    /// Runs the node until its life cycle ends. Must be called inside a `LocalSet`.
     pub async fn run(self, signals: mpsc::UnboundedReceiver<ProcessSignal>) {
-        // Starts the policy's timers: without one the watchdog would take the loop for stuck.
+        // Without a running policy timer the watchdog would consider the event loop stuck.
         self.node.start();
-        let terms = LimitTerms {
+        let limit_parameters = LimitParameters {
             longest_deadline: Duration::from_micros(self.node.platform.longest_deadline),
-            // On an inherited listener new connections wait in the backlog for the next process, so there is no need to keep
-            // accepting. With a rendezvous this does not hold: a successor already accepts, or none has been started.
-            leaves_at_once: self.shared && self.rendezvous.is_none(),
+            // On an inherited listener, new connections wait in the backlog for the next process, so this one need not
+            // keep accepting. With a rendezvous, a successor either accepts already or has not been started.
+            stops_accepting_at_once: self.listener_inherited && self.rendezvous.is_none(),
         };
         let files = self.files.clone();
-        let sampler = ReadinessSampler::new(Rc::clone(&self.node), self.descriptors, self.memory);
+        let sampler = ReadinessSampler::new(
+            Rc::clone(&self.node),
+            self.descriptor_limit,
+            self.memory_limit,
+        );
         let started_at = Instant::now();
-        let (status, seen) = watch::channel(ServingStatus::unready());
-        let (moved, discovery) = watch::channel(self.discovery);
-        let (ask, calls) = mpsc::channel(admin::MAX_QUEUED_CALLS);
+        let (status, status_receiver) = watch::channel(ServingStatus::unready());
+        let (discovery_sender, discovery) = watch::channel(self.discovery);
+        let (call_sender, calls) = mpsc::channel(admin::MAX_QUEUED_CALLS);
         let manager = Rc::clone(&self.manager);
-        let (tasks, clients) = self.spawn_tasks(discovery, ask, seen);
-        let machine = Lifecycle::new(terms.limits(files.operator()), Duration::ZERO);
+        let (tasks, clients) = self.spawn_tasks(discovery, call_sender, status_receiver);
+        let machine = Lifecycle::new(limit_parameters.limits(files.operator()), Duration::ZERO);
         let runner = LifecycleRunner::new(machine, manager, status, sampler, started_at);
-        let reload = move || reload(files.clone(), terms, moved.clone());
+        let reload = move || reload(files.clone(), limit_parameters, discovery_sender.clone());
         let inputs = Inputs {
             signals: Some(signals),
             calls: Some(calls),
@@ -258,7 +265,8 @@
         tasks.iter().for_each(JoinHandle::abort);
     }
 
-    /// Spawns all that runs beside the life cycle, for ever; and what serves clients, until they are gone.
+    /// Spawns the tasks that run beside the life cycle. Returns those that run until they are aborted, and the one that
+    /// serves clients until their connections have closed.
     fn spawn_tasks(
         self,
         discovery: watch::Receiver<SocketAddr>,
@@ -269,7 +277,7 @@
         let operator = self.files.operator();
         let etcd = operator.and_then(|operator| operator.etcd.clone());
         let poll_limits = operator.and_then(|operator| operator.list.clone());
-        let counts_every = operator.and_then(|operator| operator.log.counts_every);
+        let counts_interval = operator.and_then(|operator| operator.log.counts_every);
         let manager = Rc::clone(&self.manager);
         let tasks = vec![
             spawn_local(endpoint_sources::follow(
@@ -277,7 +285,7 @@
                 etcd,
                 poll_limits,
                 discovery,
-                self.known,
+                self.initial_list,
             )),
             spawn_local(peer_listener::run(node())),
             spawn_local(node().run_timer()),
@@ -285,18 +293,24 @@
             spawn_local(hot_restart::serve(node(), self.rendezvous, self.parent)),
             spawn_local(admin::serve(self.admin, node(), calls)),
             spawn_local(run_websocket_timer(node())),
-            spawn_local(node().log_counts(counts_every)),
-            spawn_local(event_loop::confirm_iterations()),
-            spawn_local(lifecycle_runner::feed_watchdog(node(), manager)),
+            spawn_local(node().log_counts(counts_interval)),
+            spawn_local(event_loop::measure_rounds()),
+            spawn_local(lifecycle_runner::send_heartbeats(node(), manager)),
             spawn_local(shutdown::log_open_requests(node(), status.clone())),
         ];
         let clients = self.capacity.clients;
-        let clients = clients::serve(self.listener, self.shared, node(), clients, status);
+        let clients = clients::serve(
+            self.listener,
+            self.listener_inherited,
+            node(),
+            clients,
+            status,
+        );
         (tasks, spawn_local(clients))
     }
 }
 
-/// Sets what the operator's file says of the policy.
+/// Copies the operator file's settings of the policy into the configuration.
 fn apply_operator(config: &mut Config, operator: &Operator) {
     let settings = &mut config.platform.settings;
     settings.partition_safe = operator.quotas.partition_safe;
@@ -304,15 +318,15 @@
     settings.subsetting = operator.servers.subsetting;
 }
 
-/// The clients' listener: one that was handed over, or one of the node's own.
+/// Returns the listener for clients: the inherited one, or a new one bound to `address`.
 async fn listen(
     address: SocketAddr,
     inherited: Option<std::net::TcpListener>,
-    reuse: bool,
+    reuse_port: bool,
 ) -> Result<TcpListener, NodeError> {
     let listener = match inherited {
         Some(listener) => TcpListener::from_std(listener),
-        None if reuse => retry_shortage(|| async { bind_reusing(address) }).await,
+        None if reuse_port => retry_shortage(|| async { bind_reusing_port(address) }).await,
         None => retry_shortage(|| TcpListener::bind(address)).await,
     };
     listener.map_err(|source| NodeError::Bind {
@@ -322,8 +336,8 @@
     })
 }
 
-/// A listener that a successor can bind beside this node.
-fn bind_reusing(address: SocketAddr) -> std::io::Result<TcpListener> {
+/// Binds a listener with `SO_REUSEPORT`, so that a successor can bind the same address while this node runs.
+fn bind_reusing_port(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = socket2::Socket::new(
         socket2::Domain::for_address(address),
         socket2::Type::STREAM,
--- a/crates/node/src/error.rs
+++ b/crates/node/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a node does not start, or does not reload.
+//! Errors of the start and the reload of a node.
 
 use crate::config::ConfigError;
 use crate::inherited_listener::InheritedListenerError;
@@ -9,82 +9,82 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Why a node does not start, or does not reload.
+/// Why a node cannot start or reload.
 #[derive(Debug, Error)]
 pub enum NodeError {
     /// The platform's configuration cannot be used.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The operator's file cannot be used.
+    /// The operator file cannot be used.
     #[error(transparent)]
     OperatorFile(#[from] OperatorFileError),
-    /// The listener that was handed over cannot be used.
+    /// The inherited listener cannot be used.
     #[error(transparent)]
     InheritedListener(#[from] InheritedListenerError),
-    /// The policy's settings make no sense.
+    /// The policy's settings are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// An address cannot be bound.
-    #[error("{setting} {address}")]
+    #[error("{setting}: cannot bind {address}")]
     Bind {
-        /// The setting that names the address.
+        /// Key of the setting that contains the address.
         setting: &'static str,
-        /// The address.
+        /// The address that could not be bound.
         address: SocketAddr,
-        /// The system's error.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// The clients' listener has no address.
-    #[error("listen")]
+    /// The local address of the clients' listener cannot be read.
+    #[error("listen: cannot read the listener's local address")]
     ListenerAddress(#[source] io::Error),
-    /// Signals cannot be received.
-    #[error("signals")]
+    /// A signal handler cannot be installed.
+    #[error("cannot install a signal handler")]
     Signals(#[source] io::Error),
-    /// The runtime cannot be built.
+    /// The async runtime cannot be built.
     #[error(transparent)]
     Runtime(io::Error),
-    /// The operator's file names a class of web sockets that the settings do not have.
-    #[error("sockets.class: there is no class {0:?}")]
+    /// The operator file names a class of WebSocket connections that the settings do not contain.
+    #[error("sockets.class: the settings contain no class {0:?}")]
     UnknownSocketClass(String),
-    /// web sockets leave requests too few descriptors.
+    /// WebSocket connections leave requests too few descriptors.
     #[error(
-        "sockets.per_node: leaves {connections} connections for requests of {descriptors} descriptors; {min} are the least"
+        "sockets.per_node: leaves {connections} connections to app servers for requests, out of {descriptors} descriptors; at least {min} are required"
     )]
     TooManySockets {
-        /// Connections of either side that are left for requests.
+        /// Connections to app servers that are left for requests.
         connections: usize,
-        /// Descriptors that the process may have.
+        /// Limit on the process's open descriptors.
         descriptors: usize,
-        /// Connections that requests need.
+        /// Least number of connections that requests need.
         min: usize,
     },
-    /// The task that reads the files ended without a result.
+    /// The task that reads the files panicked or was cancelled.
     #[error(transparent)]
     Task(#[from] tokio::task::JoinError),
 }
 
-/// Why the operator's file cannot be used.
+/// Why the operator file cannot be used.
 #[derive(Debug, Error)]
 pub enum OperatorFileError {
-    /// It cannot be read.
-    #[error("{path}")]
+    /// The file cannot be read.
+    #[error("cannot read {path}")]
     Read {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// The system's error.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// Its text has faults.
+    /// The file was read, but has faults.
     #[error("{path}")]
     Invalid {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// All that is wrong with it.
+        /// All faults in the file.
         source: Faults,
     },
 }
 
-/// An error and its causes in one line.
+/// Formats an error and its causes in one line, separated by colons.
 pub fn chain(error: &dyn StdError) -> String {
     let mut line = error.to_string();
     let mut source = error.source();
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -1,4 +1,5 @@
-//! Bounds how late this thread's event loop reads what the kernel has received, from its sleeps and completed rounds.
+//! Bounds how late this thread's event loop reads data that the kernel has received, from the loop's sleeps and
+//! completed rounds.
 
 use saffronpaddle_connection_eviction::{rested, ReceiveTimeBound};
 use std::cell::Cell;
@@ -8,57 +9,64 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// How often the loop is woken at least, for the sweep of clients' connections.
+/// Interval of the sweep of clients' connections, and so the longest sleep that the event loop asks for.
 pub const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
-/// The loop always asks to be woken for its next sweep. If it sleeps this long it was kept from running.
-const LONGEST: Duration = SWEEP_INTERVAL.saturating_add(Duration::from_millis(10));
+/// A longer sleep than this means that the loop was kept from running, because it always asks to be woken for its next
+/// sweep.
+const MAX_SLEEP: Duration = SWEEP_INTERVAL.saturating_add(Duration::from_millis(10));
 
 thread_local! {
-    /// Since when the loop's sleeps are observed; nothing is known of a loop that is not.
-    static BEGAN: Cell<Option<Instant>> = const { Cell::new(None) };
-    /// The sleeps and rounds that were observed.
-    static SLEEPS: Cell<ReceiveTimeBound> = const { Cell::new(ReceiveTimeBound::NEW) };
-    /// Notified when a round is to be confirmed.
-    static PROVE: Rc<Notify> = Rc::default();
+    /// When the observation of the loop's sleeps began; `None` for a loop that is not observed.
+    static OBSERVED_SINCE: Cell<Option<Instant>> = const { Cell::new(None) };
+    /// The bound that follows from the sleeps and rounds observed so far.
+    static RECEIVE_TIME_BOUND: Cell<ReceiveTimeBound> = const { Cell::new(ReceiveTimeBound::NEW) };
+    /// Notified when the loop may be late and a round is to be measured.
+    static ROUND_REQUESTED: Rc<Notify> = Rc::default();
 }
 
-fn with(change: impl FnOnce(&mut ReceiveTimeBound, Duration)) {
-    let began = BEGAN.get().unwrap_or_else(|| {
+fn update_bound(update: impl FnOnce(&mut ReceiveTimeBound, Duration)) {
+    let observed_since = OBSERVED_SINCE.get().unwrap_or_else(|| {
         let now = Instant::now();
-        BEGAN.set(Some(now));
+        OBSERVED_SINCE.set(Some(now));
         now
     });
-    let mut rounds = SLEEPS.get();
-    change(&mut rounds, began.elapsed());
-    SLEEPS.set(rounds);
+    let mut bound = RECEIVE_TIME_BOUND.get();
+    update(&mut bound, observed_since.elapsed());
+    RECEIVE_TIME_BOUND.set(bound);
 }
 
-/// Observes a loop's sleeps. It costs two reads of the clock for each.
+/// Observes the sleeps of a runtime's event loop, at the cost of two reads of the clock per sleep.
 pub fn observe_parking(runtime: &mut Builder) -> &mut Builder {
-    runtime.on_thread_park(|| with(ReceiveTimeBound::on_sleep));
-    runtime.on_thread_unpark(|| with(|rounds, now| rounds.on_wake(now, LONGEST)))
+    runtime.on_thread_park(|| update_bound(ReceiveTimeBound::on_sleep));
+    runtime.on_thread_unpark(|| update_bound(|bound, now| bound.on_wake(now, MAX_SLEEP)))
 }
 
-/// A time before which what this loop reads now had not reached the kernel; `None` for a loop that is not observed.
+/// Returns a time after which the kernel received everything that this loop reads now; `None` for a loop that is not
+/// observed. Requests the measurement of a round if the loop may be late.
 pub fn arrived_after() -> Option<Instant> {
-    let began = BEGAN.get()?;
-    let since = began + SLEEPS.get().earliest();
-    if !rested(since.duration_since(began), began.elapsed()).is_zero() {
-        PROVE.with(|prove| prove.notify_one());
+    let observed_since = OBSERVED_SINCE.get()?;
+    let earliest = observed_since + RECEIVE_TIME_BOUND.get().earliest();
+    if !rested(
+        earliest.duration_since(observed_since),
+        observed_since.elapsed(),
+    )
+    .is_zero()
+    {
+        ROUND_REQUESTED.with(|requested| requested.notify_one());
     }
-    Some(since)
+    Some(earliest)
 }
 
-/// Confirms rounds of the loop when it looks late, for ever. A busy loop sleeps seldom, and would take everything that
-/// it reads for old. Tasks run in the order in which they are woken, and a task that yields is woken behind all that
-/// the kernel had reported by then.
-pub async fn confirm_iterations() {
-    let prove = PROVE.with(Rc::clone);
+/// Measures a round of the loop whenever one is requested. Runs until it is dropped. Without it, a busy loop, which
+/// seldom sleeps, would consider everything that it reads old. Tasks run in the order in which they are woken, and a
+/// task that yields is woken after every task for which the kernel had reported an event by then.
+pub async fn measure_rounds() {
+    let requested = ROUND_REQUESTED.with(Rc::clone);
     loop {
-        prove.notified().await;
-        let mut then = Duration::ZERO;
-        with(|_, now| then = now);
+        requested.notified().await;
+        let mut round_start = Duration::ZERO;
+        update_bound(|_, now| round_start = now);
         tokio::task::yield_now().await;
-        with(|rounds, _| rounds.on_round_completed(then));
+        update_bound(|bound, _| bound.on_round_completed(round_start));
     }
 }
--- a/crates/node/src/hash.rs
+++ b/crates/node/src/hash.rs
@@ -1,11 +1,11 @@
-//! The hash that names are known by.
+//! The hash function for names.
 
-/// FNV-1a's first value, 64 bits.
+/// Offset basis of 64-bit FNV-1a.
 const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
-/// FNV-1a's factor, 64 bits.
+/// Prime of 64-bit FNV-1a.
 const PRIME: u64 = 0x0100_0000_01b3;
 
-/// The FNV-1a hash of a text, the same in all processes.
+/// The 64-bit FNV-1a hash of a text, which is the same in all processes and builds.
 pub fn fnv1a(text: &str) -> u64 {
     text.bytes().fold(OFFSET_BASIS, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(PRIME)
--- a/crates/node/src/hot_restart.rs
+++ b/crates/node/src/hot_restart.rs
@@ -1,4 +1,5 @@
-//! Hot restart: the processes of one node meet at a socket in their folder, hand their state over and keep in step.
+//! Hot restart: processes of one node connect over a Unix socket in a shared directory. A parent hands its state over
+//! to its child, and both keep each other up to date until the parent exits.
 
 use crate::config::List;
 use crate::deadline::reached;
@@ -22,15 +23,15 @@
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 use tracing::{error, info, warn};
 
-/// How long a parent may take to accept a connection.
+/// How long connecting to a parent may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Pause after a connection that could not be accepted.
-const ACCEPT_RETRY: Duration = Duration::from_millis(100);
+/// Pause after a failure to accept a connection.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 type Reader = BufReader<Uninterrupted<OwnedReadHalf>>;
 type Writer = Uninterrupted<OwnedWriteHalf>;
 
-/// Where processes of a node meet: a socket in a folder that they share.
+/// The Unix socket, in a directory that the processes of a node share, at which a new process finds the running one.
 pub struct Rendezvous {
     path: PathBuf,
 }
@@ -44,24 +45,24 @@
 }
 
 impl ParentLink {
-    /// The link's number in this process.
+    /// Number of the link, unique within this process.
     pub fn number(&self) -> u32 {
         self.id.0
     }
 }
 
 impl Rendezvous {
-    /// The rendezvous of a node's processes in a folder that they share. Its name is a hash, as a socket's path has 107
-    /// bytes at the most.
-    pub fn new(folder: &Path, name: &str) -> Rendezvous {
-        let hash = fnv1a(name);
+    /// The rendezvous of the node `node_name` in a directory that its processes share. The file is named by a hash of
+    /// the node's name, because the path of a Unix socket has at most 107 bytes.
+    pub fn new(directory: &Path, node_name: &str) -> Rendezvous {
+        let hash = fnv1a(node_name);
         Rendezvous {
-            path: folder.join(format!("node-{hash:016x}")),
+            path: directory.join(format!("node-{hash:016x}")),
         }
     }
 
-    /// Connects to the process that is there, if there is one, and reads its state. Whatever goes wrong, this process
-    /// starts as if it were the first.
+    /// Connects to the process that serves the node, if there is one, and reads its state. Returns `None` on any
+    /// failure; this process then starts without a parent's state.
     pub async fn connect_to_parent(
         &self,
         links: &ProcessLinks,
@@ -81,12 +82,12 @@
         let actions = match timeout_at(deadline, read_line(&mut reader)).await {
             Ok(Ok(line)) => links.on_line(id, &line),
             Ok(Err(_)) => links.on_disconnect(id),
-            Err(_) => links.on_time(id, deadline),
+            Err(_) => links.on_deadline(id, deadline),
         };
         for action in actions {
             match action {
                 LinkAction::Restore(state) => {
-                    let lines = links.lines(id);
+                    let lines = links.create_line_queue(id);
                     let link = ParentLink {
                         id,
                         reader,
@@ -95,24 +96,27 @@
                     };
                     return Some((link, *state));
                 }
-                LinkAction::End(why) => warn!("hand-over: nothing taken over, {why}"),
+                LinkAction::End(reason) => {
+                    warn!("hand-over: received no state from the parent process: {reason}");
+                }
                 _ => {}
             }
         }
         None
     }
 
-    /// Binds it, so that the next process finds this one from now on.
+    /// Binds the socket to this process: binds a temporary path and renames it, which replaces the previous owner's
+    /// socket atomically.
     fn bind(&self) -> io::Result<UnixListener> {
-        let new = self.path.with_extension(std::process::id().to_string());
-        let _ = std::fs::remove_file(&new);
-        let listener = UnixListener::bind(&new)?;
-        std::fs::rename(&new, &self.path)?;
+        let temporary_path = self.path.with_extension(std::process::id().to_string());
+        let _ = std::fs::remove_file(&temporary_path);
+        let listener = UnixListener::bind(&temporary_path)?;
+        std::fs::rename(&temporary_path, &self.path)?;
         Ok(listener)
     }
 }
 
-/// The endpoint list in a transferred state.
+/// The endpoint list in a transferred state; `None` if there is none or it cannot be read.
 pub fn transferred_list(state: &TransferredState) -> Option<List> {
     state
         .list
@@ -120,7 +124,8 @@
         .and_then(|list| serde_json::from_value(list).ok())
 }
 
-/// Runs the links to the other processes of this node, for ever: the parent's, and those of children that connect.
+/// Runs the links to the other processes of this node: the one to the parent, and those to children that connect.
+/// Returns if there is no rendezvous or its socket cannot be bound.
 pub async fn serve(node: Rc<Node>, rendezvous: Option<Rendezvous>, parent: Option<ParentLink>) {
     if let Some(parent) = parent {
         publish_siblings(&node, None);
@@ -133,9 +138,9 @@
         let listener = match rendezvous.bind() {
             Ok(listener) => listener,
             Err(error) => {
-                // A node that no other process finds serves all the same.
+                // The node still serves, but later processes of it start without its state.
                 let path = rendezvous.path.display();
-                error!(%path, %error, "hand-over: the socket cannot be bound");
+                error!(%path, %error, "hand-over: cannot bind the rendezvous socket; successors will start without this process's state");
                 return;
             }
         };
@@ -143,26 +148,26 @@
     }
 }
 
-/// Accepts children until the rendezvous must be bound anew.
+/// Accepts children until the rendezvous has to be bound again.
 async fn accept_until_rebound(node: &Rc<Node>, listener: &UnixListener) {
     loop {
         tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => on_connection(node, stream),
-                Err(_) => sleep(ACCEPT_RETRY).await,
+                Err(_) => sleep(ACCEPT_RETRY_INTERVAL).await,
             },
-            () = node.links.rebound() => return,
+            () = node.links.rebind_requested() => return,
         }
     }
 }
 
-/// A process has connected; a child, if it says so.
+/// Opens a link to a process that has connected. It counts as a child only after its greeting.
 fn on_connection(node: &Rc<Node>, stream: UnixStream) {
     let Some((id, _)) = node.links.open(Role::Parent) else {
         return;
     };
     let (reader, writer) = split(stream);
-    let lines = node.links.lines(id);
+    let lines = node.links.create_line_queue(id);
     tokio::task::spawn_local(run_link(Rc::clone(node), id, reader, writer, lines));
 }
 
@@ -174,7 +179,7 @@
     )
 }
 
-/// Writes a link's lines until it is aborted or the link ends.
+/// Writes queued lines to a link until the task is aborted, the queue is closed or a write fails.
 fn spawn_writer(mut writer: Writer, mut lines: mpsc::Receiver<Rc<str>>) -> JoinHandle<()> {
     tokio::task::spawn_local(async move {
         while let Some(line) = lines.recv().await {
@@ -185,7 +190,7 @@
     })
 }
 
-/// Runs one link to its end.
+/// Runs one link until it ends.
 async fn run_link(
     node: Rc<Node>,
     id: LinkId,
@@ -193,39 +198,41 @@
     writer: Writer,
     lines: mpsc::Receiver<Rc<str>>,
 ) {
-    let writes = spawn_writer(writer, lines);
+    let writer_task = spawn_writer(writer, lines);
     loop {
-        let (deadline, live) = (node.links.deadline(id), node.links.is_live(id));
+        let (deadline, was_live) = (node.links.deadline(id), node.links.is_live(id));
         let actions = tokio::select! {
             line = read_line(&mut reader) => match line {
                 Ok(line) => node.links.on_line(id, &line),
                 Err(_) => node.links.on_disconnect(id),
             },
-            () = reached(deadline) => node.links.on_time(id, Instant::now()),
+            () = reached(deadline) => node.links.on_deadline(id, Instant::now()),
         };
         for action in actions {
-            if let LinkAction::End(why) = action {
-                info!("hand-over: the other process is no part of this node any more: {why}");
-                node.links.remove(id);
+            if let LinkAction::End(reason) = action {
+                info!("hand-over: link to another process of this node has ended: {reason}");
+                node.links.stop_sending(id);
                 publish_siblings(&node, Some(id));
-                // One that only connected and went has not bound the rendezvous: it is still this process's.
-                if live {
+                // A process that disconnected before the link was live has not bound the rendezvous, so it still
+                // belongs to this process.
+                if was_live {
                     node.links.rebind_if_last();
                 }
-                writes.abort();
+                writer_task.abort();
                 return;
             }
-            apply(&node, id, action);
+            execute(&node, id, action);
         }
     }
 }
 
-/// Does what a link asks for.
-fn apply(node: &Rc<Node>, id: LinkId, action: LinkAction) {
+/// Executes an action of a link.
+fn execute(node: &Rc<Node>, id: LinkId, action: LinkAction) {
     match action {
         LinkAction::Send(message) => node.links.send(id, &message),
         LinkAction::SendState => {
-            // Snapshot and publication without an await between them, so that no attempt falls in the gap.
+            // There must be no await between the snapshot and `publish_siblings`: an attempt that started in between
+            // would be neither in the snapshot nor announced.
             let state = transferred_state(node);
             node.links.send(id, &Message::State(Box::new(state)));
             publish_siblings(node, None);
@@ -234,7 +241,7 @@
             let forwarded = Message::Sibling(message.clone());
             node.links.broadcast(&forwarded, Some(id));
             let link = id.0;
-            node.post(PolicyEvent::SiblingMessage { link, message });
+            node.handle_policy_event(PolicyEvent::SiblingMessage { link, message });
         }
         LinkAction::Peer(from, bytes) => {
             let forwarded = Message::Peer {
@@ -245,29 +252,29 @@
             node.on_peer_message(from, bytes);
         }
         LinkAction::SuccessorServing => publish_siblings(node, None),
-        // The state was restored before this link was run; its end is `run_link`'s matter.
+        // The state was restored before `run_link` was called, which handles the end of the link itself.
         LinkAction::Restore(_) | LinkAction::End(_) => {}
     }
 }
 
-/// The state that a child starts from.
+/// The state that is sent to a child.
 fn transferred_state(node: &Node) -> TransferredState {
     let list = node
         .last_list()
         .and_then(|list| serde_json::to_value(list).ok());
     TransferredState {
         version: VERSION,
-        name: node.links.name().to_owned(),
+        name: node.links.node_name().to_owned(),
         policy: node.policy_snapshot(),
         list,
     }
 }
 
-/// Notifies the policy of the processes that share the node, sets this process's part of the upstream connections, and tells
-/// the life cycle whether a successor serves.
+/// Notifies the policy of the processes that share the node, sets this process's share of the upstream connections, and
+/// notifies the life cycle whether a successor serves. `ended` is a link that has just ended.
 fn publish_siblings(node: &Rc<Node>, ended: Option<LinkId>) {
     let siblings = node.links.siblings();
-    node.post(PolicyEvent::SiblingsChanged {
+    node.handle_policy_event(PolicyEvent::SiblingsChanged {
         ended_link: ended.map(|id| id.0),
         share_attempts: siblings.shared,
         peer_messages_delegated: siblings.has_successor,
@@ -276,10 +283,10 @@
     node.links.publish_successor(siblings.has_successor);
 }
 
-/// One line, of a bounded length.
+/// Reads one line, without its line feed.
 ///
 /// # Errors
-/// The connection failed or ended, or the line is too long.
+/// The connection has failed or ended, or the line is longer than `MAX_LINE_BYTES`.
 async fn read_line(reader: &mut Reader) -> io::Result<Vec<u8>> {
     let mut line = Vec::new();
     let mut bounded = reader.take(MAX_LINE_BYTES as u64);
--- a/crates/node/src/inherited_listener.rs
+++ b/crates/node/src/inherited_listener.rs
@@ -1,99 +1,105 @@
-//! Listeners that the service manager hands over (`sd_listen_fds(3)`).
+//! Listeners that the process inherits: from the service manager (`sd_listen_fds(3)`) or from the platform
+//! (`LB_LISTEN_FD`).
 
 use listenfd::ListenFd;
 use std::io;
 use std::net::TcpListener;
 use thiserror::Error;
 
-/// Why a listener that was handed over cannot be used.
+/// Why an inherited listener cannot be used.
 #[derive(Debug, Error)]
 pub enum InheritedListenerError {
-    /// Listeners were handed over, but not the one of this name.
-    #[error("no listener named {name:?} was handed over")]
+    /// The service manager passed listeners, but none of this name.
+    #[error("the service manager passed no listener named {name:?}")]
     NotFound {
-        /// The name that was looked for.
+        /// The configured name.
         name: String,
         /// Why it was not found.
         source: ListenerNamesError,
     },
-    /// It is no TCP listener.
-    #[error("the listener handed over")]
-    Unusable(#[source] io::Error),
-    /// Somebody else has taken it.
-    #[error("the listener handed over was taken before")]
-    Taken,
-    /// `LB_LISTEN_FD` is not the number of a descriptor that can be handed over.
-    #[error("LB_LISTEN_FD: {0:?} is no descriptor")]
-    NoDescriptor(String),
-    /// `LB_LISTEN_FD` names what is no TCP listener.
-    #[error("LB_LISTEN_FD")]
+    /// The descriptor from the service manager is not a TCP listener.
+    #[error("cannot use the listener passed by the service manager")]
+    UnusableListener(#[source] io::Error),
+    /// The listener from the service manager was already taken in this process.
+    #[error("the listener passed by the service manager was already taken")]
+    AlreadyTaken,
+    /// `LB_LISTEN_FD` is not the number of a descriptor that can be inherited.
+    #[error("LB_LISTEN_FD: {0:?} is not a descriptor number from 3 to 1023")]
+    InvalidDescriptor(String),
+    /// The descriptor in `LB_LISTEN_FD` is not a TCP listener.
+    #[error("LB_LISTEN_FD: cannot use the descriptor as a TCP listener")]
     UnusableDescriptor(#[source] io::Error),
-    /// `LB_LISTEN_FD` names a descriptor that is not open.
-    #[error("LB_LISTEN_FD: it is not there")]
+    /// The descriptor in `LB_LISTEN_FD` is not open.
+    #[error("LB_LISTEN_FD: the descriptor is not open")]
     MissingDescriptor,
 }
 
-/// Why the names of listeners do not help.
+/// Why a listener cannot be found by `LISTEN_FDNAMES`.
 #[derive(Debug, Error)]
 pub enum ListenerNamesError {
-    /// The name is not among them.
-    #[error("LISTEN_FDNAMES has {0:?}")]
+    /// The name is not in the variable, whose value is given.
+    #[error("LISTEN_FDNAMES is {0:?}")]
     Unknown(String),
-    /// The name stands where there is no listener.
-    #[error("LISTEN_FDNAMES has more names than there are listeners")]
-    TooMany,
+    /// The name's position is beyond the last listener.
+    #[error("LISTEN_FDNAMES has more names than listeners were passed")]
+    TooManyNames,
 }
 
-/// The listener of a name among those handed over; `None` where none was handed over at all. Names are joined by
-/// colons, as `LISTEN_FDNAMES` has them. To be called before other threads run: it takes the variables away.
+/// Takes the listener of this name from those that the service manager passed; `None` if it passed none at all.
+/// `LISTEN_FDNAMES` separates names by colons. Must be called before other threads run, because it removes environment
+/// variables.
 ///
 /// # Errors
-/// Listeners were handed over, but not this one, or it is no TCP listener.
+/// The service manager passed listeners but none of this name, or it is not a TCP listener.
 pub fn take(name: &str) -> Result<Option<TcpListener>, InheritedListenerError> {
     let names = std::env::var("LISTEN_FDNAMES").ok();
-    let mut handed = ListenFd::from_env();
-    if handed.len() == 0 {
+    let mut inherited = ListenFd::from_env();
+    if inherited.len() == 0 {
         return Ok(None);
     }
-    let place = place(names.as_deref(), name, handed.len()).map_err(|source| {
+    let index = listener_index(names.as_deref(), name, inherited.len()).map_err(|source| {
         InheritedListenerError::NotFound {
             name: name.to_owned(),
             source,
         }
     })?;
-    let listener = handed
-        .take_tcp_listener(place)
-        .map_err(InheritedListenerError::Unusable)?
-        .ok_or(InheritedListenerError::Taken)?;
+    let listener = inherited
+        .take_tcp_listener(index)
+        .map_err(InheritedListenerError::UnusableListener)?
+        .ok_or(InheritedListenerError::AlreadyTaken)?;
     listener
         .set_nonblocking(true)
-        .map_err(InheritedListenerError::Unusable)?;
+        .map_err(InheritedListenerError::UnusableListener)?;
     Ok(Some(listener))
 }
 
-/// The clients' listener that the platform holds and every process of a node inherits, by the descriptor that it names;
-/// `None` where it names none. To be called before other threads run.
+/// Takes the clients' listener that the platform holds and every process of a node inherits. `descriptor` is the value
+/// of `LB_LISTEN_FD`; the result is `None` if that is unset or empty. Must be called before other threads run.
 ///
 /// # Errors
-/// What it names is no descriptor, or no TCP listener.
-pub fn inherited(descriptor: Option<&str>) -> Result<Option<TcpListener>, InheritedListenerError> {
-    /// The first descriptor that can be handed over.
-    const FIRST: usize = 3;
+/// The value is not a descriptor number, or the descriptor is not a TCP listener.
+pub fn take_platform_listener(
+    descriptor: Option<&str>,
+) -> Result<Option<TcpListener>, InheritedListenerError> {
+    /// The first descriptor that can be inherited; those below are the standard streams.
+    const FIRST_DESCRIPTOR: usize = 3;
+
     let Some(descriptor) = descriptor.filter(|text| !text.is_empty()) else {
         return Ok(None);
     };
     let number = descriptor
         .parse()
         .ok()
-        .filter(|number| (FIRST..1024).contains(number));
+        .filter(|number| (FIRST_DESCRIPTOR..1024).contains(number));
     let number: usize =
-        number.ok_or_else(|| InheritedListenerError::NoDescriptor(descriptor.to_owned()))?;
-    // The library checks what it is and takes it over; it reads the service manager's variables.
-    std::env::set_var("LISTEN_FDS", (number - FIRST + 1).to_string());
+        number.ok_or_else(|| InheritedListenerError::InvalidDescriptor(descriptor.to_owned()))?;
+    // `listenfd` checks the type of the descriptor and takes ownership of it, but only of descriptors in the service
+    // manager's variables.
+    std::env::set_var("LISTEN_FDS", (number - FIRST_DESCRIPTOR + 1).to_string());
     std::env::set_var("LISTEN_PID", std::process::id().to_string());
-    let mut handed = ListenFd::from_env();
-    let listener = handed
-        .take_tcp_listener(number - FIRST)
+    let mut inherited = ListenFd::from_env();
+    let listener = inherited
+        .take_tcp_listener(number - FIRST_DESCRIPTOR)
         .map_err(InheritedListenerError::UnusableDescriptor)?
         .ok_or(InheritedListenerError::MissingDescriptor)?;
     listener
@@ -102,16 +108,20 @@
     Ok(Some(listener))
 }
 
-/// The place of a name among so many listeners. Without names it is the first.
-fn place(names: Option<&str>, name: &str, count: usize) -> Result<usize, ListenerNamesError> {
+/// The index of a named listener among `count` listeners. Without names it is the first listener.
+fn listener_index(
+    names: Option<&str>,
+    name: &str,
+    count: usize,
+) -> Result<usize, ListenerNamesError> {
     let Some(names) = names.filter(|names| !names.is_empty()) else {
         return Ok(0);
     };
-    let place = names.split(':').position(|other| other == name);
-    match place {
+    let index = names.split(':').position(|other| other == name);
+    match index {
         None => Err(ListenerNamesError::Unknown(names.to_owned())),
-        Some(place) if place >= count => Err(ListenerNamesError::TooMany),
-        Some(place) => Ok(place),
+        Some(index) if index >= count => Err(ListenerNamesError::TooManyNames),
+        Some(index) => Ok(index),
     }
 }
 
--- a/crates/node/src/inherited_listener/tests.rs
+++ b/crates/node/src/inherited_listener/tests.rs
@@ -1,13 +1,16 @@
-use super::place;
+use super::listener_index;
 
 #[test]
-fn listeners_are_found_by_name_and_without_names_the_first_is_taken() {
-    assert_eq!(place(None, "clients", 2).ok(), Some(0));
-    assert_eq!(place(Some(""), "clients", 2).ok(), Some(0));
-    assert_eq!(place(Some("admin:clients"), "clients", 2).ok(), Some(1));
+fn listeners_are_found_by_name_and_the_first_one_is_taken_without_names() {
+    assert_eq!(listener_index(None, "clients", 2).ok(), Some(0));
+    assert_eq!(listener_index(Some(""), "clients", 2).ok(), Some(0));
+    assert_eq!(
+        listener_index(Some("admin:clients"), "clients", 2).ok(),
+        Some(1)
+    );
     assert!(
-        place(Some("admin:clients"), "clients", 1).is_err(),
+        listener_index(Some("admin:clients"), "clients", 1).is_err(),
         "more names than listeners"
     );
-    assert!(place(Some("admin:other"), "clients", 2).is_err());
+    assert!(listener_index(Some("admin:other"), "clients", 2).is_err());
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,8 +1,8 @@
-//! The edge node's I/O. Decisions are made by the policy, exchange and lifecycle crates.
+//! The I/O of the edge node. The policy, exchange and lifecycle crates make the decisions.
 //!
-//! Start at `edge` (a process from start to exit). `clients`, `node` and `upstream` are a request's path; `endpoint_sources`
-//! follows the endpoint list; `lifecycle_runner` has signals and shutdown; `hot_restart` and `process_links` the other
-//! processes of the node.
+//! Start reading at `edge`, which runs a process from start to exit. A request passes through `clients`, `node` and
+//! `upstream`. `endpoint_sources` follows the endpoint list, `lifecycle_runner` handles signals and shutdown, and
+//! `hot_restart` and `process_links` communicate with the other processes of the node.
 #![forbid(unsafe_code)]
 
 mod admin;
--- a/crates/node/src/lifecycle_runner.rs
+++ b/crates/node/src/lifecycle_runner.rs
@@ -1,4 +1,5 @@
-//! Runs the life cycle: feeds its state machine with signals, calls, time and samples, and carries out its actions.
+//! Runs the life cycle: passes signals, admin calls, timeouts and readiness samples to its state machine and executes
+//! the actions that it returns.
 
 use crate::admin::{AdminCall, AdminReply};
 use crate::clients::{Phase, ServingStatus};
@@ -18,24 +19,24 @@
 use tokio::time::{sleep, Instant};
 use tracing::info;
 
-/// A signal to the process, as the program translates it.
+/// What a signal asks the process to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessSignal {
-    /// SIGTERM: finish accepted requests, then exit.
+    /// SIGTERM: answer accepted requests, then exit.
     Stop,
-    /// SIGHUP: read the configuration again.
+    /// SIGHUP: reload the configuration.
     Reload,
 }
 
-/// Pause between attempts to send the service manager what its socket had no room for.
-const NOTIFY_RETRY: Duration = Duration::from_millis(50);
-/// The policy always has a timer due within half a second. If none has fired for this long (or for half of the watchdog's
-/// period, if that is longer), the event loop counts as stuck, whatever else still runs in it.
+/// Pause between attempts to send messages for which the service manager's socket had no room.
+const NOTIFY_RETRY_INTERVAL: Duration = Duration::from_millis(50);
+/// The event loop counts as stuck if no policy timer has fired for this long, or for half of the watchdog's period if
+/// that is longer, even if other tasks still run. The policy always has a timer due within half a second.
 const MAX_TIMER_GAP: Duration = Duration::from_secs(1);
-/// Heartbeats in the time that the manager allows for one.
+/// Heartbeats sent per watchdog period, so that a few may be late or lost.
 const HEARTBEATS_PER_WATCHDOG_PERIOD: u32 = 4;
 
-/// Runs the life cycle's state machine.
+/// Drives the life cycle's state machine.
 pub struct LifecycleRunner {
     machine: Lifecycle,
     manager: Rc<Manager>,
@@ -44,25 +45,25 @@
     started_at: Instant,
     /// When readiness was last sampled.
     sampled_at: Instant,
-    /// The plan that the node was last notified of.
+    /// The shutdown plan that the node was last notified of.
     shutdown_plan: Option<ShutdownPlan>,
-    /// A call that is answered once the state machine has handled it.
+    /// An admin call that is answered once the state machine has handled its event.
     pending_call: Option<AdminCall>,
 }
 
-/// What a life cycle is notified of from outside; a source that has ended is set to `None`.
+/// Sources of outside events. A source is set to `None` once its channel is closed.
 pub struct Inputs {
-    /// Signals to the process.
+    /// Signals that the process receives.
     pub signals: Option<mpsc::UnboundedReceiver<ProcessSignal>>,
-    /// Calls of staff.
+    /// Calls from the admin listener.
     pub calls: Option<mpsc::Receiver<AdminCall>>,
 }
 
-/// The outcome of reading the configuration again: the limits that it sets, or nothing where it was not applied.
+/// The result of a reload: the new limits, or `None` if the new configuration was not applied.
 type Reloaded = Option<Limits>;
 
 impl LifecycleRunner {
-    /// A life cycle that began at `started_at`.
+    /// Creates the runner of a life cycle that began at `started_at`.
     pub fn new(
         machine: Lifecycle,
         manager: Rc<Manager>,
@@ -70,7 +71,7 @@
         sampler: ReadinessSampler,
         started_at: Instant,
     ) -> LifecycleRunner {
-        // The first sample is due at once.
+        // Makes the first sample due immediately.
         let sampled_at = started_at
             .checked_sub(Lifecycle::SAMPLE_INTERVAL)
             .unwrap_or(started_at);
@@ -90,7 +91,7 @@
         self.started_at.elapsed()
     }
 
-    /// The answer to a call that the state machine has handled.
+    /// The reply to a call whose event the state machine has handled.
     fn answer(&self, call: Call) -> AdminReply {
         match call {
             Call::Ping => AdminReply {
@@ -105,7 +106,7 @@
                 ok: self.machine.state() < State::Draining,
                 text: self.machine.status(),
             },
-            // The figures are the node's.
+            // The admin listener answers `INFO` itself and does not pass it on.
             Call::Info => AdminReply {
                 ok: false,
                 text: String::new(),
@@ -113,70 +114,77 @@
         }
     }
 
-    /// The event of a signal to stop. A loop that was held up reads it late, and the platform's time runs from the signal.
-    fn stop(&self) -> Event {
-        let since = event_loop::arrived_after()
-            .map_or_else(|| self.now(), |since| since.duration_since(self.started_at));
+    /// The event for a stop signal. A delayed event loop reads the signal late, but the platform's kill timeout runs
+    /// from when the signal was sent, so the event carries the earliest time at which it can have been sent.
+    fn stop_event(&self) -> Event {
+        let since = event_loop::arrived_after().map_or_else(
+            || self.now(),
+            |earliest| earliest.duration_since(self.started_at),
+        );
         Event::Stop { since }
     }
 
-    /// Bounds all that the node has taken, and all that it takes from now on, by the process's end.
-    fn begin_to_stop(&self, now: Duration, plan: ShutdownPlan) {
+    /// Logs a shutdown plan and passes its deadline to the node.
+    fn start_shutdown(&self, now: Duration, plan: ShutdownPlan) {
         let node = self.sampler.node();
         info!(
             state = self.machine.state().name(),
             answer_in_ms = plan.answer_by.saturating_sub(now).as_millis() as u64,
             ends_in_ms = plan.exit_by.saturating_sub(now).as_millis() as u64,
             open_requests = node.open_requests().len(),
-            "told to stop"
+            "stopping: shutdown deadlines set"
         );
         node.announce_shutdown(self.started_at + plan.answer_by);
     }
 
-    /// When something is due by itself.
+    /// When the loop must wake without an input: for a timeout, a readiness sample or a retry; `None` if nothing is
+    /// due.
     fn next_wakeup(&self) -> Option<Instant> {
-        let deadline = self.machine.deadline().map(|until| self.started_at + until);
+        let deadline = self
+            .machine
+            .deadline()
+            .map(|elapsed| self.started_at + elapsed);
         let retry = self
             .manager
             .has_queued()
-            .then(|| Instant::now() + NOTIFY_RETRY);
+            .then(|| Instant::now() + NOTIFY_RETRY_INTERVAL);
         [deadline, self.next_sample(), retry]
             .into_iter()
             .flatten()
             .min()
     }
 
-    /// When readiness is to be sampled next.
+    /// When readiness is to be sampled next; `None` if readiness has no conditions.
     fn next_sample(&self) -> Option<Instant> {
-        let span = self.machine.next_sample_in();
-        span.map(|span| self.sampled_at + span)
+        let interval = self.machine.next_sample_in();
+        interval.map(|interval| self.sampled_at + interval)
     }
 
-    /// Runs until the state machine says that the process ends. `reload` reads the configuration again, beside everything else.
-    /// `served` ends once all clients are gone.
+    /// Runs until the state machine ends the process. `reload` reads the configuration again, concurrently with
+    /// everything else. `connections_closed` completes once all client connections have closed.
     pub async fn run<R: Future<Output = Reloaded> + 'static>(
         mut self,
         mut inputs: Inputs,
         reload: impl Fn() -> R,
-        served: impl Future,
+        connections_closed: impl Future,
     ) {
         let (reloaded_sender, mut reloaded) = mpsc::unbounded_channel();
         let start_reload = || {
-            let (sender, reading) = (reloaded_sender.clone(), reload());
+            let (sender, reloading) = (reloaded_sender.clone(), reload());
             tokio::task::spawn_local(async move {
-                // The machine may have ended meanwhile.
-                let _ = sender.send(reading.await);
+                // Sending fails if the runner has finished.
+                let _ = sender.send(reloading.await);
             });
         };
-        let mut successor = self.sampler.node().links.successor();
-        let mut served = Some(Box::pin(served));
+        let mut successor = self.sampler.node().links.watch_successor();
+        let mut connections_closed = Some(Box::pin(connections_closed));
         let mut event = Event::Listening;
         loop {
             let now = self.now();
             let mut actions = Vec::new();
             self.machine.handle(now, event, &mut actions);
             let exits = actions.contains(&Action::Exit);
-            let status = self.apply(actions, &start_reload);
+            let status = self.execute(actions, &start_reload);
             self.announce_shutdown(now);
             self.publish(status);
             self.answer_pending_call();
@@ -188,8 +196,8 @@
                 biased;
                 event = self.next_input(&mut inputs, &mut reloaded) => event,
                 Ok(()) = successor.changed() => Event::SuccessorPresent(*successor.borrow_and_update()),
-                () = ended(&mut served) => {
-                    served = None;
+                () = ended(&mut connections_closed) => {
+                    connections_closed = None;
                     Event::ConnectionsClosed
                 }
                 () = reached(wakeup) => self.on_wakeup(),
@@ -197,8 +205,8 @@
         }
     }
 
-    /// Carries out what the state machine asks for; how the node serves from then on.
-    fn apply(&self, actions: Vec<Action>, start_reload: &impl Fn()) -> ServingStatus {
+    /// Executes the actions of the state machine. Returns the resulting status, which is not published yet.
+    fn execute(&self, actions: Vec<Action>, start_reload: &impl Fn()) -> ServingStatus {
         let mut status = self.status.borrow().clone();
         for action in actions {
             match action {
@@ -211,23 +219,23 @@
                 Action::ResumeAccepting => status.accepts = true,
                 Action::StopAccepting => status.phase = Phase::Closing,
                 Action::Report(event) => info!("{event}"),
-                // The loop ends after this round.
+                // `run` returns after this iteration.
                 Action::Exit => {}
             }
         }
         status
     }
 
-    /// Notifies the node of a plan to stop that is new.
+    /// Notifies the node of the shutdown plan if it has changed.
     fn announce_shutdown(&mut self, now: Duration) {
         let plan = self.machine.shutdown_plan();
         if let Some(plan) = plan.filter(|_| plan != self.shutdown_plan) {
-            self.begin_to_stop(now, plan);
+            self.start_shutdown(now, plan);
             self.shutdown_plan = Some(plan);
         }
     }
 
-    /// Publishes how the node serves, if that has changed.
+    /// Publishes the serving status if it has changed.
     fn publish(&self, status: ServingStatus) {
         let plan = self.machine.shutdown_plan();
         let status = ServingStatus {
@@ -243,23 +251,23 @@
         });
     }
 
-    /// Answers the call that the state machine has handled.
+    /// Answers the pending admin call, whose event the state machine has handled.
     fn answer_pending_call(&mut self) {
         if let Some(pending) = self.pending_call.take() {
-            // The caller may have gone meanwhile.
+            // Sending fails if the caller has disconnected.
             let _ = pending.answer.send(self.answer(pending.call));
         }
     }
 
-    /// The process ends: what is still open is logged.
+    /// Logs the requests that are still open at the exit of the process.
     fn finish(self) {
         shutdown::log_open_requests_once("gone", self.sampler.node());
         self.sampler.node().process_exits();
-        // The last messages are worth one more attempt and no wait: the manager also sees the process end.
+        // Tries queued messages once more without waiting; the manager also notices that the process has exited.
         self.manager.retry();
     }
 
-    /// The next signal, reloaded configuration or call, in this order where there are several.
+    /// The event of the next signal, reload result or admin call; in this order if several are ready.
     async fn next_input(
         &mut self,
         inputs: &mut Inputs,
@@ -268,7 +276,7 @@
         tokio::select! {
             biased;
             signal = received(&mut inputs.signals) => match signal {
-                Some(ProcessSignal::Stop) => self.stop(),
+                Some(ProcessSignal::Stop) => self.stop_event(),
                 Some(ProcessSignal::Reload) => Event::Reload,
                 None => Event::Tick,
             },
@@ -290,7 +298,7 @@
         }
     }
 
-    /// Something is due: samples readiness if that is.
+    /// Retries queued messages, and samples readiness if a sample is due.
     fn on_wakeup(&mut self) -> Event {
         self.manager.retry();
         let lag = self
@@ -306,7 +314,7 @@
     }
 }
 
-/// The next signal; `None` once, when there will be no more.
+/// The next signal. Returns `None` once when the channel is closed, and is pending from then on.
 async fn received(
     signals: &mut Option<mpsc::UnboundedReceiver<ProcessSignal>>,
 ) -> Option<ProcessSignal> {
@@ -320,7 +328,7 @@
     signal
 }
 
-/// The next call; `None` once, when there will be no more.
+/// The next admin call. Returns `None` once when the channel is closed, and is pending from then on.
 async fn received_call(calls: &mut Option<mpsc::Receiver<AdminCall>>) -> Option<AdminCall> {
     let Some(receiver) = calls else {
         return pending().await;
@@ -332,7 +340,7 @@
     call
 }
 
-/// Waits for a future's end; for ever where it has ended before.
+/// Waits for a future to complete. Is pending for ever if it has completed before.
 async fn ended<F: Future>(future: &mut Option<Pin<Box<F>>>) {
     match future {
         Some(future) => _ = future.await,
@@ -340,16 +348,17 @@
     }
 }
 
-/// Feeds the manager's watchdog for as long as the node's loop makes progress. A thread or timer of its own would feed it
-/// while the loop is stuck, and the manager would never restart the node: so what is checked is the policy's own timer.
-pub async fn feed_watchdog(node: Rc<Node>, manager: Rc<Manager>) {
-    let Some(allowed) = manager.watchdog() else {
+/// Sends heartbeats to the manager's watchdog as long as the node's event loop makes progress, which is checked by the
+/// policy's own timers. A separate thread or timer would send heartbeats while the loop is stuck, and the manager would
+/// never restart the node.
+pub async fn send_heartbeats(node: Rc<Node>, manager: Rc<Manager>) {
+    let Some(watchdog_period) = manager.watchdog() else {
         return;
     };
     loop {
-        if node.since_last_timer() <= MAX_TIMER_GAP.max(allowed / 2) {
+        if node.since_last_timer() <= MAX_TIMER_GAP.max(watchdog_period / 2) {
             manager.send_heartbeat();
         }
-        sleep(allowed / HEARTBEATS_PER_WATCHDOG_PERIOD).await;
+        sleep(watchdog_period / HEARTBEATS_PER_WATCHDOG_PERIOD).await;
     }
 }
--- a/crates/node/src/manager.rs
+++ b/crates/node/src/manager.rs
@@ -1,7 +1,7 @@
-//! The service manager: its notify socket (`sd_notify(3)`), and the watchdog that expects heartbeats.
+//! Notifications and watchdog heartbeats to the service manager over its notify socket (`sd_notify(3)`).
 //!
-//! The protocol's messages come from the `sd-notify` crate. Its own sending blocks while the manager's socket is full
-//! and knows no abstract sockets, so the datagrams are sent here.
+//! The `sd-notify` crate formats the messages. This module sends them, because the crate's own functions block while
+//! the manager's socket is full and do not support abstract sockets.
 
 use saffronpaddle_lifecycle::ManagerMessage;
 use sd_notify::NotifyState;
@@ -15,22 +15,23 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// Messages that may be queued for a manager whose socket is full. It bounds memory where a manager never reads.
+/// Most messages queued while the manager's socket is full. It bounds the memory that a manager which never reads can
+/// take. The oldest message is dropped for a further one.
 const MAX_QUEUED_MESSAGES: usize = 16;
 
-/// The service manager; where there is none, all messages are dropped.
+/// The service manager. Without a notify socket all messages are dropped.
 pub struct Manager {
     socket: Option<(UnixDatagram, SocketAddr)>,
-    /// Messages that the socket had no room for, in their order. A status or a heartbeat is never queued.
+    /// Messages that the socket had no room for, oldest first. Status lines and heartbeats are never queued.
     queued: RefCell<VecDeque<String>>,
-    /// Whether it was logged that the manager cannot be reached.
+    /// Whether a failure to send has been logged since the last message that was sent.
     unreachable_logged: Cell<bool>,
-    /// Within which time it expects a heartbeat.
+    /// The watchdog's period; `None` if the manager expects no heartbeats.
     watchdog: Option<Duration>,
 }
 
 impl Manager {
-    /// No manager.
+    /// A manager that drops all messages.
     pub fn none() -> Manager {
         Manager {
             socket: None,
@@ -40,37 +41,37 @@
         }
     }
 
-    /// The manager at a socket: a path, or `@` and an abstract name, as `NOTIFY_SOCKET` has it.
+    /// The manager at a notify socket. `address` has the format of `NOTIFY_SOCKET`: an absolute path, or `@` and an
+    /// abstract name.
     ///
     /// # Errors
-    /// An address that is neither, or no socket to send from. That the manager is not there is no error: it may come.
+    /// The address has another format, or no socket to send from can be opened. A manager that does not listen yet is
+    /// not an error.
     pub fn at(address: &OsStr, watchdog: Option<Duration>) -> io::Result<Manager> {
-        let to = match address.as_bytes() {
+        let destination = match address.as_bytes() {
             [b'@', name @ ..] => SocketAddr::from_abstract_name(name)?,
             [b'/', ..] => SocketAddr::from_pathname(address)?,
-            _ => {
-                return Err(io::Error::new(
-                    ErrorKind::InvalidInput,
-                    "neither a path nor an abstract name",
-                ))
-            }
+            _ => return Err(io::Error::new(
+                ErrorKind::InvalidInput,
+                "notify socket address is neither an absolute path nor `@` and an abstract name",
+            )),
         };
         let socket = UnixDatagram::unbound()?;
-        // A manager that does not read would otherwise block the node.
+        // Otherwise a manager that does not read would block the node.
         socket.set_nonblocking(true)?;
         Ok(Manager {
-            socket: Some((socket, to)),
+            socket: Some((socket, destination)),
             watchdog,
             ..Manager::none()
         })
     }
 
-    /// Within which time the manager expects a heartbeat; `None` for never.
+    /// The time within which the manager expects a heartbeat; `None` if it expects none.
     pub fn watchdog(&self) -> Option<Duration> {
         self.watchdog.filter(|_| self.socket.is_some())
     }
 
-    /// Sends a message of the life cycle.
+    /// Sends a message of the life cycle. Queues it if the socket is full, unless it is a status line.
     pub fn notify(&self, message: &ManagerMessage) {
         let text = match message {
             ManagerMessage::Ready => NotifyState::Ready.to_string(),
@@ -88,17 +89,17 @@
         self.send(text, !matches!(message, ManagerMessage::Status(_)));
     }
 
-    /// Sends a heartbeat.
+    /// Sends a watchdog heartbeat, or drops it if the socket is full.
     pub fn send_heartbeat(&self) {
         self.send(NotifyState::Watchdog.to_string(), false);
     }
 
-    /// Whether messages are queued; they go out with [`Manager::retry`].
+    /// Whether messages are queued. [`Manager::retry`] sends them.
     pub fn has_queued(&self) -> bool {
         !self.queued.borrow().is_empty()
     }
 
-    /// Sends what is queued, as far as there is room.
+    /// Sends queued messages until the socket is full.
     pub fn retry(&self) {
         let mut queued = self.queued.borrow_mut();
         while let Some(text) = queued.front() {
@@ -109,10 +110,11 @@
         }
     }
 
-    fn send(&self, text: String, must: bool) {
+    fn send(&self, text: String, queue_if_full: bool) {
         self.retry();
-        let full = self.has_queued() || self.send_now(&text).is_err_and(|error| is_full(&error));
-        if !full || !must {
+        let socket_full =
+            self.has_queued() || self.send_now(&text).is_err_and(|error| is_full(&error));
+        if !socket_full || !queue_if_full {
             return;
         }
         let mut queued = self.queued.borrow_mut();
@@ -123,16 +125,19 @@
     }
 
     fn send_now(&self, text: &str) -> io::Result<()> {
-        let Some((socket, to)) = &self.socket else {
+        let Some((socket, destination)) = &self.socket else {
             return Ok(());
         };
-        let sent = socket.send_to_addr(text.as_bytes(), to);
+        let sent = socket.send_to_addr(text.as_bytes(), destination);
         match &sent {
             Ok(_) => self.unreachable_logged.set(false),
             Err(error) if is_full(error) => {}
-            // Missing or gone: it may return under the same address, and one line of the log is enough until then.
+            // The socket does not exist or nobody listens. Logged once, as a manager may start again at the same
+            // address.
             Err(error) if !self.unreachable_logged.replace(true) => {
-                warn!("the service manager can't be told: {error}");
+                warn!(
+                    "cannot send to the service manager's notify socket; not logged again until a message is sent: {error}"
+                );
             }
             Err(_) => {}
         }
--- a/crates/node/src/manager/tests.rs
+++ b/crates/node/src/manager/tests.rs
@@ -1,29 +1,31 @@
 use super::*;
 use std::time::Instant;
 
-fn received(socket: &UnixDatagram) -> Vec<String> {
-    socket.set_nonblocking(true).expect("a mode");
+fn received_messages(socket: &UnixDatagram) -> Vec<String> {
+    socket
+        .set_nonblocking(true)
+        .expect("sets non-blocking mode");
     let mut buffer = [0; 4096];
-    let mut all = Vec::new();
+    let mut messages = Vec::new();
     while let Ok(length) = socket.recv(&mut buffer) {
-        all.push(String::from_utf8_lossy(&buffer[..length]).into_owned());
+        messages.push(String::from_utf8_lossy(&buffer[..length]).into_owned());
     }
-    all
+    messages
 }
 
-fn abstract_name(tag: &str) -> (UnixDatagram, String) {
+fn bind_abstract_socket(tag: &str) -> (UnixDatagram, String) {
     let name = format!("saffronpaddle-{}-{tag}", std::process::id());
-    let address = SocketAddr::from_abstract_name(&name).expect("a name");
+    let address = SocketAddr::from_abstract_name(&name).expect("valid name");
     (
-        UnixDatagram::bind_addr(&address).expect("a socket"),
+        UnixDatagram::bind_addr(&address).expect("binds"),
         format!("@{name}"),
     )
 }
 
 #[test]
-fn messages_have_the_protocols_form_on_an_abstract_socket() {
-    let (socket, name) = abstract_name("messages");
-    let manager = Manager::at(OsStr::new(&name), None).expect("an address");
+fn messages_to_an_abstract_socket_have_the_sd_notify_format() {
+    let (socket, name) = bind_abstract_socket("messages");
+    let manager = Manager::at(OsStr::new(&name), None).expect("valid address");
     let messages = [
         ManagerMessage::Ready,
         ManagerMessage::Reloading,
@@ -32,7 +34,7 @@
         ManagerMessage::ExtendTimeout(Duration::from_millis(4600)),
     ];
     messages.iter().for_each(|message| manager.notify(message));
-    let received = received(&socket);
+    let received = received_messages(&socket);
     assert_eq!(
         (&received[0][..], &received[2][..]),
         ("READY=1", "STOPPING=1")
@@ -51,58 +53,64 @@
     );
 }
 
-/// A manager that does not read must not block the node; what it must know is queued, in its order, up to the bound.
+/// A manager that does not read must not block the node. Messages other than status lines and heartbeats are queued in
+/// order, up to the bound.
 #[test]
-fn a_full_notify_socket_blocks_nobody_and_keeps_what_must_be_sent() {
-    let (socket, name) = abstract_name("full");
-    let manager = Manager::at(OsStr::new(&name), None).expect("an address");
-    let begun = Instant::now();
-    let mut fed = 0;
+fn a_full_notify_socket_does_not_block_and_messages_are_sent_later() {
+    let (socket, name) = bind_abstract_socket("full");
+    let manager = Manager::at(OsStr::new(&name), None).expect("valid address");
+    let started_at = Instant::now();
+    let mut sent = 0;
     while !manager.has_queued() {
-        manager.notify(&ManagerMessage::ExtendTimeout(Duration::from_micros(fed)));
-        fed += 1;
-        assert!(fed < 100_000, "the socket is never full");
+        manager.notify(&ManagerMessage::ExtendTimeout(Duration::from_micros(sent)));
+        sent += 1;
+        assert!(sent < 100_000, "the socket never fills up");
     }
     (0..1000).for_each(|_| manager.send_heartbeat());
     manager.notify(&ManagerMessage::Stopping);
-    assert!(begun.elapsed() < Duration::from_secs(30), "it blocked");
+    assert!(
+        started_at.elapsed() < Duration::from_secs(30),
+        "sending blocked"
+    );
     assert!(manager.queued.borrow().len() <= MAX_QUEUED_MESSAGES);
-    assert!(!received(&socket).iter().any(|text| text == "STOPPING=1"));
+    assert!(!received_messages(&socket)
+        .iter()
+        .any(|text| text == "STOPPING=1"));
     manager.retry();
-    let later = received(&socket);
+    let retried = received_messages(&socket);
     assert_eq!(
-        later.last().map(String::as_str),
+        retried.last().map(String::as_str),
         Some("STOPPING=1"),
-        "{later:?}"
+        "{retried:?}"
     );
     assert!(
-        !later.iter().any(|text| text.starts_with("WATCHDOG")),
-        "signs of life do not wait"
+        !retried.iter().any(|text| text.starts_with("WATCHDOG")),
+        "heartbeats are not queued"
     );
 }
 
 #[test]
-fn a_notify_socket_that_is_missing_or_gone_is_passed_over_and_found_again() {
+fn messages_to_a_missing_notify_socket_are_dropped_until_it_exists() {
     let path = std::env::temp_dir().join(format!("saffronpaddle-{}-notify", std::process::id()));
     let _ = std::fs::remove_file(&path);
-    let manager = Manager::at(path.as_os_str(), None).expect("an address");
+    let manager = Manager::at(path.as_os_str(), None).expect("valid address");
     manager.notify(&ManagerMessage::Ready);
     assert!(
         !manager.has_queued() && manager.unreachable_logged.get(),
-        "missing"
+        "the socket does not exist yet"
     );
-    let socket = UnixDatagram::bind(&path).expect("a socket");
+    let socket = UnixDatagram::bind(&path).expect("binds");
     manager.notify(&ManagerMessage::Stopping);
-    assert_eq!(received(&socket), ["STOPPING=1"]);
+    assert_eq!(received_messages(&socket), ["STOPPING=1"]);
     drop(socket);
     manager.notify(&ManagerMessage::Ready);
     assert!(
         !manager.has_queued() && manager.unreachable_logged.get(),
-        "gone"
+        "the socket was closed"
     );
-    std::fs::remove_file(&path).expect("it was there");
+    std::fs::remove_file(&path).expect("the file exists");
     assert!(
         Manager::at(OsStr::new("notify"), None).is_err(),
-        "neither a path nor abstract"
+        "neither an absolute path nor an abstract name"
     );
 }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,5 +1,5 @@
-//! Owns the exchange, with the policy engine inside, and carries out its commands: the clock, the alarm, and whose answer
-//! goes where. Only here is the exchange entered.
+//! Owns the exchange, which contains the policy engine, and executes its commands. Supplies the exchange with the time,
+//! wakes it at its deadlines and routes answers to the requests that wait for them. No other module calls the exchange.
 
 mod commands;
 mod endpoint_list;
@@ -34,60 +34,60 @@
 use tokio::time::Instant;
 use tracing::{debug, error};
 
-/// Scheduler yields before a timeout is handled, so that data already in the kernel is read first: one each for tokio's I/O
-/// driver, the connection's task and the exchange.
+/// Number of scheduler yields before a timeout is handled, so that data already in the kernel is read first: one each
+/// for tokio's I/O driver, the connection's task and the exchange.
 const LATE_TIMER_YIELDS: usize = 3;
 
-/// What a node is made of.
+/// The parts from which [`Node::new`] builds a node.
 pub struct NodeParts {
-    /// The seed of the policy's draws.
+    /// Seed of the policy's random number generator.
     pub seed: u64,
-    /// The policy's settings, with the names that requests use.
+    /// The policy's settings, and the names by which requests refer to classes and zones.
     pub platform: PlatformSettings,
-    /// Connections to app servers that all processes of the node may have open.
+    /// Limit on open connections to app servers, shared by all processes of the node.
     pub max_upstream_connections: usize,
-    /// Other processes of this node.
+    /// Links to the other processes of this node.
     pub links: ProcessLinks,
-    /// Other nodes.
+    /// Message socket to the other nodes; `None` on a node without peers.
     pub peers: Option<Peers>,
-    /// Settings of web sockets, where the operator has them.
+    /// Settings of WebSocket connections; `None` turns them off.
     pub sockets: Option<Sockets>,
-    /// The state of a parent process, and the number of the link that it came by.
+    /// State received from a parent process, and the number of the link that it was received on.
     pub restored: Option<(StateSnapshot, u32)>,
 }
 
-/// This process's part of an edge node; other processes of the node are reached through `links`.
+/// One process of an edge node. Other processes of the same node are reached through `links`.
 pub struct Node {
-    /// The policy's settings, with the names that requests use.
+    /// The policy's settings, and the names by which requests refer to classes and zones.
     pub platform: PlatformSettings,
     /// Connections to app servers.
     pub upstream: Rc<Upstream>,
-    /// Other nodes.
+    /// Message socket to the other nodes; `None` on a node without peers.
     pub peers: Option<Peers>,
-    /// Other processes of this node.
+    /// Links to the other processes of this node.
     pub links: ProcessLinks,
-    /// Watches on the endpoint list.
+    /// State of the watches on the endpoint list.
     pub watch_statuses: WatchStatuses,
-    /// web sockets, where the operator has them.
+    /// The WebSocket proxy; `None` if the operator file configures none.
     pub websockets: Option<Rc<WebsocketProxy>>,
     max_upstream_connections: usize,
     registration: Registration,
     clock: Clock,
     exchange: RefCell<Exchange<SocketAddr, PolicyEngine>>,
-    /// Requests without a final answer.
+    /// Requests that have no final answer yet, by id.
     requests: RefCell<HashMap<RequestId, Pending>>,
     alarm: Alarm,
-    /// Where there is more than one source of the endpoint list.
+    /// Merges the sources of the endpoint list; `None` with a single source.
     merge: RefCell<Option<Merge>>,
-    /// When a timer of the policy last fired.
+    /// When a policy timer last fired.
     last_timer_at: Cell<Instant>,
-    /// When a source of the endpoint list last sent something.
+    /// When a source of the endpoint list last answered; `None` if none has yet.
     list_contact_at: Cell<Option<Instant>>,
-    /// The endpoint list as discovery last sent it, for a child of this process.
+    /// The endpoint list as discovery last sent it. A child process starts from it.
     recorded_list: RefCell<RecordedList>,
-    /// Peers that this process has ever received a message of.
+    /// Peers from which this process has received at least one message.
     reachable_peers: RefCell<BTreeSet<NodeId>>,
-    /// The process was told to stop, and answers all that it has by then.
+    /// When every request must have its answer, once the process has been asked to stop.
     answer_by: Cell<Option<Instant>>,
 }
 
@@ -96,13 +96,13 @@
         self.handle(event, payload);
     }
 
-    /// No longer than the client waits, nor than the process lasts.
+    /// Returns the time until the request's deadline or the shutdown deadline, whichever is earlier.
     fn time_left(&self, forward: &Forward) -> Duration {
-        let until = self
+        let answer_by = self
             .answer_by
             .get()
-            .map_or(forward.deadline, |end| forward.deadline.min(end));
-        until.saturating_duration_since(Instant::now())
+            .map_or(forward.deadline, |shutdown| forward.deadline.min(shutdown));
+        answer_by.saturating_duration_since(Instant::now())
     }
 
     fn ready_request(&self, connection: ConnectionId) -> Option<Rc<Forward>> {
@@ -119,10 +119,10 @@
 }
 
 impl Node {
-    /// A node that serves nobody yet.
+    /// Creates a node that does not serve clients yet.
     ///
     /// # Errors
-    /// The settings make no sense, or the web sockets' class is not among them.
+    /// The settings are invalid, or they do not contain the class of WebSocket connections.
     pub fn new(parts: NodeParts) -> Result<Rc<Node>, NodeError> {
         let NodeParts {
             seed,
@@ -168,16 +168,17 @@
         }))
     }
 
-    /// Its time, µs.
+    /// Unix time of the node's clock, in µs. It never goes back.
     pub fn now(&self) -> Micros {
         self.clock.now()
     }
 
-    /// Has the exchange handle an event, and carries out its commands. No command waits, and none makes an event at
-    /// once: the exchange is never entered twice. A payload goes with the answer that the event completes.
+    /// Passes an event to the exchange and executes the commands that it returns. A command neither waits nor raises an
+    /// event synchronously, so the exchange is never re-entered. `payload` is sent with the answer that the event
+    /// completes.
     pub fn handle(self: &Rc<Self>, event: Event<SocketAddr>, payload: Option<Payload>) {
         let mut commands = Vec::new();
-        debug!(?event, "exchange");
+        debug!(?event, "handling exchange event");
         self.exchange
             .borrow_mut()
             .handle(self.clock.now(), event, &mut commands);
@@ -186,10 +187,10 @@
         let mut payload = payload;
         commands
             .into_iter()
-            .for_each(|command| self.carry_out(command, &mut payload));
+            .for_each(|command| self.execute(command, &mut payload));
     }
 
-    /// Handles responses that were streamed and that nobody reads any more, for ever.
+    /// Reports streamed responses that the client stopped reading to the exchange. Runs until it is dropped.
     pub async fn handle_abandoned_responses(self: Rc<Self>) {
         let Some(mut abandoned) = self.upstream.take_abandoned() else {
             return;
@@ -199,14 +200,14 @@
         }
     }
 
-    /// Fires the exchange's timer when it is due, for ever.
+    /// Fires the exchange's timer whenever it is due. Runs until it is dropped.
     pub async fn run_timer(self: Rc<Self>) {
         loop {
             self.alarm
                 .rings(|| self.exchange.borrow().next_alarm(), || self.clock.now())
                 .await;
-            // A server must not be blamed for a response that this node was late to read: what the kernel holds is
-            // read first.
+            // Reads what the kernel has already received first, so that a timeout is not charged to a server whose
+            // response this node was late to read.
             for _ in 0..LATE_TIMER_YIELDS {
                 tokio::task::yield_now().await;
             }
@@ -214,29 +215,31 @@
         }
     }
 
-    /// The process was told to stop: all that the node has taken, and all that it takes from now on, is answered by
-    /// `end`.
-    pub fn announce_shutdown(self: &Rc<Self>, end: Instant) {
-        let earlier = self.answer_by.get().is_some_and(|earlier| earlier <= end);
-        if !earlier {
-            self.answer_by.set(Some(end));
+    /// Sets the shutdown deadline: every open request, and every request received from now on, is answered by
+    /// `answer_by`. A second call may move the deadline to an earlier time, but not to a later one.
+    pub fn announce_shutdown(self: &Rc<Self>, answer_by: Instant) {
+        let is_earlier_set = self.answer_by.get().is_some_and(|set| set <= answer_by);
+        if !is_earlier_set {
+            self.answer_by.set(Some(answer_by));
         }
-        let left = end.saturating_duration_since(Instant::now()).as_micros() as Micros;
+        let remaining = answer_by
+            .saturating_duration_since(Instant::now())
+            .as_micros() as Micros;
         self.handle(
             Event::ShutdownAnnounced {
-                answer_by: self.clock.now() + left,
+                answer_by: self.clock.now() + remaining,
             },
             None,
         );
     }
 
-    /// The process ends: requests without an answer are violations, and logged as such.
+    /// Records every request that is still unanswered at the exit of the process as a violation, and logs it.
     pub fn process_exits(&self) {
         self.exchange.borrow_mut().process_exits();
         self.log_violations();
     }
 
-    /// Logs invariants that did not hold.
+    /// Logs each violation of an invariant since the last call.
     fn log_violations(&self) {
         for Violation { invariant, request } in self.exchange.borrow_mut().take_violations() {
             error!(
@@ -247,7 +250,8 @@
         }
     }
 
-    /// Accepting has ended: idle connections to servers are no longer kept, and web sockets are closed.
+    /// Stops keeping idle connections to servers and closes WebSocket connections. Called when the node no longer
+    /// accepts clients.
     pub fn stop(self: &Rc<Self>) {
         self.handle(Event::Drain, None);
         if let Some(websockets) = &self.websockets {
@@ -255,56 +259,57 @@
         }
     }
 
-    /// How many servers are ready.
+    /// Number of ready app servers.
     pub fn ready(&self) -> usize {
         self.exchange.borrow().ready_servers()
     }
 
-    /// The requests that have no final answer yet; those that have been open longest first.
+    /// Requests that have no final answer yet, in the order of their deadlines.
     pub fn open_requests(&self) -> Vec<OpenRequest> {
         let mut open: Vec<OpenRequest> = self.exchange.borrow().open_requests().collect();
         open.sort_by_key(|request| request.deadline);
         open
     }
 
-    /// Counts a request that was answered without being taken.
+    /// Counts a request that was answered without being submitted to the exchange.
     pub fn record_rejection(&self, class: ClassId, end: RequestEnd) {
-        debug!(class = class.0, ?end, "turned away");
+        debug!(class = class.0, ?end, "request rejected before submission");
         self.exchange.borrow_mut().count_unreceived(class.0, end);
     }
 
-    /// Has the policy handle an event that is not the exchange's.
-    pub fn post(self: &Rc<Self>, event: PolicyEvent) {
+    /// Passes an event to the policy engine that the exchange itself does not use.
+    pub fn handle_policy_event(self: &Rc<Self>, event: PolicyEvent) {
         self.handle(Event::PolicyEvent(event), None);
     }
 
-    /// Starts the policy's timers, before any endpoint list is known.
+    /// Starts the policy's timers. Called before any endpoint list is known.
     pub fn start(self: &Rc<Self>) {
-        self.post(PolicyEvent::EndpointsUnavailable);
+        self.handle_policy_event(PolicyEvent::EndpointsUnavailable);
     }
 
-    /// The time since a timer of the policy last fired.
+    /// Time since a policy timer last fired.
     pub fn since_last_timer(&self) -> Duration {
         self.last_timer_at.get().elapsed()
     }
 
-    /// A source of the endpoint list has sent something, if only that nothing has changed.
+    /// Records that a source of the endpoint list has answered, even if only that nothing has changed.
     pub fn record_list_contact(&self) {
         self.list_contact_at.set(Some(Instant::now()));
     }
 
-    /// The time since a source of the endpoint list last sent something; `None` if none has yet.
+    /// Time since a source of the endpoint list last answered; `None` if none has yet.
     pub fn list_age(&self) -> Option<Duration> {
         self.list_contact_at.get().map(|at| at.elapsed())
     }
 
-    /// Hands a peer's datagram to the policy.
+    /// Passes a peer's datagram to the policy engine.
     pub fn on_peer_message(self: &Rc<Self>, from: NodeId, bytes: Vec<u8>) {
         self.reachable_peers.borrow_mut().insert(from);
-        self.post(PolicyEvent::PeerMessage { from, bytes });
+        self.handle_policy_event(PolicyEvent::PeerMessage { from, bytes });
     }
 
-    /// How many peers were heard of in this process, and how many there are that broadcast.
+    /// Number of peers from which this process has received a message, and number of peers that broadcast. The second
+    /// is 0 where the policy does not broadcast or the node has no peers.
     pub fn reachable_peers(&self) -> (usize, usize) {
         let all = self.platform.settings.node_count.saturating_sub(1) as usize;
         let broadcasts = self.peers.is_some() && self.exchange.borrow().policy().broadcasts();
@@ -314,12 +319,12 @@
         )
     }
 
-    /// The policy's state, for a child of this process.
+    /// Snapshot of the policy's state, from which a child process starts.
     pub fn policy_snapshot(&self) -> StateSnapshot {
         self.exchange.borrow().policy().snapshot()
     }
 
-    /// Applies this process's part of the node's connections to app servers.
+    /// Sets this process's limit on connections to app servers to its share of the node's limit.
     pub fn apply_connection_share(&self) {
         self.exchange
             .borrow_mut()
@@ -327,7 +332,7 @@
     }
 }
 
-/// The web sockets of a node, whose class is known by name.
+/// Creates the WebSocket proxy and looks up the class of WebSocket connections by its name.
 fn websocket_proxy(
     platform: &PlatformSettings,
     sockets: Sockets,
--- a/crates/node/src/node/commands.rs
+++ b/crates/node/src/node/commands.rs
@@ -1,4 +1,4 @@
-//! Carries out what the exchange and the policy engine inside it ask for.
+//! Executes the commands of the exchange and the actions of the policy engine.
 
 use super::Node;
 use crate::answer::{Answer, Payload};
@@ -16,13 +16,13 @@
         Rc::clone(self) as Rc<dyn UpstreamEvents>
     }
 
-    /// Carries out a command of the exchange.
-    pub(super) fn carry_out(
+    /// Executes a command of the exchange.
+    pub(super) fn execute(
         self: &Rc<Self>,
         command: Command<SocketAddr>,
         payload: &mut Option<Payload>,
     ) {
-        debug!(?command, "exchange");
+        debug!(?command, "executing exchange command");
         match command {
             Command::Connect {
                 connection,
@@ -33,7 +33,7 @@
                 connection,
                 address,
             ),
-            // Prepares the request; its first byte waits at the gate for `Command::Write`.
+            // Prepares the request. The gate holds back its first byte until `Command::Write`.
             Command::Send {
                 connection,
                 id,
@@ -57,12 +57,12 @@
                 };
                 self.answer(&id, answer);
             }
-            Command::PolicyAction(action) => self.apply(action),
+            Command::PolicyAction(action) => self.execute_policy_action(action),
         }
     }
 
-    /// Carries out an action of the policy.
-    fn apply(self: &Rc<Self>, action: Action) {
+    /// Executes an action of the policy engine.
+    fn execute_policy_action(self: &Rc<Self>, action: Action) {
         match action {
             Action::Broadcast { bytes } => {
                 self.peers.iter().for_each(|peers| peers.broadcast(&bytes));
@@ -77,12 +77,12 @@
                 tokio::task::spawn_local(async move {
                     tokio::time::sleep(Duration::from_micros(after)).await;
                     node.last_timer_at.set(Instant::now());
-                    node.post(PolicyEvent::TimerFired { token });
+                    node.handle_policy_event(PolicyEvent::TimerFired { token });
                 });
             }
-            Action::SendToSiblings(twin) => self.links.send_to_siblings(twin),
+            Action::SendToSiblings(message) => self.links.send_to_siblings(message),
             Action::Report(diagnostic) => report(&diagnostic),
-            // Discovery is always followed, and the rest is the exchange's.
+            // The node always follows discovery; the exchange handles the other actions.
             Action::Subscribe
             | Action::Send { .. }
             | Action::Reject { .. }
@@ -92,7 +92,7 @@
     }
 }
 
-/// Writes what the policy engine reports to the log.
+/// Writes a diagnostic of the policy engine to the log.
 fn report(diagnostic: &Diagnostic) {
     match diagnostic {
         Diagnostic::ServerSilent { server } => info!(server = server.0, "{diagnostic}"),
--- a/crates/node/src/node/endpoint_list.rs
+++ b/crates/node/src/node/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: changes of all sources on their way to the exchange and to the web sockets.
+//! The endpoint list: merges the updates of all sources and passes them to the exchange and to the WebSocket proxy.
 
 use super::Node;
 use crate::config::{Health, Host, List};
@@ -19,7 +19,8 @@
 }
 
 impl Node {
-    /// Records a list of discovery for a child of this process, where there can be one.
+    /// Records a list from discovery, from which a child process starts. Does nothing if this process cannot have a
+    /// child.
     pub fn record_list(&self, list: &List) {
         if !self.links.enabled() {
             return;
@@ -38,7 +39,7 @@
         }
     }
 
-    /// What discovery has sent so far, as one list; `None` if it has sent nothing.
+    /// The recorded updates of discovery as one complete list; `None` if no server is recorded.
     pub fn last_list(&self) -> Option<List> {
         let recorded = self.recorded_list.borrow();
         let hosts: Vec<Host> = recorded.hosts.values().cloned().collect();
@@ -49,51 +50,55 @@
         })
     }
 
-    /// Applies a list of the platform's discovery.
+    /// Applies a list from the platform's discovery service.
     pub fn on_discovery_list(self: &Rc<Self>, list: &List) {
-        let entries = list.hosts.iter().map(EndpointRecord::from).collect();
+        let endpoints = list.hosts.iter().map(EndpointRecord::from).collect();
         self.on_endpoint_update(
             Source::Discovery,
             EndpointUpdate {
-                endpoints: entries,
+                endpoints,
                 received_at: Duration::ZERO,
                 snapshot: list.whole,
             },
         );
     }
 
-    /// Applies an update of a source. Where there are several sources, they are merged.
-    pub fn on_endpoint_update(self: &Rc<Self>, source: Source, change: EndpointUpdate) {
-        let change = match &mut *self.merge.borrow_mut() {
-            Some(merge) => merge.take(source, change),
-            None => change,
+    /// Applies an update from a source. Updates from several sources are merged.
+    pub fn on_endpoint_update(self: &Rc<Self>, source: Source, update: EndpointUpdate) {
+        let update = match &mut *self.merge.borrow_mut() {
+            Some(merge) => merge.take(source, update),
+            None => update,
         };
-        if !change.endpoints.is_empty() || change.snapshot {
-            self.apply_endpoints(&change.endpoints, change.snapshot);
+        if !update.endpoints.is_empty() || update.snapshot {
+            self.apply_endpoints(&update.endpoints, update.snapshot);
         }
     }
 
-    fn apply_endpoints(self: &Rc<Self>, list: &[EndpointRecord], snapshot: bool) {
-        let entries = list
+    fn apply_endpoints(self: &Rc<Self>, records: &[EndpointRecord], snapshot: bool) {
+        let endpoints = records
             .iter()
-            .map(|entry| server_entry(entry, &self.platform.zones));
-        let entries: Vec<(Endpoint, SocketAddr)> = entries.collect();
+            .map(|record| server_entry(record, &self.platform.zones));
+        let endpoints: Vec<(Endpoint, SocketAddr)> = endpoints.collect();
         if let Some(websockets) = &self.websockets {
-            let servers = entries
-                .iter()
-                .map(|(entry, dial)| (entry.server, entry.status == EndpointStatus::Ready, *dial));
+            let servers = endpoints.iter().map(|(endpoint, address)| {
+                (
+                    endpoint.server,
+                    endpoint.status == EndpointStatus::Ready,
+                    *address,
+                )
+            });
             websockets.on_endpoints(snapshot, servers);
         }
         self.handle(
             Event::EndpointsChanged {
                 snapshot,
-                endpoints: entries,
+                endpoints,
             },
             None,
         );
     }
 
-    /// Several sources are followed: from now on they are merged.
+    /// Merges the updates of several sources from now on.
     #[cfg(feature = "etcd")]
     pub fn merge_endpoint_sources(&self) {
         self.merge
--- a/crates/node/src/node/figures.rs
+++ b/crates/node/src/node/figures.rs
@@ -1,4 +1,4 @@
-//! The node's figures: for staff who call `INFO`, and for the log.
+//! The node's metrics, as answered to the admin command `INFO` and as written to the log.
 
 use super::Node;
 use crate::peers::Peers;
@@ -10,50 +10,50 @@
 use tokio::time::Instant;
 
 impl Node {
-    /// The figures as staff read them.
+    /// The metrics in the text format of the admin command `INFO`.
     #[allow(clippy::redundant_closure_for_method_calls)] // The method is not general over its lifetime.
-    pub fn figures(&self) -> String {
-        self.with_figures(|figures| figures.exposition())
+    pub fn metrics_text(&self) -> String {
+        self.with_metrics(|metrics| metrics.exposition())
     }
 
-    /// Writes the figures to the log at this interval, for ever.
-    pub async fn log_counts(self: Rc<Self>, every: Option<Duration>) {
-        let Some(every) = every else { return };
+    /// Writes the counters to the log at this interval until it is dropped; `None` writes none.
+    pub async fn log_counts(self: Rc<Self>, interval: Option<Duration>) {
+        let Some(interval) = interval else { return };
         let started_at = Instant::now();
-        let me = self.platform.settings.node.0;
+        let node_number = self.platform.settings.node.0;
         loop {
-            tokio::time::sleep(every).await;
+            tokio::time::sleep(interval).await;
             let at_ms = started_at.elapsed().as_millis() as u64;
-            let line = self.with_figures(|figures| figures.log_line(me, at_ms));
-            // `fleet counts` reads these lines, at every level of the log: they are records, not events. A log that
-            // cannot be written ends no node.
+            let line = self.with_metrics(|metrics| metrics.log_line(node_number, at_ms));
+            // Written at every log level, because `fleet counts` parses these lines. The node keeps running if standard
+            // error cannot be written.
             let _ = writeln!(io::stderr(), "{line}");
         }
     }
 
-    fn with_figures(&self, write: impl FnOnce(&Metrics) -> String) -> String {
+    fn with_metrics(&self, write: impl FnOnce(&Metrics) -> String) -> String {
         let exchange = self.exchange.borrow();
         let (registry_entries, out_of_rotation) = exchange.policy().endpoint_counts();
-        let (names, tally) = (&self.platform.classes, exchange.counters().clone());
-        let mut decided: Vec<(&'static str, u64)> =
+        let (class_names, tally) = (&self.platform.classes, exchange.counters().clone());
+        let mut policy_counters: Vec<(&'static str, u64)> =
             exchange.policy().counters().by_name().collect();
-        decided.extend(
+        policy_counters.extend(
             exchange
                 .denials()
                 .map(|(denial, count)| (denial.figure(), count)),
         );
         let violations = exchange.violations();
-        decided.extend(
+        policy_counters.extend(
             Invariant::ALL.map(|invariant| (invariant.figure(), violations.count(invariant))),
         );
         let (sent, received) = self.peers.as_ref().map_or((0, 0), Peers::message_counts);
         write(&Metrics {
-            names,
+            names: class_names,
             tally,
             registry_entries,
             out_of_rotation,
             peer_messages: PeerMessageCounts { sent, received },
-            policy_counters: decided,
+            policy_counters,
         })
     }
 }
--- a/crates/node/src/node/requests.rs
+++ b/crates/node/src/node/requests.rs
@@ -1,4 +1,4 @@
-//! Clients' requests that have no final answer yet.
+//! Requests of clients that have no final answer yet.
 
 use super::Node;
 use crate::answer::Answer;
@@ -18,7 +18,8 @@
 }
 
 impl Node {
-    /// Submits a request. `None` if its id is in use: two owners of one id would mix up their responses.
+    /// Submits a request to the exchange. Returns `None` if its id is in use, because answers are routed by id and two
+    /// requests with the same id could get each other's answer.
     pub fn submit(
         self: &Rc<Self>,
         arrival: PolicyEvent,
@@ -33,9 +34,9 @@
             exchange.next_ticket()
         };
         let effect = forward.effect;
-        let left = forward.deadline.saturating_duration_since(Instant::now());
-        let deadline = self.clock.now() + left.as_micros() as Micros;
-        let (answer, answered) = oneshot::channel();
+        let remaining = forward.deadline.saturating_duration_since(Instant::now());
+        let deadline = self.clock.now() + remaining.as_micros() as Micros;
+        let (answer, answer_receiver) = oneshot::channel();
         forward
             .streamed_body()
             .into_iter()
@@ -54,10 +55,10 @@
             },
             None,
         );
-        Some((answered, ticket))
+        Some((answer_receiver, ticket))
     }
 
-    /// Abandons a request whose client waits no more. One that was answered is left alone.
+    /// Abandons a request whose client no longer waits. Does nothing if the request already has its answer.
     pub fn abandon(self: &Rc<Self>, id: &RequestId, ticket: Ticket) {
         let open = self
             .requests
@@ -76,33 +77,34 @@
         }
     }
 
-    /// Abandons a request whose client has disconnected, before its connection reports that.
+    /// Abandons a request whose client has disconnected, before the client's connection reports the disconnect.
     pub(super) fn abandon_forward(self: &Rc<Self>, forward: &Rc<Forward>) {
         let pending = self
             .requests
             .borrow()
             .get(&forward.id)
-            .map(|row| (row.ticket, Rc::clone(&row.forward)));
+            .map(|request| (request.ticket, Rc::clone(&request.forward)));
         if let Some((ticket, _)) = pending.filter(|(_, open)| Rc::ptr_eq(open, forward)) {
             self.abandon(&forward.id, ticket);
         }
     }
 
-    /// A pending request as it is forwarded.
+    /// The forwarded form of a pending request; `None` if no request with this id is pending.
     pub(super) fn forward(&self, id: &RequestId) -> Option<Rc<Forward>> {
         let requests = self.requests.borrow();
         requests.get(id).map(|pending| Rc::clone(&pending.forward))
     }
 
-    /// Answers a request, which is pending no more.
+    /// Sends a request its final answer and removes it from the pending requests.
     pub(super) fn answer(&self, id: &RequestId, answer: Answer) {
         if let Some(pending) = self.requests.borrow_mut().remove(id) {
-            // A client that has gone meanwhile takes no answer.
+            // Sending fails if the client has disconnected.
             let _ = pending.answer.send(answer);
         }
     }
 
-    /// Reports that the body of a request that is streamed has come whole. Its client waits for `timeout` from then on.
+    /// Returns a callback that reports a streamed request body as complete. The client waits for `timeout` from then
+    /// on.
     pub fn report_body_complete(
         self: &Rc<Self>,
         id: RequestId,
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -1,4 +1,4 @@
-//! Datagrams between edge nodes. They may be late, lost or forged: what they say is the policy's concern.
+//! Datagrams between edge nodes. They may be late, lost or forged; the policy validates their contents.
 
 use crate::config::PeerAddresses;
 use crate::error::NodeError;
@@ -9,40 +9,43 @@
 use std::net::SocketAddr;
 use tokio::net::UdpSocket;
 
-/// Most bytes of a datagram.
+/// Longest payload of a datagram, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 256;
 
-/// The other nodes of the fleet.
+/// The socket for messages to and from the other nodes of the fleet.
 pub struct Peers {
     socket: UdpSocket,
-    each: Vec<SocketAddr>,
-    all: Option<SocketAddr>,
-    me: usize,
-    /// Datagrams sent and received.
+    /// Addresses of all nodes, including this one, indexed by node number.
+    node_addresses: Vec<SocketAddr>,
+    broadcast_address: Option<SocketAddr>,
+    /// This node's index in `node_addresses`.
+    own_index: usize,
+    /// Number of datagrams sent, and number received from peers.
     message_counts: Cell<(u64, u64)>,
 }
 
-/// With `reuse` a successor may bind the same address; what comes goes to whoever bound it last (`socket(7)`).
-fn bind_datagrams(listen: SocketAddr, reuse: bool) -> std::io::Result<UdpSocket> {
+/// Binds the socket. With `reuse_address` a successor can bind the same address, and the kernel delivers datagrams to
+/// the process that bound it last (`socket(7)`).
+fn bind_datagrams(listen: SocketAddr, reuse_address: bool) -> std::io::Result<UdpSocket> {
     let socket = Socket::new(Domain::for_address(listen), Type::DGRAM, None)?;
-    socket.set_reuse_address(reuse)?;
+    socket.set_reuse_address(reuse_address)?;
     socket.set_nonblocking(true)?;
     socket.bind(&listen.into())?;
     UdpSocket::from_std(socket.into())
 }
 
 impl Peers {
-    /// Binds the socket for datagrams.
+    /// Binds the socket of the node `own_id`. With `reuse_address` a successor can bind the same address.
     ///
     /// # Errors
     /// The address cannot be bound.
     pub async fn bind(
         addresses: PeerAddresses,
-        me: NodeId,
-        reuse: bool,
+        own_id: NodeId,
+        reuse_address: bool,
     ) -> Result<Peers, NodeError> {
         let PeerAddresses { listen, each, all } = addresses;
-        let bound = retry_shortage(|| async { bind_datagrams(listen, reuse) }).await;
+        let bound = retry_shortage(|| async { bind_datagrams(listen, reuse_address) }).await;
         let socket = bound.map_err(|source| NodeError::Bind {
             setting: "peer_listen",
             address: listen,
@@ -50,30 +53,30 @@
         })?;
         Ok(Peers {
             socket,
-            each,
-            all,
-            me: me.0 as usize,
+            node_addresses: each,
+            broadcast_address: all,
+            own_index: own_id.0 as usize,
             message_counts: Cell::default(),
         })
     }
 
-    /// Sends a datagram to one node.
+    /// Sends a datagram to one node. Drops it if it is too long or the socket cannot send.
     pub fn send_to(&self, to: NodeId, bytes: &[u8]) {
-        if let Some(address) = self.each.get(to.0 as usize) {
+        if let Some(address) = self.node_addresses.get(to.0 as usize) {
             self.send(bytes, *address);
         }
     }
 
-    /// Sends a datagram to all other nodes.
+    /// Sends a datagram to all other nodes, by the broadcast address if there is one.
     pub fn broadcast(&self, bytes: &[u8]) {
-        if let Some(all) = self.all {
-            return self.send(bytes, all);
+        if let Some(address) = self.broadcast_address {
+            return self.send(bytes, address);
         }
         let others = self
-            .each
+            .node_addresses
             .iter()
             .enumerate()
-            .filter(|(number, _)| *number != self.me);
+            .filter(|(index, _)| *index != self.own_index);
         others.for_each(|(_, address)| self.send(bytes, *address));
     }
 
@@ -81,16 +84,20 @@
         if bytes.len() <= MAX_DATAGRAM_BYTES {
             let (sent, received) = self.message_counts.get();
             self.message_counts.set((sent + 1, received));
-            // Datagrams may be lost.
+            // A failure to send is ignored, as datagrams may be lost anyway.
             let _ = retry_interrupted(|| self.socket.try_send_to(bytes, to));
         }
     }
 
-    /// The next datagram of a peer; `None` where it came from elsewhere, was too long, or the socket failed.
+    /// Receives the next datagram. Returns `None` if its source address is not a peer's, if it is too long, or if the
+    /// socket fails.
     pub async fn receive(&self) -> Option<(NodeId, Vec<u8>)> {
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         let (length, from) = self.socket.recv_from(&mut buffer).await.ok()?;
-        let sender = self.each.iter().position(|address| *address == from)?;
+        let sender = self
+            .node_addresses
+            .iter()
+            .position(|address| *address == from)?;
         let bytes = buffer
             .get(..length)
             .filter(|bytes| bytes.len() <= MAX_DATAGRAM_BYTES)?;
@@ -99,7 +106,7 @@
         Some((NodeId(sender as u32), bytes.to_vec()))
     }
 
-    /// Datagrams sent and received so far; one to all counts as one.
+    /// Numbers of datagrams sent and received so far. One to the broadcast address counts as one.
     pub fn message_counts(&self) -> (u64, u64) {
         self.message_counts.get()
     }
--- a/crates/node/src/process_links.rs
+++ b/crates/node/src/process_links.rs
@@ -1,5 +1,5 @@
-//! This process's links to the other processes of its node, as far as the node needs them: what is sent over them, and
-//! whom this process shares the node with.
+//! Links from this process to the other processes of its node: queues messages for them, and keeps track of which
+//! processes share the node.
 
 use saffronpaddle_hot_restart::{
     read, write, Link, LinkAction, LinkId, Message, ProcessGroup, Role,
@@ -12,76 +12,76 @@
 use tokio::sync::{mpsc, watch, Notify};
 use tokio::time::Instant;
 
-/// Messages that may be queued for a process that does not read. One that is so far behind is no part of this node any
-/// more: what it takes from the quotas cannot be counted.
+/// Most messages queued for one process. The link to a process that is further behind is closed, because the units that
+/// it charges to the quotas can no longer be counted.
 const MAX_QUEUED_MESSAGES: usize = 4096;
 
-/// The other processes of this node.
+/// The links to the other processes of this node.
 pub struct ProcessLinks {
-    name: String,
-    /// Whether this process can meet others.
+    node_name: String,
+    /// Whether this process can have links to others.
     enabled: bool,
     started_at: Instant,
     group: RefCell<ProcessGroup>,
     senders: RefCell<BTreeMap<LinkId, mpsc::Sender<Rc<str>>>>,
     has_successor: watch::Sender<bool>,
-    /// A child has gone: the next has to find this process again.
+    /// Notified when the last child has disconnected, so that the next one has to connect to this process.
     rebind: Notify,
 }
 
-/// Whom this process shares its node with.
+/// Which other processes serve the node together with this one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Siblings {
-    /// Another process serves the node too.
+    /// Whether another process counts as one node with this one.
     pub shared: bool,
-    /// A child serves the node, and gets its peers' datagrams.
+    /// Whether a child accepts clients and receives the datagrams of the node's peers.
     pub has_successor: bool,
 }
 
 impl ProcessLinks {
-    /// No links yet. `enabled`: whether this process can meet others.
-    pub fn new(name: &str, enabled: bool) -> ProcessLinks {
+    /// Creates the links of the node `node_name`, none of which is open yet. `enabled` is whether any can be opened.
+    pub fn new(node_name: &str, enabled: bool) -> ProcessLinks {
         ProcessLinks {
-            name: name.to_owned(),
+            node_name: node_name.to_owned(),
             enabled,
             started_at: Instant::now(),
-            group: RefCell::new(ProcessGroup::new(name)),
+            group: RefCell::new(ProcessGroup::new(node_name)),
             senders: RefCell::default(),
             has_successor: watch::channel(false).0,
             rebind: Notify::new(),
         }
     }
 
-    /// The node's name.
-    pub fn name(&self) -> &str {
-        &self.name
+    pub fn node_name(&self) -> &str {
+        &self.node_name
     }
 
-    /// Whether there can be any links.
+    /// Whether this process can have links to others.
     pub fn enabled(&self) -> bool {
         self.enabled
     }
 
-    /// Whether a child takes clients.
-    pub fn successor(&self) -> watch::Receiver<bool> {
+    /// Watches whether a child accepts clients.
+    pub fn watch_successor(&self) -> watch::Receiver<bool> {
         self.has_successor.subscribe()
     }
 
-    /// This process's part of what the node may have: two that are one node share its descriptors.
-    pub fn part(&self, all: usize) -> usize {
+    /// This process's share of a limit of the node: half of it while another process serves the node too, else all of
+    /// it.
+    pub fn part(&self, limit: usize) -> usize {
         if self.group.borrow().is_shared() {
-            all / 2
+            limit / 2
         } else {
-            all
+            limit
         }
     }
 
-    /// Sends the other processes a message about an attempt.
+    /// Announces the start or end of an attempt to the other processes.
     pub fn send_to_siblings(&self, message: SiblingMessage) {
         self.broadcast(&Message::Sibling(message), None);
     }
 
-    /// Forwards a peer's datagram to the processes that receive none any more.
+    /// Forwards a peer's datagram to the parent processes, which no longer receive datagrams themselves.
     pub fn forward_peer_message(&self, from: NodeId, bytes: &[u8]) {
         if self.group.borrow().is_shared() {
             let bytes = bytes.to_vec();
@@ -89,14 +89,15 @@
         }
     }
 
-    /// Sends a message to all whom it is for, except the link that it came from.
+    /// Sends a message on each link that it is meant for, except on `from`, the link that it was received on.
     pub fn broadcast(&self, message: &Message, from: Option<LinkId>) {
-        let to = self.group.borrow().recipients(message, from);
-        if to.is_empty() {
+        let recipients = self.group.borrow().recipients(message, from);
+        if recipients.is_empty() {
             return;
         }
         let line: Rc<str> = write(message).into();
-        to.into_iter()
+        recipients
+            .into_iter()
             .for_each(|id| self.send_line(id, Rc::clone(&line)));
     }
 
@@ -106,82 +107,83 @@
     }
 
     fn send_line(&self, id: LinkId, line: Rc<str>) {
-        let full = self
+        let send_failed = self
             .senders
             .borrow()
             .get(&id)
             .is_some_and(|sender| sender.try_send(line).is_err());
-        if full {
-            // Its writer ends with it, and the reader sees that.
+        if send_failed {
+            // Dropping the sender ends the link's writer task and with it the writing half of the connection. The other
+            // process closes the link then, which this process's reader notices.
             self.senders.borrow_mut().remove(&id);
         }
     }
 
-    /// Opens a link. `None` where there can be no more.
+    /// Opens a link. Returns `None` if the process has the maximum number of links.
     pub fn open(&self, role: Role) -> Option<(LinkId, Vec<LinkAction>)> {
         self.group.borrow_mut().open(self.now(), role)
     }
 
-    /// The lines that are to be written on a link from now on.
-    pub fn lines(&self, id: LinkId) -> mpsc::Receiver<Rc<str>> {
+    /// Creates the queue of lines to be written on a link, and returns its receiving end.
+    pub fn create_line_queue(&self, id: LinkId) -> mpsc::Receiver<Rc<str>> {
         let (sender, lines) = mpsc::channel(MAX_QUEUED_MESSAGES);
         self.senders.borrow_mut().insert(id, sender);
         lines
     }
 
-    /// Writes no more on a link.
-    pub fn remove(&self, id: LinkId) {
+    /// Closes the queue of lines to be written on a link.
+    pub fn stop_sending(&self, id: LinkId) {
         self.senders.borrow_mut().remove(&id);
     }
 
-    /// When a link must have sent its next message, if there is a bound.
+    /// When the other side of a link must have sent its next message; `None` if there is no deadline.
     pub fn deadline(&self, id: LinkId) -> Option<Instant> {
-        let until = self.group.borrow().deadline(id);
-        until.map(|until| self.started_at + until)
+        let deadline = self.group.borrow().deadline(id);
+        deadline.map(|elapsed| self.started_at + elapsed)
     }
 
-    /// A line has come on a link.
+    /// Handles a line received on a link.
     pub fn on_line(&self, id: LinkId, line: &[u8]) -> Vec<LinkAction> {
-        self.with(id, |link, out| link.on_message(read(line), out))
+        self.update_link(id, |link, out| link.on_message(read(line), out))
     }
 
-    /// A link has ended.
+    /// Handles the end of a link's connection.
     pub fn on_disconnect(&self, id: LinkId) -> Vec<LinkAction> {
-        self.with(id, Link::on_disconnect)
+        self.update_link(id, Link::on_disconnect)
     }
 
-    /// Time has passed on a link, up to `at`.
-    pub fn on_time(&self, id: LinkId, at: Instant) -> Vec<LinkAction> {
-        let at = at.duration_since(self.started_at);
-        self.with(id, |link, out| link.tick(at, out))
+    /// Handles the passing of a link's deadline; `now` is the time reached.
+    pub fn on_deadline(&self, id: LinkId, now: Instant) -> Vec<LinkAction> {
+        let elapsed = now.duration_since(self.started_at);
+        self.update_link(id, |link, out| link.tick(elapsed, out))
     }
 
-    fn with(
+    fn update_link(
         &self,
         id: LinkId,
-        change: impl FnOnce(&mut Link, &mut Vec<LinkAction>),
+        update: impl FnOnce(&mut Link, &mut Vec<LinkAction>),
     ) -> Vec<LinkAction> {
-        self.group.borrow_mut().with(id, change)
+        self.group.borrow_mut().with(id, update)
     }
 
-    /// Whether a link's process is part of this node.
+    /// Whether the process at the other end of a link counts as one node with this one.
     pub fn is_live(&self, id: LinkId) -> bool {
         self.group.borrow().is_live(id)
     }
 
-    /// Has the rendezvous bound anew if no other process took over from this one.
+    /// Requests that the rendezvous be bound again, if this process has no other child.
     pub fn rebind_if_last(&self) {
         if self.group.borrow().is_last() {
             self.rebind.notify_one();
         }
     }
 
-    /// Waits until the rendezvous must be bound anew.
-    pub async fn rebound(&self) {
+    /// Waits until the rendezvous has to be bound again.
+    pub async fn rebind_requested(&self) {
         self.rebind.notified().await;
     }
 
-    /// Whom this process shares its node with now.
+    /// Which other processes serve the node now.
     pub fn siblings(&self) -> Siblings {
         let group = self.group.borrow();
         Siblings {
@@ -190,7 +192,7 @@
         }
     }
 
-    /// Notifies those who wait for a successor.
+    /// Publishes whether a child accepts clients, see [`ProcessLinks::watch_successor`].
     pub fn publish_successor(&self, has_successor: bool) {
         self.has_successor.send_replace(has_successor);
     }
--- a/crates/node/src/readiness.rs
+++ b/crates/node/src/readiness.rs
@@ -1,4 +1,4 @@
-//! What readiness depends on, as it is sampled on this machine.
+//! Samples the facts about the node and its process on which readiness depends.
 
 use crate::node::Node;
 use saffronpaddle_lifecycle::Facts;
@@ -7,32 +7,36 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// A clock that shows an earlier time is wrong: 2020-01-01, Unix time.
-#[allow(clippy::duration_suboptimal_units)] // A Unix time.
+/// 2020-01-01 as Unix time. A system clock that shows an earlier time is not set.
+#[allow(clippy::duration_suboptimal_units)] // Unix time is given in seconds.
 const EARLIEST_PLAUSIBLE_TIME: Duration = Duration::from_secs(1_577_836_800);
-/// Descriptors and memory are counted again after so long: each takes a read of `/proc`.
+/// Interval at which open descriptors and memory are counted, as each count reads `/proc`.
 const COUNT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Samples what readiness depends on.
+/// Samples the facts on which readiness depends.
 pub struct ReadinessSampler {
     node: Rc<Node>,
-    sockets: u64,
+    /// Limit on open file descriptors.
+    descriptor_limit: u64,
+    /// Limit on resident memory, in bytes.
     memory_limit: u64,
-    /// Unix time and the steady clock at one moment.
-    began: (Duration, Instant),
-    counted: Option<(Instant, u64, u64)>,
+    /// Unix time and the monotonic clock, both read at the start.
+    started_at: (Duration, Instant),
+    /// When descriptors and memory were last counted, the open descriptors, and the resident bytes.
+    last_count: Option<(Instant, u64, u64)>,
 }
 
 impl ReadinessSampler {
-    /// A sampler for a node that may use so many descriptors, and so many bytes of memory.
-    pub fn new(node: Rc<Node>, sockets: usize, memory: usize) -> ReadinessSampler {
-        let began = (unix(), Instant::now());
+    /// Creates a sampler for a node that may open `descriptor_limit` descriptors and use `memory_limit` bytes of
+    /// memory.
+    pub fn new(node: Rc<Node>, descriptor_limit: usize, memory_limit: usize) -> ReadinessSampler {
+        let started_at = (unix_time(), Instant::now());
         ReadinessSampler {
             node,
-            sockets: sockets as u64,
-            memory_limit: memory as u64,
-            began,
-            counted: None,
+            descriptor_limit: descriptor_limit as u64,
+            memory_limit: memory_limit as u64,
+            started_at,
+            last_count: None,
         }
     }
 
@@ -41,55 +45,55 @@
         &self.node
     }
 
-    /// A sample of now, in a loop that is so late.
-    pub fn sample(&mut self, lag: Duration) -> Facts {
-        let (_, open, memory) = match self.counted {
-            Some(counted) if counted.0.elapsed() < COUNT_INTERVAL => counted,
+    /// Samples the facts now. `event_loop_lag` is how late the event loop runs this sample.
+    pub fn sample(&mut self, event_loop_lag: Duration) -> Facts {
+        let (_, open_descriptors, memory) = match self.last_count {
+            Some(count) if count.0.elapsed() < COUNT_INTERVAL => count,
             _ => *self
-                .counted
-                .insert((Instant::now(), descriptors(), resident())),
+                .last_count
+                .insert((Instant::now(), count_descriptors(), resident_bytes())),
         };
-        let expected = self.began.0 + self.began.1.elapsed();
+        let expected = self.started_at.0 + self.started_at.1.elapsed();
         let (reachable_peers, peers) = self.node.reachable_peers();
         Facts {
             servers: self.node.ready(),
             endpoint_list_age: self.node.list_age(),
             reachable_peers,
             peers,
-            free_descriptors: self.sockets.saturating_sub(open),
+            free_descriptors: self.descriptor_limit.saturating_sub(open_descriptors),
             memory,
             memory_limit: self.memory_limit,
-            clock_moved: unix().abs_diff(expected),
-            clock_implausible: self.began.0 < EARLIEST_PLAUSIBLE_TIME,
-            event_loop_lag: lag,
+            clock_moved: unix_time().abs_diff(expected),
+            clock_implausible: self.started_at.0 < EARLIEST_PLAUSIBLE_TIME,
+            event_loop_lag,
         }
     }
 }
 
-fn unix() -> Duration {
+fn unix_time() -> Duration {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
 }
 
-/// Descriptors that are open; 0 where the system does not report it.
-fn descriptors() -> u64 {
-    // The folder's size is their number (`proc(5)`, since Linux 6.2; 0 before). Listing 20,000 of them twice a second
-    // would take 2% of a core.
-    match fs::metadata("/proc/self/fd").map_or(0, |folder| folder.len()) {
-        0 => listed_descriptors(),
+/// Number of open descriptors; 0 if the system does not report it.
+fn count_descriptors() -> u64 {
+    // Since Linux 6.2 the size of this directory is the number of open descriptors (`proc(5)`); before that it is 0.
+    // Listing 20,000 descriptors twice a second would take 2% of a core.
+    match fs::metadata("/proc/self/fd").map_or(0, |directory| directory.len()) {
+        0 => count_listed_descriptors(),
         open => open,
     }
 }
 
-fn listed_descriptors() -> u64 {
-    // Listing them takes one.
+fn count_listed_descriptors() -> u64 {
+    // The listing itself opens one descriptor.
     fs::read_dir("/proc/self/fd").map_or(0, |list| (list.count() as u64).saturating_sub(1))
 }
 
-/// Bytes of memory in use; 0 where the system does not report it.
-fn resident() -> u64 {
-    // In pages, the second figure (`proc(5)`, statm).
+/// Resident memory of the process, in bytes; 0 if the system does not report it.
+fn resident_bytes() -> u64 {
+    // The second field is the resident set in pages (`proc(5)`, statm).
     let text = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text
         .split_whitespace()
--- a/crates/node/src/readiness/tests.rs
+++ b/crates/node/src/readiness/tests.rs
@@ -1,18 +1,18 @@
 use super::*;
 
 #[test]
-fn descriptors_and_memory_in_use_are_counted() {
-    let before = descriptors();
-    let more: Vec<_> = (0..5)
-        .map(|_| fs::File::open("/proc/self/status").expect("it is there"))
+fn open_descriptors_and_resident_memory_are_counted() {
+    let before = count_descriptors();
+    let opened: Vec<_> = (0..5)
+        .map(|_| fs::File::open("/proc/self/status").expect("/proc is mounted"))
         .collect();
     assert!(
-        before >= 3 && descriptors() >= before + more.len() as u64 - 2,
-        "others may close some"
+        before >= 3 && count_descriptors() >= before + opened.len() as u64 - 2,
+        "counts the opened files; concurrent tests may close up to two descriptors"
     );
     assert!(
-        listed_descriptors().abs_diff(descriptors()) <= 3,
-        "both ways of counting agree"
+        count_listed_descriptors().abs_diff(count_descriptors()) <= 3,
+        "the directory size and the listing agree"
     );
-    assert!(resident() > 100_000);
+    assert!(resident_bytes() > 100_000);
 }
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -1,4 +1,4 @@
-//! The files that a node reads, at its start and at each reload.
+//! The configuration files that a node reads at its start and at each reload.
 
 use crate::config::Config;
 use crate::error::{chain, NodeError, OperatorFileError};
@@ -10,28 +10,28 @@
 use tokio::sync::watch;
 use tracing::{info, warn};
 
-/// The operator's file that a node was given.
+/// The operator file of a node, with its parsed settings.
 #[derive(Clone, Debug)]
 pub struct OperatorFile {
-    /// Where it stands, to be read again.
+    /// Path that a reload reads again.
     pub path: PathBuf,
-    /// What it sets.
+    /// The settings as they were when the file was read.
     pub settings: Operator,
 }
 
 impl OperatorFile {
-    /// Reads it.
+    /// Reads and parses the file.
     ///
     /// # Errors
-    /// All that is wrong with it, in one line that names the file and the keys.
+    /// The file cannot be read or has faults. The error names the file and the keys of all faults, in one line.
     pub fn read(path: &Path) -> Result<OperatorFile, OperatorFileError> {
-        let shown = || path.display().to_string();
+        let displayed_path = || path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|source| OperatorFileError::Read {
-            path: shown(),
+            path: displayed_path(),
             source,
         })?;
         let settings = Operator::parse(&text).map_err(|source| OperatorFileError::Invalid {
-            path: shown(),
+            path: displayed_path(),
             source,
         })?;
         Ok(OperatorFile {
@@ -41,23 +41,23 @@
     }
 }
 
-/// The paths that a reload reads again, and the operator's settings as they were at the start, which a reload does not
-/// update.
+/// The files that a reload reads again, with the operator's settings as they were at the start. A reload does not
+/// update those.
 #[derive(Clone)]
 pub struct Files {
-    /// The platform's configuration.
+    /// Path of the platform's configuration.
     pub config: PathBuf,
-    /// The operator's file, if there is one.
+    /// The operator file, if there is one.
     pub operator: Option<OperatorFile>,
 }
 
 impl Files {
-    /// What the operator's file sets, if there is one.
+    /// The operator's settings at the start; `None` without an operator file.
     pub fn operator(&self) -> Option<&Operator> {
         self.operator.as_ref().map(|file| &file.settings)
     }
 
-    /// Reads the files again.
+    /// Reads all files again.
     fn read(&self) -> Result<(Config, Option<Operator>), NodeError> {
         let config = Config::read(&self.config)?;
         let operator = self
@@ -69,24 +69,25 @@
     }
 }
 
-/// What the limits of a life cycle depend on, beside the operator's file.
+/// Values that determine the limits of the life cycle together with the operator file.
 #[derive(Clone, Copy)]
-pub struct LimitTerms {
-    /// The longest deadline of a request.
+pub struct LimitParameters {
+    /// The longest deadline of a request in the settings.
     pub longest_deadline: Duration,
-    /// The listener is left at once: what comes to it waits for its next owner.
-    pub leaves_at_once: bool,
+    /// Whether the node stops accepting as soon as it is asked to stop. New connections then wait in the listener's
+    /// backlog for the next process.
+    pub stops_accepting_at_once: bool,
 }
 
-impl LimitTerms {
-    /// The limits of the life cycle.
+impl LimitParameters {
+    /// The limits of the life cycle. Without an operator file the defaults apply.
     pub fn limits(self, operator: Option<&Operator>) -> Limits {
         let Some(operator) = operator else {
             return Limits::immediate(self.longest_deadline);
         };
         Limits {
             readiness: operator.ready.clone(),
-            leave_for: if self.leaves_at_once {
+            leave_for: if self.stops_accepting_at_once {
                 Duration::ZERO
             } else {
                 operator.stop.leave_for
@@ -97,23 +98,29 @@
     }
 }
 
-/// Reads both files again. If either is bad, nothing is applied and the result is `None`. Otherwise discovery's address is
-/// published and the life cycle's new limits are returned. All other settings need a restart.
+/// Reads both files again. If both are valid, publishes the address of discovery and returns the new limits of the life
+/// cycle; all other settings need a restart. If either is invalid, applies nothing and returns `None`.
 pub async fn reload(
     files: Files,
-    terms: LimitTerms,
+    parameters: LimitParameters,
     discovery: watch::Sender<SocketAddr>,
 ) -> Option<Limits> {
     let read = tokio::task::spawn_blocking(move || files.read()).await;
     match read.map_err(NodeError::Task).and_then(|read| read) {
         Ok((config, operator)) => {
-            // Also when it is the same address as before: its numbering may have begun anew.
+            // An unchanged address is published too: discovery may have restarted its version numbers.
             discovery.send_replace(config.discovery);
-            info!("reloaded: discovery at {}", config.discovery);
-            Some(terms.limits(operator.as_ref()))
+            info!(
+                "reloaded the configuration: discovery at {}",
+                config.discovery
+            );
+            Some(parameters.limits(operator.as_ref()))
         }
         Err(error) => {
-            warn!("the old configuration stays: {}", chain(&error));
+            warn!(
+                "the old configuration stays in force, reload failed: {}",
+                chain(&error)
+            );
             None
         }
     }
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -1,4 +1,4 @@
-//! Runs one edge node as its environment has it.
+//! Runs one edge node that is configured by environment variables and files.
 
 use crate::config::Config;
 use crate::edge::{Edge, Options};
@@ -13,10 +13,11 @@
 use tokio::sync::mpsc;
 use tracing::warn;
 
-/// Runs one edge node as the environment has it, until it is told to end.
+/// Runs one edge node until it is asked to stop. `operator` is the path of the operator file; the environment gives all
+/// else.
 ///
 /// # Errors
-/// What could not be bound or read.
+/// A file is missing or invalid, or an address or the runtime is not available.
 pub fn run(operator: Option<PathBuf>) -> Result<(), NodeError> {
     let mut runtime = tokio::runtime::Builder::new_current_thread();
     let runtime = event_loop::observe_parking(&mut runtime)
@@ -24,7 +25,8 @@
         .build()
         .map_err(NodeError::Runtime)?;
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        // A reload that is sent while the files are read for the first time would end the process: signals come first.
+        // Installs signal handlers before reading the files: without a handler, a SIGHUP sent meanwhile would end the
+        // process.
         let signals = signals()?;
         let edge = Edge::bind(options(operator)?).await?;
         edge.run(signals).await;
@@ -32,7 +34,7 @@
     })
 }
 
-/// What the environment, the configuration and the operator's file make of a node.
+/// Reads the options of a node from the environment, the configuration and the operator file.
 fn options(operator: Option<PathBuf>) -> Result<Options, NodeError> {
     let config = Config::from_environment(|key| std::env::var(key).ok())?;
     let operator = operator.as_deref().map(OperatorFile::read).transpose()?;
@@ -45,10 +47,10 @@
     let manager = operator.as_ref().map_or_else(Manager::none, manager);
     let mut rendezvous = None;
     let descriptor = std::env::var("LB_LISTEN_FD").ok();
-    if let Some(inherited) = inherited_listener::inherited(descriptor.as_deref())? {
+    if let Some(inherited) = inherited_listener::take_platform_listener(descriptor.as_deref())? {
         listener = Some(inherited);
         rendezvous = std::env::var_os("TMPDIR")
-            .filter(|folder| !folder.is_empty())
+            .filter(|directory| !directory.is_empty())
             .map(PathBuf::from);
     }
     Ok(Options {
@@ -60,24 +62,24 @@
     })
 }
 
-/// The service manager that the environment names, where the operator's file has the node notify it.
+/// The service manager at `NOTIFY_SOCKET`, if the operator file turns notifications on.
 fn manager(OperatorFile { settings, .. }: &OperatorFile) -> Manager {
     let socket = std::env::var_os("NOTIFY_SOCKET").filter(|_| settings.manager.notify);
     let Some(address) = socket.filter(|address| !address.is_empty()) else {
         return Manager::none();
     };
     let watchdog = sd_notify::watchdog_enabled().filter(|_| settings.manager.watchdog);
-    // A node that cannot notify its manager still serves.
+    // A node that cannot notify its manager still serves clients.
     Manager::at(&address, watchdog).unwrap_or_else(|error| {
-        warn!(%error, "NOTIFY_SOCKET: no notifications are sent");
+        warn!(%error, "NOTIFY_SOCKET cannot be used; no notifications are sent to the service manager");
         Manager::none()
     })
 }
 
-/// What signals to the process stand for, from now on.
+/// Installs the signal handlers and returns the requests that signals stand for.
 fn signals() -> Result<mpsc::UnboundedReceiver<ProcessSignal>, NodeError> {
     let (sender, signals) = mpsc::unbounded_channel();
-    // SIGHUP ends a process that does not ask for it.
+    // Without a handler, SIGHUP ends the process.
     let kinds = [
         (SignalKind::terminate(), ProcessSignal::Stop),
         (SignalKind::hangup(), ProcessSignal::Reload),
--- a/crates/node/src/shutdown.rs
+++ b/crates/node/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! Logs a node that is stopping: which requests still have no answer.
+//! Logs which requests are still unanswered while a node stops.
 
 use crate::clients::{Phase, ServingStatus};
 use crate::node::Node;
@@ -9,12 +9,12 @@
 use tokio::time::sleep;
 use tracing::info;
 
-/// How often open requests are logged while the node closes.
+/// Interval at which open requests are logged while the node closes.
 const LOG_INTERVAL: Duration = Duration::from_millis(500);
-/// Requests that are logged one by one at a time; the rest are only counted. It bounds the log.
+/// Most requests that are logged individually at a time; the others are only counted. It bounds the size of the log.
 const MAX_LOGGED_REQUESTS: usize = 16;
 
-/// Logs requests without an answer while the node closes, until it is dropped.
+/// Waits until the node closes, then logs the unanswered requests at an interval until it is dropped.
 pub async fn log_open_requests(node: Rc<Node>, mut status: watch::Receiver<ServingStatus>) {
     if status
         .wait_for(|status| status.phase >= Phase::Closing)
@@ -29,7 +29,7 @@
     }
 }
 
-/// Logs each request without an answer.
+/// Logs the number of unanswered requests and the first of them individually. `state` is the node's state in the log.
 pub fn log_open_requests_once(state: &str, node: &Node) {
     let open = node.open_requests();
     if open.is_empty() {
--- a/crates/node/tests/watchdog.rs
+++ b/crates/node/tests/watchdog.rs
@@ -1,4 +1,4 @@
-//! The watchdog of a node that is driven in process.
+//! Watchdog heartbeats of a node that runs inside the test process.
 
 use saffronpaddle_node::{Config, Edge, Manager, OperatorFile, Options, ProcessSignal};
 use saffronpaddle_test_doubles::settings::{configuration, Fleet, Places};
@@ -6,31 +6,32 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// What the manager allows between two signs of life.
-const ALLOWED: Duration = Duration::from_secs(3);
+/// The watchdog's period: the longest time that the manager allows between two heartbeats.
+const WATCHDOG_PERIOD: Duration = Duration::from_secs(3);
 
-fn options(notify: &Path) -> Options {
-    // Nobody is there: the node needs none of them for its loop to go round.
-    let nowhere = "127.0.0.1:9".parse().expect("an address");
-    let free = "127.0.0.1:0".parse().expect("an address");
-    let (name, peers) = ("n0".to_owned(), vec![nowhere]);
+fn options(notify_socket: &Path) -> Options {
+    // No process listens at this address. The event loop runs without discovery and peers.
+    let unused_address = "127.0.0.1:9".parse().expect("valid address");
+    let any_port = "127.0.0.1:0".parse().expect("valid address");
+    let (name, peers) = ("n0".to_owned(), vec![unused_address]);
     let places = Places {
         name,
-        listen: free,
-        discovery: nowhere,
-        peer_listen: free,
+        listen: any_port,
+        discovery: unused_address,
+        peer_listen: any_port,
         peers,
         sockets: 256,
         memory_mb: 64,
     };
     let text = configuration(&places, &Fleet::usual(1).settings(0), None, 1);
-    let config = Config::parse(Path::new("none"), &text).expect("a good configuration");
-    let says = saffronpaddle_operator_config::Operator::default();
+    let config = Config::parse(Path::new("none"), &text).expect("valid configuration");
+    let settings = saffronpaddle_operator_config::Operator::default();
     let operator = Some(OperatorFile {
         path: "none".into(),
-        settings: says,
+        settings,
     });
-    let manager = Manager::at(notify.as_os_str(), Some(ALLOWED)).expect("an address");
+    let manager =
+        Manager::at(notify_socket.as_os_str(), Some(WATCHDOG_PERIOD)).expect("valid address");
     Options {
         config,
         operator,
@@ -40,66 +41,75 @@
     }
 }
 
-/// Runs a node with a task beside it, and has `watch` listen as its manager.
+/// Runs a node with an additional task on its event loop. `watch` receives on the socket of its service manager.
 fn run<F: std::future::Future<Output = ()> + 'static>(
     tag: &str,
-    beside: impl FnOnce() -> F + Send + 'static,
+    additional_task: impl FnOnce() -> F + Send + 'static,
     watch: impl FnOnce(&UnixDatagram),
 ) {
     let path = std::env::temp_dir().join(format!("saffronpaddle-{}-{tag}", std::process::id()));
-    let socket = UnixDatagram::bind(&path).expect("a socket");
+    let socket = UnixDatagram::bind(&path).expect("binds");
     socket
         .set_read_timeout(Some(Duration::from_mins(1)))
-        .expect("a time-out");
-    let (tell, words) = tokio::sync::mpsc::unbounded_channel();
+        .expect("sets a timeout");
+    let (signal_sender, signals) = tokio::sync::mpsc::unbounded_channel();
     let options = options(&path);
     let node = std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()
-            .expect("a runtime");
+            .expect("builds a runtime");
         tokio::task::LocalSet::new().block_on(&runtime, async {
-            let edge = Edge::bind(options).await.expect("it binds");
-            edge.spawn(beside());
-            edge.run(words).await;
+            let edge = Edge::bind(options).await.expect("binds");
+            edge.spawn(additional_task());
+            edge.run(signals).await;
         });
     });
     watch(&socket);
-    tell.send(ProcessSignal::Stop).expect("it runs");
-    node.join().expect("it ends");
+    signal_sender
+        .send(ProcessSignal::Stop)
+        .expect("the node runs");
+    node.join().expect("the node ends without a panic");
     let _ = std::fs::remove_file(path);
 }
 
-/// The longest time between two signs of life over a span, from the first on.
-fn longest_gap(socket: &UnixDatagram, span: Duration) -> Duration {
+/// Returns the longest time between two heartbeats over `duration`, counted from the first one.
+fn longest_gap(socket: &UnixDatagram, duration: Duration) -> Duration {
     let mut buffer = [0; 4096];
-    let (mut last, mut most, mut begun) = (None::<Instant>, Duration::ZERO, None::<Instant>);
-    while begun.is_none_or(|begun| begun.elapsed() < span) {
-        let length = socket.recv(&mut buffer).expect("a sign of life");
+    let (mut last, mut longest, mut first) = (None::<Instant>, Duration::ZERO, None::<Instant>);
+    while first.is_none_or(|first| first.elapsed() < duration) {
+        let length = socket.recv(&mut buffer).expect("receives a message");
         if buffer[..length].starts_with(b"WATCHDOG=1") {
             let now = Instant::now();
-            begun.get_or_insert(now);
-            most = most.max(last.replace(now).map_or(Duration::ZERO, |last| now - last));
+            first.get_or_insert(now);
+            longest = longest.max(last.replace(now).map_or(Duration::ZERO, |last| now - last));
         }
     }
-    most
+    longest
 }
 
-/// A loop that is stuck feeds nobody: the manager's time runs out. One that goes round never comes near that.
+/// A node whose event loop is blocked must miss the watchdog's period, so that the manager restarts it. A node whose
+/// loop runs must not.
 #[test]
-fn the_watchdog_fires_when_the_loop_is_stuck_and_only_then() {
-    let well = || async {};
-    run("well", well, |socket| {
-        let gap = longest_gap(socket, 2 * ALLOWED);
-        assert!(gap < ALLOWED, "{gap:?} while all was well");
+fn heartbeats_miss_the_watchdog_period_only_while_the_event_loop_is_blocked() {
+    let idle = || async {};
+    run("running", idle, |socket| {
+        let gap = longest_gap(socket, 2 * WATCHDOG_PERIOD);
+        assert!(
+            gap < WATCHDOG_PERIOD,
+            "{gap:?} between heartbeats while the event loop was running"
+        );
     });
-    let stuck = || async {
+    let blocking = || async {
         tokio::time::sleep(Duration::from_millis(500)).await;
-        // What a task that never yields does to the loop.
-        std::thread::sleep(ALLOWED * 2);
+        // Blocks the event loop, as a task that never yields would.
+        std::thread::sleep(WATCHDOG_PERIOD * 2);
     };
-    run("stuck", stuck, |socket| {
-        let gap = longest_gap(socket, ALLOWED * 2);
-        assert!(gap > ALLOWED, "{gap:?} while it was stuck");
+    run("blocked", blocking, |socket| {
+        let gap = longest_gap(socket, WATCHDOG_PERIOD * 2);
+        assert!(
+            gap > WATCHDOG_PERIOD,
+            "{gap:?} between heartbeats while the event loop was blocked"
+        );
     });
 }
