--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -192,7 +192,7 @@
     },
     /// An environment variable does not contain a valid address.
     #[error("{key}: {text:?} is not an IP address with a port")]
-    Address {
+    InvalidAddress {
         /// Name of the variable.
         key: &'static str,
         /// Value of the variable.
@@ -215,7 +215,7 @@
 }
 
 fn parse_address(key: &'static str, text: &str) -> Result<SocketAddr, ConfigError> {
-    text.parse().map_err(|source| ConfigError::Address {
+    text.parse().map_err(|source| ConfigError::InvalidAddress {
         key,
         text: text.to_owned(),
         source,
--- a/crates/node/src/edge.rs
+++ b/crates/node/src/edge.rs
@@ -40,7 +40,7 @@
 /// Length of the queue of connections that wait to be accepted.
 const LISTEN_BACKLOG: i32 = 1024;
 
-/// What a process of an edge node is started with.
+/// Everything that a process of an edge node is started with.
 pub struct Options {
     /// The platform's configuration.
     pub config: Config,
@@ -96,7 +96,7 @@
         let upstream = connections * 3 / 8;
         // Without this check WebSocket connections could take the descriptors that requests need.
         if websocket_descriptors > 0 && upstream < MIN_CONNECTIONS_PER_SIDE {
-            return Err(NodeError::TooManySockets {
+            return Err(NodeError::TooManyWebsockets {
                 connections: upstream,
                 descriptors,
                 min: MIN_CONNECTIONS_PER_SIDE,
--- a/crates/node/src/error.rs
+++ b/crates/node/src/error.rs
@@ -45,12 +45,12 @@
     Runtime(io::Error),
     /// The operator file names a class of WebSocket connections that the settings do not contain.
     #[error("sockets.class: the settings contain no class {0:?}")]
-    UnknownSocketClass(String),
+    UnknownWebsocketClass(String),
     /// WebSocket connections leave requests too few descriptors.
     #[error(
         "sockets.per_node: leaves {connections} connections to app servers for requests, out of {descriptors} descriptors; at least {min} are required"
     )]
-    TooManySockets {
+    TooManyWebsockets {
         /// Connections to app servers that are left for requests.
         connections: usize,
         /// Limit on the process's open descriptors.
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -58,7 +58,7 @@
 }
 
 /// Measures a round of the loop whenever one is requested. Runs until it is dropped. Without it, a busy loop, which
-/// seldom sleeps, would consider everything that it reads old. Tasks run in the order in which they are woken, and a
+/// seldom sleeps, would treat everything that it reads as old. Tasks run in the order in which they are woken, and a
 /// task that yields is woken after every task for which the kernel had reported an event by then.
 pub async fn measure_rounds() {
     let requested = ROUND_REQUESTED.with(Rc::clone);
--- a/crates/node/src/lifecycle_runner.rs
+++ b/crates/node/src/lifecycle_runner.rs
@@ -33,7 +33,6 @@
 /// The event loop counts as stuck if no policy timer has fired for this long, or for half of the watchdog's period if
 /// that is longer, even if other tasks still run. The policy always has a timer due within half a second.
 const MAX_TIMER_GAP: Duration = Duration::from_secs(1);
-/// Heartbeats sent per watchdog period, so that a few may be late or lost.
 const HEARTBEATS_PER_WATCHDOG_PERIOD: u32 = 4;
 
 /// Drives the life cycle's state machine.
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -190,7 +190,7 @@
             .for_each(|command| self.execute(command, &mut payload));
     }
 
-    /// Reports streamed responses that the client stopped reading to the exchange. Runs until it is dropped.
+    /// Reports to the exchange each streamed response that its client has stopped reading. Runs until it is dropped.
     pub async fn handle_abandoned_responses(self: Rc<Self>) {
         let Some(mut abandoned) = self.upstream.take_abandoned() else {
             return;
@@ -343,7 +343,7 @@
         .iter()
         .position(|class| *class == sockets.class);
     let Some(class) = class else {
-        return Err(NodeError::UnknownSocketClass(sockets.class));
+        return Err(NodeError::UnknownWebsocketClass(sockets.class));
     };
     Ok(Rc::new(WebsocketProxy::new(ClassId(class), sockets, clock)))
 }
--- a/crates/node/src/readiness.rs
+++ b/crates/node/src/readiness.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// 2020-01-01 as Unix time. A system clock that shows an earlier time is not set.
+/// 2020-01-01 as Unix time. A system clock that shows an earlier time is wrong.
 #[allow(clippy::duration_suboptimal_units)] // Unix time is given in seconds.
 const EARLIEST_PLAUSIBLE_TIME: Duration = Duration::from_secs(1_577_836_800);
 /// Interval at which open descriptors and memory are counted, as each count reads `/proc`.
