--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -204,7 +204,7 @@
     #[error(transparent)]
     Json(#[from] serde_json::Error),
     /// The policy's settings cannot be parsed.
-    #[error("settings: {0}")]
+    #[error("settings cannot be parsed")]
     PlatformSettings(#[source] setup::ReadError),
     /// The policy's settings are inconsistent or out of range.
     #[error("settings are invalid")]
--- a/crates/node/src/node/figures.rs
+++ b/crates/node/src/node/figures.rs
@@ -11,7 +11,8 @@
 
 impl Node {
     /// The metrics in the text format of the admin command `INFO`.
-    #[allow(clippy::redundant_closure_for_method_calls)] // `Metrics::exposition` as a path is not general over the lifetime of `Metrics`.
+    // `Metrics::exposition` as a path is not general over the lifetime of `Metrics`.
+    #[allow(clippy::redundant_closure_for_method_calls)]
     pub fn metrics_text(&self) -> String {
         self.with_metrics(|metrics| metrics.exposition())
     }
