--- a/crates/node/src/bodies.rs
+++ b/crates/node/src/bodies.rs
@@ -1,5 +1,5 @@
-//! Bodies of requests on their way to a server, and of responses on their way to a client. One that is streamed keeps a few
-//! pieces at a time; how fast it goes is up to the slower of its ends.
+//! Bodies of requests forwarded to a server, and of responses forwarded to a client. A streamed body holds a few chunks
+//! at a time; the slower of its two peers sets the pace.
 
 mod request;
 mod response;
@@ -18,35 +18,35 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// Most bytes of a body that is buffered whole, either way: up to here a request can be sent again, and a response is
-/// passed on once it is complete.
+/// Most bytes of a request or response body that is buffered completely. Up to this size a request can be retried, and
+/// a response is forwarded only once it is complete.
 pub const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
-/// Most bytes of a body that is streamed. It ends bodies that would never end.
+/// Most bytes of a streamed body. Stops bodies without an end.
 pub const MAX_BODY_BYTES: u64 = 40 << 20;
-/// How long a streamed body may make no progress. An end that has gone silently would otherwise keep a connection on
-/// either side for ever.
+/// How long a streamed body may make no progress. A peer that vanished without closing would otherwise hold a
+/// connection on either side forever.
 const STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What was read of a body: all of it, or its first pieces and the rest.
-pub type Gathered = Result<Bytes, (VecDeque<Bytes>, Incoming)>;
+/// A body after buffering: the complete body, or the chunks received so far and the rest that is to be streamed.
+pub type ReadBody = Result<Bytes, (VecDeque<Bytes>, Incoming)>;
 
-/// The pieces of a body as one; copied only where there are several.
-pub fn joined(mut pieces: VecDeque<Bytes>) -> Bytes {
-    if pieces.len() <= 1 {
-        return pieces.pop_front().unwrap_or_default();
+/// Concatenates the chunks of a body; copies only if there are several.
+pub fn concatenate(mut chunks: VecDeque<Bytes>) -> Bytes {
+    if chunks.len() <= 1 {
+        return chunks.pop_front().unwrap_or_default();
     }
-    let mut whole = BytesMut::with_capacity(pieces.iter().map(Bytes::len).sum());
-    pieces
+    let mut body = BytesMut::with_capacity(chunks.iter().map(Bytes::len).sum());
+    chunks
         .iter()
-        .for_each(|piece| whole.extend_from_slice(piece));
-    whole.freeze()
+        .for_each(|chunk| body.extend_from_slice(chunk));
+    body.freeze()
 }
 
 type PolledFrame = Poll<Option<Result<Frame<Bytes>, io::Error>>>;
 
-/// The body of a request on its way to a server.
+/// The body of a request forwarded to a server.
 pub enum UpstreamRequestBody {
-    /// Buffered whole.
+    /// Buffered completely.
     Buffered(Full<Bytes>),
     /// Streamed as it is received.
     Streamed(Rc<StreamedRequestBody>),
@@ -61,31 +61,31 @@
             UpstreamRequestBody::Buffered(full) => Pin::new(full)
                 .poll_frame(context)
                 .map_err(|never| match never {}),
-            UpstreamRequestBody::Streamed(pipe) => pipe.poll(context),
+            UpstreamRequestBody::Streamed(body) => body.poll(context),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
             UpstreamRequestBody::Buffered(full) => full.is_end_stream(),
-            UpstreamRequestBody::Streamed(pipe) => pipe.is_over(),
+            UpstreamRequestBody::Streamed(body) => body.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
             UpstreamRequestBody::Buffered(full) => full.size_hint(),
-            UpstreamRequestBody::Streamed(pipe) => {
-                pipe.size.map_or_else(SizeHint::new, SizeHint::with_exact)
+            UpstreamRequestBody::Streamed(body) => {
+                body.size.map_or_else(SizeHint::new, SizeHint::with_exact)
             }
         }
     }
 }
 
-/// The body of a response on its way to a client.
+/// The body of a response forwarded to a client.
 pub struct DownstreamBody {
     body: ResponseBody,
-    /// Marks the client's connection busy until the response is written.
+    /// Marks the client's connection as busy until the response is written.
     busy_guard: Option<BusyGuard>,
 }
 
@@ -95,8 +95,8 @@
 }
 
 impl DownstreamBody {
-    /// Keeps a connection marked as busy for as long as this body lives.
-    pub fn keep(&mut self, busy: BusyGuard) {
+    /// Keeps the client's connection marked as busy until this body is dropped.
+    pub fn set_busy_guard(&mut self, busy: BusyGuard) {
         self.busy_guard = Some(busy);
     }
 }
@@ -135,7 +135,7 @@
     fn is_end_stream(&self) -> bool {
         match &self.body {
             ResponseBody::Buffered(full) => full.is_end_stream(),
-            ResponseBody::Streaming(body) => body.is_over(),
+            ResponseBody::Streaming(body) => body.is_end_stream(),
         }
     }
 
--- a/crates/node/src/bodies/request.rs
+++ b/crates/node/src/bodies/request.rs
@@ -1,4 +1,4 @@
-//! The body of a request that is streamed from its client to a server.
+//! A request body that is streamed from its client to a server.
 
 use super::{PolledFrame, MAX_BODY_BYTES, STALL_TIMEOUT};
 use bytes::Bytes;
@@ -10,36 +10,39 @@
 use std::pin::Pin;
 use std::task::{ready, Context, Poll, Waker};
 
-/// A request body that is forwarded while it is still received. Its last piece is held back until the exchange releases
+/// A request body that is forwarded while it is being received. Its last chunk is held back until the exchange releases
 /// it.
 pub struct StreamedRequestBody {
-    /// Called once, when all has been received and the last piece waits. The body may outlive its node's loop.
+    /// Called once, when the body has been received completely and its last chunk is held back. The body may outlive
+    /// the event loop of its node.
     on_complete: Box<dyn Fn(Ticket)>,
     ticket: Cell<Option<Ticket>>,
+    /// Size in bytes, if the client declared it.
     pub(super) size: Option<u64>,
     completion_reported: Cell<bool>,
     released: Cell<bool>,
-    waker: RefCell<Option<Waker>>,
+    release_waker: RefCell<Option<Waker>>,
     state: RefCell<RequestBodyState>,
 }
 
 struct RequestBodyState {
-    /// What was received before the body counted as streamed.
-    first: VecDeque<Bytes>,
+    /// Chunks that were buffered before streaming began.
+    received: VecDeque<Bytes>,
     rest: Incoming,
-    /// The newest piece, which may be the last.
-    last_piece: Option<Bytes>,
-    /// Nothing more is received, whether the body is complete or not.
+    /// The latest chunk, held back because it may be the last.
+    held_back: Option<Bytes>,
+    /// Nothing more is read; the body is complete, failed or was drained.
     ended: bool,
     failed: bool,
+    /// Bytes received so far.
     bytes: u64,
 }
 
 impl RequestBodyState {
-    /// The next piece; `None` at the end.
-    fn next(&mut self, context: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
-        if let Some(piece) = self.first.pop_front() {
-            return Poll::Ready(Some(Ok(piece)));
+    /// Returns the next chunk; `None` at the end.
+    fn poll_next(&mut self, context: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
+        if let Some(chunk) = self.received.pop_front() {
+            return Poll::Ready(Some(Ok(chunk)));
         }
         loop {
             let frame = match ready!(Pin::new(&mut self.rest).poll_frame(context)) {
@@ -53,7 +56,9 @@
             };
             self.bytes += data.len() as u64;
             if self.bytes > MAX_BODY_BYTES {
-                return Poll::Ready(Some(Err(io::Error::other("the body is too large"))));
+                return Poll::Ready(Some(Err(io::Error::other(format!(
+                    "request body exceeds {MAX_BODY_BYTES} bytes"
+                )))));
             }
             if !data.is_empty() {
                 return Poll::Ready(Some(Ok(data)));
@@ -62,31 +67,31 @@
     }
 
     fn fail(&mut self) {
-        (self.ended, self.failed, self.last_piece) = (true, true, None);
-        self.first.clear();
+        (self.ended, self.failed, self.held_back) = (true, true, None);
+        self.received.clear();
     }
 }
 
 impl StreamedRequestBody {
-    /// A body of `size` bytes, if that is known, of which these pieces were received.
+    /// Creates a body of `size` bytes (`None` if unknown), of which the chunks in `received` have arrived.
     pub fn new(
         on_complete: Box<dyn Fn(Ticket)>,
         size: Option<u64>,
-        first: VecDeque<Bytes>,
+        received: VecDeque<Bytes>,
         rest: Incoming,
     ) -> StreamedRequestBody {
-        let bytes = first.iter().map(|piece| piece.len() as u64).sum();
+        let bytes = received.iter().map(|chunk| chunk.len() as u64).sum();
         StreamedRequestBody {
             on_complete,
             ticket: Cell::new(None),
             size,
             completion_reported: Cell::new(false),
             released: Cell::new(false),
-            waker: RefCell::default(),
+            release_waker: RefCell::default(),
             state: RefCell::new(RequestBodyState {
-                first,
+                received,
                 rest,
-                last_piece: None,
+                held_back: None,
                 ended: false,
                 failed: false,
                 bytes,
@@ -94,24 +99,24 @@
         }
     }
 
-    /// Sets the ticket of its request.
+    /// Sets the exchange's ticket of the request, which is passed to `on_complete`.
     pub fn set_ticket(&self, ticket: Ticket) {
         self.ticket.set(Some(ticket));
     }
 
-    /// Releases the last piece.
+    /// Allows the last chunk to be sent.
     pub fn release(&self) {
         self.released.set(true);
-        self.waker
+        self.release_waker
             .borrow_mut()
             .take()
             .into_iter()
             .for_each(Waker::wake);
     }
 
-    pub(super) fn is_over(&self) -> bool {
+    pub(super) fn is_end_stream(&self) -> bool {
         let state = self.state.borrow();
-        state.ended && state.last_piece.is_none() && !state.failed
+        state.ended && state.held_back.is_none() && !state.failed
     }
 
     pub(super) fn poll(&self, context: &mut Context<'_>) -> PolledFrame {
@@ -121,15 +126,13 @@
                 return Poll::Ready(Some(Err(io::ErrorKind::ConnectionAborted.into())));
             }
             if state.ended {
-                if state.last_piece.is_none() {
+                if state.held_back.is_none() {
                     return Poll::Ready(None);
                 }
                 if self.released.get() {
-                    return Poll::Ready(
-                        state.last_piece.take().map(|piece| Ok(Frame::data(piece))),
-                    );
+                    return Poll::Ready(state.held_back.take().map(|chunk| Ok(Frame::data(chunk))));
                 }
-                *self.waker.borrow_mut() = Some(context.waker().clone());
+                *self.release_waker.borrow_mut() = Some(context.waker().clone());
                 drop(state);
                 if self.completion_reported.replace(true) {
                     return Poll::Pending;
@@ -143,10 +146,10 @@
                 }
                 continue;
             }
-            match ready!(state.next(context)) {
-                Some(Ok(piece)) => {
-                    if let Some(before) = state.last_piece.replace(piece) {
-                        return Poll::Ready(Some(Ok(Frame::data(before))));
+            match ready!(state.poll_next(context)) {
+                Some(Ok(chunk)) => {
+                    if let Some(previous) = state.held_back.replace(chunk) {
+                        return Poll::Ready(Some(Ok(Frame::data(previous))));
                     }
                 }
                 Some(Err(_)) => state.fail(),
@@ -155,10 +158,10 @@
         }
     }
 
-    /// Reads what is left and drops it, so that the response meets a client that has written everything. No other
-    /// reader gets any of it from then on.
+    /// Reads and discards the rest, so that the client has written everything before it gets the response. From then on
+    /// the rest is not forwarded.
     pub async fn drain(&self) {
-        let next = || std::future::poll_fn(|context| self.state.borrow_mut().next(context));
+        let next = || std::future::poll_fn(|context| self.state.borrow_mut().poll_next(context));
         while !self.state.borrow().ended {
             if !matches!(
                 tokio::time::timeout(STALL_TIMEOUT, next()).await,
--- a/crates/node/src/bodies/response.rs
+++ b/crates/node/src/bodies/response.rs
@@ -1,4 +1,4 @@
-//! The body of a response that is streamed from a server to its client.
+//! A response body that is streamed from a server to its client.
 
 use super::{PolledFrame, STALL_TIMEOUT};
 use bytes::Bytes;
@@ -11,16 +11,18 @@
 use std::task::{ready, Context, Poll};
 use tokio::time::Instant;
 
-/// A response body that is passed on while it is still received.
+/// A response body that is forwarded while it is being received.
 pub struct StreamedResponseBody {
-    /// Called once: with `true` when all was received, with `false` when it never will be.
+    /// Called at most once: with `true` when the body was received completely, with `false` when it failed.
     on_end: Option<Box<dyn FnOnce(bool)>>,
-    /// Called when it is dropped before its end.
+    /// Called if the body is dropped before its end.
     on_abandoned: Box<dyn Fn()>,
+    /// Size in bytes, if the server declared it.
     pub(super) size: Option<u64>,
-    first: VecDeque<Bytes>,
+    /// Chunks that were buffered before streaming began.
+    received: VecDeque<Bytes>,
     rest: Incoming,
-    stall: Pin<Box<tokio::time::Sleep>>,
+    stall_timer: Pin<Box<tokio::time::Sleep>>,
 }
 
 impl fmt::Debug for StreamedResponseBody {
@@ -32,43 +34,43 @@
 }
 
 impl StreamedResponseBody {
-    /// A body of which these pieces were received.
+    /// Creates a body of which the chunks in `received` have arrived.
     pub fn new(
         on_end: Box<dyn FnOnce(bool)>,
         on_abandoned: Box<dyn Fn()>,
-        first: VecDeque<Bytes>,
+        received: VecDeque<Bytes>,
         rest: Incoming,
     ) -> StreamedResponseBody {
-        let received: u64 = first.iter().map(|piece| piece.len() as u64).sum();
-        let size = rest.size_hint().exact().map(|rest| received + rest);
-        let stall = Box::pin(tokio::time::sleep(STALL_TIMEOUT));
+        let received_bytes: u64 = received.iter().map(|chunk| chunk.len() as u64).sum();
+        let size = rest.size_hint().exact().map(|rest| received_bytes + rest);
+        let stall_timer = Box::pin(tokio::time::sleep(STALL_TIMEOUT));
         StreamedResponseBody {
             on_end: Some(on_end),
             on_abandoned,
             size,
-            first,
+            received,
             rest,
-            stall,
+            stall_timer,
         }
     }
 
-    pub(super) fn is_over(&self) -> bool {
-        self.first.is_empty() && (self.on_end.is_none() || self.rest.is_end_stream())
+    pub(super) fn is_end_stream(&self) -> bool {
+        self.received.is_empty() && (self.on_end.is_none() || self.rest.is_end_stream())
     }
 
-    /// All was received, or never will be.
-    fn ends(&mut self, complete: bool) {
+    /// Calls `on_end` unless it was called before.
+    fn report_end(&mut self, complete: bool) {
         if let Some(on_end) = self.on_end.take() {
             on_end(complete);
         }
     }
 
     pub(super) fn poll(&mut self, context: &mut Context<'_>) -> PolledFrame {
-        if let Some(piece) = self.first.pop_front() {
-            if self.first.is_empty() && self.rest.is_end_stream() {
-                self.ends(true);
+        if let Some(chunk) = self.received.pop_front() {
+            if self.received.is_empty() && self.rest.is_end_stream() {
+                self.report_end(true);
             }
-            return Poll::Ready(Some(Ok(Frame::data(piece))));
+            return Poll::Ready(Some(Ok(Frame::data(chunk))));
         }
         loop {
             match Pin::new(&mut self.rest).poll_frame(context) {
@@ -76,24 +78,26 @@
                     let Ok(data) = frame.into_data() else {
                         continue;
                     };
-                    self.stall.as_mut().reset(Instant::now() + STALL_TIMEOUT);
-                    // A reader that knows the length polls no more after the last byte.
+                    self.stall_timer
+                        .as_mut()
+                        .reset(Instant::now() + STALL_TIMEOUT);
+                    // hyper does not poll again after the last byte of a body of known length.
                     if self.rest.is_end_stream() {
-                        self.ends(true);
+                        self.report_end(true);
                     }
                     return Poll::Ready(Some(Ok(Frame::data(data))));
                 }
                 Poll::Ready(None) => {
-                    self.ends(true);
+                    self.report_end(true);
                     return Poll::Ready(None);
                 }
                 Poll::Ready(Some(Err(error))) => {
-                    self.ends(false);
+                    self.report_end(false);
                     return Poll::Ready(Some(Err(io::Error::other(error))));
                 }
                 Poll::Pending => {
-                    ready!(self.stall.as_mut().poll(context));
-                    self.ends(false);
+                    ready!(self.stall_timer.as_mut().poll(context));
+                    self.report_end(false);
                     return Poll::Ready(Some(Err(io::ErrorKind::TimedOut.into())));
                 }
             }
--- a/crates/node/src/clients.rs
+++ b/crates/node/src/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: their connections, their requests and the responses that they get.
+//! Serves clients: accepts their connections, reads their requests and writes the responses.
 
 mod backlog;
 mod connection;
@@ -20,41 +20,41 @@
 use tokio::sync::{watch, Notify};
 use tokio::time::{Instant, Interval, MissedTickBehavior};
 
-/// How soon, and how often from then on, a connection is checked whose client would disconnect unnoticed.
-const UNWATCHED_SWEEP_INTERVAL: Duration = Duration::from_millis(25);
-/// How often connections are evicted while one waits for capacity and none has ended.
+/// Interval of the checks for disconnected clients on connections that are not read while a request is answered.
+const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(25);
+/// Interval of evictions while an accepted connection waits for capacity and no connection has ended.
 const EVICTION_RETRY: Duration = Duration::from_millis(5);
 
-/// How far this process has got in shutting down.
+/// The phase of this process between serving and shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// It serves.
+    /// Serves requests and keeps connections alive.
     Serving,
-    /// Not ready any more; every request is served, and each response closes its connection.
+    /// No longer ready. Requests are served, and each response closes its connection.
     Leaving,
-    /// The same, and idle connections are closed. It may go back to serving.
+    /// As `Leaving`, and idle connections are closed. The process may return to `Serving`.
     Emptying,
-    /// No new connection is accepted, and idle ones are closed.
+    /// No new connection is accepted, and idle connections are closed.
     Closing,
 }
 
-/// How the node serves its clients.
+/// How the node currently serves its clients.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServingStatus {
-    /// How far it has got in leaving.
+    /// The shutdown phase.
     pub phase: Phase,
-    /// Whether connections are taken from the listener.
+    /// Whether connections are accepted from the listener.
     pub accepts: bool,
-    /// Whether new requests can be served as promised.
+    /// Whether the node is ready for new requests.
     pub ready: bool,
-    /// Why they cannot.
+    /// The reasons why the node is not ready.
     pub reasons: Reasons,
-    /// The process was told to stop, and answers all that it has by then.
+    /// When the last open request must be answered; `None` until the process is told to stop.
     pub answer_by: Option<Instant>,
 }
 
 impl ServingStatus {
-    /// The status before anything was sampled.
+    /// The status before the first readiness sample.
     pub fn unready() -> ServingStatus {
         ServingStatus {
             phase: Phase::Serving,
@@ -66,39 +66,39 @@
     }
 }
 
-/// Returns when the edge node has reached a phase, or when nobody is left to set it.
+/// Waits until the node has reached a phase, or the sender of the status is dropped.
 async fn phase_reached(mut status: watch::Receiver<ServingStatus>, phase: Phase) {
     let _ = status.wait_for(|status| status.phase >= phase).await;
 }
 
-/// When unwatched connections are checked next.
-struct UnwatchedSweep {
-    /// Notified when a connection becomes unwatched.
-    unwatched: Rc<Notify>,
-    /// `None` while there is none.
-    at: Option<Instant>,
+/// Schedules the checks of connections that are not read while a request is answered.
+struct DisconnectCheck {
+    /// Notified when reading pauses on a connection.
+    read_paused: Rc<Notify>,
+    /// Time of the next check; `None` while there is no such connection.
+    next_at: Option<Instant>,
 }
 
-impl UnwatchedSweep {
-    /// Returns when they are to be checked. The time is kept where this future is dropped before.
+impl DisconnectCheck {
+    /// Waits until the next check is due. Dropping the future keeps the scheduled time.
     async fn due(&mut self) {
-        if self.at.is_none() {
-            self.unwatched.notified().await;
-            self.again(true);
+        if self.next_at.is_none() {
+            self.read_paused.notified().await;
+            self.schedule_next(true);
         }
-        if let Some(at) = self.at {
+        if let Some(at) = self.next_at {
             tokio::time::sleep_until(at).await;
         }
     }
 
-    /// They were checked; whether there are more.
-    fn again(&mut self, more: bool) {
-        self.at = more.then(|| Instant::now() + UNWATCHED_SWEEP_INTERVAL);
+    /// Schedules the next check if connections remain on which reading is paused.
+    fn schedule_next(&mut self, remaining: bool) {
+        self.next_at = remaining.then(|| Instant::now() + DISCONNECT_CHECK_INTERVAL);
     }
 }
 
-/// Accepts clients until the edge node closes, then serves out those that it has. At most `max_clients` at a time. A
-/// listener that is `shared` outlives this process: what waits in its backlog is for the next one.
+/// Accepts at most `max_clients` connections at a time until the node closes, then serves the open connections until
+/// they end. A `shared` listener outlives this process: connections in its backlog are left to the next process.
 pub async fn serve(
     listener: TcpListener,
     shared: bool,
@@ -110,13 +110,13 @@
     acceptor.accept_until_closing().await;
     acceptor.node.stop();
     let node = Rc::clone(&acceptor.node);
-    acceptor.serve_out(shared).await;
+    acceptor.drain_connections(shared).await;
     if let Some(websockets) = &node.websockets {
         websockets.all_closed().await;
     }
 }
 
-/// Accepts clients, and evicts connections where there is no capacity for more.
+/// Accepts client connections, and evicts some when there is no capacity for more.
 struct Acceptor {
     node: Rc<Node>,
     max_clients: usize,
@@ -124,10 +124,10 @@
     connections: Connections,
     backlog: Backlog,
     sweep: Interval,
-    unwatched_sweep: UnwatchedSweep,
-    /// Accepted, and without capacity as yet.
+    disconnect_check: DisconnectCheck,
+    /// An accepted connection that waits for capacity.
     waiting: Option<Accepted>,
-    /// The machine has no descriptor left for another.
+    /// Accepting failed recently for lack of descriptors or another temporary reason.
     descriptors_exhausted: bool,
 }
 
@@ -141,9 +141,9 @@
         let (connections, backlog) = (Connections::new(), Backlog::new(listener));
         let mut sweep = tokio::time::interval(SWEEP_INTERVAL);
         sweep.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let unwatched_sweep = UnwatchedSweep {
-            unwatched: Rc::clone(&connections.unwatched),
-            at: None,
+        let disconnect_check = DisconnectCheck {
+            read_paused: Rc::clone(&connections.read_paused),
+            next_at: None,
         };
         Acceptor {
             node,
@@ -152,19 +152,19 @@
             connections,
             backlog,
             sweep,
-            unwatched_sweep,
+            disconnect_check,
             waiting: None,
             descriptors_exhausted: false,
         }
     }
 
-    /// Accepts clients until the edge node closes.
+    /// Accepts clients until the node closes.
     async fn accept_until_closing(&mut self) {
         let mut status = self.status.clone();
         let closing = phase_reached(self.status.clone(), Phase::Closing);
         tokio::pin!(closing);
         loop {
-            // Removes tasks that have ended.
+            // Reaps ended tasks.
             while self.connections.tasks.try_join_next().is_some() {}
             self.admit_waiting();
             let full = self.waiting.is_some() || self.descriptors_exhausted;
@@ -182,8 +182,8 @@
                 () = &mut closing => return,
                 Ok(()) = status.changed() => {}
                 _ = self.sweep.tick() => self.connections.sweep(),
-                () = self.unwatched_sweep.due() => self.sweep_unwatched(),
-                // One that ends, by itself or not, has closed its socket.
+                () = self.disconnect_check.due() => self.check_disconnects(),
+                // A task that has ended, aborted or not, has closed its socket.
                 Some(_) = self.connections.tasks.join_next(), if full => {
                     self.descriptors_exhausted = false;
                 }
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Admits the connection that waits if there is capacity, or evicts others for it.
+    /// Admits the waiting connection if there is capacity; otherwise evicts others.
     fn admit_waiting(&mut self) {
         let max_clients = self.node.links.part(self.max_clients);
         if self.waiting.is_none() {
@@ -217,7 +217,7 @@
         };
         match AcceptFailure::of(&error) {
             AcceptFailure::OfOneConnection => {}
-            // The connection stays queued until there is a descriptor for it.
+            // The connection stays queued in the kernel until a descriptor is free.
             AcceptFailure::NoDescriptor => {
                 self.connections.evict(self.connections.tasks.len());
                 self.descriptors_exhausted = true;
@@ -226,27 +226,27 @@
         }
     }
 
-    fn sweep_unwatched(&mut self) {
-        let more = self.connections.sweep_unwatched();
-        self.unwatched_sweep.again(more);
+    fn check_disconnects(&mut self) {
+        let remaining = self.connections.check_disconnects();
+        self.disconnect_check.schedule_next(remaining);
     }
 
-    /// Serves the connections that there are to their end, with those in the backlog unless that is `shared`.
-    async fn serve_out(mut self, shared: bool) {
+    /// Serves the open connections until they end. Includes those in the backlog unless the listener is `shared`.
+    async fn drain_connections(mut self, shared: bool) {
         if let Some(accepted) = self.waiting.take() {
             self.connections.admit(accepted, &self.node, &self.status);
         }
         if !shared {
-            for accepted in self.backlog.rest().await {
+            for accepted in self.backlog.accept_queued().await {
                 self.connections.admit(accepted, &self.node, &self.status);
             }
         }
-        // From here on the kernel rejects connections.
+        // Closes the listener, so the kernel rejects further connections.
         let Acceptor {
             mut connections,
             backlog,
             mut sweep,
-            mut unwatched_sweep,
+            mut disconnect_check,
             ..
         } = self;
         drop(backlog);
@@ -256,7 +256,7 @@
                     return;
                 },
                 _ = sweep.tick() => connections.sweep(),
-                () = unwatched_sweep.due() => unwatched_sweep.again(connections.sweep_unwatched()),
+                () = disconnect_check.due() => disconnect_check.schedule_next(connections.check_disconnects()),
             }
         }
     }
--- a/crates/node/src/clients/backlog.rs
+++ b/crates/node/src/clients/backlog.rs
@@ -10,72 +10,79 @@
 use tokio::task::coop;
 use tokio::time::Instant;
 
-/// Pause after a connection that could not be accepted, mostly for lack of descriptors; it ends earlier where one is
+/// Pause after a connection could not be accepted, mostly for lack of descriptors. It ends earlier if a connection is
 /// closed.
 pub(super) const ACCEPT_RETRY: Duration = Duration::from_millis(20);
-/// Pauses of that kind once the node accepts no more.
+/// Most pauses of [`ACCEPT_RETRY`] while the remaining backlog is accepted during shutdown.
 const MAX_FINAL_RETRIES: u32 = 10;
 
-/// A connection that was accepted.
+/// An accepted connection.
 pub(super) struct Accepted {
     pub stream: TcpStream,
-    /// A time before which the kernel did not have it.
+    /// The connection reached the kernel after this time.
     pub arrived_after: Instant,
 }
 
 /// The connections that the kernel holds until they are accepted.
 pub(super) struct Backlog {
     listener: TcpListener,
-    /// A time before which the kernel did not have what is queued now.
-    clear: Instant,
-    /// What is accepted now may have been queued before the queue was last polled.
-    behind: bool,
+    /// Whatever is queued now reached the kernel after this time.
+    queued_after: Instant,
+    /// Whether the next connection may have been queued before the queue was last polled, so that `queued_after` must
+    /// not advance.
+    may_be_stale: bool,
 }
 
 impl Backlog {
-    /// The queue of a listener.
+    /// Creates the backlog of a listener.
     pub(super) fn new(listener: TcpListener) -> Backlog {
         Backlog {
             listener,
-            clear: Instant::now(),
-            behind: true,
+            queued_after: Instant::now(),
+            may_be_stale: true,
         }
     }
 
-    /// Accepts the next connection. The machine does not report when a connection arrived: it was before the connection
-    /// is accepted, and after the queue was last found empty. The second time is an upper bound of its wait. The bound
-    /// is close where every connection is accepted at once. In a node whose capacity is used up it may deduct more from
-    /// a new request's time than that has waited, down to a rejection at once: that frees capacity, so that the queue
-    /// is soon found empty.
+    /// Accepts the next connection. The kernel does not report when a connection arrived; that was before `accept`
+    /// returned it and after the queue was last found empty. The latter time gives an upper bound of its wait. The
+    /// bound is tight if every connection is accepted immediately. On a node without free capacity it may deduct more
+    /// from a new request's time than the request has waited, so that the request may be rejected immediately. That
+    /// frees capacity, so the queue is soon found empty again.
     pub(super) async fn accept(&mut self) -> io::Result<Accepted> {
         poll_fn(|context| {
             let accepted = self.listener.poll_accept(context);
-            let since = || event_loop::arrived_after().unwrap_or_else(Instant::now);
+            let arrived_after = || event_loop::arrived_after().unwrap_or_else(Instant::now);
             match &accepted {
-                // A task that has used up its budget sees nothing, whatever is queued.
+                // A task whose cooperative budget is used up gets `Pending` even if connections are queued.
                 Poll::Pending if !coop::has_budget_remaining() => {}
-                Poll::Pending => (self.clear, self.behind) = (self.clear.max(since()), false),
-                Poll::Ready(_) if self.behind => {}
-                Poll::Ready(_) => (self.clear, self.behind) = (self.clear.max(since()), true),
+                Poll::Pending => {
+                    (self.queued_after, self.may_be_stale) =
+                        (self.queued_after.max(arrived_after()), false);
+                }
+                Poll::Ready(_) if self.may_be_stale => {}
+                Poll::Ready(_) => {
+                    (self.queued_after, self.may_be_stale) =
+                        (self.queued_after.max(arrived_after()), true);
+                }
             }
             accepted.map_ok(|(stream, _)| Accepted {
                 stream,
-                arrived_after: self.clear,
+                arrived_after: self.queued_after,
             })
         })
         .await
     }
 
-    /// All that is queued. The machine has completed these connections and would reset them with the listener. A call
-    /// that fails for a moment is made again.
-    pub(super) async fn rest(&self) -> Vec<Accepted> {
-        let (mut rest, mut pauses) = (Vec::new(), 0);
+    /// Accepts all queued connections. The kernel has completed their handshakes and would reset them when the listener
+    /// is closed. Temporary failures are retried.
+    pub(super) async fn accept_queued(&self) -> Vec<Accepted> {
+        let (mut queued, mut pauses) = (Vec::new(), 0);
         while let Ok(accepted) = tokio::time::timeout(Duration::ZERO, self.listener.accept()).await
         {
             match accepted {
-                Ok((stream, _)) => rest.push(Accepted {
+                Ok((stream, _)) => queued.push(Accepted {
                     stream,
-                    arrived_after: self.clear,
+                    arrived_after: self.queued_after,
                 }),
                 Err(error) if AcceptFailure::of(&error) == AcceptFailure::OfOneConnection => {}
                 Err(_) if pauses >= MAX_FINAL_RETRIES => break,
@@ -85,11 +92,11 @@
                 }
             }
         }
-        rest
+        queued
     }
 
-    /// The queue is not polled from now on.
+    /// Records that the queue is not polled for some time.
     pub(super) fn pause(&mut self) {
-        self.behind = true;
+        self.may_be_stale = true;
     }
 }
--- a/crates/node/src/clients/connection.rs
+++ b/crates/node/src/clients/connection.rs
@@ -1,4 +1,4 @@
-//! One client's connection, from when it is accepted until it ends.
+//! Serves one client connection, from when it is admitted until it ends.
 
 use super::reply::CLOSE;
 use super::respond::respond;
@@ -21,53 +21,52 @@
 use tokio::time::Instant;
 use tracing::debug;
 
-/// Most bytes buffered for one client, so that all together stay far below the memory limit.
+/// Most bytes buffered for one client. Keeps the sum over all clients far below the memory limit.
 const MAX_BUFFER_BYTES: usize = 32 * 1024;
-/// How long a connection without a request so far may still make one once the edge node closes. A request may be on its
-/// way when the node that the kernel gave the connection to is told to stop.
+/// How long a connection that has not sent a request may still send one after the node starts to close connections. The
+/// request may already be in transit when the node is told to stop.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
-/// Scheduler yields in which bytes that the kernel holds reach a request's reader: one each for tokio's I/O driver and the
-/// connection's task, and one more.
+/// Scheduler yields until bytes held by the kernel reach the reader of a request: one each for tokio's I/O driver and
+/// the connection's task, and one spare.
 const FINAL_READ_YIELDS: usize = 3;
 
-/// One client's connection, until it ends or is evicted.
+/// Serves a client connection until it ends or is evicted.
 pub(super) async fn run(
     stream: Arc<TcpStream>,
     node: Rc<Node>,
     status: watch::Receiver<ServingStatus>,
     downstream: Arc<DownstreamConnection>,
-    unwatched: Rc<Notify>,
+    read_paused: Rc<Notify>,
 ) {
     let http = serve_http(stream, node, status, Arc::clone(&downstream));
     tokio::pin!(http);
     loop {
-        let watched = poll_fn(|context| {
+        let served = poll_fn(|context| {
             let polled = http.as_mut().poll(context);
-            if polled.is_pending() && downstream.is_newly_unwatched() {
-                unwatched.notify_one();
+            if polled.is_pending() && downstream.is_newly_read_paused() {
+                read_paused.notify_one();
             }
             polled
         });
         tokio::select! {
             biased;
-            () = watched => return,
+            () = served => return,
             () = downstream.evicted() => {}
         }
-        // The last byte of a request may arrive in the instant in which its connection is evicted, and the client would
-        // lose it unanswered. What the kernel holds is read first; a connection that turns out to have a request
-        // stays.
+        // The last byte of a request may arrive while its connection is being evicted, and the request would be lost
+        // without a response. Bytes held by the kernel are read first; a connection that has a request is kept.
         for _ in 0..FINAL_READ_YIELDS {
             tokio::task::yield_now().await;
-            // No timer: each would take a tick of its own, and new connections would be admitted no faster than that.
+            // No timer here: each one takes at least a timer tick, which would limit the rate of new connections.
             if poll_fn(|context| Poll::Ready(http.as_mut().poll(context).is_ready())).await {
                 return;
             }
         }
         if !downstream.is_busy() {
             debug!(
-                why = "sent_away",
+                why = "evicted",
                 asked = downstream.has_requested(),
-                "a connection closes"
+                "closing client connection"
             );
             return;
         }
@@ -75,7 +74,7 @@
     }
 }
 
-/// Serves requests on a connection, until it ends by itself or the node empties.
+/// Serves requests on a connection until it ends, or closes it when the node closes idle connections.
 async fn serve_http(
     stream: Arc<TcpStream>,
     node: Rc<Node>,
@@ -83,28 +82,32 @@
     downstream: Arc<DownstreamConnection>,
 ) {
     let _ = stream.set_nodelay(true);
-    let seen = status.clone();
-    let served = Arc::clone(&downstream);
-    let watched = ObservedStream::new(stream, Arc::clone(&downstream));
+    let service_status = status.clone();
+    let service_downstream = Arc::clone(&downstream);
+    let observed = ObservedStream::new(stream, Arc::clone(&downstream));
     let service = service_fn(move |request| {
-        let (node, seen, downstream) = (Rc::clone(&node), seen.clone(), Arc::clone(&served));
+        let (node, service_status, downstream) = (
+            Rc::clone(&node),
+            service_status.clone(),
+            Arc::clone(&service_downstream),
+        );
         async move {
             let busy = BusyGuard::new(&downstream);
-            let mut reply = respond(&node, request, &seen, &downstream).await;
-            reply.body_mut().keep(busy);
-            if seen.borrow().phase > Phase::Serving {
+            let mut reply = respond(&node, request, &service_status, &downstream).await;
+            reply.body_mut().set_busy_guard(busy);
+            if service_status.borrow().phase > Phase::Serving {
                 reply.headers_mut().insert(CONNECTION, CLOSE);
             }
             Ok::<_, Infallible>(reply)
         }
     });
     let mut http = http1::Builder::new();
-    // The time for a head is checked by the sweep.
+    // The periodic sweep enforces the head timeout.
     http.header_read_timeout(None)
         .max_buf_size(MAX_BUFFER_BYTES);
     http.auto_date_header(false);
     let connection = http
-        .serve_connection(TokioIo::new(watched), service)
+        .serve_connection(TokioIo::new(observed), service)
         .with_upgrades();
     tokio::pin!(connection);
     tokio::select! {
@@ -112,34 +115,34 @@
         _ = &mut connection => return,
         () = phase_reached(status.clone(), Phase::Emptying) => {}
     }
-    // What the kernel holds is read before the connection counts as idle.
+    // Bytes held by the kernel are read before the connection counts as idle.
     tokio::task::yield_now().await;
     let wait = last_request_timeout(&downstream, &status.borrow());
     if tokio::time::timeout(wait, &mut connection).await.is_ok() {
         return;
     }
     debug!(
-        why = "process_stops",
+        why = "node_stopping",
         asked = downstream.has_requested(),
         waited_ms = wait.as_millis() as u64,
-        "a connection closes"
+        "closing client connection"
     );
     connection.as_mut().graceful_shutdown();
-    // A client that disconnected was reported to the node by the request's guard.
+    // The error is ignored: the request's guard has already reported a disconnected client to the node.
     let _ = connection.await;
 }
 
-/// How long a connection may still make a request once the node empties. The library takes a kept connection for idle though
-/// half of a head has come on it, and would close it under a client that is still writing.
+/// How long a connection may still send a request after the node starts to close idle connections. hyper considers a
+/// kept-alive connection idle even if part of a head has arrived, and would close it while the client is still writing.
 fn last_request_timeout(downstream: &DownstreamConnection, status: &ServingStatus) -> Duration {
     let wait = match downstream.state() {
         state if state.head_started_at.is_some() => Limits::USUAL.head_timeout,
         state if state.has_requested => Duration::ZERO,
         _ => FIRST_REQUEST_TIMEOUT,
     };
-    // No longer than the process takes requests at all.
-    let left = status
+    // Not beyond the time at which the process stops answering requests.
+    let time_left = status
         .answer_by
         .map(|end| end.saturating_duration_since(Instant::now()));
-    left.map_or(wait, |left| wait.min(left))
+    time_left.map_or(wait, |time_left| wait.min(time_left))
 }
--- a/crates/node/src/clients/connections.rs
+++ b/crates/node/src/clients/connections.rs
@@ -1,4 +1,4 @@
-//! The connections of all clients: which are admitted and evicted, and whose client has gone.
+//! The connections of all clients: admission, eviction and checks for disconnected clients.
 
 use super::backlog::Accepted;
 use super::connection;
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 use tracing::debug;
 
-/// Ended connections whose entries may be kept until they are removed together.
+/// Most entries of ended connections that are kept before they are removed in one pass.
 const MAX_ENDED_ENTRIES: usize = 32;
 
 /// The connections of all clients.
@@ -22,18 +22,18 @@
     pub(super) tasks: JoinSet<()>,
     pub(super) entries: Vec<Entry>,
     pub(super) pressure: EvictionPressure,
-    /// Notified when a connection becomes unwatched.
-    pub(super) unwatched: Rc<Notify>,
+    /// Notified when reading pauses on a connection while its request is answered.
+    pub(super) read_paused: Rc<Notify>,
 }
 
-/// One of them. Its socket belongs to its task; here it is only inspected.
+/// A connection. Its task owns the socket; the entry only inspects it.
 pub(super) struct Entry {
     pub(super) downstream: Arc<DownstreamConnection>,
     task: AbortHandle,
 }
 
 impl Connections {
-    /// No connections yet.
+    /// Creates an empty set.
     pub(super) fn new() -> Connections {
         let (tasks, entries, pressure) = (JoinSet::new(), Vec::new(), EvictionPressure::default());
         Connections {
@@ -41,11 +41,11 @@
             tasks,
             entries,
             pressure,
-            unwatched: Rc::default(),
+            read_paused: Rc::default(),
         }
     }
 
-    /// Serves a connection from now on.
+    /// Starts to serve an accepted connection.
     pub(super) fn admit(
         &mut self,
         accepted: Accepted,
@@ -58,31 +58,31 @@
         } = accepted;
         let stream = Arc::new(stream);
         let downstream = DownstreamConnection::new(self.started_at, arrived_after, &stream);
-        let unwatched = Rc::clone(&self.unwatched);
+        let read_paused = Rc::clone(&self.read_paused);
         let connection = connection::run(
             stream,
             Rc::clone(node),
             status.clone(),
             Arc::clone(&downstream),
-            unwatched,
+            read_paused,
         );
         let task = self.tasks.spawn_local(connection);
         self.entries.push(Entry { downstream, task });
-        // A handle keeps the memory of its ended task: entries are removed before they are many.
+        // An abort handle keeps the memory of its ended task, so the number of such entries is bounded.
         if self.entries.len() > self.tasks.len() + MAX_ENDED_ENTRIES {
-            self.tidy();
+            self.remove_ended();
         }
     }
 
     /// Removes the entries of connections that have ended.
-    fn tidy(&mut self) {
+    fn remove_ended(&mut self) {
         self.entries.retain(|entry| !entry.task.is_finished());
     }
 
-    /// Evicts connections whose time is up, and closes those whose client has gone.
+    /// Evicts connections that have exceeded a time limit, and closes those whose client has disconnected.
     pub(super) fn sweep(&mut self) {
-        self.tidy();
-        self.sweep_unwatched();
+        self.remove_ended();
+        self.check_disconnects();
         let now = self.started_at.elapsed();
         for Entry { downstream, .. } in &self.entries {
             if Limits::USUAL.over(now, &downstream.state()) {
@@ -91,38 +91,38 @@
         }
     }
 
-    /// Closes connections whose client has gone unnoticed; whether others are still unwatched. The library stops
-    /// reading where a client has sent more than its request, and does not see that the client disconnects: a queued
-    /// request would be forwarded for nobody.
-    pub(super) fn sweep_unwatched(&self) -> bool {
-        let mut more = false;
+    /// Closes connections that are not read and whose client has disconnected. Returns whether others remain on which
+    /// reading is paused. hyper stops reading when a client has sent bytes beyond its request, and then does not see
+    /// the client disconnect: a queued request would be forwarded though no client waits for it.
+    pub(super) fn check_disconnects(&self) -> bool {
+        let mut remaining = false;
         for Entry { downstream, task } in &self.entries {
-            if downstream.unwatched() {
+            if downstream.is_read_paused() {
                 if downstream.client_is_gone() {
-                    debug!(why = "client_left", "a connection closes");
+                    debug!(why = "client_disconnected", "closing client connection");
                     task.abort();
                 } else {
-                    more = true;
+                    remaining = true;
                 }
             }
         }
-        more
+        remaining
     }
 
-    /// Evicts as many connections as are needed for one more, and some for those behind it: without this, many silent
-    /// connections would shut out all others. Where the capacity is used up those go that have been silent longest.
-    /// None of them is waited for.
+    /// Evicts as many connections as are needed to admit one, and some for those queued after it. Without this, many
+    /// silent connections could block all others. Prefers the connections that have been silent longest. Returns
+    /// without waiting for the evicted connections to end.
     pub(super) fn evict(&mut self, max_clients: usize) {
-        self.tidy();
+        self.remove_ended();
         let now = self.started_at.elapsed();
-        let evicting = self
+        let already_evicting = self
             .entries
             .iter()
             .filter(|entry| entry.downstream.is_evicted())
             .count();
-        let evictions = self
-            .pressure
-            .evictions(now, max_clients, self.tasks.len(), evicting);
+        let evictions =
+            self.pressure
+                .evictions(now, max_clients, self.tasks.len(), already_evicting);
         if evictions.required + evictions.allowed == 0 {
             return;
         }
--- a/crates/node/src/clients/request.rs
+++ b/crates/node/src/clients/request.rs
@@ -1,4 +1,4 @@
-//! The head of a client's request: parsed, and checked against the settings.
+//! Parses the head of a client's request and checks it against the settings.
 
 use crate::downstream::DownstreamConnection;
 use crate::forward::{Forward, ForwardBody};
@@ -13,33 +13,33 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time kept back for the response's way to the client.
-pub(super) const DELIVERY: Duration = Duration::from_millis(5);
+/// Time reserved for delivering the response to the client.
+pub(super) const DELIVERY_MARGIN: Duration = Duration::from_millis(5);
 
-/// A request's head, which agrees with the settings.
+/// A request head that is valid under the settings.
 pub(super) struct RequestHead {
     pub id: RequestId,
     pub class: ClassId,
     pub plan: PlanId,
     pub customer: CustomerId,
     pub terms: Terms,
-    /// How long its client waits for the response.
+    /// How long the client waits for the response.
     pub timeout: Duration,
-    /// What a second execution would do.
+    /// Whether the request may be executed twice.
     pub effect: Idempotency,
 }
 
-/// Why a request is rejected before it is taken.
+/// The status and reason for rejecting an invalid request.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Rejected {
     pub status: StatusCode,
-    /// A line of text for the client.
+    /// The response body: a line of text.
     pub reason: &'static str,
 }
 
-/// The class that a request's head names.
+/// The class named by `X-Class`; `None` if it is missing or unknown.
 pub(super) fn class_of(platform: &PlatformSettings, headers: &HeaderMap) -> Option<ClassId> {
-    let class = text(headers, "x-class")?;
+    let class = header_text(headers, "x-class")?;
     platform
         .classes
         .iter()
@@ -47,11 +47,11 @@
         .map(ClassId)
 }
 
-/// Reads the head of a client's request.
+/// Parses the head of a client's request.
 ///
 /// # Errors
-/// What is wrong with it. Nothing has been changed by then.
-pub(super) fn read(
+/// The first fault found in the head. No state has changed by then.
+pub(super) fn parse(
     platform: &PlatformSettings,
     head: &hyper::http::request::Parts,
 ) -> Result<RequestHead, Rejected> {
@@ -60,24 +60,24 @@
         reason,
     };
     let headers = &head.headers;
-    // Two readers could take a repeated header in two ways: such a request is rejected.
-    if READ_ONCE
+    // Two parsers could interpret a repeated header differently, so such a request is rejected.
+    if SINGLE_VALUE_HEADERS
         .iter()
         .any(|name| headers.get_all(*name).iter().nth(1).is_some())
     {
         return Err(bad("a header is repeated\n"));
     }
-    let id = text(headers, "x-request-id").filter(|id| (1..=64).contains(&id.len()));
+    let id = header_text(headers, "x-request-id").filter(|id| (1..=64).contains(&id.len()));
     let id = RequestId(
         id.ok_or(bad("X-Request-Id: missing, or no word of 1 to 64 bytes\n"))?
             .into(),
     );
-    let place = |names: &[String], name: &str| names.iter().position(|known| known == name);
-    let class = text(headers, "x-class").ok_or(bad("X-Class: missing\n"))?;
-    let number = class_of(platform, headers)
+    let position_of = |names: &[String], name: &str| names.iter().position(|known| known == name);
+    let class = header_text(headers, "x-class").ok_or(bad("X-Class: missing\n"))?;
+    let class_index = class_of(platform, headers)
         .ok_or(bad("X-Class: unknown\n"))?
         .0;
-    let plan = text(headers, "x-tier").and_then(|plan| place(&platform.plans, plan));
+    let plan = header_text(headers, "x-tier").and_then(|plan| position_of(&platform.plans, plan));
     let plan = PlanId(plan.ok_or(bad("X-Tier: missing or unknown\n"))?);
     let mut path = head.uri.path().trim_start_matches('/').split('/');
     if path.next() != Some(class) {
@@ -85,21 +85,21 @@
     }
     let customer = path
         .next_back()
-        .and_then(customer)
+        .and_then(parse_customer)
         .ok_or(bad("the path does not end with a customer\n"))?;
-    let longest = Duration::from_micros(platform.longest_deadline);
-    let timeout = text(headers, "x-deadline")
-        .and_then(span)
-        .filter(|span| *span <= longest);
+    let max_timeout = Duration::from_micros(platform.longest_deadline);
+    let timeout = header_text(headers, "x-deadline")
+        .and_then(parse_duration)
+        .filter(|timeout| *timeout <= max_timeout);
     let timeout = timeout.ok_or(bad("X-Deadline: missing or bad\n"))?;
-    let terms =
-        text(headers, "x-call-terms").and_then(|text| Terms::read(text, &platform.settings));
+    let terms = header_text(headers, "x-call-terms")
+        .and_then(|text| Terms::parse(text, &platform.settings));
     let terms = terms.ok_or(bad("X-Call-Terms: missing or bad\n"))?;
-    let effect = platform.settings.classes[number].idempotency;
+    let effect = platform.settings.classes[class_index].idempotency;
     check_method(effect, head).map_err(bad)?;
     Ok(RequestHead {
         id,
-        class: ClassId(number),
+        class: ClassId(class_index),
         plan,
         customer,
         terms,
@@ -108,7 +108,7 @@
     })
 }
 
-/// Checks that the method, and the idempotency key where one is needed, are those of the class.
+/// Checks that the method fits the class, and that an idempotency key is present if the class needs one.
 fn check_method(
     idempotency: Idempotency,
     head: &hyper::http::request::Parts,
@@ -117,29 +117,34 @@
         (Idempotency::Idempotent, &Method::GET) | (Idempotency::NonIdempotent, &Method::POST) => {
             Ok(())
         }
-        (Idempotency::WithKey { .. }, &Method::POST) if head.headers.contains_key(KEY) => Ok(()),
+        (Idempotency::WithKey { .. }, &Method::POST)
+            if head.headers.contains_key(IDEMPOTENCY_KEY) =>
+        {
+            Ok(())
+        }
         (Idempotency::WithKey { .. }, &Method::POST) => Err("Idempotency-Key: missing\n"),
         _ => Err("this class takes another method\n"),
     }
 }
 
 impl RequestHead {
-    /// Deducts the time that the request has been queued since its client sent it; `false` where nothing is left. A
-    /// request may have waited in the kernel while this node was late to read it, and its server would be promised
-    /// time that its client no longer has.
-    pub(super) fn deduct_wait(&mut self, rested: Duration) -> bool {
-        self.timeout = self.timeout.saturating_sub(rested);
-        rested.is_zero() || self.timeout > DELIVERY
+    /// Deducts the time that the request was queued since its client sent it; returns `false` if no time is left. A
+    /// request may have waited in the kernel while the event loop was delayed, and its server would be promised time
+    /// that its client no longer has.
+    pub(super) fn deduct_queue_time(&mut self, time_queued: Duration) -> bool {
+        self.timeout = self.timeout.saturating_sub(time_queued);
+        time_queued.is_zero() || self.timeout > DELIVERY_MARGIN
     }
 
-    /// The request is complete: its client's time runs from now on.
-    pub(super) fn arrived(
+    /// Converts the head of a complete request into the arrival event and the request to forward. The client's timeout
+    /// starts now.
+    pub(super) fn into_arrival(
         self,
         head: hyper::http::request::Parts,
         body: Bytes,
         downstream: &Arc<DownstreamConnection>,
     ) -> (Event, Forward) {
-        let timeout = self.timeout.saturating_sub(DELIVERY);
+        let timeout = self.timeout.saturating_sub(DELIVERY_MARGIN);
         let deadline = Instant::now() + timeout;
         let event = Event::RequestArrived {
             id: self.id.clone(),
@@ -157,7 +162,7 @@
             .path_and_query()
             .map_or("/", |target| target.as_str())
             .to_owned();
-        let key = head.headers.get(KEY).cloned();
+        let key = head.headers.get(IDEMPOTENCY_KEY).cloned();
         (
             event,
             Forward {
@@ -175,46 +180,47 @@
     }
 }
 
-/// The header that makes a request safe to repeat.
-const KEY: &str = "idempotency-key";
-/// Headers that a request may have once at the most.
-const READ_ONCE: [&str; 8] = [
+/// The header that makes a request safe to retry.
+const IDEMPOTENCY_KEY: &str = "idempotency-key";
+/// Headers that a request may contain at most once.
+const SINGLE_VALUE_HEADERS: [&str; 8] = [
     "x-request-id",
     "x-class",
     "x-tier",
     "x-deadline",
     "x-call-terms",
-    KEY,
+    IDEMPOTENCY_KEY,
     "content-length",
     "host",
 ];
 
-pub(super) fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+/// The value of a header; `None` if it is missing or not visible ASCII.
+pub(super) fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// A customer: 16 hex digits without a sign, a number below 2^33.
-pub(super) fn customer(text: &str) -> Option<CustomerId> {
-    let digits = text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
-    let number = digits
+/// Parses a customer id: 16 hexadecimal digits without a sign, with a value below 2^33.
+pub(super) fn parse_customer(text: &str) -> Option<CustomerId> {
+    let is_valid = text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
+    let number = is_valid
         .then(|| u64::from_str_radix(text, 16).ok())
         .flatten()?;
     (number < 1 << 33).then_some(CustomerId(number))
 }
 
-/// A plain decimal number: no sign, no exponent, no name of a number.
-fn number(text: &str) -> Option<f64> {
-    let plain = !text.is_empty()
+/// Parses a plain decimal number: no sign, no exponent, no `NaN` or `inf`.
+fn parse_decimal(text: &str) -> Option<f64> {
+    let is_plain = !text.is_empty()
         && text
             .bytes()
             .all(|byte| byte.is_ascii_digit() || byte == b'.');
-    plain.then(|| text.parse().ok()).flatten()
+    is_plain.then(|| text.parse().ok()).flatten()
 }
 
-/// A duration: a number with its unit, `m` (ms) or `u` (µs); an hour at the most.
-pub(super) fn span(text: &str) -> Option<Duration> {
+/// Parses a duration: a decimal number followed by `m` (ms) or `u` (µs), at most one hour.
+pub(super) fn parse_duration(text: &str) -> Option<Duration> {
     let (digits, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
-    let number = number(digits)?;
+    let number = parse_decimal(digits)?;
     let seconds = match unit {
         "m" => number / 1e3,
         "u" => number / 1e6,
@@ -223,7 +229,7 @@
     (seconds > 0.0 && seconds <= 3600.0).then(|| Duration::from_secs_f64(seconds))
 }
 
-/// What a request takes from its customer's quota, and the customer's node subset.
+/// What a request consumes of its customer's quota, and the customer's node subset (`X-Call-Terms`).
 #[derive(Debug)]
 pub(super) struct Terms {
     pub units: f64,
@@ -232,37 +238,41 @@
 }
 
 impl Terms {
-    /// Units and a node subset that agree with the settings. Unknown names are ignored; a malformed or repeated term
-    /// invalidates all.
-    fn read(text: &str, settings: &Settings) -> Option<Terms> {
+    /// Parses units and a node subset that are valid under the settings. Unknown names are ignored; a malformed or
+    /// repeated term invalidates all terms.
+    fn parse(text: &str, settings: &Settings) -> Option<Terms> {
         let (mut units, mut subset_size, mut first) = (None, None, None);
-        let whole = |value: &str| {
+        let parse_integer = |value: &str| {
             value
                 .bytes()
                 .all(|byte| byte.is_ascii_digit())
                 .then(|| value.parse().ok())?
         };
-        let most = if settings.max_request_units > 0.0 {
+        let max_units = if settings.max_request_units > 0.0 {
             settings.max_request_units
         } else {
             f64::MAX
         };
         for term in text.split(',') {
             let (name, value) = term.trim().split_once('=')?;
-            let again = match name {
+            let is_repeated = match name {
                 "units" => units
-                    .replace(number(value).filter(|units| *units > 0.0 && *units <= most)?)
+                    .replace(
+                        parse_decimal(value).filter(|units| *units > 0.0 && *units <= max_units)?,
+                    )
                     .is_some(),
                 "spread" => {
                     let fits = |subset_size: &u32| (1..=settings.node_count).contains(subset_size);
-                    subset_size.replace(whole(value).filter(fits)?).is_some()
+                    subset_size
+                        .replace(parse_integer(value).filter(fits)?)
+                        .is_some()
                 }
                 "first" => first
-                    .replace(whole(value).filter(|first| *first < settings.node_count)?)
+                    .replace(parse_integer(value).filter(|first| *first < settings.node_count)?)
                     .is_some(),
                 _ => false,
             };
-            if again {
+            if is_repeated {
                 return None;
             }
         }
--- a/crates/node/src/clients/respond.rs
+++ b/crates/node/src/clients/respond.rs
@@ -1,14 +1,14 @@
-//! Serves one request: reads its body, submits it to the node, and makes the response.
+//! Serves one request: reads its body, submits it to the node and builds the response.
 
 use super::reply::{
     deadline_passed, duplicate_id, reject_and_close, reject_unread, reject_upgrade, reply,
     text_reply, unavailable, Reply,
 };
-use super::request::{read, Rejected, RequestHead, DELIVERY};
+use super::request::{parse, Rejected, RequestHead, DELIVERY_MARGIN};
 use super::ServingStatus;
 use crate::answer::{Answer, Payload};
 use crate::bodies::{
-    joined, Gathered, StreamedRequestBody, MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES,
+    concatenate, ReadBody, StreamedRequestBody, MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES,
 };
 use crate::downstream::{DownstreamConnection, ObservedStream};
 use crate::forward::{Forward, ForwardBody};
@@ -32,16 +32,16 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// How long the buffered part of a body may take from its head on, before the time that its size allows. It ends bodies
-/// that stop half-way.
+/// How long the buffered part of a body may take after its head, in addition to the time that its size allows. Stops
+/// waiting for bodies that stall.
 const BODY_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Bytes of a buffered body that a client must send in a second at least: half of what a slow client does.
+/// Lowest rate at which a client must send a buffered body: half the rate of a slow client.
 const MIN_BODY_BYTES_PER_SECOND: u32 = 32_000;
-/// How long a streamed body may take while its client makes progress: the largest at the slowest rate. It takes nothing
-/// from quotas meanwhile.
+/// How long a streamed body may take while its client makes progress: enough for the largest body at the lowest rate.
+/// It consumes no quota meanwhile.
 const STREAMED_BODY_TIMEOUT: Duration = Duration::from_mins(20);
 
-/// Answers a request.
+/// Serves a request and returns its response.
 pub(super) async fn respond(
     node: &Rc<Node>,
     request: Request<Incoming>,
@@ -61,35 +61,36 @@
     let (mut request, offer) = match node.websockets {
         Some(_) => match upgrade::read(request.method(), request.version(), request.headers()) {
             Ok(offer) => (request, offer),
-            Err((status, what)) => return reject_upgrade(status, what),
+            Err((status, reason)) => return reject_upgrade(status, reason),
         },
         None => (request, None),
     };
-    let upgrades = offer.as_ref().map(|_| hyper::upgrade::on(&mut request));
+    let client_upgrade = offer.as_ref().map(|_| hyper::upgrade::on(&mut request));
     let (head, body) = request.into_parts();
-    let mut asked = match read(&node.platform, &head) {
-        Ok(asked) => asked,
+    let mut request_head = match parse(&node.platform, &head) {
+        Ok(request_head) => request_head,
         Err(rejected) => return reject_unread(node, &head.headers, rejected),
     };
-    if let (Some(offer), Some(upgrades)) = (offer, upgrades) {
-        return socket(node, asked, head, offer, upgrades, downstream).await;
+    if let (Some(offer), Some(client_upgrade)) = (offer, client_upgrade) {
+        return open_websocket(node, request_head, head, offer, client_upgrade, downstream).await;
     }
     let size = body.size_hint().exact();
-    match receive_body(node, &mut asked, body, downstream).await {
-        Ok(body) => forward(node, asked, head, (body, size), downstream).await,
+    match receive_body(node, &mut request_head, body, downstream).await {
+        Ok(body) => forward(node, request_head, head, (body, size), downstream).await,
         Err(reply) => reply,
     }
 }
 
-/// Whether a request could hide another in its body: of a length and an encoding, hyper drops one unseen.
+/// Whether a request could smuggle another one in its body. If a head has both a length and an encoding, hyper drops
+/// one of them silently.
 fn is_ambiguously_framed(request: &Request<Incoming>, downstream: &DownstreamConnection) -> bool {
-    let coding = request.headers().get(TRANSFER_ENCODING);
-    coding.is_some_and(|coding| {
-        downstream.is_ambiguously_framed() || !coding.as_bytes().eq_ignore_ascii_case(b"chunked")
+    let encoding = request.headers().get(TRANSFER_ENCODING);
+    encoding.is_some_and(|encoding| {
+        downstream.is_ambiguously_framed() || !encoding.as_bytes().eq_ignore_ascii_case(b"chunked")
     })
 }
 
-/// The answer to a readiness probe.
+/// The response to a readiness probe.
 fn readiness(serving: &ServingStatus) -> Reply {
     let mut reply = Response::new(serving.reasons.to_string().into());
     *reply.status_mut() = if serving.ready {
@@ -100,62 +101,65 @@
     reply
 }
 
-/// Reads a request's body as far as it is buffered. An error is the reply that the request is rejected with.
+/// Reads the buffered part of a request's body. An error is the reply that rejects the request.
 async fn receive_body(
     node: &Node,
-    asked: &mut RequestHead,
+    request_head: &mut RequestHead,
     body: Incoming,
     downstream: &DownstreamConnection,
-) -> Result<Gathered, Reply> {
+) -> Result<ReadBody, Reply> {
     let reject = |status, reason| {
-        node.record_rejection(asked.class, RequestEnd::Faulted);
+        node.record_rejection(request_head.class, RequestEnd::Faulted);
         reject_and_close(status, reason)
     };
     if body.size_hint().lower() > MAX_BODY_BYTES {
         let status = StatusCode::PAYLOAD_TOO_LARGE;
         return Err(reject(status, "the body is too large\n"));
     }
-    let Some(body) = gather(body).await else {
+    let Some(body) = buffer_body(body).await else {
         let status = StatusCode::BAD_REQUEST;
         return Err(reject(status, "the body did not come whole\n"));
     };
     let is_empty = body.as_ref().is_ok_and(Bytes::is_empty);
-    if asked.effect == Idempotency::Idempotent && !is_empty {
+    if request_head.effect == Idempotency::Idempotent && !is_empty {
         let status = StatusCode::BAD_REQUEST;
         return Err(reject(status, "this class takes no body\n"));
     }
-    // The time of one whose body is streamed has not begun.
-    if body.is_ok() && !asked.deduct_wait(downstream.time_queued()) {
-        return Err(deadline_passed(node, asked.class));
+    // The timeout of a request with a streamed body has not started yet.
+    if body.is_ok() && !request_head.deduct_queue_time(downstream.time_queued()) {
+        return Err(deadline_passed(node, request_head.class));
     }
     Ok(body)
 }
 
-/// Has a request served. `body`: what was read of its body, and the whole body's bytes if they are known.
+/// Submits a request and returns its response. `body`: the body after buffering, and its size in bytes if known.
 async fn forward(
     node: &Rc<Node>,
-    asked: RequestHead,
+    request_head: RequestHead,
     head: hyper::http::request::Parts,
-    body: (Gathered, Option<u64>),
+    body: (ReadBody, Option<u64>),
     downstream: &Arc<DownstreamConnection>,
 ) -> Reply {
-    let (class, timeout) = (asked.class, asked.timeout.saturating_sub(DELIVERY));
+    let (class, timeout) = (
+        request_head.class,
+        request_head.timeout.saturating_sub(DELIVERY_MARGIN),
+    );
     let (body, streamed) = match body {
         (Ok(body), _) => (body, None),
-        (Err((first, rest)), size) => (Bytes::new(), Some((first, rest, size))),
+        (Err((received, rest)), size) => (Bytes::new(), Some((received, rest, size))),
     };
-    let (mut event, mut forward) = asked.arrived(head, body, downstream);
-    let streamed = streamed.map(|(first, rest, size)| {
+    let (mut event, mut forward) = request_head.into_arrival(head, body, downstream);
+    let streamed = streamed.map(|(received, rest, size)| {
         let on_complete = node.report_body_complete(forward.id.clone(), timeout);
-        let body = StreamedRequestBody::new(Box::new(on_complete), size, first, rest);
+        let body = StreamedRequestBody::new(Box::new(on_complete), size, received, rest);
         Rc::new(body)
     });
     if let Some(body) = &streamed {
         stream_body(&mut event, &mut forward, Rc::clone(body));
     }
-    let answer = ask(node, event, forward).await;
+    let answer = submit(node, event, forward).await;
     if let Some(body) = &streamed {
-        // A client that is still writing would lose its answer with the connection: the rest is read first.
+        // A client that is still writing when the connection closes would lose its response, so the rest is read first.
         body.drain().await;
     }
     if let Some(answer) = answer {
@@ -165,7 +169,7 @@
     duplicate_id()
 }
 
-/// Has a request forwarded while its body still comes. Its client's time begins with the last byte.
+/// Has a request forwarded while its body is being received. The client's timeout starts with the last byte.
 fn stream_body(event: &mut Event, forward: &mut Forward, body: Rc<StreamedRequestBody>) {
     forward.body = ForwardBody::Streamed(body);
     forward.deadline = Instant::now() + STREAMED_BODY_TIMEOUT;
@@ -177,109 +181,111 @@
     }
 }
 
-/// Reads a body that is buffered; of one that is too large for that, what was read when that was clear. `None` if it
-/// broke off, or was sent too slowly.
-async fn gather(mut body: Incoming) -> Option<Gathered> {
-    let (mut pieces, mut size) = (VecDeque::new(), 0);
+/// Buffers a body. Of one that is too large for buffering, returns what was read when it turned out to be too large.
+/// `None` if the body was truncated or sent too slowly.
+async fn buffer_body(mut body: Incoming) -> Option<ReadBody> {
+    let (mut chunks, mut size) = (VecDeque::new(), 0);
     if body.size_hint().lower() > MAX_BUFFERED_BODY_BYTES as u64 {
-        return Some(Err((pieces, body)));
+        return Some(Err((chunks, body)));
     }
     if body.is_end_stream() {
         return Some(Ok(Bytes::new()));
     }
-    let began = Instant::now();
+    let started_at = Instant::now();
     loop {
-        let until = began
+        let deadline = started_at
             + BODY_TIMEOUT
             + Duration::from_secs(1).mul_f64(size as f64 / f64::from(MIN_BODY_BYTES_PER_SECOND));
-        let Some(frame) = tokio::time::timeout_at(until, body.frame()).await.ok()? else {
+        let Some(frame) = tokio::time::timeout_at(deadline, body.frame()).await.ok()? else {
             break;
         };
         let Ok(data) = frame.ok()?.into_data() else {
             continue;
         };
         size += data.len();
-        pieces.push_back(data);
+        chunks.push_back(data);
         if size > MAX_BUFFERED_BODY_BYTES {
-            return Some(Err((pieces, body)));
+            return Some(Err((chunks, body)));
         }
     }
-    Some(Ok(joined(pieces)))
+    Some(Ok(concatenate(chunks)))
 }
 
-/// Opens a web socket: a request like any other, whose response is the socket.
-async fn socket(
+/// Opens a WebSocket. The upgrade is submitted like any other request; its payload is the connection to the server.
+async fn open_websocket(
     node: &Rc<Node>,
-    mut asked: RequestHead,
+    mut request_head: RequestHead,
     head: hyper::http::request::Parts,
     offer: Offer,
-    upgrades: OnUpgrade,
+    client_upgrade: OnUpgrade,
     downstream: &Arc<DownstreamConnection>,
 ) -> Reply {
     let Some(websockets) = node
         .websockets
         .as_ref()
-        .filter(|websockets| websockets.class == asked.class)
+        .filter(|websockets| websockets.class == request_head.class)
     else {
         return reject_upgrade(
             StatusCode::BAD_REQUEST,
             "this class is not that of sockets\n",
         );
     };
-    if !asked.deduct_wait(downstream.time_queued()) {
-        return deadline_passed(node, asked.class);
+    if !request_head.deduct_queue_time(downstream.time_queued()) {
+        return deadline_passed(node, request_head.class);
     }
-    let place = match websockets.admit(asked.customer, asked.terms.subset_size) {
-        Ok(place) => place,
-        Err(shut) => {
-            let mut reply = unavailable(Some(Duration::from_micros(shut.retry_in)));
-            *reply.body_mut() = shut.why.into();
+    let permit = match websockets.admit(request_head.customer, request_head.terms.subset_size) {
+        Ok(permit) => permit,
+        Err(rejection) => {
+            let mut reply = unavailable(Some(Duration::from_micros(rejection.retry_in)));
+            *reply.body_mut() = rejection.why.into();
             return reply;
         }
     };
-    let (event, mut forward) = asked.arrived(head, Bytes::new(), downstream);
+    let (event, mut forward) = request_head.into_arrival(head, Bytes::new(), downstream);
     forward.offer = Some(offer);
-    let Some(answer) = ask(node, event, forward).await else {
+    let Some(answer) = submit(node, event, forward).await else {
         return duplicate_id();
     };
-    let Answer::Served(Payload::Upgraded(switched)) = answer else {
+    let Answer::Served(Payload::Upgraded(server_connection)) = answer else {
         return reply(answer);
     };
-    let mut answer = text_reply(StatusCode::SWITCHING_PROTOCOLS, "");
-    let headers = answer.headers_mut();
+    let mut response = text_reply(StatusCode::SWITCHING_PROTOCOLS, "");
+    let headers = response.headers_mut();
     headers.insert(CONNECTION, HeaderValue::from_static("upgrade"));
     headers.insert(UPGRADE, HeaderValue::from_static("websocket"));
-    headers.extend(switched.accepted());
+    headers.extend(server_connection.accepted());
     tokio::task::spawn_local(async move {
-        // It fails where the client has gone before its response.
-        let Ok(upgraded) = upgrades.await else { return };
+        // Fails if the client disconnects before its response is written.
+        let Ok(upgraded) = client_upgrade.await else {
+            return;
+        };
         let Ok(parts) = upgraded.downcast::<TokioIo<ObservedStream>>() else {
             return;
         };
         if let Some(stream) = parts.io.into_inner().into_inner() {
-            websocket::relay(place, stream, parts.read_buf, *switched).await;
+            websocket::relay(permit, stream, parts.read_buf, *server_connection).await;
         }
     });
-    answer
+    response
 }
 
-/// Notifies the node when the client goes away: the future of its response is dropped then.
-struct Waiting<'a> {
+/// Tells the node to abandon the request when the client disconnects, which drops the future of the response.
+struct AbandonGuard<'a> {
     node: &'a Rc<Node>,
     id: RequestId,
     ticket: Ticket,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for AbandonGuard<'_> {
     fn drop(&mut self) {
         self.node.abandon(&self.id, self.ticket);
     }
 }
 
-/// Waits for a request's final answer; `None` if its id is in use.
-async fn ask(node: &Rc<Node>, event: Event, forward: Forward) -> Option<Answer> {
+/// Submits a request and waits for its final answer; `None` if its id is in use.
+async fn submit(node: &Rc<Node>, event: Event, forward: Forward) -> Option<Answer> {
     let id = forward.id.clone();
     let (answered, ticket) = node.submit(event, forward)?;
-    let _waiting = Waiting { node, id, ticket };
+    let _abandon_guard = AbandonGuard { node, id, ticket };
     Some(answered.await.unwrap_or(Answer::Failed))
 }
--- a/crates/node/src/clients/tests.rs
+++ b/crates/node/src/clients/tests.rs
@@ -1,4 +1,4 @@
-use super::request::{customer, span};
+use super::request::{parse_customer, parse_duration};
 use super::*;
 use crate::config::Config;
 use crate::node::NodeParts;
@@ -10,20 +10,20 @@
 use tokio::net::TcpStream;
 
 fn node() -> Rc<Node> {
-    let [nowhere, free] =
-        ["127.0.0.1:9", "127.0.0.1:0"].map(|text| text.parse().expect("an address"));
+    let [unreachable, any_port] =
+        ["127.0.0.1:9", "127.0.0.1:0"].map(|text| text.parse().expect("a valid address"));
     let places = Places {
         name: "n0".to_owned(),
-        listen: free,
-        discovery: nowhere,
-        peer_listen: free,
-        peers: vec![nowhere],
+        listen: any_port,
+        discovery: unreachable,
+        peer_listen: any_port,
+        peers: vec![unreachable],
         sockets: 256,
         memory_mb: 64,
     };
     let text = configuration(&places, &Fleet::usual(1).settings(0), None, 1);
     let platform = Config::parse(std::path::Path::new("none"), &text)
-        .expect("a good configuration")
+        .expect("the configuration is valid")
         .platform;
     Node::new(NodeParts {
         seed: 1,
@@ -34,56 +34,65 @@
         sockets: None,
         restored: None,
     })
-    .expect("a node")
+    .expect("the node is created")
 }
 
-/// Many connections compete for the capacity, and the last byte of a request is received in the instant in which its
-/// connection is evicted. A request that was received whole is answered; half a head, and an idle connection, are closed
-/// without a response.
+/// The last byte of a request may arrive while its connection is being evicted to free capacity. A request that was
+/// received completely is answered; a connection with half a head, or idle, is closed without a response.
 #[test]
-fn a_request_received_whole_as_its_connection_is_evicted_is_answered() {
+fn a_request_that_completes_during_eviction_is_answered() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .expect("a runtime");
+        .expect("the runtime is built");
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let (node, (_status, seen)) = (node(), watch::channel(ServingStatus::unready()));
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let (node, (_status, status_receiver)) = (node(), watch::channel(ServingStatus::unready()));
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("the listener binds");
         let (half, rest) = ("GET /-/ready HTTP/1.1\r\nHo", "st: n0\r\n\r\n");
-        for (first, then, status) in [(half, rest, "HTTP/1.1 503"), (half, "", ""), ("", "", "")] {
+        for (sent_before, sent_during, status) in
+            [(half, rest, "HTTP/1.1 503"), (half, "", ""), ("", "", "")]
+        {
             let mut connections = Connections::new();
-            let address = listener.local_addr().expect("an address");
-            let mut client = std::net::TcpStream::connect(address).expect("it listens");
-            let (stream, _) = listener.accept().await.expect("one was accepted");
+            let address = listener.local_addr().expect("a valid address");
+            let mut client = std::net::TcpStream::connect(address).expect("the client connects");
+            let (stream, _) = listener.accept().await.expect("the connection is accepted");
             connections.admit(
                 Accepted {
                     stream,
                     arrived_after: Instant::now(),
                 },
                 &node,
-                &seen,
+                &status_receiver,
             );
-            client.write_all(first.as_bytes()).expect("written");
+            client
+                .write_all(sent_before.as_bytes())
+                .expect("the client writes");
             while connections.entries[0]
                 .downstream
                 .state()
                 .head_started_at
                 .is_some()
-                == first.is_empty()
+                == sent_before.is_empty()
             {
                 tokio::task::yield_now().await;
             }
-            // The machine has the rest, and this node's loop has not read it yet.
-            client.write_all(then.as_bytes()).expect("written");
+            // The kernel holds the rest, and the node's event loop has not read it yet.
+            client
+                .write_all(sent_during.as_bytes())
+                .expect("the client writes");
             connections.evict(1);
             connections.tasks.join_next().await;
-            client.set_nonblocking(true).expect("it can be");
-            let mut got = String::new();
-            let mut client = TcpStream::from_std(client).expect("it is open");
-            let _ = client.read_to_string(&mut got).await;
+            client
+                .set_nonblocking(true)
+                .expect("the socket becomes non-blocking");
+            let mut response = String::new();
+            let mut client = TcpStream::from_std(client).expect("the socket registers with tokio");
+            let _ = client.read_to_string(&mut response).await;
             assert!(
-                got.starts_with(status) && got.is_empty() == status.is_empty(),
-                "{first:?}: {got:?}"
+                response.starts_with(status) && response.is_empty() == status.is_empty(),
+                "{sent_before:?}: {response:?}"
             );
         }
     });
@@ -91,18 +100,21 @@
 
 #[test]
 fn durations_have_a_number_and_a_unit() {
-    assert_eq!(span("480m"), Some(Duration::from_millis(480)));
-    assert_eq!(span("1500u"), Some(Duration::from_micros(1500)));
+    assert_eq!(parse_duration("480m"), Some(Duration::from_millis(480)));
+    assert_eq!(parse_duration("1500u"), Some(Duration::from_micros(1500)));
     for bad in [
         "", "m", "480", "-1m", "+1m", "1e2m", "0m", "NaNm", "infm", "1s", "4µ",
     ] {
-        assert_eq!(span(bad), None, "{bad:?}");
+        assert_eq!(parse_duration(bad), None, "{bad:?}");
     }
 }
 
 #[test]
 fn customers_have_16_digits_and_no_sign() {
-    assert_eq!(customer("00000000b4d65521"), Some(CustomerId(0xb4d6_5521)));
+    assert_eq!(
+        parse_customer("00000000b4d65521"),
+        Some(CustomerId(0xb4d6_5521))
+    );
     for bad in [
         "",
         "b4d65521",
@@ -111,6 +123,6 @@
         "0000000200000000",
         "00000000b4d6552g",
     ] {
-        assert_eq!(customer(bad), None, "{bad:?}");
+        assert_eq!(parse_customer(bad), None, "{bad:?}");
     }
 }
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery: a watch on the list of app servers. It is opened again whenever it ends or falls silent, and kept while
-//! the service's address changes until the new address has sent a list.
+//! Follows the platform's list of app servers through a watch. The watch is reopened whenever it ends or falls silent.
+//! When the service's address changes, the old watch is kept until the new address has sent a list.
 
 mod call;
 mod error;
@@ -22,48 +22,50 @@
 use tokio::time::{timeout, Instant};
 use tracing::{debug, warn};
 
-/// A watch sends something every 2 s; one that is this late is taken for dead. A drain counts as announced 6 s after
-/// discovery has it, also on a watch that nobody serves any more: a new watch must be open by then.
+/// A watch without data for this time is considered dead; the service sends something every 2 s. A drain counts as
+/// announced 6 s after discovery has it, even if the watch is dead, so a new watch must be open by then.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(3);
-/// Servers of the longest list that is read.
+/// Number of servers in the longest list that can be read.
 const MAX_SERVERS: usize = 40_000;
-/// Bytes of a server in the longest list that is read. Its full form with a name of ten letters takes 124.
+/// Bytes per server in the longest list that can be read. A full entry with a name of ten letters takes 124 bytes.
 const MAX_BYTES_PER_SERVER: usize = 256;
-/// Most bytes of one list. It bounds memory: the text is kept until its last byte was read, and then stands beside the
-/// parsed entries.
+/// Most bytes of one list. Bounds memory: the text is kept until its last byte has been read, and is then in memory
+/// together with the parsed entries.
 const MAX_LIST_BYTES: usize = MAX_SERVERS * MAX_BYTES_PER_SERVER;
 
-/// Applies versions of one address in order. `known` may be old, and a watch may repeat what is known.
+/// Applies the list versions of one address in order. The initial list may be outdated, and a watch may repeat
+/// versions.
 struct Follower {
     node: Rc<Node>,
     status: Rc<WatchStatus>,
-    /// The version that was applied last, as this address numbers them.
+    /// The version that was applied last. Each address has its own numbering.
     seq: Option<u64>,
     /// Whether the last call was answered with a watch.
     opened: bool,
-    /// The installation's limits for polling its list service, if it has any; and when the service wants the next call.
+    /// The installation's limits for calls to its list service, if any.
     poll_limits: Option<PollLimits>,
+    /// The delay before the next call that the service asked for.
     retry_after: Option<Duration>,
-    /// Whether an empty list is applied or doubted.
+    /// Decides whether an empty list is applied or ignored for now.
     empty_list: EmptyListProtection,
     started_at: Instant,
 }
 
 impl Follower {
-    /// How long a call may take to be answered.
+    /// How long the service may take to answer a call.
     fn answer_timeout(&self) -> Duration {
         self.poll_limits
             .as_ref()
             .map_or(WATCH_TIMEOUT, |poll_limits| poll_limits.answer_within)
     }
 
-    /// When an empty list that is not believed is read again, since `started_at`; `None` where there is none.
-    fn empty_list_settles_at(&self) -> Option<Duration> {
+    /// When an empty list that was not accepted is read again, as time since `started_at`; `None` if there is none.
+    fn empty_list_recheck_at(&self) -> Option<Duration> {
         let limits = self.poll_limits.as_ref()?;
         self.empty_list.poll_again_after(limits.empty_after)
     }
 
-    /// Whether a list is applied; one that is not is read whole again.
+    /// Whether a list is applied. After a rejected list the whole list is read again.
     fn accepts_list(&mut self, list: &List) -> bool {
         let Some(poll_limits) = self.poll_limits.as_ref().filter(|_| list.whole) else {
             return true;
@@ -79,18 +81,19 @@
             warn!(
                 servers = known,
                 empty_for_ms = poll_limits.empty_after.as_millis() as u64,
-                "discovery: its list is empty; the known servers are kept until that has lasted"
+                "discovery: the list is empty; keeping the known servers until it has been empty for the configured time"
             );
         }
         accepted
     }
 
-    fn take(&mut self, list: &List) {
+    /// Applies a list unless it is rejected or older than the last one.
+    fn apply(&mut self, list: &List) {
         debug!(
             seq = list.seq,
             whole = list.whole,
             hosts = list.hosts.len(),
-            "discovery: a list"
+            "discovery: received a list"
         );
         if !self.accepts_list(list) {
             return;
@@ -100,15 +103,15 @@
             self.node.on_discovery_list(list);
             self.node.record_list(list);
         }
-        if !self.status.listed.replace(true) {
-            self.status.first.notify_one();
+        if !self.status.has_list.replace(true) {
+            self.status.first_list.notify_one();
         }
     }
 }
 
-/// Follows the list for ever, and moves when discovery gets another address. While the service is down, and until the
-/// new address has sent a list, the old list stays, and a watch that is open at the old address is still read: it may
-/// announce a drain while the new address is silent.
+/// Follows the list and moves to another address when discovery gets one; never returns. While the service is down, and
+/// until a new address has sent a list, the old list stays in use. A watch that is open at the old address is still
+/// read, because it may announce a drain while the new address is silent.
 pub async fn follow(
     node: Rc<Node>,
     mut address: watch::Receiver<SocketAddr>,
@@ -116,7 +119,7 @@
     poll_limits: Option<PollLimits>,
 ) {
     let settings = &node.platform.settings;
-    let place = (settings.node.0, settings.node_count);
+    let node_position = (settings.node.0, settings.node_count);
     let started_at = Instant::now();
     let follower = || Follower {
         node: Rc::clone(&node),
@@ -128,26 +131,27 @@
         empty_list: EmptyListProtection::default(),
         started_at,
     };
-    let mut first = follower();
+    let mut first_follower = follower();
     if let Some(known) = known {
-        first.take(&List {
+        first_follower.apply(&List {
             whole: true,
             ..known
         });
-        first.status = Rc::default();
+        first_follower.status = Rc::default();
     }
-    // The first calls of a fleet whose nodes start together would take the service away from all that it serves: they
-    // are spread over time.
-    if let Some(first) = poll_limits
+    // If all nodes of a fleet start together, their simultaneous first calls would overload the service for its other
+    // callers, so they are spread over time.
+    if let Some(delay) = poll_limits
         .as_ref()
-        .map(|poll_limits| poll_limits.first_call(place, fastrand::f64()))
+        .map(|poll_limits| poll_limits.first_call(node_position, fastrand::f64()))
     {
-        tokio::time::sleep(first).await;
+        tokio::time::sleep(delay).await;
     }
-    let mut next = Some(first);
+    let mut next = Some(first_follower);
     let mut previous: Option<WatchTask> = None;
     loop {
-        // Each address has its own version: the next may number its lists otherwise, and a newer list would look old.
+        // Each address has its own follower: the next address may number its lists differently, and a newer list could
+        // look older.
         let follower = next.take().unwrap_or_else(follower);
         let (status, now) = (Rc::clone(&follower.status), *address.borrow_and_update());
         node.watch_statuses.follow(&status);
@@ -156,15 +160,15 @@
             tokio::select! {
                 biased;
                 Ok(()) = address.changed() => break,
-                () = status.first.notified() => previous = None,
+                () = status.first_list.notified() => previous = None,
                 () = &mut current.1 => {}
                 () = follow_previous(&mut previous) => previous = None,
             }
         }
-        // Of two abandoned addresses the one that is still read is kept: there are never more than two.
-        if status.listed.get() || previous.is_none() {
+        // Of two abandoned addresses only the one that is still read is kept, so at most two are followed.
+        if status.has_list.get() || previous.is_none() {
             status.abandoned.set(true);
-            previous = Some(current).filter(|_| status.open.get());
+            previous = Some(current).filter(|_| status.watch_open.get());
         }
     }
 }
@@ -172,21 +176,21 @@
 /// The status of an address, and the task that follows it.
 type WatchTask = (Rc<WatchStatus>, Pin<Box<dyn Future<Output = ()>>>);
 
-/// Reads on from the watch of an abandoned address, until it ends.
+/// Drives the task of an abandoned address until its watch ends. Pends forever if there is none.
 async fn follow_previous(previous: &mut Option<WatchTask>) {
     match previous {
-        Some((_, current)) => current.await,
+        Some((_, task)) => task.await,
         None => pending().await,
     }
 }
 
-/// Follows the list at one address, until that is abandoned and its watch has ended.
+/// Follows the list at one address until the address is abandoned and its watch has ended.
 async fn follow_address(mut follower: Follower, address: SocketAddr) {
     let nodes = follower.node.platform.settings.node_count;
     let pushed = follower.node.platform.settings.discovery == DiscoveryMode::Pushed;
     let mut backoff = match &follower.poll_limits {
         Some(poll_limits) => PollBackoff::with_limits(nodes, poll_limits),
-        // Where lists are pushed the address is this machine's agent.
+        // With pushed lists, the address is that of the agent on this machine.
         None if pushed => PollBackoff::for_agent(),
         None => PollBackoff::for_fleet(nodes),
     };
@@ -194,7 +198,7 @@
     loop {
         follower.opened = false;
         let ended = watch_list(&mut follower, address, &mut backoff).await;
-        follower.status.open.set(false);
+        follower.status.watch_open.set(false);
         if follower.status.abandoned.get() {
             return;
         }
@@ -213,7 +217,7 @@
     }
 }
 
-/// One watch, until it ends.
+/// Opens a watch and applies its lists until it ends; never returns `Ok`.
 async fn watch_list(
     follower: &mut Follower,
     address: SocketAddr,
@@ -222,32 +226,32 @@
     let mut watch = open_watch(follower, address, backoff).await?;
     let status = Rc::clone(&follower.status);
     follower.opened = true;
-    status.calls.borrow_mut().clear();
-    status.watch.replace(watch.stream.clone());
-    status.taken.set(false);
-    status.open.set(true);
+    status.unanswered_calls.borrow_mut().clear();
+    status.watch_connection.replace(watch.stream.clone());
+    status.all_consumed.set(false);
+    status.watch_open.set(true);
     let mut lists = JsonObjects::new(MAX_LIST_BYTES);
     while let Some(data) = next_data(follower, &mut watch).await? {
-        // White space counts too: it says that nothing has changed.
+        // White space counts as contact too: the service sends it when nothing has changed.
         follower.node.record_list_contact();
         let mut rest = &data[..];
         while let Some(list) = lists.next(&mut rest)? {
-            follower.take(&serde_json::from_slice(&list)?);
+            follower.apply(&serde_json::from_slice(&list)?);
         }
     }
     Err(DiscoveryError::Ended)
 }
 
-/// Calls until the service answers with a watch.
+/// Calls the service for a watch: once, or repeatedly where hedged calls are enabled.
 async fn open_watch(
     follower: &mut Follower,
     address: SocketAddr,
     backoff: &mut PollBackoff,
 ) -> Result<Watch, DiscoveryError> {
-    // While an empty list is not believed the whole list is read again.
+    // While an empty list is not accepted, the whole list is requested.
     let from = follower
         .seq
-        .filter(|_| follower.empty_list_settles_at().is_none());
+        .filter(|_| follower.empty_list_recheck_at().is_none());
     let from = from.map_or(String::new(), |seq| format!("&from={seq}"));
     let path = format!("/api/targets?watch=1{from}");
     let answer_timeout = backoff
@@ -267,20 +271,20 @@
     }
 }
 
-/// The next data of a watch; `None` at its end. A silent machine keeps its connection open: only missing data shows that it
-/// is gone.
+/// Returns the next data of a watch; `None` at its end. The connection to a failed machine stays open, so only missing
+/// data shows the failure.
 async fn next_data(
     follower: &Follower,
     watch: &mut Watch,
 ) -> Result<Option<Bytes>, DiscoveryError> {
     loop {
         let settles_in = follower
-            .empty_list_settles_at()
+            .empty_list_recheck_at()
             .map(|at| at.saturating_sub(follower.started_at.elapsed()));
         let read_timeout = settles_in.map_or(WATCH_TIMEOUT, |span| span.min(WATCH_TIMEOUT));
         let next = poll_fn(|context| {
             let next = watch.poll_next(context);
-            follower.status.taken.set(next.is_pending());
+            follower.status.all_consumed.set(next.is_pending());
             next
         });
         let frame = match timeout(read_timeout, next).await {
--- a/crates/node/src/discovery/call.rs
+++ b/crates/node/src/discovery/call.rs
@@ -1,4 +1,4 @@
-//! Calls to the list service, until one is answered with a watch.
+//! Calls to the list service that open a watch.
 
 use super::error::DiscoveryError;
 use super::WATCH_TIMEOUT;
@@ -25,14 +25,15 @@
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 use tracing::{debug, warn};
 
-/// Drives a call's connection until that ends. It is no task of its own: a task could have read a change off the socket
-/// that its owner has not taken yet, and a first byte would find the socket empty and go to a server that is being
-/// drained.
+/// Drives the connection of a call until it ends. This is not a separate task: a task could read a change from the
+/// socket before the follower processes it. The check before a request's first byte would then find the socket empty,
+/// and the request could go to a server that is being drained.
 struct Driver(Option<Pin<Box<dyn Future<Output = ()>>>>);
 
 impl Driver {
+    /// Polls the connection unless it has ended.
     fn drive(&mut self, context: &mut TaskContext<'_>) {
-        // How it ended shows in the watch.
+        // The result is ignored: an error shows in the watch's body.
         if self
             .0
             .as_mut()
@@ -43,22 +44,22 @@
     }
 }
 
-/// A call that was answered with a watch, and the driver of its connection.
+/// An open watch: the body of the answer, and the driver of its connection.
 pub(super) struct Watch {
     driver: Driver,
     body: Incoming,
-    /// Its connection, to be inspected.
+    /// The connection, which can be checked for unread bytes.
     pub(super) stream: WeakArc<TcpStream>,
 }
 
 impl Watch {
-    /// The next frame; pending only once all that the kernel holds was read.
+    /// Polls for the next frame. Returns `Pending` only after all bytes held by the kernel have been read.
     pub(super) fn poll_next(
         &mut self,
         context: &mut TaskContext<'_>,
     ) -> Poll<Option<hyper::Result<Frame<Bytes>>>> {
-        // The library reads on only once the last frame was taken and the next is polled for: one poll could leave
-        // bytes in the kernel.
+        // hyper continues to read only after the last frame was taken and the next one is polled for, so a single poll
+        // could leave bytes in the kernel.
         for _ in 0..2 {
             self.driver.drive(context);
             let next = Pin::new(&mut self.body).poll_frame(context);
@@ -70,14 +71,15 @@
     }
 }
 
-/// Why a call gave no watch.
+/// Why a call did not open a watch.
 pub(super) enum WatchError {
-    /// The service has said when to call again.
+    /// The service asked for a delay before the next call.
     RetryAfter(StatusCode, Duration),
+    /// The call failed, or was answered without a `Retry-After` in whole seconds.
     Failed(DiscoveryError),
 }
 
-/// One call, until it is answered. `answer_timeout` covers the connection too.
+/// Makes one call. `answer_timeout` includes the time to connect.
 pub(super) async fn call(
     status: Rc<WatchStatus>,
     address: SocketAddr,
@@ -85,7 +87,7 @@
     answer_timeout: Duration,
 ) -> Result<Watch, WatchError> {
     let opened = async {
-        let by = Instant::now() + answer_timeout;
+        let deadline = Instant::now() + answer_timeout;
         let connect = TcpStream::connect(address);
         let stream = timeout(WATCH_TIMEOUT.min(answer_timeout), connect)
             .await
@@ -103,7 +105,7 @@
             driver.drive(context);
             answer.as_mut().poll(context)
         });
-        let answer = timeout_at(by, answer)
+        let answer = timeout_at(deadline, answer)
             .await
             .map_err(DiscoveryError::AnswerTimeout)??;
         Ok((driver, weak_stream, answer))
@@ -126,8 +128,7 @@
     }))
 }
 
-/// Calls again and again, also while earlier calls are still open, until one is answered with a watch. The others end
-/// with it.
+/// Repeats calls, without waiting for earlier ones, until one opens a watch. The other calls are then cancelled.
 pub(super) async fn call_hedged(
     status: &Rc<WatchStatus>,
     address: SocketAddr,
@@ -139,34 +140,37 @@
     let mut calls = JoinSet::new();
     let mut logged = false;
     loop {
-        let begun = Instant::now();
-        debug!(%address, "discovery: a call begins");
+        let started_at = Instant::now();
+        debug!(%address, "discovery: calling the list service");
         calls.spawn_local(call(
             Rc::clone(status),
             address,
             path.to_owned(),
             answer_timeout,
         ));
-        let next = sleep(hedge_delay);
-        tokio::pin!(next);
+        let next_call = sleep(hedge_delay);
+        tokio::pin!(next_call);
         loop {
             let error = tokio::select! {
-                () = &mut next => break,
+                () = &mut next_call => break,
                 Some(ended) = calls.join_next() => match ended {
                     Ok(Ok(watch)) => return watch,
                     Ok(Err(WatchError::Failed(error))) => error,
                     Ok(Err(WatchError::RetryAfter(status, after))) => {
-                        let pause = backoff.after_hedged_response(after, begun.elapsed(), fastrand::f64());
-                        debug!(%status, ?after, ?pause, "discovery: told to come back");
+                        let pause = backoff.after_hedged_response(after, started_at.elapsed(), fastrand::f64());
+                        debug!(%status, ?after, ?pause, "discovery: the service asked for a delay before the next call");
                         if let Some(pause) = pause {
-                            next.as_mut().reset(Instant::now() + pause);
+                            next_call.as_mut().reset(Instant::now() + pause);
                         }
                         DiscoveryError::Status(status)
                     }
                     Err(_) => continue,
                 },
             };
-            debug!(error = chain(&error), "discovery: a call failed");
+            debug!(
+                error = chain(&error),
+                "discovery: call to the list service failed"
+            );
             if !std::mem::replace(&mut logged, true) {
                 warn!("discovery: {}", chain(&error));
             }
--- a/crates/node/src/discovery/error.rs
+++ b/crates/node/src/discovery/error.rs
@@ -1,5 +1,6 @@
 //! Why a watch on the endpoint list failed or ended.
 
+use super::WATCH_TIMEOUT;
 use hyper::StatusCode;
 use saffronpaddle_endpoints::Unreadable;
 use std::io;
@@ -9,37 +10,37 @@
 /// Why a watch on the endpoint list failed or ended.
 #[derive(Debug, Error)]
 pub enum DiscoveryError {
-    /// The connection did not come up in time.
-    #[error("it does not come up")]
+    /// The connection was not established in time.
+    #[error("connecting to the list service timed out")]
     ConnectTimeout(#[source] Elapsed),
-    /// The connection was refused, or could not be made here.
+    /// The connection failed, at the service or for a local reason.
     #[error(transparent)]
     Connect(#[from] io::Error),
-    /// The service broke the connection off, or HTTP.
+    /// The connection broke, or the service violated HTTP.
     #[error(transparent)]
     Http(#[from] hyper::Error),
-    /// The request could not be made.
+    /// The request could not be built.
     #[error(transparent)]
     Request(#[from] hyper::http::Error),
     /// The call was not answered in time.
-    #[error("the call is not answered")]
+    #[error("waiting for the answer of the list service timed out")]
     AnswerTimeout(#[source] Elapsed),
-    /// The service did not answer with a watch.
-    #[error("the watch was answered {0}")]
+    /// The service answered with a status other than 200.
+    #[error("list service answered the watch request with status {0}")]
     Status(StatusCode),
-    /// An empty list has lasted long enough to be applied: the whole list is read once more.
-    #[error("its empty list is settled")]
+    /// An empty list has lasted long enough to be applied, so the watch is reopened to read the whole list again.
+    #[error("reopening the watch to confirm an empty list")]
     EmptyListSettled,
-    /// Nothing came for too long.
-    #[error("the watch is silent")]
+    /// The watch sent no data for [`WATCH_TIMEOUT`].
+    #[error("the watch sent no data for {} s", WATCH_TIMEOUT.as_secs())]
     Silent,
-    /// What came is no list.
-    #[error("the watch")]
+    /// The data is not a sequence of JSON objects, or an object is too long.
+    #[error("cannot split the watch's data into lists")]
     Unreadable(#[from] Unreadable),
-    /// What came is no list of endpoints.
-    #[error("a list of the watch")]
+    /// An object is not an endpoint list.
+    #[error("cannot parse a list of the watch")]
     List(#[from] serde_json::Error),
     /// The service ended the watch.
-    #[error("the watch ended")]
+    #[error("the list service ended the watch")]
     Ended,
 }
--- a/crates/node/src/downstream.rs
+++ b/crates/node/src/downstream.rs
@@ -1,4 +1,4 @@
-//! Clients' connections as they are observed: when bytes are received, and whether a request is being answered.
+//! Observes client connections: when bytes are received and sent, and whether a request is being answered.
 
 use crate::event_loop;
 use crate::head_scanner::HeadScanner;
@@ -15,51 +15,53 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// One client's connection. It is shared within one thread only; an upgrade requires a type that could go to another.
+/// The observed state of a client connection. It is used in one thread only; it is `Send` and `Sync` because an upgrade
+/// requires a stream that is `Send`.
 pub struct DownstreamConnection {
-    /// The start of this type's times.
+    /// The origin of all times in this type.
     epoch: Instant,
-    /// Its socket belongs to its task; here it is only inspected.
+    /// The socket, which the connection's task owns; here it is only inspected.
     stream: Weak<TcpStream>,
     accepted_us: u64,
     last_active_us: AtomicU64,
-    /// A time before which the bytes that were read last had not reached the kernel, µs since `epoch`.
+    /// The bytes that were read last reached the kernel after this time, µs since `epoch`.
     sent_after_us: AtomicU64,
-    /// When the head that is being read began, µs since `epoch` and one more; 0 for no head.
+    /// When the first bytes of the current head were read, in µs since `epoch` plus 1; 0 if no head is being read.
     head_started_us: AtomicU64,
+    /// A request is being read or answered.
     busy: AtomicBool,
     has_requested: AtomicBool,
-    /// Bytes wait to be taken by the client.
-    blocked: AtomicBool,
-    /// A head had both a length and an encoding.
+    /// The last write did not complete because the kernel's send buffer is full.
+    write_blocked: AtomicBool,
+    /// A head contained both `Content-Length` and `Transfer-Encoding`.
     is_ambiguously_framed: AtomicBool,
-    /// The library waits for bytes: it sees the connection's end by itself.
-    reading: AtomicBool,
-    /// It was unwatched when that was last asked.
-    reported_unwatched: AtomicBool,
-    /// It is being evicted, and checks a last time whether a request was received.
+    /// hyper is waiting for bytes, so it notices the end of the connection itself.
+    read_pending: AtomicBool,
+    /// The result of `is_read_paused` at the last call of `is_newly_read_paused`.
+    reported_read_paused: AtomicBool,
+    /// The connection is being evicted, after a last check for a received request.
     evicted: AtomicBool,
     eviction: Notify,
 }
 
-/// A span in µs.
-const fn micros(span: Duration) -> u64 {
-    span.as_micros() as u64
+/// A duration in µs.
+const fn micros(duration: Duration) -> u64 {
+    duration.as_micros() as u64
 }
 
 impl DownstreamConnection {
-    /// A connection that was just accepted, and that reached the kernel after `connected`.
+    /// Creates the state of a connection that was just accepted and reached the kernel after `arrived_after`.
     pub fn new(
         epoch: Instant,
-        connected: Instant,
+        arrived_after: Instant,
         stream: &Arc<TcpStream>,
     ) -> Arc<DownstreamConnection> {
         let stream = Arc::downgrade(stream);
         let accepted_us = micros(epoch.elapsed());
         let (last_active_us, head_started_us) = (AtomicU64::new(accepted_us), AtomicU64::new(0));
         let sent_after_us =
-            AtomicU64::new(micros(connected.saturating_duration_since(epoch)).min(accepted_us));
-        let [busy, has_requested, blocked, is_ambiguously_framed, reading, reported_unwatched, evicted] =
+            AtomicU64::new(micros(arrived_after.saturating_duration_since(epoch)).min(accepted_us));
+        let [busy, has_requested, write_blocked, is_ambiguously_framed, read_pending, reported_read_paused, evicted] =
             [(); 7].map(|()| AtomicBool::new(false));
         let eviction = Notify::new();
         Arc::new(DownstreamConnection {
@@ -71,27 +73,27 @@
             head_started_us,
             busy,
             has_requested,
-            blocked,
+            write_blocked,
             is_ambiguously_framed,
-            reading,
-            reported_unwatched,
+            read_pending,
+            reported_read_paused,
             evicted,
             eviction,
         })
     }
 
-    /// Evicts the connection, unless a request turns out to have been received whole.
+    /// Requests eviction of the connection. It is kept if a complete request turns out to have been received.
     pub fn evict(&self) {
         self.evicted.store(true, Ordering::Relaxed);
         self.eviction.notify_one();
     }
 
-    /// Waits for its eviction.
+    /// Waits until eviction is requested.
     pub async fn evicted(&self) {
         self.eviction.notified().await;
     }
 
-    /// A request was received: the connection stays for now.
+    /// Keeps the connection because a request was received.
     pub fn cancel_eviction(&self) {
         self.evicted.store(false, Ordering::Relaxed);
     }
@@ -101,59 +103,60 @@
         self.busy.load(Ordering::Relaxed)
     }
 
-    /// Whether a request is answered while nobody reads what follows it, so that the client's disconnection goes
-    /// unnoticed.
-    pub fn unwatched(&self) -> bool {
-        self.is_busy() && !self.reading.load(Ordering::Relaxed)
+    /// Whether a request is being answered while hyper does not read the connection, so that a disconnection of the
+    /// client goes unnoticed.
+    pub fn is_read_paused(&self) -> bool {
+        self.is_busy() && !self.read_pending.load(Ordering::Relaxed)
     }
 
-    /// Whether its client has disconnected, as far as the kernel has reported that: also behind bytes that nobody has
-    /// read.
+    /// Whether the kernel knows that the client has disconnected, even if unread bytes precede the end of the stream.
     pub fn client_is_gone(&self) -> bool {
         self.stream
             .upgrade()
             .is_none_or(|stream| has_ended(&stream))
     }
 
-    /// Whether it has become unwatched since this was last asked.
-    pub fn is_newly_unwatched(&self) -> bool {
-        let unwatched = self.unwatched();
-        // Written seldom, as this is asked in each round of the connection.
-        unwatched != self.reported_unwatched.load(Ordering::Relaxed)
-            && !self.reported_unwatched.swap(unwatched, Ordering::Relaxed)
+    /// Whether reading has paused since the last call.
+    pub fn is_newly_read_paused(&self) -> bool {
+        let is_read_paused = self.is_read_paused();
+        // Called on every poll of the connection, so it writes only on a change.
+        is_read_paused != self.reported_read_paused.load(Ordering::Relaxed)
+            && !self
+                .reported_read_paused
+                .swap(is_read_paused, Ordering::Relaxed)
     }
 
-    /// Whether it is being evicted.
+    /// Whether the connection is being evicted.
     pub fn is_evicted(&self) -> bool {
         self.evicted.load(Ordering::Relaxed)
     }
 
-    /// Its state now.
+    /// Returns the current state for eviction decisions.
     pub fn state(&self) -> ConnectionState {
         let head_started_us = self.head_started_us.load(Ordering::Relaxed);
         ConnectionState {
             accepted_at: Duration::from_micros(self.accepted_us),
             last_active_at: Duration::from_micros(self.last_active_us.load(Ordering::Relaxed)),
             head_started_at: head_started_us.checked_sub(1).map(Duration::from_micros),
-            // A client that takes the last bytes of a response slowly would lose them if the connection counted as
-            // idle.
-            busy: self.is_busy() || self.blocked.load(Ordering::Relaxed) || self.is_evicted(),
+            // A client that reads the end of a response slowly would lose it if the connection counted as idle.
+            busy: self.is_busy() || self.write_blocked.load(Ordering::Relaxed) || self.is_evicted(),
             has_requested: self.has_requested(),
         }
     }
 
-    /// Whether it has had a request.
+    /// Whether the connection has carried a request.
     pub fn has_requested(&self) -> bool {
         self.has_requested.load(Ordering::Relaxed)
     }
 
-    /// Whether a head on it had both a length and an encoding, of which hyper drops one unseen.
+    /// Whether a head contained both `Content-Length` and `Transfer-Encoding`, of which hyper drops one silently.
     pub fn is_ambiguously_framed(&self) -> bool {
         self.is_ambiguously_framed.load(Ordering::Relaxed)
     }
 
-    /// How long the bytes that were read last may have been queued, in the kernel or here behind an earlier response;
-    /// zero where that is too little to count. A server would otherwise be promised time that its client no longer has.
+    /// How long the bytes that were read last may have been queued, in the kernel or in this process behind an earlier
+    /// response; zero if that is negligible. It is deducted from the request's timeout: a server would otherwise be
+    /// promised time that its client no longer has.
     pub fn time_queued(&self) -> Duration {
         rested(
             Duration::from_micros(self.sent_after_us.load(Ordering::Relaxed)),
@@ -161,47 +164,48 @@
         )
     }
 
-    /// Bytes for the client were taken by the kernel, or have to wait.
-    fn wrote(&self, taken: bool) {
-        if taken {
+    /// Records a write that the kernel accepted or that has to wait.
+    fn record_write(&self, accepted: bool) {
+        if accepted {
             self.last_active_us
                 .store(micros(self.epoch.elapsed()), Ordering::Relaxed);
         }
-        self.blocked.store(!taken, Ordering::Relaxed);
+        self.write_blocked.store(!accepted, Ordering::Relaxed);
     }
 
-    /// Bytes were read, for which hyper had waited or not.
-    fn read(&self, bytes: &[u8], heads: &mut HeadScanner, waited: bool) {
+    /// Records bytes that were read. `was_pending`: the previous read was pending.
+    fn record_read(&self, bytes: &[u8], head_scanner: &mut HeadScanner, was_pending: bool) {
         let now = micros(self.epoch.elapsed());
         self.last_active_us.store(now, Ordering::Relaxed);
         match event_loop::arrived_after()
-            .map(|since| micros(since.saturating_duration_since(self.epoch)))
+            .map(|arrived_after| micros(arrived_after.saturating_duration_since(self.epoch)))
         {
-            // Where the connection was polled in vain before the loop's last whole round, the client had sent nothing
-            // by then. Otherwise the bytes came after those that were read before them, or, on a new connection, after
-            // that reached the kernel.
-            Some(since) if waited && since > self.accepted_us => {
-                self.sent_after_us.store(since.min(now), Ordering::Relaxed);
+            // If a read was pending before the event loop's last complete iteration, the client had sent nothing by
+            // then. Otherwise the bytes arrived after the bytes read before them or, on a new connection, after the
+            // connection reached the kernel.
+            Some(arrived_after) if was_pending && arrived_after > self.accepted_us => {
+                self.sent_after_us
+                    .store(arrived_after.min(now), Ordering::Relaxed);
             }
             Some(_) => {}
             None => self.sent_after_us.store(now, Ordering::Relaxed),
         }
         if self.busy.load(Ordering::Relaxed) {
-            // A body, or the head of a pipelined request.
+            // These bytes belong to a body or to the head of a pipelined request.
         } else if self.head_started_us.load(Ordering::Relaxed) == 0 {
             self.head_started_us.store(now + 1, Ordering::Relaxed);
         }
-        if heads.take(bytes) {
+        if head_scanner.scan(bytes) {
             self.is_ambiguously_framed.store(true, Ordering::Relaxed);
         }
     }
 }
 
-/// Marks a connection as busy for as long as it lives.
+/// Marks a connection as busy until dropped.
 pub struct BusyGuard(Arc<DownstreamConnection>);
 
 impl BusyGuard {
-    /// Marks it from now on.
+    /// Marks the connection as busy. The head that was being read is complete.
     pub fn new(downstream: &Arc<DownstreamConnection>) -> BusyGuard {
         downstream.busy.store(true, Ordering::Relaxed);
         downstream.has_requested.store(true, Ordering::Relaxed);
@@ -219,25 +223,25 @@
     }
 }
 
-/// A client's connection whose bytes are observed as they are read and written.
+/// A client connection that records its reads and writes in a [`DownstreamConnection`].
 pub struct ObservedStream {
     stream: Socket,
     downstream: Arc<DownstreamConnection>,
-    heads: HeadScanner,
+    head_scanner: HeadScanner,
 }
 
 impl ObservedStream {
-    /// Observes a connection.
+    /// Wraps a connection to record its reads and writes.
     pub fn new(stream: Arc<TcpStream>, downstream: Arc<DownstreamConnection>) -> ObservedStream {
         ObservedStream {
             stream: Socket::new(stream),
             downstream,
-            heads: HeadScanner::new(),
+            head_scanner: HeadScanner::new(),
         }
     }
 
-    /// The connection, no longer observed; `None` where it is being inspected in this very moment, which lasts no
-    /// longer than a call.
+    /// Returns the connection without its wrapper; `None` while another holder of the socket is inspecting it, which
+    /// lasts only for one call.
     pub fn into_inner(self) -> Option<TcpStream> {
         self.stream.into_inner()
     }
@@ -249,18 +253,20 @@
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let before = buffer.filled().len();
+        let filled_before = buffer.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(context, buffer);
-        let waited = self
+        let was_pending = self
             .downstream
-            .reading
+            .read_pending
             .swap(read.is_pending(), Ordering::Relaxed);
         ready!(read)?;
         let ObservedStream {
-            downstream, heads, ..
+            downstream,
+            head_scanner,
+            ..
         } = &mut *self;
-        if buffer.filled().len() > before {
-            downstream.read(&buffer.filled()[before..], heads, waited);
+        if buffer.filled().len() > filled_before {
+            downstream.record_read(&buffer.filled()[filled_before..], head_scanner, was_pending);
         }
         Poll::Ready(Ok(()))
     }
@@ -273,17 +279,17 @@
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write(context, bytes);
-        self.downstream.wrote(written.is_ready());
+        self.downstream.record_write(written.is_ready());
         written
     }
 
     fn poll_write_vectored(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-        parts: &[io::IoSlice<'_>],
+        buffers: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        let written = Pin::new(&mut self.stream).poll_write_vectored(context, parts);
-        self.downstream.wrote(written.is_ready());
+        let written = Pin::new(&mut self.stream).poll_write_vectored(context, buffers);
+        self.downstream.record_write(written.is_ready());
         written
     }
 
--- a/crates/node/src/endpoint_sources.rs
+++ b/crates/node/src/endpoint_sources.rs
@@ -1,4 +1,4 @@
-//! The sources of the endpoint list: the platform's discovery, etcd, or both.
+//! Follows the sources of the endpoint list: the platform's discovery, etcd, or both.
 
 #[cfg(feature = "etcd")]
 mod by_etcd;
@@ -14,7 +14,8 @@
 #[cfg(not(feature = "etcd"))]
 use tracing::warn;
 
-/// Follows the sources that the operator's file names, for ever. Without etcd that is the platform's discovery alone.
+/// Follows the sources that the operator's file names; never returns. `etcd`: `None` follows the platform's discovery
+/// alone. `known`: the list of the configuration, which may be outdated.
 pub async fn follow(
     node: Rc<Node>,
     etcd: Option<Etcd>,
@@ -28,21 +29,21 @@
     #[cfg(not(feature = "etcd"))]
     {
         let _ = etcd;
-        warn!("etcd: this program was built without it; the platform's discovery is followed");
+        warn!("etcd: configured, but this binary was built without the `etcd` feature; following the platform's discovery");
         discovery::follow(node, address, known, poll_limits).await;
     }
     #[cfg(feature = "etcd")]
     {
         if etcd.instead {
-            // With a single source nothing is merged, and no second copy of the list is kept. The configuration's list
-            // stands until etcd has sent one.
+            // A single source needs no merging and no second copy of the list. The configuration's list applies until
+            // etcd has sent one.
             let known = known.map(|known| List {
                 whole: true,
                 ..known
             });
             known
                 .iter()
-                .for_each(|known| by_etcd::begin_with(&node, known));
+                .for_each(|known| by_etcd::apply_configured_list(&node, known));
             by_etcd::follow(node, etcd).await;
         } else {
             node.merge_endpoint_sources();
--- a/crates/node/src/endpoint_sources/by_etcd.rs
+++ b/crates/node/src/endpoint_sources/by_etcd.rs
@@ -1,4 +1,4 @@
-//! The endpoint list from etcd.
+//! Follows the endpoint list in etcd.
 
 use crate::config::List;
 use crate::node::Node;
@@ -14,11 +14,12 @@
 use tokio::sync::mpsc;
 use tracing::{error, info, warn};
 
-/// A change that waited longer between socket and policy is logged: it is time off the 250 ms of a drain.
-const LATE: Duration = Duration::from_millis(50);
+/// A change that waits longer than this between socket and policy is logged. The wait counts towards the 250 ms in
+/// which a drain must take effect.
+const SLOW_APPLY_THRESHOLD: Duration = Duration::from_millis(50);
 
-/// Applies the configuration's list as if etcd had sent it.
-pub fn begin_with(node: &Rc<Node>, known: &List) {
+/// Applies the configuration's list as a snapshot of etcd.
+pub fn apply_configured_list(node: &Rc<Node>, known: &List) {
     let entries = known.hosts.iter().map(EndpointRecord::from).collect();
     node.on_endpoint_update(
         Source::Etcd,
@@ -30,6 +31,7 @@
     );
 }
 
+/// Builds the client's settings from the operator's file; reads the password and the certificate files it names.
 fn settings(etcd: &Etcd) -> io::Result<Settings> {
     let user = match &etcd.user {
         Some(user) => Some((
@@ -47,7 +49,9 @@
     };
     #[cfg(not(feature = "tls"))]
     if etcd.tls.is_some() {
-        return Err(io::Error::other("this program was built without TLS"));
+        return Err(io::Error::other(
+            "TLS is configured, but this binary was built without the `tls` feature",
+        ));
     }
     Ok(Settings {
         endpoints: etcd.endpoints.clone(),
@@ -67,14 +71,16 @@
     })
 }
 
-/// Follows etcd for ever. A thread of its own reads and decodes, so that ten thousand changes hold up no request;
-/// here they are applied, all that are queued at once.
+/// Follows etcd; returns only on a fatal error. A separate thread reads and decodes, so that ten thousand changes do
+/// not delay requests. The changes are applied here, all queued ones in one batch.
 pub async fn follow(node: Rc<Node>, etcd: Etcd) {
     let settings = match settings(&etcd) {
         Ok(settings) => settings,
-        Err(error) => return error!(%error, "etcd: not followed"),
+        Err(error) => {
+            return error!(%error, "etcd: cannot read the settings; the list in etcd is not followed")
+        }
     };
-    let (tell, mut news) = mpsc::channel(NEWS_MOST);
+    let (update_sender, mut updates) = mpsc::channel(NEWS_MOST);
     let thread = std::thread::Builder::new()
         .name("etcd".to_owned())
         .spawn(move || {
@@ -82,47 +88,51 @@
                 .enable_all()
                 .build();
             match runtime {
-                // As a task: what a message wakes then runs in the same round, where a future that is blocked on
-                // would wait for one more poll of all descriptors.
+                // Spawned as a task, because a task woken by a message runs in the same iteration of the event loop.
+                // The future passed to `block_on` would wait for another poll of all descriptors.
                 Ok(runtime) => runtime.block_on(async {
-                    // It ends when the node does.
-                    let _ = tokio::spawn(saffronpaddle_etcd::follow(settings, tell)).await;
+                    // Ends when the node drops the receiver.
+                    let _ = tokio::spawn(saffronpaddle_etcd::follow(settings, update_sender)).await;
                 }),
-                Err(error) => error!(%error, "etcd: not followed"),
+                Err(error) => {
+                    error!(%error, "etcd: cannot build a runtime; the list in etcd is not followed");
+                }
             }
         });
     if let Err(error) = thread {
-        return error!(%error, "etcd: not followed");
+        return error!(%error, "etcd: cannot start a thread; the list in etcd is not followed");
     }
-    let mut waiting = Vec::new();
-    while news.recv_many(&mut waiting, NEWS_MOST).await > 0 {
+    let mut batch = Vec::new();
+    while updates.recv_many(&mut batch, NEWS_MOST).await > 0 {
         let mut changes = Changes::default();
-        for news in waiting.drain(..) {
-            match news {
-                News::Changed { change, read } => changes.take(&node, change, read),
+        for update in batch.drain(..) {
+            match update {
+                News::Changed { change, read } => changes.add(&node, change, read),
                 News::Alive => node.record_list_contact(),
                 News::Log(line) => info!("{line}"),
             }
         }
         changes.flush(&node);
-        // Other tasks run between two batches. Where nothing is queued they run anyway.
-        if !news.is_empty() {
+        // Lets other tasks run between two batches. Without queued changes the next `recv_many` does so.
+        if !updates.is_empty() {
             tokio::task::yield_now().await;
         }
     }
 }
 
-/// Changes that are queued: the last one of each host.
+/// A batch of changes: the latest one of each host.
 #[derive(Default)]
 struct Changes {
     entries: BTreeMap<Arc<str>, EndpointRecord>,
-    first: Option<Instant>,
+    /// When the first change of the batch was read; `None` if the batch is empty.
+    first_read_at: Option<Instant>,
 }
 
 impl Changes {
-    fn take(&mut self, node: &Rc<Node>, change: EndpointUpdate, read: Instant) {
+    /// Adds a change that was read at `read_at`. A snapshot is applied immediately, after the changes before it.
+    fn add(&mut self, node: &Rc<Node>, change: EndpointUpdate, read_at: Instant) {
         node.record_list_contact();
-        self.first.get_or_insert(read);
+        self.first_read_at.get_or_insert(read_at);
         if change.snapshot {
             self.flush(node);
             node.on_endpoint_update(Source::Etcd, change);
@@ -136,15 +146,17 @@
         );
     }
 
+    /// Applies the batch and clears it.
     fn flush(&mut self, node: &Rc<Node>) {
-        let Some(first) = self.first.take() else {
+        let Some(first_read_at) = self.first_read_at.take() else {
             return;
         };
-        let waited = first.elapsed();
-        if waited > LATE {
+        let waited = first_read_at.elapsed();
+        if waited > SLOW_APPLY_THRESHOLD {
             warn!(
-                "etcd: a change waited {} ms for its turn",
-                waited.as_millis()
+                "etcd: a change waited {} ms before it was applied (limit {} ms)",
+                waited.as_millis(),
+                SLOW_APPLY_THRESHOLD.as_millis()
             );
         }
         let entries: Vec<EndpointRecord> =
--- a/crates/node/src/endpoints.rs
+++ b/crates/node/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! Converts endpoint records into the types of the exchange and the policy.
+//! Converts records of the endpoint list into the policy's endpoints.
 
 use crate::hash::fnv1a;
 use saffronpaddle_endpoints::EndpointRecord;
@@ -7,18 +7,18 @@
 };
 use std::net::SocketAddr;
 
-/// A server's id, the same at every edge node: FNV-1a of its name.
+/// Returns a server's id, which is the same on every node: the FNV-1a hash of the server's name.
 pub fn server_id(host: &str) -> ServerId {
     ServerId(fnv1a(host))
 }
 
-/// An entry of the endpoint list for the policy, and its server's address. `zones` are the settings' names in their
-/// order; a zone that is not among them is none of them.
+/// Converts a record of the endpoint list into the policy's endpoint and the server's address. `zones`: the zone names
+/// in the order of the settings. A zone that is not among them becomes `ZoneId(u32::MAX)`, which matches none.
 pub fn server_entry(entry: &EndpointRecord, zones: &[String]) -> (Endpoint, SocketAddr) {
     let zone = zones.iter().position(|zone| **zone == *entry.zone);
     let server = Endpoint {
         server: server_id(&entry.host),
-        zone: ZoneId(zone.map_or(u32::MAX, |place| place as u32)),
+        zone: ZoneId(zone.map_or(u32::MAX, |index| index as u32)),
         domain: DeduplicationDomainId(entry.domain),
         status: match entry.status {
             saffronpaddle_endpoints::EndpointStatus::Ready => EndpointStatus::Ready,
--- a/crates/node/src/forward.rs
+++ b/crates/node/src/forward.rs
@@ -13,36 +13,36 @@
 
 /// A client's request as it is forwarded to an app server.
 pub struct Forward {
-    /// Its id.
+    /// The client's `X-Request-Id`.
     pub id: RequestId,
-    /// What a second execution would do.
+    /// Whether the request may be executed twice.
     pub effect: Idempotency,
-    /// Its method.
+    /// The client's method, forwarded unchanged.
     pub method: Method,
-    /// Path and query.
+    /// Path and query, as the client sent them.
     pub target: String,
-    /// Its idempotency key.
+    /// The value of `Idempotency-Key`, if the client sent one.
     pub key: Option<HeaderValue>,
-    /// Its body.
+    /// The body, buffered or streamed.
     pub body: ForwardBody,
-    /// The upgrade that is requested.
+    /// The WebSocket upgrade that the client requests; `None` for an ordinary request.
     pub offer: Option<Offer>,
-    /// When the edge node stops waiting for a response.
+    /// When the node stops waiting for a response.
     pub deadline: Instant,
-    /// The connection whose client waits.
+    /// The connection of the client that waits for the response.
     pub client: Arc<DownstreamConnection>,
 }
 
-/// The body of a request that is forwarded.
+/// The body of a forwarded request.
 pub enum ForwardBody {
-    /// It was received whole, and can be sent again.
+    /// Received completely; a retry can send it again.
     Buffered(Bytes),
-    /// It is streamed, once.
+    /// Streamed while it is received; it can be sent only once.
     Streamed(Rc<StreamedRequestBody>),
 }
 
 impl Forward {
-    /// Its body, if that is streamed.
+    /// The body if it is streamed.
     pub fn streamed_body(&self) -> Option<&Rc<StreamedRequestBody>> {
         match &self.body {
             ForwardBody::Buffered(_) => None,
--- a/crates/node/src/head_scanner.rs
+++ b/crates/node/src/head_scanner.rs
@@ -1,106 +1,114 @@
-//! Scans the heads of requests on a connection, beside hyper that reads them: where a head has both a length and
-//! an encoding that library drops one unseen, and the request may hide another in its body.
+//! Scans request heads for request smuggling, in parallel to hyper, which parses them. If a head has both
+//! `Content-Length` and `Transfer-Encoding`, hyper drops one of them silently, and the body may hide another request.
 
 use memchr::memchr;
 
-/// Most bytes of a line that are kept where it is received in pieces; the names that matter are shorter.
+/// Most bytes kept of a line that is received in parts. The header names that matter are shorter.
 const MAX_LINE_PREFIX_BYTES: usize = 64;
 
-/// Where in the flow of requests a connection is.
+/// Position of the scanner in the stream of requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum At {
+enum Position {
     Head,
+    /// Remaining bytes of a body with `Content-Length`.
     Body(u64),
     ChunkSize,
+    /// Remaining bytes of a chunk and its line end.
     Chunk(u64),
     Trailer,
 }
 
-/// The heads on one connection. No more is kept than the beginning of one line.
+/// Scans the request heads of one connection. Keeps at most the start of one line.
 #[derive(Debug)]
 pub struct HeadScanner {
-    at: At,
-    /// What was received of a line that is not complete.
-    line: Vec<u8>,
-    begun: bool,
-    length: Option<u64>,
-    coded: bool,
+    position: Position,
+    /// The received start of an incomplete line.
+    partial_line: Vec<u8>,
+    /// Whether the current head has a line yet.
+    head_started: bool,
+    /// Value of `Content-Length` in the current head; 0 if invalid.
+    content_length: Option<u64>,
+    /// Whether the current head has `Transfer-Encoding`.
+    has_encoding: bool,
 }
 
 impl HeadScanner {
-    /// A connection on which nothing was received.
+    /// Creates a scanner for a new connection.
     pub fn new() -> HeadScanner {
         HeadScanner {
-            at: At::Head,
-            line: Vec::new(),
-            begun: false,
-            length: None,
-            coded: false,
+            position: Position::Head,
+            partial_line: Vec::new(),
+            head_started: false,
+            content_length: None,
+            has_encoding: false,
         }
     }
 
-    /// Scans what was received; whether a head that ended in it has both a length and an encoding.
-    pub fn take(&mut self, mut bytes: &[u8]) -> bool {
-        let mut both = false;
+    /// Scans received bytes. Returns whether a head that ends in them has both a length and an encoding.
+    pub fn scan(&mut self, mut bytes: &[u8]) -> bool {
+        let mut is_ambiguous = false;
         while !bytes.is_empty() {
-            if let At::Body(left) | At::Chunk(left) = self.at {
-                let skipped = left.min(bytes.len() as u64);
+            if let Position::Body(remaining) | Position::Chunk(remaining) = self.position {
+                let skipped = remaining.min(bytes.len() as u64);
                 bytes = &bytes[skipped as usize..];
-                self.at = match (self.at, left - skipped) {
-                    (At::Body(_), 0) => At::Head,
-                    (At::Body(_), left) => At::Body(left),
-                    (_, 0) => At::ChunkSize,
-                    (_, left) => At::Chunk(left),
+                self.position = match (self.position, remaining - skipped) {
+                    (Position::Body(_), 0) => Position::Head,
+                    (Position::Body(_), remaining) => Position::Body(remaining),
+                    (_, 0) => Position::ChunkSize,
+                    (_, remaining) => Position::Chunk(remaining),
                 };
                 continue;
             }
-            let end = memchr(b'\n', bytes);
-            let piece = &bytes[..end.unwrap_or(bytes.len())];
-            bytes = &bytes[end.map_or(bytes.len(), |end| end + 1)..];
-            if end.is_some() && self.line.is_empty() {
-                both |= self.ends(piece);
+            let line_end = memchr(b'\n', bytes);
+            let part = &bytes[..line_end.unwrap_or(bytes.len())];
+            bytes = &bytes[line_end.map_or(bytes.len(), |line_end| line_end + 1)..];
+            if line_end.is_some() && self.partial_line.is_empty() {
+                is_ambiguous |= self.on_line(part);
                 continue;
             }
             let room = MAX_LINE_PREFIX_BYTES
-                .saturating_sub(self.line.len())
-                .min(piece.len());
-            self.line.extend_from_slice(&piece[..room]);
-            if end.is_some() {
-                let line = std::mem::take(&mut self.line);
-                both |= self.ends(&line);
+                .saturating_sub(self.partial_line.len())
+                .min(part.len());
+            self.partial_line.extend_from_slice(&part[..room]);
+            if line_end.is_some() {
+                let line = std::mem::take(&mut self.partial_line);
+                is_ambiguous |= self.on_line(&line);
             }
         }
-        both
+        is_ambiguous
     }
 
-    /// Scans a complete line; whether it ends a head that has both.
-    fn ends(&mut self, line: &[u8]) -> bool {
+    /// Scans a complete line. Returns whether it ends a head that has both a length and an encoding.
+    fn on_line(&mut self, line: &[u8]) -> bool {
         let line = line.strip_suffix(b"\r").unwrap_or(line);
-        match self.at {
+        match self.position {
             // Empty lines before a head are ignored.
-            At::Head if line.is_empty() && !self.begun => {}
-            At::Head if line.is_empty() => {
-                let (length, coded) = (self.length.take(), std::mem::take(&mut self.coded));
-                self.begun = false;
-                self.at = match length {
-                    _ if coded => At::ChunkSize,
-                    Some(length) if length > 0 => At::Body(length),
-                    _ => At::Head,
+            Position::Head if line.is_empty() && !self.head_started => {}
+            Position::Head if line.is_empty() => {
+                let (content_length, has_encoding) = (
+                    self.content_length.take(),
+                    std::mem::take(&mut self.has_encoding),
+                );
+                self.head_started = false;
+                self.position = match content_length {
+                    _ if has_encoding => Position::ChunkSize,
+                    Some(content_length) if content_length > 0 => Position::Body(content_length),
+                    _ => Position::Head,
                 };
-                return length.is_some() && coded;
+                return content_length.is_some() && has_encoding;
             }
-            At::Head => {
-                self.begun = true;
-                if let Some(value) = value(line, b"content-length:") {
+            Position::Head => {
+                self.head_started = true;
+                if let Some(value) = header_value(line, b"content-length:") {
                     let digits = std::str::from_utf8(value)
                         .ok()
                         .and_then(|value| value.trim().parse().ok());
-                    self.length = Some(digits.unwrap_or(0));
+                    self.content_length = Some(digits.unwrap_or(0));
                 } else {
-                    self.coded |= value(line, b"transfer-encoding:").is_some();
+                    self.has_encoding |= header_value(line, b"transfer-encoding:").is_some();
                 }
             }
-            At::ChunkSize => {
+            Position::ChunkSize => {
                 let digits = line
                     .split(|byte| *byte == b';')
                     .next()
@@ -109,23 +117,23 @@
                 let size = std::str::from_utf8(digits)
                     .ok()
                     .and_then(|text| u64::from_str_radix(text, 16).ok());
-                // The data's own line end follows it. An invalid size is hyper's to reject.
-                self.at = match size {
-                    Some(0) | None => At::Trailer,
-                    Some(size) => At::Chunk(size.saturating_add(2)),
+                // The size excludes the CR LF that follows the chunk. hyper rejects an invalid size.
+                self.position = match size {
+                    Some(0) | None => Position::Trailer,
+                    Some(size) => Position::Chunk(size.saturating_add(2)),
                 };
             }
-            At::Trailer if line.is_empty() => self.at = At::Head,
-            At::Trailer | At::Body(_) | At::Chunk(_) => {}
+            Position::Trailer if line.is_empty() => self.position = Position::Head,
+            Position::Trailer | Position::Body(_) | Position::Chunk(_) => {}
         }
         false
     }
 }
 
-/// A header's value, if the line has that name.
-fn value<'a>(line: &'a [u8], name: &[u8]) -> Option<&'a [u8]> {
-    let (begins, value) = line.split_at_checked(name.len())?;
-    begins.eq_ignore_ascii_case(name).then_some(value)
+/// The value of a header line, if the line starts with this name.
+fn header_value<'a>(line: &'a [u8], name: &[u8]) -> Option<&'a [u8]> {
+    let (line_name, value) = line.split_at_checked(name.len())?;
+    line_name.eq_ignore_ascii_case(name).then_some(value)
 }
 
 #[cfg(test)]
--- a/crates/node/src/upstream.rs
+++ b/crates/node/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Connections to app servers: made, written to, read and closed as the exchange commands it, and only so.
+//! Connections to app servers. Opens, writes, reads and closes them, each only on a command of the exchange.
 
 mod attempt;
 mod gate;
@@ -26,51 +26,51 @@
 use tokio::sync::mpsc;
 use tokio::task::{AbortHandle, JoinHandle};
 
-/// Most bytes buffered of one app server's answer before its body. It bounds memory where a head never ends.
+/// Most bytes buffered of the head of one app server's response. Bounds memory if a head never ends.
 const MAX_HEAD_BYTES: usize = 32 * 1024;
 
-/// A connection, from the command to connect until it is closed.
+/// A connection to an app server, from the command to connect until it is closed.
 struct UpstreamConnection {
     address: SocketAddr,
-    /// Connects, then drives the connection; the socket is closed with it.
+    /// Task that connects and then drives the connection. The socket closes when it ends or is aborted.
     driver: JoinHandle<()>,
-    /// Free for a request.
+    /// Present while the connection is free for a request.
     sender: Option<SendRequest<UpstreamRequestBody>>,
-    /// Writes a request and reads its answer.
+    /// Task that writes a request and reads its response.
     attempt: Option<AbortHandle>,
-    /// The request body that is streamed on it.
-    body: Option<Rc<StreamedRequestBody>>,
-    /// The request that was last made ready on it.
+    /// The request body that is being streamed on the connection.
+    streamed_body: Option<Rc<StreamedRequestBody>>,
+    /// The request that was last prepared on the connection.
     forward: Option<Rc<Forward>>,
-    /// Whether bytes may be written. Shut when a request is made ready: before its first byte the exchange is asked.
-    open: Arc<AtomicBool>,
+    /// Whether bytes may be written. Reset for each request, because the exchange decides on its first byte.
+    writes_allowed: Arc<AtomicBool>,
 }
 
-/// All connections to app servers. What they are for is the exchange's matter.
+/// The connections of a node to app servers. The exchange decides which request uses which connection.
 pub struct Upstream {
     connections: RefCell<HashMap<ConnectionId, UpstreamConnection>>,
-    /// Reports responses that their client does not read any more: one for each connection at the most.
-    abandoned: mpsc::UnboundedSender<ConnectionId>,
+    /// Sends the connection of each response whose body was dropped before its end: at most one per connection.
+    abandoned_sender: mpsc::UnboundedSender<ConnectionId>,
     abandoned_receiver: RefCell<Option<mpsc::UnboundedReceiver<ConnectionId>>>,
 }
 
 impl Upstream {
-    /// No connection yet.
+    /// Creates a set without connections.
     pub fn new() -> Rc<Upstream> {
-        let (abandoned, receiver) = mpsc::unbounded_channel();
+        let (abandoned_sender, receiver) = mpsc::unbounded_channel();
         Rc::new(Upstream {
             connections: RefCell::default(),
-            abandoned,
+            abandoned_sender,
             abandoned_receiver: RefCell::new(Some(receiver)),
         })
     }
 
-    /// Connections whose responses nobody reads any more; `None` when this is called again.
+    /// Returns the receiver of connections whose response body was dropped before its end; `None` after the first call.
     pub fn take_abandoned(&self) -> Option<mpsc::UnboundedReceiver<ConnectionId>> {
         self.abandoned_receiver.borrow_mut().take()
     }
 
-    /// A response has ended: its connection is free for a request.
+    /// Makes a connection available for the next request after a response has ended.
     fn return_connection(
         &self,
         connection: ConnectionId,
@@ -81,17 +81,17 @@
         }
     }
 
-    /// Lets the last piece of a request body go.
+    /// Releases the last chunk of the streamed request body on a connection.
     pub fn release(&self, connection: ConnectionId) {
         let body = self
             .connections
             .borrow()
             .get(&connection)
-            .and_then(|upstream| upstream.body.clone());
+            .and_then(|upstream| upstream.streamed_body.clone());
         body.into_iter().for_each(|body| body.release());
     }
 
-    /// Makes a connection. `owner` is the number of `events`.
+    /// Opens a connection. `owner` is the registration number of `events`.
     pub fn connect(
         self: &Rc<Self>,
         events: Rc<dyn UpstreamEvents>,
@@ -99,11 +99,11 @@
         connection: ConnectionId,
         address: SocketAddr,
     ) {
-        let open = Arc::new(AtomicBool::new(false));
+        let writes_allowed = Arc::new(AtomicBool::new(false));
         let gate = Gate {
             owner,
             connection,
-            open: Arc::clone(&open),
+            writes_allowed: Arc::clone(&writes_allowed),
         };
         let driver =
             tokio::task::spawn_local(Rc::clone(self).drive(events, gate, connection, address));
@@ -112,14 +112,14 @@
             driver,
             sender: None,
             attempt: None,
-            body: None,
+            streamed_body: None,
             forward: None,
-            open,
+            writes_allowed,
         };
         self.connections.borrow_mut().insert(connection, upstream);
     }
 
-    /// Makes a request ready on a free connection. Its first byte goes when the exchange lets it.
+    /// Prepares a request on a free connection. Its first byte is written once the exchange allows it.
     pub fn send(
         self: &Rc<Self>,
         events: Rc<dyn UpstreamEvents>,
@@ -134,20 +134,20 @@
         let Some(mut sender) = upstream.sender.take() else {
             return;
         };
-        upstream.open.store(false, Ordering::Relaxed);
-        upstream.body = forward.streamed_body().cloned();
+        upstream.writes_allowed.store(false, Ordering::Relaxed);
+        upstream.streamed_body = forward.streamed_body().cloned();
         upstream.forward = Some(Rc::clone(&forward));
         let (this, address) = (Rc::clone(self), upstream.address);
         let task = tokio::task::spawn_local(async move {
-            let left = events.time_left(&forward);
+            let time_left = events.time_left(&forward);
             let target = Target { server, address };
-            let outcome = attempt::run(&mut sender, &forward, left, target).await;
+            let outcome = attempt::run(&mut sender, &forward, time_left, target).await;
             this.finish(events, connection, sender, outcome);
         });
         upstream.attempt = Some(task.abort_handle());
     }
 
-    /// Reports what came of an attempt.
+    /// Reports the outcome of an attempt to the exchange.
     fn finish(
         self: Rc<Self>,
         events: Rc<dyn UpstreamEvents>,
@@ -157,15 +157,15 @@
     ) {
         match outcome {
             AttemptOutcome::Upgraded(upgraded) => {
-                // The connection is the socket's now.
+                // The connection now belongs to the WebSocket relay.
                 self.connections.borrow_mut().remove(&connection);
                 events.on_event(
                     Event::Upgraded { connection },
                     Some(Payload::Upgraded(upgraded)),
                 );
             }
-            AttemptOutcome::Streaming(first, rest) => {
-                let body = self.streamed_response(&events, connection, sender, first, rest);
+            AttemptOutcome::Streaming(received, rest) => {
+                let body = self.streamed_response(&events, connection, sender, received, rest);
                 events.on_event(
                     Event::ResponseStreaming { connection },
                     Some(Payload::Streaming(Box::new(body))),
@@ -188,13 +188,13 @@
         }
     }
 
-    /// The body of a response that is streamed. The body may outlive the node's loop, and holds neither.
+    /// Creates the body of a streamed response. It may outlive the node's event loop, so it holds weak references only.
     fn streamed_response(
         self: &Rc<Self>,
         events: &Rc<dyn UpstreamEvents>,
         connection: ConnectionId,
         sender: SendRequest<UpstreamRequestBody>,
-        first: VecDeque<Bytes>,
+        received: VecDeque<Bytes>,
         rest: Incoming,
     ) -> StreamedResponseBody {
         let (this, events): (Weak<Upstream>, Weak<dyn UpstreamEvents>) =
@@ -214,15 +214,15 @@
             };
             events.on_event(event, None);
         };
-        let abandoned = self.abandoned.clone();
+        let abandoned_sender = self.abandoned_sender.clone();
         let on_abandoned = move || {
-            // At the node's end nobody receives it any more.
-            let _ = abandoned.send(connection);
+            // Fails only when the node has stopped and dropped the receiver.
+            let _ = abandoned_sender.send(connection);
         };
-        StreamedResponseBody::new(Box::new(on_end), Box::new(on_abandoned), first, rest)
+        StreamedResponseBody::new(Box::new(on_end), Box::new(on_abandoned), received, rest)
     }
 
-    /// The request that is made ready on a connection.
+    /// Returns the request that is prepared on a connection.
     pub fn ready_request(&self, connection: ConnectionId) -> Option<Rc<Forward>> {
         self.connections
             .borrow()
@@ -230,14 +230,14 @@
             .and_then(|upstream| upstream.forward.clone())
     }
 
-    /// Lets bytes be written.
+    /// Allows bytes to be written on a connection.
     pub fn open(&self, connection: ConnectionId) {
         if let Some(upstream) = self.connections.borrow().get(&connection) {
-            upstream.open.store(true, Ordering::Relaxed);
+            upstream.writes_allowed.store(true, Ordering::Relaxed);
         }
     }
 
-    /// Closes a connection, whatever is on it, and reports when that is done.
+    /// Closes a connection, even during an attempt, and reports [`Event::Closed`] once its socket is closed.
     pub fn close(&self, events: Rc<dyn UpstreamEvents>, connection: ConnectionId) {
         let Some(upstream) = self.connections.borrow_mut().remove(&connection) else {
             return;
@@ -245,13 +245,13 @@
         upstream.attempt.inspect(AbortHandle::abort);
         upstream.driver.abort();
         tokio::task::spawn_local(async move {
-            // It was aborted or has ended: either way the socket is closed.
+            // The driver has ended or was aborted; in both cases the socket is closed.
             let _ = upstream.driver.await;
             events.on_event(Event::Closed { connection }, None);
         });
     }
 
-    /// Makes a connection and drives it until it ends.
+    /// Opens a connection and drives it until it ends.
     async fn drive(
         self: Rc<Self>,
         events: Rc<dyn UpstreamEvents>,
@@ -259,7 +259,7 @@
         connection: ConnectionId,
         address: SocketAddr,
     ) {
-        let failed = |local_shortage| {
+        let report_failure = |local_shortage| {
             self.connections.borrow_mut().remove(&connection);
             let event = Event::ConnectFailed {
                 connection,
@@ -269,10 +269,11 @@
         };
         let stream = match TcpStream::connect(address).await {
             Ok(stream) => stream,
-            // A shortage of this machine does not count against the server.
-            Err(error) => return failed(is_local_failure(&error)),
+            // A resource shortage of this machine does not count as a failure of the server.
+            Err(error) => return report_failure(is_local_failure(&error)),
         };
-        // Without it a request in two pieces would wait for an acknowledgement; it works all the same.
+        // Without TCP_NODELAY a request written in two parts would wait for an acknowledgement. An error only costs
+        // time.
         let _ = stream.set_nodelay(true);
         let stream = GatedStream::new(TokioIo::new(Socket::new(stream)), gate);
         let handshake = http1::Builder::new()
@@ -280,13 +281,13 @@
             .handshake(stream)
             .await;
         let Ok((sender, http)) = handshake else {
-            return failed(false);
+            return report_failure(false);
         };
         if let Some(upstream) = self.connections.borrow_mut().get_mut(&connection) {
             upstream.sender = Some(sender);
         }
         Rc::clone(&events).on_event(Event::Connected { connection }, None);
-        // How it ended shows in the exchange.
+        // The error is ignored: the attempt on this connection reports its own outcome.
         let _ = http.with_upgrades().await;
         events.on_event(Event::ClosedByPeer { connection }, None);
     }
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -1,9 +1,9 @@
-//! One attempt of a request on a connection: it is written, and its response is read and checked.
+//! One attempt of a request on a connection: writes the request, then reads and checks its response.
 
 use super::gate::GatedStream;
 use crate::answer::Payload;
 use crate::bodies::{
-    joined, Gathered, UpstreamRequestBody, MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES,
+    concatenate, ReadBody, UpstreamRequestBody, MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES,
 };
 use crate::forward::{Forward, ForwardBody};
 use crate::websocket::UpgradedConnection;
@@ -24,55 +24,57 @@
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
 
-/// The app server that an attempt goes to.
+/// The app server that an attempt is sent to.
 pub(super) struct Target {
     pub server: ServerId,
     pub address: SocketAddr,
 }
 
-/// What came of an attempt.
+/// The outcome of an attempt.
 pub(super) enum AttemptOutcome {
-    /// A whole response.
+    /// A complete response.
     Complete(Outcome, Option<Payload>),
-    /// A response of which so much was received, and that is streamed.
+    /// A response that is streamed: the chunks received so far, and the rest.
     Streaming(VecDeque<Bytes>, Incoming),
-    /// The server agreed to an upgrade.
+    /// The server accepted the upgrade.
     Upgraded(Box<UpgradedConnection>),
-    /// No whole response, or none to this request.
+    /// No complete response, or a response to another request.
     Lost,
 }
 
-/// How long a response of unknown length may take to show that it is short.
+/// How long a response of unknown length is buffered before it is streamed.
 const SHORT_BODY_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Writes the request and reads its response: whole if it is short, so that a client never gets a cut response where
-/// another attempt can help.
+/// Writes the request and reads its response. A short response is read completely, so that a client never gets a
+/// truncated one where another attempt could succeed.
 pub(super) async fn run(
     sender: &mut SendRequest<UpstreamRequestBody>,
     forward: &Forward,
-    left: Duration,
+    time_left: Duration,
     target: Target,
 ) -> AttemptOutcome {
-    let Some(answer) = exchange_heads(sender, forward, left, target.address).await else {
+    let Some(response) = send_request_head(sender, forward, time_left, target.address).await else {
         return AttemptOutcome::Lost;
     };
-    let (status, outcome) = (answer.status(), outcome(&answer));
+    let (status, outcome) = (response.status(), outcome_of(&response));
     if let (StatusCode::SWITCHING_PROTOCOLS, Some(offer)) = (status, &forward.offer) {
-        return upgrade(offer, target.server, answer)
+        return upgrade(offer, target.server, response)
             .await
             .map_or(AttemptOutcome::Lost, AttemptOutcome::Upgraded);
     }
-    if !is_usable(&answer, forward) {
+    if !is_usable(&response, forward) {
         return AttemptOutcome::Lost;
     }
     let may_stream = outcome == Outcome::Ok && forward.offer.is_none();
-    let body = match read_short(answer.into_body()).await {
+    let body = match read_buffered(response.into_body()).await {
         Some(Ok(body)) => body,
-        Some(Err((first, rest))) if may_stream => return AttemptOutcome::Streaming(first, rest),
+        Some(Err((received, rest))) if may_stream => {
+            return AttemptOutcome::Streaming(received, rest)
+        }
         _ => return AttemptOutcome::Lost,
     };
     match (outcome, &forward.offer) {
-        // Why a server rejects an upgrade is the client's to know.
+        // The client gets the server's reason for rejecting an upgrade.
         (Outcome::Error, Some(_)) if status.is_client_error() => {
             AttemptOutcome::Complete(Outcome::Ok, Some(Payload::UpgradeRejected(status, body)))
         }
@@ -84,49 +86,50 @@
     }
 }
 
-/// Whether a response belongs to this request, and shows where it ends.
-fn is_usable(answer: &Response<Incoming>, forward: &Forward) -> bool {
-    let headers = answer.headers();
-    // An informational status here would turn the connection into something else.
-    if answer.status().is_informational() {
+/// Whether a response belongs to this request and has a recognizable end.
+fn is_usable(response: &Response<Incoming>, forward: &Forward) -> bool {
+    let headers = response.headers();
+    // An unsolicited 1xx status such as 101 would change the protocol of the connection.
+    if response.status().is_informational() {
         return false;
     }
-    // A server that repeats its last response would give one client another's: where it names the request, the name
-    // must match.
+    // A server that repeats its last response would give one client another client's data. If the response carries a
+    // request id, the id must match.
     if headers
         .get("x-request-id")
         .is_some_and(|id| id.as_bytes() != forward.id.0.as_bytes())
     {
         return false;
     }
-    // Of a response that ends with its connection, unannounced, nobody could tell whether it is whole.
+    // A response without a length, an encoding or an announced close cannot be told from a truncated one.
     let framed = [CONTENT_LENGTH, TRANSFER_ENCODING]
         .iter()
         .any(|name| headers.contains_key(name));
-    let closes = answer.version() == Version::HTTP_10
+    let closes = response.version() == Version::HTTP_10
         || headers
             .get(CONNECTION)
             .is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"close"));
     framed || closes
 }
 
-/// Reads a short body whole; of a long one, what was received when that was clear. `None` if it broke before.
-async fn read_short(mut body: Incoming) -> Option<Gathered> {
-    let (mut pieces, mut size) = (VecDeque::new(), 0);
-    let known = body.size_hint().exact();
-    if known.is_some_and(|known| known > MAX_BODY_BYTES) {
+/// Reads a short body completely. Of a long one, returns what was received when it turned out to be long. `None` if the
+/// body failed before that, or exceeds [`MAX_BODY_BYTES`].
+async fn read_buffered(mut body: Incoming) -> Option<ReadBody> {
+    let (mut chunks, mut size) = (VecDeque::new(), 0);
+    let known_size = body.size_hint().exact();
+    if known_size.is_some_and(|known_size| known_size > MAX_BODY_BYTES) {
         return None;
     }
-    if known.is_some_and(|known| known > MAX_BUFFERED_BODY_BYTES as u64) {
-        return Some(Err((pieces, body)));
+    if known_size.is_some_and(|known_size| known_size > MAX_BUFFERED_BODY_BYTES as u64) {
+        return Some(Err((chunks, body)));
     }
-    let until = Instant::now() + SHORT_BODY_TIMEOUT;
+    let deadline = Instant::now() + SHORT_BODY_TIMEOUT;
     loop {
-        let frame = match known {
+        let frame = match known_size {
             Some(_) => body.frame().await,
-            None => match timeout_at(until, body.frame()).await {
+            None => match timeout_at(deadline, body.frame()).await {
                 Ok(frame) => frame,
-                Err(_) => return Some(Err((pieces, body))),
+                Err(_) => return Some(Err((chunks, body))),
             },
         };
         let Some(frame) = frame else { break };
@@ -134,28 +137,28 @@
             continue;
         };
         size += data.len();
-        pieces.push_back(data);
+        chunks.push_back(data);
         if size > MAX_BUFFERED_BODY_BYTES {
-            return Some(Err((pieces, body)));
+            return Some(Err((chunks, body)));
         }
     }
-    Some(Ok(joined(pieces)))
+    Some(Ok(concatenate(chunks)))
 }
 
-/// Writes the request and reads the head of its response.
-async fn exchange_heads(
+/// Writes the request and reads the head of its response; `None` if either fails.
+async fn send_request_head(
     sender: &mut SendRequest<UpstreamRequestBody>,
     forward: &Forward,
-    left: Duration,
+    time_left: Duration,
     address: SocketAddr,
 ) -> Option<Response<Incoming>> {
-    let left = left.as_millis();
+    let time_left = time_left.as_millis();
     let mut request = Request::builder()
         .method(&forward.method)
         .uri(&forward.target)
         .header(HOST, address.to_string())
         .header("x-request-id", &*forward.id.0)
-        .header("x-deadline", format!("{left}m"));
+        .header("x-deadline", format!("{time_left}m"));
     if let Some(key) = &forward.key {
         request = request.header("idempotency-key", key);
     }
@@ -165,11 +168,11 @@
             .header(UPGRADE, "websocket")
             .header(SEC_WEBSOCKET_VERSION, VERSION)
             .header(SEC_WEBSOCKET_KEY, &offer.key);
-        let more = [
+        let optional_headers = [
             (SEC_WEBSOCKET_PROTOCOL, &offer.protocols),
             (SEC_WEBSOCKET_EXTENSIONS, &offer.extensions),
         ];
-        for (name, value) in more {
+        for (name, value) in optional_headers {
             request = value
                 .iter()
                 .fold(request, |request, value| request.header(&name, value));
@@ -177,39 +180,40 @@
     }
     let body = match &forward.body {
         ForwardBody::Buffered(bytes) => UpstreamRequestBody::Buffered(Full::new(bytes.clone())),
-        ForwardBody::Streamed(pipe) => UpstreamRequestBody::Streamed(Rc::clone(pipe)),
+        ForwardBody::Streamed(body) => UpstreamRequestBody::Streamed(Rc::clone(body)),
     };
     let request = request.body(body).ok()?;
     sender.ready().await.ok()?;
     sender.send_request(request).await.ok()
 }
 
-/// Takes the connection over, if the server has agreed to what was offered and to nothing else.
+/// Takes over the connection if the server accepted only what the client offered.
 async fn upgrade(
     offer: &Offer,
     server: ServerId,
-    answer: Response<Incoming>,
+    response: Response<Incoming>,
 ) -> Option<Box<UpgradedConnection>> {
-    let switch = verify(offer, answer.headers()).ok()?;
-    let stream = hyper::upgrade::on(answer).await.ok()?;
+    let switch = verify(offer, response.headers()).ok()?;
+    let stream = hyper::upgrade::on(response).await.ok()?;
     let parts = stream.downcast::<GatedStream>().ok()?;
-    let (stream, early) = (parts.io.into_stream()?, parts.read_buf);
+    let (stream, buffered) = (parts.io.into_stream()?, parts.read_buf);
     let upgraded = UpgradedConnection {
         key: offer.key.clone(),
         switch,
         server,
         stream,
-        early,
+        buffered,
     };
     Some(Box::new(upgraded))
 }
 
-fn outcome<B>(answer: &Response<B>) -> Outcome {
-    let not_run = answer
+/// Classifies a response by its status. `X-Not-Run: 1` says that the server did not execute the request.
+fn outcome_of<B>(response: &Response<B>) -> Outcome {
+    let not_run = response
         .headers()
         .get("x-not-run")
         .is_some_and(|value| value == "1");
-    match answer.status() {
+    match response.status() {
         StatusCode::OK => Outcome::Ok,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_run => {
             Outcome::Rejected
--- a/crates/node/src/upstream/gate.rs
+++ b/crates/node/src/upstream/gate.rs
@@ -1,4 +1,4 @@
-//! Holds the first byte of a request back until the exchange has allowed it.
+//! Holds back the first byte of a request until the exchange has allowed it.
 
 use crate::upstream_events;
 use hyper::rt::{Read, ReadBufCursor, Write};
@@ -15,70 +15,73 @@
 use tokio::net::TcpStream;
 use tokio::task::yield_now;
 
-/// Scheduler yields that a first byte waits for changes of the endpoint list to be read: one each for tokio's I/O driver, the
-/// connection's task and the watch, and some to spare. It ends the wait where a watch is never read.
+/// Most scheduler yields that a first byte waits for unread changes of the endpoint list: one each for tokio's I/O
+/// driver, the connection's task and the watch, plus a margin. Ends the wait if a watch is never read.
 const MAX_DISCOVERY_YIELDS: u32 = 16;
 
-/// Whether bytes may be written on a connection, and who decides that.
+/// Whether bytes may be written on a connection, and the owner that decides it.
 pub(super) struct Gate {
-    /// By number, as an upgrade requires a stream that could go to another thread, though none does.
+    /// Registration number of the owner. An upgrade requires a stream that is `Send`, so it cannot hold an `Rc`.
     pub owner: u64,
     pub connection: ConnectionId,
-    pub open: Arc<AtomicBool>,
+    pub writes_allowed: Arc<AtomicBool>,
 }
 
-/// A stream on which no request's first byte is written before the exchange has decided.
+/// A stream that writes the first byte of a request only after the exchange has allowed it.
 pub(super) struct GatedStream {
     stream: TokioIo<Socket>,
     gate: Gate,
-    /// Rounds that a first byte has waited, and the one that it waits for.
-    waited: u32,
-    round: Option<Pin<Box<dyn Future<Output = ()> + Send>>>,
+    /// Scheduler yields that the first byte has waited so far.
+    yields: u32,
+    /// The yield that the first byte waits for now.
+    pending_yield: Option<Pin<Box<dyn Future<Output = ()> + Send>>>,
 }
 
 impl GatedStream {
-    /// A stream on which nothing may be written before the gate is open.
+    /// Wraps a stream on which nothing may be written until the gate allows it.
     pub(super) fn new(stream: TokioIo<Socket>, gate: Gate) -> GatedStream {
         GatedStream {
             stream,
             gate,
-            waited: 0,
-            round: None,
+            yields: 0,
+            pending_yield: None,
         }
     }
 
-    /// The stream, no longer gated; `None` where it is being inspected in this very moment.
+    /// Returns the stream without its gate; `None` while another holder of the socket is inspecting it.
     pub(super) fn into_stream(self) -> Option<TcpStream> {
         self.stream.into_inner().into_inner()
     }
 
-    /// Has the exchange decide on the first byte. Drains that were announced are applied before that: a loop that was
-    /// late may find both at once.
-    fn ask(&mut self, context: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if self.gate.open.load(Ordering::Relaxed) {
+    /// Lets the exchange decide on the first byte. Announced drains are applied before: after a delay the event loop
+    /// may find a drain and a request at the same time.
+    fn poll_write_permission(&mut self, context: &mut Context<'_>) -> Poll<io::Result<()>> {
+        if self.gate.writes_allowed.load(Ordering::Relaxed) {
             return Poll::Ready(Ok(()));
         }
         if let Some(owner) = upstream_events::owner(self.gate.owner) {
             let forward = owner.ready_request(self.gate.connection);
-            // The client of a connection that was just accepted may have disconnected again before the kernel has
-            // reported either: one round shows it.
-            let unobserved = forward
+            // The client of a connection that was just accepted may have disconnected before the kernel reported either
+            // event. One scheduler yield lets the disconnection show.
+            let needs_check = forward
                 .as_ref()
-                .is_some_and(|forward| forward.client.unwatched());
-            while (unobserved && self.waited == 0)
-                || (self.waited < MAX_DISCOVERY_YIELDS && owner.has_unread_endpoints())
+                .is_some_and(|forward| forward.client.is_read_paused());
+            while (needs_check && self.yields == 0)
+                || (self.yields < MAX_DISCOVERY_YIELDS && owner.has_unread_endpoints())
             {
-                let round = self.round.get_or_insert_with(|| Box::pin(yield_now()));
-                ready!(round.as_mut().poll(context));
-                (self.waited, self.round) = (self.waited + 1, None);
+                let pending_yield = self
+                    .pending_yield
+                    .get_or_insert_with(|| Box::pin(yield_now()));
+                ready!(pending_yield.as_mut().poll(context));
+                (self.yields, self.pending_yield) = (self.yields + 1, None);
             }
-            self.waited = 0;
-            // A client may have disconnected while this loop was late, or behind bytes that nobody reads. Its request
-            // would be executed for nobody: this is checked in the same instant as the first byte.
+            self.yields = 0;
+            // A client may have disconnected while the event loop was delayed, or after bytes that are not read. A
+            // server would execute its request in vain, so this is checked immediately before the first byte.
             if let Some(forward) = forward.filter(|forward| forward.client.client_is_gone()) {
                 Rc::clone(&owner).client_gone(&forward);
             }
-            // Bytes that are left of one response would be read as the next: the exchange must know of them.
+            // Bytes left over from an earlier response would be read as the next one, so the exchange is told of them.
             let quiet = is_quiet(self.stream.inner().stream());
             owner.on_event(
                 Event::FirstByteReady {
@@ -88,7 +91,7 @@
                 None,
             );
         }
-        Poll::Ready(if self.gate.open.load(Ordering::Relaxed) {
+        Poll::Ready(if self.gate.writes_allowed.load(Ordering::Relaxed) {
             Ok(())
         } else {
             Err(io::ErrorKind::ConnectionAborted.into())
@@ -112,17 +115,17 @@
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        ready!(self.ask(context))?;
+        ready!(self.poll_write_permission(context))?;
         Pin::new(&mut self.stream).poll_write(context, bytes)
     }
 
     fn poll_write_vectored(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-        parts: &[IoSlice<'_>],
+        buffers: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        ready!(self.ask(context))?;
-        Pin::new(&mut self.stream).poll_write_vectored(context, parts)
+        ready!(self.poll_write_permission(context))?;
+        Pin::new(&mut self.stream).poll_write_vectored(context, buffers)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/crates/node/src/websocket.rs
+++ b/crates/node/src/websocket.rs
@@ -1,5 +1,5 @@
-//! WebSocket (RFC 6455): relays frames between a client and a server, as the table and the scanners of
-//! `saffronpaddle-websocket` decide. It makes no policy.
+//! WebSocket (RFC 6455): relays frames between clients and servers. The socket table and the frame scanners of
+//! `saffronpaddle-websocket` make all decisions.
 
 mod relay;
 
@@ -20,54 +20,60 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// An upgrade that a server has agreed to: its connection, and what followed its response.
+/// An upgrade that a server has accepted, with the connection to that server.
 #[derive(Debug)]
 pub struct UpgradedConnection {
-    /// The client's key.
+    /// The value of `Sec-WebSocket-Key` in the client's request.
     pub key: HeaderValue,
-    /// What the server agreed to.
+    /// The subprotocol and extensions that the server accepted.
     pub switch: Switch,
-    /// The server.
+    /// The server that accepted the upgrade.
     pub server: ServerId,
-    /// The connection to it.
+    /// The connection to that server.
     pub stream: TcpStream,
-    /// Bytes that followed its response.
-    pub early: Bytes,
+    /// Bytes received after the head of the server's response.
+    pub buffered: Bytes,
 }
 
 impl UpgradedConnection {
-    /// The headers of the client's response.
+    /// Headers of the 101 response to the client, other than `Connection` and `Upgrade`.
     pub fn accepted(&self) -> HeaderMap {
         upgrade::accepted(&self.key, &self.switch)
     }
 }
 
-/// What a relay is to do.
+/// Requests from the table to the relay of one socket.
 #[derive(Default)]
 struct RelayControl {
+    /// Code and reason of the close frames to send.
     close: RefCell<Option<(u16, String)>>,
-    /// When nothing may be written to the server any more, µs.
-    by: Cell<Option<Micros>>,
+    /// Nothing may be written to the server from this time on, µs.
+    drain_deadline: Cell<Option<Micros>>,
+    /// By side: send a ping.
     ping: [Cell<bool>; 2],
-    cut: Cell<bool>,
+    /// End the socket without a closing handshake.
+    abort: Cell<bool>,
+    /// Notified after each change of the other fields.
     changed: Notify,
 }
 
-/// All web sockets of a node.
+/// All WebSocket connections of a node.
 pub struct WebsocketProxy {
-    /// The class of upgrade requests.
+    /// The class that upgrade requests must name.
     pub class: ClassId,
     clock: Clock,
     settings: saffronpaddle_operator_config::Sockets,
     table: RefCell<Sockets>,
     relays: RefCell<HashMap<SocketId, Rc<RelayControl>>>,
-    /// Each server's address, as the endpoint list last had it.
+    /// The address of each ready server, according to the latest endpoint list.
     addresses: RefCell<HashMap<ServerId, SocketAddr>>,
     alarm: Alarm,
-    over: Notify,
+    /// Notified when a permit is dropped.
+    permit_released: Notify,
 }
 
-/// A permit for one socket, for as long as an upgrade or its socket has it.
+/// A permit for one socket, held by the upgrade request and then by the socket. Dropping it frees its place in the
+/// table.
 pub struct WebsocketPermit {
     proxy: Rc<WebsocketProxy>,
     id: SocketId,
@@ -77,12 +83,12 @@
     fn drop(&mut self) {
         self.proxy.relays.borrow_mut().remove(&self.id);
         self.proxy.table.borrow_mut().ended(self.id);
-        self.proxy.over.notify_one();
+        self.proxy.permit_released.notify_one();
     }
 }
 
 impl WebsocketProxy {
-    /// No sockets yet.
+    /// Creates a proxy without sockets.
     pub fn new(
         class: ClassId,
         settings: saffronpaddle_operator_config::Sockets,
@@ -97,7 +103,7 @@
             relays: RefCell::default(),
             addresses: RefCell::default(),
             alarm: Alarm::new(),
-            over: Notify::new(),
+            permit_released: Notify::new(),
         }
     }
 
@@ -105,10 +111,10 @@
         self.clock.now()
     }
 
-    /// Admits an upgrade of a customer whose node subset has this size.
+    /// Admits an upgrade of a customer. `subset_size`: number of nodes in the customer's node subset.
     ///
     /// # Errors
-    /// Why it is rejected, and when it may be tried again.
+    /// The reason of the rejection, and the time after which the client may retry.
     pub fn admit(
         self: &Rc<Self>,
         customer: CustomerId,
@@ -124,7 +130,8 @@
         })
     }
 
-    /// Applies endpoints: sockets are closed whose server is not ready any more, or has moved.
+    /// Applies an endpoint update. Closes the sockets whose server is no longer ready or has another address. A
+    /// `snapshot` also removes the servers that it does not list.
     pub fn on_endpoints(
         &self,
         snapshot: bool,
@@ -157,24 +164,25 @@
         drop(addresses);
         for (server, ready) in changes {
             let commands = self.table.borrow_mut().on_server_status(now, server, ready);
-            self.carry_out(commands);
+            self.execute(commands);
         }
     }
 
-    /// The node stops: all sockets are drained.
+    /// Drains all sockets because the node stops.
     pub fn stop(&self) {
         let commands = self.table.borrow_mut().stop(self.now());
-        self.carry_out(commands);
+        self.execute(commands);
     }
 
-    /// Returns when there is no socket.
+    /// Waits until no permit is held.
     pub async fn all_closed(&self) {
         while self.table.borrow().count() > 0 {
-            self.over.notified().await;
+            self.permit_released.notified().await;
         }
     }
 
-    fn carry_out(&self, commands: Vec<Command>) {
+    /// Passes the table's commands to the relays of their sockets.
+    fn execute(&self, commands: Vec<Command>) {
         let relays = self.relays.borrow();
         for command in commands {
             let (Command::Close(id, ..)
@@ -188,40 +196,42 @@
                 Command::Close(_, code, reason) => {
                     _ = control.close.borrow_mut().insert((code, reason));
                 }
-                Command::Drain(_, code, reason, by) => {
-                    control.by.set(Some(by));
+                Command::Drain(_, code, reason, deadline) => {
+                    control.drain_deadline.set(Some(deadline));
                     control.close.borrow_mut().replace((code, reason));
                 }
                 Command::Ping(_, side) => control.ping[side as usize].set(true),
-                Command::Cut(_) => control.cut.set(true),
+                Command::Cut(_) => control.abort.set(true),
             }
             control.changed.notify_one();
         }
         drop(relays);
-        self.set();
+        self.arm_timer();
     }
 
-    fn set(&self) {
+    /// Sets the timer to the next deadline of the table.
+    fn arm_timer(&self) {
         self.alarm.set(self.table.borrow().next_alarm());
     }
 
-    /// A socket's closing handshake has begun.
+    /// Records that the closing handshake of a socket has started.
     fn on_close_started(&self, id: SocketId) {
         self.table.borrow_mut().closes(self.now(), id);
-        self.set();
+        self.arm_timer();
     }
 
-    /// Fires the table's timer when it is due, for ever.
+    /// Runs the table's timer. Never returns.
     pub async fn run_timer(&self) {
         loop {
             self.alarm
                 .rings(|| self.table.borrow().next_alarm(), || self.now())
                 .await;
             let commands = self.table.borrow_mut().tick(self.now());
-            self.carry_out(commands);
+            self.execute(commands);
         }
     }
 
+    /// The frame rules of a socket with the extensions in `switch`.
     fn rules(&self, switch: &Switch) -> Rules {
         Rules {
             frame_most: self.settings.frame_most,
