--- a/crates/node/src/websocket/relay.rs
+++ b/crates/node/src/websocket/relay.rs
@@ -1,4 +1,4 @@
-//! One socket: relays frames between its client and its server until either closes.
+//! Relays the frames of one socket between its client and its server until either side closes.
 
 use super::{RelayControl, UpgradedConnection, WebsocketPermit, WebsocketProxy};
 use bytes::Bytes;
@@ -11,42 +11,43 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// Most bytes that are read of one side at once; no more wait to be written to the other. It bounds memory where a
-/// reader is slower than its writer: the writer is not read until all of it is written.
+/// Most bytes read from one side at a time. Bounds memory if the other side reads slowly: the next read waits until all
+/// of these bytes are written.
 const MAX_BUFFER_BYTES: usize = 16 * 1024;
 
 thread_local! {
-    /// The buffer that bytes are read to: one for all sockets, as an idle socket needs none.
+    /// Read buffer shared by all sockets of the thread, so that an idle socket holds none.
     static READ_BUFFER: RefCell<Vec<u8>> = RefCell::new(vec![0; MAX_BUFFER_BYTES]);
 }
 
-/// Bytes from one side to the other.
+/// The data flow from one side to the other.
 struct Direction {
     scanner: Scanner,
-    out: Vec<u8>,
-    /// A close was written, or is about to be: nothing follows it.
-    shut: bool,
+    /// Bytes that wait to be written to the receiving side.
+    pending: Vec<u8>,
+    /// Nothing more is queued for the receiving side: a close frame was queued, or a side has ended.
+    write_closed: bool,
 }
 
-/// One socket.
+/// The relay of one socket.
 struct Relay {
     permit: WebsocketPermit,
     control: Rc<RelayControl>,
-    /// By side: the client's, the server's.
+    /// Connections by side: client, server.
     streams: [TcpStream; 2],
-    /// By sender.
+    /// Data flows by sending side.
     directions: [Direction; 2],
-    /// By side: it has ended, and is neither read nor written any more.
+    /// By side: whether its connection has ended, so that it is neither read nor written.
     ended: [bool; 2],
-    /// By side: how it is to be closed.
+    /// By side: code and reason of the close frame to send to it.
     close: [Option<(u16, String)>; 2],
 }
 
-/// Relays until the socket is closed. `early`: bytes that the client sent before the relay began.
+/// Relays frames until the socket is closed. `client_bytes`: bytes that the client sent before the relay started.
 pub async fn relay(
     permit: WebsocketPermit,
     client: TcpStream,
-    early: Bytes,
+    client_bytes: Bytes,
     upgraded: UpgradedConnection,
 ) {
     let websockets = Rc::clone(&permit.proxy);
@@ -54,7 +55,7 @@
         switch,
         server,
         stream,
-        early: behind,
+        buffered: server_bytes,
         ..
     } = upgraded;
     let rules = websockets.rules(&switch);
@@ -67,11 +68,11 @@
         .table
         .borrow_mut()
         .opened(websockets.now(), permit.id, server);
-    websockets.carry_out(commands);
+    websockets.execute(commands);
     let direction = |side| Direction {
         scanner: Scanner::new(side, rules),
-        out: Vec::new(),
-        shut: false,
+        pending: Vec::new(),
+        write_closed: false,
     };
     let mut relay = Relay {
         permit,
@@ -81,80 +82,85 @@
         ended: [false; 2],
         close: [None, None],
     };
-    relay.on_bytes(&websockets, Side::Client, &early);
-    relay.on_bytes(&websockets, Side::Server, &behind);
-    // An idle socket keeps no buffer: these are parts of those that the heads were read to.
-    drop((early, behind, switch));
+    relay.on_bytes(&websockets, Side::Client, &client_bytes);
+    relay.on_bytes(&websockets, Side::Server, &server_bytes);
+    // These slices keep the buffers of the request and response heads alive, and an idle socket should hold no buffer.
+    drop((client_bytes, server_bytes, switch));
     relay.run(&websockets).await;
 }
 
 impl Relay {
     async fn run(&mut self, websockets: &WebsocketProxy) {
         loop {
-            self.take_close();
-            // What was not written by the drain's deadline is not written any more, also where the loop is late.
+            self.take_close_command();
+            // Nothing is written to the server after the drain deadline, even if the event loop is delayed.
             if self
                 .control
-                .by
+                .drain_deadline
                 .get()
-                .is_some_and(|by| websockets.now() >= by)
+                .is_some_and(|deadline| websockets.now() >= deadline)
             {
-                self.control.cut.set(true);
+                self.control.abort.set(true);
             }
-            if self.control.cut.get() {
+            if self.control.abort.get() {
                 break;
             }
             for to in [Side::Client, Side::Server] {
-                self.insert_own_frames(to);
+                self.insert_control_frames(to);
                 self.write(websockets, to);
             }
-            let written = self
+            let all_written = self
                 .directions
                 .iter()
-                .all(|direction| direction.out.is_empty());
-            if self.is_over(Side::Client) && self.is_over(Side::Server) && written {
+                .all(|direction| direction.pending.is_empty());
+            if self.is_input_ended(Side::Client) && self.is_input_ended(Side::Server) && all_written
+            {
                 break;
             }
-            // Both sides have got their close. Other sockets have not, and come first.
-            if written
-                && self.control.by.get().is_some()
-                && self.directions.iter().all(|direction| direction.shut)
+            // Both close frames are written. Other sockets that still have to write theirs take precedence.
+            if all_written
+                && self.control.drain_deadline.get().is_some()
+                && self
+                    .directions
+                    .iter()
+                    .all(|direction| direction.write_closed)
             {
                 self.control.changed.notified().await;
                 continue;
             }
             let [client, server] = &self.streams;
-            let reads = |side| self.reads(side);
-            let writes = |to: Side| !self.directions[to.other() as usize].out.is_empty();
+            let may_read = |side| self.may_read(side);
+            let has_output = |to: Side| !self.directions[to.other() as usize].pending.is_empty();
             tokio::select! {
                 () = self.control.changed.notified() => {}
-                _ = client.readable(), if reads(Side::Client) => self.read(websockets, Side::Client),
-                _ = server.readable(), if reads(Side::Server) => self.read(websockets, Side::Server),
-                _ = client.writable(), if writes(Side::Client) => {}
-                _ = server.writable(), if writes(Side::Server) => {}
+                _ = client.readable(), if may_read(Side::Client) => self.read(websockets, Side::Client),
+                _ = server.readable(), if may_read(Side::Server) => self.read(websockets, Side::Server),
+                _ = client.writable(), if has_output(Side::Client) => {}
+                _ = server.writable(), if has_output(Side::Server) => {}
             }
         }
-        // What the kernel still holds for the server would be sent after the drain's deadline: it is dropped with the
-        // connection. A server that has answered the close is owed nothing.
+        // The kernel would send buffered bytes to the server after the drain deadline. A reset discards them with the
+        // connection. It is not needed if the server has answered the close.
         self.read(websockets, Side::Server);
-        if self.control.cut.get() && !self.directions[Side::Server as usize].scanner.closed() {
+        if self.control.abort.get() && !self.directions[Side::Server as usize].scanner.closed() {
             let _ = SockRef::from(&self.streams[Side::Server as usize])
                 .set_linger(Some(Duration::ZERO));
         }
     }
 
-    /// Whether nothing that a side sends counts any more.
-    fn is_over(&self, side: Side) -> bool {
+    /// Whether a side has sent its close or its connection has ended, so that it is not read any more.
+    fn is_input_ended(&self, side: Side) -> bool {
         self.directions[side as usize].scanner.closed() || self.ended[side as usize]
     }
 
-    /// Whether a side is read: nothing of it waits to be written, or nothing will be.
-    fn reads(&self, side: Side) -> bool {
+    /// Whether a side may be read: its earlier bytes have been written, or its data is no longer forwarded.
+    fn may_read(&self, side: Side) -> bool {
         let direction = &self.directions[side as usize];
-        !self.is_over(side) && (direction.out.is_empty() || direction.shut)
+        !self.is_input_ended(side) && (direction.pending.is_empty() || direction.write_closed)
     }
 
-    fn take_close(&mut self) {
+    /// Takes the table's close command, if any, for both sides. An earlier close reason of a side is kept.
+    fn take_close_command(&mut self) {
         if let Some((code, reason)) = self.control.close.borrow_mut().take() {
             self.close
                 .iter_mut()
@@ -162,30 +168,32 @@
         }
     }
 
-    /// Inserts the node's own frames for a side, where a frame of the other side ends.
-    fn insert_own_frames(&mut self, to: Side) {
+    /// Queues the node's own ping and close frames for a side, at a frame boundary of the data from the other side.
+    fn insert_control_frames(&mut self, to: Side) {
         let direction = &mut self.directions[to.other() as usize];
-        if direction.shut || self.ended[to as usize] || !direction.scanner.at_boundary() {
+        if direction.write_closed || self.ended[to as usize] || !direction.scanner.at_boundary() {
             return;
         }
         let mask = fastrand::u32(..).to_ne_bytes();
         if self.control.ping[to as usize].take() {
-            direction.out.extend(frames::ping(to, mask));
+            direction.pending.extend(frames::ping(to, mask));
         }
         if let Some((code, reason)) = &self.close[to as usize] {
-            direction.out.extend(frames::close(to, *code, reason, mask));
-            direction.shut = true;
+            direction
+                .pending
+                .extend(frames::close(to, *code, reason, mask));
+            direction.write_closed = true;
         }
     }
 
     /// Reads once from a side.
     fn read(&mut self, websockets: &WebsocketProxy, from: Side) {
-        READ_BUFFER.with_borrow_mut(|scratch| {
-            match retry_interrupted(|| self.streams[from as usize].try_read(scratch)) {
-                Ok(0) => self.end(websockets, from),
-                Ok(length) => self.on_bytes(websockets, from, &scratch[..length]),
+        READ_BUFFER.with_borrow_mut(|buffer| {
+            match retry_interrupted(|| self.streams[from as usize].try_read(buffer)) {
+                Ok(0) => self.end_side(websockets, from),
+                Ok(length) => self.on_bytes(websockets, from, &buffer[..length]),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-                Err(_) => self.end(websockets, from),
+                Err(_) => self.end_side(websockets, from),
             }
         });
     }
@@ -194,12 +202,12 @@
         if bytes.is_empty() {
             return;
         }
-        let (mut seen, mut dropped) = (Vec::new(), Vec::new());
+        let (mut events, mut discarded) = (Vec::new(), Vec::new());
         let closing = self.close[from.other() as usize].is_some();
         let direction = &mut self.directions[from as usize];
-        let scanned = if direction.shut {
-            // It was sent a close: all that matters is that it answers.
-            direction.scanner.scan(bytes, &mut dropped, &mut seen)
+        let scanned = if direction.write_closed {
+            // The other side has been sent its last frame; this side's data is scanned only for its close.
+            direction.scanner.scan(bytes, &mut discarded, &mut events)
         } else if closing {
             // Only the rest of the current frame is relayed.
             let mut bytes = bytes.iter();
@@ -208,24 +216,26 @@
                 let Some(byte) = bytes.next() else { break };
                 scanned = direction
                     .scanner
-                    .scan(&[*byte], &mut direction.out, &mut seen);
+                    .scan(&[*byte], &mut direction.pending, &mut events);
             }
             scanned.and_then(|()| {
                 direction
                     .scanner
-                    .scan(bytes.as_slice(), &mut dropped, &mut seen)
+                    .scan(bytes.as_slice(), &mut discarded, &mut events)
             })
         } else {
-            direction.scanner.scan(bytes, &mut direction.out, &mut seen)
+            direction
+                .scanner
+                .scan(bytes, &mut direction.pending, &mut events)
         };
-        let data = seen.contains(&Seen::Data);
+        let data = events.contains(&Seen::Data);
         websockets
             .table
             .borrow_mut()
             .on_received(websockets.now(), self.permit.id, from, data);
-        if seen.iter().any(|seen| matches!(seen, Seen::Close(_))) {
-            // Where the node has not closed by itself, the close was relayed to the other side, which answers it.
-            direction.shut = true;
+        if events.iter().any(|event| matches!(event, Seen::Close(_))) {
+            // Unless the node started the close, the frame was relayed to the other side, which answers it.
+            direction.write_closed = true;
             websockets.on_close_started(self.permit.id);
         }
         if let Err(fault) = scanned {
@@ -234,42 +244,42 @@
         }
     }
 
-    /// What a side sends from now on is ignored.
+    /// Ends a side that has violated the protocol.
     fn fail_side(&mut self, websockets: &WebsocketProxy, side: Side) {
-        // It is still sent the reason, while nothing more of it is read.
-        self.insert_own_frames(side);
+        // The side is still sent the close frame with the reason, and is not read any more.
+        self.insert_control_frames(side);
         self.write(websockets, side);
-        self.end(websockets, side);
+        self.end_side(websockets, side);
     }
 
-    /// A side has ended: the other is closed.
-    fn end(&mut self, websockets: &WebsocketProxy, side: Side) {
+    /// Marks a side as ended and closes the other side.
+    fn end_side(&mut self, websockets: &WebsocketProxy, side: Side) {
         self.ended[side as usize] = true;
-        self.directions[side.other() as usize].out.clear();
-        self.directions[side.other() as usize].shut = true;
-        let why = "the other side is gone".to_owned();
-        self.close[side.other() as usize].get_or_insert((1001, why));
+        self.directions[side.other() as usize].pending.clear();
+        self.directions[side.other() as usize].write_closed = true;
+        let reason = "the other side is gone".to_owned();
+        self.close[side.other() as usize].get_or_insert((1001, reason));
         websockets.on_close_started(self.permit.id);
     }
 
-    /// Writes what is queued for a side, as far as the kernel takes it.
+    /// Writes as much of the bytes queued for a side as the kernel accepts.
     fn write(&mut self, websockets: &WebsocketProxy, to: Side) {
         let direction = &mut self.directions[to.other() as usize];
         let mut written = 0;
-        while written < direction.out.len() {
+        while written < direction.pending.len() {
             match retry_interrupted(|| {
-                self.streams[to as usize].try_write(&direction.out[written..])
+                self.streams[to as usize].try_write(&direction.pending[written..])
             }) {
                 Ok(length) => written += length,
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
-                Err(_) => return self.end(websockets, to),
+                Err(_) => return self.end_side(websockets, to),
             }
         }
-        if written == direction.out.len() {
-            // An idle socket keeps no buffer.
-            direction.out = Vec::new();
+        if written == direction.pending.len() {
+            // Frees the allocation, because an idle socket should hold no buffer.
+            direction.pending = Vec::new();
         } else {
-            direction.out.drain(..written);
+            direction.pending.drain(..written);
         }
     }
 }
