--- a/crates/node/src/bodies/request.rs
+++ b/crates/node/src/bodies/request.rs
@@ -16,11 +16,13 @@
     /// Called once, when the body has been received completely and its last chunk is held back. The body may outlive
     /// the event loop of its node.
     on_complete: Box<dyn Fn(Ticket)>,
+    /// The exchange's ticket of the request.
     ticket: Cell<Option<Ticket>>,
     /// Size in bytes, if the client declared it.
     pub(super) size: Option<u64>,
     completion_reported: Cell<bool>,
     released: Cell<bool>,
+    /// Wakes the task that waits for the release of the last chunk.
     release_waker: RefCell<Option<Waker>>,
     state: RefCell<RequestBodyState>,
 }
@@ -99,7 +101,7 @@
         }
     }
 
-    /// Sets the exchange's ticket of the request, which is passed to `on_complete`.
+    /// Sets the ticket that is passed to `on_complete`.
     pub fn set_ticket(&self, ticket: Ticket) {
         self.ticket.set(Some(ticket));
     }
--- a/crates/node/src/clients.rs
+++ b/crates/node/src/clients.rs
@@ -20,7 +20,8 @@
 use tokio::sync::{watch, Notify};
 use tokio::time::{Instant, Interval, MissedTickBehavior};
 
-/// Interval of the checks for disconnected clients on connections that are not read while a request is answered.
+/// Delay before the first check, and interval of further checks, for disconnected clients on connections that are not
+/// read while a request is answered.
 const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(25);
 /// Interval of evictions while an accepted connection waits for capacity and no connection has ended.
 const EVICTION_RETRY: Duration = Duration::from_millis(5);
@@ -49,7 +50,7 @@
     pub ready: bool,
     /// The reasons why the node is not ready.
     pub reasons: Reasons,
-    /// When the last open request must be answered; `None` until the process is told to stop.
+    /// Deadline for answering all open requests; `None` until the process is told to stop.
     pub answer_by: Option<Instant>,
 }
 
--- a/crates/node/src/upstream.rs
+++ b/crates/node/src/upstream.rs
@@ -91,17 +91,17 @@
         body.into_iter().for_each(|body| body.release());
     }
 
-    /// Opens a connection. `owner` is the registration number of `events`.
+    /// Opens a connection. `owner_number` is the registration number of `events`.
     pub fn connect(
         self: &Rc<Self>,
         events: Rc<dyn UpstreamEvents>,
-        owner: u64,
+        owner_number: u64,
         connection: ConnectionId,
         address: SocketAddr,
     ) {
         let writes_allowed = Arc::new(AtomicBool::new(false));
         let gate = Gate {
-            owner,
+            owner_number,
             connection,
             writes_allowed: Arc::clone(&writes_allowed),
         };
@@ -147,7 +147,7 @@
         upstream.attempt = Some(task.abort_handle());
     }
 
-    /// Reports the outcome of an attempt to the exchange.
+    /// Reports the outcome of an attempt to the connection's owner.
     fn finish(
         self: Rc<Self>,
         events: Rc<dyn UpstreamEvents>,
--- a/crates/node/src/upstream/gate.rs
+++ b/crates/node/src/upstream/gate.rs
@@ -22,7 +22,7 @@
 /// Whether bytes may be written on a connection, and the owner that decides it.
 pub(super) struct Gate {
     /// Registration number of the owner. An upgrade requires a stream that is `Send`, so it cannot hold an `Rc`.
-    pub owner: u64,
+    pub owner_number: u64,
     pub connection: ConnectionId,
     pub writes_allowed: Arc<AtomicBool>,
 }
@@ -59,7 +59,7 @@
         if self.gate.writes_allowed.load(Ordering::Relaxed) {
             return Poll::Ready(Ok(()));
         }
-        if let Some(owner) = upstream_events::owner(self.gate.owner) {
+        if let Some(owner) = upstream_events::owner(self.gate.owner_number) {
             let forward = owner.ready_request(self.gate.connection);
             // The client of a connection that was just accepted may have disconnected before the kernel reported either
             // event. One scheduler yield lets the disconnection show.
