--- a/crates/node/src/bodies/request.rs
+++ b/crates/node/src/bodies/request.rs
@@ -58,9 +58,7 @@
             };
             self.bytes += data.len() as u64;
             if self.bytes > MAX_BODY_BYTES {
-                return Poll::Ready(Some(Err(io::Error::other(format!(
-                    "request body exceeds {MAX_BODY_BYTES} bytes"
-                )))));
+                return Poll::Ready(Some(Err(io::Error::other("the body is too large"))));
             }
             if !data.is_empty() {
                 return Poll::Ready(Some(Ok(data)));
--- a/crates/node/src/clients/connection.rs
+++ b/crates/node/src/clients/connection.rs
@@ -64,7 +64,7 @@
         }
         if !downstream.is_busy() {
             debug!(
-                why = "evicted",
+                why = "sent_away",
                 asked = downstream.has_requested(),
                 "closing client connection"
             );
@@ -122,7 +122,7 @@
         return;
     }
     debug!(
-        why = "node_stopping",
+        why = "process_stops",
         asked = downstream.has_requested(),
         waited_ms = wait.as_millis() as u64,
         "closing client connection"
--- a/crates/node/src/clients/connections.rs
+++ b/crates/node/src/clients/connections.rs
@@ -99,7 +99,7 @@
         for Entry { downstream, task } in &self.entries {
             if downstream.is_read_paused() {
                 if downstream.client_is_gone() {
-                    debug!(why = "client_disconnected", "closing client connection");
+                    debug!(why = "client_left", "closing client connection");
                     task.abort();
                 } else {
                     remaining = true;
