--- a/crates/policy/src/grants/mod.rs
+++ b/crates/policy/src/grants/mod.rs
@@ -1,10 +1,10 @@
-//! Grants: in a large fleet a request is admitted by an owner of its customer's quota, by a lease, or, while no owner can
-//! be reached, by what owners granted here lately.
+//! Admission in a large fleet. A request is admitted by a grant from an owner of its customer's quota, by a lease, or,
+//! while no owner is reachable, at a rate derived from what owners recently granted to this node.
 //!
-//! In a large fleet usage reports to all peers would come too seldom: each node hardly sees a customer, and hundreds of
-//! nodes with a burst each would grant many times the quota. So a few nodes of the customer's subset own its quota in
-//! shards (`shard_owners`, `saffronpaddle_quota`), and a request costs a round trip to one of them. `requester` is the
-//! side that asks, `owner` the side that decides.
+//! Usage reports to all peers do not work in a large fleet: each node sees few requests of a customer and could report
+//! too rarely, and hundreds of nodes with a burst each would grant many times the quota. Instead, a few nodes of the
+//! customer's subset own its quota in shards (`shard_owners`, `saffronpaddle_quota`), and a request costs a round trip
+//! to one of them. `requester` sends grant requests, `owner` decides on them.
 
 mod owner;
 mod requester;
@@ -16,12 +16,12 @@
 use crate::state::messages_per_s;
 use saffronpaddle_quota::{GrantResponse, Lease};
 
-/// How long an owner that did not answer is passed over; any message from it ends that.
+/// How long an owner that did not answer is skipped. Any message from it ends this earlier.
 const UNREACHABLE_FOR: Micros = 4 * SECOND;
-/// Time between grant requests of an isolated node, which find out when that is over.
+/// Interval at which an isolated node sends a grant request to detect that its peers are reachable again.
 const ISOLATION_PROBE_INTERVAL: Micros = 200 * MILLISECOND;
 
-/// An owner's answer to a grant request.
+/// An owner's answer to a grant request, with the lease that it issued, if any.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct GrantAnswer {
     pub response: GrantResponse,
@@ -29,7 +29,7 @@
 }
 
 impl PolicyEngine {
-    /// Takes messages to peers off the message budget.
+    /// Charges the messages to peers among `actions` to the message budget.
     pub(crate) fn charge_message_budget(&mut self, now: Micros, actions: &[Action]) {
         let is_message = |action: &&Action| matches!(action, Action::SendToPeer { .. });
         let messages = actions.iter().filter(is_message).count() as f64;
@@ -37,12 +37,12 @@
         self.grants.message_budget.record(now, messages, per_second);
     }
 
-    /// For how long this node is up, as it is told to owners, seconds.
+    /// Uptime of this node as sent to owners: seconds, at most 255.
     fn uptime_s(&self, now: Micros) -> u8 {
         (self.uptime(now) / SECOND).min(u64::from(u8::MAX)) as u8
     }
 
-    /// Gives back the in-flight permit that an owner holds for a request.
+    /// Releases the in-flight permit that a request holds at an owner. An owner on another node is sent a message.
     pub(crate) fn release_permit(
         &mut self,
         grant: GrantId,
--- a/crates/policy/src/grants/owner.rs
+++ b/crates/policy/src/grants/owner.rs
@@ -1,11 +1,11 @@
-//! The side that owns a shard of a customer's quota and decides on grant requests.
+//! Decisions of an owner of a shard of a customer's quota on grant requests.
 //!
-//! The rule, in one sentence: a request is granted if it fits the shard's tokens, hard limit and in-flight permits; what
-//! the shard can spare is issued as leases (`saffronpaddle_quota`).
+//! A request is granted if the shard's tokens, hard limit and in-flight permits cover it. Tokens that the shard does
+//! not need are issued as leases (`saffronpaddle_quota`).
 //!
-//! A node that was restarted must not grant again what its last incarnation granted: it notices by the requester's uptime,
-//! and begins with what the requester was told the shard held. A standby begins with one request's units, so that a lost
-//! response does not make two buckets of one quota.
+//! A restarted node must not grant again what its previous incarnation granted. It detects the restart by the
+//! requester's uptime and initializes the shard with the fill that the requester was last told. A standby starts with
+//! the units of one request; with a full shard, one lost response would be enough to grant the quota from two buckets.
 
 use super::GrantAnswer;
 use crate::counters::Counter;
@@ -18,13 +18,13 @@
     GrantDecision, GrantRequest, InitialTokens, Lease, QuotaShard, ShardLimits, LEASE_DURATION,
 };
 
-/// Requests for leases of standbys that are open at a time.
+/// Limit on lease requests to standbys that are open at the same time.
 const MAX_LEASE_REQUESTS: usize = 256;
-/// Fill ratio below which an owner requests a lease of its standby.
+/// Fill ratio below which an owner requests a lease from its standby.
 const LEASE_BELOW_FILL: f64 = 0.5;
 
 impl PolicyEngine {
-    /// Answers a peer's grant request.
+    /// Decides on a peer's grant request and sends the response.
     pub(crate) fn answer_grant_request(
         &mut self,
         now: Micros,
@@ -62,7 +62,8 @@
         });
     }
 
-    /// Decides on a grant request; `None` for one that means another node or makes no sense.
+    /// Decides on a grant request. Returns `None` if its plan or its owner number does not exist, or if another node is
+    /// that owner.
     pub(super) fn decide_grant(
         &mut self,
         now: Micros,
@@ -78,8 +79,8 @@
         };
         let owners = ShardOwners::of(plan, subset.size);
         let owner = u32::from(request.owner);
-        let meant = owners.node(request.customer, subset, owner, node_count);
-        if meant != self.settings.node || owner >= owners.owners {
+        let owner_node = owners.node(request.customer, subset, owner, node_count);
+        if owner_node != self.settings.node || owner >= owners.owners {
             return None;
         }
         self.counters.add(Counter::GrantRequestsReceived);
@@ -96,7 +97,7 @@
         Some(answer)
     }
 
-    /// Opens the shard where it does not exist yet.
+    /// Creates the shard if it does not exist, and updates its plan, subset size and owner number.
     fn open_shard(
         &mut self,
         now: Micros,
@@ -150,7 +151,7 @@
             serial: request.serial,
             units: request.units,
         };
-        // An owner that requests a lease of its standby asks for no units.
+        // A primary owner that requests a lease from its standby asks for no units.
         let asks_for_units = request.units > 0.0;
         let (response, request_units, may_issue) = if asks_for_units {
             let attempt_duration = self.load.mean_latency as Micros;
@@ -179,8 +180,8 @@
         }
     }
 
-    /// Requests a lease of what the standby holds. In partition-safe mode each owner holds a share of its own: two that
-    /// each granted the whole would exceed it while they do not reach each other.
+    /// Requests a lease of the standby's share of the shard. In partition-safe mode each owner holds its own share of
+    /// the quota, because two owners that each granted all of it would exceed it while they cannot reach each other.
     fn request_lease_of_standby(
         &mut self,
         now: Micros,
@@ -198,7 +199,7 @@
         let node_count = self.settings.node_count;
         let to = owners.node(request.customer, request.subset, standby, node_count);
         let serial = self.grants.next_serial();
-        // A lease of a request that was never answered would be over by now.
+        // Drops requests that were never answered: a lease that they were issued has expired by now.
         self.grants
             .lease_requests
             .retain(|_, request| request.sent_at + LEASE_DURATION > now);
@@ -233,7 +234,7 @@
         });
     }
 
-    /// A standby has answered a lease request; the result is whether the serial number is one of those.
+    /// Handles a standby's response to a lease request. Returns whether `serial` belongs to an open lease request.
     pub(super) fn on_lease_response(
         &mut self,
         now: Micros,
@@ -250,7 +251,7 @@
         true
     }
 
-    /// An attempt has ended that held an in-flight permit of a shard here.
+    /// Releases the in-flight permit of a shard on this node after the attempt that held it has ended.
     pub(crate) fn on_permit_release(
         &mut self,
         customer: CustomerId,
--- a/crates/policy/src/grants/requester.rs
+++ b/crates/policy/src/grants/requester.rs
@@ -1,7 +1,7 @@
-//! The side that asks for grants.
+//! Grant requests that this node sends to owners.
 //!
-//! The rule, in one sentence: a request asks the owner of a random shard first, then another that is reachable if the
-//! first denies it or does not answer; a lost datagram is retransmitted after the round-trip time.
+//! The owner of a random shard is asked first. If it denies the request or does not answer, another reachable owner is
+//! asked. An unanswered datagram is retransmitted after a timeout that follows the round-trip time.
 //!
 //! Inputs: the customer's subset and plan, which owners are reachable, the retransmission timeout in µs. Result: the
 //! request is queued, or rejected.
@@ -16,26 +16,27 @@
 use crate::state::messages_per_s;
 use saffronpaddle_quota::{GrantDecision, GrantResponse, GRANT_LIFETIME};
 
-/// Owners that may deny one request, and owners that it waits for in vain.
+/// Limit on the owners that may deny one request, and on the owners that may time out for it.
 const MAX_OWNERS_ASKED: u32 = 2;
-/// Transmissions of a grant request to one owner: a lost datagram must not look like a dead owner.
+/// Transmissions of a grant request to the first owner, so that a lost datagram is not taken for a failed owner.
 const MAX_TRANSMISSIONS: u32 = 4;
-/// A node that sent something this recently is not taken for dead.
+/// An owner that sent any message within this time is not marked unreachable.
 const ALIVE_WITHIN: Micros = 1_500 * MILLISECOND;
-/// The transmission without a lease demand. An earlier build passes over requests with one, so the first transmission fails
-/// there and the second is answered.
+/// Number of the transmission that carries no lease demand. An earlier build ignores grant requests with a lease
+/// demand, so it ignores the first transmission and answers the second.
 const LEGACY_TRANSMISSION: u32 = 2;
 
-/// What an unanswered grant request comes to.
-enum Unanswered {
+/// What to do with a grant request whose retransmission timeout has expired.
+enum TimeoutAction {
     Retransmit,
-    /// It waits on: for its answer, or for message budget.
+    /// Wait for the response, or for message budget.
     Wait,
     GiveUp,
 }
 
 impl PolicyEngine {
-    /// Asks an owner for a request: at first of any shard, then of the next shard, or a standby.
+    /// Sends a grant request to the next owner: first the owner of a random shard, then of the next shard, or a
+    /// standby. Without a reachable owner, the request is decided locally.
     pub(crate) fn request_grant(&mut self, now: Micros, id: RequestId, actions: &mut Actions) {
         let Some(owner) = self.next_owner(now, &id) else {
             return;
@@ -52,7 +53,8 @@
         self.send_grant_request(now, &id, actions);
     }
 
-    /// The owner to ask next; the inner `None` where none can be reached, the outer where the request is gone.
+    /// Returns the owner to ask next. The inner `None` means that no owner is reachable, the outer that the request or
+    /// its bucket no longer exists.
     #[allow(clippy::option_option)]
     fn next_owner(&mut self, now: Micros, id: &RequestId) -> Option<Option<Owner>> {
         let request = self.requests.open.get(id)?;
@@ -67,7 +69,7 @@
             (progress.owner.number + progress.denials.min(1)) % owners.shards
         };
         let node_count = self.settings.node_count;
-        // Every request would wait in vain where no peer can be reached at all.
+        // On an isolated node every request would wait for a timeout.
         let skips_peers = self.grants.skips_peers(now);
         let owner = owners
             .in_order(first_shard)
@@ -76,13 +78,13 @@
                 node: owners.node(customer, subset, number, node_count),
             })
             .find(|owner| {
-                let answers = !skips_peers || owner.node == self.settings.node;
-                answers && self.grants.is_reachable(owner.node, now)
+                let may_ask = !skips_peers || owner.node == self.settings.node;
+                may_ask && self.grants.is_reachable(owner.node, now)
             });
         Some(owner)
     }
 
-    /// Sends the open grant request to its owner, for the first time or again.
+    /// Sends or retransmits the open grant request to its owner. If this node is the owner, decides on it directly.
     fn send_grant_request(&mut self, now: Micros, id: &RequestId, actions: &mut Actions) {
         let Some(message) = self.grant_request_message(now, id) else {
             return;
@@ -127,9 +129,9 @@
         let bucket = self.quotas.buckets.get(&request.customer)?;
         let open = request.grant.open?;
         let owner = request.grant.owner;
-        let understands_leases = request.grant.transmissions != LEGACY_TRANSMISSION
+        let may_include_demand = request.grant.transmissions != LEGACY_TRANSMISSION
             || self.peers.supports_leases[owner.node.0 as usize];
-        let asks_for_lease = self.settings.partition_safe && understands_leases;
+        let asks_for_lease = self.settings.partition_safe && may_include_demand;
         let rejections = &bucket.rejections;
         Some(GrantRequestMessage {
             serial: open.serial,
@@ -147,7 +149,7 @@
         })
     }
 
-    /// An owner has answered a grant request.
+    /// Handles an owner's response: queues the request if it is granted, otherwise calls `on_denial`.
     pub(crate) fn on_grant_response(
         &mut self,
         now: Micros,
@@ -169,8 +171,8 @@
         }
         request.grant.open = None;
         if request.grant.transmissions == 1 {
-            let took = now.saturating_sub(request.grant.first_sent_at);
-            self.grants.retransmission_timeout.sample(took);
+            let round_trip = now.saturating_sub(request.grant.first_sent_at);
+            self.grants.retransmission_timeout.sample(round_trip);
         } else {
             self.grants.retransmission_timeout.back_off();
         }
@@ -197,7 +199,7 @@
         self.on_denial(now, id, &answer.response, actions);
     }
 
-    /// An owner has denied a request: a lease may cover it, another owner may grant it.
+    /// Handles a denial: admits the request by a lease, asks another owner, or rejects it.
     fn on_denial(
         &mut self,
         now: Micros,
@@ -227,8 +229,8 @@
         self.finish(&id, Counter::RejectedOverQuota, actions);
     }
 
-    /// Looks after a request that was not sent yet: its grant may have expired, its owner may not have answered, or its
-    /// customer's limit may be full.
+    /// Checks a request that has not been sent yet. Asks again if its grant has expired or if it has no open grant
+    /// request, and handles an expired retransmission timeout.
     pub(crate) fn check_grant(&mut self, now: Micros, id: RequestId, actions: &mut Actions) {
         let Some(request) = self.requests.open.get(&id) else {
             return;
@@ -244,9 +246,9 @@
                 return;
             }
             match self.on_timeout(now, &id) {
-                Unanswered::Wait => return,
-                Unanswered::Retransmit => return self.send_grant_request(now, &id, actions),
-                Unanswered::GiveUp => {}
+                TimeoutAction::Wait => return,
+                TimeoutAction::Retransmit => return self.send_grant_request(now, &id, actions),
+                TimeoutAction::GiveUp => {}
             }
             if self.give_up_owner(now, &id, open.serial) {
                 return self.admit_without_owner(now, id, actions);
@@ -255,7 +257,8 @@
         self.request_grant(now, id, actions);
     }
 
-    /// Whether a request may still go by its grant. Under a hard limit grants that are used late could exceed it.
+    /// Whether the request's grant may still be used. Grants expire only under a hard limit, which late use could
+    /// exceed.
     fn is_grant_valid(&self, request: &Request, now: Micros) -> bool {
         let plan = &self.settings.plans[request.plan.0];
         plan.hard_limit.is_none() || now <= request.grant.granted_until
@@ -272,34 +275,35 @@
         self.release_permit(grant, customer, actions);
     }
 
-    /// The retransmission timeout of a grant request is over.
-    fn on_timeout(&mut self, now: Micros, id: &RequestId) -> Unanswered {
+    /// Decides what to do with a grant request whose retransmission timeout has expired.
+    fn on_timeout(&mut self, now: Micros, id: &RequestId) -> TimeoutAction {
         let per_second = messages_per_s(&self.settings);
         let budgeted = self.settings.retransmission_budget;
         let Some(request) = self.requests.open.get_mut(id) else {
-            return Unanswered::Wait;
+            return TimeoutAction::Wait;
         };
         let progress = &mut request.grant;
         let max_transmissions = max_transmissions(progress.timeouts);
         let in_time = now <= progress.first_sent_at.saturating_add(GRANT_LIFETIME);
-        let again = progress.transmissions < max_transmissions && in_time;
-        if again && budgeted && !self.grants.message_budget.allows(now, per_second) {
-            return Unanswered::Wait;
+        let may_retransmit = progress.transmissions < max_transmissions && in_time;
+        if may_retransmit && budgeted && !self.grants.message_budget.allows(now, per_second) {
+            return TimeoutAction::Wait;
         }
         self.counters.add(Counter::GrantRequestTimeouts);
         self.grants.unanswered += 1;
-        if again {
+        if may_retransmit {
             progress.retransmit(now);
-            return Unanswered::Retransmit;
+            return TimeoutAction::Retransmit;
         }
         if progress.transmissions < max_transmissions {
             self.counters.add(Counter::GrantRequestsGivenUp);
         }
-        Unanswered::GiveUp
+        TimeoutAction::GiveUp
     }
 
-    /// Gives up on an owner; the result is whether no other is to be asked. A busy owner whose responses are lost now and
-    /// then must not be taken for dead, or its quota would be granted twice.
+    /// Stops waiting for an owner. Returns whether the limit of unanswered owners is reached. The owner is marked
+    /// unreachable only if nothing was received from it recently: a busy owner that loses some responses is still
+    /// alive, and passing it over would grant its quota twice.
     fn give_up_owner(&mut self, now: Micros, id: &RequestId, serial: u16) -> bool {
         self.grants.open.remove(&serial);
         let Some(request) = self.requests.open.get_mut(id) else {
@@ -317,29 +321,29 @@
         progress.timeouts >= MAX_OWNERS_ASKED
     }
 
-    /// No owner can be reached: a lease goes first, then what owners granted here lately decides. A hard limit is kept by
-    /// leases alone.
+    /// Decides on a request while no owner is reachable: by a lease first, then by a rate derived from what owners
+    /// recently granted to this node. Under a hard limit or in partition-safe mode only leases admit.
     fn admit_without_owner(&mut self, now: Micros, id: RequestId, actions: &mut Actions) {
         let Some(request) = self.requests.open.get(&id) else {
             return;
         };
         let units = request.units;
         let has_hard_limit = self.settings.plans[request.plan.0].hard_limit.is_some();
-        let may_go_on = !self.settings.partition_safe && !has_hard_limit;
+        let may_admit_without_lease = !self.settings.partition_safe && !has_hard_limit;
         let Some(bucket) = self.quotas.buckets.get_mut(&request.customer) else {
             return;
         };
         if bucket.rejections.take_from_lease(now, units, true) {
             self.admit_locally(now, id, Counter::AdmittedByLease);
-        } else if may_go_on && bucket.rejections.admit_without_owner(now, units) {
+        } else if may_admit_without_lease && bucket.rejections.admit_without_owner(now, units) {
             self.admit_locally(now, id, Counter::AdmittedWithoutOwner);
         } else {
             self.finish(&id, Counter::RejectedNoOwner, actions);
         }
     }
 
-    /// Admits a request by what is held here. It gets a serial number of its own: the last one may hold an in-flight
-    /// permit that is given back with it.
+    /// Admits a request without an owner's grant. It gets a new serial number, because an owner may hold an in-flight
+    /// permit under the previous one, which is released by that number.
     pub(crate) fn admit_locally(&mut self, now: Micros, id: RequestId, counter: Counter) {
         self.counters.add(counter);
         let serial = self.grants.next_serial();
@@ -354,7 +358,7 @@
     }
 }
 
-/// Records a grant at its request. Its life begins when it was asked for.
+/// Records a grant at its request. Its lifetime starts when the grant was first requested.
 fn accept_grant(request: &mut Request, now: Micros, serial: u16) {
     let progress = &mut request.grant;
     progress.granted_until = progress.first_sent_at.saturating_add(GRANT_LIFETIME);
@@ -365,7 +369,7 @@
     request.queued_since = now;
 }
 
-/// Transmissions to an owner, after so many others did not answer.
+/// Limit on transmissions to one owner, where `timeouts` other owners did not answer.
 fn max_transmissions(timeouts: u32) -> u32 {
     if timeouts == 0 {
         MAX_TRANSMISSIONS
--- a/crates/policy/src/peers.rs
+++ b/crates/policy/src/peers.rs
@@ -1,10 +1,10 @@
-//! Peers: what is known of each, and the usage reports by which the nodes of a small fleet keep quotas together.
+//! Dispatch of messages from peers, and the usage reports by which the nodes of a small fleet enforce quotas together.
 //!
-//! The rule, in one sentence: each node broadcasts running counters of what it forwarded lately for each customer, and
-//! each takes what the others forwarded off its own token buckets.
+//! Each node broadcasts running counters of the units that it recently forwarded for each customer, and deducts the
+//! units that its peers report from its own token buckets.
 //!
-//! Inputs: datagrams of peers, the time in µs, what peers can take in (messages per second). Result: tokens taken off
-//! buckets; a broadcast at most every 200 ms.
+//! Inputs: datagrams of peers, the time in µs, the messages per second that peers can receive. Results: tokens deducted
+//! from buckets; a broadcast at most every 200 ms.
 
 use crate::engine::{Actions, PolicyEngine};
 use crate::grants::GrantAnswer;
@@ -17,15 +17,17 @@
 
 /// Shortest time between two usage reports.
 const MIN_REPORT_INTERVAL: Micros = 200 * MILLISECOND;
-/// Time between two looks where nobody is to be told: an idle node must not wake up at every timer.
+/// Interval between checks for a due report where there is nobody to report to, so that an idle node does not wake up
+/// at every timer.
 const NO_REPORT_INTERVAL: Micros = 500 * MILLISECOND;
-/// How long a customer stays in the reports after its last request: a few may be lost.
+/// How long a customer stays in the reports after its last request, as some reports may be lost.
 const REPORTED_FOR: Micros = SECOND;
-/// Counters in reports are in this part of a unit, so that fractions add up.
+/// Step of the counters in reports, in units. It lets fractions of a unit add up.
 const COUNTER_STEP: f64 = 1.0 / 8.0;
 
 impl PolicyEngine {
-    /// A datagram has come from a peer.
+    /// Decodes a datagram of a peer and handles the message. Ignores one that cannot be decoded or whose sender is
+    /// unknown.
     pub(crate) fn on_peer_message(
         &mut self,
         now: Micros,
@@ -41,7 +43,7 @@
         }
         self.grants.record_received(from);
         self.peers.last_received_at[from.0 as usize] = now;
-        self.peers.supports_leases[from.0 as usize] |= speaks_of_leases(&message);
+        self.peers.supports_leases[from.0 as usize] |= has_lease_field(&message);
         match message {
             PeerMessage::UsageReport(report) => self.on_usage_report(now, from, &report),
             PeerMessage::GrantRequest { request, payload } => {
@@ -83,7 +85,7 @@
         }
     }
 
-    /// Takes what a peer forwarded off the token buckets here.
+    /// Deducts the units that a peer forwarded from the token buckets of this node.
     fn on_usage_report(&mut self, now: Micros, from: NodeId, report: &UsageReport) {
         let silence = self.peers.record_report(now, from);
         self.detect_restart(now, report.incarnation);
@@ -97,25 +99,25 @@
             let even_rate = plan.rate / bucket.subset_size;
             let usage = bucket.peer_usage.entry(from).or_default();
             let first_since_silence = usage.received_at <= silence.since;
-            let rise = usage.advance(now, USAGE_WINDOW, report.incarnation, *counter);
-            // A peer that was silent had its even share kept back: what it forwarded of that is not taken off again.
-            let kept_back = if first_since_silence {
-                even_rate * silence.kept_back_s
+            let increase = usage.advance(now, USAGE_WINDOW, report.incarnation, *counter);
+            // The even share of a silent peer was withheld from the refill, so units within it are not deducted again.
+            let withheld = if first_since_silence {
+                even_rate * silence.share_withheld_s
             } else {
                 0.0
             };
-            let units = (f64::from(rise) * COUNTER_STEP - kept_back).max(0.0);
+            let units = (f64::from(increase) * COUNTER_STEP - withheld).max(0.0);
             if units > 0.0 {
                 usage.recent.push_back((now, units));
             }
-            if rise > 0 {
+            if increase > 0 {
                 bucket.tokens = (bucket.tokens - units).max(-bucket.even_capacity);
             }
         }
     }
 
-    /// Notices by a peer's age that this node was restarted. A restarted node must not fill its buckets anew, as others
-    /// have drawn on the quotas: only its even share of each burst is taken for granted.
+    /// Detects that this node was restarted: a peer is older by at least [`RESTART_WINDOW`]. Peers may have used the
+    /// rest of each burst already, so a restarted node reduces its buckets to its even share.
     fn detect_restart(&mut self, now: Micros, peer_incarnation: u32) {
         let age = now.saturating_sub(self.started_at);
         let peer_age_ms = ((now / MILLISECOND) as u32).wrapping_sub(peer_incarnation);
@@ -131,7 +133,7 @@
         }
     }
 
-    /// Reports to all peers what was forwarded lately, also where that is nothing: a node that sends no report counts as
+    /// Broadcasts a report of recent usage when one is due, even if it is empty: a node that sends no report counts as
     /// silent.
     pub(crate) fn broadcast_usage(&mut self, now: Micros, actions: &mut Actions) {
         if now < self.peers.next_report_at {
@@ -145,7 +147,7 @@
         };
         self.peers.next_report_at = now + MIN_REPORT_INTERVAL.max(paced);
         let has_peers = interval > 0.0 && interval < f64::INFINITY;
-        // Two processes of one node must not both report: the peers' intake would be filled twice.
+        // Only one process of a node reports. Two would send peers twice the messages that one node may send.
         if self.large_fleet || self.requests.peer_messages_delegated || !has_peers {
             return;
         }
@@ -160,9 +162,9 @@
         });
     }
 
-    /// Running counters of customers with peers that were busy lately, the latest first.
+    /// Running counters of the customers that other nodes serve too and that had requests recently, the latest first.
     fn recent_usages(&self, now: Micros) -> Vec<CustomerUsage> {
-        let mut busy: Vec<_> = self
+        let mut recent: Vec<_> = self
             .quotas
             .buckets
             .iter()
@@ -172,9 +174,11 @@
                     && now <= bucket.forwarded_at + REPORTED_FOR
             })
             .collect();
-        busy.sort_by_key(|(customer, bucket)| (std::cmp::Reverse(bucket.forwarded_at), **customer));
+        recent
+            .sort_by_key(|(customer, bucket)| (std::cmp::Reverse(bucket.forwarded_at), **customer));
         let counter = |units: f64| (units / COUNTER_STEP).round() as u64 as u16;
-        busy.into_iter()
+        recent
+            .into_iter()
             .map(|(customer, bucket): (&CustomerId, _)| CustomerUsage {
                 customer: *customer,
                 counter: counter(bucket.units_forwarded),
@@ -183,7 +187,8 @@
     }
 }
 
-fn speaks_of_leases(message: &PeerMessage) -> bool {
+/// Whether a message has a field for leases, which shows that its sender supports them.
+fn has_lease_field(message: &PeerMessage) -> bool {
     match message {
         PeerMessage::GrantRequest { request, .. } => request.lease_demand.is_some(),
         PeerMessage::GrantResponse { lease, .. } => *lease != LeaseOffer::NotAsked,
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -1,12 +1,13 @@
-//! Slow start: what may be sent to servers that have started recently, and what is rejected meanwhile.
+//! Slow start: limits on the attempts to servers that have started recently, and rejection of requests that cannot be
+//! sent within them.
 //!
-//! The rule, in one sentence: over all nodes together, a server that warms up is sent no more than a part of what makes it
-//! fail. While warm servers show what one can do, or did before all of them were replaced, each node earns attempts by
-//! that (`earn_slow_start_credit`). A node that has seen hardly any warm server, as when the whole back end starts, is
-//! *uninformed* and goes by permits (`saffronpaddle_slow_start`).
+//! All nodes together send a server that warms up only a part of the load at which it fails. While warm servers show
+//! the throughput of one server, or showed it before all of them were replaced, each node earns credit for attempts in
+//! proportion to that throughput (`earn_slow_start_credit`). A node that has seen hardly any warm server, as when the
+//! whole back end starts, is *uninformed* and uses permits instead (`saffronpaddle_slow_start`).
 //!
-//! Inputs: start times of servers in µs, responses per second, results of attempts. Results: whether a server may be sent
-//! one more; attempts that are given up because they could not be sent in time.
+//! Inputs: start times of servers in µs, responses per second, results of attempts. Results: whether a server may be
+//! sent one more attempt; requests that are rejected because they could not be sent in time.
 
 use crate::counters::Counter;
 use crate::endpoint_table::short_server_id;
@@ -23,39 +24,41 @@
 };
 use saffronpaddle_subsetting::SlowStartGroup;
 
-/// Attempts per second of all nodes to one server, while no warm server shows that it can take more.
+/// Attempts per second that all nodes together send to one server at full capacity, unless warm servers have shown that
+/// it can take more.
 const UNINFORMED_ATTEMPTS_PER_S: f64 = 1.5;
-/// Attempts that a node may save up for one server.
+/// Credit, in attempts, that a node may save for one server.
 const MAX_SAVED_CREDIT: f64 = 1.5;
-/// Nodes for which it is safe that each keeps all that it has saved.
-const NODES_KEEPING_ALL: f64 = 6.0;
-/// Share of what is saved that more nodes keep for the next period: few requests come by.
+/// Number of nodes per server up to which each node may keep all of its saved credit.
+const NODES_KEEPING_ALL_CREDIT: f64 = 6.0;
+/// Share of saved credit that each of many nodes keeps for the next period, as each receives few requests.
 const MIN_KEPT_SHARE: f64 = 0.5;
-/// Part of the overload multiple that is used.
+/// Share of the overload multiple up to which a server in slow start is loaded.
 const SAFE_SHARE: f64 = 0.4;
-/// Share of the ready servers that must be warm for their responses to tell what a server can do. All responses are
-/// divided by the warm ones alone, so twice what one does is the most that is believed of it.
+/// Share of the ready servers that must be warm for responses to show the throughput of one server. All responses are
+/// divided by the number of warm servers alone, so at this share the estimate is at most twice the actual throughput.
 const MIN_WARM_SHARE: f64 = 0.5;
-/// Multiple of what a warm server did before, up to which a few warm ones are believed to do.
-const MAX_BELIEVED_RATE: f64 = 2.5;
-/// Multiple of the warm-up period after a server's start in which it is sent only what permits allow while requests keep
-/// queueing.
-const PRESSED_PERIODS: u64 = 4;
-/// Seconds that requests may wait for servers in slow start: half of the time that clients have.
+/// Limit on the estimated throughput of a warm server, as a multiple of its throughput before the servers were
+/// replaced.
+const MAX_RATE_INCREASE: f64 = 2.5;
+/// Multiple of the warm-up period after a server's start in which it is sent only what permits allow while requests
+/// keep queueing.
+const RECENT_START_PERIODS: u64 = 4;
+/// Seconds that requests may wait for servers in slow start: half of the time that clients wait.
 const MAX_USEFUL_WAIT_S: f64 = 1.5;
-/// Requests that may wait in any case.
+/// Requests that may always wait.
 const MIN_QUEUED: f64 = 2.0;
 /// Longest time after which a client is told to retry while servers are in slow start, µs.
 const MAX_SLOW_START_RETRY_AFTER: f64 = 2e6;
-/// Weight of a period in the rate of attempts to servers in slow start.
+/// Weight of the latest period in the mean rate of attempts to servers in slow start.
 const RATE_WEIGHT: f64 = 0.5;
-/// Time between two permits that are transferred: each is a message, and peers take in only so many.
+/// Interval between two permit transfers. Each is a message, and the rate of messages that peers receive is limited.
 const TRANSFER_INTERVAL: Micros = 100 * MILLISECOND;
-/// Lowest rate by which a queue is divided, attempts per second.
+/// Lower bound of the rate by which the queue length is divided, attempts per second.
 const MIN_RATE: f64 = 1e-3;
 
-/// The limits of slow start at one server. Time slots are those of the nodes that surely use it: slots of nodes that never
-/// use a server of a long list would leave it without any attempt.
+/// The limits of slow start at one server. Time slots belong to the nodes that certainly use it: slots of nodes that
+/// never use a server of a long list would leave the server without attempts.
 fn limits(settings: &Settings, up_since: Micros, group: SlowStartGroup) -> SlowStartLimits {
     SlowStartLimits {
         node_count: group.size,
@@ -67,7 +70,8 @@
 }
 
 impl Server {
-    /// An attempt goes to it while it warms up: a permit is used, or credit.
+    /// Charges an attempt to the server while it warms up: uses a permit if this node is uninformed and has one,
+    /// otherwise credit.
     pub(crate) fn spend_slow_start(
         &mut self,
         limits: &SlowStartLimits,
@@ -82,29 +86,29 @@
 }
 
 impl PolicyEngine {
-    /// The limits of slow start at a server.
     pub(crate) fn slow_start_limits(&self, server: ServerId) -> SlowStartLimits {
         let group = self.endpoints.slow_start_group(server);
         limits(&self.settings, self.started_at, group)
     }
 
-    /// For how long after its start a server counts as recently started, µs.
+    /// How long after its start a server counts as recently started, µs.
     pub(crate) fn recent_start_window(&self) -> Micros {
         let period = self.settings.slow_start.warm_up_period.max(1);
-        period.saturating_mul(PRESSED_PERIODS)
+        period.saturating_mul(RECENT_START_PERIODS)
     }
 
-    /// Whether a server is sent only what is known to be safe: it warms up, or is warm and was not yet seen to serve all
-    /// that is queued. A fleet whose servers become warm at one moment would else send all that has queued then.
+    /// Whether a server is limited by slow start: it warms up, or it started recently and this node is still
+    /// uninformed. Without the second condition, servers that all become warm at the same time would be sent the whole
+    /// queue at once.
     pub(crate) fn is_warming_up(&self, server: &Server, now: Micros) -> bool {
         let rules = &self.settings.slow_start;
-        let window = PRESSED_PERIODS * rules.warm_up_period;
+        let window = RECENT_START_PERIODS * rules.warm_up_period;
         let recently = |started: Micros| now < started + window;
         server.capacity_fraction(rules, now) < 1.0
             || self.slow_start.uninformed && server.endpoint.started_at.is_some_and(recently)
     }
 
-    /// Whether a server that warms up may be sent one more attempt from here.
+    /// Whether this node may send one more attempt to a server that warms up.
     pub(crate) fn may_warm_up(&self, server: &Server, now: Micros) -> bool {
         if !self.slow_start.uninformed {
             return server.slow_start_credit >= 1.0;
@@ -124,7 +128,7 @@
             .filter(|server| server.is_ready())
     }
 
-    /// How many ready servers in the subset are warm.
+    /// Number of warm servers among the ready ones in the subset.
     fn warm_servers(&self, now: Micros) -> f64 {
         let rules = &self.settings.slow_start;
         let warming = self
@@ -133,20 +137,21 @@
         self.endpoints.ready().in_subset - warming.count() as f64
     }
 
-    /// Responses per second of one warm server to this node, where so many are warm now. Responses of the last seconds
-    /// must not be divided by the few that are left of those that gave them, or servers in slow start are overloaded.
+    /// Estimates the responses per second of one warm server to this node, where `warm` servers are warm now. When most
+    /// servers have been removed, dividing the responses of the last seconds by the remaining ones would overestimate
+    /// each and overload servers in slow start. So the divisor is at least the mean number of warm servers.
     fn responses_per_warm_server(&self, warm: f64) -> f64 {
         let responding = self.slow_start.mean_warm_servers.value().max(warm);
         self.load.service_rate.value() / responding
     }
 
-    /// Counts the warm servers that gave the responses of a period.
+    /// Updates the mean number of warm servers, with the weight that the period's responses have in the response rate.
     pub(crate) fn count_warm_servers(&mut self, now: Micros, weight: f64) {
         let warm = self.warm_servers(now);
         self.slow_start.mean_warm_servers.add(warm, weight);
     }
 
-    /// Determines whether warm servers show enough.
+    /// Determines whether this node is uninformed: too few servers are warm, and none has shown its throughput before.
     pub(crate) fn update_slow_start_mode(&mut self, now: Micros) {
         let warm = self.warm_servers(now);
         let any_warming = self
@@ -157,16 +162,16 @@
         if !few_warm && ready != 0.0 {
             self.slow_start.responses_per_server = self.responses_per_warm_server(warm);
         }
-        // A node in service, all of whose servers are replaced, still knows what such servers can do.
-        let least = UNINFORMED_ATTEMPTS_PER_S / self.endpoints.nodes_per_server();
-        let informed = self.slow_start.responses_per_server > least;
-        // Once they are warm, it ends with the first look at which nothing is queued.
-        let still_pressed =
+        // A node that has been serving still knows the throughput of such servers after all of them are replaced.
+        let uninformed_rate = UNINFORMED_ATTEMPTS_PER_S / self.endpoints.nodes_per_server();
+        let informed = self.slow_start.responses_per_server > uninformed_rate;
+        // After the servers have become warm, the mode ends at the first check that finds an empty queue.
+        let has_backlog =
             self.slow_start.uninformed && any_warming && !self.requests.queue.is_empty();
-        self.slow_start.uninformed = few_warm && !informed || still_pressed;
+        self.slow_start.uninformed = few_warm && !informed || has_backlog;
     }
 
-    /// Learns from the end of an attempt at a server that warms up.
+    /// Records the result of an attempt at a server in slow start, from which the server's budget earns permits.
     pub(crate) fn record_slow_start_result(
         &mut self,
         now: Micros,
@@ -182,7 +187,7 @@
         };
         let rules = &self.settings.slow_start;
         let capacity_fraction = server.capacity_fraction(rules, attempt.sent_at);
-        // What was sent to an earlier incarnation proves nothing of this one.
+        // An attempt at an earlier incarnation of the server says nothing about this one.
         let started_at = server.endpoint.started_at;
         if started_at.is_none_or(|started| attempt.sent_at < started) {
             return;
@@ -202,7 +207,7 @@
         self.slow_start.schedule_transfer_check(now);
     }
 
-    /// A permit that another node could not use.
+    /// Receives a permit that another node did not use.
     pub(crate) fn on_permit_transfer(
         &mut self,
         now: Micros,
@@ -226,7 +231,7 @@
         }
     }
 
-    /// Rejects what cannot be sent in time, and transfers permits that nobody here can use.
+    /// Rejects queued requests that cannot be sent in time, and transfers permits that this node does not need.
     pub(crate) fn slow_start_on_timer(&mut self, now: Micros, actions: &mut Actions) {
         self.slow_start.transfer_check_at = Micros::MAX;
         if !self.slow_start.uninformed {
@@ -239,17 +244,17 @@
         }
     }
 
-    /// Rejects the least valuable of what is queued beyond what can be sent in time. A queue in which all requests fail
-    /// at the end of their time serves nobody; rejecting most at once serves the rest.
+    /// Rejects the least valuable queued requests beyond the number that can be sent in time. In a queue that is too
+    /// long all requests would time out; rejecting most of them at once lets the rest be served.
     fn reject_excess(&mut self, now: Micros, actions: &mut Actions) {
-        let most = (MIN_QUEUED + self.slow_start.attempts_per_s * MAX_USEFUL_WAIT_S) as usize;
-        if self.requests.queue.len() <= most {
+        let max_queued = (MIN_QUEUED + self.slow_start.attempts_per_s * MAX_USEFUL_WAIT_S) as usize;
+        if self.requests.queue.len() <= max_queued {
             return;
         }
         let excess: Vec<RequestId> = self
             .queue_by_value(now)
             .into_iter()
-            .skip(most)
+            .skip(max_queued)
             .map(|(_, id)| id)
             .collect();
         for id in excess {
@@ -257,7 +262,8 @@
         }
     }
 
-    /// Transfers one permit that was not used here to a random node of the server's group.
+    /// Transfers one unused permit to a random other node of the server's slow-start group, and schedules the next
+    /// check while there are permits.
     fn transfer_unused_permits(&mut self, now: Micros, actions: &mut Actions) {
         let due = now >= self.slow_start.next_transfer_at;
         let settings = &self.settings;
@@ -295,7 +301,8 @@
         });
     }
 
-    /// When a rejected client should retry while servers are in slow start: once what is queued here will have gone.
+    /// When a rejected client should retry, µs from now: after the time in which the queue is sent. `None` unless this
+    /// node is uninformed.
     pub(crate) fn slow_start_retry_after(&self) -> Option<Micros> {
         if !self.slow_start.uninformed {
             return None;
@@ -305,8 +312,9 @@
         Some(after.clamp(MAX_RETRY_AFTER as f64, MAX_SLOW_START_RETRY_AFTER) as Micros)
     }
 
-    /// Lets each server in slow start earn attempts from here: a share of what a warm one does. What is below one a
-    /// period is a chance, and many nodes save nothing up, so that all of them together stay below the share.
+    /// Adds a period's credit to each server in slow start: a share of the throughput of a warm one. A fraction of an
+    /// attempt is rounded up at random with that probability. Where many nodes use a server, none saves fractions, so
+    /// that all of them together stay within the share.
     pub(crate) fn earn_slow_start_credit(&mut self, now: Micros) {
         let rate = self.slow_start.attempts / CONTROLLER_PERIOD_S;
         self.slow_start.attempts_per_s += (rate - self.slow_start.attempts_per_s) * RATE_WEIGHT;
@@ -314,7 +322,7 @@
         let rules = self.settings.slow_start;
         let nodes = self.endpoints.nodes_per_server();
         let earned_per_period = self.credit_per_period(now, nodes);
-        let kept_share = (NODES_KEEPING_ALL / nodes).clamp(MIN_KEPT_SHARE, 1.0);
+        let kept_share = (NODES_KEEPING_ALL_CREDIT / nodes).clamp(MIN_KEPT_SHARE, 1.0);
         let random = &mut self.random;
         self.endpoints.for_each_recently_started(|server| {
             let fraction = server.capacity_fraction(&rules, now);
@@ -324,7 +332,7 @@
             let earned = earned_per_period * fraction + random.f64();
             let whole = earned.floor();
             let saved = server.slow_start_credit.max(0.0) * kept_share;
-            // Few nodes keep all that they have saved, and parts of an attempt too.
+            // Where few nodes use the server, each keeps all of its saved credit, fractions included.
             let credit = if kept_share < 1.0 {
                 (earned + saved).floor()
             } else {
@@ -334,8 +342,9 @@
         });
     }
 
-    /// What a server at full capacity earns in a period. Where no server is warm, what one did counts; a few that have
-    /// just become warm are not taken for the ones that do what all do together.
+    /// Credit that a server at full capacity earns in a period. Where no server is warm, the last known throughput is
+    /// used. It also bounds the estimate, because a few servers that have just become warm would otherwise be credited
+    /// with the responses of all servers.
     fn credit_per_period(&self, now: Micros, nodes: f64) -> f64 {
         let warm = self.warm_servers(now);
         let before = self.slow_start.responses_per_server;
@@ -345,7 +354,7 @@
             before
         };
         let overload_multiple = self.settings.slow_start.overload_multiple;
-        let known = responses.min(before * MAX_BELIEVED_RATE) * SAFE_SHARE * overload_multiple;
-        known.max(UNINFORMED_ATTEMPTS_PER_S / nodes) * CONTROLLER_PERIOD_S
+        let safe_rate = responses.min(before * MAX_RATE_INCREASE) * SAFE_SHARE * overload_multiple;
+        safe_rate.max(UNINFORMED_ATTEMPTS_PER_S / nodes) * CONTROLLER_PERIOD_S
     }
 }
--- a/crates/policy/src/state/peer_table.rs
+++ b/crates/policy/src/state/peer_table.rs
@@ -1,44 +1,45 @@
-//! What is known of the nodes of the fleet, and how many messages they may send each other.
+//! State about the nodes of the fleet, and the rates at which they may send messages to each other.
 
 use crate::interface::{Micros, NodeId, Settings, SECOND};
-use crate::token_bucket::kept_back_s;
+use crate::token_bucket::share_withheld_s;
 
-/// How much older a peer must be for this node to count as restarted; and for how long after its start a restarted node
-/// begins customers' buckets with its even share only. Both are the time in which peers' reports show what was used.
+/// Difference of uptimes from which an older peer shows that this node was restarted, and the time after its start in
+/// which a restarted node creates customers' buckets with only its even share. Within it, reports of peers show what
+/// was used.
 pub(crate) const RESTART_WINDOW: Micros = 4 * SECOND;
-/// Share of a peer's intake of messages that all nodes together may fill.
+/// Share of the message rate that a peer can receive that all nodes together may use.
 const INTAKE_SHARE: f64 = 0.7;
-/// A time in which a peer was silent.
+/// A period in which a peer sent no reports.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Silence {
-    /// Its last report before.
+    /// When the last report before the period was received.
     pub since: Micros,
-    /// For how many seconds its even share was kept back.
-    pub kept_back_s: f64,
+    /// Seconds for which the peer's even share was withheld.
+    pub share_withheld_s: f64,
 }
 
-/// What is known of the nodes of the fleet, by their numbers.
+/// State about the nodes of the fleet, indexed by node number.
 #[derive(Clone, Debug)]
 pub(crate) struct PeerTable {
-    /// When each last sent a usage report; this node is never silent.
+    /// When the last usage report was received; [`Micros::MAX`] for this node, which is never silent.
     pub last_report_at: Vec<Micros>,
-    /// The last silence of each.
+    /// The most recent silence.
     silences: Vec<Silence>,
-    /// When each last sent anything.
+    /// When the last message of any kind was received.
     pub last_received_at: Vec<Micros>,
-    /// When a gossip payload of each was last taken in.
+    /// When a gossip payload was last applied.
     pub last_payload_at: Vec<Micros>,
-    /// Whether each is known to speak of leases.
+    /// Whether a message with a lease field has been received.
     pub supports_leases: Vec<bool>,
     pub next_report_at: Micros,
     pub next_payload_at: Micros,
 }
 
 impl PeerTable {
-    /// A table of so many nodes; `node` is this one.
+    /// Creates the table of a fleet of `node_count` nodes, of which this is `node`.
     pub fn new(now: Micros, node: NodeId, node_count: u32, large_fleet: bool) -> Self {
         let nodes = node_count as usize;
-        // In a large fleet peers do not report unasked, so silence is no sign.
+        // Peers broadcast no reports in a large fleet, so their silence means nothing.
         let mut last_report_at = vec![if large_fleet { Micros::MAX } else { now }; nodes];
         last_report_at[node.0 as usize] = Micros::MAX;
         PeerTable {
@@ -52,27 +53,29 @@
         }
     }
 
-    /// A peer has sent a usage report; the result is its last silence.
+    /// Records that a peer has sent a usage report. Returns its most recent silence.
     pub fn record_report(&mut self, now: Micros, from: NodeId) -> Silence {
         let peer = from.0 as usize;
         let last_report = std::mem::replace(&mut self.last_report_at[peer], now);
-        let kept_back_s = kept_back_s(now, last_report);
-        if kept_back_s > 0.0 {
+        let share_withheld_s = share_withheld_s(now, last_report);
+        if share_withheld_s > 0.0 {
             self.silences[peer] = Silence {
                 since: last_report,
-                kept_back_s,
+                share_withheld_s,
             };
         }
         self.silences[peer]
     }
 }
 
-/// Messages per second that one node may send, so that all of them together keep to a share of each one's intake.
+/// Messages per second that one node may send, so that all nodes together stay within [`INTAKE_SHARE`] of what each
+/// receives.
 pub(crate) fn messages_per_s(settings: &Settings) -> f64 {
     settings.peer_messages_per_s * INTAKE_SHARE
 }
 
-/// Time between usage reports to all peers that their intake allows, µs; 0 without peers, infinite without messages.
+/// Shortest interval between usage reports to all peers that their message rate allows, µs. Zero without peers,
+/// infinite where messages are not permitted.
 pub(crate) fn usage_report_interval(settings: &Settings) -> f64 {
     let messages = if settings.permissions.peer_messages {
         messages_per_s(settings)
--- a/crates/policy/src/state/slow_start.rs
+++ b/crates/policy/src/state/slow_start.rs
@@ -1,4 +1,4 @@
-//! What is known of servers that warm up.
+//! State of slow start.
 
 use crate::decaying_mean::DecayingMean;
 use crate::interface::Micros;
@@ -7,25 +7,25 @@
 /// The state of slow start at this node.
 #[derive(Clone, Debug)]
 pub(crate) struct SlowStartState {
-    /// Whether hardly any warm server shows what servers can do, nor has shown it.
+    /// Whether the throughput of a warm server is unknown: too few servers are warm, and none has shown it before.
     pub uninformed: bool,
-    /// Responses per second of one warm server to this node, when half of the servers were warm for the last time.
+    /// Responses per second of one warm server to this node, as of the last time at which half of the servers were
+    /// warm.
     pub responses_per_server: f64,
-    /// What requests take on a server that nobody waits for.
+    /// Latency of requests on a server without a queue.
     pub baseline: BaselineLatency,
-    /// Attempts to servers in slow start since the last period.
+    /// Attempts to servers in slow start since the last controller period began.
     pub attempts: f64,
-    /// The same per second.
+    /// Mean rate of attempts to servers in slow start, per second.
     pub attempts_per_s: f64,
-    /// Warm servers, over the time in which responses are counted.
+    /// Mean number of warm servers, over the same time as the response rate.
     pub mean_warm_servers: DecayingMean,
-    /// When unused permits are looked for; the end of time while there are none.
+    /// When to check for unused permits; [`Micros::MAX`] while there are none.
     pub transfer_check_at: Micros,
     pub next_transfer_at: Micros,
 }
 
 impl SlowStartState {
-    /// Nothing is known yet.
     pub fn new(now: Micros) -> Self {
         SlowStartState {
             uninformed: false,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Looks for unused permits once there may be some.
+    /// Schedules a check for unused permits for the earliest time at which there may be one.
     pub fn schedule_transfer_check(&mut self, now: Micros) {
         let at = now.saturating_add(IDLE_BEFORE_TRANSFER);
         self.transfer_check_at = self.transfer_check_at.min(at);
--- a/crates/policy/src/state/timers.rs
+++ b/crates/policy/src/state/timers.rs
@@ -11,8 +11,8 @@
 pub(crate) const CONTROLLER_PERIOD: Micros = 500 * MILLISECOND;
 /// Length of a period, seconds.
 pub(crate) const CONTROLLER_PERIOD_S: f64 = CONTROLLER_PERIOD as f64 / 1e6;
-/// Longest time after which a rejected client is told to retry, while no server warms up: other requests of its customer may
-/// be granted meanwhile, even where an owner rejects for longer.
+/// Longest time after which a rejected client is told to retry, while no server warms up: other requests of its
+/// customer may be granted meanwhile, even where an owner rejects for longer.
 pub(crate) const MAX_RETRY_AFTER: Micros = 100 * MILLISECOND;
 /// When what is due.
 #[derive(Clone, Copy, Debug)]
--- a/crates/policy/src/token_bucket.rs
+++ b/crates/policy/src/token_bucket.rs
@@ -1,15 +1,16 @@
-//! A customer's token bucket at a node that counts for itself, and what its peers report of their use.
+//! The token bucket of a customer at this node, and the usage that peers report for the customer.
 //!
-//! In a small fleet every node broadcasts what it forwarded for each customer, and each takes what it receives off its
-//! own bucket: together they keep one quota, as long as they hear each other. A peer that falls silent keeps its even
-//! share until it is taken for dead, so that two sides of a partition do not both grant the whole. In a large fleet the
-//! owners of the customer's shards decide (`grants`), and this bucket only tells a rejected client when to retry.
+//! In a small fleet every node broadcasts the units that it forwarded for each customer, and every receiver deducts
+//! them from its own bucket, so that the nodes together enforce one quota while they receive each other's reports. The
+//! even share of a silent peer is withheld until the peer counts as failed, so that the two sides of a partition do not
+//! both grant the whole quota. In a large fleet the owners of the customer's shards decide (`grants`), and this bucket
+//! only determines when a rejected client should retry.
 //!
 //! The names in JSON are those that earlier builds read.
 //!
 //! Inputs: the plan (units per second, burst), the time in µs, the number of silent peers of the customer's subset.
-//! Results: tokens, in units. The hard limit is kept by a fixed share per node that is empty at first: it needs no
-//! message, and holds through lost messages and restarts.
+//! Results: tokens, in units. The hard limit is enforced by a fixed share per node that is empty at the start of a
+//! node: it needs no messages, and holds when messages are lost and when nodes restart.
 
 use crate::interface::{HardLimit, Micros, NodeId, Plan, PlanId, QuotaCharge, MILLISECOND, SECOND};
 use crate::shard_owners::NodeSubset;
@@ -17,57 +18,58 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Age at which what peers reported no longer counts.
+/// Age at which usage that peers reported no longer counts towards their rate.
 pub(crate) const USAGE_WINDOW: Micros = 2 * SECOND;
-/// A peer that was silent for so long keeps its even share back for itself.
+/// Time without a report after which a peer counts as silent and its even share is withheld.
 const SILENT_FROM: Micros = 800 * MILLISECOND;
-/// A peer that was silent for so long is dead: its share is used by the others.
+/// Time without a report after which a peer counts as failed and the others use its share.
 const DEAD_FROM: Micros = 25 * SECOND;
-/// How long a customer's bucket is kept at least after its last request.
+/// Minimum time for which a customer's bucket is kept after its last request.
 pub(crate) const KEEP_UNUSED_FOR: Micros = 60 * SECOND;
-/// Seconds of the peers' use that a bucket keeps back: forwarded, but not yet reported.
+/// Usage that peers have forwarded but not reported yet, estimated as seconds at their reported rate.
 const UNREPORTED_USE_S: f64 = 0.5;
-/// Requests in a row that name another plan or subset before the bucket follows them. One request with a wrong plan, by
-/// mistake or malice, must not change its customer's quota.
+/// Consecutive requests that must name another plan or subset before the bucket changes. A single request with a wrong
+/// plan, by mistake or malice, must not change its customer's quota.
 const MISMATCHES_BEFORE_CHANGE: u32 = 3;
 
-/// Units that a peer reported at one time.
+/// When a report was received, and the units in it.
 type ReportedUnits = (Micros, f64);
 
-/// What one peer reports of its use for a customer: a running counter, and when how much came.
+/// Usage of a customer that one peer reports as a running counter, and the units of its recent reports.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub(crate) struct PeerUsage {
-    /// The peer's incarnation: when it started, ms modulo 2^32.
+    /// Start time of the peer, ms modulo 2^32; 0 before the first report.
     #[serde(rename = "birth")]
     pub incarnation: u32,
     #[serde(rename = "count")]
     pub counter: u16,
-    /// When it last reported.
+    /// When the last report of this customer was received.
     #[serde(rename = "at")]
     pub received_at: Micros,
     pub recent: VecDeque<ReportedUnits>,
 }
 
 impl PeerUsage {
-    /// Takes in a running counter; the result is by how much it rose. Messages may be late, doubled or out of order. A
-    /// lower counter after `silence` has begun anew, as its sender had dropped the customer.
+    /// Records a running counter and returns its increase. Messages may be late, duplicated or out of order. A lower
+    /// counter after more than `silence` without a report has restarted from zero, because its sender had dropped the
+    /// customer.
     pub fn advance(&mut self, now: Micros, silence: Micros, incarnation: u32, counter: u16) -> u16 {
         let last_received_at = std::mem::replace(&mut self.received_at, now);
         let was_silent = now.saturating_sub(last_received_at) > silence;
-        let began_anew = was_silent && counter < self.counter;
-        let rise = match self.incarnation {
-            known if known == incarnation && began_anew => counter,
+        let has_reset = was_silent && counter < self.counter;
+        let increase = match self.incarnation {
+            known if known == incarnation && has_reset => counter,
             known if known == incarnation => counter.wrapping_sub(self.counter),
-            0 => 0, // First report: what was forwarded before is not news.
+            0 => 0, // First report: the counter covers usage from before, which is not charged here.
             _ => counter,
         };
-        if rise > u16::MAX / 2 {
+        if increase > u16::MAX / 2 {
             return 0; // The counter went back: an old message.
         }
         self.incarnation = incarnation;
         self.counter = counter;
-        rise
+        increase
     }
 }
 
@@ -81,22 +83,23 @@
     pub first_node: NodeId,
     #[serde(rename = "spread")]
     pub subset_size: f64,
-    /// This node's even share of the burst, at least the largest request.
+    /// This node's even share of the burst, at least the units of the largest request.
     #[serde(rename = "depth")]
     pub even_capacity: f64,
     #[serde(rename = "level")]
     pub tokens: f64,
     #[serde(rename = "filled")]
     pub refilled_at: Micros,
-    /// Requests in a row that named another plan or subset.
+    /// Consecutive requests that named another plan or subset.
     #[serde(rename = "doubts")]
     pub mismatches: u32,
-    /// When a request last drew on it.
+    /// When a request was last charged to the bucket.
     #[serde(rename = "used")]
     pub last_used_at: Micros,
-    /// Units forwarded so far, as they are reported to peers, and when the last were.
+    /// Units forwarded so far, which are reported to peers.
     #[serde(rename = "sent")]
     pub units_forwarded: f64,
+    /// When `units_forwarded` last increased.
     #[serde(rename = "sent_at")]
     pub forwarded_at: Micros,
     #[serde(rename = "open")]
@@ -105,20 +108,21 @@
     pub peer_usage: BTreeMap<NodeId, PeerUsage>,
     #[serde(rename = "ceiling")]
     pub hard_limit_tokens: f64,
-    /// Share of the quota that is granted here.
+    /// Share of the quota that this node grants, 0 to 1.
     pub share: f64,
-    /// Share of the hard limit that is granted here.
+    /// Share of the hard limit that this node grants, 0 to 1.
     #[serde(rename = "ceiling_share")]
     pub hard_limit_share: f64,
-    /// What the customer's owners have answered.
+    /// Recent responses of the customer's owners, and the leases that they issued.
     #[serde(rename = "memory")]
     pub rejections: RejectionCache,
 }
 
 impl TokenBucket {
-    /// A bucket that was not used since this node started, `uptime` ago. It holds the whole burst: peers' use is
-    /// reported soon enough, while a customer that uses nearly all of its quota would never get back what was missing at
-    /// first. Its share of the hard limit holds what has accrued since the start, as it may have been used up before.
+    /// Creates the bucket of a customer that this node has not served since it started, `uptime` ago. It holds the
+    /// whole burst: usage of peers is reported soon enough, while a customer that uses nearly all of its quota would
+    /// never recover tokens that are missing at first. Its share of the hard limit holds only the units that have
+    /// accrued since the start of the node, because an earlier incarnation may have used up the rest.
     pub(crate) fn new(
         now: Micros,
         uptime: Micros,
@@ -144,7 +148,6 @@
         bucket
     }
 
-    /// The customer's subset of nodes.
     pub(crate) fn subset(&self) -> NodeSubset {
         NodeSubset {
             first: self.first_node,
@@ -152,8 +155,8 @@
         }
     }
 
-    /// Records whether a request names the bucket's own plan and subset; the result is whether the bucket has to follow
-    /// another one.
+    /// Records the plan and subset that a request names. Returns whether enough consecutive requests differ from the
+    /// bucket's own that it has to change.
     pub(crate) fn has_changed(&mut self, plan: PlanId, subset: NodeSubset) -> bool {
         let named = (plan, subset.first, f64::from(subset.size));
         let same = named == (self.plan, self.first_node, self.subset_size);
@@ -161,7 +164,8 @@
         self.mismatches >= MISMATCHES_BEFORE_CHANGE
     }
 
-    /// Changes over to another plan or subset. Nothing is gained by that, and all that is in flight or reported stays.
+    /// Changes to the plan and subset of `fresh`. The tokens do not increase, and the attempts in flight, the units
+    /// forwarded and the usage of peers are kept.
     pub(crate) fn follow(&mut self, fresh: TokenBucket, hard_limit_tokens: f64) {
         let old = std::mem::take(self);
         *self = TokenBucket {
@@ -175,7 +179,7 @@
         };
     }
 
-    /// Refills up to now, where so many of the customer's nodes are silent.
+    /// Refills the bucket up to `now`, without the shares of the customer's `silent_peers`.
     pub(crate) fn refill(&mut self, now: Micros, plan: &Plan, silent_peers: f64) {
         let elapsed_s = now.saturating_sub(self.refilled_at) as f64 / 1e6;
         self.refilled_at = now;
@@ -201,7 +205,7 @@
         limit.capacity * self.hard_limit_share
     }
 
-    /// Units of the burst that are kept back for what peers forwarded and have not reported yet.
+    /// Units of the burst that are reserved for usage that peers have not reported yet.
     pub(crate) fn reserved_for_peers(&mut self, now: Micros, plan: &Plan) -> f64 {
         (self.peer_units_per_s(now, USAGE_WINDOW) * UNREPORTED_USE_S)
             .min(plan.burst - self.even_capacity)
@@ -224,7 +228,8 @@
         units / (window as f64 / 1e6)
     }
 
-    /// One more attempt of the customer is in flight. A first attempt is reported to peers and draws on the hard limit.
+    /// Counts an attempt in flight. The first attempt of a request is also reported to peers and charged to the hard
+    /// limit.
     pub(crate) fn record_attempt(&mut self, now: Micros, units: f64, first: bool) {
         self.in_flight += 1;
         if first {
@@ -234,7 +239,7 @@
         }
     }
 
-    /// What a request draws on it, for another process of this node.
+    /// Returns the charge of a request for the bucket of a sibling process.
     pub(crate) fn charge(&self, units: f64) -> QuotaCharge {
         QuotaCharge {
             plan: self.plan,
@@ -243,7 +248,7 @@
         }
     }
 
-    /// Whether nothing would be gained or lost by dropping it: unused for long, and full.
+    /// Whether dropping the bucket would change no decision: it has been unused for [`KEEP_UNUSED_FOR`] and is full.
     pub(crate) fn is_idle(&mut self, now: Micros, plan: &Plan, silent_peers: f64) -> bool {
         if self.in_flight > 0 || now.saturating_sub(self.last_used_at) < KEEP_UNUSED_FOR {
             return false;
@@ -258,7 +263,8 @@
     }
 }
 
-/// How many of a customer's nodes are silent, given when each node last reported. The even share of each is kept back.
+/// Counts the silent nodes of a customer's subset, given when each node last reported. The even share of each is
+/// withheld.
 pub(crate) fn silent_peers(last_reports: &[Micros], bucket: &TokenBucket, now: Micros) -> f64 {
     let first = bucket.first_node.0 as usize;
     let members = (0..bucket.subset_size as usize).map(|step| (first + step) % last_reports.len());
@@ -268,8 +274,8 @@
     members.filter(is_silent).count() as f64
 }
 
-/// Seconds for which a node's share was kept back for it, where it last reported at `last_report`.
-pub(crate) fn kept_back_s(now: Micros, last_report: Micros) -> f64 {
+/// Seconds for which a node's share was withheld, where it last reported at `last_report`.
+pub(crate) fn share_withheld_s(now: Micros, last_report: Micros) -> f64 {
     now.saturating_sub(last_report)
         .min(DEAD_FROM)
         .saturating_sub(SILENT_FROM) as f64
