--- a/crates/policy/src/endpoint_table.rs
+++ b/crates/policy/src/endpoint_table.rs
@@ -1,9 +1,10 @@
-//! The servers that a node knows, and which of them are in its subset. Nothing is decided here.
+//! Table of the servers that a node knows, and which of them are in its subset. It stores state and makes no decisions.
 //!
-//! With 40,000 servers no outcome, message, controller period or list update may walk over all of them. So the sums that
-//! rules ask for ([`Aggregates`]) follow each change: a server is changed through [`ServerEdit`], which takes it out of
-//! the sums and puts it back. Of a list of more than `FULL_LIST_MAX` servers each node uses a subset (see
-//! `saffronpaddle-subsetting`); only servers in the subset are in those sums and keep what is known of them.
+//! With 40,000 servers no outcome, message or controller period may iterate over all of them, nor may an update of a
+//! few endpoints. So the aggregates that the policies read ([`Aggregates`]) are updated incrementally: a server is
+//! changed through [`ServerEdit`], which removes it from the aggregates and adds it again afterwards. Of a list of more
+//! than `FULL_LIST_MAX` servers each node uses a subset (see `saffronpaddle-subsetting`). Only servers in the subset
+//! count in the aggregates of members and keep their statistics.
 
 mod aggregates;
 mod edit;
@@ -21,41 +22,41 @@
 use short_ids::ShortIds;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Members from which their waits are kept in order, once they were more than `FULL_LIST_MAX`: a list whose length
-/// moves around that limit must not cause a walk each time.
+/// Number of members below which waits are no longer kept in order. It is lower than `FULL_LIST_MAX`, above which
+/// ordering starts, so that a number of members that varies around that limit does not rebuild the subset each time.
 const ORDERED_WAITS_MIN: usize = FULL_LIST_MAX * 3 / 4;
 
-/// Ready servers: on the whole list, and in this node's subset.
+/// Numbers of ready servers: on the whole list, and in this node's subset.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct ReadyServers {
     pub listed: f64,
     pub in_subset: f64,
 }
 
-/// Ready servers in this node's subset, and those of them that are not ejected for a class.
+/// Numbers of ready servers in this node's subset, and of those among them that are not ejected for a class.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct HealthyServers {
     pub in_subset: f64,
     pub healthy: f64,
 }
 
-/// All servers that are listed, or have attempts in flight.
+/// All servers that are listed or have attempts in flight.
 #[derive(Clone, Debug)]
 pub(crate) struct EndpointTable {
     servers: BTreeMap<ServerId, Server>,
     subset: Subset,
-    /// Whether long lists are subsetted.
+    /// Whether subsetting is enabled.
     subsetting: bool,
-    /// Whether the list is so long now that this node uses a subset.
+    /// Whether the list is long enough that this node uses a subset at present.
     subsetted: bool,
-    /// Where it is: the servers in the subset, in order.
+    /// The servers in the subset in order of id; empty unless `subsetted`.
     members: Vec<ServerId>,
     short_ids: ShortIds,
     aggregates: Aggregates,
 }
 
 impl EndpointTable {
-    /// An empty table of one node of so many.
+    /// Creates an empty table for `node` of a fleet of `node_count` nodes.
     pub fn new(node: NodeId, node_count: u32, classes: usize, subsetting: bool) -> EndpointTable {
         EndpointTable {
             servers: BTreeMap::new(),
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Takes over what another process of this node knew. Servers count as recently started for `recent` µs.
+    /// Restores the servers of another process of this node. Servers count as recently started for `recent` µs.
     pub fn restore(&mut self, known: impl Iterator<Item = Server>, now: Micros, recent: Micros) {
         for server in known {
             let id = server.endpoint.server;
@@ -85,8 +86,8 @@
         self.rebuild_subset(now, recent);
     }
 
-    /// Applies an update of the endpoint list in one pass. Servers count as recently started for `recent` µs; one that
-    /// has started again is unknown again.
+    /// Applies an update of the endpoint list in one pass. Servers count as recently started for `recent` µs. The
+    /// statistics of a server that has restarted are reset.
     pub fn apply(
         &mut self,
         now: Micros,
@@ -124,7 +125,7 @@
         }
     }
 
-    /// Fills an empty table at once: a map that grows one by one has spare room for half as many again.
+    /// Builds an empty table's map in bulk. A map that grows entry by entry allocates half as much memory again.
     fn fill(&mut self, endpoints: &[Endpoint], now: Micros) {
         self.servers = endpoints
             .iter()
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Applies one entry; the result is whether a server came into the subset of a long list.
+    /// Applies one entry. Returns whether a server was added to the subset of a long list.
     fn apply_one(&mut self, now: Micros, endpoint: Endpoint, rules: &SlowStartRules) -> bool {
         let id = endpoint.server;
         if let Some(server) = self.servers.get_mut(&id) {
@@ -160,7 +161,7 @@
         self.subsetted && in_subset
     }
 
-    /// Notes a member's short id, and whether it has started recently.
+    /// Adds a member to the index of short ids, and to the recently started servers if it is one.
     fn index_member(&mut self, now: Micros, endpoint: &Endpoint, recent: Micros) {
         let id = endpoint.server;
         if self.subsetted && !self.subset.contains(id.0) {
@@ -173,7 +174,7 @@
         self.short_ids.insert(id);
     }
 
-    /// Chooses the subset anew where the length of the list has changed much.
+    /// Rebuilds the subset where the length of the list has changed enough to require it.
     fn follow_list_length(&mut self, now: Micros, recent: Micros) {
         let ready = self.aggregates.ready;
         let subset_changed = self.subsetting && self.subset.resize(ready);
@@ -189,7 +190,7 @@
         }
     }
 
-    /// Determines which servers are in the subset, in a walk over all.
+    /// Determines which servers are in the subset, iterating over all.
     fn rebuild_subset(&mut self, now: Micros, recent: Micros) {
         if self.subsetting {
             self.subset.resize(self.aggregates.ready);
@@ -224,17 +225,16 @@
         self.aggregates.retain_members(&self.servers);
     }
 
-    /// How many entries are kept in memory.
+    /// Number of servers and short ids that are held in memory.
     pub fn len(&self) -> usize {
         self.servers.len() + self.short_ids.len()
     }
 
-    /// How many servers are listed, and how many of these get nothing new, or health probes only for some class.
+    /// Number of listed servers, and of those among them that are not ready or are ejected for some class.
     pub fn counts(&self) -> (usize, usize) {
         (self.aggregates.listed, self.aggregates.avoided)
     }
 
-    /// How many servers are ready.
     pub fn ready(&self) -> ReadyServers {
         ReadyServers {
             listed: self.aggregates.ready as f64,
@@ -242,7 +242,7 @@
         }
     }
 
-    /// How many nodes use each server.
+    /// Number of nodes that use each server.
     pub fn nodes_per_server(&self) -> f64 {
         f64::from(self.subset.nodes_per_server())
     }
@@ -252,40 +252,42 @@
         self.subset.slow_start_group(server.0)
     }
 
-    /// The node of a rank in that group.
+    /// The node with a rank in the slow-start group of a server.
     pub fn slow_start_member(&self, server: ServerId, rank: u32) -> NodeId {
         NodeId(self.subset.slow_start_node_at_rank(server.0, rank))
     }
 
-    /// How many servers have been examined since the start.
+    /// Number of servers examined since the start, counted with repetition.
     pub fn examined(&self) -> u64 {
         self.aggregates.examined()
     }
 
-    /// A server, if it is known.
     pub fn get(&self, id: ServerId) -> Option<&Server> {
         self.servers.get(&id)
     }
 
-    /// A server to be changed.
+    /// A guard through which a server can be changed; the aggregates are updated when it is dropped.
     pub fn edit(&mut self, id: ServerId) -> Option<ServerEdit<'_>> {
         let server = self.servers.get_mut(&id)?;
         Some(ServerEdit::begin(&mut self.aggregates, server))
     }
 
-    /// How many attempts are in flight at a server, to be changed.
+    /// Mutable number of attempts in flight at a server, which no aggregate depends on.
     pub fn in_flight_mut(&mut self, id: ServerId) -> Option<&mut u32> {
         self.servers
             .get_mut(&id)
             .map(|server| &mut server.in_flight)
     }
 
-    /// The server that a peer means by a short id; `None` where several of a long list share it.
+    /// The server with a short id in a peer's message. `None` if it is unknown, or if several servers of a long list
+    /// share it.
     pub fn by_short_id(&self, short_id: u16) -> Option<ServerId> {
         self.short_ids.get(short_id)
     }
 
-    /// Ready servers to choose one from, in order: all members, or of very many some in a row from a drawn place on.
+    /// Ready servers to select from, in order of id: all ready members, or, where members are so many that their waits
+    /// are kept in order, those among `TARGET_SIZE` consecutive members. `draw` selects the first of these, given the
+    /// number of members.
     pub fn candidates(&self, draw: impl FnOnce(usize) -> usize) -> Vec<&Server> {
         if !self.subsetted {
             self.aggregates.examine(self.servers.len());
@@ -310,12 +312,12 @@
             .collect()
     }
 
-    /// Members with evidence that may still count, in order.
+    /// Members with evidence that may not have expired, in order of id.
     pub fn with_evidence(&self) -> impl Iterator<Item = &Server> {
         self.examined_ids(&self.aggregates.with_evidence)
     }
 
-    /// Members that started recently, in order.
+    /// Members that started recently, in order of id.
     pub fn recently_started(&self) -> impl Iterator<Item = &Server> {
         self.examined_ids(&self.aggregates.recently_started)
     }
@@ -326,34 +328,34 @@
             .inspect(|_| self.aggregates.examine(1))
     }
 
-    /// Takes each server whose ejection is decided anew in a controller period: all members, or of very many those with
-    /// evidence.
-    fn for_each_judged(&mut self, mut take: impl FnMut(&mut Aggregates, &mut Server)) {
+    /// Visits each server whose ejection is evaluated in a controller period: all members, or, where members are so
+    /// many that their waits are kept in order, those with evidence.
+    fn for_each_evaluated(&mut self, mut visit: impl FnMut(&mut Aggregates, &mut Server)) {
         let servers = &mut self.servers;
         let aggregates = &mut self.aggregates;
         if !self.subsetted {
             servers
                 .values_mut()
-                .for_each(|server| take(aggregates, server));
+                .for_each(|server| visit(aggregates, server));
             return;
         }
-        let evident: Vec<ServerId>;
+        let with_evidence: Vec<ServerId>;
         let ids = if aggregates.waits_ordered {
-            evident = aggregates.with_evidence.iter().copied().collect();
-            &evident
+            with_evidence = aggregates.with_evidence.iter().copied().collect();
+            &with_evidence
         } else {
             &self.members
         };
         for id in ids {
             if let Some(server) = servers.get_mut(id) {
-                take(aggregates, server);
+                visit(aggregates, server);
             }
         }
     }
 
-    /// Lets evidence on them decay, by so many time constants.
+    /// Decays the evidence on these servers by a number of time constants.
     pub fn decay_evidence(&mut self, time_constants: f64) {
-        self.for_each_judged(|aggregates, server| {
+        self.for_each_evaluated(|aggregates, server| {
             aggregates.examine(1);
             for statistics in &mut server.statistics {
                 statistics.fleet_faults.decay(time_constants);
@@ -361,9 +363,9 @@
         });
     }
 
-    /// Changes what is known of each of them.
+    /// Applies `judge` to each of these servers, which may change it, and updates the aggregates.
     pub fn judge(&mut self, mut judge: impl FnMut(&mut Server)) {
-        self.for_each_judged(|aggregates, server| {
+        self.for_each_evaluated(|aggregates, server| {
             let classes = aggregates.classes;
             aggregates.change(server, |server| {
                 server.ensure_statistics(classes);
@@ -372,39 +374,39 @@
         });
     }
 
-    /// Takes each that may hold slow-start permits, in order: all that are ready and whose start is known, or of a long
-    /// list those that started recently. Statistics must not be changed there.
-    pub fn for_each_with_permits(&mut self, mut take: impl FnMut(&Subset, &mut Server)) {
+    /// Visits each server that may hold slow-start permits, in order of id: the ready servers with a known start time,
+    /// of a long list only those that started recently. `visit` must not change anything that the aggregates depend on.
+    pub fn for_each_with_permits(&mut self, mut visit: impl FnMut(&Subset, &mut Server)) {
         let servers = &mut self.servers;
         let (subset, aggregates) = (&self.subset, &self.aggregates);
-        let mut take_ready = |server: &mut Server| {
+        let mut visit_ready = |server: &mut Server| {
             aggregates.examine(1);
             if server.is_ready() && server.endpoint.started_at.is_some() {
-                take(subset, server);
+                visit(subset, server);
             }
         };
         if !self.subsetted {
-            return servers.values_mut().for_each(take_ready);
+            return servers.values_mut().for_each(visit_ready);
         }
         for id in &aggregates.recently_started {
             if let Some(server) = servers.get_mut(id) {
-                take_ready(server);
+                visit_ready(server);
             }
         }
     }
 
-    /// Takes each that started recently, in order. Statistics must not be changed there.
-    pub fn for_each_recently_started(&mut self, mut take: impl FnMut(&mut Server)) {
+    /// Visits each member that started recently, in order of id. `visit` must not change anything that the aggregates
+    /// depend on.
+    pub fn for_each_recently_started(&mut self, mut visit: impl FnMut(&mut Server)) {
         self.aggregates
             .examine(self.aggregates.recently_started.len());
         for id in &self.aggregates.recently_started {
             if let Some(server) = self.servers.get_mut(id) {
-                take(server);
+                visit(server);
             }
         }
     }
 
-    /// How many ready members there are, and how many of these are not ejected for a class.
     pub fn healthy(&self, class: ClassId) -> HealthyServers {
         let members = self.aggregates.ready_members;
         HealthyServers {
@@ -413,12 +415,12 @@
         }
     }
 
-    /// The mean fault rate of the ready members.
+    /// The mean fault rate of the ready members for a class.
     pub fn mean_fault_rate(&self, class: ClassId) -> f64 {
         self.aggregates.mean_fault_rate(class)
     }
 
-    /// The median wait of those that have shown one, µs.
+    /// The median wait of the ready members with a known wait, µs.
     pub fn median_wait(&self) -> Option<f64> {
         if self.aggregates.waits_ordered {
             return self.aggregates.ordered_waits.get();
@@ -432,10 +434,10 @@
         (!waits.is_empty()).then(|| *waits.select_nth_unstable_by(middle, f64::total_cmp).1)
     }
 
-    /// Forgets servers that were removed and have nothing in flight. Those that did not start recently any more, or of
-    /// which no evidence counts, are passed over from now on.
+    /// Drops servers that were removed from the list and have no attempts in flight. Removes from the indexes those
+    /// whose start is no longer recent, and those whose evidence has expired, for which `counts` returns false.
     pub fn remove_unused(&mut self, now: Micros, recent: Micros, counts: impl Fn(&Server) -> bool) {
-        self.forget_removed();
+        self.drop_removed();
         let (warm, without_evidence) =
             self.aggregates
                 .drop_outdated(&self.servers, now, recent, counts);
@@ -457,7 +459,7 @@
         }
     }
 
-    fn forget_removed(&mut self) {
+    fn drop_removed(&mut self) {
         let servers = &self.servers;
         let idle = |id: &ServerId| servers.get(id).is_none_or(|server| server.in_flight == 0);
         let removed: Vec<ServerId> = self
@@ -480,7 +482,7 @@
         }
     }
 
-    /// All that is worth handing to the next process.
+    /// The servers that the next process of this node needs: those in the subset, and those with attempts in flight.
     pub fn to_snapshot(&self) -> impl Iterator<Item = &Server> {
         self.servers
             .values()
--- a/crates/policy/src/endpoint_table/aggregates.rs
+++ b/crates/policy/src/endpoint_table/aggregates.rs
@@ -1,4 +1,4 @@
-//! Sums over servers that follow each change, so that no rule has to walk over them.
+//! Aggregates over servers that are updated with each change, so that no policy has to iterate over all servers.
 
 use crate::interface::{ClassId, Micros, ServerId};
 use crate::server::{OutlierStatistics, Server};
@@ -6,10 +6,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Shares are summed as whole numbers of this many steps, so that sums of many do not drift.
+/// Fixed-point steps of a share of 1. Sums are kept as integers, so that rounding errors do not accumulate.
 const SHARE_STEPS: f64 = (1_u64 << 44) as f64;
 
-/// A count of examined servers. It is atomic because the model checker looks at engines from several threads.
+/// A count of examined servers. It is atomic because the model checker reads engines from several threads.
 #[derive(Debug, Default)]
 struct ExaminationCount(AtomicU64);
 
@@ -29,37 +29,38 @@
     }
 }
 
-/// Sums over servers.
+/// Counts, sums and indexes over the servers of a table.
 #[derive(Clone, Debug)]
 pub(super) struct Aggregates {
+    /// Number of request classes.
     pub classes: usize,
-    /// Listed servers.
+    /// Number of listed servers.
     pub listed: usize,
-    /// Listed servers that get nothing new, or health probes only for some class.
+    /// Number of listed servers that are not ready or are ejected for some class.
     pub avoided: usize,
-    /// Ready servers.
+    /// Number of ready servers.
     pub ready: usize,
-    /// Ready servers in the subset.
+    /// Number of ready servers in the subset.
     pub ready_members: usize,
-    /// By class: how many of those are ejected.
+    /// By class: the number of ready members that are ejected.
     pub ejected: Vec<usize>,
-    /// By class: the sum of their fault rates, in steps.
+    /// By class: the sum of the fault rates of the ready members, in steps.
     fault_rates: Vec<u64>,
-    /// Their waits, kept in order where they are too many to be walked over in a controller period.
+    /// Waits of the ready members; empty unless `waits_ordered`.
     pub ordered_waits: Median,
+    /// Whether waits are kept in order, as there are too many members to iterate over in a controller period.
     pub waits_ordered: bool,
     /// Members that started recently.
     pub recently_started: BTreeSet<ServerId>,
-    /// Members with evidence that may still count.
+    /// Members with evidence that may not have expired.
     pub with_evidence: BTreeSet<ServerId>,
-    /// Servers that were removed from the list and are not forgotten yet.
+    /// Servers that were removed from the list and are still in the table.
     pub removed: BTreeSet<ServerId>,
-    /// How many servers have been examined, so that tests can tell a walk.
+    /// Number of servers examined, by which tests detect an iteration over all servers.
     examined: ExaminationCount,
 }
 
 impl Aggregates {
-    /// Sums over no server.
     pub fn new(classes: usize) -> Aggregates {
         Aggregates {
             classes,
@@ -78,12 +79,11 @@
         }
     }
 
-    /// Counts servers that are looked at.
+    /// Adds to the number of examined servers.
     pub fn examine(&self, servers: usize) {
         self.examined.add(servers as u64);
     }
 
-    /// How many servers were looked at.
     pub fn examined(&self) -> u64 {
         self.examined.get()
     }
@@ -93,7 +93,7 @@
         self.fault_rates[class.0] as f64 / SHARE_STEPS / self.ready_members.max(1) as f64
     }
 
-    /// Adds a server to the sums.
+    /// Adds a server to the counts and sums.
     pub fn add(&mut self, server: &Server) {
         self.examine(1);
         if server.is_listed() {
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Takes a server out of the sums, as it was when it was added.
+    /// Removes a server from the counts and sums. It must be unchanged since it was added.
     pub fn remove(&mut self, server: &Server) {
         if server.is_listed() {
             self.listed -= 1;
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Changes a server, outside of the sums and back in them.
+    /// Changes a server and updates the aggregates.
     pub fn change(&mut self, server: &mut Server, change: impl FnOnce(&mut Server)) {
         let before = known_wait(server);
         self.remove(server);
@@ -147,7 +147,7 @@
         self.replace_wait(server.endpoint.server, before, known_wait(server));
     }
 
-    /// Moves a server into the subset or out of it. Nothing is kept of one that leaves and has nothing in flight.
+    /// Moves a server into the subset or out of it. Drops the statistics of one that leaves without attempts in flight.
     pub fn move_server(&mut self, server: &mut Server, in_subset: bool) {
         if in_subset {
             self.with_evidence.insert(server.endpoint.server);
@@ -160,7 +160,7 @@
         });
     }
 
-    /// Replaces a server's wait among the ordered ones.
+    /// Replaces a server's wait in `ordered_waits`; does nothing unless waits are kept in order.
     pub fn replace_wait(&mut self, server: ServerId, before: Option<f64>, after: Option<f64>) {
         if !self.waits_ordered || before == after {
             return;
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Begins to keep the waits in order, or stops to.
+    /// Sets whether waits are kept in order, and rebuilds `ordered_waits`.
     pub fn reorder_waits(&mut self, ordered: bool, servers: &BTreeMap<ServerId, Server>) {
         self.ordered_waits = Median::default();
         self.waits_ordered = ordered;
@@ -182,15 +182,15 @@
         }
     }
 
-    /// Drops servers outside of the subset from the indexes of members.
+    /// Removes servers outside the subset from the indexes of members.
     pub fn retain_members(&mut self, servers: &BTreeMap<ServerId, Server>) {
         let is_member = |id: &ServerId| servers.get(id).is_some_and(|server| server.in_subset);
         self.recently_started.retain(is_member);
         self.with_evidence.retain(is_member);
     }
 
-    /// Drops members from the indexes that did not start recently any more, or of which no evidence counts; the result
-    /// is both lists.
+    /// Removes members from the indexes whose start is no longer recent, or whose evidence has expired, for which
+    /// `counts` returns false. Returns the ids removed from each.
     pub fn drop_outdated(
         &mut self,
         servers: &BTreeMap<ServerId, Server>,
@@ -208,7 +208,7 @@
     }
 }
 
-/// Drops the servers that are gone or do not meet a condition; the result is those.
+/// Removes the ids of servers that no longer exist or do not meet a condition, and returns them.
 fn drop_unless(
     ids: &mut BTreeSet<ServerId>,
     servers: &BTreeMap<ServerId, Server>,
@@ -225,13 +225,13 @@
     dropped
 }
 
-/// Whether a listed server gets nothing new, or health probes only for some class.
+/// Whether a listed server is not ready or is ejected for some class.
 fn is_avoided(server: &Server) -> bool {
     let ejected = server.statistics.iter().any(OutlierStatistics::is_ejected);
     !server.is_ready() || ejected
 }
 
-/// The wait of a server, if it counts.
+/// The wait of a server, µs; `None` unless it is a ready member with a known wait.
 pub(super) fn known_wait(server: &Server) -> Option<f64> {
     let counts = server.is_ready() && server.in_subset && server.wait_per_attempt > 0.0;
     counts.then_some(server.wait_per_attempt)
--- a/crates/policy/src/endpoint_table/edit.rs
+++ b/crates/policy/src/endpoint_table/edit.rs
@@ -1,10 +1,10 @@
-//! Changes of one server that keep the sums over all servers right.
+//! Changes to one server that keep the aggregates over all servers consistent.
 
 use super::aggregates::{known_wait, Aggregates};
 use crate::server::Server;
 use std::ops::{Deref, DerefMut};
 
-/// A server that is being changed; when this is dropped it is back in the sums.
+/// Guard for a server that is being changed. The server is not counted in the aggregates until the guard is dropped.
 pub(crate) struct ServerEdit<'a> {
     aggregates: &'a mut Aggregates,
     server: &'a mut Server,
@@ -44,7 +44,7 @@
         if self.server.in_subset {
             self.aggregates.with_evidence.insert(id);
         } else if self.server.in_flight == 0 {
-            // Nothing is kept of a server that this node no longer uses: memory must not grow with the list.
+            // Drops the statistics of a server that this node no longer uses, so that they do not grow with the list.
             self.server.forget();
         }
         self.aggregates.add(self.server);
--- a/crates/policy/src/endpoint_table/short_ids.rs
+++ b/crates/policy/src/endpoint_table/short_ids.rs
@@ -1,13 +1,13 @@
-//! Short ids of servers, as peers name them in messages.
+//! Short ids that identify servers in messages between nodes.
 
 use crate::interface::ServerId;
 use crate::statistics::hash_number;
 use std::collections::BTreeMap;
 
-/// How many short ids there are.
-const SHORT_IDS: usize = 1 << 16;
+/// Number of possible short ids.
+const SHORT_ID_COUNT: usize = 1 << 16;
 
-/// The 16 bits that stand for a server in messages.
+/// The 16-bit hash that identifies a server in messages. Several servers may share one.
 pub(crate) fn short_server_id(server: ServerId) -> u16 {
     (hash_number(server.0) >> 48) as u16
 }
@@ -16,15 +16,16 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct ShortIds {
     members: BTreeMap<u16, ServerId>,
-    /// How many listed servers have each short id; empty unless the list is subsetted.
+    /// Number of servers in the table with each short id; empty unless the list is subsetted.
     counts: Vec<u16>,
 }
 
 impl ShortIds {
-    /// An empty index. With a subsetted list all servers are counted, as a peer may mean one outside the subset.
+    /// Creates an empty index. For a subsetted list all servers are counted, as a peer may refer to one outside the
+    /// subset.
     pub fn for_list(subsetted: bool) -> ShortIds {
         let counts = if subsetted {
-            vec![0; SHORT_IDS]
+            vec![0; SHORT_ID_COUNT]
         } else {
             Vec::new()
         };
@@ -34,17 +35,15 @@
         }
     }
 
-    /// Adds a member.
     pub fn insert(&mut self, id: ServerId) {
         self.members.insert(short_server_id(id), id);
     }
 
-    /// Counts a listed server, member or not, of a subsetted list.
+    /// Counts a server of a subsetted list, whether it is a member or not.
     pub fn count(&mut self, id: ServerId) {
         self.counts[usize::from(short_server_id(id))] += 1;
     }
 
-    /// Removes a server.
     pub fn remove(&mut self, id: ServerId) {
         let short_id = short_server_id(id);
         if self.members.get(&short_id) == Some(&id) {
@@ -55,14 +54,14 @@
         }
     }
 
-    /// The member with a short id; `None` where other listed servers share it.
+    /// The member with a short id. `None` if there is none, or if several servers of a subsetted list share it.
     pub fn get(&self, short_id: u16) -> Option<ServerId> {
         let count = self.counts.get(usize::from(short_id));
         let shared = count.is_some_and(|count| *count > 1);
         self.members.get(&short_id).copied().filter(|_| !shared)
     }
 
-    /// How many members there are.
+    /// Number of indexed members.
     pub fn len(&self) -> usize {
         self.members.len()
     }
--- a/crates/policy/src/endpoint_table/tests.rs
+++ b/crates/policy/src/endpoint_table/tests.rs
@@ -394,8 +394,8 @@
     );
 }
 
-/// Endpoint lists have tens of thousands of servers, and a node keeps each, so the bytes of one that it knows nothing of are
-/// what its memory depends on. The bound makes growth visible; it may be raised.
+/// Endpoint lists have tens of thousands of servers, and a node keeps each, so the bytes of one that it knows nothing
+/// of are what its memory depends on. The bound makes growth visible; it may be raised.
 #[test]
 fn unused_server_takes_few_bytes() {
     let bytes = std::mem::size_of::<(ServerId, Server)>();
--- a/crates/policy/src/gossip.rs
+++ b/crates/policy/src/gossip.rs
@@ -1,8 +1,8 @@
-//! Gossip: what a node says of the load and of servers along with grant requests and responses.
+//! Gossip: statistics on load and servers that nodes exchange in grant requests and responses.
 //!
 //! Inputs: this node's statistics, and payloads of peers. Result: gossip averages of latency, attempts in flight and
-//! faults over the whole fleet. A payload of one peer is taken in twice a second at most, and what it did decays, so that
-//! one node's messages, however many, neither eject servers nor shed requests.
+//! faults over the whole fleet. At most two payloads of a peer per second are applied, and their effect decays, so that
+//! the messages of one node, however many, neither eject servers nor shed requests.
 
 use crate::endpoint_table::short_server_id;
 use crate::engine::PolicyEngine;
@@ -12,19 +12,19 @@
 use crate::server::Server;
 use crate::utilization::SERVICE_RATE_WEIGHT;
 
-/// Shortest time between two payloads of one peer that are taken in.
+/// Shortest interval between two payloads of one peer that are applied.
 const RECEIVE_INTERVAL: Micros = 500 * MILLISECOND;
-/// Shortest time between two messages that carry a payload: every byte is paid for.
+/// Shortest interval between two messages with a payload, as every byte sent has a cost.
 const SEND_INTERVAL: Micros = 100 * MILLISECOND;
-/// Observations of bad servers in a payload.
+/// Limit on observations of bad servers in a payload.
 const MAX_BAD_OBSERVATIONS: usize = 6;
-/// Observations of good servers in a payload.
+/// Limit on observations of other servers in a payload.
 const MAX_GOOD_OBSERVATIONS: usize = 4;
 /// Multiple of the typical wait from which a server counts as bad.
 const BAD_WAIT_FACTOR: f64 = 2.0;
 
 impl PolicyEngine {
-    /// The payload of the next message, where one is due.
+    /// The payload for the next message; `None` if the last was sent less than [`SEND_INTERVAL`] ago.
     pub(crate) fn payload_if_due(&mut self, now: Micros) -> Option<GossipPayload> {
         if now < self.peers.next_payload_at {
             return None;
@@ -33,7 +33,8 @@
         Some(self.payload(now))
     }
 
-    /// How this node's requests fare, bad servers, and what was observed last.
+    /// Builds a payload: the node's service rate, latencies and attempts in flight, and a random selection of
+    /// observations, bad servers first.
     pub(crate) fn payload(&mut self, now: Micros) -> GossipPayload {
         let typical_wait = self.load.typical_wait;
         let is_bad = |observation: &Observation| {
@@ -55,7 +56,7 @@
         }
     }
 
-    /// All evidence on ready servers that still counts.
+    /// All observations of ready servers that have not expired.
     fn observations(&self, now: Micros) -> Vec<Observation> {
         self.endpoints
             .with_evidence()
@@ -75,13 +76,13 @@
         }
     }
 
-    /// Takes in a peer's payload.
+    /// Applies a peer's payload, unless another of that peer was applied less than [`RECEIVE_INTERVAL`] ago.
     pub(crate) fn on_payload(&mut self, now: Micros, from: NodeId, payload: GossipPayload) {
-        let last_taken_at = &mut self.peers.last_payload_at[from.0 as usize];
-        if now < last_taken_at.saturating_add(RECEIVE_INTERVAL) {
+        let last_applied_at = &mut self.peers.last_payload_at[from.0 as usize];
+        if now < last_applied_at.saturating_add(RECEIVE_INTERVAL) {
             return;
         }
-        *last_taken_at = now;
+        *last_applied_at = now;
         self.load
             .service_rate
             .mix(payload.service_rate, SERVICE_RATE_WEIGHT);
@@ -96,7 +97,7 @@
     }
 }
 
-/// The observations of one server, by class.
+/// The unexpired observations of one server, by class.
 fn observations_of(server: &Server, now: Micros) -> impl Iterator<Item = Observation> + '_ {
     server
         .statistics
--- a/crates/policy/src/message_budget.rs
+++ b/crates/policy/src/message_budget.rs
@@ -1,15 +1,15 @@
-//! A budget for messages to peers that may be left out: retransmitted grant requests.
+//! A budget for optional messages to peers: retransmissions of grant requests.
 //!
-//! Lost messages that each cause more messages would fill the path just when it is full or broken, so that those that
-//! matter are lost as well. First requests, responses and releases are always sent; what they leave of the budget is for
-//! retransmissions.
+//! If every lost message caused retransmissions, they would add load to the network while it is congested or faulty,
+//! and required messages would be lost too. First requests, responses and releases are always sent and charged to the
+//! budget; retransmissions use the remainder.
 
 use crate::interface::Micros;
 
-/// Span of the budget that may be saved up, seconds.
-const SAVED_S: f64 = 0.5;
+/// Capacity of the budget, in seconds of its rate.
+const CAPACITY_S: f64 = 0.5;
 
-/// Messages that may be retransmitted, as a token bucket. It may go into debt by as much as it can save.
+/// A token bucket of messages. Required messages may overdraw it by as much as its capacity.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct MessageBudget {
     tokens: f64,
@@ -17,13 +17,13 @@
 }
 
 impl MessageBudget {
-    /// Records messages that were sent, where a node may send `per_second`.
+    /// Charges messages that were sent, where a node may send `per_second`.
     pub fn record(&mut self, now: Micros, messages: f64, per_second: f64) {
         self.refill(now, per_second);
-        self.tokens = (self.tokens - messages).max(-per_second * SAVED_S);
+        self.tokens = (self.tokens - messages).max(-per_second * CAPACITY_S);
     }
 
-    /// Whether one more message that may be left out can be sent.
+    /// Whether one more optional message may be sent.
     pub fn allows(&mut self, now: Micros, per_second: f64) -> bool {
         self.refill(now, per_second);
         self.tokens >= 1.0
@@ -32,7 +32,7 @@
     fn refill(&mut self, now: Micros, per_second: f64) {
         let elapsed_s = now.saturating_sub(self.refilled_at) as f64 / 1e6;
         self.refilled_at = self.refilled_at.max(now);
-        self.tokens = (self.tokens + per_second * elapsed_s).min(per_second * SAVED_S);
+        self.tokens = (self.tokens + per_second * elapsed_s).min(per_second * CAPACITY_S);
     }
 }
 
