--- a/crates/policy/src/interface/action.rs
+++ b/crates/policy/src/interface/action.rs
@@ -1,21 +1,21 @@
-//! What the engine asks for.
+//! Actions that the engine requests.
 
 use super::{AttemptNumber, Micros, NodeId, RequestId, ServerId, SiblingMessage};
 use std::fmt;
 
-/// Something worth a line in the log.
+/// An occurrence that should be logged.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Diagnostic {
-    /// A server has answered nothing for too long: it gets health probes only.
+    /// A server has not answered any attempt for too long. It is ejected and sent health probes only.
     ServerSilent {
-        /// The server.
+        /// The ejected server.
         server: ServerId,
     },
-    /// Latency objectives are missed: the lowest class is bound by a concurrency limit from now on.
+    /// Latency objectives are missed. From now on a concurrency limit applies to the class with the lowest priority.
     ConcurrencyLimitStarted {
         /// Latency of the worst class, as a multiple of its objective.
         normalized_latency: f64,
-        /// Attempts of the lowest class in flight at this node on average, from which the limit starts.
+        /// Initial value of the limit: mean attempts in flight of that class at this node.
         in_flight: f64,
     },
 }
@@ -37,35 +37,32 @@
     }
 }
 
-/// What the engine asks for.
+/// An action that the engine requests from the process that embeds it.
 #[derive(Clone, Debug, PartialEq)]
+#[allow(
+    missing_docs,
+    reason = "the ids of requests, attempts and servers need no explanation"
+)]
 pub enum Action {
-    /// Forward the request. Attempts are numbered from 0 in the order in which this is asked for.
+    /// Dispatch an attempt of a request to a server. The attempts of a request are numbered from 0 in the order of
+    /// these actions.
     Send {
-        /// The request.
         id: RequestId,
-        /// The server.
         server: ServerId,
-        /// Give the attempt up after this span, µs; `None` for when the client does.
+        /// Time after which the attempt times out, µs; `None` to wait as long as the client does.
         timeout: Option<Micros>,
     },
-    /// Final answer: rejected; trying again is harmless.
+    /// Reject the request, which is its final answer. The client may safely retry.
     Reject {
-        /// The request.
         id: RequestId,
-        /// When the client should try again, µs from now.
+        /// When the client should retry, µs from now; `None` for no advice.
         retry_after: Option<Micros>,
     },
-    /// Final answer: failed, with no promise.
-    Fail {
-        /// The request.
-        id: RequestId,
-    },
-    /// Stop waiting for an attempt.
+    /// Fail the request, which is its final answer. It may have been executed.
+    Fail { id: RequestId },
+    /// Cancel an attempt.
     Cancel {
-        /// The request.
         id: RequestId,
-        /// Which attempt.
         attempt: AttemptNumber,
     },
     /// Send a message to every peer.
@@ -75,7 +72,6 @@
     },
     /// Send a message to one peer.
     SendToPeer {
-        /// The peer.
         to: NodeId,
         /// The datagram, at most 256 bytes.
         bytes: Vec<u8>,
@@ -84,13 +80,13 @@
     SendToSiblings(SiblingMessage),
     /// Set a timer.
     SetTimer {
-        /// After this span, µs.
+        /// Time until it fires, µs.
         after: Micros,
-        /// Comes back as given.
+        /// Returned unchanged in [`Event::TimerFired`](super::Event::TimerFired).
         token: u64,
     },
     /// Subscribe to changes of the endpoint list.
     Subscribe,
-    /// Something worth a line in the log.
+    /// Write a diagnostic to the log.
     Report(Diagnostic),
 }
--- a/crates/policy/src/interface/endpoint.rs
+++ b/crates/policy/src/interface/endpoint.rs
@@ -1,46 +1,44 @@
-//! Entries of the endpoint list. Their names in JSON are those of the state that earlier builds stored.
+//! Entries of the endpoint list. Their names in JSON are those in the state that earlier builds stored.
 
 use super::{DeduplicationDomainId, Micros, ServerId, ZoneId};
 use serde::{Deserialize, Serialize};
 
-/// What the endpoint list says of a server.
+/// Status of a server on the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndpointStatus {
-    /// Its process runs.
+    /// The server accepts requests.
     Ready,
-    /// It finishes its work and takes nothing new.
+    /// The server finishes its requests in flight and accepts no new ones.
     Draining,
-    /// It was removed.
+    /// The server was removed from the list.
     #[default]
     #[serde(rename = "Gone")]
     Removed,
 }
 
-/// One server on the list.
+/// One server on the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
+#[allow(missing_docs, reason = "the types of the other fields are documented")]
 pub struct Endpoint {
-    /// The server.
     pub server: ServerId,
-    /// Its availability zone.
     pub zone: ZoneId,
-    /// Its deduplication domain.
+    /// Domain within which the server deduplicates requests with idempotency keys.
     #[serde(rename = "cell")]
     pub domain: DeduplicationDomainId,
-    /// Its status.
     #[serde(rename = "standing")]
     pub status: EndpointStatus,
-    /// Rough size against the others; above 0.
+    /// Approximate capacity relative to other servers; above 0.
     pub size: f64,
-    /// When it last started, µs; `None` for long ago.
+    /// When the server last started, µs; `None` if that was long ago.
     #[serde(rename = "started")]
     pub started_at: Option<Micros>,
 }
 
-/// How a change of the endpoint list is to be read.
+/// Whether an update of the endpoint list replaces the list or changes some of its entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdate {
-    /// The complete list: a server that is not on it was removed.
+    /// The complete list. A server that is not on it was removed.
     Snapshot,
-    /// Only the endpoints that changed.
+    /// Only the entries that have changed.
     Delta,
 }
--- a/crates/policy/src/interface/event.rs
+++ b/crates/policy/src/interface/event.rs
@@ -1,4 +1,4 @@
-//! What the engine is notified of.
+//! Events that the engine is notified of.
 
 use super::{
     AttemptNumber, ClassId, CustomerId, Endpoint, EndpointUpdate, Micros, NodeId, PlanId,
@@ -8,21 +8,21 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// Served.
+    /// The server served the request.
     Ok,
-    /// The server answered with an error; it may have run.
+    /// The server answered with an error. It may have executed the request.
     Error,
-    /// The server rejected it: it did not run.
+    /// The server rejected the request and did not execute it.
     Rejected,
-    /// No response in time; it may have run, or still may.
+    /// No response arrived in time. The server may have executed the request, or may still do so.
     TimedOut,
-    /// No connection: it did not run.
+    /// No connection could be established, so the request was not executed.
     Unreachable,
-    /// The connection was lost; it may have run.
+    /// The connection was lost. The server may have executed the request.
     ConnectionLost,
-    /// Cancelled; it may have run.
+    /// The attempt was cancelled. The server may have executed the request.
     Cancelled,
-    /// Never sent.
+    /// The attempt was not sent, so the request was not executed.
     NotSent,
 }
 
@@ -41,29 +41,25 @@
     }
 }
 
-/// What the engine is notified of.
+/// An event that the engine is notified of.
 #[derive(Clone, Debug, PartialEq)]
+#[allow(missing_docs, reason = "the types of the other fields are documented")]
 pub enum Event {
     /// The endpoint list has changed.
     EndpointsChanged {
-        /// How to read the endpoints.
         update: EndpointUpdate,
-        /// The endpoints.
         endpoints: Vec<Endpoint>,
     },
-    /// The endpoint list could not be had, or is no longer followed; the old one stands.
+    /// The endpoint list could not be read, or updates to it have stopped. The engine keeps the list that it has.
     EndpointsUnavailable,
-    /// A client's request has come in.
+    /// A client's request has arrived.
     RequestArrived {
-        /// Its id.
         id: RequestId,
-        /// Its class.
         class: ClassId,
-        /// Its customer's plan.
+        /// Plan of the customer.
         plan: PlanId,
-        /// Its customer.
         customer: CustomerId,
-        /// Units that it counts against the quota.
+        /// Units that the request is charged against the quota.
         units: f64,
         /// First node of the customer's subset; the others follow by number, wrapping around.
         subset_first: NodeId,
@@ -71,63 +67,52 @@
         subset_size: u32,
         /// How long the client waits for an answer, µs.
         timeout: Micros,
-        /// Whether its body is complete. Of one that is not, the rest is streamed to one server, once;
-        /// [`Event::BodyComplete`] follows, and until then `timeout` bounds the arrival of the body.
+        /// Whether the body has arrived completely. The rest of an incomplete body is streamed to one server, without
+        /// retries. [`Event::BodyComplete`] follows, and until then `timeout` limits the arrival of the body.
         complete: bool,
     },
-    /// The last byte of a request's body has come. It is held back until this is handled, and goes to the server of the
-    /// attempt in flight if the request is open then.
+    /// The last byte of a request's body has arrived. The byte is held back while the engine handles this event, and is
+    /// then sent to the server of the attempt in flight if the request is still open.
     BodyComplete {
-        /// The request.
         id: RequestId,
-        /// How long the client waits from now on, µs.
+        /// How long the client waits for an answer from now on, µs.
         timeout: Micros,
     },
-    /// A streamed response has begun: the attempt belongs to the client now.
-    ResponseStarted {
-        /// The request.
-        id: RequestId,
-    },
-    /// An attempt has ended. Each dispatched attempt gets exactly one of these.
+    /// A streamed response has started. The attempt can no longer be cancelled or retried.
+    ResponseStarted { id: RequestId },
+    /// An attempt has ended. There is exactly one of these events for each dispatched attempt.
     AttemptEnded {
-        /// The request.
         id: RequestId,
-        /// Which attempt.
         attempt: AttemptNumber,
-        /// How.
         outcome: Outcome,
-        /// The request has its final answer, or its client has gone: nothing more is owed.
+        /// Whether the request has its final answer or its client has disconnected, so that no answer is due.
         request_closed: bool,
     },
-    /// Nobody waits for this request any more.
-    RequestAbandoned {
-        /// The request.
-        id: RequestId,
-    },
-    /// A timer that was set has fired.
+    /// The client no longer waits for an answer to the request.
+    RequestAbandoned { id: RequestId },
+    /// A timer set by [`Action::SetTimer`](super::Action::SetTimer) has fired.
     TimerFired {
-        /// As given.
+        /// The token that was given when the timer was set.
         token: u64,
     },
-    /// A message from another node.
+    /// A message from another node has arrived.
     PeerMessage {
-        /// Who sent it.
+        /// The sender.
         from: NodeId,
         /// The datagram.
         bytes: Vec<u8>,
     },
-    /// A message from another process of this node.
+    /// A message from another process of this node has arrived.
     SiblingMessage {
-        /// Over which link.
+        /// Number of the link over which it arrived.
         link: u32,
-        /// The message.
         message: SiblingMessage,
     },
-    /// The processes of this node have changed.
+    /// A process of this node has started or ended, or its role has changed.
     SiblingsChanged {
-        /// A link that has ended: its attempts are no more.
+        /// A link that has ended, and with it the attempts that were announced over it.
         ended_link: Option<u32>,
-        /// Whether another process has to be told of attempts.
+        /// Whether attempts must be announced to another process.
         share_attempts: bool,
         /// Whether another process sends this node's messages to peers.
         peer_messages_delegated: bool,
--- a/crates/policy/src/interface/ids.rs
+++ b/crates/policy/src/interface/ids.rs
@@ -1,9 +1,9 @@
-//! Identifiers. Each is a newtype, so that none can be passed for another.
+//! Identifiers. Each is a newtype, so that one kind cannot be passed in place of another.
 
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// A client's request at this node. Ids are never used twice.
+/// A client's request at this node. Ids are never reused.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestId(pub Arc<str>);
 
@@ -26,7 +26,7 @@
 }
 
 numeric_id! {
-    /// A customer, whom a quota binds.
+    /// A customer, to which a quota applies.
     CustomerId(u64)
 }
 
@@ -46,11 +46,11 @@
 }
 
 numeric_id! {
-    /// An availability zone, numbered by whoever embeds the engine; only equality counts.
+    /// An availability zone. The embedding process assigns the numbers; the engine only compares them for equality.
     ZoneId(u32)
 }
 
 numeric_id! {
-    /// A group of servers that share what they know of idempotency keys.
+    /// A group of servers that share their records of idempotency keys.
     DeduplicationDomainId(u64)
 }
--- a/crates/policy/src/interface/mod.rs
+++ b/crates/policy/src/interface/mod.rs
@@ -1,7 +1,7 @@
-//! What goes into and comes out of the policy engine: settings, events and actions.
+//! Interface of the policy engine: settings, events and actions.
 //!
-//! Types only; the rules are in the other modules of this crate. All times are in µs of one monotonic clock that whoever
-//! embeds the engine reads.
+//! This module contains types only; the policies are in the other modules of this crate. All times are in µs of one
+//! monotonic clock, which the embedding process reads.
 
 mod action;
 mod endpoint;
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -3,153 +3,152 @@
 use super::{Micros, NodeId, ZoneId};
 use std::fmt;
 
-/// Which servers drop a second execution of a request with an idempotency key.
+/// Which servers deduplicate a request with an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// Every server.
     All,
     /// Servers in the zone of the first attempt's server.
     Zone,
-    /// Servers in its deduplication domain.
+    /// Servers in the deduplication domain of the first attempt's server.
     Domain,
 }
 
-/// What a second execution of a request would do.
+/// The effect of a second execution of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Nothing: it may be repeated.
+    /// A second execution has no effect, so the request may be repeated.
     Idempotent,
-    /// It is dropped inside `scope`, for `window` after the first attempt that may have run was dispatched.
+    /// A second execution has no effect in `scope`, until `window` after the first attempt that may have run was
+    /// dispatched.
     WithKey {
-        /// Where second executions are dropped.
+        /// Servers that deduplicate the request.
         scope: DeduplicationScope,
-        /// For how long they are dropped, µs.
+        /// How long they deduplicate it, µs.
         window: Micros,
     },
-    /// Harm: it must never run twice.
+    /// A second execution does harm, so the request must never be executed twice.
     NonIdempotent,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// A response within this span, µs, has its full value.
+    /// Latency up to which a response has its full value, µs.
     pub latency_objective: Micros,
-    /// Share of its value, 0 to 1, that a response after the objective still has.
+    /// Share of the full value, 0 to 1, that a response after the objective still has.
     pub late_value: f64,
-    /// Value of one request in time, against those of other classes.
+    /// Value of a response within the objective, relative to other classes.
     pub priority_weight: f64,
-    /// What a second execution does.
+    /// The effect of a second execution.
     pub idempotency: Idempotency,
 }
 
-/// A limit on what all nodes together forward for one customer, which must never be exceeded.
+/// A limit on the units that all nodes together forward for one customer, which must never be exceeded.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HardLimit {
     /// Units per second.
     pub rate: f64,
-    /// Most units at once.
+    /// Units that may be forwarded at once.
     pub capacity: f64,
 }
 
-/// A plan: the quota of each of its customers, over all nodes together.
+/// A plan, which defines the quota of each of its customers over all nodes together.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// Units per second; 0 for no limit by rate.
+    /// Units per second; 0 for no rate limit.
     pub rate: f64,
     /// Units that may be used at once.
     pub burst: f64,
     /// Attempts that may be in flight at once; `None` for no limit.
     pub max_in_flight: Option<u32>,
-    /// Factor on the priority weight of the class.
+    /// Factor by which the priority weight of the class is multiplied.
     pub priority_weight: f64,
-    /// Share of its value, 0 to 1, that a request beyond the quota has.
+    /// Share of its value, 0 to 1, that a request over the quota has.
     pub over_quota_value: f64,
-    /// Share of its value that forwarding a request beyond the quota costs.
+    /// Cost of forwarding a request over the quota, as a share of its value.
     pub over_quota_cost: f64,
-    /// The hard limit, if the plan has one.
+    /// `None` if the plan has no hard limit.
     pub hard_limit: Option<HardLimit>,
 }
 
 /// How changes of the endpoint list reach the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// By themselves.
+    /// Without a subscription.
     Pushed,
     /// After [`Action::Subscribe`](super::Action::Subscribe).
     Subscribed,
 }
 
-/// What a server that has just started can take.
+/// The capacity of a server while it warms up after its start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartRules {
-    /// Share of its capacity, 0 to 1, that a server has at least when it starts.
+    /// Minimum share of its full capacity, 0 to 1, that a server has when it starts.
     pub initial_capacity: f64,
-    /// Span after which it has its full capacity, µs.
+    /// Time after its start at which a server has its full capacity, µs.
     pub warm_up_period: Micros,
-    /// Work above this multiple of its present capacity ...
+    /// Multiple of its present capacity above which load makes a server fail.
     pub overload_multiple: f64,
-    /// ... over this span, µs, makes it fail.
+    /// Time for which such a load must last to make a server fail, µs.
     pub overload_window: Micros,
 }
 
-/// What the site permits.
+/// What the site permits the engine to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permissions {
-    /// Most attempts for one request.
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancellation: bool,
-    /// Messages may be sent to other nodes.
+    /// Whether messages may be sent to other nodes.
     pub peer_messages: bool,
 }
 
-/// All that an engine is given at its start.
+/// The settings with which an engine starts.
 #[derive(Clone, Debug, PartialEq)]
+#[allow(missing_docs, reason = "the types of the other fields are documented")]
 pub struct Settings {
-    /// This node.
+    /// Number of this node; below `node_count`.
     pub node: NodeId,
-    /// How many nodes there are.
+    /// Number of nodes in the fleet.
     pub node_count: u32,
-    /// This node's zone.
+    /// The zone of this node.
     pub zone: ZoneId,
-    /// Classes of requests.
+    /// Classes of requests, indexed by [`ClassId`](super::ClassId).
     pub classes: Vec<Class>,
-    /// Customers' plans.
+    /// Customers' plans, indexed by [`PlanId`](super::PlanId).
     pub plans: Vec<Plan>,
-    /// What servers that have just started can take.
     pub slow_start: SlowStartRules,
-    /// What the site permits.
     pub permissions: Permissions,
-    /// Cost of an attempt that crosses zones, per request.
+    /// Cost per request of an attempt that crosses zones.
     pub cross_zone_cost: f64,
-    /// How changes of the endpoint list come.
     pub discovery: DiscoveryMode,
-    /// Shortest span between two rounds of events, µs.
+    /// Shortest interval between two rounds of events, µs.
     pub event_interval: Micros,
-    /// Messages from peers that a node receives per second at most.
+    /// Maximum number of messages per second that a node receives from peers.
     pub peer_messages_per_s: f64,
     /// Units of the largest request.
     pub max_request_units: f64,
-    /// A server closes a connection that has been idle for so long, µs.
+    /// Idle time after which a server closes a connection, µs.
     pub server_idle_timeout: Micros,
-    /// Whether each owner of a customer's quota holds a share of its own, so that owners that cannot reach each other
-    /// never grant more than the whole. The same at all nodes.
+    /// Whether each owner of a customer's quota holds its own share, so that owners that cannot reach each other never
+    /// grant more than the whole quota. Must be the same at all nodes.
     pub partition_safe: bool,
-    /// Whether grant requests are retransmitted only within a message budget.
+    /// Whether a message budget limits the retransmissions of grant requests.
     pub retransmission_budget: bool,
-    /// Whether each server of a long endpoint list is used by some nodes only. The same at all nodes.
+    /// Whether each server of a long endpoint list is used by some nodes only. Must be the same at all nodes.
     pub subsetting: bool,
 }
 
-/// Settings that make no sense.
+/// Why settings are invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SettingsError {
-    /// There is no class.
+    /// The list of classes is empty.
     NoClasses,
-    /// There is no plan.
+    /// The list of plans is empty.
     NoPlans,
-    /// There is no node, or this one's number is not among them.
+    /// The number of this node is not below the number of nodes.
     UnknownNode,
     /// A number is negative, infinite or not a number.
     InvalidNumber,
@@ -171,10 +170,10 @@
 impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// Checks that the settings make sense.
+    /// Validates the settings.
     ///
     /// # Errors
-    /// The first thing that does not.
+    /// Returns the first problem found.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
@@ -192,7 +191,7 @@
         Ok(())
     }
 
-    /// Every number that must be finite and not negative.
+    /// All numbers that must be finite and not negative.
     fn numbers(&self) -> Vec<f64> {
         let mut numbers = vec![
             self.slow_start.initial_capacity,
@@ -219,7 +218,7 @@
         numbers
     }
 
-    /// The shortest latency objective of all classes, µs, at least 1.
+    /// The shortest latency objective of all classes, at least 1 µs.
     pub(crate) fn shortest_objective(&self) -> f64 {
         let objectives = self.classes.iter().map(|class| class.latency_objective);
         objectives.min().unwrap_or(1).max(1) as f64
--- a/crates/policy/src/interface/sibling.rs
+++ b/crates/policy/src/interface/sibling.rs
@@ -1,62 +1,57 @@
-//! What two processes of one node tell each other during a hot restart: while both serve, they count as one node. The
-//! names in JSON are those that earlier builds write.
+//! Messages between two processes of one node during a hot restart, by which they share limits as one node while both
+//! serve. The names in JSON are those that earlier builds write.
 
 use super::{AttemptNumber, ClassId, CustomerId, Micros, NodeId, PlanId, RequestId, ServerId};
 use serde::{Deserialize, Serialize};
 
-/// An attempt that one process of a node has begun, as the others see it.
+/// An attempt that one process of a node has started and announces to the others.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[allow(missing_docs, reason = "the ids need no explanation")]
 pub struct SiblingAttempt {
-    /// The request.
     #[serde(rename = "id")]
     pub request: RequestId,
-    /// Which attempt of it.
     pub attempt: AttemptNumber,
-    /// The server.
     pub server: ServerId,
-    /// The request's customer.
     pub customer: CustomerId,
-    /// The request's class.
     pub class: ClassId,
-    /// Since when only the back end holds the request up, µs.
+    /// Time from which the request has waited only for the back end, µs.
     #[serde(rename = "due")]
     pub queued_since: Micros,
     /// When the attempt was dispatched, µs.
     #[serde(rename = "sent")]
     pub sent_at: Micros,
-    /// Attempts that were in flight at the server then, with this one.
+    /// Attempts in flight at the server when this one was dispatched, including this one.
     #[serde(rename = "places")]
     pub in_flight: f64,
-    /// What the request draws on its customer's quota, with its first attempt only.
+    /// Charge to the customer's quota; `None` for attempts after the first.
     #[serde(default, rename = "first")]
     pub charge: Option<QuotaCharge>,
 }
 
-/// What a request draws, and on which quota.
+/// The charge of a request to its customer's quota.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QuotaCharge {
-    /// The customer's plan.
+    /// Plan that defines the quota.
     pub plan: PlanId,
-    /// Units.
+    /// Units charged.
     pub units: f64,
-    /// The customer's subset of nodes: the first, and how many.
+    /// The customer's subset of nodes: the first node and the number of nodes.
     #[serde(rename = "set")]
     pub subset: (NodeId, u32),
 }
 
 /// A message between two processes of one node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+#[allow(missing_docs, reason = "the ids need no explanation")]
 pub enum SiblingMessage {
-    /// An attempt has begun.
+    /// An attempt has been dispatched.
     #[serde(rename = "out")]
     AttemptStarted(SiblingAttempt),
-    /// It has ended.
+    /// An attempt that was announced before has ended.
     #[serde(rename = "in")]
     AttemptEnded {
-        /// The request.
         #[serde(rename = "id")]
         request: RequestId,
-        /// Which attempt of it.
         attempt: AttemptNumber,
     },
 }
--- a/crates/policy/src/interface/time.rs
+++ b/crates/policy/src/interface/time.rs
@@ -1,10 +1,10 @@
-//! Time as the engine counts it.
+//! Times and durations.
 
-/// A point in time or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
 
-/// One millisecond.
+/// Microseconds in a millisecond.
 pub const MILLISECOND: Micros = 1_000;
 
-/// One second.
+/// Microseconds in a second.
 pub const SECOND: Micros = 1_000_000;
--- a/crates/policy/src/peer_message/decode.rs
+++ b/crates/policy/src/peer_message/decode.rs
@@ -1,4 +1,4 @@
-//! Decoding of messages. Datagrams may be forged or garbled, so every length is checked.
+//! Decoding of messages. Datagrams may be forged or corrupted, so every length is checked.
 
 use super::{
     kind, CustomerUsage, GossipPayload, GrantRequestMessage, LeaseOffer, Observation, PeerMessage,
@@ -14,10 +14,10 @@
 };
 use saffronpaddle_slow_start::TransferredPermit;
 
-/// Stands for "none" where a span has a byte.
-const NO_SPAN: u8 = u8::MAX;
+/// Encodes the absence of a duration that takes one byte.
+const NO_DURATION: u8 = u8::MAX;
 
-/// Decodes a datagram; `None` for one that is empty, cut short, too long, of another version or of no known kind.
+/// Decodes a datagram. Returns `None` if it is empty, truncated, too long, or of an unknown version or kind.
 pub(crate) fn decode(bytes: &[u8]) -> Option<PeerMessage> {
     let mut reader = Reader(bytes);
     if bytes.len() > MAX_BYTES || reader.byte()? != VERSION {
@@ -43,7 +43,7 @@
     }
 }
 
-/// Which fields a kind of grant request has beside those of the earliest build.
+/// Fields that a kind of grant request has in addition to those of the earliest build.
 #[derive(Clone, Copy, PartialEq)]
 enum Extension {
     None,
@@ -51,7 +51,7 @@
     RequesterAndLease,
 }
 
-/// Takes fields off the front of a datagram.
+/// Reads fields from the front of the remaining bytes of a datagram. Methods return `None` if the bytes do not suffice.
 struct Reader<'a>(&'a [u8]);
 
 impl Reader<'_> {
@@ -59,7 +59,7 @@
         self.0.is_empty()
     }
 
-    /// A little-endian number of so many bytes.
+    /// Reads a little-endian number of `size` bytes.
     fn number(&mut self, size: usize) -> Option<u64> {
         let (taken, rest) = self.0.split_at_checked(size)?;
         self.0 = rest;
@@ -75,7 +75,7 @@
         Some(self.number(1)? as u8)
     }
 
-    fn short(&mut self) -> Option<u16> {
+    fn u16(&mut self) -> Option<u16> {
         Some(self.number(2)? as u16)
     }
 
@@ -87,12 +87,12 @@
         Some(f64::from(self.byte()?) / SHARE_STEPS)
     }
 
-    fn in_steps(&mut self) -> Option<f64> {
+    fn fixed_point(&mut self) -> Option<f64> {
         Some(f64::from(self.byte()?) / STEPS_PER_UNIT)
     }
 
     fn lease_rate(&mut self) -> Option<f64> {
-        Some(f64::from(self.short()?) / LEASE_RATE_STEPS)
+        Some(f64::from(self.u16()?) / LEASE_RATE_STEPS)
     }
 
     fn lease_units(&mut self) -> Option<f64> {
@@ -100,7 +100,7 @@
     }
 
     fn average(&mut self) -> Option<GossipAverage> {
-        let mean = self.in_steps()?;
+        let mean = self.fixed_point()?;
         Some(GossipAverage::decoded(mean, self.byte()?))
     }
 
@@ -110,7 +110,7 @@
         while !self.is_at_end() {
             usages.push(CustomerUsage {
                 customer: self.customer()?,
-                counter: self.short()?,
+                counter: self.u16()?,
             });
         }
         Some(PeerMessage::UsageReport(UsageReport {
@@ -120,18 +120,18 @@
     }
 
     fn permit_release(&mut self) -> Option<PeerMessage> {
-        let serial = self.short()?;
+        let serial = self.u16()?;
         let customer = self.customer()?;
         self.is_at_end()
             .then_some(PeerMessage::PermitRelease { serial, customer })
     }
 
     fn permit_transfer(&mut self) -> Option<PeerMessage> {
-        let short_server_id = self.short()?;
+        let short_server_id = self.u16()?;
         let permit = TransferredPermit {
             server_started_at: self.number(8)?,
             expires_at: self.number(8)?,
-            sequence: self.short()?,
+            sequence: self.u16()?,
         };
         Some(PeerMessage::PermitTransfer {
             short_server_id,
@@ -147,15 +147,15 @@
 
     fn grant_request(&mut self, extension: Extension) -> Option<GrantRequestMessage> {
         let mut request = GrantRequestMessage {
-            serial: self.short()?,
+            serial: self.u16()?,
             customer: self.customer()?,
             plan: PlanId(usize::from(self.byte()?)),
             owner: self.byte()?,
             subset: NodeSubset {
-                first: NodeId(u32::from(self.short()?)),
-                size: u32::from(self.short()?),
+                first: NodeId(u32::from(self.u16()?)),
+                size: u32::from(self.u16()?),
             },
-            units: f64::from(self.short()?) / STEPS_PER_UNIT,
+            units: f64::from(self.u16()?) / STEPS_PER_UNIT,
             requester: None,
             lease_demand: None,
         };
@@ -178,7 +178,7 @@
         };
         Some(RequesterState {
             uptime_s,
-            reported_fill: (age < NO_SPAN).then_some(fill),
+            reported_fill: (age < NO_DURATION).then_some(fill),
         })
     }
 
@@ -194,12 +194,12 @@
         };
         Some(LeaseDemand {
             rate: demanded_rate,
-            current: (remaining < NO_SPAN).then_some(current),
+            current: (remaining < NO_DURATION).then_some(current),
         })
     }
 
     fn legacy_grant_response(&mut self) -> Option<PeerMessage> {
-        let serial = self.short()?;
+        let serial = self.u16()?;
         let decision = *DECISIONS[..2].get(usize::from(self.byte()?))?;
         let sampling_probability = self.share()?;
         let granted = decision == GrantDecision::Granted;
@@ -217,7 +217,7 @@
     }
 
     fn grant_response(&mut self, with_lease: bool) -> Option<PeerMessage> {
-        let serial = self.short()?;
+        let serial = self.u16()?;
         let response = GrantResponse {
             decision: *DECISIONS.get(usize::from(self.byte()?))?,
             sampling_probability: self.share()?,
@@ -250,7 +250,7 @@
         })
     }
 
-    /// The gossip payload, where there is one; the outer `None` is for one that is cut short.
+    /// Reads the gossip payload. The inner `None` means that there is none, the outer that it is truncated.
     #[allow(clippy::option_option)]
     fn payload_if_any(&mut self) -> Option<Option<GossipPayload>> {
         if self.is_at_end() {
@@ -260,7 +260,7 @@
     }
 
     fn payload(&mut self) -> Option<GossipPayload> {
-        let service_rate = self.in_steps()?;
+        let service_rate = self.fixed_point()?;
         let in_flight = self.average()?;
         let classes = usize::from(self.byte()?).min(MAX_CLASSES);
         let mut normalized_latencies = Vec::new();
@@ -280,7 +280,7 @@
     }
 
     fn observation(&mut self) -> Option<Observation> {
-        let short_server_id = self.short()?;
+        let short_server_id = self.u16()?;
         let class_and_fault_rate = self.byte()?;
         let fault_steps = class_and_fault_rate % (FAULT_RATE_STEPS + 1);
         let class = class_and_fault_rate / (FAULT_RATE_STEPS + 1);
--- a/crates/policy/src/peer_message/encode.rs
+++ b/crates/policy/src/peer_message/encode.rs
@@ -11,10 +11,10 @@
 use saffronpaddle_quota::{GrantDecision, GrantResponse, Lease, LeaseDemand, LeaseReport};
 use saffronpaddle_slow_start::TransferredPermit;
 
-/// Stands for "none" where a span has a byte.
-const NO_SPAN: u8 = u8::MAX;
+/// Encodes the absence of a duration that takes one byte.
+const NO_DURATION: u8 = u8::MAX;
 
-/// Encodes a message; what does not fit is left out.
+/// Encodes a message. Leaves out customers' usages, classes and observations beyond those that fit.
 pub(crate) fn encode(message: &PeerMessage) -> Vec<u8> {
     let mut bytes = vec![VERSION];
     match message {
@@ -90,11 +90,12 @@
     bytes.push(requester.uptime_s);
     bytes.extend(match requester.reported_fill {
         Some(fill) => [share(fill.ratio), steps(fill.age, REPORT_AGE_STEP)],
-        None => [0, NO_SPAN],
+        None => [0, NO_DURATION],
     });
 }
 
-/// A lease that is held is rounded up: its issuer must not reckon with less.
+/// Encodes a lease demand. The lease that the requester holds is rounded up, so that its issuer never assumes a smaller
+/// one.
 fn encode_lease_demand(demand: &LeaseDemand, bytes: &mut Vec<u8>) {
     bytes.extend(lease_rate(demand.rate, f64::round));
     match demand.current {
@@ -108,7 +109,7 @@
             bytes.extend(lease_rate(rate, f64::ceil));
             bytes.extend([capacity.clamp(0.0, 255.0) as u8, remaining.min(254)]);
         }
-        None => bytes.extend([0, 0, 0, NO_SPAN]),
+        None => bytes.extend([0, 0, 0, NO_DURATION]),
     }
 }
 
@@ -137,7 +138,7 @@
     }
 }
 
-/// A lease is rounded down: its holder must not have more than its issuer reckons with.
+/// Encodes a lease. It is rounded down, so that its holder never has more than its issuer accounts for.
 fn encode_lease(lease: &Lease, bytes: &mut Vec<u8>) {
     let units = |value: f64| (value * LEASE_CAPACITY_STEPS).floor().clamp(0.0, 255.0) as u8;
     bytes.extend(lease_rate(lease.rate, f64::floor));
@@ -159,7 +160,7 @@
 }
 
 fn encode_payload(payload: &GossipPayload, bytes: &mut Vec<u8>) {
-    bytes.push(in_steps(payload.service_rate));
+    bytes.push(fixed_point(payload.service_rate));
     bytes.extend(average(&payload.in_flight));
     bytes.push(payload.normalized_latencies.len().min(MAX_CLASSES) as u8);
     for latency in payload.normalized_latencies.iter().take(MAX_CLASSES) {
@@ -190,20 +191,20 @@
     bytes
 }
 
-/// A gossip average: its mean and its count.
+/// Encodes the mean and the count of a gossip average.
 fn average(average: &GossipAverage) -> [u8; 2] {
     [
-        in_steps(average.mean().unwrap_or(0.0)),
+        fixed_point(average.mean().unwrap_or(0.0)),
         average.encoded_count(),
     ]
 }
 
-/// A span in steps; the largest number stands for none.
-fn steps(span: Micros, step: Micros) -> u8 {
-    (span / step).min(254) as u8
+/// Encodes a duration in steps, at most 254, as 255 is [`NO_DURATION`].
+fn steps(duration: Micros, step: Micros) -> u8 {
+    (duration / step).min(254) as u8
 }
 
-/// The rate of a lease, rounded so.
+/// Encodes the rate of a lease, rounded by `round`.
 fn lease_rate(rate: f64, round: impl Fn(f64) -> f64) -> [u8; 2] {
     (round(rate * LEASE_RATE_STEPS).clamp(0.0, 65_535.0) as u16).to_le_bytes()
 }
@@ -212,7 +213,7 @@
     byte(value * SHARE_STEPS)
 }
 
-fn in_steps(value: f64) -> u8 {
+fn fixed_point(value: f64) -> u8 {
     byte(value * STEPS_PER_UNIT)
 }
 
--- a/crates/policy/src/serde_map_as_pairs.rs
+++ b/crates/policy/src/serde_map_as_pairs.rs
@@ -1,9 +1,10 @@
-//! Serializes a map as a list of pairs, for maps whose keys are no strings.
+//! Serde functions, for use with `#[serde(with)]`, that represent a map as a list of pairs. JSON requires it for maps
+//! whose keys are not strings.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::collections::BTreeMap;
 
-/// Serializes, as serde's `with` attribute asks for.
+/// Serializes the map as a list of pairs.
 pub fn serialize<K: Serialize, V: Serialize, S: Serializer>(
     map: &BTreeMap<K, V>,
     serializer: S,
@@ -11,7 +12,7 @@
     serializer.collect_seq(map)
 }
 
-/// Deserializes, as serde's `with` attribute asks for.
+/// Deserializes the map from a list of pairs. Of pairs with the same key, the last one counts.
 pub fn deserialize<'de, K, V, D>(deserializer: D) -> Result<BTreeMap<K, V>, D::Error>
 where
     K: Deserialize<'de> + Ord,
--- a/crates/policy/src/serde_optional_budget.rs
+++ b/crates/policy/src/serde_optional_budget.rs
@@ -1,10 +1,11 @@
-//! Serializes an optional slow-start budget as one that always exists: earlier builds expect it.
+//! Serde functions, for use with `#[serde(with)]`, that represent a missing slow-start budget as a default one, because
+//! earlier builds require the field.
 
 use saffronpaddle_slow_start::SlowStartBudget;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// Serializes, as serde's `with` attribute asks for.
-#[allow(clippy::ref_option)] // The signature that serde asks for.
+/// Serializes the budget, or a default one for `None`.
+#[allow(clippy::ref_option)] // Serde requires this signature.
 pub fn serialize<S: Serializer>(
     budget: &Option<Box<SlowStartBudget>>,
     serializer: S,
@@ -15,7 +16,7 @@
     }
 }
 
-/// Deserializes, as serde's `with` attribute asks for.
+/// Deserializes the budget; the result is never `None`.
 pub fn deserialize<'de, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<Option<Box<SlowStartBudget>>, D::Error> {
--- a/crates/policy/src/setup.rs
+++ b/crates/policy/src/setup.rs
@@ -1,5 +1,5 @@
-//! Reads the settings from the JSON that the platform writes, and maps its names to the terms of this crate. The
-//! simulator's adapter and the edge node share it.
+//! Parses the settings from the JSON that the platform writes, and maps its names to the terms of this crate. Used by
+//! the simulator's adapter and by the edge node.
 
 use crate::interface::{
     Class, DeduplicationScope, DiscoveryMode, HardLimit, Idempotency, Micros, NodeId, Permissions,
@@ -145,7 +145,7 @@
     Subscribe,
 }
 
-/// Settings, with the names that requests use for classes, plans and zones, and what only connections need.
+/// Settings, with the names of classes, plans and zones in requests, and the limits of connections.
 #[derive(Clone, Debug)]
 pub struct PlatformSettings {
     /// The engine's settings.
@@ -156,24 +156,24 @@
     pub plans: Vec<String>,
     /// Names of the zones, in the order of their ids.
     pub zones: Vec<String>,
-    /// How long a client of any class waits at most, µs.
+    /// Longest time that a client of any class waits, µs.
     pub longest_deadline: Micros,
-    /// A server closes a connection that has been idle for so long, µs.
+    /// Idle time after which a server closes a connection, µs.
     pub server_idle_timeout: Micros,
-    /// A connection that is not established by then never will be, µs.
+    /// Time after which an attempt to establish a connection is given up, µs.
     pub connect_timeout: Micros,
 }
 
 /// Why settings could not be read.
 #[derive(Debug)]
 pub enum ReadError {
-    /// The text is no JSON of the platform's form.
+    /// The text is not JSON, or lacks a required field, or has one of a wrong type.
     Json(serde_json::Error),
-    /// The node's zone is not among the zones.
+    /// The node's zone is not in the list of zones.
     UnknownZone,
-    /// A class with idempotency keys does not say where they are known.
+    /// A class with idempotency keys lacks the group of servers that deduplicate them.
     MissingGroup {
-        /// The class.
+        /// Name of the class.
         class: String,
     },
 }
@@ -182,8 +182,13 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ReadError::Json(error) => error.fmt(f),
-            ReadError::UnknownZone => f.write_str("zone is not among zones"),
-            ReadError::MissingGroup { class } => write!(f, "class {class}: group is missing"),
+            ReadError::UnknownZone => {
+                f.write_str("the value of field `zone` is not in field `zones`")
+            }
+            ReadError::MissingGroup { class } => write!(
+                f,
+                "class {class}: `repeat` is `idempotency_key`, but field `group` is missing"
+            ),
         }
     }
 }
@@ -197,10 +202,11 @@
     }
 }
 
-/// Reads settings from their JSON text.
+/// Parses settings from JSON.
 ///
 /// # Errors
-/// What is wrong with them, in a line.
+/// Returns an error if the text does not parse, if the node's zone is not listed, or if a class with idempotency keys
+/// has no group.
 pub fn read(text: &str) -> Result<PlatformSettings, ReadError> {
     let setup: Setup = serde_json::from_str(text).map_err(ReadError::Json)?;
     let settings = setup.to_settings()?;
@@ -247,7 +253,7 @@
             peer_messages_per_s: self.extra.peer_messages_per_s,
             max_request_units: self.extra.max_request_units,
             server_idle_timeout: self.limits.server_idle_timeout_us,
-            // The operator sets these, not the platform.
+            // The platform does not set these; the operator does.
             partition_safe: false,
             retransmission_budget: false,
             subsetting: false,
--- a/crates/policy/src/shard_owners.rs
+++ b/crates/policy/src/shard_owners.rs
@@ -1,9 +1,10 @@
-//! Which nodes of a large fleet own a customer's quota, in how many shards, and in which order they are asked.
+//! Assigns the shards of a customer's quota to nodes of a large fleet, and determines the order in which they are
+//! asked.
 //!
-//! The rule: as few shards as one node's intake of messages allows, since a small quota in several shards may be
-//! exhausted in one while half of the whole is left. Each shard has an owner and, in a subset of two nodes or more, a
-//! standby that is asked while the owner is unreachable. Owners are found by a hash of the customer within its subset of
-//! nodes, so every node finds the same ones without a message.
+//! There are as few shards as the rate of messages that one node can receive allows, because one shard of a small quota
+//! may be exhausted while half of the whole quota is left. Each shard has a primary owner and, where the subset has
+//! enough nodes, a standby that is asked while the primary owner is unreachable. Owners are determined by a hash of the
+//! customer within its subset of nodes, so every node finds the same ones without messages.
 //!
 //! Inputs: the plan (units per second, burst, hard limit), the customer's subset of nodes. Results: a number of owners;
 //! owner `n` holds shard `n % shards`, and those below `shards` are the primary owners.
@@ -12,17 +13,18 @@
 use crate::statistics::hash_number;
 use saffronpaddle_quota::{ShardLimits, GRANT_LIFETIME};
 
-/// Units per second that one owner of a customer looks after: its intake of messages bounds it.
+/// Units per second that one owner of a customer handles, limited by the rate of messages that a node can receive.
 const UNITS_PER_S_PER_SHARD: f64 = 8.0;
-/// Units of a hard limit's capacity that a shard holds at least: a few requests.
+/// Minimum units of a hard limit's capacity per shard, enough for a few requests.
 const MIN_HARD_LIMIT_PER_SHARD: f64 = 8.0;
-/// Share of a shard's hard limit (and, in partition-safe mode, of its quota) that its primary owner holds; standbys hold
-/// the rest.
+/// Share of a shard's hard limit (and, in partition-safe mode, of its quota) that its primary owner holds; standbys
+/// hold the rest.
 const PRIMARY_SHARE: f64 = 0.75;
-/// Owners of each shard. Each that is asked grants at the full rate, so more would grant more than the quota.
+/// Owners of each shard, if the subset has enough nodes. Each owner that is asked grants at the full rate, so that more
+/// owners would grant more than the quota.
 const OWNERS_PER_SHARD: u32 = 2;
 
-/// A customer's subset of nodes: the first by number, and how many, wrapping around.
+/// A customer's subset of nodes: `size` nodes from `first` on, by number, wrapping around.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeSubset {
     pub first: NodeId,
@@ -32,14 +34,14 @@
 /// The shards of a customer's quota and the nodes that own them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShardOwners {
-    /// Shards.
+    /// Number of shards, which is also the number of primary owners.
     pub shards: u32,
-    /// Owners of all shards, standbys included.
+    /// Number of owners of all shards, standbys included.
     pub owners: u32,
 }
 
 impl ShardOwners {
-    /// The owners for a customer of this plan with a subset of so many nodes, at least one.
+    /// The owners for a customer of a plan with a subset of `subset_size` nodes, at least one.
     pub fn of(plan: &Plan, subset_size: u32) -> Self {
         let max_shards = plan.hard_limit.map_or(subset_size, |limit| {
             (limit.capacity / MIN_HARD_LIMIT_PER_SHARD) as u32
@@ -52,9 +54,9 @@
         }
     }
 
-    /// The limits of the part that one owner holds. Owners of one shard share its quota, unless `partition_safe`, and
-    /// always split its hard limit. Of a hard limit each keeps back what accrues during the life of a grant, as grants
-    /// are void after that.
+    /// The limits that one owner enforces. Each owner of a shard may grant all of the shard's quota, unless
+    /// `partition_safe`, where they split it. They always split its hard limit. The capacity of the hard limit is
+    /// reduced by the units that accrue during the lifetime of a grant, because a grant may be used until that ends.
     pub fn limits(
         self,
         plan: &Plan,
@@ -65,12 +67,12 @@
         let shards = f64::from(self.shards);
         let part = self.part_of_hard_limit(owner);
         let quota_part = if partition_safe { part } else { 1.0 / shards };
-        let permits = |most: u32| (most + self.shards - 1 - owner % self.shards) / self.shards;
+        let permits = |max: u32| (max + self.shards - 1 - owner % self.shards) / self.shards;
         let hard_limit = |limit: HardLimit| {
-            let in_grants = limit.rate * GRANT_LIFETIME as f64 / 1e6;
+            let accrued_in_lifetime = limit.rate * GRANT_LIFETIME as f64 / 1e6;
             saffronpaddle_quota::HardLimit {
                 rate: limit.rate * part,
-                capacity: (limit.capacity - in_grants) * part,
+                capacity: (limit.capacity - accrued_in_lifetime) * part,
             }
         };
         ShardLimits {
@@ -81,7 +83,7 @@
         }
     }
 
-    /// The part of the whole hard limit that an owner holds.
+    /// The fraction of the whole hard limit that an owner holds.
     fn part_of_hard_limit(self, owner: u32) -> f64 {
         let shards = f64::from(self.shards);
         let standbys_per_shard = f64::from(self.owners - self.shards) / shards;
@@ -98,7 +100,7 @@
         share / shards
     }
 
-    /// The node that is an owner by its number.
+    /// The node of an owner, given the owner's number.
     pub fn node(
         self,
         customer: CustomerId,
@@ -111,7 +113,8 @@
         NodeId((subset.first.0 % node_count + step) % node_count)
     }
 
-    /// All owners from a shard on: its primary owner, its standby, then those of the next shard.
+    /// Numbers of all owners in the order in which they are asked: the primary owner of `first_shard`, its standby,
+    /// then those of the next shard.
     pub fn in_order(self, first_shard: u32) -> impl Iterator<Item = u32> {
         let ShardOwners { shards, owners } = self;
         (0..shards).flat_map(move |shard| {
--- a/crates/policy/src/siblings.rs
+++ b/crates/policy/src/siblings.rs
@@ -1,8 +1,9 @@
-//! Two processes of one node, while a hot restart lasts.
+//! Accounting shared by two processes of one node during a hot restart.
 //!
-//! A token bucket, a hard limit, a limit on attempts in flight or a slow-start budget would count twice while a process
-//! and its successor both take requests. So each draws here on what the other sends, as if it had sent it, and both
-//! refill at the one rate: together they count as one node, but for the time that a message takes.
+//! While a process and its successor both accept requests, token buckets, hard limits, limits on attempts in flight and
+//! slow-start budgets would otherwise count twice. So each process charges the attempts of the other as if it had sent
+//! them itself, and both refill at the rate of one node. Together they act as one node, except for the time that a
+//! message takes.
 
 use crate::engine::PolicyEngine;
 use crate::interface::{CustomerId, Micros, QuotaCharge, SiblingAttempt, SiblingMessage};
@@ -11,7 +12,7 @@
 use crate::token_bucket::{silent_peers, TokenBucket};
 
 impl PolicyEngine {
-    /// A message from another process of this node.
+    /// Handles a message from a sibling process.
     pub(crate) fn on_sibling_message(&mut self, now: Micros, link: u32, message: SiblingMessage) {
         match message {
             SiblingMessage::AttemptStarted(sibling) => {
@@ -45,8 +46,8 @@
             .insert(key, RemoteAttempt { link, attempt });
     }
 
-    /// Takes the units of a first attempt of the other process off the customer's bucket here; the result is those units,
-    /// `None` for a plan that does not exist.
+    /// Charges a first attempt of a sibling process to the customer's bucket. Returns the units charged, or `None` if
+    /// the plan does not exist.
     fn charge(&mut self, now: Micros, customer: CustomerId, charge: &QuotaCharge) -> Option<f64> {
         let plan = self.settings.plans.get(charge.plan.0)?;
         let max_units = self.settings.max_request_units;
@@ -69,7 +70,7 @@
         Some(units)
     }
 
-    /// The processes of this node have changed.
+    /// Applies a change of the sibling processes. Releases the attempts that were announced over a link that has ended.
     pub(crate) fn on_siblings_changed(
         &mut self,
         ended_link: Option<u32>,
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -1,5 +1,5 @@
-//! What an engine knows, as the next process of its node takes it over. Plain data; the names in JSON are those that
-//! earlier builds write, and what a build does not know yet has its default.
+//! Snapshot of an engine's state for the next process of its node. The names in JSON are those that earlier builds
+//! write; fields that are missing get their defaults.
 
 use crate::concurrency_limit::FuzzyConcurrencyLimit;
 use crate::decaying_mean::DecayingMean;
@@ -12,7 +12,7 @@
 use crate::token_bucket::TokenBucket;
 use serde::{Deserialize, Serialize};
 
-/// All that an engine knows and has promised, but for its open requests: these stay with the process that took them.
+/// The state of an engine except for its open requests, which stay with the process that accepted them.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct StateSnapshot {
@@ -23,7 +23,7 @@
     #[serde(rename = "stores")]
     buckets: Vec<(CustomerId, TokenBucket)>,
     servers: Vec<Server>,
-    /// Earlier builds had a field `homes` of another form; read as this one it would lose all of the state.
+    /// Earlier builds had a field `homes` in another format. Reusing its name would make the whole state fail to parse.
     #[serde(rename = "parts")]
     shards: Vec<(CustomerId, OwnedShard)>,
     #[serde(rename = "fuzzy")]
@@ -48,17 +48,17 @@
     attempts: Vec<SiblingAttempt>,
 }
 
-/// How much a snapshot holds.
+/// Number of entries in a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SnapshotSize {
-    /// Customers.
+    /// Customers with a token bucket.
     pub customers: usize,
-    /// Servers.
+    /// Servers of the subset, and others with attempts in flight.
     pub servers: usize,
 }
 
 impl StateSnapshot {
-    /// How much it holds.
+    /// Number of customers and servers in the snapshot.
     pub fn size(&self) -> SnapshotSize {
         SnapshotSize {
             customers: self.buckets.len(),
@@ -68,7 +68,7 @@
 }
 
 impl PolicyEngine {
-    /// All that the next process of this node has to know.
+    /// Takes a snapshot for the next process of this node.
     pub fn snapshot(&self) -> StateSnapshot {
         let classes = self.settings.classes.len();
         let copy_bucket =
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Attempts in flight here and at other processes, as a new process has to know them.
+    /// Attempts in flight of this process and of its siblings, in the form in which a new process is told of them.
     fn attempts_for_siblings(&self) -> Vec<SiblingAttempt> {
         let own = self
             .requests
@@ -110,8 +110,8 @@
         own.chain(remote).collect()
     }
 
-    /// Goes on from what another process of this node knew, at the start of this one. What does not fit the settings is
-    /// passed over. Attempts in flight there count as announced over `link`.
+    /// Restores the state of another process of this node when this one starts. Entries that do not match the settings
+    /// are ignored. The attempts in flight of the other process are recorded as announced over `link`.
     pub fn restore(&mut self, snapshot: StateSnapshot, link: u32) {
         let now = self.started_at;
         self.started_at = now.min(snapshot.started_at);
--- a/crates/policy/src/state/grant_state.rs
+++ b/crates/policy/src/state/grant_state.rs
@@ -1,14 +1,14 @@
-//! Open grant requests, and which owners can be reached.
+//! State of grant requests: the open ones, and the owners that are unreachable.
 
 use crate::interface::{CustomerId, Micros, NodeId, RequestId};
 use crate::message_budget::MessageBudget;
 use crate::retransmission_timeout::RetransmissionTimeout;
 use std::collections::BTreeMap;
 
-/// Transmissions of grant requests in a row without an answer, and nothing received from any peer, from which this node
-/// counts as isolated.
+/// Number of unanswered transmissions of grant requests, without any message from a peer in between, from which this
+/// node counts as isolated.
 const ISOLATED_AFTER: u32 = 5;
-/// A request of an owner for the lease of its standby.
+/// A primary owner's request for a lease from its standby.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LeaseRequest {
     pub customer: CustomerId,
@@ -21,19 +21,18 @@
     /// Open grant requests by their serial numbers.
     pub open: BTreeMap<u16, RequestId>,
     last_serial: u16,
-    /// Open lease requests of this node as an owner.
+    /// Open lease requests of this node as a primary owner, by their serial numbers.
     pub lease_requests: BTreeMap<u16, LeaseRequest>,
-    /// Owners that did not answer, and until when they are passed over.
+    /// Owners that did not answer, and until when they are skipped.
     pub unreachable_until: BTreeMap<NodeId, Micros>,
     pub retransmission_timeout: RetransmissionTimeout,
     pub message_budget: MessageBudget,
-    /// Transmissions without an answer since anything was received.
+    /// Unanswered transmissions of grant requests since the last message from any peer.
     pub unanswered: u32,
     pub next_isolation_probe_at: Micros,
 }
 
 impl GrantState {
-    /// No grant request yet.
     pub fn new(now: Micros) -> Self {
         GrantState {
             open: BTreeMap::new(),
@@ -47,31 +46,31 @@
         }
     }
 
-    /// Something was received from a peer.
+    /// Records a message from a peer, which makes it reachable and ends an isolation.
     pub fn record_received(&mut self, from: NodeId) {
         self.unreachable_until.remove(&from);
         self.unanswered = 0;
     }
 
-    /// Forgets who was unreachable until now.
+    /// Drops the entries of owners that are no longer skipped.
     pub fn forget_unreachable(&mut self, now: Micros) {
         self.unreachable_until.retain(|_, until| *until > now);
     }
 
-    /// The serial number of the next grant request.
+    /// Allocates the serial number of the next grant request. Serial numbers wrap around.
     pub fn next_serial(&mut self) -> u16 {
         self.last_serial = self.last_serial.wrapping_add(1);
         self.last_serial
     }
 
-    /// Whether a node is not passed over.
+    /// Whether a node may be asked, as it is not marked unreachable at present.
     pub fn is_reachable(&self, node: NodeId, now: Micros) -> bool {
         self.unreachable_until
             .get(&node)
             .is_none_or(|until| *until <= now)
     }
 
-    /// Whether no peer is to be asked: this node receives nothing from anybody, and it is not time to try again.
+    /// Whether no peer may be asked: this node is isolated, and the next probe is not due yet.
     pub fn skips_peers(&self, now: Micros) -> bool {
         self.unanswered >= ISOLATED_AFTER && now < self.next_isolation_probe_at
     }
--- a/crates/policy/src/state/mod.rs
+++ b/crates/policy/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! The engine's state, split by the rules that own it. Plain data: the rules are in the modules of their names.
+//! The engine's state, grouped by the policies that use it. The policies are implemented in other modules of this crate.
 
 mod grant_state;
 mod peer_table;
