--- a/crates/policy/src/endpoint_table/tests.rs
+++ b/crates/policy/src/endpoint_table/tests.rs
@@ -1,29 +1,28 @@
-//! The aggregates are those of a walk over all servers, whatever changes.
+//! The aggregates always equal those computed by iterating over all servers.
 
 use super::*;
 use crate::interface::{DeduplicationDomainId, ZoneId};
 use crate::server::OutlierStatistics;
 
-/// Number of classes.
 const CLASSES: usize = 3;
-/// Slow start of the servers.
+/// Slow-start rules of the servers.
 const RULES: SlowStartRules = SlowStartRules {
     initial_capacity: 0.2,
     warm_up_period: 10_000_000,
     overload_multiple: 3.0,
     overload_window: 1_000_000,
 };
-/// Time for which a server counts as recently started, µs.
+/// Time after its start for which a server counts as recently started, µs.
 const RECENTLY_STARTED_FOR: Micros = 40_000_000;
-/// Age up to which observations of a server are evidence, µs.
+/// Age up to which observations of a server count as evidence, µs.
 const EVIDENCE_KEPT_FOR: Micros = 4_000_000;
 
-/// All servers of a table: what is kept of them is computed here from each.
-struct Walk<'a>(Vec<&'a Server>);
+/// All servers of a table, from which the expected aggregates are computed by iteration.
+struct FullScan<'a>(Vec<&'a Server>);
 
-impl<'a> Walk<'a> {
-    fn over(table: &'a EndpointTable) -> Walk<'a> {
-        Walk(table.servers.values().collect())
+impl<'a> FullScan<'a> {
+    fn over(table: &'a EndpointTable) -> FullScan<'a> {
+        FullScan(table.servers.values().collect())
     }
 
     fn ready(&self) -> Vec<&'a Server> {
@@ -46,7 +45,7 @@
         members.map(|server| id_of(server)).collect()
     }
 
-    /// Servers on the list, and those of them that are avoided.
+    /// Number of listed servers, and of those among them that are avoided.
     fn counts(&self) -> (usize, usize) {
         let listed = self
             .0
@@ -95,39 +94,39 @@
     endpoint(server, EndpointStatus::Removed, None)
 }
 
-/// Compares all that the table keeps with a walk over its servers.
-fn check_against_walk(table: &EndpointTable, now: Micros) {
-    let walk = Walk::over(table);
-    check_counts(table, &walk);
+/// Compares the aggregates and indexes of the table with those computed by iterating over its servers.
+fn check_against_full_scan(table: &EndpointTable, now: Micros) {
+    let scan = FullScan::over(table);
+    check_counts(table, &scan);
     for class in 0..CLASSES {
-        check_class(table, &walk, class);
+        check_class(table, &scan, class);
     }
-    check_recently_started(table, &walk, now);
-    check_servers_with_evidence(table, &walk, now);
-    let members = walk.subset();
+    check_recently_started(table, &scan, now);
+    check_servers_with_evidence(table, &scan, now);
+    let members = scan.subset();
     if table.subsetted {
         assert_eq!(table.members, members);
     } else {
-        assert_eq!(members.len(), walk.0.len());
+        assert_eq!(members.len(), scan.0.len());
     }
-    check_short_ids(table, &walk, &members);
+    check_short_ids(table, &scan, &members);
     check_candidates(table, &members);
 }
 
-fn check_counts(table: &EndpointTable, walk: &Walk) {
-    assert_eq!(table.counts(), walk.counts());
+fn check_counts(table: &EndpointTable, scan: &FullScan) {
+    assert_eq!(table.counts(), scan.counts());
     assert_eq!(
         table.ready(),
         ReadyServers {
-            listed: walk.ready().len() as f64,
-            in_subset: walk.ready_in_subset().len() as f64,
+            listed: scan.ready().len() as f64,
+            in_subset: scan.ready_in_subset().len() as f64,
         }
     );
-    assert_eq!(table.median_wait(), walk.median_wait());
+    assert_eq!(table.median_wait(), scan.median_wait());
 }
 
-fn check_class(table: &EndpointTable, walk: &Walk, class: usize) {
-    let ready = walk.ready_in_subset();
+fn check_class(table: &EndpointTable, scan: &FullScan, class: usize) {
+    let ready = scan.ready_in_subset();
     let healthy = ready
         .iter()
         .filter(|server| server.next_probe_at(class).is_none())
@@ -144,23 +143,23 @@
     assert!((table.mean_fault_rate(ClassId(class)) - mean_fault_rate).abs() < 1e-12);
 }
 
-fn check_recently_started(table: &EndpointTable, walk: &Walk, now: Micros) {
+fn check_recently_started(table: &EndpointTable, scan: &FullScan, now: Micros) {
     let in_slow_start = |server: &&Server| server.capacity_fraction(&RULES, now) < 1.0;
     let kept: Vec<ServerId> = table
         .recently_started()
         .filter(in_slow_start)
         .map(id_of)
         .collect();
-    let walked = walk
+    let scanned = scan
         .0
         .iter()
         .copied()
         .filter(|server| server.in_subset)
         .filter(in_slow_start);
-    assert_eq!(kept, walked.map(id_of).collect::<Vec<_>>());
+    assert_eq!(kept, scanned.map(id_of).collect::<Vec<_>>());
 }
 
-fn check_servers_with_evidence(table: &EndpointTable, walk: &Walk, now: Micros) {
+fn check_servers_with_evidence(table: &EndpointTable, scan: &FullScan, now: Micros) {
     let observed_lately = |server: &&Server| {
         server.in_subset
             && server
@@ -173,20 +172,20 @@
         .filter(observed_lately)
         .map(id_of)
         .collect();
-    let walked = walk.0.iter().copied().filter(observed_lately).map(id_of);
-    assert_eq!(kept, walked.collect::<Vec<_>>());
+    let scanned = scan.0.iter().copied().filter(observed_lately).map(id_of);
+    assert_eq!(kept, scanned.collect::<Vec<_>>());
 }
 
-/// A server is found by its short id, unless another server has the same.
-fn check_short_ids(table: &EndpointTable, walk: &Walk, members: &[ServerId]) {
+/// A member is found by its short id unless another server has the same short id.
+fn check_short_ids(table: &EndpointTable, scan: &FullScan, members: &[ServerId]) {
     for server in members {
         let short_id = short_server_id(*server);
         let has_same = |other: &&&Server| short_server_id(id_of(other)) == short_id;
-        let shared = walk.0.iter().filter(has_same).count() > 1;
+        let shared = scan.0.iter().filter(has_same).count() > 1;
         assert!(shared || table.by_short_id(short_id) == Some(*server));
         assert!(
             !table.subsetted || !shared || table.by_short_id(short_id).is_none(),
-            "a short id of several servers"
+            "a short id of several servers identifies none"
         );
     }
 }
@@ -206,12 +205,12 @@
     server.endpoint.server
 }
 
-/// A table that is changed at random.
+/// A table to which random changes are applied.
 struct RandomChanges {
     random: fastrand::Rng,
     table: EndpointTable,
     now: Micros,
-    /// Servers are numbered up to this.
+    /// Ids of servers are below this.
     max_servers: u64,
 }
 
@@ -227,13 +226,13 @@
         }
     }
 
-    /// Changes the table in steps, and compares it with a walk: after each step at first, later after every fourth.
+    /// Changes the table in steps and checks it: after each of the first 200 steps, later after every fourth.
     fn run(mut self, steps: u64) {
         for step in 0..steps {
             self.now += self.random.u64(..3_000_000);
             self.step();
             if step % 4 == 0 || step < 200 {
-                check_against_walk(&self.table, self.now);
+                check_against_full_scan(&self.table, self.now);
             }
         }
     }
@@ -320,14 +319,14 @@
 }
 
 #[test]
-fn aggregates_are_those_of_a_walk_where_all_servers_are_in_the_subset() {
+fn aggregates_equal_a_full_scan_where_all_servers_are_in_the_subset() {
     for seed in 0..20 {
         RandomChanges::new(seed, 30, 60).run(400);
     }
 }
 
 #[test]
-fn aggregates_are_those_of_a_walk_while_the_list_outgrows_a_subset_and_shrinks_again() {
+fn aggregates_equal_a_full_scan_while_the_list_outgrows_the_full_list_limit_and_shrinks_again() {
     for (seed, node_count) in [(1, 3), (2, 30), (3, 300), (4, 2_700)] {
         RandomChanges::new(seed, node_count, 1_200).run(150);
     }
@@ -357,7 +356,7 @@
     assert!(table.get(ServerId(3)).is_some() && table.get(ServerId(4)).is_none());
     table
         .edit(ServerId(3))
-        .expect("something is in flight")
+        .expect("an attempt is in flight")
         .in_flight = 0;
     table.remove_unused(3, RECENTLY_STARTED_FOR, |_| false);
     assert!(table.get(ServerId(3)).is_none());
@@ -390,12 +389,12 @@
     assert!(known.clone().all(|server| server.in_subset));
     assert!(
         known.count() < 50,
-        "of 500 that were known, those in the subset are kept"
+        "of 500 servers with statistics, only those in the subset keep them"
     );
 }
 
-/// Endpoint lists have tens of thousands of servers, and a node keeps each, so the bytes of one that it knows nothing
-/// of are what its memory depends on. The bound makes growth visible; it may be raised.
+/// Endpoint lists have tens of thousands of servers, and a node stores each of them, so its memory depends on the size
+/// of an entry without statistics. The bound makes growth visible; it may be raised.
 #[test]
 fn unused_server_takes_few_bytes() {
     let bytes = std::mem::size_of::<(ServerId, Server)>();
--- a/crates/policy/src/gossip_average/tests.rs
+++ b/crates/policy/src/gossip_average/tests.rs
@@ -2,11 +2,12 @@
 
 /// Controller periods per second.
 const PERIODS_PER_S: usize = 2;
-/// Seconds in which samples are high.
+/// Seconds for which samples are high.
 const HIGH_FOR_S: usize = 20;
 
-/// A fleet whose nodes each see one sample in `sample_interval_s` seconds and send `messages_per_s` messages to random nodes.
-/// Samples are 3 for [`HIGH_FOR_S`] and then 1 for `low_for_s`: the largest difference of a node's average from 1.
+/// Simulates a fleet whose nodes each get one sample in `sample_interval_s` seconds on average and send
+/// `messages_per_s` messages to random nodes. Samples are 3 for [`HIGH_FOR_S`] and then 1 for `low_for_s`. Returns the
+/// largest difference of a node's average from 1 at the end.
 fn largest_error(
     nodes: usize,
     sample_interval_s: f64,
@@ -41,8 +42,8 @@
         .fold(0.0, f64::max)
 }
 
-/// After an overload the latencies of a fleet with few requests are low again. Each node sees little itself, and would go on
-/// shedding load; averages have to follow within seconds.
+/// After an overload the latencies of a fleet with few requests are low again. A node has few samples of its own and
+/// would go on shedding load if its average did not follow within seconds.
 #[test]
 fn average_of_a_fleet_with_few_samples_follows_a_change_within_seconds() {
     for nodes in [3, 30, 100, 1000] {
@@ -52,14 +53,14 @@
 }
 
 #[test]
-fn average_is_unknown_after_long_without_samples() {
+fn average_is_unknown_after_a_long_time_without_samples() {
     let mut average = GossipAverage::of(2.0, 5.0);
     average.decay(20.0);
     assert_eq!(average.mean(), None);
 }
 
 #[test]
-fn encoded_sample_count_keeps_its_size() {
+fn encoded_sample_count_is_accurate_within_a_tenth() {
     for count in [0.05, 0.3, 1.0, 4.0, 12.0] {
         let received = GossipAverage::decoded(1.5, GossipAverage::of(1.5, count).encoded_count());
         assert!(
--- a/crates/policy/src/interface/event.rs
+++ b/crates/policy/src/interface/event.rs
@@ -78,7 +78,8 @@
         /// How long the client waits for an answer from now on, µs.
         timeout: Micros,
     },
-    /// A streamed response has started. The attempt can no longer be cancelled or retried.
+    /// A streamed response has started. From now on the request has no deadline, and the engine does not cancel the
+    /// attempt.
     ResponseStarted { id: RequestId },
     /// An attempt has ended. There is exactly one of these events for each dispatched attempt.
     AttemptEnded {
--- a/crates/policy/src/message_budget/tests.rs
+++ b/crates/policy/src/message_budget/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 
 #[test]
-fn required_messages_and_retransmissions_together_keep_to_the_budget() {
+fn required_messages_and_retransmissions_together_stay_within_the_budget() {
     let mut budget = MessageBudget::default();
     let (mut retransmitted, mut required) = (0, 0);
     for tick in 0..1000_u64 {
         let now = 1_000_000 + tick * 10_000;
-        // Thirty a second that must be sent, and as many retransmissions as the budget allows.
+        // Thirty required messages per second, and as many retransmissions as the budget allows.
         if tick % 10 < 3 {
             budget.record(now, 1.0, 42.0);
             required += 1;
@@ -22,10 +22,13 @@
         f64::from(required + retransmitted) <= 42.0 * 10.5,
         "{required} and {retransmitted} in 10 s"
     );
-    assert!(retransmitted >= 100, "the rest is used: {retransmitted}");
+    assert!(
+        retransmitted >= 100,
+        "retransmissions use the rest of the budget: {retransmitted}"
+    );
 }
 
-/// A flood of responses overdraws the budget by far. The node must not be silent for long after it.
+/// A burst of responses overdraws the budget by far. Retransmissions must be allowed again soon after it.
 #[test]
 fn overdraft_is_bounded() {
     let mut budget = MessageBudget::default();
@@ -33,6 +36,6 @@
     assert!(!budget.allows(1_500_000, 42.0));
     assert!(
         budget.allows(2_100_000, 42.0),
-        "the overdraft is paid back soon"
+        "retransmissions are allowed again 1.1 s later"
     );
 }
--- a/crates/policy/src/peer_message/tests.rs
+++ b/crates/policy/src/peer_message/tests.rs
@@ -1,14 +1,14 @@
-//! The bytes of peer messages. Nodes of two builds run side by side in one fleet, so a datagram that one build writes
-//! must be read by the other: the fixture holds one message of each kind as the build before this test wrote it.
+//! The encoding of peer messages. Nodes of two builds run in one fleet, so each must decode the datagrams of the other.
+//! The fixture contains a message of each kind as encoded by the build before this test was added.
 
 use super::*;
 use crate::endpoint_table::short_server_id;
 use crate::interface::{NodeId, ServerId};
 use saffronpaddle_quota::LeaseReport;
 
-/// A customer that takes all five bytes of its field.
+/// A customer id that uses all five bytes of its field.
 const CUSTOMER: CustomerId = CustomerId(0x0A_0B0C_0D0E);
-/// One message a line: its name and its bytes in hexadecimal digits.
+/// One message per line: its name and its bytes in hexadecimal digits.
 const FIXTURE: &str = include_str!("../../tests/fixtures/peer_messages.txt");
 
 fn payload() -> GossipPayload {
@@ -101,10 +101,10 @@
     })
 }
 
-/// A message with the name that it has in the fixture.
+/// A message and its name in the fixture.
 type Sample = (&'static str, PeerMessage);
 
-/// One message of each kind, in the order of the fixture.
+/// The messages of the fixture, in its order.
 fn samples() -> Vec<Sample> {
     let all = [
         usage_reports(),
@@ -216,7 +216,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Names and bytes of the messages in the fixture.
+/// The names and bytes of the messages in the fixture.
 fn fixture() -> Vec<(&'static str, Vec<u8>)> {
     let byte = |pair: &[u8]| {
         u8::from_str_radix(std::str::from_utf8(pair).expect("ASCII"), 16).expect("hex")
@@ -238,22 +238,22 @@
 }
 
 #[test]
-fn every_message_of_the_fixture_is_decoded_and_encodes_to_the_same_bytes() {
+fn every_message_of_the_fixture_is_decoded_and_encoded_to_the_same_bytes() {
     for (name, bytes) in fixture() {
         let message = decode(&bytes).unwrap_or_else(|| panic!("{name} is not decoded"));
         let mut expected = bytes.clone();
         if name == "ask_with_wish" {
             // The remaining time of a lease is rounded up each time it is encoded.
-            *expected.last_mut().expect("it has bytes") += 1;
+            *expected.last_mut().expect("not empty") += 1;
         }
         assert_eq!(hex(&encode(&message)), hex(&expected), "{name}");
     }
 }
 
-/// A datagram is cut short. What is left must not be decoded, unless it is a message by itself: usage reports and
-/// observations are lists.
+/// A datagram is truncated. It must not be decoded, except where the rest is a complete message: usage reports are
+/// lists, and may end after any entry.
 #[test]
-fn message_cut_short_in_its_first_fields_is_not_decoded() {
+fn message_truncated_in_its_first_fields_is_not_decoded() {
     for (name, bytes) in fixture()
         .into_iter()
         .filter(|(name, _)| !name.starts_with("counts"))
--- a/crates/policy/src/retransmission_timeout/tests.rs
+++ b/crates/policy/src/retransmission_timeout/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn wait_follows_the_round_trip_and_covers_its_variation() {
+fn timeout_follows_the_round_trip_time_and_covers_its_variation() {
     for round_trip in [12_000, 40_000, 90_000u64] {
         let mut timeout = RetransmissionTimeout::default();
         let mut random = fastrand::Rng::with_seed(1);
--- a/crates/policy/src/shard_owners/tests.rs
+++ b/crates/policy/src/shard_owners/tests.rs
@@ -2,7 +2,7 @@
 use std::collections::BTreeSet;
 
 #[test]
-fn owners_are_different_nodes_and_each_is_tried_once() {
+fn owners_are_different_nodes_and_each_is_asked_once() {
     let plan = |rate| Plan {
         rate,
         burst: 4.0 * rate,
@@ -36,7 +36,7 @@
         assert_eq!(
             nodes.len(),
             owners.owners as usize,
-            "no node owns two shards"
+            "each owner is a different node"
         );
     }
 }
--- a/crates/policy/tests/grants.rs
+++ b/crates/policy/tests/grants.rs
@@ -1,4 +1,4 @@
-//! Large fleets, where the owners of a customer's quota grant its requests.
+//! Grants in large fleets, where the owners of a customer's quota decide on its requests.
 
 mod common;
 
@@ -8,10 +8,10 @@
 use saffronpaddle_policy::interface::*;
 
 #[test]
-fn customer_of_hundreds_of_nodes_gets_its_quota_and_little_more() {
+fn customer_served_by_hundreds_of_nodes_gets_its_quota_and_little_more() {
     let mut fleet = Fleet::new(200, 40, |settings| settings.plans[METERED].rate = 4.0);
     let sent = fleet.send_at_rate(METERED, 20, 10);
-    // A burst of 4 and 4 a second over 10 s, of 200 requests.
+    // The burst of 4 and 4 per second over 10 s, of 200 requests.
     assert!((30..=54).contains(&sent), "{sent}");
     let busiest = fleet.messages_received.values().max().copied().unwrap_or(0);
     assert!(
@@ -32,8 +32,8 @@
     assert!(sent >= 45, "of 50: {sent}");
 }
 
-/// A quota of a few units is kept in shares over a large subset, each less than a request. Nodes would reject requests while
-/// half of the quota is left.
+/// If a quota of a few units were split evenly over a large subset, each share would be less than a request, and nodes
+/// would reject requests while half of the quota is left.
 #[test]
 fn small_quota_of_a_large_subset_can_be_used_completely() {
     let mut fleet = Fleet::new(100, 40, |settings| {
@@ -45,18 +45,17 @@
     assert!(sent >= 33, "of 36, each burst within the quota: {sent}");
 }
 
-/// The hard limit is empty at the start of a node. If it were empty at the first request of each customer instead, first
-/// requests would be rejected for no reason.
+/// The hard limit is empty at the start of a node. If it were empty at the first request of each customer instead,
+/// first requests would be rejected although the limit has room for them.
 #[test]
 fn first_requests_under_a_hard_limit_are_admitted_once_it_has_filled() {
     let mut fleet = Fleet::new(100, 40, |_| {});
     fleet.advance(2 * SECOND);
     let sent = fleet.send_burst(HARD_LIMITED, 3, 1);
-    assert_eq!(sent, 3, "of 3, far under the hard limit");
+    assert_eq!(sent, 3, "of 3, far below the hard limit");
 }
 
-/// All nodes restart again and again. An owner that started with a full hard limit would grant it once more after each
-/// restart.
+/// All nodes restart repeatedly. An owner that started with a full hard limit would grant it again after each restart.
 #[test]
 fn hard_limit_of_a_large_subset_holds_through_restarts() {
     let mut fleet = Fleet::new(60, 40, |_| {});
@@ -71,24 +70,27 @@
             }
         }
     }
-    // 12 when full and 8 a second over 8 s; an owner starts empty, so restarts grant nothing twice.
+    // A capacity of 12 and 8 per second over 8 s. An owner starts empty, so a restart grants nothing twice.
     assert!((20..=76).contains(&sent), "{sent}");
 }
 
-/// A customer sends more than a hundred times its quota. If each request were put to an owner, 2000 requests would take some
-/// 4000 messages.
+/// A customer sends more than a hundred times its quota. If an owner were asked for each of the 2000 requests, that
+/// would take some 4000 messages.
 #[test]
 fn customer_far_over_its_quota_does_not_overload_its_owners() {
     let mut fleet = Fleet::new(60, 40, |settings| settings.plans[METERED].rate = 2.0);
     let sent = fleet.send_at_rate(METERED, 250, 8);
-    assert!((12..=28).contains(&sent), "still its quota: {sent}");
+    assert!(
+        (12..=28).contains(&sent),
+        "the customer still gets its quota: {sent}"
+    );
     assert!(fleet.messages_sent < 2400, "{}", fleet.messages_sent);
 }
 
-/// A node is cut off from all others. Requests that wait for an owner's grant would all be late: most are decided at once,
-/// and a grant request now and then finds out when the fault is over.
+/// A node cannot reach any other. Requests that waited for an owner's grant would all be late, so most must be decided
+/// at once, while occasional grant requests detect the end of the fault.
 #[test]
-fn unreachable_node_decides_at_once_and_keeps_probing() {
+fn isolated_node_decides_at_once_and_keeps_probing() {
     let mut node = TestNode::with_servers(3, settings(0, 300), SECOND, 40);
     for number in 0..20u64 {
         node.request(IDEMPOTENT, METERED, number, 2 * SECOND);
@@ -99,7 +101,7 @@
     let mut at_once = 0;
     for number in 100..200u64 {
         let id = node.request(IDEMPOTENT, METERED, number, 2 * SECOND);
-        // A few are rejected by load shedding, by chance: that is at once, too.
+        // Load shedding rejects a few at random, which also counts as decided at once.
         let rejected =
             |action: &Action| matches!(action, Action::Reject { id: other, .. } if *other == id);
         let forwarded = node.is_in_flight(&id);
@@ -115,8 +117,9 @@
     );
 }
 
-/// One node takes all requests of a customer that is far over its quota. An owner says how long no more can be granted; until
-/// then no grant request may be sent: one request and one response for each unit that the quota gives, not for each request.
+/// One node receives all requests of a customer that is far over its quota. An owner's response says how long no more
+/// can be granted, and until then no grant request may be sent. So there is one grant request and one response for each
+/// unit of the quota, not for each request.
 #[test]
 fn rejected_customer_costs_no_messages_until_its_retry_time() {
     let mut fleet = Fleet::new(60, 40, |settings| {
@@ -135,8 +138,8 @@
     );
 }
 
-/// The owners of a customer's quota restart and know nothing of what they have granted. Requesters tell them how full the
-/// shards were; without that each restart would grant the burst again.
+/// The owners of a customer's quota restart and have lost the state of their shards. Requesters tell them how full the
+/// shards were; otherwise each restart would grant the burst again.
 #[test]
 fn restarted_owners_do_not_grant_the_burst_again() {
     let change = |settings: &mut Settings| {
@@ -144,7 +147,7 @@
     };
     let mut fleet = Fleet::new(60, 40, change);
     fleet.send_at_rate(METERED, 20, 8);
-    // The customer's owners are those that received the most.
+    // The customer's owners are the nodes that received the most messages.
     let mut by_messages: Vec<(u64, usize)> = fleet
         .messages_received
         .iter()
@@ -161,12 +164,12 @@
     let sent = fleet.send_at_rate(METERED, 20, 4);
     assert!(
         sent <= 12,
-        "{sent} in 4 s at 1 a second, where a burst of 12 was used up before"
+        "{sent} in 4 s at 1 per second, after a burst of 12 was used up"
     );
 }
 
-/// An owner is overloaded and does not answer. If each of its customer's fifty requests were put to it again and again, it
-/// would get two hundred messages more.
+/// An owner is overloaded and does not answer. If the grant requests for all fifty requests of a customer were sent and
+/// retransmitted to it, it would receive two hundred more messages.
 #[test]
 fn few_grant_requests_of_one_customer_are_open_at_once() {
     let mut node = TestNode::with_servers(3, settings(0, 300), SECOND, 40);
--- a/crates/policy/tests/peer_messages.rs
+++ b/crates/policy/tests/peer_messages.rs
@@ -1,4 +1,4 @@
-//! Messages of other nodes that make no sense are ignored.
+//! Invalid messages of other nodes are ignored.
 
 mod common;
 
@@ -18,7 +18,7 @@
     assert_eq!(node.in_flight[0].id, id);
 }
 
-/// A faulty peer sends random bytes under the header of each kind of message. The node must go on forwarding requests.
+/// A faulty peer sends random bytes after the headers of kinds 0 to 5. The node must go on forwarding requests.
 #[test]
 fn random_messages_of_one_peer_do_not_stop_a_node_of_a_large_fleet() {
     let mut node = TestNode::with_servers(1, settings(0, 300), SECOND, 4);
@@ -30,7 +30,7 @@
             node.receive(NodeId(5), bytes);
         }
     }
-    // What one peer says, however often, ejects no server for long.
+    // The messages of one peer, however many, must not eject servers for long.
     let mut used = BTreeSet::new();
     for customer in 0..200 {
         node.request(IDEMPOTENT, UNLIMITED, customer, 2 * SECOND);
@@ -38,11 +38,11 @@
         used.extend(node.in_flight.iter().map(|attempt| attempt.server));
         node.answer_all();
     }
-    assert!(!used.is_empty(), "something is forwarded");
+    assert!(!used.is_empty(), "requests are forwarded");
 }
 
-/// A forged gossip payload names servers of the endpoint list and a class that does not exist. No server may be ejected
-/// for it.
+/// A forged gossip payload contains observations of listed servers for a class that does not exist. They must not eject
+/// a server.
 #[test]
 fn observation_of_an_unknown_class_is_ignored() {
     let mut node = TestNode::with_servers(1, settings(0, 300), SECOND, 4);
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! Servers in slow start are sent what they bear, by one node and by all together.
+//! Servers in slow start are sent attempts within their capacity, by one node and by all nodes together.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use saffronpaddle_policy::PolicyEngine;
 use std::collections::BTreeMap;
 
-/// The server that has just started in a fleet of warm ones.
+/// Id of the server that has just started in a fleet of warm ones.
 const STARTING: u64 = 99;
 
 /// A server that started at `now`.
@@ -20,10 +20,10 @@
     }
 }
 
-/// A server that has just started is the only one. It does a fifth of what a warm one does, and fails at three times that:
-/// it must be sent something, and less than that.
+/// The only server has just started. It has a fifth of the capacity of a warm one, and fails at three times that. It
+/// must be sent some attempts, but fewer than make it fail.
 #[test]
-fn starting_server_is_sent_less_than_it_bears() {
+fn starting_server_is_sent_less_than_overloads_it() {
     let mut node = TestNode::with_servers(3, settings(0, 1), 100 * SECOND, 1);
     for _ in 0..400 {
         let id = node.request(IDEMPOTENT, UNLIMITED, 7, 2 * SECOND);
@@ -40,11 +40,12 @@
         sent += count_sends(&node.actions) - before;
         node.answer_all();
     }
-    // A warm one answered some 45 a second; this one can answer a fifth of it, and fails at three times that.
+    // A warm server answered some 45 per second. This one can answer a fifth of that, and fails at three times its
+    // capacity.
     assert!((1..=27).contains(&sent), "{sent}");
 }
 
-/// A server has just started, and each of 300 nodes has requests for it. Even one attempt of each would make it fail.
+/// A server has just started, and each of 300 nodes has requests for it. One attempt from each node would overload it.
 #[test]
 fn hundreds_of_nodes_together_do_not_overload_a_starting_server() {
     let mut by_second = [0; 5];
@@ -82,22 +83,23 @@
             actions.clear();
         }
     }
-    // No warm server shows what it can do, and it has a fifth to half of its capacity: that share of 1.5 a second for all
-    // nodes, and what chance adds.
+    // No warm server shows its throughput, and the server has a fifth to half of its capacity. So all nodes together
+    // send that share of 1.5 per second, and some more by chance.
     assert!(by_second.iter().all(|sent| *sent <= 5), "{by_second:?}");
     assert!(
         by_second.iter().sum::<usize>() >= 1,
-        "it is sent something all the same"
+        "the starting server is still sent attempts"
     );
 }
 
-/// Requests of one round that were forwarded, by server.
+/// Numbers of requests that were forwarded in one round, by kind of server.
 struct RoundCounts {
     at_warm: usize,
     at_starting: usize,
 }
 
-/// Sends a request of a new customer through each node, and answers all. Servers below 12 are warm, and 99 is starting.
+/// Sends a request of a new customer through each node and answers all. Servers with ids below 12 are warm, and
+/// [`STARTING`] is starting.
 fn one_round(fleet: &mut Fleet, customer: &mut u64) -> RoundCounts {
     for index in 0..fleet.nodes.len() {
         *customer += 1;
@@ -117,10 +119,10 @@
     counts
 }
 
-/// A fleet has just started, and a mean of its servers' throughput that begins at zero is far too low for long. It would
-/// take them for slow, and send a server in slow start only a part of what it bears.
+/// A fleet has just started. A mean of its servers' throughput that started at zero would be far too low for a long
+/// time, and a server in slow start would be sent only a part of what it can serve.
 #[test]
-fn new_fleet_knows_the_throughput_of_its_servers() {
+fn new_fleet_estimates_the_throughput_of_its_servers_in_time() {
     let mut fleet = Fleet::new(30, 12, |_| {});
     let mut customer = 1000;
     let (mut warm, mut starting) = (0, 0);
@@ -135,21 +137,21 @@
         warm += if round < 36 { counts.at_warm } else { 0 };
         starting += counts.at_starting;
     }
-    // One of twelve warm servers answers this many in the 24 rounds in which the starting one has from 0.2 to 0.4 of its
-    // capacity; a fleet sends it 1.2 times what that makes.
+    // One of twelve warm servers answers this many in the 24 rounds in which the starting one has 0.2 to 0.4 of its
+    // full capacity. The fleet sends the starting one 1.2 times its capacity.
     let warm_answers = warm as f64 / 36.0 * 24.0 / 12.0;
-    let bears = warm_answers * 0.3;
+    let capacity = warm_answers * 0.3;
     assert!(warm_answers > 40.0, "{warm_answers}");
     assert!(
-        (0.8 * bears..2.0 * bears).contains(&(starting as f64)),
-        "{starting} of {bears}"
+        (0.8 * capacity..2.0 * capacity).contains(&(starting as f64)),
+        "{starting} of {capacity}"
     );
 }
 
-/// Most servers are removed. If what all of them answered lately were divided by the few that are left, each would look
-/// several times as fast, and a starting server would be sent several times what it bears.
+/// Most servers are removed. If the recent responses of all servers were divided by the few that are left, each would
+/// seem several times as fast, and a starting server would be sent several times its capacity.
 #[test]
-fn throughput_is_that_of_the_servers_that_gave_it_after_most_are_removed() {
+fn estimated_throughput_per_server_does_not_rise_when_most_servers_are_removed() {
     let mut fleet = Fleet::new(30, 12, |_| {});
     let mut customer = 1000;
     let (mut warm, mut starting) = (0, 0);
@@ -173,23 +175,24 @@
         };
         starting += counts.at_starting;
     }
-    // One of twelve answered this many in ten rounds; a starting one has a fifth of its capacity, and is sent 1.2 times what
-    // that makes.
-    let bears = warm as f64 / 30.0 * 10.0 / 12.0 * 0.2;
+    // One of twelve servers answered this many in ten rounds. A starting one has a fifth of that capacity, and is sent
+    // 1.2 times its capacity.
+    let capacity = warm as f64 / 30.0 * 10.0 / 12.0 * 0.2;
     assert!(
-        bears > 3.0 && starting as f64 <= 2.0 * bears,
-        "{starting} of {bears}"
+        capacity > 3.0 && starting as f64 <= 2.0 * capacity,
+        "{starting} of {capacity}"
     );
 }
 
-/// A fleet knows only servers that have just started. If it went by what it knows of warm ones, it would send 1.5 requests a
-/// second, however much they can do. Quick responses must bring more requests, and late ones must not.
+/// A fleet has only servers that have just started. Without any knowledge of warm servers, credit alone would allow 1.5
+/// requests per second, whatever the servers can serve. Quick responses must allow more requests, and late ones must
+/// not.
 #[test]
-fn responses_of_a_starting_server_bring_more_requests_and_late_ones_do_not() {
+fn quick_responses_of_a_starting_server_allow_more_requests_and_late_ones_do_not() {
     let sent = |response_steps: u64| {
         let mut node = TestNode::new(3, settings(0, 1), 100 * SECOND);
         node.update_endpoints(EndpointUpdate::Snapshot, vec![starting_at(node.now, 9)]);
-        // Requests that were forwarded at once, and the step in which they are answered.
+        // Requests that were forwarded at once, with the step in which each is answered.
         let mut answered_in = BTreeMap::new();
         for step in 0..150 {
             let id = node.request(IDEMPOTENT, UNLIMITED, 7, 2 * SECOND);
@@ -211,8 +214,9 @@
     assert!(slow < quick / 2, "{slow} and {quick}");
 }
 
-/// All servers of a fleet in service are replaced at once. A node that forgets what such servers can do sends the new ones
-/// far too little. One that takes the first of them to be warm for the one that does all the work sends them far too much.
+/// All servers of a fleet in service are replaced at once. A node that lost the known throughput of such servers would
+/// send the new ones far too little. A node that attributed all responses to the few warm servers would send them far
+/// too much.
 #[test]
 fn throughput_of_warm_servers_is_remembered_when_all_are_replaced() {
     let forwarded = |node: &mut TestNode, steps: u64| {
@@ -231,13 +235,14 @@
         (10..16).map(starting).collect()
     };
     node.update_endpoints(EndpointUpdate::Snapshot, replacements(node.now));
-    // Each answered some 16 a second; these can answer a fifth of it, and may be sent 1.2 times that.
+    // Each server answered some 16 per second. The new ones can answer a fifth of that, and may be sent 1.2 times as
+    // much.
     let remembered = forwarded(&mut node, 100);
     assert!(
         (12..=40).contains(&remembered),
         "{remembered} in the first second"
     );
-    // One of seven was there all the time. It must not be taken for one that answered everything.
+    // One of seven servers is not new. All responses must not be attributed to it.
     let mut node = TestNode::with_servers(3, settings(0, 1), 100 * SECOND, 6);
     forwarded(&mut node, 800);
     let mut mixed = replacements(node.now);
@@ -250,6 +255,6 @@
     let starting = node.actions[before..].iter().filter(to_starting).count();
     assert!(
         starting <= 85,
-        "{starting} to starting ones in the first second: at most 2.5 times what one answered"
+        "{starting} to starting servers in the first second: at most 2.5 times what one answered"
     );
 }
--- a/crates/policy/tests/stored_state.rs
+++ b/crates/policy/tests/stored_state.rs
@@ -1,5 +1,6 @@
-//! The state that a process hands to its child at a hot restart, and the messages between sibling processes of one node. The
-//! child may be of another build: what the build before this test wrote must be read, and written under the same names.
+//! Formats of the state that a process passes to its child at a hot restart, and of the messages between sibling
+//! processes of one node. The child may be of another build, so the output of the build before this test was added must
+//! be readable, and the names must stay the same.
 
 mod common;
 
@@ -22,12 +23,13 @@
 const LARGE_FLEET_STATE: &str = include_str!("fixtures/state_wide.json");
 /// A shard, and the rejection cache of a requester.
 const SHARD: &str = include_str!("fixtures/shard.json");
-/// Permits to send to a server in slow start.
+/// A slow-start budget with permits, and a baseline latency.
 const SLOW_START: &str = include_str!("fixtures/slow_start.json");
-/// Messages between sibling processes, one a line.
+/// Messages between sibling processes, one per line.
 const SIBLING_MESSAGES: &str = include_str!("fixtures/twins.jsonl");
 
-/// A node after some seconds of service: attempts in flight, failures, a server in slow start, customers with hard limits.
+/// A node after some seconds of service, with attempts in flight, failures, a server in slow start and customers with
+/// hard limits.
 fn busy_node(settings: Settings) -> TestNode {
     let this_node = settings.node;
     let node_count = settings.node_count;
@@ -73,7 +75,7 @@
     serde_json::to_value(busy_node(settings.clone()).engine.snapshot()).expect("it is JSON")
 }
 
-/// Name, settings and fixture of each state.
+/// The name, settings and fixture of each state.
 fn cases() -> [(&'static str, Settings, &'static str); 2] {
     let wide = Settings {
         partition_safe: true,
@@ -102,7 +104,7 @@
         assert_eq!(
             serde_json::to_value(&state).expect("it is JSON"),
             fixture_json,
-            "{name}: nothing is ignored"
+            "{name}: no field is ignored"
         );
         let sizes = (
             fixture_json["stores"].as_array().map(Vec::len),
@@ -172,7 +174,7 @@
     );
 }
 
-/// Limits of a shard, all of them set.
+/// Shard limits with every limit set.
 fn shard_limits() -> ShardLimits {
     ShardLimits {
         rate: 8.0,
@@ -185,7 +187,7 @@
     }
 }
 
-/// A shard that has granted requests, leases and permits, and its response to the first request.
+/// A shard that has granted requests with in-flight permits and issued leases, and its response to the first request.
 fn shard_with_leases() -> (QuotaShard, GrantResponse) {
     let limits = shard_limits();
     let mut shard = QuotaShard::open(
@@ -268,7 +270,7 @@
     );
 }
 
-/// Permits to send to a server in slow start that were earned, received and transferred.
+/// The budget contains permits that were earned, received and transferred.
 #[test]
 fn slow_start_permits_have_the_form_of_the_fixture() {
     let limits = SlowStartLimits {
--- a/crates/policy/tests/token_bucket.rs
+++ b/crates/policy/tests/token_bucket.rs
@@ -6,9 +6,9 @@
 use common::test_node::{count_sends, TestNode};
 use saffronpaddle_policy::interface::*;
 
-/// The other node.
+/// The other node of a fleet of two.
 const PEER: NodeId = NodeId(1);
-/// A usage report without a customer: only that its sender lives.
+/// A usage report without customers, which only shows that its sender is alive.
 const EMPTY_USAGE_REPORT: [u8; 6] = [2, 0, 1, 0, 0, 0];
 /// Steps of the counter in a usage report, per unit.
 const COUNTS_PER_UNIT: u16 = 8;
@@ -39,14 +39,15 @@
     assert_eq!(
         count_sends(&node.actions),
         before + 1,
-        "1.4 units later one is covered"
+        "1.4 units have accrued, which cover one request"
     );
 }
 
-/// A peer falls silent: it has failed, or the network is partitioned and it goes on admitting. If this node took over its
-/// share, both sides of a partition would admit the whole quota. Only half of the refill may be used here.
+/// A peer sends no reports: it has failed, or the network is partitioned and it goes on admitting requests. If this
+/// node used the peer's share, both sides of a partition would admit the whole quota. Only half of the refill may be
+/// used here.
 #[test]
-fn silent_peer_keeps_its_share_of_the_refill() {
+fn share_of_a_silent_peer_is_withheld_from_the_refill() {
     let mut node = TestNode::with_servers(1, settings(0, 2), SECOND, 4);
     let mut admitted = 0;
     for _ in 0..12 {
@@ -56,11 +57,11 @@
     }
     assert!(
         (6..=9).contains(&admitted),
-        "2 of the burst and half of 1 a second: {admitted}"
+        "2 of the burst and half of 1 per second: {admitted}"
     );
 }
 
-/// A usage report of [`PEER`], which started at `incarnation` (ms): the units that it has forwarded for a customer.
+/// A usage report of [`PEER`], which started at `incarnation` (ms), on the units that it has forwarded for a customer.
 fn usage_report(incarnation: u32, customer: u64, units: u16) -> Event {
     let mut bytes = vec![2, 0];
     bytes.extend(incarnation.to_le_bytes());
@@ -69,16 +70,16 @@
     Event::PeerMessage { from: PEER, bytes }
 }
 
-/// Usage reports get lost, arrive twice or in the wrong order. What a peer has used must be taken off the bucket exactly
-/// once, as soon as a later report tells of it.
+/// Usage reports are lost, duplicated or reordered. The usage of a peer must be deducted from the bucket exactly once,
+/// as soon as a later report includes it.
 #[test]
-fn usage_reports_lower_a_bucket_once_whether_lost_late_or_repeated() {
+fn peer_usage_is_deducted_once_where_reports_are_lost_late_or_repeated() {
     let admitted_after = |reports: &[u16]| {
         let mut node = TestNode::with_servers(1, settings(0, 2), SECOND, 4);
         let first = node.request(IDEMPOTENT, METERED, 7, 2 * SECOND);
         node.end_attempt(&first, Outcome::Ok);
         node.handle(usage_report(5, 7, 10));
-        // Both halves of the burst are full after ten seconds in which reports arrive.
+        // The whole burst is available again after ten seconds in which reports arrive.
         for _ in 0..20 {
             node.now += 500 * MILLISECOND;
             node.handle(usage_report(5, 7, 10));
@@ -93,7 +94,7 @@
         }
         count_sends(&node.actions) - before
     };
-    assert_eq!(admitted_after(&[]), 4, "no new use: the whole burst");
+    assert_eq!(admitted_after(&[]), 4, "no new usage: the whole burst");
     let in_order = admitted_after(&[11, 12]);
     assert!(in_order < 3, "the peer has used two units");
     assert_eq!(admitted_after(&[12]), in_order, "lost");
@@ -101,8 +102,8 @@
     assert_eq!(admitted_after(&[12, 11, 10]), in_order, "late");
 }
 
-/// No usage report arrives, and nodes restart at random and forget what they have admitted. All nodes together must not
-/// exceed the hard limit at any time.
+/// No usage report arrives, and nodes restart at random and lose their state. All nodes together must not exceed the
+/// hard limit at any time.
 #[test]
 fn hard_limit_holds_over_nodes_without_messages_and_with_restarts() {
     for seed in 0..6 {
@@ -133,15 +134,15 @@
                 tokens -= forwarded as f64;
                 sent += forwarded;
             }
-            assert!(tokens > -1e-6, "over the hard limit: {tokens}");
+            assert!(tokens > -1e-6, "hard limit exceeded: {tokens}");
         }
         assert!(sent > 50, "the hard limit admits its rate: {sent}");
     }
 }
 
-/// The bucket of a customer that stays away is dropped, and made anew at its next request. If that filled it, a customer
-/// could exceed its hard limit by staying away. The share of the hard limit, 6 of 12, is empty at the start of a node and
-/// full after long; dropping the bucket changes nothing of that.
+/// The bucket of an idle customer is dropped and created again at its next request. If the new bucket were always full,
+/// a customer could exceed its hard limit by being idle. The share of the hard limit, 6 of 12, is empty at the start of
+/// a node and full after a long time. Dropping the bucket must not change that.
 #[test]
 fn hard_limit_admits_no_more_after_its_bucket_was_dropped() {
     let mut node = TestNode::with_servers(1, settings(0, 2), SECOND, 4);
@@ -153,25 +154,25 @@
             node.answer_all();
         }
         let sent = count_sends(&node.actions) - before;
-        // What is queued is rejected.
+        // Rejects the queued requests.
         node.advance(400 * MILLISECOND);
         sent
     };
     assert_eq!(burst_after(0), 0);
     assert_eq!(burst_after(10 * SECOND), 6);
     assert_eq!(burst_after(90 * SECOND), 6);
-    // An unknown customer has used nothing since the start.
+    // A customer without a bucket has used nothing since the start.
     let mut fresh = TestNode::with_servers(1, settings(0, 2), SECOND, 4);
     fresh.now += 500 * MILLISECOND;
     for _ in 0..20 {
         fresh.request(IDEMPOTENT, HARD_LIMITED, 8, SECOND);
         fresh.answer_all();
     }
-    assert_eq!(count_sends(&fresh.actions), 2, "4 a second");
+    assert_eq!(count_sends(&fresh.actions), 2, "4 per second for 0.5 s");
 }
 
-/// A node restarts and knows nothing of what it has admitted. If its buckets were full, each restart would admit the burst
-/// again. Peers that started long before it show that it has restarted: only its even share is there.
+/// A node restarts and has lost the state of its buckets. If they were full, each restart would admit the burst again.
+/// A peer that started long before it shows that it has restarted, so its buckets hold only its even share.
 #[test]
 fn restart_does_not_refill_a_bucket() {
     let sent = |incarnation: u32| {
@@ -190,8 +191,8 @@
     );
 }
 
-/// One request names a wrong plan. It must neither fix that plan for its customer, where it comes first, nor take the right
-/// one away.
+/// A single request names a wrong plan. It must neither determine the customer's plan, where it is the first request,
+/// nor replace the right one.
 #[test]
 fn one_request_with_a_wrong_plan_does_not_change_the_plan() {
     let mut node = TestNode::with_servers(1, settings(0, 2), SECOND, 4);
@@ -209,10 +210,10 @@
     assert_eq!(forwarded(UNLIMITED, 20), 20);
 }
 
-/// A peer drops an idle customer and counts its use from zero when it returns. The lower counter must be taken for new use,
-/// not for an old report.
+/// A peer drops an idle customer and counts its usage from zero when it returns. The lower counter must count as new
+/// usage, not as a late report.
 #[test]
-fn usage_counter_that_starts_again_is_counted() {
+fn usage_counter_that_restarts_from_zero_is_counted() {
     let mut node = TestNode::with_servers(1, settings(0, 2), SECOND, 4);
     let first = node.request(IDEMPOTENT, METERED, 7, 2 * SECOND);
     node.end_attempt(&first, Outcome::Ok);
