--- a/crates/policy/src/grants/requester.rs
+++ b/crates/policy/src/grants/requester.rs
@@ -241,7 +241,7 @@
             }
             self.expire_grant(&id, grant, actions);
         } else if let Some(open) = request.grant.open {
-            let timeout = self.grants.retransmission_timeout.wait();
+            let timeout = self.grants.retransmission_timeout.value();
             if now <= open.sent_at.saturating_add(timeout) {
                 return;
             }
--- a/crates/policy/src/retransmission_timeout.rs
+++ b/crates/policy/src/retransmission_timeout.rs
@@ -7,9 +7,9 @@
 use crate::interface::Micros;
 
 /// Lower bound of the timeout, µs.
-const MIN_WAIT: f64 = 30_000.0;
+const MIN_TIMEOUT: f64 = 30_000.0;
 /// Upper bound of the timeout, µs.
-const MAX_WAIT: f64 = 120_000.0;
+const MAX_TIMEOUT: f64 = 120_000.0;
 /// Weight of a new sample in the mean (the RFC's alpha).
 const MEAN_WEIGHT: f64 = 0.125;
 /// Weight of a new sample in the mean deviation (the RFC's beta).
@@ -29,14 +29,14 @@
 pub struct RetransmissionTimeout {
     /// `None` before the first sample.
     round_trip: Option<RoundTrip>,
-    wait: f64,
+    timeout: f64,
 }
 
 impl Default for RetransmissionTimeout {
     fn default() -> Self {
         RetransmissionTimeout {
             round_trip: None,
-            wait: MAX_WAIT / 2.0,
+            timeout: MAX_TIMEOUT / 2.0,
         }
     }
 }
@@ -56,19 +56,19 @@
             },
         };
         self.round_trip = Some(round_trip);
-        let wait = round_trip.mean + round_trip.deviation * DEVIATIONS;
-        self.wait = wait.clamp(MIN_WAIT, MAX_WAIT);
+        let timeout = round_trip.mean + round_trip.deviation * DEVIATIONS;
+        self.timeout = timeout.clamp(MIN_TIMEOUT, MAX_TIMEOUT);
     }
 
     /// Doubles the timeout after the response to a request that was sent more than once. Such a response gives no
     /// sample (Karn's algorithm); without the back-off, a round-trip time above the timeout would never be sampled.
     pub fn back_off(&mut self) {
-        self.wait = (self.wait * 2.0).min(MAX_WAIT);
+        self.timeout = (self.timeout * 2.0).min(MAX_TIMEOUT);
     }
 
     /// The current timeout, µs.
-    pub fn wait(&self) -> Micros {
-        self.wait as Micros
+    pub fn value(&self) -> Micros {
+        self.timeout as Micros
     }
 }
 
--- a/crates/policy/src/retransmission_timeout/tests.rs
+++ b/crates/policy/src/retransmission_timeout/tests.rs
@@ -8,7 +8,7 @@
         let mut unneeded = 0;
         for _ in 0..500 {
             let response_time = round_trip + random.u64(0..round_trip / 3);
-            if response_time > timeout.wait() {
+            if response_time > timeout.value() {
                 unneeded += 1;
                 timeout.back_off();
             } else {
@@ -20,9 +20,9 @@
             "{round_trip}: {unneeded} unneeded retransmissions"
         );
         assert!(
-            timeout.wait() as f64 <= (round_trip as f64 * 2.2).max(MIN_WAIT),
+            timeout.value() as f64 <= (round_trip as f64 * 2.2).max(MIN_TIMEOUT),
             "{round_trip}: {}",
-            timeout.wait()
+            timeout.value()
         );
     }
 }
--- a/crates/policy/src/setup.rs
+++ b/crates/policy/src/setup.rs
@@ -10,7 +10,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Setup {
+struct WireSettings {
     #[serde(rename = "balancers")]
     node_count: u32,
     #[serde(rename = "me")]
@@ -43,7 +43,7 @@
     late_value: f64,
     #[serde(rename = "worth")]
     priority_weight: f64,
-    repeat: Repeat,
+    repeat: WireIdempotency,
     #[serde(default)]
     group: Option<WireGroup>,
     #[serde(default)]
@@ -52,7 +52,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum Repeat {
+enum WireIdempotency {
     ReadLike,
     IdempotencyKey,
     NonIdempotent,
@@ -208,21 +208,21 @@
 /// Returns an error if the text does not parse, if the node's zone is not listed, or if a class with idempotency keys
 /// has no group.
 pub fn read(text: &str) -> Result<PlatformSettings, ReadError> {
-    let setup: Setup = serde_json::from_str(text).map_err(ReadError::Json)?;
-    let settings = setup.to_settings()?;
-    let deadlines = setup.classes.iter().map(|class| class.deadline_us);
+    let wire: WireSettings = serde_json::from_str(text).map_err(ReadError::Json)?;
+    let settings = wire.to_settings()?;
+    let deadlines = wire.classes.iter().map(|class| class.deadline_us);
     Ok(PlatformSettings {
         settings,
         longest_deadline: deadlines.max().unwrap_or(0),
-        server_idle_timeout: setup.limits.server_idle_timeout_us,
-        connect_timeout: setup.limits.connect_timeout_us,
-        classes: setup.classes.into_iter().map(|class| class.name).collect(),
-        plans: setup.plans.into_iter().map(|plan| plan.name).collect(),
-        zones: setup.zones,
+        server_idle_timeout: wire.limits.server_idle_timeout_us,
+        connect_timeout: wire.limits.connect_timeout_us,
+        classes: wire.classes.into_iter().map(|class| class.name).collect(),
+        plans: wire.plans.into_iter().map(|plan| plan.name).collect(),
+        zones: wire.zones,
     })
 }
 
-impl Setup {
+impl WireSettings {
     fn to_settings(&self) -> Result<Settings, ReadError> {
         let zone = self.zones.iter().position(|name| *name == self.zone);
         let zone = zone.ok_or(ReadError::UnknownZone)?;
@@ -264,9 +264,9 @@
 impl WireClass {
     fn to_class(&self) -> Result<Class, ReadError> {
         let idempotency = match self.repeat {
-            Repeat::ReadLike => Idempotency::Idempotent,
-            Repeat::NonIdempotent => Idempotency::NonIdempotent,
-            Repeat::IdempotencyKey => Idempotency::WithKey {
+            WireIdempotency::ReadLike => Idempotency::Idempotent,
+            WireIdempotency::NonIdempotent => Idempotency::NonIdempotent,
+            WireIdempotency::IdempotencyKey => Idempotency::WithKey {
                 scope: self.scope()?,
                 window: self.window_us,
             },
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -40,7 +40,7 @@
 const MIN_WARM_SHARE: f64 = 0.5;
 /// Limit on the estimated throughput of a warm server, as a multiple of its throughput before the servers were
 /// replaced.
-const MAX_RATE_INCREASE: f64 = 2.5;
+const MAX_RATE_RATIO: f64 = 2.5;
 /// Multiple of the warm-up period after a server's start in which it is sent only what permits allow while requests
 /// keep queueing.
 const RECENT_START_PERIODS: u64 = 4;
@@ -354,7 +354,7 @@
             before
         };
         let overload_multiple = self.settings.slow_start.overload_multiple;
-        let safe_rate = responses.min(before * MAX_RATE_INCREASE) * SAFE_SHARE * overload_multiple;
+        let safe_rate = responses.min(before * MAX_RATE_RATIO) * SAFE_SHARE * overload_multiple;
         safe_rate.max(UNINFORMED_ATTEMPTS_PER_S / nodes) * CONTROLLER_PERIOD_S
     }
 }
