--- a/crates/policy/src/grants/mod.rs
+++ b/crates/policy/src/grants/mod.rs
@@ -1,10 +1,10 @@
 //! Admission in a large fleet. A request is admitted by a grant from an owner of its customer's quota, by a lease, or,
 //! while no owner is reachable, at a rate derived from what owners recently granted to this node.
 //!
-//! Usage reports to all peers do not work in a large fleet: each node sees few requests of a customer and could report
-//! too rarely, and hundreds of nodes with a burst each would grant many times the quota. Instead, a few nodes of the
-//! customer's subset own its quota in shards (`shard_owners`, `saffronpaddle_quota`), and a request costs a round trip
-//! to one of them. `requester` sends grant requests, `owner` decides on them.
+//! Usage reports to all peers do not work in a large fleet: they could not be sent often enough, each node sees few of
+//! a customer's requests, and hundreds of nodes with a burst each would grant many times the quota. Instead, a few
+//! nodes of the customer's subset own its quota in shards (`shard_owners`, `saffronpaddle_quota`), and a request costs
+//! a round trip to one of them. `requester` sends grant requests, `owner` decides on them.
 
 mod owner;
 mod requester;
