--- a/crates/policy/src/state/mod.rs
+++ b/crates/policy/src/state/mod.rs
@@ -1,4 +1,5 @@
-//! The engine's state, grouped by the policies that use it. The policies are implemented in other modules of this crate.
+//! The engine's state, grouped by the policies that use it. The policies are implemented in other modules of this
+//! crate.
 
 mod grant_state;
 mod peer_table;
