--- a/crates/exchange/src/bugs.rs
+++ b/crates/exchange/src/bugs.rs
@@ -1,66 +1,69 @@
-//! Faults that can be planted to prove that the model checker finds them.
+//! Faults that the model checker plants in the exchange to prove that it detects them.
+//!
+//! The `Debug` name of a [`Bug`] is its name on the command line of the model checker.
 
-/// A fault that can be planted.
+/// A fault that can be planted. Each variant describes the faulty behaviour.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Bug {
-    /// A response counts though its attempt was cancelled.
+    /// A response is served although its attempt was cancelled before.
     AnswerAfterCancel,
-    /// A cancelled attempt ends without its connection being closed.
+    /// A cancelled attempt ends without closing its connection.
     CancelWithoutClose,
-    /// A reused connection that breaks is replaced though bytes of the request were written.
+    /// A request is sent again when a reused connection breaks after bytes of the request were written.
     ResendAfterFirstByte,
-    /// A connection is reused with unread bytes on it.
+    /// A connection is reused although it has unread bytes.
     ReuseWithBytesWaiting,
-    /// The endpoint list is checked before the connect only.
+    /// The endpoint list is not checked again after the connect.
     DrainCheckedBeforeConnectOnly,
-    /// A connection counts as reaching its server whatever its address.
+    /// The address of a connection is not compared with the current address of its server.
     AddressNotCompared,
-    /// A request that is past its deadline fails though it was answered.
+    /// A request that was answered is failed when its deadline passes.
     DeadlineRacedByReply,
-    /// A connection is both kept idle and closed.
+    /// A connection is both returned to the idle pool and closed.
     DoubleRelease,
-    /// A rejection is passed on though an attempt may have run.
+    /// A request is rejected although an attempt may have run.
     RefusalAfterRun,
-    /// The deduplication window begins at the last attempt that may have run, in place of the first.
+    /// The deduplication window begins at the last attempt that may have run instead of the first.
     WindowFromLastSend,
-    /// The deduplication window is checked at the choice of the attempt, not before its first byte.
+    /// The deduplication window is checked when the policy chooses the attempt but not before its first byte.
     WindowCheckedAtChoiceOnly,
     /// The deduplication scope is not checked.
     GroupForgotten,
-    /// A non-idempotent request is sent again after it may have run.
+    /// A non-idempotent request is retried after it may have run.
     UnsafeResent,
-    /// A connection that could not be made keeps its slot.
+    /// A failed connect does not free its connection slot.
     SlotLost,
-    /// The end of an attempt that times out is reported at once, and again when its connection is closed.
+    /// The end of an attempt that times out is reported to the policy immediately and again when its connection is
+    /// closed.
     EndToldTwice,
-    /// A request whose client is gone is removed together with its attempt.
+    /// A request whose client has disconnected is removed without reporting the end of its attempt.
     EndNeverTold,
-    /// Connections are reused without a rest after a response.
+    /// Connections are reused without the reuse delay after a response.
     NoSettling,
-    /// A second attempt is dispatched while one is outstanding.
+    /// A second attempt is dispatched while another one is outstanding.
     TwoAttemptsOut,
-    /// The alarm is not updated when a connection has come up.
+    /// The timer of a request is not updated when its connection is established.
     AlarmForgotten,
-    /// Connections are kept though the node drains.
+    /// Idle connections are kept while the node drains.
     KeptAfterStop,
-    /// A client that was answered and leaves ends the next request of the same id.
+    /// The disconnect of an answered client aborts a later request with the same id.
     TicketIgnored,
-    /// Idle connections do not count towards the limit of connections.
+    /// Idle connections do not count towards the connection limit.
     IdleNotCounted,
-    /// A body that was not buffered counts as if it could be sent again.
+    /// A request whose unbuffered body was already consumed is sent again.
     GoneBodySentAgain,
-    /// The policy cancels an attempt whose response streams to the client.
+    /// The policy can cancel an attempt whose response is streaming to the client.
     PassingCalledOff,
-    /// A connection that was answered before its request was complete is kept.
+    /// A connection is kept although the server responded before the request was complete.
     EarlyAnswerKept,
-    /// A request counts as one that may have run before its last byte was sent.
+    /// A request is treated as one that may have run before its last byte was sent.
     RunsBeforeWhole,
-    /// Requests that are open at the announcement of a shutdown keep their own deadline.
+    /// Requests that are open when a shutdown is announced keep their own deadline.
     EndForgotten,
 }
 
 impl Bug {
-    /// All faults.
+    /// All faults, in the order in which the model checker looks for them.
     pub const ALL: [Bug; 27] = [
         Bug::AnswerAfterCancel,
         Bug::CancelWithoutClose,
@@ -92,13 +95,13 @@
     ];
 }
 
-/// Says which fault is planted. Production code uses [`NoBugs`], which the compiler optimizes away.
+/// Determines which fault is planted. Production code uses [`NoBugs`], which the compiler optimizes away.
 pub trait Bugs: Clone {
-    /// Whether this fault is planted.
+    /// Returns whether this fault is planted.
     fn planted(&self, bug: Bug) -> bool;
 }
 
-/// No fault is planted.
+/// Plants no fault.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NoBugs;
 
--- a/crates/exchange/src/command.rs
+++ b/crates/exchange/src/command.rs
@@ -1,78 +1,64 @@
-//! What an exchange tells the I/O layer to do.
+//! Commands from an exchange to the I/O layer.
 
 use crate::ids::ConnectionId;
 use saffronpaddle_policy::interface::{Action, Micros, RequestId, ServerId};
 
-/// What is to be done.
+/// An operation that the I/O layer carries out. `A` is the type of a server address.
 #[derive(Clone, Debug, PartialEq)]
+#[allow(missing_docs, reason = "ids and answers are documented at their types")]
 pub enum Command<A> {
-    /// Make a connection. [`Event::Connected`] or [`Event::ConnectFailed`] follows, or, after a close,
-    /// [`Event::Closed`] alone.
+    /// Open a connection. The I/O layer answers with [`Event::Connected`] or [`Event::ConnectFailed`], or, if the
+    /// connection is closed first, with [`Event::Closed`] only.
     ///
     /// [`Event::Connected`]: crate::Event::Connected
     /// [`Event::ConnectFailed`]: crate::Event::ConnectFailed
     /// [`Event::Closed`]: crate::Event::Closed
     Connect {
-        /// The id of the new connection.
         connection: ConnectionId,
-        /// The server's address.
+        /// The address to connect to.
         address: A,
     },
-    /// Prepare the request on a connection. [`Event::FirstByteReady`] follows before its first byte, and
-    /// [`Event::ResponseComplete`] or [`Event::ConnectionLost`] at its end; after a close, [`Event::Closed`] alone.
+    /// Prepare a request on a connection. The I/O layer reports [`Event::FirstByteReady`] before the first byte is
+    /// written, and [`Event::ResponseComplete`] or [`Event::ConnectionLost`] when the attempt ends. If the connection
+    /// is closed first, it reports [`Event::Closed`] only.
     ///
     /// [`Event::FirstByteReady`]: crate::Event::FirstByteReady
     /// [`Event::ResponseComplete`]: crate::Event::ResponseComplete
     /// [`Event::ConnectionLost`]: crate::Event::ConnectionLost
     /// [`Event::Closed`]: crate::Event::Closed
     Send {
-        /// The connection that carries it.
+        /// The connection to send the request on.
         connection: ConnectionId,
-        /// The request.
         id: RequestId,
-        /// The server at the other end.
         server: ServerId,
     },
-    /// Write the first byte now.
-    Write {
-        /// The connection.
-        connection: ConnectionId,
-    },
-    /// Write the last piece of a request's body now.
-    ReleaseBody {
-        /// The connection.
-        connection: ConnectionId,
-    },
-    /// Close a connection, whatever it carries. [`Event::Closed`] follows.
+    /// Write the first byte of the prepared request.
+    Write { connection: ConnectionId },
+    /// Write the last part of a request body, which was held back until now.
+    ReleaseBody { connection: ConnectionId },
+    /// Close a connection, even if a request is outstanding on it. The I/O layer reports [`Event::Closed`] afterwards.
     ///
     /// [`Event::Closed`]: crate::Event::Closed
-    Close {
-        /// The connection.
-        connection: ConnectionId,
-    },
-    /// Give the client its final answer.
-    Answer {
-        /// The request.
-        id: RequestId,
-        /// The answer.
-        answer: FinalAnswer,
-    },
-    /// An action of the policy that does not concern the exchange.
+    Close { connection: ConnectionId },
+    /// Send the final answer to the client.
+    Answer { id: RequestId, answer: FinalAnswer },
+    /// An action of the policy that the exchange passes on unchanged.
     PolicyAction(Action),
 }
 
-/// A final answer.
+/// The final answer to a request. Each request gets exactly one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum FinalAnswer {
-    /// The server's response; it came with the [`Event::ResponseComplete`], [`Event::ResponseStreaming`] or
-    /// [`Event::Upgraded`] that is being handled.
+    /// The server's response, which was received with the [`Event::ResponseComplete`],
+    /// [`Event::ResponseStreaming`] or [`Event::Upgraded`] that is currently handled.
     ///
     /// [`Event::ResponseComplete`]: crate::Event::ResponseComplete
     /// [`Event::ResponseStreaming`]: crate::Event::ResponseStreaming
     /// [`Event::Upgraded`]: crate::Event::Upgraded
     Served,
-    /// Rejected, and a retry by the client is harmless; the value is the Retry-After in µs.
+    /// The request was rejected, and the client can safely retry it. The value is the Retry-After in µs; `None` sends
+    /// no such hint.
     Rejected(Option<Micros>),
-    /// Failed; the request may have run.
+    /// The request failed. It may have run.
     Failed,
 }
--- a/crates/exchange/src/event.rs
+++ b/crates/exchange/src/event.rs
@@ -1,121 +1,107 @@
-//! What the I/O layer reports to an exchange.
+//! Events that the I/O layer reports to an exchange.
 
 use crate::ids::{ConnectionId, Ticket};
 use saffronpaddle_policy::interface::{
     Endpoint, Event as PolicyEvent, Idempotency, Micros, Outcome, RequestId,
 };
 
-/// What happened. Instants are µs of the same clock as `now`.
+/// An event. All points in time are µs of the clock that also gives `now` of
+/// [`Exchange::handle`](crate::Exchange::handle). `A` is the type of a server address.
 #[derive(Clone, Debug, PartialEq)]
+#[allow(missing_docs, reason = "ids and answers are documented at their types")]
 pub enum Event<A> {
-    /// A request with a valid head has arrived. One whose id is in use is ignored: ask [`Exchange::contains`] first.
+    /// A request with a valid head was received. The event is ignored if the request id is in use, so callers check
+    /// [`Exchange::contains`] first.
     ///
     /// [`Exchange::contains`]: crate::Exchange::contains
     RequestReceived {
-        /// What a second execution of the request would do.
+        /// Whether and where the request may be retried after it may have run.
         idempotency: Idempotency,
-        /// When its client stops waiting.
+        /// When the client stops waiting for the answer.
         deadline: Micros,
-        /// What the policy is told: a [`PolicyEvent::RequestArrived`].
+        /// The [`PolicyEvent::RequestArrived`] to pass to the policy.
         policy_event: PolicyEvent,
     },
-    /// The client no longer waits for the answer.
+    /// The client has disconnected or no longer waits for the answer.
     ClientGone {
-        /// The request.
         id: RequestId,
-        /// The admission that is meant; the id may be in use again.
+        /// Identifies the admission: the id may already be in use by a later request.
         ticket: Ticket,
     },
-    /// A connection has come up.
-    Connected {
-        /// The connection.
-        connection: ConnectionId,
-    },
-    /// A connection could not be made; nothing is left of it.
+    /// A connection was established.
+    Connected { connection: ConnectionId },
+    /// A connect failed. The I/O layer has released the connection; no [`Event::Closed`] follows.
     ConnectFailed {
-        /// The connection.
         connection: ConnectionId,
-        /// This process lacked a resource (file descriptors, ports, memory): the server is not to blame.
+        /// The cause is a shortage of resources in this process (file descriptors, ports, memory), not the server.
         local_shortage: bool,
     },
     /// The first byte of the request is about to be written.
     FirstByteReady {
         /// The connection that carries the request.
         connection: ConnectionId,
-        /// Nothing was received since the last response, not even the end of the stream.
+        /// Nothing was received on the connection since the last response, neither bytes nor the end of the stream.
         quiet: bool,
     },
-    /// A complete response was received.
+    /// A complete response was received, or the end of a streaming one.
     ResponseComplete {
         /// The connection that carries the request.
         connection: ConnectionId,
-        /// How the attempt went.
+        /// The outcome of the attempt.
         outcome: Outcome,
     },
-    /// The head of a response was received that streams to the client: this is the request's final answer. The attempt
-    /// stays outstanding until `ResponseComplete`, `ConnectionLost` or `ResponseAbandoned`.
+    /// The head of a streaming response was received. It is the final answer to the request; the attempt stays
+    /// outstanding until `ResponseComplete`, `ConnectionLost` or `ResponseAbandoned`.
     ResponseStreaming {
         /// The connection that carries the request.
         connection: ConnectionId,
     },
-    /// The client no longer takes the rest of a streaming response.
+    /// The client has stopped reading a streaming response.
     ResponseAbandoned {
         /// The connection that carries the request.
         connection: ConnectionId,
     },
-    /// The last byte of a streaming request body has arrived from the client; it is held back until
+    /// The last byte of a streaming request body was received from the client. It is held back until
     /// [`Command::ReleaseBody`].
     ///
     /// [`Command::ReleaseBody`]: crate::Command::ReleaseBody
     BodyComplete {
-        /// The request.
         id: RequestId,
-        /// The admission that is meant.
+        /// Identifies the admission, as the id may already be in use by a later request.
         ticket: Ticket,
-        /// When its client stops waiting.
+        /// When the client stops waiting for the answer; replaces the deadline given on receipt of the request.
         deadline: Micros,
     },
-    /// A response has upgraded the connection to another protocol: the connection now belongs to the client and leaves
-    /// the exchange.
-    Upgraded {
-        /// The connection.
-        connection: ConnectionId,
-    },
-    /// The attempt on a connection failed: the connection broke, or what was received is no response to the request.
-    ConnectionLost {
-        /// The connection.
-        connection: ConnectionId,
-    },
-    /// The server has closed the connection, or sent bytes that nobody asked for.
-    ClosedByPeer {
-        /// The connection.
-        connection: ConnectionId,
-    },
-    /// A connection that was to be closed is closed.
-    Closed {
-        /// The connection.
-        connection: ConnectionId,
-    },
+    /// A response has upgraded the connection to another protocol. The connection is now owned by the tunnel to the
+    /// client, and the exchange no longer tracks it.
+    Upgraded { connection: ConnectionId },
+    /// The attempt on a connection failed: the connection broke, or the received bytes are not a response to the
+    /// request.
+    ConnectionLost { connection: ConnectionId },
+    /// The server has closed the connection or sent unsolicited bytes.
+    ClosedByPeer { connection: ConnectionId },
+    /// A connection has been closed in response to [`Command::Close`](crate::Command::Close).
+    Closed { connection: ConnectionId },
     /// The endpoint list has changed.
     EndpointsChanged {
-        /// The entries are the whole list: a server that is not among them is gone.
+        /// The entries are the complete list: servers that are not among them are removed.
         snapshot: bool,
-        /// The entries, with the address of each.
+        /// The entries, each with the address of the server.
         endpoints: Vec<(Endpoint, A)>,
     },
-    /// The process was told to stop, and the life cycle has a shutdown plan: all requests that it has and will receive are answered by then, whatever time
-    /// their clients have left.
+    /// The process was told to stop, and the life cycle has set a shutdown deadline: all open and future requests are
+    /// answered by then, even if their clients would wait longer.
     ShutdownAnnounced {
-        /// The shutdown deadline.
+        /// The shutdown deadline. An earlier one that was announced before stays in force.
         answer_by: Micros,
     },
-    /// The node accepts no more connections (the life cycle's `StopAccepting`): idle connections to servers are closed and none
-    /// is kept any more. Open requests go on.
+    /// The node accepts no more connections (the life cycle's `StopAccepting`). Idle connections to servers are
+    /// closed, and connections that become idle are no longer kept. Open requests continue.
     Drain,
-    /// The time of [`Exchange::next_alarm`] has come.
+    /// The time given by [`Exchange::next_alarm`] has passed.
     ///
     /// [`Exchange::next_alarm`]: crate::Exchange::next_alarm
     TimerFired,
-    /// An event for the policy alone.
+    /// An event that only the policy handles.
     PolicyEvent(PolicyEvent),
 }
--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -1,7 +1,7 @@
-//! The state machine: its tables, and the dispatch of each event to the module that handles it.
+//! The state machine: its tables, and the dispatch of each event to its handler.
 //!
-//! Conditions on `self.bugs.planted(...)` are for the model checker, which plants one fault at a time to show that it would be
-//! found. In service nothing is planted ([`NoBugs`]), and each of them is false.
+//! Conditions on `self.bugs.planted(...)` exist for the model checker, which plants one fault at a time to prove that it
+//! detects it. In production no fault is planted ([`NoBugs`]), and all of these conditions are false.
 
 mod attempt_end;
 mod bodies;
@@ -17,7 +17,7 @@
 mod timers;
 
 use crate::number_map::NumberMap;
-use crate::tables::{Alarms, Connection, ReadyServer, RequestState};
+use crate::tables::{Connection, ReadyServer, RequestState, TimerQueue};
 use crate::{
     Bug, Bugs, Command, ConnectionId, Denial, Event, FinalAnswer, Limits, NoBugs, Policy, Ticket,
     Violations,
@@ -29,7 +29,9 @@
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::hash::Hash;
 
-/// Requests, attempts and connections of one node. See the [crate's](crate) overview.
+/// The requests, attempts and connections of one node. See the [crate documentation](crate) for an overview.
+///
+/// `A` is the type of a server address, `M` the policy and `B` the planted faults.
 #[derive(Clone)]
 pub struct Exchange<A, M, B = NoBugs> {
     limits: Limits,
@@ -38,37 +40,37 @@
     requests: HashMap<RequestId, RequestState>,
     connections: NumberMap<ConnectionId, Connection<A>>,
     servers: NumberMap<ServerId, ReadyServer<A>>,
-    alarms: Alarms,
-    /// Idle connections in the order in which they became idle.
+    timers: TimerQueue,
+    /// Idle connections, ordered by the time at which they became idle (µs).
     idle: BTreeSet<(Micros, ConnectionId)>,
-    stopped: bool,
-    /// All requests are answered by then, as the process ends; [`Micros::MAX`] until a shutdown is announced.
+    draining: bool,
+    /// When the process has to have answered all requests, µs; [`Micros::MAX`] until a shutdown is announced.
     shutdown_deadline: Micros,
     last_connection: u64,
     next_ticket: u64,
-    /// A request whose last piece of body is held back until the policy has handled its completion.
+    /// The request whose last body part is held back until the policy has handled `BodyComplete`.
     unreleased_body: Option<RequestId>,
-    /// How requests have ended. No decision depends on it.
+    /// Counts how requests have ended. No decision depends on it.
     counters: RequestCounters,
-    /// Steps that the guard denied, by reason.
+    /// Number of steps that the guard denied, by reason.
     denials: HashMap<Denial, u64>,
     violations: Violations,
     /// Events that the policy has not handled yet.
     pending_events: VecDeque<PolicyEvent>,
 }
 
-/// Commands, in the order in which they are to be carried out.
+/// Commands in the order in which the I/O layer has to carry them out.
 type Commands<A> = Vec<Command<A>>;
 
 impl<A: Copy + Eq + Hash, M: Policy> Exchange<A, M> {
-    /// An empty exchange.
+    /// Creates an exchange without requests, connections or servers.
     pub fn new(limits: Limits, policy: M) -> Self {
         Exchange::with_bugs(limits, policy, NoBugs)
     }
 }
 
 impl<A: Copy + Eq + Hash, M: Policy, B: Bugs> Exchange<A, M, B> {
-    /// An empty exchange with planted faults, for the model checker.
+    /// Creates an empty exchange with planted faults, for the model checker.
     pub fn with_bugs(limits: Limits, policy: M, bugs: B) -> Self {
         Exchange {
             limits,
@@ -77,9 +79,9 @@
             requests: HashMap::new(),
             connections: NumberMap::default(),
             servers: NumberMap::default(),
-            alarms: Alarms::new(),
+            timers: TimerQueue::new(),
             idle: BTreeSet::new(),
-            stopped: false,
+            draining: false,
             shutdown_deadline: Micros::MAX,
             last_connection: 0,
             next_ticket: 0,
@@ -91,53 +93,53 @@
         }
     }
 
-    /// The policy.
+    /// Returns the policy.
     pub fn policy(&self) -> &M {
         &self.policy
     }
 
-    /// The policy, for the model checker.
+    /// Returns mutable access to the policy, for the model checker.
     pub fn policy_mut(&mut self) -> &mut M {
         &mut self.policy
     }
 
-    /// Whether a request's id is in use: it has no answer yet, or its attempt is still outstanding.
+    /// Returns whether a request id is in use: the request has no answer yet, or its attempt is still outstanding.
     pub fn contains(&self, id: &RequestId) -> bool {
         self.requests.contains_key(id)
     }
 
-    /// The ticket of the request that is received next.
+    /// Returns the ticket that the next received request will get.
     pub fn next_ticket(&self) -> Ticket {
         Ticket(self.next_ticket)
     }
 
-    /// Another limit of connections from now on. Connections beyond it are closed when they are idle and their slot is
-    /// needed.
+    /// Changes the connection limit. Existing connections beyond the new limit are closed only when they are idle and
+    /// their slot is needed.
     pub fn set_max_connections(&mut self, max_connections: usize) {
         self.limits.max_connections = max_connections;
     }
 
-    /// When [`Event::TimerFired`] is due next, µs.
+    /// Returns when [`Event::TimerFired`] is due next, µs; `None` if no timer is set.
     pub fn next_alarm(&self) -> Option<Micros> {
-        let request = self.alarms.first().map(|(at, _)| *at);
+        let request = self.timers.first().map(|(at, _)| *at);
         let idle = self
             .idle
             .first()
-            .map(|(since, _)| since.saturating_add(self.limits.idle_for));
+            .map(|(since, _)| since.saturating_add(self.limits.idle_timeout));
         request.into_iter().chain(idle).min()
     }
 
     /// Handles an event at `now` (µs) and appends the commands to carry out.
     pub fn handle(&mut self, now: Micros, event: Event<A>, commands: &mut Commands<A>) {
-        // A late event loop may deliver a response after its request's deadline. The deadline passed first, so the
-        // request fails first.
+        // A delayed event loop may deliver a response after the deadline of its request. The deadline passed first, so
+        // the request is failed first.
         self.answer_overdue(now, commands);
         self.handle_event(now, event, commands);
         self.run_policy(now, commands);
     }
 
-    /// Carries out one action as if the policy had asked for it, for the model checker.
-    pub fn act(&mut self, now: Micros, action: Action, commands: &mut Commands<A>) {
+    /// Applies an action as if the policy had requested it, for the model checker.
+    pub fn inject_action(&mut self, now: Micros, action: Action, commands: &mut Commands<A>) {
         self.answer_overdue(now, commands);
         self.apply_action(now, action, commands);
         self.run_policy(now, commands);
@@ -183,14 +185,14 @@
                 endpoints,
             } => self.endpoints_changed(snapshot, endpoints, commands),
             Event::ShutdownAnnounced { answer_by } => self.shutdown_announced(answer_by),
-            Event::Drain => self.stop(commands),
+            Event::Drain => self.drain(commands),
             Event::TimerFired => self.timer_fired(now, commands),
             Event::PolicyEvent(event) => self.pending_events.push_back(event),
         }
     }
 
-    /// Lets the policy handle all pending events. Its actions may add events: these are queued, so that the policy is
-    /// never entered twice and its actions are carried out in their order.
+    /// Passes all pending events to the policy. Its actions may cause further events; these are queued, so that the
+    /// policy is never called reentrantly and its actions are applied in order.
     fn run_policy(&mut self, now: Micros, commands: &mut Commands<A>) {
         let mut actions = Vec::new();
         while let Some(event) = self.pending_events.pop_front() {
@@ -219,7 +221,7 @@
         }
     }
 
-    /// The answer to a request that the policy rejects: a failure where a rejection would promise too much.
+    /// Returns the answer to a request that the policy rejects: a failure if a retry by the client would not be safe.
     fn checked_rejection(&self, id: &RequestId, retry_after: Option<Micros>) -> FinalAnswer {
         let allowed = self
             .requests
@@ -232,7 +234,7 @@
         }
     }
 
-    /// Cancels an attempt, unless its response streams: the client has a part of that response already.
+    /// Cancels an attempt unless its response is streaming: the client has already received a part of that response.
     fn cancel(&mut self, id: &RequestId, attempt: AttemptNumber, commands: &mut Commands<A>) {
         let Some(request) = self.requests.get(id) else {
             return;
--- a/crates/exchange/src/exchange/attempt_end.rs
+++ b/crates/exchange/src/exchange/attempt_end.rs
@@ -1,4 +1,4 @@
-//! The end of an attempt: aborted, or over by itself.
+//! The end of an attempt, by itself or by an abort.
 
 use super::{Commands, Exchange};
 use crate::tables::AttemptStage;
@@ -7,9 +7,8 @@
 use std::hash::Hash;
 
 impl<A: Copy + Eq + Hash, M: Policy, B: Bugs> Exchange<A, M, B> {
-    /// Aborts the outstanding attempt of a request, for a reason that becomes its outcome if it may have run. The
-    /// attempt ends when its connection is closed: were it over at once, a retry could run while the server still runs
-    /// this attempt.
+    /// Aborts the outstanding attempt of a request. `reason` becomes its outcome if it may have run. The attempt ends
+    /// only when its connection is closed; otherwise a retry could run while the server is still running this attempt.
     pub(super) fn abort_attempt(
         &mut self,
         id: &RequestId,
@@ -22,7 +21,7 @@
         let Some(attempt) = request.outstanding.as_ref() else {
             return;
         };
-        // A server can't have run a request that is not complete.
+        // A server can't have run an incomplete request.
         let complete = request.body_complete || self.bugs.planted(Bug::RunsBeforeWhole);
         let may_have_run = attempt.dispatched.is_some() && complete;
         let outcome = aborted_outcome(reason, may_have_run);
@@ -47,7 +46,7 @@
         }
     }
 
-    /// The attempt of a request is over, and its connection is closed or idle.
+    /// Ends the attempt of a request, whose connection is closed or idle.
     pub(super) fn end_attempt(&mut self, id: &RequestId, outcome: Outcome) {
         let window_from_last = self.bugs.planted(Bug::WindowFromLastSend);
         let Some(request) = self.requests.get_mut(id) else {
@@ -70,7 +69,7 @@
         self.update_or_remove(id);
     }
 
-    /// Tells the policy of the end of an attempt.
+    /// Notifies the policy of the end of an attempt.
     pub(super) fn notify_attempt_ended(
         &mut self,
         id: &RequestId,
@@ -87,7 +86,8 @@
     }
 }
 
-/// The outcome of an attempt that is aborted: of one that can't have run, the policy is told so, and may retry it.
+/// Returns the outcome of an aborted attempt. If the attempt can't have run, the outcome says so, and the policy may
+/// retry the request.
 fn aborted_outcome(reason: Outcome, may_have_run: bool) -> Outcome {
     match reason {
         _ if may_have_run => reason,
@@ -96,7 +96,7 @@
     }
 }
 
-/// Whether an attempt with this outcome may have run without the request being served.
+/// Returns whether an attempt with this outcome may have run although the request was not served.
 fn may_have_run(outcome: Outcome) -> bool {
     !matches!(
         outcome,
--- a/crates/exchange/src/exchange/bodies.rs
+++ b/crates/exchange/src/exchange/bodies.rs
@@ -1,4 +1,4 @@
-//! Request bodies that stream to the server while they arrive from the client.
+//! Request bodies that are forwarded to the server while they are received from the client.
 
 use super::{Commands, Exchange};
 use crate::tables::{AttemptStage, ConnectionState};
@@ -7,8 +7,9 @@
 use std::hash::Hash;
 
 impl<A: Copy + Eq + Hash, M: Policy, B: Bugs> Exchange<A, M, B> {
-    /// All of a streaming body has arrived. Its client's time begins now, and the last piece is held back until the
-    /// policy has handled this: before that piece, the server can't have run the request, so it may still be rejected.
+    /// Handles the end of a streaming body. The request's deadline is set anew, and the last part is held back until the
+    /// policy has handled this event: before that part the server can't have run the request, so it can still be
+    /// rejected.
     pub(super) fn body_complete(
         &mut self,
         now: Micros,
@@ -30,7 +31,7 @@
             attempt.deadline = deadline;
             attempt.step_deadline = attempt.step_deadline.min(deadline);
         }
-        self.update_alarm(id);
+        self.update_timer(id);
         self.pending_events.push_back(PolicyEvent::BodyComplete {
             id: id.clone(),
             timeout: deadline.saturating_sub(now),
@@ -38,7 +39,7 @@
         self.unreleased_body = Some(id.clone());
     }
 
-    /// Releases the last piece of a body, unless the policy has ended the request.
+    /// Releases the last part of a body unless the policy has ended the request.
     pub(super) fn release_body(&mut self, commands: &mut Commands<A>) {
         let Some(id) = self.unreleased_body.take() else {
             return;
--- a/crates/exchange/src/exchange/dispatch.rs
+++ b/crates/exchange/src/exchange/dispatch.rs
@@ -1,4 +1,4 @@
-//! An attempt that the policy asks for: whether it may start, and on which connection.
+//! Starts the attempts that the policy asks for, on an idle or a new connection.
 
 use super::eligibility::CheckedStep;
 use super::{Commands, Exchange};
@@ -8,11 +8,11 @@
 use saffronpaddle_policy::interface::{Micros, Outcome, RequestId, ServerId};
 use std::hash::Hash;
 
-/// The connection of an attempt that has none yet. Connection ids count up from 1 and never get this far.
+/// Placeholder for the connection of an attempt that has none yet. Connection ids count up from 1 and never reach it.
 const NO_CONNECTION: ConnectionId = ConnectionId(u64::MAX);
 
 impl<A: Copy + Eq + Hash, M: Policy, B: Bugs> Exchange<A, M, B> {
-    /// Starts an attempt as the policy asks, unless that would break a rule: then the attempt ends unsent at once.
+    /// Starts an attempt that the policy asks for. If the guard denies it, the attempt ends immediately as `NotSent`.
     pub(super) fn dispatch(
         &mut self,
         now: Micros,
@@ -21,7 +21,7 @@
         timeout: Option<Micros>,
         commands: &mut Commands<A>,
     ) {
-        // The policy is told of each request that is answered or abandoned, and expects no end of an attempt of these.
+        // The policy is notified of each request that is answered or abandoned, and expects no end of attempts of these.
         let Some(request) = self.requests.get_mut(id).filter(|request| request.open) else {
             return;
         };
@@ -57,7 +57,7 @@
         self.start_attempt(now, id, commands);
     }
 
-    /// Finds a connection for the outstanding attempt, or has one made.
+    /// Assigns an idle connection to the outstanding attempt, or opens a new one.
     pub(super) fn start_attempt(
         &mut self,
         now: Micros,
@@ -138,7 +138,7 @@
         );
     }
 
-    /// The connections that count towards their limit.
+    /// Returns the number of connections that count towards the limit.
     fn counted_connections(&self) -> usize {
         if self.bugs.planted(Bug::IdleNotCounted) {
             self.connections
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Closes the connection that has been idle longest; the attempt waits for its slot.
+    /// Closes the connection that has been idle longest, and makes the attempt wait for its slot.
     fn wait_for_slot(&mut self, id: &RequestId, commands: &mut Commands<A>) {
         let Some((_, oldest)) = self.idle.first().copied() else {
             return self.end_attempt(id, Outcome::NotSent);
@@ -159,7 +159,8 @@
         self.set_stage(id, AttemptStage::AwaitingSlot(oldest), None);
     }
 
-    /// Sets the stage of the outstanding attempt; the stage is given up at `step_deadline` or with the attempt.
+    /// Sets the stage of the outstanding attempt. It times out at `step_deadline` or with the attempt, whichever is
+    /// earlier; `None` sets no separate timeout.
     pub(super) fn set_stage(
         &mut self,
         id: &RequestId,
@@ -175,6 +176,6 @@
             attempt.step_deadline =
                 step_deadline.map_or(attempt.deadline, |deadline| deadline.min(attempt.deadline));
         }
-        self.update_alarm(id);
+        self.update_timer(id);
     }
 }
--- a/crates/exchange/src/exchange/eligibility.rs
+++ b/crates/exchange/src/exchange/eligibility.rs
@@ -1,4 +1,4 @@
-//! Whether an attempt may go on: the facts for the guard.
+//! Collects the facts with which the guard decides whether an attempt may proceed.
 
 use super::Exchange;
 use crate::guard::{self, StepFacts};
@@ -10,18 +10,18 @@
 };
 use std::hash::Hash;
 
-/// The step of an attempt that is checked.
+/// The step of an attempt that the guard checks.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum CheckedStep {
     /// The policy asks for the attempt.
     Choice,
-    /// The connection is up, or the first byte is about to be written.
+    /// The connection is established, or the first byte is about to be written.
     Dispatch,
 }
 
 impl<A: Copy + Eq + Hash, M: Policy, B: Bugs> Exchange<A, M, B> {
-    /// What the guard has to know of an attempt at a server. Whether another is outstanding, whether the body is
-    /// consumed and where the connection leads is for the caller to add.
+    /// Returns the facts about an attempt at a server. The caller adds whether another attempt is outstanding, whether
+    /// the body is consumed and whether the connection reaches the server.
     pub(super) fn step_facts(
         &self,
         now: Micros,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Whether a request may be dispatched to a server, by the policy's rule of retries.
+    /// Returns whether a request may be dispatched to a server under the rules of retries.
     fn may_dispatch(
         &self,
         now: Micros,
@@ -67,7 +67,8 @@
         )
     }
 
-    /// The idempotency that a retry is checked against: the request's own, or a weaker demand where a fault is planted.
+    /// Returns the idempotency that a retry is checked against: that of the request, or a weaker one if a fault is
+    /// planted.
     fn checked_idempotency(&self, request: &RequestState, step: CheckedStep) -> Idempotency {
         match request.idempotency {
             Idempotency::NonIdempotent if self.bugs.planted(Bug::UnsafeResent) => {
@@ -92,8 +93,8 @@
         }
     }
 
-    /// Whether the attempt on a connection may still be written: its request is open and in time, and the connection
-    /// leads to its server, which is ready, at the server's current address.
+    /// Returns whether the attempt on a connection may still be written: its request is open and in time, and the
+    /// connection leads to the current address of its server, which is ready.
     pub(super) fn still_eligible(
         &mut self,
         now: Micros,
@@ -121,7 +122,7 @@
         self.permitted(&facts)
     }
 
-    /// Whether the guard lets a step through; a denial is counted.
+    /// Returns whether the guard permits a step, and counts a denial.
     pub(super) fn permitted(&mut self, facts: &StepFacts) -> bool {
         let checked = guard::check(facts);
         if let Err(denial) = checked {
@@ -130,8 +131,9 @@
         checked.is_ok()
     }
 
-    /// Whether a connection leads to its server's current address. A server that drained must get no request, and an
-    /// address may pass from one server to another: a request would then reach another server than its attempt is for.
+    /// Returns whether a connection leads to the current address of its server, which is ready. A draining server must
+    /// not get requests. An address may be reassigned to another server, which would then get requests that are meant
+    /// for the first.
     pub(super) fn reaches_server(&self, connection: ConnectionId) -> bool {
         let Some(connection) = self.connections.get(&connection) else {
             return false;
@@ -141,14 +143,14 @@
         })
     }
 
-    /// The request whose attempt is on a connection now; none once the attempt was aborted.
+    /// Returns the request whose attempt is on a connection; `None` once the attempt is aborted.
     pub(super) fn request_on(&self, connection: ConnectionId) -> Option<RequestId> {
         let id = self.connections.get(&connection)?.request.as_ref()?;
         let attempt = self.requests.get(id)?.outstanding.as_ref()?;
         (attempt.stage == AttemptStage::OnConnection(connection)).then(|| id.clone())
     }
 
-    /// Whether a connection exists and is in a state.
+    /// Returns whether a connection exists and is in the given state.
     pub(super) fn is_in_state(&self, connection: ConnectionId, state: ConnectionState) -> bool {
         self.connections
             .get(&connection)
--- a/crates/exchange/src/exchange/endpoints.rs
+++ b/crates/exchange/src/exchange/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list, and what a change of it ends.
+//! Changes of the endpoint list, and the connections that they close.
 
 use super::{Commands, Exchange};
 use crate::tables::{ConnectionState, ReadyServer};
@@ -11,8 +11,8 @@
 use std::hash::Hash;
 
 impl<A: Copy + Eq + Hash, M: Policy, B: Bugs> Exchange<A, M, B> {
-    /// Applies a change of the endpoint list. A server that drains, that is not in a snapshot or that has another
-    /// address loses its idle connections and those that are being made.
+    /// Applies a change of the endpoint list. Closes the idle and unestablished connections to each server that drains,
+    /// that is missing from a snapshot or that has another address now.
     pub(super) fn endpoints_changed(
         &mut self,
         snapshot: bool,
@@ -40,7 +40,8 @@
         }
     }
 
-    /// The servers that are no longer ready where they were; those that a snapshot lacks in the order of their ids.
+    /// Returns the servers that are no longer ready at their previous address. Those that are missing from a snapshot
+    /// come first, ordered by id.
     fn lost_servers(&self, snapshot: bool, entries: &[(Endpoint, A)]) -> Vec<ServerId> {
         let mut lost: Vec<ServerId> = Vec::new();
         if snapshot {
@@ -67,7 +68,7 @@
 
     fn apply_endpoint(&mut self, endpoint: &Endpoint, address: A, commands: &mut Commands<A>) {
         if endpoint.status != EndpointStatus::Ready {
-            // A list may have a server twice; its last entry counts.
+            // A list may contain a server twice; the last entry applies.
             return self.remove_server(endpoint.server, commands);
         }
         let location = ServerLocation {
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Cancels the attempts whose connections to lost servers are still being made.
+    /// Cancels the attempts whose connections to lost servers are still being established.
     fn cancel_connects(&mut self, lost: &[ServerId], commands: &mut Commands<A>) {
         let mut connecting: Vec<ConnectionId> = self
             .connections
--- a/crates/exchange/src/exchange/first_byte.rs
+++ b/crates/exchange/src/exchange/first_byte.rs
@@ -1,4 +1,4 @@
-//! An attempt whose connection is up, until its first byte is written.
+//! Attempts from the moment their connection is established until their first byte is written.
 
 use super::{Commands, Exchange};
 use crate::tables::{AttemptStage, Connection, ConnectionState, RequestState};
@@ -29,7 +29,7 @@
         connected.state = ConnectionState::Assigned;
         let server = connected.server;
         if !self.still_eligible(now, &id, connection) {
-            // Nothing was written: the request has not run, and the connection is as good as new.
+            // No byte was written: the request has not run, and the connection can be used by another one.
             self.keep_idle(now, connection, commands);
             return self.end_attempt(&id, Outcome::NotSent);
         }
@@ -39,20 +39,20 @@
             server,
         });
         if self.bugs.planted(Bug::AlarmForgotten) {
-            self.drop_alarm(&id);
+            self.drop_timer(&id);
         } else {
             self.set_stage(&id, AttemptStage::OnConnection(connection), None);
         }
     }
 
-    /// What [`Bug::AlarmForgotten`] does in place of an update of the alarm.
-    fn drop_alarm(&mut self, id: &RequestId) {
+    /// Removes the timer of a request instead of updating it, as [`Bug::AlarmForgotten`] does.
+    fn drop_timer(&mut self, id: &RequestId) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        if let (Some(attempt), Some(at)) = (request.outstanding.as_mut(), request.alarm.take()) {
+        if let (Some(attempt), Some(at)) = (request.outstanding.as_mut(), request.timer_at.take()) {
             attempt.step_deadline = attempt.deadline;
-            self.alarms.remove(&(at, id.clone()));
+            self.timers.remove(&(at, id.clone()));
         }
     }
 
@@ -65,7 +65,8 @@
         if !self.bugs.planted(Bug::SlotLost) {
             self.connections.remove(&connection);
         }
-        // A shortage on this side says nothing about the server: the policy would otherwise eject a healthy one.
+        // A shortage of local resources is no fault of the server: reporting it as unreachable would make the policy
+        // eject a healthy server.
         let outcome = if local_shortage {
             Outcome::NotSent
         } else {
@@ -76,9 +77,9 @@
         }
     }
 
-    /// The last check before the first byte. Since the policy asked for the attempt, its server may have drained, its
-    /// request may have been answered, its deadline may have passed, and the connection may have received bytes that
-    /// would be read as the response to this request.
+    /// Performs the last check before the first byte is written. Since the policy asked for the attempt, the server may
+    /// have started to drain, the request may have been answered, the deadline may have passed, and the connection may
+    /// have received bytes that would be taken for the response to this request.
     pub(super) fn first_byte_ready(
         &mut self,
         now: Micros,
@@ -123,7 +124,8 @@
         }
     }
 
-    /// The location of a server; only planted faults write to a server that is not ready and has none.
+    /// Returns the location of a server. The default applies only where a planted fault writes to a server that is not
+    /// ready.
     fn location_of(&self, server: ServerId) -> ServerLocation {
         self.servers.get(&server).map_or(
             ServerLocation {
@@ -134,7 +136,7 @@
         )
     }
 
-    /// Verifies, from the tables alone, a first byte that the guard has let through.
+    /// Verifies a first byte that the guard has permitted, from the tables only.
     fn verify_first_byte(&mut self, now: Micros, id: &RequestId, connection: ConnectionId) {
         let (Some(request), Some(carrier)) =
             (self.requests.get(id), self.connections.get(&connection))
@@ -152,7 +154,7 @@
         self.violations
             .check(ready, Invariant::SentToReadyServer, id);
         self.violations.check(once, Invariant::SentOnce, id);
-        self.violations.check(safely, Invariant::RepeatedSafely, id);
+        self.violations.check(safely, Invariant::RetriedSafely, id);
     }
 
     fn is_safe_to_write(
@@ -174,8 +176,8 @@
         })
     }
 
-    /// A connection turned out bad before a byte was written. A reused one is replaced by another; with a new
-    /// one the attempt ends, as unreachable, since nothing of it was written.
+    /// Handles a connection that became unusable before a byte was written. A reused connection is replaced by another
+    /// one; on a new connection the attempt ends as unreachable, since nothing of it was written.
     pub(super) fn replace_connection(
         &mut self,
         now: Micros,
@@ -195,7 +197,7 @@
     }
 }
 
-/// Whether the request's attempt is on this connection and nothing of it is written.
+/// Returns whether the request's attempt is assigned to this connection and no byte of it is written.
 fn awaits_first_byte(request: &RequestState, connection: ConnectionId) -> bool {
     request.outstanding.as_ref().is_some_and(|attempt| {
         attempt.stage == AttemptStage::OnConnection(connection) && attempt.dispatched.is_none()
--- a/crates/exchange/src/exchange/inspection.rs
+++ b/crates/exchange/src/exchange/inspection.rs
@@ -1,15 +1,15 @@
-//! What the model checker asks of the tables.
+//! Inspection of the tables by the model checker.
 
 use super::Exchange;
-use crate::tables::{Alarms, AttemptStage, ConnectionState, OutstandingAttempt, RequestState};
+use crate::tables::{AttemptStage, ConnectionState, OutstandingAttempt, RequestState, TimerQueue};
 use crate::{Bugs, ConnectionId, Policy};
 use saffronpaddle_policy::interface::{Outcome, RequestId};
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
 
 impl<A: Copy + Eq + Hash, M: Policy, B: Bugs> Exchange<A, M, B> {
-    /// Hashes all that the future of the exchange depends on. Connections are hashed by their rank, not by their ids,
-    /// so that two states that differ in their history only are one.
+    /// Hashes all state that future behaviour depends on. Connections are hashed by rank instead of id, so that states
+    /// that differ only in their history have the same hash.
     pub fn digest(&self, hasher: &mut impl Hasher) {
         let mut ids: Vec<_> = self.connections.keys().copied().collect();
         ids.sort();
@@ -37,42 +37,48 @@
             let idle: Vec<usize> = server.idle.iter().map(|id| rank_of(*id)).collect();
             (id, server.address, server.location, idle).hash(hasher);
         }
-        (self.stopped, self.shutdown_deadline, self.next_ticket).hash(hasher);
+        (self.draining, self.shutdown_deadline, self.next_ticket).hash(hasher);
     }
 
-    /// Checks that the tables, which say the same in several ways, agree.
+    /// Checks that the tables, which hold some facts redundantly, agree with each other.
     ///
     /// # Errors
-    /// The first disagreement, in words.
-    pub fn consistent(&self) -> Result<(), &'static str> {
+    /// A description of the first inconsistency.
+    pub fn check_consistency(&self) -> Result<(), &'static str> {
         self.check_requests()?;
         self.check_idle_connections()?;
         check(
             self.connections.len() <= self.limits.max_connections,
-            "there are more connections than may be",
+            "the number of connections exceeds the limit",
         )
     }
 
     fn check_requests(&self) -> Result<(), &'static str> {
-        let alarms: Alarms = self
+        let timers: TimerQueue = self
             .requests
             .iter()
-            .filter_map(|(id, request)| Some((request.alarm?, id.clone())))
+            .filter_map(|(id, request)| Some((request.timer_at?, id.clone())))
             .collect();
         check(
-            alarms == self.alarms,
-            "the order of alarms is not that of the rows",
+            timers == self.timers,
+            "the timer queue differs from the timers of the requests",
         )?;
         let due = self
             .requests
             .values()
-            .all(|request| request.alarm == request.next_due(self.limits.answer_grace));
-        check(due, "an alarm is not set as its row needs")?;
+            .all(|request| request.timer_at == request.next_due(self.limits.answer_grace));
+        check(
+            due,
+            "the timer of a request is not set to the time when it is due",
+        )?;
         let needed = self
             .requests
             .values()
             .all(|request| request.open || request.outstanding.is_some());
-        check(needed, "a row is kept though nothing is owed")
+        check(
+            needed,
+            "a request is kept although it is closed and has no attempt",
+        )
     }
 
     fn check_idle_connections(&self) -> Result<(), &'static str> {
@@ -86,7 +92,7 @@
             .collect();
         check(
             idle == self.idle,
-            "the order of idle connections is not theirs",
+            "the idle queue differs from the states of the connections",
         )?;
         let idle_at_servers: BTreeSet<ConnectionId> = self
             .servers
@@ -95,22 +101,25 @@
             .collect();
         check(
             idle_at_servers == self.idle.iter().map(|(_, id)| *id).collect(),
-            "a server's idle connections are not those that are idle",
+            "the idle connections of the servers differ from the idle queue",
         )?;
         let reach_servers = self.idle.iter().all(|(_, id)| self.reaches_server(*id));
-        check(reach_servers, "a connection is kept that leads nowhere")
+        check(
+            reach_servers,
+            "an idle connection does not lead to the current address of a ready server",
+        )
     }
 }
 
-fn check(holds: bool, disagreement: &'static str) -> Result<(), &'static str> {
+fn check(holds: bool, inconsistency: &'static str) -> Result<(), &'static str> {
     if holds {
         Ok(())
     } else {
-        Err(disagreement)
+        Err(inconsistency)
     }
 }
 
-/// Hashes a request without its outstanding attempt.
+/// Hashes a request except its outstanding attempt.
 fn hash_request(id: &RequestId, request: &RequestState, hasher: &mut impl Hasher) {
     id.hash(hasher);
     request.deadline.hash(hasher);
@@ -119,7 +128,7 @@
     request.open.hash(hasher);
     request.attempts.hash(hasher);
     request.first_dispatched.hash(hasher);
-    request.alarm.hash(hasher);
+    request.timer_at.hash(hasher);
     request.body_complete.hash(hasher);
     request.body_consumed.hash(hasher);
     request.streaming.hash(hasher);
--- a/crates/exchange/src/exchange/pool.rs
+++ b/crates/exchange/src/exchange/pool.rs
@@ -1,4 +1,4 @@
-//! The pool of connections to servers: kept idle, reused and closed.
+//! The pool of connections to servers: idle connections, their reuse and their closing.
 
 use super::{Commands, Exchange};
 use crate::tables::{AttemptStage, Connection, ConnectionState};
@@ -7,8 +7,8 @@
 use std::hash::Hash;
 
 impl<A: Copy + Eq + Hash, M: Policy, B: Bugs> Exchange<A, M, B> {
-    /// Takes the rested connection to a server that became idle last, so that the others reach their idle timeout.
-    /// Connections that are past it are closed.
+    /// Takes the most recently used idle connection to a server whose reuse delay has passed, so that the others reach
+    /// their idle timeout. Closes connections whose idle timeout has passed.
     pub(super) fn take_idle(
         &mut self,
         now: Micros,
@@ -22,15 +22,15 @@
         };
         loop {
             let ready = self.servers.get(&server)?;
-            let rested = |id: &&ConnectionId| {
+            let reuse_delay_passed = |id: &&ConnectionId| {
                 self.idle_since(**id)
                     .is_none_or(|since| now >= since.saturating_add(reuse_delay))
             };
-            let connection = *ready.idle.iter().rev().find(rested)?;
-            let fresh = self
+            let connection = *ready.idle.iter().rev().find(reuse_delay_passed)?;
+            let within_idle_timeout = self
                 .idle_since(connection)
-                .is_some_and(|since| now < since.saturating_add(self.limits.idle_for));
-            if fresh {
+                .is_some_and(|since| now < since.saturating_add(self.limits.idle_timeout));
+            if within_idle_timeout {
                 self.remove_from_idle(connection);
                 return Some(connection);
             }
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Removes a connection from the idle ones, if it is one.
+    /// Removes a connection from the idle queues if it is idle.
     fn remove_from_idle(&mut self, connection: ConnectionId) {
         let Some(found) = self.connections.get(&connection) else {
             return;
@@ -58,14 +58,14 @@
         }
     }
 
-    /// Keeps a connection that has become idle, or closes it if it is of no use.
+    /// Adds a connection to the idle pool, or closes it if it can't be reused.
     pub(super) fn keep_idle(
         &mut self,
         now: Micros,
         connection: ConnectionId,
         commands: &mut Commands<A>,
     ) {
-        let keeps_connections = !self.stopped || self.bugs.planted(Bug::KeptAfterStop);
+        let keeps_connections = !self.draining || self.bugs.planted(Bug::KeptAfterStop);
         let useful = self.reaches_server(connection) && keeps_connections;
         let max_idle = self.limits.max_idle_per_server;
         let Some(freed) = self.connections.get_mut(&connection) else {
@@ -97,7 +97,7 @@
         commands.push(Command::Close { connection });
     }
 
-    /// Closes a connection for a request whose attempt waits until it is closed.
+    /// Closes a connection on behalf of a request whose attempt waits until it is closed.
     pub(super) fn close_for(
         &mut self,
         connection: ConnectionId,
@@ -115,7 +115,7 @@
             Some(found) if matches!(found.state, ConnectionState::Idle(_)) => {
                 self.close(connection, commands);
             }
-            // How the attempt on it ended is reported by another event.
+            // The end of the attempt on it is reported by another event.
             Some(found) => found.closed_by_peer = true,
             None => {}
         }
--- a/crates/exchange/src/exchange/requests.rs
+++ b/crates/exchange/src/exchange/requests.rs
@@ -1,4 +1,4 @@
-//! The life of a request: received, answered, abandoned, and when it has to be looked at.
+//! The life cycle of a request: receipt, answer, abandonment, and its timer.
 
 use super::{Commands, Exchange};
 use crate::tables::RequestState;
@@ -7,7 +7,7 @@
 use saffronpaddle_policy::interface::{Event as PolicyEvent, Idempotency, Micros, RequestId};
 use std::hash::Hash;
 
-/// How late an answer may be before it counts as a violation, µs: the operating system may suspend the process for a
+/// Delay of an answer beyond which it counts as a violation, µs: the operating system may suspend the process for a
 /// while.
 const ANSWER_TOLERANCE: Micros = 150_000;
 
@@ -57,15 +57,15 @@
             attempts: 0,
             outstanding: None,
             first_dispatched: None,
-            alarm: None,
+            timer_at: None,
         };
         request.limit_to_shutdown(self.shutdown_deadline);
         self.requests.insert(id.clone(), request);
-        self.update_alarm(&id);
+        self.update_timer(&id);
         self.pending_events.push_back(policy_event);
     }
 
-    /// The process has no time left for a request. Nothing of it was sent, so that a retry is harmless.
+    /// Rejects a request that arrives after the shutdown deadline. Nothing of it was sent, so a retry is safe.
     fn reject_at_shutdown(&mut self, id: RequestId, class: usize, commands: &mut Commands<A>) {
         self.counters.ended(class, RequestEnd::Throttled);
         commands.push(Command::Answer {
@@ -83,8 +83,8 @@
         }
     }
 
-    /// No answer is wanted any more. The policy is told, and cancels the attempt where that is allowed. `end` is
-    /// counted unless the end of the request was counted before.
+    /// Closes a request that needs no further answer. The policy is notified and cancels the attempt where that is
+    /// allowed. `end` is counted; it is `None` if the end of the request was already counted.
     fn abandon(&mut self, id: &RequestId, end: Option<RequestEnd>) {
         let Some(request) = self.requests.get_mut(id).filter(|request| request.open) else {
             return;
@@ -95,14 +95,14 @@
         }
         if self.bugs.planted(Bug::EndNeverTold) {
             self.requests.remove(id);
-            self.alarms.retain(|(_, other)| other != id);
+            self.timers.retain(|(_, other)| other != id);
         }
         self.pending_events
             .push_back(PolicyEvent::RequestAbandoned { id: id.clone() });
         self.update_or_remove(id);
     }
 
-    /// Gives a request the answer that the policy or a response brings, unless it has one already.
+    /// Answers a request as decided by the policy or a response, unless it is already answered.
     pub(super) fn answer(
         &mut self,
         now: Micros,
@@ -123,7 +123,7 @@
         self.update_or_remove(id);
     }
 
-    /// Gives a request an answer that the policy did not decide; the policy is told that the request is over.
+    /// Answers a request without a decision of the policy, and notifies the policy that the request is abandoned.
     pub(super) fn force_answer(
         &mut self,
         now: Micros,
@@ -139,13 +139,13 @@
         self.abandon(id, None);
     }
 
-    /// Counts the answer to a request that is open, and verifies that it is in time. False if the request is not open.
+    /// Counts the answer to an open request and verifies that it is in time. Returns false if the request is not open.
     fn count_answer(&mut self, now: Micros, id: &RequestId, answer: FinalAnswer) -> bool {
         let Some(request) = self.requests.get(id).filter(|request| request.open) else {
             return false;
         };
         let latest = request
-            .answered_by(self.limits.answer_grace)
+            .answer_deadline(self.limits.answer_grace)
             .saturating_add(ANSWER_TOLERANCE);
         self.violations
             .check(now <= latest, Invariant::AnsweredInTime, id);
@@ -153,42 +153,42 @@
         true
     }
 
-    /// Updates a request's alarm, or removes a request that is answered and has no attempt.
+    /// Updates the timer of a request, or removes the request if it is closed and has no attempt.
     pub(super) fn update_or_remove(&mut self, id: &RequestId) {
         let needed = self
             .requests
             .get(id)
             .is_some_and(|request| request.open || request.outstanding.is_some());
         if needed {
-            return self.update_alarm(id);
+            return self.update_timer(id);
         }
         if let Some(RequestState {
-            alarm: Some(at), ..
+            timer_at: Some(at), ..
         }) = self.requests.remove(id)
         {
-            self.alarms.remove(&(at, id.clone()));
+            self.timers.remove(&(at, id.clone()));
         }
     }
 
-    /// Sets a request's alarm to when it is due.
-    pub(super) fn update_alarm(&mut self, id: &RequestId) {
+    /// Sets the timer of a request to the time when it is next due.
+    pub(super) fn update_timer(&mut self, id: &RequestId) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
         };
         let due = request.next_due(self.limits.answer_grace);
-        if request.alarm == due {
+        if request.timer_at == due {
             return;
         }
-        if let Some(at) = std::mem::replace(&mut request.alarm, due) {
-            self.alarms.remove(&(at, id.clone()));
+        if let Some(at) = std::mem::replace(&mut request.timer_at, due) {
+            self.timers.remove(&(at, id.clone()));
         }
         if let Some(at) = due {
-            self.alarms.insert((at, id.clone()));
+            self.timers.insert((at, id.clone()));
         }
     }
 }
 
-/// How a request with this answer ended, for the counters.
+/// Returns how a request with this answer is counted.
 fn request_end(answer: FinalAnswer) -> RequestEnd {
     match answer {
         FinalAnswer::Served => RequestEnd::Fulfilled,
--- a/crates/exchange/src/exchange/responses.rs
+++ b/crates/exchange/src/exchange/responses.rs
@@ -1,4 +1,4 @@
-//! Responses to attempts: complete, streaming, upgraded, or lost with their connection.
+//! Responses to attempts: complete, streaming or upgrading responses, and lost connections.
 
 use super::{Commands, Exchange};
 use crate::tables::ConnectionState;
@@ -37,7 +37,7 @@
         self.end_attempt(&id, outcome);
     }
 
-    /// A response to an attempt that was aborted is ignored; [`Bug::AnswerAfterCancel`] takes it for an answer.
+    /// Ignores a response to an aborted attempt, except where [`Bug::AnswerAfterCancel`] serves it.
     fn late_response(
         &mut self,
         now: Micros,
@@ -57,8 +57,9 @@
         }
     }
 
-    /// A response came before the request was complete. The connection is closed, as the server would read the rest of
-    /// the body as the next request; and a successful response can't be one to this request.
+    /// Handles a response that was received before the request was complete. The connection is closed, as the server
+    /// would take the rest of the body for the next request. A successful response becomes an error, as it can't be the
+    /// response to this request.
     fn early_response(
         &mut self,
         id: &RequestId,
@@ -75,7 +76,7 @@
         self.end_attempt(id, outcome);
     }
 
-    /// The head of a streaming response has come: the response belongs to the client for as long as it takes.
+    /// Answers the request when the head of a streaming response is received. The attempt has no timeout from then on.
     pub(super) fn response_streaming(
         &mut self,
         now: Micros,
@@ -90,7 +91,7 @@
             return;
         };
         if !request.body_complete || !request.open {
-            // It came before the request was complete, or the client is gone: nobody takes it.
+            // The response was received before the request was complete, or its client has disconnected.
             return self.abort_attempt(&id, Outcome::ConnectionLost, commands);
         }
         request.streaming = true;
@@ -104,7 +105,7 @@
             .push_back(PolicyEvent::ResponseStarted { id });
     }
 
-    /// The client of a streaming response is gone.
+    /// Aborts the attempt when the client has stopped reading its streaming response.
     pub(super) fn response_abandoned(
         &mut self,
         connection: ConnectionId,
@@ -120,7 +121,7 @@
         }
     }
 
-    /// The connection leaves the exchange with the response. Its new owner closes it if the client is gone.
+    /// Removes the upgraded connection from the tables. Its new owner closes it when the client disconnects.
     pub(super) fn upgraded(
         &mut self,
         now: Micros,
--- a/crates/exchange/src/exchange/statistics.rs
+++ b/crates/exchange/src/exchange/statistics.rs
@@ -1,4 +1,4 @@
-//! Counts and lists for staff.
+//! Counters and lists for operators.
 
 use super::Exchange;
 use crate::{
@@ -8,17 +8,17 @@
 use std::hash::Hash;
 
 impl<A: Copy + Eq + Hash, M: Policy, B: Bugs> Exchange<A, M, B> {
-    /// How many servers are ready.
+    /// Returns the number of ready servers.
     pub fn ready_servers(&self) -> usize {
         self.servers.len()
     }
 
-    /// How many requests and how many connections are kept; nothing else is kept of either.
+    /// Returns the number of requests and the number of connections in the tables.
     pub fn table_sizes(&self) -> (usize, usize) {
         (self.requests.len(), self.connections.len())
     }
 
-    /// The requests that have no final answer yet, in no order.
+    /// Returns the requests that have no final answer yet, in arbitrary order.
     pub fn open_requests(&self) -> impl Iterator<Item = OpenRequest> + '_ {
         let state_of = |id: ConnectionId| self.connections.get(&id).map(|found| found.state);
         self.requests
@@ -33,24 +33,24 @@
             })
     }
 
-    /// How requests have ended so far, and how many attempts were written.
+    /// Returns how requests have ended so far, and how many attempts were written.
     pub fn counters(&self) -> &RequestCounters {
         &self.counters
     }
 
-    /// How often the guard denied a step, by reason.
+    /// Returns how often the guard denied a step, by reason.
     pub fn denials(&self) -> impl Iterator<Item = (Denial, u64)> + '_ {
         Denial::ALL
             .into_iter()
             .map(|denial| (denial, self.denials.get(&denial).copied().unwrap_or(0)))
     }
 
-    /// How often each invariant was violated.
+    /// Returns how often each invariant was violated, with the violations that were not reported yet.
     pub fn violations(&self) -> &Violations {
         &self.violations
     }
 
-    /// Takes the violations that were not reported yet.
+    /// Removes and returns the violations that were not reported yet.
     pub fn take_violations(&mut self) -> Vec<Violation> {
         if self.violations.any_unreported() {
             self.violations.take_unreported()
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The process ends now: requests that are still open are never answered, which is counted as a violation.
+    /// Counts a violation for each request that is still open: the process exits now and never answers it.
     pub fn process_exits(&mut self) {
         for (id, request) in &self.requests {
             self.violations
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Counts a request that the I/O layer answered itself: it was malformed, or its id is in use.
+    /// Counts a request that the I/O layer answered itself because it was malformed or its id is in use.
     pub fn count_unreceived(&mut self, class: usize, end: RequestEnd) {
         self.counters.taken(class);
         self.counters.ended(class, end);
--- a/crates/exchange/src/exchange/timers.rs
+++ b/crates/exchange/src/exchange/timers.rs
@@ -1,4 +1,4 @@
-//! What time alone brings about: deadlines, timeouts, idle timeouts and the end of the process.
+//! Handling of time: request deadlines, attempt timeouts, idle timeouts and the shutdown deadline.
 
 use super::{Commands, Exchange};
 use crate::tables::RequestState;
@@ -7,7 +7,7 @@
 use std::hash::Hash;
 
 impl<A: Copy + Eq + Hash, M: Policy, B: Bugs> Exchange<A, M, B> {
-    /// Gives all requests, open and future ones, no more time than the process has.
+    /// Limits the deadlines of all open and future requests to the shutdown deadline.
     pub(super) fn shutdown_announced(&mut self, answer_by: Micros) {
         self.shutdown_deadline = self.shutdown_deadline.min(answer_by);
         if self.bugs.planted(Bug::EndForgotten) {
@@ -23,13 +23,13 @@
             if let Some(request) = self.requests.get_mut(&id) {
                 request.limit_to_shutdown(self.shutdown_deadline);
             }
-            self.update_alarm(&id);
+            self.update_timer(&id);
         }
     }
 
-    /// The node drains: idle connections are closed and none is kept any more.
-    pub(super) fn stop(&mut self, commands: &mut Commands<A>) {
-        self.stopped = true;
+    /// Starts to drain the node: closes the idle connections and keeps none from then on.
+    pub(super) fn drain(&mut self, commands: &mut Commands<A>) {
+        self.draining = true;
         if self.bugs.planted(Bug::KeptAfterStop) {
             return;
         }
@@ -38,13 +38,13 @@
             .for_each(|connection| self.close(connection, commands));
     }
 
-    /// Answers the requests whose deadline has passed, whatever the policy does.
+    /// Answers the requests whose deadline and grace have passed without an answer by the policy.
     pub(super) fn answer_overdue(&mut self, now: Micros, commands: &mut Commands<A>) {
-        if self.alarms.first().is_none_or(|(at, _)| *at > now) {
+        if self.timers.first().is_none_or(|(at, _)| *at > now) {
             return;
         }
         let overdue: Vec<(RequestId, FinalAnswer)> = self
-            .alarms
+            .timers
             .iter()
             .take_while(|(at, _)| *at <= now)
             .filter_map(|(_, id)| {
@@ -60,13 +60,13 @@
 
     fn is_overdue(&self, now: Micros, request: &RequestState) -> bool {
         let unanswered = request.open || self.bugs.planted(Bug::DeadlineRacedByReply);
-        unanswered && now >= request.answered_by(self.limits.answer_grace)
+        unanswered && now >= request.answer_deadline(self.limits.answer_grace)
     }
 
-    /// Aborts the attempts whose time is up, and closes the connections that have been idle for too long.
+    /// Aborts the attempts that have timed out, and closes the connections whose idle timeout has passed.
     pub(super) fn timer_fired(&mut self, now: Micros, commands: &mut Commands<A>) {
         let due: Vec<RequestId> = self
-            .alarms
+            .timers
             .iter()
             .take_while(|(at, _)| *at <= now)
             .map(|(_, id)| id.clone())
@@ -82,7 +82,7 @@
             }
         }
         while let Some((since, connection)) = self.idle.first().copied() {
-            if now < since.saturating_add(self.limits.idle_for) {
+            if now < since.saturating_add(self.limits.idle_timeout) {
                 break;
             }
             self.close(connection, commands);
@@ -90,8 +90,8 @@
     }
 }
 
-/// The answer to a request whose deadline has passed. Where the shutdown shortened the client's time and a retry is
-/// harmless, the client is told to retry.
+/// Returns the answer to a request whose deadline has passed. It is rejected, so that the client can retry, if the
+/// shutdown shortened its deadline and a retry is safe; otherwise it fails.
 fn overdue_answer(request: &RequestState) -> FinalAnswer {
     if request.shortened_by_shutdown && request.open && request.rejection_allowed() {
         FinalAnswer::Rejected(None)
--- a/crates/exchange/src/guard.rs
+++ b/crates/exchange/src/guard.rs
@@ -1,91 +1,91 @@
-//! Decides whether an attempt may take its next step, and if not, why.
+//! Decides whether an attempt may take its next step, and gives the reason if not.
 //!
-//! The choice of an attempt (also of a retry), its connection that has come up and its first byte are checked here,
-//! with the same facts. The admission of a request, the end of a wait for a connection slot, the last piece of a body
-//! and closes have checks of their own. The deadlines are nested: a request's is never later than the process's, and an
-//! attempt's never later than its request's.
+//! The same checks apply when the policy chooses an attempt (first or retry), when its connection is established and
+//! before its first byte is written. The admission of a request, the end of a wait for a connection slot, the last
+//! part of a body and closes are checked elsewhere. Deadlines are nested: the deadline of a request is never later
+//! than the shutdown deadline, and the deadline of an attempt is never later than that of its request.
 
 use saffronpaddle_policy::interface::Micros;
 
-/// All that a step depends on.
+/// The inputs of the decision about a step.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct StepFacts {
-    /// The time now, µs.
+    /// The current time, µs.
     pub now: Micros,
-    /// When the attempt is given up, µs; no later than the request's deadline.
+    /// When the attempt times out, µs; not later than the request's deadline.
     pub attempt_deadline: Micros,
-    /// The process answers all requests by then, µs.
+    /// When the process has to have answered all requests, µs.
     pub shutdown_deadline: Micros,
-    /// The request has no final answer, and its client waits for one.
+    /// The request has no final answer, and its client is waiting for one.
     pub client_waits: bool,
     /// Another attempt of the request is outstanding.
     pub attempt_outstanding: bool,
-    /// Some of a body that is not buffered may have gone to a server.
+    /// A part of an unbuffered body may have been sent to a server.
     pub body_consumed: bool,
-    /// The server is ready, and at the address that the connection leads to.
+    /// The server is ready, and its address is that of the connection.
     pub server_ready: bool,
-    /// No attempt may have run, or the request may be dispatched to this server again now.
+    /// No earlier attempt may have run, or the rules of retries allow a dispatch to this server now.
     pub retry_allowed: bool,
 }
 
-/// Why a step is not taken.
+/// The reason why a step is denied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Denial {
-    /// The client no longer waits for the answer.
+    /// The client is no longer waiting for the answer.
     ClientGone,
     /// The deadline of the attempt or of the request has passed.
-    TimeIsUp,
-    /// The process ends before an answer could be given.
-    ProcessEnds,
+    DeadlinePassed,
+    /// The shutdown deadline has passed: the process exits before it could give an answer.
+    ShutdownDeadlinePassed,
     /// Another attempt of the request is outstanding.
-    AttemptOut,
-    /// The request's body was not buffered and is consumed.
-    BodyGone,
-    /// The server drains, is gone or has another address.
+    AttemptOutstanding,
+    /// The request body was not buffered, and a part of it has already been sent.
+    BodyConsumed,
+    /// The server is draining, was removed or has another address.
     ServerNotReady,
-    /// An attempt may have run, and a retry could take effect a second time.
-    RepeatNotAllowed,
+    /// An earlier attempt may have run, and a retry could take effect twice.
+    RetryNotAllowed,
 }
 
 impl Denial {
-    /// All reasons in the order in which they are checked: the first that holds is reported.
+    /// All reasons, in the order in which they are checked; the first that applies is reported.
     pub const ALL: [Denial; 7] = [
         Denial::ClientGone,
-        Denial::AttemptOut,
-        Denial::BodyGone,
-        Denial::ProcessEnds,
-        Denial::TimeIsUp,
+        Denial::AttemptOutstanding,
+        Denial::BodyConsumed,
+        Denial::ShutdownDeadlinePassed,
+        Denial::DeadlinePassed,
         Denial::ServerNotReady,
-        Denial::RepeatNotAllowed,
+        Denial::RetryNotAllowed,
     ];
 
-    /// The name of its counter.
+    /// Returns the name of the denial counter in the metrics.
     pub fn figure(self) -> &'static str {
         match self {
             Denial::ClientGone => "denied_client_gone",
-            Denial::TimeIsUp => "denied_time_is_up",
-            Denial::ProcessEnds => "denied_process_ends",
-            Denial::AttemptOut => "denied_attempt_out",
-            Denial::BodyGone => "denied_body_gone",
+            Denial::DeadlinePassed => "denied_time_is_up",
+            Denial::ShutdownDeadlinePassed => "denied_process_ends",
+            Denial::AttemptOutstanding => "denied_attempt_out",
+            Denial::BodyConsumed => "denied_body_gone",
             Denial::ServerNotReady => "denied_server_not_ready",
-            Denial::RepeatNotAllowed => "denied_repeat_not_allowed",
+            Denial::RetryNotAllowed => "denied_repeat_not_allowed",
         }
     }
 }
 
-/// Whether a step may be taken.
+/// Checks whether a step may be taken.
 ///
 /// # Errors
-/// The first reason that stands against it.
+/// The first reason in the order of [`Denial::ALL`] that applies.
 pub(crate) fn check(facts: &StepFacts) -> Result<(), Denial> {
     let applies = |denial: &Denial| match denial {
         Denial::ClientGone => !facts.client_waits,
-        Denial::AttemptOut => facts.attempt_outstanding,
-        Denial::BodyGone => facts.body_consumed,
-        Denial::ProcessEnds => facts.now >= facts.shutdown_deadline,
-        Denial::TimeIsUp => facts.now >= facts.attempt_deadline,
+        Denial::AttemptOutstanding => facts.attempt_outstanding,
+        Denial::BodyConsumed => facts.body_consumed,
+        Denial::ShutdownDeadlinePassed => facts.now >= facts.shutdown_deadline,
+        Denial::DeadlinePassed => facts.now >= facts.attempt_deadline,
         Denial::ServerNotReady => !facts.server_ready,
-        Denial::RepeatNotAllowed => !facts.retry_allowed,
+        Denial::RetryNotAllowed => !facts.retry_allowed,
     };
     Denial::ALL.into_iter().find(applies).map_or(Ok(()), Err)
 }
--- a/crates/exchange/src/invariants.rs
+++ b/crates/exchange/src/invariants.rs
@@ -1,44 +1,44 @@
-//! Invariants of each request at run time, and how often each was violated.
+//! Invariants of requests that are checked at run time, with a violation counter for each.
 //!
-//! The guard keeps a wrong step from being taken; the invariants verify, from the tables alone, the steps that were
-//! taken. A violation is counted and reported, and never stops the process.
+//! The guard prevents invalid steps. The invariants verify the steps that were taken, from the tables only and
+//! independently of the guard. A violation is counted and reported; it never stops the process.
 
 use saffronpaddle_policy::interface::RequestId;
 
 /// An invariant of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Invariant {
-    /// A request that was received has its final answer before the process ends.
+    /// Every received request gets its final answer before the process exits.
     AnsweredBeforeExit,
-    /// A final answer is given while the client still waits for it.
+    /// A final answer is given while the client is still waiting for it.
     AnsweredInTime,
-    /// The first byte of an attempt is written only before the deadline of its request.
+    /// The first byte of an attempt is not written after the deadline of its request.
     SentInTime,
-    /// The first byte is written only to a server that is ready, at the address that it has now.
+    /// The first byte is written only to a ready server, at its current address.
     SentToReadyServer,
-    /// The first byte is written only while no other attempt is outstanding and the client waits for the answer.
+    /// The first byte is written only while no other attempt is outstanding and the client is waiting for the answer.
     SentOnce,
-    /// A request is written again only where a retry can't take effect a second time.
-    RepeatedSafely,
+    /// A request is written again only where a retry can't take effect twice.
+    RetriedSafely,
 }
 
-/// How many invariants there are.
+/// Number of invariants.
 const COUNT: usize = 6;
-/// Violations that are kept until they are reported; all are counted. Bounds the memory.
+/// Most violations that are stored until they are reported, which bounds the memory. Further ones are only counted.
 const MAX_UNREPORTED: usize = 16;
 
 impl Invariant {
-    /// All invariants.
+    /// All invariants, in the order of their counters.
     pub const ALL: [Invariant; COUNT] = [
         Invariant::AnsweredBeforeExit,
         Invariant::AnsweredInTime,
         Invariant::SentInTime,
         Invariant::SentToReadyServer,
         Invariant::SentOnce,
-        Invariant::RepeatedSafely,
+        Invariant::RetriedSafely,
     ];
 
-    /// The name of its counter.
+    /// Returns the name of the violation counter in the metrics.
     pub fn figure(self) -> &'static str {
         match self {
             Invariant::AnsweredBeforeExit => "violated_answered_before_exit",
@@ -46,11 +46,11 @@
             Invariant::SentInTime => "violated_sent_in_time",
             Invariant::SentToReadyServer => "violated_sent_to_ready_server",
             Invariant::SentOnce => "violated_sent_once",
-            Invariant::RepeatedSafely => "violated_repeated_safely",
+            Invariant::RetriedSafely => "violated_repeated_safely",
         }
     }
 
-    /// Its name in the log.
+    /// Returns the name of the invariant in log lines.
     pub fn name(self) -> &'static str {
         match self {
             Invariant::AnsweredBeforeExit => "answered_before_exit",
@@ -58,21 +58,21 @@
             Invariant::SentInTime => "sent_in_time",
             Invariant::SentToReadyServer => "sent_to_ready_server",
             Invariant::SentOnce => "sent_once",
-            Invariant::RepeatedSafely => "repeated_safely",
+            Invariant::RetriedSafely => "repeated_safely",
         }
     }
 }
 
-/// An invariant that a request violated.
+/// A violation of an invariant by a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// The invariant.
+    /// Which invariant was violated.
     pub invariant: Invariant,
-    /// The request.
+    /// The id of the violating request.
     pub request: RequestId,
 }
 
-/// The violations since the process started.
+/// Violations since the process started.
 #[derive(Clone, Debug, Default)]
 pub struct Violations {
     counts: [u64; COUNT],
@@ -94,17 +94,17 @@
         }
     }
 
-    /// How often an invariant was violated.
+    /// Returns how often an invariant was violated.
     pub fn count(&self, invariant: Invariant) -> u64 {
         self.counts[invariant as usize]
     }
 
-    /// Takes the violations that have not been reported yet.
+    /// Removes and returns the violations that have not been reported yet.
     pub(crate) fn take_unreported(&mut self) -> Vec<Violation> {
         std::mem::take(&mut self.unreported)
     }
 
-    /// Whether any has not been reported yet.
+    /// Returns whether there are violations that have not been reported yet.
     pub(crate) fn any_unreported(&self) -> bool {
         !self.unreported.is_empty()
     }
--- a/crates/exchange/src/lib.rs
+++ b/crates/exchange/src/lib.rs
@@ -1,26 +1,26 @@
-//! The life of requests, of their attempts and of the connections that carry them, as one state machine without
-//! input or output: events in, commands out, time as an argument.
+//! The life cycle of requests, their attempts and the connections to servers as a state machine without I/O: it takes
+//! events and the current time, and returns commands.
 //!
-//! [`Exchange`] owns what the HTTP/1.1 front end and the connections to app servers have in common: which requests
-//! are open, which attempt of each is outstanding, on which connection, until when, and which connections are idle. It
-//! asks a [`Policy`] which server to use, whether to retry and what to reject, and does not trust it: a step that would
-//! break a rule is not taken, whatever the policy says. The I/O layer carries out each [`Command`] and reports what
-//! happened as an [`Event`]; `saffronpaddle-model-checker` does the same in a small world and visits all of its states.
+//! [`Exchange`] holds the state that the HTTP/1.1 front end and the connections to app servers share: the open
+//! requests, the outstanding attempt of each with its connection and deadline, and the idle connections. A [`Policy`]
+//! decides which server to use, whether to retry and what to reject. The exchange does not trust it: a step that would
+//! violate a rule is denied. The I/O layer carries out each [`Command`] and reports the results as [`Event`]s;
+//! `saffronpaddle-model-checker` takes its place in small worlds and visits all of their states.
 //!
-//! # The life of a request
+//! # The life cycle of a request
 //!
-//! 1. [`Event::RequestReceived`] opens a request (`exchange/requests.rs`) and the policy is told of it.
+//! 1. [`Event::RequestReceived`] opens a request (`exchange/requests.rs`), and the policy is notified.
 //! 2. The policy asks for an attempt (`exchange/dispatch.rs`). [`Denial`] lists why the guard may refuse it.
-//! 3. The attempt gets an idle connection or a new one (`exchange/pool.rs`).
-//! 4. Right before the first byte, the guard checks the attempt again (`exchange/first_byte.rs`). What the guard let
-//!    through is verified by the [`Invariant`]s.
-//! 5. The response ends the attempt, or streams to the client (`exchange/responses.rs`). A request body that streams to
-//!    the server is released by `exchange/bodies.rs`.
+//! 3. The attempt is assigned an idle connection (`exchange/pool.rs`) or a new one.
+//! 4. Immediately before the first byte, the guard checks the attempt again (`exchange/first_byte.rs`). The
+//!    [`Invariant`]s verify each first byte that the guard has permitted.
+//! 5. The response ends the attempt or is streamed to the client (`exchange/responses.rs`). The last part of a
+//!    streaming request body is released by `exchange/bodies.rs`.
 //! 6. A failed or cancelled attempt ends when its connection is closed (`exchange/attempt_end.rs`). The policy then
 //!    retries, rejects or fails the request.
-//! 7. A request without an answer at its deadline is failed by `exchange/timers.rs`.
+//! 7. A request without an answer at its deadline is answered by `exchange/timers.rs`.
 //!
-//! The properties that hold are listed in `docs/properties.md`, by the names that the checker uses.
+//! `docs/properties.md` lists the guaranteed properties under the names that the model checker prints.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/exchange/src/limits.rs
+++ b/crates/exchange/src/limits.rs
@@ -1,45 +1,46 @@
-//! Limits of an exchange.
+//! Connection, timeout and attempt limits of an exchange.
 
 use saffronpaddle_policy::interface::Micros;
 
-/// Limits of an exchange.
+/// Connection, timeout and attempt limits of an exchange.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Connections to app servers that may exist at once, including those being made or closed. Without this limit the
-    /// process would run out of file descriptors.
+    /// Most connections to app servers at the same time, including those being opened or closed. Without this limit
+    /// the process would run out of file descriptors.
     pub max_connections: usize,
-    /// Idle connections that are kept for one server.
+    /// Most idle connections that are kept per server.
     pub max_idle_per_server: usize,
-    /// How long a connection may stay idle, µs. A request written to a connection that the server is just closing ends
-    /// as a reset, after which the request may have run; connections are therefore closed here before the server does.
-    pub idle_for: Micros,
-    /// How long a connection rests after a response before it is reused, µs. A duplicate of the response that arrives
-    /// just after the next request was written would pass for that request's response; during the rest it is seen as
-    /// unexpected bytes.
+    /// How long a connection may stay idle, µs. If a request is written to a connection that the server is closing, the
+    /// attempt ends with a reset, after which the request may have run. The exchange therefore closes idle connections
+    /// before the server does.
+    pub idle_timeout: Micros,
+    /// How long a connection is not reused after a response, µs. A duplicate of the response that arrives just after
+    /// the next request was written would be taken for the response to that request; during this delay it is detected
+    /// as unsolicited bytes.
     pub reuse_delay: Micros,
-    /// How long a connection may take to come up, µs.
+    /// Connect timeout, µs.
     pub connect_timeout: Micros,
-    /// How long after its deadline a request that the policy did not answer is failed here, µs.
+    /// How long after its deadline the exchange fails a request that the policy has not answered, µs.
     pub answer_grace: Micros,
-    /// Attempts of one request. Without this limit a policy could choose an attempt for ever that the guard denies
+    /// Most attempts per request. Without this limit a policy could endlessly ask for an attempt that the guard denies
     /// each time.
     pub max_attempts: u32,
 }
 
-/// Idle connections that a node keeps for one server.
+/// Most idle connections per server of a node.
 const MAX_IDLE_PER_SERVER: usize = 64;
-/// Share of the server's idle timeout for which a connection is kept: it has to close before the server closes it.
+/// Idle timeout of a node as a share of the server's: the node has to close the connection before the server does.
 const IDLE_TIMEOUT_SHARE: f64 = 0.6;
-/// How long a connection of a node rests after a response, µs.
+/// How long a connection of a node is not reused after a response, µs.
 const REUSE_DELAY: Micros = 10_000;
-/// How long after its deadline a node fails a request that the policy did not answer, µs.
+/// How long after its deadline a node fails a request that the policy has not answered, µs.
 const ANSWER_GRACE: Micros = 2_000;
-/// Attempts of one request of a node.
+/// Most attempts per request of a node.
 const MAX_ATTEMPTS: u32 = 256;
 
 impl Limits {
-    /// The limits of a node with at most `max_connections` connections to app servers, which close a connection after
-    /// `server_idle_timeout` µs; a connection has to come up within `connect_timeout` µs.
+    /// Returns the limits of a node with at most `max_connections` connections. App servers close idle connections
+    /// after `server_idle_timeout` µs, and connects time out after `connect_timeout` µs.
     pub fn for_node(
         max_connections: usize,
         server_idle_timeout: Micros,
@@ -48,7 +49,7 @@
         Limits {
             max_connections,
             max_idle_per_server: MAX_IDLE_PER_SERVER,
-            idle_for: (server_idle_timeout as f64 * IDLE_TIMEOUT_SHARE) as Micros,
+            idle_timeout: (server_idle_timeout as f64 * IDLE_TIMEOUT_SHARE) as Micros,
             reuse_delay: REUSE_DELAY,
             connect_timeout,
             answer_grace: ANSWER_GRACE,
--- a/crates/exchange/src/number_map.rs
+++ b/crates/exchange/src/number_map.rs
@@ -1,14 +1,14 @@
-//! Hash maps keyed by numbers that this process, or the endpoint list, gave out.
+//! Hash maps keyed by numbers that this process or the endpoint list has assigned.
 
 use std::collections::HashMap;
 use std::hash::{BuildHasherDefault, Hasher};
 
 /// Multiplier of Fibonacci hashing: 2^64 divided by the golden ratio.
 const FIBONACCI_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
-/// Bits by which a product is rotated: the hash map takes its bits from both ends of the hash.
+/// Bits by which the product is rotated: the hash map uses bits from both ends of the hash.
 const ROTATION: u32 = 29;
 
-/// A fast hasher for numbers. Clients don't choose these numbers, so that they can't make them collide.
+/// A fast hasher for numbers that clients don't choose: it does not resist deliberate collisions.
 #[derive(Clone, Default)]
 pub(crate) struct NumberHasher(u64);
 
@@ -30,5 +30,5 @@
     }
 }
 
-/// A hash map keyed by such numbers.
+/// A hash map with [`NumberHasher`].
 pub(crate) type NumberMap<K, V> = HashMap<K, V, BuildHasherDefault<NumberHasher>>;
--- a/crates/exchange/src/open_request.rs
+++ b/crates/exchange/src/open_request.rs
@@ -1,4 +1,4 @@
-//! What staff see of requests that have no final answer yet.
+//! Operator view of the requests that have no final answer yet.
 
 use crate::ids::ConnectionId;
 use crate::tables::{AttemptStage, ConnectionState, RequestState};
@@ -8,37 +8,37 @@
 /// A request that has no final answer yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OpenRequest {
-    /// Its id, as the client gave it.
+    /// The request id that the client has chosen.
     pub id: RequestId,
-    /// The index of its class in the settings.
+    /// Index of the request class in the settings.
     pub class: usize,
-    /// When its client stops waiting, µs of the exchange's clock.
+    /// When the client stops waiting, µs of the exchange's clock.
     pub deadline: Micros,
-    /// Attempts that the policy has asked for so far.
+    /// Number of attempts that the policy has asked for so far.
     pub attempts: u32,
-    /// What it waits for.
+    /// What the request is waiting for.
     pub waits_for: WaitsFor,
 }
 
-/// What a request without a final answer waits for.
+/// What a request without a final answer is waiting for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WaitsFor {
-    /// No attempt is outstanding: the request waits for a quota, a server or a retry.
+    /// No attempt is outstanding: the request is waiting for quota, a server or a retry.
     Decision,
-    /// Another connection has to close before the connection to this server can be made.
+    /// Another connection has to be closed before one to this server can be opened.
     ConnectionSlot(ServerId),
-    /// Its connection to this server is being made.
+    /// The connection to this server is being established.
     Connect(ServerId),
-    /// Its first byte to this server has not been let through.
+    /// The guard has not yet permitted the first byte to this server.
     FirstByte(ServerId),
-    /// This server has the request, or a part of it.
+    /// The request, or a part of it, was sent to this server.
     Answer(ServerId),
-    /// Its attempt was aborted, and the connection is being closed.
+    /// The attempt was aborted, and the connection to this server is being closed.
     Close(ServerId),
 }
 
 impl WaitsFor {
-    /// What a request waits for; `state_of` gives the state of a connection.
+    /// Returns what a request is waiting for; `state_of` returns the state of a connection.
     pub(crate) fn of(
         request: &RequestState,
         state_of: impl Fn(ConnectionId) -> Option<ConnectionState>,
--- a/crates/exchange/src/tables.rs
+++ b/crates/exchange/src/tables.rs
@@ -1,4 +1,4 @@
-//! What an exchange keeps of requests, attempts, connections and servers.
+//! The table entries of an exchange: requests, attempts, connections and servers.
 
 use crate::ids::{ConnectionId, Ticket};
 use saffronpaddle_policy::idempotency::{rejection_allowed, DispatchedAttempt, ServerLocation};
@@ -9,30 +9,30 @@
 #[derive(Clone, Debug)]
 pub(crate) struct RequestState {
     pub ticket: Ticket,
-    /// The index of its class in the settings.
+    /// Index of the request class in the settings.
     pub class: usize,
     pub idempotency: Idempotency,
-    /// When its client stops waiting, or the process ends if that is sooner.
+    /// When the client stops waiting or the shutdown deadline passes, whichever is earlier, µs.
     pub deadline: Micros,
-    /// The process answers it by then; [`Micros::MAX`] until a shutdown is announced.
+    /// When the process has to have answered the request, µs; [`Micros::MAX`] until a shutdown is announced.
     pub shutdown_deadline: Micros,
-    /// Its client would wait for longer than the process lasts.
+    /// The shutdown deadline is earlier than the time at which the client stops waiting.
     pub shortened_by_shutdown: bool,
-    /// It has no final answer, and its client waits for one.
+    /// The request has no final answer, and its client is waiting for one.
     pub open: bool,
-    /// The last byte of its body has arrived and may be written: before that, no server can have run it.
+    /// The last byte of the body has arrived and may be written. Before that, no server can have run the request.
     pub body_complete: bool,
-    /// Some of a body that is not buffered may have gone to a server, so that it can't be sent again.
+    /// A part of an unbuffered body may have been sent to a server, so that the request can't be sent again.
     pub body_consumed: bool,
-    /// Its response streams to the client.
+    /// The response is streaming to the client.
     pub streaming: bool,
-    /// Attempts that the policy has asked for.
+    /// Number of attempts that the policy has asked for.
     pub attempts: u32,
     pub outstanding: Option<OutstandingAttempt>,
     /// The first ended attempt that may have run.
     pub first_dispatched: Option<DispatchedAttempt>,
-    /// Its entry in the order of alarms.
-    pub alarm: Option<Micros>,
+    /// The time of its entry in the timer queue, µs; `None` if it has no entry.
+    pub timer_at: Option<Micros>,
 }
 
 /// The attempt of a request that has not ended.
@@ -40,23 +40,23 @@
 pub(crate) struct OutstandingAttempt {
     pub number: u32,
     pub server: ServerId,
-    /// When the attempt is given up.
+    /// When the attempt times out, µs.
     pub deadline: Micros,
-    /// When the current step is given up: sooner than the attempt while its connection is being made.
+    /// When the current stage times out, µs: the connect has a shorter timeout than the attempt.
     pub step_deadline: Micros,
-    /// Where and when its first byte was let through.
+    /// Where and when the guard permitted the first byte; `None` before that.
     pub dispatched: Option<DispatchedAttempt>,
     pub stage: AttemptStage,
 }
 
-/// How far an outstanding attempt is.
+/// The stage of an outstanding attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum AttemptStage {
-    /// Waits until this connection of another attempt is closed and frees its slot.
+    /// Waiting until this idle connection is closed and its slot is free.
     AwaitingSlot(ConnectionId),
-    /// On this connection, which is being made, has the request, or is written to.
+    /// Assigned to this connection, which is being established, has the request prepared, or is being written to.
     OnConnection(ConnectionId),
-    /// Ends with this outcome when this connection is closed.
+    /// Aborted: the attempt ends with this outcome when this connection is closed.
     Closing(ConnectionId, Outcome),
 }
 
@@ -66,21 +66,21 @@
     pub server: ServerId,
     pub address: A,
     pub state: ConnectionState,
-    /// It has carried a response before.
+    /// The connection has carried a response before.
     pub reused: bool,
-    /// The server has closed it.
+    /// The server has closed its side.
     pub closed_by_peer: bool,
-    /// The request whose attempt it carries, or whose attempt waits for its close.
+    /// The request whose attempt uses the connection, or whose attempt waits for it to be closed.
     pub request: Option<RequestId>,
 }
 
-/// What a connection does.
+/// The state of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum ConnectionState {
     Connecting,
-    /// Idle since that time, µs.
+    /// Idle since this time, µs.
     Idle(Micros),
-    /// It has a request, of which nothing is written yet.
+    /// Assigned to a request of which no byte is written yet.
     Assigned,
     /// Bytes of a request may have been written.
     Written,
@@ -92,15 +92,15 @@
 pub(crate) struct ReadyServer<A> {
     pub address: A,
     pub location: ServerLocation,
-    /// Its idle connections, in the order in which they became idle.
+    /// The idle connections to it, in the order in which they became idle.
     pub idle: Vec<ConnectionId>,
 }
 
-/// When each request has to be looked at, in the order of time.
-pub(crate) type Alarms = BTreeSet<(Micros, RequestId)>;
+/// When each request is next due, ordered by time (µs).
+pub(crate) type TimerQueue = BTreeSet<(Micros, RequestId)>;
 
 impl RequestState {
-    /// When something has to be done about it if nothing happens, µs.
+    /// Returns when the request is next due if no event arrives before, µs.
     pub fn next_due(&self, answer_grace: Micros) -> Option<Micros> {
         let step_deadline = self
             .outstanding
@@ -108,18 +108,18 @@
             .filter(|attempt| !matches!(attempt.stage, AttemptStage::Closing(..)))
             .map(|attempt| attempt.step_deadline)
             .filter(|deadline| *deadline < Micros::MAX);
-        let answer_deadline = self.open.then(|| self.answered_by(answer_grace));
+        let answer_deadline = self.open.then(|| self.answer_deadline(answer_grace));
         step_deadline.into_iter().chain(answer_deadline).min()
     }
 
-    /// When it is answered at the latest, whatever the policy does, µs.
-    pub fn answered_by(&self, answer_grace: Micros) -> Micros {
+    /// Returns when the exchange answers the request if the policy has not done so, µs.
+    pub fn answer_deadline(&self, answer_grace: Micros) -> Micros {
         self.deadline
             .saturating_add(answer_grace)
             .min(self.shutdown_deadline)
     }
 
-    /// Gives it no more time than the process has.
+    /// Limits the deadline to the shutdown deadline.
     pub fn limit_to_shutdown(&mut self, shutdown_deadline: Micros) {
         self.shutdown_deadline = shutdown_deadline;
         if self.deadline > shutdown_deadline {
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Whether it may be rejected, which promises its client that a retry is harmless.
+    /// Returns whether the request may be rejected: a rejection tells the client that a retry is safe.
     pub fn rejection_allowed(&self) -> bool {
         let outstanding = self
             .outstanding
--- a/crates/model-checker/src/bin/saffronpaddle-model-checker/arguments.rs
+++ b/crates/model-checker/src/bin/saffronpaddle-model-checker/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line arguments.
 
 use anyhow::{Context, Result};
 use lexopt::prelude::*;
@@ -6,34 +6,34 @@
 
 /// The usage text.
 pub const USAGE: &str = "\
-saffronpaddle-model-checker small            the worlds of CI, visited whole
-saffronpaddle-model-checker large            larger ones (minutes, gigabytes)
-saffronpaddle-model-checker real [--depth N] with the decision module inside, to a depth (12)
-saffronpaddle-model-checker world NAME [--bug BUG]   one world, with a fault planted
-saffronpaddle-model-checker bugs             all planted faults, and whether each is found
-saffronpaddle-model-checker gap              the known gap: a second copy that comes late
-saffronpaddle-model-checker walk [--seed N] [--walks N] [--steps N]   random walks through large worlds
-saffronpaddle-model-checker nodes [--seed N] [--runs N] [--tries N]   whole nodes in virtual time, judged by the ledger
+saffronpaddle-model-checker small            visit all states of the small worlds that CI runs
+saffronpaddle-model-checker large            visit all states of the large worlds (minutes, gigabytes)
+saffronpaddle-model-checker real [--depth N] visit worlds with the real policy engine up to a depth (default 12)
+saffronpaddle-model-checker world NAME [--bug BUG]   visit one world, optionally with a planted fault
+saffronpaddle-model-checker bugs             search for each planted fault
+saffronpaddle-model-checker gap              show the known gap: a late duplicate of a response
+saffronpaddle-model-checker walk [--seed N] [--walks N] [--steps N]   take random walks through large worlds
+saffronpaddle-model-checker nodes [--seed N] [--runs N] [--tries N]   simulate fleets in virtual time, verified by the ledger
 ";
 
-/// What the command line asks for.
+/// The parsed command line.
 #[derive(Debug)]
 pub struct Arguments {
     /// The subcommand and its operands.
     pub operands: Vec<String>,
-    /// A fault to plant.
+    /// The fault to plant, if any.
     pub bug: Option<Bug>,
-    /// Most steps from the first state of a world with the real policy.
+    /// Most steps from the initial state of a world with the real policy.
     pub depth: usize,
-    /// The first seed.
+    /// The seed of the first walk or run; later ones use consecutive seeds.
     pub seed: u64,
-    /// How many random walks.
+    /// Number of random walks.
     pub walks: u64,
-    /// Steps of a random walk.
+    /// Number of steps per random walk.
     pub steps: usize,
-    /// How many runs of a fleet.
+    /// Number of fleet runs.
     pub runs: u64,
-    /// Requests of a fleet's run.
+    /// Number of requests per fleet run.
     pub requests: usize,
 }
 
@@ -53,7 +53,7 @@
 }
 
 impl Arguments {
-    /// Reads the command line. None if it asks for help.
+    /// Parses the command line. Returns `None` if help is requested.
     pub fn from_env() -> Result<Option<Arguments>> {
         let mut arguments = Arguments::default();
         let mut parser = lexopt::Parser::from_env();
@@ -79,5 +79,5 @@
     Bug::ALL
         .into_iter()
         .find(|bug| format!("{bug:?}") == name)
-        .with_context(|| format!("no fault is named {name}"))
+        .with_context(|| format!("unknown fault \"{name}\""))
 }
--- a/crates/model-checker/src/bin/saffronpaddle-model-checker/fleet_runs.rs
+++ b/crates/model-checker/src/bin/saffronpaddle-model-checker/fleet_runs.rs
@@ -5,20 +5,20 @@
 use saffronpaddle_model_checker::fleet::{self, FleetRun, FleetSetup};
 use std::time::{Duration, Instant};
 
-/// Runs fleets, a seed after another, until one breaks a rule.
-pub fn play(arguments: &Arguments) -> Result<()> {
+/// Simulates fleets with consecutive seeds until one violates a rule.
+pub fn run_fleets(arguments: &Arguments) -> Result<()> {
     let requests = arguments.requests;
     for seed in arguments.seed..arguments.seed + arguments.runs {
         let started = Instant::now();
         let run = fleet::run(&FleetSetup {
             requests,
             bug: arguments.bug,
-            ..FleetSetup::usual(seed)
+            ..FleetSetup::with_seed(seed)
         })?;
         report(seed, &run, started.elapsed());
         if !run.is_clean() {
             println!(
-                "{:?}\n{:?}\n{} kept",
+                "rule violations: {:?}\ninconsistencies: {:?}\n{} requests and connections kept",
                 run.verdict.breaches, run.inconsistencies, run.kept
             );
             bail!("replay with: saffronpaddle-model-checker nodes --seed {seed} --runs 1 --tries {requests}");
@@ -30,8 +30,9 @@
 fn report(seed: u64, run: &FleetRun, duration: Duration) {
     let verdict = &run.verdict;
     println!(
-        "seed {seed}: {} events, {} tries, {} served, {} refused, {} failed, {} killed, {} attempts, {} sends after \
-         a drain (latest {:.1} ms), cold at {:.2} of a fall, {:.1} s",
+        "seed {seed}: {} events, {} requests, {} served, {} rejected, {} failed, {} killed with their node, \
+         {} attempts, {} first bytes after a drain (latest {:.1} ms), \
+         load of cold servers at most {:.2} of their failure point, {:.1} s",
         run.events,
         verdict.tries,
         verdict.served,
--- a/crates/model-checker/src/bin/saffronpaddle-model-checker/main.rs
+++ b/crates/model-checker/src/bin/saffronpaddle-model-checker/main.rs
@@ -1,4 +1,5 @@
-//! `saffronpaddle-model-checker`: visits worlds, and prints what was visited, in which bounds and how long it took.
+//! `saffronpaddle-model-checker`: visits the states of worlds and reports the number of states, the bounds and the
+//! duration.
 
 mod arguments;
 mod fleet_runs;
@@ -20,12 +21,12 @@
         ["world", name] => worlds::visit_one(name, arguments.bug, threads),
         ["real"] => worlds::visit_real(arguments.depth, threads),
         ["bugs"] => worlds::find_planted(threads),
-        ["gap"] => worlds::show_gap(threads),
+        ["gap"] => worlds::show_known_gap(threads),
         ["walk"] => worlds::walk_random(arguments.seed, arguments.walks, arguments.steps),
-        ["nodes"] => fleet_runs::play(&arguments),
+        ["nodes"] => fleet_runs::run_fleets(&arguments),
         _ => {
             print!("{USAGE}");
-            bail!("what is to be visited?")
+            bail!("unknown or missing subcommand")
         }
     }
 }
--- a/crates/model-checker/src/bin/saffronpaddle-model-checker/worlds.rs
+++ b/crates/model-checker/src/bin/saffronpaddle-model-checker/worlds.rs
@@ -2,17 +2,17 @@
 
 use anyhow::{bail, Context, Result};
 use saffronpaddle_exchange::Bug;
-use saffronpaddle_model_checker::search::{search, Found, Limits};
+use saffronpaddle_model_checker::search::{search, Limits, SearchResult};
 use saffronpaddle_model_checker::world::{AnyPolicy, PolicyModel, Setup};
 use saffronpaddle_model_checker::{chart, planted, setups, walk};
 use saffronpaddle_policy::interface::{DeduplicationScope, Idempotency};
 
-/// Visits all small worlds.
+/// Visits all states of the small worlds.
 pub fn visit_small(threads: usize) -> Result<()> {
     visit_all(setups::small(), threads)
 }
 
-/// Visits all large worlds.
+/// Visits all states of the large worlds.
 pub fn visit_large(threads: usize) -> Result<()> {
     visit_all(setups::large(), threads)
 }
@@ -25,19 +25,19 @@
     Ok(())
 }
 
-/// Visits the world of a name, with a fault if one is to be planted.
+/// Visits all states of the world with a name, with a planted fault if one is given.
 pub fn visit_one(name: &str, bug: Option<Bug>, threads: usize) -> Result<()> {
     let setup = setups::small()
         .into_iter()
         .chain(setups::large())
-        .chain([setups::late_copies()])
+        .chain([setups::late_duplicates()])
         .find(|setup| setup.name == name)
-        .with_context(|| format!("no world is named {name}"))?;
+        .with_context(|| format!("unknown world \"{name}\""))?;
     let found = search(&setup, AnyPolicy, bug, Limits::default(), threads);
     report(&setup, AnyPolicy, bug, &found)
 }
 
-/// Visits the worlds with the real policy to a depth.
+/// Visits the worlds with the real policy up to a depth.
 pub fn visit_real(depth: usize, threads: usize) -> Result<()> {
     let keyed = Idempotency::WithKey {
         scope: DeduplicationScope::Domain,
@@ -56,19 +56,19 @@
     Ok(())
 }
 
-/// Shows the known gap.
-pub fn show_gap(threads: usize) -> Result<()> {
-    let setup = setups::late_copies();
+/// Shows the known gap: a late duplicate of a response is served as the next response.
+pub fn show_known_gap(threads: usize) -> Result<()> {
+    let setup = setups::late_duplicates();
     let found = search(&setup, AnyPolicy, None, Limits::default(), threads);
     if found.violation.is_none() {
-        bail!("the gap was not found");
+        bail!("the known gap was not found in world late-copies");
     }
     // The violation that it reports is the expected one.
     let _ = report(&setup, AnyPolicy, None, &found);
     Ok(())
 }
 
-/// Walks through random worlds.
+/// Takes random walks through random worlds, with consecutive seeds.
 pub fn walk_random(first_seed: u64, walks: u64, steps: usize) -> Result<()> {
     let mut taken = 0;
     for seed in first_seed..first_seed + walks {
@@ -80,15 +80,16 @@
             bail!("replay with: saffronpaddle-model-checker walk --seed {seed} --walks 1 --steps {steps}");
         }
     }
-    println!("{walks} walks from seed {first_seed}, {taken} steps: nothing is broken");
+    println!("{walks} walks from seed {first_seed}, {taken} steps: no violation");
     Ok(())
 }
 
-/// Looks for all planted faults.
+/// Searches for each planted fault.
 pub fn find_planted(threads: usize) -> Result<()> {
     let mut missed = Vec::new();
     for bug in Bug::ALL {
-        let (setup, found) = planted::hunt(bug, threads).context("a world for each fault")?;
+        let (setup, found) = planted::search_for(bug, threads)
+            .with_context(|| format!("no world for the fault {bug:?}"))?;
         let name = format!("{bug:?}");
         let seconds = found.duration.as_secs_f64();
         let result = if let Some((trace, violation)) = &found.violation {
@@ -108,12 +109,21 @@
     Ok(())
 }
 
-/// Prints what a search found; a violation with its chart.
+/// Prints the result of a search, including the chart of a violation.
 ///
 /// # Errors
-/// The violation.
-fn report<M: PolicyModel>(setup: &Setup, policy: M, bug: Option<Bug>, found: &Found) -> Result<()> {
-    let extent = if found.complete { "whole" } else { "in part" };
+/// The violation, if there is one.
+fn report<M: PolicyModel>(
+    setup: &Setup,
+    policy: M,
+    bug: Option<Bug>,
+    found: &SearchResult,
+) -> Result<()> {
+    let extent = if found.complete {
+        "complete"
+    } else {
+        "partial"
+    };
     println!(
         "{:<12} {:>9} states {:>10} steps  depth {:>3}  {:>6.1} s  {extent}: {}",
         setup.name,
@@ -121,7 +131,7 @@
         found.steps,
         found.depth,
         found.duration.as_secs_f64(),
-        setup.about
+        setup.description
     );
     let Some((trace, violation)) = &found.violation else {
         return Ok(());
--- a/crates/model-checker/src/chart.rs
+++ b/crates/model-checker/src/chart.rs
@@ -1,11 +1,11 @@
-//! Draws a path to a violation as a sequence chart in text.
+//! Draws the trace to a violation as a text sequence chart.
 
 use crate::world::{PolicyModel, PropertyViolation, Setup, Step, World};
 use saffronpaddle_exchange::Bug;
 use std::cmp::Ordering;
 use std::fmt::Write;
 
-/// A lane of the chart.
+/// A lane (column) of the chart.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Lane {
     Clients,
@@ -15,7 +15,7 @@
 }
 
 impl Lane {
-    /// Its column in characters.
+    /// Returns the position of the lane, in characters.
     fn column(self) -> usize {
         match self {
             Lane::Clients => 4,
@@ -26,7 +26,7 @@
     }
 }
 
-/// A line of the chart: who acts, on whom, and what happens.
+/// A line of the chart: an arrow from the acting lane to the affected one, with a caption.
 struct Arrow {
     from: Lane,
     to: Lane,
@@ -50,7 +50,7 @@
             .unwrap_or_else(|| node_arrow(step))
     }
 
-    /// The arrow between its lanes; `*` for what happens inside a lane.
+    /// Returns the arrow between the lanes; `*` stands for a step within one lane.
     fn line(&self) -> String {
         let left = self.from.min(self.to).column();
         let right = self.from.max(self.to).column();
@@ -66,11 +66,11 @@
 
 fn client_arrow(step: Step) -> Option<Arrow> {
     let caption = match step {
-        Step::RequestArrives(r) => format!("request {r} is whole"),
-        Step::ClientLeaves(r) => format!("client {r} goes"),
-        Step::BodyArrives(r) => format!("the last byte of {r} comes"),
+        Step::RequestArrives(r) => format!("request {r} arrives"),
+        Step::ClientLeaves(r) => format!("client {r} disconnects"),
+        Step::BodyArrives(r) => format!("the last body byte of request {r} arrives"),
         Step::ResponseDropped(c) => {
-            format!("the client of wire {c}'s long answer takes no more")
+            format!("the client of the streaming response on connection {c} stops reading")
         }
         _ => return None,
     };
@@ -84,12 +84,16 @@
             server,
             short,
         } => {
-            let timeout = if short { " for one step" } else { "" };
-            format!("module: send {request} to s{server}{timeout}")
+            let timeout = if short {
+                " with a timeout of one tick"
+            } else {
+                ""
+            };
+            format!("policy: send request {request} to server {server}{timeout}")
         }
-        Step::PolicyRejects(r) => format!("module: refuse {r}"),
-        Step::PolicyFails(r) => format!("module: fail {r}"),
-        Step::PolicyCancels(r) => format!("module: call off {r}"),
+        Step::PolicyRejects(r) => format!("policy: reject request {r}"),
+        Step::PolicyFails(r) => format!("policy: fail request {r}"),
+        Step::PolicyCancels(r) => format!("policy: cancel the attempt of request {r}"),
         _ => return None,
     };
     Some(Arrow::new(Lane::Node, Lane::Node, caption))
@@ -97,19 +101,21 @@
 
 fn server_arrow(step: Step) -> Option<Arrow> {
     let caption = match step {
-        Step::ResponseFinishes(c) => format!("the rest of a long answer on wire {c}"),
-        Step::ServerResponds(c, response) => format!("answer {response:?} on wire {c}"),
-        Step::ServerRepeats(c) => format!("the same answer again on wire {c}"),
+        Step::ResponseFinishes(c) => {
+            format!("the rest of the streaming response on connection {c} arrives")
+        }
+        Step::ServerResponds(c, response) => format!("response {response:?} on connection {c}"),
+        Step::ServerRepeats(c) => format!("duplicate of the last response on connection {c}"),
         Step::ConnectionResets {
             connection,
             unread_lost,
         } => {
             let lost = if unread_lost {
-                ", what it held is lost"
+                ", unread responses are lost"
             } else {
                 ""
             };
-            format!("wire {connection} is reset{lost}")
+            format!("connection {connection} is reset{lost}")
         }
         _ => return None,
     };
@@ -118,13 +124,17 @@
 
 fn connection_arrow(step: Step) -> Option<Arrow> {
     let caption = match step {
-        Step::ConnectSucceeds(c) => format!("wire {c} is up"),
-        Step::ConnectFails(c) => format!("wire {c} can't be made"),
-        Step::ConnectLacksResource(c) => format!("no descriptor for wire {c}"),
-        Step::FirstByteReady(c) => format!("wire {c} takes bytes"),
-        Step::NodeReads(c) => format!("an answer is read from wire {c}"),
-        Step::NodeSeesEnd(c) => format!("wire {c} has ended"),
-        Step::ConnectionCloses(c) => format!("wire {c} is closed"),
+        Step::ConnectSucceeds(c) => format!("connection {c} is established"),
+        Step::ConnectFails(c) => format!("connect of connection {c} fails"),
+        Step::ConnectLacksResource(c) => {
+            format!("connect of connection {c} fails: the node lacks a resource")
+        }
+        Step::FirstByteReady(c) => format!("connection {c} is ready for the first byte"),
+        Step::NodeReads(c) => format!("a response is read from connection {c}"),
+        Step::NodeSeesEnd(c) => {
+            format!("the end of connection {c} or unsolicited bytes are noticed")
+        }
+        Step::ConnectionCloses(c) => format!("connection {c} is closed"),
         _ => return None,
     };
     Some(Arrow::new(Lane::Connections, Lane::Node, caption))
@@ -132,17 +142,15 @@
 
 fn node_arrow(step: Step) -> Arrow {
     match step {
-        Step::EndpointsChange => Arrow::new(Lane::Servers, Lane::Node, "the list changes"),
-        Step::ShutdownAnnounced => {
-            Arrow::new(Lane::Node, Lane::Node, "the process is told when it ends")
-        }
-        Step::NodeStops => Arrow::new(Lane::Node, Lane::Node, "the node is told to leave"),
-        Step::ClockTicks => Arrow::new(Lane::Node, Lane::Node, "a step of the clock"),
-        _ => Arrow::new(Lane::Node, Lane::Node, "the alarm rings"),
+        Step::EndpointsChange => Arrow::new(Lane::Servers, Lane::Node, "the endpoint list changes"),
+        Step::ShutdownAnnounced => Arrow::new(Lane::Node, Lane::Node, "a shutdown is announced"),
+        Step::NodeStops => Arrow::new(Lane::Node, Lane::Node, "the node starts to drain"),
+        Step::ClockTicks => Arrow::new(Lane::Node, Lane::Node, "the clock ticks"),
+        _ => Arrow::new(Lane::Node, Lane::Node, "the timer fires"),
     }
 }
 
-/// The chart of a trace: a line for each step, and under it what the exchange does about it.
+/// Returns the chart of a trace: a line for each step, followed by the commands and policy events that it causes.
 pub fn draw<M: PolicyModel>(
     setup: &Setup,
     policy: M,
@@ -154,7 +162,7 @@
     let _ = writeln!(
         text,
         "step  time  {:<18}  {:<18}  {:<18}  {:<18}",
-        "clients", "node", "wires", "servers"
+        "clients", "node", "connections", "servers"
     );
     let mut world = World::new(setup, policy, bug);
     for (index, step) in trace.iter().enumerate() {
@@ -171,6 +179,6 @@
             break;
         }
     }
-    let _ = writeln!(text, "broken: {violation}");
+    let _ = writeln!(text, "violated: {violation}");
     text
 }
--- a/crates/model-checker/src/fleet.rs
+++ b/crates/model-checker/src/fleet.rs
@@ -1,6 +1,6 @@
-//! A small fleet in virtual time: several exchanges with the real policy engine inside, servers that fail, an endpoint
-//! list that changes, datagrams that are lost. Everything follows from the seed; the ledger of the fleet tests judges
-//! it.
+//! Discrete-event simulation of a small fleet in virtual time: several exchanges with the real policy engine, failing
+//! servers, endpoint list changes and datagram loss. A run is determined by its seed, and the ledger of the fleet tests
+//! verifies it.
 
 mod clients;
 mod commands;
@@ -17,28 +17,28 @@
 use simulation::Simulation;
 use std::fmt;
 
-/// What a run consists of.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub struct FleetSetup {
-    /// The seed that everything follows from.
+    /// The seed that determines the run.
     pub seed: u64,
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// App servers.
+    /// Number of app servers.
     pub servers: usize,
-    /// Clients' requests.
+    /// Number of client requests.
     pub requests: usize,
-    /// Over how long the requests arrive, µs.
+    /// Period over which the requests arrive, µs.
     pub duration: Micros,
-    /// Whether a node is killed half-way.
+    /// Whether a node is killed and restarted after half of the duration.
     pub kill_node: bool,
-    /// A fault to be planted in all nodes.
+    /// A fault to plant in all nodes.
     pub bug: Option<Bug>,
 }
 
 impl FleetSetup {
-    /// Three nodes and six servers, thousands of requests.
-    pub fn usual(seed: u64) -> FleetSetup {
+    /// Returns the default setup: three nodes, six servers, 4,000 requests in 40 s, and one killed node.
+    pub fn with_seed(seed: u64) -> FleetSetup {
         FleetSetup {
             seed,
             nodes: 3,
@@ -51,29 +51,29 @@
     }
 }
 
-/// How a run went.
+/// The result of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetRun {
-    /// The ledger's judgement.
+    /// The verdict of the ledger.
     pub verdict: ledger::Verdict,
-    /// Disagreements between the tables of an exchange.
+    /// Inconsistencies of the tables of an exchange, and invalid commands.
     pub inconsistencies: Vec<String>,
-    /// Requests and connections that were left when all was over.
+    /// Number of requests and connections that remain at the end of the run.
     pub kept: usize,
-    /// Occurrences that were simulated.
+    /// Number of simulated events.
     pub events: usize,
-    /// A hash of all commands in their order: two runs of one seed have the same.
+    /// A hash of all commands in order, which is equal for two runs with the same seed.
     pub commands_hash: u64,
 }
 
 impl FleetRun {
-    /// Whether no rule was broken and nothing was left.
+    /// Returns whether no rule was violated and no request or connection remains.
     pub fn is_clean(&self) -> bool {
         self.verdict.breaches.is_empty() && self.inconsistencies.is_empty() && self.kept == 0
     }
 }
 
-/// Why a run can't start.
+/// The reason why a run can't be carried out.
 #[derive(Debug)]
 pub enum FleetError {
     /// The settings of the fleet can't be read.
@@ -99,7 +99,7 @@
     }
 }
 
-/// Runs a fleet to its end.
+/// Runs a fleet until no event is left.
 ///
 /// # Errors
 /// The settings of the fleet are unreadable or invalid.
--- a/crates/model-checker/src/fleet/clients.rs
+++ b/crates/model-checker/src/fleet/clients.rs
@@ -1,6 +1,6 @@
-//! The clients: their requests, and their leaving.
+//! The clients: their requests and disconnects.
 
-use super::occurrence::{NodeRef, Occurrence};
+use super::occurrence::{NodeRef, SimulationEvent};
 use super::simulation::{Simulation, CUSTOMERS};
 use saffronpaddle_exchange::{Event, Ticket};
 use saffronpaddle_policy::interface::{
@@ -8,15 +8,15 @@
 };
 use saffronpaddle_test_doubles::ledger::{Asked, Repeats, Unanswered};
 
-/// What a front end reserves of a client's time for the delivery of the answer, µs.
+/// Part of the client's deadline that the front end reserves for the delivery of the answer, µs.
 const DELIVERY_RESERVE: Micros = 5_000;
-/// Nodes that serve a customer, at the most.
+/// Most nodes that serve a customer.
 const MAX_SUBSET_SIZE: u32 = 2;
-/// One in so many clients leaves before it is answered.
+/// One in this many clients disconnects before it is answered.
 const LEAVING_CLIENT_ODDS: u8 = 25;
 
 impl Simulation {
-    /// A client's request arrives at one of its customer's nodes.
+    /// Sends a client's request to one of its customer's nodes.
     pub fn request_arrives(&mut self, number: usize) {
         let customer = self.random.u64(..CUSTOMERS);
         let class = usize::from(self.random.f64() > self.fleet.classes[0].share);
@@ -70,10 +70,10 @@
     fn schedule_leaving(&mut self, node: usize, id: RequestId, ticket: Ticket, timeout: Micros) {
         let delay = self.random.u64(..timeout);
         let node = self.node_ref(node);
-        self.schedule(delay, Occurrence::ClientLeaves { node, id, ticket });
+        self.schedule(delay, SimulationEvent::ClientLeaves { node, id, ticket });
     }
 
-    /// The client of a request leaves before it is answered.
+    /// Disconnects the client of a request, unless it is already answered.
     pub fn client_leaves(&mut self, node: NodeRef, id: RequestId, ticket: Ticket) {
         let waits = self.nodes[node.index].waiting.get(&id) == Some(&ticket);
         if !self.is_alive(node) || !waits {
--- a/crates/model-checker/src/fleet/commands.rs
+++ b/crates/model-checker/src/fleet/commands.rs
@@ -1,7 +1,7 @@
-//! Tells exchanges what happened, and carries out their commands.
+//! Delivers events to exchanges, and carries out their commands.
 
 use super::nodes::Connection;
-use super::occurrence::{AttemptRef, ConnectionRef, Occurrence};
+use super::occurrence::{AttemptRef, ConnectionRef, SimulationEvent};
 use super::servers::ServerFault;
 use super::simulation::Simulation;
 use saffronpaddle_exchange::{Command, ConnectionId, Event, FinalAnswer};
@@ -10,24 +10,24 @@
 use std::hash::Hash;
 use std::ops::Range;
 
-/// How long a connect takes, µs.
+/// Duration of a connect, µs.
 const CONNECT_DELAY: Range<Micros> = 100..3_000;
-/// One in so many connects is slow.
+/// One in this many connects is slow.
 const SLOW_CONNECT_ODDS: u8 = 60;
-/// How many times longer a slow connect takes.
+/// Factor by which a slow connect takes longer.
 const SLOW_CONNECT_FACTOR: Micros = 200;
-/// How long a request takes to be prepared, µs at the most.
+/// Longest time to prepare a request, µs.
 const MAX_PREPARE_DELAY: Micros = 300;
-/// How long a request takes to reach its server, µs.
+/// Time that a request takes to reach its server, µs.
 const REQUEST_DELAY: Range<Micros> = 50..2_000;
-/// How long a connection takes to close, µs at the most.
+/// Longest time to close a connection, µs.
 const MAX_CLOSE_DELAY: Micros = 200;
-/// How late the timer of an exchange fires, µs at the most.
+/// Longest delay with which the timer of an exchange fires, µs.
 const MAX_TIMER_DELAY: Micros = 2_000;
 
 impl Simulation {
-    /// Tells a node's exchange of an event, and carries out its commands. `response_to` is the request whose response
-    /// the event is.
+    /// Passes an event to a node's exchange, and carries out its commands. `response_to` is the request to which the
+    /// event is a response.
     pub fn deliver(&mut self, node: usize, event: Event<u32>, response_to: Option<RequestId>) {
         let mut commands = Vec::new();
         self.nodes[node]
@@ -37,9 +37,9 @@
             (node, format!("{command:?}")).hash(&mut self.commands_hash);
             self.carry_out(node, command, response_to.as_ref());
         }
-        if let Err(disagreement) = self.nodes[node].exchange.consistent() {
+        if let Err(inconsistency) = self.nodes[node].exchange.check_consistency() {
             self.inconsistencies
-                .push(format!("node {node}: {disagreement}"));
+                .push(format!("node {node}: {inconsistency}"));
         }
         self.set_exchange_timer(node);
     }
@@ -54,12 +54,12 @@
         let lateness = self.random.u64(..MAX_TIMER_DELAY);
         let delay = due.saturating_sub(self.now) + lateness;
         let node = self.node_ref(index);
-        self.schedule(delay, Occurrence::ExchangeTimer { node, due });
+        self.schedule(delay, SimulationEvent::ExchangeTimer { node, due });
     }
 
     fn carry_out(&mut self, node: usize, command: Command<u32>, response_to: Option<&RequestId>) {
         match command {
-            // Requests arrive complete here.
+            // Requests arrive complete in this simulation.
             Command::ReleaseBody { .. } => {}
             Command::Connect {
                 connection,
@@ -96,12 +96,12 @@
             delay
         };
         let connection = self.connection_ref(node, id);
-        let occurrence = if refused {
-            Occurrence::ConnectFails(connection)
+        let event = if refused {
+            SimulationEvent::ConnectFails(connection)
         } else {
-            Occurrence::ConnectSucceeds(connection)
+            SimulationEvent::ConnectSucceeds(connection)
         };
-        self.schedule(delay, occurrence);
+        self.schedule(delay, event);
     }
 
     fn prepare(&mut self, node: usize, id: ConnectionId, request: RequestId) {
@@ -110,7 +110,7 @@
             connection.carried = Some(request);
             connection.attempts += 1;
             let connection = self.connection_ref(node, id);
-            self.schedule(delay, Occurrence::FirstByteReady(connection));
+            self.schedule(delay, SimulationEvent::FirstByteReady(connection));
         }
     }
 
@@ -123,17 +123,17 @@
             connection: self.connection_ref(node, id),
             number: connection.attempts,
         };
-        // A server that has moved is no longer at the address that the connection leads to.
+        // If the server has moved, it no longer has the address of this connection.
         let moved = self.servers[connection.server].address != connection.address;
-        let occurrence = if moved {
-            Occurrence::ConnectionBreaks(attempt)
+        let event = if moved {
+            SimulationEvent::ConnectionBreaks(attempt)
         } else {
-            Occurrence::RequestReachesServer {
+            SimulationEvent::RequestReachesServer {
                 attempt,
                 written_at: self.now,
             }
         };
-        self.schedule(delay, occurrence);
+        self.schedule(delay, event);
     }
 
     fn close(&mut self, node: usize, id: ConnectionId) {
@@ -142,11 +142,11 @@
             Some(connection) if !connection.closing => {
                 connection.closing = true;
                 let connection = self.connection_ref(node, id);
-                self.schedule(delay, Occurrence::ConnectionCloses(connection));
+                self.schedule(delay, SimulationEvent::ConnectionCloses(connection));
             }
-            _ => self
-                .inconsistencies
-                .push(format!("node {node} closes what is closed")),
+            _ => self.inconsistencies.push(format!(
+                "node {node} closes {id:?}, which does not exist or is already being closed"
+            )),
         }
     }
 
@@ -175,7 +175,7 @@
         match action {
             Action::SetTimer { after, token } => {
                 let node = self.node_ref(node);
-                self.schedule(after, Occurrence::PolicyTimer { node, token });
+                self.schedule(after, SimulationEvent::PolicyTimer { node, token });
             }
             Action::Broadcast { bytes } => {
                 for to in (0..self.nodes.len()).filter(|to| *to != node) {
--- a/crates/model-checker/src/fleet/network.rs
+++ b/crates/model-checker/src/fleet/network.rs
@@ -1,20 +1,20 @@
-//! What connections and datagrams bring to the nodes.
+//! Events of connections and datagrams at the nodes.
 
-use super::occurrence::{AttemptRef, ConnectionRef, Occurrence};
+use super::occurrence::{AttemptRef, ConnectionRef, SimulationEvent};
 use super::simulation::Simulation;
 use saffronpaddle_exchange::Event;
 use saffronpaddle_policy::interface::{Event as PolicyEvent, Micros, NodeId, Outcome, RequestId};
 use std::ops::Range;
 
-/// One in so many failed connects fails for a shortage of the node.
+/// One in this many failed connects fails because the node lacks a resource.
 const LOCAL_SHORTAGE_ODDS: u8 = 20;
-/// How long a datagram takes, µs.
+/// Transit time of a datagram, µs.
 const DATAGRAM_DELAY: Range<Micros> = 100..20_000;
-/// Of so many datagrams, one is lost and another is duplicated.
+/// One in this many datagrams is lost, and another one is duplicated.
 const DISTURBED_DATAGRAM_ODDS: u8 = 50;
 
 impl Simulation {
-    /// A connection has come up.
+    /// Establishes a connection.
     pub fn connect_succeeds(&mut self, connection: ConnectionRef) {
         let Some(connected) = self.open_connection(connection) else {
             return;
@@ -26,7 +26,7 @@
         self.deliver(connection.node.index, event, None);
     }
 
-    /// A connection could not be made.
+    /// Fails a connect.
     pub fn connect_fails(&mut self, connection: ConnectionRef) {
         if self.open_connection(connection).is_none() {
             return;
@@ -42,7 +42,7 @@
         self.deliver(connection.node.index, event, None);
     }
 
-    /// A connection is ready for the first byte of its request.
+    /// Reports that a connection is ready for the first byte of its request.
     pub fn first_byte_ready(&mut self, connection: ConnectionRef) {
         let Some(ready) = self.open_connection(connection) else {
             return;
@@ -54,7 +54,7 @@
         self.deliver(connection.node.index, event, None);
     }
 
-    /// A server's response reaches the node.
+    /// Delivers a server's response to the node.
     pub fn response_reaches_node(&mut self, attempt: AttemptRef, id: RequestId, outcome: Outcome) {
         let Some(connection) = self.open_attempt(attempt) else {
             return;
@@ -67,7 +67,7 @@
         self.deliver(attempt.connection.node.index, event, Some(id));
     }
 
-    /// A connection breaks in the middle of an attempt.
+    /// Breaks a connection during an attempt.
     pub fn connection_breaks(&mut self, attempt: AttemptRef) {
         let elapsed = self.elapsed();
         let Some(broken) = self.open_attempt(attempt) else {
@@ -86,7 +86,7 @@
         self.deliver(attempt.connection.node.index, event, None);
     }
 
-    /// Bytes reach the node that it has not asked for.
+    /// Delivers unsolicited bytes to the node.
     pub fn unexpected_bytes(&mut self, connection: ConnectionRef) {
         let Some(found) = self.open_connection(connection) else {
             return;
@@ -97,7 +97,7 @@
         }
     }
 
-    /// A server closes a connection; the node notices where it is idle.
+    /// Closes a connection from the server side. The node notices it only if the connection is idle.
     pub fn peer_closes(&mut self, connection: ConnectionRef) {
         let idle = self
             .open_connection(connection)
@@ -114,7 +114,7 @@
         self.deliver(connection.node.index, event, None);
     }
 
-    /// A connection that the node closes is closed.
+    /// Completes the closing of a connection by the node.
     pub fn connection_closes(&mut self, connection: ConnectionRef) {
         if !self.is_alive(connection.node) {
             return;
@@ -134,7 +134,7 @@
         self.deliver(connection.node.index, event, None);
     }
 
-    /// Sends a datagram: some are lost, some arrive twice, none in order.
+    /// Sends a datagram, which may be lost, duplicated or reordered.
     pub fn send_datagram(&mut self, from: NodeId, to: usize, bytes: &[u8]) {
         let copies = match self.random.u8(..DISTURBED_DATAGRAM_ODDS) {
             0 => 0,
@@ -145,12 +145,12 @@
             let delay = self.random.u64(DATAGRAM_DELAY);
             if to < self.nodes.len() {
                 let bytes = bytes.to_vec();
-                self.schedule(delay, Occurrence::DatagramArrives { to, from, bytes });
+                self.schedule(delay, SimulationEvent::DatagramArrives { to, from, bytes });
             }
         }
     }
 
-    /// A datagram of a peer reaches a node.
+    /// Delivers a datagram from a peer to a node.
     pub fn datagram_arrives(&mut self, to: usize, from: NodeId, bytes: Vec<u8>) {
         let message = PolicyEvent::PeerMessage { from, bytes };
         self.deliver(to, Event::PolicyEvent(message), None);
--- a/crates/model-checker/src/fleet/nodes.rs
+++ b/crates/model-checker/src/fleet/nodes.rs
@@ -1,4 +1,4 @@
-//! The nodes: their exchanges, their timers and their deaths.
+//! The nodes: their exchanges, timers and restarts.
 
 use super::occurrence::{AttemptRef, ConnectionRef, NodeRef};
 use super::simulation::Simulation;
@@ -11,21 +11,21 @@
 use saffronpaddle_test_doubles::ledger::Unanswered;
 use std::collections::HashMap;
 
-/// Connections that a node may have to servers.
+/// Most connections of a node to servers.
 const MAX_CONNECTIONS: usize = 60;
 
-/// The exchange of a node, with the real policy engine inside.
+/// The exchange of a node, with the real policy engine.
 pub(super) type NodeExchange = Exchange<u32, PolicyEngine, Option<Bug>>;
 
 /// A node.
 pub(super) struct Node {
     pub exchange: NodeExchange,
-    /// Counts its starts.
+    /// Number of restarts.
     pub incarnation: u32,
     pub connections: HashMap<ConnectionId, Connection>,
-    /// When the timer of its exchange is set to fire; [`Micros::MAX`] if it is not set.
+    /// When the timer of the exchange is set to fire, µs; [`Micros::MAX`] if it is not set.
     pub timer_at: Micros,
-    /// The requests whose clients wait for an answer.
+    /// The requests whose clients are waiting for an answer.
     pub waiting: HashMap<RequestId, Ticket>,
 }
 
@@ -36,17 +36,17 @@
     pub address: u32,
     pub up: bool,
     pub carried: Option<RequestId>,
-    /// The request is at the server and not over there.
+    /// The server has the request and has not finished it.
     pub at_server: bool,
-    /// Bytes that nobody asked for, or its end, wait at the node.
+    /// The node has received unsolicited bytes or the end of the connection.
     pub unexpected_bytes: bool,
     pub closing: bool,
-    /// Counts the attempts on it.
+    /// Number of attempts on the connection so far.
     pub attempts: u32,
 }
 
 impl Node {
-    /// A node that has just started.
+    /// Creates a node that has just started.
     pub fn new(exchange: NodeExchange) -> Node {
         Node {
             exchange,
@@ -59,7 +59,7 @@
 }
 
 impl Connection {
-    /// A connection that is being made.
+    /// Creates a connection that is being established.
     pub fn connecting(server: usize, address: u32) -> Connection {
         Connection {
             server,
@@ -75,7 +75,7 @@
 }
 
 impl Simulation {
-    /// A fresh exchange for a node.
+    /// Creates an empty exchange for a node.
     pub fn new_exchange(&self, node: usize) -> Result<NodeExchange, FleetError> {
         let named = &self.settings[node];
         let seed = self.setup.seed ^ node as u64;
@@ -88,7 +88,7 @@
         Ok(Exchange::with_bugs(limits, policy, self.setup.bug))
     }
 
-    /// A node in its present incarnation.
+    /// Returns a reference to the current incarnation of a node.
     pub fn node_ref(&self, index: usize) -> NodeRef {
         NodeRef {
             index,
@@ -96,12 +96,12 @@
         }
     }
 
-    /// Whether a node is still in this incarnation.
+    /// Returns whether a node is still in the given incarnation.
     pub fn is_alive(&self, node: NodeRef) -> bool {
         self.nodes[node.index].incarnation == node.incarnation
     }
 
-    /// A connection of a node that is still alive.
+    /// Returns a connection if its node was not restarted since.
     pub fn connection(&mut self, connection: ConnectionRef) -> Option<&mut Connection> {
         if !self.is_alive(connection.node) {
             return None;
@@ -111,18 +111,18 @@
             .get_mut(&connection.id)
     }
 
-    /// A connection that is not being closed.
+    /// Returns a connection unless it is being closed.
     pub fn open_connection(&mut self, connection: ConnectionRef) -> Option<&mut Connection> {
         self.connection(connection).filter(|found| !found.closing)
     }
 
-    /// The connection of an attempt, if that is the last one on it and it is not being closed.
+    /// Returns the connection of an attempt if it is the latest attempt on it and the connection is not being closed.
     pub fn open_attempt(&mut self, attempt: AttemptRef) -> Option<&mut Connection> {
         self.open_connection(attempt.connection)
             .filter(|found| found.attempts == attempt.number)
     }
 
-    /// Tells a node the whole endpoint list.
+    /// Sends the complete endpoint list to a node.
     pub fn send_endpoint_snapshot(&mut self, node: usize) {
         let endpoints = (0..self.servers.len())
             .map(|server| self.endpoint(server))
@@ -137,7 +137,7 @@
         );
     }
 
-    /// A change of the endpoint list reaches a node.
+    /// Delivers a change of the endpoint list to a node.
     pub fn endpoint_update(
         &mut self,
         node: NodeRef,
@@ -165,7 +165,7 @@
         );
     }
 
-    /// The timer of a node's exchange fires, unless it was set anew.
+    /// Fires the timer of a node's exchange, unless it was rescheduled.
     pub fn exchange_timer(&mut self, node: NodeRef, due: Micros) {
         if self.is_alive(node) && self.nodes[node.index].timer_at == due {
             self.nodes[node.index].timer_at = Micros::MAX;
@@ -173,7 +173,7 @@
         }
     }
 
-    /// A timer of a node's policy fires.
+    /// Fires a timer of a node's policy.
     pub fn policy_timer(&mut self, node: NodeRef, token: u64) {
         if self.is_alive(node) {
             let fired = PolicyEvent::TimerFired { token };
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Kills a node and starts it again: what it kept and what is under way to it is lost.
+    /// Kills and restarts a node. Its state and all events that are in transit to it are lost.
     pub fn kill_node(&mut self, index: usize) -> Result<(), FleetError> {
         self.lose_requests(index);
         self.close_all_connections(index);
--- a/crates/model-checker/src/fleet/occurrence.rs
+++ b/crates/model-checker/src/fleet/occurrence.rs
@@ -1,9 +1,9 @@
-//! What comes about at its time.
+//! The events of the simulation.
 
 use saffronpaddle_exchange::{ConnectionId, Ticket};
 use saffronpaddle_policy::interface::{Endpoint, Micros, NodeId, Outcome, RequestId};
 
-/// A node in one of its incarnations: what is under way to an earlier one is lost.
+/// A node in one of its incarnations. Events in transit to an earlier incarnation are lost.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct NodeRef {
     pub index: usize,
@@ -17,18 +17,18 @@
     pub id: ConnectionId,
 }
 
-/// An attempt on a connection: what belongs to an earlier one is no response to it.
+/// An attempt on a connection, which tells its responses from those to earlier attempts.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptRef {
     pub connection: ConnectionRef,
-    /// Counts the attempts on the connection.
+    /// The number of the attempt on the connection, counted from 1.
     pub number: u32,
 }
 
-/// Something that comes about at its time. Servers are given by their index.
+/// A scheduled event. Servers are identified by their index.
 #[derive(Clone, Debug)]
-pub(super) enum Occurrence {
-    /// A client sends its request, the one of this number.
+pub(super) enum SimulationEvent {
+    /// A client sends the request with this number.
     RequestArrives(usize),
     ClientLeaves {
         node: NodeRef,
@@ -57,14 +57,14 @@
     UnexpectedBytes(ConnectionRef),
     /// A server closes a connection.
     PeerCloses(ConnectionRef),
-    /// A connection that the node closes is closed.
+    /// The closing of a connection by the node is complete.
     ConnectionCloses(ConnectionRef),
-    /// The timer of a node's exchange.
+    /// The timer of a node's exchange fires; `due` tells whether it was rescheduled since.
     ExchangeTimer {
         node: NodeRef,
         due: Micros,
     },
-    /// A timer of a node's policy.
+    /// A timer of a node's policy fires.
     PolicyTimer {
         node: NodeRef,
         token: u64,
@@ -76,7 +76,7 @@
     },
     /// A server's fault begins or ends.
     FaultToggles(usize),
-    /// A server drains or returns.
+    /// A server drains or becomes ready again.
     ServerToggles(usize),
     EndpointUpdate {
         node: NodeRef,
--- a/crates/model-checker/src/fleet/servers.rs
+++ b/crates/model-checker/src/fleet/servers.rs
@@ -1,6 +1,6 @@
-//! The app servers: how they serve, fail, drain and move.
+//! The app servers: how they serve requests, fail, drain and move.
 
-use super::occurrence::{AttemptRef, Occurrence};
+use super::occurrence::{AttemptRef, SimulationEvent};
 use super::simulation::{Simulation, START};
 use saffronpaddle_policy::interface::{
     DeduplicationDomainId, Endpoint, EndpointStatus, Micros, Outcome, RequestId, ServerId, ZoneId,
@@ -8,46 +8,46 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// Requests that a server works on at once.
+/// Number of requests that a server processes concurrently.
 const WORKERS: usize = 4;
-/// Zones that the servers are spread over.
+/// Number of zones over which the servers are distributed.
 const ZONES: usize = 2;
-/// Servers of a deduplication domain.
+/// Number of servers per deduplication domain.
 const SERVERS_PER_DOMAIN: usize = 2;
-/// Prefix of the ids of requests of the second class, whose work differs.
+/// Id prefix of the requests of the second class, whose work differs.
 const SUBMIT_PREFIX: &str = "submit";
-/// How long a server takes to reject a request, µs.
+/// Time that a server takes to reject a request, µs.
 const REJECTION_DELAY: Micros = 300;
-/// How long after a request a server resets its connection, µs.
+/// Delay with which a server resets the connection of a request, µs.
 const RESET_DELAY: Micros = 500;
-/// How fast a server works that has just started, as a share of its full speed, at the least.
+/// Lowest speed of a server that has just started, as a share of its full speed.
 const MIN_WARMTH: f64 = 0.05;
-/// How long a fault lasts, µs.
+/// Duration of a fault, µs.
 const FAULT_DURATION: Range<Micros> = 500_000..2_000_000;
-/// How long a server stays out, µs.
+/// How long a server stays drained, µs.
 const DRAIN_DURATION: Range<Micros> = 800_000..2_500_000;
-/// How long a change of the endpoint list takes to reach a node, µs.
+/// Time that a change of the endpoint list takes to reach a node, µs.
 const ENDPOINT_UPDATE_DELAY: Range<Micros> = 1_000..80_000;
-/// How long a response takes to reach the node, µs.
+/// Time that a response takes to reach the node, µs.
 const RESPONSE_DELAY: Range<Micros> = 50..2_000;
-/// A response is repeated within that time, µs.
+/// Longest delay with which a response is repeated, µs.
 const MAX_REPEAT_DELAY: Micros = 8_000;
-/// Of so many responses, one is repeated, and the connection of another is closed.
+/// One in this many responses is repeated, and the connection of another one is closed.
 const DISTURBED_RESPONSE_ODDS: u8 = 40;
 
-/// How a server behaves.
+/// The current fault of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ServerFault {
     None,
-    /// It never responds.
+    /// The server never responds.
     Silent,
-    /// It resets the connection of each request.
+    /// The server resets the connection of each request.
     Resets,
-    /// It responds with errors.
+    /// The server responds with errors.
     Errors,
-    /// It rejects requests.
+    /// The server rejects requests.
     Full,
-    /// It refuses connections.
+    /// The server refuses connections.
     RefusesConnections,
 }
 
@@ -59,13 +59,13 @@
     domain: u64,
     ready: bool,
     pub fault: ServerFault,
-    /// When each worker is free, µs.
+    /// When each worker becomes free, µs.
     busy_until: [Micros; WORKERS],
     started_at: Option<Micros>,
 }
 
 impl Server {
-    /// A server that is ready.
+    /// Creates a ready server without a fault.
     pub fn new(index: usize) -> Server {
         Server {
             name: format!("s-{index}"),
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Gives some work to the worker that is free first, and returns when it is done, µs.
+    /// Assigns work to the worker that becomes free first, and returns when it is done, µs.
     fn work(&mut self, now: Micros, duration: Micros) -> Option<Micros> {
         let worker = self.busy_until.iter_mut().min()?;
         *worker = (*worker).max(now) + duration;
@@ -88,7 +88,7 @@
 }
 
 impl Simulation {
-    /// A server's entry in the endpoint list, and its address.
+    /// Returns the endpoint list entry of a server, and its address.
     pub fn endpoint(&self, index: usize) -> (Endpoint, u32) {
         let server = &self.servers[index];
         let endpoint = Endpoint {
@@ -106,7 +106,7 @@
         (endpoint, server.address)
     }
 
-    /// A server's fault begins or ends.
+    /// Starts a random fault of a server, or ends the current one.
     pub fn toggle_fault(&mut self, index: usize) {
         if self.servers[index].fault != ServerFault::None {
             self.servers[index].fault = ServerFault::None;
@@ -121,10 +121,10 @@
         ];
         self.servers[index].fault = faults[self.random.usize(..faults.len())];
         let duration = self.random.u64(FAULT_DURATION);
-        self.schedule(duration, Occurrence::FaultToggles(index));
+        self.schedule(duration, SimulationEvent::FaultToggles(index));
     }
 
-    /// A server drains, or returns: at another address, and with cold caches.
+    /// Drains a server, or makes it ready again at another address and with cold caches.
     pub fn toggle_server(&mut self, index: usize) {
         self.servers[index].ready = !self.servers[index].ready;
         if self.servers[index].ready {
@@ -136,7 +136,7 @@
             let node = self.node_ref(node);
             self.schedule(
                 delay,
-                Occurrence::EndpointUpdate {
+                SimulationEvent::EndpointUpdate {
                     node,
                     server: index,
                     endpoint,
@@ -146,7 +146,7 @@
         }
         if !self.servers[index].ready {
             let duration = self.random.u64(DRAIN_DURATION);
-            self.schedule(duration, Occurrence::ServerToggles(index));
+            self.schedule(duration, SimulationEvent::ServerToggles(index));
         }
     }
 
@@ -160,7 +160,7 @@
         self.ledger.cold(elapsed, &server.name, WORKERS as f64);
     }
 
-    /// A complete request reaches its server.
+    /// Delivers a complete request to its server.
     pub fn request_reaches_server(&mut self, attempt: AttemptRef, written_at: Micros) {
         let Some(connection) = self.open_attempt(attempt) else {
             return;
@@ -182,7 +182,7 @@
             work / 1e6,
         );
         let warmth = self.ledger.warmth(since_start, &server.name);
-        // Whether it runs is settled on its arrival: a request that is cancelled later has run all the same.
+        // Whether a request runs is decided on its arrival: a later cancellation does not undo it.
         if self.runs(index) {
             let domain = self.servers[index].domain;
             self.ledger.ran(since_start, since_start, domain, &id.0);
@@ -190,14 +190,14 @@
         self.serve(attempt, index, work, warmth);
     }
 
-    /// The work that a request takes at full speed, µs.
+    /// Draws the time that a request takes at full speed, µs.
     fn draw_work(&mut self, id: &RequestId) -> f64 {
         let class = usize::from(id.0.starts_with(SUBMIT_PREFIX));
         let mean = self.fleet.classes[class].work.as_micros() as f64;
         mean * (0.5 + self.random.f64())
     }
 
-    /// Whether a server runs the request that has reached it.
+    /// Returns whether a server runs a request that has reached it.
     fn runs(&mut self, server: usize) -> bool {
         match self.servers[server].fault {
             ServerFault::Full => false,
@@ -211,11 +211,11 @@
             ServerFault::Silent => return,
             ServerFault::Full => {
                 let outcome = Outcome::Rejected;
-                let rejected = Occurrence::ServerFinishes { attempt, outcome };
+                let rejected = SimulationEvent::ServerFinishes { attempt, outcome };
                 return self.schedule(REJECTION_DELAY, rejected);
             }
             ServerFault::Resets => {
-                return self.schedule(RESET_DELAY, Occurrence::ConnectionBreaks(attempt));
+                return self.schedule(RESET_DELAY, SimulationEvent::ConnectionBreaks(attempt));
             }
             ServerFault::Errors => Outcome::Error,
             ServerFault::None | ServerFault::RefusesConnections => Outcome::Ok,
@@ -224,11 +224,11 @@
         let Some(done_at) = self.servers[server].work(self.now, duration) else {
             return;
         };
-        let finished = Occurrence::ServerFinishes { attempt, outcome };
+        let finished = SimulationEvent::ServerFinishes { attempt, outcome };
         self.schedule(done_at - self.now, finished);
     }
 
-    /// A server has finished a request, and responds if the connection is still there.
+    /// Finishes a request at its server, which responds if the connection still exists.
     pub fn server_finishes(&mut self, attempt: AttemptRef, outcome: Outcome) {
         let Some(connection) = self
             .connection(attempt.connection)
@@ -244,7 +244,7 @@
         let delay = self.random.u64(RESPONSE_DELAY);
         self.schedule(
             delay,
-            Occurrence::ResponseReachesNode {
+            SimulationEvent::ResponseReachesNode {
                 attempt,
                 id,
                 outcome,
@@ -255,10 +255,10 @@
                 let repeat_delay = self.random.u64(..MAX_REPEAT_DELAY);
                 self.schedule(
                     delay + repeat_delay,
-                    Occurrence::UnexpectedBytes(attempt.connection),
+                    SimulationEvent::UnexpectedBytes(attempt.connection),
                 );
             }
-            1 => self.schedule(delay + 1, Occurrence::PeerCloses(attempt.connection)),
+            1 => self.schedule(delay + 1, SimulationEvent::PeerCloses(attempt.connection)),
             _ => {}
         }
     }
--- a/crates/model-checker/src/fleet/simulation.rs
+++ b/crates/model-checker/src/fleet/simulation.rs
@@ -1,7 +1,7 @@
-//! The simulation: its state, its queue of occurrences and its end.
+//! The simulation: its state and its event queue.
 
 use super::nodes::Node;
-use super::occurrence::Occurrence;
+use super::occurrence::SimulationEvent;
 use super::servers::Server;
 use super::{FleetError, FleetRun, FleetSetup};
 use saffronpaddle_policy::interface::{Micros, RequestId};
@@ -13,18 +13,18 @@
 use std::hash::{DefaultHasher, Hasher};
 use std::time::Duration;
 
-/// When a run begins on the nodes' clocks, µs.
+/// Start of a run on the nodes' clocks, µs.
 pub(super) const START: Micros = 1_700_000_000_000_000;
-/// Customers of the fleet.
+/// Number of customers.
 pub(super) const CUSTOMERS: u64 = 40;
-/// How long after the last request a run may go on, µs. All is over long before.
+/// Most time that a run continues after the period in which requests arrive, µs. Runs normally terminate much earlier.
 const MAX_AFTER_LAST_REQUEST: Micros = 20_000_000;
 /// Mean time between the faults of a server, and between its drains, µs.
 const MEAN_TIME_BETWEEN_FAULTS: Micros = 4_000_000;
-/// The address of the first server that moves; those before are the servers' first addresses.
+/// Address of the first server that moves. The initial addresses are lower.
 const FIRST_NEW_ADDRESS: u32 = 100;
 
-/// An entry of the queue: occurrences at the same time come in the order in which they were scheduled.
+/// An entry of the event queue. Events at the same time are handled in the order in which they were scheduled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Scheduled {
     at: Micros,
@@ -40,8 +40,8 @@
     pub random: fastrand::Rng,
     pub now: Micros,
     queue: BinaryHeap<Reverse<Scheduled>>,
-    /// Occurrences by their serial number.
-    scheduled: BTreeMap<u64, Occurrence>,
+    /// Scheduled events by serial number.
+    scheduled: BTreeMap<u64, SimulationEvent>,
     last_serial: u64,
     pub nodes: Vec<Node>,
     pub servers: Vec<Server>,
@@ -50,12 +50,12 @@
     pub inconsistencies: Vec<String>,
     pub commands_hash: DefaultHasher,
     events: usize,
-    /// Unanswered requests and the index of the node of each.
+    /// Unanswered requests, each with the index of its node.
     pub open: BTreeMap<RequestId, usize>,
 }
 
 impl Simulation {
-    /// A fleet in which nothing has happened.
+    /// Creates a fleet in its initial state.
     ///
     /// # Errors
     /// The settings of the fleet are unreadable or invalid.
@@ -87,118 +87,120 @@
             let exchange = simulation.new_exchange(index)?;
             simulation.nodes.push(Node::new(exchange));
         }
-        simulation.limit_customers();
+        simulation.report_quotas();
         Ok(simulation)
     }
 
-    /// Tells the ledger the quota of each customer.
-    fn limit_customers(&mut self) {
+    /// Reports the quota of each customer to the ledger.
+    fn report_quotas(&mut self) {
         for (customer, plan) in (0..CUSTOMERS).zip(self.fleet.plans.iter().cycle()) {
             self.ledger
                 .limit(customer, (plan.rate, plan.burst), plan.ceiling);
         }
     }
 
-    /// The time since the start of the run.
+    /// Returns the virtual time since the start of the run.
     pub fn elapsed(&self) -> Duration {
         Duration::from_micros(self.now - START)
     }
 
-    /// Schedules an occurrence in `delay` µs.
-    pub fn schedule(&mut self, delay: Micros, occurrence: Occurrence) {
+    /// Schedules an event in `delay` µs.
+    pub fn schedule(&mut self, delay: Micros, event: SimulationEvent) {
         self.last_serial += 1;
         self.queue.push(Reverse(Scheduled {
             at: self.now + delay,
             serial: self.last_serial,
         }));
-        self.scheduled.insert(self.last_serial, occurrence);
+        self.scheduled.insert(self.last_serial, event);
     }
 
-    /// Simulates until all is over.
+    /// Simulates until the event queue is empty or the time limit is reached.
     ///
     /// # Errors
-    /// The policy engine rejects the settings of a node that starts again.
+    /// The policy engine rejects the settings of a restarted node.
     pub fn run(&mut self) -> Result<(), FleetError> {
         for node in 0..self.nodes.len() {
             self.send_endpoint_snapshot(node);
         }
-        self.schedule_all();
+        self.schedule_initial_events();
         while let Some(Reverse(next)) = self.queue.pop() {
             if next.at > START + self.setup.duration + MAX_AFTER_LAST_REQUEST {
                 break;
             }
             self.now = next.at;
             self.events += 1;
-            if let Some(occurrence) = self.scheduled.remove(&next.serial) {
-                self.handle(occurrence)?;
+            if let Some(event) = self.scheduled.remove(&next.serial) {
+                self.handle(event)?;
             }
         }
         Ok(())
     }
 
-    /// Schedules what doesn't follow from other occurrences.
-    fn schedule_all(&mut self) {
+    /// Schedules the events that are not caused by other events.
+    fn schedule_initial_events(&mut self) {
         let duration = self.setup.duration;
         for number in 0..self.setup.requests {
             let delay = self.random.u64(..duration);
-            self.schedule(delay, Occurrence::RequestArrives(number));
+            self.schedule(delay, SimulationEvent::RequestArrives(number));
         }
         for server in 0..self.servers.len() {
             for _ in 0..duration / MEAN_TIME_BETWEEN_FAULTS {
                 let fault_delay = self.random.u64(..duration);
                 let toggle_delay = self.random.u64(..duration);
-                self.schedule(fault_delay, Occurrence::FaultToggles(server));
-                self.schedule(toggle_delay, Occurrence::ServerToggles(server));
+                self.schedule(fault_delay, SimulationEvent::FaultToggles(server));
+                self.schedule(toggle_delay, SimulationEvent::ServerToggles(server));
             }
         }
         if self.setup.kill_node {
             let node = self.random.usize(..self.nodes.len());
-            self.schedule(duration / 2, Occurrence::NodeKilled(node));
+            self.schedule(duration / 2, SimulationEvent::NodeKilled(node));
         }
     }
 
-    fn handle(&mut self, occurrence: Occurrence) -> Result<(), FleetError> {
-        match occurrence {
-            Occurrence::RequestArrives(number) => self.request_arrives(number),
-            Occurrence::ClientLeaves { node, id, ticket } => self.client_leaves(node, id, ticket),
-            Occurrence::ConnectSucceeds(connection) => self.connect_succeeds(connection),
-            Occurrence::ConnectFails(connection) => self.connect_fails(connection),
-            Occurrence::FirstByteReady(connection) => self.first_byte_ready(connection),
-            Occurrence::RequestReachesServer {
+    fn handle(&mut self, event: SimulationEvent) -> Result<(), FleetError> {
+        match event {
+            SimulationEvent::RequestArrives(number) => self.request_arrives(number),
+            SimulationEvent::ClientLeaves { node, id, ticket } => {
+                self.client_leaves(node, id, ticket);
+            }
+            SimulationEvent::ConnectSucceeds(connection) => self.connect_succeeds(connection),
+            SimulationEvent::ConnectFails(connection) => self.connect_fails(connection),
+            SimulationEvent::FirstByteReady(connection) => self.first_byte_ready(connection),
+            SimulationEvent::RequestReachesServer {
                 attempt,
                 written_at,
             } => self.request_reaches_server(attempt, written_at),
-            Occurrence::ServerFinishes { attempt, outcome } => {
+            SimulationEvent::ServerFinishes { attempt, outcome } => {
                 self.server_finishes(attempt, outcome);
             }
-            Occurrence::ResponseReachesNode {
+            SimulationEvent::ResponseReachesNode {
                 attempt,
                 id,
                 outcome,
             } => self.response_reaches_node(attempt, id, outcome),
-            Occurrence::ConnectionBreaks(attempt) => self.connection_breaks(attempt),
-            Occurrence::UnexpectedBytes(connection) => self.unexpected_bytes(connection),
-            Occurrence::PeerCloses(connection) => self.peer_closes(connection),
-            Occurrence::ConnectionCloses(connection) => self.connection_closes(connection),
-            Occurrence::ExchangeTimer { node, due } => self.exchange_timer(node, due),
-            Occurrence::PolicyTimer { node, token } => self.policy_timer(node, token),
-            Occurrence::DatagramArrives { to, from, bytes } => {
+            SimulationEvent::ConnectionBreaks(attempt) => self.connection_breaks(attempt),
+            SimulationEvent::UnexpectedBytes(connection) => self.unexpected_bytes(connection),
+            SimulationEvent::PeerCloses(connection) => self.peer_closes(connection),
+            SimulationEvent::ConnectionCloses(connection) => self.connection_closes(connection),
+            SimulationEvent::ExchangeTimer { node, due } => self.exchange_timer(node, due),
+            SimulationEvent::PolicyTimer { node, token } => self.policy_timer(node, token),
+            SimulationEvent::DatagramArrives { to, from, bytes } => {
                 self.datagram_arrives(to, from, bytes);
             }
-            Occurrence::FaultToggles(server) => self.toggle_fault(server),
-            Occurrence::ServerToggles(server) => self.toggle_server(server),
-            Occurrence::EndpointUpdate {
+            SimulationEvent::FaultToggles(server) => self.toggle_fault(server),
+            SimulationEvent::ServerToggles(server) => self.toggle_server(server),
+            SimulationEvent::EndpointUpdate {
                 node,
                 server,
                 endpoint,
                 address,
             } => self.endpoint_update(node, server, endpoint, address),
-            Occurrence::NodeKilled(node) => self.kill_node(node)?,
+            SimulationEvent::NodeKilled(node) => self.kill_node(node)?,
         }
         Ok(())
     }
 
-    /// How the run went.
+    /// Returns the result of the run.
     pub fn judge(self) -> FleetRun {
         let kept = self
             .nodes
--- a/crates/model-checker/src/lib.rs
+++ b/crates/model-checker/src/lib.rs
@@ -1,7 +1,9 @@
-//! Exhaustive checking in the small. [`world`] holds an exchange, the very code that a node runs, in a small world of
-//! clients, servers and a clock; [`search`] visits all of its states and [`walk`] walks through larger ones at random;
-//! [`setups`] are the bounds, [`planted`] the faults that it must find, [`chart`] shows how it came to a violation.
-//! [`fleet`] runs several nodes with the real policy in virtual time.
+//! Model checker for the exchange, the request state machine that nodes run.
+//!
+//! [`world`] models an exchange with its clients, servers and clock. [`search`] visits all states of a small world,
+//! and [`walk`] takes random walks through larger ones. [`setups`] defines the bounds of the worlds, [`planted`] lists
+//! the faults that the checker has to detect, and [`chart`] draws the trace that leads to a violation. [`fleet`]
+//! simulates several nodes with the real policy in virtual time.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/model-checker/src/planted.rs
+++ b/crates/model-checker/src/planted.rs
@@ -1,12 +1,12 @@
-//! The planted faults that the checker must find, and the world in which it looks for each.
+//! The planted faults that the checker has to detect, and the world in which each is searched for.
 
-use crate::search::{search, Found, Limits};
+use crate::search::{search, Limits, SearchResult};
 use crate::setups;
 use crate::world::{AnyPolicy, Setup};
 use saffronpaddle_exchange::Bug;
 
-/// The name of the world in which a fault shows.
-pub fn world_of(bug: Bug) -> &'static str {
+/// Returns the name of the world in which a fault is detected.
+pub fn world_name(bug: Bug) -> &'static str {
     match bug {
         Bug::AnswerAfterCancel
         | Bug::CancelWithoutClose
@@ -27,11 +27,11 @@
     }
 }
 
-/// Looks for a planted fault. None if there is no world of its name.
-pub fn hunt(bug: Bug, threads: usize) -> Option<(Setup, Found)> {
+/// Searches for a planted fault. Returns `None` if no small world has the name that [`world_name`] gives.
+pub fn search_for(bug: Bug, threads: usize) -> Option<(Setup, SearchResult)> {
     let setup = setups::small()
         .into_iter()
-        .find(|setup| setup.name == world_of(bug))?;
+        .find(|setup| setup.name == world_name(bug))?;
     let found = search(&setup, AnyPolicy, Some(bug), Limits::default(), threads);
     Some((setup, found))
 }
--- a/crates/model-checker/src/search.rs
+++ b/crates/model-checker/src/search.rs
@@ -1,40 +1,40 @@
-//! Visits all states of a world, breadth first.
+//! Breadth-first search through all states of a world.
 
 use crate::world::{PolicyModel, Property, PropertyViolation, Setup, Step, World};
 use saffronpaddle_exchange::Bug;
 use std::collections::HashSet;
 use std::time::{Duration, Instant};
 
-/// Steps within which a world that is left alone is over. Without this limit, a world that never ends would stop the
-/// search.
-const MAX_STEPS_ALONE: usize = 80;
+/// Most default steps until a world has to be terminated. Without this limit, the search would hang on a world that
+/// never terminates.
+const MAX_DEFAULT_STEPS: usize = 80;
 
-/// The index of the first state among all steps.
+/// Index of the initial state in the list of path steps.
 const ROOT: u32 = 0;
 
-/// What a search found.
+/// The result of a search or a random walk.
 #[derive(Clone, Debug)]
-pub struct Found {
-    /// Different states.
+pub struct SearchResult {
+    /// Number of distinct states.
     pub states: usize,
-    /// Steps that were taken between them.
+    /// Number of steps taken between states.
     pub steps: usize,
-    /// The longest of the shortest paths to a state.
+    /// Length of the longest among the shortest paths to each state.
     pub depth: usize,
-    /// How long it took.
+    /// Wall-clock time of the search.
     pub duration: Duration,
-    /// All states were visited.
+    /// Whether all reachable states were visited.
     pub complete: bool,
-    /// The shortest path to a violation, if there is one.
+    /// The trace to a violation, the shortest one in a search; `None` if no property was violated.
     pub violation: Option<(Vec<Step>, PropertyViolation)>,
 }
 
-/// The limits of a search.
+/// Limits of a search. It stops when either is reached.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Most states.
+    /// Most distinct states.
     pub states: usize,
-    /// Most steps from the first state.
+    /// Most steps from the initial state.
     pub depth: usize,
 }
 
@@ -47,37 +47,37 @@
     }
 }
 
-/// A state whose steps were not taken yet.
+/// A state that was not expanded yet.
 struct OpenState<M: PolicyModel> {
     world: World<M>,
-    /// The index of the last step of the path to it.
+    /// Index of the last step on the path to the state.
     reached_by: u32,
 }
 
-/// A step of a path, and the index of the step before it.
+/// A step of a path, with the index of the preceding step.
 struct PathStep {
     previous: u32,
     step: Step,
 }
 
-/// A state that a step leads to.
+/// A newly reached state, with the step that leads to it.
 struct NextState<M: PolicyModel> {
     previous: u32,
     step: Step,
     digest: u64,
     world: World<M>,
-    /// The states on the way to its end when it is left alone.
-    ending: Vec<u64>,
+    /// Digests of the states between this one and the termination of its world by default steps.
+    terminating: Vec<u64>,
 }
 
-/// A violation, and the steps to it from a state.
+/// A violation, with the steps from an expanded state to it.
 struct FoundViolation {
     previous: u32,
     steps: Vec<Step>,
     violation: PropertyViolation,
 }
 
-/// What one thread found in its part of a level.
+/// The result of expanding one thread's part of a level.
 struct Expansion<M: PolicyModel> {
     next: Vec<NextState<M>>,
     steps_taken: usize,
@@ -88,30 +88,30 @@
 struct Search<'a> {
     setup: &'a Setup,
     seen: HashSet<u64>,
-    /// States that are known to come to their end when they are left alone.
-    ending: HashSet<u64>,
+    /// Digests of states that are known to terminate by default steps.
+    terminating: HashSet<u64>,
     path_steps: Vec<PathStep>,
     steps_taken: usize,
     depth: usize,
     started: Instant,
 }
 
-/// Visits all states that a world can come to, with so many threads.
+/// Visits all states that are reachable in a world, using `threads` threads.
 ///
 /// # Panics
-/// If the code that is explored panics.
+/// Panics if the code under test panics.
 pub fn search<M: PolicyModel + Send + Sync>(
     setup: &Setup,
     policy: M,
     bug: Option<Bug>,
     limits: Limits,
     threads: usize,
-) -> Found {
+) -> SearchResult {
     let first = World::new(setup, policy, bug);
     let mut search = Search {
         setup,
         seen: HashSet::from([first.digest()]),
-        ending: HashSet::new(),
+        terminating: HashSet::new(),
         path_steps: vec![PathStep {
             previous: ROOT,
             step: Step::ClockTicks,
@@ -154,15 +154,15 @@
                 .chunks(part)
                 .map(|states| scope.spawn(move || self.expand(states)))
                 .collect();
-            // A panic in the code that is explored is a fault like any other: it ends the search.
+            // A panic in the code under test is a fault like any other and ends the search.
             running
                 .into_iter()
-                .map(|thread| thread.join().expect("no panic"))
+                .map(|thread| thread.join().expect("the code under test panicked"))
                 .collect()
         })
     }
 
-    /// Takes all steps from some states, until one violates a property.
+    /// Takes all possible steps from the given states until one violates a property.
     fn expand<M: PolicyModel>(&self, states: &[OpenState<M>]) -> Expansion<M> {
         let mut expansion = Expansion {
             next: Vec::new(),
@@ -170,11 +170,11 @@
             violation: None,
         };
         let mut seen_here = HashSet::new();
-        let mut ending_here = HashSet::new();
+        let mut terminating_here = HashSet::new();
         for state in states {
             for step in state.world.possible_steps(self.setup) {
                 expansion.steps_taken += 1;
-                match self.take(state, step, &mut seen_here, &mut ending_here) {
+                match self.take(state, step, &mut seen_here, &mut terminating_here) {
                     Ok(next) => expansion.next.extend(next),
                     Err(violation) => {
                         expansion.violation = Some(violation);
@@ -186,13 +186,13 @@
         expansion
     }
 
-    /// Takes a step from a state. None if it leads to a state that was seen before.
+    /// Takes a step from a state. Returns `None` if the resulting state was seen before.
     fn take<M: PolicyModel>(
         &self,
         state: &OpenState<M>,
         step: Step,
         seen_here: &mut HashSet<u64>,
-        ending_here: &mut HashSet<u64>,
+        terminating_here: &mut HashSet<u64>,
     ) -> Result<Option<NextState<M>>, FoundViolation> {
         let previous = state.reached_by;
         let violated = |tail: Vec<Step>, violation| {
@@ -213,34 +213,34 @@
             return Ok(None);
         }
         world
-            .verify_stopped()
+            .verify_draining()
             .and_then(|()| world.verify_attempt_ends(self.setup))
             .map_err(|violation| violated(Vec::new(), violation))?;
-        let ending = self
-            .leave_alone(&world, digest, ending_here)
+        let terminating = self
+            .verify_termination(&world, digest, terminating_here)
             .map_err(|(tail, violation)| violated(tail, violation))?;
         Ok(Some(NextState {
             previous,
             step,
             digest,
             world,
-            ending,
+            terminating,
         }))
     }
 
-    /// Verifies that a state comes to its end if it is left alone, and returns the new states on the way.
-    fn leave_alone<M: PolicyModel>(
+    /// Verifies that a state terminates by default steps, and returns the digests of the states passed on the way.
+    fn verify_termination<M: PolicyModel>(
         &self,
         world: &World<M>,
         mut digest: u64,
-        ending_here: &mut HashSet<u64>,
+        terminating_here: &mut HashSet<u64>,
     ) -> Result<Vec<u64>, (Vec<Step>, PropertyViolation)> {
         let mut visited = Vec::new();
         let mut tail = Vec::new();
         let mut world = world.clone();
-        while !self.ending.contains(&digest) && !ending_here.contains(&digest) {
+        while !self.terminating.contains(&digest) && !terminating_here.contains(&digest) {
             visited.push(digest);
-            let Some(step) = world.step_if_left_alone(self.setup) else {
+            let Some(step) = world.default_step(self.setup) else {
                 world
                     .verify_end()
                     .map_err(|violation| (tail.clone(), violation))?;
@@ -250,20 +250,22 @@
             world
                 .take(self.setup, step)
                 .map_err(|violation| (tail.clone(), violation))?;
-            if tail.len() > MAX_STEPS_ALONE {
+            if tail.len() > MAX_DEFAULT_STEPS {
                 let violation = PropertyViolation {
                     property: Property::Liveness,
-                    details: format!("left alone, it is not over after {MAX_STEPS_ALONE} steps"),
+                    details: format!(
+                        "the world does not terminate within {MAX_DEFAULT_STEPS} default steps"
+                    ),
                 };
                 return Err((tail, violation));
             }
             digest = world.digest();
         }
-        ending_here.extend(&visited);
+        terminating_here.extend(&visited);
         Ok(visited)
     }
 
-    /// Takes in what the threads found: the new states, and the violation with the fewest steps.
+    /// Merges the results of the threads: the new states, and the violation with the fewest steps.
     fn merge<M: PolicyModel>(
         &mut self,
         expansions: Vec<Expansion<M>>,
@@ -281,7 +283,7 @@
                 }
             }
             for next in expansion.next {
-                self.ending.extend(next.ending);
+                self.terminating.extend(next.terminating);
                 if self.seen.insert(next.digest) {
                     self.path_steps.push(PathStep {
                         previous: next.previous,
@@ -297,8 +299,8 @@
         (level, shortest)
     }
 
-    fn found(&self, complete: bool) -> Found {
-        Found {
+    fn found(&self, complete: bool) -> SearchResult {
+        SearchResult {
             states: self.seen.len(),
             steps: self.steps_taken,
             depth: self.depth,
@@ -308,16 +310,16 @@
         }
     }
 
-    fn found_violation(&self, found: FoundViolation) -> Found {
+    fn found_violation(&self, found: FoundViolation) -> SearchResult {
         let mut trace = self.path_to(found.previous);
         trace.extend(found.steps);
-        Found {
+        SearchResult {
             violation: Some((trace, found.violation)),
             ..self.found(false)
         }
     }
 
-    /// The steps from the first state up to the step of an index.
+    /// Returns the steps from the initial state up to the step at an index.
     fn path_to(&self, mut index: u32) -> Vec<Step> {
         let mut path = Vec::new();
         while index != ROOT {
--- a/crates/model-checker/src/setups.rs
+++ b/crates/model-checker/src/setups.rs
@@ -1,4 +1,4 @@
-//! The worlds that are visited.
+//! The bounds of the worlds that the checker visits.
 
 mod large;
 mod random;
@@ -8,7 +8,7 @@
 pub use large::large;
 pub use random::random;
 pub use real_policy::{real, real_policy};
-pub use small::{late_copies, small};
+pub use small::{late_duplicates, small};
 
 use crate::world::{DuplicateResponses, Setup};
 use saffronpaddle_exchange::Limits;
@@ -17,18 +17,18 @@
     DeduplicationDomainId, DeduplicationScope, Idempotency, ZoneId,
 };
 
-/// With a key that is deduplicated in the domain of the first attempt, for two ticks.
+/// An idempotency key that servers in the domain of the first attempt deduplicate for two ticks.
 const KEYED: Idempotency = Idempotency::WithKey {
     scope: DeduplicationScope::Domain,
     window: 2,
 };
 
-/// Limits whose times are ticks of 1 µs.
+/// Returns limits whose times are counted in ticks of 1 µs.
 fn limits(max_connections: usize) -> Limits {
     Limits {
         max_connections,
         max_idle_per_server: 2,
-        idle_for: 3,
+        idle_timeout: 3,
         reuse_delay: 1,
         connect_timeout: 2,
         answer_grace: 1,
@@ -36,7 +36,7 @@
     }
 }
 
-/// A server of a zone and a deduplication domain.
+/// Returns the location of a server in a zone and a deduplication domain.
 fn server(zone: u32, domain: u64) -> ServerLocation {
     ServerLocation {
         zone: ZoneId(zone),
@@ -44,11 +44,12 @@
     }
 }
 
-/// One idempotent request before two servers in different domains, with two connections and no faults.
-fn base(name: &'static str, about: &'static str) -> Setup {
+/// Returns the setup on which the others are based: one idempotent request, two servers in different domains, at most
+/// two connections and no faults.
+fn base(name: &'static str, description: &'static str) -> Setup {
     Setup {
         name,
-        about,
+        description,
         requests: vec![Idempotency::Idempotent],
         shared_id: false,
         servers: vec![server(0, 0), server(0, 1)],
@@ -62,7 +63,7 @@
         responses_carry_id: false,
         faults: false,
         clients_leave: false,
-        node_stops: false,
+        node_drains: false,
         shutdown_ticks: None,
         policy_cancels: false,
         policy_rejects: true,
--- a/crates/model-checker/src/setups/large.rs
+++ b/crates/model-checker/src/setups/large.rs
@@ -1,10 +1,10 @@
-//! Larger worlds: all of their states are visited in minutes, with gigabytes of memory.
+//! Larger worlds, whose exhaustive search takes minutes and gigabytes of memory.
 
 use super::{base, KEYED};
 use crate::world::{EndpointChange, Setup};
 use saffronpaddle_policy::interface::Idempotency;
 
-/// The larger worlds.
+/// Returns the larger worlds, in the order in which they are visited.
 pub fn large() -> Vec<Setup> {
     vec![
         Setup {
@@ -15,7 +15,7 @@
             clients_leave: true,
             ..base(
                 "three",
-                "three attempts of a keyed request, a drain, a move, all faults",
+                "three attempts of a keyed request; a drain, an address change, all faults",
             )
         },
         Setup {
@@ -25,7 +25,7 @@
             endpoint_changes: vec![EndpointChange::Drain(0)],
             ..base(
                 "pair",
-                "two requests of one customer, two attempts each, a drain",
+                "two requests of one customer, two attempts each; a drain",
             )
         },
         Setup {
@@ -33,11 +33,11 @@
             max_sends: 1,
             faults: true,
             clients_leave: true,
-            node_stops: true,
+            node_drains: true,
             horizon_ticks: 3,
             ..base(
                 "pair-faults",
-                "two requests, one attempt each, all faults, a stop",
+                "two requests, one attempt each; all faults, the node drains",
             )
         },
     ]
--- a/crates/model-checker/src/setups/random.rs
+++ b/crates/model-checker/src/setups/random.rs
@@ -1,4 +1,4 @@
-//! Random worlds for walks, far beyond those of which all states can be visited.
+//! Random worlds for random walks, too large for an exhaustive search.
 
 use super::{base, server};
 use crate::world::{DuplicateResponses, EndpointChange, Setup};
@@ -6,17 +6,17 @@
 use saffronpaddle_exchange::Limits;
 use saffronpaddle_policy::interface::{DeduplicationScope, Idempotency};
 
-/// Mixed into the seed, so that a walk and its world don't draw the same numbers.
+/// Combined with the seed by XOR, so that a walk and its world don't draw the same random numbers.
 const SEED_MASK: u64 = 0x5eed;
-/// Requests of a world.
+/// Number of requests in a world.
 const REQUESTS: usize = 12;
-/// Servers of a world.
+/// Number of servers in a world.
 const SERVERS: usize = 6;
-/// Changes of the endpoint list.
+/// Number of changes of the endpoint list in a world.
 const ENDPOINT_CHANGES: usize = 30;
 
-/// A world of a dozen requests of all idempotencies, six servers and an endpoint list that keeps changing; a little
-/// different for each seed.
+/// Returns a world with twelve requests of random idempotency, six servers and a frequently changing endpoint list,
+/// all determined by the seed.
 pub fn random(seed: u64) -> Setup {
     let mut random = Rng::with_seed(seed ^ SEED_MASK);
     let requests: Vec<Idempotency> = (0..REQUESTS)
@@ -38,7 +38,7 @@
         limits: Limits {
             max_connections: 5,
             max_idle_per_server: 2,
-            idle_for: 9,
+            idle_timeout: 9,
             reuse_delay: 2,
             connect_timeout: 4,
             answer_grace: 1,
@@ -52,7 +52,7 @@
         policy_cancels: true,
         ..base(
             "wide",
-            "twelve requests of all effects, six servers, a list that keeps changing",
+            "twelve requests of random idempotency, six servers, a frequently changing endpoint list",
         )
     }
 }
--- a/crates/model-checker/src/setups/real_policy.rs
+++ b/crates/model-checker/src/setups/real_policy.rs
@@ -1,4 +1,4 @@
-//! Worlds with the real policy engine inside.
+//! Worlds with the policy engine that nodes run.
 
 use super::base;
 use crate::world::{class_of, EndpointChange, RealPolicy, Setup};
@@ -11,14 +11,14 @@
 
 /// A millisecond, µs.
 const MILLISECOND: Micros = 1_000;
-/// How long keys are deduplicated, µs.
+/// How long servers deduplicate keys, µs.
 const DEDUPLICATION_WINDOW: Micros = 2_000 * MILLISECOND;
-/// The seed of the policy engine.
+/// Seed of the policy engine.
 const POLICY_SEED: u64 = 1;
-/// When the policy engine starts, µs.
+/// The time at which the policy engine starts, µs.
 const POLICY_START: Micros = 1_000_000;
 
-/// A world with the real policy engine inside: its clock has ticks of 50 ms.
+/// Returns a world for the real policy engine, with clock ticks of 50 ms.
 pub fn real(idempotency: Idempotency) -> Setup {
     let idempotency = match idempotency {
         Idempotency::WithKey { scope, .. } => Idempotency::WithKey {
@@ -34,7 +34,7 @@
         limits: Limits {
             max_connections: 2,
             max_idle_per_server: 2,
-            idle_for: 300 * MILLISECOND,
+            idle_timeout: 300 * MILLISECOND,
             reuse_delay: 10 * MILLISECOND,
             connect_timeout: 100 * MILLISECOND,
             answer_grace: 2 * MILLISECOND,
@@ -45,16 +45,16 @@
         tick: 50 * MILLISECOND,
         faults: true,
         clients_leave: true,
-        // One tick passes both the policy's own deadline and that of the exchange, 2 ms later.
+        // One tick covers both the deadline of the policy and that of the exchange, which is 2 ms later.
         late_timers: true,
         ..base(
             name,
-            "one request with the decision module inside, a drain, a move, all faults",
+            "one request with the real policy engine; a drain, an address change, all faults",
         )
     }
 }
 
-/// The policy engine for such worlds: one node, one customer far below its quota.
+/// Returns the policy engine for such a world: one node, and one customer far below its quota.
 ///
 /// # Errors
 /// The policy engine rejects its settings.
@@ -64,7 +64,7 @@
     Ok(RealPolicy(engine))
 }
 
-/// The scope of the requests with a key.
+/// Returns the deduplication scope of the requests with a key.
 fn key_scope(setup: &Setup) -> DeduplicationScope {
     setup
         .requests
--- a/crates/model-checker/src/setups/small.rs
+++ b/crates/model-checker/src/setups/small.rs
@@ -1,10 +1,10 @@
-//! Small worlds: all of their states are visited in seconds.
+//! Small worlds, whose exhaustive search takes seconds.
 
 use super::{base, limits, server, KEYED};
 use crate::world::{DuplicateResponses, EndpointChange, Setup};
 use saffronpaddle_policy::interface::Idempotency;
 
-/// The worlds of CI, in the order in which they are visited.
+/// Returns the worlds that CI searches, in the order in which they are visited.
 pub fn small() -> Vec<Setup> {
     let mut worlds = retry_worlds();
     worlds.extend(connection_worlds());
@@ -13,7 +13,7 @@
     worlds
 }
 
-/// One request or two whose attempts are retried, and the endpoint list.
+/// Returns worlds in which requests are retried and the endpoint list changes.
 fn retry_worlds() -> Vec<Setup> {
     vec![
         Setup {
@@ -25,7 +25,7 @@
             horizon_ticks: 3,
             ..base(
                 "one-keyed",
-                "one keyed request, two attempts, all faults, a module that does anything",
+                "one keyed request, two attempts; all faults, an arbitrary policy",
             )
         },
         Setup {
@@ -37,7 +37,7 @@
             horizon_ticks: 3,
             ..base(
                 "one-unsafe",
-                "one unsafe request, two attempts, all faults, a module that does anything",
+                "one non-idempotent request, two attempts; all faults, an arbitrary policy",
             )
         },
         Setup {
@@ -46,7 +46,7 @@
             horizon_ticks: 3,
             ..base(
                 "list",
-                "a drain, then a move whose old address passes to the other server",
+                "a drain, then an address change that reassigns the former address to the other server",
             )
         },
         Setup {
@@ -58,13 +58,13 @@
             limits: limits(1),
             ..base(
                 "window",
-                "three attempts of a keyed request within and past its window",
+                "three attempts of a keyed request within and after its deduplication window",
             )
         },
     ]
 }
 
-/// Connections that are reused, replaced and limited.
+/// Returns worlds in which connections are reused, replaced and limited.
 fn connection_worlds() -> Vec<Setup> {
     vec![
         Setup {
@@ -76,7 +76,7 @@
             limits: limits(1),
             ..base(
                 "copies",
-                "two requests on one server that says answers twice, right behind one another",
+                "two requests to one server that sends duplicate responses within the reuse delay",
             )
         },
         Setup {
@@ -90,7 +90,7 @@
             horizon_ticks: 3,
             ..base(
                 "echoed",
-                "a server that says answers twice at any time, and says whose they are",
+                "a server that sends duplicate responses at any time; responses carry the request id",
             )
         },
         Setup {
@@ -101,7 +101,7 @@
             timeout_ticks: 2,
             horizon_ticks: 3,
             clients_leave: true,
-            ..base("one-id", "two requests of one id, one after the other")
+            ..base("one-id", "two requests with the same id, one after the other")
         },
         Setup {
             requests: vec![Idempotency::Idempotent, Idempotency::Idempotent],
@@ -113,26 +113,26 @@
             horizon_ticks: 3,
             ..base(
                 "one-wire",
-                "two requests, two servers and room for one connection",
+                "two requests, two servers and a limit of one connection",
             )
         },
     ]
 }
 
-/// A node that drains or a process that ends.
+/// Returns worlds in which the node drains or a shutdown is announced.
 fn shutdown_worlds() -> Vec<Setup> {
     vec![
         Setup {
             requests: vec![Idempotency::Idempotent],
             max_sends: 2,
-            node_stops: true,
+            node_drains: true,
             policy_rejects: false,
             faults: true,
             timeout_ticks: 2,
             horizon_ticks: 3,
             ..base(
                 "stop",
-                "the node is told to leave at any time, between two attempts too",
+                "the node drains at any time, also between two attempts",
             )
         },
         Setup {
@@ -145,7 +145,7 @@
             horizon_ticks: 3,
             ..base(
                 "ending",
-                "the process is told at any time that it ends before its clients stop waiting",
+                "a shutdown is announced at any time, with a deadline before the clients stop waiting",
             )
         },
         Setup {
@@ -153,19 +153,19 @@
             endpoint_changes: vec![EndpointChange::Drain(0)],
             faults: true,
             clients_leave: true,
-            node_stops: true,
+            node_drains: true,
             policy_rejects: false,
             timeout_ticks: 2,
             horizon_ticks: 2,
             ..base(
                 "upgrade",
-                "an upgrade, whose connection leaves the exchange; a drain, a stop, all faults",
+                "an upgrade, whose connection leaves the exchange; a server and the node drain, all faults",
             )
         },
     ]
 }
 
-/// Streaming bodies and responses, and late timers.
+/// Returns worlds with streaming bodies, streaming responses and late timers.
 fn streaming_worlds() -> Vec<Setup> {
     vec![
         Setup {
@@ -180,7 +180,7 @@
             limits: limits(1),
             ..base(
                 "coming",
-                "a body that goes by as it comes: early answers, resets, a drain and refusals in the middle",
+                "a streaming body: early responses, resets, a drain and rejections while it is sent",
             )
         },
         Setup {
@@ -188,14 +188,14 @@
             endpoint_changes: vec![EndpointChange::Drain(0)],
             faults: true,
             clients_leave: true,
-            node_stops: true,
+            node_drains: true,
             policy_cancels: true,
             timeout_ticks: 2,
             horizon_ticks: 2,
             limits: limits(1),
             ..base(
                 "passing",
-                "an answer that goes by: a reset, a drain, a stop and a client that goes, in the middle",
+                "a streaming response: a reset, drains and a client disconnect while it is received",
             )
         },
         Setup {
@@ -204,13 +204,14 @@
             clients_leave: true,
             timeout_ticks: 2,
             horizon_ticks: 4,
-            ..base("late", "a loop that comes late: the clock goes on though an alarm is due")
+            ..base("late", "a delayed event loop: the clock advances while a timer is due")
         },
     ]
 }
 
-/// The known gap: where responses carry no id, a late duplicate of a response passes for the next response.
-pub fn late_copies() -> Setup {
+/// Returns the world of the known gap: if responses carry no request id, a late duplicate of a response is taken for
+/// the response to the next request.
+pub fn late_duplicates() -> Setup {
     Setup {
         requests: vec![Idempotency::Idempotent, Idempotency::Idempotent],
         max_sends: 1,
@@ -221,7 +222,7 @@
         horizon_ticks: 3,
         ..base(
             "late-copies",
-            "a server that says answers twice at any time, and not whose they are",
+            "a server that sends duplicate responses at any time; responses carry no request id",
         )
     }
 }
