--- a/crates/model-checker/src/walk.rs
+++ b/crates/model-checker/src/walk.rs
@@ -1,36 +1,36 @@
-//! Random walks through worlds that are far too large for all of their states to be visited.
+//! Random walks through worlds that are too large for an exhaustive search.
 
-use crate::search::Found;
+use crate::search::SearchResult;
 use crate::world::{PolicyModel, Property, PropertyViolation, Setup, Step, World};
 use saffronpaddle_exchange::Bug;
 use std::mem::discriminant;
 use std::time::Instant;
 
-/// Steps within which a world that is left alone is over.
-const MAX_STEPS_ALONE: usize = 20_000;
-/// One in so many steps ends something or lets time pass. With more of them, no walk would get far.
+/// Most default steps until a world has to be terminated.
+const MAX_DEFAULT_STEPS: usize = 20_000;
+/// One in this many steps aborts something or advances the clock. If these steps were more frequent, walks would
+/// terminate early.
 const ENDING_STEP_ODDS: u8 = 8;
 
-/// Walks so many steps at random from a seed, then leaves the world alone until it is over. The same seed walks the
-/// same way.
-pub fn walk<M: PolicyModel>(setup: &Setup, policy: M, seed: u64, steps: usize) -> Found {
+/// Takes `steps` random steps, then default steps until the world terminates. The same seed gives the same walk.
+pub fn walk<M: PolicyModel>(setup: &Setup, policy: M, seed: u64, steps: usize) -> SearchResult {
     walk_with(setup, policy, None, seed, steps)
 }
 
-/// The same with a planted fault.
+/// Takes a walk as [`walk`] does, with a planted fault.
 pub fn walk_with<M: PolicyModel>(
     setup: &Setup,
     policy: M,
     bug: Option<Bug>,
     seed: u64,
     steps: usize,
-) -> Found {
+) -> SearchResult {
     let started = Instant::now();
     let mut world = World::new(setup, policy, bug);
     let mut trace = Vec::new();
     let violation = walk_to_end(setup, &mut world, seed, steps, &mut trace).err();
     let count = trace.len();
-    Found {
+    SearchResult {
         states: count,
         steps: count,
         depth: count,
@@ -52,23 +52,25 @@
         let step = if trace.len() < steps {
             choose_step(world.possible_steps(setup), &mut random)
         } else {
-            world.step_if_left_alone(setup)
+            world.default_step(setup)
         };
         let Some(step) = step else {
             return world.verify_end();
         };
         trace.push(step);
         world.take(setup, step)?;
-        if trace.len() > steps + MAX_STEPS_ALONE {
+        if trace.len() > steps + MAX_DEFAULT_STEPS {
             return Err(PropertyViolation {
                 property: Property::Liveness,
-                details: "left alone, it is never over".to_owned(),
+                details: format!(
+                    "the world does not terminate within {MAX_DEFAULT_STEPS} default steps"
+                ),
             });
         }
     }
 }
 
-/// Chooses a step. Each kind of step is as likely as the others: there are many ways to send and few to respond.
+/// Chooses a step. All kinds of steps are equally likely, as there are many possible sends and few possible responses.
 fn choose_step(possible: Vec<Step>, random: &mut fastrand::Rng) -> Option<Step> {
     let (ending, advancing): (Vec<Step>, Vec<Step>) =
         possible.into_iter().partition(|step| is_ending(*step));
@@ -93,7 +95,7 @@
     random.choice(of_kind)
 }
 
-/// Whether a step brings a request, an attempt or a connection nearer to its end without an answer.
+/// Returns whether a step aborts a request, an attempt or a connection, or advances the clock towards a timeout.
 fn is_ending(step: Step) -> bool {
     matches!(
         step,
--- a/crates/model-checker/src/world.rs
+++ b/crates/model-checker/src/world.rs
@@ -1,8 +1,7 @@
-//! A small world around an exchange: clients, servers, connections and a clock, each of which may do anything that is
-//! possible at any time.
+//! A model of an exchange and its environment: clients, servers, connections and a clock, which act nondeterministically.
 //!
-//! [`World::possible_steps`] lists what may happen next, [`World::take`] lets one [`Step`] happen, carries out the
-//! exchange's commands as the I/O layer would and verifies the [`Property`]s.
+//! [`World::possible_steps`] lists the steps that are possible in a state. [`World::take`] takes one [`Step`], carries
+//! out the commands of the exchange as the I/O layer would, and verifies each [`Property`].
 
 mod client;
 mod commands;
@@ -32,50 +31,50 @@
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// When worlds begin, µs.
+/// The time at which worlds start, µs.
 const START: Micros = 1_000_000;
 
-/// What the node was told of a server.
+/// The entry of a server in the endpoint list that the node has received.
 #[derive(Clone, Copy, Debug, Hash)]
 struct EndpointState {
     address: u8,
     ready: bool,
 }
 
-/// A timer that the policy has set.
+/// A timer set by the policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct PolicyTimer {
     at: Micros,
     token: u64,
 }
 
-/// One state of the world.
+/// A state of the world.
 #[derive(Clone)]
 pub struct World<M: PolicyModel> {
     exchange: Exchange<u8, RecordingPolicy<M>, Option<Bug>>,
-    /// Ticks of the clock since the start.
+    /// Clock ticks since the start.
     clock: u64,
     clients: Vec<Client>,
     connections: BTreeMap<ConnectionId, Connection>,
-    /// The servers, by their index in the setup.
+    /// The endpoint list, indexed like the servers of the setup.
     endpoints: Vec<EndpointState>,
-    /// How many of the setup's changes of the endpoint list have happened.
+    /// Number of applied endpoint changes of the setup.
     changes_applied: usize,
-    stopped: bool,
-    /// All requests are answered by then, as the process ends, µs.
+    draining: bool,
+    /// When the process has to have answered all requests, µs; `None` until a shutdown is announced.
     shutdown_deadline: Option<Micros>,
-    /// The exchange's timer has fired in this tick.
+    /// The exchange's timer has already fired in this tick.
     timer_fired: bool,
     /// The current step is a rejection by the policy.
     policy_rejects: bool,
     policy_timers: Vec<PolicyTimer>,
     next_address: u8,
-    /// What the last step brought about, for charts.
+    /// The commands and policy events that the last step caused, as lines for the chart.
     pub notes: Vec<String>,
 }
 
 impl<M: PolicyModel> World<M> {
-    /// A world in which nothing has happened but that the node was told the endpoint list.
+    /// Creates a world in its initial state: the node has received the endpoint list, and no step was taken.
     pub fn new(setup: &Setup, policy: M, bug: Option<Bug>) -> World<M> {
         let recording = RecordingPolicy::new(policy);
         let mut exchange = Exchange::with_bugs(setup.limits.clone(), recording, bug);
@@ -107,21 +106,21 @@
             next_address: endpoints.len() as u8,
             endpoints,
             changes_applied: 0,
-            stopped: false,
+            draining: false,
             shutdown_deadline: None,
             timer_fired: false,
             policy_rejects: false,
             policy_timers: Vec::new(),
             notes: Vec::new(),
         };
-        // The policy sets a timer at the most: no property can be violated here.
+        // The policy sets at most a timer here, which can't violate a property.
         let _ = world.carry_out(setup, commands, None);
         world.notes.clear();
         world
     }
 
-    /// A hash of all that the future depends on. It has 64 bits: among ten million states, two are taken for one with a
-    /// probability of three in a million.
+    /// Returns a hash of all state that future steps depend on. With 64 bits, the probability of any collision among
+    /// ten million states is three in a million.
     pub fn digest(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         self.exchange.digest(&mut hasher);
@@ -129,7 +128,7 @@
         self.clock.hash(&mut hasher);
         self.endpoints.hash(&mut hasher);
         self.changes_applied.hash(&mut hasher);
-        self.stopped.hash(&mut hasher);
+        self.draining.hash(&mut hasher);
         self.timer_fired.hash(&mut hasher);
         self.policy_timers.hash(&mut hasher);
         self.shutdown_deadline.hash(&mut hasher);
@@ -143,22 +142,22 @@
         hasher.finish()
     }
 
-    /// Ticks of the clock since the start.
+    /// Returns the number of clock ticks since the start.
     pub fn clock(&self) -> u64 {
         self.clock
     }
 
-    /// The time, µs.
+    /// Returns the current time, µs.
     fn now(&self, setup: &Setup) -> Micros {
         START + self.clock * setup.tick
     }
 
-    /// The id of a connection by its rank among those that exist.
+    /// Returns the id of the connection with a rank among the existing ones.
     fn connection_id(&self, rank: u8) -> Option<ConnectionId> {
         self.connections.keys().nth(usize::from(rank)).copied()
     }
 
-    /// Whether the exchange's timer is due.
+    /// Returns whether the exchange's timer is due.
     fn timer_due(&self, setup: &Setup) -> bool {
         self.exchange
             .next_alarm()
--- a/crates/model-checker/src/world/client.rs
+++ b/crates/model-checker/src/world/client.rs
@@ -1,4 +1,4 @@
-//! A client and what has become of its request.
+//! A client and the progress of its request.
 
 use super::setup::Setup;
 use saffronpaddle_exchange::ConnectionId;
@@ -8,33 +8,33 @@
 /// A client with one request.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Client {
-    /// When its request arrived, or when its streaming body was complete, µs.
+    /// When the request arrived or its streaming body was complete, µs; `None` before the request has arrived.
     pub arrived_at: Option<Micros>,
     pub left: bool,
     pub ticket: u64,
-    /// Final answers that it was given.
+    /// Number of final answers received.
     pub answers: u8,
-    /// Attempts that the policy asked for, one bit each.
+    /// Attempts that the policy asked for, one bit per attempt number.
     pub sends: u32,
-    /// Attempts whose end the policy was told, one bit each.
+    /// Attempts whose end was reported to the policy, one bit per attempt number.
     pub ends: u32,
     /// The first attempt that may have run.
     pub first_dispatched: Option<Dispatched>,
-    /// The outstanding attempt, if bytes of it were written.
+    /// The outstanding attempt if bytes of it were written.
     pub written: Option<WrittenAttempt>,
-    /// The last byte of its body has arrived at the node.
+    /// The node has received the last byte of the body.
     pub body_arrived: bool,
-    /// The last piece of its body was released to a server.
+    /// The last part of the body was sent to a server.
     pub body_released: bool,
-    /// Some of a body that is not buffered was sent.
+    /// A part of an unbuffered body was sent.
     pub body_consumed: bool,
 }
 
-/// Where and when an attempt was dispatched.
+/// Server and time of the dispatch of an attempt.
 #[derive(Clone, Copy, Debug, Hash)]
 pub(super) struct Dispatched {
     pub server: u8,
-    /// When its first byte was let through, µs.
+    /// When the first byte was written, µs.
     pub at: Micros,
 }
 
@@ -47,24 +47,24 @@
 }
 
 impl Client {
-    /// When its request is answered at the latest, whatever the policy does, µs.
-    pub fn answered_by(&self, setup: &Setup, shutdown_deadline: Option<Micros>) -> Micros {
+    /// Returns when the exchange answers the request at the latest, µs.
+    pub fn answer_deadline(&self, setup: &Setup, shutdown_deadline: Option<Micros>) -> Micros {
         let arrived_at = self.arrived_at.unwrap_or(0);
         let latest = arrived_at + setup.timeout() + setup.limits.answer_grace;
         shutdown_deadline.map_or(latest, |shutdown| latest.min(shutdown.max(arrived_at)))
     }
 
-    /// Whether it waits for an answer.
+    /// Returns whether the client is waiting for an answer.
     pub fn waits(&self) -> bool {
         self.answers == 0 && !self.left
     }
 
-    /// Attempts that the policy asked for and whose end it was not told, one bit each.
+    /// Returns the attempts whose end was not yet reported to the policy, one bit per attempt number.
     pub fn unended_sends(&self) -> u32 {
         self.sends & !self.ends
     }
 
-    /// Hashes it, with connections by their rank.
+    /// Hashes the client; connections are identified by rank.
     pub fn digest(
         &self,
         rank_of: impl Fn(ConnectionId) -> Option<usize>,
--- a/crates/model-checker/src/world/commands.rs
+++ b/crates/model-checker/src/world/commands.rs
@@ -1,4 +1,4 @@
-//! Carries out the exchange's commands as the I/O layer does, and verifies each.
+//! Carries out the exchange's commands as the I/O layer would, and verifies each of them.
 
 use super::connection::{CarriedRequest, Connection};
 use super::occurrences::ReadResponse;
@@ -11,7 +11,7 @@
 use saffronpaddle_policy::interface::{Action, Micros, RequestId};
 
 impl<M: PolicyModel> World<M> {
-    /// Carries out and verifies commands. `read` is the response that the node has just read.
+    /// Carries out and verifies commands. `read` is the response that the node read in this step, if any.
     pub(super) fn carry_out(
         &mut self,
         setup: &Setup,
@@ -65,10 +65,19 @@
             .iter()
             .position(|state| state.address == address && state.ready);
         let Some(server) = server else {
-            return violated(Property::Drain, "a connect to who is not ready there");
+            return violated(
+                Property::ReadyServer,
+                format!("connect to address {address}, at which no server is ready"),
+            );
         };
         if self.connections.len() >= setup.limits.max_connections {
-            return violated(Property::Resources, "more connections than may be");
+            return violated(
+                Property::BoundedResources,
+                format!(
+                    "the limit of {} connections is exceeded",
+                    setup.limits.max_connections
+                ),
+            );
         }
         self.connections
             .insert(connection, Connection::connecting(server as u8, address));
@@ -83,12 +92,15 @@
     ) -> Result<(), PropertyViolation> {
         let request = self.request_of(setup, id);
         let Some(carrier) = self.connections.get_mut(&connection) else {
-            return violated(Property::OneOwner, "a request on a connection that is none");
+            return violated(
+                Property::OneRequestPerConnection,
+                "a request is sent on a connection that does not exist",
+            );
         };
         if !carrier.up || carrier.closing || carrier.carried.is_some() {
             return violated(
-                Property::OneOwner,
-                "a request on a connection that is not free",
+                Property::OneRequestPerConnection,
+                "a request is sent on a connection that is not established, in use or being closed",
             );
         }
         carrier.carried = request.map(|request| CarriedRequest {
@@ -101,15 +113,18 @@
 
     fn close(&mut self, connection: ConnectionId) -> Result<(), PropertyViolation> {
         let Some(closing) = self.connections.get_mut(&connection) else {
-            return violated(Property::Resources, "a connection that is none is closed");
+            return violated(
+                Property::BoundedResources,
+                "a connection that does not exist is closed",
+            );
         };
         if std::mem::replace(&mut closing.closing, true) {
-            return violated(Property::Resources, "a connection is closed twice");
+            return violated(Property::BoundedResources, "a connection is closed twice");
         }
         if closing.streaming && !closing.reset && !closing.response_dropped {
             return violated(
-                Property::Uncut,
-                "an answer that goes by is cut off, and its client takes it",
+                Property::NoTruncation,
+                "the connection of a streaming response is closed while its client is still reading",
             );
         }
         Ok(())
@@ -123,7 +138,10 @@
         read: Option<ReadResponse>,
     ) -> Result<(), PropertyViolation> {
         let Some(request) = self.request_of(setup, id) else {
-            return violated(Property::OneAnswer, "an answer to nobody");
+            return violated(
+                Property::OneAnswer,
+                "an answer is given to an unknown request",
+            );
         };
         let client = self.client_mut(request);
         client.answers += 1;
@@ -135,7 +153,7 @@
         }
         let latest = self
             .client(request)
-            .answered_by(setup, self.shutdown_deadline);
+            .answer_deadline(setup, self.shutdown_deadline);
         self.verify_in_time(setup, request, answer, latest)?;
         self.verify_rejection(setup, request, answer, latest)?;
         verify_own_answer(request, answer, read)
@@ -158,7 +176,7 @@
             return Ok(());
         }
         violated(
-            Property::InTime,
+            Property::AnsweredInTime,
             format!("request {request} is answered after its deadline"),
         )
     }
@@ -174,26 +192,29 @@
         let body_sent = client.body_released || !setup.streaming_bodies;
         let may_have_run =
             client.first_dispatched.is_some() || (client.written.is_some() && body_sent);
-        // A request whose body was not sent completely has not run. If the policy rejects it, the client is told so.
+        // A request whose body was not sent completely has not run. If the policy rejects it, the client has to get a
+        // rejection.
         let rejection_fails = self.policy_rejects && answer == FinalAnswer::Failed;
         let in_time = self.now(setup) < latest;
         if setup.streaming_bodies && rejection_fails && !may_have_run && in_time {
             return violated(
-                Property::Refusal,
-                format!("request {request} has never run, and its refusal fails"),
+                Property::SafeRejection,
+                format!(
+                    "request {request} has not run, but it fails although the policy rejected it"
+                ),
             );
         }
         let harmful = may_have_run && !rejection_is_harmless(setup.idempotency(request));
         if matches!(answer, FinalAnswer::Rejected(_)) && harmful {
             return violated(
-                Property::Refusal,
-                format!("request {request} is refused and may have run"),
+                Property::SafeRejection,
+                format!("request {request} is rejected although it may have run"),
             );
         }
         Ok(())
     }
 
-    /// The last piece of a body is sent.
+    /// Sends the last part of a body.
     fn release_body(&mut self, connection: ConnectionId) -> Result<(), PropertyViolation> {
         let Some(carrier) = self
             .connections
@@ -201,30 +222,35 @@
             .filter(|carrier| !carrier.closing)
         else {
             return violated(
-                Property::OneOwner,
-                "the last piece of a body on a connection that is none",
+                Property::OneRequestPerConnection,
+                "the last part of a body is sent on a connection that does not exist or is being closed",
             );
         };
         let Some(request) = carrier.written_request() else {
-            return violated(Property::OneOwner, "the last piece of no request");
+            return violated(
+                Property::OneRequestPerConnection,
+                "the last part of a body is sent on a connection without a written request",
+            );
         };
         let client = self.client_mut(request);
         if !client.waits() {
             return violated(
                 Property::OneAttempt,
-                format!("the last piece of {request}, for which nobody waits"),
+                format!(
+                    "the last body part of request {request} is sent although no client is waiting"
+                ),
             );
         }
         if !client.body_arrived || std::mem::replace(&mut client.body_released, true) {
             return violated(
                 Property::CompleteBody,
-                format!("the last piece of {request}, which has not come or has gone"),
+                format!("the last body part of request {request} is sent before it was received or a second time"),
             );
         }
         Ok(())
     }
 
-    /// What holds of the connections after each step.
+    /// Verifies what has to hold for the connections after each step.
     fn verify_connections(&self) -> Result<(), PropertyViolation> {
         let kept_early = self
             .connections
@@ -233,24 +259,24 @@
         if kept_early {
             return violated(
                 Property::CompleteBody,
-                "a connection is kept though the request on it never went whole",
+                "a connection is kept although its request was answered before it was sent completely",
             );
         }
         self.exchange
-            .consistent()
-            .or_else(|disagreement| violated(Property::Tables, disagreement))?;
+            .check_consistency()
+            .or_else(|inconsistency| violated(Property::ConsistentTables, inconsistency))?;
         let (_, counted) = self.exchange.table_sizes();
         let existing = self.connections.len();
         if counted != existing {
             return violated(
-                Property::Resources,
-                format!("{counted} connections counted, {existing} there"),
+                Property::BoundedResources,
+                format!("the exchange tracks {counted} connections, but {existing} exist"),
             );
         }
         Ok(())
     }
 
-    /// The request that an id means now: the latest that has arrived under it.
+    /// Returns the request that an id currently refers to: the latest one that has arrived with it.
     pub(super) fn request_of(&self, setup: &Setup, id: &RequestId) -> Option<u8> {
         (0..self.clients.len() as u8)
             .rev()
@@ -269,13 +295,13 @@
     }
     match read {
         Some(read) if read.request == request && read.while_closing => violated(
-            Property::OwnAnswer,
-            format!("request {request} is served by what was called off"),
+            Property::MatchingResponse,
+            format!("request {request} is served by the response to a cancelled attempt"),
         ),
         Some(read) if read.request == request => Ok(()),
         _ => violated(
-            Property::OwnAnswer,
-            format!("request {request} gets what is not its answer"),
+            Property::MatchingResponse,
+            format!("request {request} is served without a response to it"),
         ),
     }
 }
--- a/crates/model-checker/src/world/connection.rs
+++ b/crates/model-checker/src/world/connection.rs
@@ -3,37 +3,37 @@
 use super::step::ServerResponse;
 use saffronpaddle_policy::interface::Micros;
 
-/// A connection.
+/// A connection between the node and a server.
 #[derive(Clone, Debug, Hash)]
 pub(super) struct Connection {
     pub server: u8,
     pub address: u8,
     pub up: bool,
     pub carried: Option<CarriedRequest>,
-    /// The server has responded to the request that it carries.
+    /// The server has responded to the carried request.
     pub responded: bool,
-    /// Responses on their way to the node.
+    /// Responses that the node has not read yet.
     pub inbound: Vec<Response>,
     pub last_response: Option<SentResponse>,
     /// The last response was sent twice.
     pub repeated: bool,
     pub reset: bool,
-    /// The node has seen its end.
+    /// The node has noticed the end of the connection.
     pub end_seen: bool,
     pub closing: bool,
-    /// It carries a streaming response.
+    /// The connection carries a streaming response.
     pub streaming: bool,
-    /// The client takes no more of the streaming response.
+    /// The client has stopped reading the streaming response.
     pub response_dropped: bool,
-    /// A response was read before the request on it was complete.
+    /// A response was read before the request was complete.
     pub responded_early: bool,
 }
 
-/// The request that was prepared on a connection.
+/// A request that was prepared on a connection.
 #[derive(Clone, Copy, Debug, Hash)]
 pub(super) struct CarriedRequest {
     pub request: u8,
-    /// Its first byte was written.
+    /// The first byte was written.
     pub written: bool,
 }
 
@@ -44,7 +44,7 @@
     pub kind: ServerResponse,
 }
 
-/// A response and when it was sent, µs.
+/// A response with the time at which it was sent, µs.
 #[derive(Clone, Copy, Debug, Hash)]
 pub(super) struct SentResponse {
     pub response: Response,
@@ -52,7 +52,7 @@
 }
 
 impl Connection {
-    /// A connection that is being made.
+    /// Creates a connection that is being established.
     pub fn connecting(server: u8, address: u8) -> Connection {
         Connection {
             server,
@@ -72,14 +72,14 @@
         }
     }
 
-    /// The request of which bytes were written.
+    /// Returns the carried request if bytes of it were written.
     pub fn written_request(&self) -> Option<u8> {
         self.carried
             .filter(|carried| carried.written)
             .map(|carried| carried.request)
     }
 
-    /// Whether it carries a request of which nothing is written.
+    /// Returns whether the connection carries a request of which no byte is written.
     pub fn has_unwritten_request(&self) -> bool {
         self.carried.is_some_and(|carried| !carried.written)
     }
--- a/crates/model-checker/src/world/final_checks.rs
+++ b/crates/model-checker/src/world/final_checks.rs
@@ -1,4 +1,4 @@
-//! What holds of a state beyond its last step.
+//! Checks of a state as a whole, after the step that leads to it.
 
 use super::policy::PolicyModel;
 use super::property::{violated, Property, PropertyViolation};
@@ -6,7 +6,7 @@
 use super::World;
 
 impl<M: PolicyModel> World<M> {
-    /// What holds once nothing is left to happen: all waiting clients are answered, and nothing is kept.
+    /// Verifies a terminated world: all waiting clients are answered, and no request or connection is kept.
     ///
     /// # Errors
     /// The property that does not hold.
@@ -23,32 +23,32 @@
         let sizes = self.exchange.table_sizes();
         if sizes != (0, 0) || !self.connections.is_empty() {
             return violated(
-                Property::Resources,
-                format!("{sizes:?} requests and connections are kept"),
+                Property::BoundedResources,
+                format!("requests and connections {sizes:?} are kept after termination"),
             );
         }
         Ok(())
     }
 
-    /// After a stop only connections with an attempt are kept.
+    /// Verifies that a draining node keeps only connections with an attempt.
     ///
     /// # Errors
     /// The property that does not hold.
-    pub fn verify_stopped(&self) -> Result<(), PropertyViolation> {
+    pub fn verify_draining(&self) -> Result<(), PropertyViolation> {
         let idle = self
             .connections
             .values()
             .any(|connection| !connection.closing && connection.up && connection.carried.is_none());
-        if self.stopped && idle {
+        if self.draining && idle {
             return violated(
-                Property::Resources,
-                "a connection is kept though the node leaves",
+                Property::BoundedResources,
+                "an idle connection is kept although the node is draining",
             );
         }
         Ok(())
     }
 
-    /// The policy was told the end of each attempt of the requests that the exchange no longer keeps.
+    /// Verifies that the policy was notified of the end of each attempt of the requests that the exchange has removed.
     ///
     /// # Errors
     /// The property that does not hold.
@@ -59,8 +59,10 @@
             let kept = self.exchange.contains(&setup.request_id(request as u8));
             if !id_reused && client.sends != client.ends && !kept {
                 return violated(
-                    Property::OneEnd,
-                    format!("an attempt of {request} is forgotten and its end was not told"),
+                    Property::OneEndPerAttempt,
+                    format!(
+                        "request {request} was removed without reporting the end of an attempt"
+                    ),
                 );
             }
         }
--- a/crates/model-checker/src/world/first_byte.rs
+++ b/crates/model-checker/src/world/first_byte.rs
@@ -1,4 +1,4 @@
-//! Verifies that the first byte of a request may be written.
+//! Writes the first byte of a request, and verifies that it may be written.
 
 use super::client::{Dispatched, WrittenAttempt};
 use super::connection::Connection;
@@ -10,17 +10,23 @@
 use saffronpaddle_exchange::ConnectionId;
 
 impl<M: PolicyModel> World<M> {
-    /// The first byte of a request is written.
+    /// Writes the first byte of the request on a connection.
     pub(super) fn write_first_byte(
         &mut self,
         setup: &Setup,
         connection: ConnectionId,
     ) -> Result<(), PropertyViolation> {
         let Some(carrier) = self.connections.get_mut(&connection) else {
-            return violated(Property::OneOwner, "bytes on no connection");
+            return violated(
+                Property::OneRequestPerConnection,
+                "the first byte is written on a connection that does not exist",
+            );
         };
         let Some(carried) = &mut carrier.carried else {
-            return violated(Property::OneOwner, "bytes of no request");
+            return violated(
+                Property::OneRequestPerConnection,
+                "the first byte is written on a connection without a request",
+            );
         };
         carried.written = true;
         let request = carried.request;
@@ -32,7 +38,7 @@
         let client = self.client_mut(request);
         client.body_consumed = setup.streaming_bodies;
         client.written = Some(WrittenAttempt {
-            // All attempts but this one have ended.
+            // All other attempts have ended.
             number: client.unended_sends().trailing_zeros(),
             connection,
             dispatched,
@@ -54,13 +60,15 @@
         if client.written.is_some() {
             return violated(
                 Property::OneAttempt,
-                format!("two attempts of {request} are out"),
+                format!("two attempts of request {request} are outstanding"),
             );
         }
         if !client.waits() {
             return violated(
                 Property::OneAttempt,
-                format!("bytes of {request}, for which nobody waits"),
+                format!(
+                    "the first byte of request {request} is written although no client is waiting"
+                ),
             );
         }
         let Dispatched { server, at } = dispatched;
@@ -69,21 +77,21 @@
             .is_some_and(|first| !retry_is_harmless(setup, request, first, server, at));
         if harmful {
             return violated(
-                Property::OneEffect,
-                format!("bytes of {request} again, and it may have run"),
+                Property::SingleEffect,
+                format!("request {request} is written again although it may have run"),
             );
         }
         if client.body_consumed {
             return violated(
-                Property::KeptBody,
-                format!("bytes of {request} again, whose body is gone"),
+                Property::BodySentOnce,
+                format!("request {request} is written again although its body was already sent"),
             );
         }
         Ok(())
     }
 }
 
-/// Verifies the connection that is written to, and where it leads.
+/// Verifies the state of the connection that is written to, and its server and address.
 fn verify_carrier(
     carrier: &Connection,
     endpoint: EndpointState,
@@ -92,20 +100,20 @@
     let server = carrier.server;
     if !carrier.inbound.is_empty() || carrier.reset {
         return violated(
-            Property::Quiet,
-            "a request on a connection on which something waits",
+            Property::NoUnreadBytes,
+            format!("request {request} is written on a connection with unread bytes or a reset"),
         );
     }
     if !endpoint.ready {
         return violated(
-            Property::Drain,
-            format!("bytes of {request} to server {server}, which drains"),
+            Property::ReadyServer,
+            format!("the first byte of request {request} is written to server {server}, which is draining"),
         );
     }
     if endpoint.address != carrier.address {
         return violated(
-            Property::Address,
-            format!("bytes of {request} for server {server} to an address it has left"),
+            Property::CurrentAddress,
+            format!("the first byte of request {request} is written to a former address of server {server}"),
         );
     }
     Ok(())
--- a/crates/model-checker/src/world/occurrences.rs
+++ b/crates/model-checker/src/world/occurrences.rs
@@ -1,4 +1,4 @@
-//! Lets a step happen: changes the world and tells the exchange.
+//! Takes a step: updates the world and passes the resulting event to the exchange.
 
 use super::client::WrittenAttempt;
 use super::connection::{Connection, Response, SentResponse};
@@ -16,29 +16,29 @@
 /// The customer of all requests.
 const CUSTOMER: CustomerId = CustomerId(7);
 
-/// What the node notices of a step.
-pub(super) struct Occurrence {
+/// The event that a step causes at the node.
+pub(super) struct NodeInput {
     event: Event<u8>,
     read: Option<ReadResponse>,
 }
 
-/// The response that the node reads in a step.
+/// A response that the node reads in a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ReadResponse {
-    /// The request that it is a response to.
+    /// The request that the server responded to.
     pub request: u8,
-    /// It was read from a connection that is being closed.
+    /// The response was read from a connection that is being closed.
     pub while_closing: bool,
 }
 
-impl From<Event<u8>> for Occurrence {
-    fn from(event: Event<u8>) -> Occurrence {
-        Occurrence { event, read: None }
+impl From<Event<u8>> for NodeInput {
+    fn from(event: Event<u8>) -> NodeInput {
+        NodeInput { event, read: None }
     }
 }
 
 impl<M: PolicyModel> World<M> {
-    /// Lets a step happen.
+    /// Takes a step.
     ///
     /// # Errors
     /// The property that does not hold.
@@ -48,17 +48,20 @@
             return self.clock_ticks(setup);
         }
         if let Some(action) = self.policy_action(setup, step) {
-            return self.policy_acts(setup, action);
+            return self.apply_policy_action(setup, action);
         }
-        let Some(occurrence) = self.occurrence(setup, step) else {
+        let Some(input) = self.apply_step(setup, step) else {
             return Ok(());
         };
         let mut commands = Vec::new();
         self.exchange
-            .handle(self.now(setup), occurrence.event, &mut commands);
-        self.carry_out(setup, commands, occurrence.read)?;
+            .handle(self.now(setup), input.event, &mut commands);
+        self.carry_out(setup, commands, input.read)?;
         if step == Step::TimerFires && self.timer_due(setup) {
-            return violated(Property::Liveness, "the alarm rings again at once");
+            return violated(
+                Property::Liveness,
+                "the timer is due again immediately after it has fired",
+            );
         }
         Ok(())
     }
@@ -79,19 +82,23 @@
         self.carry_out(setup, commands, None)
     }
 
-    /// The policy acts of its own accord.
-    fn policy_acts(&mut self, setup: &Setup, action: Action) -> Result<(), PropertyViolation> {
+    /// Takes an action on behalf of the policy.
+    fn apply_policy_action(
+        &mut self,
+        setup: &Setup,
+        action: Action,
+    ) -> Result<(), PropertyViolation> {
         let mut commands = Vec::new();
         let now = self.now(setup);
         self.exchange.policy_mut().actions.push(action.clone());
         self.policy_rejects = matches!(action, Action::Reject { .. });
-        self.exchange.act(now, action, &mut commands);
+        self.exchange.inject_action(now, action, &mut commands);
         let done = self.carry_out(setup, commands, None);
         self.policy_rejects = false;
         done
     }
 
-    /// The action of the policy that a step is, if it is one.
+    /// Returns the policy action of a step; `None` for steps of other actors.
     fn policy_action(&self, setup: &Setup, step: Step) -> Option<Action> {
         match step {
             Step::PolicySends {
@@ -121,8 +128,8 @@
         }
     }
 
-    /// Changes the world by a step, and returns what the node notices of it: nothing where a server acts.
-    fn occurrence(&mut self, setup: &Setup, step: Step) -> Option<Occurrence> {
+    /// Applies a step to the world, and returns the event that it causes at the node; steps of servers cause none.
+    fn apply_step(&mut self, setup: &Setup, step: Step) -> Option<NodeInput> {
         match step {
             Step::RequestArrives(request) => Some(self.request_arrives(setup, request).into()),
             Step::ClientLeaves(request) => Some(self.client_leaves(setup, request).into()),
@@ -130,7 +137,7 @@
             Step::EndpointsChange => Some(self.endpoints_change(setup).into()),
             Step::ShutdownAnnounced => Some(self.shutdown_announced(setup).into()),
             Step::NodeStops => {
-                self.stopped = true;
+                self.draining = true;
                 Some(Event::Drain.into())
             }
             Step::TimerFires => {
@@ -147,7 +154,7 @@
             | Step::NodeSeesEnd(rank)
             | Step::ConnectionCloses(rank) => {
                 let connection = self.connection_id(rank)?;
-                self.connection_occurrence(setup, step, connection)
+                self.apply_connection_step(setup, step, connection)
             }
             Step::ServerResponds(rank, _)
             | Step::ServerRepeats(rank)
@@ -156,7 +163,7 @@
             } => {
                 let now = self.now(setup);
                 let id = self.connection_id(rank)?;
-                server_acts(self.connections.get_mut(&id)?, step, now);
+                apply_server_step(self.connections.get_mut(&id)?, step, now);
                 None
             }
             Step::ClockTicks
@@ -167,12 +174,12 @@
         }
     }
 
-    fn connection_occurrence(
+    fn apply_connection_step(
         &mut self,
         setup: &Setup,
         step: Step,
         connection: ConnectionId,
-    ) -> Option<Occurrence> {
+    ) -> Option<NodeInput> {
         let event = match step {
             Step::ResponseFinishes(_) => self.response_finishes(connection)?,
             Step::ResponseDropped(_) => {
@@ -271,7 +278,7 @@
         }
     }
 
-    /// Applies a change of the endpoint list, and returns the servers that it concerns.
+    /// Applies a change of the endpoint list, and returns the affected servers.
     fn apply_change(&mut self, change: EndpointChange) -> Vec<usize> {
         match change {
             EndpointChange::Drain(server) => {
@@ -305,7 +312,7 @@
         if !streaming.closing {
             if let Some(carried) = streaming.carried.take() {
                 streaming.responded = false;
-                self.attempt_over(carried.request, connection, true);
+                self.end_attempt(carried.request, connection, true);
             }
         }
         Some(Event::ResponseComplete {
@@ -318,12 +325,12 @@
         let closed = self.connections.remove(&connection);
         if let Some(request) = closed.and_then(|closed| closed.written_request()) {
             let complete = !setup.streaming_bodies || self.client(request).body_released;
-            self.attempt_over(request, connection, complete);
+            self.end_attempt(request, connection, complete);
         }
         Event::Closed { connection }
     }
 
-    fn node_reads(&mut self, setup: &Setup, connection: ConnectionId) -> Option<Occurrence> {
+    fn node_reads(&mut self, setup: &Setup, connection: ConnectionId) -> Option<NodeInput> {
         let source = self.connections.get_mut(&connection)?;
         let response = source.inbound.remove(0);
         let request = source.carried?.request;
@@ -338,11 +345,11 @@
         if !while_closing && !streaming {
             source.carried = None;
             source.responded = false;
-            // A response before the last byte says that the request has run, unless it says that the server is full.
+            // A response before the last byte means that the request has run, unless it says that the server is full.
             let may_have_run = response.kind != ServerResponse::Full;
-            self.attempt_over(request, connection, may_have_run);
+            self.end_attempt(request, connection, may_have_run);
         }
-        Some(Occurrence {
+        Some(NodeInput {
             event: self.response_event(connection, response.kind, while_closing),
             read: Some(ReadResponse {
                 request: response.request,
@@ -360,7 +367,7 @@
         match kind {
             ServerResponse::Upgrade => {
                 if !while_closing {
-                    // The connection belongs to the client now.
+                    // The connection is now owned by the tunnel to the client.
                     self.connections.remove(&connection);
                 }
                 Event::Upgraded { connection }
@@ -375,8 +382,8 @@
         }
     }
 
-    /// The attempt of a request with bytes written on a connection is over.
-    fn attempt_over(&mut self, request: u8, connection: ConnectionId, may_have_run: bool) {
+    /// Ends the attempt of a request whose bytes were written on a connection.
+    fn end_attempt(&mut self, request: u8, connection: ConnectionId, may_have_run: bool) {
         let client = self.client_mut(request);
         let on_connection = |attempt: &mut WrittenAttempt| attempt.connection == connection;
         if let Some(attempt) = client.written.take_if(on_connection) {
@@ -387,8 +394,8 @@
     }
 }
 
-/// A server responds, repeats its response or resets the connection.
-fn server_acts(connection: &mut Connection, step: Step, now: Micros) {
+/// Applies a step of a server: it responds, repeats its response or resets the connection.
+fn apply_server_step(connection: &mut Connection, step: Step, now: Micros) {
     match step {
         Step::ServerResponds(_, kind) => {
             connection.responded = true;
@@ -419,7 +426,7 @@
 fn node_sees_end(id: ConnectionId, connection: &mut Connection) -> Event<u8> {
     connection.end_seen = true;
     let lost = connection.carried.is_some_and(|carried| {
-        // A response that is still unread decides how the attempt ends.
+        // An unread response determines how the attempt ends.
         !carried.written || connection.inbound.is_empty()
     });
     if lost {
--- a/crates/model-checker/src/world/oracle.rs
+++ b/crates/model-checker/src/world/oracle.rs
@@ -1,13 +1,13 @@
-//! The rule of retries and rejections, as the checker judges it.
+//! Test oracle for the rules of retries and rejections.
 //!
-//! It repeats the rule of `saffronpaddle_policy::idempotency` on purpose: a judge that asked the code under test would
-//! find no fault in it.
+//! It deliberately reimplements the rules of `saffronpaddle_policy::idempotency`: an oracle that called the code under
+//! test could not detect faults in it.
 
 use super::client::Dispatched;
 use super::setup::Setup;
 use saffronpaddle_policy::interface::{DeduplicationScope, Idempotency, Micros};
 
-/// Whether a request may be dispatched to a server though an attempt may have run.
+/// Returns whether a request may be dispatched to a server although an attempt may have run.
 pub(super) fn retry_is_harmless(
     setup: &Setup,
     request: u8,
@@ -31,7 +31,7 @@
     }
 }
 
-/// Whether a request may be rejected though an attempt may have run.
+/// Returns whether a request may be rejected although an attempt may have run.
 pub(super) fn rejection_is_harmless(idempotency: Idempotency) -> bool {
     matches!(
         idempotency,
--- a/crates/model-checker/src/world/policy.rs
+++ b/crates/model-checker/src/world/policy.rs
@@ -1,21 +1,21 @@
-//! What decides inside the exchange of a world.
+//! The policies with which a world can be run.
 
 use saffronpaddle_exchange::Policy;
 use saffronpaddle_policy::interface::{Action, Event as PolicyEvent, Micros};
 use saffronpaddle_policy::PolicyEngine;
 use std::hash::{DefaultHasher, Hash};
 
-/// A policy whose states can be told apart.
+/// A policy whose state can be hashed, so that the search recognizes equal states.
 pub trait PolicyModel: Clone {
-    /// Handles an event as the exchange's policy.
+    /// Handles an event at `now` (µs) and appends the actions to take, as [`Policy::handle`] does.
     fn handle(&mut self, now: Micros, event: PolicyEvent, actions: &mut Vec<Action>);
-    /// Hashes all that its future depends on.
+    /// Hashes all state that future actions depend on.
     fn digest(&self, hasher: &mut DefaultHasher);
-    /// Whether it decides nothing by itself, and the world takes any action in its name.
+    /// Returns whether the world chooses the policy's actions nondeterministically.
     fn is_arbitrary(&self) -> bool;
 }
 
-/// Any policy at all: the world takes, in its name, every action that some policy might take, sensible or not.
+/// An arbitrary policy: the world takes, on its behalf, every action that any policy could take.
 #[derive(Clone, Debug)]
 pub struct AnyPolicy;
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// A policy whose events and actions are recorded until the world verifies them.
+/// Wraps a policy and records its events and actions until the world verifies them.
 #[derive(Clone)]
 pub(super) struct RecordingPolicy<M> {
     pub model: M,
@@ -52,7 +52,7 @@
 }
 
 impl<M> RecordingPolicy<M> {
-    /// A policy of which nothing is recorded yet.
+    /// Wraps a policy, with empty records.
     pub fn new(model: M) -> RecordingPolicy<M> {
         RecordingPolicy {
             model,
--- a/crates/model-checker/src/world/policy_events.rs
+++ b/crates/model-checker/src/world/policy_events.rs
@@ -1,4 +1,4 @@
-//! Verifies what the policy was told, and notes the attempts that it asked for.
+//! Verifies the events that the policy received, and records the attempts that it asked for.
 
 use super::policy::PolicyModel;
 use super::property::{violated, Property, PropertyViolation};
@@ -9,7 +9,7 @@
 };
 
 impl<M: PolicyModel> World<M> {
-    /// Verifies the recorded events and actions of the policy.
+    /// Verifies the recorded events of the policy, and records its sends.
     pub(super) fn verify_policy_events(&mut self, setup: &Setup) -> Result<(), PropertyViolation> {
         let recording = self.exchange.policy_mut();
         let events = std::mem::take(&mut recording.events);
@@ -17,7 +17,7 @@
         for action in &actions {
             if let Action::Send { id, .. } = action {
                 self.notes.push(format!("{action:?}"));
-                self.note_send(setup, id);
+                self.record_send(setup, id);
             }
         }
         for event in events {
@@ -26,16 +26,16 @@
         Ok(())
     }
 
-    /// Notes an attempt that the policy asked for, unless its request is answered, abandoned or past its deadline: of
-    /// such an attempt the policy is told no end.
-    fn note_send(&mut self, setup: &Setup, id: &RequestId) {
+    /// Records an attempt that the policy asked for. Attempts of requests that are answered, abandoned or past their
+    /// deadline are ignored, as their end is not reported to the policy.
+    fn record_send(&mut self, setup: &Setup, id: &RequestId) {
         let now = self.now(setup);
         let shutdown_deadline = self.shutdown_deadline;
         let Some(request) = self.request_of(setup, id) else {
             return;
         };
         let client = self.client_mut(request);
-        if client.waits() && now < client.answered_by(setup, shutdown_deadline) {
+        if client.waits() && now < client.answer_deadline(setup, shutdown_deadline) {
             client.sends |= 1 << client.sends.count_ones();
         }
     }
@@ -53,13 +53,13 @@
                 request_closed,
             } => {
                 self.notes.push(format!(
-                    "module hears: attempt {} ended, {outcome:?}, closed {request_closed}",
+                    "to policy: attempt {} ended, {outcome:?}, request closed: {request_closed}",
                     attempt.0
                 ));
                 self.verify_attempt_end(setup, &id, attempt, outcome)
             }
             PolicyEvent::RequestAbandoned { .. } => {
-                self.notes.push("module hears: abandoned".to_owned());
+                self.notes.push("to policy: request abandoned".to_owned());
                 Ok(())
             }
             _ => Ok(()),
@@ -80,8 +80,8 @@
         let bit = 1 << attempt.0;
         if client.ends & bit != 0 || client.sends & bit == 0 {
             return violated(
-                Property::OneEnd,
-                format!("an end of attempt {} of {request} too many", attempt.0),
+                Property::OneEndPerAttempt,
+                format!("the end of attempt {} of request {request} is reported twice or was not expected", attempt.0),
             );
         }
         client.ends |= bit;
@@ -90,8 +90,8 @@
             .is_some_and(|written| written.number == attempt.0)
         {
             return violated(
-                Property::HonestEnd,
-                format!("an attempt of {request} ends {outcome:?} and is still out"),
+                Property::NoPrematureEnd,
+                format!("an attempt of request {request} ends with {outcome:?} while it is still outstanding"),
             );
         }
         Ok(())
--- a/crates/model-checker/src/world/possible_steps.rs
+++ b/crates/model-checker/src/world/possible_steps.rs
@@ -1,4 +1,4 @@
-//! Which steps are possible in a state.
+//! The steps that are possible in a state.
 
 use super::client::Client;
 use super::connection::Connection;
@@ -8,7 +8,7 @@
 use super::World;
 
 impl<M: PolicyModel> World<M> {
-    /// All steps that are possible now.
+    /// Returns all steps that are possible in this state.
     pub fn possible_steps(&self, setup: &Setup) -> Vec<Step> {
         let mut steps = Vec::new();
         for (index, client) in self.clients.iter().enumerate() {
@@ -25,9 +25,9 @@
         steps
     }
 
-    /// The step that happens if nobody does anything any more: connections that are to be closed close, streaming
-    /// responses end, the timer fires, and the clock goes on. None once all is over.
-    pub fn step_if_left_alone(&self, setup: &Setup) -> Option<Step> {
+    /// Returns the next step towards termination without new activity: closing connections are closed, streaming
+    /// responses end, the timer fires and the clock advances. Returns `None` once the world has terminated.
+    pub fn default_step(&self, setup: &Setup) -> Option<Step> {
         if let Some(rank) = self.rank_where(|connection| connection.closing) {
             return Some(Step::ConnectionCloses(rank));
         }
@@ -66,7 +66,7 @@
     fn add_arrival(&self, setup: &Setup, index: usize, steps: &mut Vec<Step>) {
         let request = index as u8;
         let previous_arrived = index == 0 || self.clients[index - 1].arrived_at.is_some();
-        // Equal requests arrive in the order of their numbers: which is which makes no difference.
+        // Identical requests arrive in the order of their numbers, as their permutations are equivalent.
         let equal = index > 0 && setup.requests[index] == setup.requests[index - 1];
         let in_order = previous_arrived || !(setup.shared_id || equal);
         let id_in_use = self.exchange.contains(&setup.request_id(request));
@@ -180,7 +180,7 @@
         if self.changes_applied < setup.endpoint_changes.len() {
             steps.push(Step::EndpointsChange);
         }
-        if setup.node_stops && !self.stopped {
+        if setup.node_drains && !self.draining {
             steps.push(Step::NodeStops);
         }
         let shutdown_possible = setup.shutdown_ticks.is_some() && self.shutdown_deadline.is_none();
@@ -240,7 +240,7 @@
     let written = connection.written_request().is_some();
     let unread = !connection.inbound.is_empty();
     if written && unread {
-        // Also while it is being closed: a response may have been read just before.
+        // Also possible while the connection is being closed: the response may have been read just before.
         steps.push(Step::NodeReads(rank));
     }
     let unexpected = !written && unread;
--- a/crates/model-checker/src/world/property.rs
+++ b/crates/model-checker/src/world/property.rs
@@ -1,80 +1,80 @@
-//! The properties that hold in every state, by their names in `docs/properties.md`.
+//! The properties that have to hold in every state, as listed in `docs/properties.md`.
 
 use std::fmt;
 
-/// A property.
+/// A property that the checker verifies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Property {
     /// A request gets at most one final answer.
     OneAnswer,
-    /// A final answer comes no later than the deadline and the grace after it.
-    InTime,
-    /// Every request whose client waits is answered.
+    /// A final answer is given no later than the deadline plus the grace period.
+    AnsweredInTime,
+    /// Every request whose client is waiting is eventually answered.
     Liveness,
-    /// What is served is the response to this request.
-    OwnAnswer,
+    /// The response that is served is a response to this request.
+    MatchingResponse,
     /// A request has at most one attempt with bytes written.
     OneAttempt,
-    /// A retry takes no effect a second time.
-    OneEffect,
-    /// A request is rejected only where a retry by its client is harmless.
-    Refusal,
-    /// No connect and no first byte to a server that is not ready.
-    Drain,
-    /// No first byte to an address that the server has left.
-    Address,
-    /// No first byte on a connection with unread bytes, or that has ended.
-    Quiet,
+    /// Retries do not take effect twice.
+    SingleEffect,
+    /// A request is rejected only if its client can safely retry it.
+    SafeRejection,
+    /// Connects and first bytes go only to ready servers.
+    ReadyServer,
+    /// First bytes go only to the current address of the server.
+    CurrentAddress,
+    /// First bytes are written only on open connections without unread bytes.
+    NoUnreadBytes,
     /// A connection carries one request at a time.
-    OneOwner,
-    /// The policy is told one end of each attempt.
-    OneEnd,
-    /// An attempt with bytes written ends only with its connection or its response.
-    HonestEnd,
-    /// A body that is not buffered is sent once.
-    KeptBody,
-    /// The last piece of a body is sent once, after the rest.
+    OneRequestPerConnection,
+    /// The policy is notified of the end of each attempt exactly once.
+    OneEndPerAttempt,
+    /// An attempt with bytes written ends only when its connection is closed or its response is received.
+    NoPrematureEnd,
+    /// An unbuffered body is sent only once.
+    BodySentOnce,
+    /// The last part of a body is sent once, after the rest was received.
     CompleteBody,
-    /// A streaming response is cut only by its server or its client.
-    Uncut,
-    /// Connections stay within their limit, and nothing is kept when all is over.
-    Resources,
-    /// The exchange's tables agree.
-    Tables,
+    /// A streaming response is truncated only by its server or its client.
+    NoTruncation,
+    /// Connections stay within their limit, and no request or connection remains after termination.
+    BoundedResources,
+    /// The exchange's tables are consistent with each other.
+    ConsistentTables,
 }
 
 impl Property {
-    /// Its name in `docs/properties.md`.
+    /// Returns the name of the property in `docs/properties.md` and in the output.
     pub fn name(self) -> &'static str {
         match self {
             Property::OneAnswer => "one answer",
-            Property::InTime => "in time",
+            Property::AnsweredInTime => "in time",
             Property::Liveness => "liveness",
-            Property::OwnAnswer => "own answer",
+            Property::MatchingResponse => "own answer",
             Property::OneAttempt => "one attempt",
-            Property::OneEffect => "one effect",
-            Property::Refusal => "refusal",
-            Property::Drain => "drain",
-            Property::Address => "address",
-            Property::Quiet => "quiet",
-            Property::OneOwner => "one owner",
-            Property::OneEnd => "one end",
-            Property::HonestEnd => "honest end",
-            Property::KeptBody => "kept body",
+            Property::SingleEffect => "one effect",
+            Property::SafeRejection => "refusal",
+            Property::ReadyServer => "drain",
+            Property::CurrentAddress => "address",
+            Property::NoUnreadBytes => "quiet",
+            Property::OneRequestPerConnection => "one owner",
+            Property::OneEndPerAttempt => "one end",
+            Property::NoPrematureEnd => "honest end",
+            Property::BodySentOnce => "kept body",
             Property::CompleteBody => "whole",
-            Property::Uncut => "uncut",
-            Property::Resources => "resources",
-            Property::Tables => "tables",
+            Property::NoTruncation => "uncut",
+            Property::BoundedResources => "resources",
+            Property::ConsistentTables => "tables",
         }
     }
 }
 
-/// A property that does not hold, and how that showed.
+/// A violation of a property.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PropertyViolation {
-    /// The property.
+    /// Which property was violated.
     pub property: Property,
-    /// How it showed.
+    /// What happened, for the output.
     pub details: String,
 }
 
@@ -86,7 +86,7 @@
 
 impl std::error::Error for PropertyViolation {}
 
-/// Reports that a property does not hold.
+/// Returns a violation of a property as an error.
 pub(super) fn violated<T>(
     property: Property,
     details: impl Into<String>,
--- a/crates/model-checker/src/world/setup.rs
+++ b/crates/model-checker/src/world/setup.rs
@@ -1,4 +1,4 @@
-//! The bounds of a world.
+//! The bounds of a world: its requests and servers, and the kinds of steps that are possible.
 
 use saffronpaddle_exchange::Limits;
 use saffronpaddle_policy::idempotency::ServerLocation;
@@ -9,88 +9,88 @@
 /// A change of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum EndpointChange {
-    /// A server drains.
+    /// The server drains.
     Drain(u8),
-    /// It is ready again, or for the first time.
+    /// The server becomes ready.
     Return(u8),
-    /// The first server moves to an address that nobody had, and its old address passes to the second.
+    /// The first server moves to an unused address, and its former address is assigned to the second server.
     Move(u8, u8),
 }
 
-/// Whether servers send a response twice.
+/// When servers may send a response twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DuplicateResponses {
-    /// Never.
+    /// No duplicates are sent.
     Never,
-    /// Only within the exchange's reuse delay after the response.
+    /// Duplicates are sent only within the exchange's reuse delay after the response.
     Prompt,
-    /// At any time after it.
+    /// Duplicates are sent at any time after the response.
     AnyTime,
 }
 
-/// The bounds of a world.
+/// The bounds of a world, and the kinds of steps that are possible in it.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// Its name on the command line.
+    /// The name of the world on the command line.
     pub name: &'static str,
-    /// What it is for.
-    pub about: &'static str,
-    /// The idempotency of each request; all are of one customer.
+    /// A description of the world, for the output.
+    pub description: &'static str,
+    /// The idempotency of each request. All requests belong to one customer.
     pub requests: Vec<Idempotency>,
-    /// All requests have the same id, one after the other.
+    /// All requests use the same id, one after the other.
     pub shared_id: bool,
-    /// The servers.
+    /// The location of each server.
     pub servers: Vec<ServerLocation>,
-    /// How the endpoint list changes, in this order.
+    /// Changes of the endpoint list, in the order in which they occur.
     pub endpoint_changes: Vec<EndpointChange>,
-    /// Attempts that the policy may ask for, for each request.
+    /// Most attempts per request that the policy may ask for.
     pub max_sends: u8,
     /// The limits of the exchange.
     pub limits: Limits,
     /// Time between a request's arrival and its deadline, ticks.
     pub timeout_ticks: u64,
-    /// After so many ticks the clock goes on only where nothing else happens.
+    /// Number of ticks after which the clock advances only by default steps.
     pub horizon_ticks: u64,
-    /// Length of a tick of the clock, µs.
+    /// Duration of a clock tick, µs.
     pub tick: Micros,
-    /// Whether servers send a response twice.
+    /// When servers may send a response twice.
     pub duplicate_responses: DuplicateResponses,
-    /// Responses carry their request's id, and the I/O layer compares it.
+    /// Responses carry the id of their request, and the I/O layer verifies it.
     pub responses_carry_id: bool,
-    /// Servers and connections fail: resets, refused connects, local shortages.
+    /// Connections may be reset, and connects may be refused or fail for lack of local resources.
     pub faults: bool,
-    /// Clients may leave before they are answered.
+    /// Clients may disconnect before they are answered.
     pub clients_leave: bool,
     /// The node may be told to drain.
-    pub node_stops: bool,
-    /// A shutdown may be announced at any time; all requests are answered so many ticks later.
+    pub node_drains: bool,
+    /// A shutdown may be announced at any time, with a deadline this many ticks later; `None` if there is no shutdown.
     pub shutdown_ticks: Option<u64>,
-    /// The policy may cancel at any time, and send with a timeout of one tick.
+    /// The policy may cancel attempts at any time, and send requests with a timeout of one tick.
     pub policy_cancels: bool,
     /// The policy may reject and fail requests at any time.
     pub policy_rejects: bool,
-    /// The requests are upgrades.
+    /// The requests ask for an upgrade to another protocol.
     pub upgrades: bool,
-    /// Request bodies stream: the last byte of a request comes later than its head, or never.
+    /// Request bodies are streamed: the last byte of a request arrives later than its head, or never.
     pub streaming_bodies: bool,
     /// Servers may give streaming responses.
     pub streaming_responses: bool,
-    /// The event loop may be late: the clock goes on though the exchange's timer is due.
+    /// The event loop may be delayed: the clock may advance while the exchange's timer is due.
     pub late_timers: bool,
 }
 
 impl Setup {
-    /// Time between a request's arrival and its deadline, µs.
+    /// Returns the time between a request's arrival and its deadline, µs.
     pub(super) fn timeout(&self) -> Micros {
         self.timeout_ticks * self.tick
     }
 
-    /// The idempotency of a request.
+    /// Returns the idempotency of a request.
     pub(super) fn idempotency(&self, request: u8) -> Idempotency {
         self.requests[usize::from(request)]
     }
 
-    /// The id of a request.
+    /// Returns the id of a request.
     pub(super) fn request_id(&self, request: u8) -> RequestId {
         RequestId(if self.shared_id {
             "r".into()
@@ -99,7 +99,7 @@
         })
     }
 
-    /// A server's entry in the endpoint list.
+    /// Returns the endpoint list entry of a server.
     pub(super) fn endpoint(&self, server: usize, ready: bool) -> Endpoint {
         let location = self.servers[server];
         Endpoint {
@@ -117,7 +117,7 @@
     }
 }
 
-/// The class of requests of an idempotency, by its index in the settings of the real policy.
+/// Returns the class of requests with an idempotency, as an index into the settings of the real policy.
 pub(crate) fn class_of(idempotency: Idempotency) -> usize {
     match idempotency {
         Idempotency::Idempotent => 0,
--- a/crates/model-checker/src/world/step.rs
+++ b/crates/model-checker/src/world/step.rs
@@ -1,29 +1,29 @@
-//! What may happen in a world.
+//! The steps of a world.
 
 use super::setup::Setup;
 use saffronpaddle_policy::interface::Outcome;
 
-/// Something that happens. Requests and servers are numbered as in the setup, connections by their rank among those
-/// that exist, in the order in which they were made.
+/// A step of a world. Requests and servers are numbered as in the setup. Connections are numbered by their rank among
+/// the existing ones, in the order of their creation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Step {
-    /// A client's request arrives.
+    /// The request with this number arrives from its client.
     RequestArrives(u8),
-    /// The client of a request leaves, or is done with the answer.
+    /// The client of a request disconnects, before or after it is answered.
     ClientLeaves(u8),
-    /// The last byte of a streaming request body arrives from the client.
+    /// The last byte of the streaming body of a request arrives from the client.
     BodyArrives(u8),
     /// The rest of a streaming response arrives on a connection.
     ResponseFinishes(u8),
-    /// The client of the streaming response on a connection takes no more of it.
+    /// The client stops reading the streaming response on a connection.
     ResponseDropped(u8),
     /// The policy sends a request to a server.
     PolicySends {
-        /// The request.
+        /// The number of the request.
         request: u8,
-        /// The server.
+        /// The number of the server.
         server: u8,
-        /// The attempt times out after one tick; otherwise when the client stops waiting.
+        /// The attempt times out after one tick instead of at the deadline of the request.
         short: bool,
     },
     /// The policy rejects a request.
@@ -36,9 +36,9 @@
     ConnectSucceeds(u8),
     /// A connect fails.
     ConnectFails(u8),
-    /// A connect fails for a shortage on this side.
+    /// A connect fails because the node lacks a resource.
     ConnectLacksResource(u8),
-    /// A connection is writable: the request's first byte would be written.
+    /// A connection is ready for the first byte of its request.
     FirstByteReady(u8),
     /// A server runs the request on a connection and responds.
     ServerResponds(u8, ServerResponse),
@@ -46,24 +46,24 @@
     ServerRepeats(u8),
     /// A server resets a connection.
     ConnectionResets {
-        /// The connection.
+        /// The rank of the connection.
         connection: u8,
-        /// Responses that the node has not read are lost with it.
+        /// Responses that the node has not read are lost.
         unread_lost: bool,
     },
     /// The node reads a response from a connection.
     NodeReads(u8),
-    /// The node sees the end of a connection, or bytes that it has not asked for.
+    /// The node notices the end of a connection or unsolicited bytes.
     NodeSeesEnd(u8),
-    /// A connection that was to be closed is closed.
+    /// A connection that the node is closing is closed.
     ConnectionCloses(u8),
-    /// The node is told the next change of the endpoint list.
+    /// The node receives the next change of the endpoint list.
     EndpointsChange,
     /// The node is told to drain.
     NodeStops,
-    /// The process is told when it ends.
+    /// The shutdown deadline of the process is announced.
     ShutdownAnnounced,
-    /// The clock goes on by a tick.
+    /// The clock advances by one tick.
     ClockTicks,
     /// The exchange's timer fires.
     TimerFires,
@@ -72,20 +72,20 @@
 /// How a server responds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ServerResponse {
-    /// Served.
+    /// A successful response.
     Ok,
-    /// An error: the request may have run.
+    /// An error response: the request may have run.
     Error,
-    /// Rejected: the server is full and has not run the request.
+    /// A rejection: the server is full and has not run the request.
     Full,
-    /// Served, and the connection changes to another protocol.
+    /// A successful response that upgrades the connection to another protocol.
     Upgrade,
-    /// Served by a streaming response.
+    /// A successful streaming response.
     Long,
 }
 
 impl ServerResponse {
-    /// How a server may respond in a world.
+    /// Returns the responses that servers may give in a world.
     pub(super) fn possible(setup: &Setup) -> &'static [ServerResponse] {
         if setup.streaming_responses {
             &[
@@ -108,7 +108,7 @@
         }
     }
 
-    /// What the exchange is told of it.
+    /// Returns the outcome that is reported to the exchange.
     pub(super) fn outcome(self) -> Outcome {
         match self {
             ServerResponse::Ok | ServerResponse::Upgrade | ServerResponse::Long => Outcome::Ok,
--- a/crates/model-checker/tests/explored.rs
+++ b/crates/model-checker/tests/explored.rs
@@ -1,5 +1,5 @@
-//! The worlds whose states are all visited, the planted faults that must be found in them, walks through random worlds
-//! and fleets in virtual time.
+//! Exhaustive searches of small worlds, detection of planted faults, random walks through large worlds, and simulated
+//! fleets in virtual time.
 
 use proptest::prelude::ProptestConfig;
 use proptest::test_runner::FileFailurePersistence;
@@ -10,14 +10,14 @@
 use saffronpaddle_model_checker::{chart, planted, setups, walk};
 use saffronpaddle_policy::interface::{DeduplicationScope, Idempotency};
 
-/// Threads of a search.
+/// Number of threads of a search.
 const THREADS: usize = 4;
-/// States that each world has at the least: a smaller one has lost its events.
+/// Fewest states that each world must have: with fewer, some kinds of steps no longer occur in it.
 const MIN_STATES: usize = 10_000;
 
-/// In every state that a small world can come to, the exchange keeps its properties, whatever the policy does.
+/// The exchange keeps its properties in every reachable state of the small worlds, under an arbitrary policy.
 #[test]
-fn every_small_world_is_visited_completely_and_keeps_its_properties() {
+fn no_reachable_state_of_a_small_world_violates_a_property() {
     for setup in setups::small() {
         let found = search(&setup, AnyPolicy, None, Limits::default(), THREADS);
         if let Some((trace, violation)) = &found.violation {
@@ -37,21 +37,22 @@
     }
 }
 
-/// A checker that finds nothing may be blind. So each fault that the exchange can be built with must be found, and the
-/// steps that show it must break nothing without the fault.
+/// Guards against a checker that detects nothing: each planted fault must be found, and the trace that shows it must
+/// not violate a property without the fault.
 #[test]
-fn every_planted_fault_is_found_with_its_trace() {
+fn every_planted_fault_is_found_and_its_trace_needs_the_fault() {
     for bug in Bug::ALL {
-        let (setup, found) = planted::hunt(bug, THREADS).expect("a world for each fault");
+        let (setup, found) =
+            planted::search_for(bug, THREADS).expect("a world for each planted fault");
         let Some((trace, violation)) = found.violation else {
             panic!("{bug:?} is not found in {}", setup.name)
         };
         let drawn = chart::draw(&setup, AnyPolicy, Some(bug), &trace, &violation);
-        assert!(drawn.contains("broken: "), "{drawn}");
+        assert!(drawn.contains("violated: "), "{drawn}");
         let mut without_fault = World::new(&setup, AnyPolicy, None);
         for step in &trace {
             let possible = without_fault.possible_steps(&setup).contains(step)
-                || without_fault.step_if_left_alone(&setup) == Some(*step);
+                || without_fault.default_step(&setup) == Some(*step);
             if !possible {
                 break;
             }
@@ -64,32 +65,32 @@
     }
 }
 
-/// A server sends a response twice, and the duplicate arrives after the next request was written on the connection. Where
-/// responses carry no request id, nothing tells the two apart: the known gap, which README names.
+/// The known gap, documented in README: a server sends a response twice, and the duplicate arrives after the next
+/// request was written on the connection. If responses carry no request id, the duplicate can't be detected.
 #[test]
-fn a_late_duplicate_passes_for_a_response_where_responses_carry_no_id() {
+fn a_late_duplicate_is_served_as_the_next_response_if_responses_carry_no_id() {
     let found = search(
-        &setups::late_copies(),
+        &setups::late_duplicates(),
         AnyPolicy,
         None,
         Limits::default(),
         THREADS,
     );
-    let (trace, violation) = found.violation.expect("the gap");
-    assert_eq!(violation.property, Property::OwnAnswer);
+    let (trace, violation) = found.violation.expect("the known gap is found");
+    assert_eq!(violation.property, Property::MatchingResponse);
     assert!(trace.contains(&Step::ServerRepeats(0)));
 }
 
-/// The exchange keeps its properties with the policy engine that nodes run, in all states up to a depth.
+/// The exchange keeps its properties with the policy engine that nodes run, in all states up to a depth of 9 steps.
 #[test]
-fn the_real_policy_keeps_the_properties_to_a_depth() {
+fn no_state_up_to_depth_9_violates_a_property_with_the_real_policy() {
     let keyed = Idempotency::WithKey {
         scope: DeduplicationScope::Domain,
         window: 0,
     };
     for idempotency in [Idempotency::Idempotent, keyed, Idempotency::NonIdempotent] {
         let setup = setups::real(idempotency);
-        let policy = setups::real_policy(&setup).expect("settings that make sense");
+        let policy = setups::real_policy(&setup).expect("valid settings");
         let found = search(
             &setup,
             policy.clone(),
@@ -116,7 +117,7 @@
     }
 }
 
-/// Worlds that are too large for all of their states to be visited are walked through at random.
+/// Covers worlds that are too large for an exhaustive search by random walks.
 #[test]
 fn random_walks_through_a_large_world_violate_no_property() {
     for seed in 0..60 {
@@ -131,7 +132,7 @@
     }
 }
 
-/// Random walks could miss what they pass. Each of these planted faults shows within a few seeds.
+/// Guards against random walks that detect nothing: each of these planted faults is found within 40 seeds.
 #[test]
 fn random_walks_find_planted_faults() {
     for bug in [
@@ -149,12 +150,12 @@
     }
 }
 
-/// Three nodes with the real policy inside, six servers that fail, drain and move, lost datagrams, a node that is
-/// killed: the ledger finds no rule broken, and nothing is kept.
+/// Simulates three nodes with the real policy, six servers that fail, drain and move, datagram loss and a killed node:
+/// the ledger finds no violated rule, and no request or connection is kept.
 #[test]
-fn nodes_in_virtual_time_keep_the_rules() {
+fn simulated_fleets_violate_no_rule() {
     for seed in 1..=4 {
-        let fleet_run = fleet::run(&FleetSetup::usual(seed)).expect("settings that make sense");
+        let fleet_run = fleet::run(&FleetSetup::with_seed(seed)).expect("valid settings");
         let again = format!("saffronpaddle-model-checker nodes --seed {seed} --runs 1");
         assert_eq!(fleet_run.verdict.breaches, [], "{again}");
         assert_eq!(
@@ -174,30 +175,29 @@
     }
 }
 
-/// A run that breaks a rule is replayed by its seed, so a seed must give the same run each time, and another seed another.
+/// Runs are replayed by their seed: the same seed must give the same run, and another seed a different one.
 #[test]
-fn a_seed_gives_the_same_run_each_time() {
+fn the_same_seed_gives_the_same_fleet_run() {
     let short = FleetSetup {
         requests: 500,
-        ..FleetSetup::usual(11)
+        ..FleetSetup::with_seed(11)
     };
-    let runs =
-        [fleet::run(&short), fleet::run(&short)].map(|run| run.expect("settings that make sense"));
+    let runs = [fleet::run(&short), fleet::run(&short)].map(|run| run.expect("valid settings"));
     assert_eq!(runs[0], runs[1]);
-    let other = fleet::run(&FleetSetup { seed: 12, ..short }).expect("settings that make sense");
+    let other = fleet::run(&FleetSetup { seed: 12, ..short }).expect("valid settings");
     assert_ne!(runs[0].commands_hash, other.commands_hash);
 }
 
-/// A fleet in which nothing shows proves little. Each of these planted faults shows within a few seeds.
+/// Guards against simulations that detect nothing: each of these planted faults is found within 6 seeds.
 #[test]
-fn nodes_in_virtual_time_show_planted_faults() {
+fn simulated_fleets_find_planted_faults() {
     for bug in [Bug::CancelWithoutClose, Bug::SlotLost, Bug::EndNeverTold] {
         let found = (1..=6).any(|seed| {
             let fleet_run = fleet::run(&FleetSetup {
                 bug: Some(bug),
-                ..FleetSetup::usual(seed)
+                ..FleetSetup::with_seed(seed)
             })
-            .expect("settings that make sense");
+            .expect("valid settings");
             !fleet_run.verdict.breaches.is_empty()
                 || !fleet_run.inconsistencies.is_empty()
                 || fleet_run.kept > 0
@@ -207,16 +207,16 @@
 }
 
 proptest::proptest! {
-    // A case costs as much as five of others.
+    // A case takes as long as five cases of other property tests.
     #![proptest_config(ProptestConfig {
         cases: (ProptestConfig::default().cases / 5).max(48),
         failure_persistence: Some(Box::new(FileFailurePersistence::WithSource("proptest-regressions"))),
         ..ProptestConfig::default()
     })]
 
-    /// Any choices in a large world: where they break something, proptest looks for fewer of them that still do.
+    /// No sequence of steps in a large world violates a property. proptest shrinks a failing sequence.
     #[test]
-    fn any_choices_in_a_large_world_violate_no_property(
+    fn arbitrary_steps_in_a_large_world_violate_no_property(
         seed in 0_u64..1_000_000, choices in proptest::collection::vec(proptest::prelude::any::<u16>(), 0..600),
     ) {
         let setup = setups::random(seed);
@@ -227,7 +227,7 @@
             proptest::prop_assert_eq!(world.take(&setup, step), Ok(()), "{:?}", step);
         }
         let mut left = 20_000;
-        while let Some(step) = world.step_if_left_alone(&setup).filter(|_| left > 0) {
+        while let Some(step) = world.default_step(&setup).filter(|_| left > 0) {
             left -= 1;
             proptest::prop_assert_eq!(world.take(&setup, step), Ok(()), "{:?}", step);
         }
