--- a/crates/model-checker/src/bin/saffronpaddle-model-checker/fleet_runs.rs
+++ b/crates/model-checker/src/bin/saffronpaddle-model-checker/fleet_runs.rs
@@ -19,7 +19,7 @@
         if !run.is_clean() {
             println!(
                 "rule violations: {:?}\ninconsistencies: {:?}\n{} requests and connections kept",
-                run.verdict.breaches, run.inconsistencies, run.kept
+                run.verdict.breaches, run.inconsistencies, run.remaining
             );
             bail!("replay with: saffronpaddle-model-checker nodes --seed {seed} --runs 1 --tries {requests}");
         }
--- a/crates/model-checker/src/bin/saffronpaddle-model-checker/worlds.rs
+++ b/crates/model-checker/src/bin/saffronpaddle-model-checker/worlds.rs
@@ -19,8 +19,8 @@
 
 fn visit_all(setups: Vec<Setup>, threads: usize) -> Result<()> {
     for setup in setups {
-        let found = search(&setup, AnyPolicy, None, Limits::default(), threads);
-        report(&setup, AnyPolicy, None, &found)?;
+        let result = search(&setup, AnyPolicy, None, Limits::default(), threads);
+        report(&setup, AnyPolicy, None, &result)?;
     }
     Ok(())
 }
@@ -33,8 +33,8 @@
         .chain([setups::late_duplicates()])
         .find(|setup| setup.name == name)
         .with_context(|| format!("unknown world \"{name}\""))?;
-    let found = search(&setup, AnyPolicy, bug, Limits::default(), threads);
-    report(&setup, AnyPolicy, bug, &found)
+    let result = search(&setup, AnyPolicy, bug, Limits::default(), threads);
+    report(&setup, AnyPolicy, bug, &result)
 }
 
 /// Visits the worlds with the real policy up to a depth.
@@ -50,8 +50,8 @@
     for idempotency in [Idempotency::Idempotent, keyed, Idempotency::NonIdempotent] {
         let setup = setups::real(idempotency);
         let policy = setups::real_policy(&setup)?;
-        let found = search(&setup, policy.clone(), None, limits, threads);
-        report(&setup, policy, None, &found)?;
+        let result = search(&setup, policy.clone(), None, limits, threads);
+        report(&setup, policy, None, &result)?;
     }
     Ok(())
 }
@@ -59,12 +59,12 @@
 /// Shows the known gap: a late duplicate of a response is served as the next response.
 pub fn show_known_gap(threads: usize) -> Result<()> {
     let setup = setups::late_duplicates();
-    let found = search(&setup, AnyPolicy, None, Limits::default(), threads);
-    if found.violation.is_none() {
+    let result = search(&setup, AnyPolicy, None, Limits::default(), threads);
+    if result.violation.is_none() {
         bail!("the known gap was not found in world late-copies");
     }
     // The violation that it reports is the expected one.
-    let _ = report(&setup, AnyPolicy, None, &found);
+    let _ = report(&setup, AnyPolicy, None, &result);
     Ok(())
 }
 
@@ -73,9 +73,9 @@
     let mut taken = 0;
     for seed in first_seed..first_seed + walks {
         let setup = setups::random(seed);
-        let found = walk::walk(&setup, AnyPolicy, seed, steps);
-        taken += found.steps;
-        if let Some((trace, violation)) = &found.violation {
+        let result = walk::walk(&setup, AnyPolicy, seed, steps);
+        taken += result.steps;
+        if let Some((trace, violation)) = &result.violation {
             println!("seed {seed}, {} steps: {violation}", trace.len());
             bail!("replay with: saffronpaddle-model-checker walk --seed {seed} --walks 1 --steps {steps}");
         }
@@ -88,19 +88,19 @@
 pub fn find_planted(threads: usize) -> Result<()> {
     let mut missed = Vec::new();
     for bug in Bug::ALL {
-        let (setup, found) = planted::search_for(bug, threads)
+        let (setup, result) = planted::find_bug(bug, threads)
             .with_context(|| format!("no world for the fault {bug:?}"))?;
         let name = format!("{bug:?}");
-        let seconds = found.duration.as_secs_f64();
-        let result = if let Some((trace, violation)) = &found.violation {
+        let seconds = result.duration.as_secs_f64();
+        let summary = if let Some((trace, violation)) = &result.violation {
             format!("{} steps  {violation}", trace.len())
         } else {
             missed.push(name.clone());
             "NOT FOUND".to_owned()
         };
         println!(
-            "{name:<30} {:<10} {:>8} states {seconds:>5.1} s  {result}",
-            setup.name, found.states
+            "{name:<30} {:<10} {:>8} states {seconds:>5.1} s  {summary}",
+            setup.name, result.states
         );
     }
     if !missed.is_empty() {
@@ -117,9 +117,9 @@
     setup: &Setup,
     policy: M,
     bug: Option<Bug>,
-    found: &SearchResult,
+    result: &SearchResult,
 ) -> Result<()> {
-    let extent = if found.complete {
+    let extent = if result.complete {
         "complete"
     } else {
         "partial"
@@ -127,13 +127,13 @@
     println!(
         "{:<12} {:>9} states {:>10} steps  depth {:>3}  {:>6.1} s  {extent}: {}",
         setup.name,
-        found.states,
-        found.steps,
-        found.depth,
-        found.duration.as_secs_f64(),
+        result.states,
+        result.steps,
+        result.depth,
+        result.duration.as_secs_f64(),
         setup.description
     );
-    let Some((trace, violation)) = &found.violation else {
+    let Some((trace, violation)) = &result.violation else {
         return Ok(());
     };
     println!("{}", chart::draw(setup, policy, bug, trace, violation));
--- a/crates/model-checker/src/fleet.rs
+++ b/crates/model-checker/src/fleet.rs
@@ -59,7 +59,7 @@
     /// Inconsistencies of the tables of an exchange, and invalid commands.
     pub inconsistencies: Vec<String>,
     /// Number of requests and connections that remain at the end of the run.
-    pub kept: usize,
+    pub remaining: usize,
     /// Number of simulated events.
     pub events: usize,
     /// A hash of all commands in order, which is equal for two runs with the same seed.
@@ -69,7 +69,7 @@
 impl FleetRun {
     /// Returns whether no rule was violated and no request or connection remains.
     pub fn is_clean(&self) -> bool {
-        self.verdict.breaches.is_empty() && self.inconsistencies.is_empty() && self.kept == 0
+        self.verdict.breaches.is_empty() && self.inconsistencies.is_empty() && self.remaining == 0
     }
 }
 
--- a/crates/model-checker/src/fleet/servers.rs
+++ b/crates/model-checker/src/fleet/servers.rs
@@ -30,9 +30,9 @@
 const ENDPOINT_UPDATE_DELAY: Range<Micros> = 1_000..80_000;
 /// Time that a response takes to reach the node, µs.
 const RESPONSE_DELAY: Range<Micros> = 50..2_000;
-/// Longest delay with which a response is repeated, µs.
-const MAX_REPEAT_DELAY: Micros = 8_000;
-/// One in this many responses is repeated, and the connection of another one is closed.
+/// Longest delay after which the duplicate of a response arrives, µs.
+const MAX_DUPLICATE_DELAY: Micros = 8_000;
+/// One in this many responses is duplicated, and the connection of another one is closed.
 const DISTURBED_RESPONSE_ODDS: u8 = 40;
 
 /// The current fault of a server.
@@ -252,9 +252,9 @@
         );
         match self.random.u8(..DISTURBED_RESPONSE_ODDS) {
             0 => {
-                let repeat_delay = self.random.u64(..MAX_REPEAT_DELAY);
+                let duplicate_delay = self.random.u64(..MAX_DUPLICATE_DELAY);
                 self.schedule(
-                    delay + repeat_delay,
+                    delay + duplicate_delay,
                     SimulationEvent::UnexpectedBytes(attempt.connection),
                 );
             }
--- a/crates/model-checker/src/fleet/simulation.rs
+++ b/crates/model-checker/src/fleet/simulation.rs
@@ -202,7 +202,7 @@
 
     /// Returns the result of the run.
     pub fn judge(self) -> FleetRun {
-        let kept = self
+        let remaining = self
             .nodes
             .iter()
             .map(|node| node.exchange.table_sizes())
@@ -211,7 +211,7 @@
         FleetRun {
             verdict: self.ledger.judge(),
             inconsistencies: self.inconsistencies,
-            kept,
+            remaining,
             events: self.events,
             commands_hash: self.commands_hash.finish(),
         }
--- a/crates/model-checker/src/planted.rs
+++ b/crates/model-checker/src/planted.rs
@@ -28,10 +28,10 @@
 }
 
 /// Searches for a planted fault. Returns `None` if no small world has the name that [`world_name`] gives.
-pub fn search_for(bug: Bug, threads: usize) -> Option<(Setup, SearchResult)> {
+pub fn find_bug(bug: Bug, threads: usize) -> Option<(Setup, SearchResult)> {
     let setup = setups::small()
         .into_iter()
         .find(|setup| setup.name == world_name(bug))?;
-    let found = search(&setup, AnyPolicy, Some(bug), Limits::default(), threads);
-    Some((setup, found))
+    let result = search(&setup, AnyPolicy, Some(bug), Limits::default(), threads);
+    Some((setup, result))
 }
--- a/crates/model-checker/src/search.rs
+++ b/crates/model-checker/src/search.rs
@@ -25,7 +25,8 @@
     pub duration: Duration,
     /// Whether all reachable states were visited.
     pub complete: bool,
-    /// The trace to a violation, the shortest one in a search; `None` if no property was violated.
+    /// The trace to a violation, or `None` if no property was violated. In a search it is a shortest one, apart from
+    /// default steps at its end.
     pub violation: Option<(Vec<Step>, PropertyViolation)>,
 }
 
@@ -129,17 +130,17 @@
         let (next_level, violation) = search.merge(expansions);
         if let Some(violation) = violation {
             search.depth += 1;
-            return search.found_violation(violation);
+            return search.violation_result(violation);
         }
         if !next_level.is_empty() {
             search.depth += 1;
         }
         if search.seen.len() >= limits.states || search.depth >= limits.depth {
-            return search.found(next_level.is_empty());
+            return search.result(next_level.is_empty());
         }
         level = next_level;
     }
-    search.found(true)
+    search.result(true)
 }
 
 impl Search<'_> {
@@ -242,7 +243,7 @@
             visited.push(digest);
             let Some(step) = world.default_step(self.setup) else {
                 world
-                    .verify_end()
+                    .verify_terminated()
                     .map_err(|violation| (tail.clone(), violation))?;
                 break;
             };
@@ -299,7 +300,7 @@
         (level, shortest)
     }
 
-    fn found(&self, complete: bool) -> SearchResult {
+    fn result(&self, complete: bool) -> SearchResult {
         SearchResult {
             states: self.seen.len(),
             steps: self.steps_taken,
@@ -310,12 +311,12 @@
         }
     }
 
-    fn found_violation(&self, found: FoundViolation) -> SearchResult {
+    fn violation_result(&self, found: FoundViolation) -> SearchResult {
         let mut trace = self.path_to(found.previous);
         trace.extend(found.steps);
         SearchResult {
             violation: Some((trace, found.violation)),
-            ..self.found(false)
+            ..self.result(false)
         }
     }
 
--- a/crates/model-checker/src/walk.rs
+++ b/crates/model-checker/src/walk.rs
@@ -55,7 +55,7 @@
             world.default_step(setup)
         };
         let Some(step) = step else {
-            return world.verify_end();
+            return world.verify_terminated();
         };
         trace.push(step);
         world.take(setup, step)?;
--- a/crates/model-checker/src/world/client.rs
+++ b/crates/model-checker/src/world/client.rs
@@ -10,14 +10,14 @@
 pub(super) struct Client {
     /// When the request arrived or its streaming body was complete, µs; `None` before the request has arrived.
     pub arrived_at: Option<Micros>,
-    pub left: bool,
+    pub disconnected: bool,
     pub ticket: u64,
     /// Number of final answers received.
     pub answers: u8,
     /// Attempts that the policy asked for, one bit per attempt number.
-    pub sends: u32,
+    pub sent_attempts: u32,
     /// Attempts whose end was reported to the policy, one bit per attempt number.
-    pub ends: u32,
+    pub ended_attempts: u32,
     /// The first attempt that may have run.
     pub first_dispatched: Option<Dispatched>,
     /// The outstanding attempt if bytes of it were written.
@@ -55,13 +55,13 @@
     }
 
     /// Returns whether the client is waiting for an answer.
-    pub fn waits(&self) -> bool {
-        self.answers == 0 && !self.left
+    pub fn is_waiting(&self) -> bool {
+        self.answers == 0 && !self.disconnected
     }
 
     /// Returns the attempts whose end was not yet reported to the policy, one bit per attempt number.
-    pub fn unended_sends(&self) -> u32 {
-        self.sends & !self.ends
+    pub fn unended_attempts(&self) -> u32 {
+        self.sent_attempts & !self.ended_attempts
     }
 
     /// Hashes the client; connections are identified by rank.
@@ -71,11 +71,11 @@
         hasher: &mut impl Hasher,
     ) {
         self.arrived_at.hash(hasher);
-        self.left.hash(hasher);
+        self.disconnected.hash(hasher);
         self.ticket.hash(hasher);
         self.answers.hash(hasher);
-        self.sends.hash(hasher);
-        self.ends.hash(hasher);
+        self.sent_attempts.hash(hasher);
+        self.ended_attempts.hash(hasher);
         self.first_dispatched.hash(hasher);
         let written = self.written.map(|written| {
             let rank = rank_of(written.connection);
--- a/crates/model-checker/src/world/commands.rs
+++ b/crates/model-checker/src/world/commands.rs
@@ -233,7 +233,7 @@
             );
         };
         let client = self.client_mut(request);
-        if !client.waits() {
+        if !client.is_waiting() {
             return violated(
                 Property::OneAttempt,
                 format!(
--- a/crates/model-checker/src/world/final_checks.rs
+++ b/crates/model-checker/src/world/final_checks.rs
@@ -9,10 +9,10 @@
     /// Verifies a terminated world: all waiting clients are answered, and no request or connection is kept.
     ///
     /// # Errors
-    /// The property that does not hold.
-    pub fn verify_end(&self) -> Result<(), PropertyViolation> {
+    /// The violated property.
+    pub fn verify_terminated(&self) -> Result<(), PropertyViolation> {
         for (request, client) in self.clients.iter().enumerate() {
-            if client.arrived_at.is_none() || !client.waits() {
+            if client.arrived_at.is_none() || !client.is_waiting() {
                 continue;
             }
             return violated(
@@ -33,7 +33,7 @@
     /// Verifies that a draining node keeps only connections with an attempt.
     ///
     /// # Errors
-    /// The property that does not hold.
+    /// The violated property.
     pub fn verify_draining(&self) -> Result<(), PropertyViolation> {
         let idle = self
             .connections
@@ -51,13 +51,13 @@
     /// Verifies that the policy was notified of the end of each attempt of the requests that the exchange has removed.
     ///
     /// # Errors
-    /// The property that does not hold.
+    /// The violated property.
     pub fn verify_attempt_ends(&self, setup: &Setup) -> Result<(), PropertyViolation> {
         for (request, client) in self.clients.iter().enumerate() {
             let next = self.clients.get(request + 1);
             let id_reused = setup.shared_id && next.is_some_and(|next| next.arrived_at.is_some());
             let kept = self.exchange.contains(&setup.request_id(request as u8));
-            if !id_reused && client.sends != client.ends && !kept {
+            if !id_reused && client.sent_attempts != client.ended_attempts && !kept {
                 return violated(
                     Property::OneEndPerAttempt,
                     format!(
--- a/crates/model-checker/src/world/first_byte.rs
+++ b/crates/model-checker/src/world/first_byte.rs
@@ -39,7 +39,7 @@
         client.body_consumed = setup.streaming_bodies;
         client.written = Some(WrittenAttempt {
             // All other attempts have ended.
-            number: client.unended_sends().trailing_zeros(),
+            number: client.unended_attempts().trailing_zeros(),
             connection,
             dispatched,
         });
@@ -63,7 +63,7 @@
                 format!("two attempts of request {request} are outstanding"),
             );
         }
-        if !client.waits() {
+        if !client.is_waiting() {
             return violated(
                 Property::OneAttempt,
                 format!(
--- a/crates/model-checker/src/world/occurrences.rs
+++ b/crates/model-checker/src/world/occurrences.rs
@@ -41,7 +41,7 @@
     /// Takes a step.
     ///
     /// # Errors
-    /// The property that does not hold.
+    /// The violated property.
     pub fn take(&mut self, setup: &Setup, step: Step) -> Result<(), PropertyViolation> {
         self.notes.clear();
         if step == Step::ClockTicks {
@@ -118,7 +118,7 @@
                 id: setup.request_id(request),
             }),
             Step::PolicyCancels(request) => {
-                let unended = self.client(request).unended_sends();
+                let unended = self.client(request).unended_attempts();
                 Some(Action::Cancel {
                     id: setup.request_id(request),
                     attempt: AttemptNumber(unended.checked_ilog2().unwrap_or(0)),
@@ -240,7 +240,7 @@
 
     fn client_leaves(&mut self, setup: &Setup, request: u8) -> Event<u8> {
         let client = self.client_mut(request);
-        client.left = true;
+        client.disconnected = true;
         Event::ClientGone {
             id: setup.request_id(request),
             ticket: Ticket(client.ticket),
@@ -251,7 +251,7 @@
         let now = self.now(setup);
         let client = self.client_mut(request);
         client.body_arrived = true;
-        if client.waits() {
+        if client.is_waiting() {
             client.arrived_at = Some(now);
         }
         Event::BodyComplete {
@@ -339,8 +339,8 @@
         }
         let client = &self.clients[usize::from(request)];
         let while_closing = source.closing;
-        let streaming = response.kind == ServerResponse::Long;
-        source.streaming = streaming && !while_closing && client.waits();
+        let streaming = response.kind == ServerResponse::Streaming;
+        source.streaming = streaming && !while_closing && client.is_waiting();
         source.responded_early = setup.streaming_bodies && !client.body_released;
         if !while_closing && !streaming {
             source.carried = None;
@@ -372,7 +372,7 @@
                 }
                 Event::Upgraded { connection }
             }
-            ServerResponse::Long => Event::ResponseStreaming { connection },
+            ServerResponse::Streaming => Event::ResponseStreaming { connection },
             ServerResponse::Ok | ServerResponse::Error | ServerResponse::Full => {
                 Event::ResponseComplete {
                     connection,
--- a/crates/model-checker/src/world/policy_events.rs
+++ b/crates/model-checker/src/world/policy_events.rs
@@ -35,8 +35,8 @@
             return;
         };
         let client = self.client_mut(request);
-        if client.waits() && now < client.answer_deadline(setup, shutdown_deadline) {
-            client.sends |= 1 << client.sends.count_ones();
+        if client.is_waiting() && now < client.answer_deadline(setup, shutdown_deadline) {
+            client.sent_attempts |= 1 << client.sent_attempts.count_ones();
         }
     }
 
@@ -78,13 +78,13 @@
         };
         let client = self.client_mut(request);
         let bit = 1 << attempt.0;
-        if client.ends & bit != 0 || client.sends & bit == 0 {
+        if client.ended_attempts & bit != 0 || client.sent_attempts & bit == 0 {
             return violated(
                 Property::OneEndPerAttempt,
                 format!("the end of attempt {} of request {request} is reported twice or was not expected", attempt.0),
             );
         }
-        client.ends |= bit;
+        client.ended_attempts |= bit;
         if client
             .written
             .is_some_and(|written| written.number == attempt.0)
--- a/crates/model-checker/src/world/possible_steps.rs
+++ b/crates/model-checker/src/world/possible_steps.rs
@@ -28,12 +28,12 @@
     /// Returns the next step towards termination without new activity: closing connections are closed, streaming
     /// responses end, the timer fires and the clock advances. Returns `None` once the world has terminated.
     pub fn default_step(&self, setup: &Setup) -> Option<Step> {
-        if let Some(rank) = self.rank_where(|connection| connection.closing) {
+        if let Some(rank) = self.find_rank(|connection| connection.closing) {
             return Some(Step::ConnectionCloses(rank));
         }
         let streams =
             |connection: &Connection| connection.streaming && !connection.response_dropped;
-        if let Some(rank) = self.rank_where(streams) {
+        if let Some(rank) = self.find_rank(streams) {
             let reset = self
                 .connections
                 .values()
@@ -52,7 +52,7 @@
         (timer_set || self.exchange.table_sizes() != (0, 0)).then_some(Step::ClockTicks)
     }
 
-    fn rank_where(&self, wanted: impl Fn(&Connection) -> bool) -> Option<u8> {
+    fn find_rank(&self, wanted: impl Fn(&Connection) -> bool) -> Option<u8> {
         self.connections
             .values()
             .position(wanted)
@@ -88,7 +88,7 @@
         } else {
             setup.clients_leave
         };
-        if !client.left && may_leave {
+        if !client.disconnected && may_leave {
             steps.push(Step::ClientLeaves(request));
         }
         let next = self.clients.get(index + 1);
@@ -191,15 +191,15 @@
         if timer_due && !self.timer_fired {
             steps.push(Step::TimerFires);
         }
-        let clock_free = setup.late_timers || self.timer_fired || !timer_due;
-        if self.within_horizon(setup) && clock_free {
+        let clock_may_advance = setup.late_timers || self.timer_fired || !timer_due;
+        if self.within_horizon(setup) && clock_may_advance {
             steps.push(Step::ClockTicks);
         }
     }
 }
 
 fn add_policy_steps(setup: &Setup, request: u8, client: &Client, steps: &mut Vec<Step>) {
-    let sends = client.sends.count_ones() as u8;
+    let sends = client.sent_attempts.count_ones() as u8;
     if sends < setup.max_sends && client.answers == 0 {
         for server in 0..setup.servers.len() as u8 {
             steps.push(Step::PolicySends {
@@ -220,7 +220,7 @@
         steps.push(Step::PolicyRejects(request));
         steps.push(Step::PolicyFails(request));
     }
-    if client.sends != client.ends && setup.policy_cancels {
+    if client.sent_attempts != client.ended_attempts && setup.policy_cancels {
         steps.push(Step::PolicyCancels(request));
     }
 }
--- a/crates/model-checker/src/world/setup.rs
+++ b/crates/model-checker/src/world/setup.rs
@@ -11,7 +11,7 @@
 pub enum EndpointChange {
     /// The server drains.
     Drain(u8),
-    /// The server becomes ready.
+    /// The server becomes ready, for the first time or again.
     Return(u8),
     /// The first server moves to an unused address, and its former address is assigned to the second server.
     Move(u8, u8),
--- a/crates/model-checker/src/world/step.rs
+++ b/crates/model-checker/src/world/step.rs
@@ -81,7 +81,7 @@
     /// A successful response that upgrades the connection to another protocol.
     Upgrade,
     /// A successful streaming response.
-    Long,
+    Streaming,
 }
 
 impl ServerResponse {
@@ -89,7 +89,7 @@
     pub(super) fn possible(setup: &Setup) -> &'static [ServerResponse] {
         if setup.streaming_responses {
             &[
-                ServerResponse::Long,
+                ServerResponse::Streaming,
                 ServerResponse::Ok,
                 ServerResponse::Full,
             ]
@@ -111,7 +111,7 @@
     /// Returns the outcome that is reported to the exchange.
     pub(super) fn outcome(self) -> Outcome {
         match self {
-            ServerResponse::Ok | ServerResponse::Upgrade | ServerResponse::Long => Outcome::Ok,
+            ServerResponse::Ok | ServerResponse::Upgrade | ServerResponse::Streaming => Outcome::Ok,
             ServerResponse::Error => Outcome::Error,
             ServerResponse::Full => Outcome::Rejected,
         }
--- a/crates/model-checker/tests/explored.rs
+++ b/crates/model-checker/tests/explored.rs
@@ -19,20 +19,20 @@
 #[test]
 fn no_reachable_state_of_a_small_world_violates_a_property() {
     for setup in setups::small() {
-        let found = search(&setup, AnyPolicy, None, Limits::default(), THREADS);
-        if let Some((trace, violation)) = &found.violation {
+        let result = search(&setup, AnyPolicy, None, Limits::default(), THREADS);
+        if let Some((trace, violation)) = &result.violation {
             panic!(
                 "{}\n{}",
                 setup.name,
                 chart::draw(&setup, AnyPolicy, None, trace, violation)
             );
         }
-        assert!(found.complete, "{}", setup.name);
+        assert!(result.complete, "{}", setup.name);
         assert!(
-            found.states > MIN_STATES,
+            result.states > MIN_STATES,
             "{}: {} states",
             setup.name,
-            found.states
+            result.states
         );
     }
 }
@@ -42,9 +42,9 @@
 #[test]
 fn every_planted_fault_is_found_and_its_trace_needs_the_fault() {
     for bug in Bug::ALL {
-        let (setup, found) =
-            planted::search_for(bug, THREADS).expect("a world for each planted fault");
-        let Some((trace, violation)) = found.violation else {
+        let (setup, result) =
+            planted::find_bug(bug, THREADS).expect("a world for each planted fault");
+        let Some((trace, violation)) = result.violation else {
             panic!("{bug:?} is not found in {}", setup.name)
         };
         let drawn = chart::draw(&setup, AnyPolicy, Some(bug), &trace, &violation);
@@ -69,14 +69,14 @@
 /// request was written on the connection. If responses carry no request id, the duplicate can't be detected.
 #[test]
 fn a_late_duplicate_is_served_as_the_next_response_if_responses_carry_no_id() {
-    let found = search(
+    let result = search(
         &setups::late_duplicates(),
         AnyPolicy,
         None,
         Limits::default(),
         THREADS,
     );
-    let (trace, violation) = found.violation.expect("the known gap is found");
+    let (trace, violation) = result.violation.expect("the known gap is found");
     assert_eq!(violation.property, Property::MatchingResponse);
     assert!(trace.contains(&Step::ServerRepeats(0)));
 }
@@ -91,7 +91,7 @@
     for idempotency in [Idempotency::Idempotent, keyed, Idempotency::NonIdempotent] {
         let setup = setups::real(idempotency);
         let policy = setups::real_policy(&setup).expect("valid settings");
-        let found = search(
+        let result = search(
             &setup,
             policy.clone(),
             None,
@@ -101,7 +101,7 @@
             },
             THREADS,
         );
-        if let Some((trace, violation)) = &found.violation {
+        if let Some((trace, violation)) = &result.violation {
             panic!(
                 "{}\n{}",
                 setup.name,
@@ -109,10 +109,10 @@
             );
         }
         assert!(
-            found.states > MIN_STATES,
+            result.states > MIN_STATES,
             "{}: {} states",
             setup.name,
-            found.states
+            result.states
         );
     }
 }
@@ -121,8 +121,8 @@
 #[test]
 fn random_walks_through_a_large_world_violate_no_property() {
     for seed in 0..60 {
-        let found = walk::walk(&setups::random(seed), AnyPolicy, seed, 3_000);
-        let violation = found
+        let result = walk::walk(&setups::random(seed), AnyPolicy, seed, 3_000);
+        let violation = result
             .violation
             .map(|(trace, violation)| format!("{violation} after {} steps", trace.len()));
         assert_eq!(
@@ -159,7 +159,7 @@
         let again = format!("saffronpaddle-model-checker nodes --seed {seed} --runs 1");
         assert_eq!(fleet_run.verdict.breaches, [], "{again}");
         assert_eq!(
-            (fleet_run.inconsistencies, fleet_run.kept),
+            (fleet_run.inconsistencies, fleet_run.remaining),
             (Vec::new(), 0),
             "{again}"
         );
@@ -200,7 +200,7 @@
             .expect("valid settings");
             !fleet_run.verdict.breaches.is_empty()
                 || !fleet_run.inconsistencies.is_empty()
-                || fleet_run.kept > 0
+                || fleet_run.remaining > 0
         });
         assert!(found, "{bug:?}");
     }
@@ -231,6 +231,6 @@
             left -= 1;
             proptest::prop_assert_eq!(world.take(&setup, step), Ok(()), "{:?}", step);
         }
-        proptest::prop_assert_eq!(world.verify_end(), Ok(()));
+        proptest::prop_assert_eq!(world.verify_terminated(), Ok(()));
     }
 }
