--- a/crates/model-checker/src/world/possible_steps.rs
+++ b/crates/model-checker/src/world/possible_steps.rs
@@ -1,4 +1,4 @@
-//! Which steps are possible in a state.
+//! The steps that are possible in a state.
 
 use super::client::Client;
 use super::connection::Connection;
@@ -8,7 +8,7 @@
 use super::World;
 
 impl<M: PolicyModel> World<M> {
-    /// All steps that are possible now.
+    /// Returns all steps that are possible in this state.
     pub fn possible_steps(&self, setup: &Setup) -> Vec<Step> {
         let mut steps = Vec::new();
         for (index, client) in self.clients.iter().enumerate() {
@@ -25,15 +25,15 @@
         steps
     }
 
-    /// The step that happens if nobody does anything any more: connections that are to be closed close, streaming
-    /// responses end, the timer fires, and the clock goes on. None once all is over.
-    pub fn step_if_left_alone(&self, setup: &Setup) -> Option<Step> {
-        if let Some(rank) = self.rank_where(|connection| connection.closing) {
+    /// Returns the next step towards termination without new activity: closing connections are closed, streaming
+    /// responses end, the timer fires and the clock advances. Returns `None` once the world has terminated.
+    pub fn default_step(&self, setup: &Setup) -> Option<Step> {
+        if let Some(rank) = self.find_rank(|connection| connection.closing) {
             return Some(Step::ConnectionCloses(rank));
         }
         let streams =
             |connection: &Connection| connection.streaming && !connection.response_dropped;
-        if let Some(rank) = self.rank_where(streams) {
+        if let Some(rank) = self.find_rank(streams) {
             let reset = self
                 .connections
                 .values()
@@ -52,7 +52,7 @@
         (timer_set || self.exchange.table_sizes() != (0, 0)).then_some(Step::ClockTicks)
     }
 
-    fn rank_where(&self, wanted: impl Fn(&Connection) -> bool) -> Option<u8> {
+    fn find_rank(&self, wanted: impl Fn(&Connection) -> bool) -> Option<u8> {
         self.connections
             .values()
             .position(wanted)
@@ -66,7 +66,7 @@
     fn add_arrival(&self, setup: &Setup, index: usize, steps: &mut Vec<Step>) {
         let request = index as u8;
         let previous_arrived = index == 0 || self.clients[index - 1].arrived_at.is_some();
-        // Equal requests arrive in the order of their numbers: which is which makes no difference.
+        // Identical requests arrive in the order of their numbers, as their permutations are equivalent.
         let equal = index > 0 && setup.requests[index] == setup.requests[index - 1];
         let in_order = previous_arrived || !(setup.shared_id || equal);
         let id_in_use = self.exchange.contains(&setup.request_id(request));
@@ -88,7 +88,7 @@
         } else {
             setup.clients_leave
         };
-        if !client.left && may_leave {
+        if !client.disconnected && may_leave {
             steps.push(Step::ClientLeaves(request));
         }
         let next = self.clients.get(index + 1);
@@ -180,7 +180,7 @@
         if self.changes_applied < setup.endpoint_changes.len() {
             steps.push(Step::EndpointsChange);
         }
-        if setup.node_stops && !self.stopped {
+        if setup.node_drains && !self.draining {
             steps.push(Step::NodeStops);
         }
         let shutdown_possible = setup.shutdown_ticks.is_some() && self.shutdown_deadline.is_none();
@@ -191,15 +191,15 @@
         if timer_due && !self.timer_fired {
             steps.push(Step::TimerFires);
         }
-        let clock_free = setup.late_timers || self.timer_fired || !timer_due;
-        if self.within_horizon(setup) && clock_free {
+        let clock_may_advance = setup.late_timers || self.timer_fired || !timer_due;
+        if self.within_horizon(setup) && clock_may_advance {
             steps.push(Step::ClockTicks);
         }
     }
 }
 
 fn add_policy_steps(setup: &Setup, request: u8, client: &Client, steps: &mut Vec<Step>) {
-    let sends = client.sends.count_ones() as u8;
+    let sends = client.sent_attempts.count_ones() as u8;
     if sends < setup.max_sends && client.answers == 0 {
         for server in 0..setup.servers.len() as u8 {
             steps.push(Step::PolicySends {
@@ -220,7 +220,7 @@
         steps.push(Step::PolicyRejects(request));
         steps.push(Step::PolicyFails(request));
     }
-    if client.sends != client.ends && setup.policy_cancels {
+    if client.sent_attempts != client.ended_attempts && setup.policy_cancels {
         steps.push(Step::PolicyCancels(request));
     }
 }
@@ -240,7 +240,7 @@
     let written = connection.written_request().is_some();
     let unread = !connection.inbound.is_empty();
     if written && unread {
-        // Also while it is being closed: a response may have been read just before.
+        // Also possible while the connection is being closed: the response may have been read just before.
         steps.push(Step::NodeReads(rank));
     }
     let unexpected = !written && unread;
