--- a/crates/quota/src/grant.rs
+++ b/crates/quota/src/grant.rs
@@ -1,22 +1,22 @@
-//! What a node and an owner exchange about one request.
+//! Messages between a node and an owner about one customer request.
 //!
-//! A node sends a [`GrantRequest`] and may repeat it under the same serial number for [`GRANT_LIFETIME`]; the owner answers
-//! each with a [`GrantResponse`].
+//! A node sends a [`GrantRequest`] and may retry it with the same serial number for [`GRANT_LIFETIME`]. The owner
+//! answers every copy with a [`GrantResponse`].
 
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 
-/// How long a grant request may be repeated, and how long its grant is valid under a hard limit, µs.
+/// Time for which a grant request may be retried, and for which its grant is valid under a hard limit, µs.
 pub const GRANT_LIFETIME: Micros = 240_000;
 
-/// A request for a grant, sent to an owner.
+/// A request to an owner for quota units.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GrantRequest {
-    /// The node that asks.
+    /// The number of the requesting node.
     pub requester: u32,
-    /// The requester's number for this request; a repetition has the same.
+    /// The requester's serial number of this request; a retry has the same number.
     pub serial: u16,
-    /// Quota units that the customer's request costs; 0 where an owner asks its standby for a lease alone.
+    /// Quota units that the customer's request costs; 0 if an owner requests only a lease from its standby.
     pub units: f64,
 }
 
@@ -25,13 +25,13 @@
 pub enum GrantDecision {
     /// The request is admitted.
     Granted,
-    /// The shard has too few tokens.
+    /// The shard has too few quota tokens.
     #[serde(rename = "Short")]
     OverQuota,
-    /// As many attempts are in flight as the customer may have.
+    /// The customer's limit on attempts in flight is reached.
     #[serde(rename = "Full")]
     TooManyInFlight,
-    /// The shard has too few tokens of the hard limit.
+    /// The shard has too few hard limit tokens.
     #[serde(rename = "Over")]
     OverHardLimit,
 }
@@ -39,13 +39,14 @@
 /// An owner's answer to a grant request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GrantResponse {
-    /// Whether the request is admitted.
+    /// Whether the request is admitted, and if not, which limit rejected it.
     pub decision: GrantDecision,
-    /// Fraction of the customer's requests for which the node should ask an owner, 0 to 1.
+    /// Fraction of the customer's requests for which the node should send a grant request, 0 to 1.
     pub sampling_probability: f64,
-    /// Time within which no request of the customer can be granted, µs. The node rejects by itself meanwhile. What its clients
-    /// are told is decided there, and is shorter: their requests may also be covered by a lease or another owner.
+    /// Time during which no request of the customer can be granted, µs. The node rejects requests locally until then.
+    /// The retry time that the node reports to its clients is shorter, because a lease or another owner may admit their
+    /// requests.
     pub retry_after: Micros,
-    /// Tokens of the shard as a fraction of its capacity, 0 to 1.
+    /// The shard's tokens as a fraction of its capacity, 0 to 1.
     pub fill_ratio: f64,
 }
--- a/crates/quota/src/lease.rs
+++ b/crates/quota/src/lease.rs
@@ -1,18 +1,21 @@
-//! Leases: an owner gives a node a rate, a capacity and units of its own for a limited time, to be used without messages, so
-//! that a node that reaches no owner goes on with what it leased and no more.
+//! Leases: an owner assigns a node a part of its rate, capacity and tokens for a limited time.
 //!
-//! **Quota.** Each unit is in one place: the issuer's tokens, or one holder's. While a lease stands, the issuer fills at its
-//! rate less the rates that it has issued, up to its capacity less the capacities that it has issued; the holder fills at
-//! the leased rate, up to the leased capacity. So the sum of all tokens never passes what one token bucket of the whole
-//! quota would hold, whichever nodes can reach each other.
+//! The node uses its lease without messages. A node that cannot reach an owner continues to admit requests up to its
+//! lease.
 //!
-//! **The holder's lease ends before the issuer counts it as its own again.** The holder counts the lease's duration from when
-//! it *requested* it, shortened by one part in [`CLOCK_DRIFT_DIVISOR`]; the issuer counts all of it from when it *answered*.
-//! The request left before it arrived, so the holder's end is the earlier one. The clocks need not agree, and their rates may
-//! differ by one part in [`CLOCK_DRIFT_DIVISOR`]. A late answer only shortens the holder's lease; a repeated request is
-//! answered as before and leases nothing more; a lost answer leaves the issuer with less for one lease duration.
+//! **Quota.** Each token belongs either to the issuer or to one holder. While a lease is active, the issuer refills at
+//! its rate minus the leased rates, up to its capacity minus the leased capacities; the holder refills at the leased
+//! rate, up to the leased capacity. The sum of all tokens therefore never exceeds what a single token bucket of the
+//! whole quota would hold, whichever nodes can reach each other.
 //!
-//! Units of a lease that are not used by its end are lost to the customer, and not added to the quota.
+//! **Expiry.** The lease expires at the holder before the issuer reclaims it. The holder measures the lease's duration,
+//! shortened by one part in [`CLOCK_DRIFT_DIVISOR`], from the time at which it *sent the request*; the issuer measures
+//! the full duration from the time at which it *answered*. The request was sent before it was answered, so the holder's
+//! expiry is the earlier one. The clocks need not be synchronized, and their rates may differ by one part in
+//! [`CLOCK_DRIFT_DIVISOR`]. A late answer only shortens the holder's lease. A retried request gets the same answer and
+//! no additional lease. A lost answer reduces what the issuer can use for one lease duration.
+//!
+//! Units that a holder has not used when its lease expires are lost to the customer and not returned to the quota.
 
 mod active;
 mod issuer;
@@ -26,43 +29,43 @@
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 
-/// How long a lease lasts, µs. A longer one leaves rate idle where a customer's traffic has moved on; a shorter one leaves a
-/// node that is cut off with nothing before it reaches its peers again.
+/// Duration of a lease, µs. A longer lease wastes rate at nodes that the customer's traffic has left; a shorter one
+/// expires before a partitioned node reaches its peers again.
 pub const LEASE_DURATION: Micros = 6_000_000;
-/// How far the rates of two clocks may differ: one part in this many.
+/// Tolerated difference between the rates of two clocks: one part in this many.
 pub const CLOCK_DRIFT_DIVISOR: Micros = 100;
-/// A holder asks for renewal once less than this is left of its lease, µs.
+/// Remaining time of a lease below which its holder requests a renewal, µs.
 const RENEWAL_WINDOW: Micros = 2_000_000;
 
-/// A lease as it is sent to its holder.
+/// The terms of a lease, as the issuer sends them to the holder.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Lease {
-    /// Units a second.
+    /// Refill rate, units per second.
     pub rate: f64,
-    /// Most units that the holder may accumulate.
+    /// Maximum number of units that the holder may accumulate.
     #[serde(rename = "room")]
     pub capacity: f64,
-    /// Units that the holder has from the start.
+    /// Units that the holder may use immediately.
     #[serde(rename = "units")]
     pub initial_tokens: f64,
 }
 
-/// What a holder reports to the issuer of its lease.
+/// The lease that a holder reports to its issuer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaseReport {
-    /// Units a second.
+    /// Refill rate, units per second.
     pub rate: f64,
-    /// Most units that the holder may accumulate.
+    /// Maximum number of units that the holder may accumulate.
     pub capacity: f64,
-    /// Time until the lease ends at the holder, µs.
+    /// Time until the lease expires at the holder, µs.
     pub remaining: Micros,
 }
 
-/// What a requester tells an owner about leases.
+/// A requester's demand for a lease, sent along with a grant request.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LeaseDemand {
-    /// Units a second that the requester would use.
+    /// Rate that the requester would use, units per second.
     pub rate: f64,
-    /// The lease that it still holds of this owner.
+    /// The lease from this owner that the requester still holds, if any.
     pub current: Option<LeaseReport>,
 }
--- a/crates/quota/src/lease/active.rs
+++ b/crates/quota/src/lease/active.rs
@@ -1,15 +1,15 @@
-//! A lease at its holder: a token bucket that ends.
+//! A lease at its holder: a token bucket that expires.
 //!
-//! Inputs are the [`Lease`] and the time at which it was requested, in µs of the holder's clock; [`ActiveLease::take`] says
-//! whether units may be used. The end is early enough that the issuer still counts the lease as issued (see [`super`]).
+//! Times are in µs of the holder's clock. The expiry time is computed from the time of the request, so that the lease
+//! expires here before its issuer reclaims it (see [`super`]).
 
 use super::{Lease, LeaseReport, CLOCK_DRIFT_DIVISOR, LEASE_DURATION, RENEWAL_WINDOW};
 use crate::{seconds_between, Micros};
 
-/// A lease at its holder.
+/// A lease at its holder, with its token bucket and expiry time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct ActiveLease {
-    /// Number of the shard owner that issued it.
+    /// Number of the owner that issued the lease.
     pub(crate) issuer: u32,
     lease: Lease,
     tokens: f64,
@@ -18,8 +18,8 @@
 }
 
 impl ActiveLease {
-    /// A lease that was requested at that time and has now been received. Tokens of the previous lease, if the same owner
-    /// issued it and it still stands, are kept up to the new capacity.
+    /// Creates a lease that was requested at `requested_at` and received at `now`. Unused tokens of the previous lease
+    /// are kept, up to the new capacity, if the same owner issued it and it has not expired.
     pub(crate) fn renewed(
         previous: Option<ActiveLease>,
         now: Micros,
@@ -39,31 +39,31 @@
             issuer,
             lease,
             tokens: (lease.initial_tokens + remaining_tokens).min(lease.capacity),
-            // The issuer stopped filling at this rate before its answer left, so filling may start at once.
+            // The issuer stopped refilling at this rate before it sent its answer, so the holder may refill from now
+            // on.
             filled_at: now,
             expires_at: requested_at.saturating_add(duration),
         }
     }
 
-    /// Whether the lease has ended.
     pub(crate) fn is_expired(&self, now: Micros) -> bool {
         now >= self.expires_at
     }
 
-    /// Whether it is time to ask for a renewal.
+    /// Returns whether the holder should request a renewal.
     pub(crate) fn needs_renewal(&self, now: Micros) -> bool {
         now.saturating_add(RENEWAL_WINDOW) >= self.expires_at
     }
 
-    /// Takes so many units if they are there; whether they were.
+    /// Takes units. Returns false and takes nothing if the lease has expired or has too few tokens.
     pub(crate) fn take(&mut self, now: Micros, units: f64) -> bool {
         if self.is_expired(now) {
             return false;
         }
         self.fill(now);
-        let takes = self.tokens >= units;
-        self.tokens -= if takes { units } else { 0.0 };
-        takes
+        let has_tokens = self.tokens >= units;
+        self.tokens -= if has_tokens { units } else { 0.0 };
+        has_tokens
     }
 
     fn fill(&mut self, now: Micros) {
@@ -72,7 +72,7 @@
         self.tokens = (self.tokens + self.lease.rate * elapsed_s).min(self.lease.capacity);
     }
 
-    /// Units a second that the lease brings now.
+    /// Returns the refill rate, units per second; 0 once the lease has expired.
     pub(crate) fn rate(&self, now: Micros) -> f64 {
         if self.is_expired(now) {
             0.0
@@ -81,7 +81,7 @@
         }
     }
 
-    /// What the issuer is told of the lease; `None` once it has ended.
+    /// Returns the report for the issuer; `None` once the lease has expired.
     pub(crate) fn report(&self, now: Micros) -> Option<LeaseReport> {
         (!self.is_expired(now)).then(|| LeaseReport {
             rate: self.lease.rate,
--- a/crates/quota/src/lease/issuer.rs
+++ b/crates/quota/src/lease/issuer.rs
@@ -1,61 +1,61 @@
-//! The leases that a shard has issued: a shard leases no more than a fixed fraction of its rate and capacity, and counts
-//! what it has leased as gone until the lease's end.
+//! The leases that a shard has issued.
 //!
-//! Inputs are a requester's demand in units a second and what the shard may lease in units a second and units;
-//! [`LeaseIssuer::issue`] returns the lease, and [`LeaseIssuer::issued_between`] what the shard must not count as its own. See
-//! [`super`] for why the sum of all tokens stays within the quota.
+//! A shard leases at most a fixed fraction of its rate and capacity, and excludes leased amounts from its own token
+//! buckets until the leases expire. Rates are in units per second and capacities in units. [`LeaseIssuer::issue`]
+//! returns a lease, and [`LeaseIssuer::issued_between`] the amounts to exclude. See [`super`] for why the sum of all
+//! tokens stays within the quota.
 
 use super::{Lease, LeaseDemand, LEASE_DURATION, RENEWAL_WINDOW};
 use crate::limits::HardLimit;
 use crate::{Micros, MICROS_PER_SECOND};
 use serde::{Deserialize, Serialize};
 
-/// Fraction of a shard's quota that is leased at most. The rest serves nodes without a lease.
+/// Maximum fraction of a shard's quota that is leased. The rest is for nodes without a lease.
 pub(crate) const QUOTA_LEASE_FRACTION: f64 = 0.75;
-/// Fraction of a shard's hard limit that is leased at most. A shard that has just been opened must count all of it as leased
-/// for one lease duration, so a larger one would leave little for grants.
+/// Maximum fraction of a shard's hard limit that is leased. A newly opened shard must count this whole fraction as
+/// leased for one lease duration, so a larger one would leave little for grants.
 pub(crate) const HARD_LIMIT_LEASE_FRACTION: f64 = 0.35;
-/// Capacity of a lease, seconds of its rate, unless the units of one request are more.
+/// Capacity of a lease in seconds of its rate. The capacity is at least the units of one request.
 const LEASE_CAPACITY_S: f64 = 1.0;
-/// Rate of a lease as a multiple of the rate that the requester was granted lately, which fluctuates.
+/// Rate of a lease as a multiple of the requester's demand. The demand is its recently granted rate, which fluctuates.
 const DEMAND_MULTIPLE: f64 = 1.25;
-/// Most leases of one shard at a time; bounds memory.
+/// Maximum number of active leases of one shard; bounds memory.
 const MAX_ISSUED_LEASES: usize = 64;
-/// Demand below which no lease is issued, units a second: it would end before the requester's next request.
+/// Demand below which no lease is issued, units per second: the lease would expire before the requester's next request.
 const MIN_DEMAND_RATE: f64 = 0.4;
-/// Smallest rate of a lease, units a second.
+/// Minimum rate of a lease, units per second.
 const MIN_LEASE_RATE: f64 = 0.05;
-/// A lease is renewed for a demand of at least this fraction of its rate; otherwise it expires.
+/// Minimum demand for a renewal as a fraction of the lease's rate. Below it the lease is left to expire.
 const MIN_RENEWAL_FRACTION: f64 = 0.5;
-/// Allowance for requests for renewal that arrive early, µs.
+/// How much earlier than the renewal window a renewal request may arrive, µs.
 const RENEWAL_TOLERANCE: Micros = LEASE_DURATION / 10;
-/// Tokens that a shard must have for a lease to come with the units of one request, as a multiple of these.
+/// Tokens that a shard needs in order to issue a lease with initial tokens, as a multiple of the units of one request.
 const INITIAL_TOKENS_RESERVE: f64 = 2.0;
-/// Stands for the unknown holders of leases that an earlier process may have issued.
+/// Placeholder for the unknown holders of leases that the previous process may have issued.
 const UNKNOWN_HOLDER: u32 = u32::MAX;
 
-/// The limits of a shard that a lease takes from.
+/// The limits of a shard from which a lease takes its rate and capacity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LeaseScope {
-    /// The quota, and the hard limit if there is one.
+    /// The quota, and the hard limit if the customer has one.
     Quota,
-    /// The hard limit alone.
+    /// Only the hard limit.
     HardLimit,
 }
 
-/// What a shard may lease.
+/// The amounts that a shard may lease.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LeaseBudget {
-    /// Units a second, leased ones included.
+    /// Maximum sum of leased rates, units per second.
     pub(crate) rate: f64,
-    /// Units, leased capacities included.
+    /// Maximum sum of leased capacities, units.
     pub(crate) capacity: f64,
-    /// Tokens that the shard has now.
+    /// The shard's current tokens, units.
     pub(crate) tokens: f64,
 }
 
 impl LeaseBudget {
-    /// The smaller of each.
+    /// Returns the minimum of each amount.
     pub(crate) fn min(self, other: LeaseBudget) -> LeaseBudget {
         LeaseBudget {
             rate: self.rate.min(other.rate),
@@ -65,42 +65,43 @@
     }
 }
 
-/// A request for a lease.
+/// A request for a lease, as the issuer evaluates it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct IssueRequest {
-    /// The node that asks.
+    /// The number of the requesting node.
     pub(crate) requester: u32,
-    /// The requester's number for this request; a repetition has the same.
+    /// The requester's serial number of this request; a retry has the same number.
     pub(crate) serial: u16,
-    /// Units a second that the requester would use.
+    /// Rate that the requester would use, units per second.
     pub(crate) demand_rate: f64,
     /// Units of one customer request.
     pub(crate) request_units: f64,
-    /// What the lease takes from.
+    /// The limits from which the lease takes.
     pub(crate) scope: LeaseScope,
-    /// Whether the requester is the owner of the shard, which may use all capacity that can be leased.
+    /// Whether the requester is the shard's owner, which may lease all of the available capacity.
     pub(crate) from_owner: bool,
 }
 
-/// How a request for a lease was served.
+/// The result of a lease request that was not rejected.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum IssueOutcome {
-    /// A new lease, whose initial tokens the shard gives away.
+    /// A new lease. The caller must deduct its initial tokens from the shard.
     Issued(Lease),
-    /// A lease that already stood: repeated to its holder, or renewed.
+    /// A lease issued before: repeated in response to a retry, or renewed.
     Existing(Lease),
 }
 
-/// Amounts that leases withhold from a shard.
+/// Amounts that leases exclude from a shard's token bucket over a time span.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct IssuedAmounts {
-    /// Units that holders have accrued within the span.
+    /// Units that holders accrued within the span.
     pub(crate) accrued: f64,
-    /// Capacity that is leased at the end of the span.
+    /// Sum of leased capacities at the end of the span, units.
     pub(crate) capacity: f64,
 }
 
-/// A lease at its issuer. Its stored names are those that earlier builds read when a node is upgraded in place.
+/// A lease at its issuer. The serialized field names stay as they are, so that earlier and later builds can read them
+/// in an in-place upgrade.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 struct IssuedLease {
     #[serde(rename = "from")]
@@ -110,18 +111,18 @@
     lease: Lease,
     #[serde(rename = "until")]
     expires_at: Micros,
-    /// Whether it takes from the quota too, or from the hard limit alone.
+    /// Whether the lease takes from the quota as well as from the hard limit.
     #[serde(rename = "of_store")]
     takes_from_quota: bool,
 }
 
 impl IssuedLease {
-    /// Whether it takes from the quota or, as each does, from the hard limit.
+    /// Returns whether the lease takes from the given limit. All leases take from the hard limit.
     fn takes_from(&self, scope: LeaseScope) -> bool {
         self.takes_from_quota || scope == LeaseScope::HardLimit
     }
 
-    /// Units that the holder accrues between two times.
+    /// Returns the units that the holder accrues between two times.
     fn accrued_between(&self, from: Micros, to: Micros) -> f64 {
         let span = self.expires_at.min(to).saturating_sub(from);
         self.lease.rate * span as f64 / MICROS_PER_SECOND
@@ -137,7 +138,7 @@
 }
 
 impl LeaseIssuer {
-    /// What the leases withhold between two times from the quota or from the hard limit.
+    /// Returns the amounts that the leases exclude from the quota or from the hard limit between two times.
     pub(crate) fn issued_between(
         &self,
         from: Micros,
@@ -145,27 +146,25 @@
         scope: LeaseScope,
     ) -> IssuedAmounts {
         let leases = || self.leases.iter().filter(|lease| lease.takes_from(scope));
-        let standing = leases().filter(|lease| lease.expires_at > to);
+        let active = leases().filter(|lease| lease.expires_at > to);
         IssuedAmounts {
             accrued: leases().map(|lease| lease.accrued_between(from, to)).sum(),
-            capacity: standing.map(|lease| lease.lease.capacity).sum(),
+            capacity: active.map(|lease| lease.lease.capacity).sum(),
         }
     }
 
-    /// Drops the leases that have ended.
     pub(crate) fn remove_expired(&mut self, now: Micros) {
         self.leases.retain(|lease| lease.expires_at > now);
     }
 
-    /// Whether no lease is issued.
     pub(crate) fn is_empty(&self) -> bool {
         self.leases.is_empty()
     }
 
-    /// Records a lease that its holder reports and that is not known here.
+    /// Records a lease that its holder reports and that this issuer does not know.
     ///
-    /// An owner that restarted has lost the leases that it issued. Filling at its whole rate, it would grant units that the
-    /// holders use as well; with the reported leases recorded it fills at the rest.
+    /// An owner that restarted has lost the leases that it issued. If it refilled at its full rate, it would grant
+    /// units that the holders use as well. It therefore excludes the reported leases from its own rate.
     pub(crate) fn record_reported_lease(
         &mut self,
         now: Micros,
@@ -196,8 +195,9 @@
         });
     }
 
-    /// Counts as leased, until that time, all of a hard limit that an earlier process may have leased.
-    pub(crate) fn reserve_unknown(&mut self, hard_limit: HardLimit, until: Micros) {
+    /// Counts the whole leasable fraction of a hard limit as leased until `until`, because the previous process may
+    /// have leased it.
+    pub(crate) fn reserve_predecessor_leases(&mut self, hard_limit: HardLimit, until: Micros) {
         self.leases.push(IssuedLease {
             holder: UNKNOWN_HOLDER,
             serial: 0,
@@ -211,7 +211,8 @@
         });
     }
 
-    /// Issues, renews or repeats a lease. `None` if the requester has no use for one or nothing is left to lease.
+    /// Issues, renews or repeats a lease. Returns `None` if the requester's demand is too low for a lease, a renewal is
+    /// not due, or nothing is left to lease.
     pub(crate) fn issue(
         &mut self,
         now: Micros,
@@ -242,7 +243,7 @@
         Some(IssueOutcome::Issued(lease))
     }
 
-    /// The lease that an earlier copy of this request was given.
+    /// Returns the lease issued for an earlier copy of this request.
     fn repeated(&self, request: &IssueRequest) -> Option<Lease> {
         self.leases
             .iter()
@@ -250,7 +251,7 @@
             .map(|lease| lease.lease)
     }
 
-    /// The lease of the requester that this request would renew.
+    /// Returns the requester's lease that this request would renew.
     fn current_lease(&mut self, request: &IssueRequest) -> Option<&mut IssuedLease> {
         let takes_from_quota = request.scope == LeaseScope::Quota;
         self.leases.iter_mut().find(|lease| {
@@ -258,7 +259,7 @@
         })
     }
 
-    /// A lease of what is left to lease.
+    /// Returns the terms of a new lease within the remaining budget; `None` if too little is left.
     fn new_lease(&self, request: &IssueRequest, budget: LeaseBudget) -> Option<Lease> {
         let leased =
             |amount: fn(&Lease) -> f64| self.leases.iter().map(|l| amount(&l.lease)).sum::<f64>();
@@ -275,7 +276,8 @@
                 .max(request.request_units)
                 .min(free_capacity)
         };
-        // A node may be cut off at any time: where the shard can spare them, it has the units of one request at once.
+        // The holder may become partitioned at any time, so it gets the units of one request immediately if the shard
+        // can spare them.
         let can_spare = budget.tokens >= INITIAL_TOKENS_RESERVE * request.request_units;
         let initial_tokens = if request.scope == LeaseScope::Quota && can_spare {
             request.request_units
@@ -290,7 +292,9 @@
     }
 }
 
-/// Extends a lease that is about to end. The renewed lease has the same rate and capacity, so the holder's rate has no gap.
+/// Extends a lease that is about to expire. Returns `None` if it is too early or the lease is too large for the demand.
+///
+/// The renewed lease has the same rate and capacity, so the holder's refill is not interrupted.
 fn renew(current: &mut IssuedLease, now: Micros, request: &IssueRequest) -> Option<Lease> {
     let is_early = current.expires_at > now + RENEWAL_WINDOW + RENEWAL_TOLERANCE;
     let is_oversized =
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,14 +1,15 @@
-//! Holds a customer to its quota over hundreds of nodes that each see only a little of its traffic.
+//! Distributed rate limiting: enforces a customer's quota across hundreds of nodes, each of which sees only a small
+//! part of the customer's traffic.
 //!
-//! A few nodes, the owners, keep the quota in shards ([`QuotaShard`]). A node that receives a request asks one owner for a
-//! grant ([`GrantRequest`]). The [`RejectionCache`] of that node keeps what owners answered: until when no grant can be had,
-//! so that requests until then are rejected without a message; and how full the shard was, so that an owner that has lost its
-//! state, or a node that reaches no owner, can go by that.
+//! A few nodes, the owners, keep the quota in shards ([`QuotaShard`]). A node that receives a request asks one owner
+//! for a grant ([`GrantRequest`]). The node's [`RejectionCache`] stores two things from the owners' responses: the time
+//! before which no grant is possible, so that requests until then are rejected without a message; and the fill ratio of
+//! the shard, which initializes an owner that has lost its state and limits a node that cannot reach an owner.
 //!
-//! An owner also issues leases ([`Lease`]): a rate, for a limited time, to a node that has asked often. A lease is used without
-//! messages, and remains usable while no owner can be reached.
+//! An owner also issues leases ([`Lease`]) to nodes that ask often: a rate for a limited time. A holder uses its lease
+//! without messages, also while it cannot reach an owner.
 //!
-//! The crate does no input or output. Time is an argument, in microseconds.
+//! The crate performs no I/O. The caller passes the current time, in microseconds.
 //!
 //! ```
 //! use saffronpaddle_quota::{GrantDecision, GrantRequest, InitialTokens, QuotaShard, ShardLimits};
@@ -19,7 +20,7 @@
 //! assert_eq!(granted.decision, GrantDecision::Granted);
 //! let denied = shard.decide_grant(0, request(2), &limits, 200_000);
 //! assert_eq!(denied.decision, GrantDecision::OverQuota);
-//! assert_eq!(denied.retry_after, 1_000_000, "two of three units are missing, at two a second");
+//! assert_eq!(denied.retry_after, 1_000_000, "2 of 3 units are missing, at 2 units per second");
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -36,13 +37,12 @@
 pub use rejection_cache::RejectionCache;
 pub use shard::QuotaShard;
 
-/// A time or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
 
-/// Microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// Seconds from one time to another; 0 if the second is the earlier.
+/// Returns the seconds between two times; 0 if `to` is before `from`.
 fn seconds_between(from: Micros, to: Micros) -> f64 {
     to.saturating_sub(from) as f64 / MICROS_PER_SECOND
 }
--- a/crates/quota/src/limits.rs
+++ b/crates/quota/src/limits.rs
@@ -1,56 +1,57 @@
-//! The limits of one shard, and how its token bucket starts.
+//! The limits of one shard, and the initial state of its token bucket.
 
 use crate::{seconds_between, Micros};
 
-/// A token bucket that must not be passed even when an owner restarts or a standby takes over.
+/// Parameters of a token bucket whose limit holds even when an owner restarts or a standby takes over.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HardLimit {
-    /// Units a second.
+    /// Refill rate, units per second.
     pub rate: f64,
-    /// Most units that it holds.
+    /// Maximum number of tokens, units.
     pub capacity: f64,
 }
 
-/// The limits of one shard.
+/// The part of a customer's limits that one shard enforces.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShardLimits {
-    /// Units a second; 0 for no limit by rate.
+    /// Refill rate, units per second; 0 for no rate limit.
     pub rate: f64,
-    /// Most units that the shard holds.
+    /// Maximum number of tokens, units.
     pub capacity: f64,
-    /// Attempts that may be in flight at a time; `None` for no limit.
+    /// Maximum number of attempts in flight; `None` for no limit.
     pub max_in_flight: Option<u32>,
-    /// The shard's part of the customer's hard limit; `None` if it has none.
+    /// The shard's part of the customer's hard limit; `None` if the customer has no hard limit.
     pub hard_limit: Option<HardLimit>,
 }
 
-/// How full an owner reported its shard to be.
+/// A fill ratio that an owner reported for its shard.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReportedFill {
-    /// Tokens as a fraction of the shard's capacity, 0 to 1.
+    /// The shard's tokens as a fraction of its capacity, 0 to 1.
     pub ratio: f64,
     /// Time since the report, µs.
     pub age: Micros,
 }
 
-/// With how many tokens a shard starts.
+/// How a new shard determines its initial tokens.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum InitialTokens {
-    /// With all of its capacity: this node is as old as the fleet, so nothing was granted before.
+    /// The full capacity: this node started together with the fleet, so no owner has granted anything yet.
     Full,
-    /// Another owner may have granted all tokens up to some time ago. A standby starts so, and an owner whose node restarted.
+    /// Another owner may have granted all tokens until `elapsed` ago. Used by a standby, and by an owner whose node
+    /// restarted.
     AccruedSince {
-        /// Tokens that the shard has in any case: the units of one request.
+        /// Minimum number of tokens: the units of one request.
         units: f64,
-        /// Time for which tokens have come in since, µs.
+        /// Time for which tokens have accrued since then, µs.
         elapsed: Micros,
     },
-    /// The node restarted, and the requester was told before how full the shard was.
+    /// The node restarted, and the requester sent the fill ratio that the owner had reported to it before.
     Reported(ReportedFill),
 }
 
 impl InitialTokens {
-    /// The tokens with which a shard of these limits starts.
+    /// Returns the initial number of tokens of a shard with the given limits.
     pub(crate) fn tokens(self, limits: &ShardLimits) -> f64 {
         let tokens = match self {
             InitialTokens::Full => limits.capacity,
--- a/crates/quota/src/shard.rs
+++ b/crates/quota/src/shard.rs
@@ -1,17 +1,17 @@
-//! What an owner keeps of a customer's quota: one part of its token bucket and of its hard limit, and permits under its limit
-//! on attempts in flight.
+//! An owner's shard of a customer's quota: a part of the token bucket, of the hard limit and of the limit on attempts
+//! in flight.
 //!
-//! A shard never grants more than its token bucket holds. Each grant takes its units before the answer leaves, a request
-//! that is repeated under its serial number takes none, and an answer that is lost or late gives nothing back: a granted
-//! unit that is never used is lost to the customer, and not added to the quota. So the shards of a quota together grant at
-//! most `burst + rate * t` units in `t` seconds, whatever messages are lost, late or duplicated. Beyond that goes only what
-//! an owner grants that has lost its state (see [`InitialTokens`]), and what a standby grants while an owner that is alive
-//! cannot be reached.
+//! A shard never grants more than its token bucket holds. Each grant takes its units before the answer is sent, a retry
+//! with the same serial number takes none, and a lost or late answer returns none: a granted unit that is never used is
+//! lost to the customer and not returned to the quota. The shards of a quota together therefore grant at most `burst +
+//! rate * t` units in `t` seconds, whichever messages are lost, late or duplicated. There are two exceptions: grants of
+//! an owner that has lost its state (see [`InitialTokens`]), and grants of a standby while a running owner is
+//! unreachable.
 //!
-//! Inputs are requests in quota units, [`ShardLimits`] in units a second and units, and times in µs.
+//! Amounts are in quota units, rates in units per second and times in µs.
 //!
-//! - `grants`: the decision on a grant request.
-//! - `leasing`: leases that the shard issues, and the one that it holds of its standby.
+//! - `grants`: decides on grant requests.
+//! - `leasing`: leases that the shard issues, and the lease that the owner holds from its standby.
 
 mod grants;
 mod leasing;
@@ -23,9 +23,9 @@
 use grants::RequestRecord;
 use serde::{Deserialize, Serialize};
 
-/// One shard of a customer's quota, at its owner.
+/// The state of one shard of a customer's quota at its owner.
 ///
-/// Its stored names are those that earlier builds read when a node is upgraded in place.
+/// The serialized field names stay as they are, so that earlier and later builds can read them in an in-place upgrade.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct QuotaShard {
@@ -37,37 +37,38 @@
     filled_at: Micros,
     #[serde(rename = "used")]
     last_used_at: Micros,
-    /// Granted requests, until they can no longer be repeated.
+    /// Granted requests that can still be retried.
     #[serde(rename = "granted")]
     recent_grants: Vec<RequestRecord>,
-    /// Requests that hold a permit for an attempt, until it ends at the latest.
+    /// Requests that hold a permit for an attempt in flight, each with the time at which its permit expires.
     #[serde(rename = "places")]
     in_flight: Vec<RequestRecord>,
-    /// Units requested, as a moving sum over about a second.
+    /// Units requested, as an exponentially decaying sum over about a second.
     #[serde(rename = "asked")]
     requested_units: f64,
     #[serde(rename = "chance")]
     sampling_probability: f64,
-    /// When the shard last rejected a request for want of tokens, or was opened.
+    /// When the shard last rejected a request because of too few tokens, or was opened.
     #[serde(rename = "short_at")]
     last_shortage_at: Micros,
     #[serde(rename = "lender")]
     issued_leases: LeaseIssuer,
-    /// Leases on the hard limit that an earlier process of this node may have issued.
+    /// Leases on the hard limit that the previous process of this node may have issued.
     #[serde(rename = "before")]
     predecessor_leases: LeaseIssuer,
-    /// The lease that this owner holds of its standby. The node's next process requests its own.
+    /// The lease that this owner holds from its standby. It is not stored: the node's next process requests its own.
     #[serde(skip)]
     borrowed_lease: Option<ActiveLease>,
-    /// When a lease was last requested of the standby.
+    /// When this owner last requested a lease from its standby.
     #[serde(skip)]
     lease_requested_at: Micros,
 }
 
 impl QuotaShard {
-    /// A shard as it starts, on a node that has been up for `uptime` µs.
+    /// Creates a shard on a node that has been up for `uptime` µs.
     ///
-    /// Its hard limit starts with what has come in during the uptime: what was granted before may have used all of it.
+    /// The bucket of its hard limit starts with the tokens that have accrued during the uptime, because grants before
+    /// that may have used all earlier ones.
     pub fn open(
         now: Micros,
         initial_tokens: InitialTokens,
@@ -85,17 +86,18 @@
         let Some(hard_limit) = limits.hard_limit else {
             return shard;
         };
-        // The node's last process may have leased a part of the hard limit that holders still use; filled by this process as
-        // well, that part would pass the limit. It counts as leased until the last such lease has ended.
+        // Holders may still use leases on the hard limit that the node's previous process issued. Refilling at the full
+        // rate would exceed the limit, so the leasable part counts as leased until the last of these leases has
+        // expired.
         let started_at = now.saturating_sub(uptime);
         shard
             .predecessor_leases
-            .reserve_unknown(hard_limit, started_at.saturating_add(LEASE_DURATION));
+            .reserve_predecessor_leases(hard_limit, started_at.saturating_add(LEASE_DURATION));
         shard.fill_hard_limit(started_at, now, limits);
         shard
     }
 
-    /// Fills the token buckets up to now, and drops the leases that have ended.
+    /// Refills the token buckets up to `now` and removes expired leases.
     pub fn fill(&mut self, now: Micros, limits: &ShardLimits) {
         let from = self.filled_at;
         let elapsed_s = seconds_between(from, now);
@@ -120,7 +122,7 @@
         let predecessor = self
             .predecessor_leases
             .issued_between(from, now, LeaseScope::HardLimit);
-        // Leases that holders report are among those that the earlier process may have issued.
+        // Leases that holders report are already included in those that the previous process may have issued.
         let accrued = issued.accrued.max(predecessor.accrued);
         let capacity = issued.capacity.max(predecessor.capacity);
         let elapsed_s = seconds_between(from, now);
@@ -128,15 +130,15 @@
             .min(hard_limit.capacity - capacity);
     }
 
-    /// The state of the shard, as a granted response that takes nothing.
+    /// Returns the shard's state as a granted response that takes no units.
     pub fn status(&mut self, now: Micros, limits: &ShardLimits) -> GrantResponse {
         self.fill(now, limits);
         self.last_used_at = now;
         self.respond(GrantDecision::Granted, 0.0, limits)
     }
 
-    /// Whether the shard can be dropped without a gain or loss of tokens: it has not been used for so many µs, is full, and
-    /// has no lease issued and no permit in use.
+    /// Returns whether the shard can be removed without a change in the available tokens: it has been unused for
+    /// `unused_for` µs, its buckets are full, and it has no active lease and no permit in use.
     pub fn is_idle(&mut self, now: Micros, limits: &ShardLimits, unused_for: Micros) -> bool {
         if now.saturating_sub(self.last_used_at) < unused_for {
             return false;
@@ -150,7 +152,7 @@
         is_full && self.issued_leases.is_empty() && is_hard_limit_full && self.in_flight.is_empty()
     }
 
-    /// Units that the shard holds.
+    /// Returns the quota tokens as of the last refill, units. They don't include the hard limit.
     pub fn tokens(&self) -> f64 {
         self.tokens
     }
--- a/crates/quota/src/shard/grants.rs
+++ b/crates/quota/src/shard/grants.rs
@@ -1,8 +1,9 @@
-//! The decision on a grant request: granted if the quota, the hard limit and the permits in flight all allow it.
+//! Decides on grant requests: a request is granted if the quota, the hard limit and the limit on attempts in flight
+//! allow it.
 //!
-//! Inputs are a request in quota units, the shard's limits and times in µs. A rejection comes with the µs after which the
-//! missing tokens will have come in, or a permit is likely to be released; and with the fraction of the customer's requests
-//! for which nodes should ask, so that an owner receives about twice as many requests as it can grant.
+//! Amounts are in quota units and times in µs. A rejection contains the time after which the missing tokens will have
+//! accrued or a permit is likely to be released. Every response contains the fraction of the customer's requests for
+//! which nodes should send a grant request, so that an owner receives about twice as many requests as it can grant.
 
 use super::QuotaShard;
 use crate::grant::{GrantDecision, GrantRequest, GrantResponse, GRANT_LIFETIME};
@@ -10,25 +11,25 @@
 use crate::{seconds_between, Micros, MICROS_PER_SECOND};
 use serde::{Deserialize, Serialize};
 
-/// Requests that an owner wants to receive, as a multiple of those that it can grant.
+/// Target for the requests that an owner receives, as a multiple of those that it can grant.
 const TARGET_REQUEST_RATIO: f64 = 2.0;
-/// Fewest units requested, in about a second, at which an owner reduces the sampling probability.
+/// Minimum of the units requested, in about a second, above which an owner reduces the sampling probability.
 const MIN_TARGET_UNITS: f64 = 1.0;
-/// Factor on the sampling probability for each request beyond the target.
+/// Factor applied to the sampling probability for each request above the target.
 const SAMPLING_DECREASE: f64 = 0.97;
-/// Growth of the sampling probability, a second, while requests are within the target.
+/// Increase of the sampling probability per second while requests are within the target.
 const SAMPLING_INCREASE_PER_S: f64 = 0.5;
-/// Longest `retry_after`, µs: units that come back sooner than expected would lie idle for so long.
+/// Maximum `retry_after`, µs. Tokens that become available earlier than expected stay unused for up to this time.
 const MAX_RETRY_AFTER: f64 = 2e6;
-/// How many times the usual duration of an attempt its permit lasts if nobody reports the attempt's end. Too long, a permit
-/// whose release was lost stays in use; too short, it is given out again while a slow attempt still runs.
+/// Lifetime of a permit as a multiple of the usual latency. With a longer one, a permit whose release message was lost
+/// blocks other attempts; with a shorter one, a permit is reused while a slow attempt is still running.
 const PERMIT_LIFETIME_RATIO: u64 = 3;
-/// A permit comes back at some time within the usual interval between two releases: half of it in the mean.
+/// Expected wait for the next release as a fraction of the usual interval between two releases: half of it on average.
 const EXPECTED_RELEASE_FRACTION: f64 = 0.5;
-/// Most grants that are remembered; bounds memory. With so many, nothing more is granted until some expire.
+/// Maximum number of recorded grants; bounds memory. At the limit, no request is granted until some of them expire.
 const MAX_RECENT_GRANTS: usize = 4_096;
 
-/// A request that was granted or has a permit, until a time. It is stored as `[requester, serial, expires_at]`.
+/// A request that was granted or holds a permit, until it expires. Serialized as `[requester, serial, expires_at]`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(u32, u16, Micros)", into = "(u32, u16, Micros)")]
 pub(super) struct RequestRecord {
@@ -38,7 +39,7 @@
 }
 
 impl RequestRecord {
-    fn is_of(&self, requester: u32, serial: u16) -> bool {
+    fn matches(&self, requester: u32, serial: u16) -> bool {
         self.requester == requester && self.serial == serial
     }
 }
@@ -59,7 +60,7 @@
     }
 }
 
-/// Which token buckets hold too little for a request.
+/// The token buckets that have too few tokens for a request.
 #[derive(Clone, Copy)]
 struct Shortage {
     quota: bool,
@@ -73,11 +74,11 @@
 }
 
 impl QuotaShard {
-    /// Decides on a request, and takes its units if it is granted. A request that is repeated within [`GRANT_LIFETIME`] is
-    /// granted again and takes nothing.
+    /// Decides on a request and takes its units if it is granted. A retry of a granted request within
+    /// [`GRANT_LIFETIME`] is granted again and takes no units.
     ///
-    /// `usual_latency` is how long an attempt usually takes, µs: the permit of an attempt whose end nobody reports is free
-    /// again after a multiple of it.
+    /// `usual_latency` is the usual duration of an attempt, µs. A permit that is not released expires after a multiple
+    /// of it.
     pub fn decide_grant(
         &mut self,
         now: Micros,
@@ -88,7 +89,7 @@
         let elapsed_s = seconds_between(self.filled_at, now);
         self.fill(now, limits);
         self.last_used_at = now;
-        if self.is_repeated(now, &request) {
+        if self.is_retry(now, &request) {
             return self.respond(GrantDecision::Granted, 0.0, limits);
         }
         self.requested_units = self.requested_units * (-elapsed_s).exp() + request.units;
@@ -99,7 +100,8 @@
             self.last_shortage_at = now;
             return self.reject_shortage(now, shortage, request.units, limits);
         }
-        // Too many recent grants to remember are treated like too many in flight: the requester retries a little later.
+        // A full table of recent grants is treated like too many attempts in flight: the requester retries a little
+        // later.
         if !self.has_free_permit(limits) || self.recent_grants.len() >= MAX_RECENT_GRANTS {
             return self.reject_in_flight(usual_latency, limits);
         }
@@ -107,16 +109,16 @@
         self.respond(GrantDecision::Granted, 0.0, limits)
     }
 
-    /// Whether the request was granted before. Its answer was lost or is late; without this check the repetition would take
-    /// its units a second time.
-    fn is_repeated(&mut self, now: Micros, request: &GrantRequest) -> bool {
+    /// Returns whether the request is a retry of a granted one, whose answer was lost or is late. Without this check a
+    /// retry would take its units a second time.
+    fn is_retry(&mut self, now: Micros, request: &GrantRequest) -> bool {
         self.recent_grants.retain(|grant| grant.expires_at > now);
         self.recent_grants
             .iter()
-            .any(|grant| grant.is_of(request.requester, request.serial))
+            .any(|grant| grant.matches(request.requester, request.serial))
     }
 
-    /// What is short for so many units, after units leased from the standby have been added if they help.
+    /// Returns the shortage for `units`. If there is one, units of the lease from the standby are added first.
     fn shortage_after_borrowing(
         &mut self,
         now: Micros,
@@ -124,15 +126,15 @@
         limits: &ShardLimits,
     ) -> Shortage {
         let shortage = self.shortage(units, limits);
-        let borrows = shortage.is_any()
+        let has_borrowed = shortage.is_any()
             && self
                 .borrowed_lease
                 .as_mut()
                 .is_some_and(|lease| lease.take(now, units));
-        if !borrows {
+        if !has_borrowed {
             return shortage;
         }
-        // A unit leased from the standby is of its quota and of its hard limit.
+        // A unit leased from the standby counts towards both the quota and the hard limit.
         self.tokens += units;
         self.hard_limit_tokens += units;
         self.shortage(units, limits)
@@ -145,8 +147,8 @@
         }
     }
 
-    /// Adapts the fraction of the customer's requests for which nodes ask. A customer far over its quota would otherwise
-    /// flood its owners with requests that are rejected; so only a sample of them reaches an owner.
+    /// Adapts the fraction of the customer's requests for which nodes send grant requests. Without sampling, a customer
+    /// far above its quota would overload its owners with requests that they reject.
     fn update_sampling_probability(
         &mut self,
         shortage: Shortage,
@@ -162,7 +164,7 @@
         };
     }
 
-    /// Rejects a request for want of tokens, with the time after which they will have come in.
+    /// Rejects a request because of too few tokens, with the time after which enough will have accrued.
     fn reject_shortage(
         &self,
         now: Micros,
@@ -181,7 +183,7 @@
         self.respond(GrantDecision::OverHardLimit, wait_s, limits)
     }
 
-    /// Rejects a request for want of a permit, with the time after which one is likely to be released.
+    /// Rejects a request because no permit is free, with the time after which one is likely to be released.
     fn reject_in_flight(&self, usual_latency: Micros, limits: &ShardLimits) -> GrantResponse {
         let latency_s = usual_latency as f64 / MICROS_PER_SECOND;
         let release_interval_s = latency_s / self.in_flight.len().max(1) as f64;
@@ -216,7 +218,7 @@
         }
     }
 
-    /// A response with a decision and the seconds after which a request may be granted.
+    /// Builds a response; `wait_s` is the number of seconds after which a request may be granted.
     pub(super) fn respond(
         &self,
         decision: GrantDecision,
@@ -233,13 +235,13 @@
         }
     }
 
-    /// The attempt of a granted request has ended: its permit is free.
+    /// Releases the permit of a granted request whose attempt has ended.
     pub fn release(&mut self, requester: u32, serial: u16) {
         self.in_flight
-            .retain(|permit| !permit.is_of(requester, serial));
+            .retain(|permit| !permit.matches(requester, serial));
     }
 
-    /// Frees the permits whose release is overdue.
+    /// Releases the permits that were not released within their lifetime.
     pub(super) fn remove_expired_permits(&mut self, now: Micros) {
         self.in_flight.retain(|permit| permit.expires_at > now);
     }
--- a/crates/quota/src/shard/leasing.rs
+++ b/crates/quota/src/shard/leasing.rs
@@ -1,7 +1,8 @@
-//! Leases of a shard: those that it issues to requesters, and the one that an owner holds of its standby.
+//! Leases of a shard: those that it issues to requesters, and the lease that an owner holds from its standby.
 //!
-//! In partition-safe mode owner and standby each have a part of the quota. While they reach each other, the owner leases the
-//! standby's part; cut off from each other, each grants its own and together they stay within the quota.
+//! In partition-safe mode, owner and standby each have a part of the quota. While they can reach each other, the owner
+//! leases the standby's part. During a partition each grants only its own part, so that together they stay within the
+//! quota.
 
 use super::QuotaShard;
 use crate::grant::GrantRequest;
@@ -12,22 +13,22 @@
 use crate::limits::ShardLimits;
 use crate::Micros;
 
-/// How long a shard must have rejected no request for want of tokens before it issues leases, µs. A customer that wants all
-/// of its quota would otherwise leave rate idle at nodes that its requests no longer reach.
+/// Time without a rejection because of too few tokens after which a shard issues leases, µs. Otherwise a customer that
+/// uses its whole quota would lose the rate that is leased to nodes its requests no longer reach.
 const UNCONTENDED_AFTER: Micros = 10_000_000;
-/// Shortest interval between two lease requests to the standby, which are not repeated, µs.
+/// Minimum interval between two lease requests to the standby, µs. A lost request is not retried earlier.
 const LEASE_REQUEST_INTERVAL: Micros = 400_000;
-/// Demand of an owner to its standby, units a second: more than can be leased, so that it is given all of that.
+/// Demand of an owner to its standby, units per second: more than can be leased, so that the standby leases all it can.
 const OWNER_DEMAND_RATE: f64 = u8::MAX as f64;
-/// An owner has one standby, so all leases that it holds are of the same issuer.
+/// Issuer number for leases from the standby. An owner has only one standby, so a constant suffices.
 const STANDBY: u32 = 0;
 
 impl QuotaShard {
-    /// Issues a lease to a node whose grant request was just decided, and records the lease that the node still holds.
-    /// `request_units` are the units of one customer request.
+    /// Issues a lease to a node whose grant request was just decided, and records the lease that the node reports to
+    /// hold. `request_units` are the units of one customer request.
     ///
-    /// Where attempts in flight are limited, nodes are given leases on the hard limit alone: the permits are the owner's to
-    /// give, and leases are for nodes that cannot reach it.
+    /// If attempts in flight are limited, nodes get leases on the hard limit only: only the owner can grant permits,
+    /// and such leases are for nodes that cannot reach it.
     pub fn issue_lease(
         &mut self,
         now: Micros,
@@ -36,7 +37,7 @@
         limits: &ShardLimits,
         request_units: f64,
     ) -> Option<Lease> {
-        // Only the shard's owner requests no units, and it has the permits.
+        // Only the shard's owner sends requests for zero units. It grants the permits itself.
         let from_owner = request.units <= 0.0;
         let scope = if limits.max_in_flight.is_none() || from_owner {
             LeaseScope::Quota
@@ -64,7 +65,8 @@
         }
     }
 
-    /// What the shard may lease: the smaller of what its quota and its hard limit allow; `None` if neither is limited.
+    /// Returns the amounts that the shard may lease: the minimum of what its quota and its hard limit allow; `None` if
+    /// the customer has neither.
     fn lease_budget(
         &self,
         limits: &ShardLimits,
@@ -93,13 +95,13 @@
         }
     }
 
-    /// Whether the shard has rejected no request for want of tokens for a while, so that no other node waits for the rate
-    /// of a lease.
+    /// Returns whether the shard has recently rejected no request because of too few tokens, so that a lease takes no
+    /// rate that other nodes need.
     pub fn is_uncontended(&self, now: Micros) -> bool {
         now >= self.last_shortage_at.saturating_add(UNCONTENDED_AFTER)
     }
 
-    /// What this owner requests of its standby: all that it can lease.
+    /// Returns this owner's demand to its standby: everything that the standby can lease.
     pub fn lease_demand(&self, now: Micros) -> LeaseDemand {
         LeaseDemand {
             rate: OWNER_DEMAND_RATE,
@@ -107,7 +109,7 @@
         }
     }
 
-    /// Whether this owner should request a lease of its standby now; if so, it counts as requested.
+    /// Returns whether this owner should request a lease from its standby now. If so, the request is recorded as sent.
     pub fn should_request_lease(&mut self, now: Micros) -> bool {
         let needs_lease = self
             .borrowed_lease
@@ -122,7 +124,7 @@
         should_request
     }
 
-    /// The standby has issued this lease, requested at that time.
+    /// Stores a lease that the standby issued in response to a request sent at `requested_at`.
     pub fn on_lease_received(&mut self, now: Micros, requested_at: Micros, lease: Lease) {
         let lease = ActiveLease::renewed(self.borrowed_lease, now, requested_at, STANDBY, lease);
         self.borrowed_lease = Some(lease);
--- a/crates/quota/tests/exhaustive.rs
+++ b/crates/quota/tests/exhaustive.rs
@@ -1,40 +1,40 @@
-//! Explores every interleaving of a small system: two requesting nodes, two owners with few units, a network that loses,
-//! duplicates and reorders messages, and an owner that is killed and restarts at once.
+//! Exhaustive state exploration of a small system: two requesting nodes, two owners with few units, a network that
+//! loses, duplicates and reorders messages, and an owner that is killed and restarts immediately.
 //!
-//! In every state the admitted requests stay within what the owners' shards held. Each planted fault must be found, so the
-//! checks can fail.
+//! In every state, the number of admitted requests must not exceed the units that the owners' shards held. The
+//! exploration must also detect each injected fault, which shows that its checks can fail.
 
 use saffronpaddle_quota::{GrantDecision, GrantRequest, InitialTokens, QuotaShard, ShardLimits};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// No time passes: no tokens come in, and no serial number is forgotten.
+/// No time passes in the model, so no tokens accrue and no recorded serial number expires.
 const LIMITS: ShardLimits = ShardLimits {
     rate: 1e-9,
     capacity: 2.0,
     max_in_flight: None,
     hard_limit: None,
 };
-/// How often a grant request is sent to one owner.
-const MAX_SENDS: u8 = 2;
-/// Bounds the memory of the exploration.
+/// Maximum number of times that a grant request is sent to one owner.
+const MAX_SENDS_PER_OWNER: u8 = 2;
+/// Maximum number of visited states; bounds memory.
 const MAX_STATES: usize = 2_000_000;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
-    /// An owner that restarts starts full.
+    /// An owner that restarts starts with full capacity.
     RestartsFull,
-    /// A grant request is repeated under a new serial number.
+    /// A grant request is retried with a new serial number.
     NewSerialOnRetry,
-    /// An owner that doesn't answer counts as one that granted.
+    /// A grant request that times out counts as granted.
     TimeoutGrants,
 }
 
-/// State of one customer request. The requester's node has the same number as the request.
+/// State of one customer request. The requesting node has the same number as the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum RequestState {
-    /// Waits for an owner's answer.
-    Asking {
+    /// Waiting for an owner's answer.
+    Pending {
         owner: u8,
         sends: u8,
         serial: u16,
@@ -57,29 +57,29 @@
     },
 }
 
-/// Faults of the network and of owners that may still happen.
+/// Number of network and owner failures that may still occur in a run.
 #[derive(Clone, Debug)]
-struct Allowance {
+struct RemainingFailures {
     duplicates: u8,
     restarts: u8,
 }
 
 #[derive(Clone, Debug)]
-struct World {
+struct SystemState {
     requests: Vec<RequestState>,
     owners: [QuotaShard; 2],
-    /// Messages under way. A lost message is one that is never taken out.
+    /// Messages in transit. A lost message is one that is never delivered.
     in_transit: BTreeSet<Message>,
-    allowance: Allowance,
-    /// Units with which the owners started.
+    remaining_failures: RemainingFailures,
+    /// Sum of the owners' initial units.
     total_units: usize,
     restarts: u8,
-    /// Grants that took units, by request and owner.
+    /// Number of grants that took units, by request and owner.
     debits: BTreeMap<(u8, u8), u8>,
 }
 
-impl World {
-    fn new(units: [u8; 2]) -> World {
+impl SystemState {
+    fn new(units: [u8; 2]) -> SystemState {
         let shard = |units: u8| {
             let initial_tokens = InitialTokens::AccruedSince {
                 units: f64::from(units),
@@ -87,12 +87,12 @@
             };
             QuotaShard::open(0, initial_tokens, 0, &LIMITS)
         };
-        let mut world = World {
+        let mut system = SystemState {
             requests: Vec::new(),
             owners: units.map(shard),
             total_units: usize::from(units[0] + units[1]),
             in_transit: BTreeSet::new(),
-            allowance: Allowance {
+            remaining_failures: RemainingFailures {
                 duplicates: 1,
                 restarts: 1,
             },
@@ -101,18 +101,18 @@
         };
         for request in 0..2 {
             let (owner, serial) = (first_owner(request), serial_number(request, 0));
-            world.requests.push(RequestState::Asking {
+            system.requests.push(RequestState::Pending {
                 owner,
                 sends: 1,
                 serial,
             });
-            world.in_transit.insert(Message::GrantRequest {
+            system.in_transit.insert(Message::GrantRequest {
                 request,
                 owner,
                 serial,
             });
         }
-        world
+        system
     }
 
     fn deliver(&mut self, message: Message) {
@@ -150,7 +150,7 @@
     }
 
     fn on_grant_response(&mut self, request: u8, serial: u16, granted: bool) {
-        let RequestState::Asking {
+        let RequestState::Pending {
             owner,
             serial: open_serial,
             ..
@@ -168,7 +168,7 @@
         }
     }
 
-    /// An owner has rejected the request or not answered: the other is asked, if it was not before.
+    /// Asks the other owner after a rejection or a timeout, or rejects the request if both were asked.
     fn ask_next_owner(&mut self, request: u8, owner: u8) {
         self.requests[usize::from(request)] = if owner == first_owner(request) {
             let serial = serial_number(request, 2);
@@ -177,7 +177,7 @@
                 owner: 1 - owner,
                 serial,
             });
-            RequestState::Asking {
+            RequestState::Pending {
                 owner: 1 - owner,
                 sends: 1,
                 serial,
@@ -188,7 +188,7 @@
     }
 
     fn on_timeout(&mut self, request: u8, fault: Option<Fault>) {
-        let RequestState::Asking {
+        let RequestState::Pending {
             owner,
             sends,
             serial,
@@ -196,13 +196,13 @@
         else {
             return;
         };
-        if sends < MAX_SENDS {
+        if sends < MAX_SENDS_PER_OWNER {
             let serial = if fault == Some(Fault::NewSerialOnRetry) {
                 serial + 1
             } else {
                 serial
             };
-            self.requests[usize::from(request)] = RequestState::Asking {
+            self.requests[usize::from(request)] = RequestState::Pending {
                 owner,
                 sends: sends + 1,
                 serial,
@@ -219,39 +219,39 @@
         }
     }
 
-    /// All states that can follow.
-    fn successors(&self, fault: Option<Fault>) -> Vec<World> {
+    /// Returns all states reachable in one step.
+    fn successors(&self, fault: Option<Fault>) -> Vec<SystemState> {
         let mut successors = Vec::new();
         for message in &self.in_transit {
-            let mut world = self.clone();
-            world.in_transit.remove(message);
-            world.deliver(*message);
-            if self.allowance.duplicates > 0 {
-                let mut duplicated = world.clone();
-                duplicated.allowance.duplicates -= 1;
+            let mut system = self.clone();
+            system.in_transit.remove(message);
+            system.deliver(*message);
+            if self.remaining_failures.duplicates > 0 {
+                let mut duplicated = system.clone();
+                duplicated.remaining_failures.duplicates -= 1;
                 duplicated.in_transit.insert(*message);
                 successors.push(duplicated);
             }
-            successors.push(world);
+            successors.push(system);
         }
         for request in 0..self.requests.len() as u8 {
             let state = self.requests[usize::from(request)];
-            if matches!(state, RequestState::Asking { .. }) {
-                let mut world = self.clone();
-                world.on_timeout(request, fault);
-                successors.push(world);
+            if matches!(state, RequestState::Pending { .. }) {
+                let mut system = self.clone();
+                system.on_timeout(request, fault);
+                successors.push(system);
             }
         }
-        if self.allowance.restarts > 0 {
-            let mut world = self.clone();
-            world.restart_owner(fault);
-            successors.push(world);
+        if self.remaining_failures.restarts > 0 {
+            let mut system = self.clone();
+            system.restart_owner(fault);
+            successors.push(system);
         }
         successors
     }
 
     fn restart_owner(&mut self, fault: Option<Fault>) {
-        self.allowance.restarts -= 1;
+        self.remaining_failures.restarts -= 1;
         self.restarts += 1;
         let initial_tokens = if fault == Some(Fault::RestartsFull) {
             InitialTokens::Full
@@ -264,7 +264,7 @@
         self.owners[0] = QuotaShard::open(0, initial_tokens, 0, &LIMITS);
     }
 
-    /// The rule that is broken in this state.
+    /// Returns a description of the invariant that this state violates, if any.
     fn violation(&self) -> Option<String> {
         let admitted = self
             .requests
@@ -282,12 +282,12 @@
     }
 }
 
-/// Each node asks a different owner first.
+/// Returns the owner that a node asks first, which differs between the two nodes.
 fn first_owner(request: u8) -> u8 {
     request % 2
 }
 
-/// Serial number of a request's grant request: its first owner has the first two, the other the rest.
+/// Returns a serial number for a request. Steps 0 and 1 are for the first owner, later ones for the other owner.
 fn serial_number(request: u8, step: u16) -> u16 {
     u16::from(request) * 10 + step
 }
@@ -297,26 +297,23 @@
     violation: Option<String>,
 }
 
-/// Visits all states until one breaks a rule.
+/// Visits all reachable states until one violates an invariant.
 fn explore(fault: Option<Fault>) -> Exploration {
     let mut seen = HashSet::new();
-    let mut pending = [[1, 0], [0, 1], [2, 0]].map(World::new).to_vec();
-    while let Some(world) = pending.pop() {
-        if let Some(violation) = world.violation() {
+    let mut pending = [[1, 0], [0, 1], [2, 0]].map(SystemState::new).to_vec();
+    while let Some(system) = pending.pop() {
+        if let Some(violation) = system.violation() {
             return Exploration {
                 states: seen.len(),
                 violation: Some(violation),
             };
         }
-        pending.extend(world.successors(fault).into_iter().filter(|world| {
+        pending.extend(system.successors(fault).into_iter().filter(|system| {
             let mut hasher = DefaultHasher::new();
-            format!("{world:?}").hash(&mut hasher);
+            format!("{system:?}").hash(&mut hasher);
             seen.insert(hasher.finish())
         }));
-        assert!(
-            seen.len() < MAX_STATES,
-            "the system is larger than it was meant to be"
-        );
+        assert!(seen.len() < MAX_STATES, "more than {MAX_STATES} states");
     }
     Exploration {
         states: seen.len(),
@@ -324,8 +321,9 @@
     }
 }
 
-/// Messages between two nodes and two owners are lost, duplicated and reordered, and an owner restarts without its state.
-/// Whatever the order, no more requests are admitted than the owners had units, and none is charged twice at one owner.
+/// Messages between two nodes and two owners are lost, duplicated and reordered, and an owner restarts without its
+/// state. In any order, at most as many requests are admitted as the owners had units, and none takes its units twice
+/// at one owner.
 #[test]
 fn no_interleaving_of_two_nodes_and_two_owners_exceeds_the_quota() {
     let exploration = explore(None);
@@ -333,16 +331,19 @@
     assert!(exploration.states > 10_000, "{} states", exploration.states);
 }
 
-/// A restarted owner that starts full, a retry under a new serial number and a timeout that counts as a grant each let a
-/// customer exceed its quota. The exploration must find each of them.
+/// A restarted owner that starts full, a retry with a new serial number and a timeout that counts as a grant each let a
+/// customer exceed its quota. The exploration must detect each of them.
 #[test]
-fn planted_faults_are_found() {
+fn injected_faults_are_detected() {
     let faults = [
         Fault::RestartsFull,
         Fault::NewSerialOnRetry,
         Fault::TimeoutGrants,
     ];
     for fault in faults {
-        assert!(explore(Some(fault)).violation.is_some(), "{fault:?}");
+        assert!(
+            explore(Some(fault)).violation.is_some(),
+            "{fault:?} is not detected"
+        );
     }
 }
--- a/crates/quota/tests/lease.rs
+++ b/crates/quota/tests/lease.rs
@@ -1,5 +1,5 @@
-//! Leases: whichever messages are lost, late, duplicated or reordered, whoever restarts and however clocks drift apart, the
-//! admitted requests stay within one token bucket of the whole quota.
+//! Tests of leases: the admitted requests stay within a single token bucket of the whole quota while messages are lost,
+//! late, duplicated or reordered, owners restart and clocks drift.
 
 use proptest::prelude::*;
 use proptest::test_runner::FileFailurePersistence;
@@ -12,18 +12,18 @@
 const MS: Micros = 1_000;
 const S: Micros = 1_000_000;
 const USUAL_LATENCY: Micros = 150_000;
-/// When each run starts: the owner's node has been up for so long.
+/// Start time of each run, and the uptime of the owner's node at that time.
 const START: Micros = 60 * S;
 const NODES: usize = 3;
-/// The node that is cut off in the middle of a busy schedule.
-const CUT_OFF_NODE: u32 = 0;
-/// A limit that no run reaches.
+/// The node that is partitioned in the middle of a busy schedule.
+const PARTITIONED_NODE: u32 = 0;
+/// A hard limit that no run reaches.
 const UNLIMITED: HardLimit = HardLimit {
     rate: 1e9,
     capacity: 1e9,
 };
 
-/// One token bucket of the whole quota. Its tokens go below zero if more is admitted than it holds.
+/// A token bucket of the whole quota. Its tokens become negative if more is admitted than it holds.
 struct ReferenceBucket {
     limit: HardLimit,
     tokens: f64,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Takes a unit; the tokens that are left.
+    /// Takes one unit. Returns the remaining tokens, which may be negative.
     fn admit(&mut self, now: Micros) -> f64 {
         let elapsed_s = now.saturating_sub(self.filled_at) as f64 / 1e6;
         let filled = self.tokens + self.limit.rate * elapsed_s;
@@ -49,21 +49,21 @@
     }
 }
 
-/// A fault that a run may have planted.
+/// A fault that a run may inject.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
-    /// The issuer goes on filling at its whole rate.
+    /// The issuer continues to refill at its full rate.
     IssuerKeepsRate,
-    /// A holder's lease doesn't end.
+    /// A holder's lease does not expire in time.
     LeaseNeverEnds,
     /// An owner that restarts ignores leases on the hard limit that it issued before.
     ForgetsHardLimitLeases,
 }
 
-/// A request, and what happens to the messages for it.
+/// A customer request, and the failures that affect its messages.
 #[derive(Clone, Debug)]
 struct Step {
-    /// Time since the step before, µs.
+    /// Time since the previous step, µs.
     delay: Micros,
     node: u32,
     request_lost: bool,
@@ -97,24 +97,24 @@
         )
 }
 
-/// What a run shows.
+/// The measurements of a run.
 struct Outcome {
-    /// Fewest tokens of a bucket of the whole quota.
+    /// Minimum tokens of the reference bucket of the whole quota.
     lowest_quota: f64,
-    /// Fewest tokens of a bucket of the whole hard limit.
+    /// Minimum tokens of the reference bucket of the whole hard limit.
     lowest_hard_limit: f64,
-    /// Requests that were admitted by a lease.
+    /// Number of requests admitted by a lease.
     admitted_by_lease: u32,
 }
 
-/// A lease on its way to a node.
+/// A message that carries a lease to a node.
 struct LeaseInTransit {
     node: u32,
     requested_at: Micros,
     lease: Lease,
 }
 
-/// Time of a node's clock. Clocks of requesters run slow, which is the worst for an issuer.
+/// Returns the time of a node's clock. Requesters' clocks run slow, which is the worst case for an issuer.
 fn local_time(now: Micros, node: u32) -> Micros {
     match node {
         0 => now,
@@ -122,14 +122,14 @@
     }
 }
 
-/// An owner, and nodes whose clocks drift apart by as much as is allowed.
+/// An owner, and nodes whose clocks drift within the tolerated difference.
 struct Run<'a> {
     limits: &'a ShardLimits,
     fault: Option<Fault>,
     now: Micros,
     shard: QuotaShard,
     caches: [RejectionCache; NODES],
-    /// By the time of arrival and a number of the message.
+    /// Messages in transit by arrival time and message number.
     in_transit: BTreeMap<(Micros, u32), LeaseInTransit>,
     last_serial: u16,
     admitted_by_lease: u32,
@@ -166,24 +166,25 @@
         self.shard = QuotaShard::open(self.now, initial_tokens, uptime, self.limits);
     }
 
-    /// Whether the request of a step is admitted.
+    /// Processes the request of a step. Returns whether it is admitted.
     fn is_admitted(&mut self, step: &Step) -> bool {
         if self.take_from_lease(step.node, false) {
             return true;
         }
         let is_granted = !step.request_lost && self.ask_owner(step);
-        // While the owner doesn't answer, the lease is used to its end.
+        // While the owner does not answer, the lease is used until it expires.
         is_granted || (step.response_lost && self.take_from_lease(step.node, true))
     }
 
-    fn take_from_lease(&mut self, node: u32, in_renewal_window: bool) -> bool {
+    fn take_from_lease(&mut self, node: u32, even_if_renewal_due: bool) -> bool {
         let local_now = local_time(self.now, node);
-        let takes = self.caches[node as usize].take_from_lease(local_now, 1.0, in_renewal_window);
-        self.admitted_by_lease += u32::from(takes);
-        takes
+        let has_taken =
+            self.caches[node as usize].take_from_lease(local_now, 1.0, even_if_renewal_due);
+        self.admitted_by_lease += u32::from(has_taken);
+        has_taken
     }
 
-    /// Sends a grant request, twice if the step says so. Whether a grant comes back.
+    /// Sends a grant request, twice if the step duplicates it. Returns whether the node receives a grant.
     fn ask_owner(&mut self, step: &Step) -> bool {
         let local_now = local_time(self.now, step.node);
         self.last_serial += 1;
@@ -239,7 +240,7 @@
     }
 }
 
-/// Runs a schedule. The owner restarts where the schedule says so, if `restarts` is set.
+/// Runs a schedule. The owner restarts at the scheduled steps if `restarts` is set.
 fn run(limits: &ShardLimits, schedule: &[Step], restarts: bool, fault: Option<Fault>) -> Outcome {
     let quota = HardLimit {
         rate: limits.rate,
@@ -292,8 +293,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Grant requests and leases are lost, late and duplicated. What leases and grants admit together stays within one
-    /// token bucket of the quota.
+    /// Grant requests and leases are lost, late and duplicated. The requests admitted by leases and grants together
+    /// stay within a single token bucket of the quota.
     #[test]
     fn leases_and_grants_together_stay_within_the_quota(
         rate in 0.5..10.0f64, capacity in 3.0..30.0f64, schedule in prop::collection::vec(step(), 50..300),
@@ -302,8 +303,8 @@
         prop_assert!(lowest > -1e-6, "{lowest}");
     }
 
-    /// The owner restarts again and again while nodes hold leases that it no longer knows. The quota may be passed by what
-    /// was leased; the hard limit is not.
+    /// The owner restarts repeatedly while nodes hold leases that it no longer knows. The quota may be exceeded by the
+    /// leased units; the hard limit must not be exceeded.
     #[test]
     fn a_hard_limit_holds_through_restarts_of_its_owner(
         rate in 2.0..10.0f64, capacity in 4.0..30.0f64, schedule in prop::collection::vec(step(), 50..300),
@@ -314,17 +315,17 @@
     }
 }
 
-/// The schedule of a busy customer with all faults; one node is cut off in the middle of it.
+/// Returns the schedule of a busy customer with all kinds of failures; one node is partitioned in the middle of it.
 fn busy_schedule(seed: u64) -> Vec<Step> {
     let mut random = fastrand::Rng::with_seed(seed);
     let mut step = |number: usize| {
         let node = random.u32(0..NODES as u32);
-        let is_cut_off = node == CUT_OFF_NODE && (300..600).contains(&number);
+        let is_partitioned = node == PARTITIONED_NODE && (300..600).contains(&number);
         Step {
             delay: random.u64(0..120 * MS),
             node,
-            request_lost: is_cut_off,
-            response_lost: is_cut_off || random.f64() < 0.2,
+            request_lost: is_partitioned,
+            response_lost: is_partitioned || random.f64() < 0.2,
             response_delay: if random.f64() < 0.2 {
                 random.u64(0..3 * S)
             } else {
@@ -337,10 +338,11 @@
     (0..900).map(&mut step).collect()
 }
 
-/// An issuer that fills at its whole rate, a lease without an end and an owner that forgets leases on its hard limit each let
-/// a customer pass its limits. The same schedules must show each of them, and nothing without a fault.
+/// An issuer that refills at its full rate, a lease that does not expire and an owner that forgets leases on its hard
+/// limit each let a customer exceed its limits. The same schedules must detect each of them, and no violation without a
+/// fault.
 #[test]
-fn planted_faults_pass_the_quota_or_the_hard_limit() {
+fn injected_faults_exceed_the_quota_or_the_hard_limit() {
     const SEEDS: std::ops::Range<u64> = 0..40;
     let quota_limits = limits(4.0, 4.0, None);
     let hard_limit = HardLimit {
@@ -359,14 +361,14 @@
     }
     assert!(
         admitted_by_lease > 500,
-        "leases are used: {admitted_by_lease}"
+        "too few requests admitted by leases: {admitted_by_lease}"
     );
     for fault in [Fault::IssuerKeepsRate, Fault::LeaseNeverEnds] {
         let lowest = SEEDS
             .map(|seed| run(&quota_limits, &busy_schedule(seed), false, Some(fault)).lowest_quota)
             .fold(f64::MAX, f64::min);
         println!("{fault:?}: {lowest:.1} units");
-        assert!(lowest < -0.5, "{fault:?} is not found: {lowest}");
+        assert!(lowest < -0.5, "{fault:?} is not detected: {lowest}");
     }
     let fault = Some(Fault::ForgetsHardLimitLeases);
     assert!(SEEDS
@@ -374,13 +376,13 @@
         .any(|outcome| outcome.lowest_hard_limit < -0.5));
 }
 
-/// An owner and its standby have a part of the quota each, and lose contact for a while. While they reach each other, the
-/// owner leases the standby's part; cut off from each other, both together stay within the quota.
+/// An owner and its standby each have a part of the quota and are partitioned for some time. While they can reach each
+/// other, the owner leases the standby's part; during the partition, both together stay within the quota.
 #[test]
-fn an_owner_has_the_whole_quota_while_it_reaches_its_standby_and_its_part_otherwise() {
+fn an_owner_uses_the_whole_quota_unless_it_is_partitioned_from_its_standby() {
     const TICK: Micros = 50 * MS;
     const TICKS_PER_PHASE: u64 = 300;
-    /// The phase in which the two are cut off from each other; there is one before and one after.
+    /// Index of the phase in which the two are partitioned, between one phase before and one after it.
     const PARTITION: usize = 1;
     let (owner_limits, standby_limits) = (limits(3.0, 6.0, None), limits(1.0, 2.0, None));
     let mut owner = QuotaShard::open(START, InitialTokens::Full, START, &owner_limits);
@@ -421,29 +423,29 @@
             granted_by_standby += u32::from(granted);
         }
     }
-    // Each phase lasts 15 s, at 3 units a second of the owner's and up to 0.75 leased.
+    // Each phase lasts 15 s, with 3 units per second of the owner's own rate and up to 0.75 leased.
     assert!(
         (50..=64).contains(&granted_by_owner[0]),
         "{granted_by_owner:?}"
     );
     assert!(
         granted_by_owner[1] + granted_by_standby <= 62,
-        "both together are within the quota: {granted_by_owner:?} {granted_by_standby}"
+        "owner and standby together exceed the quota: {granted_by_owner:?} {granted_by_standby}"
     );
     assert!(
         granted_by_standby >= 5,
-        "the standby has a part: {granted_by_standby}"
+        "the standby grants too little of its part: {granted_by_standby}"
     );
     assert!(
         granted_by_owner[2] >= 48,
-        "the part is leased again: {granted_by_owner:?}"
+        "the owner does not lease the standby's part again: {granted_by_owner:?}"
     );
 }
 
-/// The answer that brings a lease is late, and the holder's clock runs slow by as much as is allowed. The lease must end
-/// before the issuer counts its units as its own again; an answer that is later than that brings nothing.
+/// The answer with a lease is late, and the holder's clock is slow by the tolerated maximum. The lease must expire
+/// before the issuer reclaims its units; a lease received after that admits nothing.
 #[test]
-fn a_lease_ends_by_the_time_of_its_request_and_not_of_the_answer() {
+fn a_lease_duration_counts_from_its_request_and_not_from_the_answer() {
     let limits = limits(4.0, 8.0, None);
     let mut shard = QuotaShard::open(START, InitialTokens::Full, START, &limits);
     let request = GrantRequest {
@@ -467,14 +469,14 @@
         cache.on_lease_received(requested_at + delay, requested_at, 0, lease);
         let mut admitted = 0;
         for tick in 0..200 {
-            // The true time runs ahead of the holder's clock by one part in a hundred.
+            // The true time runs ahead of the holder's clock by 1 %.
             let local_now = requested_at + delay + tick * 100 * MS;
             let elapsed = local_now - requested_at;
             let true_now = requested_at + elapsed * (CLOCK_DRIFT_DIVISOR + 1) / CLOCK_DRIFT_DIVISOR;
             if cache.take_from_lease(local_now, 1.0, true) {
                 assert!(
                     true_now <= ends_at_issuer,
-                    "used {} us after its end at the issuer",
+                    "lease used {} us after it expired at the issuer",
                     true_now - ends_at_issuer
                 );
                 admitted += 1;
@@ -483,7 +485,7 @@
         assert_eq!(
             admitted > 0,
             delay < LEASE_DURATION / 2 + S,
-            "{admitted} after {delay} us"
+            "{admitted} requests admitted by a lease received after {delay} us"
         );
     }
 }
--- a/crates/quota/tests/shard.rs
+++ b/crates/quota/tests/shard.rs
@@ -1,4 +1,4 @@
-//! One owner's shard under any sequence of grant requests, and what a node's rejection cache makes of the responses.
+//! Tests of one owner's shard under arbitrary sequences of grant requests, and of the rejection cache of a node.
 
 use proptest::prelude::*;
 use proptest::test_runner::FileFailurePersistence;
@@ -28,7 +28,7 @@
     }
 }
 
-/// Sends a request for one unit to a shard; its decision.
+/// Sends a request to a shard and returns the shard's decision.
 fn decide(
     shard: &mut QuotaShard,
     now: Micros,
@@ -45,7 +45,7 @@
         FileFailurePersistence::WithSource("proptest-regressions")
     ))]
 
-    /// Grant requests arrive twice, late or out of order. The requests granted stay within the quota and the hard limit.
+    /// Grant requests are duplicated, late or reordered. The granted requests stay within the quota and the hard limit.
     #[test]
     fn grants_stay_within_the_quota_under_loss_delay_and_duplication(
         rate in 0.2..20.0f64, capacity in 1.0..40.0f64, hard_limit_ratio in 0.5..3.0f64,
@@ -67,8 +67,8 @@
         }
     }
 
-    /// An owner restarts again and again and no requester knows how full its shard was. Beyond the quota it grants at most
-    /// one request's units for each restart.
+    /// An owner restarts repeatedly and no requester knows the fill ratio of its shard. It exceeds the quota by at most
+    /// the units of one request per restart.
     #[test]
     fn a_restart_grants_at_most_one_request_beyond_the_quota(
         rate in 0.2..8.0f64, capacity in 1.0..20.0f64,
@@ -95,9 +95,9 @@
         }
     }
 
-    /// Before `retry_after` has passed no request can be granted, and right after it one can.
+    /// No request is granted before `retry_after` has elapsed, and one is granted immediately after it.
     #[test]
-    fn retry_after_ends_when_tokens_have_come_in(
+    fn retry_after_ends_when_enough_tokens_have_accrued(
         rate in 0.2..20.0f64, capacity in 1.0..20.0f64, first_requests in 0..50u16, early in 0.0..0.999f64,
     ) {
         let limits = limits(rate, capacity);
@@ -119,34 +119,34 @@
     }
 }
 
-/// The answer to a grant request is lost, and the node repeats the request. Were the owner not to remember what it granted,
-/// each repetition would cost the customer another unit.
+/// The answer to a grant request is lost, and the node retries the request. If the owner did not record what it
+/// granted, each retry would cost the customer another unit.
 #[test]
-fn a_repeated_request_takes_its_units_once() {
+fn a_retried_grant_request_takes_its_units_once() {
     let limits = limits(0.001, 2.0);
     let mut shard = QuotaShard::open(0, InitialTokens::Full, 0, &limits);
-    for repetition in 0..4 {
+    for retry in 0..4 {
         assert_eq!(
-            decide(&mut shard, repetition * 50_000, request(1, 9), &limits),
+            decide(&mut shard, retry * 50_000, request(1, 9), &limits),
             GrantDecision::Granted
         );
     }
     assert_eq!(
         decide(&mut shard, 200_000, request(2, 9), &limits),
         GrantDecision::Granted,
-        "the other unit is there"
+        "the second unit is still available"
     );
     assert_eq!(
         decide(&mut shard, GRANT_LIFETIME + 200_001, request(1, 9), &limits),
         GrantDecision::OverQuota,
-        "after its lifetime a grant is forgotten, and the request counts as a new one"
+        "a retry after the grant's lifetime counts as a new request"
     );
 }
 
-/// The message that releases a permit is lost. The permit expires after a few times the usual latency; held for a fixed time
-/// that is far longer, it would keep a customer with few permits well below its quota.
+/// The message that releases a permit is lost. The permit expires after a small multiple of the usual latency; a much
+/// longer fixed lifetime would keep a customer with few permits well below its quota.
 #[test]
-fn a_permit_whose_release_is_lost_expires_after_a_few_times_the_usual_latency() {
+fn a_permit_whose_release_is_lost_expires_after_three_times_the_usual_latency() {
     let limits = ShardLimits {
         max_in_flight: Some(1),
         ..limits(100.0, 10.0)
@@ -177,10 +177,10 @@
     );
 }
 
-/// An owner restarts and has lost its state. It starts with the fill that it reported to the requester before, which is
-/// clamped as the requester may be wrong, and with what has come in since.
+/// An owner restarts without its state. It starts with the fill ratio that it reported to the requester before, plus
+/// the tokens accrued since. The ratio is clamped, because the requester may send a wrong one.
 #[test]
-fn an_owner_that_lost_its_state_starts_with_the_fill_reported_before() {
+fn an_owner_that_lost_its_state_starts_with_the_last_reported_fill_ratio() {
     let limits = limits(1.0, 8.0);
     let tokens = |initial_tokens| QuotaShard::open(20 * S, initial_tokens, 0, &limits).tokens();
     let reported = |ratio| InitialTokens::Reported(ReportedFill { ratio, age: S });
@@ -193,11 +193,15 @@
         3.0
     );
     assert_eq!(tokens(reported(0.5)), 5.0);
-    assert_eq!(tokens(reported(f64::MAX)), 8.0, "forged");
+    assert_eq!(
+        tokens(reported(f64::MAX)),
+        8.0,
+        "an excessive ratio is clamped"
+    );
 }
 
-/// A customer exceeds its quota. Its node rejects further requests on its own until `retry_after` has passed, once no other
-/// shard is left to ask; a grant ends that at once.
+/// A customer exceeds its quota. After a rejection by the last shard, the node rejects further requests locally until
+/// `retry_after` has elapsed or a request is granted.
 #[test]
 fn a_rejected_customer_is_rejected_locally_until_retry_after_or_a_grant() {
     let response = |decision, retry_after| GrantResponse {
@@ -213,7 +217,7 @@
             && cache.sampling_probability(S) == 1.0
     );
     cache.record_response(S, &response(GrantDecision::OverQuota, 300_000), false);
-    assert!(!cache.is_rejecting(S), "another shard is asked first");
+    assert!(!cache.is_rejecting(S), "another shard is still to be asked");
     cache.record_response(S, &response(GrantDecision::OverQuota, 300_000), true);
     assert!(
         cache.is_rejecting(S + 299_999)
@@ -229,7 +233,7 @@
             age: S - 1
         })
     );
-    assert_eq!(cache.reported_fill(60 * S), None, "too long ago");
+    assert_eq!(cache.reported_fill(60 * S), None, "the report is too old");
 }
 
 proptest! {
@@ -237,9 +241,9 @@
         FileFailurePersistence::WithSource("proptest-regressions")
     ))]
 
-    /// All nodes lose contact with the owners. What they admit together follows from what the owners granted before.
+    /// No node can reach an owner. The requests that all nodes admit together are bounded by the rate granted before.
     #[test]
-    fn nodes_without_an_owner_admit_at_the_rate_granted_before(
+    fn nodes_without_an_owner_admit_at_most_in_proportion_to_the_rate_granted_before(
         rate in 0.5..10.0f64, capacity in 1.0..20.0f64, nodes in 2..40usize, demand in 1.0..50.0f64, seed in 0..u64::MAX,
     ) {
         let limits = limits(rate, capacity);
@@ -269,10 +273,10 @@
     }
 }
 
-/// A node is cut off from the owners. A customer well inside its quota is still served; one that wants far more gets about
-/// its quota.
+/// A node is partitioned from the owners. It continues to admit a customer that is well within its quota; a customer
+/// that requests far more gets about its quota.
 #[test]
-fn a_partition_neither_stops_a_customer_within_quota_nor_frees_one_beyond_it() {
+fn a_partitioned_node_serves_a_customer_within_quota_and_limits_one_beyond_it() {
     let admitted_without_owner = |requests_per_s: u64| {
         let limits = limits(2.0, 6.0);
         let mut shard = QuotaShard::open(S, InitialTokens::Full, 0, &limits);
@@ -298,9 +302,9 @@
     };
     let within_quota = admitted_without_owner(1);
     let beyond_quota = admitted_without_owner(20);
-    assert!(within_quota >= 5, "{within_quota} of 6");
+    assert!(within_quota >= 5, "{within_quota} of 6 admitted");
     assert!(
         (9..=24).contains(&beyond_quota),
-        "{beyond_quota} of 120, where 12 are within the quota"
+        "{beyond_quota} of 120 admitted; 12 are within the quota"
     );
 }
