--- a/crates/slow-start/src/attempt.rs
+++ b/crates/slow-start/src/attempt.rs
@@ -1,18 +1,19 @@
-//! How an attempt at a server ended.
+//! The result of an attempt at a server.
 
 use crate::Micros;
 
-/// The end of an attempt, with an answer or without one.
+/// The result of an attempt that was answered or that failed without an answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptResult {
-    /// Whether the server did the work.
+    /// Whether the server processed the request successfully.
     pub served: bool,
-    /// How long the attempt took, µs.
+    /// Duration of the attempt, µs.
     pub latency: Micros,
     /// Latency objective of the request's class, µs.
     pub latency_objective: Micros,
-    /// Fraction of its full capacity that the server had when the attempt was sent, 0 to 1.
+    /// Server's capacity when the attempt was sent, as a fraction of its full capacity, 0 to 1.
     pub capacity_fraction: f64,
-    /// A random number from 0 to 1: a part of a permit is the probability of a whole one.
+    /// A random number from 0 to 1, used to round a fractional number of permits: the fraction is the probability of
+    /// rounding up.
     pub random_fraction: f64,
 }
--- a/crates/slow-start/src/budget.rs
+++ b/crates/slow-start/src/budget.rs
@@ -1,10 +1,11 @@
-//! One node's permits to send to one server that warms up.
+//! One node's permits to send to one server that is warming up.
 //!
-//! A request takes the permit that expires first, or the node's time slot; an answer in good time brings new permits. Inputs
-//! are times in µs, the server's number, [`SlowStartLimits`] and [`AttemptResult`]. Why the permits of all nodes together
-//! don't overload the server is in the crate's documentation.
+//! A request takes a permit, first one received from another node, then one earned here, in each case the one that
+//! expires first. Without permits it takes the node's current time slot. An answer within the latency objective earns
+//! new permits. Times are in µs. The crate documentation explains why the permits of all nodes together do not overload
+//! the server.
 //!
-//! - `transfer`: unused permits that go to another node.
+//! - `transfer`: transfers unused permits to other nodes.
 
 mod transfer;
 
@@ -18,60 +19,62 @@
 use std::collections::VecDeque;
 use transfer::TransferRecord;
 
-/// Permits that an answer brings that is not in good time, but within the latency objective.
+/// Permits earned by a slow answer that is within the latency objective.
 const SLOW_ANSWER_PERMITS: f64 = 0.75;
-/// An answer is in good time within this fraction of the latency objective ...
-const GOOD_OBJECTIVE_FRACTION: f64 = 0.5;
-/// ... or within this multiple of the baseline latency ...
-const GOOD_BASELINE_MULTIPLE: f64 = 1.6;
-/// ... up to this fraction of the latency objective.
-const MAX_GOOD_OBJECTIVE_FRACTION: f64 = 0.9;
-/// A server that starts again within so many warm-up periods of its last start has restarted early.
+/// An answer is fast if its latency is at most this fraction of the latency objective.
+const FAST_ANSWER_OBJECTIVE_FRACTION: f64 = 0.5;
+/// An answer is also fast if its latency is at most this multiple of the baseline latency ...
+const FAST_ANSWER_BASELINE_MULTIPLE: f64 = 1.6;
+/// ... and at most this fraction of the latency objective.
+const MAX_FAST_ANSWER_OBJECTIVE_FRACTION: f64 = 0.9;
+/// A restart counts as early within this number of warm-up periods after the previous start.
 const EARLY_RESTART_WARM_UPS: u64 = 2;
-/// Most permits that one node holds for one server; bounds memory.
+/// Maximum number of permits that one node holds for one server; bounds memory.
 const MAX_PERMITS: usize = 1000;
 
-/// One node's permits to send to one server that warms up.
+/// One node's permits to send to one server that is warming up.
 ///
-/// Its stored names are those that earlier builds read when a node is upgraded in place.
+/// The serialized field names stay as they are, so that earlier and later builds can read them in an in-place upgrade.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(default)]
 pub struct SlowStartBudget {
-    /// When the server started: permits of an earlier start are void.
+    /// When the server started. Permits for an earlier start are invalid.
     #[serde(rename = "started")]
     server_started_at: Micros,
-    /// Whether the server had started not long before.
+    /// Whether the server restarted early, that is, soon after its previous start.
     #[serde(rename = "fallen")]
     restarted_early: bool,
-    /// When each permit that was earned here expires, in order.
+    /// Expiry times of the permits earned here, in ascending order.
     #[serde(rename = "rights")]
     earned: VecDeque<Micros>,
-    /// The same of permits that other nodes transferred. They are not transferred again: a fleet that has no use for them
-    /// would otherwise flood itself with messages.
+    /// Expiry times of the permits received from other nodes, in ascending order. They are not transferred again: a
+    /// fleet that doesn't need them would otherwise flood itself with messages.
     #[serde(rename = "gifted")]
     received: VecDeque<Micros>,
-    /// Since when there have been permits that no request used.
+    /// Since when there have been unused permits; `None` if there are none or one was just used.
     #[serde(rename = "idle")]
     idle_since: Option<Micros>,
-    /// Number of the last permit that was transferred from here.
+    /// Sequence number of the last permit that this node transferred.
     #[serde(rename = "serial")]
     last_sequence: u16,
-    /// Transfers that were received and can still be duplicated.
+    /// Received transfers of which a duplicate may still arrive.
     #[serde(rename = "came")]
     recent_transfers: VecDeque<TransferRecord>,
-    /// The last time slot that was used here, counted from 1.
+    /// The last time slot that this node used, counted from 1; 0 for none.
     #[serde(rename = "used_turn")]
     last_used_slot: u64,
-    /// Whether an answer was slow since the server's start: from then on the fleet grows slowly.
+    /// Whether there was a slow or failed attempt since the server's start. From then on, fast answers earn fewer
+    /// permits.
     #[serde(rename = "late")]
     had_slow_answer: bool,
 }
 
 impl SlowStartBudget {
-    /// The server's start time is known; `warm_up_period` is how long it takes to warm up, µs. On another start than the
-    /// last one all permits are void.
+    /// Sets the server's start time. `warm_up_period` is how long the server takes to warm up, µs. If the start time
+    /// has changed, all permits become invalid.
     ///
-    /// A server that was overloaded and restarted would otherwise be overloaded again by permits that it earned before.
+    /// Otherwise a server that was overloaded and restarted would be overloaded again by permits earned before the
+    /// restart.
     pub fn on_server_start(&mut self, server_started_at: Micros, warm_up_period: Micros) {
         if server_started_at == self.server_started_at {
             return;
@@ -88,8 +91,8 @@
         };
     }
 
-    /// The current time slot, counted from 1, if it belongs to this node and is unused.
-    fn free_slot(&self, now: Micros, server: u64, limits: &SlowStartLimits) -> Option<u64> {
+    /// Returns the current time slot, counted from 1, if it belongs to this node and is unused.
+    fn unused_slot(&self, now: Micros, server: u64, limits: &SlowStartLimits) -> Option<u64> {
         let length = slot_length(self.restarted_early);
         let index = now.checked_sub(self.server_started_at)? / length;
         let begins_at = self
@@ -99,22 +102,22 @@
             return None;
         }
         let node_count = u64::from(limits.node_count.max(1));
-        // Servers number their slots differently, so that a node doesn't have its slots at all servers at once.
+        // The slot order depends on the server, so that a node doesn't own the slots of all servers at the same time.
         let slot_owner = (server % node_count + index) % node_count;
         let slot = index + 1;
         (slot_owner == u64::from(limits.node) && slot > self.last_used_slot).then_some(slot)
     }
 
-    /// Whether one more request may be sent now. `server` is a number that all nodes have for the server.
+    /// Returns whether a request may be sent now. `server` identifies the server and must be the same at all nodes.
     pub fn has_permit(&self, now: Micros, server: u64, limits: &SlowStartLimits) -> bool {
         let has_valid =
             |permits: &VecDeque<Micros>| permits.back().is_some_and(|expires_at| *expires_at > now);
         has_valid(&self.received)
             || has_valid(&self.earned)
-            || self.free_slot(now, server, limits).is_some()
+            || self.unused_slot(now, server, limits).is_some()
     }
 
-    /// A request is sent: it takes a permit, or else the time slot. Whether there was one.
+    /// Takes a permit, or else the current time slot, for a request. Returns whether there was one.
     pub fn consume(&mut self, now: Micros, server: u64, limits: &SlowStartLimits) -> bool {
         self.remove_expired(now);
         self.idle_since = None;
@@ -125,15 +128,16 @@
         if permit.is_some() {
             return true;
         }
-        let slot = self.free_slot(now, server, limits);
+        let slot = self.unused_slot(now, server, limits);
         self.last_used_slot = slot.unwrap_or(self.last_used_slot);
         slot.is_some()
     }
 
-    /// An attempt at a request of this class has ended: an answer within its latency objective brings permits.
+    /// Records the result of an attempt at a request of this class. An answer within its latency objective earns
+    /// permits.
     ///
-    /// A node that was suspended reads all its answers at once, long after they came. They say nothing of the present; as
-    /// they took longer than the objective, they bring nothing.
+    /// A node that was suspended reads all pending answers at once, long after they arrived. They don't reflect the
+    /// server's current state. They earn no permits, because their measured latency exceeds the objective.
     pub fn record_result(
         &mut self,
         now: Micros,
@@ -151,7 +155,7 @@
             .extend(std::iter::repeat_n(expires_at, whole_permits.min(capacity)));
     }
 
-    /// Permits that a result is worth, parts of one included.
+    /// Returns the number of permits that a result earns, which may be fractional.
     fn permits_earned(
         &mut self,
         class: usize,
@@ -164,7 +168,9 @@
             return 0.0;
         }
         let expected_latency = baseline.update(class, result);
-        if result.latency as f64 > good_latency(expected_latency, result.latency_objective) {
+        if result.latency as f64
+            > max_fast_answer_latency(expected_latency, result.latency_objective)
+        {
             self.had_slow_answer = true;
             SLOW_ANSWER_PERMITS
         } else if self.had_slow_answer || self.restarted_early {
@@ -174,7 +180,7 @@
         }
     }
 
-    /// Number of permits that were earned here and are valid now, without time slots.
+    /// Returns the number of valid permits earned here, without received permits and time slots.
     pub fn earned_permits(&self, now: Micros) -> usize {
         self.earned
             .iter()
@@ -191,10 +197,10 @@
     }
 }
 
-/// Longest latency, µs, of an answer in good time.
-fn good_latency(expected_latency: f64, latency_objective: Micros) -> f64 {
+/// Returns the maximum latency of a fast answer, µs.
+fn max_fast_answer_latency(expected_latency: f64, latency_objective: Micros) -> f64 {
     let objective = latency_objective as f64;
-    let by_baseline =
-        (expected_latency * GOOD_BASELINE_MULTIPLE).min(objective * MAX_GOOD_OBJECTIVE_FRACTION);
-    by_baseline.max(objective * GOOD_OBJECTIVE_FRACTION)
+    let by_baseline = (expected_latency * FAST_ANSWER_BASELINE_MULTIPLE)
+        .min(objective * MAX_FAST_ANSWER_OBJECTIVE_FRACTION);
+    by_baseline.max(objective * FAST_ANSWER_OBJECTIVE_FRACTION)
 }
--- a/crates/slow-start/src/budget/transfer.rs
+++ b/crates/slow-start/src/budget/transfer.rs
@@ -1,30 +1,30 @@
-//! Permits that find no use at their node and go to another.
+//! Transfers of unused permits to other nodes.
 //!
-//! A permit leaves its node before its message does, and a message counts at most once, so that a transfer never adds a
-//! permit to the fleet's.
+//! The sender removes a permit before it sends the message, and a message counts at most once, so that a transfer never
+//! increases the number of permits in the fleet.
 
 use super::{SlowStartBudget, MAX_PERMITS};
 use crate::limits::{slot_length, SlowStartLimits};
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 
-/// How long a permit stays unused before it is transferred, µs: a few times the time a message takes.
+/// Time for which a permit must be unused before it is transferred, µs: a small multiple of the message latency.
 pub const IDLE_BEFORE_TRANSFER: Micros = 20_000;
-/// Least remaining lifetime of a permit that is transferred, µs; with less it would expire on the way.
+/// Minimum remaining lifetime of a transferred permit, µs. With less, it could expire in transit.
 const MIN_TRANSFER_LIFETIME: Micros = 80_000;
 
-/// A permit on its way to another node.
+/// A permit as it is sent to another node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TransferredPermit {
-    /// When the server started that the permit is for, µs.
+    /// Start time of the server for which the permit is valid, µs.
     pub server_started_at: Micros,
-    /// When the permit expires, µs, by the clock that all machines share.
+    /// Expiry time of the permit, µs, by the clock that all machines share.
     pub expires_at: Micros,
-    /// The sending node's number for the permit.
+    /// The sender's sequence number of the transfer.
     pub sequence: u16,
 }
 
-/// A transfer that was received and can still be duplicated. It is stored as `[sender, sequence, expires_at]`.
+/// A received transfer of which a duplicate may still arrive. Serialized as `[sender, sequence, expires_at]`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(from = "(u32, u16, Micros)", into = "(u32, u16, Micros)")]
 pub(super) struct TransferRecord {
@@ -50,8 +50,11 @@
 }
 
 impl SlowStartBudget {
-    /// Takes out a permit, or the time slot, that no request here has used for [`IDLE_BEFORE_TRANSFER`]. To be called now
-    /// and then while no request is queued.
+    /// Removes a permit, or the current time slot, that no request here has used for [`IDLE_BEFORE_TRANSFER`], and
+    /// returns it for transfer. Call it periodically while no request is queued.
+    ///
+    /// Returns `None` if nothing has been unused for that long, or if the removed permit is discarded because it could
+    /// expire in transit or there is no other node.
     pub fn transfer_unused(
         &mut self,
         now: Micros,
@@ -59,7 +62,7 @@
         limits: &SlowStartLimits,
     ) -> Option<TransferredPermit> {
         self.remove_expired(now);
-        let slot = self.free_slot(now, server, limits);
+        let slot = self.unused_slot(now, server, limits);
         if self.earned.is_empty() && slot.is_none() {
             self.idle_since = None;
             return None;
@@ -74,15 +77,15 @@
             .or_else(|| slot.map(|slot| self.use_slot(slot)))?;
         self.last_sequence = self.last_sequence.wrapping_add(1);
         let remaining = expires_at.saturating_sub(now);
-        let is_worthwhile = remaining >= MIN_TRANSFER_LIFETIME && limits.node_count > 1;
-        is_worthwhile.then_some(TransferredPermit {
+        let is_transferable = remaining >= MIN_TRANSFER_LIFETIME && limits.node_count > 1;
+        is_transferable.then_some(TransferredPermit {
             server_started_at: self.server_started_at,
             expires_at,
             sequence: self.last_sequence,
         })
     }
 
-    /// Marks a time slot as used; when it ends.
+    /// Marks a time slot as used. Returns when it ends.
     fn use_slot(&mut self, slot: u64) -> Micros {
         self.last_used_slot = slot;
         let length = slot_length(self.restarted_early);
@@ -90,9 +93,10 @@
             .saturating_add(slot.saturating_mul(length))
     }
 
-    /// Takes in a permit from another node; whether it counts.
+    /// Receives a permit from another node. Returns whether it was accepted.
     ///
-    /// A message that is duplicated, forged or of an earlier start of the server would be a permit that nobody gave up.
+    /// Duplicated and forged messages and those for an earlier start of the server are rejected, because they would add
+    /// a permit that no other node has removed.
     pub fn receive_transfer(
         &mut self,
         now: Micros,
@@ -103,8 +107,8 @@
         self.recent_transfers
             .retain(|transfer| transfer.expires_at > now);
         let slot_length = slot_length(self.restarted_early);
-        // A node that restarted doesn't know which permits it took before, and a duplicate would count again. A permit lives
-        // no longer than a slot, so after one slot none of them is valid.
+        // A restarted node doesn't know which transfers it received before, so a duplicate of one would count again. A
+        // permit is valid for at most one slot length, so all of these have expired one slot length after the restart.
         if now < limits.up_since.saturating_add(slot_length) {
             return false;
         }
--- a/crates/slow-start/src/lib.rs
+++ b/crates/slow-start/src/lib.rs
@@ -1,23 +1,26 @@
-//! How much a whole fleet may send to a server that has just started, while nobody knows what the server can do.
+//! Slow start for a whole fleet: limits the requests that all nodes together send to a server that has just started and
+//! whose capacity is not yet known.
 //!
-//! A request to such a server needs a permit. Permits have two sources, neither of which needs messages between nodes, and
-//! can be transferred:
+//! A request to such a server needs a permit. Permits have two sources, neither of which needs messages between nodes,
+//! and can be transferred:
 //!
-//! - **Time slots.** From the server's start on, time is cut into slots, and each slot belongs to one node, by its number.
-//!   The node may send one request in its slot. However many nodes start on their own, the sum is one request a slot.
-//! - **Earned permits.** An answer in good time proves what the server can do: it brings its node up to
+//! - **Time slots.** From the server's start on, time is divided into slots, and each slot belongs to one node by its
+//!   number. The node may send one request in its slot. The fleet therefore sends at most one such request per slot,
+//!   regardless of the number of nodes.
+//! - **Earned permits.** A fast answer shows that the server has capacity. It earns its node up to
 //!   [`SlowStartLimits::growth`] permits, which expire after [`SlowStartLimits::permit_lifetime`].
-//! - **Transferred permits.** A permit that finds no use at its node within [`IDLE_BEFORE_TRANSFER`] goes to another node,
-//!   drawn at random: while servers warm up nearly each node has requests queued. The permit leaves its node before the
-//!   message does, one that arrives twice counts once and is not transferred again, and one that is lost is a permit less.
+//! - **Transferred permits.** A permit that is unused for [`IDLE_BEFORE_TRANSFER`] is sent to a node drawn at random:
+//!   while servers warm up, nearly every node has queued requests. The sender removes the permit before it sends the
+//!   message. A duplicated transfer counts once, a received permit is not transferred again, and a lost transfer is a
+//!   lost permit.
 //!
-//! **The bound.** Let C be what the server can do a second, which does not fall while the server lives. In any span W the
-//! fleet sends at most what was earned in W and the permit lifetime before it: growth x C x (W + lifetime), and one request
-//! for each slot that W touches. A lost answer or a node that dies takes permits away, and no message can double them.
-//! Growth and lifetime are such that the first part is at most [`MAX_OVERLOAD_FRACTION`] of what overloads the server (see
-//! `docs/design/cold-start.md`).
+//! **The bound.** Let C be the server's capacity in requests per second, which does not decrease while the server runs.
+//! In any time span W the fleet sends at most growth x C x (W + lifetime) requests, earned in W and in the permit
+//! lifetime before it, plus one request for each slot that overlaps W. Lost answers and failed nodes only remove
+//! permits, and no message can duplicate them. Growth and lifetime are set so that the first part is at most
+//! [`MAX_OVERLOAD_FRACTION`] of the load that overloads the server (see `docs/design/cold-start.md`).
 //!
-//! The crate does no input or output. Time is an argument, in microseconds.
+//! The crate performs no I/O. The caller passes the current time, in microseconds.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -31,5 +34,5 @@
 pub use budget::{SlowStartBudget, TransferredPermit, IDLE_BEFORE_TRANSFER};
 pub use limits::{SlowStartLimits, MAX_OVERLOAD_FRACTION};
 
-/// A time or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
--- a/crates/slow-start/src/limits.rs
+++ b/crates/slow-start/src/limits.rs
@@ -1,59 +1,60 @@
-//! The limits that bind a fleet at a server that warms up.
+//! The parameters of a fleet's slow start at one server.
 //!
-//! Inputs are the number of nodes and what overloads a server; the results are permits for each answer, their lifetime in µs
-//! and the length of a time slot in µs. The bound that they keep is in the crate's documentation.
+//! From the load that overloads a server, they determine the number of permits that an answer earns and the lifetime of
+//! permits. The crate documentation states the bound that results.
 
 use crate::Micros;
 
-/// Fraction of the load that overloads a server which earned permits may bring a fleet to send, in the worst case.
+/// Maximum load from earned permits, as a fraction of the load that overloads a server.
 pub const MAX_OVERLOAD_FRACTION: f64 = 0.6;
-/// Requests a second that all nodes together send in time slots. A server of one core bears about seven requests in its
-/// first second, so slots must leave capacity for the requests of earned permits.
+/// Time slots per second, each for one request of the whole fleet. More than about seven requests in its first second
+/// overload a server with one core, so slots must leave capacity for the requests of earned permits.
 const SLOTS_PER_SECOND: f64 = 0.75;
-/// The same at a server that restarted soon after its last start: it has probably been overloaded.
+/// Time slots per second at a server that restarted soon after its previous start: it was probably overloaded.
 const SLOTS_PER_SECOND_AFTER_EARLY_RESTART: f64 = SLOTS_PER_SECOND / 2.0;
-/// Fewest permits that an answer in good time brings: the fleet keeps its rate.
+/// Minimum number of permits that a fast answer earns. With one permit per answer, the fleet keeps its rate.
 const MIN_GROWTH: f64 = 1.0;
-/// Most permits that an answer in good time brings.
+/// Maximum number of permits that a fast answer earns.
 const MAX_GROWTH: f64 = 1.35;
-/// The same once an answer was slow, or at a server that restarted soon after its last start.
-const CAUTIOUS_GROWTH: f64 = 1.2;
-/// Shortest lifetime of a permit, in overload windows.
+/// Maximum number of permits that a fast answer earns after a slow answer or an early restart of the server.
+const MAX_CAUTIOUS_GROWTH: f64 = 1.2;
+/// Minimum lifetime of a permit, in overload windows.
 const MIN_LIFETIME_WINDOWS: f64 = 0.02;
-/// Longest lifetime of a permit, in overload windows.
+/// Maximum lifetime of a permit, in overload windows.
 const MAX_LIFETIME_WINDOWS: f64 = 1.0;
-/// Microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// The limits of a fleet at one server, as one of its nodes has them.
+/// The slow start parameters of a fleet at one server, as configured at one node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartLimits {
     /// Number of nodes that share the time slots.
     pub node_count: u32,
-    /// This node's number among them, from 0; a node with a higher number has no slots.
+    /// This node's number among them, from 0. A node whose number is `node_count` or higher has no slots.
     pub node: u32,
-    /// When this node's process started, µs. A slot that began before is not its own: a node that is killed in its slot and
-    /// restarts within it doesn't know whether it has used it, and could use it once a life.
+    /// When this node's process started, µs. The node must not use a slot that began earlier: its previous process may
+    /// have used that slot, and a node that restarts repeatedly within a slot would use it once per process.
     pub up_since: Micros,
-    /// More than this multiple of what a server can do a second, within `overload_window`, overloads the server.
+    /// Load above which a server is overloaded, as a multiple of what it can process within `overload_window`.
     pub overload_multiple: f64,
-    /// See `overload_multiple`; µs.
+    /// Time span to which `overload_multiple` applies, µs.
     pub overload_window: Micros,
 }
 
 impl SlowStartLimits {
-    /// Most permits that an answer brings. Where little is needed to overload a server, the fleet only keeps its rate.
+    /// Returns the maximum number of permits that an answer earns. If little load overloads a server, it is 1, so that
+    /// the fleet only keeps its rate.
     pub fn growth(&self) -> f64 {
         (self.overload_multiple / 2.0).clamp(MIN_GROWTH, MAX_GROWTH)
     }
 
-    /// Most permits that an answer brings where there is reason for caution.
+    /// Returns the maximum number of permits that an answer earns after a slow answer or an early restart of the
+    /// server.
     pub(crate) fn cautious_growth(&self) -> f64 {
-        CAUTIOUS_GROWTH.min(self.growth())
+        MAX_CAUTIOUS_GROWTH.min(self.growth())
     }
 
-    /// How long a permit may be used, µs: growth x (window + lifetime) is [`MAX_OVERLOAD_FRACTION`] of the overload
-    /// multiple x window.
+    /// Returns the lifetime of a permit, µs. Within its bounds it is set so that growth x (window + lifetime) is
+    /// [`MAX_OVERLOAD_FRACTION`] of overload multiple x window.
     pub fn permit_lifetime(&self) -> Micros {
         let windows = MAX_OVERLOAD_FRACTION * self.overload_multiple / self.growth() - 1.0;
         let windows = windows.clamp(MIN_LIFETIME_WINDOWS, MAX_LIFETIME_WINDOWS);
@@ -61,7 +62,7 @@
     }
 }
 
-/// How long a time slot lasts, µs.
+/// Returns the length of a time slot, µs.
 pub(crate) fn slot_length(restarted_early: bool) -> Micros {
     let slots_per_second = if restarted_early {
         SLOTS_PER_SECOND_AFTER_EARLY_RESTART
--- a/crates/slow-start/tests/exhaustive.rs
+++ b/crates/slow-start/tests/exhaustive.rs
@@ -1,8 +1,9 @@
-//! Explores the interleavings of three nodes and two servers that warm up, with the code that runs: attempts, answers,
-//! transfers that are lost, late or duplicated, a node that is killed and restarts at once, a server that restarts.
+//! State exploration of the production code with three nodes and two servers that are warming up: attempts, answers,
+//! transfers that are lost, late or duplicated, a node that is killed and restarts immediately, a server that restarts.
 //!
-//! The search is breadth-first and ends once [`TARGET_STATES`] states were generated. In every state the requests sent to a server since its start stay within what its answers earned and its time slots
-//! allow. Each planted fault is found, with a shortest path to it (`stateright`'s breadth-first search).
+//! In every state, the requests sent to a server since its start stay within what its answers earned and its time slots
+//! allow. The search is breadth-first and ends after [`TARGET_STATES`] generated states. It must also detect each
+//! injected fault, with a shortest path to it (`stateright`'s breadth-first search).
 
 use saffronpaddle_slow_start::{
     AttemptResult, BaselineLatency, Micros, SlowStartBudget, SlowStartLimits, TransferredPermit,
@@ -11,40 +12,41 @@
 use std::collections::BTreeSet;
 
 const S: Micros = 1_000_000;
-/// When the servers start: all nodes have been up for long.
-const BEGIN: Micros = 10 * S;
-/// Time from the servers' start to the first tick, µs.
+/// Start time of the servers. The nodes have been up since time 0.
+const SERVERS_STARTED_AT: Micros = 10 * S;
+/// Time between the servers' start and the first tick, µs.
 const FIRST_TICK_AFTER: Micros = 1000;
 const WARM_UP_PERIOD: Micros = 17 * S;
-/// A permit lives two ticks and a half, a time slot lasts eight.
+/// Length of a tick, µs. The lifetime of a permit is 2.4 ticks; a time slot lasts 9.5 ticks.
 const TICK: Micros = 140_000;
-/// Ticks of a run: into the second time slot.
+/// Maximum number of ticks of a run, which ends within the first time slot.
 const TICKS: u8 = 9;
 const NODES: u8 = 3;
 const SERVERS: u8 = 2;
-/// The largest random fraction: a part of a permit is a whole one.
+/// The largest random fraction: a fractional number of permits is rounded up.
 const LARGEST_FRACTION: f64 = 1.0 - 1e-9;
-/// Generated states, repeated ones included, after which the exploration ends; bounds its time.
+/// Number of generated states, including repeated ones, after which the exploration ends; bounds its duration.
 const TARGET_STATES: usize = 3_000_000;
-const PROPERTY: &str = "no more requests than answers earn and time slots allow";
+const PROPERTY: &str =
+    "a server is sent at most as many requests as answers earned and time slots allow";
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
-    /// The node that transfers a permit keeps it.
+    /// A node that transfers a permit also keeps it.
     SenderKeepsPermit,
-    /// A transfer that is duplicated counts again.
+    /// A duplicated transfer counts twice.
     DuplicateCounts,
     /// A transfer for an earlier start of the server counts.
-    OldTransferCounts,
-    /// Permits that were earned before the server restarted are kept.
-    OldPermitsKept,
-    /// A node that is killed in its time slot restarts with the slot unused.
+    StaleTransferCounts,
+    /// Permits earned before the server restarted remain valid.
+    StalePermitsKept,
+    /// A node that is killed in its time slot treats the slot as unused after its restart.
     SlotReused,
-    /// An answer counts at each node, as if all had been notified.
+    /// An answer earns permits at each node, not only at the one that sent the request.
     AnswerCountsEverywhere,
     /// An answer to an attempt from before the server restarted counts.
-    OldAnswerCounts,
-    /// Each node takes itself for the only one, and every time slot for its own.
+    StaleAnswerCounts,
+    /// Each node behaves as the only one, and uses every time slot.
     EachOwnsAllSlots,
 }
 
@@ -74,31 +76,31 @@
     permit: TransferredPermit,
 }
 
-/// Faults that may still happen.
+/// Number of failures that may still occur in a run.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Allowance {
+struct RemainingFailures {
     duplicates: u8,
     node_kills: u8,
     server_restarts: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct World {
+struct SystemState {
     tick: u8,
     budgets: [[SlowStartBudget; 2]; 3],
     up_since: [Micros; 3],
     server_started_at: [Micros; 2],
     in_flight: Vec<Attempt>,
-    /// Transfers under way.
+    /// Transfers in transit.
     transfers: BTreeSet<Transfer>,
-    /// Permits that answers earned since the start of each server.
+    /// Permits earned since the start of each server.
     earned: [u8; 2],
-    /// Requests that were sent since the start of each server.
+    /// Requests sent since the start of each server.
     sent: [u8; 2],
-    allowance: Allowance,
+    remaining_failures: RemainingFailures,
 }
 
-impl World {
+impl SystemState {
     fn now(&self) -> Micros {
         time_of_tick(Micros::from(self.tick))
     }
@@ -109,59 +111,59 @@
 }
 
 fn time_of_tick(tick: Micros) -> Micros {
-    BEGIN + FIRST_TICK_AFTER + tick * TICK
+    SERVERS_STARTED_AT + FIRST_TICK_AFTER + tick * TICK
 }
 
-struct System {
-    /// Most requests that a run sends.
+struct FleetModel {
+    /// Maximum number of requests in a run.
     max_sends: u8,
     fault: Option<Fault>,
 }
 
-impl System {
-    fn limits(&self, world: &World, node: u8) -> SlowStartLimits {
-        let alone = self.fault == Some(Fault::EachOwnsAllSlots);
+impl FleetModel {
+    fn limits(&self, state: &SystemState, node: u8) -> SlowStartLimits {
+        let is_only_node = self.fault == Some(Fault::EachOwnsAllSlots);
         SlowStartLimits {
-            node_count: if alone { 1 } else { u32::from(NODES) },
-            node: if alone { 0 } else { u32::from(node) },
+            node_count: if is_only_node { 1 } else { u32::from(NODES) },
+            node: if is_only_node { 0 } else { u32::from(node) },
             up_since: if self.fault == Some(Fault::SlotReused) {
                 0
             } else {
-                world.up_since[usize::from(node)]
+                state.up_since[usize::from(node)]
             },
             overload_multiple: 3.0,
             overload_window: S,
         }
     }
 
-    /// Whether the node had a permit to send.
-    fn send(&self, world: &mut World, node: u8, server: u8) -> bool {
-        let (now, limits, index) = (world.now(), self.limits(world, node), usize::from(server));
-        if !world
+    /// Sends a request. Returns whether the node had a permit for it.
+    fn send(&self, state: &mut SystemState, node: u8, server: u8) -> bool {
+        let (now, limits, index) = (state.now(), self.limits(state, node), usize::from(server));
+        if !state
             .budget(node, server)
             .consume(now, u64::from(server), &limits)
         {
             return false;
         }
-        world.sent[index] += 1;
-        world.in_flight.push(Attempt {
+        state.sent[index] += 1;
+        state.in_flight.push(Attempt {
             node,
             server,
-            server_started_at: world.server_started_at[index],
+            server_started_at: state.server_started_at[index],
         });
-        world.in_flight.sort_unstable();
+        state.in_flight.sort_unstable();
         true
     }
 
-    fn answer(&self, world: &mut World, attempt: usize) {
-        let attempt = world.in_flight.remove(attempt);
-        let (now, server) = (world.now(), usize::from(attempt.server));
-        let is_current = attempt.server_started_at == world.server_started_at[server];
-        // As the policy engine has it: what was sent before a restart says nothing of the server since.
-        if !is_current && self.fault != Some(Fault::OldAnswerCounts) {
+    fn answer(&self, state: &mut SystemState, attempt: usize) {
+        let attempt = state.in_flight.remove(attempt);
+        let (now, server) = (state.now(), usize::from(attempt.server));
+        let is_current = attempt.server_started_at == state.server_started_at[server];
+        // Like the policy engine, ignores answers to attempts sent before the server's restart.
+        if !is_current && self.fault != Some(Fault::StaleAnswerCounts) {
             return;
         }
-        // The best that an answer may be: in good time, and with the largest fraction.
+        // The result that earns the most permits: a fast answer with the largest random fraction.
         let result = AttemptResult {
             served: true,
             latency: 100_000,
@@ -169,11 +171,11 @@
             capacity_fraction: 0.3,
             random_fraction: LARGEST_FRACTION,
         };
-        let limits = self.limits(world, attempt.node);
+        let limits = self.limits(state, attempt.node);
         let mut baseline = BaselineLatency::default();
-        let everywhere = self.fault == Some(Fault::AnswerCountsEverywhere);
-        for node in (0..NODES).filter(|node| *node == attempt.node || everywhere) {
-            world.budget(node, attempt.server).record_result(
+        let counts_everywhere = self.fault == Some(Fault::AnswerCountsEverywhere);
+        for node in (0..NODES).filter(|node| *node == attempt.node || counts_everywhere) {
+            state.budget(node, attempt.server).record_result(
                 now,
                 0,
                 result,
@@ -182,19 +184,19 @@
             );
         }
         if is_current {
-            world.earned[server] += (limits.growth() + LARGEST_FRACTION).floor() as u8;
+            state.earned[server] += (limits.growth() + LARGEST_FRACTION).floor() as u8;
         }
     }
 
-    fn transfer(&self, world: &mut World, from: u8, server: u8, to: u8) {
-        let (now, limits) = (world.now(), self.limits(world, from));
-        let budget = world.budget(from, server);
+    fn transfer(&self, state: &mut SystemState, from: u8, server: u8, to: u8) {
+        let (now, limits) = (state.now(), self.limits(state, from));
+        let budget = state.budget(from, server);
         let before = budget.clone();
         let permit = budget.transfer_unused(now, u64::from(server), &limits);
         if permit.is_some() && self.fault == Some(Fault::SenderKeepsPermit) {
             *budget = before;
         }
-        world.transfers.extend(permit.map(|permit| Transfer {
+        state.transfers.extend(permit.map(|permit| Transfer {
             to,
             from,
             server,
@@ -202,24 +204,24 @@
         }));
     }
 
-    fn receive(&self, world: &mut World, transfer: &Transfer, duplicated: bool) {
+    fn receive(&self, state: &mut SystemState, transfer: &Transfer, duplicated: bool) {
         if duplicated {
-            world.allowance.duplicates -= 1;
+            state.remaining_failures.duplicates -= 1;
         } else {
-            world.transfers.remove(transfer);
+            state.transfers.remove(transfer);
         }
         let mut permit = transfer.permit;
         match self.fault {
             Some(Fault::DuplicateCounts) if !duplicated => {
                 permit.sequence = permit.sequence.wrapping_add(99);
             }
-            Some(Fault::OldTransferCounts) => {
-                permit.server_started_at = world.server_started_at[usize::from(transfer.server)];
+            Some(Fault::StaleTransferCounts) => {
+                permit.server_started_at = state.server_started_at[usize::from(transfer.server)];
             }
             _ => {}
         }
-        let (now, limits) = (world.now(), self.limits(world, transfer.to));
-        world.budget(transfer.to, transfer.server).receive_transfer(
+        let (now, limits) = (state.now(), self.limits(state, transfer.to));
+        state.budget(transfer.to, transfer.server).receive_transfer(
             now,
             u32::from(transfer.from),
             permit,
@@ -227,61 +229,61 @@
         );
     }
 
-    fn kill_node(world: &mut World, node: u8) {
-        world.allowance.node_kills -= 1;
-        world.up_since[usize::from(node)] = world.now();
+    fn kill_node(state: &mut SystemState, node: u8) {
+        state.remaining_failures.node_kills -= 1;
+        state.up_since[usize::from(node)] = state.now();
         for server in 0..SERVERS {
-            let server_started_at = world.server_started_at[usize::from(server)];
-            let budget = world.budget(node, server);
+            let server_started_at = state.server_started_at[usize::from(server)];
+            let budget = state.budget(node, server);
             *budget = SlowStartBudget::default();
             budget.on_server_start(server_started_at, WARM_UP_PERIOD);
         }
-        world.in_flight.retain(|attempt| attempt.node != node);
+        state.in_flight.retain(|attempt| attempt.node != node);
     }
 
-    fn restart_server(&self, world: &mut World, server: u8) {
-        let (now, index) = (world.now(), usize::from(server));
-        world.allowance.server_restarts -= 1;
-        world.server_started_at[index] = now;
-        (world.earned[index], world.sent[index]) = (0, 0);
-        if self.fault == Some(Fault::OldPermitsKept) {
+    fn restart_server(&self, state: &mut SystemState, server: u8) {
+        let (now, index) = (state.now(), usize::from(server));
+        state.remaining_failures.server_restarts -= 1;
+        state.server_started_at[index] = now;
+        (state.earned[index], state.sent[index]) = (0, 0);
+        if self.fault == Some(Fault::StalePermitsKept) {
             return;
         }
         for node in 0..NODES {
-            world
+            state
                 .budget(node, server)
                 .on_server_start(now, WARM_UP_PERIOD);
         }
     }
 
-    /// Whether the requests sent to a server stay within what answers earned and time slots allow.
-    fn is_within_bound(&self, world: &World, server: usize) -> bool {
+    /// Returns whether a server was sent at most as many requests as answers earned and time slots allow.
+    fn is_within_bound(&self, state: &SystemState, server: usize) -> bool {
         let limits = SlowStartLimits {
             node_count: 1,
             node: 0,
             up_since: 0,
-            ..self.limits(world, 0)
+            ..self.limits(state, 0)
         };
-        // A node on its own has all time slots: it counts those that have begun since the server's start.
+        // A single node owns all time slots, so it counts those that have begun since the server's start.
         let mut only_node = SlowStartBudget::default();
-        only_node.on_server_start(world.server_started_at[server], WARM_UP_PERIOD);
-        let first_tick = (world.server_started_at[server] - BEGIN) / TICK;
-        let slots = (first_tick..=Micros::from(world.tick))
+        only_node.on_server_start(state.server_started_at[server], WARM_UP_PERIOD);
+        let first_tick = (state.server_started_at[server] - SERVERS_STARTED_AT) / TICK;
+        let slots = (first_tick..=Micros::from(state.tick))
             .filter(|tick| only_node.consume(time_of_tick(*tick), 0, &limits))
             .count();
-        usize::from(world.sent[server]) <= slots + usize::from(world.earned[server])
+        usize::from(state.sent[server]) <= slots + usize::from(state.earned[server])
     }
 }
 
-impl Model for System {
-    type State = World;
+impl Model for FleetModel {
+    type State = SystemState;
     type Action = Step;
 
-    fn init_states(&self) -> Vec<World> {
+    fn init_states(&self) -> Vec<SystemState> {
         let mut budget = SlowStartBudget::default();
-        budget.on_server_start(BEGIN, WARM_UP_PERIOD);
+        budget.on_server_start(SERVERS_STARTED_AT, WARM_UP_PERIOD);
         let budgets_of_node = [budget.clone(), budget];
-        vec![World {
+        vec![SystemState {
             tick: 0,
             budgets: [
                 budgets_of_node.clone(),
@@ -289,12 +291,12 @@
                 budgets_of_node,
             ],
             up_since: [0; 3],
-            server_started_at: [BEGIN; 2],
+            server_started_at: [SERVERS_STARTED_AT; 2],
             in_flight: Vec::new(),
             transfers: BTreeSet::new(),
             earned: [0; 2],
             sent: [0; 2],
-            allowance: Allowance {
+            remaining_failures: RemainingFailures {
                 duplicates: 1,
                 node_kills: 1,
                 server_restarts: 1,
@@ -302,16 +304,16 @@
         }]
     }
 
-    fn actions(&self, world: &World, steps: &mut Vec<Step>) {
-        steps.extend((world.tick < TICKS).then_some(Step::Wait));
-        let may_send = world.sent.iter().sum::<u8>() < self.max_sends;
+    fn actions(&self, state: &SystemState, steps: &mut Vec<Step>) {
+        steps.extend((state.tick < TICKS).then_some(Step::Wait));
+        let may_send = state.sent.iter().sum::<u8>() < self.max_sends;
         for node in 0..NODES {
             for server in 0..SERVERS {
-                // Servers number their time slots differently.
-                let has_permit = world.budgets[usize::from(node)][usize::from(server)].has_permit(
-                    world.now(),
+                // The order of time slots depends on the server.
+                let has_permit = state.budgets[usize::from(node)][usize::from(server)].has_permit(
+                    state.now(),
                     u64::from(server),
-                    &self.limits(world, node),
+                    &self.limits(state, node),
                 );
                 steps.extend((has_permit && may_send).then_some(Step::Send { node, server }));
                 steps.extend((1..NODES).map(|distance| Step::Transfer {
@@ -320,21 +322,21 @@
                     to: (node + distance) % NODES,
                 }));
             }
-            steps.extend((world.allowance.node_kills > 0).then_some(Step::KillNode(node)));
+            steps.extend((state.remaining_failures.node_kills > 0).then_some(Step::KillNode(node)));
         }
-        steps.extend((0..world.in_flight.len()).map(|attempt| Step::Answer { attempt }));
-        for transfer in 0..world.transfers.len() {
+        steps.extend((0..state.in_flight.len()).map(|attempt| Step::Answer { attempt }));
+        for transfer in 0..state.transfers.len() {
             steps.push(Step::Receive {
                 transfer,
                 duplicated: false,
             });
-            let may_duplicate = world.allowance.duplicates > 0;
+            let may_duplicate = state.remaining_failures.duplicates > 0;
             steps.extend(may_duplicate.then_some(Step::Receive {
                 transfer,
                 duplicated: true,
             }));
         }
-        let may_restart = world.allowance.server_restarts > 0;
+        let may_restart = state.remaining_failures.server_restarts > 0;
         steps.extend(
             (0..SERVERS)
                 .filter(|_| may_restart)
@@ -342,43 +344,43 @@
         );
     }
 
-    fn next_state(&self, before: &World, step: Step) -> Option<World> {
-        let mut world = before.clone();
+    fn next_state(&self, before: &SystemState, step: Step) -> Option<SystemState> {
+        let mut state = before.clone();
         match step {
-            Step::Wait => world.tick += 1,
+            Step::Wait => state.tick += 1,
             Step::Send { node, server } => {
-                if !self.send(&mut world, node, server) {
+                if !self.send(&mut state, node, server) {
                     return None;
                 }
             }
-            Step::Answer { attempt } => self.answer(&mut world, attempt),
-            Step::Transfer { from, server, to } => self.transfer(&mut world, from, server, to),
+            Step::Answer { attempt } => self.answer(&mut state, attempt),
+            Step::Transfer { from, server, to } => self.transfer(&mut state, from, server, to),
             Step::Receive {
                 transfer,
                 duplicated,
             } => {
-                let transfer = world.transfers.iter().nth(transfer).copied()?;
-                self.receive(&mut world, &transfer, duplicated);
+                let transfer = state.transfers.iter().nth(transfer).copied()?;
+                self.receive(&mut state, &transfer, duplicated);
             }
-            Step::KillNode(node) => Self::kill_node(&mut world, node),
-            Step::RestartServer(server) => self.restart_server(&mut world, server),
+            Step::KillNode(node) => Self::kill_node(&mut state, node),
+            Step::RestartServer(server) => self.restart_server(&mut state, server),
         }
-        Some(world)
+        Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![Property::always(
             PROPERTY,
-            |system: &System, world: &World| {
-                (0..usize::from(SERVERS)).all(|server| system.is_within_bound(world, server))
+            |model: &FleetModel, state: &SystemState| {
+                (0..usize::from(SERVERS)).all(|server| model.is_within_bound(state, server))
             },
         )]
     }
 }
 
-fn explore(max_sends: u8, fault: Option<Fault>) -> impl Checker<System> {
+fn explore(max_sends: u8, fault: Option<Fault>) -> impl Checker<FleetModel> {
     let threads = std::thread::available_parallelism().map_or(1, std::num::NonZero::get);
-    System { max_sends, fault }
+    FleetModel { max_sends, fault }
         .checker()
         .threads(threads)
         .target_state_count(TARGET_STATES)
@@ -386,14 +388,14 @@
         .join()
 }
 
-/// Transfers are lost, late and duplicated, a node is killed and restarts, and a server restarts. Whatever the order, no
+/// Transfers are lost, late and duplicated, a node is killed and restarts, and a server restarts. In any order, no
 /// server is sent more requests than its answers earned and its time slots allow.
 #[test]
 fn permits_never_exceed_what_was_earned_at_two_servers_and_three_nodes() {
     let exploration = explore(3, None);
     assert!(
         exploration.is_done(),
-        "{} states, not all",
+        "the exploration ended early after {} states",
         exploration.unique_state_count()
     );
     exploration.assert_properties();
@@ -404,17 +406,18 @@
     );
 }
 
-/// Each of these faults lets a fleet send more requests than a server earned. The exploration must find a path to each.
+/// Each of these faults lets a fleet send more requests than answers earned and time slots allow. The exploration must
+/// find a path to each.
 #[test]
-fn planted_faults_are_found_each_with_a_path() {
+fn injected_faults_are_detected_each_with_a_path() {
     let faults = [
         Fault::SenderKeepsPermit,
         Fault::DuplicateCounts,
-        Fault::OldTransferCounts,
-        Fault::OldPermitsKept,
+        Fault::StaleTransferCounts,
+        Fault::StalePermitsKept,
         Fault::SlotReused,
         Fault::AnswerCountsEverywhere,
-        Fault::OldAnswerCounts,
+        Fault::StaleAnswerCounts,
         Fault::EachOwnsAllSlots,
     ];
     for fault in faults {
@@ -426,6 +429,6 @@
             steps,
             exploration.unique_state_count()
         );
-        assert!(steps.is_some(), "{fault:?} is not found");
+        assert!(steps.is_some(), "{fault:?} is not detected");
     }
 }
--- a/crates/slow-start/tests/fleet.rs
+++ b/crates/slow-start/tests/fleet.rs
@@ -1,5 +1,6 @@
-//! Whole fleets in virtual time, at servers of all sizes: whatever happens to answers and nodes, what they send together
-//! stays under the load that overloads the server, and a server that warms up is put to use.
+//! Simulations in virtual time of whole fleets at servers of different sizes. With lost and late messages and
+//! restarting nodes, the fleet's load stays below the load that overloads the server, and a server that is warming up
+//! is well utilized.
 
 use proptest::prelude::*;
 use proptest::test_runner::FileFailurePersistence;
@@ -12,38 +13,38 @@
 
 const MS: Micros = 1000;
 const S: Micros = 1_000_000;
-/// Length of a step of virtual time, µs.
+/// Length of a simulation step, µs.
 const STEP: Micros = 5 * MS;
-/// Fraction of its capacity that a server has when it starts.
+/// Capacity of a server when it starts, as a fraction of its full capacity.
 const INITIAL_CAPACITY: f64 = 0.21;
 const WARM_UP_PERIOD: Micros = 17 * S;
-/// A server is overloaded by more than this multiple of what it can do, within `OVERLOAD_WINDOW`.
+/// Load above which a server is overloaded, as a multiple of what it can process within `OVERLOAD_WINDOW`.
 const OVERLOAD_MULTIPLE: f64 = 3.0;
 const OVERLOAD_WINDOW: Micros = S;
 const LATENCY_OBJECTIVE: Micros = 800 * MS;
-/// How long a request is queued for a permit: half of its client's timeout.
+/// Maximum time for which a request is queued for a permit, µs: half of its client's timeout.
 const QUEUE_TIMEOUT: Micros = 1500 * MS;
-/// Mean work of a request, µs on one core of a warm server.
+/// Mean processing time of a request on one core of a warm server, µs.
 const MEAN_WORK: f64 = 85e3;
-/// The server's number.
+/// The server's number, which is the same at all nodes.
 const SERVER: u64 = 7;
 
-/// What a run is like.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
-struct World {
+struct Scenario {
     nodes: u32,
     cores: usize,
-    /// Requests a second, over all nodes.
+    /// Requests per second, over all nodes.
     rate: f64,
     /// Fraction of answers, and of transfers, that are lost.
     lost: f64,
     /// Fraction of transfers that are duplicated.
     duplicated: f64,
-    /// Longest extra delay of an answer, µs.
+    /// Maximum additional delay of an answer, µs.
     max_answer_delay: Micros,
-    /// Each so often a node restarts and knows nothing; 0 for never.
+    /// Interval at which a random node restarts without its state, µs; 0 for never.
     restart_interval: Micros,
-    /// So many nodes receive no requests until a time.
+    /// Nodes that receive no requests at first.
     absent: Absence,
     seconds: u64,
     seed: u64,
@@ -57,15 +58,15 @@
 
 #[derive(Debug)]
 struct Outcome {
-    /// Highest load within a second, as a fraction of what overloads the server at that time.
+    /// Maximum load within the overload window, as a fraction of the load that overloads the server at that time.
     peak_load: f64,
-    /// Work done within the latency objective, as a fraction of what the server could do.
+    /// Work completed within the latency objective, as a fraction of what the server could process.
     utilization: f64,
     /// Fraction of requests that took longer than the latency objective.
     late: f64,
 }
 
-/// Fraction of its capacity that the server has.
+/// Returns the server's capacity as a fraction of its full capacity.
 fn capacity_fraction(now: Micros) -> f64 {
     (INITIAL_CAPACITY + (1.0 - INITIAL_CAPACITY) * now as f64 / WARM_UP_PERIOD as f64).min(1.0)
 }
@@ -74,7 +75,7 @@
 struct Node {
     budget: SlowStartBudget,
     baseline: BaselineLatency,
-    /// Since when the process knows what its node has sent.
+    /// Time since which the process knows what its node has sent, µs.
     up_since: Micros,
 }
 
@@ -100,7 +101,7 @@
     }
 }
 
-/// An answer on its way to its node. Answers arrive in this order.
+/// An answer in transit. The field order makes answers sort by arrival time.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Answer {
     arrives_at: Micros,
@@ -108,7 +109,7 @@
     sent_at: Micros,
 }
 
-/// A transfer on its way to another node.
+/// A transfer in transit.
 struct Transfer {
     arrives_at: Micros,
     to: usize,
@@ -116,13 +117,13 @@
     permit: TransferredPermit,
 }
 
-/// The work of a request, at the time it was sent.
+/// The processing time of a request, and when the request was sent.
 struct SentWork {
     at: Micros,
     work: f64,
 }
 
-/// Sums over a run.
+/// Measurements accumulated over a run.
 #[derive(Default)]
 struct Totals {
     peak_load: f64,
@@ -132,7 +133,7 @@
     late: f64,
 }
 
-/// What a node makes of an attempt's result.
+/// How a node records an attempt's result.
 trait RecordResult:
     Fn(&mut SlowStartBudget, Micros, &SlowStartLimits, AttemptResult, &mut BaselineLatency)
 {
@@ -143,40 +144,40 @@
 {
 }
 
-/// A fleet at one server.
+/// The state of a simulated fleet that sends to one server.
 struct Run<'a> {
-    world: &'a World,
+    scenario: &'a Scenario,
     random: fastrand::Rng,
     fleet: Vec<Node>,
-    /// When each core of the server is free.
+    /// Time at which each core of the server becomes idle.
     cores: BinaryHeap<Reverse<Micros>>,
     answers: BinaryHeap<Reverse<Answer>>,
     transfers: Vec<Transfer>,
-    /// When each request that is queued for a permit times out, by node.
+    /// Timeout times of the requests that are queued for a permit, by node.
     queues: Vec<VecDeque<Micros>>,
-    /// Work that was sent within the overload window.
+    /// Requests sent within the overload window.
     recent_work: VecDeque<SentWork>,
     totals: Totals,
 }
 
 impl<'a> Run<'a> {
-    fn new(world: &'a World) -> Run<'a> {
+    fn new(scenario: &'a Scenario) -> Run<'a> {
         Run {
-            world,
-            random: fastrand::Rng::with_seed(world.seed),
-            // The first processes have been up for longer than the server.
-            fleet: (0..world.nodes).map(|_| Node::new(0)).collect(),
-            cores: BinaryHeap::from(vec![Reverse(0); world.cores]),
+            scenario,
+            random: fastrand::Rng::with_seed(scenario.seed),
+            // The initial processes have been up for longer than the server.
+            fleet: (0..scenario.nodes).map(|_| Node::new(0)).collect(),
+            cores: BinaryHeap::from(vec![Reverse(0); scenario.cores]),
             answers: BinaryHeap::new(),
             transfers: Vec::new(),
-            queues: vec![VecDeque::new(); world.nodes as usize],
+            queues: vec![VecDeque::new(); scenario.nodes as usize],
             recent_work: VecDeque::new(),
             totals: Totals::default(),
         }
     }
 
     fn limits_of(&self, node: usize) -> SlowStartLimits {
-        limits(self.world.nodes, node as u32, self.fleet[node].up_since)
+        limits(self.scenario.nodes, node as u32, self.fleet[node].up_since)
     }
 
     fn step(
@@ -185,16 +186,16 @@
         up_since: impl Fn(Micros) -> Micros,
         record_result: &impl RecordResult,
     ) {
-        let world = self.world;
-        self.totals.work_possible += world.cores as f64 * capacity_fraction(now) * STEP as f64;
-        if world.restart_interval > 0 && now % world.restart_interval < STEP {
-            let node = self.random.usize(0..world.nodes as usize);
+        let scenario = self.scenario;
+        self.totals.work_possible += scenario.cores as f64 * capacity_fraction(now) * STEP as f64;
+        if scenario.restart_interval > 0 && now % scenario.restart_interval < STEP {
+            let node = self.random.usize(0..scenario.nodes as usize);
             self.fleet[node] = Node::new(up_since(now));
         }
         self.deliver_answers(now, record_result);
         self.deliver_transfers(now);
         self.queue_requests(now);
-        for node in 0..world.nodes as usize {
+        for node in 0..scenario.nodes as usize {
             self.step_node(now, node);
         }
         self.measure_load(now);
@@ -240,21 +241,21 @@
         }
     }
 
-    /// Queues the requests that arrive in this step.
+    /// Queues the requests that clients send in this step.
     fn queue_requests(&mut self, now: Micros) {
-        let absent = self.world.absent;
-        let mut remaining = self.world.rate * STEP as f64 / 1e6;
+        let absent = self.scenario.absent;
+        let mut remaining = self.scenario.rate * STEP as f64 / 1e6;
         while remaining > 0.0 {
             let arrives = remaining >= 1.0 || self.random.f64() < remaining;
             remaining -= 1.0;
-            let node = self.random.u32(0..self.world.nodes);
+            let node = self.random.u32(0..self.scenario.nodes);
             if arrives && !(node < absent.nodes && now < absent.until) {
                 self.queues[node as usize].push_back(now + QUEUE_TIMEOUT);
             }
         }
     }
 
-    /// A node sends a request if it has one and a permit, and transfers a permit if it has no request.
+    /// Lets a node send a queued request if it has a permit, or transfer a permit if it has no queued request.
     fn step_node(&mut self, now: Micros, node: usize) {
         let limits = self.limits_of(node);
         let queue = &mut self.queues[node];
@@ -272,12 +273,12 @@
         }
     }
 
-    /// Transfers a permit to a node drawn at random; the message may be lost, late or duplicated.
+    /// Transfers a permit to a random node. The message may be lost, late or duplicated.
     fn transfer(&mut self, now: Micros, from: u32, permit: TransferredPermit) {
-        let to = self.random.usize(0..self.world.nodes as usize);
+        let to = self.random.usize(0..self.scenario.nodes as usize);
         let delay = 5 * MS + self.random.u64(0..=33 * MS);
-        let arrives = self.random.f64() >= self.world.lost;
-        let is_duplicated = self.random.f64() < self.world.duplicated;
+        let arrives = self.random.f64() >= self.scenario.lost;
+        let is_duplicated = self.random.f64() < self.scenario.duplicated;
         let copies = u64::from(arrives) + u64::from(is_duplicated);
         self.transfers.extend((1..=copies).map(|copy| Transfer {
             arrives_at: now + delay * copy,
@@ -301,9 +302,9 @@
         } else {
             self.totals.late += 1.0;
         }
-        if self.random.f64() >= self.world.lost {
+        if self.random.f64() >= self.scenario.lost {
             self.answers.push(Reverse(Answer {
-                arrives_at: ends_at + self.random.u64(0..=self.world.max_answer_delay),
+                arrives_at: ends_at + self.random.u64(0..=self.scenario.max_answer_delay),
                 node,
                 sent_at: now,
             }));
@@ -318,7 +319,8 @@
         {
             self.recent_work.pop_front();
         }
-        let overload = OVERLOAD_MULTIPLE * self.world.cores as f64 * capacity_fraction(now) * 1e6;
+        let overload =
+            OVERLOAD_MULTIPLE * self.scenario.cores as f64 * capacity_fraction(now) * 1e6;
         if self.recent_work.len() > 1 {
             let load = self.recent_work.iter().map(|sent| sent.work).sum::<f64>() / overload;
             self.totals.peak_load = self.totals.peak_load.max(load);
@@ -334,25 +336,26 @@
     }
 }
 
-/// Runs a fleet at one server. `record_result` may plant a fault.
-fn run(world: &World, record_result: impl RecordResult) -> Outcome {
-    run_with_up_since(world, |now| now, record_result)
+/// Runs a fleet at one server. `record_result` may inject a fault.
+fn run(scenario: &Scenario, record_result: impl RecordResult) -> Outcome {
+    run_with_up_since(scenario, |now| now, record_result)
 }
 
-/// The same. `up_since` may plant a fault too: since when a node that restarts claims to know what it has sent.
+/// Like [`run`], but `up_since` may inject a fault too: it returns the time since which a node that restarts at a given
+/// time claims to know what it has sent.
 fn run_with_up_since(
-    world: &World,
+    scenario: &Scenario,
     up_since: impl Fn(Micros) -> Micros,
     record_result: impl RecordResult,
 ) -> Outcome {
-    let mut run = Run::new(world);
-    for step in 0..world.seconds * S / STEP {
+    let mut run = Run::new(scenario);
+    for step in 0..scenario.seconds * S / STEP {
         run.step(1 + step * STEP, &up_since, &record_result);
     }
     run.outcome()
 }
 
-/// Records a result as it is, without a fault.
+/// Records a result without a fault.
 fn record_result(
     budget: &mut SlowStartBudget,
     now: Micros,
@@ -363,8 +366,8 @@
     budget.record_result(now, 0, result, baseline, limits);
 }
 
-fn world(nodes: u32, cores: usize, rate: f64) -> World {
-    World {
+fn scenario(nodes: u32, cores: usize, rate: f64) -> Scenario {
+    Scenario {
         nodes,
         cores,
         rate,
@@ -378,10 +381,10 @@
     }
 }
 
-/// A server starts before a fleet with more requests than it can serve. Most of what it can do is used while it warms up,
-/// and it isn't overloaded.
+/// A server starts while the fleet has more requests than it can serve. Most of its capacity is used while it warms up,
+/// and it is not overloaded.
 #[test]
-fn a_server_that_warms_up_is_put_to_use_by_fleets_of_all_sizes() {
+fn fleets_of_all_sizes_utilize_a_server_that_is_warming_up() {
     for (nodes, cores) in [
         (3, 4),
         (3, 16),
@@ -391,7 +394,7 @@
         (300, 16),
         (1000, 16),
     ] {
-        let outcome = run(&world(nodes, cores, 100.0 * cores as f64), record_result);
+        let outcome = run(&scenario(nodes, cores, 100.0 * cores as f64), record_result);
         println!("{nodes} nodes, {cores} cores: {outcome:?}");
         assert!(
             outcome.utilization > 0.6 && outcome.peak_load < MAX_OVERLOAD_FRACTION,
@@ -400,44 +403,44 @@
     }
 }
 
-/// Servers of one core bear about seven requests in their first second, so a few requests at once by chance weigh much. Of
-/// two hundred such servers none is overloaded.
+/// More than about seven requests in its first second overload a server with one core, so a few requests that coincide
+/// by chance have a large effect. None of 200 such servers is overloaded.
 #[test]
-fn of_two_hundred_small_servers_none_is_overloaded() {
+fn none_of_two_hundred_small_servers_is_overloaded() {
     let peak_loads = (0..200).map(|seed| {
-        let world = World {
+        let scenario = Scenario {
             seed,
             seconds: 8,
-            ..world(300, 1, 100.0)
+            ..scenario(300, 1, 100.0)
         };
-        run(&world, record_result).peak_load
+        run(&scenario, record_result).peak_load
     });
     let peak_load = peak_loads.fold(0.0, f64::max);
-    println!("small servers: {peak_load}");
-    assert!(peak_load < 1.0, "{peak_load}");
+    println!("highest peak load of small servers: {peak_load}");
+    assert!(peak_load < 1.0, "peak load {peak_load}");
 }
 
-/// Half of the fleet receives its first requests when the server is partly warm, and has earned nothing until then.
+/// Half of the fleet receives its first requests when the server is partly warm, and has earned no permits until then.
 #[test]
-fn half_of_the_fleet_that_comes_later_overloads_no_server() {
-    let world = World {
+fn a_server_is_not_overloaded_when_half_of_the_fleet_receives_requests_later() {
+    let scenario = Scenario {
         absent: Absence {
             nodes: 20,
             until: 5 * S,
         },
-        ..world(40, 4, 200.0)
+        ..scenario(40, 4, 200.0)
     };
-    let outcome = run(&world, record_result);
+    let outcome = run(&scenario, record_result);
     assert!(
         outcome.peak_load < MAX_OVERLOAD_FRACTION && outcome.utilization > 0.6,
         "{outcome:?}"
     );
 }
 
-/// A server is overloaded and restarts. Permits that it earned before would overload it again: they are void, and the server
-/// is sent at most half as many requests in time slots as one that has not restarted.
+/// A server is overloaded and restarts. Permits earned before would overload it again, so they become invalid, and it
+/// has at most half as many time slots as a server that has not restarted.
 #[test]
-fn a_restart_voids_permits_and_an_early_one_halves_the_time_slots() {
+fn a_restart_invalidates_permits_and_an_early_one_halves_the_time_slots() {
     let limits = limits(5, 0, 0);
     let (mut budget, mut baseline) = (SlowStartBudget::default(), BaselineLatency::default());
     budget.on_server_start(S, WARM_UP_PERIOD);
@@ -452,13 +455,13 @@
     assert_eq!(
         budget.earned_permits(2 * S),
         2,
-        "1.35 and a fraction of 0.9"
+        "1.35 permits plus the random fraction 0.9, rounded down"
     );
     budget.on_server_start(S, WARM_UP_PERIOD);
     assert_eq!(
         budget.earned_permits(2 * S),
         2,
-        "the same start time again changes nothing"
+        "an unchanged start time keeps the permits"
     );
     budget.on_server_start(3 * S, WARM_UP_PERIOD);
     assert_eq!(budget.earned_permits(3 * S), 0);
@@ -472,16 +475,16 @@
     first_start.on_server_start(3 * S, WARM_UP_PERIOD);
     assert!(
         slots(&budget) * 2 <= slots(&first_start) + 1,
-        "{} {}",
+        "{} time slots after an early restart, {} after the first start",
         slots(&budget),
         slots(&first_start)
     );
 }
 
-/// A node is suspended, and reads answers when they are seconds old. They say nothing of what the server can do now, and
-/// bring no permits.
+/// A node is suspended and reads answers seconds after they arrived. They don't reflect the server's current capacity,
+/// and earn no permits.
 #[test]
-fn a_node_that_was_suspended_earns_nothing_by_answers_that_it_reads_late() {
+fn a_suspended_node_earns_no_permits_from_answers_that_it_reads_late() {
     let limits = limits(5, 3, 0);
     let (mut budget, mut baseline) = (SlowStartBudget::default(), BaselineLatency::default());
     budget.on_server_start(S, WARM_UP_PERIOD);
@@ -498,10 +501,10 @@
     assert_eq!(budget.earned_permits(8 * S), 0);
 }
 
-/// Three nodes have clocks that differ and take their steps in any order. Each time slot belongs to one of them, at each of
-/// two servers, so they never send more than one request each within a second.
+/// Three nodes have different clock offsets and send in any order. Each time slot of each of two servers belongs to one
+/// node, so together they never send more than three requests within a second.
 #[test]
-fn time_slots_never_sum_above_one_each_for_two_servers_and_three_nodes() {
+fn three_nodes_send_at_most_three_requests_a_second_in_time_slots_at_each_of_two_servers() {
     let clock_offsets = [0, 40 * MS, 300 * MS];
     for server in [4_u64, 11] {
         for order in [[0, 1, 2], [2, 1, 0], [1, 2, 0]] {
@@ -522,16 +525,16 @@
                 while sent.front().is_some_and(|at| at + S <= now) {
                     sent.pop_front();
                 }
-                assert!(sent.len() <= 3, "{} within a second", sent.len());
+                assert!(sent.len() <= 3, "{} requests within a second", sent.len());
             }
         }
     }
 }
 
-/// Late answers that count as good ones, and answers that count three times, must show in the runs above; transfers that
-/// are all duplicated must not, as a duplicate counts once.
+/// The runs above must detect late answers that count as fast ones, and answers that count three times. With all
+/// transfers duplicated, the load must stay within its bound, because a duplicate counts once.
 #[test]
-fn planted_faults_overload_the_server() {
+fn injected_faults_overload_the_server() {
     let late_answers_count = |budget: &mut SlowStartBudget,
                               now,
                               limits: &SlowStartLimits,
@@ -543,30 +546,31 @@
         };
         budget.record_result(now, 0, result, baseline, limits);
     };
-    let answers_count_thrice = |budget: &mut SlowStartBudget,
-                                now,
-                                limits: &SlowStartLimits,
-                                result: AttemptResult,
-                                baseline: &mut BaselineLatency| {
-        let result = AttemptResult {
-            random_fraction: 0.99,
-            ..result
+    let answers_count_three_times =
+        |budget: &mut SlowStartBudget,
+         now,
+         limits: &SlowStartLimits,
+         result: AttemptResult,
+         baseline: &mut BaselineLatency| {
+            let result = AttemptResult {
+                random_fraction: 0.99,
+                ..result
+            };
+            for _ in 0..3 {
+                budget.record_result(now, 0, result, baseline, limits);
+            }
         };
-        for _ in 0..3 {
-            budget.record_result(now, 0, result, baseline, limits);
-        }
-    };
-    let busy = world(30, 4, 800.0);
+    let busy = scenario(30, 4, 800.0);
     let outcome = run(&busy, late_answers_count);
     assert!(outcome.late > 0.3, "late answers that count: {outcome:?}");
-    let outcome = run(&busy, answers_count_thrice);
+    let outcome = run(&busy, answers_count_three_times);
     assert!(
         outcome.peak_load > MAX_OVERLOAD_FRACTION,
-        "answers that count thrice: {outcome:?}"
+        "answers that count three times: {outcome:?}"
     );
-    let all_duplicated = World {
+    let all_duplicated = Scenario {
         duplicated: 1.0,
-        ..world(300, 4, 400.0)
+        ..scenario(300, 4, 400.0)
     };
     let outcome = run(&all_duplicated, record_result);
     assert!(
@@ -580,46 +584,46 @@
     );
 }
 
-/// The input of a run that failed while each new process of a node counted as one that knew what the last had sent: a node
-/// alone, which restarts at each step.
-fn node_that_restarts_all_the_time() -> World {
+/// Parameters of a run that failed when each new process of a node wrongly claimed to know what the previous one had
+/// sent: a single node that restarts at each step.
+fn repeatedly_restarting_node() -> Scenario {
     let load = 3.538_448_069_805_013_6;
-    World {
+    Scenario {
         restart_interval: MS,
         max_answer_delay: 0,
         seconds: 8,
         seed: 0,
-        ..world(1, 1, load * 1e6 / MEAN_WORK)
+        ..scenario(1, 1, load * 1e6 / MEAN_WORK)
     }
 }
 
-/// A node is killed in its time slot and restarts within it, over and over. It doesn't know whether it has used the slot, so
-/// it must leave it; used once by each process, the slot would overload the server.
+/// A node is repeatedly killed and restarted within its time slot. A new process doesn't know whether the slot was
+/// used, so it must not use it; otherwise each process would use the slot once and overload the server.
 #[test]
-fn a_node_that_restarts_all_the_time_overloads_no_server() {
+fn a_node_that_restarts_repeatedly_does_not_overload_the_server() {
     for nodes in [1, 2, 3, 30] {
         for restart_interval_ms in [1, 7, 50, 400] {
-            let world = World {
+            let scenario = Scenario {
                 nodes,
                 restart_interval: restart_interval_ms * MS,
-                ..node_that_restarts_all_the_time()
+                ..repeatedly_restarting_node()
             };
-            let outcome = run(&world, record_result);
+            let outcome = run(&scenario, record_result);
             assert!(
                 outcome.peak_load < MAX_OVERLOAD_FRACTION + 0.3,
-                "{world:?}: {outcome:?}"
+                "{scenario:?}: {outcome:?}"
             );
         }
     }
 }
 
-/// The same node, where each new process claims to know what the last has sent. That fault must show.
+/// The same node, but each new process claims to know what the previous one sent. The run must detect this fault.
 #[test]
-fn a_node_that_claims_to_know_what_its_last_process_sent_overloads_the_server() {
-    let outcome = run_with_up_since(&node_that_restarts_all_the_time(), |_| 0, record_result);
+fn a_node_that_claims_to_know_what_its_previous_process_sent_overloads_the_server() {
+    let outcome = run_with_up_since(&repeatedly_restarting_node(), |_| 0, record_result);
     assert!(
         outcome.peak_load > 1.0,
-        "a time slot is used again by each process: {outcome:?}"
+        "time slots that each process uses again: {outcome:?}"
     );
 }
 
@@ -629,14 +633,14 @@
         ..ProptestConfig::default()
     })]
 
-    /// Answers and transfers are lost, late and duplicated, nodes restart and some come later. The fleet's load stays under
-    /// its bound.
+    /// Answers and transfers are lost, late and duplicated, nodes restart, and some receive requests later. The fleet's
+    /// load stays below its bound.
     #[test]
-    fn a_fleet_stays_under_its_bound(
+    fn the_load_of_a_fleet_stays_below_its_bound(
         nodes in 1_u32..400, cores in 1_usize..24, load in 0.2_f64..8.0, lost in 0.0_f64..0.9, duplicated in 0.0_f64..1.0,
         max_answer_delay_ms in 0_u64..600, restart_interval_ms in 0_u64..400, absent_nodes in 0_u32..300, seed: u64,
     ) {
-        let world = World {
+        let scenario = Scenario {
             nodes,
             cores,
             rate: load * cores as f64 * 1e6 / MEAN_WORK,
@@ -648,8 +652,8 @@
             seconds: 8,
             seed,
         };
-        let outcome = run(&world, record_result);
-        // At few cores a few requests that arrive at once by chance weigh much.
+        let outcome = run(&scenario, record_result);
+        // With few cores, a few requests that coincide by chance have a large effect.
         let tolerance = if cores < 4 { 0.3 } else { 0.1 };
         prop_assert!(outcome.peak_load < MAX_OVERLOAD_FRACTION + tolerance, "{outcome:?}");
     }
