--- a/crates/subsetting/src/lib.rs
+++ b/crates/subsetting/src/lib.rs
@@ -1,15 +1,16 @@
-//! Which nodes of a fleet send to which servers of a long list, and a median of values that change one by one.
+//! Deterministic subsetting of a long list of servers among the nodes of a fleet, and an incrementally updated median.
 //!
-//! Where thousands of nodes each keep the state of, iterate over and connect to tens of thousands of servers, a node meets
-//! each server once in minutes: nearly every attempt needs a handshake, and what the node knows of a server is always old. A
-//! subset for each node prevents both.
+//! If each of thousands of nodes sends to all of tens of thousands of servers, a node sends to each server only once in
+//! several minutes: nearly every attempt needs a new handshake, and the node's information about a server is always
+//! stale. A node must also store, iterate over and connect to all servers. Limiting each node to a subset prevents
+//! this.
 //!
-//! - [`Subset`]: each node sends to all of up to [`FULL_LIST_MAX`] servers. Of a longer list each server has
-//!   [`Subset::nodes_per_server`] nodes, drawn by the server's number alone, so a server that comes or goes moves no other,
-//!   and each node can compute the nodes of a server without messages.
-//! - [`Median`]: the median of values that change one by one, without sorting them all.
+//! - [`Subset`]: with up to [`FULL_LIST_MAX`] servers, each node sends to all of them. In a longer list, each server is
+//!   assigned [`Subset::nodes_per_server`] nodes. The assignment depends only on the server's number, so adding or
+//!   removing a server does not reassign the others, and each node can compute the nodes of a server without messages.
+//! - [`Median`]: the median of a changing set of values, without sorting them.
 //!
-//! The crate does no input or output, and has no clock.
+//! The crate performs no I/O and uses no clock.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -17,4 +18,4 @@
 mod subset;
 
 pub use median::Median;
-pub use subset::{SlowStartGroup, Subset, FULL_LIST_MAX, SLOW_START_GROUP, TARGET_SIZE};
+pub use subset::{SlowStartGroup, Subset, FULL_LIST_MAX, SLOW_START_GROUP_SIZE, TARGET_SIZE};
--- a/crates/subsetting/src/median.rs
+++ b/crates/subsetting/src/median.rs
@@ -1,11 +1,11 @@
-//! The median of values that change one by one.
+//! A median that is updated incrementally as values are added and removed.
 //!
-//! Values are kept in a lower and an upper half of equal size, so the median is at the end of one of them; a change costs a
-//! few steps down a tree instead of a sort.
+//! Values are stored in a lower and an upper half whose sizes differ by at most one, so the median is the first value
+//! of the upper half. An update takes logarithmic time.
 
 use std::collections::BTreeSet;
 
-/// A value by its bits, and its key. The bits of numbers that aren't negative have the order of the numbers.
+/// A value and its key. The value is stored as its bit pattern, which has the same order for non-negative numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Entry {
     bits: u64,
@@ -25,16 +25,16 @@
     }
 }
 
-/// Values by their keys, and their median.
+/// A set of non-negative values, each with a key, and their median.
 #[derive(Clone, Debug, Default)]
 pub struct Median {
-    /// As many values as the upper half has, or one less.
+    /// The lower half; has as many values as the upper half, or one less.
     lower: BTreeSet<Entry>,
     upper: BTreeSet<Entry>,
 }
 
 impl Median {
-    /// Adds a value, which must not be negative, under a key that is not in use.
+    /// Adds a value with a key. The value must not be negative and the key must not be in use.
     pub fn add(&mut self, value: f64, key: u64) {
         let entry = Entry::new(value, key);
         if self.lower.last().is_some_and(|last| entry < *last) {
@@ -45,7 +45,7 @@
         self.rebalance();
     }
 
-    /// Removes a value that was added under this key.
+    /// Removes the value that was added with this key. `value` must be equal to that value.
     pub fn remove(&mut self, value: f64, key: u64) {
         let entry = Entry::new(value, key);
         if !self.lower.remove(&entry) {
@@ -54,17 +54,18 @@
         self.rebalance();
     }
 
-    /// The median; of an even number of values the upper of the two in the middle. `None` if there are no values.
+    /// Returns the median; for an even number of values, the upper of the two middle values. `None` if there are no
+    /// values.
     pub fn get(&self) -> Option<f64> {
         self.upper.first().map(|entry| entry.value())
     }
 
-    /// Number of values.
+    /// Returns the number of values.
     pub fn len(&self) -> usize {
         self.lower.len() + self.upper.len()
     }
 
-    /// Whether there are no values.
+    /// Returns whether there are no values.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/subsetting/src/subset.rs
+++ b/crates/subsetting/src/subset.rs
@@ -1,33 +1,35 @@
-//! Deterministic subsetting: which nodes send to which servers.
+//! Deterministic subsetting: determines which nodes send to which servers.
 //!
-//! A server's number gives an order of all nodes, and the first of them send to it. Inputs are the node's number, the
-//! number of nodes and the length of the list; the results are the number of nodes for each server and whether this node is
-//! among them. The list's length alone decides how many nodes a server has, within a tolerance, so small changes of the list
-//! move no server.
+//! A server's number determines an order of all nodes, and the first [`Subset::nodes_per_server`] nodes of this order
+//! send to the server. That number depends only on the number of nodes and the length of the list, within a tolerance,
+//! so small changes of the list do not change any subset.
 
-/// Servers up to which each node sends to all of them.
+/// Maximum number of servers with which each node sends to all servers.
 pub const FULL_LIST_MAX: usize = 512;
-/// Servers that a node aims to have of a longer list: enough to choose from, few enough that each is met often.
+/// Target number of servers in a node's subset of a longer list: enough for load balancing, but few enough that the
+/// node sends to each of them often.
 pub const TARGET_SIZE: usize = 256;
-/// Nodes that each server has at the least, if there are so many. The first so many nodes of a server don't depend on the
-/// list's length: they share what may be sent to it while it warms up.
-pub const SLOW_START_GROUP: u32 = 8;
-/// How far a subset may exceed what is needed before servers leave it. Without a tolerance a list whose length goes up and
-/// down by one server would move a part of all subsets each time.
-const SHRINK_TOLERANCE: f64 = 1.5;
-/// How far a subset that no longer fits is set above what is needed.
-const RESIZE_MARGIN: f64 = 1.2;
-
-/// The nodes that share a server's slow start, as one node sees them.
+/// Minimum number of nodes per server, if the fleet has as many. These first nodes of a server's order don't depend on
+/// the length of the list. They share the server's slow start.
+pub const SLOW_START_GROUP_SIZE: u32 = 8;
+/// Maximum ratio of the nodes per server to the number needed before it is reduced. Without this tolerance, a list
+/// whose length alternates by one server would change part of all subsets each time.
+const MAX_RATIO_BEFORE_SHRINK: f64 = 1.5;
+/// Ratio of the nodes per server to the number needed, when the number of nodes per server is set anew.
+const RESIZE_RATIO: f64 = 1.2;
+
+/// The group of nodes that share a server's slow start, and one node's rank in it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SlowStartGroup {
-    /// Number of nodes that share it.
+    /// Number of nodes in the group.
     pub size: u32,
-    /// This node's rank among the server's nodes, from 0; below `size` if the node is one of the group.
+    /// This node's rank in the server's order of nodes, from 0. The node belongs to the group if its rank is below
+    /// `size`.
     pub rank: u32,
 }
 
-/// The servers that one node sends to, of a list of which it needs to know only the length.
+/// The servers to which one node sends. Only the length of the list is needed to determine whether a server belongs to
+/// it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Subset {
     node: u32,
@@ -36,7 +38,7 @@
 }
 
 impl Subset {
-    /// The whole list, for node `node` of `node_count`.
+    /// Creates a subset with all servers for node number `node` of `node_count` nodes.
     pub fn new(node: u32, node_count: u32) -> Subset {
         let node_count = node_count.max(1);
         Subset {
@@ -46,7 +48,8 @@
         }
     }
 
-    /// The list has so many servers now. Whether the subset has changed.
+    /// Adjusts the subset to a list of `server_count` servers. Returns whether the number of nodes per server has
+    /// changed.
     pub fn resize(&mut self, server_count: usize) -> bool {
         let before = self.nodes_per_server;
         self.nodes_per_server = self.nodes_per_server_for(server_count);
@@ -59,33 +62,34 @@
         }
         let needed =
             (TARGET_SIZE as f64 * f64::from(self.node_count) / server_count.max(1) as f64).ceil();
-        let fits = (self.bounded(needed)..=self.bounded(needed * SHRINK_TOLERANCE))
+        let is_within_tolerance = (self.clamp_node_count(needed)
+            ..=self.clamp_node_count(needed * MAX_RATIO_BEFORE_SHRINK))
             .contains(&self.nodes_per_server);
-        if fits {
+        if is_within_tolerance {
             self.nodes_per_server
         } else {
-            self.bounded((needed * RESIZE_MARGIN).ceil())
+            self.clamp_node_count((needed * RESIZE_RATIO).ceil())
         }
     }
 
-    /// A number of nodes, at least [`SLOW_START_GROUP`] and at most all.
-    fn bounded(&self, nodes: f64) -> u32 {
+    /// Limits a number of nodes to at least [`SLOW_START_GROUP_SIZE`] and at most all nodes.
+    fn clamp_node_count(&self, nodes: f64) -> u32 {
         nodes
-            .max(f64::from(SLOW_START_GROUP))
+            .max(f64::from(SLOW_START_GROUP_SIZE))
             .min(f64::from(self.node_count)) as u32
     }
 
-    /// Whether each node sends to all servers.
+    /// Returns whether each node sends to all servers.
     pub fn is_complete(&self) -> bool {
         self.nodes_per_server == self.node_count
     }
 
-    /// Number of nodes that send to each server.
+    /// Returns the number of nodes that send to each server.
     pub fn nodes_per_server(&self) -> u32 {
         self.nodes_per_server
     }
 
-    /// The nodes that share a server's slow start.
+    /// Returns the group of nodes that share a server's slow start, with this node's rank.
     pub fn slow_start_group(&self, server: u64) -> SlowStartGroup {
         if self.is_complete() {
             return SlowStartGroup {
@@ -94,17 +98,17 @@
             };
         }
         SlowStartGroup {
-            size: SLOW_START_GROUP.min(self.node_count),
+            size: SLOW_START_GROUP_SIZE.min(self.node_count),
             rank: self.rank(server),
         }
     }
 
-    /// Whether this node sends to a server.
+    /// Returns whether this node sends to a server.
     pub fn contains(&self, server: u64) -> bool {
         self.is_complete() || self.rank(server) < self.nodes_per_server
     }
 
-    /// The node with a rank in the group that shares a server's slow start.
+    /// Returns the node with the given rank in the group that shares a server's slow start.
     pub fn slow_start_node_at_rank(&self, server: u64, rank: u32) -> u32 {
         if self.is_complete() {
             return rank % self.node_count;
@@ -112,14 +116,15 @@
         self.node_at_rank(server, rank)
     }
 
-    /// The node with a rank among a server's nodes, in a subset that is not complete.
+    /// Returns the node with the given rank in a server's order of nodes. Only meaningful if the subset is not
+    /// complete.
     pub fn node_at_rank(&self, server: u64, rank: u32) -> u32 {
         let order = self.order(server);
         let distance = u64::from(rank % self.node_count) * order.step;
         ((order.first + distance) % u64::from(self.node_count)) as u32
     }
 
-    /// This node's rank among all, in a server's order.
+    /// Returns this node's rank in a server's order of nodes.
     fn rank(&self, server: u64) -> u32 {
         let order = self.order(server);
         let node_count = u64::from(self.node_count);
@@ -129,7 +134,7 @@
 
     fn order(&self, server: u64) -> NodeOrder {
         let node_count = u64::from(self.node_count);
-        let hash = mix(server);
+        let hash = hash_number(server);
         let mut step = (hash >> 32) % node_count;
         while greatest_common_divisor(step, node_count) != 1 {
             step = (step + 1) % node_count;
@@ -141,21 +146,22 @@
     }
 }
 
-/// A server's order of all nodes: from the first on in steps that have no divisor in common with the number of nodes, so
-/// that it comes by each node once.
+/// A server's order of all nodes: it starts at `first` and advances by `step`, modulo the number of nodes. The step is
+/// coprime to the number of nodes, so that the order contains each node exactly once.
 struct NodeOrder {
     first: u64,
     step: u64,
 }
 
-/// Spreads numbers evenly (the finalizer of `SplitMix64`: Steele, Lea and Flood, 2014).
-fn mix(number: u64) -> u64 {
+/// Hashes a number with the finalizer of `SplitMix64` (Steele, Lea and Flood, 2014), so that results are evenly
+/// distributed.
+fn hash_number(number: u64) -> u64 {
     let number = (number ^ (number >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let number = (number ^ (number >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     number ^ (number >> 31)
 }
 
-/// Greatest common divisor; that of 0 and 1 is 1.
+/// Returns the greatest common divisor of two numbers; 1 for 0 and 1.
 fn greatest_common_divisor(mut a: u64, mut b: u64) -> u64 {
     while b > 0 {
         (a, b) = (b, a % b);
@@ -163,7 +169,8 @@
     a
 }
 
-/// The number that, times `number`, is 1 modulo `modulus` (the extended Euclidean algorithm).
+/// Returns the modular multiplicative inverse of `number`, computed with the extended Euclidean algorithm. `number`
+/// must be coprime to `modulus`.
 fn modular_inverse(number: u64, modulus: u64) -> u64 {
     let (mut a, mut b) = (number as i64, modulus as i64);
     let (mut x, mut y) = (1_i64, 0_i64);
--- a/crates/subsetting/tests/median.rs
+++ b/crates/subsetting/tests/median.rs
@@ -1,4 +1,4 @@
-//! A median that is kept up to date is that of a sorted list.
+//! Compares the incrementally updated median with that of a sorted list.
 
 use proptest::prelude::*;
 use proptest::test_runner::FileFailurePersistence;
@@ -11,7 +11,7 @@
     ))]
 
     #[test]
-    fn a_median_is_that_of_a_sorted_list(steps in prop::collection::vec((0_u64..40, 0_u32..50), 1..200)) {
+    fn the_median_equals_that_of_a_sorted_list(steps in prop::collection::vec((0_u64..40, 0_u32..50), 1..200)) {
         let (mut median, mut values) = (Median::default(), BTreeMap::new());
         for (key, value) in steps {
             if let Some(old) = values.remove(&key) {
--- a/crates/subsetting/tests/subset.rs
+++ b/crates/subsetting/tests/subset.rs
@@ -1,12 +1,12 @@
-//! How subsets lie over a long list, and that each node computes the same nodes for a server.
+//! Tests of the distribution of subsets over a long list, and that each node computes the same nodes for a server.
 
 use proptest::prelude::*;
 use proptest::test_runner::FileFailurePersistence;
 use saffronpaddle_subsetting::{
-    SlowStartGroup, Subset, FULL_LIST_MAX, SLOW_START_GROUP, TARGET_SIZE,
+    SlowStartGroup, Subset, FULL_LIST_MAX, SLOW_START_GROUP_SIZE, TARGET_SIZE,
 };
 
-/// Numbers of servers, spread as hashes of names are.
+/// Returns server numbers that are evenly distributed, like hashes of names.
 fn servers(count: usize) -> Vec<u64> {
     let mut random = fastrand::Rng::with_seed(1);
     (0..count).map(|_| random.u64(..)).collect()
@@ -18,15 +18,16 @@
     subset
 }
 
-/// How a fleet's load and subsets are spread.
-struct Spread {
-    /// Load of the busiest server, as a multiple of the mean, where each node spreads the same load over its subset.
-    busiest: f64,
+/// The distribution of a fleet's load and subset sizes.
+struct Distribution {
+    /// Load of the busiest server as a multiple of the mean, if each node distributes the same load evenly over
+    /// its subset.
+    max_load_ratio: f64,
     smallest_subset: usize,
     largest_subset: usize,
 }
 
-fn spread(node_count: u32, servers: &[u64]) -> Spread {
+fn distribution(node_count: u32, servers: &[u64]) -> Distribution {
     let subset = subset(0, node_count, servers.len());
     let nodes_of = |server: u64| {
         (0..subset.nodes_per_server()).map(move |rank| subset.node_at_rank(server, rank) as usize)
@@ -42,15 +43,15 @@
             .sum::<f64>()
     };
     let mean = f64::from(node_count) / servers.len() as f64;
-    Spread {
-        busiest: servers.iter().map(load).fold(0.0, f64::max) / mean,
+    Distribution {
+        max_load_ratio: servers.iter().map(load).fold(0.0, f64::max) / mean,
         smallest_subset: sizes.iter().copied().min().unwrap_or(0),
         largest_subset: sizes.iter().copied().max().unwrap_or(0),
     }
 }
 
 #[test]
-fn up_to_a_size_each_node_sends_to_all_servers() {
+fn each_node_sends_to_all_servers_of_a_short_list() {
     for node_count in [1, 3, 300, 2_700] {
         for node in [0, node_count / 2, node_count - 1] {
             let subset = subset(node, node_count, FULL_LIST_MAX);
@@ -66,33 +67,33 @@
                     size: node_count,
                     rank: node
                 },
-                "all nodes share a server's slow start"
+                "all nodes share a server's slow start in order of their numbers"
             );
         }
     }
 }
 
 #[test]
-fn each_server_of_a_long_list_has_as_many_nodes_as_every_other() {
+fn each_server_of_a_long_list_has_the_same_number_of_nodes() {
     for (node_count, server_count) in [(30, 5_000), (300, 4_000), (2_700, 3_000)] {
         let subsets: Vec<Subset> = (0..node_count)
             .map(|node| subset(node, node_count, server_count))
             .collect();
         let nodes_per_server = subsets[0].nodes_per_server();
-        let group_size = SLOW_START_GROUP.min(node_count);
+        let group_size = SLOW_START_GROUP_SIZE.min(node_count);
         assert!(nodes_per_server >= group_size);
         for server in servers(server_count) {
             let nodes: Vec<u32> = (0..node_count)
                 .filter(|node| subsets[*node as usize].contains(server))
                 .collect();
             assert_eq!(nodes.len(), nodes_per_server as usize);
-            // Each node can compute which the others are.
+            // Each node can compute all nodes of a server.
             let mut computed: Vec<u32> = (0..nodes_per_server)
                 .map(|rank| subsets[0].node_at_rank(server, rank))
                 .collect();
             computed.sort_unstable();
             assert_eq!(nodes, computed);
-            // Some of them share the server's slow start, each with a rank of its own.
+            // The first nodes share the server's slow start, each with a different rank.
             let mut ranks: Vec<u32> = subsets
                 .iter()
                 .map(|subset| subset.slow_start_group(server))
@@ -106,37 +107,38 @@
 }
 
 #[test]
-fn load_is_even_over_the_servers_at_30_300_and_2700_nodes() {
-    // With few nodes subsets are large and all alike; with many the nodes of a server even each other out.
+fn load_is_evenly_distributed_over_servers_with_30_300_and_2700_nodes() {
+    // With few nodes, subsets are large and of similar size; with many, differences between a server's nodes average
+    // out.
     for (node_count, server_count, bound) in [
         (30, 40_000, 1.05),
         (300, 40_000, 1.10),
         (2_700, 40_000, 1.10),
     ] {
-        let spread = spread(node_count, &servers(server_count));
+        let distribution = distribution(node_count, &servers(server_count));
         assert!(
-            spread.busiest < bound,
-            "{node_count} nodes: the busiest server has {} times the mean",
-            spread.busiest
+            distribution.max_load_ratio < bound,
+            "{node_count} nodes: the busiest server has {} times the mean load",
+            distribution.max_load_ratio
         );
         assert!(
-            spread.smallest_subset >= TARGET_SIZE * 3 / 4,
-            "{node_count} nodes: a subset of {}",
-            spread.smallest_subset
+            distribution.smallest_subset >= TARGET_SIZE * 3 / 4,
+            "{node_count} nodes: a subset of {} servers",
+            distribution.smallest_subset
         );
         let nodes_per_server = subset(0, node_count, server_count).nodes_per_server();
         let mean = server_count * nodes_per_server as usize / node_count as usize;
         assert!(
-            spread.largest_subset < mean * 13 / 10,
-            "{node_count} nodes: a subset of {}, in the mean {mean}",
-            spread.largest_subset
+            distribution.largest_subset < mean * 13 / 10,
+            "{node_count} nodes: a subset of {} servers, mean {mean}",
+            distribution.largest_subset
         );
     }
 }
 
-/// Servers are added and removed, a few at a time. No other server moves to or from a subset.
+/// A small part of all servers is added or removed. No other server is added to or removed from a subset.
 #[test]
-fn a_server_that_comes_or_goes_moves_no_other() {
+fn adding_or_removing_servers_does_not_reassign_the_others() {
     let (server_count, node_count) = (40_000, 2_700);
     let servers = servers(server_count);
     for node in 0..20 {
@@ -155,16 +157,19 @@
             server_count + 400,
             server_count,
         ] {
-            assert!(!subset.resize(count), "{count} servers move the subset");
+            assert!(
+                !subset.resize(count),
+                "a list of {count} servers changes the subset"
+            );
         }
         assert_eq!(before, members(&subset));
     }
 }
 
-/// A zone with a third of all servers fails. Each node keeps most of its subset, and with the shorter list the subset is full
-/// again at once, with all servers that are left in it.
+/// A zone with a third of all servers fails. Each node keeps most of its subset. After a resize to the shorter list,
+/// the subset has its target size again and still contains all of its remaining servers.
 #[test]
-fn a_zone_that_fails_leaves_most_of_each_subset_and_it_is_full_again_at_once() {
+fn a_zone_failure_leaves_most_of_each_subset_and_a_resize_refills_it() {
     let (server_count, node_count) = (40_000, 2_700);
     let servers = servers(server_count);
     let remaining: Vec<u64> = servers
@@ -186,7 +191,7 @@
         let kept = members(&subset, &remaining);
         assert!(
             kept.len() * 10 > before.len() * 5,
-            "{} of {} are left",
+            "{} of {} servers remain in the subset",
             kept.len(),
             before.len()
         );
@@ -194,19 +199,19 @@
         let after = members(&subset, &remaining);
         assert!(
             after.len() >= TARGET_SIZE * 3 / 4,
-            "a subset of {}",
+            "a subset of {} servers",
             after.len()
         );
         assert!(
             kept.iter().all(|server| after.contains(server)),
-            "the servers that are left stay in the subset"
+            "the remaining servers stay in the subset"
         );
     }
 }
 
-/// The length of a list goes up and down by one server. No subset changes.
+/// The length of a list alternates by one server. No subset changes.
 #[test]
-fn a_list_whose_length_alternates_by_one_moves_no_subset() {
+fn a_list_whose_length_alternates_by_one_changes_no_subset() {
     for node_count in [30, 300, 2_700] {
         for server_count in [600, 5_000, 33_333, 40_000] {
             let mut subset = subset(0, node_count, server_count);
@@ -219,7 +224,7 @@
 }
 
 #[test]
-fn three_nodes_send_to_all_servers_however_many_there_are() {
+fn three_nodes_send_to_all_servers_of_a_long_list() {
     let subset = subset(1, 3, 40_000);
     assert!(subset.is_complete());
 }
@@ -230,7 +235,7 @@
     ))]
 
     #[test]
-    fn the_member_at_a_nodes_rank_is_that_node(
+    fn the_node_at_a_nodes_rank_is_that_node(
         server: u64, node_count in 9_u32..5_000, node in 0_u32..5_000,
     ) {
         let node = node % node_count;
