--- a/crates/quota/tests/exhaustive.rs
+++ b/crates/quota/tests/exhaustive.rs
@@ -299,24 +299,27 @@
 
 /// Visits all reachable states until one violates an invariant.
 fn explore(fault: Option<Fault>) -> Exploration {
-    let mut seen = HashSet::new();
-    let mut pending = [[1, 0], [0, 1], [2, 0]].map(SystemState::new).to_vec();
-    while let Some(system) = pending.pop() {
+    let mut visited_hashes = HashSet::new();
+    let mut unexplored = [[1, 0], [0, 1], [2, 0]].map(SystemState::new).to_vec();
+    while let Some(system) = unexplored.pop() {
         if let Some(violation) = system.violation() {
             return Exploration {
-                states: seen.len(),
+                states: visited_hashes.len(),
                 violation: Some(violation),
             };
         }
-        pending.extend(system.successors(fault).into_iter().filter(|system| {
+        unexplored.extend(system.successors(fault).into_iter().filter(|system| {
             let mut hasher = DefaultHasher::new();
             format!("{system:?}").hash(&mut hasher);
-            seen.insert(hasher.finish())
+            visited_hashes.insert(hasher.finish())
         }));
-        assert!(seen.len() < MAX_STATES, "more than {MAX_STATES} states");
+        assert!(
+            visited_hashes.len() < MAX_STATES,
+            "more than {MAX_STATES} states"
+        );
     }
     Exploration {
-        states: seen.len(),
+        states: visited_hashes.len(),
         violation: None,
     }
 }
--- a/crates/quota/tests/lease.rs
+++ b/crates/quota/tests/lease.rs
@@ -53,9 +53,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     /// The issuer continues to refill at its full rate.
-    IssuerKeepsRate,
-    /// A holder's lease does not expire in time.
-    LeaseNeverEnds,
+    IssuerKeepsFullRate,
+    /// A holder's lease expires 30 s late.
+    LeaseExpiresLate,
     /// An owner that restarts ignores leases on the hard limit that it issued before.
     ForgetsHardLimitLeases,
 }
@@ -100,9 +100,9 @@
 /// The measurements of a run.
 struct Outcome {
     /// Minimum tokens of the reference bucket of the whole quota.
-    lowest_quota: f64,
+    min_quota_tokens: f64,
     /// Minimum tokens of the reference bucket of the whole hard limit.
-    lowest_hard_limit: f64,
+    min_hard_limit_tokens: f64,
     /// Number of requests admitted by a lease.
     admitted_by_lease: u32,
 }
@@ -215,15 +215,15 @@
 
     fn issue_lease(&mut self, request: GrantRequest, demand: &LeaseDemand) -> Option<Lease> {
         let (now, limits) = (self.now, self.limits);
-        if self.fault == Some(Fault::IssuerKeepsRate) {
-            let mut forgotten = self.shard.clone();
-            return forgotten.issue_lease(now, request, demand, limits, 1.0);
+        if self.fault == Some(Fault::IssuerKeepsFullRate) {
+            let mut discarded_shard = self.shard.clone();
+            return discarded_shard.issue_lease(now, request, demand, limits, 1.0);
         }
         self.shard.issue_lease(now, request, demand, limits, 1.0)
     }
 
     fn send_lease(&mut self, step: &Step, copy: u16, lease: Lease) {
-        let requested_at = if self.fault == Some(Fault::LeaseNeverEnds) {
+        let requested_at = if self.fault == Some(Fault::LeaseExpiresLate) {
             self.now + 30 * S
         } else {
             self.now
@@ -248,7 +248,7 @@
     };
     let mut quota = ReferenceBucket::full(quota, START);
     let mut hard_limit = ReferenceBucket::full(limits.hard_limit.unwrap_or(UNLIMITED), START);
-    let (mut lowest_quota, mut lowest_hard_limit) = (f64::MAX, f64::MAX);
+    let (mut min_quota_tokens, mut min_hard_limit_tokens) = (f64::MAX, f64::MAX);
     let mut run = Run {
         limits,
         fault,
@@ -266,13 +266,13 @@
             run.restart_owner();
         }
         if run.is_admitted(step) {
-            lowest_quota = lowest_quota.min(quota.admit(run.now));
-            lowest_hard_limit = lowest_hard_limit.min(hard_limit.admit(run.now));
+            min_quota_tokens = min_quota_tokens.min(quota.admit(run.now));
+            min_hard_limit_tokens = min_hard_limit_tokens.min(hard_limit.admit(run.now));
         }
     }
     Outcome {
-        lowest_quota,
-        lowest_hard_limit,
+        min_quota_tokens,
+        min_hard_limit_tokens,
         admitted_by_lease: run.admitted_by_lease,
     }
 }
@@ -299,8 +299,8 @@
     fn leases_and_grants_together_stay_within_the_quota(
         rate in 0.5..10.0f64, capacity in 3.0..30.0f64, schedule in prop::collection::vec(step(), 50..300),
     ) {
-        let lowest = run(&limits(rate, capacity, None), &schedule, false, None).lowest_quota;
-        prop_assert!(lowest > -1e-6, "{lowest}");
+        let min_tokens = run(&limits(rate, capacity, None), &schedule, false, None).min_quota_tokens;
+        prop_assert!(min_tokens > -1e-6, "{min_tokens}");
     }
 
     /// The owner restarts repeatedly while nodes hold leases that it no longer knows. The quota may be exceeded by the
@@ -310,8 +310,8 @@
         rate in 2.0..10.0f64, capacity in 4.0..30.0f64, schedule in prop::collection::vec(step(), 50..300),
     ) {
         let limits = limits(1000.0, 1000.0, Some(HardLimit { rate, capacity }));
-        let lowest = run(&limits, &schedule, true, None).lowest_hard_limit;
-        prop_assert!(lowest > -1e-6, "{lowest}");
+        let min_tokens = run(&limits, &schedule, true, None).min_hard_limit_tokens;
+        prop_assert!(min_tokens > -1e-6, "{min_tokens}");
     }
 }
 
@@ -353,27 +353,29 @@
     let mut admitted_by_lease = 0;
     for seed in SEEDS {
         let outcome = run(&quota_limits, &busy_schedule(seed), false, None);
-        let lowest = outcome.lowest_quota;
-        assert!(lowest > -1e-6, "{lowest}");
+        let min_tokens = outcome.min_quota_tokens;
+        assert!(min_tokens > -1e-6, "{min_tokens}");
         admitted_by_lease += outcome.admitted_by_lease;
         let outcome = run(&hard_limits, &busy_schedule(seed), true, None);
-        assert!(outcome.lowest_hard_limit > -1e-6);
+        assert!(outcome.min_hard_limit_tokens > -1e-6);
     }
     assert!(
         admitted_by_lease > 500,
         "too few requests admitted by leases: {admitted_by_lease}"
     );
-    for fault in [Fault::IssuerKeepsRate, Fault::LeaseNeverEnds] {
-        let lowest = SEEDS
-            .map(|seed| run(&quota_limits, &busy_schedule(seed), false, Some(fault)).lowest_quota)
+    for fault in [Fault::IssuerKeepsFullRate, Fault::LeaseExpiresLate] {
+        let min_tokens = SEEDS
+            .map(|seed| {
+                run(&quota_limits, &busy_schedule(seed), false, Some(fault)).min_quota_tokens
+            })
             .fold(f64::MAX, f64::min);
-        println!("{fault:?}: {lowest:.1} units");
-        assert!(lowest < -0.5, "{fault:?} is not detected: {lowest}");
+        println!("{fault:?}: {min_tokens:.1} units");
+        assert!(min_tokens < -0.5, "{fault:?} is not detected: {min_tokens}");
     }
     let fault = Some(Fault::ForgetsHardLimitLeases);
     assert!(SEEDS
         .map(|seed| run(&hard_limits, &busy_schedule(seed), true, fault))
-        .any(|outcome| outcome.lowest_hard_limit < -0.5));
+        .any(|outcome| outcome.min_hard_limit_tokens < -0.5));
 }
 
 /// An owner and its standby each have a part of the quota and are partitioned for some time. While they can reach each
--- a/crates/slow-start/tests/fleet.rs
+++ b/crates/slow-start/tests/fleet.rs
@@ -37,21 +37,21 @@
     /// Requests per second, over all nodes.
     rate: f64,
     /// Fraction of answers, and of transfers, that are lost.
-    lost: f64,
+    loss_ratio: f64,
     /// Fraction of transfers that are duplicated.
-    duplicated: f64,
+    duplication_ratio: f64,
     /// Maximum additional delay of an answer, µs.
     max_answer_delay: Micros,
     /// Interval at which a random node restarts without its state, µs; 0 for never.
     restart_interval: Micros,
     /// Nodes that receive no requests at first.
-    absent: Absence,
+    delayed_traffic: DelayedTraffic,
     seconds: u64,
     seed: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Absence {
+struct DelayedTraffic {
     nodes: u32,
     until: Micros,
 }
@@ -63,7 +63,7 @@
     /// Work completed within the latency objective, as a fraction of what the server could process.
     utilization: f64,
     /// Fraction of requests that took longer than the latency objective.
-    late: f64,
+    late_ratio: f64,
 }
 
 /// Returns the server's capacity as a fraction of its full capacity.
@@ -130,7 +130,7 @@
     work_done: f64,
     work_possible: f64,
     sent: f64,
-    late: f64,
+    late_count: f64,
 }
 
 /// How a node records an attempt's result.
@@ -243,13 +243,13 @@
 
     /// Queues the requests that clients send in this step.
     fn queue_requests(&mut self, now: Micros) {
-        let absent = self.scenario.absent;
+        let delayed_traffic = self.scenario.delayed_traffic;
         let mut remaining = self.scenario.rate * STEP as f64 / 1e6;
         while remaining > 0.0 {
             let arrives = remaining >= 1.0 || self.random.f64() < remaining;
             remaining -= 1.0;
             let node = self.random.u32(0..self.scenario.nodes);
-            if arrives && !(node < absent.nodes && now < absent.until) {
+            if arrives && !(node < delayed_traffic.nodes && now < delayed_traffic.until) {
                 self.queues[node as usize].push_back(now + QUEUE_TIMEOUT);
             }
         }
@@ -277,8 +277,8 @@
     fn transfer(&mut self, now: Micros, from: u32, permit: TransferredPermit) {
         let to = self.random.usize(0..self.scenario.nodes as usize);
         let delay = 5 * MS + self.random.u64(0..=33 * MS);
-        let arrives = self.random.f64() >= self.scenario.lost;
-        let is_duplicated = self.random.f64() < self.scenario.duplicated;
+        let arrives = self.random.f64() >= self.scenario.loss_ratio;
+        let is_duplicated = self.random.f64() < self.scenario.duplication_ratio;
         let copies = u64::from(arrives) + u64::from(is_duplicated);
         self.transfers.extend((1..=copies).map(|copy| Transfer {
             arrives_at: now + delay * copy,
@@ -300,9 +300,9 @@
         if ends_at - now <= LATENCY_OBJECTIVE {
             self.totals.work_done += work;
         } else {
-            self.totals.late += 1.0;
+            self.totals.late_count += 1.0;
         }
-        if self.random.f64() >= self.scenario.lost {
+        if self.random.f64() >= self.scenario.loss_ratio {
             self.answers.push(Reverse(Answer {
                 arrives_at: ends_at + self.random.u64(0..=self.scenario.max_answer_delay),
                 node,
@@ -331,7 +331,7 @@
         Outcome {
             peak_load: self.totals.peak_load,
             utilization: self.totals.work_done / self.totals.work_possible,
-            late: self.totals.late / f64::max(self.totals.sent, 1.0),
+            late_ratio: self.totals.late_count / f64::max(self.totals.sent, 1.0),
         }
     }
 }
@@ -371,11 +371,11 @@
         nodes,
         cores,
         rate,
-        lost: 0.0,
-        duplicated: 0.0,
+        loss_ratio: 0.0,
+        duplication_ratio: 0.0,
         max_answer_delay: 2 * MS,
         restart_interval: 0,
-        absent: Absence { nodes: 0, until: 0 },
+        delayed_traffic: DelayedTraffic { nodes: 0, until: 0 },
         seconds: 17,
         seed: 1,
     }
@@ -424,7 +424,7 @@
 #[test]
 fn a_server_is_not_overloaded_when_half_of_the_fleet_receives_requests_later() {
     let scenario = Scenario {
-        absent: Absence {
+        delayed_traffic: DelayedTraffic {
             nodes: 20,
             until: 5 * S,
         },
@@ -562,14 +562,17 @@
         };
     let busy = scenario(30, 4, 800.0);
     let outcome = run(&busy, late_answers_count);
-    assert!(outcome.late > 0.3, "late answers that count: {outcome:?}");
+    assert!(
+        outcome.late_ratio > 0.3,
+        "late answers that count as fast ones: {outcome:?}"
+    );
     let outcome = run(&busy, answers_count_three_times);
     assert!(
         outcome.peak_load > MAX_OVERLOAD_FRACTION,
         "answers that count three times: {outcome:?}"
     );
     let all_duplicated = Scenario {
-        duplicated: 1.0,
+        duplication_ratio: 1.0,
         ..scenario(300, 4, 400.0)
     };
     let outcome = run(&all_duplicated, record_result);
@@ -579,7 +582,7 @@
     );
     let outcome = run(&busy, record_result);
     assert!(
-        outcome.peak_load < MAX_OVERLOAD_FRACTION && outcome.late < 0.3,
+        outcome.peak_load < MAX_OVERLOAD_FRACTION && outcome.late_ratio < 0.3,
         "{outcome:?}"
     );
 }
@@ -637,18 +640,19 @@
     /// load stays below its bound.
     #[test]
     fn the_load_of_a_fleet_stays_below_its_bound(
-        nodes in 1_u32..400, cores in 1_usize..24, load in 0.2_f64..8.0, lost in 0.0_f64..0.9, duplicated in 0.0_f64..1.0,
-        max_answer_delay_ms in 0_u64..600, restart_interval_ms in 0_u64..400, absent_nodes in 0_u32..300, seed: u64,
+        nodes in 1_u32..400, cores in 1_usize..24, load in 0.2_f64..8.0, loss_ratio in 0.0_f64..0.9,
+        duplication_ratio in 0.0_f64..1.0, max_answer_delay_ms in 0_u64..600, restart_interval_ms in 0_u64..400,
+        delayed_nodes in 0_u32..300, seed: u64,
     ) {
         let scenario = Scenario {
             nodes,
             cores,
             rate: load * cores as f64 * 1e6 / MEAN_WORK,
-            lost,
-            duplicated,
+            loss_ratio,
+            duplication_ratio,
             max_answer_delay: max_answer_delay_ms * MS,
             restart_interval: restart_interval_ms * MS,
-            absent: Absence { nodes: absent_nodes, until: 5 * S },
+            delayed_traffic: DelayedTraffic { nodes: delayed_nodes, until: 5 * S },
             seconds: 8,
             seed,
         };
--- a/crates/subsetting/src/subset.rs
+++ b/crates/subsetting/src/subset.rs
@@ -28,8 +28,8 @@
     pub rank: u32,
 }
 
-/// The servers to which one node sends. Only the length of the list is needed to determine whether a server belongs to
-/// it.
+/// The servers to which one node sends. Whether a server belongs to it depends on the server's number and the length of
+/// the list, but not on the other servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Subset {
     node: u32,
