--- a/crates/quota/tests/lease.rs
+++ b/crates/quota/tests/lease.rs
@@ -338,9 +338,9 @@
     (0..900).map(&mut step).collect()
 }
 
-/// An issuer that refills at its full rate, a lease that does not expire and an owner that forgets leases on its hard
-/// limit each let a customer exceed its limits. The same schedules must detect each of them, and no violation without a
-/// fault.
+/// An issuer that refills at its full rate, a lease that expires late and an owner that forgets leases on its hard limit
+/// each let a customer exceed its limits. The same schedules must detect each of these faults, and must not exceed the
+/// limits without a fault.
 #[test]
 fn injected_faults_exceed_the_quota_or_the_hard_limit() {
     const SEEDS: std::ops::Range<u64> = 0..40;
