--- a/compat/etcd-client/src/lib.rs
+++ b/compat/etcd-client/src/lib.rs
@@ -1,1 +1,1 @@
-//! Nothing but the tests beside it.
+//! Empty library. The package exists for its integration tests.
--- a/compat/etcd-client/tests/drives.rs
+++ b/compat/etcd-client/tests/drives.rs
@@ -1,5 +1,5 @@
-//! The stand-in etcd driven by `etcd-client`, which is not the client that the node uses: what both agree on is not a
-//! fault of our own messages.
+//! Tests the etcd test double with the third-party client `etcd-client`. The node uses a client of its own, so
+//! behaviour that both clients accept is not an artefact of this project's own message definitions.
 
 use etcd_client::*;
 use saffronpaddle_test_doubles::etcd::Etcd;
@@ -60,7 +60,7 @@
     }
     assert_eq!(events[0], (EventType::Put, b"w/1".to_vec(), None));
     assert_eq!(events[1], (EventType::Delete, b"w/1".to_vec(), Some(b"one".to_vec())));
-    // Several in one transaction are one response.
+    // All events of one transaction arrive in a single watch response.
     let ops = vec![TxnOp::put("w/2", "a", None), TxnOp::put("w/3", "b", None)];
     client.txn(Txn::new().and_then(ops)).await.expect("a transaction");
     let both = next(&mut stream).await;
@@ -87,7 +87,8 @@
     let etcd = Etcd::start(1).await.expect("a cluster");
     etcd.members[0].set(|faults| faults.fragment_at = 2);
     let mut client = connected(&etcd).await;
-    // A watch without a revision begins when it comes: on a busy machine that is after what is put next.
+    // A watch without a start revision begins when the server receives it. On a busy machine that may be after the puts
+    // below, whose events it would then miss.
     let options = WatchOptions::new().with_prefix().with_fragment().with_start_revision(etcd.revision() + 1);
     let mut stream = client.watch("f/", Some(options)).await.expect("watch");
     etcd.put_all(&[("f/1", Some("x")), ("f/2", Some("x")), ("f/3", Some("x")), ("f/4", Some("x")), ("f/5", Some("x"))]);
