--- a/crates/simulator-adapter/src/action.rs
+++ b/crates/simulator-adapter/src/action.rs
@@ -1,11 +1,11 @@
-//! Writes the policy engine's actions as lines of a reply.
+//! Encodes the policy engine's actions as lines of a reply.
 
 use crate::line::encode_bytes;
 use crate::protocol::{action, action_field, field, ALL_PEERS, SUBSCRIPTION_ACTIVE};
 use saffronpaddle_policy::interface::Action;
 use std::fmt::{Display, Write};
 
-/// Appends the line of an instance's action to a reply.
+/// Appends the line for one action of `instance` to `reply`.
 pub fn write_action(reply: &mut String, instance: u64, action: &Action) {
     let line = LineWriter { reply, instance };
     match action {
@@ -49,7 +49,7 @@
             .start(action::SUBSCRIBE)
             .field(action_field::ACTIVE, SUBSCRIPTION_ACTIVE)
             .end(),
-        // The simulator runs each instance as a single process, without siblings.
+        // Each simulated instance is a single process, so there are no sibling processes to send to.
         Action::SendToSiblings(_) => {}
         Action::Report(diagnostic) => line
             .start(action::REPORT)
@@ -58,7 +58,7 @@
     }
 }
 
-/// Writes one line, field by field.
+/// Appends one line to a reply, field by field.
 struct LineWriter<'a> {
     reply: &'a mut String,
     instance: u64,
@@ -72,7 +72,7 @@
     }
 
     fn field(self, name: &str, value: impl Display) -> Self {
-        // Writing to a string can't fail.
+        // Writing to a `String` never fails.
         let _ = write!(self.reply, "\t{name}={value}");
         self
     }
--- a/crates/simulator-adapter/src/endpoint_list.rs
+++ b/crates/simulator-adapter/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint lists that the simulator defines once and then refers to by number.
+//! Endpoint lists, which the simulator defines once and then refers to by number.
 
 use crate::error::{ErrorKind, Result};
 use crate::line::Line;
@@ -10,34 +10,34 @@
 use std::collections::BTreeMap;
 use std::io::BufRead;
 
-/// Number of an endpoint list.
+/// Number of an endpoint list, at most [`MAX_LIST_NUMBER`] where a list is defined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ListNumber(u8);
 
-/// An endpoint as listed. Its zone's id depends on the settings of the instance that is told of it.
+/// An endpoint as defined in a list. Its zone id depends on the settings of the instance that receives the list.
 struct ListedEndpoint {
     zone_name: String,
-    /// The endpoint, with a zone id that is still to be set.
+    /// The zone id is a placeholder until [`EndpointLists::resolve`] sets it.
     endpoint: Endpoint,
 }
 
-/// All lists that were defined so far.
+/// All lists defined so far, by number. A list defined again replaces the earlier one.
 #[derive(Default)]
 pub struct EndpointLists {
     lists: BTreeMap<ListNumber, Vec<ListedEndpoint>>,
 }
 
-/// The first line of a list.
+/// Fields of the line that opens the definition of a list.
 pub struct ListHeader {
     number: ListNumber,
     endpoint_count: usize,
 }
 
 impl ListHeader {
-    /// Reads the first line of a list.
+    /// Parses the line that opens the definition of a list.
     ///
     /// # Errors
-    /// A field is missing or invalid.
+    /// Returns an error if a field is missing or invalid, or the list's number is above [`MAX_LIST_NUMBER`].
     pub fn parse(line: &Line) -> Result<Self> {
         let number: u8 = line.number(field::LIST)?;
         if number > MAX_LIST_NUMBER {
@@ -51,10 +51,10 @@
 }
 
 impl EndpointLists {
-    /// Reads the endpoints that follow a list's first line.
+    /// Reads the endpoints that follow `header` and stores them as a list.
     ///
     /// # Errors
-    /// A line is missing or is no endpoint.
+    /// Returns an error if the input ends too early or a line is not a valid endpoint.
     pub fn define<R: BufRead>(
         &mut self,
         header: ListHeader,
@@ -68,10 +68,10 @@
         Ok(())
     }
 
-    /// The endpoints of the list that a line names, with the ids that their zones have in `zone_names`.
+    /// Returns the endpoints of the list that `line` refers to. A zone's id is its index in `zone_names`.
     ///
     /// # Errors
-    /// The line names no list, or the list has a zone that `zone_names` lacks.
+    /// Returns an error if the line refers to no defined list, or a zone of the list is not in `zone_names`.
     pub fn resolve(&self, line: &Line, zone_names: &[String]) -> Result<Vec<Endpoint>> {
         let number = ListNumber(line.number(field::LIST)?);
         let Some(listed) = self.lists.get(&number) else {
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,70 +1,69 @@
-//! What ends the adapter, and at which line of its input.
+//! Errors that end the adapter, with the input line at which they occurred.
 
 use saffronpaddle_policy::interface::SettingsError;
 use saffronpaddle_policy::setup::ReadError;
 use std::fmt;
 use std::io;
 
-/// A result whose error names a line of the input.
+/// Result whose error carries the number of an input line.
 pub type Result<T> = std::result::Result<T, ProtocolError>;
 
-/// An error at a line of the input.
+/// An error at one line of the input.
 #[derive(Debug)]
 pub struct ProtocolError {
     /// Number of the line, from 1.
     pub line: usize,
-    /// What is wrong there.
     pub kind: ErrorKind,
 }
 
-/// What is wrong with a line, or with the streams that carry lines.
+/// Cause of an error: an invalid line, or a failed input or output stream.
 #[derive(Debug)]
 pub enum ErrorKind {
-    /// The input can't be read.
+    /// Reading the input failed.
     Read(io::Error),
-    /// The input ends before the line does.
+    /// The input ended before the line's line feed.
     TruncatedLine,
-    /// The input ends before the batch does.
+    /// The input ended before the batch did.
     UnfinishedBatch,
-    /// The reply can't be written.
+    /// Writing a reply failed.
     Write(io::Error),
-    /// Only one message may stand here, and another one does.
+    /// A message other than the only one allowed at this point.
     UnexpectedMessage {
-        /// The message that may stand here.
+        /// Name of the message that is allowed.
         expected: &'static str,
-        /// The message that does.
+        /// Name of the message that was read.
         found: String,
     },
-    /// No message has this name.
+    /// The protocol has no message of this name.
     UnknownMessage(String),
-    /// A message lacks a field.
+    /// A message lacks a required field.
     MissingField {
-        /// The message.
+        /// Name of the message.
         message: String,
-        /// The field that it lacks.
+        /// Name of the missing field.
         field: &'static str,
     },
-    /// A field has a value that it can't have.
+    /// A field has a value that is malformed or out of range.
     InvalidField {
-        /// The message.
+        /// Name of the message.
         message: String,
-        /// Its field.
+        /// Name of the field.
         field: &'static str,
-        /// The field's value.
+        /// The value as read; empty if the field is absent.
         value: String,
     },
-    /// The settings of a new instance can't be read.
+    /// The settings of a new instance cannot be parsed.
     UnreadableSetup(ReadError),
-    /// The settings of a new instance contradict themselves.
+    /// The policy engine rejected the settings of a new instance.
     InvalidSettings(SettingsError),
-    /// A message is for an instance that isn't running.
+    /// A message is addressed to an instance that is not running.
     UnknownInstance {
-        /// The message.
+        /// Name of the message.
         message: String,
         /// Number of the instance.
         instance: u64,
     },
-    /// An endpoint is in a zone that the instance's settings don't name.
+    /// An endpoint is in a zone, given by name, that the instance's settings do not list.
     UnknownZone(String),
 }
 
@@ -77,16 +76,18 @@
 impl fmt::Display for ErrorKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ErrorKind::Read(error) => write!(f, "cannot be read: {error}"),
-            ErrorKind::TruncatedLine => f.write_str("the line breaks off"),
+            ErrorKind::Read(error) => write!(f, "cannot read the input: {error}"),
+            ErrorKind::TruncatedLine => {
+                f.write_str("line is truncated: no line feed before the end of the input")
+            }
             ErrorKind::UnfinishedBatch => {
-                f.write_str("input ends inside a batch; eof_batch is missing")
+                f.write_str("input ended inside a batch: eof_batch is missing")
             }
-            ErrorKind::Write(error) => write!(f, "the reply cannot be written: {error}"),
+            ErrorKind::Write(error) => write!(f, "cannot write the reply: {error}"),
             ErrorKind::UnexpectedMessage { expected, found } => {
                 write!(f, "expected {expected}, found {found:?}")
             }
-            ErrorKind::UnknownMessage(name) => write!(f, "{name:?} is no known message"),
+            ErrorKind::UnknownMessage(name) => write!(f, "unknown message {name:?}"),
             ErrorKind::MissingField { message, field } => {
                 write!(f, "{message}: field {field} is missing")
             }
@@ -94,13 +95,16 @@
                 message,
                 field,
                 value,
-            } => write!(f, "{message}: field {field} cannot be {value:?}"),
+            } => write!(f, "{message}: field {field}: invalid value {value:?}"),
             ErrorKind::UnreadableSetup(error) => write!(f, "hello: field setup: {error}"),
             ErrorKind::InvalidSettings(error) => write!(f, "hello: field setup: {error}"),
             ErrorKind::UnknownInstance { message, instance } => {
-                write!(f, "{message}: field i: {instance} was never started")
+                write!(f, "{message}: field i: instance {instance} is not running")
             }
-            ErrorKind::UnknownZone(name) => write!(f, "update: field list: no zone {name:?}"),
+            ErrorKind::UnknownZone(name) => write!(
+                f,
+                "update: field list: zone {name:?} is not in the instance's settings"
+            ),
         }
     }
 }
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -9,10 +9,10 @@
 };
 use saffronpaddle_policy::setup::PlatformSettings;
 
-/// The event that a line stands for, or none where it is nothing to the policy engine.
+/// Translates a line into an event. Returns `None` for messages that the policy engine does not use.
 ///
 /// # Errors
-/// The message is unknown, or one of its fields is missing or invalid.
+/// Returns an error if the message is unknown, or one of its fields is missing or invalid.
 pub fn parse_event(
     line: &Line,
     settings: &PlatformSettings,
@@ -40,7 +40,7 @@
             from: NodeId(line.number(field::SENDER)?),
             bytes: line.bytes(field::BYTES)?,
         },
-        // The engine neither probes nor uses the shared counter, so its answers are only checked.
+        // The engine sends no health probes and does not use the shared counter; the responses are only validated.
         message::PROBE_RESPONSE | message::COUNTER_RESPONSE => {
             parse_outcome(line)?;
             return Ok(None);
--- a/crates/simulator-adapter/src/line.rs
+++ b/crates/simulator-adapter/src/line.rs
@@ -1,20 +1,21 @@
-//! One line of the protocol, its fields, and how their values are read.
+//! A line of the protocol and the decoding of its field values.
 
 use crate::error::{ErrorKind, ProtocolError, Result};
 use crate::protocol::{flag, NO_BYTES};
 use std::str::FromStr;
 
-/// One line: its number in the input, its message's name and its fields.
+/// A line of the input, split into a message name and undecoded fields.
 pub struct Line<'a> {
     /// Number of the line, from 1.
     pub number: usize,
     /// Name of the message.
     pub name: &'a str,
+    /// Everything after the name, as tab-separated `name=value` pairs.
     fields: &'a str,
 }
 
 impl<'a> Line<'a> {
-    /// Splits a line, without its line feed, into its message's name and fields.
+    /// Splits a line, given without its line feed, into message name and fields.
     pub fn parse(number: usize, text: &'a str) -> Self {
         let (name, fields) = text.split_once('\t').unwrap_or((text, ""));
         Line {
@@ -24,7 +25,7 @@
         }
     }
 
-    /// An error at this line.
+    /// Returns an error of `kind` at this line.
     pub fn error(&self, kind: ErrorKind) -> ProtocolError {
         ProtocolError {
             line: self.number,
@@ -32,7 +33,7 @@
         }
     }
 
-    /// The error of a field whose value it can't have.
+    /// Returns the error for a field with an invalid value.
     pub fn invalid(&self, field: &'static str) -> ProtocolError {
         self.error(ErrorKind::InvalidField {
             message: self.name.to_owned(),
@@ -48,10 +49,10 @@
         })
     }
 
-    /// Checks which message the line is.
+    /// Checks that the line is the message `expected`.
     ///
     /// # Errors
-    /// It is another one than `expected`.
+    /// Returns an error if it is another message.
     pub fn expect(&self, expected: &'static str) -> Result<()> {
         if self.name == expected {
             return Ok(());
@@ -62,25 +63,25 @@
         }))
     }
 
-    /// The value of a field, if the line has it.
+    /// Returns the value of a field, or `None` if the line does not have it.
     pub fn optional(&self, field: &str) -> Option<&'a str> {
         self.fields
             .split('\t')
             .find_map(|part| field_value(part, field))
     }
 
-    /// The value of a field.
+    /// Returns the value of a required field.
     ///
     /// # Errors
-    /// The field is missing.
+    /// Returns an error if the field is missing.
     pub fn text(&self, field: &'static str) -> Result<&'a str> {
         self.optional(field).ok_or_else(|| self.missing(field))
     }
 
-    /// The value of a field of free text, which runs to the end of the line.
+    /// Returns the value of a free-text field, which runs to the end of the line and may contain tabs.
     ///
     /// # Errors
-    /// The field is missing.
+    /// Returns an error if the field is missing.
     pub fn rest(&self, field: &'static str) -> Result<&'a str> {
         let mut fields = self.fields;
         loop {
@@ -94,18 +95,18 @@
         }
     }
 
-    /// A field that is a number.
+    /// Parses a required numeric field.
     ///
     /// # Errors
-    /// The field is missing or no number of type `T`.
+    /// Returns an error if the field is missing or not a number of type `T`.
     pub fn number<T: FromStr>(&self, field: &'static str) -> Result<T> {
         self.text(field)?.parse().map_err(|_| self.invalid(field))
     }
 
-    /// A field that is a number, or `default` where the line doesn't have it.
+    /// Parses an optional numeric field. Returns `default` if the line does not have it.
     ///
     /// # Errors
-    /// The field is no number of type `T`.
+    /// Returns an error if the field is not a number of type `T`.
     pub fn number_or<T: FromStr>(&self, field: &'static str, default: T) -> Result<T> {
         match self.optional(field) {
             Some(value) => value.parse().map_err(|_| self.invalid(field)),
@@ -113,10 +114,10 @@
         }
     }
 
-    /// A field that is a finite number of at least 0.
+    /// Parses a required field that holds a finite number of at least 0.
     ///
     /// # Errors
-    /// The field is missing or no such number.
+    /// Returns an error if the field is missing or not such a number.
     pub fn non_negative(&self, field: &'static str) -> Result<f64> {
         let value: f64 = self.number(field)?;
         if value.is_finite() && value >= 0.0 {
@@ -126,10 +127,10 @@
         }
     }
 
-    /// A flag, which is clear where the line doesn't have it.
+    /// Parses an optional flag. An absent flag is clear.
     ///
     /// # Errors
-    /// The field has a value that is none of a flag's.
+    /// Returns an error if the value is neither [`flag::SET`] nor [`flag::CLEAR`].
     pub fn flag(&self, field: &'static str) -> Result<bool> {
         match self.optional(field) {
             Some(flag::SET) => Ok(true),
@@ -138,10 +139,10 @@
         }
     }
 
-    /// A field of bytes, two hexadecimal digits each.
+    /// Decodes a required field of bytes: two hexadecimal digits per byte, or [`NO_BYTES`].
     ///
     /// # Errors
-    /// The field is missing or holds something else.
+    /// Returns an error if the field is missing or malformed.
     pub fn bytes(&self, field: &'static str) -> Result<Vec<u8>> {
         let text = self.text(field)?;
         if text == NO_BYTES {
@@ -167,7 +168,7 @@
     }
 }
 
-/// Writes bytes as [`Line::bytes`] reads them.
+/// Encodes bytes in the format that [`Line::bytes`] decodes.
 pub fn encode_bytes(bytes: &[u8]) -> String {
     if bytes.is_empty() {
         return NO_BYTES.to_owned();
--- a/crates/simulator-adapter/src/link.rs
+++ b/crates/simulator-adapter/src/link.rs
@@ -1,4 +1,4 @@
-//! Answers the simulator's batches with the actions of the instances that it started.
+//! Replies to the simulator's batches with the actions of the instances that it started.
 
 use crate::action::write_action;
 use crate::endpoint_list::{EndpointLists, ListHeader};
@@ -13,25 +13,26 @@
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
 
-/// A node's policy engine, and the names that its settings give to ids.
+/// A simulated node: its policy engine, and the settings that map names of classes, plans and zones to ids.
 struct Instance {
     engine: PolicyEngine,
     settings: PlatformSettings,
 }
 
-/// All that the simulator has set up so far.
+/// State of the connection to the simulator: the endpoint lists and instances set up so far.
 #[derive(Default)]
 struct Link {
     lists: EndpointLists,
+    /// Running instances by their number.
     instances: BTreeMap<u64, Instance>,
-    /// The actions of one event; kept to reuse its memory.
+    /// Actions of the event being handled. A field, so that its allocation is reused.
     actions: Vec<Action>,
 }
 
-/// Answers batch after batch until the input ends.
+/// Reads batches and writes the reply to each until the input ends.
 ///
 /// # Errors
-/// The input doesn't keep to the protocol, or a stream fails.
+/// Returns an error if the input violates the protocol or a stream fails.
 pub fn run(input: impl BufRead, mut output: impl Write) -> Result<()> {
     let mut reader = LineReader::new(input);
     let mut link = Link::default();
@@ -48,7 +49,7 @@
 }
 
 impl Link {
-    /// Reads a batch at the simulated time `now`, in µs, up to its end, and gives the reply to it.
+    /// Reads the rest of a batch, handles its messages at the simulated time `now` (µs), and returns the reply.
     fn answer_batch<R: BufRead>(&mut self, now: u64, reader: &mut LineReader<R>) -> Result<String> {
         let mut reply = String::new();
         loop {
@@ -101,7 +102,7 @@
     let seed: i128 = line.number(field::SEED)?;
     let settings = setup::read(line.rest(field::SETTINGS)?)
         .map_err(|error| line.error(ErrorKind::UnreadableSetup(error)))?;
-    // The policy engine takes the low 64 bits of a seed, which may be negative.
+    // A seed may be negative or wider than 64 bits; the policy engine takes its low 64 bits.
     let engine = PolicyEngine::new(seed as u64, settings.settings.clone(), now)
         .map_err(|error| line.error(ErrorKind::InvalidSettings(error)))?;
     Ok(Instance { engine, settings })
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,7 +1,7 @@
-//! Carries the simulator's line protocol to the policy engine and back: it translates and decides nothing.
+//! Translates between the simulator's line protocol and the policy engine. All decisions are made by the policy engine.
 //!
-//! Batches come on standard input and are answered on standard output. Input that doesn't keep to the protocol ends the
-//! program with exit code 1 and one line on standard error.
+//! Reads batches from standard input and writes a reply to each to standard output. On input that violates the
+//! protocol, the program prints one line to standard error and exits with code 1.
 #![forbid(unsafe_code)]
 
 mod action;
--- a/crates/simulator-adapter/src/protocol.rs
+++ b/crates/simulator-adapter/src/protocol.rs
@@ -1,7 +1,7 @@
-//! Names and numbers of the simulator's line protocol, each under the name that the policy engine has for it.
+//! Names and values of the simulator's line protocol, as constants named after the policy engine's terms.
 //!
-//! A line is a message's name and its fields, separated by tabs. A batch is everything that happens at one moment of
-//! simulated time; it is answered by the actions that follow and the line [`REPLY_END`].
+//! A line consists of a message name and `name=value` fields, separated by tabs. A batch holds all messages of one
+//! point in simulated time. The reply to a batch is one line per resulting action, followed by the line [`REPLY_END`].
 
 /// Names of the messages that the simulator sends.
 pub mod message {
@@ -9,31 +9,31 @@
     pub const BATCH_START: &str = "frame";
     /// Closes a batch.
     pub const BATCH_END: &str = "eof_batch";
-    /// Defines an endpoint list; its endpoints follow, a line each.
+    /// Defines an endpoint list. One [`ENDPOINT`] line per endpoint follows.
     pub const ENDPOINT_LIST: &str = "register";
-    /// An endpoint of a list.
+    /// Describes one endpoint of the list being defined.
     pub const ENDPOINT: &str = "item";
-    /// Starts an instance.
+    /// Starts an instance: a simulated node with its own policy engine.
     pub const INSTANCE_START: &str = "hello";
     /// Stops an instance.
     pub const INSTANCE_STOP: &str = "teardown";
-    /// Discovery has answered an instance, or failed to.
+    /// Discovery returned endpoints to an instance, or failed.
     pub const ENDPOINTS_CHANGED: &str = "update";
-    /// A request has arrived.
+    /// A client's request arrived at an instance.
     pub const REQUEST_ARRIVED: &str = "knock";
-    /// A response has started.
+    /// The server's response to a request has started.
     pub const RESPONSE_STARTED: &str = "opened";
-    /// An attempt has ended.
+    /// An attempt ended, with an [`outcome`](super::outcome).
     pub const ATTEMPT_ENDED: &str = "finished";
-    /// The client has abandoned its request.
+    /// The client abandoned its request.
     pub const REQUEST_ABANDONED: &str = "gone";
-    /// A timer has fired.
+    /// A timer that an instance set has fired.
     pub const TIMER_FIRED: &str = "elapsed";
-    /// A peer's message has arrived.
+    /// A message from a peer arrived.
     pub const PEER_MESSAGE: &str = "whisper";
-    /// A health probe is answered.
+    /// The response to a health probe arrived.
     pub const PROBE_RESPONSE: &str = "echo";
-    /// The simulator's shared counter is answered.
+    /// The response of the simulator's shared counter arrived.
     pub const COUNTER_RESPONSE: &str = "counter_reply";
 }
 
@@ -45,7 +45,7 @@
     pub const INSTANCE: &str = "i";
     /// Number of an endpoint list.
     pub const LIST: &str = "list";
-    /// Count of a list's endpoints.
+    /// Number of endpoints in a list, one line each.
     pub const ENDPOINT_COUNT: &str = "items";
     /// Relative size of an endpoint.
     pub const SIZE: &str = "capacityHint";
@@ -57,13 +57,13 @@
     pub const DEDUPLICATION_DOMAIN: &str = "bay";
     /// Status of an endpoint.
     pub const STATUS: &str = "readiness";
-    /// When a server started, µs; 0 where that isn't known.
+    /// Simulated time at which a server started, µs; 0 or absent if unknown.
     pub const STARTED_AT: &str = "cameUpUs";
-    /// Seed of an instance's random numbers.
+    /// Seed of an instance's random number generator; may be negative.
     pub const SEED: &str = "randomSeed";
-    /// Settings of an instance, as JSON up to the end of the line.
+    /// Settings of an instance, as JSON that runs to the end of the line.
     pub const SETTINGS: &str = "setup";
-    /// Which kind of update a change of the endpoints is.
+    /// Kind of an endpoint update: one of [`update`](super::update).
     pub const UPDATE: &str = "kind";
     /// Id of a request.
     pub const REQUEST: &str = "call";
@@ -79,13 +79,13 @@
     pub const FIRST_NODE: &str = "base";
     /// Size of the customer's node subset.
     pub const SUBSET_SIZE: &str = "setSize";
-    /// How long the client waits for its response, µs.
+    /// Time that the client waits for the response, µs.
     pub const TIMEOUT: &str = "ttlUs";
-    /// Number of an attempt of its request, from 0.
+    /// Number of an attempt within its request, from 0.
     pub const ATTEMPT: &str = "shot";
-    /// Outcome of an attempt.
+    /// Outcome of an attempt: one of [`outcome`](super::outcome).
     pub const OUTCOME: &str = "ending";
-    /// Whether the request has ended with its attempt.
+    /// Whether the request ended together with the attempt.
     pub const REQUEST_CLOSED: &str = "doneFlag";
     /// Token of a timer.
     pub const TIMER_TOKEN: &str = "nonce";
@@ -95,7 +95,7 @@
     pub const BYTES: &str = "blob";
 }
 
-/// Names of the actions that instances answer with.
+/// Names of the actions in a reply.
 pub mod action {
     /// Sends an attempt of a request to a server.
     pub const SEND: &str = "send";
@@ -105,51 +105,51 @@
     pub const FAIL: &str = "finish_error";
     /// Cancels an attempt.
     pub const CANCEL: &str = "revoke";
-    /// Sends a message to a peer or to all of them.
+    /// Sends a message to one peer or to all peers.
     pub const SEND_TO_PEER: &str = "tell";
     /// Sets a timer.
     pub const SET_TIMER: &str = "defer";
     /// Subscribes to changes of the endpoints.
     pub const SUBSCRIBE: &str = "track";
-    /// Writes a line of the log.
+    /// Writes a line to the simulator's log.
     pub const REPORT: &str = "say_log";
 }
 
-/// Names of the fields that only actions have; they share the others with [`field`].
+/// Names of the fields that occur only in actions. Fields that messages have too are in [`field`].
 pub mod action_field {
-    /// How long an attempt may take, µs; left out for no limit.
+    /// Time limit of an attempt, µs; omitted if there is none.
     pub const TIMEOUT: &str = "tryForUs";
-    /// After how long the client may send its request again, µs; left out for never.
+    /// Time after which the client may send the request again, µs; omitted if it should not.
     pub const RETRY_AFTER: &str = "retryInUs";
-    /// The node that a message is for, or [`ALL_PEERS`](super::ALL_PEERS).
+    /// Receiving node of a message, or [`ALL_PEERS`](super::ALL_PEERS).
     pub const RECEIVER: &str = "addressee";
-    /// When a timer fires, µs from now.
+    /// Time until a timer fires, µs.
     pub const DELAY: &str = "delayUs";
-    /// Whether a subscription is wanted.
+    /// Whether the subscription is active.
     pub const ACTIVE: &str = "active";
-    /// Text of a line of the log.
+    /// Text of a log line.
     pub const TEXT: &str = "words";
 }
 
 /// Values of [`field::STATUS`].
 pub mod status {
-    /// The endpoint takes requests.
+    /// The endpoint accepts requests.
     pub const READY: &str = "Ready";
-    /// The endpoint finishes what it has and takes no new requests.
+    /// The endpoint finishes its open requests and accepts no new ones.
     pub const DRAINING: &str = "Terminating";
-    /// The endpoint is no longer there.
+    /// The endpoint no longer exists.
     pub const REMOVED: &str = "Gone";
 }
 
 /// Values of [`field::UPDATE`].
 pub mod update {
-    /// Discovery can't be reached.
+    /// Discovery is unreachable; the adapter reads no endpoints from the update.
     pub const UNAVAILABLE: &str = "Error";
-    /// Only the endpoints that have changed.
+    /// Contains only the endpoints that changed.
     pub const DELTA: &str = "Partial";
-    /// All endpoints, from discovery.
+    /// Contains all endpoints, from discovery.
     pub const SNAPSHOT: &str = "Complete";
-    /// All endpoints, as they were known when the instance last ran.
+    /// Contains all endpoints, as stored when the instance last ran.
     pub const STORED_SNAPSHOT: &str = "Persisted";
 }
 
@@ -161,7 +161,7 @@
     pub const ERROR: i32 = 301;
     /// The server rejected the request.
     pub const REJECTED: i32 = 302;
-    /// No response came in time.
+    /// The server did not respond in time.
     pub const TIMED_OUT: i32 = 303;
     /// The server could not be reached.
     pub const UNREACHABLE: i32 = 304;
@@ -173,21 +173,20 @@
     pub const NOT_SENT: i32 = 307;
 }
 
-/// Values of a flag.
+/// Values of a flag field.
 pub mod flag {
-    /// Set.
     pub const SET: &str = "1";
-    /// Not set, as where the field is left out.
+    /// An absent field means the same.
     pub const CLEAR: &str = "0";
 }
 
-/// How no bytes at all are written.
+/// Encoding of an empty byte string.
 pub const NO_BYTES: &str = "-";
-/// How a message for all peers names its receiver.
+/// Value of [`action_field::RECEIVER`] for a message to all peers.
 pub const ALL_PEERS: &str = "*";
-/// How an instance says that it wants a subscription.
+/// Value of [`action_field::ACTIVE`] in [`action::SUBSCRIBE`].
 pub const SUBSCRIPTION_ACTIVE: &str = flag::SET;
-/// The greatest number of an endpoint list.
+/// Highest number that an endpoint list may have.
 pub const MAX_LIST_NUMBER: u8 = 15;
-/// The line that ends the reply to a batch, with its line feed.
+/// Last line of the reply to a batch, including its line feed.
 pub const REPLY_END: &str = "finished\n";
--- a/crates/simulator-adapter/src/reader.rs
+++ b/crates/simulator-adapter/src/reader.rs
@@ -1,18 +1,18 @@
-//! Reads lines and counts them.
+//! Reads the adapter's input line by line, with line numbers for error messages.
 
 use crate::error::{ErrorKind, ProtocolError, Result};
 use crate::line::Line;
 use std::io::BufRead;
 
-/// Reads the lines of an input, one at a time.
+/// Reads the protocol lines of `input`. The buffer is reused, so a line is valid only until the next one is read.
 pub struct LineReader<R> {
     input: R,
     buffer: String,
+    /// Number of the line read last, from 1; 0 before the first.
     line_number: usize,
 }
 
 impl<R: BufRead> LineReader<R> {
-    /// Reads `input` from its first line on.
     pub fn new(input: R) -> Self {
         LineReader {
             input,
@@ -21,10 +21,10 @@
         }
     }
 
-    /// The next line, or none at the end of the input.
+    /// Reads the next line, without its line ending. Returns `None` at the end of the input.
     ///
     /// # Errors
-    /// The input can't be read, or ends inside the line.
+    /// Returns an error if the input cannot be read or its last line has no line feed.
     pub fn next(&mut self) -> Result<Option<Line<'_>>> {
         self.buffer.clear();
         self.line_number += 1;
@@ -42,10 +42,10 @@
         Ok(Some(Line::parse(self.line_number, &self.buffer)))
     }
 
-    /// The next line of a batch that is not complete.
+    /// Reads the next line inside a batch, where the input must not end.
     ///
     /// # Errors
-    /// As of [`LineReader::next`]; the input ends.
+    /// Returns the errors of [`LineReader::next`], and an error if the input has ended.
     pub fn next_in_batch(&mut self) -> Result<Line<'_>> {
         let end_of_input = self.line_number + 1;
         self.next()?.ok_or(ProtocolError {
@@ -54,7 +54,7 @@
         })
     }
 
-    /// An error at the line that was read last.
+    /// Returns an error at the line that was read last.
     pub fn error(&self, kind: ErrorKind) -> ProtocolError {
         ProtocolError {
             line: self.line_number,
--- a/crates/simulator-adapter/tests/link.rs
+++ b/crates/simulator-adapter/tests/link.rs
@@ -1,4 +1,4 @@
-//! The adapter on hand-written batches.
+//! Runs the adapter on hand-written batches and checks its replies and errors.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -13,13 +13,13 @@
         .spawn()
         .expect("the adapter starts");
     let mut stdin = child.stdin.take().expect("piped");
-    // The adapter may stop reading early: that is its right on bad input.
+    // The adapter exits at the first invalid line, so the pipe may close before all input is written.
     let _ = stdin.write_all(input.as_bytes());
     drop(stdin);
     child.wait_with_output().expect("the adapter ends")
 }
 
-fn opening() -> String {
+fn first_batch() -> String {
     format!(
         "frame\tnowUs=1000000\nregister\tlist=0\titems=1\nitem\tserver=51\tcampus=a\tfamilyType=k\tbay=0\t\
          readiness=Ready\tcapacityHint=1\nhello\ti=3\trandomSeed=-7\tsetup={SETUP}\n\
@@ -27,16 +27,16 @@
     )
 }
 
-const KNOCK: &str =
+const REQUEST: &str =
     "knock\ti=3\tcall=rq_a\tpackage=p\tclientId=9\tquotaUnits=1\tbase=0\tsetSize=2\tttlUs=900000\tgrade=read\n";
 
 #[test]
-fn a_request_is_sent_and_its_end_read() {
+fn a_failed_attempt_is_retried() {
     let input = format!(
-        "{}frame\tnowUs=1002000\n{KNOCK}eof_batch\nframe\tnowUs=1050000\nfinished\ti=3\tcall=rq_a\tshot=0\t\
+        "{}frame\tnowUs=1002000\n{REQUEST}eof_batch\nframe\tnowUs=1050000\nfinished\ti=3\tcall=rq_a\tshot=0\t\
          server=51\tending=301\tdelaySeenUs=48000\ttelemetry=strange:1\nelapsed\ti=3\tnonce=0\neof_batch\n\
          frame\tnowUs=1060000\nteardown\ti=3\neof_batch\n",
-        opening()
+        first_batch()
     );
     let output = run(&input);
     let text = String::from_utf8(output.stdout).expect("text");
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn an_empty_batch_and_the_end_of_input_are_fine() {
+fn an_empty_batch_gets_an_empty_reply_and_end_of_input_is_success() {
     let output = run("frame\tnowUs=5\neof_batch\n");
     assert!(output.status.success());
     assert_eq!(output.stdout, b"finished\n");
@@ -63,27 +63,27 @@
 }
 
 #[test]
-fn bad_input_is_named_by_line_and_field() {
-    let after = |line: &str| format!("{}frame\tnowUs=1002000\n{line}\neof_batch\n", opening());
+fn errors_name_the_line_and_field_of_invalid_input() {
+    let after = |line: &str| format!("{}frame\tnowUs=1002000\n{line}\neof_batch\n", first_batch());
     let cases = [
         (after("knok\ti=3"), "line 8", "knok"),
         (
-            after(&KNOCK.trim_end().replace("\tttlUs=900000", "")),
+            after(&REQUEST.trim_end().replace("\tttlUs=900000", "")),
             "line 8",
             "ttlUs",
         ),
         (
-            after(&KNOCK.trim_end().replace("ttlUs=900000", "ttlUs=-4")),
+            after(&REQUEST.trim_end().replace("ttlUs=900000", "ttlUs=-4")),
             "line 8",
             "ttlUs",
         ),
         (
-            after(&KNOCK.trim_end().replace("package=p", "package=q")),
+            after(&REQUEST.trim_end().replace("package=p", "package=q")),
             "line 8",
             "package",
         ),
         (
-            after(&KNOCK.trim_end().replace("i=3", "i=4")),
+            after(&REQUEST.trim_end().replace("i=3", "i=4")),
             "line 8",
             "field i",
         ),
@@ -108,17 +108,25 @@
             "field setup",
         ),
         (
-            opening().replace("\"rate\":1.0", "\"rate\":-1.0"),
+            first_batch().replace("\"rate\":1.0", "\"rate\":-1.0"),
             "line 4",
             "setup",
         ),
         (
-            opening().replace("readiness=Ready", "readiness=Ripe"),
+            first_batch().replace("readiness=Ready", "readiness=Ripe"),
             "line 3",
             "readiness",
         ),
-        (opening().replace("eof_batch\n", ""), "line 6", "eof_batch"),
-        ("frame\tnowUs=1000".to_owned(), "line 1", "breaks off"),
+        (
+            first_batch().replace("eof_batch\n", ""),
+            "line 6",
+            "eof_batch",
+        ),
+        (
+            "frame\tnowUs=1000".to_owned(),
+            "line 1",
+            "line is truncated",
+        ),
         ("frame\n".to_owned(), "line 1", "nowUs"),
         ("elapsed\ti=1\n".to_owned(), "line 1", "frame"),
     ];
