--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -53,7 +53,7 @@
         value: String,
     },
     /// The settings of a new instance cannot be parsed.
-    UnreadableSetup(ReadError),
+    UnreadableSettings(ReadError),
     /// The policy engine rejected the settings of a new instance.
     InvalidSettings(SettingsError),
     /// A message is addressed to an instance that is not running.
@@ -96,7 +96,7 @@
                 field,
                 value,
             } => write!(f, "{message}: field {field}: invalid value {value:?}"),
-            ErrorKind::UnreadableSetup(error) => write!(f, "hello: field setup: {error}"),
+            ErrorKind::UnreadableSettings(error) => write!(f, "hello: field setup: {error}"),
             ErrorKind::InvalidSettings(error) => write!(f, "hello: field setup: {error}"),
             ErrorKind::UnknownInstance { message, instance } => {
                 write!(f, "{message}: field i: instance {instance} is not running")
--- a/crates/simulator-adapter/src/link.rs
+++ b/crates/simulator-adapter/src/link.rs
@@ -19,9 +19,9 @@
     settings: PlatformSettings,
 }
 
-/// State of the connection to the simulator: the endpoint lists and instances set up so far.
+/// State of a session with the simulator: the endpoint lists and instances set up so far.
 #[derive(Default)]
-struct Link {
+struct Session {
     lists: EndpointLists,
     /// Running instances by their number.
     instances: BTreeMap<u64, Instance>,
@@ -35,11 +35,11 @@
 /// Returns an error if the input violates the protocol or a stream fails.
 pub fn run(input: impl BufRead, mut output: impl Write) -> Result<()> {
     let mut reader = LineReader::new(input);
-    let mut link = Link::default();
+    let mut session = Session::default();
     while let Some(line) = reader.next()? {
         line.expect(message::BATCH_START)?;
         let now: u64 = line.number(field::NOW)?;
-        let reply = link.answer_batch(now, &mut reader)?;
+        let reply = session.answer_batch(now, &mut reader)?;
         output
             .write_all(reply.as_bytes())
             .and_then(|()| output.flush())
@@ -48,7 +48,7 @@
     Ok(())
 }
 
-impl Link {
+impl Session {
     /// Reads the rest of a batch, handles its messages at the simulated time `now` (µs), and returns the reply.
     fn answer_batch<R: BufRead>(&mut self, now: u64, reader: &mut LineReader<R>) -> Result<String> {
         let mut reply = String::new();
@@ -101,7 +101,7 @@
 fn start_instance(now: u64, line: &Line) -> Result<Instance> {
     let seed: i128 = line.number(field::SEED)?;
     let settings = setup::read(line.rest(field::SETTINGS)?)
-        .map_err(|error| line.error(ErrorKind::UnreadableSetup(error)))?;
+        .map_err(|error| line.error(ErrorKind::UnreadableSettings(error)))?;
     // A seed may be negative or wider than 64 bits; the policy engine takes its low 64 bits.
     let engine = PolicyEngine::new(seed as u64, settings.settings.clone(), now)
         .map_err(|error| line.error(ErrorKind::InvalidSettings(error)))?;
--- a/crates/simulator-adapter/tests/link.rs
+++ b/crates/simulator-adapter/tests/link.rs
@@ -3,7 +3,7 @@
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-const SETUP: &str = r#"{"balancers":2,"me":0,"zone":"a","zones":["a"],"unknown":[1],"periodUs":2000,"discovery":"automatic","ceilings":{"cancel":true,"probes":false,"mayTell":true,"secondCopies":false,"sendCap":3},"classes":[{"name":"read","aimUs":800000,"deadlineUs":3000000,"lateValue":0.0,"worth":3.0,"repeat":"read_like"}],"packages":[{"name":"p","rate":1.0,"storeSize":4.0,"price":1.0}],"rules":{"coldFrom":0.2,"coldUs":1000000,"fallMultiple":3.0,"overloadForUs":1000000},"extra":{"peerInPerS":60.0,"maxUnits":1}}"#;
+const SETTINGS: &str = r#"{"balancers":2,"me":0,"zone":"a","zones":["a"],"unknown":[1],"periodUs":2000,"discovery":"automatic","ceilings":{"cancel":true,"probes":false,"mayTell":true,"secondCopies":false,"sendCap":3},"classes":[{"name":"read","aimUs":800000,"deadlineUs":3000000,"lateValue":0.0,"worth":3.0,"repeat":"read_like"}],"packages":[{"name":"p","rate":1.0,"storeSize":4.0,"price":1.0}],"rules":{"coldFrom":0.2,"coldUs":1000000,"fallMultiple":3.0,"overloadForUs":1000000},"extra":{"peerInPerS":60.0,"maxUnits":1}}"#;
 
 fn run(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_saffronpaddle-simulator-adapter"))
@@ -22,7 +22,7 @@
 fn first_batch() -> String {
     format!(
         "frame\tnowUs=1000000\nregister\tlist=0\titems=1\nitem\tserver=51\tcampus=a\tfamilyType=k\tbay=0\t\
-         readiness=Ready\tcapacityHint=1\nhello\ti=3\trandomSeed=-7\tsetup={SETUP}\n\
+         readiness=Ready\tcapacityHint=1\nhello\ti=3\trandomSeed=-7\tsetup={SETTINGS}\n\
          update\ti=3\tkind=Persisted\tgen=1\tlist=0\neof_batch\n"
     )
 }
