--- a/crates/bench/src/idle.rs
+++ b/crates/bench/src/idle.rs
@@ -4,7 +4,7 @@
 use anyhow::{ensure, Result};
 use lexopt::prelude::*;
 use saffronpaddle_test_doubles::discovery::Discovery;
-use saffronpaddle_test_doubles::ledger::Bounds;
+use saffronpaddle_test_doubles::oracle::Bounds;
 use saffronpaddle_test_doubles::wire::Wire;
 use saffronpaddle_test_doubles::World;
 use std::sync::Arc;
--- a/crates/bench/src/process.rs
+++ b/crates/bench/src/process.rs
@@ -4,7 +4,7 @@
 use nix::sched::{sched_setaffinity, CpuSet};
 use nix::unistd::Pid;
 use saffronpaddle_test_doubles::process::{cpu_seconds, memory};
-use saffronpaddle_test_doubles::settings::{configuration, Fleet, Places, Plan};
+use saffronpaddle_test_doubles::settings::{configuration, Fleet, NodeConfig, Plan};
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::path::{Path, PathBuf};
@@ -140,7 +140,7 @@
 ) -> Result<Measured> {
     let address = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
     let datagrams = UdpSocket::bind("127.0.0.1:0")?.local_addr()?;
-    let places = Places {
+    let places = NodeConfig {
         name: "n0".to_owned(),
         listen: address,
         discovery,
--- a/crates/bench/src/roster.rs
+++ b/crates/bench/src/roster.rs
@@ -6,7 +6,7 @@
 use lexopt::prelude::*;
 use saffronpaddle_test_doubles::discovery::Discovery;
 use saffronpaddle_test_doubles::etcd::Etcd;
-use saffronpaddle_test_doubles::ledger::Bounds;
+use saffronpaddle_test_doubles::oracle::Bounds;
 use saffronpaddle_test_doubles::wire::Wire;
 use saffronpaddle_test_doubles::World;
 use std::collections::BTreeMap;
--- a/crates/bench/src/scale/mod.rs
+++ b/crates/bench/src/scale/mod.rs
@@ -17,7 +17,7 @@
 use saffronpaddle_hollow::figures::{Look, Spans, Spent, Sums};
 use saffronpaddle_hollow::tenants::{plans, Tenants};
 use saffronpaddle_hollow::Spec;
-use saffronpaddle_test_doubles::ledger::Bounds;
+use saffronpaddle_test_doubles::oracle::Bounds;
 use saffronpaddle_test_doubles::settings::{Fleet, Plan};
 use saffronpaddle_test_doubles::World;
 use serde_json::{json, Value as Json};
@@ -431,14 +431,15 @@
     let zones: Vec<String> = SITES.iter().map(|site| (*site).to_owned()).collect();
     let mut servers = Vec::new();
     for _ in 0..DIALS {
-        let listener = TcpListener::bind(saffronpaddle_test_doubles::ports::unclaimed()?).await?;
+        let listener =
+            TcpListener::bind(saffronpaddle_test_doubles::ports::reserve_address()?).await?;
         servers.push(listener.local_addr()?);
         tokio::spawn(crate::cost::answer(Arc::clone(&world), listener));
     }
     let (service, list) =
         Service::start(Arc::clone(&world), point.servers, &zones, &servers).await?;
     let peers: Vec<SocketAddr> = (0..point.nodes)
-        .map(|_| saffronpaddle_test_doubles::ports::unclaimed())
+        .map(|_| saffronpaddle_test_doubles::ports::reserve_address())
         .collect::<Result<_, _>>()?;
     let (hollow, processes) = (point.hollow(), point.processes());
     let spec = |number: usize| {
--- a/crates/bench/src/scale/real.rs
+++ b/crates/bench/src/scale/real.rs
@@ -4,7 +4,7 @@
 use anyhow::{ensure, Context, Result};
 use saffronpaddle_hollow::figures::Spans;
 use saffronpaddle_hollow::tenants::Tenants;
-use saffronpaddle_test_doubles::settings::{configuration, Fleet, Places};
+use saffronpaddle_test_doubles::settings::{configuration, Fleet, NodeConfig};
 use saffronpaddle_test_doubles::wire::{Message, Wire};
 use saffronpaddle_test_doubles::World;
 use serde_json::Value;
@@ -36,8 +36,8 @@
     peers: &[SocketAddr],
     discovery: SocketAddr,
 ) -> Result<Real> {
-    let listen = saffronpaddle_test_doubles::ports::unclaimed()?;
-    let places = Places {
+    let listen = saffronpaddle_test_doubles::ports::reserve_address()?;
+    let places = NodeConfig {
         name: format!("n{me}"),
         listen,
         discovery,
--- a/crates/bench/src/scale/service.rs
+++ b/crates/bench/src/scale/service.rs
@@ -124,7 +124,8 @@
             seq: watch::channel(1).0,
             texts,
         });
-        let listener = TcpListener::bind(saffronpaddle_test_doubles::ports::unclaimed()?).await?;
+        let listener =
+            TcpListener::bind(saffronpaddle_test_doubles::ports::reserve_address()?).await?;
         let address = listener.local_addr()?;
         let serving = Arc::clone(&service);
         tokio::spawn(async move {
--- a/crates/bench/src/sockets.rs
+++ b/crates/bench/src/sockets.rs
@@ -6,7 +6,7 @@
 use anyhow::{ensure, Context, Result};
 use lexopt::prelude::*;
 use saffronpaddle_test_doubles::discovery::{Discovery, Entry};
-use saffronpaddle_test_doubles::ledger::Bounds;
+use saffronpaddle_test_doubles::oracle::Bounds;
 use saffronpaddle_test_doubles::World;
 use saffronpaddle_websocket::frames::{self, Rules, Scanner, Side};
 use std::net::SocketAddr;
--- a/crates/bench/tests/size/fixture.rs
+++ b/crates/bench/tests/size/fixture.rs
@@ -12,14 +12,16 @@
 use saffronpaddle_hollow::tenants::{plans, Tenants};
 use saffronpaddle_hollow::{server_id, Spec};
 use saffronpaddle_subsetting::{Subset, FULL_LIST_MAX, TARGET_SIZE};
-use saffronpaddle_test_doubles::ledger::{Answer, Asked, Breach, Repeats, Unanswered, Verdict};
-use saffronpaddle_test_doubles::links::{End, Fault, Links, Which};
-use saffronpaddle_test_doubles::load::{class_of, Customer, Front, Leaves};
+use saffronpaddle_test_doubles::links::{End, Fault, LinkSet, Links};
+use saffronpaddle_test_doubles::load::{class_of, Cancellations, Customer, LoadGenerator};
+use saffronpaddle_test_doubles::oracle::{
+    Answer, Breach, RepeatSafety, SentRequest, Unanswered, Verdict,
+};
 use saffronpaddle_test_doubles::peers::Network;
-use saffronpaddle_test_doubles::ports::unclaimed;
+use saffronpaddle_test_doubles::ports::reserve_address;
 use saffronpaddle_test_doubles::scripted::program;
 use saffronpaddle_test_doubles::servers::{self, AppServer};
-use saffronpaddle_test_doubles::settings::{configuration, Fleet, Places, Plan};
+use saffronpaddle_test_doubles::settings::{configuration, Fleet, NodeConfig, Plan};
 use saffronpaddle_test_doubles::World;
 use serde::de::DeserializeOwned;
 use serde_json::json;
@@ -210,11 +212,11 @@
                 shard.open.insert(id.clone(), *tenant);
                 let class = &fleet.classes[*class];
                 let repeats = if class.keyed {
-                    Repeats::Keyed
+                    RepeatSafety::Keyed
                 } else {
-                    Repeats::Safe
+                    RepeatSafety::Safe
                 };
-                let asked = Asked {
+                let asked = SentRequest {
                     id: id.clone(),
                     key: class.keyed.then(|| id.clone()),
                     repeats,
@@ -303,7 +305,7 @@
     pub tenants: Tenants,
     pub links: Arc<Links>,
     pub stands: BTreeMap<usize, AppServer>,
-    pub front: Arc<Front>,
+    pub front: Arc<LoadGenerator>,
     nodes: Vec<Node>,
     shards: Arc<Vec<Mutex<Shard>>>,
     faults: Mutex<Faults>,
@@ -324,7 +326,7 @@
 
 /// One tenant's clients at real nodes, until they are told to rest and the last has its answer.
 async fn clients(
-    front: Arc<Front>,
+    front: Arc<LoadGenerator>,
     fleet: Fleet,
     customer: Customer,
     mut rests: watch::Receiver<bool>,
@@ -429,7 +431,7 @@
                 dial = Some(server.address());
                 stands.insert(at, server);
             }
-            let dial = dial.unwrap_or_else(|| unclaimed().expect("an address"));
+            let dial = dial.unwrap_or_else(|| reserve_address().expect("an address"));
             let stands = stands.contains_key(&at);
             listed.push(Server {
                 dial,
@@ -443,7 +445,7 @@
         let list = Service::new(Arc::clone(&world), listed, REAL);
 
         let peers: Vec<SocketAddr> = (0..NODES)
-            .map(|_| unclaimed().expect("an address"))
+            .map(|_| reserve_address().expect("an address"))
             .collect();
         let links = Arc::new(Links::default());
         let network = Network::start(peers.clone(), Arc::clone(&links))
@@ -516,8 +518,8 @@
         std::fs::write(folder.join("operator.toml"), operator).expect("an operator file");
         let mut nodes = Vec::new();
         for (me, peer_listen) in peers.iter().copied().enumerate().take(REAL) {
-            let address = unclaimed().expect("an address");
-            let places = Places {
+            let address = reserve_address().expect("an address");
+            let places = NodeConfig {
                 name: format!("n{me}"),
                 listen: address,
                 discovery: list.open(Some(me)).await,
@@ -538,12 +540,12 @@
             nodes.push(node);
         }
         let doors: Vec<SocketAddr> = nodes.iter().map(|node| node.address).collect();
-        let front = Front::new(
+        let front = LoadGenerator::new(
             Arc::clone(&world),
             fleet.clone(),
             &doors,
             1,
-            Leaves::default(),
+            Cancellations::default(),
         );
         Arc::clone(&front).watch();
         let rig = Rig {
@@ -659,7 +661,7 @@
     }
 
     /// Lays a fault on the links between real nodes and all others.
-    pub fn lay(&self, which: Which, fault: Fault) {
+    pub fn lay(&self, which: LinkSet, fault: Fault) {
         self.links.lay(which, fault);
     }
 
--- a/crates/bench/tests/size/list.rs
+++ b/crates/bench/tests/size/list.rs
@@ -149,8 +149,9 @@
 
     /// An address of it: for one real node, or for all hollow ones.
     pub async fn open(self: &Arc<Self>, node: Option<usize>) -> SocketAddr {
-        let listener =
-            TcpListener::bind(saffronpaddle_test_doubles::ports::unclaimed().expect("an address"));
+        let listener = TcpListener::bind(
+            saffronpaddle_test_doubles::ports::reserve_address().expect("an address"),
+        );
         let listener = listener.await.expect("it can be had");
         let address = listener.local_addr().expect("it has one");
         let service = Arc::clone(self);
--- a/crates/bench/tests/size/main.rs
+++ b/crates/bench/tests/size/main.rs
@@ -5,7 +5,7 @@
 mod list;
 
 use fixture::{kept, lock, nodes_in, until, Fixture, Rig, NODES, REAL};
-use saffronpaddle_test_doubles::links::{Fault, Which};
+use saffronpaddle_test_doubles::links::{Fault, LinkSet};
 use std::future::Future;
 use std::sync::Mutex;
 use std::time::Duration;
@@ -125,7 +125,7 @@
         .await;
         let (real, all) = (Rig::ends(0..REAL as u32), Rig::ends(0..NODES as u32));
         rig.lay(
-            Which::Both(real, all),
+            LinkSet::Both(real, all),
             Fault {
                 loss: 0.2,
                 ..Fault::default()
@@ -175,7 +175,7 @@
         let others = (0..NODES as u32).filter(|node| !region.contains(node));
         let sides = vec![Rig::ends(region.iter().copied()), Rig::ends(others)];
         rig.lay(
-            Which::Apart(sides),
+            LinkSet::Apart(sides),
             Fault {
                 loss: 1.0,
                 ..Fault::default()
--- a/crates/fleet-harness/src/report.rs
+++ b/crates/fleet-harness/src/report.rs
@@ -1,9 +1,9 @@
 //! What a run showed, for people and as JSON.
 
 use crate::windows::{Of, Windows};
-use saffronpaddle_test_doubles::discovery::Calls;
-use saffronpaddle_test_doubles::ledger::{Breach, Verdict};
-use saffronpaddle_test_doubles::load::Counts;
+use saffronpaddle_test_doubles::discovery::CallStats;
+use saffronpaddle_test_doubles::load::LoadCounts;
+use saffronpaddle_test_doubles::oracle::{Breach, Verdict};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -40,7 +40,7 @@
     /// The ledger's verdict.
     pub verdict: Verdict,
     /// What the front counted.
-    pub counts: Counts,
+    pub counts: LoadCounts,
     /// Each instance.
     pub rows: Vec<Row>,
     /// Seconds of work that the servers could do while load was offered.
@@ -50,7 +50,7 @@
     /// What happened in each second, by side.
     pub windows: Vec<Windows>,
     /// What was asked of the list service.
-    pub list: Calls,
+    pub list: CallStats,
     /// Connections made to each app server, and requests that came.
     pub met: Vec<(Vec<Duration>, usize)>,
     /// Datagrams that were longer than allowed, and bytes of all.
--- a/crates/fleet-harness/src/rig.rs
+++ b/crates/fleet-harness/src/rig.rs
@@ -13,11 +13,11 @@
 use saffronpaddle_test_doubles::discovery::{Discovery, Entry};
 use saffronpaddle_test_doubles::etcd::Etcd;
 use saffronpaddle_test_doubles::links::{End, Links, Relay};
-use saffronpaddle_test_doubles::load::{Customer, Front};
+use saffronpaddle_test_doubles::load::{Customer, LoadGenerator};
 use saffronpaddle_test_doubles::peers::Network;
-use saffronpaddle_test_doubles::ports::unclaimed;
+use saffronpaddle_test_doubles::ports::reserve_address;
 use saffronpaddle_test_doubles::servers::{AppServer, Spec};
-use saffronpaddle_test_doubles::settings::{configuration, Fleet, Places};
+use saffronpaddle_test_doubles::settings::{configuration, Fleet, NodeConfig};
 use saffronpaddle_test_doubles::World;
 use std::collections::BTreeSet;
 use std::net::TcpListener;
@@ -71,7 +71,7 @@
     servers: Vec<AppServer>,
     links: Arc<Links>,
     network: Arc<Network>,
-    front: Arc<Front>,
+    front: Arc<LoadGenerator>,
     instances: Vec<Arc<Instance>>,
     roster: Lists,
     customers: Vec<Customer>,
@@ -235,7 +235,7 @@
         let world = World::begin(fleet.bounds.clone());
         let discovery = Discovery::new(Arc::clone(&world));
         let servers = servers(&scenario, &fleet, &world, &discovery)?;
-        let datagrams = (0..scenario.instances).map(|_| unclaimed());
+        let datagrams = (0..scenario.instances).map(|_| reserve_address());
         let datagrams = datagrams
             .collect::<std::io::Result<Vec<_>>>()
             .context("ports for datagrams")?;
@@ -253,7 +253,7 @@
             "links to servers need the platform's discovery"
         );
         for (nodes, server) in relays {
-            let (listen, target) = (unclaimed()?, &servers[server]);
+            let (listen, target) = (reserve_address()?, &servers[server]);
             let ends = (End::Node(nodes[0]), End::Server(server));
             Relay::start(&links, ends, listen, target.address())
                 .await
@@ -294,7 +294,7 @@
         let run = RUNS.fetch_add(1, Ordering::Relaxed);
         let (mut instances, mut doors) = (Vec::new(), Vec::new());
         for (number, peer_listen) in datagrams.into_iter().enumerate() {
-            let listener = TcpListener::bind(unclaimed()?).context("a listener")?;
+            let listener = TcpListener::bind(reserve_address()?).context("a listener")?;
             let address = listener.local_addr()?;
             let manager = Manager::start(&format!(
                 "saffronpaddle-fleet-{}-{run}-{number}",
@@ -315,19 +315,19 @@
             let (me, mut agent, mut door) =
                 (End::Node(number), discovery.agent(number).await?, address);
             if ways.touches(me, End::List) {
-                let behind = std::mem::replace(&mut agent, unclaimed()?);
+                let behind = std::mem::replace(&mut agent, reserve_address()?);
                 Relay::start(&links, (me, End::List), agent, behind)
                     .await
                     .context("a relay to the list")?;
             }
             if ways.touches(me, End::Clients) {
-                door = unclaimed()?;
+                door = reserve_address()?;
                 Relay::start(&links, (End::Clients, me), door, address)
                     .await
                     .context("a relay for clients")?;
             }
             doors.push(door);
-            let places = Places {
+            let places = NodeConfig {
                 name: format!("n{number}"),
                 listen: address,
                 discovery: agent,
@@ -351,7 +351,7 @@
             instances.push(Arc::new(instance));
         }
         let customers = customers(&scenario, &fleet, options.seed);
-        let front = Front::new(
+        let front = LoadGenerator::new(
             Arc::clone(&world),
             fleet,
             &doors,
--- a/crates/fleet-harness/src/scenario.rs
+++ b/crates/fleet-harness/src/scenario.rs
@@ -3,9 +3,9 @@
 
 use crate::ends::{ends, sides, Side};
 use saffronpaddle_operator_config::{Fault, Faults, Section};
-use saffronpaddle_test_doubles::discovery::Back;
-use saffronpaddle_test_doubles::links::{self, End, Which};
-use saffronpaddle_test_doubles::load::Leaves;
+use saffronpaddle_test_doubles::discovery::RestoreMode;
+use saffronpaddle_test_doubles::links::{self, End, LinkSet};
+use saffronpaddle_test_doubles::load::Cancellations;
 use saffronpaddle_test_doubles::settings::Fleet;
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -29,11 +29,11 @@
     /// SIGSTOP, and SIGCONT after a while.
     Pause(usize, Duration),
     /// A fault on links, for a while or to the end; then they heal, at once or node by node with this pause.
-    Link(Which, links::Fault, Option<Duration>, Duration),
+    Link(LinkSet, links::Fault, Option<Duration>, Duration),
     /// The list service is down for a while: it resets connections.
     ListDown(Duration),
     /// It is back without something.
-    ListBack(Back),
+    ListBack(RestoreMode),
     /// An app server that was absent starts, cold, and is listed.
     Join(usize),
     /// Customers ask for so many times as much for a while.
@@ -204,7 +204,7 @@
     /// How much later than its client's time an answer may come.
     pub answer_slack: Duration,
     /// Clients that leave while they wait.
-    pub leaves: Leaves,
+    pub leaves: Cancellations,
     /// Calls and bytes of lists that the list service can answer a second; 0 for any number.
     pub list_bears: (f64, f64),
     /// Whether the list service turns callers away once its line is long.
@@ -227,7 +227,7 @@
     /// The part of requests that is meant.
     share: f64,
     /// The links that are meant: all between instances where nothing is said.
-    which: Which,
+    which: LinkSet,
     fault: links::Fault,
     /// Whether it lasts to the end.
     forever: bool,
@@ -237,16 +237,16 @@
 
 impl Said {
     /// No datagrams from or to one instance.
-    fn cut(&self) -> Which {
+    fn cut(&self) -> LinkSet {
         let (one, others) = self
             .which
             .ends()
             .into_iter()
             .partition(|end| *end == End::Node(self.who));
-        Which::Apart(vec![one, others])
+        LinkSet::Apart(vec![one, others])
     }
 
-    fn link(&self, which: Which, fault: links::Fault, lasts: Option<Duration>) -> Deed {
+    fn link(&self, which: LinkSet, fault: links::Fault, lasts: Option<Duration>) -> Deed {
         Deed::Link(which, fault, lasts, self.heal_gap)
     }
 }
@@ -315,10 +315,14 @@
         )
     }),
     ("list-down", Whom::All, |said| Deed::ListDown(said.lasts)),
-    ("list-older", Whom::All, |_| Deed::ListBack(Back::Older)),
-    ("list-empty", Whom::All, |_| Deed::ListBack(Back::Empty)),
+    ("list-older", Whom::All, |_| {
+        Deed::ListBack(RestoreMode::Older)
+    }),
+    ("list-empty", Whom::All, |_| {
+        Deed::ListBack(RestoreMode::Empty)
+    }),
     ("list-renumbered", Whom::All, |_| {
-        Deed::ListBack(Back::Renumbered)
+        Deed::ListBack(RestoreMode::Renumbered)
     }),
     ("drain", Whom::Server, |said| {
         Deed::Drain(said.who, said.lasts)
@@ -455,7 +459,7 @@
             absent: BTreeSet::new(),
             absent_servers: BTreeSet::new(),
             answer_slack: file.span_ms("answer_slack_ms", 50, 0..=10_000),
-            leaves: Leaves {
+            leaves: Cancellations {
                 share: file.figure("leave_share", 0.0, 0.0..=1.0),
                 after: (
                     file.span_ms("leave_least_ms", 20, 0..=60_000),
@@ -550,7 +554,7 @@
     }
 
     /// The links that a step is about: `sides` that are apart, or all `from` some ends `to` others.
-    fn which(&self, section: &mut Section) -> Which {
+    fn which(&self, section: &mut Section) -> LinkSet {
         let apart = section.parsed("sides", "names of sides, or each", |text| match text {
             "each" => Some(
                 (0..self.instances)
@@ -568,9 +572,9 @@
         let one_way = section.flag("one_way", false);
         let (from, to) = (from.unwrap_or_else(|| nodes.clone()), to.unwrap_or(nodes));
         match apart {
-            Some(sides) => Which::Apart(sides),
-            None if one_way || from == to => Which::Between(from, to),
-            None => Which::Both(from, to),
+            Some(sides) => LinkSet::Apart(sides),
+            None if one_way || from == to => LinkSet::Between(from, to),
+            None => LinkSet::Both(from, to),
         }
     }
 
--- a/crates/fleet-harness/src/virtually/lists.rs
+++ b/crates/fleet-harness/src/virtually/lists.rs
@@ -7,7 +7,9 @@
 use saffronpaddle_policy::interface::{
     DeduplicationDomainId, Endpoint, EndpointStatus, EndpointUpdate, Micros, ServerId, ZoneId,
 };
-use saffronpaddle_test_doubles::discovery::{Back, Bearing, Calls, LINE_MOST};
+use saffronpaddle_test_doubles::discovery::{
+    CallStats, RestoreMode, ServiceLimits, MAX_QUEUE_DELAY,
+};
 use saffronpaddle_test_doubles::links::End;
 use std::collections::BTreeSet;
 use std::ops::Bound;
@@ -84,10 +86,10 @@
 pub(super) struct Service {
     list: List,
     first: List,
-    pub bears: Bearing,
+    pub bears: ServiceLimits,
     pub silent: bool,
     busy: Micros,
-    pub calls: Calls,
+    pub calls: CallStats,
 }
 
 impl Service {
@@ -95,7 +97,7 @@
         let (calls_per_s, bytes_per_s) = scenario.list_bears;
         let born = scenario.cold.then_some(START);
         let list = List::whole(scenario.servers, born);
-        let bears = Bearing {
+        let bears = ServiceLimits {
             calls_per_s,
             bytes_per_s,
             turns_away: scenario.list_turns_away,
@@ -108,15 +110,15 @@
             bears,
             silent: false,
             busy: 0,
-            calls: Calls::default(),
+            calls: CallStats::default(),
         }
     }
 
-    pub fn back(&mut self, back: Back) {
+    pub fn back(&mut self, back: RestoreMode) {
         match back {
-            Back::Older => self.list = self.first.clone(),
-            Back::Empty => self.list = List::default(),
-            Back::Renumbered => self.list.renumber(),
+            RestoreMode::Older => self.list = self.first.clone(),
+            RestoreMode::Empty => self.list = List::default(),
+            RestoreMode::Renumbered => self.list.renumber(),
         }
     }
 
@@ -324,7 +326,7 @@
         }
         let since = self.since();
         self.service.calls.at.push(since);
-        let Bearing {
+        let ServiceLimits {
             calls_per_s,
             bytes_per_s,
             turns_away,
@@ -335,7 +337,7 @@
         let share = |of: f64, a_second: f64| if a_second > 0.0 { of / a_second } else { 0.0 };
         let takes = share(1.0, calls_per_s) + share(bytes as f64, bytes_per_s);
         let line = self.service.busy.saturating_sub(self.now);
-        if turns_away && u128::from(line) > LINE_MOST.as_micros() {
+        if turns_away && u128::from(line) > MAX_QUEUE_DELAY.as_micros() {
             self.service.calls.turned_away += 1;
             let after = Duration::from_secs((line / 1_000_000).max(1));
             return self.list_later(at, way, Comes::Ended(call, Some(after)));
--- a/crates/fleet-harness/src/virtually/mod.rs
+++ b/crates/fleet-harness/src/virtually/mod.rs
@@ -21,9 +21,9 @@
 };
 use saffronpaddle_policy::setup::{self, PlatformSettings};
 use saffronpaddle_policy::PolicyEngine;
-use saffronpaddle_test_doubles::ledger::{Answer, Asked, Ledger, Repeats, Unanswered};
-use saffronpaddle_test_doubles::links::{End, Links, Which};
-use saffronpaddle_test_doubles::load::{class_of, Counts, Customer, Patience};
+use saffronpaddle_test_doubles::links::{End, LinkSet, Links};
+use saffronpaddle_test_doubles::load::{class_of, Customer, LoadCounts, RetryPolicy};
+use saffronpaddle_test_doubles::oracle::{Answer, Oracle, RepeatSafety, SentRequest, Unanswered};
 use saffronpaddle_test_doubles::settings::Fleet;
 use servers::{Flight, Server};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -80,7 +80,7 @@
     GoesOn(usize),
     Lifts(u64),
     HealsNext(
-        Which,
+        LinkSet,
         saffronpaddle_test_doubles::links::Fault,
         Vec<End>,
         u64,
@@ -101,7 +101,7 @@
     customer: usize,
     class: usize,
     key: Option<String>,
-    patience: Patience,
+    patience: RetryPolicy,
 }
 
 /// A request at a node that has no final answer.
@@ -149,7 +149,7 @@
     slow: f64,
     service: Service,
     links: Links,
-    ledger: Ledger,
+    ledger: Oracle,
     /// What modules of processes that have ended had counted.
     decided: BTreeMap<&'static str, u64>,
     processes: u64,
@@ -201,7 +201,7 @@
         fastrand::seed(seed);
         let fleet = Fleet::usual(scenario.instances);
         let customers = customers(&scenario, &fleet, seed);
-        let mut ledger = Ledger::new(fleet.bounds.clone());
+        let mut ledger = Oracle::new(fleet.bounds.clone());
         customers
             .iter()
             .for_each(|customer| fleet.limit(&mut ledger, customer));
@@ -490,7 +490,7 @@
         let class = class_of(&self.fleet, self.random.f64());
         let keyed = self.fleet.classes[class].keyed;
         let key = keyed.then(|| format!("k{}", self.serial));
-        let patience = Patience::begin(self.since(), keyed);
+        let patience = RetryPolicy::begin(self.since(), keyed);
         self.tries(Client {
             customer,
             class,
@@ -512,13 +512,13 @@
         self.requests += 1;
         let id = RequestId(format!("t{}", self.requests).into());
         let class = &self.fleet.classes[client.class];
-        let asked = Asked {
+        let asked = SentRequest {
             id: id.0.to_string(),
             key: client.key.clone(),
             repeats: if class.keyed {
-                Repeats::Keyed
+                RepeatSafety::Keyed
             } else {
-                Repeats::Safe
+                RepeatSafety::Safe
             },
             node: at,
             customer: customer.id,
@@ -807,7 +807,7 @@
         };
         self.took_ms.sort_by(f64::total_cmp);
         let took = at(&self.took_ms, &[0.5, 0.99]);
-        let counts = Counts {
+        let counts = LoadCounts {
             refused_connections: 0,
             resent: 0,
             retries: self.retries,
--- a/crates/fleet-harness/src/ways.rs
+++ b/crates/fleet-harness/src/ways.rs
@@ -4,7 +4,7 @@
 //! befall which links: where no step touches one it needs none, and nodes that no step tells apart share theirs.
 
 use crate::scenario::{Deed, Scenario};
-use saffronpaddle_test_doubles::links::{End, Which};
+use saffronpaddle_test_doubles::links::{End, LinkSet};
 use std::collections::BTreeMap;
 
 /// What one rule does to a node's link with a server: there, back, and who it is where nodes heal one by one.
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug)]
 pub struct Ways {
     /// Each step's links, and whether its nodes heal one by one.
-    rules: Vec<(Which, bool)>,
+    rules: Vec<(LinkSet, bool)>,
     counts: (usize, usize),
 }
 
@@ -51,7 +51,7 @@
             let mut alike: BTreeMap<Vec<Sign>, Vec<usize>> = BTreeMap::new();
             for node in (0..self.counts.0).filter(|node| self.touches(End::Node(*node), far)) {
                 let near = End::Node(node);
-                let sign = |(which, alone): &(Which, bool)| -> Sign {
+                let sign = |(which, alone): &(LinkSet, bool)| -> Sign {
                     (
                         which.has(near, far),
                         which.has(far, near),
--- a/crates/fleet-harness/src/windows.rs
+++ b/crates/fleet-harness/src/windows.rs
@@ -1,8 +1,8 @@
 //! A run second by second and side by side, from the ledger's entries.
 
 use crate::ends::Side;
-use saffronpaddle_test_doubles::ledger::{Answer, Ledger};
 use saffronpaddle_test_doubles::links::End;
+use saffronpaddle_test_doubles::oracle::{Answer, Oracle};
 use serde_json::{json, Value};
 use std::time::Duration;
 
@@ -85,7 +85,7 @@
 }
 
 /// Cuts a run into seconds, over all nodes and for each side.
-pub fn cut(ledger: &Ledger, sides: &[Side], begun: Duration) -> Vec<Windows> {
+pub fn cut(ledger: &Oracle, sides: &[Side], begun: Duration) -> Vec<Windows> {
     let named = std::iter::once("all").chain(sides.iter().map(|side| &*side.name));
     let mut all: Vec<Windows> = named
         .map(|side| Windows {
--- a/crates/model-checker/src/fleet.rs
+++ b/crates/model-checker/src/fleet.rs
@@ -13,7 +13,7 @@
 use saffronpaddle_exchange::Bug;
 use saffronpaddle_policy::interface::{Micros, SettingsError};
 use saffronpaddle_policy::setup::ReadError;
-use saffronpaddle_test_doubles::ledger;
+use saffronpaddle_test_doubles::oracle;
 use simulation::Simulation;
 use std::fmt;
 
@@ -55,7 +55,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetRun {
     /// The ledger's judgement.
-    pub verdict: ledger::Verdict,
+    pub verdict: oracle::Verdict,
     /// Disagreements between the tables of an exchange.
     pub inconsistencies: Vec<String>,
     /// Requests and connections that were left when all was over.
--- a/crates/model-checker/src/fleet/clients.rs
+++ b/crates/model-checker/src/fleet/clients.rs
@@ -6,7 +6,7 @@
 use saffronpaddle_policy::interface::{
     ClassId, CustomerId, Event as PolicyEvent, Micros, NodeId, PlanId, RequestId,
 };
-use saffronpaddle_test_doubles::ledger::{Asked, Repeats, Unanswered};
+use saffronpaddle_test_doubles::oracle::{RepeatSafety, SentRequest, Unanswered};
 
 /// What a front end reserves of a client's time for the delivery of the answer, µs.
 const DELIVERY_RESERVE: Micros = 5_000;
@@ -55,10 +55,14 @@
 
     fn record_request(&mut self, id: &RequestId, class: usize, node: usize, customer: u64) {
         let keyed = self.fleet.classes[class].keyed;
-        let asked = Asked {
+        let asked = SentRequest {
             id: id.0.to_string(),
             key: keyed.then(|| id.0.to_string()),
-            repeats: if keyed { Repeats::Keyed } else { Repeats::Safe },
+            repeats: if keyed {
+                RepeatSafety::Keyed
+            } else {
+                RepeatSafety::Safe
+            },
             node,
             customer,
             units: 1.0,
--- a/crates/model-checker/src/fleet/commands.rs
+++ b/crates/model-checker/src/fleet/commands.rs
@@ -6,7 +6,7 @@
 use super::simulation::Simulation;
 use saffronpaddle_exchange::{Command, ConnectionId, Event, FinalAnswer};
 use saffronpaddle_policy::interface::{Action, Micros, NodeId, RequestId};
-use saffronpaddle_test_doubles::ledger::Answer;
+use saffronpaddle_test_doubles::oracle::Answer;
 use std::hash::Hash;
 use std::ops::Range;
 
--- a/crates/model-checker/src/fleet/nodes.rs
+++ b/crates/model-checker/src/fleet/nodes.rs
@@ -8,7 +8,7 @@
     Endpoint, EndpointStatus, Event as PolicyEvent, Micros, RequestId,
 };
 use saffronpaddle_policy::PolicyEngine;
-use saffronpaddle_test_doubles::ledger::Unanswered;
+use saffronpaddle_test_doubles::oracle::Unanswered;
 use std::collections::HashMap;
 
 /// Connections that a node may have to servers.
--- a/crates/model-checker/src/fleet/simulation.rs
+++ b/crates/model-checker/src/fleet/simulation.rs
@@ -6,7 +6,7 @@
 use super::{FleetError, FleetRun, FleetSetup};
 use saffronpaddle_policy::interface::{Micros, RequestId};
 use saffronpaddle_policy::setup::{self, PlatformSettings};
-use saffronpaddle_test_doubles::ledger::Ledger;
+use saffronpaddle_test_doubles::oracle::Oracle;
 use saffronpaddle_test_doubles::settings::Fleet;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -46,7 +46,7 @@
     pub nodes: Vec<Node>,
     pub servers: Vec<Server>,
     pub next_address: u32,
-    pub ledger: Ledger,
+    pub ledger: Oracle,
     pub inconsistencies: Vec<String>,
     pub commands_hash: DefaultHasher,
     events: usize,
@@ -74,7 +74,7 @@
             nodes: Vec::new(),
             servers: (0..setup.servers).map(Server::new).collect(),
             next_address: FIRST_NEW_ADDRESS,
-            ledger: Ledger::new(fleet.bounds.clone()),
+            ledger: Oracle::new(fleet.bounds.clone()),
             inconsistencies: Vec::new(),
             commands_hash: DefaultHasher::new(),
             events: 0,
--- a/crates/node/src/clients/tests.rs
+++ b/crates/node/src/clients/tests.rs
@@ -4,7 +4,7 @@
 use crate::node::NodeParts;
 use crate::process_links::ProcessLinks;
 use saffronpaddle_policy::interface::CustomerId;
-use saffronpaddle_test_doubles::settings::{configuration, Fleet, Places};
+use saffronpaddle_test_doubles::settings::{configuration, Fleet, NodeConfig};
 use std::io::Write;
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
@@ -12,7 +12,7 @@
 fn node() -> Rc<Node> {
     let [unreachable, any_port] =
         ["127.0.0.1:9", "127.0.0.1:0"].map(|text| text.parse().expect("a valid address"));
-    let places = Places {
+    let places = NodeConfig {
         name: "n0".to_owned(),
         listen: any_port,
         discovery: unreachable,
--- a/crates/node/tests/watchdog.rs
+++ b/crates/node/tests/watchdog.rs
@@ -1,7 +1,7 @@
 //! Watchdog heartbeats of a node that runs inside the test process.
 
 use saffronpaddle_node::{Config, Edge, Manager, OperatorFile, Options, ProcessSignal};
-use saffronpaddle_test_doubles::settings::{configuration, Fleet, Places};
+use saffronpaddle_test_doubles::settings::{configuration, Fleet, NodeConfig};
 use std::os::unix::net::UnixDatagram;
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -14,7 +14,7 @@
     let unused_address = "127.0.0.1:9".parse().expect("valid address");
     let any_port = "127.0.0.1:0".parse().expect("valid address");
     let (name, peers) = ("n0".to_owned(), vec![unused_address]);
-    let places = Places {
+    let places = NodeConfig {
         name,
         listen: any_port,
         discovery: unused_address,
--- a/crates/saffronpaddle/src/demo.rs
+++ b/crates/saffronpaddle/src/demo.rs
@@ -4,7 +4,7 @@
 use saffronpaddle_node::{Config, Edge, Manager, Options, ProcessSignal};
 use saffronpaddle_test_doubles::discovery::{Discovery, Entry};
 use saffronpaddle_test_doubles::servers::{AppServer, Spec};
-use saffronpaddle_test_doubles::settings::{configuration, Fleet, Places};
+use saffronpaddle_test_doubles::settings::{configuration, Fleet, NodeConfig};
 use saffronpaddle_test_doubles::World;
 use std::net::{SocketAddr, UdpSocket};
 use std::path::Path;
@@ -103,7 +103,7 @@
     discovery: &Arc<Discovery>,
 ) -> Result<Config> {
     let peer_address = UdpSocket::bind("127.0.0.1:0").and_then(|socket| socket.local_addr())?;
-    let places = Places {
+    let places = NodeConfig {
         name: "demo".to_owned(),
         listen,
         discovery: discovery.agent(0).await?,
--- a/crates/saffronpaddle/tests/admin.rs
+++ b/crates/saffronpaddle/tests/admin.rs
@@ -8,7 +8,7 @@
 const READY: &str = "GET /-/ready HTTP/1.1\r\nHost: n0\r\n\r\n";
 
 /// A node with one app server that does this, and its operators' address.
-fn with_admin(tag: &str, does: &[Does]) -> (Servers, Discovery, Node, SocketAddr) {
+fn with_admin(tag: &str, does: &[Reply]) -> (Servers, Discovery, Node, SocketAddr) {
     let (servers, discovery, admin) = (Servers::new(), Discovery::start(), free_address());
     let dial = servers.start("s-1", does);
     let hosts = [host("s-1", dial, 1, "ready")];
@@ -27,7 +27,7 @@
             return;
         }
         assert!(
-            begun.elapsed() < PATIENCE,
+            begun.elapsed() < TEST_TIMEOUT,
             "{name} is not {wanted}: {figures}"
         );
     }
@@ -35,7 +35,7 @@
 
 #[test]
 fn calls_are_answered_in_a_line_and_what_is_no_call_is_told_so() {
-    let (_servers, _discovery, mut node, admin) = with_admin("calls", &[SERVES]);
+    let (_servers, _discovery, mut node, admin) = with_admin("calls", &[REPLY_OK]);
     assert!(call(admin, "PING\n").starts_with("SUCCESS"));
     let figures = call(admin, "INFO\r\n");
     assert!(figures.ends_with("\nEOT\n"), "{figures}");
@@ -72,7 +72,12 @@
 
 #[test]
 fn figures_count_what_clients_and_servers_saw() {
-    let does = [SERVES, SERVES, Does::Ends(""), Does::IsSilent];
+    let does = [
+        REPLY_OK,
+        REPLY_OK,
+        Reply::RespondAndClose(""),
+        Reply::NoResponse,
+    ];
     let (servers, _discovery, node, admin) = with_admin("figures", &does);
     let mut client = node.client();
     assert_eq!(client.ask(&request("a", "read", "20000m")).status(), 200);
@@ -116,7 +121,7 @@
 /// Callers that say nothing hold neither others nor the node up, however many there are.
 #[test]
 fn callers_that_stay_without_a_word_delay_nobody() {
-    let (_servers, _discovery, node, admin) = with_admin("silent-callers", &[SERVES]);
+    let (_servers, _discovery, node, admin) = with_admin("silent-callers", &[REPLY_OK]);
     let mut silent = Vec::new();
     for number in 0..100 {
         let mut stream = TcpStream::connect(admin).expect("it is called");
@@ -131,7 +136,9 @@
     }
     // Those who came first have made way; they are told nothing.
     let mut first = silent.swap_remove(0);
-    first.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    first
+        .set_read_timeout(Some(TEST_TIMEOUT))
+        .expect("a time-out");
     let mut rest = Vec::new();
     let read = first.read_to_end(&mut rest);
     assert!(rest.is_empty(), "{read:?} {rest:?}");
@@ -142,7 +149,7 @@
 /// and the node comes back.
 #[test]
 fn a_lame_duck_sends_clients_away_cuts_none_and_comes_back() {
-    let does = [SERVES, Does::IsSilent, SERVES, SERVES];
+    let does = [REPLY_OK, Reply::NoResponse, REPLY_OK, REPLY_OK];
     let (servers, _discovery, mut node, admin) = with_admin("lame", &does);
     let mut idle = node.client();
     assert_eq!(idle.ask(&request("a", "read", "20000m")).status(), 200);
@@ -201,7 +208,7 @@
                 .write_all(b"REJOIN\n")
                 .and_then(|()| stream.read_to_string(&mut answer));
         }
-        assert!(begun.elapsed() < PATIENCE);
+        assert!(begun.elapsed() < TEST_TIMEOUT);
         std::thread::sleep(Duration::from_millis(20));
     }
 }
--- a/crates/saffronpaddle/tests/bodies.rs
+++ b/crates/saffronpaddle/tests/bodies.rs
@@ -31,7 +31,7 @@
 
 #[test]
 fn a_body_that_is_far_too_large_to_keep_passes_once_in_either_framing() {
-    let (servers, _discovery, node) = with_one("upload", &[SERVES]);
+    let (servers, _discovery, node) = with_one("upload", &[REPLY_OK]);
     let mut client = node.client();
     client.write(&head("a", &format!("Content-Length: {LONG}")));
     for _ in 0..LONG / 1000 {
@@ -58,7 +58,7 @@
 /// Until its last byte has come, nothing of a request counts: the server gets the rest only then.
 #[test]
 fn a_body_that_never_ends_is_never_whole_at_a_server() {
-    let (servers, _discovery, node) = with_one("endless", &[SERVES]);
+    let (servers, _discovery, node) = with_one("endless", &[REPLY_OK]);
     let mut client = node.client();
     client.write(&head("a", &format!("Content-Length: {LONG}")));
     client.write(&"a".repeat(LONG - 1));
@@ -74,7 +74,7 @@
 /// nothing.
 #[test]
 fn a_long_answer_goes_on_as_it_comes_also_past_a_drain() {
-    let (servers, discovery, node) = with_one("long", &[Does::IsSilent]);
+    let (servers, discovery, node) = with_one("long", &[Reply::NoResponse]);
     let mut client = node.client();
     client.write(&request("a", "read", "20000m"));
     let mut got = servers.next();
@@ -123,7 +123,7 @@
         ("sized", "Content-Length: 2000000"),
         ("chunked", "Transfer-Encoding: chunked"),
     ] {
-        let (servers, _discovery, node) = with_one(tag, &[Does::IsSilent]);
+        let (servers, _discovery, node) = with_one(tag, &[Reply::NoResponse]);
         let mut client = node.client();
         client.write(&request("a", "read", "20000m"));
         let mut got = servers.next();
@@ -219,7 +219,7 @@
 /// A client that reads slowly holds a few pieces of its answer here and no more; the rest waits at its server.
 #[test]
 fn a_slow_reader_holds_the_server_back_and_not_the_memory() {
-    let (servers, _discovery, node) = with_one("slow", &[Does::IsSilent]);
+    let (servers, _discovery, node) = with_one("slow", &[Reply::NoResponse]);
     let mut client = node.client();
     client.write(&request("a", "read", "20000m"));
     let mut got = servers.next();
@@ -263,7 +263,7 @@
     );
     let (servers, _discovery, node) = with_one(
         "kept",
-        &[Does::Answers(Box::leak(words.into_boxed_str())), SERVES],
+        &[Reply::Respond(Box::leak(words.into_boxed_str())), REPLY_OK],
     );
     let mut client = node.client();
     assert_eq!(client.ask(&request("a", "read", "20000m")).body.len(), LONG);
--- a/crates/saffronpaddle/tests/command_line.rs
+++ b/crates/saffronpaddle/tests/command_line.rs
@@ -151,7 +151,7 @@
 #[test]
 fn figures_have_the_keys_that_staff_read() {
     let (servers, discovery, admin) = (Servers::new(), Discovery::start(), free_address());
-    let dial = servers.start("s-1", &[SERVES]);
+    let dial = servers.start("s-1", &[REPLY_OK]);
     let hosts = [host("s-1", dial, 1, "ready")];
     let _node = Node::launch("info-keys", discovery.address, &hosts, 1024, |command| {
         command.env("LB_ADMIN_ADDR", admin.to_string());
--- a/crates/saffronpaddle/tests/crossings.rs
+++ b/crates/saffronpaddle/tests/crossings.rs
@@ -36,7 +36,7 @@
 /// Two servers of which a node knows the first.
 fn two(tag: &str) -> (Servers, Discovery, Node, [SocketAddr; 2]) {
     let (servers, discovery) = (Servers::new(), Discovery::start());
-    let dials = ["s-1", "s-2"].map(|name| servers.start(name, &[SERVES]));
+    let dials = ["s-1", "s-2"].map(|name| servers.start(name, &[REPLY_OK]));
     let node = Node::start(tag, discovery.address, &[host("s-1", dials[0], 1, "ready")]);
     (servers, discovery, node, dials)
 }
@@ -105,7 +105,7 @@
 #[test]
 fn a_watch_that_was_open_is_opened_again_at_once_in_a_large_fleet_that_asks() {
     let (servers, discovery) = (Servers::new(), Discovery::start());
-    let known = host("s-1", servers.start("s-1", &[SERVES]), 1, "ready");
+    let known = host("s-1", servers.start("s-1", &[REPLY_OK]), 1, "ready");
     let large = |text: String| {
         let large = text.replace(r#""balancers":2"#, r#""balancers":300"#);
         large.replace(r#""discovery":"automatic""#, r#""discovery":"subscribe""#)
@@ -150,7 +150,9 @@
         &list(1, true, &[host("s-1", dials[0], 1, "ready")]),
     );
     until_only(&mut client, &servers, "s-1");
-    watch.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    watch
+        .set_read_timeout(Some(TEST_TIMEOUT))
+        .expect("a time-out");
     watch
         .read_to_end(&mut Vec::new())
         .expect("the old watch ends");
@@ -258,7 +260,7 @@
         Servers::new(),
         TcpListener::bind("127.0.0.1:0").expect("a port"),
     );
-    let dials = ["s-1", "s-2"].map(|name| servers.start(name, &[SERVES]));
+    let dials = ["s-1", "s-2"].map(|name| servers.start(name, &[REPLY_OK]));
     let at = listener.local_addr().expect("an address");
     let node = Node::start("still-call", at, &[host("s-1", dials[0], 1, "ready")]);
     listener.set_nonblocking(true).expect("it can be");
@@ -322,7 +324,7 @@
     health: &str,
 ) -> (Discovery, Node, SocketAddr, SocketAddr) {
     let (discovery, admin) = (Discovery::start(), free_address());
-    let dial = servers.start("s-1", &[SERVES]);
+    let dial = servers.start("s-1", &[REPLY_OK]);
     let node = Node::launch(
         tag,
         discovery.address,
@@ -426,7 +428,7 @@
 #[test]
 fn a_client_that_leaves_between_two_attempts_ends_its_request() {
     let (servers, discovery, admin) = (Servers::new(), Discovery::start(), free_address());
-    let dial = servers.start("s-1", &[Does::IsSilent, SERVES]);
+    let dial = servers.start("s-1", &[Reply::NoResponse, REPLY_OK]);
     let node = Node::launch(
         "between",
         discovery.address,
@@ -457,7 +459,7 @@
 /// A body that never comes whole, as its client leaves: nothing of it is sent.
 #[test]
 fn a_client_that_leaves_before_its_body_is_whole_has_asked_nothing() {
-    let (servers, _discovery, node) = with_one("half-body", &[SERVES]);
+    let (servers, _discovery, node) = with_one("half-body", &[REPLY_OK]);
     for round in 0..10 {
         let mut client = node.client();
         let whole = request(&format!("half{round}"), "pay", "20000m");
@@ -483,7 +485,7 @@
 #[test]
 fn each_request_on_a_kept_connection_is_judged_by_its_own_class_plan_and_customer() {
     let (servers, discovery) = (Servers::new(), Discovery::start());
-    let dial = servers.start("s-1", &[SERVES]);
+    let dial = servers.start("s-1", &[REPLY_OK]);
     let renamed = |text: String| {
         let renamed = text.replace(r#""name":"pay""#, r#""name":"read-all""#);
         renamed.replace(r#""name":"tiny""#, r#""name":"p-1""#)
@@ -564,7 +566,7 @@
     for (tag, words, status) in cases {
         let words: &'static str = Box::leak(words.into_boxed_str());
         let (servers, _discovery, node) =
-            with_one(&format!("ran-{tag}"), &[Does::Answers(words), SERVES]);
+            with_one(&format!("ran-{tag}"), &[Reply::Respond(words), REPLY_OK]);
         let mut client = node.client();
         assert_eq!(
             client.ask(&request("a", "pay", "20000m")).status(),
@@ -595,7 +597,7 @@
 /// Danger: the library takes a kept connection for idle though half of a head has come on it, and closes it as the node ends.
 #[test]
 fn half_a_head_on_a_kept_connection_is_answered_once_it_comes_whole_as_the_node_ends() {
-    let (servers, _discovery, mut node) = with_one("half-head", &[SERVES]);
+    let (servers, _discovery, mut node) = with_one("half-head", &[REPLY_OK]);
     let (mut client, mut idle) = (node.client(), node.client());
     for client in [&mut client, &mut idle] {
         assert_eq!(
@@ -626,7 +628,7 @@
 #[test]
 fn what_is_taken_on_the_way_out_is_answered_before_the_process_ends() {
     let (servers, discovery) = (Servers::new(), Discovery::start());
-    let dial = servers.start("s-1", &[Does::IsSilent]);
+    let dial = servers.start("s-1", &[Reply::NoResponse]);
     let short = |text: String| text.replace(r#""deadlineUs":30000000"#, r#""deadlineUs":1500000"#);
     let hosts = [host("s-1", dial, 1, "ready")];
     let mut node = Node::altered("way-out", discovery.address, &hosts, 1024, short, |_| {});
@@ -654,7 +656,7 @@
         ("hup-term-term", &["-HUP", "-TERM", "-TERM"]),
         ("hup-hup-term", &["-HUP", "-HUP", "-TERM"]),
     ] {
-        let (servers, _discovery, mut node) = with_one(tag, &[Does::IsSilent]);
+        let (servers, _discovery, mut node) = with_one(tag, &[Reply::NoResponse]);
         let mut client = node.client();
         client.write(&request("a", "pay", "20000m"));
         let mut got = servers.next();
@@ -685,8 +687,10 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 20000000\r\n\r\n{}",
         "r".repeat(20_000_000)
     );
-    let (servers, _discovery, mut node) =
-        with_one("flush", &[Does::Answers(Box::leak(words.into_boxed_str()))]);
+    let (servers, _discovery, mut node) = with_one(
+        "flush",
+        &[Reply::Respond(Box::leak(words.into_boxed_str()))],
+    );
     let (mut client, mut idle) = (node.client(), node.client());
     assert_eq!(
         idle.ask("GET /-/ready HTTP/1.1\r\nHost: n0\r\n\r\n")
--- a/crates/saffronpaddle/tests/crowd.rs
+++ b/crates/saffronpaddle/tests/crowd.rs
@@ -40,7 +40,7 @@
 }
 
 /// How many ms a server was told.
-fn told(got: &Got) -> u128 {
+fn told(got: &ReceivedRequest) -> u128 {
     let told = got.message.header("x-deadline");
     told.trim_end_matches('m')
         .parse()
@@ -50,7 +50,7 @@
 /// A node that a crowd can fill, and the crowd.
 fn crowded(tag: &str) -> (Servers, Discovery, Node) {
     let (servers, discovery) = (Servers::new(), Discovery::start());
-    let dial = servers.start("s-1", &[SERVES]);
+    let dial = servers.start("s-1", &[REPLY_OK]);
     let node = Node::with_sockets(
         tag,
         discovery.address,
@@ -131,7 +131,7 @@
 /// nothing is.
 #[test]
 fn a_request_that_waited_in_the_backlog_tells_no_more_time_than_is_left() {
-    let (servers, _discovery, node) = with_one("backlog", &[SERVES]);
+    let (servers, _discovery, node) = with_one("backlog", &[REPLY_OK]);
     for round in 0..3 {
         let before = Instant::now();
         stop(&node);
@@ -154,7 +154,7 @@
 /// The same on connections that are kept, many of them at once: the last that the loop comes to has waited as long as the first.
 #[test]
 fn requests_that_rested_on_kept_connections_tell_no_more_time_than_is_left() {
-    let (servers, _discovery, node) = with_one("kept", &[SERVES]);
+    let (servers, _discovery, node) = with_one("kept", &[REPLY_OK]);
     let mut clients: Vec<_> = (0..100).map(|_| node.client()).collect();
     for (number, client) in clients.iter_mut().enumerate() {
         assert_eq!(
@@ -192,7 +192,7 @@
 /// A node that is on time takes nothing off: what is told is what the client says but for the answer's way, and a busy machine.
 #[test]
 fn a_request_that_did_not_wait_is_told_with_all_its_time() {
-    let (servers, _discovery, node) = with_one("on-time", &[SERVES]);
+    let (servers, _discovery, node) = with_one("on-time", &[REPLY_OK]);
     for round in 0..20 {
         let mut client = node.client();
         let before = Instant::now();
@@ -214,8 +214,10 @@
 #[test]
 fn no_further_attempt_begins_for_a_client_that_has_left_behind_pipelined_bytes() {
     let (servers, discovery) = (Servers::new(), Discovery::start());
-    let turns = (0..20).flat_map(|_| [Does::IsSilent, SERVES]).collect();
-    let turns = Turns::new(std::sync::Mutex::new(turns));
+    let turns = (0..20)
+        .flat_map(|_| [Reply::NoResponse, REPLY_OK])
+        .collect();
+    let turns = ReplyQueue::new(std::sync::Mutex::new(turns));
     let hosts = ["s-1", "s-2"].map(|name| host(name, servers.share(name, &turns), 1, "ready"));
     let node = Node::start("gone", discovery.address, &hosts);
     for round in 0..20 {
@@ -241,7 +243,7 @@
 /// The same for a first attempt: its client came, asked and left while the node stood still.
 #[test]
 fn no_attempt_begins_for_a_client_that_left_while_the_node_stood_still() {
-    let (servers, _discovery, node) = with_one("came-and-left", &[SERVES]);
+    let (servers, _discovery, node) = with_one("came-and-left", &[REPLY_OK]);
     let mut kept = node.client();
     assert_eq!(kept.ask(&request("first", "read", LONG.0)).status(), 200);
     servers.next();
@@ -271,7 +273,7 @@
 #[test]
 fn who_waits_for_a_place_gets_one_as_soon_as_a_request_has_ended() {
     let (servers, discovery) = (Servers::new(), Discovery::start());
-    let dial = servers.start("s-1", &[Does::IsSilent]);
+    let dial = servers.start("s-1", &[Reply::NoResponse]);
     let node = Node::with_sockets(
         "full",
         discovery.address,
--- a/crates/saffronpaddle/tests/edge.rs
+++ b/crates/saffronpaddle/tests/edge.rs
@@ -6,9 +6,9 @@
 use std::time::Instant;
 
 /// An edge node that knows two app servers. The first attempt gets one answer, all others another.
-fn with_two(tag: &str, blocks: [u32; 2], first: Does, then: Does) -> (Servers, Discovery, Node) {
+fn with_two(tag: &str, blocks: [u32; 2], first: Reply, then: Reply) -> (Servers, Discovery, Node) {
     let (servers, discovery) = (Servers::new(), Discovery::start());
-    let turns = Turns::new(vec![first, then].into());
+    let turns = ReplyQueue::new(vec![first, then].into());
     let number =
         |(block, name): (u32, &str)| host(name, servers.share(name, &turns), block, "ready");
     let hosts: Vec<_> = blocks.into_iter().zip(["s-1", "s-2"]).map(number).collect();
@@ -18,7 +18,7 @@
 
 #[test]
 fn requests_go_on_unchanged_and_answers_come_back_over_kept_connections() {
-    let (servers, _discovery, node) = with_one("plain", &[SERVES]);
+    let (servers, _discovery, node) = with_one("plain", &[REPLY_OK]);
     let mut client = node.client();
     assert_eq!(
         client
@@ -53,7 +53,7 @@
 
 #[test]
 fn bad_requests_are_answered_400_and_413_and_harm_nobody() {
-    let (servers, _discovery, mut node) = with_one("bad", &[SERVES]);
+    let (servers, _discovery, mut node) = with_one("bad", &[REPLY_OK]);
     let good = request("a", "read", "20000m");
     let cases = [
         ("X-Class: read", "X-Class: write", "400"),
@@ -138,7 +138,7 @@
 
 #[test]
 fn an_id_in_use_is_not_taken_twice() {
-    let (servers, _discovery, node) = with_one("twice", &[Does::IsSilent]);
+    let (servers, _discovery, node) = with_one("twice", &[Reply::NoResponse]);
     let mut first = node.client();
     first.write(&request("same", "pay", "20000m"));
     let got = servers.next();
@@ -156,29 +156,29 @@
 /// What has never run may be sent again whatever its class; what may have run only as its class allows.
 #[test]
 fn a_request_is_sent_again_only_as_its_class_allows() {
-    let reset = Does::Ends("");
-    let cut = Does::Ends("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\nran");
+    let reset = Reply::RespondAndClose("");
+    let cut = Reply::RespondAndClose("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\nran");
     let cases = [
-        ("full", IS_FULL, "pay", 200, 2),
-        ("full-keyed", IS_FULL, "submit", 200, 2),
+        ("full", REPLY_OVERLOADED, "pay", 200, 2),
+        ("full-keyed", REPLY_OVERLOADED, "submit", 200, 2),
         ("reset-safe", reset.clone(), "read", 200, 2),
         ("reset-unsafe", reset.clone(), "pay", 502, 1),
         ("cut-safe", cut.clone(), "read", 200, 2),
         ("cut-unsafe", cut, "pay", 502, 1),
         (
             "unframed-unsafe",
-            Does::Ends("HTTP/1.1 200 OK\r\n\r\nran"),
+            Reply::RespondAndClose("HTTP/1.1 200 OK\r\n\r\nran"),
             "pay",
             502,
             1,
         ),
-        ("error-safe", ERRS, "read", 200, 2),
-        ("error-unsafe", ERRS, "pay", 502, 1),
+        ("error-safe", REPLY_ERROR, "read", 200, 2),
+        ("error-unsafe", REPLY_ERROR, "pay", 502, 1),
         ("reset-keyed", reset, "submit", 200, 2),
     ];
     for (tag, first, class, status, attempts) in cases {
         // Both are of one cell, so that a keyed request may go to either.
-        let (servers, _discovery, node) = with_two(tag, [1, 1], first, SERVES);
+        let (servers, _discovery, node) = with_two(tag, [1, 1], first, REPLY_OK);
         let answer = node.client().ask(&request(tag, class, "20000m"));
         assert_eq!(answer.status(), status, "{tag}");
         for _ in 0..attempts {
@@ -220,7 +220,7 @@
         ),
     ];
     for (tag, words) in cases {
-        let (servers, _discovery, node) = with_one(tag, &[Does::Answers(words), SERVES]);
+        let (servers, _discovery, node) = with_one(tag, &[Reply::Respond(words), REPLY_OK]);
         let mut client = node.client();
         assert_eq!(
             client.ask(&request("a", "pay", "20000m")).status(),
@@ -243,7 +243,7 @@
     let ahead =
         "HTTP/1.1 103 Early\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nX-Load: \
                  inflight=x,,=\r\nContent-Length: 5\r\n\r\nranks";
-    let (servers, _discovery, node) = with_one("ahead", &[Does::Answers(ahead)]);
+    let (servers, _discovery, node) = with_one("ahead", &[Reply::Respond(ahead)]);
     let answer = node.client().ask(&request("a", "pay", "20000m"));
     assert_eq!((answer.status(), &answer.body[..]), (200, &b"ranks"[..]));
     servers.next();
@@ -256,8 +256,10 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n{}",
         "r".repeat(400_000)
     );
-    let (servers, _discovery, node) =
-        with_one("large", &[Does::Answers(Box::leak(words.into_boxed_str()))]);
+    let (servers, _discovery, node) = with_one(
+        "large",
+        &[Reply::Respond(Box::leak(words.into_boxed_str()))],
+    );
     let mut client = node.client();
     let large = format!("Length: 300000\r\n\r\n{}", "t".repeat(300_000));
     for id in ["a", "b"] {
@@ -273,7 +275,7 @@
 fn what_comes_behind_an_answer_is_no_answer() {
     let twice =
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirstHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst";
-    let (servers, _discovery, node) = with_one("behind", &[Does::Answers(twice), SERVES]);
+    let (servers, _discovery, node) = with_one("behind", &[Reply::Respond(twice), REPLY_OK]);
     let mut client = node.client();
     assert_eq!(client.ask(&request("a", "pay", "20000m")).body, b"first");
     assert!(closed(&servers.next()));
@@ -289,7 +291,8 @@
 
 #[test]
 fn a_keyed_request_that_may_have_run_stays_in_its_cell() {
-    let (servers, _discovery, node) = with_two("cell", [1, 2], Does::Ends(""), SERVES);
+    let (servers, _discovery, node) =
+        with_two("cell", [1, 2], Reply::RespondAndClose(""), REPLY_OK);
     let answer = node.client().ask(&request("a", "submit", "20000m"));
     let (first, second) = (servers.next(), servers.next());
     assert_eq!((answer.status(), first.server), (200, second.server));
@@ -302,7 +305,7 @@
     let gone =
         std::net::TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr());
     let dead = gone.expect("an address");
-    let dial = servers.start("s-2", &[SERVES]);
+    let dial = servers.start("s-2", &[REPLY_OK]);
     let hosts = [host("s-1", dead, 1, "ready"), host("s-2", dial, 2, "ready")];
     let node = Node::start("refused", discovery.address, &hosts);
     let mut client = node.client();
@@ -318,7 +321,7 @@
 
 #[test]
 fn a_silent_server_costs_one_answer_before_the_deadline() {
-    let (servers, _discovery, node) = with_one("silent", &[Does::IsSilent]);
+    let (servers, _discovery, node) = with_one("silent", &[Reply::NoResponse]);
     let begun = Instant::now();
     let answer = node.client().ask(&request("a", "pay", "700m"));
     assert_eq!(
@@ -337,7 +340,7 @@
 /// A stalled attempt is called off and its connection closed before the next is written.
 #[test]
 fn two_attempts_are_never_out_at_once() {
-    let (servers, _discovery, node) = with_two("stalled", [1, 1], Does::IsSilent, SERVES);
+    let (servers, _discovery, node) = with_two("stalled", [1, 1], Reply::NoResponse, REPLY_OK);
     for (number, class) in ["read", "submit"].into_iter().enumerate() {
         assert_eq!(
             node.client().ask(&request(class, class, "20000m")).status(),
@@ -353,7 +356,7 @@
 
 #[test]
 fn a_client_that_goes_away_ends_its_attempt() {
-    let (servers, _discovery, node) = with_one("gone", &[Does::IsSilent, SERVES]);
+    let (servers, _discovery, node) = with_one("gone", &[Reply::NoResponse, REPLY_OK]);
     let mut client = node.client();
     client.write(&request("a", "pay", "20000m"));
     let got = servers.next();
@@ -368,7 +371,7 @@
 /// A connection that the server closed while it was idle is not written to: that would end as a reset.
 #[test]
 fn a_close_of_an_idle_connection_is_noticed() {
-    let (servers, _discovery, node) = with_one("idle", &[SERVES]);
+    let (servers, _discovery, node) = with_one("idle", &[REPLY_OK]);
     let mut client = node.client();
     assert_eq!(client.ask(&request("a", "pay", "20000m")).status(), 200);
     let got = servers.next();
@@ -384,9 +387,9 @@
 #[test]
 fn the_list_is_followed_in_order_and_a_broken_watch_is_opened_again() {
     let (servers, discovery) = (Servers::new(), Discovery::start());
-    let one = servers.start("s-1", &[SERVES]);
-    let two = servers.start("s-2", &[SERVES]);
-    let three = servers.start("s-3", &[SERVES]);
+    let one = servers.start("s-1", &[REPLY_OK]);
+    let two = servers.start("s-2", &[REPLY_OK]);
+    let three = servers.start("s-3", &[REPLY_OK]);
     let node = Node::start("list", discovery.address, &[host("s-1", one, 1, "ready")]);
     let mut client = node.client();
     let mut number = 0;
@@ -446,7 +449,7 @@
     );
     until("s-3");
     // The same server at another address.
-    let moved = servers.start("s-3 moved", &[SERVES]);
+    let moved = servers.start("s-3 moved", &[REPLY_OK]);
     write_list(
         &mut watch,
         &list(5, false, &[host("s-3", moved, 3, "ready")]),
@@ -456,7 +459,7 @@
 
 #[test]
 fn a_silent_watch_is_opened_again() {
-    let (_servers, discovery, _node) = with_one("watch", &[SERVES]);
+    let (_servers, discovery, _node) = with_one("watch", &[REPLY_OK]);
     let (_, silent) = discovery.watch();
     let (asked, _) = discovery.watch();
     assert!(asked.contains("from=1"));
@@ -469,7 +472,7 @@
 fn an_agent_that_is_silent_is_called_again_beside_calls_that_wait() {
     let agent = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let servers = Servers::new();
-    let known = host("s-1", servers.start("s-1", &[SERVES]), 1, "ready");
+    let known = host("s-1", servers.start("s-1", &[REPLY_OK]), 1, "ready");
     let node = Node::start(
         "silent-agent",
         agent.local_addr().expect("an address"),
@@ -492,7 +495,7 @@
         &list(
             2,
             true,
-            &[host("s-2", servers.start("s-2", &[SERVES]), 2, "ready")],
+            &[host("s-2", servers.start("s-2", &[REPLY_OK]), 2, "ready")],
         ),
     );
     let mut client = node.client();
@@ -514,7 +517,7 @@
 /// list stands until it has spoken.
 #[test]
 fn sighup_moves_to_the_discovery_that_the_file_names() {
-    let (servers, old, mut node) = with_one("reload", &[SERVES]);
+    let (servers, old, mut node) = with_one("reload", &[REPLY_OK]);
     let (asked, mut before) = old.watch();
     assert!(asked.contains("from=1"), "{asked}");
     let serves = |client: &mut Client, id: &str| {
@@ -535,7 +538,7 @@
         "{asked}"
     );
     assert_eq!(serves(&mut client, "b"), "s-1");
-    let two = servers.start("s-2", &[SERVES]);
+    let two = servers.start("s-2", &[REPLY_OK]);
     write_list(&mut watch, &list(1, true, &[host("s-2", two, 2, "ready")]));
     let mut number = 0;
     while serves(&mut client, &format!("c{number}")) != "s-2" {
@@ -543,7 +546,9 @@
     }
     // Until then the old one could still tell of a drain; now its watch is left, without another word.
     let mut rest = Vec::new();
-    before.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    before
+        .set_read_timeout(Some(TEST_TIMEOUT))
+        .expect("a time-out");
     std::io::Read::read_to_end(&mut before, &mut rest).expect("the old watch ends");
     node.terminate();
     // Also on its way out.
@@ -553,7 +558,7 @@
 
 #[test]
 fn peers_are_told_and_noise_is_passed_over() {
-    let (_servers, _discovery, mut node) = with_one("peers", &[SERVES]);
+    let (_servers, _discovery, mut node) = with_one("peers", &[REPLY_OK]);
     let mut client = node.client();
     let stranger = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port");
     for noise in [
@@ -583,7 +588,7 @@
 
 #[test]
 fn a_customer_beyond_its_quota_is_refused_at_once() {
-    let (servers, _discovery, node) = with_one("quota", &[SERVES]);
+    let (servers, _discovery, node) = with_one("quota", &[REPLY_OK]);
     let mut client = node.client();
     let tiny = |id: &str| request(id, "read", "25000m").replace("X-Tier: p", "X-Tier: tiny");
     assert_eq!(client.ask(&tiny("a")).status(), 200);
@@ -604,7 +609,7 @@
 
 #[test]
 fn sigterm_serves_out_what_was_taken() {
-    let (servers, _discovery, mut node) = with_one("term", &[Does::IsSilent, SERVES]);
+    let (servers, _discovery, mut node) = with_one("term", &[Reply::NoResponse, REPLY_OK]);
     let (mut held, mut idle) = (node.client(), node.client());
     assert_eq!(
         idle.ask("GET /-/ready HTTP/1.1\r\nHost: n0\r\n\r\n")
@@ -645,14 +650,14 @@
 /// A client that says nothing, or stops in the midst of a request, does not keep its connection.
 #[test]
 fn silence_ends_a_connection() {
-    let (servers, _discovery, node) = with_one("silence", &[SERVES]);
+    let (servers, _discovery, node) = with_one("silence", &[REPLY_OK]);
     let whole = request("a", "submit", "20000m");
     let (half_head, half_body) = (&whole[..60], &whole[..whole.len() - 2]);
     for words in ["", half_head, half_body] {
         let mut client = node.client();
         client
             .stream
-            .set_read_timeout(Some(PATIENCE / 3))
+            .set_read_timeout(Some(TEST_TIMEOUT / 3))
             .expect("a time-out");
         client.write(words);
         if let Some(answer) = client.answer() {
@@ -667,7 +672,7 @@
 #[test]
 fn a_crowd_shuts_out_nobody() {
     let (servers, discovery) = (Servers::new(), Discovery::start());
-    let dial = servers.start("s-1", &[SERVES]);
+    let dial = servers.start("s-1", &[REPLY_OK]);
     let node = Node::with_sockets(
         "crowd",
         discovery.address,
@@ -679,7 +684,7 @@
         let mut client = node.client();
         client
             .stream
-            .set_read_timeout(Some(PATIENCE / 3))
+            .set_read_timeout(Some(TEST_TIMEOUT / 3))
             .expect("a time-out");
         if number % 2 == 0 {
             assert_eq!(
@@ -697,7 +702,7 @@
 #[test]
 fn the_edge_node_outlives_a_lack_of_descriptors() {
     let (servers, discovery) = (Servers::new(), Discovery::start());
-    let dial = servers.start("s-1", &[SERVES]);
+    let dial = servers.start("s-1", &[REPLY_OK]);
     let node = Node::with_sockets(
         "sockets",
         discovery.address,
--- a/crates/saffronpaddle/tests/etcd.rs
+++ b/crates/saffronpaddle/tests/etcd.rs
@@ -61,7 +61,7 @@
         .status()
         != 200
     {
-        assert!(begun.elapsed() < PATIENCE, "never ready");
+        assert!(begun.elapsed() < TEST_TIMEOUT, "never ready");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
@@ -73,7 +73,11 @@
         number += 1;
         let answer = client.ask(&request(&format!("{tag}{number}"), "read", "20000m"));
         if answer.status() != 200 {
-            assert!(begun.elapsed() < PATIENCE, "only {name}: {}", answer.start);
+            assert!(
+                begun.elapsed() < TEST_TIMEOUT,
+                "only {name}: {}",
+                answer.start
+            );
             std::thread::sleep(Duration::from_millis(5));
             continue;
         }
@@ -82,7 +86,7 @@
         } else {
             0
         };
-        assert!(begun.elapsed() < PATIENCE, "only {name}");
+        assert!(begun.elapsed() < TEST_TIMEOUT, "only {name}");
     }
 }
 
@@ -91,8 +95,8 @@
     let (_runtime, etcd) = cluster(2);
     let (servers, silent) = (Servers::new(), Discovery::start());
     let (one, two) = (
-        servers.start("s-1", &[SERVES]),
-        servers.start("s-2", &[SERVES]),
+        servers.start("s-1", &[REPLY_OK]),
+        servers.start("s-2", &[REPLY_OK]),
     );
     etcd.put(&key("s-1"), &value(one, "ready"));
     let file = operator("instead", &etcd.endpoints(), "instead = true");
@@ -124,8 +128,8 @@
     let (_runtime, etcd) = cluster(1);
     let (servers, discovery) = (Servers::new(), Discovery::start());
     let (one, two) = (
-        servers.start("s-1", &[SERVES]),
-        servers.start("s-2", &[SERVES]),
+        servers.start("s-1", &[REPLY_OK]),
+        servers.start("s-2", &[REPLY_OK]),
     );
     etcd.put_all(&[
         (&key("s-1"), Some(&value(one, "ready"))),
@@ -159,8 +163,8 @@
     let (_runtime, etcd) = cluster(1);
     let (servers, silent) = (Servers::new(), Discovery::start());
     let (one, two) = (
-        servers.start("s-1", &[SERVES]),
-        servers.start("s-2", &[SERVES]),
+        servers.start("s-1", &[REPLY_OK]),
+        servers.start("s-2", &[REPLY_OK]),
     );
     etcd.put(&key("s-2"), &value(two, "ready"));
     (0..500).for_each(|number| _ = etcd.put(&key(&format!("x-{number}")), &value(one, "ready")));
--- a/crates/saffronpaddle/tests/failing_calls.rs
+++ b/crates/saffronpaddle/tests/failing_calls.rs
@@ -35,7 +35,9 @@
         let Ok(mut stream) = TcpStream::connect(address) else {
             continue;
         };
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("a time-out");
         let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
         while Instant::now() < until {
             number += 1;
@@ -67,7 +69,7 @@
         .map(|number| {
             host(
                 &format!("s-{number}"),
-                servers.start(&format!("s-{number}"), &[SERVES]),
+                servers.start(&format!("s-{number}"), &[REPLY_OK]),
                 number,
                 "ready",
             )
--- a/crates/saffronpaddle/tests/interleavings.rs
+++ b/crates/saffronpaddle/tests/interleavings.rs
@@ -58,7 +58,7 @@
 /// Whichever comes first, the request ran once, nobody else gets its answer, and the node goes on.
 #[test]
 fn the_client_gives_up_at_the_same_instant_as_the_reply_arrives() {
-    let (servers, _discovery, node) = with_one("gives-up", &[Does::IsSilent]);
+    let (servers, _discovery, node) = with_one("gives-up", &[Reply::NoResponse]);
     let mut streams = Vec::new();
     for round in 0..ROUNDS {
         let id = format!("gives-up{round}");
@@ -109,7 +109,7 @@
 /// One final answer, served or failed; and the late reply never goes to who asks next.
 #[test]
 fn a_timeout_races_a_late_reply() {
-    let (servers, _discovery, node) = with_one("late-reply", &[Does::IsSilent]);
+    let (servers, _discovery, node) = with_one("late-reply", &[Reply::NoResponse]);
     let (mut served, mut failed) = (0, 0);
     let mut streams = Vec::new();
     for round in 0..ROUNDS {
@@ -239,7 +239,7 @@
 #[test]
 fn a_retry_races_a_drain() {
     let (servers, discovery) = (Servers::new(), Discovery::start());
-    let first = servers.start("s-1", &[Does::IsSilent]);
+    let first = servers.start("s-1", &[Reply::NoResponse]);
     let node = patient("retry-drain", &discovery, &[host("s-1", first, 1, "ready")]);
     let (_, mut watch) = discovery.watch();
     let mut client = node.client();
@@ -256,7 +256,7 @@
         .shutdown(Shutdown::Both)
         .expect("the attempt is out");
     thread::sleep(GETS_THERE);
-    let third = servers.start("s-3", &[SERVES]);
+    let third = servers.start("s-3", &[REPLY_OK]);
     let told = [
         host("s-2", full.address, 2, "draining"),
         host("s-3", third, 3, "ready"),
@@ -286,7 +286,7 @@
     let mut client = node.client();
     client.write(&request("a", "pay", "20000m"));
     thread::sleep(GETS_THERE);
-    let new = servers.start("s-1", &[SERVES]);
+    let new = servers.start("s-1", &[REPLY_OK]);
     let moved = [
         host("s-1", new, 1, "ready"),
         host("s-2", full.address, 2, "draining"),
@@ -306,7 +306,7 @@
 /// connection is not used again.
 #[test]
 fn the_answers_last_byte_and_the_reset_come_together() {
-    let (servers, _discovery, node) = with_one("reset", &[Does::IsSilent]);
+    let (servers, _discovery, node) = with_one("reset", &[Reply::NoResponse]);
     let mut last = None;
     for round in 0..ROUNDS {
         let id = format!("reset{round}");
@@ -360,7 +360,7 @@
 #[test]
 fn sigterm_between_two_attempts() {
     let (servers, discovery) = (Servers::new(), Discovery::start());
-    let turns = Turns::new(vec![Does::IsSilent, SERVES].into());
+    let turns = ReplyQueue::new(vec![Reply::NoResponse, REPLY_OK].into());
     let hosts = ["s-1", "s-2"].map(|name| host(name, servers.share(name, &turns), 1, "ready"));
     // One that does not give a silent attempt up by itself.
     let mut node = patient("term-between", &discovery, &hosts);
@@ -398,7 +398,7 @@
             id.len()
         )
     };
-    let (servers, _discovery, node) = with_one("copy", &[Does::IsSilent]);
+    let (servers, _discovery, node) = with_one("copy", &[Reply::NoResponse]);
     let mut client = node.client();
     client.write(&request("a", "pay", "20000m"));
     let mut got = servers.next();
--- a/crates/saffronpaddle/tests/life.rs
+++ b/crates/saffronpaddle/tests/life.rs
@@ -33,7 +33,7 @@
             times + 1,
             String::from_utf8_lossy(&answer.body).into_owned(),
         );
-        assert!(begun.elapsed() < PATIENCE, "never ready: {why}");
+        assert!(begun.elapsed() < TEST_TIMEOUT, "never ready: {why}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
@@ -49,7 +49,9 @@
         let file = Temporary::new(tag, "");
         std::fs::remove_file(&file.0).expect("only the name was wanted");
         let socket = UnixDatagram::bind(&file.0).expect("a socket");
-        socket.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        socket
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("a time-out");
         Notified {
             socket,
             file,
@@ -90,7 +92,7 @@
     let silent = TcpListener::bind("127.0.0.1:0").expect("a port");
     let discovery = silent.local_addr().expect("an address");
     let servers = Servers::new();
-    let dial = servers.start("s-1", &[SERVES]);
+    let dial = servers.start("s-1", &[REPLY_OK]);
     let hosts = [host("s-1", dial, 1, "ready")];
     let node = Node::launch("silent", discovery, &hosts, 1024, |command| {
         operated(command, &operator.0);
@@ -117,7 +119,7 @@
         "[ready]\nlist_within_ms = 600000\npeers_within_ms = 600000\n",
     );
     let (servers, discovery) = (Servers::new(), Discovery::start());
-    let dial = servers.start("s-1", &[SERVES]);
+    let dial = servers.start("s-1", &[REPLY_OK]);
     let hosts = [host("s-1", dial, 1, "ready")];
     let mut node = Node::launch("word", discovery.address, &hosts, 1024, |command| {
         operated(command, &operator.0);
@@ -143,7 +145,7 @@
     );
     let mut manager = Notified::new("manager");
     let (servers, discovery) = (Servers::new(), Discovery::start());
-    let dial = servers.start("s-1", &[SERVES]);
+    let dial = servers.start("s-1", &[REPLY_OK]);
     let hosts = [host("s-1", dial, 1, "ready")];
     let mut node = Node::launch("manager", discovery.address, &hosts, 1024, |command| {
         operated(command, &operator.0);
@@ -202,7 +204,7 @@
         "[ready]\nlist_within_ms = 1\npeers_within_ms = 1\n",
     );
     let (servers, discovery) = (Servers::new(), Discovery::start());
-    let dial = servers.start("s-1", &[SERVES]);
+    let dial = servers.start("s-1", &[REPLY_OK]);
     let hosts = [host("s-1", dial, 1, "ready")];
     let launch = |tag: &str, at: &Path| {
         Node::launch(tag, discovery.address, &hosts, 1024, |command| {
@@ -253,7 +255,9 @@
 
 fn talk(address: SocketAddr, words: &str) -> TcpStream {
     let mut stream = TcpStream::connect(address).expect("the backlog takes it");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    stream
+        .set_read_timeout(Some(TEST_TIMEOUT))
+        .expect("a time-out");
     stream.write_all(words.as_bytes()).expect("it is taken");
     stream
 }
@@ -273,7 +277,7 @@
         "[ready]\nlist_within_ms = 1\npeers_within_ms = 1\n",
     );
     let (servers, discovery) = (Servers::new(), Discovery::start());
-    let dial = servers.start("s-1", &[SERVES]);
+    let dial = servers.start("s-1", &[REPLY_OK]);
     let hosts = [host("s-1", dial, 1, "ready")];
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -314,7 +318,7 @@
 #[test]
 fn a_request_on_its_way_when_the_node_is_told_to_stop_is_answered() {
     let (servers, discovery) = (Servers::new(), Discovery::start());
-    let dial = servers.start("s-1", &[SERVES]);
+    let dial = servers.start("s-1", &[REPLY_OK]);
     let hosts = [host("s-1", dial, 1, "ready")];
     let mut node = Node::launch("on-its-way", discovery.address, &hosts, 1024, |_| {});
     until_ready(&node);
@@ -341,7 +345,7 @@
     let text = "[listen]\nreuse_port = true\n[ready]\nlist_within_ms = 1\npeers_within_ms = 1\n";
     let operator = Temporary::new("overlap-operator", text);
     let (servers, discovery) = (Servers::new(), Discovery::start());
-    let dial = servers.start("s-1", &[SERVES]);
+    let dial = servers.start("s-1", &[REPLY_OK]);
     let hosts = [host("s-1", dial, 1, "ready")];
     let mut old = Node::launch("overlap", discovery.address, &hosts, 1024, |command| {
         operated(command, &operator.0);
@@ -368,7 +372,7 @@
 fn sigterm_twice_takes_nothing_new_and_still_finishes() {
     let operator = Temporary::new("twice-operator", "[stop]\nleave_for_ms = 600000\n");
     let (servers, discovery) = (Servers::new(), Discovery::start());
-    let dial = servers.start("s-1", &[Does::IsSilent, SERVES]);
+    let dial = servers.start("s-1", &[Reply::NoResponse, REPLY_OK]);
     let hosts = [host("s-1", dial, 1, "ready")];
     let mut node = Node::launch("twice-term", discovery.address, &hosts, 1024, |command| {
         operated(command, &operator.0);
--- a/crates/saffronpaddle/tests/shutdown.rs
+++ b/crates/saffronpaddle/tests/shutdown.rs
@@ -43,7 +43,7 @@
 /// first ask while it closes.
 fn stopped_and_killed(number: usize, longest_us: &str, requests: Asked) -> Vec<Outcome> {
     let (servers, discovery) = (Servers::new(), Discovery::start());
-    let dial = servers.start("s-1", &[Does::IsSilent]);
+    let dial = servers.start("s-1", &[Reply::NoResponse]);
     let hosts = [host("s-1", dial, 1, "ready")];
     let deadlines = |config: String| {
         config.replace(
--- a/crates/saffronpaddle/tests/sockets.rs
+++ b/crates/saffronpaddle/tests/sockets.rs
@@ -28,7 +28,9 @@
         let (tell, opened) = mpsc::channel();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+                stream
+                    .set_read_timeout(Some(TEST_TIMEOUT))
+                    .expect("a time-out");
                 if let Ok(socket) = tungstenite::accept(stream) {
                     let _ = tell.send(socket);
                 }
@@ -39,7 +41,7 @@
 
     fn next(&self) -> Socket {
         self.opened
-            .recv_timeout(PATIENCE)
+            .recv_timeout(TEST_TIMEOUT)
             .expect("a socket is opened")
     }
 }
@@ -95,7 +97,9 @@
 
 fn connect(node: &Node) -> TcpStream {
     let stream = TcpStream::connect(node.address).expect("it accepts");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    stream
+        .set_read_timeout(Some(TEST_TIMEOUT))
+        .expect("a time-out");
     stream
 }
 
@@ -228,7 +232,7 @@
 
 #[test]
 fn without_the_section_an_upgrade_is_a_request_like_any_other() {
-    let (servers, _discovery, node) = with_one("ws-off", &[SERVES]);
+    let (servers, _discovery, node) = with_one("ws-off", &[REPLY_OK]);
     let answer = node.client().ask(&raw_upgrade("a", &[]));
     assert_eq!((answer.status(), &answer.body[..]), (200, &b"ranks"[..]));
     let got = servers.next();
@@ -345,7 +349,7 @@
     let mut last = Instant::now();
     while last.elapsed() < Duration::from_millis(300)
         && sent < BUFFERS_MOST
-        && since.elapsed() < PATIENCE
+        && since.elapsed() < TEST_TIMEOUT
     {
         match client
             .write(Said::Binary(vec![1; 8192].into()))
@@ -435,7 +439,7 @@
         &[host("s-1", address, 1, "ready")],
     );
     let mut client = ask(&operated.node, "a", 5, 1).expect("a socket");
-    let mut server = came.recv_timeout(PATIENCE).expect("an upgrade");
+    let mut server = came.recv_timeout(TEST_TIMEOUT).expect("an upgrade");
     assert_eq!(close_of(&mut client).map(|(code, _)| code), Some(1001));
     let mut all = Vec::new();
     let _ = server.read_to_end(&mut all);
@@ -469,7 +473,7 @@
     server.send(Said::Text("still".into())).expect("it goes");
     client
         .get_mut()
-        .set_read_timeout(Some(PATIENCE))
+        .set_read_timeout(Some(TEST_TIMEOUT))
         .expect("a time-out");
     let said = loop {
         match client.read().expect("it comes") {
@@ -493,7 +497,7 @@
     let mut client = ask(&operated.node, "a", 5, 1).expect("a socket");
     assert_eq!(client.read().expect("it comes"), Said::Text("first".into()));
     assert_eq!(client.read().expect("it comes"), Said::Binary("two".into()));
-    drop(came.recv_timeout(PATIENCE));
+    drop(came.recv_timeout(TEST_TIMEOUT));
 }
 
 #[test]
--- a/crates/saffronpaddle/tests/told.rs
+++ b/crates/saffronpaddle/tests/told.rs
@@ -2,7 +2,7 @@
 //! change counts as told 6 s after the service had it and could be reached, whatever befell the calls before. Several
 //! processes, each one of a fleet of 300 whose nodes ask for their lists; what the machine itself held up is no fault of theirs.
 
-use saffronpaddle_test_doubles::ports::unclaimed;
+use saffronpaddle_test_doubles::ports::reserve_address;
 use saffronpaddle_test_doubles::scripted::*;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -21,7 +21,7 @@
 /// What the service does with a call.
 #[derive(Clone)]
 enum Mode {
-    IsSilent,
+    NoResponse,
     Refuses(&'static str),
     Lists(String),
 }
@@ -45,7 +45,7 @@
             for mut stream in listener.incoming().flatten() {
                 let mode = shared.lock().expect("no panic").clone();
                 match mode {
-                    Mode::IsSilent => {}
+                    Mode::NoResponse => {}
                     Mode::Refuses(words) => {
                         let _ = read(&mut stream)
                             .and_then(|()| stream.write_all(words.as_bytes()).ok());
@@ -119,7 +119,7 @@
         if answer.status() == 200 {
             return servers.next().server;
         }
-        assert!(begun.elapsed() < PATIENCE, "{tag}: {}", answer.start);
+        assert!(begun.elapsed() < TEST_TIMEOUT, "{tag}: {}", answer.start);
         thread::sleep(Duration::from_millis(5));
     }
     unreachable!("it goes on until there is an answer")
@@ -127,10 +127,10 @@
 
 /// Nodes that know two servers and can't have a list. Then the service is back, and lists one of the two as draining.
 fn back_with_a_drain(tag: &str, before: Option<Mode>) {
-    let address = unclaimed().expect("an address");
+    let address = reserve_address().expect("an address");
     let service = before.map(|mode| Service::start(address, mode));
     let servers = Servers::new();
-    let dials = ["s-1", "s-2"].map(|name| servers.start(name, &[SERVES]));
+    let dials = ["s-1", "s-2"].map(|name| servers.start(name, &[REPLY_OK]));
     let hosts = [
         host("s-1", dials[0], 1, "ready"),
         host("s-2", dials[1], 2, "ready"),
@@ -175,7 +175,13 @@
     };
     // A node opens one watch. This waits past the bound, so that the machine's own delay is known when it is judged.
     let told: Vec<Duration> = (0..NODES)
-        .map(|_| service.told.recv_timeout(PATIENCE).expect("each node asks") - begun)
+        .map(|_| {
+            service
+                .told
+                .recv_timeout(TEST_TIMEOUT)
+                .expect("each node asks")
+                - begun
+        })
         .collect();
     let late = TOLD + held_up.most();
     assert!(
@@ -205,7 +211,7 @@
 
 #[test]
 fn a_drain_is_acted_on_in_time_after_calls_were_left_unanswered() {
-    back_with_a_drain("silent", Some(Mode::IsSilent));
+    back_with_a_drain("silent", Some(Mode::NoResponse));
 }
 
 #[test]
--- a/crates/saffronpaddle/tests/upgrade.rs
+++ b/crates/saffronpaddle/tests/upgrade.rs
@@ -54,7 +54,7 @@
             if let Some(path) = found {
                 return path;
             }
-            assert!(begun.elapsed() < PATIENCE, "nothing to meet at");
+            assert!(begun.elapsed() < TEST_TIMEOUT, "nothing to meet at");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
@@ -79,7 +79,7 @@
 }
 
 impl Rig {
-    fn new(tag: &str, does: &[Does]) -> Rig {
+    fn new(tag: &str, does: &[Reply]) -> Rig {
         let (servers, discovery) = (Servers::new(), Discovery::start());
         let dial = servers.start("s-1", does);
         Rig {
@@ -104,7 +104,7 @@
 fn until_ready(admin: SocketAddr) {
     let begun = Instant::now();
     while !call(admin, "PING\n").starts_with("SUCCESS") {
-        assert!(begun.elapsed() < PATIENCE);
+        assert!(begun.elapsed() < TEST_TIMEOUT);
     }
 }
 
@@ -117,7 +117,7 @@
 /// that is shut, what was under way is finished by who took it, and only the old processes end.
 #[test]
 fn a_node_is_upgraded_in_place_and_no_request_meets_a_shut_door() {
-    let rig = Rig::new("inplace", &[SERVES]);
+    let rig = Rig::new("inplace", &[REPLY_OK]);
     let (mut admin, stop) = (free_address(), std::sync::atomic::AtomicBool::new(false));
     let mut node = rig.first("inplace", admin);
     let address = node.address;
@@ -130,7 +130,9 @@
                     while !stop.load(std::sync::atomic::Ordering::Relaxed) {
                         let stream =
                             std::net::TcpStream::connect(address).expect("the door is open");
-                        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+                        stream
+                            .set_read_timeout(Some(TEST_TIMEOUT))
+                            .expect("a time-out");
                         let mut reader =
                             std::io::BufReader::new(stream.try_clone().expect("a clone"));
                         // A few on each connection, as clients keep them; who is told to close does.
@@ -173,10 +175,10 @@
 /// The heir knows what the elder knew: the list, also where discovery is silent to it.
 #[test]
 fn an_heir_goes_on_from_what_its_elder_knew() {
-    let rig = Rig::new("knows", &[SERVES]);
+    let rig = Rig::new("knows", &[REPLY_OK]);
     let (first, second) = (free_address(), free_address());
     let elder = rig.first("knows", first);
-    let dial = rig.servers.start("s-2", &[SERVES]);
+    let dial = rig.servers.start("s-2", &[REPLY_OK]);
     let (_, mut watch) = rig.discovery.watch();
     write_list(
         &mut watch,
@@ -184,7 +186,7 @@
     );
     let begun = Instant::now();
     while figure(&call(first, "INFO\n"), "lb_registry_entries") != 2 {
-        assert!(begun.elapsed() < PATIENCE);
+        assert!(begun.elapsed() < TEST_TIMEOUT);
     }
     let heir = rig.next(&elder, second);
     until_ready(second);
@@ -204,7 +206,7 @@
 /// the next one.
 #[test]
 fn an_heir_that_dies_leaves_the_elder_as_it_was() {
-    let rig = Rig::new("dies", &[SERVES]);
+    let rig = Rig::new("dies", &[REPLY_OK]);
     let mut elder = rig.first("dies", free_address());
     let admin = free_address();
     let heir = rig.next(&elder, admin);
@@ -229,7 +231,7 @@
 /// One that is killed outright is no hindrance either.
 #[test]
 fn an_elder_that_is_killed_leaves_the_node_to_its_heir() {
-    let rig = Rig::new("killed", &[SERVES]);
+    let rig = Rig::new("killed", &[REPLY_OK]);
     let elder = rig.first("killed", free_address());
     let (second, third) = (free_address(), free_address());
     let heir = rig.next(&elder, second);
@@ -247,7 +249,7 @@
 /// no heir of use is not listened to.
 #[test]
 fn who_finds_rubbish_or_silence_starts_as_if_it_were_the_first() {
-    let rig = Rig::new("rubbish", &[SERVES]);
+    let rig = Rig::new("rubbish", &[REPLY_OK]);
     let elder = rig.first("rubbish", free_address());
     let path = rig.platform.meeting();
     for words in [
@@ -256,7 +258,9 @@
         "",
     ] {
         let mut stream = UnixStream::connect(&path).expect("it is met");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("a time-out");
         stream.write_all(words.as_bytes()).expect("written");
         let mut answer = Vec::new();
         let _ = stream.read_to_end(&mut answer);
--- a/crates/test-doubles/src/discovery.rs
+++ b/crates/test-doubles/src/discovery.rs
@@ -15,11 +15,11 @@
 /// While nothing changes, an empty line comes this often.
 const SIGN_OF_LIFE: Duration = Duration::from_secs(2);
 /// A caller that would wait for longer than this is turned away, if the service does that at all.
-pub const LINE_MOST: Duration = Duration::from_secs(10);
+pub const MAX_QUEUE_DELAY: Duration = Duration::from_secs(10);
 
 /// What the service can bear, and how it is.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Bearing {
+pub struct ServiceLimits {
     /// Calls that it answers a second, one after the other; 0 for any number. It works on what it took though the caller
     /// has left.
     pub calls_per_s: f64,
@@ -33,7 +33,7 @@
 
 /// How a list service comes back that has lost something.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Back {
+pub enum RestoreMode {
     /// With the list of its first version, whatever has changed since.
     Older,
     /// With no entries, and its numbers begun anew.
@@ -44,7 +44,7 @@
 
 /// What was asked of the service.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Calls {
+pub struct CallStats {
     /// When each call came, since the run's beginning.
     pub at: Vec<Duration>,
     /// When the first line was written to each node for the first time.
@@ -134,10 +134,10 @@
     seq: watch::Sender<u64>,
     silent: watch::Sender<bool>,
     lateness: Mutex<Duration>,
-    bearing: Mutex<Bearing>,
+    bearing: Mutex<ServiceLimits>,
     /// Until when the service works on what it has taken.
     busy: Mutex<Duration>,
-    calls: Mutex<Calls>,
+    calls: Mutex<CallStats>,
     first: Mutex<Option<List>>,
     /// Where a node finds a host, if not where it listens.
     dials: Mutex<Dials>,
@@ -164,23 +164,23 @@
     }
 
     /// Changes what the service bears.
-    pub fn bear(&self, change: impl FnOnce(&mut Bearing)) {
+    pub fn bear(&self, change: impl FnOnce(&mut ServiceLimits)) {
         change(&mut lock(&self.bearing));
     }
 
     /// What was asked of it.
-    pub fn calls(&self) -> Calls {
+    pub fn calls(&self) -> CallStats {
         lock(&self.calls).clone()
     }
 
     /// It has lost something, and is back without. All watches that are open are told.
-    pub fn back(&self, back: Back) {
+    pub fn back(&self, back: RestoreMode) {
         let seq = {
             let (mut list, first) = (lock(&self.list), lock(&self.first).clone());
             match back {
-                Back::Older => *list = first.unwrap_or_default(),
-                Back::Empty => *list = List::default(),
-                Back::Renumbered => {
+                RestoreMode::Older => *list = first.unwrap_or_default(),
+                RestoreMode::Empty => *list = List::default(),
+                RestoreMode::Renumbered => {
                     list.seq = 1;
                     list.entries.values_mut().for_each(|(at, _)| *at = 1);
                 }
@@ -192,7 +192,7 @@
 
     /// Waits until the service has worked on a call of so many bytes; whether it answers.
     async fn turn(&self, bytes: usize) -> Result<(), Duration> {
-        let Bearing {
+        let ServiceLimits {
             calls_per_s,
             bytes_per_s,
             turns_away,
@@ -204,7 +204,7 @@
         let (now, until) = {
             let (now, mut busy) = (self.world.now(), lock(&self.busy));
             let line = busy.saturating_sub(now);
-            if turns_away && line > LINE_MOST {
+            if turns_away && line > MAX_QUEUE_DELAY {
                 return Err(line);
             }
             *busy = now.max(*busy) + takes;
@@ -269,7 +269,7 @@
     /// # Errors
     /// No port could be had.
     pub async fn agent(self: &Arc<Self>, node: usize) -> std::io::Result<SocketAddr> {
-        let listener = TcpListener::bind(crate::ports::unclaimed()?).await?;
+        let listener = TcpListener::bind(crate::ports::reserve_address()?).await?;
         let address = listener.local_addr()?;
         let discovery = Arc::clone(self);
         tokio::spawn(async move {
@@ -368,10 +368,10 @@
 }
 
 /// A watch that is open.
-struct Open<'a>(&'a Mutex<Calls>);
+struct Open<'a>(&'a Mutex<CallStats>);
 
 impl Open<'_> {
-    fn begin(calls: &Mutex<Calls>) -> Open<'_> {
+    fn begin(calls: &Mutex<CallStats>) -> Open<'_> {
         {
             let mut calls = lock(calls);
             calls.open += 1;
--- a/crates/test-doubles/src/lib.rs
+++ b/crates/test-doubles/src/lib.rs
@@ -7,9 +7,9 @@
 
 pub mod discovery;
 pub mod etcd;
-pub mod ledger;
 pub mod links;
 pub mod load;
+pub mod oracle;
 pub mod peers;
 pub mod ports;
 pub mod process;
@@ -18,7 +18,7 @@
 pub mod settings;
 pub mod wire;
 
-use ledger::{Bounds, Ledger};
+use oracle::{Bounds, Oracle};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -27,7 +27,7 @@
 pub struct World {
     started: Instant,
     unix: Duration,
-    ledger: Mutex<Ledger>,
+    ledger: Mutex<Oracle>,
 }
 
 impl World {
@@ -39,7 +39,7 @@
         Arc::new(World {
             started: Instant::now(),
             unix,
-            ledger: Mutex::new(Ledger::new(bounds)),
+            ledger: Mutex::new(Oracle::new(bounds)),
         })
     }
 
@@ -54,7 +54,7 @@
     }
 
     /// The ledger. A panic elsewhere does not spoil it: it holds plain entries.
-    pub fn ledger(&self) -> MutexGuard<'_, Ledger> {
+    pub fn ledger(&self) -> MutexGuard<'_, Oracle> {
         self.ledger.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/test-doubles/src/links.rs
+++ b/crates/test-doubles/src/links.rs
@@ -87,7 +87,7 @@
 
 /// Which links a fault lies on.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Which {
+pub enum LinkSet {
     /// From any of these to any of those.
     Between(BTreeSet<End>, BTreeSet<End>),
     /// Between these and those, both ways.
@@ -97,18 +97,18 @@
     Apart(Vec<BTreeSet<End>>),
 }
 
-impl Which {
+impl LinkSet {
     /// Whether the link from one end to the other is meant.
     pub fn has(&self, from: End, to: End) -> bool {
         match self {
-            Which::Between(these, those) => {
+            LinkSet::Between(these, those) => {
                 from != to && these.contains(&from) && those.contains(&to)
             }
-            Which::Both(these, those) => {
+            LinkSet::Both(these, those) => {
                 let leads = |from, to| these.contains(from) && those.contains(to);
                 from != to && (leads(&from, &to) || leads(&to, &from))
             }
-            Which::Apart(sides) => {
+            LinkSet::Apart(sides) => {
                 let some = |end| sides.iter().any(|side| side.contains(&end));
                 some(from)
                     && some(to)
@@ -120,25 +120,25 @@
     }
 }
 
-impl Which {
+impl LinkSet {
     /// The same without the links of these ends: those that have healed already.
     #[must_use]
-    pub fn without(&self, healed: &BTreeSet<End>) -> Which {
+    pub fn without(&self, healed: &BTreeSet<End>) -> LinkSet {
         let rest = |ends: &BTreeSet<End>| ends.difference(healed).copied().collect();
         match self {
-            Which::Between(these, those) => Which::Between(rest(these), rest(those)),
-            Which::Both(these, those) => Which::Both(rest(these), rest(those)),
-            Which::Apart(sides) => Which::Apart(sides.iter().map(rest).collect()),
+            LinkSet::Between(these, those) => LinkSet::Between(rest(these), rest(those)),
+            LinkSet::Both(these, those) => LinkSet::Both(rest(these), rest(those)),
+            LinkSet::Apart(sides) => LinkSet::Apart(sides.iter().map(rest).collect()),
         }
     }
 
     /// All ends that it names.
     pub fn ends(&self) -> BTreeSet<End> {
         match self {
-            Which::Between(these, those) | Which::Both(these, those) => {
+            LinkSet::Between(these, those) | LinkSet::Both(these, those) => {
                 these.union(those).copied().collect()
             }
-            Which::Apart(sides) => sides.iter().flatten().copied().collect(),
+            LinkSet::Apart(sides) => sides.iter().flatten().copied().collect(),
         }
     }
 }
@@ -146,7 +146,7 @@
 /// The faults of a run as they are now.
 #[derive(Debug)]
 pub struct Links {
-    rules: Mutex<BTreeMap<u64, (Which, Fault)>>,
+    rules: Mutex<BTreeMap<u64, (LinkSet, Fault)>>,
     next: AtomicU64,
     changed: watch::Sender<u64>,
 }
@@ -164,7 +164,7 @@
 
 impl Links {
     /// Lays a fault on links, until it is lifted by its number.
-    pub fn lay(&self, which: Which, fault: Fault) -> u64 {
+    pub fn lay(&self, which: LinkSet, fault: Fault) -> u64 {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         lock(&self.rules).insert(number, (which, fault));
         self.changed.send_modify(|count| *count += 1);
--- a/crates/test-doubles/src/links/tests.rs
+++ b/crates/test-doubles/src/links/tests.rs
@@ -11,7 +11,7 @@
         loss: 1.0,
         ..Fault::default()
     };
-    let number = links.lay(Which::Apart(vec![nodes(&[0, 1]), nodes(&[1, 2])]), cut);
+    let number = links.lay(LinkSet::Apart(vec![nodes(&[0, 1]), nodes(&[1, 2])]), cut);
     let lost = |from, to| links.on(End::Node(from), End::Node(to)).loses();
     assert!(lost(0, 2) && lost(2, 0));
     assert!(!lost(0, 1) && !lost(1, 0) && !lost(1, 2) && !lost(2, 1));
@@ -28,14 +28,14 @@
         loss: 0.5,
         ..Fault::default()
     };
-    links.lay(Which::Between(nodes(&[0]), nodes(&[1, 2])), half);
-    links.lay(Which::Between(nodes(&[0]), nodes(&[2])), half);
+    links.lay(LinkSet::Between(nodes(&[0]), nodes(&[1, 2])), half);
+    links.lay(LinkSet::Between(nodes(&[0]), nodes(&[2])), half);
     let loss = |from, to| links.on(End::Node(from), End::Node(to)).loss;
     assert_eq!((loss(0, 1), loss(0, 2), loss(1, 0)), (0.5, 0.75, 0.0));
 }
 
 async fn echo() -> SocketAddr {
-    let listener = TcpListener::bind(crate::ports::unclaimed().expect("an address"))
+    let listener = TcpListener::bind(crate::ports::reserve_address().expect("an address"))
         .await
         .expect("bound");
     let address = listener.local_addr().expect("an address");
@@ -53,7 +53,7 @@
 #[tokio::test]
 async fn a_connection_that_never_comes_up_leaves_others_alone_and_the_next_comes_up() {
     let links = Arc::new(Links::default());
-    let listen = crate::ports::unclaimed().expect("an address");
+    let listen = crate::ports::reserve_address().expect("an address");
     Relay::start(&links, (End::Node(0), End::Server(0)), listen, echo().await)
         .await
         .expect("it listens");
@@ -63,7 +63,7 @@
     before.read_exact(&mut byte).await.expect("echoed");
     let (near, far) = (nodes(&[0]), BTreeSet::from([End::Server(0)]));
     let number = links.lay(
-        Which::Between(near, far),
+        LinkSet::Between(near, far),
         Fault {
             unheard: true,
             ..Fault::default()
@@ -94,7 +94,7 @@
 #[tokio::test]
 async fn a_stalled_connection_moves_no_byte_and_goes_on_and_a_reset_one_ends() {
     let links = Arc::new(Links::default());
-    let listen = crate::ports::unclaimed().expect("an address");
+    let listen = crate::ports::reserve_address().expect("an address");
     let ends = (End::Node(0), End::Server(0));
     Relay::start(&links, ends, listen, echo().await)
         .await
@@ -109,7 +109,7 @@
         ..Fault::default()
     };
     // One way only: it gets there, and the answer does not come back.
-    let number = links.lay(Which::Between(back.clone(), there.clone()), stalled);
+    let number = links.lay(LinkSet::Between(back.clone(), there.clone()), stalled);
     stream.write_all(b"b").await.expect("written");
     let silent =
         tokio::time::timeout(Duration::from_millis(100), stream.read_exact(&mut byte)).await;
@@ -118,7 +118,7 @@
     stream.read_exact(&mut byte).await.expect("it goes on");
     assert_eq!(byte, *b"b");
     links.lay(
-        Which::Between(there, back),
+        LinkSet::Between(there, back),
         Fault {
             reset: true,
             ..Fault::default()
--- a/crates/test-doubles/src/load.rs
+++ b/crates/test-doubles/src/load.rs
@@ -3,7 +3,7 @@
 //! Arrivals are drawn ahead and wait for nothing. A client keeps its connections, waits as long as it says, and tries
 //! again a little later what was refused, failed or lost with its node, as a new request under the same key.
 
-use crate::ledger::{Answer, Asked, Repeats, Unanswered};
+use crate::oracle::{Answer, RepeatSafety, SentRequest, Unanswered};
 use crate::servers::made_for;
 use crate::settings::{Class, Fleet};
 use crate::wire::Wire;
@@ -77,17 +77,17 @@
 
 /// A client's request, over all of its tries.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
+pub struct RetryPolicy {
     begun: Duration,
     keyed: bool,
     complies: bool,
     retries: u32,
 }
 
-impl Patience {
+impl RetryPolicy {
     /// One that begins now.
-    pub fn begin(now: Duration, keyed: bool) -> Patience {
-        Patience {
+    pub fn begin(now: Duration, keyed: bool) -> RetryPolicy {
+        RetryPolicy {
             begun: now,
             keyed,
             complies: fastrand::f64() < COMPLY.0,
@@ -138,14 +138,14 @@
 
 /// Clients that close their connection while they wait.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Leaves {
+pub struct Cancellations {
     /// Share of all tries.
     pub share: f64,
     /// Shortest and longest time that they wait.
     pub after: (Duration, Duration),
 }
 
-impl Leaves {
+impl Cancellations {
     fn draw(&self) -> Option<Duration> {
         let (least, most) = self.after;
         (fastrand::f64() < self.share)
@@ -155,13 +155,13 @@
 
 /// The front, with all its clients.
 #[derive(Debug)]
-pub struct Front {
+pub struct LoadGenerator {
     world: Arc<World>,
     fleet: Fleet,
     doors: Vec<Door>,
     next: AtomicU64,
     seed: u64,
-    leaves: Leaves,
+    leaves: Cancellations,
     figures: Figures,
 }
 
@@ -176,7 +176,7 @@
 
 /// What the front counted beside the ledger.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Counts {
+pub struct LoadCounts {
     /// Connections that a node, or nobody, refused.
     pub refused_connections: u64,
     /// Tries written once more as their kept connection had closed unread.
@@ -209,15 +209,15 @@
     Unanswered(Unanswered),
 }
 
-impl Front {
+impl LoadGenerator {
     /// A front before nodes at these addresses, none of which it has seen ready yet.
     pub fn new(
         world: Arc<World>,
         fleet: Fleet,
         nodes: &[SocketAddr],
         seed: u64,
-        leaves: Leaves,
-    ) -> Arc<Front> {
+        leaves: Cancellations,
+    ) -> Arc<LoadGenerator> {
         let door = |address: &SocketAddr| Door {
             address: *address,
             open: AtomicBool::new(false),
@@ -227,7 +227,7 @@
         };
         let doors = nodes.iter().map(door).collect();
         let (next, figures) = (AtomicU64::new(1), Figures::default());
-        Arc::new(Front {
+        Arc::new(LoadGenerator {
             world,
             fleet,
             doors,
@@ -312,7 +312,7 @@
     /// One client's request, with its retries; comes back when the last try has ended.
     pub async fn client(&self, customer: Customer, class: usize) {
         let key = self.fleet.classes[class].keyed.then(new_key);
-        let mut patience = Patience::begin(self.world.now(), key.is_some());
+        let mut patience = RetryPolicy::begin(self.world.now(), key.is_some());
         loop {
             let request = self.request(customer.clone(), class, key.clone());
             let after = match self.send(&request).await {
@@ -463,11 +463,11 @@
         let kills = door.kills.load(Ordering::SeqCst);
         let pauses = door.pauses.load(Ordering::SeqCst);
         let repeats = if class.keyed {
-            Repeats::Keyed
+            RepeatSafety::Keyed
         } else {
-            Repeats::Safe
+            RepeatSafety::Safe
         };
-        let asked = Asked {
+        let asked = SentRequest {
             id: request.id.clone(),
             key: request.key.clone(),
             repeats,
@@ -579,7 +579,7 @@
     }
 
     /// What was counted.
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> LoadCounts {
         let mut late = lock(&self.figures.late_us).clone();
         late.sort_unstable();
         let at = |share: f64| {
@@ -587,7 +587,7 @@
             late.get(place.min(late.len().saturating_sub(1)))
                 .map_or(0.0, |us| f64::from(*us) / 1e3)
         };
-        Counts {
+        LoadCounts {
             refused_connections: self.figures.refused_connections.load(Ordering::Relaxed),
             resent: self.figures.resent.load(Ordering::Relaxed),
             retries: self.figures.retries.load(Ordering::Relaxed),
--- a/crates/test-doubles/src/ledger.rs
+++ b/crates/test-doubles/src/oracle.rs
@@ -57,7 +57,7 @@
 
 /// What a repeat of a request does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeats {
+pub enum RepeatSafety {
     /// Nothing.
     Safe,
     /// It is dropped by servers of the same group, for a while.
@@ -68,13 +68,13 @@
 
 /// A try of a client, as it sends it.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct SentRequest {
     /// `X-Request-Id`.
     pub id: String,
     /// `Idempotency-Key`.
     pub key: Option<String>,
     /// What a repeat does.
-    pub repeats: Repeats,
+    pub repeats: RepeatSafety,
     /// The edge node that it was sent to.
     pub node: usize,
     /// The customer.
@@ -140,7 +140,7 @@
 
 #[derive(Debug)]
 struct Try {
-    asked: Asked,
+    asked: SentRequest,
     at: Duration,
     answer: Option<(Answer, Duration)>,
     unanswered: Option<Unanswered>,
@@ -168,7 +168,7 @@
 
 /// A try as the ledger saw it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Seen {
+pub struct RequestRecord {
     /// The edge node that it was sent to.
     pub node: usize,
     /// When its last byte was written.
@@ -283,7 +283,7 @@
 
 /// The ledger of one run.
 #[derive(Debug)]
-pub struct Ledger {
+pub struct Oracle {
     bounds: Bounds,
     /// In the order in which they were asked: sums over them come out the same each time.
     tries: IndexMap<String, Try>,
@@ -376,10 +376,10 @@
     }
 }
 
-impl Ledger {
+impl Oracle {
     /// An empty one.
-    pub fn new(bounds: Bounds) -> Ledger {
-        Ledger {
+    pub fn new(bounds: Bounds) -> Oracle {
+        Oracle {
             bounds,
             tries: IndexMap::new(),
             open: 0,
@@ -409,7 +409,7 @@
     }
 
     /// A try's last byte is written. The same try, sent once more as its connection had closed unread, counts once.
-    pub fn asked(&mut self, now: Duration, asked: Asked) {
+    pub fn asked(&mut self, now: Duration, asked: SentRequest) {
         let id = asked.id.clone();
         let entry = Try {
             asked,
@@ -647,8 +647,8 @@
             return false;
         };
         match (entry.asked.repeats, entry.asked.key.clone()) {
-            (Repeats::Safe, _) => return false,
-            (Repeats::Keyed, Some(key)) => {
+            (RepeatSafety::Safe, _) => return false,
+            (RepeatSafety::Keyed, Some(key)) => {
                 let known = self.keys.get(&(group, key.clone()));
                 if known.is_some_and(|at| came.saturating_sub(*at) <= window) {
                     return false;
@@ -706,8 +706,8 @@
     }
 
     /// All tries, in the order in which they were asked.
-    pub fn seen(&self) -> impl Iterator<Item = Seen> + '_ {
-        self.tries.values().map(|entry| Seen {
+    pub fn seen(&self) -> impl Iterator<Item = RequestRecord> + '_ {
+        self.tries.values().map(|entry| RequestRecord {
             node: entry.asked.node,
             at: entry.at,
             answer: entry.answer.map(|(answer, _)| answer),
--- a/crates/test-doubles/src/ledger/tests.rs
+++ b/crates/test-doubles/src/oracle/tests.rs
@@ -4,10 +4,10 @@
     Duration::from_millis(span)
 }
 
-fn asked(id: &str, repeats: Repeats) -> Asked {
-    let key = (repeats == Repeats::Keyed).then(|| "k".to_owned());
+fn asked(id: &str, repeats: RepeatSafety) -> SentRequest {
+    let key = (repeats == RepeatSafety::Keyed).then(|| "k".to_owned());
     let (id, patience) = (id.to_owned(), ms(1000));
-    Asked {
+    SentRequest {
         id,
         key,
         repeats,
@@ -18,19 +18,19 @@
     }
 }
 
-fn one(repeats: Repeats) -> Ledger {
-    let mut ledger = Ledger::new(Bounds::default());
+fn one(repeats: RepeatSafety) -> Oracle {
+    let mut ledger = Oracle::new(Bounds::default());
     ledger.asked(ms(0), asked("a", repeats));
     ledger
 }
 
-fn breaches(ledger: &Ledger) -> Vec<Breach> {
+fn breaches(ledger: &Oracle) -> Vec<Breach> {
     ledger.judge().breaches
 }
 
 #[test]
 fn a_run_that_keeps_the_rules_has_no_breach() {
-    let mut ledger = one(Repeats::Keyed);
+    let mut ledger = one(RepeatSafety::Keyed);
     ledger.arrived(ms(10), ms(10), "s", "a", 0.1);
     assert!(ledger.ran(ms(100), ms(100), 1, "a"));
     ledger.over("a");
@@ -51,14 +51,14 @@
 #[test]
 fn each_breach_of_the_first_rule_is_seen() {
     assert_eq!(
-        breaches(&one(Repeats::Safe)),
+        breaches(&one(RepeatSafety::Safe)),
         [Breach::NoAnswer("a at node 0".to_owned())]
     );
-    let mut ledger = one(Repeats::Safe);
+    let mut ledger = one(RepeatSafety::Safe);
     ledger.answered(ms(10), "a", Answer::Served);
     ledger.answered(ms(11), "a", Answer::Failed);
     assert_eq!(breaches(&ledger), [Breach::AnsweredTwice("a".to_owned())]);
-    let mut ledger = one(Repeats::Safe);
+    let mut ledger = one(RepeatSafety::Safe);
     ledger.answered(ms(1051), "a", Answer::Failed);
     assert_eq!(
         breaches(&ledger),
@@ -69,7 +69,7 @@
         (Unanswered::Left, 0),
         (Unanswered::Lost, 1),
     ] {
-        let mut ledger = one(Repeats::Safe);
+        let mut ledger = one(RepeatSafety::Safe);
         ledger.unanswered("a", why);
         assert_eq!(breaches(&ledger).len(), lost, "{why:?}");
     }
@@ -77,28 +77,28 @@
 
 #[test]
 fn tries_without_an_end_are_counted_and_all_are_told_in_the_order_in_which_they_were_asked() {
-    let mut ledger = Ledger::new(Bounds::default());
+    let mut ledger = Oracle::new(Bounds::default());
     let ids: Vec<String> = (0..100)
         .map(|number| format!("t{}", number * 7 % 100))
         .collect();
     for (node, id) in ids.iter().enumerate() {
         ledger.asked(
             ms(5),
-            Asked {
+            SentRequest {
                 node,
-                ..asked(id, Repeats::Safe)
+                ..asked(id, RepeatSafety::Safe)
             },
         );
     }
     ledger.asked(
         ms(6),
-        Asked {
+        SentRequest {
             node: 3,
-            ..asked(&ids[3], Repeats::Safe)
+            ..asked(&ids[3], RepeatSafety::Safe)
         },
     );
     assert_eq!(ledger.open(), 100, "sent once more, it counts once");
-    let ended: [fn(&mut Ledger, &str); 4] = [
+    let ended: [fn(&mut Oracle, &str); 4] = [
         |ledger, id| ledger.answered(ms(10), id, Answer::Refused),
         |ledger, id| ledger.unanswered(id, Unanswered::Killed),
         |ledger, id| ledger.left(ms(10), id),
@@ -117,7 +117,7 @@
 
 #[test]
 fn each_breach_of_the_second_rule_is_seen() {
-    let mut ledger = one(Repeats::Safe);
+    let mut ledger = one(RepeatSafety::Safe);
     ledger.arrived(ms(10), ms(10), "s", "a", 0.1);
     ledger.arrived(ms(20), ms(20), "t", "a", 0.1);
     ledger.answered(ms(30), "a", Answer::Served);
@@ -128,7 +128,7 @@
     ledger.closed(ms(70), "a");
     assert!(breaches(&ledger).is_empty());
     // One after the other, into another group: its key is not known there.
-    let mut ledger = one(Repeats::Keyed);
+    let mut ledger = one(RepeatSafety::Keyed);
     for (group, server) in [(1, "s"), (2, "t")] {
         ledger.arrived(ms(10), ms(10), server, "a", 0.1);
         ledger.ran(ms(20), ms(20), group, "a");
@@ -138,7 +138,7 @@
     assert_eq!(breaches(&ledger), [Breach::TwiceEffect("a".to_owned())]);
     // In the same group it is dropped while the group remembers.
     for (at, twice) in [(2019, false), (2021, true)] {
-        let mut ledger = one(Repeats::Keyed);
+        let mut ledger = one(RepeatSafety::Keyed);
         assert!(ledger.ran(ms(20), ms(20), 1, "a"));
         assert_eq!(
             ledger.ran(ms(at + 500), ms(at), 1, "a"),
@@ -146,7 +146,7 @@
             "by when it came"
         );
     }
-    let mut ledger = one(Repeats::Unsafe);
+    let mut ledger = one(RepeatSafety::Unsafe);
     ledger.ran(ms(20), ms(20), 1, "a");
     ledger.answered(ms(30), "a", Answer::Refused);
     assert_eq!(
@@ -158,7 +158,7 @@
 #[test]
 fn sends_after_a_drain_count_from_when_this_node_was_told() {
     for (first, breach) in [(1299, false), (1301, true)] {
-        let mut ledger = one(Repeats::Safe);
+        let mut ledger = one(RepeatSafety::Safe);
         ledger.told(ms(1000), 0, "s", false);
         ledger.told(ms(1200), 0, "s", false);
         ledger.told(ms(0), 1, "s", false);
@@ -168,7 +168,7 @@
         assert_eq!(!verdict.breaches.is_empty(), breach, "{verdict:?}");
         assert_eq!(verdict.after_drain, 1);
     }
-    let mut ledger = one(Repeats::Safe);
+    let mut ledger = one(RepeatSafety::Safe);
     ledger.told(ms(0), 0, "s", false);
     ledger.told(ms(500), 0, "s", true);
     ledger.arrived(ms(700), ms(700), "s", "a", 0.1);
@@ -178,10 +178,10 @@
 #[test]
 fn a_cold_server_falls_by_what_all_nodes_send_it_together() {
     let fill = |count: u64| {
-        let mut ledger = Ledger::new(Bounds::default());
+        let mut ledger = Oracle::new(Bounds::default());
         ledger.cold(ms(0), "s", 2.0);
         for number in 0..count {
-            let mut asked = asked(&number.to_string(), Repeats::Safe);
+            let mut asked = asked(&number.to_string(), RepeatSafety::Safe);
             asked.node = number as usize % 3;
             ledger.asked(ms(0), asked);
             ledger.arrived(ms(10 + number), ms(10), "s", &number.to_string(), 0.1);
@@ -195,15 +195,15 @@
 
 #[test]
 fn a_ceiling_is_judged_over_all_nodes_with_its_slack_and_a_quota_only_counted() {
-    let mut ledger = Ledger::new(Bounds::default());
+    let mut ledger = Oracle::new(Bounds::default());
     ledger.limit(7, (1.0, 2.0), Some((2.0, 4.0)));
     for number in 0..6_u64 {
         let id = number.to_string();
         ledger.asked(
             ms(0),
-            Asked {
+            SentRequest {
                 node: number as usize,
-                ..asked(&id, Repeats::Safe)
+                ..asked(&id, RepeatSafety::Safe)
             },
         );
         ledger.arrived(ms(0), ms(0), "s", &id, 0.1);
@@ -229,9 +229,9 @@
 #[test]
 fn attempts_after_their_clients_have_gone_are_found_and_the_third_is_a_break() {
     for (first, count) in [(1150, 0), (1151, 1)] {
-        let mut ledger = Ledger::new(Bounds::default());
+        let mut ledger = Oracle::new(Bounds::default());
         for (place, id) in ["a", "b", "c"].into_iter().enumerate() {
-            ledger.asked(ms(900), asked(id, Repeats::Safe));
+            ledger.asked(ms(900), asked(id, RepeatSafety::Safe));
             ledger.left(ms(1000), id);
             ledger.arrived(ms(first + 20), ms(first), "s", id, 0.1);
             let verdict = ledger.judge();
@@ -251,7 +251,7 @@
         assert_eq!(verdict.breaches.len() as u64, 3 * count);
     }
     // A further attempt counts as a first one does, and only what has had none was unsent.
-    let mut ledger = one(Repeats::Safe);
+    let mut ledger = one(RepeatSafety::Safe);
     ledger.arrived(ms(10), ms(10), "s", "a", 0.1);
     ledger.left(ms(20), "a");
     ledger.over("a");
@@ -261,7 +261,7 @@
         (0, 1)
     );
     // A node that stood still learns of the close when it goes on.
-    let mut ledger = one(Repeats::Safe);
+    let mut ledger = one(RepeatSafety::Safe);
     ledger.left(ms(100), "a");
     ledger.resumed(ms(900), 0, ms(50));
     ledger.arrived(ms(1000), ms(1000), "s", "a", 0.1);
@@ -274,7 +274,7 @@
         mean_work: 0.05,
         ..Bounds::default()
     };
-    let mut ledger = Ledger::new(bounds);
+    let mut ledger = Oracle::new(bounds);
     // 2 s of work a second, of which 0.21 are there, times 3: 25.2 of mean work, and 37.2 with chance.
     for life in [0_u64, 5000] {
         ledger.cold(ms(life), "s", 2.0);
@@ -282,9 +282,9 @@
             let id = format!("{life}-{number}");
             ledger.asked(
                 ms(life),
-                Asked {
+                SentRequest {
                     node: number,
-                    ..asked(&id, Repeats::Safe)
+                    ..asked(&id, RepeatSafety::Safe)
                 },
             );
             ledger.arrived(ms(life), ms(life), "s", &id, 0.1);
@@ -307,10 +307,10 @@
         (290, Some(7), 0),
         (400, Some(7), 0),
     ] {
-        let mut ledger = Ledger::new(Bounds::default());
+        let mut ledger = Oracle::new(Bounds::default());
         for number in 0..15_u64 {
             let (id, at) = (number.to_string(), ms(number * apart));
-            ledger.asked(at, asked(&id, Repeats::Safe));
+            ledger.asked(at, asked(&id, RepeatSafety::Safe));
             if attempt == Some(number) {
                 ledger.arrived(at, at, "s", &id, 0.1);
             }
@@ -327,10 +327,10 @@
 
 #[test]
 fn a_process_serves_nobody_whatever_its_successor_serves() {
-    let mut ledger = Ledger::new(Bounds::default());
-    let ask = |ledger: &mut Ledger, answer| {
+    let mut ledger = Oracle::new(Bounds::default());
+    let ask = |ledger: &mut Oracle, answer| {
         let id = ledger.tries.len().to_string();
-        ledger.asked(ms(0), asked(&id, Repeats::Safe));
+        ledger.asked(ms(0), asked(&id, RepeatSafety::Safe));
         ledger.answered(ms(1), &id, answer);
     };
     (0..5).for_each(|_| ask(&mut ledger, Answer::Refused));
--- a/crates/test-doubles/src/peers.rs
+++ b/crates/test-doubles/src/peers.rs
@@ -37,7 +37,9 @@
     pub async fn start(nodes: Vec<SocketAddr>, links: Arc<Links>) -> std::io::Result<Arc<Network>> {
         let mut relays = Vec::new();
         for _ in &nodes {
-            relays.push(Arc::new(UdpSocket::bind(crate::ports::unclaimed()?).await?));
+            relays.push(Arc::new(
+                UdpSocket::bind(crate::ports::reserve_address()?).await?,
+            ));
         }
         let counters = || nodes.iter().map(|_| AtomicU64::new(0)).collect();
         let (sent, received) = (counters(), counters());
--- a/crates/test-doubles/src/ports.rs
+++ b/crates/test-doubles/src/ports.rs
@@ -56,7 +56,7 @@
 ///
 /// # Errors
 /// No block could be had, or all of its addresses were given.
-pub fn unclaimed() -> std::io::Result<SocketAddr> {
+pub fn reserve_address() -> std::io::Result<SocketAddr> {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let block = block()?;
     let next = NEXT.fetch_add(1, Ordering::Relaxed);
--- a/crates/test-doubles/src/ports/tests.rs
+++ b/crates/test-doubles/src/ports/tests.rs
@@ -2,8 +2,9 @@
 
 #[test]
 fn no_address_is_given_twice_and_none_is_another_processs() {
-    let all: std::collections::BTreeSet<_> =
-        (0..600).map(|_| unclaimed().expect("an address")).collect();
+    let all: std::collections::BTreeSet<_> = (0..600)
+        .map(|_| reserve_address().expect("an address"))
+        .collect();
     assert_eq!(all.len(), 600);
     assert!(all
         .iter()
--- a/crates/test-doubles/src/scripted.rs
+++ b/crates/test-doubles/src/scripted.rs
@@ -2,7 +2,7 @@
 //!
 //! Made for tests: what can't go on panics.
 
-use crate::ports::unclaimed;
+use crate::ports::reserve_address;
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 /// No wait is longer; only a failing test gets there.
-pub const PATIENCE: Duration = Duration::from_mins(1);
+pub const TEST_TIMEOUT: Duration = Duration::from_mins(1);
 
 /// A message of HTTP/1.1 with a body of known length, or in chunks.
 #[derive(Clone, Debug)]
@@ -99,25 +99,25 @@
 
 /// What an app server does with a request.
 #[derive(Clone, Debug)]
-pub enum Does {
+pub enum Reply {
     /// Says this.
-    Answers(&'static str),
+    Respond(&'static str),
     /// Closes the connection, without a word, after what it says.
-    Ends(&'static str),
+    RespondAndClose(&'static str),
     /// Says nothing and keeps the connection open.
-    IsSilent,
+    NoResponse,
 }
 
 /// Serves.
-pub const SERVES: Does = Does::Answers("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nranks");
+pub const REPLY_OK: Reply = Reply::Respond("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nranks");
 /// Answers with an error.
-pub const ERRS: Does = Does::Answers("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n");
+pub const REPLY_ERROR: Reply = Reply::Respond("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n");
 /// Turns away unseen.
-pub const IS_FULL: Does =
-    Does::Answers("HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
+pub const REPLY_OVERLOADED: Reply =
+    Reply::Respond("HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
 
 /// A request that came whole to an app server, and the connection on which it came.
-pub struct Got {
+pub struct ReceivedRequest {
     /// Which server.
     pub server: String,
     /// The request.
@@ -131,12 +131,12 @@
 }
 
 /// What is to be done by turns; the last of it for ever.
-pub type Turns = Arc<Mutex<Vec<Does>>>;
+pub type ReplyQueue = Arc<Mutex<Vec<Reply>>>;
 
 /// App servers, which do what they are told.
 pub struct Servers {
-    got: Receiver<Got>,
-    tell: Sender<Got>,
+    got: Receiver<ReceivedRequest>,
+    tell: Sender<ReceivedRequest>,
     /// Attempts that were never answered, by the request's id.
     unanswered: Arc<Mutex<Vec<(String, TcpStream)>>>,
 }
@@ -159,12 +159,12 @@
     }
 
     /// Starts one that has its own turns.
-    pub fn start(&self, name: &str, does: &[Does]) -> SocketAddr {
+    pub fn start(&self, name: &str, does: &[Reply]) -> SocketAddr {
         self.share(name, &Arc::new(Mutex::new(does.to_vec())))
     }
 
     /// Starts one that takes turns with others.
-    pub fn share(&self, name: &str, turns: &Turns) -> SocketAddr {
+    pub fn share(&self, name: &str, turns: &ReplyQueue) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let server = Server {
@@ -183,10 +183,10 @@
     }
 
     /// The next request that has come to any of them.
-    pub fn next(&self) -> Got {
+    pub fn next(&self) -> ReceivedRequest {
         let got = self
             .got
-            .recv_timeout(PATIENCE)
+            .recv_timeout(TEST_TIMEOUT)
             .expect("a request comes to an app server");
         assert!(got.alone, "two attempts of a request are out at once");
         got
@@ -206,8 +206,8 @@
 #[derive(Clone)]
 struct Server {
     name: String,
-    turns: Turns,
-    tell: Sender<Got>,
+    turns: ReplyQueue,
+    tell: Sender<ReceivedRequest>,
     unanswered: Arc<Mutex<Vec<(String, TcpStream)>>>,
 }
 
@@ -227,13 +227,13 @@
             let mut unanswered = self.unanswered.lock().expect("no panic");
             let earlier = unanswered.iter().filter(|(other, _)| *other == id);
             let alone = earlier.into_iter().all(|(_, stream)| closed_by_now(stream));
-            if matches!(turn, Does::IsSilent) {
+            if matches!(turn, Reply::NoResponse) {
                 unanswered.push((id, stream.try_clone().expect("a clone")));
             }
             drop(unanswered);
             let (server, told) = (self.name.clone(), stream.try_clone().expect("a clone"));
             // The test may have ended.
-            let _ = self.tell.send(Got {
+            let _ = self.tell.send(ReceivedRequest {
                 server,
                 message,
                 connection,
@@ -241,12 +241,12 @@
                 stream: told,
             });
             match turn {
-                Does::Answers(words) => stream.write_all(words.as_bytes()).unwrap_or(()),
-                Does::Ends(words) => {
+                Reply::Respond(words) => stream.write_all(words.as_bytes()).unwrap_or(()),
+                Reply::RespondAndClose(words) => {
                     stream.write_all(words.as_bytes()).unwrap_or(());
                     let _ = stream.shutdown(Shutdown::Both);
                 }
-                Does::IsSilent => {}
+                Reply::NoResponse => {}
             }
         }
     }
@@ -281,7 +281,7 @@
     /// The next watch that the edge node opens: how it was asked for, and where to write.
     pub fn watch(&self) -> (String, TcpStream) {
         self.watches
-            .recv_timeout(PATIENCE)
+            .recv_timeout(TEST_TIMEOUT)
             .expect("a watch is opened")
     }
 }
@@ -332,7 +332,7 @@
     let begun = Instant::now();
     while unread(stream) < bytes {
         assert!(
-            begun.elapsed() < PATIENCE,
+            begun.elapsed() < TEST_TIMEOUT,
             "{bytes} bytes come to the other side's machine"
         );
         thread::sleep(Duration::from_millis(1));
@@ -481,10 +481,16 @@
     sockets: usize,
     change: impl FnOnce(&mut Command),
 ) -> (ExitStatus, String) {
-    let nowhere = unclaimed().expect("a port");
+    let nowhere = reserve_address().expect("a port");
     let (child, config) = start_with(
         tag,
-        &configuration(nowhere, &[], sockets, unclaimed().expect("a port"), nowhere),
+        &configuration(
+            nowhere,
+            &[],
+            sockets,
+            reserve_address().expect("a port"),
+            nowhere,
+        ),
         change,
     );
     let output = child.wait_with_output().expect("it ends");
@@ -532,8 +538,9 @@
         change: impl FnOnce(&mut Command),
     ) -> Node {
         let peer = UdpSocket::bind("127.0.0.1:0").expect("a port");
-        peer.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-        let datagrams = unclaimed().expect("a port");
+        peer.set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("a time-out");
+        let datagrams = reserve_address().expect("a port");
         let peer_address = peer.local_addr().expect("an address");
         let config = configuration(discovery, hosts, sockets, datagrams, peer_address);
         let (child, config) = start_with(tag, &alter(config), change);
@@ -569,7 +576,9 @@
     /// A client's connection to it.
     pub fn client(&self) -> Client {
         let stream = TcpStream::connect(self.address).expect("the edge node accepts");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("a time-out");
         let reader = BufReader::new(stream.try_clone().expect("a clone"));
         Client { stream, reader }
     }
@@ -611,7 +620,7 @@
             .flatten()
             .all(stands)
         {
-            assert!(begun.elapsed() < PATIENCE, "it stands still");
+            assert!(begun.elapsed() < TEST_TIMEOUT, "it stands still");
             thread::sleep(Duration::from_millis(1));
         }
     }
@@ -631,7 +640,7 @@
 
     /// The next line of its log, without its level.
     pub fn log_line(&self) -> String {
-        let line = self.log.recv_timeout(PATIENCE);
+        let line = self.log.recv_timeout(TEST_TIMEOUT);
         log_message(&line.expect("a line of the log")).to_owned()
     }
 
@@ -668,7 +677,9 @@
 /// Calls a node at its operators' address; all that it answers.
 pub fn call(address: SocketAddr, line: &str) -> String {
     let mut stream = TcpStream::connect(address).expect("it is called");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    stream
+        .set_read_timeout(Some(TEST_TIMEOUT))
+        .expect("a time-out");
     stream.write_all(line.as_bytes()).expect("written");
     let mut answer = String::new();
     stream.read_to_string(&mut answer).expect("an answer");
@@ -684,7 +695,7 @@
 }
 
 /// An edge node that knows one app server, which does this.
-pub fn with_one(tag: &str, does: &[Does]) -> (Servers, Discovery, Node) {
+pub fn with_one(tag: &str, does: &[Reply]) -> (Servers, Discovery, Node) {
     let (servers, discovery) = (Servers::new(), Discovery::start());
     let dial = servers.start("s-1", does);
     let node = Node::start(tag, discovery.address, &[host("s-1", dial, 1, "ready")]);
@@ -745,9 +756,9 @@
 }
 
 /// Waits until the edge node has closed a connection to an app server.
-pub fn closed(got: &Got) -> bool {
+pub fn closed(got: &ReceivedRequest) -> bool {
     got.stream
-        .set_read_timeout(Some(PATIENCE))
+        .set_read_timeout(Some(TEST_TIMEOUT))
         .expect("a time-out");
     matches!(got.stream.peek(&mut [0]), Ok(0) | Err(_))
 }
--- a/crates/test-doubles/src/servers.rs
+++ b/crates/test-doubles/src/servers.rs
@@ -22,7 +22,7 @@
 
 /// What a server does with its requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Temper {
+pub struct Behavior {
     /// Times its usual work that a request takes.
     pub slow: f64,
     /// It takes requests and answers none.
@@ -33,9 +33,9 @@
     pub errors: f64,
 }
 
-impl Default for Temper {
-    fn default() -> Temper {
-        Temper {
+impl Default for Behavior {
+    fn default() -> Behavior {
+        Behavior {
             slow: 1.0,
             silent: false,
             resets: 0.0,
@@ -63,7 +63,7 @@
 struct Inside {
     world: Arc<World>,
     spec: Spec,
-    temper: Mutex<Temper>,
+    temper: Mutex<Behavior>,
     cores: Semaphore,
     held: AtomicUsize,
     /// When each connection was made, and how many requests came.
@@ -88,7 +88,7 @@
     /// No port could be had.
     pub fn start(world: Arc<World>, spec: Spec) -> std::io::Result<AppServer> {
         // Bound but never listening: nobody else gets the port while no process runs, and connections are refused.
-        let address = crate::ports::unclaimed()?;
+        let address = crate::ports::reserve_address()?;
         let keeper = bound(address)?;
         let listener = bound(address)?.listen(BACKLOG)?;
         let (life, _) = watch::channel(1);
@@ -140,7 +140,7 @@
     }
 
     /// Changes its temper.
-    pub fn set(&self, change: impl FnOnce(&mut Temper)) {
+    pub fn set(&self, change: impl FnOnce(&mut Behavior)) {
         change(&mut lock(&self.inside.temper));
     }
 
--- a/crates/test-doubles/src/settings.rs
+++ b/crates/test-doubles/src/settings.rs
@@ -1,7 +1,7 @@
 //! Settings as the platform gives them to an edge node, for fleets of stand-ins.
 
-use crate::ledger::{Bounds, Ledger};
 use crate::load::Customer;
+use crate::oracle::{Bounds, Oracle};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -97,7 +97,7 @@
     }
 
     /// Notes what binds a customer.
-    pub fn limit(&self, ledger: &mut Ledger, customer: &Customer) {
+    pub fn limit(&self, ledger: &mut Oracle, customer: &Customer) {
         let plan = &self.plans[customer.plan];
         ledger.limit(customer.id, (plan.rate, plan.burst), plan.ceiling);
     }
@@ -152,7 +152,7 @@
 
 /// Where one node finds what it talks to.
 #[derive(Clone, Debug)]
-pub struct Places {
+pub struct NodeConfig {
     /// Its name.
     pub name: String,
     /// Where clients connect.
@@ -170,7 +170,12 @@
 }
 
 /// The configuration of one node as the platform writes it. `known` is a list in discovery's form.
-pub fn configuration(places: &Places, settings: &Value, known: Option<&str>, seed: u64) -> String {
+pub fn configuration(
+    places: &NodeConfig,
+    settings: &Value,
+    known: Option<&str>,
+    seed: u64,
+) -> String {
     let known: Option<Value> = known.and_then(|known| serde_json::from_str(known).ok());
     let peers: Vec<String> = places.peers.iter().map(SocketAddr::to_string).collect();
     let mut config = json!({
