--- a/crates/saffronpaddle/tests/sockets.rs
+++ b/crates/saffronpaddle/tests/sockets.rs
@@ -78,7 +78,7 @@
         "[stop]\nleave_for_ms = 0\n[sockets]\nclass = \"read\"\nopens_per_s = 10000.0\n{more}\n"
     );
     let file = Temporary::new(&format!("{tag}.toml"), &text);
-    let node = Node::launch(tag, discovery.address, hosts, 4096, |command| {
+    let node = Node::start_with_command(tag, discovery.address, hosts, 4096, |command| {
         command.env("SAFFRONPADDLE_OPERATOR", &file.0);
     });
     Operated { node, _file: file }
@@ -90,7 +90,7 @@
         tag,
         more,
         &discovery,
-        &[host("s-1", board.address, 1, "ready")],
+        &[host_json("s-1", board.address, 1, "ready")],
     );
     (board, discovery, node)
 }
@@ -232,10 +232,10 @@
 
 #[test]
 fn without_the_section_an_upgrade_is_a_request_like_any_other() {
-    let (servers, _discovery, node) = with_one("ws-off", &[REPLY_OK]);
-    let answer = node.client().ask(&raw_upgrade("a", &[]));
+    let (servers, _discovery, node) = start_with_one_server("ws-off", &[REPLY_OK]);
+    let answer = node.connect().exchange(&raw_upgrade("a", &[]));
     assert_eq!((answer.status(), &answer.body[..]), (200, &b"ranks"[..]));
-    let got = servers.next();
+    let got = servers.next_request();
     assert_eq!(
         (
             got.message.header("upgrade"),
@@ -255,15 +255,15 @@
         "ws-drain",
         "per_customer = 100000\nper_server = 100000\nback_per_s = 50.0",
         &discovery,
-        &[host("s-1", board.address, 1, "ready")],
+        &[host_json("s-1", board.address, 1, "ready")],
     );
-    let (_, mut watch) = discovery.watch();
+    let (_, mut watch) = discovery.next_watch();
     let mut sockets: Vec<(Socket, Socket)> = (0..COUNT)
         .map(|number| open(&operated.node, &board, &format!("d{number}")))
         .collect();
     write_list(
         &mut watch,
-        &list(2, true, &[host("s-1", board.address, 1, "draining")]),
+        &list_json(2, true, &[host_json("s-1", board.address, 1, "draining")]),
     );
     let mut waits = Vec::new();
     for (client, server) in &mut sockets {
@@ -301,7 +301,7 @@
 #[test]
 fn a_fragmented_message_with_a_ping_inside_when_the_drain_comes() {
     let (board, discovery, operated) = with_board("ws-pieces", "");
-    let (_, mut watch) = discovery.watch();
+    let (_, mut watch) = discovery.next_watch();
     let mut client = raw(&operated.node, "a");
     let mut server = board.next();
     client.write_all(&masked(0x01, b"first")).expect("it goes");
@@ -312,7 +312,7 @@
     assert_eq!(server.read().expect("it comes"), Said::Ping("ping".into()));
     write_list(
         &mut watch,
-        &list(2, true, &[host("s-1", board.address, 1, "draining")]),
+        &list_json(2, true, &[host_json("s-1", board.address, 1, "draining")]),
     );
     let mut told = as_socket(
         client.try_clone().expect("a clone"),
@@ -339,7 +339,7 @@
 #[test]
 fn a_slow_reader_with_a_full_buffer_at_the_drain() {
     let (board, discovery, operated) = with_board("ws-slow", "");
-    let (_, mut watch) = discovery.watch();
+    let (_, mut watch) = discovery.next_watch();
     let (mut client, server) = open(&operated.node, &board, "a");
     let (mut other, mut beside) = open(&operated.node, &board, "b");
     client.get_mut().set_nonblocking(true).expect("it can be");
@@ -368,7 +368,7 @@
     assert_eq!(beside.read().expect("it comes"), Said::Text("on".into()));
     write_list(
         &mut watch,
-        &list(2, true, &[host("s-1", board.address, 1, "draining")]),
+        &list_json(2, true, &[host_json("s-1", board.address, 1, "draining")]),
     );
     assert_eq!(close_of(&mut beside).map(|(code, _)| code), Some(1001));
     // The connection is reset, and what was still under way to the server is gone with it.
@@ -392,7 +392,7 @@
 #[test]
 fn a_client_reconnects_through_a_different_edge_node_before_the_first_one_noticed() {
     let (board, discovery) = (Board::start(), Discovery::start());
-    let hosts = [host("s-1", board.address, 1, "ready")];
+    let hosts = [host_json("s-1", board.address, 1, "ready")];
     let one = node("ws-ghost-1", "per_customer = 2", &discovery, &hosts);
     let two = node("ws-ghost-2", "per_customer = 2", &discovery, &hosts);
     let ghost = ask(&one.node, "a", 5, 2).expect("a socket");
@@ -436,7 +436,7 @@
         "ws-half-2",
         "ping_after_ms = 200\nsilent_after_ms = 600\nclose_within_ms = 300",
         &discovery,
-        &[host("s-1", address, 1, "ready")],
+        &[host_json("s-1", address, 1, "ready")],
     );
     let mut client = ask(&operated.node, "a", 5, 1).expect("a socket");
     let mut server = came.recv_timeout(TEST_TIMEOUT).expect("an upgrade");
@@ -492,7 +492,7 @@
         "ws-early",
         "",
         &discovery,
-        &[host("s-1", address, 1, "ready")],
+        &[host_json("s-1", address, 1, "ready")],
     );
     let mut client = ask(&operated.node, "a", 5, 1).expect("a socket");
     assert_eq!(client.read().expect("it comes"), Said::Text("first".into()));
@@ -539,24 +539,24 @@
         ("chunks", &[("Transfer-Encoding", "chunked")], 400),
     ];
     for (number, (what, lines, status)) in cases.into_iter().enumerate() {
-        let mut client = operated.node.client();
+        let mut client = operated.node.connect();
         client.write(&raw_upgrade(&format!("bad{number}"), lines));
-        let answer = client.answer().expect("an answer");
+        let answer = client.read_response().expect("an answer");
         assert_eq!(answer.status(), status, "{what}");
         assert_eq!(answer.header("sec-websocket-version"), "13", "{what}");
         assert!(
-            client.answer().is_none(),
+            client.read_response().is_none(),
             "{what}: nothing that comes behind is believed"
         );
     }
-    let mut client = operated.node.client();
+    let mut client = operated.node.connect();
     client.write(&raw_upgrade("post", &[]).replace("GET /read", "POST /read"));
-    assert_eq!(client.answer().expect("an answer").status(), 400);
+    assert_eq!(client.read_response().expect("an answer").status(), 400);
     // Of another class than that of sockets.
-    let mut client = operated.node.client();
+    let mut client = operated.node.connect();
     let pay = raw_upgrade("pay", &[("X-Class", "pay")]).replace("/read/", "/pay/");
     client.write(&pay);
-    assert_eq!(client.answer().expect("an answer").status(), 400);
+    assert_eq!(client.read_response().expect("an answer").status(), 400);
     assert!(
         board.opened.try_recv().is_err(),
         "no server heard of any of them"
@@ -590,11 +590,16 @@
         let (address, _came) = raw_server(words, b"");
         let discovery = Discovery::start();
         let tag = format!("ws-101-{number}");
-        let operated = node(&tag, "", &discovery, &[host("s-1", address, 1, "ready")]);
-        let mut client = operated.node.client();
+        let operated = node(
+            &tag,
+            "",
+            &discovery,
+            &[host_json("s-1", address, 1, "ready")],
+        );
+        let mut client = operated.node.connect();
         // Its deadline bounds how often it is tried again.
         client.write(&raw_upgrade("a", &[("X-Deadline", "1500m")]));
-        let answer = client.answer().expect("an answer");
+        let answer = client.read_response().expect("an answer");
         let refused_or = if status == 502 {
             [502, 503]
         } else {
@@ -696,12 +701,12 @@
     let (_board, _discovery, operated) = with_board("ws-draw", "");
     let statuses: Vec<u16> = (0..4)
         .map(|number| {
-            let mut client = operated.node.client();
+            let mut client = operated.node.connect();
             client.write(&raw_upgrade(
                 &format!("q{number}"),
                 &[("X-Tier", "tiny"), ("X-Deadline", "1000m")],
             ));
-            client.answer().expect("an answer").status()
+            client.read_response().expect("an answer").status()
         })
         .collect();
     assert_eq!(statuses[0], 101, "{statuses:?}");
@@ -776,7 +781,7 @@
         "ws-starve.toml",
         "[sockets]\nclass = \"read\"\nper_node = 500\n",
     );
-    let (status, said) = start_badly("ws-starve", 1024, |command| {
+    let (status, said) = start_expecting_failure("ws-starve", 1024, |command| {
         command.env("SAFFRONPADDLE_OPERATOR", &file.0);
     });
     assert!(
--- a/crates/saffronpaddle/tests/terms.rs
+++ b/crates/saffronpaddle/tests/terms.rs
@@ -20,7 +20,7 @@
 /// Neither is there a process that got requests and served none.
 fn kept(report: &Report) {
     ruled(report);
-    assert_eq!(report.verdict.unserving, 0, "{report}");
+    assert_eq!(report.verdict.processes_never_serving, 0, "{report}");
 }
 
 /// Nine in ten of the processes that were started again were ready in time.
@@ -35,7 +35,7 @@
 /// At most one node in ten turns away all that it gets for four seconds.
 fn open(report: &Report) {
     assert!(
-        report.verdict.shut as usize * 10 <= report.rows.len(),
+        report.verdict.nodes_rejecting_all as usize * 10 <= report.rows.len(),
         "{report}"
     );
 }
@@ -56,7 +56,7 @@
     let report = play("throng", text);
     ruled(&report);
     assert!(
-        report.verdict.cold_crowded > 0.0 && report.verdict.cold_crowded <= 1.0,
+        report.verdict.cold_crowding_max > 0.0 && report.verdict.cold_crowding_max <= 1.0,
         "{report}"
     );
     assert!(
@@ -86,7 +86,7 @@
     let report = play("small", text);
     ruled(&report);
     assert!(
-        report.verdict.cold_crowded > 0.0 && report.verdict.cold_crowded <= 1.0,
+        report.verdict.cold_crowding_max > 0.0 && report.verdict.cold_crowding_max <= 1.0,
         "{report}"
     );
     assert!(report.within("all", 3, 9).served > 60, "{report}");
@@ -107,9 +107,9 @@
                 [[step]]\ndo = \"pause\"\nat_ms = 5500\ncount = 2\nfor_ms = 700\n";
     let report = play("leaves", text);
     ruled(&report);
-    assert!(report.verdict.after_leave <= 2, "{report}");
+    assert!(report.verdict.attempts_after_disconnect <= 2, "{report}");
     assert!(
-        report.verdict.left_unsent >= 50,
+        report.verdict.disconnected_before_attempt >= 50,
         "requests waited: {report}"
     );
     assert!(report.verdict.served > 100, "{report}");
@@ -122,7 +122,10 @@
     let report = play("quiet", text);
     kept(&report);
     open(&report);
-    assert!(report.verdict.served * 2 > report.verdict.tries, "{report}");
+    assert!(
+        report.verdict.served * 2 > report.verdict.requests,
+        "{report}"
+    );
 }
 
 /// A tenth of the nodes at a time, while half of the servers are replaced and one hangs.
@@ -138,7 +141,10 @@
     kept(&report);
     open(&report);
     ready_again(&report, 20);
-    assert!(report.verdict.served * 2 > report.verdict.tries, "{report}");
+    assert!(
+        report.verdict.served * 2 > report.verdict.requests,
+        "{report}"
+    );
 }
 
 /// Seven in ten are killed in one moment, while the list service is away, and all come back in one moment.
@@ -152,7 +158,10 @@
     let report = play("herd", text);
     kept(&report);
     ready_again(&report, 17);
-    assert!(report.verdict.served * 2 > report.verdict.tries, "{report}");
+    assert!(
+        report.verdict.served * 2 > report.verdict.requests,
+        "{report}"
+    );
 }
 
 /// Processes that are killed within their first second, and reloads in the very moment in which drains are told. (The link that
@@ -175,10 +184,13 @@
     let stood = report.verdict.unanswered();
     assert_eq!(
         stood,
-        report.verdict.killed + report.verdict.not_taken,
+        report.verdict.killed + report.verdict.not_accepted,
         "only by kills: {report}"
     );
-    assert!(report.verdict.served * 2 > report.verdict.tries, "{report}");
+    assert!(
+        report.verdict.served * 2 > report.verdict.requests,
+        "{report}"
+    );
 }
 
 /// The descriptors are full of clients that say nothing when the list service comes back and tells a drain.
@@ -200,7 +212,7 @@
         after.tries
     );
     assert!(
-        report.counts.nobody * 20 < report.verdict.tries,
+        report.counts.no_ready_node * 20 < report.verdict.requests,
         "new clients come in beside the idle ones: {report}"
     );
 }
--- a/crates/saffronpaddle/tests/told.rs
+++ b/crates/saffronpaddle/tests/told.rs
@@ -115,11 +115,15 @@
 fn goes_to(client: &mut Client, servers: &Servers, tag: &str) -> String {
     let begun = Instant::now();
     for number in 0.. {
-        let answer = client.ask(&request(&format!("{tag}-{number}"), "read", "20000m"));
+        let answer = client.exchange(&request(&format!("{tag}-{number}"), "read", "20000m"));
         if answer.status() == 200 {
-            return servers.next().server;
+            return servers.next_request().server;
         }
-        assert!(begun.elapsed() < TEST_TIMEOUT, "{tag}: {}", answer.start);
+        assert!(
+            begun.elapsed() < TEST_TIMEOUT,
+            "{tag}: {}",
+            answer.start_line
+        );
         thread::sleep(Duration::from_millis(5));
     }
     unreachable!("it goes on until there is an answer")
@@ -132,8 +136,8 @@
     let servers = Servers::new();
     let dials = ["s-1", "s-2"].map(|name| servers.start(name, &[REPLY_OK]));
     let hosts = [
-        host("s-1", dials[0], 1, "ready"),
-        host("s-2", dials[1], 2, "ready"),
+        host_json("s-1", dials[0], 1, "ready"),
+        host_json("s-2", dials[1], 2, "ready"),
     ];
     let asks = |text: String| {
         let large = text.replace(r#""balancers":2"#, r#""balancers":300"#);
@@ -141,7 +145,7 @@
     };
     let nodes: Vec<Node> = (0..NODES)
         .map(|number| {
-            Node::altered(
+            Node::start_with_config(
                 &format!("{tag}-{number}"),
                 address,
                 &hosts,
@@ -152,17 +156,17 @@
         })
         .collect();
     for (number, node) in nodes.iter().enumerate() {
-        let mut client = node.client();
+        let mut client = node.connect();
         while goes_to(&mut client, &servers, &format!("{tag}-{number}-before")) != "s-1" {}
     }
     thread::sleep(AWAY);
     let held_up = HeldUp::watched();
-    let back = Mode::Lists(list(
+    let back = Mode::Lists(list_json(
         2,
         true,
         &[
-            host("s-1", dials[0], 1, "draining"),
-            host("s-2", dials[1], 2, "ready"),
+            host_json("s-1", dials[0], 1, "draining"),
+            host_json("s-2", dials[1], 2, "ready"),
         ],
     ));
     let begun = Instant::now();
@@ -192,7 +196,7 @@
         thread::sleep(Duration::from_millis(10));
     }
     for (number, node) in nodes.iter().enumerate() {
-        let mut client = node.client();
+        let mut client = node.connect();
         for row in 0..12 {
             let server = goes_to(
                 &mut client,
--- a/crates/saffronpaddle/tests/upgrade.rs
+++ b/crates/saffronpaddle/tests/upgrade.rs
@@ -85,13 +85,13 @@
         Rig {
             servers,
             discovery,
-            hosts: vec![host("s-1", dial, 1, "ready")],
+            hosts: vec![host_json("s-1", dial, 1, "ready")],
             platform: Platform::new(tag),
         }
     }
 
     fn first(&self, tag: &str, admin: SocketAddr) -> Node {
-        Node::launch(tag, self.discovery.address, &self.hosts, 1024, |command| {
+        Node::start_with_command(tag, self.discovery.address, &self.hosts, 1024, |command| {
             self.platform.gives(command, admin);
         })
     }
@@ -103,7 +103,7 @@
 
 fn until_ready(admin: SocketAddr) {
     let begun = Instant::now();
-    while !call(admin, "PING\n").starts_with("SUCCESS") {
+    while !admin_request(admin, "PING\n").starts_with("SUCCESS") {
         assert!(begun.elapsed() < TEST_TIMEOUT);
     }
 }
@@ -156,7 +156,10 @@
             let fresh = free_address();
             let next = rig.next(&node, fresh);
             until_ready(fresh);
-            assert!(call(admin, "PING\n").starts_with("SUCCESS"), "both serve");
+            assert!(
+                admin_request(admin, "PING\n").starts_with("SUCCESS"),
+                "both serve"
+            );
             node.terminate();
             assert!(node.wait().success());
             (node, admin) = (next, fresh);
@@ -168,8 +171,8 @@
             .sum();
         assert!(asked > 100, "{asked}");
     });
-    assert!(node.runs() && rig.discovery.address.port() > 0);
-    let _ = rig.servers.next();
+    assert!(node.is_running() && rig.discovery.address.port() > 0);
+    let _ = rig.servers.next_request();
 }
 
 /// The heir knows what the elder knew: the list, also where discovery is silent to it.
@@ -179,23 +182,23 @@
     let (first, second) = (free_address(), free_address());
     let elder = rig.first("knows", first);
     let dial = rig.servers.start("s-2", &[REPLY_OK]);
-    let (_, mut watch) = rig.discovery.watch();
+    let (_, mut watch) = rig.discovery.next_watch();
     write_list(
         &mut watch,
-        &list(2, false, &[host("s-2", dial, 1, "ready")]),
+        &list_json(2, false, &[host_json("s-2", dial, 1, "ready")]),
     );
     let begun = Instant::now();
-    while figure(&call(first, "INFO\n"), "lb_registry_entries") != 2 {
+    while metric_value(&admin_request(first, "INFO\n"), "lb_registry_entries") != 2 {
         assert!(begun.elapsed() < TEST_TIMEOUT);
     }
     let heir = rig.next(&elder, second);
     until_ready(second);
     // Its configuration has one; its counts begin with it.
-    let figures = call(second, "INFO\n");
+    let figures = admin_request(second, "INFO\n");
     assert_eq!(
         (
-            figure(&figures, "lb_registry_entries"),
-            figure(&figures, "lb_relayed")
+            metric_value(&figures, "lb_registry_entries"),
+            metric_value(&figures, "lb_relayed")
         ),
         (2, 0)
     );
@@ -223,7 +226,9 @@
     assert!(elder.wait().success());
     until_said(&next, "taken over from a process of this node");
     assert_eq!(
-        next.client().ask(&request("a", "read", "20000m")).status(),
+        next.connect()
+            .exchange(&request("a", "read", "20000m"))
+            .status(),
         200
     );
 }
@@ -240,9 +245,12 @@
     until_ready(third);
     drop(elder);
     drop(heir);
-    let mut client = last.client();
-    assert_eq!(client.ask(&request("a", "read", "20000m")).status(), 200);
-    assert!(call(third, "PING\n").starts_with("SUCCESS"));
+    let mut client = last.connect();
+    assert_eq!(
+        client.exchange(&request("a", "read", "20000m")).status(),
+        200
+    );
+    assert!(admin_request(third, "PING\n").starts_with("SUCCESS"));
 }
 
 /// What is no elder of use, stalls or talks rubbish, delays a start by no more than its bound and changes nothing; what is
@@ -280,7 +288,9 @@
         let node = rig.first("rubbish", admin);
         until_ready(admin);
         assert_eq!(
-            node.client().ask(&request("a", "read", "20000m")).status(),
+            node.connect()
+                .exchange(&request("a", "read", "20000m"))
+                .status(),
             200
         );
         stalls.join().expect("it was met");
--- a/crates/test-doubles/src/discovery.rs
+++ b/crates/test-doubles/src/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery: one list of app servers, and an agent for each edge node that writes it as a watch. What an agent has
 //! written counts as told, and the ledger notes when.
 
-use crate::wire::Wire;
+use crate::wire::HttpConnection;
 use crate::{lock, World};
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -26,7 +26,7 @@
     /// Bytes of lists that it writes a second; 0 for any number.
     pub bytes_per_s: f64,
     /// Whether it turns callers away with 503 and `Retry-After` once its line is long; else it takes them all.
-    pub turns_away: bool,
+    pub sheds_load: bool,
     /// Connections are reset.
     pub down: bool,
 }
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RestoreMode {
     /// With the list of its first version, whatever has changed since.
-    Older,
+    FirstVersion,
     /// With no entries, and its numbers begun anew.
     Empty,
     /// With its list, and its numbers begun anew.
@@ -46,17 +46,17 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CallStats {
     /// When each call came, since the run's beginning.
-    pub at: Vec<Duration>,
+    pub times: Vec<Duration>,
     /// When the first line was written to each node for the first time.
-    pub first: BTreeMap<usize, Duration>,
+    pub first_answers: BTreeMap<usize, Duration>,
     /// Bytes of lists that were written.
-    pub bytes: u64,
+    pub list_bytes: u64,
     /// Watches that are open, and the most that were.
-    pub open: usize,
+    pub open_watches: usize,
     /// See there.
-    pub open_most: usize,
+    pub max_open_watches: usize,
     /// Callers that were turned away.
-    pub turned_away: u64,
+    pub rejected: u64,
 }
 
 /// What the list says of a server.
@@ -164,21 +164,21 @@
     }
 
     /// Changes what the service bears.
-    pub fn bear(&self, change: impl FnOnce(&mut ServiceLimits)) {
+    pub fn set_limits(&self, change: impl FnOnce(&mut ServiceLimits)) {
         change(&mut lock(&self.bearing));
     }
 
     /// What was asked of it.
-    pub fn calls(&self) -> CallStats {
+    pub fn call_stats(&self) -> CallStats {
         lock(&self.calls).clone()
     }
 
     /// It has lost something, and is back without. All watches that are open are told.
-    pub fn back(&self, back: RestoreMode) {
+    pub fn restore(&self, back: RestoreMode) {
         let seq = {
             let (mut list, first) = (lock(&self.list), lock(&self.first).clone());
             match back {
-                RestoreMode::Older => *list = first.unwrap_or_default(),
+                RestoreMode::FirstVersion => *list = first.unwrap_or_default(),
                 RestoreMode::Empty => *list = List::default(),
                 RestoreMode::Renumbered => {
                     list.seq = 1;
@@ -195,7 +195,7 @@
         let ServiceLimits {
             calls_per_s,
             bytes_per_s,
-            turns_away,
+            sheds_load: turns_away,
             ..
         } = lock(&self.bearing).clone();
         let share = |of: f64, a_second: f64| if a_second > 0.0 { of / a_second } else { 0.0 };
@@ -240,12 +240,12 @@
     }
 
     /// The whole list in discovery's form, as a configuration's `known`.
-    pub fn known(&self) -> String {
-        self.known_to(usize::MAX)
+    pub fn full_list(&self) -> String {
+        self.full_list_for(usize::MAX)
     }
 
     /// The same as one node is told it.
-    pub fn known_to(&self, node: usize) -> String {
+    pub fn full_list_for(&self, node: usize) -> String {
         lock(&self.list).since(None, node, &lock(&self.dials)).0
     }
 
@@ -260,7 +260,7 @@
     }
 
     /// Each change is written so much later, by each agent.
-    pub fn set_lateness(&self, lateness: Duration) {
+    pub fn set_delay(&self, lateness: Duration) {
         *lock(&self.lateness) = lateness;
     }
 
@@ -268,7 +268,7 @@
     ///
     /// # Errors
     /// No port could be had.
-    pub async fn agent(self: &Arc<Self>, node: usize) -> std::io::Result<SocketAddr> {
+    pub async fn start_agent(self: &Arc<Self>, node: usize) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind(crate::ports::reserve_address()?).await?;
         let address = listener.local_addr()?;
         let discovery = Arc::clone(self);
@@ -285,14 +285,14 @@
     }
 
     async fn serve(&self, node: usize, stream: TcpStream) -> std::io::Result<()> {
-        let mut wire = Wire::new(stream);
+        let mut wire = HttpConnection::new(stream);
         if lock(&self.bearing).down {
             return wire.stream.set_zero_linger();
         }
-        let Some(request) = wire.message(&self.world).await? else {
+        let Some(request) = wire.read_message(&self.world).await? else {
             return Ok(());
         };
-        lock(&self.calls).at.push(self.world.now());
+        lock(&self.calls).times.push(self.world.now());
         let mut from = request
             .target()
             .split(['?', '&'])
@@ -311,10 +311,10 @@
             list.since(from, node, &lock(&self.dials)).0.len()
         };
         if let Err(line) = self.turn(bytes).await {
-            lock(&self.calls).turned_away += 1;
+            lock(&self.calls).rejected += 1;
             let after = format!("Retry-After: {}\r\n", line.as_secs().max(1));
             return wire
-                .write(&crate::wire::answer("503 Busy", &after, ""))
+                .write(&crate::wire::response("503 Busy", &after, ""))
                 .await;
         }
         let _open = Open::begin(&self.calls);
@@ -341,13 +341,13 @@
                 let now = self.world.now();
                 {
                     let mut calls = lock(&self.calls);
-                    calls.bytes += text.len() as u64;
-                    calls.first.entry(node).or_insert(now);
+                    calls.list_bytes += text.len() as u64;
+                    calls.first_answers.entry(node).or_insert(now);
                 }
-                let mut ledger = self.world.ledger();
-                entries
-                    .iter()
-                    .for_each(|entry| ledger.told(now, node, &entry.host, entry.health == "ready"));
+                let mut ledger = self.world.oracle();
+                entries.iter().for_each(|entry| {
+                    ledger.health_delivered(now, node, &entry.host, entry.health == "ready");
+                });
                 from = Some(version);
             }
             let changed = tokio::time::timeout(SIGN_OF_LIFE, seq.changed())
@@ -374,8 +374,8 @@
     fn begin(calls: &Mutex<CallStats>) -> Open<'_> {
         {
             let mut calls = lock(calls);
-            calls.open += 1;
-            calls.open_most = calls.open_most.max(calls.open);
+            calls.open_watches += 1;
+            calls.max_open_watches = calls.max_open_watches.max(calls.open_watches);
         }
         Open(calls)
     }
@@ -383,6 +383,6 @@
 
 impl Drop for Open<'_> {
     fn drop(&mut self) {
-        lock(self.0).open -= 1;
+        lock(self.0).open_watches -= 1;
     }
 }
--- a/crates/test-doubles/src/etcd.rs
+++ b/crates/test-doubles/src/etcd.rs
@@ -242,15 +242,15 @@
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
     /// It shows no revision beyond this one, and answers no linearizable range until it is lifted.
-    pub stuck_at: Option<i64>,
+    pub stuck_at_revision: Option<i64>,
     /// Nothing is read or written on its connections, which stay open.
     pub frozen: bool,
     /// New connections are refused, by closing them at once.
-    pub refuses: bool,
+    pub refuse_connections: bool,
     /// Most events of one response where the watcher asked for fragments; 0 for all in one.
     pub fragment_at: usize,
     /// Each fragment waits for so long.
-    pub between_fragments: Duration,
+    pub fragment_delay: Duration,
     /// After so many fragments in all the connection is cut, once.
     pub cut_after_fragments: Option<u64>,
     /// After so many bytes more on any connection, all are cut in the middle of whatever they write, once.
@@ -336,16 +336,16 @@
 
     /// Puts a key; the revision.
     pub fn put(&self, key: &str, value: &str) -> i64 {
-        self.put_all(&[(key, Some(value))])
+        self.apply(&[(key, Some(value))])
     }
 
     /// Deletes a key; the revision.
     pub fn delete(&self, key: &str) -> i64 {
-        self.put_all(&[(key, None)])
+        self.apply(&[(key, None)])
     }
 
     /// Puts and deletes several keys in one revision.
-    pub fn put_all(&self, changes: &[(&str, Option<&str>)]) -> i64 {
+    pub fn apply(&self, changes: &[(&str, Option<&str>)]) -> i64 {
         self.change(|store, revision| {
             for (key, value) in changes {
                 let key = key.as_bytes().to_vec();
@@ -412,7 +412,7 @@
     }
 
     /// Deletes all keys under a prefix in one revision.
-    pub fn wipe(&self, prefix: &str) {
+    pub fn delete_prefix(&self, prefix: &str) {
         let end = api::prefix_end(prefix.as_bytes());
         self.change(|store, revision| store.delete(revision, prefix.as_bytes(), &end));
     }
@@ -436,11 +436,11 @@
         for (key, value) in keys {
             self.put(key, value);
         }
-        self.members.iter().for_each(Member::cut);
+        self.members.iter().for_each(Member::cut_connections);
     }
 
     /// Calls must bear the token of this user from now on.
-    pub fn protect(&self, name: &str, password: &str) {
+    pub fn require_auth(&self, name: &str, password: &str) {
         lock(&self.store).user = Some((name.to_owned(), password.to_owned()));
     }
 
@@ -496,14 +496,14 @@
 
 impl Member {
     /// Changes what befalls it from now on.
-    pub fn set(&self, change: impl FnOnce(&mut Faults)) {
+    pub fn set_faults(&self, change: impl FnOnce(&mut Faults)) {
         change(&mut lock(&self.inside.faults));
         self.inside.stirred.send_modify(|count| *count += 1);
         self.inside.changed.send_modify(|_| {});
     }
 
     /// Cuts all its connections, in the middle of whatever they do.
-    pub fn cut(&self) {
+    pub fn cut_connections(&self) {
         self.inside.cuts.send_modify(|count| *count += 1);
     }
 
@@ -528,7 +528,7 @@
                 continue;
             };
             self.inside.connections.fetch_add(1, Ordering::Relaxed);
-            if lock(&self.inside.faults).refuses {
+            if lock(&self.inside.faults).refuse_connections {
                 continue;
             }
             let _ = stream.set_nodelay(true);
@@ -633,7 +633,7 @@
 
     /// The revision that this member shows.
     fn seen(&self) -> i64 {
-        let stuck = lock(&self.faults).stuck_at;
+        let stuck = lock(&self.faults).stuck_at_revision;
         let revision = self.store().revision;
         stuck.map_or(revision, |stuck| stuck.min(revision))
     }
@@ -674,7 +674,7 @@
         if !ask.serializable {
             // Linearizable: a member that lags answers when it has caught up.
             let mut stirred = self.stirred.subscribe();
-            while lock(&self.faults).stuck_at.is_some() {
+            while lock(&self.faults).stuck_at_revision.is_some() {
                 let _ = stirred.changed().await;
             }
         }
@@ -1015,7 +1015,7 @@
         }
         let (at, between) = {
             let faults = lock(&self.inside.faults);
-            (faults.fragment_at, faults.between_fragments)
+            (faults.fragment_at, faults.fragment_delay)
         };
         let at = if fragment && at > 0 { at } else { events.len() };
         let mut parts = events.chunks(at).peekable();
--- a/crates/test-doubles/src/lib.rs
+++ b/crates/test-doubles/src/lib.rs
@@ -32,7 +32,7 @@
 
 impl World {
     /// A run that begins now.
-    pub fn begin(bounds: Bounds) -> Arc<World> {
+    pub fn start(bounds: Bounds) -> Arc<World> {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
@@ -54,7 +54,7 @@
     }
 
     /// The ledger. A panic elsewhere does not spoil it: it holds plain entries.
-    pub fn ledger(&self) -> MutexGuard<'_, Oracle> {
+    pub fn oracle(&self) -> MutexGuard<'_, Oracle> {
         self.ledger.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/test-doubles/src/links.rs
+++ b/crates/test-doubles/src/links.rs
@@ -49,7 +49,7 @@
     /// Share that is lost; of a connection's bytes, that has to be sent again.
     pub loss: f64,
     /// Share of datagrams that come twice.
-    pub doubled: f64,
+    pub duplicated: f64,
     /// Shortest and longest way, drawn for each: what is sent later may overtake.
     pub delay: (Duration, Duration),
     /// Connections are taken and nothing moves on them, and nothing closes; datagrams are lost.
@@ -57,7 +57,7 @@
     /// Connections are reset; datagrams are lost.
     pub reset: bool,
     /// New connections never come up; those that there are go on, and datagrams are lost.
-    pub unheard: bool,
+    pub drops_connects: bool,
 }
 
 impl Fault {
@@ -65,21 +65,21 @@
         let either = |a: f64, b: f64| 1.0 - (1.0 - a) * (1.0 - b);
         Fault {
             loss: either(self.loss, other.loss),
-            doubled: either(self.doubled, other.doubled),
+            duplicated: either(self.duplicated, other.duplicated),
             delay: (self.delay.0 + other.delay.0, self.delay.1 + other.delay.1),
             stalled: self.stalled || other.stalled,
             reset: self.reset || other.reset,
-            unheard: self.unheard || other.unheard,
+            drops_connects: self.drops_connects || other.drops_connects,
         }
     }
 
     /// Whether a datagram is lost now.
-    pub fn loses(&self) -> bool {
-        self.stalled || self.reset || self.unheard || fastrand::f64() < self.loss
+    pub fn drops_datagram(&self) -> bool {
+        self.stalled || self.reset || self.drops_connects || fastrand::f64() < self.loss
     }
 
     /// How long the way is this time.
-    pub fn way(&self) -> Duration {
+    pub fn draw_delay(&self) -> Duration {
         let (shortest, longest) = self.delay;
         shortest + longest.saturating_sub(shortest).mul_f64(fastrand::f64())
     }
@@ -89,26 +89,26 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum LinkSet {
     /// From any of these to any of those.
-    Between(BTreeSet<End>, BTreeSet<End>),
+    OneWay(BTreeSet<End>, BTreeSet<End>),
     /// Between these and those, both ways.
-    Both(BTreeSet<End>, BTreeSet<End>),
+    BothWays(BTreeSet<End>, BTreeSet<End>),
     /// Between any two of these sides' ends that no side has both of: sides may overlap, so that one end hears two that
     /// do not hear each other.
-    Apart(Vec<BTreeSet<End>>),
+    Partition(Vec<BTreeSet<End>>),
 }
 
 impl LinkSet {
     /// Whether the link from one end to the other is meant.
-    pub fn has(&self, from: End, to: End) -> bool {
+    pub fn contains(&self, from: End, to: End) -> bool {
         match self {
-            LinkSet::Between(these, those) => {
+            LinkSet::OneWay(these, those) => {
                 from != to && these.contains(&from) && those.contains(&to)
             }
-            LinkSet::Both(these, those) => {
+            LinkSet::BothWays(these, those) => {
                 let leads = |from, to| these.contains(from) && those.contains(to);
                 from != to && (leads(&from, &to) || leads(&to, &from))
             }
-            LinkSet::Apart(sides) => {
+            LinkSet::Partition(sides) => {
                 let some = |end| sides.iter().any(|side| side.contains(&end));
                 some(from)
                     && some(to)
@@ -126,19 +126,19 @@
     pub fn without(&self, healed: &BTreeSet<End>) -> LinkSet {
         let rest = |ends: &BTreeSet<End>| ends.difference(healed).copied().collect();
         match self {
-            LinkSet::Between(these, those) => LinkSet::Between(rest(these), rest(those)),
-            LinkSet::Both(these, those) => LinkSet::Both(rest(these), rest(those)),
-            LinkSet::Apart(sides) => LinkSet::Apart(sides.iter().map(rest).collect()),
+            LinkSet::OneWay(these, those) => LinkSet::OneWay(rest(these), rest(those)),
+            LinkSet::BothWays(these, those) => LinkSet::BothWays(rest(these), rest(those)),
+            LinkSet::Partition(sides) => LinkSet::Partition(sides.iter().map(rest).collect()),
         }
     }
 
     /// All ends that it names.
     pub fn ends(&self) -> BTreeSet<End> {
         match self {
-            LinkSet::Between(these, those) | LinkSet::Both(these, those) => {
+            LinkSet::OneWay(these, those) | LinkSet::BothWays(these, those) => {
                 these.union(those).copied().collect()
             }
-            LinkSet::Apart(sides) => sides.iter().flatten().copied().collect(),
+            LinkSet::Partition(sides) => sides.iter().flatten().copied().collect(),
         }
     }
 }
@@ -164,7 +164,7 @@
 
 impl Links {
     /// Lays a fault on links, until it is lifted by its number.
-    pub fn lay(&self, which: LinkSet, fault: Fault) -> u64 {
+    pub fn add_fault(&self, which: LinkSet, fault: Fault) -> u64 {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         lock(&self.rules).insert(number, (which, fault));
         self.changed.send_modify(|count| *count += 1);
@@ -172,15 +172,15 @@
     }
 
     /// Lifts a fault.
-    pub fn lift(&self, number: u64) {
+    pub fn remove_fault(&self, number: u64) {
         lock(&self.rules).remove(&number);
         self.changed.send_modify(|count| *count += 1);
     }
 
     /// What befalls what goes from one end to the other now.
-    pub fn on(&self, from: End, to: End) -> Fault {
+    pub fn fault_between(&self, from: End, to: End) -> Fault {
         let rules = lock(&self.rules);
-        let meant = rules.values().filter(|(which, _)| which.has(from, to));
+        let meant = rules.values().filter(|(which, _)| which.contains(from, to));
         meant.fold(Fault::default(), |all, (_, fault)| all.and(*fault))
     }
 }
@@ -223,7 +223,11 @@
             let mut changed = relay.links.changed.subscribe();
             loop {
                 changed.borrow_and_update();
-                if relay.links.on(relay.near, relay.far).unheard {
+                if relay
+                    .links
+                    .fault_between(relay.near, relay.far)
+                    .drops_connects
+                {
                     relay.hears_nobody(&listener, listen).await;
                     continue;
                 }
@@ -252,7 +256,7 @@
             let Ok(Ok(stream)) = comes_up else { break };
             own.push(stream);
         }
-        self.until(self.near, self.far, |fault| !fault.unheard)
+        self.until(self.near, self.far, |fault| !fault.drops_connects)
             .await;
         let _ = queue(BACKLOG);
         let own: BTreeSet<SocketAddr> = own
@@ -305,7 +309,7 @@
         let mut changed = self.links.changed.subscribe();
         loop {
             changed.borrow_and_update();
-            let fault = self.links.on(from, to);
+            let fault = self.links.fault_between(from, to);
             if such(&fault) {
                 return fault;
             }
@@ -349,7 +353,7 @@
             } else {
                 Duration::ZERO
             };
-            let way = fault.way() + again;
+            let way = fault.draw_delay() + again;
             if !way.is_zero() {
                 tokio::time::sleep(way).await;
             }
--- a/crates/test-doubles/src/links/tests.rs
+++ b/crates/test-doubles/src/links/tests.rs
@@ -11,13 +11,20 @@
         loss: 1.0,
         ..Fault::default()
     };
-    let number = links.lay(LinkSet::Apart(vec![nodes(&[0, 1]), nodes(&[1, 2])]), cut);
-    let lost = |from, to| links.on(End::Node(from), End::Node(to)).loses();
+    let number = links.add_fault(
+        LinkSet::Partition(vec![nodes(&[0, 1]), nodes(&[1, 2])]),
+        cut,
+    );
+    let lost = |from, to| {
+        links
+            .fault_between(End::Node(from), End::Node(to))
+            .drops_datagram()
+    };
     assert!(lost(0, 2) && lost(2, 0));
     assert!(!lost(0, 1) && !lost(1, 0) && !lost(1, 2) && !lost(2, 1));
     // One that is on no side is not meant.
     assert!(!lost(0, 3) && !lost(3, 2));
-    links.lift(number);
+    links.remove_fault(number);
     assert!(!lost(0, 2));
 }
 
@@ -28,9 +35,9 @@
         loss: 0.5,
         ..Fault::default()
     };
-    links.lay(LinkSet::Between(nodes(&[0]), nodes(&[1, 2])), half);
-    links.lay(LinkSet::Between(nodes(&[0]), nodes(&[2])), half);
-    let loss = |from, to| links.on(End::Node(from), End::Node(to)).loss;
+    links.add_fault(LinkSet::OneWay(nodes(&[0]), nodes(&[1, 2])), half);
+    links.add_fault(LinkSet::OneWay(nodes(&[0]), nodes(&[2])), half);
+    let loss = |from, to| links.fault_between(End::Node(from), End::Node(to)).loss;
     assert_eq!((loss(0, 1), loss(0, 2), loss(1, 0)), (0.5, 0.75, 0.0));
 }
 
@@ -62,10 +69,10 @@
     before.write_all(b"a").await.expect("written");
     before.read_exact(&mut byte).await.expect("echoed");
     let (near, far) = (nodes(&[0]), BTreeSet::from([End::Server(0)]));
-    let number = links.lay(
-        LinkSet::Between(near, far),
+    let number = links.add_fault(
+        LinkSet::OneWay(near, far),
         Fault {
-            unheard: true,
+            drops_connects: true,
             ..Fault::default()
         },
     );
@@ -84,7 +91,7 @@
         .read_exact(&mut byte)
         .await
         .expect("what is up goes on");
-    links.lift(number);
+    links.remove_fault(number);
     let mut after = TcpStream::connect(listen).await.expect("it comes up again");
     after.write_all(b"c").await.expect("written");
     after.read_exact(&mut byte).await.expect("echoed");
@@ -109,16 +116,16 @@
         ..Fault::default()
     };
     // One way only: it gets there, and the answer does not come back.
-    let number = links.lay(LinkSet::Between(back.clone(), there.clone()), stalled);
+    let number = links.add_fault(LinkSet::OneWay(back.clone(), there.clone()), stalled);
     stream.write_all(b"b").await.expect("written");
     let silent =
         tokio::time::timeout(Duration::from_millis(100), stream.read_exact(&mut byte)).await;
     assert!(silent.is_err(), "nothing moves");
-    links.lift(number);
+    links.remove_fault(number);
     stream.read_exact(&mut byte).await.expect("it goes on");
     assert_eq!(byte, *b"b");
-    links.lay(
-        LinkSet::Between(there, back),
+    links.add_fault(
+        LinkSet::OneWay(there, back),
         Fault {
             reset: true,
             ..Fault::default()
--- a/crates/test-doubles/src/load.rs
+++ b/crates/test-doubles/src/load.rs
@@ -4,9 +4,9 @@
 //! again a little later what was refused, failed or lost with its node, as a new request under the same key.
 
 use crate::oracle::{Answer, RepeatSafety, SentRequest, Unanswered};
-use crate::servers::made_for;
+use crate::servers::response_body;
 use crate::settings::{Class, Fleet};
-use crate::wire::Wire;
+use crate::wire::HttpConnection;
 use crate::{lock, World};
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -48,9 +48,9 @@
     /// Place of its plan.
     pub plan: usize,
     /// First node of its set.
-    pub first: usize,
+    pub first_node: usize,
     /// Nodes in its set.
-    pub spread: usize,
+    pub node_count: usize,
     /// Tries a second that it sends.
     pub rate: f64,
 }
@@ -58,7 +58,7 @@
 impl Customer {
     /// The nodes of its set in the order in which a try of this moment is dealt out: most often the busiest first.
     pub fn nodes(&self, all: usize, now: Duration) -> impl Iterator<Item = usize> {
-        let (spread, first) = (self.spread.clamp(1, all), self.first);
+        let (spread, first) = (self.node_count.clamp(1, all), self.first_node);
         let turn = now.as_secs() / SHIFT.as_secs().max(1) + self.id;
         let busiest = (turn.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 33) as usize % spread;
         let place = if fastrand::f64() < BUSIEST {
@@ -70,24 +70,24 @@
     }
 
     /// How long until its next try: arrivals of many independent clients, so the gaps are exponential.
-    pub fn gap(&self, draw: f64) -> Duration {
+    pub fn arrival_gap(&self, draw: f64) -> Duration {
         Duration::from_secs_f64(-(1.0 - draw).ln() / self.rate)
     }
 }
 
 /// A client's request, over all of its tries.
 #[derive(Clone, Copy, Debug)]
-pub struct RetryPolicy {
+pub struct RetryState {
     begun: Duration,
     keyed: bool,
     complies: bool,
     retries: u32,
 }
 
-impl RetryPolicy {
+impl RetryState {
     /// One that begins now.
-    pub fn begin(now: Duration, keyed: bool) -> RetryPolicy {
-        RetryPolicy {
+    pub fn new(now: Duration, keyed: bool) -> RetryState {
+        RetryState {
             begun: now,
             keyed,
             complies: fastrand::f64() < COMPLY.0,
@@ -96,7 +96,7 @@
     }
 
     /// How long until it tries again, where a try was not served and `after` was advised; `None` once it gives up.
-    pub fn again(&mut self, now: Duration, after: Option<Duration>) -> Option<Duration> {
+    pub fn next_delay(&mut self, now: Duration, after: Option<Duration>) -> Option<Duration> {
         if self.retries >= RETRIES {
             return None;
         }
@@ -129,7 +129,7 @@
     address: SocketAddr,
     /// Whether the front deals it clients.
     open: AtomicBool,
-    idle: Mutex<Vec<Wire>>,
+    idle: Mutex<Vec<HttpConnection>>,
     /// Times that it was killed, or that its process was back.
     kills: AtomicU64,
     /// Times that it was made to stand still, or went on.
@@ -142,12 +142,12 @@
     /// Share of all tries.
     pub share: f64,
     /// Shortest and longest time that they wait.
-    pub after: (Duration, Duration),
+    pub delay: (Duration, Duration),
 }
 
 impl Cancellations {
     fn draw(&self) -> Option<Duration> {
-        let (least, most) = self.after;
+        let (least, most) = self.delay;
         (fastrand::f64() < self.share)
             .then(|| least + most.saturating_sub(least).mul_f64(fastrand::f64()))
     }
@@ -184,7 +184,7 @@
     /// Retries by clients.
     pub retries: u64,
     /// Tries for which no node of the set was open.
-    pub nobody: u64,
+    pub no_ready_node: u64,
     /// Median and 99th percentile of the time to a served answer, in ms.
     pub p50_ms: f64,
     /// See there.
@@ -240,17 +240,17 @@
 
     /// Notes that a node is killed in this moment, or that its process runs again: what it held or what waits for it
     /// meanwhile is lost with it.
-    pub fn killed_or_back(&self, node: usize) {
+    pub fn node_killed_or_restarted(&self, node: usize) {
         self.doors[node].kills.fetch_add(1, Ordering::SeqCst);
     }
 
     /// Notes that a node stands still from now on, or goes on.
-    pub fn paused(&self, node: usize) {
+    pub fn node_paused_or_resumed(&self, node: usize) {
         self.doors[node].pauses.fetch_add(1, Ordering::SeqCst);
     }
 
     /// Nodes that the front takes for ready.
-    pub fn open(&self) -> usize {
+    pub fn ready_nodes(&self) -> usize {
         self.doors
             .iter()
             .filter(|door| door.open.load(Ordering::Relaxed))
@@ -258,7 +258,7 @@
     }
 
     /// Looks at all nodes' readiness for ever.
-    pub fn watch(self: &Arc<Self>) {
+    pub fn watch_readiness(self: &Arc<Self>) {
         for node in 0..self.doors.len() {
             let front = Arc::clone(self);
             tokio::spawn(async move {
@@ -275,18 +275,19 @@
     }
 
     async fn look(&self, node: usize) -> Option<u16> {
-        let mut wire = Wire::new(TcpStream::connect(self.doors[node].address).await.ok()?);
+        let mut wire =
+            HttpConnection::new(TcpStream::connect(self.doors[node].address).await.ok()?);
         wire.write(b"GET /-/ready HTTP/1.1\r\nHost: fleet\r\nConnection: close\r\n\r\n")
             .await
             .ok()?;
-        wire.message(&self.world)
+        wire.read_message(&self.world)
             .await
             .ok()?
             .map(|message| message.status())
     }
 
     /// Offers a customer's tries for a span, each in its own time; comes back when the last has ended.
-    pub async fn offer(self: Arc<Self>, customer: Customer, span: Duration) {
+    pub async fn run_customer(self: Arc<Self>, customer: Customer, span: Duration) {
         let mut random =
             fastrand::Rng::with_seed(self.seed ^ customer.id.wrapping_mul(0x9e37_79b9));
         let mut clients = tokio::task::JoinSet::new();
@@ -296,33 +297,34 @@
             return;
         }
         loop {
-            at += customer.gap(random.f64());
+            at += customer.arrival_gap(random.f64());
             if at >= end {
                 break;
             }
             tokio::time::sleep(at.saturating_sub(self.world.now())).await;
             let class = class_of(&self.fleet, random.f64());
             let (front, customer) = (Arc::clone(&self), customer.clone());
-            clients.spawn(async move { front.client(customer, class).await });
+            clients.spawn(async move { front.run_client(customer, class).await });
             while clients.try_join_next().is_some() {}
         }
         while clients.join_next().await.is_some() {}
     }
 
     /// One client's request, with its retries; comes back when the last try has ended.
-    pub async fn client(&self, customer: Customer, class: usize) {
+    pub async fn run_client(&self, customer: Customer, class: usize) {
         let key = self.fleet.classes[class].keyed.then(new_key);
-        let mut patience = RetryPolicy::begin(self.world.now(), key.is_some());
+        let mut patience = RetryState::new(self.world.now(), key.is_some());
         loop {
             let request = self.request(customer.clone(), class, key.clone());
             let after = match self.send(&request).await {
-                Some(End::Answered(Answer::Served, _) | End::Unanswered(Unanswered::Left)) => {
-                    return
-                }
+                Some(
+                    End::Answered(Answer::Served, _)
+                    | End::Unanswered(Unanswered::ClientDisconnected),
+                ) => return,
                 Some(End::Answered(_, after)) => after,
                 Some(End::Unanswered(_)) | None => None,
             };
-            let Some(pause) = patience.again(self.world.now(), after) else {
+            let Some(pause) = patience.next_delay(self.world.now(), after) else {
                 return;
             };
             tokio::time::sleep(pause).await;
@@ -353,7 +355,7 @@
             };
             let end = self.exchange(request, node, wire, fresh).await;
             // Its connection closed unread: the client sends it once more on a new one.
-            if matches!(end, End::Unanswered(Unanswered::NotTaken)) && !fresh {
+            if matches!(end, End::Unanswered(Unanswered::NotAccepted)) && !fresh {
                 self.figures.resent.fetch_add(1, Ordering::Relaxed);
                 lock(&self.doors[node].idle).clear();
                 continue;
@@ -364,7 +366,7 @@
     }
 
     /// Opens connections to a node now, each of which first asks at a moment within this span.
-    pub async fn ask_late(
+    pub async fn open_delayed_clients(
         self: &Arc<Self>,
         node: usize,
         customers: &[Customer],
@@ -389,7 +391,13 @@
     }
 
     /// Asks once on a connection, after a while.
-    async fn ask_once(&self, node: usize, wire: Wire, customer: Customer, after: Duration) {
+    async fn ask_once(
+        &self,
+        node: usize,
+        wire: HttpConnection,
+        customer: Customer,
+        after: Duration,
+    ) {
         tokio::time::sleep(after).await;
         let class = class_of(&self.fleet, fastrand::f64());
         let request = self.request(customer, class, None);
@@ -414,14 +422,16 @@
     fn note(&self, id: &str, end: &End) {
         let world = &self.world;
         match end {
-            End::Answered(answer, _) => world.ledger().answered(world.now(), id, *answer),
-            End::Unanswered(Unanswered::Left) => world.ledger().left(world.now(), id),
-            End::Unanswered(why) => world.ledger().unanswered(id, *why),
+            End::Answered(answer, _) => world.oracle().response_received(world.now(), id, *answer),
+            End::Unanswered(Unanswered::ClientDisconnected) => {
+                world.oracle().client_disconnected(world.now(), id);
+            }
+            End::Unanswered(why) => world.oracle().request_unanswered(id, *why),
         }
     }
 
     /// Fills a node's descriptors with connections that never send a word, and opens new ones where it closes some.
-    pub async fn crowd(&self, node: usize, lasts: Duration) {
+    pub async fn hold_idle_connections(&self, node: usize, lasts: Duration) {
         let end = self.world.now() + lasts;
         let mut held: Vec<TcpStream> = Vec::new();
         while self.world.now() < end {
@@ -439,10 +449,10 @@
         }
     }
 
-    async fn connect(&self, node: usize) -> Option<Wire> {
+    async fn connect(&self, node: usize) -> Option<HttpConnection> {
         let connect = TcpStream::connect(self.doors[node].address);
         if let Ok(Ok(stream)) = tokio::time::timeout(CONNECT, connect).await {
-            Some(Wire::new(stream))
+            Some(HttpConnection::new(stream))
         } else {
             self.figures
                 .refused_connections
@@ -457,7 +467,13 @@
         nodes.find(|node| !shut.contains(node) && self.doors[*node].open.load(Ordering::Relaxed))
     }
 
-    async fn exchange(&self, request: &Request, node: usize, mut wire: Wire, fresh: bool) -> End {
+    async fn exchange(
+        &self,
+        request: &Request,
+        node: usize,
+        mut wire: HttpConnection,
+        fresh: bool,
+    ) -> End {
         let (world, door) = (&self.world, &self.doors[node]);
         let class = &self.fleet.classes[request.class];
         let kills = door.kills.load(Ordering::SeqCst);
@@ -470,21 +486,21 @@
         let asked = SentRequest {
             id: request.id.clone(),
             key: request.key.clone(),
-            repeats,
+            repeat_safety: repeats,
             node,
             customer: request.customer.id,
             units: 1.0,
-            patience: class.deadline,
+            timeout: class.deadline,
         };
         // Noted before the last byte is written, or the node may be quicker than the ledger.
-        world.ledger().asked(world.now(), asked);
+        world.oracle().request_sent(world.now(), asked);
         let sent = world.now();
         let patience = class.deadline + self.fleet.bounds.answer_slack * 2;
         let leaves = self.leaves.draw().filter(|after| *after < patience);
         let begun = match wire.write(self.head(request, class).as_bytes()).await {
             // It may have answered and closed before it had read all.
             Ok(()) | Err(_) => tokio::time::timeout(leaves.unwrap_or(patience), async {
-                wire.message(world).await
+                wire.read_message(world).await
             }),
         };
         let excuse = || match (
@@ -503,12 +519,12 @@
                     429 | 503 => Answer::Refused,
                     _ => Answer::Failed,
                 };
-                if wire.has_more() {
-                    world.ledger().more(&request.id);
+                if wire.has_unread_bytes() {
+                    world.oracle().extra_bytes_received(&request.id);
                 }
                 if answer == Answer::Served {
-                    if message.body != made_for(&request.id).as_bytes() {
-                        world.ledger().foreign(&request.id);
+                    if message.body != response_body(&request.id).as_bytes() {
+                        world.oracle().wrong_response_received(&request.id);
                     }
                     let took = world
                         .now()
@@ -537,16 +553,16 @@
                 End::Answered(answer, after.map(Duration::from_secs_f64))
             }
             // The connection closes here.
-            Err(_) if leaves.is_some() => End::Unanswered(Unanswered::Left),
+            Err(_) if leaves.is_some() => End::Unanswered(Unanswered::ClientDisconnected),
             ended => {
                 let closed = matches!(ended, Ok(Ok(None) | Err(_)));
                 // A close that crosses a request comes at once; one that comes later has dropped it.
                 let crossed = world.now() < sent + CROSSES_WITHIN;
-                let unread = crossed && world.ledger().attempts(&request.id) == 0;
+                let unread = crossed && world.oracle().attempt_count(&request.id) == 0;
                 match excuse() {
                     Some(why) => End::Unanswered(why),
                     // Closed between two requests: that crossed this one, and no attempt was made of it.
-                    None if closed && !fresh && unread => End::Unanswered(Unanswered::NotTaken),
+                    None if closed && !fresh && unread => End::Unanswered(Unanswered::NotAccepted),
                     None => End::Unanswered(Unanswered::Lost),
                 }
             }
@@ -557,8 +573,8 @@
         let Customer {
             id,
             plan,
-            first,
-            spread,
+            first_node: first,
+            node_count: spread,
             ..
         } = &request.customer;
         let plan = self.fleet.plans[*plan].name;
@@ -591,7 +607,7 @@
             refused_connections: self.figures.refused_connections.load(Ordering::Relaxed),
             resent: self.figures.resent.load(Ordering::Relaxed),
             retries: self.figures.retries.load(Ordering::Relaxed),
-            nobody: self.figures.nobody.load(Ordering::Relaxed),
+            no_ready_node: self.figures.nobody.load(Ordering::Relaxed),
             p50_ms: at(0.5),
             p99_ms: at(0.99),
         }
--- a/crates/test-doubles/src/oracle.rs
+++ b/crates/test-doubles/src/oracle.rs
@@ -12,27 +12,27 @@
     /// After a node was told that a server drains or is gone, new work may reach it for so long.
     pub drain_grace: Duration,
     /// What is added to each time limit for the way from one process to another.
-    pub slack: Duration,
+    pub transit_slack: Duration,
     /// An answer that comes later than so long after its client's time is late.
     pub answer_slack: Duration,
     /// How long a group of servers drops repeats of a key.
-    pub key_window: Duration,
+    pub idempotency_window: Duration,
     /// Share of its capacity at which a server starts.
-    pub cold_from: f64,
+    pub cold_start_share: f64,
     /// After so long it has all of it.
-    pub cold_for: Duration,
+    pub slow_start_duration: Duration,
     /// More work than this multiple of what it can do ...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ... within this span makes it fall.
-    pub fall_window: Duration,
+    pub overload_window: Duration,
     /// Seconds of work of a mean request.
     pub mean_work: f64,
     /// After a client has closed its connection an attempt of its request may begin for so long.
-    pub leave_grace: Duration,
+    pub disconnect_grace: Duration,
     /// Slack of a ceiling: a share of its depth, or so many units, whichever is more.
     pub ceiling_slack: (f64, f64),
     /// The slack is wider by what the ceiling's rate gives in this span.
-    pub ceiling_late: Duration,
+    pub ceiling_delay: Duration,
 }
 
 impl Default for Bounds {
@@ -40,17 +40,17 @@
     fn default() -> Bounds {
         Bounds {
             drain_grace: Duration::from_millis(250),
-            slack: Duration::from_millis(50),
+            transit_slack: Duration::from_millis(50),
             answer_slack: Duration::from_millis(50),
-            key_window: Duration::from_secs(2),
-            cold_from: 0.21,
-            cold_for: Duration::from_secs(17),
-            fall_multiple: 3.0,
-            fall_window: Duration::from_secs(1),
+            idempotency_window: Duration::from_secs(2),
+            cold_start_share: 0.21,
+            slow_start_duration: Duration::from_secs(17),
+            overload_multiple: 3.0,
+            overload_window: Duration::from_secs(1),
             mean_work: 0.1,
-            leave_grace: Duration::from_millis(100),
+            disconnect_grace: Duration::from_millis(100),
             ceiling_slack: (0.1, 1.0),
-            ceiling_late: Duration::from_millis(150),
+            ceiling_delay: Duration::from_millis(150),
         }
     }
 }
@@ -74,7 +74,7 @@
     /// `Idempotency-Key`.
     pub key: Option<String>,
     /// What a repeat does.
-    pub repeats: RepeatSafety,
+    pub repeat_safety: RepeatSafety,
     /// The edge node that it was sent to.
     pub node: usize,
     /// The customer.
@@ -82,7 +82,7 @@
     /// Units that it takes.
     pub units: f64,
     /// How long the client waits.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 /// A final answer, as a client reads it.
@@ -104,9 +104,9 @@
     /// Its node stood still, by order, while it waited.
     Paused,
     /// It was never taken: the connection was refused or closed before it was read.
-    NotTaken,
+    NotAccepted,
     /// The client went away by itself.
-    Left,
+    ClientDisconnected,
     /// None of these: it is lost.
     Lost,
 }
@@ -172,17 +172,17 @@
     /// The edge node that it was sent to.
     pub node: usize,
     /// When its last byte was written.
-    pub at: Duration,
+    pub sent_at: Duration,
     /// Its final answer, if it got one.
     pub answer: Option<Answer>,
     /// When its first attempt had come whole, and its units beyond the quota.
-    pub sent: Option<(Duration, f64)>,
+    pub first_attempt: Option<(Duration, f64)>,
     /// Units that it takes.
     pub units: f64,
     /// Seconds of work of its last attempt on a warm server.
     pub work: f64,
     /// Refused while half or more of its customer's quota and ceiling, and what it takes, was unused.
-    pub with_room: bool,
+    pub refused_within_limits: bool,
 }
 
 #[derive(Debug)]
@@ -313,7 +313,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Verdict {
     /// Tries that were sent, each counted once.
-    pub tries: u64,
+    pub requests: u64,
     /// By final answer.
     pub served: u64,
     /// Refused: trying again is harmless.
@@ -325,17 +325,17 @@
     /// Unanswered as their node stood still by order.
     pub paused: u64,
     /// Unanswered as they were never taken.
-    pub not_taken: u64,
+    pub not_accepted: u64,
     /// Unanswered as the client left.
-    pub left: u64,
+    pub disconnected: u64,
     /// Unanswered for no such reason.
     pub lost: u64,
     /// Attempts that reached a server whole.
     pub attempts: u64,
     /// Attempts whose first byte came after a node was told of a drain, and how late at the most, in ms.
-    pub after_drain: u64,
+    pub attempts_after_drain: u64,
     /// The latest of them.
-    pub after_drain_most_ms: f64,
+    pub attempts_after_drain_max_ms: f64,
     /// Drains that nodes were told, each counted once a node, and the median over them of how late the latest new work
     /// came, in ms; nought where none came.
     pub drains: u64,
@@ -345,26 +345,26 @@
     /// what had failed may cause these; they break no rule).
     pub effects: u64,
     /// Keys with several effects.
-    pub keys_repeated: u64,
+    pub duplicated_keys: u64,
     /// Worst load of a cold server: work sent within the window, as a share of what makes it fall.
-    pub cold_worst: f64,
+    pub cold_load_max: f64,
     /// Most requests of mean work that a cold server got from all nodes within the window, as a share of N + 2 sqrt(N) + 2,
     /// N being how many make it fall on the mean.
-    pub cold_crowded: f64,
+    pub cold_crowding_max: f64,
     /// Requests whose clients left while they waited for their first attempt.
-    pub left_unsent: u64,
+    pub disconnected_before_attempt: u64,
     /// Attempts that began too long after their clients had left.
-    pub after_leave: u64,
+    pub attempts_after_disconnect: u64,
     /// Nodes that turned away all that they got for 4 s on end, 15 requests or more, with no attempt in between.
-    pub shut: u64,
+    pub nodes_rejecting_all: u64,
     /// Processes that got five requests or more and served none.
-    pub unserving: u64,
+    pub processes_never_serving: u64,
     /// Units sent beyond quotas, as a share of all units sent.
-    pub beyond_quota: f64,
+    pub share_beyond_quota: f64,
     /// Farthest that a ceiling was passed, in units over its slack-free bound.
-    pub ceiling_over_most: f64,
+    pub ceiling_excess_max: f64,
     /// Attempts that no client asked for.
-    pub unasked: u64,
+    pub unsolicited_attempts: u64,
     /// What broke, sorted.
     pub breaches: Vec<Breach>,
 }
@@ -372,7 +372,7 @@
 impl Verdict {
     /// Requests that got no answer though their clients waited, whatever befell their nodes.
     pub fn unanswered(&self) -> u64 {
-        self.killed + self.paused + self.not_taken + self.lost
+        self.killed + self.paused + self.not_accepted + self.lost
     }
 }
 
@@ -401,7 +401,7 @@
     }
 
     /// A customer's quota, and its hard ceiling if there is one: units a second, and units at once.
-    pub fn limit(&mut self, customer: u64, quota: (f64, f64), ceiling: Option<(f64, f64)>) {
+    pub fn set_limits(&mut self, customer: u64, quota: (f64, f64), ceiling: Option<(f64, f64)>) {
         self.quotas.insert(customer, Limit::new(quota.0, quota.1));
         if let Some((rate, depth)) = ceiling {
             self.ceilings.insert(customer, Limit::new(rate, depth));
@@ -409,7 +409,7 @@
     }
 
     /// A try's last byte is written. The same try, sent once more as its connection had closed unread, counts once.
-    pub fn asked(&mut self, now: Duration, asked: SentRequest) {
+    pub fn request_sent(&mut self, now: Duration, asked: SentRequest) {
         let id = asked.id.clone();
         let entry = Try {
             asked,
@@ -431,7 +431,7 @@
     }
 
     /// A try's final answer has come whole.
-    pub fn answered(&mut self, now: Duration, id: &str, answer: Answer) {
+    pub fn response_received(&mut self, now: Duration, id: &str, answer: Answer) {
         let bounds = &self.bounds;
         let Some(entry) = self.tries.get_mut(id) else {
             return self
@@ -460,11 +460,11 @@
             let since = *stint.since.get_or_insert(now);
             stint.shut |= stint.turned >= SHUT.0 && now.saturating_sub(since) >= SHUT.1;
         }
-        if now > entry.at + entry.asked.patience + bounds.answer_slack {
+        if now > entry.at + entry.asked.timeout + bounds.answer_slack {
             let late = now
                 .checked_sub(entry.at)
                 .unwrap()
-                .checked_sub(entry.asked.patience)
+                .checked_sub(entry.asked.timeout)
                 .unwrap()
                 .as_millis();
             self.double
@@ -473,19 +473,19 @@
     }
 
     /// Bytes came behind an answer.
-    pub fn more(&mut self, id: &str) {
+    pub fn extra_bytes_received(&mut self, id: &str) {
         self.double.push(Breach::AnsweredTwice(format!(
             "{id}: bytes behind the answer"
         )));
     }
 
     /// A served answer was not what a server made for this try.
-    pub fn foreign(&mut self, id: &str) {
+    pub fn wrong_response_received(&mut self, id: &str) {
         self.double.push(Breach::ForeignAnswer(id.to_owned()));
     }
 
     /// A try will get no answer.
-    pub fn unanswered(&mut self, id: &str, why: Unanswered) {
+    pub fn request_unanswered(&mut self, id: &str, why: Unanswered) {
         if let Some(entry) = self.tries.get_mut(id) {
             self.open -= usize::from(!entry.is_over());
             entry.unanswered.get_or_insert(why);
@@ -495,15 +495,15 @@
     }
 
     /// A client has closed its connection while its request waited.
-    pub fn left(&mut self, now: Duration, id: &str) {
-        self.unanswered(id, Unanswered::Left);
+    pub fn client_disconnected(&mut self, now: Duration, id: &str) {
+        self.request_unanswered(id, Unanswered::ClientDisconnected);
         if let Some(entry) = self.tries.get_mut(id) {
             entry.left.get_or_insert((now, entry.attempts));
         }
     }
 
     /// A node was told a server's standing: ready, or else draining or gone.
-    pub fn told(&mut self, now: Duration, node: usize, server: &str, ready: bool) {
+    pub fn health_delivered(&mut self, now: Duration, node: usize, server: &str, ready: bool) {
         let place = (node, server.to_owned());
         if ready {
             self.drains
@@ -514,14 +514,14 @@
     }
 
     /// A node's process has started anew: it knows nothing of what its predecessor was told.
-    pub fn restarted(&mut self, node: usize) {
+    pub fn node_restarted(&mut self, node: usize) {
         self.told.retain(|(other, _), _| *other != node);
         let stint = self.stints.entry(node).or_default();
         (stint.unserving, stint.got, stint.served) = (stint.unserving(), 0, 0);
     }
 
     /// A server has started cold; `capacity` in seconds of work a second once it is warm.
-    pub fn cold(&mut self, now: Duration, server: &str, capacity: f64) {
+    pub fn server_started_cold(&mut self, now: Duration, server: &str, capacity: f64) {
         let cold = Cold {
             born: now,
             capacity,
@@ -535,7 +535,7 @@
     }
 
     /// Share of its capacity that a server has.
-    pub fn warmth(&self, now: Duration, server: &str) -> f64 {
+    pub fn capacity_share(&self, now: Duration, server: &str) -> f64 {
         let Some(cold) = self.cold.get(server) else {
             return 1.0;
         };
@@ -543,13 +543,20 @@
     }
 
     /// Whether a server has fallen over.
-    pub fn fell(&self, server: &str) -> bool {
+    pub fn is_overloaded(&self, server: &str) -> bool {
         self.cold.get(server).is_some_and(|cold| cold.fell)
     }
 
     /// An attempt has come whole to a server. `first` is when its first byte came, `work` the seconds that it takes on
     /// a warm server.
-    pub fn arrived(&mut self, now: Duration, first: Duration, server: &str, id: &str, work: f64) {
+    pub fn attempt_received(
+        &mut self,
+        now: Duration,
+        first: Duration,
+        server: &str,
+        id: &str,
+        work: f64,
+    ) {
         let bounds = &self.bounds;
         let Some(entry) = self.tries.get_mut(id) else {
             // The client may have written its last byte in this very moment; then it is known a little later.
@@ -566,7 +573,7 @@
         let stint = self.stints.entry(entry.asked.node).or_default();
         (stint.turned, stint.since) = (0, None);
         if let Some((left, _)) = entry.left {
-            if first > left + bounds.leave_grace + bounds.slack {
+            if first > left + bounds.disconnect_grace + bounds.transit_slack {
                 let late = first.checked_sub(left).unwrap().as_millis();
                 let line = format!(
                     "{id} from node {} to {server} after {late} ms",
@@ -580,7 +587,7 @@
                 *latest = late.max(*latest);
                 self.after_drain += 1;
                 self.late_sends.push(late);
-                if late > bounds.drain_grace + bounds.slack {
+                if late > bounds.drain_grace + bounds.transit_slack {
                     let line = format!("{id} to {server} after {} ms", late.as_millis());
                     self.double.push(Breach::SentAfterDrain(line));
                 }
@@ -592,7 +599,7 @@
                 ceiling.take(now, units);
                 let (share, least) = bounds.ceiling_slack;
                 let slack = (ceiling.depth * share).max(least)
-                    + ceiling.rate * bounds.ceiling_late.as_secs_f64();
+                    + ceiling.rate * bounds.ceiling_delay.as_secs_f64();
                 if ceiling.level < -slack {
                     let over = -ceiling.level - slack;
                     let line = format!("customer {customer:x} by {over:.2} units beyond the slack");
@@ -607,25 +614,26 @@
         }
         if let Some(cold) = self.cold.get_mut(server) {
             let age = now.saturating_sub(cold.born);
-            if age < bounds.cold_for {
+            if age < bounds.slow_start_duration {
                 cold.work.push_back((now, work));
                 while cold
                     .work
                     .front()
-                    .is_some_and(|(at, _)| *at + bounds.fall_window < now)
+                    .is_some_and(|(at, _)| *at + bounds.overload_window < now)
                 {
                     cold.work.pop_front();
                 }
                 let sent: f64 = cold.work.iter().map(|(_, work)| work).sum();
-                let can = cold.capacity * warmth(bounds, age) * bounds.fall_window.as_secs_f64();
+                let can =
+                    cold.capacity * warmth(bounds, age) * bounds.overload_window.as_secs_f64();
                 // One heavy request alone is chance, not a push.
                 let load = if cold.work.len() > 1 {
-                    sent / (can * bounds.fall_multiple)
+                    sent / (can * bounds.overload_multiple)
                 } else {
                     0.0
                 };
                 cold.worst = cold.worst.max(load);
-                let allowed = can * bounds.fall_multiple / bounds.mean_work;
+                let allowed = can * bounds.overload_multiple / bounds.mean_work;
                 let crowd = sent / bounds.mean_work / (allowed + 2.0 * allowed.sqrt() + 2.0);
                 cold.crowded = cold.crowded.max(crowd);
                 if load > 1.0 && !std::mem::replace(&mut cold.fell, true) {
@@ -641,12 +649,18 @@
 
     /// An attempt's work was done, which came whole at that time. Whether its effect took place: a keyed one that its group
     /// remembered when it came does nothing. Danger: a repeat that came in time and waited, judged by when it was done.
-    pub fn ran(&mut self, now: Duration, came: Duration, group: u64, id: &str) -> bool {
-        let window = self.bounds.key_window;
+    pub fn attempt_executed(
+        &mut self,
+        now: Duration,
+        came: Duration,
+        group: u64,
+        id: &str,
+    ) -> bool {
+        let window = self.bounds.idempotency_window;
         let Some(entry) = self.tries.get_mut(id) else {
             return false;
         };
-        match (entry.asked.repeats, entry.asked.key.clone()) {
+        match (entry.asked.repeat_safety, entry.asked.key.clone()) {
             (RepeatSafety::Safe, _) => return false,
             (RepeatSafety::Keyed, Some(key)) => {
                 let known = self.keys.get(&(group, key.clone()));
@@ -666,7 +680,7 @@
     }
 
     /// An attempt is over at its server: its answer is written, or its connection has ended.
-    pub fn over(&mut self, id: &str) {
+    pub fn attempt_finished(&mut self, id: &str) {
         if let Some(entry) = self.tries.get_mut(id) {
             entry.out = entry.out.saturating_sub(1);
         }
@@ -674,8 +688,8 @@
 
     /// The node has closed an attempt's connection: it is not out any more. Ends of connections are seen a little late,
     /// so one that comes within the slack after another attempt's arrival stands for an end before it.
-    pub fn closed(&mut self, now: Duration, id: &str) {
-        let slack = self.bounds.slack;
+    pub fn attempt_canceled(&mut self, now: Duration, id: &str) {
+        let slack = self.bounds.transit_slack;
         if let Some(entry) = self.tries.get_mut(id) {
             entry.out = entry.out.saturating_sub(1);
             entry.beside = entry.beside.filter(|at| now > *at + slack);
@@ -683,12 +697,12 @@
     }
 
     /// How many attempts of a try have reached a server.
-    pub fn attempts(&self, id: &str) -> u32 {
+    pub fn attempt_count(&self, id: &str) -> u32 {
         self.tries.get(id).map_or(0, |entry| entry.attempts)
     }
 
     /// A node that stood still goes on: what was written to it meanwhile counts as told now.
-    pub fn resumed(&mut self, now: Duration, node: usize, stopped: Duration) {
+    pub fn node_resumed(&mut self, now: Duration, node: usize, stopped: Duration) {
         let of = self
             .told
             .iter_mut()
@@ -706,21 +720,21 @@
     }
 
     /// All tries, in the order in which they were asked.
-    pub fn seen(&self) -> impl Iterator<Item = RequestRecord> + '_ {
+    pub fn requests(&self) -> impl Iterator<Item = RequestRecord> + '_ {
         self.tries.values().map(|entry| RequestRecord {
             node: entry.asked.node,
-            at: entry.at,
+            sent_at: entry.at,
             answer: entry.answer.map(|(answer, _)| answer),
-            sent: entry.sent,
+            first_attempt: entry.sent,
             units: entry.asked.units,
             work: entry.work,
-            with_room: entry.with_room,
+            refused_within_limits: entry.with_room,
         })
     }
 
     /// Seconds of work that all of these servers could do between two moments: each has its capacity, or the part of it
     /// that it has while it is cold.
-    pub fn could(&self, servers: &[(String, f64)], from: Duration, to: Duration) -> f64 {
+    pub fn available_work(&self, servers: &[(String, f64)], from: Duration, to: Duration) -> f64 {
         /// Steps of the sum; the warmth rises in a straight line, so that few will do.
         const STEP: Duration = Duration::from_millis(100);
         let steps = (to.saturating_sub(from).as_secs_f64() / STEP.as_secs_f64()) as u32;
@@ -739,12 +753,12 @@
     }
 
     /// Tries that have no end yet.
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.open
     }
 
     /// Judges the run, which is over: what has no end by now is lost.
-    pub fn judge(&self) -> Verdict {
+    pub fn verdict(&self) -> Verdict {
         let mut breaches = self.double.clone();
         let mut count = [0_u64; 3];
         let mut unanswered = [0_u64; 5];
@@ -784,65 +798,65 @@
             .sum();
         let beyond: f64 = self.quotas.values().map(|quota| quota.beyond).sum();
         Verdict {
-            tries: self.tries.len() as u64,
+            requests: self.tries.len() as u64,
             served: count[Answer::Served as usize],
             refused: count[Answer::Refused as usize],
             failed: count[Answer::Failed as usize],
             killed: unanswered[Unanswered::Killed as usize],
             paused: unanswered[Unanswered::Paused as usize],
-            not_taken: unanswered[Unanswered::NotTaken as usize],
-            left: unanswered[Unanswered::Left as usize],
+            not_accepted: unanswered[Unanswered::NotAccepted as usize],
+            disconnected: unanswered[Unanswered::ClientDisconnected as usize],
             lost: unanswered[Unanswered::Lost as usize],
             attempts: self
                 .tries
                 .values()
                 .map(|entry| u64::from(entry.attempts))
                 .sum(),
-            after_drain: self.after_drain,
+            attempts_after_drain: self.after_drain,
             drains: drains.len() as u64,
             drain_median_ms: drains
                 .get(drains.len() / 2)
                 .map_or(0.0, |late| late.as_secs_f64() * 1e3),
-            after_drain_most_ms: self
+            attempts_after_drain_max_ms: self
                 .late_sends
                 .iter()
                 .max()
                 .map_or(0.0, |late| late.as_secs_f64() * 1e3),
             effects: self.effects.values().map(|count| u64::from(*count)).sum(),
-            keys_repeated: self.effects.values().filter(|count| **count > 1).count() as u64,
-            cold_worst: self
+            duplicated_keys: self.effects.values().filter(|count| **count > 1).count() as u64,
+            cold_load_max: self
                 .cold
                 .values()
                 .map(|cold| cold.worst)
                 .fold(0.0, f64::max),
-            cold_crowded: self
+            cold_crowding_max: self
                 .cold
                 .values()
                 .map(|cold| cold.crowded)
                 .fold(self.crowded, f64::max),
-            left_unsent: self
+            disconnected_before_attempt: self
                 .tries
                 .values()
                 .filter(|entry| matches!(entry.left, Some((_, 0))))
                 .count() as u64,
-            after_leave: self.after_leave.len() as u64,
-            shut: self.stints.values().filter(|stint| stint.shut).count() as u64,
-            unserving: self.stints.values().map(Stint::unserving).sum(),
-            beyond_quota: if sent > 0.0 { beyond / sent } else { 0.0 },
-            ceiling_over_most: self
+            attempts_after_disconnect: self.after_leave.len() as u64,
+            nodes_rejecting_all: self.stints.values().filter(|stint| stint.shut).count() as u64,
+            processes_never_serving: self.stints.values().map(Stint::unserving).sum(),
+            share_beyond_quota: if sent > 0.0 { beyond / sent } else { 0.0 },
+            ceiling_excess_max: self
                 .ceilings
                 .values()
                 .map(|ceiling| ceiling.worst)
                 .fold(0.0, f64::max),
-            unasked: self.unasked,
+            unsolicited_attempts: self.unasked,
             breaches,
         }
     }
 }
 
 fn warmth(bounds: &Bounds, age: Duration) -> f64 {
-    let grown = age.as_secs_f64() / bounds.cold_for.as_secs_f64().max(1e-9);
-    (bounds.cold_from + (1.0 - bounds.cold_from) * grown).min(1.0)
+    let grown = age.as_secs_f64() / bounds.slow_start_duration.as_secs_f64().max(1e-9);
+    (bounds.cold_start_share + (1.0 - bounds.cold_start_share) * grown).min(1.0)
 }
 
 #[cfg(test)]
--- a/crates/test-doubles/src/oracle/tests.rs
+++ b/crates/test-doubles/src/oracle/tests.rs
@@ -10,36 +10,36 @@
     SentRequest {
         id,
         key,
-        repeats,
+        repeat_safety: repeats,
         node: 0,
         customer: 7,
         units: 1.0,
-        patience,
+        timeout: patience,
     }
 }
 
 fn one(repeats: RepeatSafety) -> Oracle {
     let mut ledger = Oracle::new(Bounds::default());
-    ledger.asked(ms(0), asked("a", repeats));
+    ledger.request_sent(ms(0), asked("a", repeats));
     ledger
 }
 
 fn breaches(ledger: &Oracle) -> Vec<Breach> {
-    ledger.judge().breaches
+    ledger.verdict().breaches
 }
 
 #[test]
 fn a_run_that_keeps_the_rules_has_no_breach() {
     let mut ledger = one(RepeatSafety::Keyed);
-    ledger.arrived(ms(10), ms(10), "s", "a", 0.1);
-    assert!(ledger.ran(ms(100), ms(100), 1, "a"));
-    ledger.over("a");
-    ledger.answered(ms(101), "a", Answer::Served);
-    let verdict = ledger.judge();
+    ledger.attempt_received(ms(10), ms(10), "s", "a", 0.1);
+    assert!(ledger.attempt_executed(ms(100), ms(100), 1, "a"));
+    ledger.attempt_finished("a");
+    ledger.response_received(ms(101), "a", Answer::Served);
+    let verdict = ledger.verdict();
     assert!(verdict.breaches.is_empty(), "{verdict:?}");
     assert_eq!(
         (
-            verdict.tries,
+            verdict.requests,
             verdict.served,
             verdict.attempts,
             verdict.effects
@@ -55,22 +55,22 @@
         [Breach::NoAnswer("a at node 0".to_owned())]
     );
     let mut ledger = one(RepeatSafety::Safe);
-    ledger.answered(ms(10), "a", Answer::Served);
-    ledger.answered(ms(11), "a", Answer::Failed);
+    ledger.response_received(ms(10), "a", Answer::Served);
+    ledger.response_received(ms(11), "a", Answer::Failed);
     assert_eq!(breaches(&ledger), [Breach::AnsweredTwice("a".to_owned())]);
     let mut ledger = one(RepeatSafety::Safe);
-    ledger.answered(ms(1051), "a", Answer::Failed);
+    ledger.response_received(ms(1051), "a", Answer::Failed);
     assert_eq!(
         breaches(&ledger),
         [Breach::LateAnswer("a: 51 ms".to_owned())]
     );
     for (why, lost) in [
         (Unanswered::Killed, 0),
-        (Unanswered::Left, 0),
+        (Unanswered::ClientDisconnected, 0),
         (Unanswered::Lost, 1),
     ] {
         let mut ledger = one(RepeatSafety::Safe);
-        ledger.unanswered("a", why);
+        ledger.request_unanswered("a", why);
         assert_eq!(breaches(&ledger).len(), lost, "{why:?}");
     }
 }
@@ -82,7 +82,7 @@
         .map(|number| format!("t{}", number * 7 % 100))
         .collect();
     for (node, id) in ids.iter().enumerate() {
-        ledger.asked(
+        ledger.request_sent(
             ms(5),
             SentRequest {
                 node,
@@ -90,65 +90,69 @@
             },
         );
     }
-    ledger.asked(
+    ledger.request_sent(
         ms(6),
         SentRequest {
             node: 3,
             ..asked(&ids[3], RepeatSafety::Safe)
         },
     );
-    assert_eq!(ledger.open(), 100, "sent once more, it counts once");
+    assert_eq!(
+        ledger.open_requests(),
+        100,
+        "sent once more, it counts once"
+    );
     let ended: [fn(&mut Oracle, &str); 4] = [
-        |ledger, id| ledger.answered(ms(10), id, Answer::Refused),
-        |ledger, id| ledger.unanswered(id, Unanswered::Killed),
-        |ledger, id| ledger.left(ms(10), id),
-        |ledger, id| ledger.answered(ms(10), id, Answer::Served),
+        |ledger, id| ledger.response_received(ms(10), id, Answer::Refused),
+        |ledger, id| ledger.request_unanswered(id, Unanswered::Killed),
+        |ledger, id| ledger.client_disconnected(ms(10), id),
+        |ledger, id| ledger.response_received(ms(10), id, Answer::Served),
     ];
     for (id, end) in ids.iter().zip(ended.iter().cycle()).take(40) {
         end(&mut ledger, id);
         // What ends twice has ended once.
-        ledger.answered(ms(11), id, Answer::Served);
-        ledger.unanswered(id, Unanswered::Lost);
+        ledger.response_received(ms(11), id, Answer::Served);
+        ledger.request_unanswered(id, Unanswered::Lost);
     }
-    ledger.answered(ms(12), "nobody's", Answer::Served);
-    assert_eq!(ledger.open(), 60);
-    assert!(ledger.seen().map(|seen| seen.node).eq(0..100));
+    ledger.response_received(ms(12), "nobody's", Answer::Served);
+    assert_eq!(ledger.open_requests(), 60);
+    assert!(ledger.requests().map(|seen| seen.node).eq(0..100));
 }
 
 #[test]
 fn each_breach_of_the_second_rule_is_seen() {
     let mut ledger = one(RepeatSafety::Safe);
-    ledger.arrived(ms(10), ms(10), "s", "a", 0.1);
-    ledger.arrived(ms(20), ms(20), "t", "a", 0.1);
-    ledger.answered(ms(30), "a", Answer::Served);
+    ledger.attempt_received(ms(10), ms(10), "s", "a", 0.1);
+    ledger.attempt_received(ms(20), ms(20), "t", "a", 0.1);
+    ledger.response_received(ms(30), "a", Answer::Served);
     assert_eq!(breaches(&ledger), [Breach::TwoAttempts("a".to_owned())]);
     // The end of the first is seen a little late, or it comes too late.
-    ledger.closed(ms(71), "a");
+    ledger.attempt_canceled(ms(71), "a");
     assert_eq!(breaches(&ledger), [Breach::TwoAttempts("a".to_owned())]);
-    ledger.closed(ms(70), "a");
+    ledger.attempt_canceled(ms(70), "a");
     assert!(breaches(&ledger).is_empty());
     // One after the other, into another group: its key is not known there.
     let mut ledger = one(RepeatSafety::Keyed);
     for (group, server) in [(1, "s"), (2, "t")] {
-        ledger.arrived(ms(10), ms(10), server, "a", 0.1);
-        ledger.ran(ms(20), ms(20), group, "a");
-        ledger.over("a");
+        ledger.attempt_received(ms(10), ms(10), server, "a", 0.1);
+        ledger.attempt_executed(ms(20), ms(20), group, "a");
+        ledger.attempt_finished("a");
     }
-    ledger.answered(ms(30), "a", Answer::Served);
+    ledger.response_received(ms(30), "a", Answer::Served);
     assert_eq!(breaches(&ledger), [Breach::TwiceEffect("a".to_owned())]);
     // In the same group it is dropped while the group remembers.
     for (at, twice) in [(2019, false), (2021, true)] {
         let mut ledger = one(RepeatSafety::Keyed);
-        assert!(ledger.ran(ms(20), ms(20), 1, "a"));
+        assert!(ledger.attempt_executed(ms(20), ms(20), 1, "a"));
         assert_eq!(
-            ledger.ran(ms(at + 500), ms(at), 1, "a"),
+            ledger.attempt_executed(ms(at + 500), ms(at), 1, "a"),
             twice,
             "by when it came"
         );
     }
     let mut ledger = one(RepeatSafety::Unsafe);
-    ledger.ran(ms(20), ms(20), 1, "a");
-    ledger.answered(ms(30), "a", Answer::Refused);
+    ledger.attempt_executed(ms(20), ms(20), 1, "a");
+    ledger.response_received(ms(30), "a", Answer::Refused);
     assert_eq!(
         breaches(&ledger),
         [Breach::RefusedAfterEffect("a".to_owned())]
@@ -159,34 +163,38 @@
 fn sends_after_a_drain_count_from_when_this_node_was_told() {
     for (first, breach) in [(1299, false), (1301, true)] {
         let mut ledger = one(RepeatSafety::Safe);
-        ledger.told(ms(1000), 0, "s", false);
-        ledger.told(ms(1200), 0, "s", false);
-        ledger.told(ms(0), 1, "s", false);
-        ledger.arrived(ms(first + 50), ms(first), "s", "a", 0.1);
-        ledger.answered(ms(999), "a", Answer::Served);
-        let verdict = ledger.judge();
+        ledger.health_delivered(ms(1000), 0, "s", false);
+        ledger.health_delivered(ms(1200), 0, "s", false);
+        ledger.health_delivered(ms(0), 1, "s", false);
+        ledger.attempt_received(ms(first + 50), ms(first), "s", "a", 0.1);
+        ledger.response_received(ms(999), "a", Answer::Served);
+        let verdict = ledger.verdict();
         assert_eq!(!verdict.breaches.is_empty(), breach, "{verdict:?}");
-        assert_eq!(verdict.after_drain, 1);
+        assert_eq!(verdict.attempts_after_drain, 1);
     }
     let mut ledger = one(RepeatSafety::Safe);
-    ledger.told(ms(0), 0, "s", false);
-    ledger.told(ms(500), 0, "s", true);
-    ledger.arrived(ms(700), ms(700), "s", "a", 0.1);
-    assert_eq!(ledger.judge().after_drain, 0, "it is ready again");
+    ledger.health_delivered(ms(0), 0, "s", false);
+    ledger.health_delivered(ms(500), 0, "s", true);
+    ledger.attempt_received(ms(700), ms(700), "s", "a", 0.1);
+    assert_eq!(
+        ledger.verdict().attempts_after_drain,
+        0,
+        "it is ready again"
+    );
 }
 
 #[test]
 fn a_cold_server_falls_by_what_all_nodes_send_it_together() {
     let fill = |count: u64| {
         let mut ledger = Oracle::new(Bounds::default());
-        ledger.cold(ms(0), "s", 2.0);
+        ledger.server_started_cold(ms(0), "s", 2.0);
         for number in 0..count {
             let mut asked = asked(&number.to_string(), RepeatSafety::Safe);
             asked.node = number as usize % 3;
-            ledger.asked(ms(0), asked);
-            ledger.arrived(ms(10 + number), ms(10), "s", &number.to_string(), 0.1);
+            ledger.request_sent(ms(0), asked);
+            ledger.attempt_received(ms(10 + number), ms(10), "s", &number.to_string(), 0.1);
         }
-        (ledger.fell("s"), ledger.judge().cold_worst)
+        (ledger.is_overloaded("s"), ledger.verdict().cold_load_max)
     };
     // 2 s of work a second, of which 0.21 are there, times 3: 1.26 s of work in the first second.
     assert!(!fill(12).0 && fill(13).0, "{:?} {:?}", fill(12), fill(13));
@@ -196,32 +204,32 @@
 #[test]
 fn a_ceiling_is_judged_over_all_nodes_with_its_slack_and_a_quota_only_counted() {
     let mut ledger = Oracle::new(Bounds::default());
-    ledger.limit(7, (1.0, 2.0), Some((2.0, 4.0)));
+    ledger.set_limits(7, (1.0, 2.0), Some((2.0, 4.0)));
     for number in 0..6_u64 {
         let id = number.to_string();
-        ledger.asked(
+        ledger.request_sent(
             ms(0),
             SentRequest {
                 node: number as usize,
                 ..asked(&id, RepeatSafety::Safe)
             },
         );
-        ledger.arrived(ms(0), ms(0), "s", &id, 0.1);
-        ledger.answered(ms(1), &id, Answer::Served);
+        ledger.attempt_received(ms(0), ms(0), "s", &id, 0.1);
+        ledger.response_received(ms(1), &id, Answer::Served);
         // 4 units at once, one for the slack and 0.3 for lateness.
         assert_eq!(
-            ledger.judge().breaches.len(),
+            ledger.verdict().breaches.len(),
             usize::from(number >= 5),
             "{number}"
         );
     }
-    let verdict = ledger.judge();
+    let verdict = ledger.verdict();
     assert!(
-        (verdict.beyond_quota - 4.0 / 6.0).abs() < 1e-9,
+        (verdict.share_beyond_quota - 4.0 / 6.0).abs() < 1e-9,
         "{verdict:?}"
     );
     assert!(
-        (verdict.ceiling_over_most - 2.0).abs() < 1e-9,
+        (verdict.ceiling_excess_max - 2.0).abs() < 1e-9,
         "{verdict:?}"
     );
 }
@@ -231,12 +239,12 @@
     for (first, count) in [(1150, 0), (1151, 1)] {
         let mut ledger = Oracle::new(Bounds::default());
         for (place, id) in ["a", "b", "c"].into_iter().enumerate() {
-            ledger.asked(ms(900), asked(id, RepeatSafety::Safe));
-            ledger.left(ms(1000), id);
-            ledger.arrived(ms(first + 20), ms(first), "s", id, 0.1);
-            let verdict = ledger.judge();
+            ledger.request_sent(ms(900), asked(id, RepeatSafety::Safe));
+            ledger.client_disconnected(ms(1000), id);
+            ledger.attempt_received(ms(first + 20), ms(first), "s", id, 0.1);
+            let verdict = ledger.verdict();
             assert_eq!(
-                verdict.after_leave,
+                verdict.attempts_after_disconnect,
                 count * (place as u64 + 1),
                 "{verdict:?}"
             );
@@ -246,26 +254,36 @@
                 "{verdict:?}"
             );
         }
-        let verdict = ledger.judge();
-        assert_eq!((verdict.left, verdict.left_unsent, verdict.lost), (3, 3, 0));
+        let verdict = ledger.verdict();
+        assert_eq!(
+            (
+                verdict.disconnected,
+                verdict.disconnected_before_attempt,
+                verdict.lost
+            ),
+            (3, 3, 0)
+        );
         assert_eq!(verdict.breaches.len() as u64, 3 * count);
     }
     // A further attempt counts as a first one does, and only what has had none was unsent.
     let mut ledger = one(RepeatSafety::Safe);
-    ledger.arrived(ms(10), ms(10), "s", "a", 0.1);
-    ledger.left(ms(20), "a");
-    ledger.over("a");
-    ledger.arrived(ms(300), ms(300), "t", "a", 0.1);
+    ledger.attempt_received(ms(10), ms(10), "s", "a", 0.1);
+    ledger.client_disconnected(ms(20), "a");
+    ledger.attempt_finished("a");
+    ledger.attempt_received(ms(300), ms(300), "t", "a", 0.1);
     assert_eq!(
-        (ledger.judge().left_unsent, ledger.judge().after_leave),
+        (
+            ledger.verdict().disconnected_before_attempt,
+            ledger.verdict().attempts_after_disconnect
+        ),
         (0, 1)
     );
     // A node that stood still learns of the close when it goes on.
     let mut ledger = one(RepeatSafety::Safe);
-    ledger.left(ms(100), "a");
-    ledger.resumed(ms(900), 0, ms(50));
-    ledger.arrived(ms(1000), ms(1000), "s", "a", 0.1);
-    assert_eq!(ledger.judge().after_leave, 0);
+    ledger.client_disconnected(ms(100), "a");
+    ledger.node_resumed(ms(900), 0, ms(50));
+    ledger.attempt_received(ms(1000), ms(1000), "s", "a", 0.1);
+    assert_eq!(ledger.verdict().attempts_after_disconnect, 0);
 }
 
 #[test]
@@ -277,25 +295,25 @@
     let mut ledger = Oracle::new(bounds);
     // 2 s of work a second, of which 0.21 are there, times 3: 25.2 of mean work, and 37.2 with chance.
     for life in [0_u64, 5000] {
-        ledger.cold(ms(life), "s", 2.0);
+        ledger.server_started_cold(ms(life), "s", 2.0);
         for number in 0..(if life == 0 { 8 } else { 4 }) {
             let id = format!("{life}-{number}");
-            ledger.asked(
+            ledger.request_sent(
                 ms(life),
                 SentRequest {
                     node: number,
                     ..asked(&id, RepeatSafety::Safe)
                 },
             );
-            ledger.arrived(ms(life), ms(life), "s", &id, 0.1);
+            ledger.attempt_received(ms(life), ms(life), "s", &id, 0.1);
         }
     }
     let allowed: f64 = 1.26 / 0.05;
     let share = 16.0 / (allowed + 2.0 * allowed.sqrt() + 2.0);
     assert!(
-        (ledger.judge().cold_crowded - share).abs() < 1e-9,
+        (ledger.verdict().cold_crowding_max - share).abs() < 1e-9,
         "{:?}",
-        ledger.judge()
+        ledger.verdict()
     );
 }
 
@@ -310,15 +328,15 @@
         let mut ledger = Oracle::new(Bounds::default());
         for number in 0..15_u64 {
             let (id, at) = (number.to_string(), ms(number * apart));
-            ledger.asked(at, asked(&id, RepeatSafety::Safe));
+            ledger.request_sent(at, asked(&id, RepeatSafety::Safe));
             if attempt == Some(number) {
-                ledger.arrived(at, at, "s", &id, 0.1);
+                ledger.attempt_received(at, at, "s", &id, 0.1);
             }
-            ledger.answered(at, &id, Answer::Refused);
+            ledger.response_received(at, &id, Answer::Refused);
         }
-        let verdict = ledger.judge();
+        let verdict = ledger.verdict();
         assert_eq!(
-            (verdict.shut, verdict.unserving),
+            (verdict.nodes_rejecting_all, verdict.processes_never_serving),
             (shut, 1),
             "{apart} ms apart: {verdict:?}"
         );
@@ -330,16 +348,20 @@
     let mut ledger = Oracle::new(Bounds::default());
     let ask = |ledger: &mut Oracle, answer| {
         let id = ledger.tries.len().to_string();
-        ledger.asked(ms(0), asked(&id, RepeatSafety::Safe));
-        ledger.answered(ms(1), &id, answer);
+        ledger.request_sent(ms(0), asked(&id, RepeatSafety::Safe));
+        ledger.response_received(ms(1), &id, answer);
     };
     (0..5).for_each(|_| ask(&mut ledger, Answer::Refused));
-    ledger.restarted(0);
-    assert_eq!(ledger.judge().unserving, 1);
+    ledger.node_restarted(0);
+    assert_eq!(ledger.verdict().processes_never_serving, 1);
     (0..4).for_each(|_| ask(&mut ledger, Answer::Failed));
-    assert_eq!(ledger.judge().unserving, 1, "too few to tell");
+    assert_eq!(
+        ledger.verdict().processes_never_serving,
+        1,
+        "too few to tell"
+    );
     ask(&mut ledger, Answer::Failed);
-    assert_eq!(ledger.judge().unserving, 2);
+    assert_eq!(ledger.verdict().processes_never_serving, 2);
     ask(&mut ledger, Answer::Served);
-    assert_eq!(ledger.judge().unserving, 1);
+    assert_eq!(ledger.verdict().processes_never_serving, 1);
 }
--- a/crates/test-doubles/src/peers.rs
+++ b/crates/test-doubles/src/peers.rs
@@ -98,7 +98,7 @@
     }
 
     /// Datagrams that no node of this run sent.
-    pub fn strangers(&self) -> u64 {
+    pub fn from_unknown_senders(&self) -> u64 {
         self.strangers.load(Ordering::Relaxed)
     }
 
@@ -118,14 +118,17 @@
                 self.too_long.fetch_add(1, Ordering::Relaxed);
                 continue;
             }
-            let fault = self.links.on(End::Node(from), End::Node(to));
-            let copies = 1 + usize::from(fastrand::f64() < fault.doubled);
+            let fault = self.links.fault_between(End::Node(from), End::Node(to));
+            let copies = 1 + usize::from(fastrand::f64() < fault.duplicated);
             for _ in 0..copies {
-                if fault.loses() {
+                if fault.drops_datagram() {
                     continue;
                 }
-                let (network, bytes, way) =
-                    (Arc::clone(&self), buffer[..length].to_vec(), fault.way());
+                let (network, bytes, way) = (
+                    Arc::clone(&self),
+                    buffer[..length].to_vec(),
+                    fault.draw_delay(),
+                );
                 let deliver = async move {
                     // From the relay of who sent it: under that address the receiver knows it.
                     if network.relays[from]
--- a/crates/test-doubles/src/ports.rs
+++ b/crates/test-doubles/src/ports.rs
@@ -71,7 +71,7 @@
 }
 
 /// Whether an address is in this process's block.
-pub fn ours(address: SocketAddr) -> bool {
+pub fn is_own_address(address: SocketAddr) -> bool {
     let SocketAddr::V4(address) = address else {
         return false;
     };
--- a/crates/test-doubles/src/ports/tests.rs
+++ b/crates/test-doubles/src/ports/tests.rs
@@ -8,7 +8,7 @@
     assert_eq!(all.len(), 600);
     assert!(all
         .iter()
-        .all(|address| ours(*address) && address.ip().is_loopback()));
+        .all(|address| is_own_address(*address) && address.ip().is_loopback()));
     let mine = block().expect("a block");
     assert!(
         claim(mine).is_err(),
--- a/crates/test-doubles/src/process.rs
+++ b/crates/test-doubles/src/process.rs
@@ -16,7 +16,7 @@
 }
 
 /// Bytes of memory that a process has in use (`status`, `VmRSS`); none where it is gone.
-pub fn memory(pid: u32) -> Option<u64> {
+pub fn memory_bytes(pid: u32) -> Option<u64> {
     let status = fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
     let line = status
         .lines()
--- a/crates/test-doubles/src/scripted.rs
+++ b/crates/test-doubles/src/scripted.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug)]
 pub struct Message {
     /// Its first line.
-    pub start: String,
+    pub start_line: String,
     /// Its headers, their names in lower case.
     pub headers: HashMap<String, String>,
     /// Its body.
@@ -59,7 +59,7 @@
                 if size == 0 {
                     while !line(stream)?.is_empty() {}
                     return Some(Message {
-                        start,
+                        start_line: start,
                         headers,
                         body,
                     });
@@ -76,7 +76,7 @@
         let mut body = vec![0; length];
         stream.read_exact(&mut body).ok()?;
         Some(Message {
-            start,
+            start_line: start,
             headers,
             body,
         })
@@ -89,7 +89,7 @@
 
     /// The status of an answer.
     pub fn status(&self) -> u16 {
-        self.start
+        self.start_line
             .split(' ')
             .nth(1)
             .and_then(|status| status.parse().ok())
@@ -125,7 +125,7 @@
     /// Number of the connection at that server, from 0.
     pub connection: usize,
     /// No earlier attempt of the request was still out.
-    pub alone: bool,
+    pub only_attempt: bool,
     /// The connection.
     pub stream: TcpStream,
 }
@@ -160,11 +160,11 @@
 
     /// Starts one that has its own turns.
     pub fn start(&self, name: &str, does: &[Reply]) -> SocketAddr {
-        self.share(name, &Arc::new(Mutex::new(does.to_vec())))
+        self.start_with_queue(name, &Arc::new(Mutex::new(does.to_vec())))
     }
 
     /// Starts one that takes turns with others.
-    pub fn share(&self, name: &str, turns: &ReplyQueue) -> SocketAddr {
+    pub fn start_with_queue(&self, name: &str, turns: &ReplyQueue) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let server = Server {
@@ -183,22 +183,25 @@
     }
 
     /// The next request that has come to any of them.
-    pub fn next(&self) -> ReceivedRequest {
+    pub fn next_request(&self) -> ReceivedRequest {
         let got = self
             .got
             .recv_timeout(TEST_TIMEOUT)
             .expect("a request comes to an app server");
-        assert!(got.alone, "two attempts of a request are out at once");
+        assert!(
+            got.only_attempt,
+            "two attempts of a request are out at once"
+        );
         got
     }
 
     /// Drops all requests that have come and were not looked at, and their connections here.
-    pub fn forget(&self) {
+    pub fn discard_requests(&self) {
         self.got.try_iter().for_each(drop);
     }
 
     /// Fails if a request has come that was not looked at.
-    pub fn got_no_more(&self) {
+    pub fn assert_no_more_requests(&self) {
         assert!(self.got.try_recv().is_err(), "one attempt too many");
     }
 }
@@ -226,7 +229,7 @@
             let id = message.header("x-request-id").to_owned();
             let mut unanswered = self.unanswered.lock().expect("no panic");
             let earlier = unanswered.iter().filter(|(other, _)| *other == id);
-            let alone = earlier.into_iter().all(|(_, stream)| closed_by_now(stream));
+            let alone = earlier.into_iter().all(|(_, stream)| is_closed(stream));
             if matches!(turn, Reply::NoResponse) {
                 unanswered.push((id, stream.try_clone().expect("a clone")));
             }
@@ -237,7 +240,7 @@
                 server,
                 message,
                 connection,
-                alone,
+                only_attempt: alone,
                 stream: told,
             });
             match turn {
@@ -271,7 +274,7 @@
                 let head = Message::read(&mut BufReader::new(stream.try_clone().expect("a clone")));
                 let chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
                 if let (Some(head), Ok(())) = (head, stream.write_all(chunked)) {
-                    let _ = tell.send((head.start, stream));
+                    let _ = tell.send((head.start_line, stream));
                 }
             }
         });
@@ -279,7 +282,7 @@
     }
 
     /// The next watch that the edge node opens: how it was asked for, and where to write.
-    pub fn watch(&self) -> (String, TcpStream) {
+    pub fn next_watch(&self) -> (String, TcpStream) {
         self.watches
             .recv_timeout(TEST_TIMEOUT)
             .expect("a watch is opened")
@@ -288,7 +291,7 @@
 
 /// Writes a piece of a watch, as it is: in one write. Danger: a piece in several writes, of which the machine keeps all but the
 /// first here until the other side's has said that it has that.
-pub fn write_piece(watch: &mut TcpStream, piece: &str) {
+pub fn write_chunk(watch: &mut TcpStream, piece: &str) {
     let chunk = format!("{:x}\r\n{piece}\r\n", piece.len());
     watch
         .write_all(chunk.as_bytes())
@@ -297,11 +300,11 @@
 
 /// Writes a line of a watch.
 pub fn write_list(watch: &mut TcpStream, list: &str) {
-    write_piece(watch, &format!("{list}\n"));
+    write_chunk(watch, &format!("{list}\n"));
 }
 
 /// Bytes that a connection's other side, a process of this machine, has there and has not read yet (`/proc/net/tcp`).
-pub fn unread(stream: &TcpStream) -> usize {
+pub fn unread_bytes(stream: &TcpStream) -> usize {
     let own = stream.local_addr().expect("an address");
     let other = stream.peer_addr().expect("it is connected");
     let shown = |address: SocketAddr| match address {
@@ -328,9 +331,9 @@
 }
 
 /// Waits until a connection's other side has so many bytes there that it has not read.
-pub fn until_unread(stream: &TcpStream, bytes: usize) {
+pub fn wait_for_unread(stream: &TcpStream, bytes: usize) {
     let begun = Instant::now();
-    while unread(stream) < bytes {
+    while unread_bytes(stream) < bytes {
         assert!(
             begun.elapsed() < TEST_TIMEOUT,
             "{bytes} bytes come to the other side's machine"
@@ -340,14 +343,14 @@
 }
 
 /// An entry of the list, in discovery's form.
-pub fn host(name: &str, dial: SocketAddr, block: u32, health: &str) -> String {
+pub fn host_json(name: &str, dial: SocketAddr, block: u32, health: &str) -> String {
     format!(
         r#"{{"host":"{name}","dial":"{dial}","site":"a","class":"k","block":{block},"health":"{health}","share":1.0,"born_ms":0}}"#
     )
 }
 
 /// A list in discovery's form.
-pub fn list(seq: u64, whole: bool, hosts: &[String]) -> String {
+pub fn list_json(seq: u64, whole: bool, hosts: &[String]) -> String {
     format!(
         r#"{{"seq":{seq},"whole":{whole},"hosts":[{}]}}"#,
         hosts.join(",")
@@ -468,7 +471,7 @@
     let known = if hosts.is_empty() {
         String::new()
     } else {
-        format!(r#""known":{},"#, list(1, true, hosts))
+        format!(r#""known":{},"#, list_json(1, true, hosts))
     };
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"8c1f30d27a5be964","limits":{{"cores":1.0,"memory_mb":192,"sockets":{sockets}}},"peer_listen":"{datagrams}","peers":["{datagrams}","{peer_address}"],{known}"settings":{SETTINGS}}}"#
@@ -476,7 +479,7 @@
 }
 
 /// Starts a node that can't go on: how it ended, and what it said.
-pub fn start_badly(
+pub fn start_expecting_failure(
     tag: &str,
     sockets: usize,
     change: impl FnOnce(&mut Command),
@@ -514,22 +517,22 @@
         hosts: &[String],
         sockets: usize,
     ) -> Node {
-        Node::launch(tag, discovery, hosts, sockets, |_| {})
+        Node::start_with_command(tag, discovery, hosts, sockets, |_| {})
     }
 
     /// The same, with the command changed before it is run.
-    pub fn launch(
+    pub fn start_with_command(
         tag: &str,
         discovery: SocketAddr,
         hosts: &[String],
         sockets: usize,
         change: impl FnOnce(&mut Command),
     ) -> Node {
-        Node::altered(tag, discovery, hosts, sockets, |text| text, change)
+        Node::start_with_config(tag, discovery, hosts, sockets, |text| text, change)
     }
 
     /// The same with another configuration.
-    pub fn altered(
+    pub fn start_with_config(
         tag: &str,
         discovery: SocketAddr,
         hosts: &[String],
@@ -574,7 +577,7 @@
     }
 
     /// A client's connection to it.
-    pub fn client(&self) -> Client {
+    pub fn connect(&self) -> Client {
         let stream = TcpStream::connect(self.address).expect("the edge node accepts");
         stream
             .set_read_timeout(Some(TEST_TIMEOUT))
@@ -606,7 +609,7 @@
     }
 
     /// Has it stand still, and comes back once all of its threads do. Danger: a signal that was sent and has not got there.
-    pub fn stand_still(&self) {
+    pub fn suspend(&self) {
         self.signal("-STOP");
         let tasks = format!("/proc/{}/task", self.child.id());
         let stands = |task: std::fs::DirEntry| {
@@ -645,7 +648,7 @@
     }
 
     /// The lines of its log that were written and not read yet.
-    pub fn log_so_far(&self) -> Vec<String> {
+    pub fn drain_log(&self) -> Vec<String> {
         self.log.try_iter().collect()
     }
 
@@ -655,7 +658,7 @@
     }
 
     /// Whether it runs.
-    pub fn runs(&mut self) -> bool {
+    pub fn is_running(&mut self) -> bool {
         self.child.try_wait().expect("its state is known").is_none()
     }
 }
@@ -675,7 +678,7 @@
 }
 
 /// Calls a node at its operators' address; all that it answers.
-pub fn call(address: SocketAddr, line: &str) -> String {
+pub fn admin_request(address: SocketAddr, line: &str) -> String {
     let mut stream = TcpStream::connect(address).expect("it is called");
     stream
         .set_read_timeout(Some(TEST_TIMEOUT))
@@ -687,7 +690,7 @@
 }
 
 /// A figure of an answer to `INFO`, by its name and labels.
-pub fn figure(answer: &str, name: &str) -> u64 {
+pub fn metric_value(answer: &str, name: &str) -> u64 {
     let value = answer
         .lines()
         .find_map(|line| line.strip_prefix(name)?.strip_prefix(' ')?.parse().ok());
@@ -695,10 +698,14 @@
 }
 
 /// An edge node that knows one app server, which does this.
-pub fn with_one(tag: &str, does: &[Reply]) -> (Servers, Discovery, Node) {
+pub fn start_with_one_server(tag: &str, does: &[Reply]) -> (Servers, Discovery, Node) {
     let (servers, discovery) = (Servers::new(), Discovery::start());
     let dial = servers.start("s-1", does);
-    let node = Node::start(tag, discovery.address, &[host("s-1", dial, 1, "ready")]);
+    let node = Node::start(
+        tag,
+        discovery.address,
+        &[host_json("s-1", dial, 1, "ready")],
+    );
     (servers, discovery, node)
 }
 
@@ -733,18 +740,18 @@
     }
 
     /// The next answer; `None` where the connection ended first.
-    pub fn answer(&mut self) -> Option<Message> {
+    pub fn read_response(&mut self) -> Option<Message> {
         Message::read(&mut self.reader)
     }
 
     /// Writes a request and reads its answer.
-    pub fn ask(&mut self, words: &str) -> Message {
+    pub fn exchange(&mut self, words: &str) -> Message {
         self.write(words);
-        self.answer().expect("a whole answer")
+        self.read_response().expect("a whole answer")
     }
 
     /// Comes back once the edge node has closed the connection; nothing more may have come on it.
-    pub fn ends(&mut self) {
+    pub fn expect_close(&mut self) {
         let mut rest = Vec::new();
         let read = self.reader.read_to_end(&mut rest);
         assert!(
@@ -756,7 +763,7 @@
 }
 
 /// Waits until the edge node has closed a connection to an app server.
-pub fn closed(got: &ReceivedRequest) -> bool {
+pub fn wait_until_closed(got: &ReceivedRequest) -> bool {
     got.stream
         .set_read_timeout(Some(TEST_TIMEOUT))
         .expect("a time-out");
@@ -764,7 +771,7 @@
 }
 
 /// Whether the edge node has closed a connection to an app server.
-pub fn closed_by_now(stream: &TcpStream) -> bool {
+pub fn is_closed(stream: &TcpStream) -> bool {
     stream.set_nonblocking(true).expect("a mode");
     let seen = stream.peek(&mut [0]);
     stream.set_nonblocking(false).expect("a mode");
--- a/crates/test-doubles/src/servers.rs
+++ b/crates/test-doubles/src/servers.rs
@@ -1,6 +1,6 @@
 //! App servers: each has cores, a waiting room and a temper that a script may change, and starts cold.
 
-use crate::wire::{answer, Wire};
+use crate::wire::{response, HttpConnection};
 use crate::{lock, World};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -24,22 +24,22 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Behavior {
     /// Times its usual work that a request takes.
-    pub slow: f64,
+    pub work_multiplier: f64,
     /// It takes requests and answers none.
     pub silent: bool,
     /// Share of its requests that end in a reset, after they ran.
-    pub resets: f64,
+    pub reset_share: f64,
     /// Share of them that are answered 500, after they ran.
-    pub errors: f64,
+    pub error_share: f64,
 }
 
 impl Default for Behavior {
     fn default() -> Behavior {
         Behavior {
-            slow: 1.0,
+            work_multiplier: 1.0,
             silent: false,
-            resets: 0.0,
-            errors: 0.0,
+            reset_share: 0.0,
+            error_share: 0.0,
         }
     }
 }
@@ -132,7 +132,7 @@
     }
 
     /// When each connection was made to it, since the run's beginning, and how many requests came.
-    pub fn met(&self) -> (Vec<Duration>, usize) {
+    pub fn handshakes_and_requests(&self) -> (Vec<Duration>, usize) {
         (
             lock(&self.inside.handshakes).clone(),
             self.inside.requests.load(Ordering::Relaxed),
@@ -140,7 +140,7 @@
     }
 
     /// Changes its temper.
-    pub fn set(&self, change: impl FnOnce(&mut Behavior)) {
+    pub fn set_behavior(&self, change: impl FnOnce(&mut Behavior)) {
         change(&mut lock(&self.inside.temper));
     }
 
@@ -157,8 +157,8 @@
         let listener = bound(self.address)?.listen(BACKLOG)?;
         let world = &self.inside.world;
         world
-            .ledger()
-            .cold(world.now(), self.name(), self.capacity());
+            .oracle()
+            .server_started_cold(world.now(), self.name(), self.capacity());
         let number = world.now().as_nanos() as u64 | 1;
         self.inside.life.send_replace(number);
         tokio::spawn(self.clone().accept(listener));
@@ -183,14 +183,14 @@
 
     async fn serve(self, stream: TcpStream, mine: u64) {
         let mut life = self.inside.life.subscribe();
-        let mut wire = Wire::new(stream);
+        let mut wire = HttpConnection::new(stream);
         let died = async move {
             let _ = life.wait_for(|now| *now != mine).await;
         };
         tokio::pin!(died);
         loop {
             let message = tokio::select! {
-                message = wire.message(&self.inside.world) => message,
+                message = wire.read_message(&self.inside.world) => message,
                 () = &mut died => None.ok_or(std::io::ErrorKind::ConnectionReset.into()),
             };
             let Ok(Some(message)) = message else { break };
@@ -206,14 +206,18 @@
             inside.requests.fetch_add(1, Ordering::Relaxed);
             let work = inside.work(&class);
             let world = &inside.world;
-            world
-                .ledger()
-                .arrived(world.now(), message.first, &inside.spec.name, &id, work);
+            world.oracle().attempt_received(
+                world.now(),
+                message.first_byte_at,
+                &inside.spec.name,
+                &id,
+                work,
+            );
             let held = Held::take(Arc::clone(&inside));
-            if held.count > inside.spec.slots || world.ledger().fell(&inside.spec.name) {
-                world.ledger().over(&id);
+            if held.count > inside.spec.slots || world.oracle().is_overloaded(&inside.spec.name) {
+                world.oracle().attempt_finished(&id);
                 if wire
-                    .write(&answer("503 Full", "X-Not-Run: 1\r\n", ""))
+                    .write(&response("503 Full", "X-Not-Run: 1\r\n", ""))
                     .await
                     .is_err()
                 {
@@ -226,8 +230,8 @@
             tokio::pin!(job);
             let done = tokio::select! {
                 done = &mut job => done.ok(),
-                () = wire.ended() => {
-                    world.ledger().closed(world.now(), &id);
+                () = wire.wait_until_closed() => {
+                    world.oracle().attempt_canceled(world.now(), &id);
                     return;
                 }
                 () = &mut died => None,
@@ -235,13 +239,13 @@
             match done {
                 Some(Done::Answer(words)) => {
                     // Over once it is written: the node may send elsewhere from then on.
-                    world.ledger().over(&id);
+                    world.oracle().attempt_finished(&id);
                     if wire.write(&words).await.is_err() {
                         break;
                     }
                 }
                 Some(Done::Reset) | None => {
-                    world.ledger().over(&id);
+                    world.oracle().attempt_finished(&id);
                     break;
                 }
             }
@@ -269,23 +273,30 @@
     let Ok(_core) = inside.cores.acquire().await else {
         return Done::Reset;
     };
-    let warmth = world.ledger().warmth(world.now(), &inside.spec.name);
-    tokio::time::sleep(Duration::from_secs_f64(work * temper.slow / warmth)).await;
+    let warmth = world
+        .oracle()
+        .capacity_share(world.now(), &inside.spec.name);
+    tokio::time::sleep(Duration::from_secs_f64(
+        work * temper.work_multiplier / warmth,
+    ))
+    .await;
     if *inside.life.borrow() != mine {
         return Done::Reset;
     }
     world
-        .ledger()
-        .ran(world.now(), came, inside.spec.block, &id);
+        .oracle()
+        .attempt_executed(world.now(), came, inside.spec.block, &id);
     match fastrand::f64() {
-        chance if chance < temper.resets => Done::Reset,
-        chance if chance < temper.resets + temper.errors => Done::Answer(answer("500 Oh", "", "")),
-        _ => Done::Answer(answer("200 OK", "", &made_for(&id))),
+        chance if chance < temper.reset_share => Done::Reset,
+        chance if chance < temper.reset_share + temper.error_share => {
+            Done::Answer(response("500 Oh", "", ""))
+        }
+        _ => Done::Answer(response("200 OK", "", &response_body(&id))),
     }
 }
 
 /// What a server answers to a request: no other has the same.
-pub fn made_for(id: &str) -> String {
+pub fn response_body(id: &str) -> String {
     format!("ranks for {id}\n")
 }
 
--- a/crates/test-doubles/src/settings.rs
+++ b/crates/test-doubles/src/settings.rs
@@ -18,7 +18,7 @@
     /// Mean work at a server.
     pub work: Duration,
     /// An answer within this span is worth most.
-    pub aim: Duration,
+    pub latency_target: Duration,
     /// How long clients wait.
     pub deadline: Duration,
 }
@@ -53,14 +53,14 @@
 
 impl Fleet {
     /// Reads and keyed writes, and four plans of which one has a hard ceiling: the shape of the platform's days.
-    pub fn usual(nodes: usize) -> Fleet {
+    pub fn typical(nodes: usize) -> Fleet {
         let ms = Duration::from_millis;
         let class = |name, keyed, share, work, aim, deadline| Class {
             name,
             keyed,
             share,
             work,
-            aim,
+            latency_target: aim,
             deadline,
         };
         let plan = |name, rate, burst, ceiling| Plan {
@@ -97,9 +97,9 @@
     }
 
     /// Notes what binds a customer.
-    pub fn limit(&self, ledger: &mut Oracle, customer: &Customer) {
+    pub fn register_limits(&self, ledger: &mut Oracle, customer: &Customer) {
         let plan = &self.plans[customer.plan];
-        ledger.limit(customer.id, (plan.rate, plan.burst), plan.ceiling);
+        ledger.set_limits(customer.id, (plan.rate, plan.burst), plan.ceiling);
     }
 
     /// The settings of one node.
@@ -112,9 +112,9 @@
                 "read_like"
             };
             json!({
-                "name": class.name, "aimUs": micros(class.aim), "deadlineUs": micros(class.deadline),
+                "name": class.name, "aimUs": micros(class.latency_target), "deadlineUs": micros(class.deadline),
                 "lateValue": 0.1, "worth": if class.keyed { 2.0 } else { 3.0 }, "repeat": repeat,
-                "group": "cell", "windowUs": micros(self.bounds.key_window),
+                "group": "cell", "windowUs": micros(self.bounds.idempotency_window),
             })
         };
         let plan = |plan: &Plan| {
@@ -134,8 +134,8 @@
             "classes": self.classes.iter().map(class).collect::<Vec<_>>(),
             "packages": self.plans.iter().map(plan).collect::<Vec<_>>(),
             "rules": {
-                "coldFrom": self.bounds.cold_from, "coldUs": micros(self.bounds.cold_for),
-                "fallMultiple": self.bounds.fall_multiple, "overloadForUs": micros(self.bounds.fall_window),
+                "coldFrom": self.bounds.cold_start_share, "coldUs": micros(self.bounds.slow_start_duration),
+                "fallMultiple": self.bounds.overload_multiple, "overloadForUs": micros(self.bounds.overload_window),
             },
             "deductions": {"crossZone": 0.02},
             "extra": {"peerInPerS": 60.0, "maxUnits": 1},
--- a/crates/test-doubles/src/wire.rs
+++ b/crates/test-doubles/src/wire.rs
@@ -15,13 +15,13 @@
 #[derive(Clone, Debug)]
 pub struct Message {
     /// Its first line.
-    pub start: String,
+    pub start_line: String,
     /// Its headers, their names in lower case.
     pub headers: Vec<(String, String)>,
     /// Its body.
     pub body: Vec<u8>,
     /// When its first byte was read, since the run's beginning.
-    pub first: Duration,
+    pub first_byte_at: Duration,
 }
 
 impl Message {
@@ -35,7 +35,7 @@
 
     /// The status of an answer; 0 where it has none.
     pub fn status(&self) -> u16 {
-        self.start
+        self.start_line
             .split(' ')
             .nth(1)
             .and_then(|status| status.parse().ok())
@@ -44,31 +44,31 @@
 
     /// The path and query of a request.
     pub fn target(&self) -> &str {
-        self.start.split(' ').nth(1).unwrap_or("")
+        self.start_line.split(' ').nth(1).unwrap_or("")
     }
 }
 
 /// A connection on which messages come one after the other.
 #[derive(Debug)]
-pub struct Wire {
+pub struct HttpConnection {
     /// The connection.
     pub stream: TcpStream,
     buffer: Vec<u8>,
 }
 
-impl Wire {
+impl HttpConnection {
     /// A connection on which nothing has been read.
-    pub fn new(stream: TcpStream) -> Wire {
+    pub fn new(stream: TcpStream) -> HttpConnection {
         // Works all the same without it.
         let _ = stream.set_nodelay(true);
-        Wire {
+        HttpConnection {
             stream,
             buffer: Vec::new(),
         }
     }
 
     /// Whether bytes have come that no message took.
-    pub fn has_more(&self) -> bool {
+    pub fn has_unread_bytes(&self) -> bool {
         !self.buffer.is_empty()
     }
 
@@ -76,7 +76,7 @@
     ///
     /// # Errors
     /// The connection broke, ended inside a message, or the message can't be read.
-    pub async fn message(&mut self, world: &World) -> io::Result<Option<Message>> {
+    pub async fn read_message(&mut self, world: &World) -> io::Result<Option<Message>> {
         let mut first = (!self.buffer.is_empty()).then(|| world.now());
         let head = loop {
             if let Some(end) = self.buffer.windows(4).position(|four| four == b"\r\n\r\n") {
@@ -117,10 +117,10 @@
         let rest = self.buffer.split_off(head + length);
         let body = std::mem::replace(&mut self.buffer, rest).split_off(head);
         Ok(Some(Message {
-            start,
+            start_line: start,
             headers,
             body,
-            first: first.unwrap_or_default(),
+            first_byte_at: first.unwrap_or_default(),
         }))
     }
 
@@ -133,7 +133,7 @@
     }
 
     /// Comes back once the other side has ended the connection. What it still sends is kept.
-    pub async fn ended(&mut self) {
+    pub async fn wait_until_closed(&mut self) {
         while !matches!(self.stream.read_buf(&mut self.buffer).await, Ok(0) | Err(_)) {
             if self.buffer.len() > BODY_MOST {
                 return;
@@ -143,7 +143,7 @@
 }
 
 /// An answer with a body of known length.
-pub fn answer(status: &str, more: &str, body: &str) -> Vec<u8> {
+pub fn response(status: &str, more: &str, body: &str) -> Vec<u8> {
     format!(
         "HTTP/1.1 {status}\r\n{more}Content-Length: {}\r\n\r\n{body}",
         body.len()
