--- a/crates/bench/tests/size/fixture.rs
+++ b/crates/bench/tests/size/fixture.rs
@@ -12,14 +12,16 @@
 use saffronpaddle_hollow::tenants::{plans, Tenants};
 use saffronpaddle_hollow::{server_id, Spec};
 use saffronpaddle_subsetting::{Subset, FULL_LIST_MAX, TARGET_SIZE};
-use saffronpaddle_test_doubles::ledger::{Answer, Asked, Breach, Repeats, Unanswered, Verdict};
-use saffronpaddle_test_doubles::links::{End, Fault, Links, Which};
-use saffronpaddle_test_doubles::load::{class_of, Customer, Front, Leaves};
+use saffronpaddle_test_doubles::links::{End, Fault, LinkSet, Links};
+use saffronpaddle_test_doubles::load::{class_of, Cancellations, Customer, LoadGenerator};
+use saffronpaddle_test_doubles::oracle::{
+    Answer, Breach, RepeatSafety, SentRequest, Unanswered, Verdict,
+};
 use saffronpaddle_test_doubles::peers::Network;
-use saffronpaddle_test_doubles::ports::unclaimed;
+use saffronpaddle_test_doubles::ports::reserve_address;
 use saffronpaddle_test_doubles::scripted::program;
 use saffronpaddle_test_doubles::servers::{self, AppServer};
-use saffronpaddle_test_doubles::settings::{configuration, Fleet, Places, Plan};
+use saffronpaddle_test_doubles::settings::{configuration, Fleet, NodeConfig, Plan};
 use saffronpaddle_test_doubles::World;
 use serde::de::DeserializeOwned;
 use serde_json::json;
@@ -201,7 +203,7 @@
 /// Takes into the ledger what a process of hollow nodes did since the last time.
 fn take_in(world: &World, fleet: &Fleet, shard: &mut Shard) -> Audited {
     let audited: Audited = shard.ask("audit");
-    let mut ledger = world.ledger();
+    let mut ledger = world.oracle();
     for (at, note) in &audited.notes {
         let at = shard.at(*at);
         match note {
@@ -210,33 +212,35 @@
                 shard.open.insert(id.clone(), *tenant);
                 let class = &fleet.classes[*class];
                 let repeats = if class.keyed {
-                    Repeats::Keyed
+                    RepeatSafety::Keyed
                 } else {
-                    Repeats::Safe
+                    RepeatSafety::Safe
                 };
-                let asked = Asked {
+                let asked = SentRequest {
                     id: id.clone(),
                     key: class.keyed.then(|| id.clone()),
-                    repeats,
+                    repeat_safety: repeats,
                     node: *node as usize,
                     customer: *tenant,
                     units: 1.0,
-                    patience: class.deadline + LOOP_SLACK,
+                    timeout: class.deadline + LOOP_SLACK,
                 };
-                ledger.asked(at, asked);
+                ledger.request_sent(at, asked);
             }
-            Note::Arrived(id, server, work) => ledger.arrived(at, at, server, id, *work),
-            Note::Ran(id, group, came) => _ = ledger.ran(at, shard.at(*came), *group, id),
-            Note::Over(id) => ledger.over(id),
-            Note::Closed(id) => ledger.closed(at, id),
+            Note::Arrived(id, server, work) => ledger.attempt_received(at, at, server, id, *work),
+            Note::Ran(id, group, came) => {
+                _ = ledger.attempt_executed(at, shard.at(*came), *group, id);
+            }
+            Note::Over(id) => ledger.attempt_finished(id),
+            Note::Closed(id) => ledger.attempt_canceled(at, id),
             Note::Answered(id, kind) => {
                 let answer = [Answer::Served, Answer::Refused, Answer::Failed][usize::from(*kind)];
-                ledger.answered(at, id, answer);
+                ledger.response_received(at, id, answer);
                 if let Some(tenant) = shard.open.remove(id).filter(|_| answer == Answer::Served) {
                     shard.tenants.entry(tenant).or_default().1 += 1;
                 }
             }
-            Note::Cut(id) => ledger.unanswered(id, Unanswered::Killed),
+            Note::Cut(id) => ledger.request_unanswered(id, Unanswered::Killed),
         }
     }
     audited
@@ -303,7 +307,7 @@
     pub tenants: Tenants,
     pub links: Arc<Links>,
     pub stands: BTreeMap<usize, AppServer>,
-    pub front: Arc<Front>,
+    pub front: Arc<LoadGenerator>,
     nodes: Vec<Node>,
     shards: Arc<Vec<Mutex<Shard>>>,
     faults: Mutex<Faults>,
@@ -324,7 +328,7 @@
 
 /// One tenant's clients at real nodes, until they are told to rest and the last has its answer.
 async fn clients(
-    front: Arc<Front>,
+    front: Arc<LoadGenerator>,
     fleet: Fleet,
     customer: Customer,
     mut rests: watch::Receiver<bool>,
@@ -333,7 +337,7 @@
     let mut all = JoinSet::new();
     loop {
         tokio::select! {
-            () = sleep(customer.gap(random.f64())) => {}
+            () = sleep(customer.arrival_gap(random.f64())) => {}
             _ = rests.wait_for(|rests| *rests) => break,
         }
         let (front, customer, class) = (
@@ -341,7 +345,7 @@
             customer.clone(),
             class_of(&fleet, random.f64()),
         );
-        all.spawn(async move { front.client(customer, class).await });
+        all.spawn(async move { front.run_client(customer, class).await });
         while all.try_join_next().is_some() {}
     }
     while all.join_next().await.is_some() {}
@@ -395,10 +399,10 @@
         let mut fleet = Fleet {
             plans,
             sites: SITES.to_vec(),
-            ..Fleet::usual(NODES)
+            ..Fleet::typical(NODES)
         };
         fleet.bounds.answer_slack = ANSWER_SLACK;
-        let world = World::begin(fleet.bounds.clone());
+        let world = World::start(fleet.bounds.clone());
 
         let mut stands = BTreeMap::new();
         let mut listed = Vec::new();
@@ -429,7 +433,7 @@
                 dial = Some(server.address());
                 stands.insert(at, server);
             }
-            let dial = dial.unwrap_or_else(|| unclaimed().expect("an address"));
+            let dial = dial.unwrap_or_else(|| reserve_address().expect("an address"));
             let stands = stands.contains_key(&at);
             listed.push(Server {
                 dial,
@@ -443,7 +447,7 @@
         let list = Service::new(Arc::clone(&world), listed, REAL);
 
         let peers: Vec<SocketAddr> = (0..NODES)
-            .map(|_| unclaimed().expect("an address"))
+            .map(|_| reserve_address().expect("an address"))
             .collect();
         let links = Arc::new(Links::default());
         let network = Network::start(peers.clone(), Arc::clone(&links))
@@ -516,8 +520,8 @@
         std::fs::write(folder.join("operator.toml"), operator).expect("an operator file");
         let mut nodes = Vec::new();
         for (me, peer_listen) in peers.iter().copied().enumerate().take(REAL) {
-            let address = unclaimed().expect("an address");
-            let places = Places {
+            let address = reserve_address().expect("an address");
+            let places = NodeConfig {
                 name: format!("n{me}"),
                 listen: address,
                 discovery: list.open(Some(me)).await,
@@ -538,14 +542,14 @@
             nodes.push(node);
         }
         let doors: Vec<SocketAddr> = nodes.iter().map(|node| node.address).collect();
-        let front = Front::new(
+        let front = LoadGenerator::new(
             Arc::clone(&world),
             fleet.clone(),
             &doors,
             1,
-            Leaves::default(),
+            Cancellations::default(),
         );
-        Arc::clone(&front).watch();
+        Arc::clone(&front).watch_readiness();
         let rig = Rig {
             world,
             list,
@@ -591,7 +595,7 @@
         })
         .await;
         until("each real node is open and has the list", || {
-            self.front.open() == REAL && self.list.reached(seq, 0..REAL)
+            self.front.ready_nodes() == REAL && self.list.reached(seq, 0..REAL)
         })
         .await;
     }
@@ -618,11 +622,12 @@
             let customer = Customer {
                 id: tenant.id,
                 plan: tenant.plan,
-                first: tenant.first as usize,
-                spread: tenant.spread as usize,
+                first_node: tenant.first as usize,
+                node_count: tenant.spread as usize,
                 rate,
             };
-            self.fleet.limit(&mut self.world.ledger(), &customer);
+            self.fleet
+                .register_limits(&mut self.world.oracle(), &customer);
             let rests = self.rests.subscribe();
             self.offers.spawn(clients(
                 Arc::clone(&self.front),
@@ -659,8 +664,8 @@
     }
 
     /// Lays a fault on the links between real nodes and all others.
-    pub fn lay(&self, which: Which, fault: Fault) {
-        self.links.lay(which, fault);
+    pub fn lay(&self, which: LinkSet, fault: Fault) {
+        self.links.add_fault(which, fault);
     }
 
     /// Ends of all nodes.
@@ -675,31 +680,33 @@
 
     /// A real node is killed, and its successor started.
     pub fn kill(&self, node: usize) {
-        self.front.killed_or_back(node);
+        self.front.node_killed_or_restarted(node);
         lock(&self.nodes[node].process).take();
         self.list.forget(node);
-        self.world.ledger().restarted(node);
+        self.world.oracle().node_restarted(node);
         self.nodes[node].start();
-        self.front.killed_or_back(node);
+        self.front.node_killed_or_restarted(node);
     }
 
     /// A real node stands still for as long as something takes.
     pub async fn still(&self, node: usize, meanwhile: impl std::future::Future<Output = ()>) {
         let stopped = self.world.now();
-        self.front.paused(node);
+        self.front.node_paused_or_resumed(node);
         self.nodes[node].signal(Signal::SIGSTOP);
         meanwhile.await;
-        self.world.ledger().resumed(self.world.now(), node, stopped);
+        self.world
+            .oracle()
+            .node_resumed(self.world.now(), node, stopped);
         self.nodes[node].signal(Signal::SIGCONT);
-        self.front.paused(node);
+        self.front.node_paused_or_resumed(node);
     }
 
     /// Tries that began since then at some nodes, and how many of them were served by now.
     pub fn since(&self, since: Duration, at: impl Fn(usize) -> bool) -> (u64, u64) {
-        let ledger = self.world.ledger();
+        let ledger = self.world.oracle();
         ledger
-            .seen()
-            .filter(|seen| seen.at >= since && at(seen.node))
+            .requests()
+            .filter(|seen| seen.sent_at >= since && at(seen.node))
             .fold((0, 0), |(tries, served), seen| {
                 (
                     tries + 1,
@@ -743,7 +750,9 @@
                 server.start_cold().expect("its address is kept");
             } else {
                 let (now, capacity) = (self.world.now(), self.fixture.cores as f64);
-                self.world.ledger().cold(now, &format!("s-{at}"), capacity);
+                self.world
+                    .oracle()
+                    .server_started_cold(now, &format!("s-{at}"), capacity);
             }
         }
         let born_ms = self.world.unix_ms();
@@ -770,7 +779,7 @@
             .max()
             .unwrap_or_default();
         let begun = Instant::now();
-        while self.world.ledger().open() > 0 && begun.elapsed() < longest + LOOP_SLACK {
+        while self.world.oracle().open_requests() > 0 && begun.elapsed() < longest + LOOP_SLACK {
             sleep(LOOK).await;
         }
         self.over.store(true, Ordering::Relaxed);
@@ -802,7 +811,7 @@
             let log = std::fs::read_to_string(self.folder.join(format!("{}.log", node.me)));
             assert!(!node.ended(), "node {} ended by itself: {log:?}", node.me);
         }
-        let verdict = self.world.ledger().judge();
+        let verdict = self.world.oracle().verdict();
         println!("{verdict:?}\n{hollow:?}");
         (verdict, hollow)
     }
@@ -820,12 +829,12 @@
     assert_eq!((hollow.late, hollow.lost), (0, 0), "{hollow:?}");
     assert_eq!(verdict.lost, 0, "{verdict:?}");
     assert_eq!(
-        verdict.unasked, 0,
+        verdict.unsolicited_attempts, 0,
         "no attempt that nobody asked for: {verdict:?}"
     );
-    assert!(verdict.cold_worst < 1.0, "{verdict:?}");
+    assert!(verdict.cold_load_max < 1.0, "{verdict:?}");
     assert!(
-        verdict.tries > 500 && verdict.served > 0,
+        verdict.requests > 500 && verdict.served > 0,
         "it was used: {verdict:?}"
     );
 }
--- a/crates/model-checker/src/bin/saffronpaddle-model-checker/arguments.rs
+++ b/crates/model-checker/src/bin/saffronpaddle-model-checker/arguments.rs
@@ -13,7 +13,7 @@
 saffronpaddle-model-checker bugs             search for each planted fault
 saffronpaddle-model-checker gap              show the known gap: a late duplicate of a response
 saffronpaddle-model-checker walk [--seed N] [--walks N] [--steps N]   take random walks through large worlds
-saffronpaddle-model-checker nodes [--seed N] [--runs N] [--tries N]   simulate fleets in virtual time, verified by the ledger
+saffronpaddle-model-checker nodes [--seed N] [--runs N] [--tries N]   simulate fleets in virtual time, verified by the oracle
 ";
 
 /// The parsed command line.
--- a/crates/model-checker/src/bin/saffronpaddle-model-checker/fleet_runs.rs
+++ b/crates/model-checker/src/bin/saffronpaddle-model-checker/fleet_runs.rs
@@ -34,15 +34,15 @@
          {} attempts, {} first bytes after a drain (latest {:.1} ms), \
          load of cold servers at most {:.2} of their failure point, {:.1} s",
         run.events,
-        verdict.tries,
+        verdict.requests,
         verdict.served,
         verdict.refused,
         verdict.failed,
         verdict.killed,
         verdict.attempts,
-        verdict.after_drain,
-        verdict.after_drain_most_ms,
-        verdict.cold_worst,
+        verdict.attempts_after_drain,
+        verdict.attempts_after_drain_max_ms,
+        verdict.cold_load_max,
         duration.as_secs_f64()
     );
 }
--- a/crates/model-checker/src/fleet.rs
+++ b/crates/model-checker/src/fleet.rs
@@ -1,5 +1,5 @@
 //! Discrete-event simulation of a small fleet in virtual time: several exchanges with the real policy engine, failing
-//! servers, endpoint list changes and datagram loss. A run is determined by its seed, and the ledger of the fleet tests
+//! servers, endpoint list changes and datagram loss. A run is determined by its seed, and the oracle of the fleet tests
 //! verifies it.
 
 mod clients;
@@ -13,7 +13,7 @@
 use saffronpaddle_exchange::Bug;
 use saffronpaddle_policy::interface::{Micros, SettingsError};
 use saffronpaddle_policy::setup::ReadError;
-use saffronpaddle_test_doubles::ledger;
+use saffronpaddle_test_doubles::oracle;
 use simulation::Simulation;
 use std::fmt;
 
@@ -54,8 +54,8 @@
 /// The result of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetRun {
-    /// The verdict of the ledger.
-    pub verdict: ledger::Verdict,
+    /// The verdict of the oracle.
+    pub verdict: oracle::Verdict,
     /// Inconsistencies of the tables of an exchange, and invalid commands.
     pub inconsistencies: Vec<String>,
     /// Number of requests and connections that remain at the end of the run.
--- a/crates/model-checker/src/fleet/clients.rs
+++ b/crates/model-checker/src/fleet/clients.rs
@@ -6,7 +6,7 @@
 use saffronpaddle_policy::interface::{
     ClassId, CustomerId, Event as PolicyEvent, Micros, NodeId, PlanId, RequestId,
 };
-use saffronpaddle_test_doubles::ledger::{Asked, Repeats, Unanswered};
+use saffronpaddle_test_doubles::oracle::{RepeatSafety, SentRequest, Unanswered};
 
 /// Part of the client's deadline that the front end reserves for the delivery of the answer, µs.
 const DELIVERY_RESERVE: Micros = 5_000;
@@ -55,16 +55,20 @@
 
     fn record_request(&mut self, id: &RequestId, class: usize, node: usize, customer: u64) {
         let keyed = self.fleet.classes[class].keyed;
-        let asked = Asked {
+        let asked = SentRequest {
             id: id.0.to_string(),
             key: keyed.then(|| id.0.to_string()),
-            repeats: if keyed { Repeats::Keyed } else { Repeats::Safe },
+            repeat_safety: if keyed {
+                RepeatSafety::Keyed
+            } else {
+                RepeatSafety::Safe
+            },
             node,
             customer,
             units: 1.0,
-            patience: self.fleet.classes[class].deadline,
+            timeout: self.fleet.classes[class].deadline,
         };
-        self.ledger.asked(self.elapsed(), asked);
+        self.oracle.request_sent(self.elapsed(), asked);
     }
 
     fn schedule_leaving(&mut self, node: usize, id: RequestId, ticket: Ticket, timeout: Micros) {
@@ -79,7 +83,8 @@
         if !self.is_alive(node) || !waits {
             return;
         }
-        self.ledger.unanswered(&id.0, Unanswered::Left);
+        self.oracle
+            .request_unanswered(&id.0, Unanswered::ClientDisconnected);
         self.nodes[node.index].waiting.remove(&id);
         self.open.remove(&id);
         self.deliver(node.index, Event::ClientGone { id, ticket }, None);
--- a/crates/model-checker/src/fleet/commands.rs
+++ b/crates/model-checker/src/fleet/commands.rs
@@ -6,7 +6,7 @@
 use super::simulation::Simulation;
 use saffronpaddle_exchange::{Command, ConnectionId, Event, FinalAnswer};
 use saffronpaddle_policy::interface::{Action, Micros, NodeId, RequestId};
-use saffronpaddle_test_doubles::ledger::Answer;
+use saffronpaddle_test_doubles::oracle::Answer;
 use std::hash::Hash;
 use std::ops::Range;
 
@@ -160,14 +160,14 @@
         self.nodes[node].waiting.remove(id);
         self.open.remove(id);
         if answer == FinalAnswer::Served && response_to != Some(id) {
-            self.ledger.foreign(&id.0);
+            self.oracle.wrong_response_received(&id.0);
         }
         let answer = match answer {
             FinalAnswer::Served => Answer::Served,
             FinalAnswer::Rejected(_) => Answer::Refused,
             FinalAnswer::Failed => Answer::Failed,
         };
-        self.ledger.answered(self.elapsed(), &id.0, answer);
+        self.oracle.response_received(self.elapsed(), &id.0, answer);
     }
 
     fn carry_out_action(&mut self, node: usize, action: Action) {
--- a/crates/model-checker/src/fleet/nodes.rs
+++ b/crates/model-checker/src/fleet/nodes.rs
@@ -8,7 +8,7 @@
     Endpoint, EndpointStatus, Event as PolicyEvent, Micros, RequestId,
 };
 use saffronpaddle_policy::PolicyEngine;
-use saffronpaddle_test_doubles::ledger::Unanswered;
+use saffronpaddle_test_doubles::oracle::Unanswered;
 use std::collections::HashMap;
 
 /// Most connections of a node to servers.
@@ -149,7 +149,7 @@
             return;
         }
         let ready = endpoint.status == EndpointStatus::Ready;
-        self.ledger.told(
+        self.oracle.health_delivered(
             self.elapsed(),
             node.index,
             &self.servers[server].name,
@@ -185,7 +185,7 @@
     pub fn kill_node(&mut self, index: usize) -> Result<(), FleetError> {
         self.lose_requests(index);
         self.close_all_connections(index);
-        self.ledger.restarted(index);
+        self.oracle.node_restarted(index);
         let exchange = self.new_exchange(index)?;
         let node = &mut self.nodes[index];
         node.exchange = exchange;
@@ -204,7 +204,7 @@
             .map(|(id, _)| id.clone())
             .collect();
         for id in lost {
-            self.ledger.unanswered(&id.0, Unanswered::Killed);
+            self.oracle.request_unanswered(&id.0, Unanswered::Killed);
             self.open.remove(&id);
         }
     }
@@ -218,7 +218,7 @@
             .collect();
         at_servers.sort();
         for id in &at_servers {
-            self.ledger.closed(self.elapsed(), &id.0);
+            self.oracle.attempt_canceled(self.elapsed(), &id.0);
         }
     }
 }
--- a/crates/model-checker/src/fleet/simulation.rs
+++ b/crates/model-checker/src/fleet/simulation.rs
@@ -6,7 +6,7 @@
 use super::{FleetError, FleetRun, FleetSetup};
 use saffronpaddle_policy::interface::{Micros, RequestId};
 use saffronpaddle_policy::setup::{self, PlatformSettings};
-use saffronpaddle_test_doubles::ledger::Ledger;
+use saffronpaddle_test_doubles::oracle::Oracle;
 use saffronpaddle_test_doubles::settings::Fleet;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -46,7 +46,7 @@
     pub nodes: Vec<Node>,
     pub servers: Vec<Server>,
     pub next_address: u32,
-    pub ledger: Ledger,
+    pub oracle: Oracle,
     pub inconsistencies: Vec<String>,
     pub commands_hash: DefaultHasher,
     events: usize,
@@ -60,7 +60,7 @@
     /// # Errors
     /// The settings of the fleet are unreadable or invalid.
     pub fn new(setup: FleetSetup) -> Result<Simulation, FleetError> {
-        let fleet = Fleet::usual(setup.nodes);
+        let fleet = Fleet::typical(setup.nodes);
         let settings = (0..setup.nodes)
             .map(|node| setup::read(&fleet.settings(node).to_string()))
             .collect::<Result<Vec<PlatformSettings>, setup::ReadError>>()
@@ -74,7 +74,7 @@
             nodes: Vec::new(),
             servers: (0..setup.servers).map(Server::new).collect(),
             next_address: FIRST_NEW_ADDRESS,
-            ledger: Ledger::new(fleet.bounds.clone()),
+            oracle: Oracle::new(fleet.bounds.clone()),
             inconsistencies: Vec::new(),
             commands_hash: DefaultHasher::new(),
             events: 0,
@@ -91,11 +91,11 @@
         Ok(simulation)
     }
 
-    /// Reports the quota of each customer to the ledger.
+    /// Reports the quota of each customer to the oracle.
     fn report_quotas(&mut self) {
         for (customer, plan) in (0..CUSTOMERS).zip(self.fleet.plans.iter().cycle()) {
-            self.ledger
-                .limit(customer, (plan.rate, plan.burst), plan.ceiling);
+            self.oracle
+                .set_limits(customer, (plan.rate, plan.burst), plan.ceiling);
         }
     }
 
@@ -209,7 +209,7 @@
             .map(|(requests, connections)| requests + connections)
             .sum();
         FleetRun {
-            verdict: self.ledger.judge(),
+            verdict: self.oracle.verdict(),
             inconsistencies: self.inconsistencies,
             remaining,
             events: self.events,
--- a/crates/model-checker/tests/explored.rs
+++ b/crates/model-checker/tests/explored.rs
@@ -164,7 +164,7 @@
             "{again}"
         );
         assert!(
-            fleet_run.verdict.served > fleet_run.verdict.tries / 4,
+            fleet_run.verdict.served > fleet_run.verdict.requests / 4,
             "{again}: {:?}",
             fleet_run.verdict
         );
--- a/crates/saffronpaddle/tests/upgrade.rs
+++ b/crates/saffronpaddle/tests/upgrade.rs
@@ -54,7 +54,7 @@
             if let Some(path) = found {
                 return path;
             }
-            assert!(begun.elapsed() < PATIENCE, "nothing to meet at");
+            assert!(begun.elapsed() < TEST_TIMEOUT, "nothing to meet at");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
@@ -79,19 +79,19 @@
 }
 
 impl Rig {
-    fn new(tag: &str, does: &[Does]) -> Rig {
+    fn new(tag: &str, does: &[Reply]) -> Rig {
         let (servers, discovery) = (Servers::new(), Discovery::start());
         let dial = servers.start("s-1", does);
         Rig {
             servers,
             discovery,
-            hosts: vec![host("s-1", dial, 1, "ready")],
+            hosts: vec![host_json("s-1", dial, 1, "ready")],
             platform: Platform::new(tag),
         }
     }
 
     fn first(&self, tag: &str, admin: SocketAddr) -> Node {
-        Node::launch(tag, self.discovery.address, &self.hosts, 1024, |command| {
+        Node::start_with_command(tag, self.discovery.address, &self.hosts, 1024, |command| {
             self.platform.gives(command, admin);
         })
     }
@@ -103,8 +103,8 @@
 
 fn until_ready(admin: SocketAddr) {
     let begun = Instant::now();
-    while !call(admin, "PING\n").starts_with("SUCCESS") {
-        assert!(begun.elapsed() < PATIENCE);
+    while !admin_request(admin, "PING\n").starts_with("SUCCESS") {
+        assert!(begun.elapsed() < TEST_TIMEOUT);
     }
 }
 
@@ -117,7 +117,7 @@
 /// that is shut, what was under way is finished by who took it, and only the old processes end.
 #[test]
 fn a_node_is_upgraded_in_place_and_no_request_meets_a_shut_door() {
-    let rig = Rig::new("inplace", &[SERVES]);
+    let rig = Rig::new("inplace", &[REPLY_OK]);
     let (mut admin, stop) = (free_address(), std::sync::atomic::AtomicBool::new(false));
     let mut node = rig.first("inplace", admin);
     let address = node.address;
@@ -130,7 +130,9 @@
                     while !stop.load(std::sync::atomic::Ordering::Relaxed) {
                         let stream =
                             std::net::TcpStream::connect(address).expect("the door is open");
-                        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+                        stream
+                            .set_read_timeout(Some(TEST_TIMEOUT))
+                            .expect("a time-out");
                         let mut reader =
                             std::io::BufReader::new(stream.try_clone().expect("a clone"));
                         // A few on each connection, as clients keep them; who is told to close does.
@@ -154,7 +156,10 @@
             let fresh = free_address();
             let next = rig.next(&node, fresh);
             until_ready(fresh);
-            assert!(call(admin, "PING\n").starts_with("SUCCESS"), "both serve");
+            assert!(
+                admin_request(admin, "PING\n").starts_with("SUCCESS"),
+                "both serve"
+            );
             node.terminate();
             assert!(node.wait().success());
             (node, admin) = (next, fresh);
@@ -166,34 +171,34 @@
             .sum();
         assert!(asked > 100, "{asked}");
     });
-    assert!(node.runs() && rig.discovery.address.port() > 0);
-    let _ = rig.servers.next();
+    assert!(node.is_running() && rig.discovery.address.port() > 0);
+    let _ = rig.servers.next_request();
 }
 
 /// The heir knows what the elder knew: the list, also where discovery is silent to it.
 #[test]
 fn an_heir_goes_on_from_what_its_elder_knew() {
-    let rig = Rig::new("knows", &[SERVES]);
+    let rig = Rig::new("knows", &[REPLY_OK]);
     let (first, second) = (free_address(), free_address());
     let elder = rig.first("knows", first);
-    let dial = rig.servers.start("s-2", &[SERVES]);
-    let (_, mut watch) = rig.discovery.watch();
+    let dial = rig.servers.start("s-2", &[REPLY_OK]);
+    let (_, mut watch) = rig.discovery.next_watch();
     write_list(
         &mut watch,
-        &list(2, false, &[host("s-2", dial, 1, "ready")]),
+        &list_json(2, false, &[host_json("s-2", dial, 1, "ready")]),
     );
     let begun = Instant::now();
-    while figure(&call(first, "INFO\n"), "lb_registry_entries") != 2 {
-        assert!(begun.elapsed() < PATIENCE);
+    while metric_value(&admin_request(first, "INFO\n"), "lb_registry_entries") != 2 {
+        assert!(begun.elapsed() < TEST_TIMEOUT);
     }
     let heir = rig.next(&elder, second);
     until_ready(second);
     // Its configuration has one; its counts begin with it.
-    let figures = call(second, "INFO\n");
+    let figures = admin_request(second, "INFO\n");
     assert_eq!(
         (
-            figure(&figures, "lb_registry_entries"),
-            figure(&figures, "lb_relayed")
+            metric_value(&figures, "lb_registry_entries"),
+            metric_value(&figures, "lb_relayed")
         ),
         (2, 0)
     );
@@ -204,7 +209,7 @@
 /// the next one.
 #[test]
 fn an_heir_that_dies_leaves_the_elder_as_it_was() {
-    let rig = Rig::new("dies", &[SERVES]);
+    let rig = Rig::new("dies", &[REPLY_OK]);
     let mut elder = rig.first("dies", free_address());
     let admin = free_address();
     let heir = rig.next(&elder, admin);
@@ -221,7 +226,9 @@
     assert!(elder.wait().success());
     until_said(&next, "taken over from a process of this node");
     assert_eq!(
-        next.client().ask(&request("a", "read", "20000m")).status(),
+        next.connect()
+            .exchange(&request("a", "read", "20000m"))
+            .status(),
         200
     );
 }
@@ -229,7 +236,7 @@
 /// One that is killed outright is no hindrance either.
 #[test]
 fn an_elder_that_is_killed_leaves_the_node_to_its_heir() {
-    let rig = Rig::new("killed", &[SERVES]);
+    let rig = Rig::new("killed", &[REPLY_OK]);
     let elder = rig.first("killed", free_address());
     let (second, third) = (free_address(), free_address());
     let heir = rig.next(&elder, second);
@@ -238,16 +245,19 @@
     until_ready(third);
     drop(elder);
     drop(heir);
-    let mut client = last.client();
-    assert_eq!(client.ask(&request("a", "read", "20000m")).status(), 200);
-    assert!(call(third, "PING\n").starts_with("SUCCESS"));
+    let mut client = last.connect();
+    assert_eq!(
+        client.exchange(&request("a", "read", "20000m")).status(),
+        200
+    );
+    assert!(admin_request(third, "PING\n").starts_with("SUCCESS"));
 }
 
 /// What is no elder of use, stalls or talks rubbish, delays a start by no more than its bound and changes nothing; what is
 /// no heir of use is not listened to.
 #[test]
 fn who_finds_rubbish_or_silence_starts_as_if_it_were_the_first() {
-    let rig = Rig::new("rubbish", &[SERVES]);
+    let rig = Rig::new("rubbish", &[REPLY_OK]);
     let elder = rig.first("rubbish", free_address());
     let path = rig.platform.meeting();
     for words in [
@@ -256,7 +266,9 @@
         "",
     ] {
         let mut stream = UnixStream::connect(&path).expect("it is met");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("a time-out");
         stream.write_all(words.as_bytes()).expect("written");
         let mut answer = Vec::new();
         let _ = stream.read_to_end(&mut answer);
@@ -276,7 +288,9 @@
         let node = rig.first("rubbish", admin);
         until_ready(admin);
         assert_eq!(
-            node.client().ask(&request("a", "read", "20000m")).status(),
+            node.connect()
+                .exchange(&request("a", "read", "20000m"))
+                .status(),
             200
         );
         stalls.join().expect("it was met");
--- a/crates/test-doubles/src/ports.rs
+++ b/crates/test-doubles/src/ports.rs
@@ -56,7 +56,7 @@
 ///
 /// # Errors
 /// No block could be had, or all of its addresses were given.
-pub fn unclaimed() -> std::io::Result<SocketAddr> {
+pub fn reserve_address() -> std::io::Result<SocketAddr> {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let block = block()?;
     let next = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -71,7 +71,7 @@
 }
 
 /// Whether an address is in this process's block.
-pub fn ours(address: SocketAddr) -> bool {
+pub fn is_own_address(address: SocketAddr) -> bool {
     let SocketAddr::V4(address) = address else {
         return false;
     };
--- a/crates/test-doubles/src/scripted.rs
+++ b/crates/test-doubles/src/scripted.rs
@@ -2,7 +2,7 @@
 //!
 //! Made for tests: what can't go on panics.
 
-use crate::ports::unclaimed;
+use crate::ports::reserve_address;
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -14,13 +14,13 @@
 use std::time::{Duration, Instant};
 
 /// No wait is longer; only a failing test gets there.
-pub const PATIENCE: Duration = Duration::from_mins(1);
+pub const TEST_TIMEOUT: Duration = Duration::from_mins(1);
 
 /// A message of HTTP/1.1 with a body of known length, or in chunks.
 #[derive(Clone, Debug)]
 pub struct Message {
     /// Its first line.
-    pub start: String,
+    pub start_line: String,
     /// Its headers, their names in lower case.
     pub headers: HashMap<String, String>,
     /// Its body.
@@ -59,7 +59,7 @@
                 if size == 0 {
                     while !line(stream)?.is_empty() {}
                     return Some(Message {
-                        start,
+                        start_line: start,
                         headers,
                         body,
                     });
@@ -76,7 +76,7 @@
         let mut body = vec![0; length];
         stream.read_exact(&mut body).ok()?;
         Some(Message {
-            start,
+            start_line: start,
             headers,
             body,
         })
@@ -89,7 +89,7 @@
 
     /// The status of an answer.
     pub fn status(&self) -> u16 {
-        self.start
+        self.start_line
             .split(' ')
             .nth(1)
             .and_then(|status| status.parse().ok())
@@ -99,25 +99,25 @@
 
 /// What an app server does with a request.
 #[derive(Clone, Debug)]
-pub enum Does {
+pub enum Reply {
     /// Says this.
-    Answers(&'static str),
+    Respond(&'static str),
     /// Closes the connection, without a word, after what it says.
-    Ends(&'static str),
+    RespondAndClose(&'static str),
     /// Says nothing and keeps the connection open.
-    IsSilent,
+    NoResponse,
 }
 
 /// Serves.
-pub const SERVES: Does = Does::Answers("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nranks");
+pub const REPLY_OK: Reply = Reply::Respond("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nranks");
 /// Answers with an error.
-pub const ERRS: Does = Does::Answers("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n");
+pub const REPLY_ERROR: Reply = Reply::Respond("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n");
 /// Turns away unseen.
-pub const IS_FULL: Does =
-    Does::Answers("HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
+pub const REPLY_OVERLOADED: Reply =
+    Reply::Respond("HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
 
 /// A request that came whole to an app server, and the connection on which it came.
-pub struct Got {
+pub struct ReceivedRequest {
     /// Which server.
     pub server: String,
     /// The request.
@@ -125,18 +125,18 @@
     /// Number of the connection at that server, from 0.
     pub connection: usize,
     /// No earlier attempt of the request was still out.
-    pub alone: bool,
+    pub only_attempt: bool,
     /// The connection.
     pub stream: TcpStream,
 }
 
 /// What is to be done by turns; the last of it for ever.
-pub type Turns = Arc<Mutex<Vec<Does>>>;
+pub type ReplyQueue = Arc<Mutex<Vec<Reply>>>;
 
 /// App servers, which do what they are told.
 pub struct Servers {
-    got: Receiver<Got>,
-    tell: Sender<Got>,
+    got: Receiver<ReceivedRequest>,
+    tell: Sender<ReceivedRequest>,
     /// Attempts that were never answered, by the request's id.
     unanswered: Arc<Mutex<Vec<(String, TcpStream)>>>,
 }
@@ -159,12 +159,12 @@
     }
 
     /// Starts one that has its own turns.
-    pub fn start(&self, name: &str, does: &[Does]) -> SocketAddr {
-        self.share(name, &Arc::new(Mutex::new(does.to_vec())))
+    pub fn start(&self, name: &str, does: &[Reply]) -> SocketAddr {
+        self.start_with_queue(name, &Arc::new(Mutex::new(does.to_vec())))
     }
 
     /// Starts one that takes turns with others.
-    pub fn share(&self, name: &str, turns: &Turns) -> SocketAddr {
+    pub fn start_with_queue(&self, name: &str, turns: &ReplyQueue) -> SocketAddr {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let server = Server {
@@ -183,22 +183,25 @@
     }
 
     /// The next request that has come to any of them.
-    pub fn next(&self) -> Got {
+    pub fn next_request(&self) -> ReceivedRequest {
         let got = self
             .got
-            .recv_timeout(PATIENCE)
+            .recv_timeout(TEST_TIMEOUT)
             .expect("a request comes to an app server");
-        assert!(got.alone, "two attempts of a request are out at once");
+        assert!(
+            got.only_attempt,
+            "two attempts of a request are out at once"
+        );
         got
     }
 
     /// Drops all requests that have come and were not looked at, and their connections here.
-    pub fn forget(&self) {
+    pub fn discard_requests(&self) {
         self.got.try_iter().for_each(drop);
     }
 
     /// Fails if a request has come that was not looked at.
-    pub fn got_no_more(&self) {
+    pub fn assert_no_more_requests(&self) {
         assert!(self.got.try_recv().is_err(), "one attempt too many");
     }
 }
@@ -206,8 +209,8 @@
 #[derive(Clone)]
 struct Server {
     name: String,
-    turns: Turns,
-    tell: Sender<Got>,
+    turns: ReplyQueue,
+    tell: Sender<ReceivedRequest>,
     unanswered: Arc<Mutex<Vec<(String, TcpStream)>>>,
 }
 
@@ -226,27 +229,27 @@
             let id = message.header("x-request-id").to_owned();
             let mut unanswered = self.unanswered.lock().expect("no panic");
             let earlier = unanswered.iter().filter(|(other, _)| *other == id);
-            let alone = earlier.into_iter().all(|(_, stream)| closed_by_now(stream));
-            if matches!(turn, Does::IsSilent) {
+            let alone = earlier.into_iter().all(|(_, stream)| is_closed(stream));
+            if matches!(turn, Reply::NoResponse) {
                 unanswered.push((id, stream.try_clone().expect("a clone")));
             }
             drop(unanswered);
             let (server, told) = (self.name.clone(), stream.try_clone().expect("a clone"));
             // The test may have ended.
-            let _ = self.tell.send(Got {
+            let _ = self.tell.send(ReceivedRequest {
                 server,
                 message,
                 connection,
-                alone,
+                only_attempt: alone,
                 stream: told,
             });
             match turn {
-                Does::Answers(words) => stream.write_all(words.as_bytes()).unwrap_or(()),
-                Does::Ends(words) => {
+                Reply::Respond(words) => stream.write_all(words.as_bytes()).unwrap_or(()),
+                Reply::RespondAndClose(words) => {
                     stream.write_all(words.as_bytes()).unwrap_or(());
                     let _ = stream.shutdown(Shutdown::Both);
                 }
-                Does::IsSilent => {}
+                Reply::NoResponse => {}
             }
         }
     }
@@ -271,7 +274,7 @@
                 let head = Message::read(&mut BufReader::new(stream.try_clone().expect("a clone")));
                 let chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
                 if let (Some(head), Ok(())) = (head, stream.write_all(chunked)) {
-                    let _ = tell.send((head.start, stream));
+                    let _ = tell.send((head.start_line, stream));
                 }
             }
         });
@@ -279,16 +282,16 @@
     }
 
     /// The next watch that the edge node opens: how it was asked for, and where to write.
-    pub fn watch(&self) -> (String, TcpStream) {
+    pub fn next_watch(&self) -> (String, TcpStream) {
         self.watches
-            .recv_timeout(PATIENCE)
+            .recv_timeout(TEST_TIMEOUT)
             .expect("a watch is opened")
     }
 }
 
 /// Writes a piece of a watch, as it is: in one write. Danger: a piece in several writes, of which the machine keeps all but the
 /// first here until the other side's has said that it has that.
-pub fn write_piece(watch: &mut TcpStream, piece: &str) {
+pub fn write_chunk(watch: &mut TcpStream, piece: &str) {
     let chunk = format!("{:x}\r\n{piece}\r\n", piece.len());
     watch
         .write_all(chunk.as_bytes())
@@ -297,11 +300,11 @@
 
 /// Writes a line of a watch.
 pub fn write_list(watch: &mut TcpStream, list: &str) {
-    write_piece(watch, &format!("{list}\n"));
+    write_chunk(watch, &format!("{list}\n"));
 }
 
 /// Bytes that a connection's other side, a process of this machine, has there and has not read yet (`/proc/net/tcp`).
-pub fn unread(stream: &TcpStream) -> usize {
+pub fn unread_bytes(stream: &TcpStream) -> usize {
     let own = stream.local_addr().expect("an address");
     let other = stream.peer_addr().expect("it is connected");
     let shown = |address: SocketAddr| match address {
@@ -328,11 +331,11 @@
 }
 
 /// Waits until a connection's other side has so many bytes there that it has not read.
-pub fn until_unread(stream: &TcpStream, bytes: usize) {
+pub fn wait_for_unread(stream: &TcpStream, bytes: usize) {
     let begun = Instant::now();
-    while unread(stream) < bytes {
+    while unread_bytes(stream) < bytes {
         assert!(
-            begun.elapsed() < PATIENCE,
+            begun.elapsed() < TEST_TIMEOUT,
             "{bytes} bytes come to the other side's machine"
         );
         thread::sleep(Duration::from_millis(1));
@@ -340,14 +343,14 @@
 }
 
 /// An entry of the list, in discovery's form.
-pub fn host(name: &str, dial: SocketAddr, block: u32, health: &str) -> String {
+pub fn host_json(name: &str, dial: SocketAddr, block: u32, health: &str) -> String {
     format!(
         r#"{{"host":"{name}","dial":"{dial}","site":"a","class":"k","block":{block},"health":"{health}","share":1.0,"born_ms":0}}"#
     )
 }
 
 /// A list in discovery's form.
-pub fn list(seq: u64, whole: bool, hosts: &[String]) -> String {
+pub fn list_json(seq: u64, whole: bool, hosts: &[String]) -> String {
     format!(
         r#"{{"seq":{seq},"whole":{whole},"hosts":[{}]}}"#,
         hosts.join(",")
@@ -468,7 +471,7 @@
     let known = if hosts.is_empty() {
         String::new()
     } else {
-        format!(r#""known":{},"#, list(1, true, hosts))
+        format!(r#""known":{},"#, list_json(1, true, hosts))
     };
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"8c1f30d27a5be964","limits":{{"cores":1.0,"memory_mb":192,"sockets":{sockets}}},"peer_listen":"{datagrams}","peers":["{datagrams}","{peer_address}"],{known}"settings":{SETTINGS}}}"#
@@ -476,15 +479,21 @@
 }
 
 /// Starts a node that can't go on: how it ended, and what it said.
-pub fn start_badly(
+pub fn start_expecting_failure(
     tag: &str,
     sockets: usize,
     change: impl FnOnce(&mut Command),
 ) -> (ExitStatus, String) {
-    let nowhere = unclaimed().expect("a port");
+    let nowhere = reserve_address().expect("a port");
     let (child, config) = start_with(
         tag,
-        &configuration(nowhere, &[], sockets, unclaimed().expect("a port"), nowhere),
+        &configuration(
+            nowhere,
+            &[],
+            sockets,
+            reserve_address().expect("a port"),
+            nowhere,
+        ),
         change,
     );
     let output = child.wait_with_output().expect("it ends");
@@ -508,22 +517,22 @@
         hosts: &[String],
         sockets: usize,
     ) -> Node {
-        Node::launch(tag, discovery, hosts, sockets, |_| {})
+        Node::start_with_command(tag, discovery, hosts, sockets, |_| {})
     }
 
     /// The same, with the command changed before it is run.
-    pub fn launch(
+    pub fn start_with_command(
         tag: &str,
         discovery: SocketAddr,
         hosts: &[String],
         sockets: usize,
         change: impl FnOnce(&mut Command),
     ) -> Node {
-        Node::altered(tag, discovery, hosts, sockets, |text| text, change)
+        Node::start_with_config(tag, discovery, hosts, sockets, |text| text, change)
     }
 
     /// The same with another configuration.
-    pub fn altered(
+    pub fn start_with_config(
         tag: &str,
         discovery: SocketAddr,
         hosts: &[String],
@@ -532,8 +541,9 @@
         change: impl FnOnce(&mut Command),
     ) -> Node {
         let peer = UdpSocket::bind("127.0.0.1:0").expect("a port");
-        peer.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-        let datagrams = unclaimed().expect("a port");
+        peer.set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("a time-out");
+        let datagrams = reserve_address().expect("a port");
         let peer_address = peer.local_addr().expect("an address");
         let config = configuration(discovery, hosts, sockets, datagrams, peer_address);
         let (child, config) = start_with(tag, &alter(config), change);
@@ -567,9 +577,11 @@
     }
 
     /// A client's connection to it.
-    pub fn client(&self) -> Client {
+    pub fn connect(&self) -> Client {
         let stream = TcpStream::connect(self.address).expect("the edge node accepts");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("a time-out");
         let reader = BufReader::new(stream.try_clone().expect("a clone"));
         Client { stream, reader }
     }
@@ -597,7 +609,7 @@
     }
 
     /// Has it stand still, and comes back once all of its threads do. Danger: a signal that was sent and has not got there.
-    pub fn stand_still(&self) {
+    pub fn suspend(&self) {
         self.signal("-STOP");
         let tasks = format!("/proc/{}/task", self.child.id());
         let stands = |task: std::fs::DirEntry| {
@@ -611,7 +623,7 @@
             .flatten()
             .all(stands)
         {
-            assert!(begun.elapsed() < PATIENCE, "it stands still");
+            assert!(begun.elapsed() < TEST_TIMEOUT, "it stands still");
             thread::sleep(Duration::from_millis(1));
         }
     }
@@ -631,12 +643,12 @@
 
     /// The next line of its log, without its level.
     pub fn log_line(&self) -> String {
-        let line = self.log.recv_timeout(PATIENCE);
+        let line = self.log.recv_timeout(TEST_TIMEOUT);
         log_message(&line.expect("a line of the log")).to_owned()
     }
 
     /// The lines of its log that were written and not read yet.
-    pub fn log_so_far(&self) -> Vec<String> {
+    pub fn drain_log(&self) -> Vec<String> {
         self.log.try_iter().collect()
     }
 
@@ -646,7 +658,7 @@
     }
 
     /// Whether it runs.
-    pub fn runs(&mut self) -> bool {
+    pub fn is_running(&mut self) -> bool {
         self.child.try_wait().expect("its state is known").is_none()
     }
 }
@@ -666,9 +678,11 @@
 }
 
 /// Calls a node at its operators' address; all that it answers.
-pub fn call(address: SocketAddr, line: &str) -> String {
+pub fn admin_request(address: SocketAddr, line: &str) -> String {
     let mut stream = TcpStream::connect(address).expect("it is called");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    stream
+        .set_read_timeout(Some(TEST_TIMEOUT))
+        .expect("a time-out");
     stream.write_all(line.as_bytes()).expect("written");
     let mut answer = String::new();
     stream.read_to_string(&mut answer).expect("an answer");
@@ -676,7 +690,7 @@
 }
 
 /// A figure of an answer to `INFO`, by its name and labels.
-pub fn figure(answer: &str, name: &str) -> u64 {
+pub fn metric_value(answer: &str, name: &str) -> u64 {
     let value = answer
         .lines()
         .find_map(|line| line.strip_prefix(name)?.strip_prefix(' ')?.parse().ok());
@@ -684,10 +698,14 @@
 }
 
 /// An edge node that knows one app server, which does this.
-pub fn with_one(tag: &str, does: &[Does]) -> (Servers, Discovery, Node) {
+pub fn start_with_one_server(tag: &str, does: &[Reply]) -> (Servers, Discovery, Node) {
     let (servers, discovery) = (Servers::new(), Discovery::start());
     let dial = servers.start("s-1", does);
-    let node = Node::start(tag, discovery.address, &[host("s-1", dial, 1, "ready")]);
+    let node = Node::start(
+        tag,
+        discovery.address,
+        &[host_json("s-1", dial, 1, "ready")],
+    );
     (servers, discovery, node)
 }
 
@@ -722,18 +740,18 @@
     }
 
     /// The next answer; `None` where the connection ended first.
-    pub fn answer(&mut self) -> Option<Message> {
+    pub fn read_response(&mut self) -> Option<Message> {
         Message::read(&mut self.reader)
     }
 
     /// Writes a request and reads its answer.
-    pub fn ask(&mut self, words: &str) -> Message {
+    pub fn exchange(&mut self, words: &str) -> Message {
         self.write(words);
-        self.answer().expect("a whole answer")
+        self.read_response().expect("a whole answer")
     }
 
     /// Comes back once the edge node has closed the connection; nothing more may have come on it.
-    pub fn ends(&mut self) {
+    pub fn expect_close(&mut self) {
         let mut rest = Vec::new();
         let read = self.reader.read_to_end(&mut rest);
         assert!(
@@ -745,15 +763,15 @@
 }
 
 /// Waits until the edge node has closed a connection to an app server.
-pub fn closed(got: &Got) -> bool {
+pub fn wait_until_closed(got: &ReceivedRequest) -> bool {
     got.stream
-        .set_read_timeout(Some(PATIENCE))
+        .set_read_timeout(Some(TEST_TIMEOUT))
         .expect("a time-out");
     matches!(got.stream.peek(&mut [0]), Ok(0) | Err(_))
 }
 
 /// Whether the edge node has closed a connection to an app server.
-pub fn closed_by_now(stream: &TcpStream) -> bool {
+pub fn is_closed(stream: &TcpStream) -> bool {
     stream.set_nonblocking(true).expect("a mode");
     let seen = stream.peek(&mut [0]);
     stream.set_nonblocking(false).expect("a mode");
