--- a/crates/lifecycle/src/action.rs
+++ b/crates/lifecycle/src/action.rs
@@ -1,4 +1,4 @@
-//! What the state machine asks the I/O layer to do, and what it reports for the log.
+//! The actions that the state machine returns to the I/O layer, and the events that it reports for the log.
 
 use std::fmt;
 use std::time::Duration;
@@ -12,40 +12,41 @@
     Reloading,
     /// `STOPPING=1`.
     Stopping,
-    /// `STATUS=`, one line for people.
+    /// `STATUS=` with a human-readable line.
     Status(String),
-    /// `EXTEND_TIMEOUT_USEC=`: stopping may take this long from now.
+    /// `EXTEND_TIMEOUT_USEC=`: the manager must not kill the process within this time from now.
     ExtendTimeout(Duration),
 }
 
-/// What the I/O layer has to do.
+/// A task for the I/O layer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send a message to the service manager.
     NotifyManager(ManagerMessage),
-    /// Read the configuration again and answer with [`Event::Reloaded`](crate::Event::Reloaded).
+    /// Reload the configuration, then send [`Event::Reloaded`](crate::Event::Reloaded).
     ReadConfiguration,
-    /// Answer every request from now on with `Connection: close`.
+    /// Send `Connection: close` with every response from now on.
     CloseAfterAnswers,
     /// Close connections that are idle now or become idle later. New connections are still accepted; each serves one
     /// request.
     CloseIdle,
-    /// Keep connections open again, as before [`Action::CloseAfterAnswers`].
+    /// Keep connections open between requests again: revokes [`Action::CloseAfterAnswers`] and [`Action::CloseIdle`].
     KeepOpen,
-    /// Stop accepting for now, because another process of this node accepts. Open connections are served.
+    /// Pause accepting connections, because another process of this node accepts them. Open connections are still
+    /// served.
     PauseAccepting,
-    /// Accept again: the other process has gone.
+    /// Resume accepting connections: the other process has exited.
     ResumeAccepting,
-    /// Stop accepting for good, close idle connections and send
-    /// [`Event::ConnectionsClosed`](crate::Event::ConnectionsClosed) once all others have ended.
+    /// Close the listener and all idle connections, then send
+    /// [`Event::ConnectionsClosed`](crate::Event::ConnectionsClosed) once the remaining connections have closed.
     StopAccepting,
-    /// End the process, whatever is still open.
+    /// Exit the process, even if connections are still open.
     Exit,
     /// Write a line to the log.
     Report(LifecycleEvent),
 }
 
-/// What has happened, for the log. `Display` gives the line.
+/// An event for the log. `Display` writes the log line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LifecycleEvent {
     /// The state or the reasons for not being ready have changed.
@@ -53,17 +54,17 @@
         /// The new status line, see [`Lifecycle::status`](crate::Lifecycle::status).
         status: String,
     },
-    /// Staff have the node send its clients away.
+    /// An operator put the node into lame-duck mode: clients are told to reconnect elsewhere.
     LameDuckStarted,
-    /// Staff have put the node back in service.
+    /// An operator ended lame-duck mode.
     LameDuckEnded,
     /// A reload was rejected because the node is stopping.
     ReloadRejected,
-    /// A reload failed; the old configuration stays in force.
+    /// A reload failed; the previous configuration remains in force.
     ReloadFailed,
-    /// A reload did not end within its timeout.
+    /// A reload did not complete within [`Limits::reload_within`](crate::Limits::reload_within).
     ReloadTimedOut,
-    /// Connections did not end within their timeout and are dropped.
+    /// Connections were still open at the shutdown deadline and are dropped.
     CloseTimedOut,
 }
 
@@ -71,13 +72,21 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             LifecycleEvent::StatusChanged { status } => return write!(f, "life cycle: {status}"),
-            LifecycleEvent::LameDuckStarted => "clients are sent away",
-            LifecycleEvent::LameDuckEnded => "back to work",
+            LifecycleEvent::LameDuckStarted => {
+                "lame duck: closing client connections after their responses"
+            }
+            LifecycleEvent::LameDuckEnded => {
+                "lame duck ended: keeping client connections open again"
+            }
             LifecycleEvent::ReloadRejected => "no reload: the node is stopping",
-            LifecycleEvent::ReloadFailed => "reload: the old configuration stays",
-            LifecycleEvent::ReloadTimedOut => "reload: given up, it took too long",
+            LifecycleEvent::ReloadFailed => {
+                "reload failed: the previous configuration remains in force"
+            }
+            LifecycleEvent::ReloadTimedOut => {
+                "reload timed out: it did not complete within reload.within_ms"
+            }
             LifecycleEvent::CloseTimedOut => {
-                "closing: the bound is reached, connections are dropped"
+                "closing: shutdown deadline reached, dropping open connections"
             }
         })
     }
--- a/crates/lifecycle/src/event.rs
+++ b/crates/lifecycle/src/event.rs
@@ -1,36 +1,36 @@
-//! What the state machine is told.
+//! The inputs of the state machine.
 
 use crate::readiness::Facts;
 use crate::time::Time;
 
-/// Something that happens to an edge node.
+/// An input of the state machine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The listener is up: connections are accepted or wait in the backlog.
+    /// The listener is bound: connections are accepted or queue in its backlog.
     Listening,
-    /// The current values that the conditions of readiness depend on; wanted again after
+    /// The current measurements for the readiness conditions. The next ones are due after
     /// [`Lifecycle::next_sample_in`](crate::Lifecycle::next_sample_in).
     Observed(Facts),
     /// The signal to stop (SIGTERM).
     Stop {
-        /// The signal was sent after this moment: a process that was held up reads it late.
+        /// Lower bound of the time at which the signal was sent. A process that was suspended reads the signal late.
         since: Time,
     },
-    /// The signal to read the configuration again (SIGHUP).
+    /// The signal to reload the configuration (SIGHUP).
     Reload,
-    /// The reload that was asked for has ended.
+    /// A reload requested by [`Action::ReadConfiguration`](crate::Action::ReadConfiguration) has completed or failed.
     Reloaded {
         /// Whether the new configuration is in force.
         applied: bool,
     },
-    /// Staff want clients sent away (`LAMEDUCK`); the process goes on.
+    /// The admin command `LAMEDUCK`: clients are told to reconnect elsewhere; the process keeps running.
     Lameduck,
-    /// Staff want the node back in service (`REJOIN`).
+    /// The admin command `REJOIN`: ends lame-duck mode.
     Rejoin,
-    /// Whether another process of this node accepts clients from the same listener.
+    /// Whether another process of this node now accepts connections from the same listener.
     SuccessorPresent(bool),
-    /// All downstream connections have ended.
+    /// All downstream connections have closed.
     ConnectionsClosed,
-    /// Time has passed.
+    /// The time of [`Lifecycle::deadline`](crate::Lifecycle::deadline) may have been reached.
     Tick,
 }
--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -1,7 +1,7 @@
-//! The life cycle of an edge node: its state, whether it may take work, and when the process ends.
+//! The life cycle of an edge node: its state, whether it is ready for requests, and when the process exits.
 //!
-//! The crate does no I/O and reads no clock. Observations come in as [`Event`]s, with the time as an argument; what has
-//! to be done comes out as [`Action`]s. The I/O layer (`saffronpaddle-node`) carries these out and decides nothing.
+//! The crate does no I/O and reads no clock. [`Lifecycle::handle`] takes an [`Event`] and the current time, and returns
+//! [`Action`]s, which the I/O layer (`saffronpaddle-node`) carries out without decisions of its own.
 //!
 //! ```
 //! use saffronpaddle_lifecycle::{Action, Event, Lifecycle, Limits, ManagerMessage, State};
--- a/crates/lifecycle/src/machine.rs
+++ b/crates/lifecycle/src/machine.rs
@@ -9,11 +9,13 @@
 use crate::time::Time;
 use std::time::Duration;
 
-/// Added to the stop timeout that the service manager is asked for, so that it never kills a node that keeps its limits.
+/// Added to the stop timeout that the service manager is asked for, so that it never kills a node that stops in time.
 const MANAGER_TIMEOUT_MARGIN: Duration = Duration::from_secs(1);
 
-/// How long a lame duck keeps idle connections open. A front end polls readiness every 0.1 s and, once a lame duck says no,
-/// sends new connections for up to 0.2 s more (0.4 s where a process is told to stop, see `Limits`); without the wait its requests would cross the close of their connection and be lost.
+/// How long a lame-duck node keeps idle connections open. A front end polls readiness every 0.1 s and, after a lame
+/// duck has reported that it is not ready, opens new connections for up to 0.2 s more (0.4 s if a process was told to
+/// stop, see `Limits`). Without the delay, its requests could arrive while the node closes their connection, and be
+/// lost.
 const LAME_DUCK_LINGER: Duration = Duration::from_millis(500);
 
 /// The life cycle of an edge node.
@@ -23,40 +25,40 @@
     state: State,
     readiness: Readiness,
     listening: bool,
-    /// READY was sent for the start; after that it is sent for reloads only.
+    /// `READY=1` was sent for start-up; after that it is sent for reloads only.
     ready_sent: bool,
-    /// The node listened and all conditions of readiness held at the last event.
+    /// At the latest event the node listened and all readiness conditions held.
     conditions_hold: bool,
-    /// When the state ends by itself.
+    /// When the current state times out; `None` if it has no timeout.
     state_deadline: Option<Time>,
-    /// How the process ends, once it was told to stop.
+    /// Set once the process was told to stop.
     shutdown_plan: Option<ShutdownPlan>,
-    /// Another reload was asked for during a reload; several count once.
+    /// At least one more reload was requested during a reload; one reload serves them all.
     reload_queued: bool,
-    /// A reload is under way that began before the node was ready.
+    /// A reload that began before the node was ready is still running.
     reloading_at_start: bool,
-    /// Set while staff have clients sent away. It is no state, as it goes with each state and can be taken back.
+    /// Set in lame-duck mode. It is not a [`State`], because it combines with any state and can be revoked.
     lame_duck: Option<LameDuck>,
-    /// Another process of this node accepts clients.
+    /// Another process of this node accepts connections.
     successor_present: bool,
 }
 
-/// How far the node has sent its clients away.
+/// The phase of lame-duck mode.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LameDuck {
-    /// Answers close their connections; idle ones are closed from this time on.
+    /// Responses close their connections; idle connections stay open until this time.
     LingersUntil(Time),
-    /// Idle connections are closed.
+    /// Idle connections are closed too.
     ClosesIdle,
 }
 
 impl Lifecycle {
-    /// How often [`Event::Observed`] is wanted in service. The limits hold with this precision.
+    /// Interval between [`Event::Observed`] after start-up. It is the resolution of the readiness delays.
     pub const SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
-    /// How often it is wanted at the start, where most conditions are met within milliseconds.
+    /// Interval during start-up, when most conditions are met within milliseconds.
     pub const SAMPLE_INTERVAL_STARTING: Duration = Duration::from_millis(10);
 
-    /// A node that has just started.
+    /// Creates the life cycle of a process that starts at `now`.
     pub fn new(limits: Limits, now: Time) -> Lifecycle {
         let readiness = Readiness::new(limits.readiness.clone(), now);
         Lifecycle {
@@ -80,24 +82,24 @@
         self.state
     }
 
-    /// Whether the node can take new work now: what `/-/ready` answers.
+    /// Whether the node accepts new requests, as `/-/ready` reports it.
     pub fn ready(&self) -> bool {
         self.conditions_hold
             && self.lame_duck.is_none()
             && matches!(self.state, State::Ready | State::Reloading)
     }
 
-    /// Whether clients are sent away, by staff or because the node is stopping.
+    /// Whether responses close their connections, because of lame-duck mode or because the node is stopping.
     pub fn closes_connections(&self) -> bool {
         self.lame_duck.is_some() || self.is_stopping()
     }
 
-    /// The conditions of readiness that fail; empty if only the state keeps the node from being ready.
+    /// The failing readiness conditions; empty if only the state keeps the node from being ready.
     pub fn reasons(&self) -> Reasons {
         self.readiness.reasons()
     }
 
-    /// A status line for people: the state, and why the node is not ready.
+    /// A human-readable status line: the state, and why the node is not ready.
     pub fn status(&self) -> String {
         let reasons = self.reasons();
         match self.state {
@@ -112,13 +114,15 @@
         }
     }
 
-    /// How the process ends, once it was told to stop. No action announces it: whoever runs the machine looks at it after
-    /// each event, and hands a new one to the exchange (`ShutdownAnnounced`), which bounds all requests by it.
+    /// The deadlines of the shutdown; `None` until the process is told to stop. No action announces a change: the
+    /// caller checks the plan after each event and passes a new one to the exchange (`ShutdownAnnounced`), which caps
+    /// the deadlines of all requests with it.
     pub fn shutdown_plan(&self) -> Option<ShutdownPlan> {
         self.shutdown_plan
     }
 
-    /// When [`Event::Observed`] is wanted again, counted from the last one; `None` if there are no conditions of readiness.
+    /// Delay between the latest [`Event::Observed`] and the next; `None` if no more are needed, because there are no
+    /// readiness conditions or the node is stopping.
     pub fn next_sample_in(&self) -> Option<Duration> {
         if self.limits.readiness.is_none() || self.is_stopping() {
             return None;
@@ -130,7 +134,7 @@
         })
     }
 
-    /// When [`Event::Tick`] is due, if the state or the linger of a lame duck ends by itself.
+    /// When [`Event::Tick`] is due; `None` if neither the state nor the linger of a lame duck has a timeout.
     pub fn deadline(&self) -> Option<Time> {
         let linger_end = match self.lame_duck {
             Some(LameDuck::LingersUntil(end)) => Some(end),
@@ -139,13 +143,13 @@
         self.state_deadline.into_iter().chain(linger_end).min()
     }
 
-    /// Sets other limits. A stop or reload that has begun keeps its deadline.
+    /// Replaces the limits. A shutdown or reload that has begun keeps its deadline.
     pub fn set_limits(&mut self, limits: Limits) {
         self.readiness.set_conditions(limits.readiness.clone());
         self.limits = limits;
     }
 
-    /// Handles one event and appends what is to be done to `out`.
+    /// Handles one event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         let state_before = self.state;
         let status_before = self.status();
@@ -219,7 +223,7 @@
         out.push(Action::NotifyManager(ManagerMessage::Status(
             status.clone(),
         )));
-        // A node without conditions of readiness logs its stop only.
+        // A node without readiness conditions logs only the states of its shutdown.
         let stop_step = self.state != state_before && self.is_stopping();
         if !self.limits.readiness.is_none() || stop_step {
             out.push(Action::Report(LifecycleEvent::StatusChanged { status }));
@@ -236,7 +240,7 @@
                 out.push(Action::ReadConfiguration);
                 self.enter(State::Reloading, now, self.limits.reload_within);
             }
-            // The manager waits for READY and may get no RELOADING before it.
+            // The service manager still waits for READY=1 and must not receive RELOADING=1 before it.
             State::Starting if !self.reloading_at_start => {
                 self.reloading_at_start = true;
                 out.push(Action::ReadConfiguration);
@@ -265,15 +269,15 @@
     fn return_to_ready(&mut self, out: &mut Vec<Action>) {
         self.state = State::Ready;
         self.state_deadline = None;
-        // Also if readiness was lost meanwhile: for the manager READY only ends the reload.
+        // Sent even if the node is no longer ready: for the service manager, READY=1 only marks the end of the reload.
         out.push(Action::NotifyManager(ManagerMessage::Ready));
     }
 }
 
-/// Sending clients away and taking them back.
+/// Lame-duck mode.
 impl Lifecycle {
     fn start_lame_duck(&mut self, now: Time, out: &mut Vec<Action>) {
-        // A node that stops sends clients away already.
+        // A stopping node closes its connections already.
         if self.lame_duck.is_some() || self.is_stopping() {
             return;
         }
@@ -293,7 +297,7 @@
     fn end_linger(&mut self, now: Time, out: &mut Vec<Action>) {
         if matches!(self.lame_duck, Some(LameDuck::LingersUntil(end)) if now >= end) {
             self.lame_duck = Some(LameDuck::ClosesIdle);
-            // A node that stops closes idle connections when it enters `Closing`.
+            // A stopping node closes idle connections when it enters `Closing`.
             if !self.is_stopping() {
                 out.push(Action::CloseIdle);
             }
@@ -301,29 +305,29 @@
     }
 }
 
-/// Stopping.
+/// Shutdown.
 impl Lifecycle {
     fn stop(&mut self, now: Time, since: Time, out: &mut Vec<Action>) {
         match self.state {
             State::Starting if !self.listening => {
-                // No connection was accepted, so there is nothing to finish.
+                // No connection was accepted, so no request is in flight.
                 out.push(Action::NotifyManager(ManagerMessage::Stopping));
                 self.exit(out);
             }
             State::Starting | State::Ready | State::Reloading => self.drain(now, since, out),
-            State::Draining => self.hasten_stop(now, since, out),
+            State::Draining => self.shorten_shutdown(now, since, out),
             State::Closing | State::Gone => {}
         }
     }
 
     fn drain(&mut self, now: Time, since: Time, out: &mut Vec<Action>) {
-        let longest = self.limits.leave_for + self.limits.finish_within;
-        let plan = ShutdownPlan::new(now, since, longest);
+        let max_duration = self.limits.leave_for + self.limits.finish_within;
+        let plan = ShutdownPlan::new(now, since, max_duration);
         self.shutdown_plan = Some(plan);
         let left = plan.exit_by.saturating_sub(now);
         self.enter(State::Draining, now, self.limits.leave_for.min(left));
         out.push(Action::NotifyManager(ManagerMessage::Stopping));
-        let manager_timeout = longest + MANAGER_TIMEOUT_MARGIN;
+        let manager_timeout = max_duration + MANAGER_TIMEOUT_MARGIN;
         out.push(Action::NotifyManager(ManagerMessage::ExtendTimeout(
             manager_timeout,
         )));
@@ -333,8 +337,8 @@
         }
     }
 
-    /// A second signal to stop: nothing new is accepted from now on, and work in flight has less time.
-    fn hasten_stop(&mut self, now: Time, since: Time, out: &mut Vec<Action>) {
+    /// Handles a second signal to stop: closes the listener now and brings the shutdown deadline forward.
+    fn shorten_shutdown(&mut self, now: Time, since: Time, out: &mut Vec<Action>) {
         let plan = ShutdownPlan::new(now, since, self.limits.finish_within);
         self.shutdown_plan = Some(
             self.shutdown_plan
@@ -344,7 +348,8 @@
     }
 
     fn close(&mut self, now: Time, out: &mut Vec<Action>) {
-        // The plan goes before limits that a reload has set meanwhile: the platform's time runs from the signal.
+        // The plan takes precedence over limits that a reload has set since: the platform's kill timeout runs from the
+        // signal.
         let left = self
             .shutdown_plan
             .map_or(self.limits.finish_within, |plan| {
@@ -360,7 +365,7 @@
         out.push(Action::Exit);
     }
 
-    /// A node that drains leaves new connections to its successor, for as long as there is one.
+    /// A draining node leaves new connections to its successor while one is present.
     fn set_successor(&mut self, present: bool, out: &mut Vec<Action>) {
         let changed = self.successor_present != present;
         self.successor_present = present;
--- a/crates/lifecycle/src/readiness.rs
+++ b/crates/lifecycle/src/readiness.rs
@@ -1,7 +1,8 @@
-//! Readiness: whether a node can take new work now.
+//! Readiness: whether a node can accept new requests.
 //!
-//! The conditions of the start (a list of app servers, a message from every peer) are met once and not checked again. The
-//! conditions in service come and go; each has to fail or hold for some time before readiness follows.
+//! Start-up conditions (a list of app servers, a message from every peer) are no longer awaited once they have been met
+//! or have timed out. Runtime conditions are checked continuously and debounced: each must fail or hold for a minimum
+//! time before readiness changes.
 
 mod conditions;
 mod debounce;
@@ -13,8 +14,8 @@
 use crate::time::Time;
 use debounce::Debounced;
 
-/// The conditions that are checked in service.
-const IN_SERVICE: [Reason; 5] = [
+/// The conditions that are checked continuously.
+const RUNTIME_CONDITIONS: [Reason; 5] = [
     Reason::ListStale,
     Reason::Descriptors,
     Reason::Memory,
@@ -27,19 +28,19 @@
 pub struct Readiness {
     conditions: Conditions,
     started_at: Time,
-    /// The last observation.
+    /// The latest measurements; `None` before the first.
     facts: Option<Facts>,
-    /// The start still waits for a list from a discovery source.
+    /// The node still waits for a list from a discovery source.
     list_awaited: bool,
-    /// The start still waits for messages of peers.
+    /// The node still waits for messages from peers.
     peers_awaited: bool,
-    /// In the order of [`IN_SERVICE`].
-    in_service: [Debounced; IN_SERVICE.len()],
+    /// In the order of [`RUNTIME_CONDITIONS`].
+    runtime: [Debounced; RUNTIME_CONDITIONS.len()],
     reasons: Reasons,
 }
 
 impl Readiness {
-    /// The readiness of a node that starts now, before the first observation.
+    /// Creates the readiness of a node that starts at `now`, before the first measurements.
     pub fn new(conditions: Conditions, now: Time) -> Readiness {
         let mut readiness = Readiness {
             conditions,
@@ -47,50 +48,51 @@
             facts: None,
             list_awaited: true,
             peers_awaited: true,
-            in_service: Default::default(),
+            runtime: Default::default(),
             reasons: Reasons::default(),
         };
         readiness.advance(now);
         readiness
     }
 
-    /// Sets other conditions.
+    /// Replaces the conditions. The debounced state and the start-up waits are kept.
     pub fn set_conditions(&mut self, conditions: Conditions) {
         self.conditions = conditions;
     }
 
-    /// Takes an observation in. [`Readiness::advance`] has to follow.
+    /// Records measurements. The caller must call [`Readiness::advance`] afterwards.
     pub fn observe(&mut self, now: Time, facts: &Facts) {
         let first = self.facts.is_none();
         let conditions = &self.conditions;
-        for (reason, condition) in IN_SERVICE.into_iter().zip(&mut self.in_service) {
+        for (reason, condition) in RUNTIME_CONDITIONS.into_iter().zip(&mut self.runtime) {
             let failing = fails(reason, conditions, facts);
-            // At the start nothing could have lasted yet, and nothing is assumed to hold.
+            // There is no earlier measurement to debounce against, and no condition is assumed to hold at start-up.
             if first {
                 condition.reset(failing);
             } else {
-                let (lose_after, regain_after) = (conditions.lose_after, conditions.regain_after);
-                condition.observe(now, failing, lose_after, regain_after);
+                let (failure_delay, recovery_delay) =
+                    (conditions.failure_delay, conditions.recovery_delay);
+                condition.observe(now, failing, failure_delay, recovery_delay);
             }
         }
         self.facts = Some(facts.clone());
     }
 
-    /// Brings the reasons up to date with the last observation and the time.
+    /// Updates the reasons from the latest measurements and the time.
     pub fn advance(&mut self, now: Time) {
         let no_list = self.list_missing(now);
         self.reasons.set(Reason::NoList, no_list);
         let peers_unreachable = self.peers_missing(now);
         self.reasons
             .set(Reason::PeersUnreachable, peers_unreachable);
-        for (reason, condition) in IN_SERVICE.into_iter().zip(&self.in_service) {
+        for (reason, condition) in RUNTIME_CONDITIONS.into_iter().zip(&self.runtime) {
             self.reasons.set(reason, condition.is_failing());
         }
     }
 
-    /// Whether no list is there, or the start still waits for one from a discovery source.
+    /// Whether no list is known, or the node still waits for one from a discovery source.
     fn list_missing(&mut self, now: Time) -> bool {
-        let Some(timeout) = self.conditions.list_within else {
+        let Some(timeout) = self.conditions.list_timeout else {
             return false;
         };
         let facts = self.facts.as_ref();
@@ -103,7 +105,7 @@
 
     /// Whether the start still waits for messages of peers.
     fn peers_missing(&mut self, now: Time) -> bool {
-        let Some(timeout) = self.conditions.peers_within else {
+        let Some(timeout) = self.conditions.peers_timeout else {
             return false;
         };
         let facts = self.facts.as_ref();
@@ -113,36 +115,36 @@
         self.peers_awaited
     }
 
-    /// Whether all conditions hold. Before the first observation only a node without conditions is ready.
+    /// Whether all conditions hold. Before the first measurements, only a node without conditions is ready.
     pub fn is_ready(&self) -> bool {
         self.reasons.is_empty() && (self.facts.is_some() || self.conditions.is_none())
     }
 
-    /// The conditions that fail.
+    /// The failing conditions.
     pub fn reasons(&self) -> Reasons {
         self.reasons
     }
 }
 
-/// Whether an observation fails a condition in service; a condition that is left out holds.
+/// Whether the measurements violate a runtime condition. A disabled condition never fails.
 fn fails(reason: Reason, conditions: &Conditions, facts: &Facts) -> bool {
     match reason {
         Reason::ListStale => conditions
-            .list_stale_after
-            .is_some_and(|longest| facts.endpoint_list_age.is_some_and(|age| age > longest)),
+            .max_list_age
+            .is_some_and(|maximum| facts.endpoint_list_age.is_some_and(|age| age > maximum)),
         Reason::Descriptors => conditions
-            .free_descriptors
-            .is_some_and(|fewest| facts.free_descriptors < fewest),
+            .min_free_descriptors
+            .is_some_and(|minimum| facts.free_descriptors < minimum),
         Reason::Memory => conditions
-            .memory_share
+            .max_memory_fraction
             .is_some_and(|share| facts.memory as f64 > facts.memory_limit as f64 * share),
         Reason::Clock => conditions
-            .clock_step
-            .is_some_and(|largest| facts.clock_implausible || facts.clock_moved > largest),
+            .max_clock_step
+            .is_some_and(|maximum| facts.clock_implausible || facts.clock_moved > maximum),
         Reason::Lagging => conditions
-            .lag
-            .is_some_and(|longest| facts.event_loop_lag > longest),
-        // Conditions of the start, which time ends.
+            .max_event_loop_lag
+            .is_some_and(|maximum| facts.event_loop_lag > maximum),
+        // Start-up conditions, see `list_missing` and `peers_missing`.
         Reason::NoList | Reason::PeersUnreachable => false,
     }
 }
--- a/crates/lifecycle/src/readiness/debounce.rs
+++ b/crates/lifecycle/src/readiness/debounce.rs
@@ -1,41 +1,45 @@
-//! Delays a condition's changes until they have lasted.
+//! Debouncing of readiness conditions.
 
 use crate::time::Time;
 use std::time::Duration;
 
-/// A condition in service: a change counts once it has lasted.
+/// A condition that changes only after the new value has been observed for a minimum time.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Debounced {
     failing: bool,
-    /// Since when the opposite of `failing` has been observed.
+    /// Start of the current series of observations that contradict `failing`.
     opposite_since: Option<Time>,
 }
 
 impl Debounced {
-    /// Whether the condition counts as failing.
+    /// The debounced value.
     pub(super) fn is_failing(self) -> bool {
         self.failing
     }
 
-    /// Sets the condition at once.
+    /// Sets the value without a delay.
     pub(super) fn reset(&mut self, failing: bool) {
         self.failing = failing;
     }
 
-    /// Takes an observation in. It counts once the same has been observed for `lose_after` (failing) or `regain_after`.
+    /// Records an observation. The value changes to failing after `failure_delay`, and back after `recovery_delay`.
     pub(super) fn observe(
         &mut self,
         now: Time,
         failing: bool,
-        lose_after: Duration,
-        regain_after: Duration,
+        failure_delay: Duration,
+        recovery_delay: Duration,
     ) {
         if failing == self.failing {
             self.opposite_since = None;
             return;
         }
         let since = *self.opposite_since.get_or_insert(now);
-        let delay = if failing { lose_after } else { regain_after };
+        let delay = if failing {
+            failure_delay
+        } else {
+            recovery_delay
+        };
         if now.saturating_sub(since) >= delay {
             self.failing = failing;
             self.opposite_since = None;
--- a/crates/lifecycle/src/readiness/reason.rs
+++ b/crates/lifecycle/src/readiness/reason.rs
@@ -1,30 +1,30 @@
-//! The names of the conditions that keep a node from being ready.
+//! The reasons why a node is not ready, and their names.
 
 use std::fmt;
 
-/// A condition that fails, which keeps a node from being ready.
+/// A failing readiness condition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Reason {
-    /// No list of app servers is known: nothing could be served.
+    /// No list of app servers is known, so no request could be served.
     NoList,
-    /// The list is older than allowed: drains and slow starts of servers may have been missed.
+    /// The list is older than allowed, so drains and slow starts of servers may have been missed.
     ListStale,
-    /// Peers have not been heard from, and their silence has not yet lasted long enough to count them as down. The token
-    /// buckets, which count what all nodes send together, could exceed quotas.
+    /// Some peers have not sent a message yet, and the timeout after which they count as down has not passed. The token
+    /// buckets count what all nodes send together; without the usage of these peers the fleet could exceed quotas.
     PeersUnreachable,
     /// Too few file descriptors are left for a request and its attempt.
     Descriptors,
-    /// Too little memory is left.
+    /// More than the allowed fraction of the memory limit is in use.
     Memory,
-    /// The system clock has moved against the monotonic clock, or shows a time before this program was written: slow
-    /// starts of servers can't be dated.
+    /// The system clock has moved against the monotonic clock, or shows a time before this program was written. The
+    /// remaining slow start of a server cannot be computed from such a clock.
     Clock,
-    /// The event loop is behind: answers could miss their deadlines.
+    /// The event loop is late, so responses could miss their deadlines.
     Lagging,
 }
 
 impl Reason {
-    /// All reasons, in the order in which they are shown.
+    /// All reasons, in display order.
     pub(super) const ALL: [Reason; 7] = [
         Reason::NoList,
         Reason::ListStale,
@@ -52,22 +52,22 @@
 /// A set of reasons.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Reasons {
-    /// One bit for each reason, at the place of its discriminant.
+    /// One bit for each reason; the discriminant is the bit's index.
     bits: u8,
 }
 
 impl Reasons {
-    /// Whether the set is empty.
+    /// Whether all conditions hold.
     pub fn is_empty(self) -> bool {
         self.bits == 0
     }
 
-    /// Whether the set holds this reason.
+    /// Whether the condition of this reason fails.
     pub fn contains(self, reason: Reason) -> bool {
         self.bits & Reasons::bit(reason) != 0
     }
 
-    /// Puts a reason in or takes it out.
+    /// Adds the reason to the set or removes it.
     pub(super) fn set(&mut self, reason: Reason, present: bool) {
         if present {
             self.bits |= Reasons::bit(reason);
--- a/crates/lifecycle/src/shutdown.rs
+++ b/crates/lifecycle/src/shutdown.rs
@@ -1,55 +1,56 @@
-//! How long a process has once it was told to stop, and when all that it has taken must be answered.
+//! The deadlines of a process that was told to stop.
 //!
-//! Admission goes by [`ShutdownPlan::answer_by`]: no request may get more time than the process has.
+//! Admission caps the deadline of each request at [`ShutdownPlan::answer_by`], so that no request outlives the process.
 
 use crate::time::Time;
 use std::time::Duration;
 
-/// The platform counts at most this much of the longest deadline in the settings.
+/// The platform waits for the longest deadline in the settings, but no longer than this, plus [`KILL_GRACE`].
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
-/// From the end of the counted deadline to the platform's kill.
+/// How long after that deadline the platform kills the process.
 const KILL_GRACE: Duration = Duration::from_millis(700);
-/// How long before the kill a process exits by itself.
+/// How long before the platform's kill the process exits by itself.
 pub(crate) const EXIT_BEFORE_KILL: Duration = Duration::from_millis(50);
-/// The longest that a process may be held up between reading its clock and writing.
+/// How long the scheduler may suspend a process between reading its clock and writing a response.
 pub const MAX_SCHEDULING_DELAY: Duration = Duration::from_millis(150);
-/// How long it takes to write answers once they are made.
+/// Time reserved for writing the final responses.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(30);
-/// The least time for a shutdown, so that a process that reads the signal very late still gives its answers.
+/// Minimum duration of a shutdown, so that a process that reads the signal very late still sends its responses.
 const MIN_SHUTDOWN: Duration = Duration::from_millis(250);
 
-/// How long after SIGTERM the platform kills a process at the earliest. `longest_deadline` is the longest deadline of a
-/// request in the settings.
+/// Returns the earliest time after SIGTERM at which the platform kills the process. `longest_deadline` is the longest
+/// deadline of a request in the settings.
 pub fn kill_after(longest_deadline: Duration) -> Duration {
     longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_GRACE
 }
 
-/// When a process that was told to stop answers and exits.
+/// When a process that was told to stop finishes its responses and exits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownPlan {
-    /// Every request has its final answer by then, whatever its own deadline.
+    /// Every request gets its final response by this time, even if its own deadline is later.
     pub answer_by: Time,
-    /// The process exits then, whatever is still open.
+    /// The process exits at this time, even if connections are still open.
     pub exit_by: Time,
 }
 
 impl ShutdownPlan {
-    /// The plan of a process that reads at `now` a signal sent after `since`, and has `longest` to stop from then.
-    pub fn new(now: Time, since: Time, longest: Duration) -> ShutdownPlan {
-        let sent = since.min(now);
-        let exit_by = sent
-            .saturating_add(longest)
-            .max(now.saturating_add(MIN_SHUTDOWN.min(longest)));
-        let left = exit_by.saturating_sub(now);
-        // With little time left, only half of it is reserved for writing.
-        let reserved = (MAX_SCHEDULING_DELAY + WRITE_TIMEOUT).min(left / 2);
+    /// Returns the plan of a process that reads the signal at `now`. The signal was sent after `since`, and the process
+    /// may take `max_duration` from then on.
+    pub fn new(now: Time, since: Time, max_duration: Duration) -> ShutdownPlan {
+        let sent_at = since.min(now);
+        let exit_by = sent_at
+            .saturating_add(max_duration)
+            .max(now.saturating_add(MIN_SHUTDOWN.min(max_duration)));
+        let remaining = exit_by.saturating_sub(now);
+        // At most half of the remaining time is reserved for suspension and writing.
+        let reserved = (MAX_SCHEDULING_DELAY + WRITE_TIMEOUT).min(remaining / 2);
         ShutdownPlan {
             answer_by: exit_by.saturating_sub(reserved),
             exit_by,
         }
     }
 
-    /// The earlier of each of the two plans' times.
+    /// Returns a plan with the earlier `answer_by` and the earlier `exit_by` of the two.
     #[must_use]
     pub fn earlier(self, other: ShutdownPlan) -> ShutdownPlan {
         ShutdownPlan {
--- a/crates/lifecycle/src/state.rs
+++ b/crates/lifecycle/src/state.rs
@@ -1,19 +1,21 @@
 //! The states of a node's life cycle.
 
-/// The state of an edge node. The order is that of a node's life.
+/// The state of an edge node. The variants are ordered as a node passes through them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum State {
-    /// Not ready yet: a condition of readiness does not hold.
+    /// Not ready yet: the node does not listen, or a readiness condition fails.
     Starting,
-    /// Takes work. Readiness may be lost and regained in this state, see [`Lifecycle::ready`](crate::Lifecycle::ready).
+    /// Accepts requests. The node may stop being ready and become ready again without leaving this state, see
+    /// [`Lifecycle::ready`](crate::Lifecycle::ready).
     Ready,
-    /// Reads its configuration again, and takes work as before.
+    /// Reloads its configuration and accepts requests as before.
     Reloading,
-    /// Told to stop. Not ready, but new work is still taken and served, as clients and front ends notice late.
+    /// Told to stop. The node is not ready but still accepts and serves requests, because clients and front ends notice
+    /// the change with a delay.
     Draining,
-    /// Accepts nothing new; work in flight is finished.
+    /// Accepts no connections; requests in flight are completed.
     Closing,
-    /// The process exits.
+    /// The process is about to exit.
     Gone,
 }
 
--- a/crates/lifecycle/src/time.rs
+++ b/crates/lifecycle/src/time.rs
@@ -1,6 +1,6 @@
-//! The clock by which the crate reckons.
+//! The time type of the crate.
 
 use std::time::Duration;
 
-/// A point in time: the span since some fixed moment of a clock that never goes back (`CLOCK_MONOTONIC`).
+/// A point in time: the duration since an arbitrary but fixed origin of the monotonic clock (`CLOCK_MONOTONIC`).
 pub type Time = Duration;
--- a/crates/lifecycle/tests/lifecycle/event_orders.rs
+++ b/crates/lifecycle/tests/lifecycle/event_orders.rs
@@ -1,13 +1,13 @@
-//! All short orders of events.
+//! Exhaustive test of all short sequences of events.
 
 use crate::support::*;
 use saffronpaddle_lifecycle::*;
 use std::time::Duration;
 
-/// How many events an order has.
-const ORDER_LENGTH: u32 = 6;
+/// The number of events in a sequence.
+const SEQUENCE_LENGTH: u32 = 6;
 
-/// What has happened in an order of events so far, and the checks that go by it.
+/// The history of a sequence of events, and the invariants that depend on it.
 #[derive(Clone, Copy, Default)]
 struct History {
     ready_messages: u32,
@@ -15,13 +15,13 @@
     stopping: bool,
     stopped_accepting: bool,
     listening: bool,
-    /// Reloads that were asked for and have not ended.
+    /// Reloads that were requested and have not completed.
     open_reloads: u32,
     lame_duck: bool,
 }
 
 impl History {
-    /// Whether the event can come next: the listener comes up once, and only a reload that was asked for ends.
+    /// Whether the event can come next: the listener is bound once, and only a requested reload completes.
     fn allows(&self, event: &Event) -> bool {
         match event {
             Event::Listening => !self.listening,
@@ -52,7 +52,10 @@
                 self.open_reloads += 1;
             }
             Action::KeepOpen => {
-                assert!(!self.stopping, "connections are kept again while stopping");
+                assert!(
+                    !self.stopping,
+                    "connections are kept open again while stopping"
+                );
             }
             Action::CloseIdle => assert!(self.lame_duck && !self.stopping),
             Action::Exit => {
@@ -66,16 +69,16 @@
         match message {
             ManagerMessage::Ready => {
                 assert!(!self.stopping, "READY after STOPPING");
-                assert!(self.listening, "READY before it listens");
+                assert!(self.listening, "READY before the node listens");
                 let first = self.ready_messages == 0;
-                assert!(first || self.reloading, "READY out of place");
+                assert!(first || self.reloading, "READY repeated without a reload");
                 self.ready_messages += 1;
                 self.reloading = false;
             }
             ManagerMessage::Reloading => {
                 assert!(
                     self.ready_messages > 0 && !self.reloading && !self.stopping,
-                    "RELOADING out of place"
+                    "RELOADING before READY, during a reload or while stopping"
                 );
                 self.reloading = true;
             }
@@ -90,7 +93,7 @@
     fn check_state(&self, lifecycle: &Lifecycle) {
         if lifecycle.ready() {
             assert!(self.listening && !self.stopping, "ready while stopping");
-            assert!(!self.lame_duck, "ready while clients are sent away");
+            assert!(!self.lame_duck, "ready in lame-duck mode");
         }
         if self.lame_duck && self.listening {
             assert!(lifecycle.closes_connections());
@@ -115,7 +118,7 @@
     ]
 }
 
-/// Continues an order by each event in turn; returns how many orders were seen.
+/// Extends a sequence by each possible event, recursively. Returns the number of sequences explored.
 fn explore(lifecycle: &Lifecycle, now: Duration, history: History, events_left: u32) -> u64 {
     let mut count = 1;
     if events_left == 0 || lifecycle.state() == State::Gone {
@@ -125,11 +128,11 @@
         if !history.allows(&event) {
             continue;
         }
-        let span = match event {
+        let elapsed = match event {
             Event::Observed(_) => ms(700),
             _ => ms(0),
         };
-        let now = now + span;
+        let now = now + elapsed;
         let (mut lifecycle, mut history) = (lifecycle.clone(), history);
         history.on_event(&event);
         let mut out = Vec::new();
@@ -143,11 +146,12 @@
     count
 }
 
-/// Signals, commands of staff and observations come in any order. The service manager must get each message in its place,
-/// a node that stops must never take work again, and it must exit only after it has stopped accepting.
+/// Signals, admin commands and measurements arrive in any order. Each message to the service manager must be valid at
+/// its point of the protocol, a stopping node must never become ready again, and it must stop accepting before it
+/// exits.
 #[test]
-fn no_short_order_of_events_breaks_the_protocol_with_manager_and_clients() {
+fn no_short_sequence_of_events_violates_the_protocol_with_manager_and_clients() {
     let lifecycle = Lifecycle::new(limits(), ms(0));
-    let count = explore(&lifecycle, ms(0), History::default(), ORDER_LENGTH);
-    assert!(count > 30_000, "{count} orders");
+    let count = explore(&lifecycle, ms(0), History::default(), SEQUENCE_LENGTH);
+    assert!(count > 30_000, "{count} sequences");
 }
--- a/crates/lifecycle/tests/lifecycle/lame_duck.rs
+++ b/crates/lifecycle/tests/lifecycle/lame_duck.rs
@@ -1,4 +1,4 @@
-//! Sending clients away and taking them back.
+//! Lame-duck mode.
 
 use crate::support::*;
 use saffronpaddle_lifecycle::*;
@@ -12,12 +12,12 @@
             && contains(&out, &Action::CloseAfterAnswers)
             && !contains(&out, &Action::CloseIdle)
     );
-    // Requests that come before the front end has noticed find their connection open.
+    // Requests that arrive before the front end has noticed find their connection open.
     assert!(!contains(&node.advance(499), &Action::CloseIdle));
     assert!(contains(&node.advance(1), &Action::CloseIdle));
     assert!(
         !contains(&node.advance(60_000), &Action::CloseIdle),
-        "only once"
+        "idle connections are closed only once"
     );
     // A second command changes nothing, and the node does not rejoin by itself.
     assert!(node.send(Event::Lameduck).is_empty() && !node.lifecycle.ready());
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_lame_duck_starts_reloads_and_stops_as_any_other_node() {
+fn a_lame_duck_starts_reloads_and_stops_like_any_other_node() {
     let mut node = TestNode::ready();
     node.send(Event::Lameduck);
     assert!(contains(
@@ -44,14 +44,14 @@
     ));
     node.send(Event::Reloaded { applied: true });
     assert!(!node.lifecycle.ready());
-    assert_eq!(messages(&node.stop(), &ManagerMessage::Stopping), 1);
-    // A stop can't be taken back, and its own limits hold.
+    assert_eq!(count_messages(&node.stop(), &ManagerMessage::Stopping), 1);
+    // A shutdown cannot be revoked, and its own limits apply.
     assert!(!contains(&node.send(Event::Rejoin), &Action::KeepOpen));
     assert!(
         !contains(&node.advance(500), &Action::StopAccepting)
             && contains(&node.advance(100), &Action::StopAccepting)
     );
-    // A command that comes before the node is ready holds.
+    // A command that arrives before the node is ready takes effect.
     let mut node = TestNode::new();
     node.send(Event::Lameduck);
     node.send(Event::Listening);
--- a/crates/lifecycle/tests/lifecycle/log_lines.rs
+++ b/crates/lifecycle/tests/lifecycle/log_lines.rs
@@ -1,8 +1,8 @@
-//! The lines that the life cycle writes to the log.
+//! The log lines of the life cycle.
 
 use saffronpaddle_lifecycle::*;
 
-/// Staff search the log for these lines.
+/// Operators search the log for these lines.
 #[test]
 fn each_reported_event_has_its_log_line() {
     let status = "ready".to_owned();
@@ -11,23 +11,29 @@
             LifecycleEvent::StatusChanged { status },
             "life cycle: ready",
         ),
-        (LifecycleEvent::LameDuckStarted, "clients are sent away"),
-        (LifecycleEvent::LameDuckEnded, "back to work"),
+        (
+            LifecycleEvent::LameDuckStarted,
+            "lame duck: closing client connections after their responses",
+        ),
+        (
+            LifecycleEvent::LameDuckEnded,
+            "lame duck ended: keeping client connections open again",
+        ),
         (
             LifecycleEvent::ReloadRejected,
             "no reload: the node is stopping",
         ),
         (
             LifecycleEvent::ReloadFailed,
-            "reload: the old configuration stays",
+            "reload failed: the previous configuration remains in force",
         ),
         (
             LifecycleEvent::ReloadTimedOut,
-            "reload: given up, it took too long",
+            "reload timed out: it did not complete within reload.within_ms",
         ),
         (
             LifecycleEvent::CloseTimedOut,
-            "closing: the bound is reached, connections are dropped",
+            "closing: shutdown deadline reached, dropping open connections",
         ),
     ];
     for (event, line) in lines {
--- a/crates/lifecycle/tests/lifecycle/main.rs
+++ b/crates/lifecycle/tests/lifecycle/main.rs
@@ -1,4 +1,4 @@
-//! The life cycle: each state, each event in it, and all short orders of events.
+//! Tests of the life cycle: each event in each state, and all short sequences of events.
 
 mod event_orders;
 mod lame_duck;
--- a/crates/lifecycle/tests/lifecycle/readiness.rs
+++ b/crates/lifecycle/tests/lifecycle/readiness.rs
@@ -1,4 +1,4 @@
-//! Readiness: when it is reached, lost and regained.
+//! Readiness: when a node becomes ready, stops being ready and recovers.
 
 use crate::support::*;
 use saffronpaddle_lifecycle::*;
@@ -7,24 +7,24 @@
 fn ready_is_sent_once_when_the_node_listens_and_all_conditions_hold() {
     let mut node = TestNode::new();
     assert_eq!(
-        messages(
+        count_messages(
             &node.send(Event::Observed(healthy())),
             &ManagerMessage::Ready
         ),
         0,
-        "it does not listen yet"
+        "the node does not listen yet"
     );
     assert_eq!(
-        messages(&node.send(Event::Listening), &ManagerMessage::Ready),
+        count_messages(&node.send(Event::Listening), &ManagerMessage::Ready),
         1
     );
     assert!(node.lifecycle.ready());
     let out = node.observe_for(&healthy(), 5_000);
-    assert_eq!(messages(&out, &ManagerMessage::Ready), 0);
+    assert_eq!(count_messages(&out, &ManagerMessage::Ready), 0);
 }
 
 #[test]
-fn a_start_with_discovery_and_peers_silent_waits_then_serves_from_the_configured_list() {
+fn a_start_without_discovery_and_peers_waits_then_serves_from_the_configured_list() {
     let silent = Facts {
         endpoint_list_age: None,
         reachable_peers: 0,
@@ -45,7 +45,7 @@
     assert!(!node.lifecycle.ready());
     let out = node.observe_for(&silent, 3_000);
     assert!(
-        node.lifecycle.ready() && messages(&out, &ManagerMessage::Ready) == 1,
+        node.lifecycle.ready() && count_messages(&out, &ManagerMessage::Ready) == 1,
         "{}",
         node.lifecycle.status()
     );
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_condition_must_fail_and_hold_for_its_delay_before_readiness_follows() {
+fn a_condition_must_fail_or_hold_for_its_delay_before_readiness_changes() {
     let cases = [
         (
             Facts {
@@ -115,23 +115,29 @@
     for (bad, name) in cases {
         let mut node = TestNode::ready();
         node.observe_for(&bad, 1_900);
-        assert!(node.lifecycle.ready(), "{name}: not at once");
+        assert!(
+            node.lifecycle.ready(),
+            "{name}: still ready before the failure delay"
+        );
         let out = node.observe_for(&bad, 300);
         assert!(
             !node.lifecycle.ready() && node.lifecycle.state() == State::Ready,
             "{name}"
         );
         assert_eq!(
-            messages(&out, &ManagerMessage::Status(format!("not ready: {name}"))),
+            count_messages(&out, &ManagerMessage::Status(format!("not ready: {name}"))),
             1,
             "{out:?}"
         );
         node.observe_for(&healthy(), 900);
-        assert!(!node.lifecycle.ready(), "{name}: not back at once");
+        assert!(
+            !node.lifecycle.ready(),
+            "{name}: not ready before the recovery delay"
+        );
         let out = node.observe_for(&healthy(), 300);
         assert!(node.lifecycle.ready(), "{name}");
         assert_eq!(
-            messages(&out, &ManagerMessage::Ready),
+            count_messages(&out, &ManagerMessage::Ready),
             0,
             "READY is sent once: {out:?}"
         );
@@ -139,7 +145,7 @@
 }
 
 #[test]
-fn a_condition_that_flaps_faster_than_its_delay_changes_nothing() {
+fn a_condition_that_flaps_faster_than_its_delay_does_not_change_readiness() {
     let mut node = TestNode::ready();
     let bad = Facts {
         event_loop_lag: ms(5_000),
@@ -156,7 +162,7 @@
 }
 
 #[test]
-fn a_condition_that_fails_at_the_start_counts_at_once() {
+fn a_condition_that_fails_at_start_up_counts_without_delay() {
     let mut node = TestNode::new();
     node.send(Event::Listening);
     node.send(Event::Observed(Facts {
--- a/crates/lifecycle/tests/lifecycle/reload.rs
+++ b/crates/lifecycle/tests/lifecycle/reload.rs
@@ -5,28 +5,28 @@
 
 #[test]
 fn a_reload_in_service_is_reported_to_the_manager_and_the_node_stays_ready() {
-    for taken in [true, false] {
+    for applied in [true, false] {
         let mut node = TestNode::ready();
         let out = node.send(Event::Reload);
         assert!(
-            messages(&out, &ManagerMessage::Reloading) == 1
+            count_messages(&out, &ManagerMessage::Reloading) == 1
                 && contains(&out, &Action::ReadConfiguration)
         );
         assert!(node.lifecycle.ready() && node.lifecycle.state() == State::Reloading);
         assert_eq!(
-            messages(
-                &node.send(Event::Reloaded { applied: taken }),
+            count_messages(
+                &node.send(Event::Reloaded { applied }),
                 &ManagerMessage::Ready
             ),
             1,
-            "also if it failed"
+            "sent even if the reload failed"
         );
         assert_eq!(node.lifecycle.state(), State::Ready);
     }
 }
 
 #[test]
-fn reloads_asked_for_during_a_reload_are_done_once_after_it() {
+fn reloads_requested_during_a_reload_run_once_after_it() {
     let mut node = TestNode::ready();
     node.send(Event::Reload);
     for _ in 0..5 {
@@ -47,11 +47,11 @@
     let out = node.send(Event::Reload);
     assert!(
         contains(&out, &Action::ReadConfiguration)
-            && messages(&out, &ManagerMessage::Reloading) == 0
+            && count_messages(&out, &ManagerMessage::Reloading) == 0
     );
     node.send(Event::Listening);
     assert_eq!(
-        messages(
+        count_messages(
             &node.send(Event::Observed(healthy())),
             &ManagerMessage::Ready
         ),
@@ -59,36 +59,37 @@
     );
     let out = node.send(Event::Reloaded { applied: true });
     assert_eq!(
-        messages(&out, &ManagerMessage::Ready),
+        count_messages(&out, &ManagerMessage::Ready),
         0,
-        "READY was sent for the start: {out:?}"
+        "READY was already sent for start-up: {out:?}"
     );
 }
 
 #[test]
 fn a_reload_while_stopping_is_rejected() {
-    for span in [0, 600] {
+    for elapsed_ms in [0, 600] {
         let mut node = TestNode::ready();
         node.stop();
-        node.advance(span);
+        node.advance(elapsed_ms);
         let out = node.send(Event::Reload);
         assert!(
             !contains(&out, &Action::ReadConfiguration)
-                && messages(&out, &ManagerMessage::Reloading) == 0,
+                && count_messages(&out, &ManagerMessage::Reloading) == 0,
             "{out:?}"
         );
     }
 }
 
 #[test]
-fn a_stop_during_a_reload_wins() {
+fn a_stop_during_a_reload_takes_precedence() {
     let mut node = TestNode::ready();
     node.send(Event::Reload);
     node.send(Event::Reload);
-    assert_eq!(messages(&node.stop(), &ManagerMessage::Stopping), 1);
+    assert_eq!(count_messages(&node.stop(), &ManagerMessage::Stopping), 1);
     let out = node.send(Event::Reloaded { applied: true });
     assert!(
-        messages(&out, &ManagerMessage::Ready) == 0 && !contains(&out, &Action::ReadConfiguration),
+        count_messages(&out, &ManagerMessage::Ready) == 0
+            && !contains(&out, &Action::ReadConfiguration),
         "{out:?}"
     );
     assert_eq!(node.lifecycle.state(), State::Draining);
@@ -98,7 +99,10 @@
 fn a_reload_that_hangs_times_out() {
     let mut node = TestNode::ready();
     node.send(Event::Reload);
-    assert_eq!(messages(&node.advance(9_999), &ManagerMessage::Ready), 0);
-    assert_eq!(messages(&node.advance(1), &ManagerMessage::Ready), 1);
+    assert_eq!(
+        count_messages(&node.advance(9_999), &ManagerMessage::Ready),
+        0
+    );
+    assert_eq!(count_messages(&node.advance(1), &ManagerMessage::Ready), 1);
     assert_eq!(node.lifecycle.state(), State::Ready);
 }
--- a/crates/lifecycle/tests/lifecycle/shutdown.rs
+++ b/crates/lifecycle/tests/lifecycle/shutdown.rs
@@ -1,4 +1,4 @@
-//! Stopping: how long work is taken and finished, and when the process exits.
+//! Shutdown: how long requests are accepted and completed, and when the process exits.
 
 use crate::support::*;
 use saffronpaddle_lifecycle::*;
@@ -8,11 +8,14 @@
     let mut node = TestNode::ready();
     let out = node.stop();
     assert!(
-        messages(&out, &ManagerMessage::Stopping) == 1
+        count_messages(&out, &ManagerMessage::Stopping) == 1
             && contains(&out, &Action::CloseAfterAnswers),
         "{out:?}"
     );
-    assert_eq!(messages(&out, &ManagerMessage::ExtendTimeout(ms(4_600))), 1);
+    assert_eq!(
+        count_messages(&out, &ManagerMessage::ExtendTimeout(ms(4_600))),
+        1
+    );
     assert!(!node.lifecycle.ready());
     assert!(!contains(&node.advance(599), &Action::StopAccepting));
     assert!(contains(&node.advance(1), &Action::StopAccepting));
@@ -20,7 +23,7 @@
     assert!(!contains(&node.advance(2_999), &Action::Exit));
     assert!(
         contains(&node.advance(1), &Action::Exit),
-        "a client that never reads does not hold it up"
+        "a client that never reads does not delay the exit"
     );
 }
 
@@ -48,7 +51,7 @@
     let out = node.stop();
     assert!(
         !contains(&out, &Action::Exit),
-        "a third changes nothing: {out:?}"
+        "a third signal changes nothing: {out:?}"
     );
     assert!(contains(&node.advance(3_000), &Action::Exit));
 }
@@ -58,26 +61,26 @@
     let mut node = TestNode::new();
     let out = node.stop();
     assert!(
-        messages(&out, &ManagerMessage::Stopping) == 1 && contains(&out, &Action::Exit),
+        count_messages(&out, &ManagerMessage::Stopping) == 1 && contains(&out, &Action::Exit),
         "no connection was accepted: {out:?}"
     );
-    // Once it listens, a connection may have been accepted.
+    // Once the node listens, it may have accepted a connection.
     let mut node = TestNode::new();
     node.send(Event::Listening);
     let out = node.stop();
     assert!(!contains(&out, &Action::Exit) && node.lifecycle.state() == State::Draining);
     let out = node.observe_for(&healthy(), 500);
     assert_eq!(
-        messages(&out, &ManagerMessage::Ready),
+        count_messages(&out, &ManagerMessage::Ready),
         0,
-        "a node that stops never becomes ready"
+        "a stopping node never becomes ready"
     );
 }
 
-/// The platform kills a process 0.7 s after its longest deadline, of which at most 3 s count. A process that exits later
-/// loses the answers that it still had to give.
+/// The platform kills a process 0.7 s after its longest deadline, of which it counts at most 3 s. Responses that a
+/// process has not sent by then are lost.
 #[test]
-fn a_process_exits_before_the_platform_kills_it_whatever_the_longest_deadline() {
+fn a_process_exits_before_the_platform_kills_it_for_any_longest_deadline() {
     for (longest, killed_after) in [
         (400, 1_100),
         (2_900, 3_600),
@@ -99,17 +102,17 @@
         );
         assert!(
             plan.answer_by > ms(10_000 + killed_after - 400),
-            "{longest}: no time is wasted: {plan:?}"
+            "{longest}: the process uses the available time: {plan:?}"
         );
         while node.lifecycle.state() != State::Gone {
-            assert!(node.now < plan.exit_by, "it exits by then");
-            node.now = node.lifecycle.deadline().expect("it ends by itself");
+            assert!(node.now < plan.exit_by, "the process exits by exit_by");
+            node.now = node.lifecycle.deadline().expect("the state has a timeout");
             node.send(Event::Tick);
         }
     }
 }
 
-/// A process that was held up reads the signal late, but the time to the platform's kill runs from when it was sent.
+/// A suspended process reads the signal late, but the platform's kill timeout runs from the time of sending.
 #[test]
 fn a_signal_that_is_read_late_leaves_less_time() {
     let mut node = TestNode::ready();
@@ -117,7 +120,7 @@
     node.send(Event::Stop { since: ms(19_850) });
     let plan = node.lifecycle.shutdown_plan().expect("it was told to stop");
     assert_eq!(plan.exit_by, ms(19_850 + 3_600));
-    // A process that was held up for longer than that still gives its answers.
+    // A process that was suspended for longer than the kill timeout still sends its responses.
     let mut node = TestNode::ready();
     node.now = ms(60_000);
     node.send(Event::Stop { since: ms(0) });
@@ -128,9 +131,9 @@
     );
 }
 
-/// A reload may end after the signal to stop. Its limits must not move the end past the platform's kill.
+/// A reload may complete after the signal to stop. Its limits must not move the exit past the platform's kill.
 #[test]
-fn limits_set_after_the_signal_to_stop_do_not_move_the_end() {
+fn limits_set_after_the_signal_to_stop_do_not_move_the_exit() {
     let mut node = TestNode::ready();
     node.send(Event::Reload);
     node.stop();
@@ -146,9 +149,9 @@
     assert!(contains(&node.advance(3_000), &Action::Exit));
 }
 
-/// A second signal to stop may only bring the end nearer.
+/// A second signal to stop may only bring the exit forward.
 #[test]
-fn a_second_sigterm_never_moves_the_end_later() {
+fn a_second_sigterm_never_delays_the_exit() {
     let mut node = TestNode::ready();
     node.stop();
     let first = node.lifecycle.shutdown_plan().expect("it was told to stop");
--- a/crates/lifecycle/tests/lifecycle/support.rs
+++ b/crates/lifecycle/tests/lifecycle/support.rs
@@ -1,24 +1,24 @@
-//! A node's life cycle with a clock that the test moves.
+//! A life cycle with a simulated clock.
 
 use saffronpaddle_lifecycle::*;
 use std::time::Duration;
 
-pub const fn ms(span: u64) -> Duration {
-    Duration::from_millis(span)
+pub const fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
 }
 
 pub fn limits() -> Limits {
     Limits {
         readiness: Conditions {
-            list_within: Some(ms(5_000)),
-            list_stale_after: Some(ms(10_000)),
-            peers_within: Some(ms(2_000)),
-            free_descriptors: Some(16),
-            memory_share: Some(0.9),
-            clock_step: Some(ms(2_000)),
-            lag: Some(ms(1_000)),
-            lose_after: ms(2_000),
-            regain_after: ms(1_000),
+            list_timeout: Some(ms(5_000)),
+            max_list_age: Some(ms(10_000)),
+            peers_timeout: Some(ms(2_000)),
+            min_free_descriptors: Some(16),
+            max_memory_fraction: Some(0.9),
+            max_clock_step: Some(ms(2_000)),
+            max_event_loop_lag: Some(ms(1_000)),
+            failure_delay: ms(2_000),
+            recovery_delay: ms(1_000),
         },
         leave_for: ms(600),
         finish_within: ms(3_000),
@@ -26,7 +26,7 @@
     }
 }
 
-/// An observation under which all conditions of [`limits`] hold.
+/// Measurements that satisfy all conditions of [`limits`].
 pub fn healthy() -> Facts {
     Facts {
         servers: 3,
@@ -48,7 +48,7 @@
 }
 
 impl TestNode {
-    /// A node that has just started.
+    /// A node that starts at time zero.
     pub fn new() -> TestNode {
         TestNode::with_limits(limits())
     }
@@ -75,31 +75,31 @@
         out
     }
 
-    /// Sends a signal to stop that is read at once.
+    /// Sends a signal to stop that is read without delay.
     pub fn stop(&mut self) -> Vec<Action> {
         let since = self.now;
         self.send(Event::Stop { since })
     }
 
-    /// Sends the same observation every 100 ms for `span` milliseconds.
-    pub fn observe_for(&mut self, facts: &Facts, span: u64) -> Vec<Action> {
+    /// Sends the same measurements every 100 ms for `duration_ms`.
+    pub fn observe_for(&mut self, facts: &Facts, duration_ms: u64) -> Vec<Action> {
         let mut out = Vec::new();
-        for _ in 0..span / 100 {
+        for _ in 0..duration_ms / 100 {
             self.now += ms(100);
             out.extend(self.send(Event::Observed(facts.clone())));
         }
         out
     }
 
-    /// Lets `span` milliseconds pass.
-    pub fn advance(&mut self, span: u64) -> Vec<Action> {
-        self.now += ms(span);
+    /// Advances the clock and sends a tick.
+    pub fn advance(&mut self, duration_ms: u64) -> Vec<Action> {
+        self.now += ms(duration_ms);
         self.send(Event::Tick)
     }
 }
 
-/// How often a message to the service manager is among the actions.
-pub fn messages(out: &[Action], message: &ManagerMessage) -> usize {
+/// Counts a message to the service manager among the actions.
+pub fn count_messages(out: &[Action], message: &ManagerMessage) -> usize {
     let wanted = Action::NotifyManager(message.clone());
     out.iter().filter(|action| **action == wanted).count()
 }
