--- a/crates/connection-eviction/src/connection.rs
+++ b/crates/connection-eviction/src/connection.rs
@@ -1,18 +1,18 @@
-//! What is known of a downstream connection.
+//! The state of a downstream connection that eviction depends on.
 
 use crate::time::Time;
 
 /// The state of a downstream connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionState {
-    /// When it was accepted.
+    /// When the connection was accepted.
     pub accepted_at: Time,
-    /// When its last byte was received, or its last answer was written.
+    /// When the latest byte was received or the latest response was written.
     pub last_active_at: Time,
-    /// When the first byte of an incomplete request head was received.
+    /// When the first byte of an incomplete request head was received; `None` between requests.
     pub head_started_at: Option<Time>,
-    /// A request of it is being read or answered.
+    /// A request is being read or answered on the connection.
     pub busy: bool,
-    /// It has sent at least one complete request head.
+    /// The client has sent at least one complete request head.
     pub has_requested: bool,
 }
--- a/crates/connection-eviction/src/lib.rs
+++ b/crates/connection-eviction/src/lib.rs
@@ -1,13 +1,13 @@
-//! Which downstream connections are closed when there are too many, or when one is idle for too long.
+//! Eviction of downstream connections when too many are open, and their idle timeouts.
 //!
-//! Clients send a request as soon as they have connected, though perhaps slowly. A flood of connections sends nothing,
-//! stops within a request head, or sends single bytes. A slow client and a flood differ in one thing only: the slow client
-//! goes on sending. So the connections that have been silent longest are closed first, and a connection whose request is
-//! being answered is never closed.
+//! Clients send a request as soon as they have connected, though perhaps slowly. The connections of a connection flood
+//! send nothing, stop within a request head, or send single bytes. Slow clients differ from a flood only in that they
+//! continue to send. So the connections that have been silent longest are evicted first, and a connection whose request
+//! is being answered is never evicted.
 //!
-//! - [`Limits`] says when a connection times out, and which ones are closed to make room.
-//! - [`EvictionPressure`] says how many are closed at once.
-//! - [`ReceiveTimeBound`] says how long what the event loop reads may have waited unread.
+//! - [`Limits`] decides when a connection times out, and which connections are evicted.
+//! - [`EvictionPressure`] decides how many connections are evicted at once.
+//! - [`ReceiveTimeBound`] bounds how long bytes waited in the kernel before the event loop read them.
 //!
 //! The crate does no I/O and reads no clock.
 //!
@@ -22,10 +22,10 @@
 //!     busy: false,
 //!     has_requested: false,
 //! };
-//! let writing = ConnectionState { last_active_at: ms(900), head_started_at: Some(ms(0)), ..silent };
+//! let sending = ConnectionState { last_active_at: ms(900), head_started_at: Some(ms(0)), ..silent };
 //! let busy = ConnectionState { busy: true, ..silent };
 //! let one = EvictionCount { required: 1, allowed: 0 };
-//! assert_eq!(Limits::USUAL.choose_evictions(ms(1000), [&busy, &writing, &silent], one), [2]);
+//! assert_eq!(Limits::USUAL.choose_evictions(ms(1000), [&busy, &sending, &silent], one), [2]);
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/connection-eviction/src/limits.rs
+++ b/crates/connection-eviction/src/limits.rs
@@ -1,4 +1,4 @@
-//! When a connection times out, and which connections are closed to make room.
+//! Connection timeouts, and the choice of connections to evict.
 
 use crate::connection::ConnectionState;
 use crate::pressure::EvictionCount;
@@ -6,32 +6,32 @@
 use std::cmp::Reverse;
 use std::time::Duration;
 
-/// How long connections are kept without a complete request head.
+/// The timeouts of connections without a complete request head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// From the first byte of a head to its end. It ends heads that are sent byte by byte without end; a slow client needs
-    /// 2 s.
+    /// Maximum time from the first byte of a request head to its last. Closes connections that send a head byte by byte
+    /// without end; a slow client needs 2 s for a head.
     pub head_timeout: Duration,
-    /// Without a byte of a next request. It ends connections of clients that connect and send nothing.
+    /// Maximum time without a byte of the next request. Closes connections of clients that connect and send nothing.
     pub idle_timeout: Duration,
-    /// Added to the silence of a connection that has never sent a byte of a request: clients send one as soon as they
+    /// Added to the silence of a connection that has never sent a byte, because clients send a request as soon as they
     /// connect.
-    pub first_request_timeout: Duration,
-    /// A connection that has been silent for less may be a slow client that goes on. It is closed for a connection that
-    /// waits, but not ahead of need.
-    pub goes_on: Duration,
+    pub unused_connection_penalty: Duration,
+    /// A connection that has been silent for less than this may belong to a slow client that is still sending. It is
+    /// evicted only if a waiting connection requires it, not proactively.
+    pub slow_client_max_silence: Duration,
 }
 
 impl Limits {
-    /// The limits of a node.
+    /// The limits that a node uses.
     pub const USUAL: Limits = Limits {
         head_timeout: Duration::from_secs(3),
         idle_timeout: Duration::from_millis(2200),
-        first_request_timeout: Duration::from_secs(1),
-        goes_on: Duration::from_millis(500),
+        unused_connection_penalty: Duration::from_secs(1),
+        slow_client_max_silence: Duration::from_millis(500),
     };
 
-    /// Whether a connection has timed out.
+    /// Whether a connection has timed out. A busy connection never has.
     pub fn over(&self, now: Time, connection: &ConnectionState) -> bool {
         let (since, timeout) = match connection.head_started_at {
             Some(head_started_at) => (head_started_at, self.head_timeout),
@@ -40,18 +40,18 @@
         !connection.busy && now.saturating_sub(since) >= timeout
     }
 
-    /// For how long a connection counts as silent.
+    /// How long a connection counts as silent, including the penalty of an unused connection.
     fn silence(&self, now: Time, connection: &ConnectionState) -> Duration {
         let silence = now.saturating_sub(connection.last_active_at);
         if connection.has_requested || connection.head_started_at.is_some() {
             silence
         } else {
-            silence + self.first_request_timeout
+            silence + self.unused_connection_penalty
         }
     }
 
-    /// The connections to close, by their place in `connections`, the longest silent first. A busy one is never among them,
-    /// and one that may be a slow client only where it is required.
+    /// Returns the indexes in `connections` of the connections to evict, the longest silent first. Busy connections are
+    /// never chosen, and connections that may belong to slow clients only for the required evictions.
     pub fn choose_evictions<'a>(
         &self,
         now: Time,
@@ -62,27 +62,28 @@
             .into_iter()
             .enumerate()
             .filter(|(_, connection)| !connection.busy)
-            .map(|(place, connection)| Candidate {
-                place,
+            .map(|(index, connection)| Candidate {
+                index,
                 silence: self.silence(now, connection),
             })
             .collect();
-        candidates.sort_unstable_by_key(|candidate| (Reverse(candidate.silence), candidate.place));
-        let most = count.required.saturating_add(count.allowed);
+        candidates.sort_unstable_by_key(|candidate| (Reverse(candidate.silence), candidate.index));
+        let max_evictions = count.required.saturating_add(count.allowed);
         let mut evictions = Vec::new();
-        for candidate in candidates.into_iter().take(most) {
+        for candidate in candidates.into_iter().take(max_evictions) {
             let required = evictions.len() < count.required;
-            if !required && candidate.silence < self.goes_on {
+            if !required && candidate.silence < self.slow_client_max_silence {
                 break;
             }
-            evictions.push(candidate.place);
+            evictions.push(candidate.index);
         }
         evictions
     }
 }
 
-/// A connection that may be closed.
+/// A connection that may be evicted.
 struct Candidate {
-    place: usize,
+    /// The index in the list of connections.
+    index: usize,
     silence: Duration,
 }
--- a/crates/connection-eviction/src/pressure.rs
+++ b/crates/connection-eviction/src/pressure.rs
@@ -1,26 +1,26 @@
-//! How many connections are closed at once, by how many have been accepted recently.
+//! The number of connections to evict at once, derived from the number of recently accepted connections.
 
 use crate::time::Time;
 use std::time::Duration;
 
-/// The length of a window in which accepted connections are counted.
+/// The length of the window in which accepted connections are counted.
 const WINDOW: Duration = Duration::from_millis(100);
-/// At most one connection in this many is closed ahead of need.
-const AHEAD_DIVISOR: usize = 4;
+/// At most `1 / PROACTIVE_DIVISOR` of the connection limit is evicted proactively.
+const PROACTIVE_DIVISOR: usize = 4;
 
-/// Counts recently accepted connections: those of the current window and of the one before.
+/// Counts the connections accepted in the current window and in the previous one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EvictionPressure {
     window_start: Time,
-    in_window: usize,
-    in_window_before: usize,
+    in_current_window: usize,
+    in_previous_window: usize,
 }
 
 impl EvictionPressure {
-    /// A connection was accepted.
+    /// Records an accepted connection.
     pub fn accepted(&mut self, now: Time) {
         self.advance_window(now);
-        self.in_window = self.in_window.saturating_add(1);
+        self.in_current_window = self.in_current_window.saturating_add(1);
     }
 
     fn advance_window(&mut self, now: Time) {
@@ -29,17 +29,17 @@
             return;
         }
         let adjacent = elapsed < 2 * WINDOW;
-        self.in_window_before = if adjacent { self.in_window } else { 0 };
-        self.in_window = 0;
+        self.in_previous_window = if adjacent { self.in_current_window } else { 0 };
+        self.in_current_window = 0;
         self.window_start = now;
     }
 
-    /// How many more connections to close when one more waits to be accepted. `limit` is the most connections, `open` are
-    /// open, and `closing` of these have been told to close.
+    /// Returns how many more connections to evict when one connection waits to be accepted. `limit` is the maximum
+    /// number of connections, `open` the number of open ones, and `closing` how many of these have been told to close.
     ///
-    /// Required are those without which the waiting connection does not fit. If connections arrive in a flood, more are
-    /// allowed ahead of need, as many as were accepted recently: closed one by one, a flood would make the requests behind
-    /// it wait. A single connection closes no more than one other.
+    /// The required evictions make room for the waiting connection. During a flood, further evictions are allowed
+    /// proactively, as many as connections were accepted recently: if the flood's connections were evicted one by one,
+    /// requests that arrive behind it would have to wait. A single connection evicts at most one other.
     pub fn evictions(
         &mut self,
         now: Time,
@@ -52,8 +52,8 @@
         if excess == 0 {
             return EvictionCount::default();
         }
-        let recent = self.in_window + self.in_window_before;
-        let expected = recent.min(limit / AHEAD_DIVISOR);
+        let recent = self.in_current_window + self.in_previous_window;
+        let expected = recent.min(limit / PROACTIVE_DIVISOR);
         let required = excess.saturating_sub(closing);
         EvictionCount {
             required,
@@ -62,11 +62,12 @@
     }
 }
 
-/// How many connections to close.
+/// How many connections to evict.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EvictionCount {
-    /// For connections that wait to be accepted.
+    /// Evictions that make room for connections that wait to be accepted.
     pub required: usize,
-    /// Ahead of need: only connections that have been silent for long.
+    /// Proactive evictions, for connections that are expected next. Only connections that have been silent for long are
+    /// chosen, see [`Limits::slow_client_max_silence`](crate::Limits::slow_client_max_silence).
     pub allowed: usize,
 }
--- a/crates/connection-eviction/src/receive_time_bound.rs
+++ b/crates/connection-eviction/src/receive_time_bound.rs
@@ -1,22 +1,23 @@
-//! How long bytes may have waited before the event loop reads them.
+//! A lower bound for the time at which bytes were received from the network.
 //!
-//! The kernel does not say when bytes were received. But a loop that has slept until an event came had read everything
-//! before it slept. And a loop that has completed a round, from one poll of the kernel to the end of the work that the poll
-//! gave, has read all that was there before the round. What it reads later was received later.
+//! The kernel does not report when bytes were received, but the event loop can bound that time in two ways. Before it
+//! sleeps, it has read all available bytes, so bytes read after an event wakes it were received at the wake-up. And by
+//! the end of an iteration (one poll and the handling of its events) it has read all bytes that were available when the
+//! iteration started, so bytes read later were received after that start.
 
 use crate::time::Time;
 use std::time::Duration;
 
-/// In a shorter sleep, the event was there already.
+/// After a shorter sleep, the event may have been pending before the loop slept.
 const MIN_SLEEP: Duration = Duration::from_millis(1);
-/// A loop that is behind by no more than this is on time.
-const ON_TIME: Duration = Duration::from_millis(5);
+/// A delay of up to this much is usual for the event loop and is not reported as waiting time.
+const USUAL_DELAY: Duration = Duration::from_millis(5);
 
-/// The earliest time at which bytes that an event loop reads now can have been received.
+/// The earliest time at which bytes that the event loop reads now can have been received.
 ///
-/// A process that is stopped during a sleep wakes late, and what it then finds may have been received at any time
-/// meanwhile; its requests would get more time than their clients wait. So a sleep that was longer than the loop ever asks
-/// for proves nothing.
+/// A process that is suspended during a sleep wakes up late, and the bytes that it then reads may have been received at
+/// any time during the suspension. If they counted as just received, their requests would get longer deadlines than
+/// their clients wait. So a sleep that was longer than the loop ever requests does not move the bound.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReceiveTimeBound {
     earliest: Time,
@@ -24,43 +25,44 @@
 }
 
 impl ReceiveTimeBound {
-    /// Of a loop that has not started.
+    /// The bound before the event loop starts.
     pub const NEW: ReceiveTimeBound = ReceiveTimeBound {
         earliest: Time::ZERO,
         asleep_since: None,
     };
 
-    /// The loop goes to sleep with nothing left to do.
+    /// Records that the loop goes to sleep after it has handled all events.
     pub fn on_sleep(&mut self, now: Time) {
         self.asleep_since = Some(now);
     }
 
-    /// The loop wakes. It never asks for a sleep longer than `longest`.
-    pub fn on_wake(&mut self, now: Time, longest: Duration) {
+    /// Records that the loop wakes up. `max_sleep` is the longest sleep that the loop ever requests.
+    pub fn on_wake(&mut self, now: Time, max_sleep: Duration) {
         let Some(asleep_since) = self.asleep_since.take() else {
             return;
         };
         let slept = now.saturating_sub(asleep_since);
-        if (MIN_SLEEP..=longest).contains(&slept) {
+        if (MIN_SLEEP..=max_sleep).contains(&slept) {
             self.earliest = self.earliest.max(now);
         }
     }
 
-    /// The loop has completed a round that started at `round_start`.
-    pub fn on_round_completed(&mut self, round_start: Time) {
-        self.earliest = self.earliest.max(round_start);
+    /// Records that the loop has completed an iteration that started at `iteration_start`.
+    pub fn on_round_completed(&mut self, iteration_start: Time) {
+        self.earliest = self.earliest.max(iteration_start);
     }
 
-    /// What the loop reads now was received after this time.
+    /// The bound: bytes that the loop reads now were received at this time or later.
     pub fn earliest(&self) -> Time {
         self.earliest
     }
 }
 
-/// How long what was received after `since` may have waited until `now`; zero if that is within the loop's usual delay.
+/// Returns how long bytes received after `since` may have waited to be read at `now`; zero if that is within the event
+/// loop's usual delay.
 pub fn rested(since: Time, now: Time) -> Duration {
     let waited = now.saturating_sub(since);
-    if waited > ON_TIME {
+    if waited > USUAL_DELAY {
         waited
     } else {
         Duration::ZERO
--- a/crates/connection-eviction/src/time.rs
+++ b/crates/connection-eviction/src/time.rs
@@ -1,6 +1,6 @@
-//! The clock by which the crate reckons.
+//! The time type of the crate.
 
 use std::time::Duration;
 
-/// A point in time: the span since some fixed moment of a clock that never goes back.
+/// A point in time: the duration since an arbitrary but fixed origin of a monotonic clock.
 pub type Time = Duration;
--- a/crates/connection-eviction/tests/choice.rs
+++ b/crates/connection-eviction/tests/choice.rs
@@ -1,4 +1,4 @@
-//! Which connections time out, and which are closed to make room.
+//! Which connections time out, and which are evicted.
 
 use proptest::prelude::*;
 use proptest::test_runner::FileFailurePersistence;
@@ -7,7 +7,7 @@
 
 const MS: Duration = Duration::from_millis(1);
 const LIMITS: Limits = Limits::USUAL;
-/// A connection that was accepted at the start and has sent nothing.
+/// A connection that was accepted at time zero and has sent nothing.
 const SILENT: ConnectionState = ConnectionState {
     accepted_at: Duration::ZERO,
     last_active_at: Duration::ZERO,
@@ -15,26 +15,26 @@
     busy: false,
     has_requested: false,
 };
-/// How many connections a flood competes for.
+/// The connection limit during a flood.
 const CONNECTION_LIMIT: usize = 80;
-/// Between two arrivals in a flood.
+/// The time between two connections of a flood.
 const ARRIVAL_INTERVAL: Duration = Duration::from_millis(5);
 
 #[test]
 fn a_head_times_out_from_its_first_byte_and_an_idle_connection_from_its_last() {
     assert!(!LIMITS.over(2199 * MS, &SILENT) && LIMITS.over(2200 * MS, &SILENT));
-    // It was idle for long and then started a head: the head's timeout counts from there.
-    let writing = ConnectionState {
+    // The connection was idle for long and then started a head: the head's timeout runs from its first byte.
+    let sending = ConnectionState {
         last_active_at: 2100 * MS,
         head_started_at: Some(2100 * MS),
         has_requested: true,
         ..SILENT
     };
-    assert!(!LIMITS.over(5099 * MS, &writing) && LIMITS.over(5100 * MS, &writing));
-    // Single bytes gain no time.
+    assert!(!LIMITS.over(5099 * MS, &sending) && LIMITS.over(5100 * MS, &sending));
+    // Further bytes do not extend the timeout of a head.
     let trickling = ConnectionState {
         last_active_at: 5099 * MS,
-        ..writing
+        ..sending
     };
     assert!(LIMITS.over(5100 * MS, &trickling));
     let busy = ConnectionState {
@@ -44,22 +44,23 @@
     assert!(!LIMITS.over(60_000 * MS, &busy));
 }
 
-/// A connection, and whether its client is slow but goes on sending.
+/// A client of the node.
 struct Client {
+    /// The client sends its request head slowly but completely, and is not part of the flood.
     slow: bool,
     connection: ConnectionState,
 }
 
-/// What became of slow clients.
+/// The outcomes of slow clients.
 #[derive(Default)]
 struct SlowClients {
-    /// Have sent a complete head.
+    /// Clients that have sent a complete head.
     completed: usize,
-    /// Were closed before that.
+    /// Clients whose connection was closed before that.
     closed: usize,
 }
 
-/// Slow clients send a piece every 200 ms for 2 s, and then have sent a complete head.
+/// Lets slow clients send: a piece every 200 ms, until the head is complete after 2 s.
 fn send_pieces(clients: &mut Vec<Client>, now: Duration, slow_clients: &mut SlowClients) {
     clients.retain_mut(|client| {
         if !client.slow {
@@ -77,8 +78,8 @@
     });
 }
 
-/// The client that arrives at a step: of 200 a second, half stop after some bytes and half before any, but for 10 a second
-/// that are slow.
+/// Returns the client that connects at a step. Of 200 clients per second, 10 are slow; of the others, about half stop
+/// after some bytes and half send nothing.
 fn arrival(step: u32, now: Duration) -> Client {
     Client {
         slow: step.is_multiple_of(20),
@@ -95,10 +96,10 @@
     clients.iter().map(|client| &client.connection)
 }
 
-/// A flood of thousands of connections arrives, each of which stops somewhere before the end of its head. Slow clients
-/// must not lose their connections to it.
+/// A flood of thousands of connections arrives, none of which completes its request head. Slow clients must not be
+/// evicted in their place.
 #[test]
-fn a_flood_that_stops_sending_closes_no_slow_client() {
+fn a_flood_that_stops_sending_evicts_no_slow_client() {
     let mut clients: Vec<Client> = Vec::new();
     let mut slow_clients = SlowClients::default();
     for step in 0..10_000 {
@@ -110,8 +111,8 @@
             !over
         });
         if clients.len() >= CONNECTION_LIMIT {
-            let place = first_eviction(now, connections(&clients)).expect("one is not busy");
-            slow_clients.closed += usize::from(clients.remove(place).slow);
+            let index = first_eviction(now, connections(&clients)).expect("no client is busy");
+            slow_clients.closed += usize::from(clients.remove(index).slow);
         }
         clients.push(arrival(step, now));
     }
@@ -122,9 +123,9 @@
     );
 }
 
-/// The same flood, with many connections closed at once, and every second 300 more at a time that send nothing.
+/// The same flood, with several connections evicted at once, and a burst of 300 silent connections every second.
 #[test]
-fn a_flood_that_is_closed_in_batches_closes_no_slow_client() {
+fn a_flood_that_is_evicted_in_batches_evicts_no_slow_client() {
     let mut clients: Vec<Client> = Vec::new();
     let mut pressure = EvictionPressure::default();
     let mut slow_clients = SlowClients::default();
@@ -144,12 +145,12 @@
         for client in silent.chain([arrival(step, now)]) {
             pressure.accepted(now);
             let count = pressure.evictions(now, CONNECTION_LIMIT, clients.len(), 0);
-            let places = LIMITS.choose_evictions(now, connections(&clients), count);
-            batches += usize::from(places.len() > 1);
-            let mut place = 0;
+            let evictions = LIMITS.choose_evictions(now, connections(&clients), count);
+            batches += usize::from(evictions.len() > 1);
+            let mut index = 0;
             clients.retain(|client| {
-                let closed = places.contains(&place);
-                place += 1;
+                let closed = evictions.contains(&index);
+                index += 1;
                 slow_clients.closed += usize::from(client.slow && closed);
                 !closed
             });
@@ -157,7 +158,7 @@
             clients.push(client);
         }
     }
-    // All 80 that arrived two seconds or more before the end.
+    // All 80 slow clients that connected at least 2 s before the end.
     let SlowClients { completed, closed } = slow_clients;
     assert!(
         closed == 0 && completed == 80 && batches > 50,
@@ -165,7 +166,7 @@
     );
 }
 
-/// The connection that is closed where one has to be.
+/// Returns the connection that is evicted if one eviction is required.
 fn first_eviction<'a>(
     now: Duration,
     connections: impl IntoIterator<Item = &'a ConnectionState>,
@@ -174,17 +175,17 @@
         required: 1,
         allowed: 0,
     };
-    let places = LIMITS.choose_evictions(now, connections, one);
-    assert!(places.len() <= 1);
-    places.first().copied()
+    let evictions = LIMITS.choose_evictions(now, connections, one);
+    assert!(evictions.len() <= 1);
+    evictions.first().copied()
 }
 
-/// For how long a connection counts as silent.
+/// How long a connection counts as silent.
 fn silence(now: Duration, connection: &ConnectionState) -> Duration {
     let silence = now.saturating_sub(connection.last_active_at);
     let never_sent = !connection.has_requested && connection.head_started_at.is_none();
     if never_sent {
-        silence + LIMITS.first_request_timeout
+        silence + LIMITS.unused_connection_penalty
     } else {
         silence
     }
@@ -209,10 +210,11 @@
         FileFailurePersistence::WithSource("proptest-regressions")
     ))]
 
-    /// As many are closed as required, if so many are not busy; ahead of need at most a quarter, and none that may be a
-    /// slow client. Once those that were told to close have gone, no more are open than the limit allows.
+    /// The required number of connections is evicted, if enough of them are not busy. Proactive evictions are limited
+    /// to a quarter of the limit and never affect a possible slow client. Once all evicted connections have closed, the
+    /// number of open connections is within the limit.
     #[test]
-    fn as_many_are_closed_as_required_and_slow_clients_are_spared_ahead_of_need(
+    fn required_evictions_are_made_and_proactive_ones_spare_slow_clients(
         connections in prop::collection::vec(any_connection(), 0..60),
         limit in 1usize..60, accepted in 0usize..200, closing in 0usize..60,
     ) {
@@ -226,34 +228,34 @@
         prop_assert!(excess > 0 || count.allowed == 0);
         let total = count.required + count.allowed;
         prop_assert!(count.allowed == 0 || total + closing <= excess.max(limit / 4));
-        let places = LIMITS.choose_evictions(now, &connections, count);
+        let evictions = LIMITS.choose_evictions(now, &connections, count);
         let not_busy = connections.iter().filter(|connection| !connection.busy).count();
-        prop_assert!(places.len() >= count.required.min(not_busy) && places.len() <= total);
-        let mut distinct = places.clone();
+        prop_assert!(evictions.len() >= count.required.min(not_busy) && evictions.len() <= total);
+        let mut distinct = evictions.clone();
         distinct.sort_unstable();
         distinct.dedup();
-        prop_assert_eq!(distinct.len(), places.len());
-        prop_assert!(places.iter().all(|place| !connections[*place].busy));
-        for place in places.iter().skip(count.required) {
-            prop_assert!(silence(now, &connections[*place]) >= LIMITS.goes_on);
+        prop_assert_eq!(distinct.len(), evictions.len());
+        prop_assert!(evictions.iter().all(|index| !connections[*index].busy));
+        for index in evictions.iter().skip(count.required) {
+            prop_assert!(silence(now, &connections[*index]) >= LIMITS.slow_client_max_silence);
         }
-        // None is kept that has been silent for longer than one that is closed.
+        // No connection is kept that has been silent for longer than an evicted one.
         let longest_kept = connections
             .iter()
             .enumerate()
-            .filter(|(place, connection)| !connection.busy && !places.contains(place))
+            .filter(|(index, connection)| !connection.busy && !evictions.contains(index))
             .map(|(_, connection)| silence(now, connection))
             .max()
             .unwrap_or_default();
-        prop_assert!(places.iter().all(|place| silence(now, &connections[*place]) >= longest_kept));
+        prop_assert!(evictions.iter().all(|index| silence(now, &connections[*index]) >= longest_kept));
     }
 
     #[test]
-    fn busy_connections_are_kept_and_one_is_closed_if_any_can_be(
+    fn busy_connections_are_never_evicted_and_one_is_evicted_if_any_is_not_busy(
         connections in prop::collection::vec(any_connection(), 0..30),
     ) {
-        let place = first_eviction(5000 * MS, &connections);
-        prop_assert_eq!(place.is_some(), connections.iter().any(|connection| !connection.busy));
-        prop_assert!(place.is_none_or(|place| !connections[place].busy));
+        let eviction = first_eviction(5000 * MS, &connections);
+        prop_assert_eq!(eviction.is_some(), connections.iter().any(|connection| !connection.busy));
+        prop_assert!(eviction.is_none_or(|index| !connections[index].busy));
     }
 }
--- a/crates/connection-eviction/tests/pressure.rs
+++ b/crates/connection-eviction/tests/pressure.rs
@@ -1,4 +1,4 @@
-//! How many connections are closed at once.
+//! How many connections are evicted at once.
 
 use saffronpaddle_connection_eviction::{EvictionCount, EvictionPressure};
 use std::time::Duration;
@@ -10,7 +10,7 @@
 };
 
 #[test]
-fn one_connection_closes_one_other_and_a_flood_as_many_as_were_accepted_recently() {
+fn a_single_connection_evicts_one_other_and_a_flood_as_many_as_were_accepted_recently() {
     let mut pressure = EvictionPressure::default();
     pressure.accepted(1000 * MS);
     let one = EvictionCount {
@@ -20,7 +20,7 @@
     assert_eq!(pressure.evictions(1000 * MS, 80, 79, 0), NONE);
     assert_eq!(pressure.evictions(1000 * MS, 80, 80, 0), one);
     assert_eq!(pressure.evictions(1000 * MS, 80, 80, 1), NONE);
-    // Half of the limit went to another process: as many have to be closed.
+    // Half of the limit was assigned to another process: all excess connections must be evicted.
     let half = EvictionCount {
         required: 41,
         ..NONE
@@ -38,6 +38,6 @@
         allowed: 15,
     };
     assert_eq!(pressure.evictions(1090 * MS, 80, 80, 5), quarter);
-    // The flood is over.
+    // No connections have been accepted recently.
     assert_eq!(pressure.evictions(2000 * MS, 80, 80, 0), one);
 }
--- a/crates/connection-eviction/tests/receive_time_bound.rs
+++ b/crates/connection-eviction/tests/receive_time_bound.rs
@@ -1,4 +1,4 @@
-//! How long bytes may have waited before the event loop reads them.
+//! The lower bound for the time at which bytes were received.
 
 use proptest::prelude::*;
 use proptest::test_runner::FileFailurePersistence;
@@ -6,33 +6,33 @@
 use std::time::Duration;
 
 const MS: Duration = Duration::from_millis(1);
-/// The longest sleep that the loop asks for.
+/// The longest sleep that the loop requests.
 const LONGEST_SLEEP: Duration = Duration::from_millis(110);
 
 #[test]
-fn what_is_read_was_received_after_the_last_sleep_or_completed_round() {
-    let mut sweep = ReceiveTimeBound::NEW;
-    sweep.on_sleep(10 * MS);
-    sweep.on_wake(60 * MS, LONGEST_SLEEP);
-    assert_eq!(sweep.earliest(), 60 * MS);
-    assert_eq!(rested(sweep.earliest(), 64 * MS), Duration::ZERO);
-    // A long round.
-    assert_eq!(rested(sweep.earliest(), 90 * MS), 30 * MS);
-    // Bytes were there already: they may have been received at any time of that round.
-    sweep.on_sleep(90 * MS);
-    sweep.on_wake(90 * MS, LONGEST_SLEEP);
-    assert_eq!(sweep.earliest(), 60 * MS);
-    // A round that started later has been completed.
-    sweep.on_round_completed(91 * MS);
-    assert_eq!(sweep.earliest(), 91 * MS);
-    // The sleep was longer than asked for: the process was stopped, and bytes may have been received at once.
-    sweep.on_sleep(95 * MS);
-    sweep.on_wake(2000 * MS, LONGEST_SLEEP);
-    assert_eq!(rested(sweep.earliest(), 2000 * MS), 1909 * MS);
-    // The kernel reported no event at the wake.
-    sweep.on_sleep(2000 * MS);
-    sweep.on_wake(2000 * MS, LONGEST_SLEEP);
-    assert_eq!(sweep.earliest(), 91 * MS);
+fn bytes_read_were_received_after_the_last_sleep_or_completed_iteration() {
+    let mut bound = ReceiveTimeBound::NEW;
+    bound.on_sleep(10 * MS);
+    bound.on_wake(60 * MS, LONGEST_SLEEP);
+    assert_eq!(bound.earliest(), 60 * MS);
+    assert_eq!(rested(bound.earliest(), 64 * MS), Duration::ZERO);
+    // The iteration takes long.
+    assert_eq!(rested(bound.earliest(), 90 * MS), 30 * MS);
+    // The loop did not sleep, as bytes were available: they may have been received at any time during the iteration.
+    bound.on_sleep(90 * MS);
+    bound.on_wake(90 * MS, LONGEST_SLEEP);
+    assert_eq!(bound.earliest(), 60 * MS);
+    // The loop has completed an iteration that started later.
+    bound.on_round_completed(91 * MS);
+    assert_eq!(bound.earliest(), 91 * MS);
+    // The sleep was longer than requested: the process was suspended, and bytes may have been received at its start.
+    bound.on_sleep(95 * MS);
+    bound.on_wake(2000 * MS, LONGEST_SLEEP);
+    assert_eq!(rested(bound.earliest(), 2000 * MS), 1909 * MS);
+    // The loop wakes up without having slept.
+    bound.on_sleep(2000 * MS);
+    bound.on_wake(2000 * MS, LONGEST_SLEEP);
+    assert_eq!(bound.earliest(), 91 * MS);
 }
 
 proptest! {
@@ -40,21 +40,21 @@
         FileFailurePersistence::WithSource("proptest-regressions")
     ))]
 
-    /// Whatever a loop does, the earliest time of receipt never goes back, and is never later than now.
+    /// For any sequence of calls, the bound never decreases and is never later than the current time.
     #[test]
-    fn the_earliest_time_of_receipt_only_grows(
+    fn the_bound_never_decreases_and_is_never_in_the_future(
         steps in prop::collection::vec((0u32..300, 0u8..3), 0..60),
     ) {
-        let (mut sweep, mut now, mut before) = (ReceiveTimeBound::NEW, Duration::ZERO, Duration::ZERO);
-        for (span, step) in steps {
-            now += span * MS;
+        let (mut bound, mut now, mut before) = (ReceiveTimeBound::NEW, Duration::ZERO, Duration::ZERO);
+        for (elapsed_ms, step) in steps {
+            now += elapsed_ms * MS;
             match step {
-                0 => sweep.on_sleep(now),
-                1 => sweep.on_wake(now, LONGEST_SLEEP),
-                _ => sweep.on_round_completed(now.saturating_sub(MS)),
+                0 => bound.on_sleep(now),
+                1 => bound.on_wake(now, LONGEST_SLEEP),
+                _ => bound.on_round_completed(now.saturating_sub(MS)),
             }
-            prop_assert!(sweep.earliest() >= before && sweep.earliest() <= now);
-            before = sweep.earliest();
+            prop_assert!(bound.earliest() >= before && bound.earliest() <= now);
+            before = bound.earliest();
         }
     }
 }
