--- a/crates/operator-config/src/discovery.rs
+++ b/crates/operator-config/src/discovery.rs
@@ -1,9 +1,9 @@
-//! Calls to the platform's service discovery: `[list]`.
+//! The section `[list]`: rate limits and timeouts of calls to the platform's service discovery.
 
 use crate::section::Section;
 use saffronpaddle_endpoints::PollLimits;
 
-/// `None` unless the section sets a rate of calls.
+/// Reads the section. Returns `None` unless it sets a rate of calls.
 pub(crate) fn read(section: &mut Section) -> Option<PollLimits> {
     let limits = PollLimits {
         calls_per_s: section.figure("calls_per_s", 0.0, 0.0..=100_000.0),
--- a/crates/operator-config/src/etcd.rs
+++ b/crates/operator-config/src/etcd.rs
@@ -1,62 +1,60 @@
-//! The list of app servers in etcd: `[etcd]`.
+//! The section `[etcd]`: discovery of app servers through etcd.
 
 use crate::section::Section;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The default prefix of the servers' keys.
 const DEFAULT_PREFIX: &str = "/saffronpaddle/servers/";
-/// The longest prefix, in bytes.
 const MAX_PREFIX_BYTES: usize = 1000;
 
-/// The list of app servers in etcd.
+/// How app servers are discovered through etcd.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Etcd {
-    /// Client addresses of the cluster's members.
+    /// Client addresses of the cluster members.
     pub endpoints: Vec<SocketAddr>,
-    /// The prefix of the servers' keys.
+    /// The prefix of the app servers' keys.
     pub prefix: String,
-    /// Whether etcd replaces the platform's discovery, which is not followed then; otherwise both lists are merged.
+    /// Whether etcd replaces the platform's discovery, which is not called then; otherwise the two lists are merged.
     pub instead: bool,
     /// `None` for a cluster without authentication.
     pub user: Option<EtcdUser>,
     /// `None` for connections without TLS.
     pub tls: Option<EtcdTls>,
-    /// The timeout of connecting to a member, and of each call.
+    /// Timeout of connecting to a member, and of each call.
     pub answer_within: Duration,
-    /// How often a member is probed.
+    /// Interval between health probes of the connected member.
     pub probe_every: Duration,
-    /// A member that has been silent for longer is left for another.
+    /// The node switches to another member if the current one has been silent for longer than this.
     pub silent_after: Duration,
-    /// The longest backoff between one member and the next.
+    /// Maximum backoff before connecting to the next member.
     pub backoff_most: Duration,
-    /// How long a list that turns empty at once must stay so before it is believed.
+    /// How long a list that has become empty in one update must stay empty before it is applied.
     pub empty_after: Duration,
 }
 
-/// A user of etcd's own authentication.
+/// Credentials for etcd's own authentication.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EtcdUser {
-    /// The user's name.
+    /// The user name.
     pub name: String,
-    /// The file that holds the password.
+    /// The path of the file that contains the password.
     pub password_file: PathBuf,
 }
 
-/// How etcd's members are authenticated.
+/// How the TLS certificates of etcd members are verified.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EtcdTls {
-    /// The file of trusted certificates (PEM).
+    /// The path of the PEM file with the trusted certificates.
     pub ca_file: PathBuf,
-    /// The name that the members' certificates must bear.
+    /// The name that the members' certificates must be issued for.
     pub server_name: String,
 }
 
 impl Etcd {
-    /// `None` unless the section names endpoints. Faults of its other keys are kept all the same.
+    /// Returns `None` unless the section names endpoints. Faults of its other keys are recorded in any case.
     pub(crate) fn read(section: &mut Section) -> Option<Etcd> {
-        let endpoints = section.list("endpoints", "an address with a port", |text| {
+        let endpoints = section.list("endpoints", "an IP address with a port", |text| {
             text.parse().ok()
         });
         let user = EtcdUser::read(section);
@@ -66,7 +64,7 @@
             prefix: section
                 .parsed(
                     "prefix",
-                    "a text that begins with a slash, up to 1000 bytes",
+                    "a string of 2 to 1000 bytes that begins with a slash",
                     valid_prefix,
                 )
                 .unwrap_or_else(|| DEFAULT_PREFIX.to_owned()),
@@ -88,8 +86,8 @@
 
 impl EtcdUser {
     fn read(section: &mut Section) -> Option<EtcdUser> {
-        let name = section.parsed("user", "a name", non_empty);
-        let password_file = section.parsed("password_file", "a path", path);
+        let name = section.parsed("user", "a non-empty name", non_empty);
+        let password_file = section.parsed("password_file", "a non-empty path", path);
         let (name, password_file) =
             both_or_none(section, ("user", name), ("password_file", password_file))?;
         Some(EtcdUser {
@@ -101,8 +99,8 @@
 
 impl EtcdTls {
     fn read(section: &mut Section) -> Option<EtcdTls> {
-        let ca_file = section.parsed("tls_ca_file", "a path", path);
-        let server_name = section.parsed("tls_name", "a name", non_empty);
+        let ca_file = section.parsed("tls_ca_file", "a non-empty path", path);
+        let server_name = section.parsed("tls_name", "a non-empty name", non_empty);
         let (ca_file, server_name) =
             both_or_none(section, ("tls_ca_file", ca_file), ("tls_name", server_name))?;
         Some(EtcdTls {
@@ -112,7 +110,7 @@
     }
 }
 
-/// Two keys that are set together or not at all; a key that is missing beside the other is a fault.
+/// Checks that two keys are either both set or both missing; records a fault of the missing key otherwise.
 fn both_or_none<A, B>(
     section: &mut Section,
     (first_key, first): (&str, Option<A>),
@@ -124,7 +122,7 @@
         (Some(_), Some(_)) | (None, None) => None,
     };
     if let Some(key) = missing {
-        section.fault(key, "goes with the other of the two");
+        section.fault(key, "missing, but the other key of the pair is set");
     }
     first.zip(second)
 }
--- a/crates/operator-config/src/fault.rs
+++ b/crates/operator-config/src/fault.rs
@@ -1,13 +1,13 @@
-//! What is wrong with a file.
+//! The errors of a file.
 
 use std::fmt;
 
-/// A fault of one key.
+/// An error in the value of one key, or in the whole file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// The key with its sections, as in `ready.lag_ms`; empty for a fault of the whole file.
+    /// The dotted path of the key, such as `ready.lag_ms`; empty for a fault of the whole file.
     pub key: String,
-    /// What is wrong with it.
+    /// A description of the fault.
     pub reason: String,
 }
 
@@ -25,7 +25,7 @@
 pub struct Faults(pub Vec<Fault>);
 
 impl fmt::Display for Faults {
-    /// One line, in which faults are separated by `; `.
+    /// Writes all faults on one line, separated by `; `.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut separator = "";
         for fault in &self.0 {
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,7 +1,8 @@
-//! The operator file (`deploy/operator.toml`): what an installation sets beyond what the platform tells a node.
+//! The operator file (`deploy/operator.toml`): settings of an installation in addition to those that the platform
+//! provides.
 //!
-//! The file itself documents every key with its default, unit and bounds. Unknown keys are faults, and all faults are
-//! reported at once, each with its key. The crate does no I/O: the text comes in as an argument.
+//! The file documents every key with its default, unit and bounds. Unknown keys are faults. All faults are reported at
+//! once, each with its key. The crate does no I/O: [`Operator::parse`] takes the text of the file.
 //!
 //! ```
 //! let faults = saffronpaddle_operator_config::Operator::parse("[ready]\nlag = 5\nmemory_share = 7").unwrap_err();
--- a/crates/operator-config/src/operator.rs
+++ b/crates/operator-config/src/operator.rs
@@ -11,7 +11,7 @@
 use saffronpaddle_lifecycle::readiness::Conditions;
 use toml::Table;
 
-/// All that the operator file sets.
+/// The contents of the operator file, with defaults for missing keys.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Operator {
     /// `[listen]`
@@ -39,10 +39,10 @@
 }
 
 impl Operator {
-    /// Reads the file's text.
+    /// Parses the text of the file.
     ///
     /// # Errors
-    /// All faults of the file. A text that is no TOML has one fault, which names the line.
+    /// Returns all faults of the file. Text that is not valid TOML has a single fault, which names the line.
     pub fn parse(text: &str) -> Result<Operator, Faults> {
         let table = text
             .parse::<Table>()
@@ -75,7 +75,7 @@
 }
 
 impl Default for Operator {
-    /// What an empty file sets.
+    /// Returns the values of an empty file.
     fn default() -> Operator {
         Operator::read(&mut Section::root(Table::new()))
     }
--- a/crates/operator-config/src/process.rs
+++ b/crates/operator-config/src/process.rs
@@ -1,19 +1,20 @@
-//! How the process starts, stops, reloads, and reports: `[listen]`, `[stop]`, `[reload]`, `[manager]` and `[log]`.
+//! The sections `[listen]`, `[stop]`, `[reload]`, `[manager]` and `[log]`.
 
 use crate::section::Section;
 use std::time::Duration;
 
-/// The default name of the clients' listener among those handed over (`LISTEN_FDNAMES`).
+/// The default name in `LISTEN_FDNAMES` of the listener for clients.
 const DEFAULT_LISTENER_NAME: &str = "clients";
 
 /// How the node gets its listener.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Listen {
-    /// Whether a listener that the service manager hands over is used (`sd_listen_fds(3)`).
+    /// Whether to use a listener passed by the service manager (`sd_listen_fds(3)`).
     pub handed_over: bool,
-    /// Its name in `LISTEN_FDNAMES`; if there are no names, the first listener is used.
+    /// The listener's name in `LISTEN_FDNAMES`. Without names, the first listener is used.
     pub name: String,
-    /// Whether a listener that the node binds itself has `SO_REUSEPORT`, so that a successor can bind the address too.
+    /// Whether to set `SO_REUSEPORT` on a listener that the node binds itself, so that a successor can bind the same
+    /// address.
     pub reuse_port: bool,
 }
 
@@ -34,9 +35,9 @@
 /// How the node stops.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Stop {
-    /// How long new work is still taken after the signal to stop.
+    /// How long requests are still accepted after the signal to stop.
     pub leave_for: Duration,
-    /// How long work in flight may take after that; `None` for the longest deadline in the settings.
+    /// How long requests in flight may take after that; `None` for the longest deadline in the settings.
     pub finish_within: Option<Duration>,
 }
 
@@ -52,7 +53,7 @@
 /// How the node reloads.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reload {
-    /// A reload that takes longer is given up.
+    /// Timeout of a reload.
     pub within: Duration,
 }
 
@@ -64,12 +65,12 @@
     }
 }
 
-/// What the service manager is sent.
+/// Which messages the service manager is sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Manager {
-    /// Whether notifications are sent if `NOTIFY_SOCKET` is set.
+    /// Whether to send state notifications if `NOTIFY_SOCKET` is set.
     pub notify: bool,
-    /// Whether the watchdog is notified if `WATCHDOG_USEC` is set.
+    /// Whether to send watchdog notifications if `WATCHDOG_USEC` is set.
     pub watchdog: bool,
 }
 
@@ -82,10 +83,10 @@
     }
 }
 
-/// What is logged beside events.
+/// What is logged in addition to events.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Log {
-    /// How often the metrics are logged, as one line of fields; `None` for never.
+    /// Interval between log lines with all metrics; `None` disables them.
     pub counts_every: Option<Duration>,
 }
 
--- a/crates/operator-config/src/readiness.rs
+++ b/crates/operator-config/src/readiness.rs
@@ -1,9 +1,9 @@
-//! The conditions of readiness: `[ready]`.
+//! The section `[ready]`: the readiness conditions.
 
 use crate::section::Section;
 use saffronpaddle_lifecycle::readiness::Conditions;
 
-/// The fraction of the memory limit that leaves the condition out: memory can't exceed it.
+/// A fraction of the memory limit that disables the condition, because memory use cannot exceed it.
 const NO_MEMORY_CONDITION: f64 = 1.0;
 
 pub(crate) fn read(section: &mut Section) -> Conditions {
--- a/crates/operator-config/src/section.rs
+++ b/crates/operator-config/src/section.rs
@@ -1,21 +1,21 @@
-//! Reads a table of TOML key by key and collects its faults.
+//! A reader of TOML tables that validates each key and collects all errors.
 
 use crate::fault::Fault;
 use std::ops::RangeInclusive;
 use std::time::Duration;
 use toml::{Table, Value};
 
-/// A table that is being read. A missing key takes its default; a key that is never read is a fault.
+/// A section (TOML table) that is being read. A missing key has its default value; a key that is never read is a fault.
 pub struct Section {
-    /// The keys of the sections around it, joined by dots; empty for the whole file.
+    /// The dotted path of the section; empty for the whole file.
     path: String,
-    /// The keys that have not been read yet.
+    /// The keys that have not been read yet, with their values.
     table: Table,
     faults: Vec<Fault>,
 }
 
 impl Section {
-    /// The whole file.
+    /// Creates the root section from the table of a whole file.
     pub fn root(table: Table) -> Section {
         Section {
             path: String::new(),
@@ -24,7 +24,7 @@
         }
     }
 
-    /// A key with its sections.
+    /// The dotted path of a key.
     fn full_key(&self, key: &str) -> String {
         if self.path.is_empty() {
             return key.to_owned();
@@ -32,7 +32,7 @@
         format!("{}.{key}", self.path)
     }
 
-    /// Records a fault of a key.
+    /// Records a fault of a key, which `reason` describes.
     pub fn fault(&mut self, key: &str, reason: impl Into<String>) {
         let key = self.full_key(key);
         self.faults.push(Fault {
@@ -46,14 +46,15 @@
         self.table.contains_key(key)
     }
 
-    /// Reads the section of this key.
+    /// Reads the subsection `key` by `read`, and adds its faults to this section's. A missing subsection is read as an
+    /// empty one.
     pub fn section<T>(&mut self, key: &str, read: impl FnOnce(&mut Section) -> T) -> T {
         let path = self.full_key(key);
         let table = match self.table.remove(key) {
             None => Table::new(),
             Some(Value::Table(table)) => table,
             Some(other) => {
-                self.fault(key, format!("must be a section, not {}", kind(&other)));
+                self.fault(key, format!("must be a section, not {}", type_name(&other)));
                 Table::new()
             }
         };
@@ -67,12 +68,12 @@
         value
     }
 
-    /// Reads a key; a value that `read` does not accept is a fault, and the default stands.
-    fn take<T>(
+    /// Reads a key. If `read` rejects the value, records a fault that says what was `expected` and returns the default.
+    fn read_value<T>(
         &mut self,
         key: &str,
         default: T,
-        wants: &str,
+        expected: &str,
         read: impl FnOnce(&Value) -> Option<T>,
     ) -> T {
         let Some(value) = self.table.remove(key) else {
@@ -80,70 +81,78 @@
         };
         read(&value).unwrap_or_else(|| {
             let shown = match &value {
-                Value::Table(_) | Value::Array(_) => kind(&value).to_owned(),
+                Value::Table(_) | Value::Array(_) => type_name(&value).to_owned(),
                 other => other.to_string(),
             };
-            self.fault(key, format!("must be {wants}, not {shown}"));
+            self.fault(key, format!("must be {expected}, not {shown}"));
             default
         })
     }
 
-    /// Reads `true` or `false`.
+    /// Reads a boolean.
     pub fn flag(&mut self, key: &str, default: bool) -> bool {
-        self.take(key, default, "true or false", Value::as_bool)
+        self.read_value(key, default, "true or false", Value::as_bool)
     }
 
-    /// Reads a whole number within bounds.
+    /// Reads an integer within bounds.
     pub fn number(&mut self, key: &str, default: u64, bounds: RangeInclusive<u64>) -> u64 {
-        let wants = format!("a whole number from {} to {}", bounds.start(), bounds.end());
-        self.take(key, default, &wants, |value| {
+        let expected = format!("an integer from {} to {}", bounds.start(), bounds.end());
+        self.read_value(key, default, &expected, |value| {
             let number = u64::try_from(value.as_integer()?).ok()?;
             bounds.contains(&number).then_some(number)
         })
     }
 
-    /// Reads a span in whole milliseconds within bounds.
+    /// Reads a duration in whole milliseconds. The default and the bounds are in milliseconds too.
     pub fn span_ms(&mut self, key: &str, default: u64, bounds: RangeInclusive<u64>) -> Duration {
         Duration::from_millis(self.number(key, default, bounds))
     }
 
-    /// Reads a span in whole milliseconds of at most `most`; 0 stands for `None`.
-    pub fn span_ms_or_none(&mut self, key: &str, default: u64, most: u64) -> Option<Duration> {
-        Some(self.span_ms(key, default, 0..=most)).filter(|span| !span.is_zero())
+    /// Reads a duration in whole milliseconds, up to `max`; 0 stands for `None`. The default and `max` are in
+    /// milliseconds.
+    pub fn span_ms_or_none(&mut self, key: &str, default: u64, max: u64) -> Option<Duration> {
+        Some(self.span_ms(key, default, 0..=max)).filter(|duration| !duration.is_zero())
     }
 
-    /// Reads a number within bounds, with or without a fraction.
+    /// Reads a float or integer within bounds.
     pub fn figure(&mut self, key: &str, default: f64, bounds: RangeInclusive<f64>) -> f64 {
-        let wants = format!("a number from {} to {}", bounds.start(), bounds.end());
-        self.take(key, default, &wants, |value| {
-            let whole = value.as_integer().map(|number| number as f64);
-            let number = value.as_float().or(whole)?;
+        let expected = format!("a number from {} to {}", bounds.start(), bounds.end());
+        self.read_value(key, default, &expected, |value| {
+            let integer = value.as_integer().map(|number| number as f64);
+            let number = value.as_float().or(integer)?;
             bounds.contains(&number).then_some(number)
         })
     }
 
-    /// Reads a text that `read` accepts; `wants` describes such texts in a fault.
+    /// Reads a string and parses it by `read`. `expected` describes valid strings in a fault. Returns `None` if the key
+    /// is missing or invalid.
     pub fn parsed<T>(
         &mut self,
         key: &str,
-        wants: &str,
+        expected: &str,
         read: impl FnOnce(&str) -> Option<T>,
     ) -> Option<T> {
-        self.take(key, None, wants, |value| {
+        self.read_value(key, None, expected, |value| {
             value.as_str().and_then(read).map(Some)
         })
     }
 
-    /// Reads a list of texts each of which `read` accepts; `wants` describes such texts in a fault.
-    pub fn list<T>(&mut self, key: &str, wants: &str, read: impl Fn(&str) -> Option<T>) -> Vec<T> {
-        let wants = format!("a list, each {wants}");
-        self.take(key, Vec::new(), &wants, |value| {
+    /// Reads an array of strings and parses each by `read`. `expected` describes valid strings in a fault. Returns an
+    /// empty list if the key is missing or an item is invalid.
+    pub fn list<T>(
+        &mut self,
+        key: &str,
+        expected: &str,
+        read: impl Fn(&str) -> Option<T>,
+    ) -> Vec<T> {
+        let expected = format!("a list, each item {expected}");
+        self.read_value(key, Vec::new(), &expected, |value| {
             let items = value.as_array()?.iter();
             items.map(|item| item.as_str().and_then(&read)).collect()
         })
     }
 
-    /// All faults, among them one for each key that was not read.
+    /// Finishes reading and returns all faults, including one for each key that was not read.
     pub fn rest(mut self) -> Vec<Fault> {
         let unread: Vec<String> = self.table.keys().cloned().collect();
         for key in unread {
@@ -153,12 +162,12 @@
     }
 }
 
-/// The kind of a value, as a fault names it.
-fn kind(value: &Value) -> &'static str {
+/// The type of a value, as faults name it.
+fn type_name(value: &Value) -> &'static str {
     match value {
         Value::Table(_) => "a section",
         Value::Array(_) => "a list",
-        Value::String(_) => "a text",
+        Value::String(_) => "a string",
         Value::Integer(_) | Value::Float(_) => "a number",
         Value::Boolean(_) => "true or false",
         Value::Datetime(_) => "a date",
--- a/crates/operator-config/src/traffic.rs
+++ b/crates/operator-config/src/traffic.rs
@@ -1,14 +1,14 @@
-//! How quotas and app servers are divided among nodes: `[quotas]` and `[servers]`.
+//! The sections `[quotas]` and `[servers]`: how quotas and app servers are divided among nodes.
 
 use crate::section::Section;
 
-/// How quotas are shared.
+/// How nodes share quotas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Quotas {
-    /// Partition-safe mode: each owner of a customer's quota holds its own share of it, so that owners that cannot reach
-    /// each other never grant more than the whole quota together.
+    /// Partition-safe mode: each owner of a customer's quota grants from its own share of it, so that owners that
+    /// cannot reach each other never exceed the quota together.
     pub partition_safe: bool,
-    /// Whether unanswered grant requests are repeated only within a budget of messages.
+    /// Whether retransmissions of unanswered grant requests are limited by a message budget.
     pub retransmission_budget: bool,
 }
 
@@ -24,7 +24,7 @@
 /// Which app servers a node uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Servers {
-    /// Whether each server of a list of more than 512 gets requests from a subset of the nodes only.
+    /// Whether, with more than 512 servers on the list, each server gets requests only from a subset of the nodes.
     pub subsetting: bool,
 }
 
--- a/crates/operator-config/src/websocket.rs
+++ b/crates/operator-config/src/websocket.rs
@@ -1,26 +1,26 @@
-//! WebSocket: `[sockets]`.
+//! The section `[sockets]`: WebSocket connections.
 
 use crate::section::Section;
 use saffronpaddle_websocket::table::Limits;
 use std::time::Duration;
 
-/// How WebSocket upgrades are served.
+/// How WebSocket connections are served.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Sockets {
-    /// The class of upgrade requests; its requests must use GET.
+    /// The class of upgrade requests. Its requests must use GET.
     pub class: String,
-    /// How many sockets there may be, for how long, and how fast they open and close.
+    /// Limits on the number, rate and lifetime of connections.
     pub limits: Limits,
-    /// The longest payload of a frame, in bytes.
+    /// Maximum payload of a frame, in bytes.
     pub frame_most: u64,
-    /// The longest payload of a message, in bytes.
+    /// Maximum payload of a message, in bytes.
     pub message_most: u64,
-    /// Whether text is checked to be UTF-8.
+    /// Whether to check that text messages are valid UTF-8.
     pub utf8: bool,
 }
 
 impl Sockets {
-    /// `None` unless the section names a class. Faults of its other keys are kept all the same.
+    /// Returns `None` unless the section names a class. Faults of its other keys are recorded in any case.
     pub(crate) fn read(section: &mut Section) -> Option<Sockets> {
         let class = section.parsed("class", "the name of a class", |text| Some(text.to_owned()));
         let limits = read_limits(section);
@@ -45,7 +45,7 @@
 }
 
 fn read_limits(section: &mut Section) -> Limits {
-    let micros = |span: Duration| span.as_micros() as u64;
+    let micros = |duration: Duration| duration.as_micros() as u64;
     Limits {
         per_node: section.number("per_node", 1_000, 1..=1_000_000) as usize,
         per_customer: section.number("per_customer", 20, 1..=1_000_000) as u32,
--- a/crates/operator-config/tests/file.rs
+++ b/crates/operator-config/tests/file.rs
@@ -15,9 +15,10 @@
     assert_eq!(Operator::parse(""), Ok(Operator::default()));
 }
 
-/// Staff read the defaults in the shipped file. A default or key that has changed in the code only would mislead them.
+/// Operators read the defaults in the shipped file. A default or key that was changed only in the code would mislead
+/// them.
 #[test]
-fn the_shipped_file_is_all_comments_and_each_shows_the_default() {
+fn every_key_in_the_shipped_file_is_commented_out_and_shows_its_default() {
     assert_eq!(Operator::parse(SHIPPED), Ok(Operator::default()));
     let mut keys = 0;
     let uncommented = SHIPPED.lines().map(|line| match line.strip_prefix("# ") {
@@ -70,7 +71,7 @@
 }
 
 #[test]
-fn zero_turns_a_condition_off() {
+fn zero_disables_a_condition() {
     let text = "[ready]\nlist_within_ms = 0\npeers_within_ms = 0\nfree_descriptors = 0\nmemory_share = 1\n\
                 clock_step_ms = 0\nlag_ms = 0";
     assert!(Operator::parse(text).expect("no faults").ready.is_none());
@@ -78,11 +79,11 @@
 }
 
 #[test]
-fn etcd_is_on_with_endpoints_and_its_paired_keys_must_both_be_set() {
+fn etcd_is_enabled_by_endpoints_and_its_paired_keys_must_both_be_set() {
     let operator =
         Operator::parse("[etcd]\nendpoints = [\"127.0.0.1:2379\", \"[::1]:2379\"]\ninstead = true")
             .expect("no faults");
-    let etcd = operator.etcd.expect("on");
+    let etcd = operator.etcd.expect("etcd is enabled");
     assert!(etcd.endpoints.len() == 2 && etcd.instead && etcd.prefix == "/saffronpaddle/servers/");
     let faults = faults(
         "[etcd]\nendpoints = [\"nowhere\"]\nuser = \"u\"\ntls_name = \"n\"\nsilent_after_ms = 500\nprefix = \"x\"",
