--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -1,17 +1,18 @@
-//! Hot restart: two processes that are one edge node while the second takes over from the first.
+//! Hot restart: two processes act as one edge node while the second takes over from the first.
 //!
-//! While a process (the *parent*) serves, a second one (the *child*) is started under the same node name. Until the parent
-//! has exited, both accept requests, and quotas and limits count them as one node. To that end the child restores the
-//! parent's state, and from then on each process tells the other of every attempt that starts or ends: both charge the
-//! same token buckets, hard limits, concurrency limits and slow-start budgets.
+//! While a process (the *parent*) serves requests, a second one (the *child*) is started under the same node name.
+//! Until the parent has exited, both processes accept requests, and quotas and limits count them as one node. For this,
+//! the child restores the parent's state, and from then on each process announces every start and end of an attempt to
+//! the other, so that both charge the same token buckets, hard limits, concurrency limits and slow-start budgets.
 //!
-//! The crate does no I/O and reads no clock. A [`Link`] is the conversation with one other process; a [`ProcessGroup`] holds
-//! all links of a process, as a third process may be started while two run. Processes exchange [`Message`]s, one line of
-//! JSON each. Fields and messages that a build does not know are tolerated, so that builds of different age work together.
+//! The crate does no I/O and reads no clock. A [`Link`] is the protocol state of the connection to one other process. A
+//! [`ProcessGroup`] holds all links of a process, because a third process may be started while two are running.
+//! Processes exchange [`Message`]s, one line of JSON each. Builds of different versions can work together: unknown
+//! fields are ignored.
 //!
-//! The two processes can differ by what one of them dispatches while a message travels: an attempt is announced when it is
-//! sent and received after one way over a local socket and one round of the other's event loop. Within that span both may
-//! grant the same last units of a bucket or hard limit, in practice one attempt each.
+//! The states of the two processes can diverge briefly. An attempt is announced when it is sent, and the other process
+//! handles the announcement after the transmission over a local socket and one iteration of its event loop. During that
+//! time both processes may grant the same last units of a token bucket or hard limit, in practice one attempt each.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/hot-restart/src/link.rs
+++ b/crates/hot-restart/src/link.rs
@@ -1,93 +1,94 @@
-//! The conversation of a parent and a child.
+//! The protocol between a parent and a child.
 
 use crate::message::{Hello, Message, TransferredState, VERSION};
 use saffronpaddle_policy::interface::{NodeId, SiblingMessage};
 use std::fmt;
 use std::time::Duration;
 
-/// The side of a link that a process is on.
+/// The role of a process in a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It was running first.
+    /// The process that was running first.
     Parent,
-    /// It has just started.
+    /// The process that has just started.
     Child,
 }
 
-/// Why a link ended.
+/// Why a link was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
     /// The other process has exited or closed the connection.
     Disconnected,
-    /// The first message did not come in time.
+    /// The first message did not arrive before its timeout.
     Silent,
     /// The other process belongs to another node.
     OtherNode,
-    /// The other process sent a version that this build does not understand.
+    /// The parent sent a newer version than this build understands.
     NewerVersion,
-    /// A line was malformed, or a message came out of order.
+    /// A line was malformed, or a message was not valid in the current stage.
     Malformed,
 }
 
 impl fmt::Display for CloseReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            CloseReason::Disconnected => "it has gone",
-            CloseReason::Silent => "it said nothing in time",
-            CloseReason::OtherNode => "it is of another node",
-            CloseReason::NewerVersion => "it speaks a newer form",
-            CloseReason::Malformed => "it did not make sense",
+            CloseReason::Disconnected => "the connection was closed",
+            CloseReason::Silent => "the first message did not arrive in time",
+            CloseReason::OtherNode => "the process belongs to another node",
+            CloseReason::NewerVersion => "the process uses a newer protocol version",
+            CloseReason::Malformed => "a message was malformed or unexpected",
         })
     }
 }
 
-/// What the I/O layer has to do.
+/// A task for the I/O layer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LinkAction {
-    /// Send this message.
+    /// Send this message to the other process.
     Send(Message),
-    /// Parent: send the state, and announce every attempt from the same moment on.
+    /// Parent only: send the state, and announce every attempt that starts or ends after the state was captured.
     SendState,
-    /// Child: restore the parent's state, and announce every attempt from then on.
+    /// Child only: restore the parent's state, and announce every attempt from then on.
     Restore(Box<TransferredState>),
-    /// An attempt of the other process has started or ended.
+    /// Record that an attempt of the other process has started or ended.
     Sibling(SiblingMessage),
-    /// A peer's datagram that the other process received: the peer's node and the payload.
+    /// Handle a peer's datagram that the other process received: the sending peer and the payload.
     Peer(NodeId, Vec<u8>),
-    /// The child accepts clients and exchanges peer messages from now on.
+    /// Record that the child accepts connections and exchanges peer messages from now on.
     SuccessorServing,
-    /// The link has ended.
+    /// Close the connection: the link has ended.
     End(CloseReason),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// The other side's first message is awaited.
-    Greeting { deadline: Duration },
-    /// Both processes count as one node.
+    /// Waits for the first message of the other process.
+    Greeting {
+        deadline: Duration,
+    },
+    /// The handshake is complete: both processes count as one node.
     Live,
-    /// The link has ended.
     Closed,
 }
 
-/// A link to one other process.
+/// The protocol state of the connection to one other process.
 #[derive(Clone, Debug)]
 pub struct Link {
     role: Role,
     node_name: String,
     stage: Stage,
-    /// The child at the other end accepts clients.
+    /// The other process is a child that accepts connections.
     child_serving: bool,
 }
 
 impl Link {
-    /// How long a child waits for the state. The parent may be busy, but the child must be ready within seconds, with or
-    /// without the state.
+    /// How long a child waits for the parent's state. The parent may be busy, but the child must become ready within
+    /// seconds, with or without the state.
     pub const STATE_TIMEOUT: Duration = Duration::from_millis(1500);
-    /// How long a parent waits for the child's greeting. It frees the link of a process that connects and sends nothing.
+    /// How long a parent waits for the child's greeting. Frees the link of a process that connects and sends nothing.
     pub const HELLO_TIMEOUT: Duration = Duration::from_secs(1);
 
-    /// A link that a process of the node `name` has just opened.
+    /// Creates a link that a process of the node `name` has just opened, in which it has the given role.
     pub fn new(now: Duration, role: Role, name: &str, out: &mut Vec<LinkAction>) -> Link {
         let timeout = match role {
             Role::Parent => Self::HELLO_TIMEOUT,
@@ -109,22 +110,22 @@
         }
     }
 
-    /// Whether both processes count as one node now.
+    /// Whether the handshake is complete, so that both processes count as one node.
     pub fn is_live(&self) -> bool {
         self.stage == Stage::Live
     }
 
-    /// Whether the other process is a child that accepts clients.
+    /// Whether the other process is a child that accepts connections.
     pub fn has_successor(&self) -> bool {
         self.is_live() && self.child_serving
     }
 
-    /// Whether the other process is this one's parent.
+    /// Whether the other process is the parent of this one.
     pub fn is_to_parent(&self) -> bool {
         self.role == Role::Child
     }
 
-    /// When [`Link::tick`] is due, if the link waits for a first message.
+    /// When [`Link::tick`] is due; `None` if the link does not wait for a first message.
     pub fn deadline(&self) -> Option<Duration> {
         match self.stage {
             Stage::Greeting { deadline } => Some(deadline),
@@ -132,19 +133,19 @@
         }
     }
 
-    /// Time has passed.
+    /// Closes the link if its deadline has passed.
     pub fn tick(&mut self, now: Duration, out: &mut Vec<LinkAction>) {
         if self.deadline().is_some_and(|deadline| now >= deadline) {
             self.close(CloseReason::Silent, out);
         }
     }
 
-    /// The other process has closed the connection.
+    /// Handles the end of the connection.
     pub fn on_disconnect(&mut self, out: &mut Vec<LinkAction>) {
         self.close(CloseReason::Disconnected, out);
     }
 
-    /// A line was received; `None` if [`read`](crate::read) found no message in it.
+    /// Handles a received line. `message` is the result of [`read`](crate::read), `None` for a malformed line.
     pub fn on_message(&mut self, message: Option<Message>, out: &mut Vec<LinkAction>) {
         let handled = match (self.stage, message) {
             (Stage::Closed, _) => Ok(()),
@@ -165,7 +166,7 @@
         match (self.role, message) {
             (Role::Parent, Message::Hello(hello)) => {
                 self.check_node(&hello.name)?;
-                // The version is not checked: a newer child understands this build's messages.
+                // The version is not checked, because a newer child understands this build's messages.
                 out.push(LinkAction::SendState);
             }
             (Role::Child, Message::State(state)) => {
--- a/crates/hot-restart/src/message.rs
+++ b/crates/hot-restart/src/message.rs
@@ -1,17 +1,17 @@
-//! The messages of a hot restart, and their form: one line of JSON each.
+//! The messages of a hot restart, each encoded as one line of JSON.
 
 use saffronpaddle_policy::interface::{NodeId, SiblingMessage};
 use saffronpaddle_policy::StateSnapshot;
 use serde::{Deserialize, Serialize};
 
-/// The version of the messages. A build understands all versions up to its own; it ignores fields that it does not know,
-/// and missing fields take their defaults.
+/// The protocol version. A build understands all versions up to its own; it ignores unknown fields, and missing fields
+/// have their defaults.
 pub const VERSION: u32 = 1;
-/// The longest line, in bytes. It bounds the memory that a sender without line ends can take; a state with ten thousand
-/// customers has some 4 MB.
+/// Maximum length of a line, in bytes. Bounds the memory for data without a line end; the state of ten thousand
+/// customers takes about 4 MB.
 pub const MAX_LINE_BYTES: usize = 8 << 20;
 
-/// How a child introduces itself.
+/// The greeting of a child.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
     /// The child's [`VERSION`].
@@ -20,7 +20,7 @@
     pub name: String,
 }
 
-/// The state that a parent hands to its child.
+/// The state that a parent transfers to its child.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TransferredState {
     /// The parent's [`VERSION`].
@@ -30,7 +30,7 @@
     /// The state of the policy engine.
     #[serde(rename = "module")]
     pub policy: StateSnapshot,
-    /// The last list of app servers from discovery, in discovery's own form.
+    /// The latest list of app servers from discovery, in the format of discovery's responses; `None` before the first.
     #[serde(default)]
     pub list: Option<serde_json::Value>,
 }
@@ -39,32 +39,32 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Message {
-    /// The child's first message.
+    /// The greeting, which is the child's first message.
     Hello(Hello),
-    /// The parent's first message.
+    /// The response to the greeting, which is the parent's first message.
     State(Box<TransferredState>),
-    /// The child accepts clients from now on, and exchanges peer messages for both.
+    /// The child accepts connections from now on, and exchanges peer messages for both processes.
     Serving,
-    /// An attempt of the sender, or of a process that the sender forwards for, has started or ended.
+    /// An attempt of the sender, or of a process whose messages the sender forwards, has started or ended.
     #[serde(rename = "twin")]
     Sibling(SiblingMessage),
-    /// A peer's datagram, forwarded to a parent, which receives no datagrams any more.
+    /// A peer's datagram. The child forwards it to its parent, which no longer receives datagrams itself.
     Peer {
-        /// The node that sent it.
+        /// The peer that sent the datagram.
         from: NodeId,
         /// The datagram's payload.
         bytes: Vec<u8>,
     },
 }
 
-/// Writes a message as a line, with its line end.
+/// Encodes a message as a line, including the line feed.
 pub fn write(message: &Message) -> String {
     let mut line = serde_json::to_string(message).unwrap_or_default();
     line.push('\n');
     line
 }
 
-/// Reads a line. `None` for a line that is malformed, or a message that only newer builds know.
+/// Decodes a line. Returns `None` if the line is malformed or its message is unknown to this build.
 pub fn read(line: &[u8]) -> Option<Message> {
     serde_json::from_slice(line).ok()
 }
--- a/crates/hot-restart/src/process_group.rs
+++ b/crates/hot-restart/src/process_group.rs
@@ -1,16 +1,16 @@
-//! All links of one process.
+//! The links of one process.
 
 use crate::link::{Link, LinkAction, Role};
 use crate::message::Message;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Identifies a link of a process. Numbers are never reused.
+/// Identifies a link within a process. Identifiers are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LinkId(pub u32);
 
-/// All links of one process: to its parent and to its children. As each process has at most one parent, the processes of a
-/// node form a tree, and a message that is forwarded to all other links reaches each process once.
+/// The links of one process to its parent and its children. As each process has at most one parent, the processes of a
+/// node form a tree, so a message that each process forwards to all its other links reaches every process exactly once.
 #[derive(Debug)]
 pub struct ProcessGroup {
     node_name: String,
@@ -19,10 +19,10 @@
 }
 
 impl ProcessGroup {
-    /// The most links at once. It bounds the memory and descriptors that processes started in a loop can take.
+    /// Maximum number of links. Bounds the memory and file descriptors used if processes are started in a loop.
     pub const MAX_LINKS: usize = 4;
 
-    /// A process of the node `name` without links.
+    /// Creates the group of a process of the node `name`, without links.
     pub fn new(name: &str) -> ProcessGroup {
         ProcessGroup {
             node_name: name.to_owned(),
@@ -31,7 +31,8 @@
         }
     }
 
-    /// Opens a link; `None` if there are [`ProcessGroup::MAX_LINKS`] already. `role` is this process's.
+    /// Adds a link, in which this process has the given role. Returns `None` if there are [`ProcessGroup::MAX_LINKS`]
+    /// already.
     pub fn open(&mut self, now: Duration, role: Role) -> Option<(LinkId, Vec<LinkAction>)> {
         if self.links.len() >= Self::MAX_LINKS {
             return None;
@@ -44,35 +45,39 @@
         Some((id, out))
     }
 
-    /// Handles an event of a link by `step`, and drops the link if that ended it. Does nothing for a link that is gone.
+    /// Calls `handle` with a link, and removes the link if that closed it. Does nothing if the link does not exist.
     pub fn with(
         &mut self,
         id: LinkId,
-        step: impl FnOnce(&mut Link, &mut Vec<LinkAction>),
+        handle: impl FnOnce(&mut Link, &mut Vec<LinkAction>),
     ) -> Vec<LinkAction> {
         let mut out = Vec::new();
         if let Some(link) = self.links.get_mut(&id) {
-            step(link, &mut out);
-            if out.iter().any(|step| matches!(step, LinkAction::End(_))) {
+            handle(link, &mut out);
+            if out
+                .iter()
+                .any(|action| matches!(action, LinkAction::End(_)))
+            {
                 self.links.remove(&id);
             }
         }
         out
     }
 
-    /// Whether the process at the other end of a link counts as one node with this one.
+    /// Whether the link has completed its handshake, so that both processes count as one node.
     pub fn is_live(&self, id: LinkId) -> bool {
         self.links.get(&id).is_some_and(Link::is_live)
     }
 
-    /// When a link times out, if it does.
+    /// When a link times out; `None` if it has no timeout or does not exist.
     pub fn deadline(&self, id: LinkId) -> Option<Duration> {
         self.links.get(&id).and_then(Link::deadline)
     }
 
-    /// The links that a message is sent to, if it was made here (`from` is `None`) or received over the link `from`.
+    /// Returns the links that a message is sent to. `from` is the link over which the message was received, or `None`
+    /// if it originates in this process.
     ///
-    /// Datagrams of peers go to parents only, which receive none of their own any more.
+    /// Peer datagrams and [`Message::Serving`] go only to the parent. The parent no longer receives datagrams itself.
     pub fn recipients(&self, message: &Message, from: Option<LinkId>) -> Vec<LinkId> {
         let parents_only = matches!(message, Message::Peer { .. } | Message::Serving);
         let mut recipients = Vec::new();
@@ -86,17 +91,17 @@
         recipients
     }
 
-    /// Whether attempts have to be announced to another process.
+    /// Whether at least one link is live, so that attempts must be announced.
     pub fn is_shared(&self) -> bool {
         self.links.values().any(Link::is_live)
     }
 
-    /// Whether a child accepts clients and exchanges peer messages in place of this process.
+    /// Whether a child accepts connections and exchanges peer messages in place of this process.
     pub fn has_successor(&self) -> bool {
         self.links.values().any(Link::has_successor)
     }
 
-    /// Whether this process has no child, so that the next one has to connect to it.
+    /// Whether this process has no child, so that the next process of the node connects to it.
     pub fn is_last(&self) -> bool {
         self.links.values().all(Link::is_to_parent)
     }
--- a/crates/hot-restart/tests/lines.rs
+++ b/crates/hot-restart/tests/lines.rs
@@ -1,5 +1,5 @@
-//! The lines of a hand-over. The two processes may be of different builds, so each line of the build before this test
-//! must be read, and written letter by letter the same.
+//! Compatibility of the encoded messages. The two processes of a hot restart may run different builds, so the lines of
+//! the build before this test must still be decoded, and messages must be encoded to exactly the same lines.
 
 use saffronpaddle_hot_restart::*;
 use saffronpaddle_policy::interface::*;
@@ -8,14 +8,14 @@
 const LINES: &str = include_str!("fixtures/lines.jsonl");
 const STATE: &str = include_str!("../../policy/tests/fixtures/state_wide.json");
 
-fn words() -> Vec<Message> {
+fn messages() -> Vec<Message> {
     let state = TransferredState {
         version: VERSION,
         name: "n0".to_owned(),
         policy: saffronpaddle_policy::StateSnapshot::default(),
         list: Some(serde_json::json!({"hosts": [1, 2]})),
     };
-    let begun = SiblingAttempt {
+    let started = SiblingAttempt {
         request: RequestId("rq".into()),
         attempt: AttemptNumber(0),
         server: ServerId(8),
@@ -37,7 +37,7 @@
         }),
         Message::State(Box::new(state)),
         Message::Serving,
-        Message::Sibling(SiblingMessage::AttemptStarted(begun)),
+        Message::Sibling(SiblingMessage::AttemptStarted(started)),
         Message::Sibling(SiblingMessage::AttemptEnded {
             request: RequestId("rq".into()),
             attempt: AttemptNumber(0),
@@ -50,36 +50,39 @@
 }
 
 #[test]
-fn every_line_is_written_as_the_fixture_has_it() {
-    let written: String = words().iter().map(write).collect();
-    assert_eq!(written, LINES, "\n{written}");
+fn every_message_is_encoded_as_in_the_fixture() {
+    let encoded: String = messages().iter().map(write).collect();
+    assert_eq!(encoded, LINES, "\n{encoded}");
 }
 
 #[test]
-fn every_line_of_the_fixture_is_read() {
-    let read: Vec<Option<Message>> = LINES.lines().map(|line| read(line.as_bytes())).collect();
-    assert_eq!(read, words().into_iter().map(Some).collect::<Vec<_>>());
+fn every_line_of_the_fixture_is_decoded() {
+    let decoded: Vec<Option<Message>> = LINES.lines().map(|line| read(line.as_bytes())).collect();
+    assert_eq!(
+        decoded,
+        messages().into_iter().map(Some).collect::<Vec<_>>()
+    );
 }
 
-/// The line that carries a state of the build before is understood, with all that was kept in it.
+/// A line with a complete state of the build before is decoded without loss.
 #[test]
-fn a_line_with_a_whole_state_is_read() {
-    let module: Value = serde_json::from_str(STATE).expect("a fixture of JSON");
+fn a_line_with_a_complete_state_is_decoded() {
+    let module: Value = serde_json::from_str(STATE).expect("the fixture is JSON");
     let line = serde_json::json!({"state": {"version": 1, "name": "n0", "module": module}});
     let Some(Message::State(state)) = read(line.to_string().as_bytes()) else {
-        panic!("it is a state")
+        panic!("the line is not decoded as a state")
     };
     assert_eq!(
-        serde_json::to_value(&state.policy).expect("it is JSON"),
+        serde_json::to_value(&state.policy).expect("a state can be encoded"),
         module
     );
     assert_eq!((state.version, state.list), (1, None));
 }
 
-/// A newer build may say more in a line, and lines of kinds that this one does not know.
+/// A newer build may send additional fields and messages of unknown kinds.
 #[test]
-fn fields_that_are_not_known_are_passed_over_and_unknown_lines_are_told_apart() {
+fn unknown_fields_are_ignored_and_unknown_messages_are_not_decoded() {
     let hello = br#"{"hello":{"version":1,"name":"n0","colour":"red"}}"#;
-    assert_eq!(read(hello), Some(words().swap_remove(0)));
+    assert_eq!(read(hello), Some(messages().swap_remove(0)));
     assert_eq!(read(br#"{"farewell":{}}"#), None);
 }
--- a/crates/hot-restart/tests/links.rs
+++ b/crates/hot-restart/tests/links.rs
@@ -1,4 +1,4 @@
-//! Links between processes: greetings, timeouts, malformed lines, and which link a message is sent to.
+//! Links between processes: handshakes, timeouts, malformed lines, and the recipients of messages.
 
 mod support;
 
@@ -21,9 +21,10 @@
     out
 }
 
-/// A child must start as if it were the first process when what answers its greeting is not its parent's state.
+/// If the response to its greeting is not the state of its node, a child must end the link, so that it starts without
+/// one.
 #[test]
-fn a_child_ends_its_link_on_anything_but_a_state_of_its_node() {
+fn a_child_ends_its_link_on_any_response_but_a_state_of_its_node() {
     let cases = [
         (None, CloseReason::Malformed),
         (Some(state("n1", VERSION)), CloseReason::OtherNode),
@@ -36,10 +37,10 @@
         assert_eq!(receive(&mut link, message), [LinkAction::End(reason)]);
         assert!(
             receive(&mut link, Some(state(NODE, VERSION))).is_empty(),
-            "the link has ended"
+            "an ended link ignores messages"
         );
     }
-    // A parent that stalls is given up.
+    // The link to a parent that stalls times out.
     let (mut link, mut out) = (open(Role::Child), Vec::new());
     let before_timeout = Link::STATE_TIMEOUT
         .checked_sub(Duration::from_millis(1))
@@ -48,7 +49,7 @@
     assert!(out.is_empty());
     link.tick(Link::STATE_TIMEOUT, &mut out);
     assert_eq!(out, [LinkAction::End(CloseReason::Silent)]);
-    // A newer child greets an older parent, which understands what it knows.
+    // An older parent accepts the greeting of a newer child.
     let mut link = open(Role::Parent);
     assert_eq!(
         receive(&mut link, Some(hello(NODE, VERSION + 1))),
@@ -89,7 +90,7 @@
     assert_eq!(middle.recipients(&peer, Some(child)), [parent]);
     middle.with(child, Link::on_disconnect);
     assert!(middle.is_shared() && middle.is_last());
-    // The number of links is bounded.
+    // The number of links is limited.
     while middle.open(Duration::ZERO, Role::Parent).is_some() {}
     assert!(middle.open(Duration::ZERO, Role::Parent).is_none());
 }
@@ -99,7 +100,7 @@
         FileFailurePersistence::WithSource("proptest-regressions")
     ))]
 
-    /// Arbitrary bytes in place of a message end the link and do nothing else.
+    /// Arbitrary bytes in place of a message end the link and have no other effect.
     #[test]
     fn malformed_lines_end_the_link(bytes in prop::collection::vec(any::<u8>(), 0..300), live: bool) {
         let mut link = open(Role::Parent);
@@ -112,13 +113,13 @@
         }
     }
 
-    /// A state that was cut short, or in which a byte was changed, is restored as a whole or not at all; the policy engine
-    /// works on after it.
+    /// A state that is truncated or has one changed byte is either restored or rejected as a whole, and the policy
+    /// engine still handles requests afterwards.
     #[test]
-    fn a_corrupted_state_is_rejected_or_restored(at in 0usize..10_000, byte: u8, cut: bool) {
+    fn a_corrupted_state_is_rejected_or_restored(at in 0usize..10_000, byte: u8, truncate: bool) {
         let mut line = write(&state(NODE, VERSION)).into_bytes();
         let at = at % line.len();
-        if cut { line.truncate(at) } else { line[at] = byte }
+        if truncate { line.truncate(at) } else { line[at] = byte }
         let mut link = open(Role::Child);
         for action in receive(&mut link, read(&line)) {
             if let LinkAction::Restore(state) = action {
--- a/crates/hot-restart/tests/sibling_attempts.rs
+++ b/crates/hot-restart/tests/sibling_attempts.rs
@@ -1,11 +1,11 @@
-//! Two processes of one node, each with its policy engine: what they admit together, and what is left of one that exits.
+//! Two processes of one node, each with its policy engine: what they admit together, and the cleanup after one exits.
 
 mod support;
 
 use saffronpaddle_policy::interface::*;
 use support::{Process, HARD_LIMIT_CAPACITY, HARD_LIMIT_RATE, START};
 
-/// Delivers all sibling messages of both processes.
+/// Delivers the sibling messages of both processes until none are left.
 fn exchange(now: Micros, parent: &mut Process, child: &mut Process) {
     while !(parent.sibling_messages.is_empty() && child.sibling_messages.is_empty()) {
         deliver(now, parent, child);
@@ -19,22 +19,24 @@
     }
 }
 
-/// What two processes have sent, and what the hard limit allows.
+/// The units that two processes have sent together, and the units that the hard limit allows.
 struct Overlap {
     sent: u32,
     allowed: f64,
 }
 
-/// Sends requests to a parent and its child in turn, whose processes are linked or know nothing of each other.
+/// Sends requests alternately to a parent and its child. `linked` says whether the two processes share state and
+/// attempts.
 fn overlap(linked: bool, requests: u32) -> Overlap {
     let mut parent = Process::new(START);
-    // A node's part of a hard limit starts empty and fills.
+    // A node's share of a hard limit starts empty and refills over time.
     let mut now = START + 20_000_000;
     parent.request(now, 0);
-    let snapshot = serde_json::to_string(&parent.engine.snapshot()).expect("it is written");
+    let snapshot =
+        serde_json::to_string(&parent.engine.snapshot()).expect("a snapshot can be encoded");
     let mut child = Process::new(now);
     if linked {
-        let snapshot = serde_json::from_str(&snapshot).expect("it is read");
+        let snapshot = serde_json::from_str(&snapshot).expect("a snapshot can be decoded");
         child.engine.restore(snapshot, 0);
         let live = Event::SiblingsChanged {
             ended_link: None,
@@ -61,13 +63,16 @@
     }
 }
 
-/// Two linked processes use a hard limit fully and never exceed it together. Without the link the child's part of the limit,
-/// which starts empty, fills beside the parent's, and both together exceed the limit.
+/// Two linked processes use the hard limit fully and never exceed it together. Without the link, the child's share of
+/// the limit, which starts empty, refills in addition to the parent's, and both together exceed the limit.
 #[test]
 fn two_linked_processes_keep_one_hard_limit() {
     let Overlap { sent, allowed } = overlap(true, 400);
     assert!(f64::from(sent) <= allowed + 1.0, "{sent} of {allowed}");
-    assert!(f64::from(sent) > allowed * 0.8, "used: {sent} of {allowed}");
+    assert!(
+        f64::from(sent) > allowed * 0.8,
+        "the limit is used: {sent} of {allowed}"
+    );
     let Overlap { sent, allowed } = overlap(false, 400);
     assert!(
         f64::from(sent) > allowed * 1.3,
@@ -76,7 +81,7 @@
 }
 
 /// A sibling process exits with attempts in flight and never reports their end. They must not count against concurrency
-/// limits for ever, nor stay in memory.
+/// limits forever or stay in memory.
 #[test]
 fn attempts_of_an_exited_process_are_released() {
     let mut process = Process::new(START);
@@ -111,17 +116,20 @@
             },
         );
     }
-    let left = snapshot_bytes(&process);
-    assert!(left * 100 < with_attempts, "{left} of {with_attempts}");
+    let after_exit = snapshot_bytes(&process);
+    assert!(
+        after_exit * 100 < with_attempts,
+        "{after_exit} of {with_attempts}"
+    );
 }
 
 fn snapshot_bytes(process: &Process) -> usize {
     serde_json::to_string(&process.engine.snapshot())
-        .expect("it is written")
+        .expect("a snapshot can be encoded")
         .len()
 }
 
-/// Of two processes one exchanges messages with peers; if it exits, the other does so again.
+/// Only one of two processes exchanges messages with peers. If it exits, the other process resumes the exchange.
 #[test]
 fn one_of_two_processes_exchanges_peer_messages() {
     let mut now = START;
--- a/crates/hot-restart/tests/support/mod.rs
+++ b/crates/hot-restart/tests/support/mod.rs
@@ -1,15 +1,15 @@
-//! A process of a node with its policy engine.
-#![allow(dead_code)] // each test binary uses a part
+//! A simulated process of a node with its policy engine.
+#![allow(dead_code)] // each test binary uses only some of the items
 
 use saffronpaddle_hot_restart::*;
 use saffronpaddle_policy::interface::*;
 use saffronpaddle_policy::PolicyEngine;
 
-/// Of the hard limit of the only plan, in units.
+/// The capacity of the only plan's hard limit, in units.
 pub const HARD_LIMIT_CAPACITY: f64 = 6.0;
-/// Of the hard limit of the only plan, in units per second.
+/// The refill rate of the only plan's hard limit, in units per second.
 pub const HARD_LIMIT_RATE: f64 = 2.0;
-/// When tests start.
+/// The time at which tests start.
 pub const START: Micros = 1_000_000_000;
 
 fn settings() -> Settings {
@@ -60,7 +60,7 @@
     }
 }
 
-/// A process with one app server, and what its policy engine has asked for.
+/// A process with one app server, and the actions of its policy engine.
 pub struct Process {
     pub engine: PolicyEngine,
     pub attempts_sent: u32,
@@ -70,7 +70,7 @@
 
 impl Process {
     pub fn new(now: Micros) -> Process {
-        let engine = PolicyEngine::new(7, settings(), now).expect("settings that make sense");
+        let engine = PolicyEngine::new(7, settings(), now).expect("valid settings");
         let mut process = Process {
             engine,
             attempts_sent: 0,
@@ -93,7 +93,7 @@
         process
     }
 
-    /// Handles an event. Attempts that it sends are answered at once.
+    /// Handles an event. Attempts that are sent as a result succeed immediately.
     pub fn handle(&mut self, now: Micros, event: Event) {
         let mut out = Vec::new();
         self.engine.handle(now, event, &mut out);
@@ -118,7 +118,7 @@
         }
     }
 
-    /// A request of one unit arrives.
+    /// Handles the arrival of a request of one unit.
     pub fn request(&mut self, now: Micros, number: u32) {
         self.handle(now, Event::TimerFired { token: 0 });
         self.handle(
@@ -138,7 +138,7 @@
     }
 }
 
-/// A parent's first message.
+/// The first message of a parent.
 pub fn state(name: &str, version: u32) -> Message {
     Message::State(Box::new(TransferredState {
         version,
@@ -148,7 +148,7 @@
     }))
 }
 
-/// A child's first message.
+/// The first message of a child.
 pub fn hello(name: &str, version: u32) -> Message {
     Message::Hello(Hello {
         version,
--- a/crates/saffronpaddle/tests/upgrade.rs
+++ b/crates/saffronpaddle/tests/upgrade.rs
@@ -210,7 +210,7 @@
     let heir = rig.next(&elder, admin);
     until_ready(admin);
     drop(heir);
-    until_said(&elder, "it has gone");
+    until_said(&elder, "the connection was closed");
     // It hears its peers again, and speaks to them itself.
     let mut datagram = [0; 300];
     elder.peer.recv(&mut datagram).expect("a count");
