--- a/crates/admin/src/callers.rs
+++ b/crates/admin/src/callers.rs
@@ -1,20 +1,22 @@
-//! Callers of the admin interface that have no answer yet.
+//! Connections to the admin interface that have not been answered yet.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Identifies a caller's connection. Numbers are never reused.
+/// Identifies a caller's connection. Identifiers are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Caller(pub u64);
 
-/// Callers that wait for an answer, in the order in which they connected.
+/// The callers that have not been answered yet, in the order in which they connected.
 ///
-/// Callers that send nothing or half a command, and stay, hold file descriptors until the node has none for requests. So
-/// only a few are kept. As a well-behaved caller sends its line at once, the one that has waited longest is closed for the
-/// next.
+/// Callers that send nothing or an incomplete command and stay connected could use up the file descriptors that the
+/// node needs for requests. So their number is limited. A well-behaved caller sends its command immediately, so when
+/// the table is full, the caller that has been connected longest is closed for the next.
 #[derive(Debug)]
 pub struct CallerTable {
+    /// Maximum number of callers.
     limit: usize,
+    /// How long a caller may stay connected without an answer.
     timeout: Duration,
     next_id: u64,
     waiting: VecDeque<WaitingCaller>,
@@ -27,12 +29,12 @@
 }
 
 impl CallerTable {
-    /// How many callers a node keeps at once. Each takes a file descriptor.
+    /// Maximum number of callers of a node. Each takes a file descriptor.
     pub const MOST: usize = 16;
-    /// How long a node waits for a caller's line.
+    /// How long a node waits for a caller's command.
     pub const STAY: Duration = Duration::from_secs(5);
 
-    /// A table of at most `limit` callers (at least one), each of which is kept for `timeout`.
+    /// Creates a table of at most `limit` callers, each of which is closed after `timeout`. A `limit` of 0 counts as 1.
     pub fn new(limit: usize, timeout: Duration) -> CallerTable {
         CallerTable {
             limit: limit.max(1),
@@ -42,7 +44,7 @@
         }
     }
 
-    /// Adds a caller. If the table was full, also returns the caller that is to be closed for it.
+    /// Adds a caller that has connected. If the table was full, also returns the caller that must be closed for it.
     pub fn arrived(&mut self, now: Duration) -> (Caller, Option<Caller>) {
         let caller = Caller(self.next_id);
         self.next_id += 1;
@@ -58,12 +60,12 @@
         (caller, closed)
     }
 
-    /// Removes a caller that has its answer or has disconnected.
+    /// Removes a caller that has been answered or has disconnected.
     pub fn left(&mut self, caller: Caller) {
         self.waiting.retain(|other| other.caller != caller);
     }
 
-    /// Removes and returns a caller that has timed out, if there is one.
+    /// Removes and returns the oldest caller if it has timed out.
     pub fn stale(&mut self, now: Duration) -> Option<Caller> {
         let oldest = self.waiting.front()?;
         if now.saturating_sub(oldest.connected_at) < self.timeout {
@@ -72,18 +74,18 @@
         self.waiting.pop_front().map(|oldest| oldest.caller)
     }
 
-    /// When the next caller times out.
+    /// When the next caller times out; `None` if there are no callers.
     pub fn deadline(&self) -> Option<Duration> {
         let oldest = self.waiting.front()?;
         Some(oldest.connected_at + self.timeout)
     }
 
-    /// How many callers there are.
+    /// The number of callers.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether there is no caller.
+    /// Whether there are no callers.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
--- a/crates/admin/src/counters.rs
+++ b/crates/admin/src/counters.rs
@@ -1,55 +1,55 @@
-//! The counters of a process.
+//! The request and connection counters of a process.
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// Served: status 200.
+    /// Answered with status 200.
     Fulfilled,
-    /// Rejected: status 429 or 503.
+    /// Rejected with status 429 or 503.
     Throttled,
-    /// Failed: any other status.
+    /// Answered with any other status.
     Faulted,
-    /// The client disconnected before the answer.
+    /// The client disconnected before the response.
     Gone,
 }
 
-/// The requests of one class since the process started.
+/// The requests of one class, counted since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassCounts {
-    /// Received.
+    /// Received requests.
     pub taken: u64,
-    /// Ended as [`RequestEnd::Fulfilled`].
+    /// Requests that ended as [`RequestEnd::Fulfilled`].
     pub fulfilled: u64,
-    /// Ended as [`RequestEnd::Throttled`].
+    /// Requests that ended as [`RequestEnd::Throttled`].
     pub throttled: u64,
-    /// Ended as [`RequestEnd::Faulted`].
+    /// Requests that ended as [`RequestEnd::Faulted`].
     pub faulted: u64,
-    /// Ended as [`RequestEnd::Gone`].
-    pub gone: u64,
+    /// Requests that ended as [`RequestEnd::Gone`].
+    pub disconnected: u64,
 }
 
 impl ClassCounts {
-    /// Received and not ended yet.
+    /// The number of requests that have not ended yet.
     pub fn open(&self) -> u64 {
-        self.taken - self.fulfilled - self.throttled - self.faulted - self.gone
+        self.taken - self.fulfilled - self.throttled - self.faulted - self.disconnected
     }
 }
 
-/// Counters that start at 0 with the process. As each request ends once, the requests received are always those that have
-/// ended in one of the four ways and those that are open.
+/// Counters that start at 0 with the process. As each request ends exactly once, the number of received requests is
+/// always the sum of the four [`RequestEnd`] counters and the number of open requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestCounters {
-    /// By class, in the order of the settings.
+    /// Request counters by class, in the order of the settings.
     pub classes: Vec<ClassCounts>,
-    /// Attempts that were written completely to app servers.
+    /// Attempts whose request was written completely to an app server.
     pub relayed: u64,
-    /// Connections to app servers that were started, each with a handshake.
+    /// Connection attempts to app servers, each with its own handshake.
     pub connects: u64,
-    /// Those of them that failed.
+    /// Connection attempts to app servers that failed.
     pub connects_failed: u64,
-    /// Attempts that reused a connection.
+    /// Attempts that reused an open connection.
     pub connections_reused: u64,
-    /// Answers whose last byte is not written yet, though their requests have ended.
+    /// Responses that are still being written although their requests have been counted as ended.
     pub streaming: u64,
 }
 
@@ -61,29 +61,29 @@
         &mut self.classes[class]
     }
 
-    /// A request was received.
+    /// Counts a received request.
     pub fn taken(&mut self, class: usize) {
         self.class(class).taken += 1;
     }
 
-    /// A request that was received has ended.
+    /// Counts the end of a received request.
     pub fn ended(&mut self, class: usize, end: RequestEnd) {
         let counts = self.class(class);
         let count = match end {
             RequestEnd::Fulfilled => &mut counts.fulfilled,
             RequestEnd::Throttled => &mut counts.throttled,
             RequestEnd::Faulted => &mut counts.faulted,
-            RequestEnd::Gone => &mut counts.gone,
+            RequestEnd::Gone => &mut counts.disconnected,
         };
         *count += 1;
     }
 
-    /// Requests of all classes that have not ended, and answers that are still being written.
+    /// The number of requests of all classes that have not ended, plus the responses that are still being written.
     pub fn open(&self) -> u64 {
         self.classes.iter().map(ClassCounts::open).sum::<u64>() + self.streaming
     }
 
-    /// The sum of one count over all classes.
+    /// Sums one counter over all classes.
     pub(crate) fn sum(&self, count: impl Fn(&ClassCounts) -> u64) -> u64 {
         self.classes.iter().map(count).sum()
     }
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,8 +1,8 @@
-//! The admin interface of a running node: the commands that staff send, the callers that are kept, and the metrics that
-//! are answered and logged.
+//! The admin interface of a running node: its commands, the connections of its callers, and the metrics that it returns
+//! and logs.
 //!
-//! A connection carries one command, a line, and gets one answer, whose first line begins with `SUCCESS` or `FAILURE`;
-//! metrics end with a line `EOT` instead. The crate does no I/O and reads no clock.
+//! Each connection carries one command, which is a line, and one answer. An answer starts with `SUCCESS` or `FAILURE`,
+//! except for the metrics, which end with the line `EOT`. The crate does no I/O and reads no clock.
 //!
 //! ```
 //! use saffronpaddle_admin::{Call, Line};
@@ -21,16 +21,16 @@
 
 pub use callers::{Caller, CallerTable};
 pub use counters::{ClassCounts, RequestCounters, RequestEnd};
-pub use line::{Call, CallError, Line, LINE_MOST};
+pub use line::{Call, CallError, Line, MAX_LINE_BYTES};
 pub use log_fields::Fields;
 pub use metrics::{Metrics, PeerMessageCounts};
 
-/// The answer to a command that was carried out, or to a question whose answer is yes.
+/// Returns the answer to a command that succeeded, or to a query whose result is positive.
 pub fn success(text: &str) -> String {
     format!("SUCCESS {text}\n")
 }
 
-/// The answer to a command that was not carried out, or to a question whose answer is no.
+/// Returns the answer to a command that failed, or to a query whose result is negative.
 pub fn failure(text: &str) -> String {
     format!("FAILURE {text}\n")
 }
--- a/crates/admin/src/line.rs
+++ b/crates/admin/src/line.rs
@@ -1,21 +1,21 @@
-//! The line that a caller sends: one command.
+//! Parsing of the line that a caller sends, which is one command.
 
 use std::fmt;
 
-/// The longest line of a command, in bytes without its end. It bounds the memory that a line without end can take; the
-/// longest command has eight bytes.
-pub const LINE_MOST: usize = 64;
+/// Maximum length of a line, in bytes without the line end. Bounds the memory for data without a line end; the longest
+/// command has eight bytes.
+pub const MAX_LINE_BYTES: usize = 64;
 
-/// A command of staff.
+/// A command of the admin interface.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// Ask whether this process is ready.
+    /// Returns whether this process is ready.
     Ping,
-    /// Ask for the metrics.
+    /// Returns the metrics.
     Info,
-    /// Send clients away; the process goes on.
+    /// Starts lame-duck mode: clients are told to reconnect elsewhere; the process keeps running.
     Lameduck,
-    /// Put the node back in service.
+    /// Ends lame-duck mode.
     Rejoin,
 }
 
@@ -23,7 +23,7 @@
     /// All commands.
     pub const ALL: [Call; 4] = [Call::Ping, Call::Info, Call::Lameduck, Call::Rejoin];
 
-    /// The command as it is sent.
+    /// The name of the command on the wire.
     pub fn name(self) -> &'static str {
         match self {
             Call::Ping => "PING",
@@ -33,20 +33,20 @@
         }
     }
 
-    /// The command of this exact name.
+    /// Returns the command with exactly this name.
     pub fn parse(name: &str) -> Option<Call> {
         Call::ALL.into_iter().find(|call| call.name() == name)
     }
 }
 
-/// Why a line is no command.
+/// Why a line is not a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallError {
-    /// It has more than [`LINE_MOST`] bytes.
+    /// The line has more than [`MAX_LINE_BYTES`] bytes.
     TooLong,
-    /// There is no command of this name.
+    /// There is no command with this name.
     Unknown,
-    /// The caller stopped sending before the end of the line. Part of a command is not carried out.
+    /// The caller stopped sending before the end of the line. An incomplete command is not executed.
     Half,
 }
 
@@ -62,19 +62,20 @@
 
 impl std::error::Error for CallError {}
 
-/// A line that is received in pieces, which may be cut anywhere.
+/// A buffer for a line that is received in pieces of any size.
 #[derive(Debug, Default)]
 pub struct Line {
     received: Vec<u8>,
 }
 
 impl Line {
-    /// Takes more bytes, and returns the command once its line has ended. Bytes after the line are ignored.
+    /// Appends received bytes. Returns the command or an error once the line is complete or too long, and `None` until
+    /// then. Bytes after the line are ignored.
     pub fn take(&mut self, bytes: &[u8]) -> Option<Result<Call, CallError>> {
         let end = bytes.iter().position(|byte| *byte == b'\n');
         let more = &bytes[..end.unwrap_or(bytes.len())];
-        // One byte more may be the carriage return before the line's end.
-        if self.received.len() + more.len() > LINE_MOST + 1 {
+        // One more byte is allowed, which may be a carriage return before the line feed.
+        if self.received.len() + more.len() > MAX_LINE_BYTES + 1 {
             return Some(Err(CallError::TooLong));
         }
         self.received.extend_from_slice(more);
--- a/crates/admin/src/log_fields.rs
+++ b/crates/admin/src/log_fields.rs
@@ -1,38 +1,39 @@
-//! One line of counts in a node's log, which a reader can sum over a fleet.
+//! The log line with a node's counters, which tools sum over a fleet.
 //!
-//! `counts node=3 at_ms=15000 asked=812 granted=640`: a marker, then pairs of a name and a whole number.
+//! It consists of a marker and pairs of a name and an integer: `counts node=3 at_ms=15000 asked=812 granted=640`.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// Marks a line of counts.
+/// The marker of a line of counters.
 const MARKER: &str = "counts";
-/// The most fields that are read of a line. It bounds the memory that a file which is no log can take.
+/// Maximum number of fields read from a line. Bounds the memory for input that is not a log.
 const MAX_FIELDS: usize = 256;
 
-/// A line of counts.
+/// A line of counters.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Fields {
-    /// The node's number.
+    /// The number of the node.
     pub node: u32,
     /// Milliseconds since the node's process started.
     pub at_ms: u64,
-    /// The counts by name, all since the process started.
+    /// The counters by name, all counted since the process started.
     pub of: BTreeMap<String, u64>,
 }
 
 impl Fields {
-    /// Writes a line, without its end.
+    /// Formats a line, without the line feed.
     pub fn line<'a>(node: u32, at_ms: u64, counts: impl Iterator<Item = (&'a str, u64)>) -> String {
         let mut line = format!("{MARKER} node={node} at_ms={at_ms}");
         for (name, count) in counts {
-            // Writing to a string does not fail.
+            // Writing to a string cannot fail.
             let _ = write!(line, " {name}={count}");
         }
         line
     }
 
-    /// Reads a line of a log, in which anything may precede the marker; `None` if it is no complete line of counts.
+    /// Parses a log line, in which other text may precede the marker. Returns `None` if it is not a complete line of
+    /// counters.
     pub fn read(line: &str) -> Option<Fields> {
         let mut parts = line.split_whitespace();
         parts.find(|part| *part == MARKER)?;
--- a/crates/admin/src/metrics.rs
+++ b/crates/admin/src/metrics.rs
@@ -1,45 +1,45 @@
-//! The metrics of a node, as the answer to `INFO` and as a line of the log.
+//! The metrics of a node, formatted as the answer to `INFO` and as a log line.
 
 use crate::counters::{ClassCounts, RequestCounters};
 use crate::log_fields::Fields;
 use std::fmt::Write;
 
-/// Written after the metrics, so that a caller knows that it has all.
+/// Marks the end of the metrics, so that a caller can tell that it has received all of them.
 const END_OF_TEXT: &str = "EOT\n";
 
-/// Messages exchanged with peers since the process started.
+/// Numbers of messages exchanged with peers since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PeerMessageCounts {
-    /// Sent to peers.
+    /// Messages sent to peers.
     pub sent: u64,
-    /// Received from peers.
+    /// Messages received from peers.
     pub received: u64,
 }
 
-/// All metrics of a node at one time.
+/// A snapshot of all metrics of a node.
 #[derive(Clone, Debug, Default)]
 pub struct Metrics<'a> {
     /// The names of the classes, in the order of the settings.
     pub names: &'a [String],
     /// The request counters.
     pub tally: RequestCounters,
-    /// App servers on the list.
+    /// Number of app servers on the list.
     pub registry_entries: usize,
-    /// Those of them that get no new requests at present.
+    /// Number of app servers on the list that currently get no new requests.
     pub out_of_rotation: usize,
-    /// Messages exchanged with peers.
+    /// Numbers of messages exchanged with peers.
     pub peer_messages: PeerMessageCounts,
-    /// Counters of the policy engine by name. Summed over a fleet, they tell where requests and attempts go.
+    /// Counters of the policy engine by name. Summed over a fleet, they show how requests and attempts were handled.
     pub policy_counters: Vec<(&'static str, u64)>,
 }
 
-/// A count of a class that is exposed with the class's name as a label.
+/// A per-class counter, exposed with the class's name as a label.
 struct ClassMetric {
     name: &'static str,
     count: fn(&ClassCounts) -> u64,
 }
 
-/// The counts that are exposed for each class.
+/// The counters that are exposed for each class.
 const CLASS_METRICS: [ClassMetric; 3] = [
     ClassMetric {
         name: "fulfilled",
@@ -56,10 +56,10 @@
 ];
 
 impl Metrics<'_> {
-    /// The metrics in the text format of Prometheus, one sample a line, and the line `EOT`.
+    /// Formats the metrics in the Prometheus text format, one sample per line, followed by the line `EOT`.
     pub fn exposition(&self) -> String {
         let mut text = String::new();
-        // Writing to a string does not fail.
+        // Writing to a string cannot fail.
         for metric in CLASS_METRICS {
             for (class, class_name) in self.names.iter().enumerate() {
                 let count = self.tally.classes.get(class).map_or(0, metric.count);
@@ -74,8 +74,8 @@
         text
     }
 
-    /// The metrics as one line of fields for the log, without its end; the counts of requests are summed over all classes.
-    /// `at_ms` are the milliseconds since the process started.
+    /// Formats the metrics as one log line, without the line feed. Request counters are summed over all classes.
+    /// `at_ms` is the time since the process started, in milliseconds.
     pub fn log_line(&self, node: u32, at_ms: u64) -> String {
         let sums = [
             ("taken", self.tally.sum(|counts| counts.taken)),
@@ -86,7 +86,7 @@
         Fields::line(node, at_ms, sums.into_iter().chain(self.unlabelled()))
     }
 
-    /// The metrics that have no label.
+    /// The metrics without a label.
     fn unlabelled(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
         let own = [
             ("relayed", self.tally.relayed),
@@ -103,7 +103,7 @@
     }
 }
 
-/// A label's value in the text format of Prometheus.
+/// Escapes a label value for the Prometheus text format.
 fn escape_label(value: &str) -> String {
     value
         .replace('\\', "\\\\")
--- a/crates/admin/tests/callers.rs
+++ b/crates/admin/tests/callers.rs
@@ -1,14 +1,14 @@
-//! Which callers are kept.
+//! Which callers stay connected.
 
 use saffronpaddle_admin::CallerTable;
 use std::time::Duration;
 
-const fn ms(span: u64) -> Duration {
-    Duration::from_millis(span)
+const fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
 }
 
 #[test]
-fn the_longest_waiting_caller_is_closed_for_the_next_and_each_times_out() {
+fn the_oldest_caller_is_closed_when_the_table_is_full_and_each_caller_times_out() {
     let mut table = CallerTable::new(2, ms(100));
     let (first, closed) = table.arrived(ms(0));
     assert_eq!(closed, None);
--- a/crates/admin/tests/commands.rs
+++ b/crates/admin/tests/commands.rs
@@ -1,15 +1,15 @@
-//! The lines that are commands, and those that are none.
+//! Which lines are commands.
 
 use proptest::prelude::*;
 use proptest::test_runner::FileFailurePersistence;
-use saffronpaddle_admin::{Call, CallError, Line, LINE_MOST};
+use saffronpaddle_admin::{Call, CallError, Line, MAX_LINE_BYTES};
 
 fn parse(text: impl AsRef<[u8]>) -> Option<Result<Call, CallError>> {
     Line::default().take(text.as_ref())
 }
 
 #[test]
-fn commands_match_exactly_whatever_ends_their_line() {
+fn commands_match_exactly_with_any_line_end() {
     for call in Call::ALL {
         let name = call.name();
         assert_eq!(parse(format!("{name}\n")), Some(Ok(call)));
@@ -36,22 +36,25 @@
         FileFailurePersistence::WithSource("proptest-regressions")
     ))]
 
-    /// A line gives the same result however it is cut into pieces.
+    /// A line gives the same result when it is received in pieces of any size.
     #[test]
-    fn a_line_means_the_same_however_it_is_cut(text in "[A-Z\r\n ]{0,80}", cuts in prop::collection::vec(1usize..9, 1..80)) {
+    fn a_line_gives_the_same_result_in_pieces_of_any_size(
+        text in "[A-Z\r\n ]{0,80}",
+        piece_sizes in prop::collection::vec(1usize..9, 1..80),
+    ) {
         let expected = parse(&text);
         let mut line = Line::default();
         let mut rest = text.as_bytes();
         let mut result = None;
-        for cut in cuts.iter().cycle() {
+        for size in piece_sizes.iter().cycle() {
             if rest.is_empty() || result.is_some() {
                 break;
             }
-            let (piece, left) = rest.split_at((*cut).min(rest.len()));
+            let (piece, unsent) = rest.split_at((*size).min(rest.len()));
             result = line.take(piece);
-            rest = left;
+            rest = unsent;
         }
         prop_assert_eq!(result, expected);
-        prop_assert!(text.len() <= 80 && LINE_MOST < 80);
+        prop_assert!(text.len() <= 80 && MAX_LINE_BYTES < 80);
     }
 }
--- a/crates/admin/tests/counters.rs
+++ b/crates/admin/tests/counters.rs
@@ -1,11 +1,10 @@
-//! After any order of events, the requests received are those that have ended and those that are open; and the metrics say
-//! so.
+//! For any sequence of events, the number of received requests equals the ended and open ones, also in the metrics.
 
 use proptest::prelude::*;
 use proptest::test_runner::FileFailurePersistence;
 use saffronpaddle_admin::{ClassCounts, Metrics, RequestCounters, RequestEnd};
 
-/// The value of a sample in the text of the metrics.
+/// Returns the value of a sample in the text of the metrics.
 fn sample(text: &str, name: &str) -> u64 {
     let line = text
         .lines()
@@ -14,7 +13,7 @@
     line.trim().parse().expect("a number")
 }
 
-/// The sum of the samples of all ways in which a request ends with an answer.
+/// Sums the samples of all requests that ended with a response.
 fn answered(text: &str, class_names: &[String]) -> u64 {
     let mut sum = 0;
     for end in ["fulfilled", "throttled", "faulted"] {
@@ -47,7 +46,7 @@
     ))]
 
     #[test]
-    fn requests_received_are_those_ended_and_those_open(
+    fn received_requests_are_the_sum_of_ended_and_open_ones(
         steps in prop::collection::vec((0usize..3, any_step()), 0..200),
     ) {
         let names = ["a", "b", "c"].map(str::to_owned);
@@ -73,9 +72,9 @@
             let all_open: u64 = open.iter().sum();
             prop_assert_eq!(sample(&text, "lb_open_requests"), all_open);
             let sum = |count: fn(&ClassCounts) -> u64| counters.classes.iter().map(count).sum::<u64>();
-            let gone = sum(|counts| counts.gone);
+            let disconnected = sum(|counts| counts.disconnected);
             let taken = sum(|counts| counts.taken);
-            prop_assert_eq!(taken, answered(&text, &names) + gone + all_open);
+            prop_assert_eq!(taken, answered(&text, &names) + disconnected + all_open);
         }
     }
 }
--- a/crates/admin/tests/log_fields.rs
+++ b/crates/admin/tests/log_fields.rs
@@ -1,12 +1,13 @@
-//! The lines of counts in a log.
+//! The log lines with counters.
 
 use saffronpaddle_admin::Fields;
 
 #[test]
-fn a_line_is_read_as_it_was_written_and_other_lines_are_skipped() {
+fn a_formatted_line_is_parsed_and_other_lines_are_rejected() {
     let line = Fields::line(7, 5_000, [("asked", 12), ("granted", 9)].into_iter());
     assert_eq!(line, "counts node=7 at_ms=5000 asked=12 granted=9");
-    let read = Fields::read(&format!("2026-12-01T08:00:00Z n7: {line}")).expect("a line of counts");
+    let read =
+        Fields::read(&format!("2026-12-01T08:00:00Z n7: {line}")).expect("a line of counters");
     assert_eq!((read.node, read.at_ms), (7, 5_000));
     assert_eq!((read.of["asked"], read.of.len()), (12, 2));
     for other in [
