--- a/crates/admin/src/line.rs
+++ b/crates/admin/src/line.rs
@@ -13,7 +13,7 @@
     Ping,
     /// Returns the metrics.
     Info,
-    /// Starts lame-duck mode: clients are told to reconnect elsewhere; the process keeps running.
+    /// Starts lame-duck mode: the node is not ready and closes its connections, but the process keeps running.
     Lameduck,
     /// Ends lame-duck mode.
     Rejoin,
--- a/crates/lifecycle/src/action.rs
+++ b/crates/lifecycle/src/action.rs
@@ -54,7 +54,7 @@
         /// The new status line, see [`Lifecycle::status`](crate::Lifecycle::status).
         status: String,
     },
-    /// An operator put the node into lame-duck mode: clients are told to reconnect elsewhere.
+    /// An operator started lame-duck mode: responses close their connections, so that clients reconnect elsewhere.
     LameDuckStarted,
     /// An operator ended lame-duck mode.
     LameDuckEnded,
--- a/crates/lifecycle/src/event.rs
+++ b/crates/lifecycle/src/event.rs
@@ -23,7 +23,7 @@
         /// Whether the new configuration is in force.
         applied: bool,
     },
-    /// The admin command `LAMEDUCK`: clients are told to reconnect elsewhere; the process keeps running.
+    /// The admin command `LAMEDUCK`: the node is not ready and closes its connections, but the process keeps running.
     Lameduck,
     /// The admin command `REJOIN`: ends lame-duck mode.
     Rejoin,
--- a/crates/lifecycle/src/readiness.rs
+++ b/crates/lifecycle/src/readiness.rs
@@ -23,7 +23,7 @@
     Reason::Lagging,
 ];
 
-/// Whether the conditions of readiness hold.
+/// Evaluates the readiness conditions of one node over time.
 #[derive(Clone, Debug)]
 pub struct Readiness {
     conditions: Conditions,
