--- a/crates/endpoints/src/compact.rs
+++ b/crates/endpoints/src/compact.rs
@@ -1,15 +1,15 @@
-//! Records in the form in which long lists are kept: the host's name is the key of the table, and each zone's name is
-//! kept once for all servers.
+//! Compact storage of endpoint records for long lists: the host name is the key of the table, and each zone name is
+//! stored once and shared by all servers.
 
 use crate::record::{EndpointRecord, EndpointStatus};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// When there are this many names of zones, those that no server has any more are dropped.
+/// Number of zone names at which those that no server uses any more are dropped.
 const MAX_ZONE_NAMES: usize = 256;
 
-/// A record without its host.
+/// An [`EndpointRecord`] without its host name.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct CompactEndpoint {
     address: SocketAddr,
@@ -21,11 +21,11 @@
 }
 
 impl CompactEndpoint {
-    /// Takes a record in, and its zone's name into `zones`.
+    /// Converts a record, sharing its zone name through `zones`.
     pub fn new(record: &EndpointRecord, zones: &mut ZoneNames) -> CompactEndpoint {
         CompactEndpoint {
             address: record.address,
-            zone: zones.shared(&record.zone),
+            zone: zones.intern(&record.zone),
             domain: record.domain,
             weight: record.weight,
             started_at_ms: record.started_at_ms,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The complete record.
+    /// Returns the complete record of `host`.
     pub fn record(&self, host: &Arc<str>) -> EndpointRecord {
         EndpointRecord {
             host: Arc::clone(host),
@@ -46,40 +46,38 @@
         }
     }
 
-    /// The status.
     pub fn status(&self) -> EndpointStatus {
         self.status
     }
 
-    /// Whether the server was removed.
     pub fn is_removed(&self) -> bool {
         self.status == EndpointStatus::Removed
     }
 
-    /// When the server last started, Unix time in milliseconds; 0 for long ago.
+    /// When the server last started, in Unix milliseconds; 0 if it started long ago.
     pub fn started_at_ms(&self) -> u64 {
         self.started_at_ms
     }
 
-    /// The same server with another status.
     pub fn with_status(self, status: EndpointStatus) -> CompactEndpoint {
         CompactEndpoint { status, ..self }
     }
 
-    /// Sets the start, in Unix time in milliseconds.
+    /// Sets the start time, in Unix milliseconds.
     pub fn set_started_at_ms(&mut self, started_at_ms: u64) {
         self.started_at_ms = started_at_ms;
     }
 }
 
-/// Names of zones, each kept once.
+/// Interned zone names.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ZoneNames {
     names: BTreeSet<Arc<str>>,
 }
 
 impl ZoneNames {
-    fn shared(&mut self, name: &str) -> Arc<str> {
+    /// Returns the shared copy of `name`, adding it if it is new.
+    fn intern(&mut self, name: &str) -> Arc<str> {
         if let Some(known) = self.names.get(name) {
             return Arc::clone(known);
         }
@@ -87,7 +85,7 @@
             self.names.retain(|name| Arc::strong_count(name) > 1);
         }
         let name: Arc<str> = name.into();
-        // If all names are in use, this one is not shared.
+        // The table is still full if every name is in use; this name is then not shared.
         if self.names.len() < MAX_ZONE_NAMES {
             self.names.insert(Arc::clone(&name));
         }
--- a/crates/endpoints/src/follower.rs
+++ b/crates/endpoints/src/follower.rs
@@ -1,7 +1,8 @@
-//! Follows one prefix of an etcd cluster by its revisions.
+//! Tracks one key prefix of an etcd cluster by revision.
 //!
-//! A revision counts all changes of the store, and a watch sends all events from a revision on, in order, each revision
-//! complete (etcd v3 API: `KV.Range` and `Watch`; "MVCC" in etcd's documentation).
+//! etcd's revision is a counter of all changes to the store. A watch delivers all events from a given revision on, in
+//! order, and never splits a revision between two responses, only between the fragments of one response (etcd v3 API:
+//! `KV.Range` and `Watch`; "MVCC" in etcd's documentation).
 
 mod event;
 mod fragments;
@@ -26,21 +27,21 @@
 use std::sync::Arc;
 use wipe::SuspectedWipe;
 
-/// Follows one prefix.
+/// Maintains the endpoint list of one prefix from range and watch responses.
 #[derive(Clone, Debug)]
 pub struct Follower {
     prefix: String,
     rules: Rules,
-    /// Boxed, so that the map has no large blocks of memory.
+    /// The values are boxed so that the map allocates no large blocks of memory.
     endpoints: BTreeMap<Arc<str>, Box<KnownEndpoint>>,
     zones: ZoneNames,
-    /// Hosts whose value could never be read, with the revision that was reported.
+    /// Hosts none of whose values could be parsed, with the revision that was logged.
     unreadable: BTreeMap<String, i64>,
-    /// All events up to this revision are in `endpoints`; `None` before the first range.
+    /// The revision up to which all events have been applied to `endpoints`; `None` before the first range.
     revision: Option<i64>,
-    /// The last header that was accepted.
+    /// The header of the last accepted response.
     header: Option<Header>,
-    /// The revision of the last progress response of this connection.
+    /// The revision of the last progress response on this connection.
     progress_revision: Option<i64>,
     fragments: Fragments,
     suspected_wipe: SuspectedWipe,
@@ -49,7 +50,7 @@
 }
 
 impl Follower {
-    /// Follows a prefix of which nothing is known.
+    /// Creates a follower that has not read its prefix yet.
     pub fn new(prefix: impl Into<String>, rules: Rules) -> Follower {
         Follower {
             prefix: prefix.into(),
@@ -67,36 +68,40 @@
         }
     }
 
-    /// The revision to watch from; `None` if the whole prefix must be read first.
-    pub fn resume(&self) -> Option<i64> {
+    /// Returns the revision to watch from; `None` if the whole prefix must be read first.
+    pub fn resume_revision(&self) -> Option<i64> {
         self.revision.map(|revision| revision + 1)
     }
 
-    /// The counters.
-    pub fn seen(&self) -> FollowerStats {
+    /// Returns the counters since the follower was created.
+    pub fn stats(&self) -> FollowerStats {
         self.stats
     }
 
-    /// What to log since the last call.
-    pub fn logs(&mut self) -> Vec<FollowerEvent> {
+    /// Returns and clears the events that are to be logged.
+    pub fn take_events(&mut self) -> Vec<FollowerEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// How many hosts are listed.
-    pub fn hosts(&self) -> usize {
+    /// Returns the number of listed hosts.
+    pub fn host_count(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// A connection to a member has ended or starts. Fragments of an incomplete response are dropped; their events come
-    /// again, as their revision was not counted. Drains that they announced stand.
+    /// Resets the state of the connection; call it when a connection to a member ends or starts.
+    ///
+    /// Drops the fragments of an incomplete response. Their events are received again, because `revision` has not
+    /// advanced past them. Drains that the fragments announced remain in force.
     pub fn reconnected(&mut self) {
         self.fragments.reset();
         self.progress_revision = None;
     }
 
-    /// Takes in the header of any response but a range's. A member that lags is left. Another cluster, or one that has gone
-    /// back, is never believed in part: the whole prefix is read.
-    pub fn header(&mut self, header: Header) -> WatchStep {
+    /// Checks the header of any response but that of a range, and says whether the watch can continue.
+    ///
+    /// The caller must leave a member that lags. No events are accepted from a different cluster or from one that was
+    /// reset to an earlier revision: the whole prefix must be read again.
+    pub fn check_header(&mut self, header: Header) -> WatchStep {
         let Some(known) = self.header else {
             self.header = Some(header);
             return WatchStep::Continue;
@@ -105,8 +110,9 @@
             return WatchStep::Reread(RereadReason::OtherCluster);
         }
         if let Some(known_revision) = self.revision.filter(|known| header.revision < *known) {
-            // Either the member lags or the whole cluster has gone back. The range at the next member tells, as a member
-            // answers that only when it has caught up with its leader.
+            // Either this member lags or the whole cluster was reset to an earlier revision. The range at the next
+            // member shows which, because a member answers a linearizable range only once it has caught up with its
+            // leader.
             self.events.push(FollowerEvent::MemberBehind {
                 member_id: header.member_id,
                 revision: header.revision,
@@ -121,9 +127,11 @@
         WatchStep::Continue
     }
 
-    /// Takes in a complete, linearizable range over the prefix, of one revision. Hosts that are not in it are removed as
-    /// of `received_at`. `now_ms` is Unix time in milliseconds: the start of servers that are new and name no start.
-    pub fn range(
+    /// Applies a complete, linearizable range over the prefix, read at one revision.
+    ///
+    /// Removes hosts that are missing from it, as of `received_at`. `now_ms` (Unix milliseconds) is the start time of
+    /// new servers whose value gives none.
+    pub fn apply_range(
         &mut self,
         header: Header,
         kvs: &[KeyValue],
@@ -132,10 +140,10 @@
     ) -> EndpointUpdate {
         let mut listing = self.listing();
         listing.page(kvs.iter().cloned());
-        self.range_of(header, listing, received_at, now_ms)
+        self.apply_listing(header, listing, received_at, now_ms)
     }
 
-    /// A listing that has no page yet, for [`Follower::range_of`].
+    /// Creates an empty listing, to be filled and passed to [`Follower::apply_listing`].
     pub fn listing(&self) -> Listing {
         Listing {
             prefix: self.prefix.clone(),
@@ -144,8 +152,8 @@
         }
     }
 
-    /// Takes in a range of which all pages were read, as [`Follower::range`] does.
-    pub fn range_of(
+    /// Applies a range that was read page by page, as [`Follower::apply_range`] does. All pages must have been read.
+    pub fn apply_listing(
         &mut self,
         header: Header,
         listing: Listing,
@@ -158,7 +166,7 @@
         self.reconnected();
         self.header = Some(header);
         self.revision = Some(header.revision);
-        // The listing's endpoints share these names.
+        // The endpoints of the listing share these zone names.
         self.zones = listing.zones;
         let mut update = EndpointUpdate {
             endpoints: Vec::new(),
@@ -171,7 +179,8 @@
             return update;
         }
         self.remove_missing(&listing.keys, &mut update);
-        // In the first list, a server that names no start has run for long; later on it is new.
+        // A server that gives no start time is taken to have run for long if it is in the first list, and to be new if
+        // it appears later.
         let started_at_ms = if first { 0 } else { now_ms };
         if self.endpoints.is_empty() {
             self.fill(listing.keys, started_at_ms, &mut update);
@@ -184,13 +193,14 @@
         update
     }
 
+    /// Counts and logs a cluster that was replaced by another or reset to an earlier revision or term.
     fn check_replaced(&mut self, header: Header) {
         let Some(known) = self.header else {
             return;
         };
-        let gone_back = self.revision.is_some_and(|known| header.revision < known);
+        let went_back = self.revision.is_some_and(|known| header.revision < known);
         let other_cluster = header.cluster_id != known.cluster_id;
-        if other_cluster || gone_back || header.raft_term < known.raft_term {
+        if other_cluster || went_back || header.raft_term < known.raft_term {
             self.stats.replaced += 1;
             self.events.push(FollowerEvent::ClusterReplaced {
                 cluster_id: header.cluster_id,
@@ -201,10 +211,11 @@
         }
     }
 
-    /// Takes in a response of the watch, or a fragment of one. The events of a response are one change. Drains and removals
-    /// in a fragment are announced at once, all else when the last fragment has come. `now_ms` is as for
-    /// [`Follower::range`].
-    pub fn events(
+    /// Applies a watch response, or a fragment of one (`fragment`: more fragments follow).
+    ///
+    /// The events of a response are applied as one change. Drains and removals in a fragment are announced immediately,
+    /// all other changes once the last fragment has been received. `now_ms` is as in [`Follower::apply_range`].
+    pub fn apply_events(
         &mut self,
         header: Header,
         events: Vec<WatchEvent>,
@@ -216,7 +227,7 @@
             received_at,
             ..EndpointUpdate::default()
         };
-        match self.header(header) {
+        match self.check_header(header) {
             WatchStep::Continue => {}
             other => return (update, other),
         }
@@ -226,7 +237,7 @@
         let received = events.len();
         let mut new_events = events;
         new_events.retain(|event| event.kv.mod_revision > revision);
-        self.stats.old += (received - new_events.len()) as u64;
+        self.stats.stale_events += (received - new_events.len()) as u64;
         if fragment {
             self.announce(&new_events, &mut update);
             let step = self.fragments.push(new_events, received_at);
@@ -235,19 +246,21 @@
         let response = self.fragments.complete(new_events, received_at);
         update.received_at = response.received_at;
         self.apply(&response.events, now_ms, &mut update);
-        // A response holds complete revisions, up to that of its newest event; the store itself may be further.
+        // A response contains complete revisions up to that of its newest event. The header's revision is the store's
+        // and may be higher.
         let newest = response.events.iter().map(|event| event.kv.mod_revision);
         self.revision = newest.max().max(Some(revision));
         (update, WatchStep::Continue)
     }
 
-    /// Takes in a response without events (`progress_notify`, or the answer to a progress request): all events up to its
-    /// revision have been sent.
-    pub fn progress(&mut self, header: Header) -> WatchStep {
-        let step = self.header(header);
+    /// Applies a response without events (`progress_notify`, or the reply to a progress request), which says that all
+    /// events up to its revision have been sent.
+    pub fn apply_progress(&mut self, header: Header) -> WatchStep {
+        let step = self.check_header(header);
         if step == WatchStep::Continue && self.fragments.is_empty() {
-            // A member of etcd before 3.4.25 or 3.5.8 may send this before it has sent all events up to its revision; the
-            // events would be skipped as old. So a revision counts only once a further progress response has come.
+            // etcd before 3.4.25 and 3.5.8 may send a progress response ahead of events up to its revision; these
+            // events would then be skipped as stale. So the revision advances only to that of the previous progress
+            // response.
             let before = self.progress_revision.replace(header.revision);
             self.revision = self
                 .revision
@@ -256,7 +269,7 @@
         step
     }
 
-    /// The watch was cancelled because its revision is compacted.
+    /// Records that the watch was cancelled because its start revision has been compacted.
     pub fn compacted(&mut self, compact_revision: i64) -> WatchStep {
         self.events.push(FollowerEvent::Compacted {
             compact_revision,
--- a/crates/endpoints/src/follower/event.rs
+++ b/crates/endpoints/src/follower/event.rs
@@ -1,60 +1,60 @@
-//! What a follower reports for the log, and counts for metrics.
+//! Log events and counters of a follower.
 
 use crate::time::Time;
 use crate::value::ValueError;
 use std::fmt;
 
-/// Something to log. `Display` gives the line.
+/// An event that is written to the log; `Display` gives the log line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FollowerEvent {
-    /// A member's revision is behind the one that was read.
+    /// A member's revision is lower than the one already applied.
     MemberBehind {
-        /// The member.
+        /// The ID of the member.
         member_id: u64,
-        /// Its revision.
+        /// The revision that the member reports.
         revision: i64,
-        /// The revision that was read.
+        /// The revision already applied.
         known_revision: i64,
     },
-    /// The cluster is not the one before, or has gone back in revisions or terms.
+    /// The cluster ID has changed, or the revision or raft term has decreased.
     ClusterReplaced {
-        /// The cluster now.
+        /// The ID of the current cluster.
         cluster_id: u64,
-        /// Its revision.
+        /// The revision of the current cluster.
         revision: i64,
-        /// The cluster before.
+        /// The ID of the previous cluster.
         known_cluster_id: u64,
-        /// The revision that was read of it.
+        /// The revision of the previous cluster that was applied.
         known_revision: i64,
     },
-    /// The revision to watch from is compacted.
+    /// The revision to watch from has been compacted.
     Compacted {
         /// The newest compacted revision.
         compact_revision: i64,
-        /// The revision that was read.
+        /// The revision already applied.
         known_revision: i64,
     },
-    /// The prefix was empty at once, which is not believed yet.
+    /// All keys of the prefix are gone at once; the servers are kept for now.
     EmptyListSuspected {
-        /// How many servers are kept.
+        /// The number of servers that are kept.
         servers: usize,
-        /// How long the prefix must stay empty to be believed.
+        /// How long the prefix must stay empty before the empty list is accepted.
         empty_after: Time,
     },
-    /// An empty first list is believed.
+    /// The first list was empty, and has stayed so for long enough to be accepted.
     EmptyFromStart,
-    /// A prefix that was emptied at once is believed to be so.
+    /// A prefix whose keys were all deleted at once has stayed empty for long enough; the servers are removed.
     WipeConfirmed {
-        /// How many servers are removed.
+        /// The number of servers that are removed.
         servers: usize,
     },
-    /// The value of a key cannot be read.
+    /// The value of a key cannot be parsed.
     UnreadableValue {
-        /// The key.
+        /// The whole key, with its prefix.
         key: String,
-        /// Why not.
+        /// Why the value was rejected.
         error: ValueError,
-        /// Whether an earlier value of the key is kept.
+        /// Whether the endpoint of an earlier value stays in the list.
         kept: bool,
     },
 }
@@ -115,14 +115,14 @@
 /// Counters of a follower.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FollowerStats {
-    /// Values that could not be read.
+    /// Values that could not be parsed.
     pub unreadable: u64,
-    /// Events that were known already.
-    pub old: u64,
+    /// Events that were skipped because their revision had already been applied.
+    pub stale_events: u64,
     /// Complete lists that were read.
     pub ranges: u64,
-    /// Clusters that were not the one before, or had gone back.
+    /// Times the cluster was found to be another one, or reset to an earlier revision or term.
     pub replaced: u64,
-    /// Lists that were empty at once and not believed.
-    pub doubted: u64,
+    /// Times the list became empty at once and the servers were kept.
+    pub suspected_wipes: u64,
 }
--- a/crates/endpoints/src/follower/fragments.rs
+++ b/crates/endpoints/src/follower/fragments.rs
@@ -1,4 +1,4 @@
-//! Responses of the watch that come in fragments.
+//! Watch responses that etcd sends in several fragments.
 
 use super::response::{RereadReason, WatchEvent, WatchStep};
 use super::Follower;
@@ -8,25 +8,24 @@
 use crate::value::{host_of_key, read_value};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The most events that wait for the last fragment of their response. It bounds the memory that fragments without end can
-/// take.
-const MAX_WAITING_EVENTS: usize = 200_000;
+/// Maximum number of buffered events of an incomplete response. It bounds memory if the last fragment never arrives.
+const MAX_BUFFERED_EVENTS: usize = 200_000;
 
-/// The fragments of a response whose last fragment has not come.
+/// The fragments of a response whose last fragment has not been received.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Fragments {
     events: Vec<WatchEvent>,
-    /// When the first fragment was read.
+    /// When the first fragment was received.
     received_at: Option<Time>,
-    /// Hosts that were announced as draining because of a fragment. They stay so across a reconnect, until a complete
-    /// response or list says more.
+    /// Hosts announced as draining because of a fragment. They keep that status, also across a reconnect, until a
+    /// complete response or list is applied.
     announced: BTreeSet<String>,
 }
 
-/// A complete response.
+/// A response of which all fragments have been received.
 pub(super) struct Response {
     pub events: Vec<WatchEvent>,
-    /// When its first fragment was read.
+    /// When its first fragment was received.
     pub received_at: Time,
 }
 
@@ -37,23 +36,23 @@
         self.received_at = None;
     }
 
-    /// Whether no event waits.
+    /// Whether no events are buffered.
     pub fn is_empty(&self) -> bool {
         self.events.is_empty()
     }
 
-    /// Adds a fragment after which others follow.
+    /// Buffers a fragment that is not the last one of its response.
     pub fn push(&mut self, events: Vec<WatchEvent>, received_at: Time) -> WatchStep {
         self.received_at.get_or_insert(received_at);
         self.events.extend(events);
-        if self.events.len() > MAX_WAITING_EVENTS {
+        if self.events.len() > MAX_BUFFERED_EVENTS {
             WatchStep::Reread(RereadReason::TooManyFragments)
         } else {
             WatchStep::Continue
         }
     }
 
-    /// Adds the last fragment.
+    /// Adds the last fragment and returns the complete response.
     pub fn complete(&mut self, events: Vec<WatchEvent>, received_at: Time) -> Response {
         let mut all = std::mem::take(&mut self.events);
         all.extend(events);
@@ -65,8 +64,9 @@
 }
 
 impl Follower {
-    /// Announces each server that a fragment makes more careful as draining. A removal too, unless it would empty the list:
-    /// the rest of the response may put the server back.
+    /// Announces as draining each ready server that a fragment drains or removes. A removal is announced as a drain
+    /// only, because the rest of the response may put the server back; a fragment that removes all servers announces
+    /// nothing.
     pub(super) fn announce(&mut self, events: &[WatchEvent], update: &mut EndpointUpdate) {
         let mut statuses: BTreeMap<&str, EndpointStatus> = BTreeMap::new();
         for event in events {
@@ -102,7 +102,8 @@
         }
     }
 
-    /// A complete response or list has come: what fragments announced, and `update` does not hold, is withdrawn.
+    /// Withdraws announced drains that the complete response or list in `update` does not contain, by adding the stored
+    /// records of these hosts to `update`.
     pub(super) fn withdraw_announced(&mut self, update: &mut EndpointUpdate) {
         let mut announced = std::mem::take(&mut self.fragments.announced);
         for record in &update.endpoints {
--- a/crates/endpoints/src/follower/listing.rs
+++ b/crates/endpoints/src/follower/listing.rs
@@ -1,4 +1,4 @@
-//! The whole prefix as it is read page by page.
+//! Collects the pages of a range over the whole prefix.
 
 use crate::compact::{CompactEndpoint, ZoneNames};
 use crate::follower::response::KeyValue;
@@ -6,27 +6,27 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What is kept of a key whose value can be read.
+/// The stored endpoint of a key.
 #[derive(Clone, Debug)]
 pub(super) struct KnownEndpoint {
     pub endpoint: CompactEndpoint,
     pub create_revision: i64,
     pub mod_revision: i64,
-    /// The newest value cannot be read; the endpoint is from the last value that could.
+    /// Whether the newest value could not be parsed, so that `endpoint` is that of an earlier value.
     pub outdated: bool,
 }
 
-/// A key whose value cannot be read.
+/// A key whose value could not be parsed.
 #[derive(Clone, Debug)]
 pub(super) struct UnreadableKey {
     pub mod_revision: i64,
     pub error: ValueError,
 }
 
-/// A key's value, as it was read.
+/// The result of parsing a key's value.
 pub(super) type ReadKey = Result<Box<KnownEndpoint>, Box<UnreadableKey>>;
 
-/// Reads the value of a host's key. Also returns the host's name in the form in which it is kept.
+/// Parses the value of a host's key. Also returns the host name as the key of the table.
 pub(super) fn read_key(host: &str, kv: &KeyValue, zones: &mut ZoneNames) -> (Arc<str>, ReadKey) {
     match read_value(host, &kv.value) {
         Ok(record) => {
@@ -49,19 +49,21 @@
     }
 }
 
-/// A list whose pages are being read. Each value is parsed and dropped at once: the text of 40,000 values beside what is
-/// kept of them would double the memory in use.
+/// A list whose pages are being read.
+///
+/// Each value is parsed when its page arrives and its text is then dropped. Holding the text of 40,000 values beside
+/// the parsed endpoints would double the memory in use.
 #[derive(Clone, Debug)]
 pub struct Listing {
     pub(super) prefix: String,
     pub(super) zones: ZoneNames,
-    /// A map, because a vector of 40,000 rows is one large block, and the allocator keeps memory of that size once it has
-    /// been freed.
+    /// A map rather than a vector: a vector of 40,000 rows is one large block, and the allocator does not return a
+    /// block of that size to the system once it has been freed.
     pub(super) keys: BTreeMap<Arc<str>, ReadKey>,
 }
 
 impl Listing {
-    /// Takes in a page of the range.
+    /// Parses and adds a page of the range. Keys that contain no host name are skipped.
     pub fn page(&mut self, kvs: impl IntoIterator<Item = KeyValue>) {
         for kv in kvs {
             if let Some(host) = host_of_key(&self.prefix, &kv.key) {
--- a/crates/endpoints/src/follower/response.rs
+++ b/crates/endpoints/src/follower/response.rs
@@ -1,13 +1,13 @@
-//! What etcd sends, and what the connection has to do next.
+//! etcd's responses as the follower takes them, and the steps that it asks of the connection.
 
 use std::fmt;
 
 /// The header of each response (`etcdserverpb.ResponseHeader`).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Header {
-    /// The cluster.
+    /// The ID of the cluster.
     pub cluster_id: u64,
-    /// The member that sent the response.
+    /// The ID of the member that sent the response.
     pub member_id: u64,
     /// The store's revision at the time of the response.
     pub revision: i64,
@@ -18,9 +18,9 @@
 /// A key and its value (`mvccpb.KeyValue`).
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct KeyValue {
-    /// The key.
+    /// The whole key, with its prefix.
     pub key: Vec<u8>,
-    /// The value; empty in a delete.
+    /// The value; empty in a delete event.
     pub value: Vec<u8>,
     /// The revision in which the key was created.
     pub create_revision: i64,
@@ -28,45 +28,45 @@
     pub mod_revision: i64,
 }
 
-/// An event of a watch (`mvccpb.Event`).
+/// A watch event (`mvccpb.Event`).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WatchEvent {
-    /// Whether the key was deleted or its lease expired; otherwise it was put.
+    /// True if the key was deleted or its lease expired; false if it was put.
     pub delete: bool,
     /// The key after the event.
     pub kv: KeyValue,
 }
 
-/// What to do after a response.
+/// What the connection does after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchStep {
     /// Continue the watch.
     Continue,
-    /// The watch cannot be continued: read the whole prefix, then watch from there.
+    /// Read the whole prefix, then watch from the revision of that range.
     Reread(RereadReason),
-    /// Connect to another member, and watch there from the same revision.
+    /// Connect to another member and watch from the same revision.
     Leave(LeaveReason),
 }
 
 /// Why the whole prefix has to be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RereadReason {
-    /// The response is of another cluster.
+    /// The response comes from another cluster.
     OtherCluster,
     /// The prefix has not been read yet.
     NothingRead,
-    /// The fragments of a response have too many events.
+    /// The fragments of a response contain more events than are buffered.
     TooManyFragments,
-    /// The revision to watch from is compacted.
+    /// The revision to watch from has been compacted.
     Compacted,
 }
 
-/// Why a member is left.
+/// Why the connection has to leave a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaveReason {
-    /// Its revision is behind the one that was read.
+    /// Its revision is lower than the one already applied.
     Lagging,
-    /// Its raft term is older than one that was seen.
+    /// Its raft term is lower than one already received.
     OldTerm,
 }
 
--- a/crates/endpoints/src/follower/table.rs
+++ b/crates/endpoints/src/follower/table.rs
@@ -1,4 +1,4 @@
-//! The table of servers, and how events and lists change it.
+//! Applies events and lists to the table of servers.
 
 use super::event::FollowerEvent;
 use super::listing::{read_key, KnownEndpoint, ReadKey, UnreadableKey};
@@ -10,11 +10,11 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The most hosts that are kept. It bounds the memory that a prefix with many other keys can take.
+/// Maximum number of hosts in the table. It bounds memory if the prefix holds many keys of other applications.
 const MAX_HOSTS: usize = 100_000;
 
 impl Follower {
-    /// Applies all events of a complete response. Of several events of a host the last one counts.
+    /// Applies all events of a complete response. If a host has several events, only the last one is applied.
     pub(super) fn apply(
         &mut self,
         events: &[WatchEvent],
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Removes the hosts that a complete list does not hold, but for those that a suspected wipe keeps.
+    /// Removes the hosts that are missing from a complete list, except those that are kept because of a suspected wipe.
     pub(super) fn remove_missing(
         &mut self,
         listed: &BTreeMap<Arc<str>, ReadKey>,
@@ -71,8 +71,8 @@
         self.unreadable.retain(|host, _| is_listed(host));
     }
 
-    /// Takes a complete list into an empty table. The map is built from a sorted vector: one that grows by inserts in order
-    /// leaves its nodes half empty.
+    /// Fills the empty table from a complete list. The map is built from a sorted vector, because ascending inserts
+    /// would leave its B-tree nodes half empty.
     pub(super) fn fill(
         &mut self,
         listed: BTreeMap<Arc<str>, ReadKey>,
@@ -98,7 +98,7 @@
         self.endpoints = endpoints.into_iter().collect();
     }
 
-    /// Takes in the value of a host's key.
+    /// Stores the value of a host's key, and adds the endpoint to `update` if it has changed.
     pub(super) fn put(
         &mut self,
         host: Arc<str>,
@@ -133,8 +133,8 @@
         self.endpoints.insert(host, known);
     }
 
-    /// A value cannot be read: the endpoint of the last good value stays. It is counted each time, and reported once until
-    /// the host's value can be read again.
+    /// Handles a value that could not be parsed: the endpoint of the last valid value stays in the list. Each such
+    /// value is counted, but logged only once until a value of the host can be parsed again.
     fn keep_outdated(&mut self, host: &str, unreadable: UnreadableKey) {
         self.stats.unreadable += 1;
         let UnreadableKey {
@@ -164,8 +164,8 @@
     }
 }
 
-/// The start of a server whose value names none, in Unix time in milliseconds. A key that was created anew is a process that
-/// has just started; otherwise the start that is known stays.
+/// Returns the start time, in Unix milliseconds, of a server whose value gives none. A key with a new create revision
+/// belongs to a process that has just started; otherwise the known start time is kept.
 fn unnamed_start(before: Option<&KnownEndpoint>, known: &KnownEndpoint, now_ms: u64) -> u64 {
     match before {
         Some(before) if before.create_revision == known.create_revision => {
--- a/crates/endpoints/src/follower/tests.rs
+++ b/crates/endpoints/src/follower/tests.rs
@@ -2,18 +2,18 @@
 use crate::record::EndpointStatus;
 use std::mem::size_of;
 
-/// A list of 40,000 servers has to fit in memory. The bound, in bytes of one server without its name, makes growth show.
+/// Guards the memory use of a list of 40,000 servers. The bound is in bytes per server, without its host name.
 #[test]
-fn a_server_takes_few_bytes() {
+fn a_stored_endpoint_takes_at_most_136_bytes() {
     let row = size_of::<(Arc<str>, Box<KnownEndpoint>)>();
     let boxed = size_of::<KnownEndpoint>();
     assert!(row + boxed <= 136, "{row} in the table, {boxed} boxed");
 }
 
-/// A zone fails at one moment, and each of its servers is put in a revision of its own.
+/// A zone fails, and each of its servers is put in its own revision. All of these revisions arrive in one response.
 #[test]
-fn events_of_one_response_are_one_change_of_the_servers_that_they_name() {
-    /// Of the first list.
+fn events_of_one_response_are_applied_as_one_update() {
+    /// The header of the first list.
     const HEADER: Header = Header {
         cluster_id: 1,
         member_id: 1,
@@ -32,7 +32,10 @@
     let mut follower = Follower::new("/board/", Rules::default());
     let all: Vec<KeyValue> = (0..40_000).map(|number| kv(number, 2, "ready")).collect();
     assert_eq!(
-        follower.range(HEADER, &all, Time::ZERO, 0).endpoints.len(),
+        follower
+            .apply_range(HEADER, &all, Time::ZERO, 0)
+            .endpoints
+            .len(),
         40_000
     );
     let events = (0..4_400).map(|number| kv(number, 11 + number as i64, "draining"));
@@ -41,7 +44,7 @@
         revision: 4_410,
         ..HEADER
     };
-    let (change, next) = follower.events(header, events, false, Time::ZERO, 0);
+    let (change, next) = follower.apply_events(header, events, false, Time::ZERO, 0);
     assert_eq!(
         (change.endpoints.len(), change.snapshot, next),
         (4_400, false, WatchStep::Continue)
@@ -50,5 +53,8 @@
         .endpoints
         .iter()
         .all(|entry| entry.status == EndpointStatus::Draining));
-    assert_eq!((follower.hosts(), follower.resume()), (40_000, Some(4_411)));
+    assert_eq!(
+        (follower.host_count(), follower.resume_revision()),
+        (40_000, Some(4_411))
+    );
 }
--- a/crates/endpoints/src/follower/wipe.rs
+++ b/crates/endpoints/src/follower/wipe.rs
@@ -1,8 +1,9 @@
 //! Protection against a prefix that was emptied by mistake.
 //!
-//! If the keys of all servers are deleted at once, a fleet that believed it would send no request to any server. So servers
-//! that disappear at once, leaving none, are kept until that has lasted. Servers that are deleted one after the other, each
-//! in a revision of its own, are removed at once: staff did that.
+//! If the keys of all servers are deleted in one revision, a fleet that applied this immediately would have no server
+//! to send requests to. So the servers are kept until the prefix has stayed empty for [`Rules::empty_after`]. Servers
+//! that are deleted one by one, each in its own revision, are removed immediately, because operators delete them that
+//! way.
 
 use super::event::FollowerEvent;
 use super::response::WatchEvent;
@@ -12,10 +13,10 @@
 use crate::value::host_of_key;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// When an empty list is believed.
+/// When an empty list is accepted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rules {
-    /// How long a list of two servers or more that turns empty at once must stay so. Default: 30 s.
+    /// How long a list must stay empty after two servers or more have disappeared at once. Default: 30 s.
     pub empty_after: Time,
 }
 
@@ -27,39 +28,40 @@
     }
 }
 
-/// An empty list that is not believed yet.
+/// An empty list that has not been accepted yet.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SuspectedWipe {
-    /// Since when the list is suspected.
+    /// When the list became empty; `None` if no wipe is suspected.
     since: Option<Time>,
-    /// Hosts that are kept although their keys are gone, until the wipe is believed or they are put again.
+    /// Hosts that stay in the list although their keys are gone, until the wipe is confirmed or their keys are put
+    /// again.
     kept: BTreeSet<String>,
-    /// The first list was empty.
+    /// Whether the first list was empty.
     first_list: bool,
 }
 
 impl SuspectedWipe {
-    /// Whether a host is kept although its key is gone.
+    /// Whether a host stays in the list although its key is gone.
     pub fn keeps(&self, host: &str) -> bool {
         self.kept.contains(host)
     }
 
-    /// A host's key is there again, or the host is removed.
+    /// Stops keeping a host, because its key exists again or the host was removed.
     pub fn release(&mut self, host: &str) {
         self.kept.remove(host);
     }
 }
 
 impl Follower {
-    /// Whether an empty list has stayed so for long enough that a range should confirm it; after that range
-    /// [`Follower::confirm_empty`] has to be called.
+    /// Whether a list has stayed empty for long enough. The caller then reads a range to confirm it, and calls
+    /// [`Follower::confirm_empty`].
     pub fn confirmation_due(&self, now: Time) -> bool {
         let since = self.suspected_wipe.since;
         since.is_some_and(|since| now.saturating_sub(since) >= self.rules.empty_after)
     }
 
-    /// Removes the servers that are kept although a range has just shown their keys to be gone, if that has lasted for long
-    /// enough. Returns the change, if there is one.
+    /// Removes the kept servers if the confirmation is due and a range has just shown that their keys are still gone.
+    /// Returns `None` if the confirmation is not due.
     pub fn confirm_empty(&mut self, now: Time) -> Option<EndpointUpdate> {
         if !self.confirmation_due(now) {
             return None;
@@ -86,8 +88,8 @@
         Some(update)
     }
 
-    /// A range was empty. The first one is suspected too: the list that the node got at its start stands against a prefix
-    /// that is empty, or misspelt.
+    /// Handles an empty range. The first range is not accepted immediately either: an empty or misspelt prefix must not
+    /// replace the list that the node was started with.
     pub(super) fn suspect_empty_range(&mut self, first: bool, received_at: Time) {
         self.suspected_wipe.first_list |= first;
         let hosts = self.endpoints.keys().map(ToString::to_string).collect();
@@ -96,7 +98,7 @@
 
     fn suspect_wipe(&mut self, received_at: Time, hosts: BTreeSet<String>) {
         if self.suspected_wipe.since.is_none() {
-            self.stats.doubted += 1;
+            self.stats.suspected_wipes += 1;
             self.events.push(FollowerEvent::EmptyListSuspected {
                 servers: self.endpoints.len(),
                 empty_after: self.rules.empty_after,
@@ -110,12 +112,13 @@
         }
     }
 
-    /// Looks for a revision that leaves none of several hosts.
+    /// Finds revisions that delete all remaining hosts, if there were at least two.
     ///
-    /// The remaining hosts are counted, not listed: a response costs what it touches, however many hosts there are.
+    /// The remaining hosts are counted rather than listed, so that the cost depends on the number of events and not on
+    /// the number of hosts.
     pub(super) fn detect_wipes(&mut self, events: &[WatchEvent], received_at: Time) {
         let mut remaining = self.endpoints.len() - self.suspected_wipe.kept.len();
-        // Whether a host that an event touched is there after it.
+        // Whether each host named by an event exists after that event.
         let mut present: BTreeMap<String, bool> = BTreeMap::new();
         for revision in events.chunk_by(|one, other| one.kv.mod_revision == other.kv.mod_revision) {
             let before = remaining;
--- a/crates/endpoints/src/json_objects.rs
+++ b/crates/endpoints/src/json_objects.rs
@@ -1,23 +1,25 @@
-//! Splits a stream of bytes into JSON objects, each as soon as it ends, whatever white space lies between them.
+//! Splits a byte stream into JSON objects. Each object is returned as soon as its closing brace has arrived; the white
+//! space between objects does not matter.
 //!
-//! A watch may send its lists indented over several lines. Read line by line, each line would fail, as would each new
-//! watch, and drains in the lists would go unnoticed. Also, a list may be complete before the end of its last line is sent.
+//! The stream must not be split at line ends. A watch may send lists that are indented over several lines: a parser
+//! that works line by line would reject each line and each new watch, and drains in these lists would be missed. A list
+//! may also be complete before its final line feed is sent.
 
 use std::fmt;
 
-/// Why a stream of objects cannot be read on.
+/// Why a stream of objects cannot be read any further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unreadable {
-    /// Between two objects is a byte that is neither white space nor the start of an object.
-    NoObject(u8),
-    /// An object is longer than allowed.
+    /// This byte stands where an object should start, and is neither white space nor an opening brace.
+    ExpectedObject(u8),
+    /// An object exceeds the maximum length.
     TooLong,
 }
 
 impl fmt::Display for Unreadable {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Unreadable::NoObject(byte) => {
+            Unreadable::ExpectedObject(byte) => {
                 write!(f, "{:?} where an object begins", char::from(*byte))
             }
             Unreadable::TooLong => f.write_str("an object has no end"),
@@ -27,21 +29,21 @@
 
 impl std::error::Error for Unreadable {}
 
-/// Finds the ends of objects in a stream. It does not validate what is inside an object; that is left to its parser. Each
-/// byte is looked at once, however the stream is cut into pieces.
+/// Finds the end of each object in a stream. Does not validate the objects; that is left to the JSON parser. Examines
+/// each byte once, regardless of how the stream is split into reads.
 #[derive(Clone, Debug)]
 pub struct JsonObjects {
     max_bytes: usize,
-    /// The object that has not ended yet.
+    /// The bytes of the object that is not complete yet.
     incomplete: Vec<u8>,
-    /// How many braces and brackets are open.
+    /// The number of open braces and brackets.
     depth: u32,
     in_string: bool,
     escaped: bool,
 }
 
 impl JsonObjects {
-    /// A stream of objects of at most `max_bytes` each.
+    /// Creates a splitter for objects of at most `max_bytes` each.
     pub fn new(max_bytes: usize) -> JsonObjects {
         JsonObjects {
             max_bytes,
@@ -52,15 +54,16 @@
         }
     }
 
-    /// Takes the next object off the front of `bytes`. If it has not ended yet, takes all bytes and returns `None`.
+    /// Removes the next object from the front of `bytes` and returns it. If it is not complete yet, consumes all bytes
+    /// and returns `None`.
     ///
     /// # Errors
-    /// The stream holds something else than objects, or an object that is too long. It cannot be read on.
+    /// The stream contains something other than objects, or an object that is too long. It cannot be read any further.
     pub fn next(&mut self, bytes: &mut &[u8]) -> Result<Option<Vec<u8>>, Unreadable> {
         if self.incomplete.is_empty() {
             *bytes = bytes.trim_ascii_start();
             if let Some(first) = bytes.first().filter(|first| **first != b'{') {
-                return Err(Unreadable::NoObject(*first));
+                return Err(Unreadable::ExpectedObject(*first));
             }
         }
         let end = bytes.iter().position(|byte| self.ends_with(*byte));
@@ -73,7 +76,7 @@
         Ok(end.map(|_| std::mem::take(&mut self.incomplete)))
     }
 
-    /// Follows the nesting by one byte; whether the object ends with it.
+    /// Updates the nesting state by one byte. Returns whether the object ends with this byte.
     fn ends_with(&mut self, byte: u8) -> bool {
         match byte {
             _ if self.escaped => self.escaped = false,
--- a/crates/endpoints/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -1,16 +1,16 @@
-//! The list of app servers: from the snapshots and watch events of etcd and from the platform's discovery to the changes
-//! that the policy engine receives.
+//! Maintains the list of app servers: turns etcd's range and watch responses and the lists of the platform's discovery
+//! into updates for the policy engine.
 //!
-//! - [`Follower`] follows one etcd prefix through reconnects, compaction, lagging members, fragmented responses, and
+//! - [`Follower`] tracks one etcd prefix across reconnects, compaction, lagging members, fragmented responses, and
 //!   restored or wiped clusters.
-//! - [`Merge`] merges several sources; of contradicting statuses the more careful one wins.
-//! - [`read_value`] reads the value of a server's key.
-//! - [`JsonObjects`] splits a stream of bytes into the lists of the platform's discovery.
-//! - [`PollBackoff`], [`PollLimits`] and [`EmptyListProtection`] decide when the platform's discovery is called again, and
-//!   when an empty list is believed.
+//! - [`Merge`] merges several sources. If they report different statuses, the most restrictive one wins.
+//! - [`read_value`] parses the value of a server's key.
+//! - [`JsonObjects`] splits a byte stream into the lists of the platform's discovery.
+//! - [`PollBackoff`] and [`PollLimits`] schedule the calls to the platform's discovery; [`EmptyListProtection`] decides
+//!   when an empty list is accepted.
 //!
-//! The crate does no I/O and reads no clock. What was read comes in with the time at which it was read, which is when the
-//! time that a drain allows begins.
+//! The crate does no I/O and reads no clock. The caller passes in the time at which each response was read: the time
+//! limit of a drain runs from that moment.
 //!
 //! ```
 //! use saffronpaddle_endpoints::{read_value, EndpointStatus};
--- a/crates/endpoints/src/merge.rs
+++ b/crates/endpoints/src/merge.rs
@@ -1,9 +1,10 @@
 //! Merges the lists of several sources: the platform's discovery and etcd.
 //!
-//! Host by host, a source counts once it has listed the host. Of the statuses that sources give, **the more careful one
-//! wins** (removed before draining before ready), and the later start. A source that no longer lists a host counts as
-//! "removed" for as long as another one lists it. Address, zone, domain and weight are those of the platform's discovery if
-//! that lists the host, as an address may differ from one node to the next; otherwise those of etcd.
+//! For each host, only sources that have listed it are considered. If their statuses differ, **the most restrictive one
+//! wins** (removed, then draining, then ready); the latest start time wins too. A source that no longer lists a host
+//! reports it as removed, for as long as another source lists it. Address, zone, domain and weight are taken from the
+//! platform's discovery if it lists the host, because a host's address may differ from node to node; otherwise from
+//! etcd.
 
 use crate::compact::{CompactEndpoint, ZoneNames};
 use crate::record::{EndpointRecord, EndpointStatus};
@@ -11,19 +12,18 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A source of the list.
+/// A source of endpoint lists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Source {
     /// The platform's discovery.
     Discovery = 0,
-    /// etcd.
+    /// The etcd cluster that the operator's configuration names.
     Etcd = 1,
 }
 
-/// The number of sources.
 const SOURCE_COUNT: usize = 2;
 
-/// All sources, merged.
+/// The merged list of all sources.
 #[derive(Clone, Debug, Default)]
 pub struct Merge {
     hosts: BTreeMap<Arc<str>, HostRecords>,
@@ -32,16 +32,16 @@
 }
 
 impl Merge {
-    /// No source has listed anything.
+    /// Creates an empty list.
     pub fn new() -> Merge {
         Merge::default()
     }
 
-    /// Takes in a change of one source. Returns the change of the merged list.
+    /// Applies an update of one source. Returns the resulting update of the merged list.
     pub fn take(&mut self, source: Source, update: EndpointUpdate) -> EndpointUpdate {
         let mut changed: BTreeMap<Arc<str>, Option<EndpointRecord>> = BTreeMap::new();
         if update.snapshot {
-            // A host that is missing in a complete list is removed.
+            // Hosts that are missing from a complete list are removed.
             for host in self.hosts_listed_by(source) {
                 changed.insert(host, None);
             }
@@ -67,8 +67,8 @@
             .map(|(host, _)| Arc::clone(host))
     }
 
-    /// Takes in what a source says of a host now; `None` if it does not list it any more. Returns the merged record if that
-    /// has changed.
+    /// Stores a source's record of a host; `None` if the source no longer lists the host. Returns the merged record if
+    /// it has changed.
     fn update_host(
         &mut self,
         source: Source,
@@ -83,25 +83,25 @@
         }
         let after = records.merged(host);
         self.contradictions += u64::from(records.contradict());
-        // A host that no source lists is forgotten, so that memory does not grow with every host that ever was.
+        // Hosts that no source lists are dropped, so that memory does not grow with every host that was ever listed.
         if records.all_removed() {
             self.hosts.remove(host);
         }
         after.filter(|after| before.as_ref() != Some(after))
     }
 
-    /// How many changes left sources with contradicting statuses of a host.
+    /// Returns how many record updates left the sources with different statuses of a host.
     pub fn contradictions(&self) -> u64 {
         self.contradictions
     }
 
-    /// How many hosts are known.
-    pub fn hosts(&self) -> usize {
+    /// Returns the number of hosts that at least one source lists.
+    pub fn host_count(&self) -> usize {
         self.hosts.len()
     }
 }
 
-/// The records of one host, by source. They are boxed because most hosts of a long list have one source only.
+/// The records of one host, by source. They are boxed because most hosts of a long list have only one source.
 #[derive(Clone, Debug, Default)]
 struct HostRecords {
     by_source: [Option<Box<CompactEndpoint>>; SOURCE_COUNT],
--- a/crates/endpoints/src/poll.rs
+++ b/crates/endpoints/src/poll.rs
@@ -1,4 +1,4 @@
-//! When a node calls the platform's discovery, so that a whole fleet does not overload it.
+//! Schedules a node's calls to the platform's discovery so that a whole fleet does not overload it.
 
 mod backoff;
 mod empty_list;
--- a/crates/endpoints/src/poll/backoff.rs
+++ b/crates/endpoints/src/poll/backoff.rs
@@ -1,68 +1,69 @@
 //! Backoff with jitter between the calls of a node.
 //!
-//! A discovery service may accept more calls than it can answer in time, and work on all of them. Its queue then stays so
-//! long that nearly every answer comes after its caller has given up, and the fleet gets no list. So the mean pauses of a
-//! node grow with the size of its fleet, and each pause is drawn anew.
+//! A discovery service may accept more calls than it can answer in time, and process all of them. Its queue then stays
+//! so long that nearly every answer arrives after the caller's timeout, and the fleet gets no list. So a node's mean
+//! pause grows with the size of the fleet, and each pause is randomized.
 //!
-//! A node that stays away for too long misses a drain. A change counts as received 6 s after the service had it and was
-//! reachable, whatever happened to earlier calls. So two calls of a node never start further apart than
-//! [`MAX_CALL_INTERVAL`], whatever the size of the fleet; the rest of the 6 s is for the answer. Hence a service that fails
-//! gets up to a quarter as many calls a second as there are nodes. A call may take up to 12 s while others go out beside
-//! it, so that a service that bears fewer calls gets through its queue. A service that gives up its callers itself within
-//! that, and works on their calls all the same, can stay overloaded; an installation that has such a service sets
-//! [`PollLimits`].
+//! Pauses are also bounded, because a node that does not call misses drains. The platform takes a change as received
+//! 6 s after the service had it and was reachable, regardless of how earlier calls ended. So the starts of a node's
+//! calls are at most [`MAX_CALL_INTERVAL`] apart for any fleet size; the rest of the 6 s is left for the answer. Therefore a
+//! failing service receives up to a quarter as many calls per second as there are nodes. A call has a timeout of up to
+//! 12 s while further calls run concurrently, so that a service with less capacity can work off its queue. A service
+//! that closes calls itself before that, but still processes them, can stay overloaded; installations with such a
+//! service set [`PollLimits`].
 
 use crate::poll::limits::PollLimits;
 use std::time::Duration;
 
-/// Calls per second of a whole fleet after a first failure.
+/// Calls per second of the whole fleet after a first failure.
 const FIRST_CALLS_PER_S: f64 = 25.0;
-/// Calls per second of a whole fleet after repeated failures.
+/// Calls per second of the whole fleet after repeated failures.
 const LATER_CALLS_PER_S: f64 = 8.0;
-/// The least mean of the first pause. A service as small as its fleet takes some seconds to answer one call of each node;
-/// more frequent calls only lengthen its queue. A change counts as received 4 s after a reload that moved the service: two
-/// calls start within 2 s of it, and the third mostly in time.
+/// Minimum mean of the first pause. A service that is sized for a small fleet takes some seconds to answer one call
+/// from each node; more frequent calls only lengthen its queue. The platform takes a change as received 4 s after a
+/// reload that moved the service: two calls start within 2 s of the reload, and the third usually early enough as well.
 const MIN_FIRST_PAUSE: Duration = Duration::from_secs(1);
-/// The least mean of the longest pause.
+/// Minimum mean of the longest pause.
 const MIN_LONGEST_PAUSE: Duration = Duration::from_millis(1500);
-/// The longest span from the start of a call to that of the next. Of the 6 s after which a change counts as received it
+/// Maximum time between the starts of two calls. Of the 6 s after which the platform takes a change as received, it
 /// leaves 1.5 s for the answer.
 const MAX_CALL_INTERVAL: Duration = Duration::from_millis(4500);
-/// The longest mean pause: a fleet whose calls fail makes one call per node in this span.
+/// Maximum mean pause: if all calls fail, each node makes one call per this time.
 const MAX_MEAN_PAUSE: Duration = Duration::from_secs(4);
-/// The least timeout of a call to a shared service.
+/// Minimum timeout of a call to a shared service.
 const MIN_ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
-/// The timeout of a call, in longest mean pauses: this many calls are open on the mean.
+/// Timeout of a call, as a multiple of the longest mean pause: a node has this many calls open on average.
 const ANSWER_TIMEOUT_PAUSES: u32 = 3;
-/// The longest `Retry-After` of a service that is honoured.
+/// Maximum `Retry-After` that is honoured; longer ones are shortened to it.
 const MAX_RETRY_AFTER: Duration = Duration::from_mins(2);
-/// The longest pause after a watch that was open. What a silent watch misses counts as received 6 s after its last message;
-/// 3 s of these pass before the watch is given up, and the answer to the next call needs its time too. Only a service that
-/// fails calls is spared by long pauses.
+/// Maximum pause after an established watch has ended. The platform takes a change that a silent watch misses as
+/// received 6 s after the watch's last message. Of these, 3 s pass before the watch is closed as silent, and the answer
+/// to the next call takes time too. Longer pauses are only for a service that fails calls.
 const MAX_PAUSE_AFTER_WATCH: Duration = Duration::from_secs(1);
 
-/// Calls to an agent: at most eight are open.
+/// Calls to an agent: at most eight are open at a time.
 const AGENT_POLLS: HedgedPolls = HedgedPolls {
     every: Duration::from_millis(120),
     answer_within: Duration::from_millis(960),
 };
-/// The mean pause between the end of an agent's watch and the next call.
+/// Mean pause between the end of a watch at an agent and the next call.
 const AGENT_PAUSE: Duration = Duration::from_millis(30);
 
-/// How calls go out to an agent on the node's own machine, some of them before earlier ones are answered.
+/// Schedule of calls to an agent on the node's own machine, which are sent without waiting for earlier ones to be
+/// answered.
 ///
-/// An agent that was unavailable and has a list again counts as having sent it, whether or not a watch is open. A call must
-/// be open at that moment, well within the 250 ms that a drain allows. And a slow agent's call must not be given up just
-/// before it is answered each time, so several calls are open.
+/// When an unavailable agent has a list again, the platform takes it as sent, whether or not a watch is open. So the
+/// next call must start well within the 250 ms that a drain allows. The timeout must nevertheless be long enough for a
+/// slow agent to answer, so several calls are open at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HedgedPolls {
-    /// Between the starts of two calls.
+    /// Time between the starts of two calls.
     pub every: Duration,
-    /// The timeout of a call.
+    /// Timeout of a call.
     pub answer_within: Duration,
 }
 
-/// The pauses between the calls of one node.
+/// Computes the pauses between the calls of one node.
 #[derive(Clone, Debug)]
 pub struct PollBackoff {
     hedged: Option<HedgedPolls>,
@@ -72,14 +73,14 @@
     longest: Duration,
     /// The mean of the next pause.
     next: Duration,
-    /// The longest pause after a watch that was open.
+    /// Maximum pause after an established watch has ended.
     after_watch_end: Duration,
-    /// The longest span from the start of a call to that of the next; `None` if the next call waits for the end of a call.
+    /// Maximum time between the starts of two calls; `None` for an agent and where the installation sets limits.
     max_call_interval: Option<Duration>,
 }
 
 impl PollBackoff {
-    /// For a fleet of `nodes` that share a service: calls start at most 4.5 s apart.
+    /// Creates the backoff for a fleet of `nodes` that share a service. A node's calls start at most 4.5 s apart.
     pub fn for_fleet(nodes: u32) -> Self {
         let pause_at = |calls_per_s: f64, longest| {
             Duration::from_secs_f64(f64::from(nodes) / calls_per_s).min(longest)
@@ -98,7 +99,7 @@
         }
     }
 
-    /// For a node whose discovery is an agent on its own machine, which no other node calls.
+    /// Creates the backoff for an agent on the node's own machine, which no other node calls.
     pub fn for_agent() -> Self {
         PollBackoff {
             hedged: Some(AGENT_POLLS),
@@ -110,8 +111,8 @@
         }
     }
 
-    /// For a fleet of `nodes` whose installation sets limits: even if all calls fail at once, all nodes together keep to
-    /// them from the first pause on.
+    /// Creates the backoff for a fleet of `nodes` with limits set by the installation. If all calls fail at once, the
+    /// fleet as a whole keeps to these limits from the first pause on.
     pub fn with_limits(nodes: u32, limits: &PollLimits) -> Self {
         let pause = Duration::from_secs_f64(f64::from(nodes) / limits.calls_per_s);
         let first = pause.max(MIN_FIRST_PAUSE);
@@ -125,16 +126,16 @@
         }
     }
 
-    /// How calls go out beside each other to an agent; `None` for a service that nodes share.
+    /// Returns the schedule of concurrent calls to an agent; `None` for a shared service.
     pub fn hedged(&self) -> Option<HedgedPolls> {
         self.hedged
     }
 
-    /// A call goes out: after how long the next one goes out beside it, if it has not been answered by then. `None` if the
-    /// installation sets limits; then the next call waits for the end of this one. `draw` is from 0 to 1.
+    /// Returns how long after the start of a call the next one is sent if there is no answer by then. `None` if the
+    /// installation sets limits: the next call then waits for this one to end. `draw` is a random number from 0 to 1.
     ///
-    /// The calls of a fleet may go out in one moment and stay unanswered. If each next call waited for the end of the last,
-    /// little of its time would be left to draw from, and the fleet would stay in step.
+    /// All nodes of a fleet may call at the same moment and get no answer. If the next call waited for the previous one
+    /// to end, little of the call interval would be left for jitter, and the fleet would stay synchronized.
     pub fn hedge_delay(&mut self, draw: f64) -> Option<Duration> {
         match (self.hedged, self.max_call_interval) {
             (Some(hedged), _) => Some(hedged.every),
@@ -143,10 +144,10 @@
         }
     }
 
-    /// The timeout of a call beside which others go out.
+    /// Returns the timeout of a call that runs concurrently with others; `None` if the installation sets limits.
     ///
-    /// A service works on calls that were given up just before their answer; with a shorter timeout its queue would never
-    /// get short.
+    /// A service also processes calls whose callers have timed out. With a shorter timeout, its queue would never
+    /// shrink.
     pub fn answer_within(&self) -> Option<Duration> {
         if let Some(hedged) = self.hedged {
             return Some(hedged.answer_within);
@@ -155,18 +156,19 @@
         Some((self.longest * ANSWER_TIMEOUT_PAUSES).max(MIN_ANSWER_TIMEOUT))
     }
 
-    /// How long to wait after a response with this `Retry-After`: at least that, and a pause as after a failure, so that
-    /// nodes that got the same response do not call at once. `draw` is from 0 to 1.
+    /// Returns the pause after a response with this `Retry-After`: the requested time plus a pause as after a failure,
+    /// so that nodes that received the same response do not call at the same time. `draw` is a random number from 0 to
+    /// 1.
     pub fn after_response(&mut self, retry_after: Duration, draw: f64) -> Duration {
         retry_after.min(MAX_RETRY_AFTER) + self.after_failure(draw)
     }
 
-    /// How long to wait from now on after a response with this `Retry-After` to a call that was made `ago`, where calls go
-    /// out beside each other; `None` where they do not. `draw` is from 0 to 1.
+    /// Returns the remaining pause after a response with this `Retry-After` to a call that was started `ago`, if calls
+    /// run concurrently; `None` if they do not. `draw` is a random number from 0 to 1.
     ///
-    /// A service may ask for a minute and have a drain to send a second later, so the node calls within the longest interval
-    /// all the same. `Retry-After` is kept where it leaves half of the time to draw from: nodes that got the same response
-    /// must not call at once.
+    /// A service may ask for a minute and have a drain to report a second later, so the next call still starts within
+    /// the maximum interval. `Retry-After` is honoured up to half of the remaining time; the other half is for jitter,
+    /// because nodes that received the same response must not call at the same time.
     pub fn after_hedged_response(
         &self,
         retry_after: Duration,
@@ -179,17 +181,18 @@
         Some(least + jitter)
     }
 
-    /// How long to wait after a watch that was open has ended or fallen silent. A failure after it counts as the first.
-    /// `draw` is from 0 to 1.
+    /// Returns the pause after an established watch has ended or become silent, and resets the backoff. `draw` is a
+    /// random number from 0 to 1.
     pub fn after_watch_end(&mut self, draw: f64) -> Duration {
         self.next = self.first;
         self.after_watch_end.mul_f64(draw.clamp(0.0, 1.0))
     }
 
-    /// How long to wait after a failed call. `draw` is from 0 to 1.
+    /// Returns the pause after a failed call. `draw` is a random number from 0 to 1.
     ///
-    /// The first pause is drawn from zero to twice its mean, so that calls that failed at once are spread; the mean of each
-    /// further one is doubled up to the longest, and the pause drawn from half to one and a half of it.
+    /// The first pause is uniform from zero to twice its mean, so that calls that failed at the same time are spread.
+    /// After that the mean doubles with each failure up to its maximum, and the pause is uniform from 0.5 to 1.5 times
+    /// the mean.
     pub fn after_failure(&mut self, draw: f64) -> Duration {
         let mean = self.next;
         let spread = if mean == self.first { mean } else { mean / 2 };
--- a/crates/endpoints/src/poll/empty_list.rs
+++ b/crates/endpoints/src/poll/empty_list.rs
@@ -2,21 +2,21 @@
 
 use std::time::Duration;
 
-/// Lists of this many servers and more are protected; the last server may be removed at once.
+/// Minimum number of known servers for which an empty list is delayed; a single last server is removed immediately.
 const MIN_PROTECTED_SERVERS: usize = 2;
 
-/// Decides when a list that has turned empty at once is believed.
+/// Decides when a list from which all servers have disappeared at once is accepted.
 ///
-/// A discovery service may come back without its entries. If a fleet believed its empty list, no node would send a request
-/// to any server. So such a list is believed only once it has stayed empty for some time.
+/// A discovery service may restart without its entries. If its empty list were accepted immediately, no node would have
+/// a server to send requests to. So such a list is accepted only once it has stayed empty for some time.
 #[derive(Clone, Debug, Default)]
 pub struct EmptyListProtection {
     empty_since: Option<Duration>,
 }
 
 impl EmptyListProtection {
-    /// A complete list of `listed` servers was received, when `known` servers were known. Whether it is believed now, if an
-    /// empty list is believed `after` this span.
+    /// Returns whether a complete list of `listed` servers, received while `known` servers were known, is accepted now.
+    /// An empty list is accepted once it has stayed empty for `after`.
     pub fn accepts(&mut self, now: Duration, listed: usize, known: usize, after: Duration) -> bool {
         if listed > 0 || known < MIN_PROTECTED_SERVERS {
             self.empty_since = None;
@@ -26,7 +26,8 @@
         now.saturating_sub(empty_since) >= after
     }
 
-    /// When to ask for the list again if an empty one is not believed yet: it is believed then, if it is still empty.
+    /// Returns the time at which to read the list again while an empty one is pending: it is accepted then if it is
+    /// still empty. `None` if no empty list is pending.
     pub fn poll_again_after(&self, after: Duration) -> Option<Duration> {
         self.empty_since.map(|since| since + after)
     }
--- a/crates/endpoints/src/record.rs
+++ b/crates/endpoints/src/record.rs
@@ -1,36 +1,36 @@
-//! One app server on the list.
+//! The record of an app server in the endpoint list.
 
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A server's status; the more careful one is greater.
+/// A server's status, ordered from the least to the most restrictive one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum EndpointStatus {
-    /// It takes requests.
+    /// The server accepts requests.
     Ready,
-    /// It finishes its requests and takes no new ones.
+    /// The server finishes its open requests and accepts no new ones.
     Draining,
-    /// It is not on the list any more.
+    /// The server is no longer listed.
     Removed,
 }
 
-/// A server on the list, with the fields of the platform's discovery.
+/// An app server with the properties that the platform's discovery lists.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointRecord {
-    /// Its name, the same at every node.
+    /// The server's name, which is the same at every node.
     pub host: Arc<str>,
-    /// Where it listens.
+    /// The address to connect to, which may differ from node to node.
     pub address: SocketAddr,
-    /// The name of its zone.
+    /// The name of the server's zone.
     pub zone: Arc<str>,
-    /// Its deduplication domain: the group of servers that drops repeats of a key.
+    /// The deduplication domain: the group of servers within which repeated idempotency keys are dropped.
     pub domain: u64,
-    /// Its status.
+    /// Whether the server accepts requests.
     pub status: EndpointStatus,
-    /// Its size relative to other servers, above 0.
+    /// The server's capacity relative to other servers, above 0.
     pub weight: f64,
-    /// When it last started, Unix time in milliseconds; 0 for long ago.
+    /// When the server last started, in Unix milliseconds; 0 if it started long ago.
     pub started_at_ms: u64,
 }
--- a/crates/endpoints/src/time.rs
+++ b/crates/endpoints/src/time.rs
@@ -1,4 +1,4 @@
-//! The clock by which the crate reckons.
+//! The time type of this crate.
 
-/// A point in time: the span since some fixed moment of a clock that never goes back.
+/// A point in time, as the time elapsed on a monotonic clock since a fixed origin that the caller chooses.
 pub type Time = std::time::Duration;
--- a/crates/endpoints/src/value.rs
+++ b/crates/endpoints/src/value.rs
@@ -1,4 +1,5 @@
-//! How a server stands in etcd: the host in its key, all else as JSON in its value.
+//! The representation of a server in etcd: the key contains the host name, and the value is a JSON object with the
+//! other fields.
 
 use crate::record::{EndpointRecord, EndpointStatus};
 use serde::Deserialize;
@@ -7,29 +8,29 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The longest name of a host, in bytes, so that every name fits in a line of the log.
+/// Maximum length of a host name in bytes, so that every name fits into a log line.
 pub const MAX_HOST_BYTES: usize = 253;
-/// The longest value, in bytes. It bounds the memory that values of some other use of the prefix can take.
+/// Maximum length of a value in bytes. It bounds memory if other applications write to the prefix.
 pub const MAX_VALUE_BYTES: usize = 4096;
-/// The weight of a server whose value names none.
+/// The weight of a server whose value gives none.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// Why a value cannot be read.
+/// Why the value of a server's key was rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ValueError {
-    /// It has more than [`MAX_VALUE_BYTES`].
+    /// The value is longer than [`MAX_VALUE_BYTES`].
     TooLong {
-        /// How many it has.
+        /// The length of the value.
         bytes: usize,
     },
-    /// It is not a JSON object with the fields of a server.
+    /// The value is not a JSON object with the fields of a server.
     Malformed {
-        /// What the JSON parser reports.
+        /// The message of the JSON parser.
         message: String,
     },
-    /// It names another host than its key.
+    /// The host name in the value differs from that in the key.
     OtherHost,
-    /// Its weight is not above 0.
+    /// The weight (`share`) is not above 0.
     InvalidWeight,
 }
 
@@ -48,7 +49,7 @@
 
 impl std::error::Error for ValueError {}
 
-/// The fields of a value. Unknown fields are ignored.
+/// The JSON fields of a value. Unknown fields are ignored.
 #[derive(Deserialize)]
 struct WireValue<'a> {
     #[serde(borrow)]
@@ -75,7 +76,8 @@
     DEFAULT_WEIGHT
 }
 
-/// The host that a key names: what follows the prefix, if that is a name without a slash.
+/// Returns the host name in a key, which is the part after the prefix. `None` if that part is not a valid host name, as
+/// in keys that contain a further slash.
 pub(crate) fn host_of_key<'a>(prefix: &str, key: &'a [u8]) -> Option<&'a str> {
     let host = std::str::from_utf8(key.strip_prefix(prefix.as_bytes())?).ok()?;
     let valid = !host.is_empty()
@@ -85,11 +87,11 @@
     valid.then_some(host)
 }
 
-/// Reads the value of a host's key: a JSON object with the fields of the platform's discovery, of which `dial` and `site`
-/// are required.
+/// Parses the value of a host's key: a JSON object with the fields of the platform's discovery, of which `dial` and
+/// `site` are required.
 ///
 /// # Errors
-/// Why the value cannot be read.
+/// The value is too long, malformed, or has an invalid field.
 pub fn read_value(host: &str, value: &[u8]) -> Result<EndpointRecord, ValueError> {
     if value.len() > MAX_VALUE_BYTES {
         return Err(ValueError::TooLong { bytes: value.len() });
--- a/crates/endpoints/tests/follower.rs
+++ b/crates/endpoints/tests/follower.rs
@@ -1,4 +1,5 @@
-//! The list from etcd's revisions: each hard case by name.
+//! How a follower derives the endpoint list from etcd's responses: reconnects, compaction, fragments, unreadable
+//! values, lagging members and replaced clusters.
 
 mod support;
 
@@ -6,9 +7,9 @@
 use support::*;
 
 #[test]
-fn an_update_is_received_when_its_response_was_read() {
+fn an_update_carries_the_time_at_which_its_response_was_read() {
     let mut follower = three_servers();
-    let (update, _) = follower.events(
+    let (update, _) = follower.apply_events(
         header(11),
         vec![put("a", 2, 11, "draining")],
         false,
@@ -22,7 +23,7 @@
 }
 
 #[test]
-fn several_keys_in_one_revision_are_one_change() {
+fn several_keys_in_one_revision_are_applied_as_one_update() {
     let mut follower = three_servers();
     let events = vec![
         put("a", 2, 11, "draining"),
@@ -36,16 +37,16 @@
         ("d", EndpointStatus::Ready),
     ];
     assert_eq!(statuses(&update), expected.into());
-    assert_eq!(follower.resume(), Some(12));
+    assert_eq!(follower.resume_revision(), Some(12));
 }
 
 #[test]
-fn a_watch_that_breaks_resumes_from_the_next_revision_and_skips_old_events() {
+fn a_broken_watch_resumes_from_the_next_revision_and_skips_stale_events() {
     let mut follower = three_servers();
     respond(&mut follower, 11, vec![put("a", 2, 11, "draining")]);
     follower.reconnected();
-    assert_eq!(follower.resume(), Some(12));
-    // The member sends more than was asked for.
+    assert_eq!(follower.resume_revision(), Some(12));
+    // The member sends events from before the requested revision.
     let update = respond(
         &mut follower,
         12,
@@ -56,15 +57,15 @@
         ],
     );
     assert_eq!(statuses(&update), [("b", EndpointStatus::Removed)].into());
-    assert_eq!(follower.seen().old, 2);
+    assert_eq!(follower.stats().stale_events, 2);
     let update = respond(&mut follower, 12, vec![delete("b", 12)]);
-    assert!(update.endpoints.is_empty(), "known already");
+    assert!(update.endpoints.is_empty(), "already applied");
 }
 
-/// While the watch was broken, one server began to drain, another was removed and a third one was added. Then the
-/// revisions were compacted.
+/// While the watch was broken, one server began to drain, another was removed and a third one was added. Then these
+/// revisions were compacted, so that the watch cannot deliver them.
 #[test]
-fn after_compaction_a_range_gives_the_difference() {
+fn after_compaction_a_range_yields_the_changes_that_were_missed() {
     let mut follower = three_servers();
     assert_eq!(
         follower.compacted(500),
@@ -75,7 +76,7 @@
         kv("c", 2, 3, value(80, "ready", 7)),
         kv("d", 450, 450, value(80, "ready", 0)),
     ];
-    let update = follower.range(header(600), &kvs, ms(900), NOW);
+    let update = follower.apply_range(header(600), &kvs, ms(900), NOW);
     let expected = [
         ("a", EndpointStatus::Draining),
         ("b", EndpointStatus::Removed),
@@ -89,17 +90,20 @@
         .endpoints
         .iter()
         .find(|entry| &*entry.host == "d")
-        .expect("it is new");
-    assert_eq!(new.started_at_ms, NOW, "it is new and names no start");
-    assert_eq!(follower.resume(), Some(601));
+        .expect("d is in the update");
+    assert_eq!(
+        new.started_at_ms, NOW,
+        "d is new and its value gives no start time"
+    );
+    assert_eq!(follower.resume_revision(), Some(601));
 }
 
 #[test]
 fn a_reconnect_between_a_drain_and_the_last_fragment_loses_neither() {
     let mut follower = three_servers();
     let drain = vec![put("a", 2, 11, "draining"), delete("c", 11)];
-    let (update, step) = follower.events(header(11), drain.clone(), true, ms(50), NOW);
-    // Both are announced at once, the removal as a drain until the response is complete.
+    let (update, step) = follower.apply_events(header(11), drain.clone(), true, ms(50), NOW);
+    // Both are announced immediately; the removal is announced as a drain until the response is complete.
     let expected = [
         ("a", EndpointStatus::Draining),
         ("c", EndpointStatus::Draining),
@@ -110,12 +114,12 @@
     );
     follower.reconnected();
     assert_eq!(
-        follower.resume(),
+        follower.resume_revision(),
         Some(11),
-        "the whole revision is asked for again"
+        "the whole revision is requested again"
     );
-    let (first, _) = follower.events(header(11), drain, true, ms(200), NOW);
-    let (update, _) = follower.events(header(11), vec![delete("b", 11)], false, ms(210), NOW);
+    let (first, _) = follower.apply_events(header(11), drain, true, ms(200), NOW);
+    let (update, _) = follower.apply_events(header(11), vec![delete("b", 11)], false, ms(210), NOW);
     assert_eq!(first.received_at, ms(200));
     let expected = [
         ("a", EndpointStatus::Draining),
@@ -125,15 +129,15 @@
     assert_eq!(
         (statuses(&update), update.received_at),
         (expected.into(), ms(200)),
-        "received with its first fragment"
+        "the time of the first fragment"
     );
-    assert_eq!(follower.resume(), Some(12));
+    assert_eq!(follower.resume_revision(), Some(12));
 }
 
 #[test]
-fn a_drain_that_the_same_response_takes_back_is_withdrawn() {
+fn an_announced_drain_is_withdrawn_if_a_later_fragment_revokes_it() {
     let mut follower = three_servers();
-    let (update, _) = follower.events(
+    let (update, _) = follower.apply_events(
         header(12),
         vec![put("a", 2, 11, "draining")],
         true,
@@ -141,7 +145,7 @@
         NOW,
     );
     assert_eq!(statuses(&update)["a"], EndpointStatus::Draining);
-    let (update, _) = follower.events(
+    let (update, _) = follower.apply_events(
         header(12),
         vec![put("a", 2, 12, "ready")],
         false,
@@ -151,10 +155,10 @@
     assert_eq!(statuses(&update), [("a", EndpointStatus::Ready)].into());
 }
 
-/// A lease expires and is granted anew: a new process runs at the same host. It has to start slowly, also if its value
-/// names no start.
+/// A lease expires and the key is created again: a new process runs at the same host. It needs slow start, also if its
+/// value gives no start time.
 #[test]
-fn a_key_that_is_created_anew_is_a_new_start() {
+fn a_recreated_key_counts_as_a_new_start_of_its_server() {
     for (born, expected) in [(0, NOW), (NOW - 50, NOW - 50)] {
         let mut follower = three_servers();
         assert_eq!(
@@ -173,7 +177,7 @@
             ),
             (EndpointStatus::Ready, expected)
         );
-        // A later value of the same process does not change its start.
+        // A later value of the same process does not change its start time.
         let later = WatchEvent {
             delete: false,
             kv: kv("a", 21, 22, value(81, "ready", 0)),
@@ -190,7 +194,7 @@
 }
 
 #[test]
-fn of_several_events_of_a_key_in_one_response_the_last_one_counts() {
+fn only_the_last_event_of_a_key_in_a_response_is_applied() {
     let mut follower = three_servers();
     let last = WatchEvent {
         delete: false,
@@ -217,7 +221,7 @@
 }
 
 #[test]
-fn an_unreadable_value_keeps_the_last_good_record_and_is_reported_once() {
+fn an_unreadable_value_keeps_the_last_valid_record_and_is_logged_once() {
     let mut follower = three_servers();
     for (revision, bad) in [
         (11, &b"{"[..]),
@@ -232,13 +236,13 @@
             .endpoints
             .is_empty());
     }
-    let logs = follower.logs();
+    let logs = follower.take_events();
     assert!(
         logs.len() == 1 && logs[0].to_string().contains("/board/a"),
         "{logs:?}"
     );
-    assert_eq!((follower.seen().unreadable, follower.hosts()), (3, 3));
-    // Readable again, then unreadable: reported again.
+    assert_eq!((follower.stats().unreadable, follower.host_count()), (3, 3));
+    // A readable value and then another unreadable one: it is logged again.
     assert_eq!(
         statuses(&respond(
             &mut follower,
@@ -252,8 +256,8 @@
         kv: kv("a", 2, 15, b"x".to_vec()),
     };
     respond(&mut follower, 15, vec![event]);
-    assert_eq!(follower.logs().len(), 1);
-    // A host whose value was never readable is not listed, and its removal changes nothing.
+    assert_eq!(follower.take_events().len(), 1);
+    // A host none of whose values could be read is not listed, and its removal has no effect.
     let event = WatchEvent {
         delete: false,
         kv: kv("new", 16, 16, b"x".to_vec()),
@@ -265,7 +269,7 @@
 }
 
 #[test]
-fn keys_that_name_no_host_are_skipped() {
+fn keys_without_a_valid_host_name_are_skipped() {
     let mut follower = three_servers();
     let mut odd = put("x/y", 2, 11, "ready");
     assert!(respond(
@@ -281,14 +285,14 @@
 }
 
 #[test]
-fn a_lagging_member_is_left_and_the_list_stands() {
+fn a_lagging_member_is_left_and_the_list_is_unchanged() {
     let mut follower = three_servers();
     respond(&mut follower, 20, vec![put("a", 2, 20, "draining")]);
     assert_eq!(
-        follower.header(header(19)),
+        follower.check_header(header(19)),
         WatchStep::Leave(LeaveReason::Lagging)
     );
-    let (update, step) = follower.events(
+    let (update, step) = follower.apply_events(
         header(19),
         vec![put("a", 2, 19, "ready")],
         false,
@@ -300,33 +304,36 @@
         raft_term: 4,
         ..header(30)
     };
-    assert!(matches!(follower.progress(older), WatchStep::Leave(_)));
-    assert_eq!(follower.resume(), Some(21));
+    assert!(matches!(
+        follower.apply_progress(older),
+        WatchStep::Leave(_)
+    ));
+    assert_eq!(follower.resume_revision(), Some(21));
 }
 
-/// Another cluster, one that was restored from a backup, and one whose terms started anew. Events of it in place of the
-/// known cluster's must change nothing; a range of it replaces the list.
+/// The member now serves another cluster, one restored from a backup, or one whose raft terms restarted. Its events
+/// must not be applied to the list of the known cluster; a range of it replaces the list.
 #[test]
-fn a_recreated_or_restored_cluster_is_read_as_a_whole() {
+fn a_range_of_a_recreated_or_restored_cluster_replaces_the_list() {
     let other = Header {
         cluster_id: 0xee,
         ..header(50)
     };
     let mut follower = three_servers();
-    let (update, step) = follower.events(other, vec![delete("a", 50)], false, ms(5), NOW);
+    let (update, step) = follower.apply_events(other, vec![delete("a", 50)], false, ms(5), NOW);
     assert_eq!(
         (update.endpoints.len(), step),
         (0, WatchStep::Reread(RereadReason::OtherCluster))
     );
     let restored = [
         (other, "another cluster"),
-        (header(4), "revisions that run backwards"),
+        (header(4), "a lower revision"),
         (
             Header {
                 raft_term: 2,
                 ..header(40)
             },
-            "terms that run backwards",
+            "a lower term",
         ),
     ];
     for (header, what) in restored {
@@ -335,7 +342,7 @@
             kv("b", 2, 3, value(80, "ready", 7)),
             kv("z", 3, 4, value(80, "ready", 9)),
         ];
-        let update = follower.range(header, &kvs, ms(5), NOW);
+        let update = follower.apply_range(header, &kvs, ms(5), NOW);
         let expected = [
             ("a", EndpointStatus::Removed),
             ("c", EndpointStatus::Removed),
@@ -343,33 +350,37 @@
         ];
         assert_eq!(statuses(&update), expected.into(), "{what}");
         assert_eq!(
-            (follower.seen().replaced, follower.resume()),
+            (follower.stats().replaced, follower.resume_revision()),
             (1, Some(header.revision + 1)),
             "{what}"
         );
-        assert_eq!(follower.header(header), WatchStep::Continue, "{what}");
+        assert_eq!(follower.check_header(header), WatchStep::Continue, "{what}");
     }
 }
 
 #[test]
-fn progress_advances_the_revision_so_that_quiet_watches_are_not_compacted() {
+fn progress_advances_the_resume_revision_of_a_watch_without_events() {
     let mut follower = three_servers();
-    assert_eq!(follower.progress(header(90)), WatchStep::Continue);
-    assert_eq!(follower.resume(), Some(11), "only after a second response");
-    assert_eq!(follower.progress(header(95)), WatchStep::Continue);
-    assert_eq!(follower.resume(), Some(91));
-    // But not past a response whose last fragment has not come.
-    follower.events(header(95), vec![put("a", 2, 92, "ready")], true, ms(5), NOW);
-    follower.progress(header(99));
-    assert_eq!(follower.resume(), Some(91));
+    assert_eq!(follower.apply_progress(header(90)), WatchStep::Continue);
+    assert_eq!(
+        follower.resume_revision(),
+        Some(11),
+        "only after a second response"
+    );
+    assert_eq!(follower.apply_progress(header(95)), WatchStep::Continue);
+    assert_eq!(follower.resume_revision(), Some(91));
+    // It does not advance past a response whose last fragment has not been received.
+    follower.apply_events(header(95), vec![put("a", 2, 92, "ready")], true, ms(5), NOW);
+    follower.apply_progress(header(99));
+    assert_eq!(follower.resume_revision(), Some(91));
 }
 
-/// A member of etcd before 3.5.8 may send progress before it has sent the events up to its revision. The events must not
-/// be skipped as old.
+/// etcd before 3.5.8 may send a progress response before the events up to its revision. These events must not be
+/// skipped as stale.
 #[test]
-fn progress_that_overtakes_its_events_loses_none() {
+fn events_that_follow_their_progress_response_are_applied() {
     let mut follower = three_servers();
-    follower.progress(header(12));
+    follower.apply_progress(header(12));
     assert_eq!(
         statuses(&respond(
             &mut follower,
@@ -378,11 +389,11 @@
         ))["a"],
         EndpointStatus::Draining
     );
-    follower.progress(header(14));
+    follower.apply_progress(header(14));
     follower.reconnected();
     assert_eq!(
-        follower.resume(),
+        follower.resume_revision(),
         Some(13),
-        "13 and 14, which it may not have sent, are asked for again"
+        "13 and 14 may not have been sent, and are requested again"
     );
 }
--- a/crates/endpoints/tests/json_objects.rs
+++ b/crates/endpoints/tests/json_objects.rs
@@ -1,10 +1,10 @@
-//! Objects out of a stream of bytes.
+//! Splitting of a byte stream into JSON objects.
 
 use proptest::prelude::*;
 use proptest::test_runner::FileFailurePersistence;
 use saffronpaddle_endpoints::{JsonObjects, Unreadable};
 
-/// All objects of a stream that comes in pieces of `piece` bytes.
+/// Returns all objects of a stream that arrives in pieces of `piece` bytes.
 fn read(stream: &[u8], piece: usize) -> Result<Vec<String>, Unreadable> {
     let (mut objects, mut all) = (JsonObjects::new(1000), Vec::new());
     for mut bytes in stream.chunks(piece) {
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn objects_are_split_however_they_are_laid_out_and_cut() {
+fn objects_are_split_regardless_of_their_layout_and_of_the_size_of_reads() {
     let indented = "{\n  \"seq\": 4,\n  \"hosts\": [\n    {\"host\": \"a}\\\"{\"}\n  ]\n}";
     let stream = format!("\n\n{indented}\n\n{{\"seq\":5}}{{\"seq\":6}}\r\n");
     for piece in 1..=stream.len() {
@@ -30,9 +30,12 @@
 }
 
 #[test]
-fn a_stream_of_anything_else_and_an_endless_object_are_errors() {
-    assert_eq!(read(b"\n noise", 3), Err(Unreadable::NoObject(b'n')));
-    assert_eq!(read(b"{\"seq\":1}]", 100), Err(Unreadable::NoObject(b']')));
+fn other_data_and_an_object_that_is_too_long_are_errors() {
+    assert_eq!(read(b"\n noise", 3), Err(Unreadable::ExpectedObject(b'n')));
+    assert_eq!(
+        read(b"{\"seq\":1}]", 100),
+        Err(Unreadable::ExpectedObject(b']'))
+    );
     assert_eq!(
         read(&[b"{\"a\":\"", &[b'x'; 2000][..]].concat(), 100),
         Err(Unreadable::TooLong)
@@ -46,7 +49,7 @@
     ))]
 
     #[test]
-    fn any_objects_in_any_pieces_are_read_as_they_were_written(
+    fn any_objects_in_any_pieces_are_read_unchanged(
         values in prop::collection::vec(prop::collection::btree_map(".*", ".*", 0..4), 0..6),
         indented in any::<bool>(), piece in 1usize..40,
     ) {
--- a/crates/endpoints/tests/log_lines.rs
+++ b/crates/endpoints/tests/log_lines.rs
@@ -1,11 +1,11 @@
-//! The lines that a follower writes to the log, and the reasons for which it leaves a member.
+//! The log lines of a follower, and the texts of its reasons to leave a member.
 
 use saffronpaddle_endpoints::{FollowerEvent, LeaveReason, ValueError};
 use std::time::Duration;
 
-/// Staff search the log for these lines.
+/// Operators search the log for these lines, which docs/etcd.md explains.
 #[test]
-fn each_event_has_its_log_line() {
+fn events_and_errors_have_their_documented_texts() {
     let lines = [
         (
             FollowerEvent::MemberBehind {
--- a/crates/endpoints/tests/merge.rs
+++ b/crates/endpoints/tests/merge.rs
@@ -1,11 +1,11 @@
-//! Several sources of the list.
+//! Merging of the endpoint lists of several sources.
 
 mod support;
 
 use saffronpaddle_endpoints::*;
 use support::*;
 
-/// An update of one host that listens at `port`.
+/// Returns an update of one host that listens at `port`.
 fn update_of(host: &str, status: EndpointStatus, port: u16, started_at_ms: u64) -> EndpointUpdate {
     let record = EndpointRecord {
         host: host.into(),
@@ -24,13 +24,13 @@
 }
 
 #[test]
-fn of_contradicting_sources_the_more_careful_status_wins() {
+fn the_most_restrictive_status_of_contradicting_sources_wins() {
     use EndpointStatus::{Draining, Ready, Removed};
     use Source::{Discovery, Etcd};
     for first in [Ready, Draining, Removed] {
         for second in [Ready, Draining, Removed] {
             let mut merge = Merge::new();
-            // Both have listed the host before they contradict each other.
+            // Both sources list the host before they contradict each other.
             merge.take(Discovery, update_of("a", Ready, 80, 0));
             merge.take(Etcd, update_of("a", Ready, 90, 0));
             let mut last = Ready;
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_source_counts_only_once_it_has_listed_a_host() {
+fn a_source_is_considered_only_for_hosts_that_it_has_listed() {
     use Source::{Discovery, Etcd};
     let mut merge = Merge::new();
     let update = merge.take(Etcd, update_of("a", EndpointStatus::Ready, 90, 5));
@@ -57,7 +57,7 @@
         ),
         (EndpointStatus::Ready, 90)
     );
-    // A complete list of discovery without `a`, which it never listed.
+    // A complete list of discovery lacks `a`, which discovery has never listed.
     let complete = EndpointUpdate {
         snapshot: true,
         ..update_of("b", EndpointStatus::Ready, 80, 0)
@@ -66,7 +66,8 @@
         statuses(&merge.take(Discovery, complete)),
         [("b", EndpointStatus::Ready)].into()
     );
-    // Once it has listed `a`, a complete list without it is a removal. Discovery's address and the later start count.
+    // Once discovery has listed `a`, a complete list without it removes it. The address is discovery's; the later start
+    // wins.
     let update = merge.take(Discovery, update_of("a", EndpointStatus::Ready, 80, 3));
     assert_eq!(
         (
@@ -88,9 +89,9 @@
         .endpoints
         .iter()
         .all(|entry| entry.status == EndpointStatus::Removed));
-    // When both have removed it, it is forgotten and may be listed again.
+    // When both sources have removed it, its state is dropped and it may be listed again.
     merge.take(Etcd, update_of("a", EndpointStatus::Removed, 91, 9));
-    assert_eq!(merge.hosts(), 1);
+    assert_eq!(merge.host_count(), 1);
     assert_eq!(
         statuses(&merge.take(Etcd, update_of("a", EndpointStatus::Ready, 91, 9))),
         [("a", EndpointStatus::Ready)].into()
@@ -98,7 +99,7 @@
 }
 
 #[test]
-fn a_record_that_changes_nothing_gives_no_update() {
+fn an_unchanged_record_yields_no_update() {
     let mut merge = Merge::new();
     assert_eq!(
         merge
--- a/crates/endpoints/tests/poll.rs
+++ b/crates/endpoints/tests/poll.rs
@@ -1,19 +1,19 @@
-//! When a node calls the platform's discovery again, alone and as one of a fleet.
+//! Backoff of the calls to the platform's discovery, for one node and for a whole fleet.
 
 use proptest::prelude::*;
 use proptest::test_runner::FileFailurePersistence;
 use saffronpaddle_endpoints::{EmptyListProtection, PollBackoff, PollLimits};
 use std::time::Duration;
 
-/// The longest span from the start of a call to that of the next.
+/// Maximum time between the starts of two calls.
 const MAX_CALL_INTERVAL: Duration = Duration::from_millis(4500);
-/// The longest mean pause.
+/// Maximum mean pause.
 const MAX_MEAN_PAUSE: Duration = Duration::from_secs(4);
-/// How long a caller of the simulated service waits, in seconds.
+/// Timeout of a call to the simulated service, in seconds.
 const CALLER_TIMEOUT: f64 = 2.0;
 
-/// Simulates a service that answers `calls_per_s` in turn, works on each call that it has accepted, and accepts more than it
-/// can answer in time. Returns after how many seconds nine tenths of the nodes have got an answer.
+/// Simulates a service that processes `calls_per_s` in order of arrival, also those that have timed out, and that
+/// accepts more calls than it can answer in time. Returns the seconds until nine tenths of the nodes have an answer.
 fn recovers_after(
     nodes: u32,
     calls_per_s: f64,
@@ -39,7 +39,7 @@
                 answers[node] = answers[node].min(busy_until);
             }
         }
-        // The next call goes out beside it, unless it is answered by then.
+        // The next call is sent concurrently, unless this one is answered by then.
         let next = now
             + backoffs[node]
                 .hedge_delay(random.f64())
@@ -68,7 +68,7 @@
             "{nodes} nodes: {after:?} s"
         );
     }
-    // A hundred nodes with the pauses of a small fleet: the queue never gets short.
+    // With the pauses of a small fleet, the calls of a hundred nodes keep the queue full.
     assert!(
         recovers_after(100, 20.0, |_| PollBackoff::for_fleet(3)).is_none_or(|after| after > 60.0)
     );
@@ -84,7 +84,7 @@
     }
 }
 
-/// The most calls in any second.
+/// Returns the maximum number of calls in any second.
 fn busiest_second(mut at: Vec<f64>) -> usize {
     at.sort_by(f64::total_cmp);
     (0..at.len())
@@ -113,7 +113,7 @@
         let most = busiest_second(calls);
         assert!(most <= 27, "{nodes} nodes: {most} in a second");
     }
-    // If both limits cannot hold, the span goes first.
+    // If both limits cannot be kept, `first_within` takes precedence.
     let soon = PollLimits {
         first_within: Duration::from_secs(4),
         ..limits()
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn calls_that_all_fail_keep_to_the_limits() {
+fn failing_calls_keep_to_the_limits_of_the_installation() {
     let mut random = fastrand::Rng::with_seed(9);
     for nodes in [30, 300, 1000] {
         let mut at = Vec::new();
@@ -133,26 +133,26 @@
                 at.push(now);
             }
         }
-        // Chance gathers some: four deviations above the mean of 25.
+        // Random fluctuation: four standard deviations above the mean of 25.
         let most = busiest_second(at);
         assert!(most <= 50, "{nodes} nodes: {most} in a second");
     }
 }
 
 #[test]
-fn a_retry_after_is_kept() {
+fn a_retry_after_is_honoured_up_to_a_maximum() {
     let mut backoff = PollBackoff::with_limits(300, &limits());
     for draw in [0.0, 0.5, 1.0] {
         assert!(backoff.after_response(Duration::from_secs(7), draw) >= Duration::from_secs(7));
     }
     assert!(
         backoff.after_response(Duration::from_hours(24), 0.0) < Duration::from_secs(200),
-        "a wrong one is bounded"
+        "an excessive value is bounded"
     );
 }
 
 #[test]
-fn an_empty_list_is_believed_once_it_has_lasted() {
+fn an_empty_list_is_accepted_only_after_it_has_stayed_empty() {
     let (mut protection, s) = (EmptyListProtection::default(), Duration::from_secs);
     assert!(protection.accepts(s(0), 5, 0, s(30)));
     assert!(!protection.accepts(s(1), 0, 5, s(30)));
@@ -161,7 +161,7 @@
     assert!(protection.accepts(s(31), 0, 5, s(30)));
     assert!(
         protection.accepts(s(32), 3, 5, s(30)),
-        "a list with servers is believed at once"
+        "a list with servers is accepted immediately"
     );
     assert!(
         !protection.accepts(s(40), 0, 3, s(30)),
@@ -173,11 +173,12 @@
     );
 }
 
-/// A drain allows 250 ms from when an agent has a list. A call has to be open within that, whatever the size of the fleet.
+/// A drain allows 250 ms from the moment at which an agent has a list. A call must be open within that time for any
+/// fleet size.
 #[test]
-fn an_agent_that_has_a_list_again_is_called_within_the_time_of_a_drain() {
+fn an_agent_that_has_a_list_again_is_called_within_the_time_limit_of_a_drain() {
     let mut backoff = PollBackoff::for_agent();
-    let hedged = backoff.hedged().expect("several calls are open");
+    let hedged = backoff.hedged().expect("an agent gets hedged calls");
     let pause = (0..50)
         .map(|draw| backoff.after_failure(f64::from(draw) / 50.0))
         .max()
@@ -196,12 +197,13 @@
     );
 }
 
-/// A drain counts from 6 s after a watch fell silent, and a node needs 3 s of these to notice the silence.
+/// A drain counts as received 6 s after the last message of a silent watch, and a node needs 3 s of these to detect the
+/// silence.
 #[test]
-fn after_a_watch_that_was_open_any_fleet_calls_within_a_second() {
+fn after_an_established_watch_ends_a_node_of_any_fleet_calls_within_a_second() {
     for nodes in [3, 30, 300, 1000] {
         for mut backoff in [PollBackoff::for_fleet(nodes), PollBackoff::for_agent()] {
-            // Calls have failed before the watch was opened.
+            // Some calls failed before the watch was opened.
             (0..5).for_each(|_| _ = backoff.after_failure(1.0));
             let longest = (0..=10)
                 .map(|draw| backoff.after_watch_end(f64::from(draw) / 10.0))
@@ -212,13 +214,13 @@
             );
         }
     }
-    // The fleet is spread over that second, and pauses after failures are as long as ever.
+    // The calls of the fleet are spread over that second, and the pauses after failures are unchanged.
     let mut backoff = PollBackoff::for_fleet(300);
     assert!(
         backoff.after_watch_end(1.0) == Duration::from_secs(1)
             && backoff.after_watch_end(0.1) == Duration::from_millis(100)
     );
-    // A longer interval is not allowed, see `calls_of_any_fleet_start_in_time_to_receive_a_change`.
+    // For the upper bound see `calls_of_any_fleet_start_in_time_to_receive_a_change`.
     let (least, most) = (
         backoff.clone().after_failure(0.0),
         backoff.clone().after_failure(1.0),
@@ -226,7 +228,7 @@
     assert_eq!(
         (least, most),
         (Duration::ZERO, MAX_CALL_INTERVAL),
-        "the whole span"
+        "the whole call interval"
     );
     assert!(
         backoff.after_failure(0.5) >= MAX_CALL_INTERVAL / 2
@@ -253,7 +255,7 @@
     }
     assert!(
         backoff.after_watch_end(1.0) <= Duration::from_secs(1),
-        "a watch that was open is soon opened again"
+        "an established watch is soon opened again"
     );
     assert!(backoff.after_failure(0.5) <= Duration::from_secs(1));
 }
@@ -261,16 +263,16 @@
 /// The result of a call.
 #[derive(Clone, Copy, Debug)]
 enum CallResult {
-    /// Rejected, timed out or not answered yet.
+    /// The call was rejected, timed out or has no answer yet.
     Failed,
-    /// Rejected `ago` milliseconds after its start, with a `Retry-After` of `after` seconds.
+    /// The call was rejected `ago` milliseconds after its start, with a `Retry-After` of `after` seconds.
     RetryAfter { ago: u64, after: u64 },
-    /// It opened a watch, which has ended.
+    /// The call opened a watch, which has ended.
     WatchEnded,
 }
 
 fn any_result() -> impl Strategy<Value = CallResult> {
-    // A call is given up after 3 s.
+    // The timeout of a call is 3 s.
     prop_oneof![
         Just(CallResult::Failed),
         (0..=3000_u64, 0..=100_000_u64)
@@ -284,20 +286,21 @@
         FileFailurePersistence::WithSource("proptest-regressions")
     ))]
 
-    /// A change counts as received 6 s after the service had it and was reachable; 1.5 s of that are for the answer.
+    /// The platform takes a change as received 6 s after the service had it and was reachable; 1.5 s of these are for
+    /// the answer.
     #[test]
     fn calls_of_any_fleet_start_in_time_to_receive_a_change(
         nodes in 1..=100_000_u32, row in prop::collection::vec((any_result(), 0.0..=1.0_f64), 1..40),
     ) {
         let (mut backoff, ms) = (PollBackoff::for_fleet(nodes), Duration::from_millis);
         for (result, draw) in row {
-            let beside = backoff.hedge_delay(draw).expect("calls go out beside each other");
-            prop_assert!(beside <= ms(4500), "{beside:?}");
+            let delay = backoff.hedge_delay(draw).expect("calls run concurrently");
+            prop_assert!(delay <= ms(4500), "{delay:?}");
             match result {
                 CallResult::Failed => {}
                 CallResult::RetryAfter { ago, after } => {
                     let after = Duration::from_secs(after);
-                    let pause = backoff.after_hedged_response(after, ms(ago), draw).expect("here too");
+                    let pause = backoff.after_hedged_response(after, ms(ago), draw).expect("calls run concurrently");
                     prop_assert!(ms(ago) + pause <= ms(4500), "{result:?}: {pause:?}");
                     prop_assert!(pause >= after.min(ms(4500).checked_sub(ms(ago)).unwrap() / 2), "{result:?}: {pause:?}");
                 }
@@ -307,7 +310,7 @@
     }
 }
 
-/// All watches end at once and all calls fail from then on. The calls of the whole fleet must stay bounded.
+/// All watches end at the same time and all later calls fail. The call rate of the whole fleet must stay bounded.
 #[test]
 fn a_fleet_whose_calls_all_fail_makes_a_quarter_of_a_call_per_second_and_node() {
     let mut random = fastrand::Rng::with_seed(11);
@@ -324,7 +327,7 @@
                     .as_secs_f64();
             }
         }
-        // Without the first calls, which all come within the second after the end of a watch.
+        // The first calls, which are all sent within a second of the end of the watches, are not counted.
         at.retain(|at| *at >= 2.0);
         let (mean, bound) = (at.len() as f64 / 58.0, f64::from(nodes) / 4.0);
         let most = busiest_second(at);
@@ -337,14 +340,14 @@
     }
 }
 
-/// How many nodes of a small fleet have an answer `within` seconds after the address of discovery has changed. The service
-/// answers one call of each node in `round` seconds, works on each call that it has accepted, and rejects those that it
-/// cannot answer in time.
+/// Returns how many nodes of a small fleet have an answer `within` seconds after the address of discovery has changed.
+/// The service needs `round` seconds to answer one call of each node, processes each call that it has accepted, and
+/// rejects those that it cannot answer in time.
 fn answered_after_a_move(nodes: u32, round: f64, within: f64, seed: u64) -> usize {
     let mut random = fastrand::Rng::with_seed(seed);
     let mut backoffs: Vec<PollBackoff> =
         (0..nodes).map(|_| PollBackoff::for_fleet(nodes)).collect();
-    // One node after the other gets the new address.
+    // The nodes get the new address one after the other.
     let mut due: Vec<(f64, usize)> = (0..nodes as usize)
         .map(|node| (node as f64 * 0.4, node))
         .collect();
@@ -377,8 +380,8 @@
     answers.into_iter().enumerate().filter(in_time).count()
 }
 
-/// A change counts as received 4 s after a reload that has moved discovery. Nearly all nodes of a small fleet have a list by
-/// then, unless the service needs nearly all of that time for one call of each node.
+/// The platform takes a change as received 4 s after a reload that has moved discovery. Nearly all nodes of a small
+/// fleet must have a list by then, unless the service needs most of that time for one call of each node.
 #[test]
 fn a_small_fleet_gets_its_list_in_time_after_discovery_has_moved() {
     let late = |nodes: u32, round: f64| {
@@ -405,7 +408,7 @@
     }
 }
 
-/// After failures, two calls start within 4.5 s in a fleet of at most a dozen nodes, and one in any fleet.
+/// After failures, two calls start within 4.5 s in a fleet of at most a dozen nodes, and one call in any larger fleet.
 #[test]
 fn failed_calls_are_repeated_in_time_to_receive_a_change() {
     for nodes in [1, 3, 6, 14, 15, 100, 2700] {
--- a/crates/endpoints/tests/random_histories.rs
+++ b/crates/endpoints/tests/random_histories.rs
@@ -1,4 +1,4 @@
-//! Random histories of a store, followed through reconnects.
+//! A follower of a store with a random history, across reconnects.
 
 mod support;
 
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use support::*;
 
-/// Draws whole numbers from a fixed sequence.
+/// A linear congruential generator, so that each seed gives the same history.
 struct Random {
     state: u64,
 }
@@ -21,7 +21,7 @@
     }
 }
 
-/// A store with the history of its events.
+/// An etcd store with the history of its events.
 struct Store {
     keys: BTreeMap<String, KeyValue>,
     history: Vec<WatchEvent>,
@@ -29,7 +29,7 @@
 }
 
 impl Store {
-    /// A store with one key, which is never changed.
+    /// Creates a store with one key, which is never changed.
     fn new() -> Store {
         let anchor = kv("anchor", 1, 1, value(80, "ready", 7));
         Store {
@@ -74,7 +74,7 @@
     }
 }
 
-/// A follower, and the list that its updates give.
+/// A follower, and the list that results from its updates.
 struct Client {
     follower: Follower,
     list: BTreeMap<String, EndpointStatus>,
@@ -91,23 +91,27 @@
         let all: Vec<KeyValue> = store.keys.values().cloned().collect();
         let update = self
             .follower
-            .range(header(store.revision), &all, ms(0), NOW);
+            .apply_range(header(store.revision), &all, ms(0), NOW);
         self.apply(update);
     }
 
     fn receive(&mut self, store: &Store, events: Vec<WatchEvent>, fragment: bool) {
         let (update, _) =
             self.follower
-                .events(header(store.revision), events, fragment, ms(0), NOW);
+                .apply_events(header(store.revision), events, fragment, ms(0), NOW);
         self.apply(update);
     }
 
-    /// The events that it has not taken in yet.
+    /// Returns the events that the follower has not applied yet.
     fn missing_events(&self, store: &Store) -> Vec<WatchEvent> {
-        store.events_from(self.follower.resume().expect("the prefix was read"))
+        store.events_from(
+            self.follower
+                .resume_revision()
+                .expect("the prefix was read"),
+        )
     }
 
-    /// Receives the missing events in two fragments, of which the last may be lost.
+    /// Receives the missing events in two fragments, the second of which may be lost by a reconnect.
     fn watch(&mut self, store: &Store, random: &mut Random) {
         let mut first = self.missing_events(store);
         let cut = random.below(first.len() as u64 + 1) as usize;
@@ -121,9 +125,9 @@
     }
 }
 
-/// Events, ranges, fragments and reconnects come in any order. In the end the list is what the store holds.
+/// Events, ranges, fragments and reconnects occur in random order. In the end the list must match the store.
 #[test]
-fn random_histories_with_reconnects_end_as_the_store_does() {
+fn after_a_random_history_with_reconnects_the_list_matches_the_store() {
     let mut random = Random { state: 1 };
     for _ in 0..300 {
         let mut store = Store::new();
@@ -147,8 +151,8 @@
             .list
             .retain(|_, status| *status != EndpointStatus::Removed);
         assert_eq!(client.list, store.statuses());
-        assert_eq!(client.follower.hosts(), store.keys.len());
+        assert_eq!(client.follower.host_count(), store.keys.len());
     }
     let unused = Follower::new("/", Rules::default());
-    assert_eq!(unused.seen(), FollowerStats::default());
+    assert_eq!(unused.stats(), FollowerStats::default());
 }
--- a/crates/endpoints/tests/support/mod.rs
+++ b/crates/endpoints/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! An etcd store's responses, and a follower of them.
-#![allow(dead_code)] // each test binary uses a part
+//! Builds etcd responses for the tests, and a follower that has read a first list.
+#![allow(dead_code)] // Each test binary uses a part of this module.
 
 use saffronpaddle_endpoints::*;
 use std::collections::BTreeMap;
@@ -53,14 +53,14 @@
     }
 }
 
-/// Follows three servers, known at revision 10.
+/// Returns a follower that has read three servers at revision 10.
 pub fn three_servers() -> Follower {
     let mut follower = Follower::new("/board/", Rules::default());
     let kvs: Vec<_> = ["a", "b", "c"]
         .into_iter()
         .map(|host| kv(host, 2, 3, value(80, "ready", 7)))
         .collect();
-    let update = follower.range(header(10), &kvs, ms(1), NOW);
+    let update = follower.apply_range(header(10), &kvs, ms(1), NOW);
     assert!(update.snapshot && update.endpoints.len() == 3);
     follower
 }
@@ -73,9 +73,9 @@
         .collect()
 }
 
-/// Takes in one complete response.
+/// Applies one complete response.
 pub fn respond(follower: &mut Follower, revision: i64, events: Vec<WatchEvent>) -> EndpointUpdate {
-    let (update, step) = follower.events(header(revision), events, false, ms(100), NOW);
+    let (update, step) = follower.apply_events(header(revision), events, false, ms(100), NOW);
     assert_eq!(step, WatchStep::Continue);
     update
 }
--- a/crates/etcd/src/client.rs
+++ b/crates/etcd/src/client.rs
@@ -91,7 +91,10 @@
 impl Client {
     /// The revision to resume at and the count of ranges, which show whether a member was of use.
     fn progress(&self) -> (Option<i64>, u64) {
-        (self.follower.resume(), self.follower.seen().ranges)
+        (
+            self.follower.resume_revision(),
+            self.follower.stats().ranges,
+        )
     }
 
     async fn send(&self, news: News) -> std::result::Result<(), Closed> {
@@ -107,7 +110,7 @@
         if change.is_relevant() {
             self.send(News::Changed { change, read }).await?;
         }
-        for line in self.follower.logs() {
+        for line in self.follower.take_events() {
             self.send(News::Log(format!("etcd: {line}"))).await?;
         }
         Ok(())
@@ -122,7 +125,7 @@
     async fn follow_member(&mut self, address: SocketAddr, mut reread: bool) -> Result<()> {
         let mut member = Member::connect(address, &self.settings).await?;
         for _ in 0..MAX_WATCHES {
-            if (reread || self.follower.resume().is_none())
+            if (reread || self.follower.resume_revision().is_none())
                 && self.read_list(&mut member).await?.is_err()
             {
                 return Ok(());
@@ -142,7 +145,7 @@
         let received_at = self.elapsed(read);
         let change = self
             .follower
-            .range_of(header, listing, received_at, unix_ms());
+            .apply_listing(header, listing, received_at, unix_ms());
         let removals = self.follower.confirm_empty(self.elapsed(Instant::now()));
         if let Err(closed) = self.send_change(change, read).await {
             return Ok(Err(closed));
@@ -156,7 +159,7 @@
     /// Watches from the revision at which the follower resumes.
     async fn watch(&mut self, member: &mut Member) -> Result<WatchEnd> {
         let timing = self.settings.timing.clone();
-        let start_revision = self.follower.resume().unwrap_or(0);
+        let start_revision = self.follower.resume_revision().unwrap_or(0);
         let mut stream = member.watch(start_revision).await?;
         let mut probe = interval(timing.probe_every);
         probe.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -228,9 +231,9 @@
         } else if response.canceled {
             return Err(MemberError::WatchCancelled(response.cancel_reason));
         } else if response.created {
-            self.follower.header(header)
+            self.follower.check_header(header)
         } else if response.events.is_empty() && !response.fragment {
-            self.follower.progress(header)
+            self.follower.apply_progress(header)
         } else {
             let events = response
                 .events
@@ -238,7 +241,7 @@
                 .filter_map(watch_event)
                 .collect();
             let received_at = self.elapsed(read);
-            return Ok(self.follower.events(
+            return Ok(self.follower.apply_events(
                 header,
                 events,
                 response.fragment,
