--- a/crates/endpoints/src/poll/backoff.rs
+++ b/crates/endpoints/src/poll/backoff.rs
@@ -6,11 +6,11 @@
 //!
 //! Pauses are also bounded, because a node that does not call misses drains. The platform takes a change as received
 //! 6 s after the service had it and was reachable, regardless of how earlier calls ended. So the starts of a node's
-//! calls are at most [`MAX_CALL_INTERVAL`] apart for any fleet size; the rest of the 6 s is left for the answer. Therefore a
-//! failing service receives up to a quarter as many calls per second as there are nodes. A call has a timeout of up to
-//! 12 s while further calls run concurrently, so that a service with less capacity can work off its queue. A service
-//! that closes calls itself before that, but still processes them, can stay overloaded; installations with such a
-//! service set [`PollLimits`].
+//! calls are at most [`MAX_CALL_INTERVAL`] apart for any fleet size; the rest of the 6 s is left for the answer.
+//! Therefore a failing service receives up to a quarter as many calls per second as there are nodes. A call has a
+//! timeout of up to 12 s while further calls run concurrently, so that a service with less capacity can work off its
+//! queue. A service that closes calls itself before that, but still processes them, can stay overloaded; installations
+//! with such a service set [`PollLimits`].
 
 use crate::poll::limits::PollLimits;
 use std::time::Duration;
--- a/crates/websocket/src/frames.rs
+++ b/crates/websocket/src/frames.rs
@@ -1,30 +1,29 @@
-//! Which frames may pass from one side of a socket to the other (RFC 6455, sections 5 and 7; compressed messages as in
-//! RFC 7692 pass unchanged).
+//! Validates the frames that are forwarded from one side of a socket to the other (RFC 6455, sections 5 and 7).
 //!
-//! Frames are forwarded as they came, with the client's mask, so that nothing is unpacked. Heads and control frames are
-//! kept back until they are complete: what was forwarded always ends at a frame boundary or inside the payload of a data
-//! frame.
+//! Frames are forwarded unchanged, including the client's mask and compressed payloads (RFC 7692). Frame headers and
+//! control frames are buffered until they are complete, so the forwarded bytes always end at a frame boundary or inside
+//! the payload of a data frame.
 
 mod own;
 mod scanner;
 
-pub use own::{close, ping, OWN_PING};
+pub use own::{close, ping, OWN_PING_PAYLOAD};
 pub use scanner::Scanner;
 
-/// The most bytes of a control frame's payload (section 5.5).
+/// Maximum length of a control frame's payload (section 5.5).
 const MAX_CONTROL_BYTES: usize = 125;
 
-/// A side of a socket.
+/// One of the two peers between which a socket is proxied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Side {
     /// The client, which masks its frames (section 5.3).
     Client,
-    /// The server, which does not.
+    /// The server, which does not mask its frames.
     Server,
 }
 
 impl Side {
-    /// The other side.
+    /// Returns the opposite side.
     #[must_use]
     pub fn other(self) -> Side {
         match self {
@@ -34,36 +33,36 @@
     }
 }
 
-/// What frames may be.
+/// Limits and checks for the frames of a socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rules {
-    /// The longest payload of a frame, in bytes.
+    /// Maximum length of a frame's payload, in bytes.
     pub frame_most: u64,
-    /// The longest payload of a message, all its frames together, in bytes.
+    /// Maximum length of a message, which is the sum of its frames' payloads, in bytes.
     pub message_most: u64,
-    /// Messages may be compressed: their first frame may have RSV1 set.
+    /// Whether messages may be compressed, so that their first frame may have RSV1 set.
     pub deflate: bool,
-    /// Text that is not compressed must be UTF-8.
+    /// Whether uncompressed text messages are checked to be valid UTF-8.
     pub utf8: bool,
 }
 
-/// What the relay has to know of the frames that were scanned.
+/// What the scanner reports to the relay about the scanned frames.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Seen {
-    /// A close frame with its code. It was forwarded, and nothing after it is.
+    /// A close frame, with its code if it has one, was forwarded. Bytes after it are not forwarded.
     Close(Option<u16>),
-    /// The answer to a ping of the node. It was not forwarded.
+    /// A pong that answers a ping of the node was received. It is not forwarded.
     OwnPong,
-    /// Data was forwarded: a head or a part of a payload.
+    /// A part of a data frame was forwarded: its header or payload bytes.
     Data,
 }
 
-/// A frame that must not pass.
+/// Why a frame is rejected, as the code and reason of the close frame that the node sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// The code to close the socket with (section 7.4.1): 1002, 1007 or 1009.
+    /// The close code (section 7.4.1): 1002 (protocol error), 1007 (invalid payload data) or 1009 (message too big).
     pub code: u16,
-    /// The reason to close the socket with.
+    /// The close reason.
     pub why: &'static str,
 }
 
--- a/crates/websocket/src/frames/scanner.rs
+++ b/crates/websocket/src/frames/scanner.rs
@@ -1,40 +1,40 @@
-//! Follows the frames of one side.
+//! Parses and validates the frames that one side sends.
 
-use super::{Fault, Rules, Seen, Side, MAX_CONTROL_BYTES, OWN_PING};
+use super::{Fault, Rules, Seen, Side, MAX_CONTROL_BYTES, OWN_PING_PAYLOAD};
 use std::io::Cursor;
 use tungstenite::protocol::frame::coding::{CloseCode, Control, Data, OpCode};
 use tungstenite::protocol::frame::FrameHeader;
 
-/// The most bytes of a frame's head (section 5.2).
-const MAX_HEAD_BYTES: usize = 14;
-/// The bytes of a head that tell how long it is.
-const MIN_HEAD_BYTES: usize = 2;
-/// The bytes of a mask.
+/// Maximum length of a frame header (section 5.2).
+const MAX_HEADER_BYTES: usize = 14;
+/// Length of the first part of a frame header, which determines the length of the whole header.
+const MIN_HEADER_BYTES: usize = 2;
+/// Length of a masking key.
 const MASK_BYTES: usize = 4;
-/// In the second byte of a head: the length follows in 2 bytes.
+/// Length field of a header whose payload length follows in 2 bytes.
 const LENGTH_IN_2_BYTES: u8 = 126;
-/// In the second byte of a head: the length follows in 8 bytes.
+/// Length field of a header whose payload length follows in 8 bytes.
 const LENGTH_IN_8_BYTES: u8 = 127;
-/// In the second byte of a head: the bits of a short length.
+/// The bits of the length field, in the second byte of a header.
 const LENGTH_BITS: u8 = 0x7f;
-/// In the second byte of a head: a mask follows.
+/// The bit that announces a masking key, in the second byte of a header.
 const MASK_BIT: u8 = 0x80;
 
-/// Follows the frames of one side, and says which bytes may be forwarded.
+/// Validates the frames that one side sends, and selects the bytes to forward.
 #[derive(Debug)]
 pub struct Scanner {
     side: Side,
     rules: Rules,
-    head: [u8; MAX_HEAD_BYTES],
-    /// How many bytes of `head` have come.
-    head_bytes: usize,
-    /// The frame whose payload is coming.
+    header: [u8; MAX_HEADER_BYTES],
+    /// The number of bytes in `header` that have been received.
+    header_bytes: usize,
+    /// The frame whose payload is being received.
     frame: Option<OpenFrame>,
-    /// The message whose last frame has not come.
+    /// The message whose last frame has not been received.
     message: Option<OpenMessage>,
-    /// The payload of a control frame so far.
+    /// The received part of a control frame's payload, still masked.
     control: Vec<u8>,
-    /// The bytes of a character of text that is not complete.
+    /// The received bytes of a text character that is not complete.
     partial_character: Vec<u8>,
     closed: bool,
 }
@@ -45,27 +45,27 @@
     is_final: bool,
     check_text: bool,
     mask: Option<[u8; MASK_BYTES]>,
-    /// How many bytes of the payload have come.
+    /// The number of payload bytes that have been received.
     received: usize,
-    /// How many bytes of the payload are still to come.
-    left: u64,
+    /// The number of payload bytes that have not been received.
+    remaining: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct OpenMessage {
-    /// The payload of its frames so far, in bytes.
+    /// The sum of the payload lengths of its frames so far.
     bytes: u64,
     check_text: bool,
 }
 
 impl Scanner {
-    /// Follows one side of a new socket.
+    /// Creates a scanner for the frames that `side` sends on a new socket.
     pub fn new(side: Side, rules: Rules) -> Scanner {
         Scanner {
             side,
             rules,
-            head: [0; MAX_HEAD_BYTES],
-            head_bytes: 0,
+            header: [0; MAX_HEADER_BYTES],
+            header_bytes: 0,
             frame: None,
             message: None,
             control: Vec::new(),
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Whether what was forwarded ends at a frame boundary, where the node may send a frame of its own.
+    /// Whether the forwarded bytes end at a frame boundary, so that the node may insert a frame of its own.
     pub fn at_boundary(&self) -> bool {
         self.frame.is_none_or(|frame| frame.control.is_some())
     }
@@ -84,10 +84,10 @@
         self.closed
     }
 
-    /// Takes in received bytes, and appends those that may be forwarded to `out`.
+    /// Scans received bytes. Appends those to forward to `out`, and what the relay needs to know to `seen`.
     ///
     /// # Errors
-    /// A frame that must not pass. What came before it was appended to `out`.
+    /// A frame is invalid or too large. The bytes before it have been appended to `out`.
     pub fn scan(
         &mut self,
         mut bytes: &[u8],
@@ -96,7 +96,7 @@
     ) -> Result<(), Fault> {
         while !bytes.is_empty() && !self.closed {
             if self.frame.is_none() {
-                self.take_head(&mut bytes, out, seen)?;
+                self.take_header(&mut bytes, out, seen)?;
             }
             if let Some(frame) = self.frame {
                 self.take_payload(frame, &mut bytes, out, seen)?;
@@ -105,31 +105,31 @@
         Ok(())
     }
 
-    /// Takes bytes of a head off the front of `bytes`, and starts the frame once the head is complete.
-    fn take_head(
+    /// Consumes header bytes from the front of `bytes`, and starts the frame once the header is complete.
+    fn take_header(
         &mut self,
         bytes: &mut &[u8],
         out: &mut Vec<u8>,
         seen: &mut Vec<Seen>,
     ) -> Result<(), Fault> {
-        let missing = self.expected_head_bytes() - self.head_bytes;
-        let (head, rest) = bytes.split_at(missing.min(bytes.len()));
-        let end = self.head_bytes + head.len();
-        self.head[self.head_bytes..end].copy_from_slice(head);
-        self.head_bytes = end;
+        let missing = self.expected_header_bytes() - self.header_bytes;
+        let (part, rest) = bytes.split_at(missing.min(bytes.len()));
+        let end = self.header_bytes + part.len();
+        self.header[self.header_bytes..end].copy_from_slice(part);
+        self.header_bytes = end;
         *bytes = rest;
-        if self.head_bytes == self.expected_head_bytes() {
+        if self.header_bytes == self.expected_header_bytes() {
             self.start_frame(out, seen)?;
         }
         Ok(())
     }
 
-    /// How many bytes the head has, as far as that is known.
-    fn expected_head_bytes(&self) -> usize {
-        if self.head_bytes < MIN_HEAD_BYTES {
-            return MIN_HEAD_BYTES;
+    /// Returns the length of the header, or that of its first part until that part has been received.
+    fn expected_header_bytes(&self) -> usize {
+        if self.header_bytes < MIN_HEADER_BYTES {
+            return MIN_HEADER_BYTES;
         }
-        let second = self.head[1];
+        let second = self.header[1];
         let length_bytes = match second & LENGTH_BITS {
             LENGTH_IN_2_BYTES => 2,
             LENGTH_IN_8_BYTES => 8,
@@ -140,17 +140,17 @@
         } else {
             MASK_BYTES
         };
-        MIN_HEAD_BYTES + length_bytes + mask_bytes
+        MIN_HEADER_BYTES + length_bytes + mask_bytes
     }
 
-    /// A head is complete (section 5.2).
+    /// Validates a complete header (section 5.2) and starts its frame.
     fn start_frame(&mut self, out: &mut Vec<u8>, seen: &mut Vec<Seen>) -> Result<(), Fault> {
-        let head = &self.head[..self.head_bytes];
-        let parsed = FrameHeader::parse(&mut Cursor::new(head));
+        let raw_header = &self.header[..self.header_bytes];
+        let parsed = FrameHeader::parse(&mut Cursor::new(raw_header));
         let Ok(Some((header, length))) = parsed else {
             return Err(Fault::protocol_error("an opcode that is reserved"));
         };
-        self.check_head(&header, length)?;
+        self.check_header(&header, length)?;
         let (control, check_text) = match header.opcode {
             OpCode::Control(control) => {
                 check_control(&header, length)?;
@@ -158,7 +158,7 @@
             }
             OpCode::Data(data) => {
                 let check_text = self.add_to_message(&header, data, length)?;
-                out.extend_from_slice(&self.head[..self.head_bytes]);
+                out.extend_from_slice(&self.header[..self.header_bytes]);
                 seen.push(Seen::Data);
                 (None, check_text)
             }
@@ -169,22 +169,22 @@
             check_text,
             mask: header.mask,
             received: 0,
-            left: length,
+            remaining: length,
         });
         Ok(())
     }
 
-    /// The rules for the heads of all frames.
-    fn check_head(&self, header: &FrameHeader, length: u64) -> Result<(), Fault> {
+    /// Checks the rules for the headers of all frames.
+    fn check_header(&self, header: &FrameHeader, length: u64) -> Result<(), Fault> {
         if length >> 63 != 0 {
             return Err(Fault::protocol_error("a length beyond 2^63"));
         }
-        let too_long_form = match self.head[1] & LENGTH_BITS {
+        let not_minimal = match self.header[1] & LENGTH_BITS {
             LENGTH_IN_2_BYTES => length < u64::from(LENGTH_IN_2_BYTES),
             LENGTH_IN_8_BYTES => u16::try_from(length).is_ok(),
             _ => false,
         };
-        if too_long_form {
+        if not_minimal {
             return Err(Fault::protocol_error(
                 "a length that is not written the short way",
             ));
@@ -198,7 +198,7 @@
         Ok(())
     }
 
-    /// Adds a data frame to its message. Returns whether its payload is text that has to be checked.
+    /// Adds a data frame to its message. Returns whether its payload is text that must be checked.
     fn add_to_message(
         &mut self,
         header: &FrameHeader,
@@ -226,7 +226,7 @@
         Ok(message.check_text)
     }
 
-    /// Takes bytes of a frame's payload off the front of `bytes`, and ends the frame once its payload is complete.
+    /// Consumes payload bytes from the front of `bytes`, and ends the frame once its payload is complete.
     fn take_payload(
         &mut self,
         mut frame: OpenFrame,
@@ -234,8 +234,8 @@
         out: &mut Vec<u8>,
         seen: &mut Vec<Seen>,
     ) -> Result<(), Fault> {
-        let left = usize::try_from(frame.left).unwrap_or(usize::MAX);
-        let (payload, rest) = bytes.split_at(left.min(bytes.len()));
+        let remaining = usize::try_from(frame.remaining).unwrap_or(usize::MAX);
+        let (payload, rest) = bytes.split_at(remaining.min(bytes.len()));
         *bytes = rest;
         if frame.control.is_some() {
             self.control.extend_from_slice(payload);
@@ -249,20 +249,20 @@
             }
         }
         frame.received += payload.len();
-        frame.left -= payload.len() as u64;
+        frame.remaining -= payload.len() as u64;
         self.frame = Some(frame);
-        if frame.left > 0 {
+        if frame.remaining > 0 {
             return Ok(());
         }
         self.frame = None;
-        let head_bytes = std::mem::take(&mut self.head_bytes);
+        let header_bytes = std::mem::take(&mut self.header_bytes);
         match frame.control {
-            Some(control) => self.end_control(&frame, control, head_bytes, out, seen),
+            Some(control) => self.end_control(&frame, control, header_bytes, out, seen),
             None => self.end_data(&frame),
         }
     }
 
-    /// A data frame is complete.
+    /// Handles the end of a data frame.
     fn end_data(&mut self, frame: &OpenFrame) -> Result<(), Fault> {
         if frame.is_final {
             self.message = None;
@@ -273,18 +273,18 @@
         Ok(())
     }
 
-    /// A control frame is complete.
+    /// Handles the end of a control frame: forwards it, unless it is the answer to a ping of the node.
     fn end_control(
         &mut self,
         frame: &OpenFrame,
         control: Control,
-        head_bytes: usize,
+        header_bytes: usize,
         out: &mut Vec<u8>,
         seen: &mut Vec<Seen>,
     ) -> Result<(), Fault> {
         let masked = std::mem::take(&mut self.control);
         let payload: Vec<u8> = unmask(frame.mask, 0, &masked).collect();
-        if control == Control::Pong && payload == OWN_PING {
+        if control == Control::Pong && payload == OWN_PING_PAYLOAD {
             seen.push(Seen::OwnPong);
             return Ok(());
         }
@@ -293,12 +293,13 @@
             self.closed = true;
             seen.push(Seen::Close(code));
         }
-        out.extend_from_slice(&self.head[..head_bytes]);
+        out.extend_from_slice(&self.header[..header_bytes]);
         out.extend_from_slice(&masked);
         Ok(())
     }
 
-    /// Checks a piece of text (section 8.1). The bytes of an incomplete character are kept for the next piece.
+    /// Checks that a piece of text is valid UTF-8 (section 8.1). Keeps the bytes of an incomplete character for the
+    /// next piece.
     fn check_text(&mut self, frame: &OpenFrame, piece: &[u8]) -> Result<(), Fault> {
         let text = &mut self.partial_character;
         text.extend(unmask(frame.mask, frame.received, piece));
@@ -314,7 +315,7 @@
     }
 }
 
-/// The rules for the heads of control frames (section 5.5).
+/// Checks the rules for the headers of control frames (section 5.5).
 fn check_control(header: &FrameHeader, length: u64) -> Result<(), Fault> {
     if header.rsv1 || !header.is_final || length > MAX_CONTROL_BYTES as u64 {
         return Err(Fault::protocol_error(
@@ -324,18 +325,18 @@
     Ok(())
 }
 
-/// Unmasks bytes that start at the place `start` of a payload.
+/// Unmasks bytes that start at the offset `start` of a payload.
 fn unmask(
     mask: Option<[u8; MASK_BYTES]>,
     start: usize,
     bytes: &[u8],
 ) -> impl Iterator<Item = u8> + '_ {
     let mask = mask.unwrap_or_default();
-    let places = bytes.iter().enumerate();
-    places.map(move |(place, byte)| byte ^ mask[(start + place) % MASK_BYTES])
+    let indexed = bytes.iter().enumerate();
+    indexed.map(move |(index, byte)| byte ^ mask[(start + index) % MASK_BYTES])
 }
 
-/// The code of a close frame (sections 5.5.1 and 7.4).
+/// Validates the payload of a close frame and returns its code (sections 5.5.1 and 7.4).
 fn close_code(payload: &[u8]) -> Result<Option<u16>, Fault> {
     let (code, reason) = match payload {
         [] => return Ok(None),
--- a/crates/websocket/src/lib.rs
+++ b/crates/websocket/src/lib.rs
@@ -1,11 +1,11 @@
-//! What a node decides about WebSocket connections (RFC 6455).
+//! Rules for the WebSocket connections (RFC 6455) that a node proxies.
 //!
-//! - [`upgrade`]: which upgrade requests and responses are valid.
-//! - [`frames`]: which frames may pass from one side to the other.
-//! - [`table`]: how many sockets there may be, for how long, and when each has to close.
+//! - [`upgrade`] validates upgrade requests and responses.
+//! - [`frames`] validates the frames that are forwarded from one side to the other.
+//! - [`table`] limits the number of sockets, and decides when each one is pinged and closed.
 //!
-//! The crate does no I/O and reads no clock. The policy engine decides which server an upgrade goes to, and whether it is
-//! retried or rejected, as for any request.
+//! The crate does no I/O and reads no clock. As for any other request, the policy engine decides which server an
+//! upgrade is sent to, and whether it is retried or rejected.
 //!
 //! ```
 //! use saffronpaddle_websocket::frames::{Rules, Scanner, Side};
--- a/crates/websocket/src/table.rs
+++ b/crates/websocket/src/table.rs
@@ -1,9 +1,10 @@
-//! How many sockets there may be, how long each may be open and silent, and how sockets close when a server drains or the
-//! node stops.
+//! The table of a node's sockets: limits on their number and on how long each may be open and silent, and how they
+//! close when a server drains or the node stops.
 //!
-//! An open socket counts for its customer at this node only: the limit over all nodes is divided by the number of the
-//! customer's nodes, so that no node has to know the sockets of another. A client that comes back through another node is
-//! not rejected because of its own lost connection, and sockets of a node that was killed count nowhere.
+//! A socket counts towards its customer's limit at this node only. The limit over all nodes is divided by the number of
+//! the customer's nodes, so that no node has to know the sockets of another. So a client that reconnects through
+//! another node is not rejected because of its own lost connection, and the sockets of a node that was killed are not
+//! counted anywhere.
 
 mod admission;
 mod alarms;
@@ -24,26 +25,27 @@
 /// Close code "try again later" (RFC 6455's registry).
 const TRY_AGAIN_LATER: u16 = 1013;
 
-/// Identifies a socket of this node. Numbers are never reused.
+/// Identifies a socket of this node. IDs are not reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SocketId(pub u64);
 
-/// What the I/O layer has to do.
+/// An instruction to the I/O layer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Close a socket on both sides with this code and reason, at frame boundaries. From now on nothing of the client's is
-    /// forwarded to the server but the rest of a frame.
+    /// Send a close frame with this code and reason to both sides, at frame boundaries. Of the client's bytes, only the
+    /// rest of the current frame is still forwarded to the server.
     Close(SocketId, u16, String),
-    /// The same because a server drains or the node stops: no byte may be written to the server after this time. Once both
-    /// sides have their close frames, the rest waits for [`Command::Cut`], so that the event loop gets to other sockets.
+    /// As [`Command::Close`], because a server drains or the node stops. No byte may be written to the server after the
+    /// given time. Once both sides have received their close frames, the connections are left open until
+    /// [`Command::Cut`], so that the event loop can serve other sockets.
     Drain(SocketId, u16, String, Micros),
     /// Send a ping to a side.
     Ping(SocketId, Side),
-    /// Close the connections of a socket. No byte may reach the server after that.
+    /// Close both connections of a socket. No byte may reach the server after that.
     Cut(SocketId),
 }
 
-/// A socket, or an upgrade that has no response yet.
+/// An open socket, or an upgrade that has no response yet.
 #[derive(Clone, Debug)]
 struct Socket {
     customer: CustomerId,
@@ -52,13 +54,13 @@
     opened_at: Micros,
     /// When bytes were last received, by [`Side`].
     last_received_at: [Micros; 2],
-    /// Whether a ping was sent since then, by [`Side`].
+    /// Whether a ping was sent since bytes were last received, by [`Side`].
     ping_sent: [bool; 2],
-    /// When data was last forwarded, either way.
+    /// When data was last forwarded, in either direction.
     last_data_at: Micros,
-    /// When its connections are closed, once the socket closes.
+    /// When its connections are closed at the latest; `None` until the closing handshake starts.
     cut_at: Option<Micros>,
-    /// When its next alarm is due; [`Micros::MAX`] for none.
+    /// When its alarm is due; [`Micros::MAX`] if none is set.
     alarm_at: Micros,
 }
 
@@ -85,12 +87,13 @@
     by_customer: HashMap<CustomerId, u32>,
     by_server: BTreeMap<ServerId, BTreeSet<SocketId>>,
     pending_upgrades: usize,
-    /// Servers that drain or are gone, for as long as pending upgrades may be on their way to them.
+    /// Servers that are draining or removed. Kept while upgrades are pending, because these may still open at such a
+    /// server.
     unavailable: BTreeSet<ServerId>,
     alarms: BTreeSet<(Micros, SocketId)>,
-    /// Sockets that have to be told to close.
+    /// Sockets for which [`Command::Drain`] has not been issued yet.
     draining: VecDeque<PendingDrain>,
-    /// When sockets were last told to close.
+    /// When the last batch of [`Command::Drain`] was issued.
     last_drain_at: Micros,
     upgrade_tokens: TokenBucket,
     stopped: bool,
@@ -98,7 +101,7 @@
 }
 
 impl Sockets {
-    /// No sockets yet.
+    /// Creates an empty table.
     pub fn new(limits: Limits, now: Micros) -> Sockets {
         Sockets {
             upgrade_tokens: TokenBucket::new(limits.opens_per_s, now),
@@ -116,13 +119,15 @@
         }
     }
 
-    /// How many sockets there are, pending upgrades among them.
+    /// Returns the number of sockets, including pending upgrades.
     pub fn count(&self) -> usize {
         self.by_id.len()
     }
 
-    /// A server has answered an upgrade with status 101. The commands are to be carried out at once: a socket to a server
-    /// that drains by now is closed again, and so is one too many.
+    /// Records that a server has answered an upgrade with status 101.
+    ///
+    /// The returned commands must be executed immediately. They close the socket if its server has started to drain in
+    /// the meantime, if the node stops, or if the server's limit is exceeded.
     pub fn opened(&mut self, now: Micros, id: SocketId, server: ServerId) -> Vec<Command> {
         let Some(socket) = self.by_id.get_mut(&id) else {
             return vec![Command::Cut(id)];
@@ -149,7 +154,7 @@
         Vec::new()
     }
 
-    /// Bytes of a side were received; `data` if they were more than control frames.
+    /// Records that bytes were received from a side. `data` says whether they included parts of data frames.
     pub fn on_received(&mut self, now: Micros, id: SocketId, side: Side, data: bool) {
         if let Some(socket) = self.by_id.get_mut(&id) {
             socket.last_received_at[side as usize] = now;
@@ -160,7 +165,7 @@
         }
     }
 
-    /// A closing handshake has started, on whichever side. The socket is cut if it takes too long.
+    /// Records that either side has started the closing handshake. The socket is cut if the handshake takes too long.
     pub fn closes(&mut self, now: Micros, id: SocketId) {
         let socket = self.by_id.get(&id);
         if socket.is_some_and(|socket| socket.cut_at.is_none()) {
@@ -168,7 +173,7 @@
         }
     }
 
-    /// A socket has ended, or an upgrade has failed.
+    /// Removes a socket whose connections are closed, or an upgrade that has failed.
     pub fn ended(&mut self, id: SocketId) {
         let Some(socket) = self.by_id.remove(&id) else {
             return;
@@ -191,7 +196,8 @@
         }
     }
 
-    /// An upgrade is no longer pending. If none is, no socket can open to a server that is unavailable.
+    /// Counts down the pending upgrades. When none is left, no socket can open at an unavailable server any more, so
+    /// the set of these is cleared.
     fn end_pending_upgrade(&mut self) {
         self.pending_upgrades -= 1;
         if self.pending_upgrades == 0 {
@@ -199,13 +205,13 @@
         }
     }
 
-    /// Closes a socket by a handshake that may take the usual time.
+    /// Starts the closing handshake of a socket, with the usual time limit.
     fn close(&mut self, now: Micros, id: SocketId, code: u16) -> Command {
         self.cut_by(id, now.saturating_add(self.limits.close_within));
         Command::Close(id, code, self.retry_after(0))
     }
 
-    /// Sets when a socket that closes is cut.
+    /// Sets the time at which a closing socket is cut.
     fn cut_by(&mut self, id: SocketId, at: Micros) {
         if let Some(socket) = self.by_id.get_mut(&id) {
             socket.cut_at = Some(at);
--- a/crates/websocket/src/table/admission.rs
+++ b/crates/websocket/src/table/admission.rs
@@ -1,25 +1,25 @@
-//! Which upgrades are admitted.
+//! Admission of upgrades by the limits on sockets.
 
 use super::{Socket, SocketId, Sockets};
 use saffronpaddle_policy::interface::{CustomerId, Micros};
 
 /// Microseconds in a second.
 const MICROS_PER_S: f64 = 1e6;
-/// When to retry an upgrade that came while the node stops.
+/// Retry delay for an upgrade that is rejected because the node stops, in microseconds.
 const RETRY_AFTER_STOP: Micros = 1_000_000;
-/// When to retry an upgrade that exceeded a limit of sockets.
+/// Retry delay for an upgrade that exceeds a limit on sockets, in microseconds.
 const RETRY_AFTER_LIMIT: Micros = 5_000_000;
 
 /// Why an upgrade is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shut {
-    /// The reason, for the client.
+    /// The reason, which is the body of the response to the client.
     pub why: &'static str,
-    /// When to retry, in microseconds from now.
+    /// The delay after which the client may retry, in microseconds.
     pub retry_in: Micros,
 }
 
-/// A token bucket whose capacity is one second's tokens.
+/// A token bucket that holds at most one second's worth of tokens.
 #[derive(Clone, Debug)]
 pub(super) struct TokenBucket {
     rate_per_s: f64,
@@ -28,7 +28,7 @@
 }
 
 impl TokenBucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub fn new(rate_per_s: f64, now: Micros) -> TokenBucket {
         TokenBucket {
             rate_per_s,
@@ -40,10 +40,10 @@
     /// Takes a token.
     ///
     /// # Errors
-    /// There is none; returns the time until there is.
+    /// The bucket is empty; the error is the time until the next token, in microseconds.
     pub fn take(&mut self, now: Micros) -> Result<(), Micros> {
         let elapsed_s = now.saturating_sub(self.refilled_at) as f64 / MICROS_PER_S;
-        // A rate below one per second must not keep the bucket from ever holding a token.
+        // With a capacity below 1, a bucket with a rate below one per second would never hold a whole token.
         let capacity = self.rate_per_s.max(1.0);
         self.tokens = (self.tokens + elapsed_s * self.rate_per_s).min(capacity);
         self.refilled_at = now;
@@ -56,10 +56,11 @@
 }
 
 impl Sockets {
-    /// Admits an upgrade, which counts as a socket from now on. `spread` is the number of the customer's nodes.
+    /// Admits an upgrade, which counts as a socket from then on. `spread` is the number of nodes that serve the
+    /// customer.
     ///
     /// # Errors
-    /// The upgrade is rejected.
+    /// The node stops, or the upgrade exceeds a limit.
     pub fn admit(
         &mut self,
         now: Micros,
@@ -92,7 +93,7 @@
                 retry_in: RETRY_AFTER_LIMIT,
             });
         }
-        // The nodes' parts never exceed the limit together, unless it is less than one socket for each node.
+        // The nodes' shares add up to at most the customer's limit, unless that is less than one socket per node.
         let limit_here = (self.limits.per_customer / spread.max(1)).max(1);
         let open = self.by_customer.get(&customer).copied().unwrap_or(0);
         if open >= limit_here {
--- a/crates/websocket/src/table/alarms.rs
+++ b/crates/websocket/src/table/alarms.rs
@@ -1,21 +1,21 @@
-//! What time brings about: pings, timeouts and cuts.
+//! Timers of the sockets: pings, timeouts and cuts.
 
 use super::drain::GOING_AWAY;
 use super::{Command, Limits, Socket, SocketId, Sockets};
 use crate::frames::Side;
 use saffronpaddle_policy::interface::Micros;
 
-/// The most cuts in one tick. Each closes two file descriptors; more at once would hold up requests.
+/// Maximum number of cuts per tick. Each cut closes two file descriptors; more of them at once would delay requests.
 const MAX_CUTS_PER_TICK: usize = 128;
 
 impl Sockets {
-    /// When [`Sockets::tick`] is due.
+    /// Returns the time at which [`Sockets::tick`] is due; `None` if nothing is scheduled.
     pub fn next_alarm(&self) -> Option<Micros> {
         let alarm = self.alarms.first().map(|(at, _)| *at);
         alarm.into_iter().chain(self.next_batch_at()).min()
     }
 
-    /// Does what is due.
+    /// Handles all due alarms and the due batch of a drain. Returns the resulting commands.
     pub fn tick(&mut self, now: Micros) -> Vec<Command> {
         let mut commands = Vec::new();
         if self.next_batch_at().is_some_and(|at| now >= at) {
@@ -33,14 +33,14 @@
         commands
     }
 
-    /// A socket's alarm is due. What was received since it was set may have made it needless.
+    /// Handles a socket's due alarm. Bytes received since the alarm was set may have made it obsolete.
     fn on_alarm(&mut self, now: Micros, id: SocketId, commands: &mut Vec<Command>) {
         let Some(socket) = self.by_id.get_mut(&id) else {
             return;
         };
         if let Some(cut_at) = socket.cut_at {
             if now >= cut_at {
-                // The command is given once.
+                // The command must be issued only once.
                 socket.cut_at = Some(Micros::MAX);
                 commands.push(Command::Cut(id));
             }
@@ -73,7 +73,7 @@
 }
 
 impl Socket {
-    /// Whether a side is gone, or the socket was idle or open for too long.
+    /// Whether a side has been silent for too long, or the socket has been idle or open for too long.
     fn has_timed_out(&self, now: Micros, limits: &Limits) -> bool {
         let silent = self
             .last_received_at
--- a/crates/websocket/src/table/drain.rs
+++ b/crates/websocket/src/table/drain.rs
@@ -1,41 +1,42 @@
-//! How the sockets of a server that drains, or of a node that stops, close.
+//! Closes the sockets of a draining server or of a node that stops.
 //!
-//! Thousands of sockets may close together. Told to close all at once, they would block the event loop, and their clients
-//! would come back all at once. So they are told to close in batches, within a part of the drain's time, and each client
-//! is told when to come back.
+//! Thousands of sockets may have to close. Closing all of them at once would block the event loop, and all their
+//! clients would reconnect at the same time. So the close frames are sent in batches within a part of the drain's time
+//! limit, and each one tells its client when to reconnect.
 
 use super::{Command, SocketId, Sockets};
 use saffronpaddle_policy::interface::{Micros, ServerId};
 
-/// Between two batches, in microseconds.
+/// Time between two batches, in microseconds.
 pub(super) const BATCH_INTERVAL: Micros = 2_000;
-/// The fewest closes in a batch, if so many are left.
+/// Minimum number of sockets in a batch, if that many are left.
 const MIN_BATCH: usize = 32;
-/// The part of a drain's time in which all sockets are told to close; the rest is for closing handshakes.
+/// Fraction of a drain's time limit in which the close frames are sent; the rest is left for the closing handshakes.
 const NOTIFY_FRACTION: f64 = 0.5;
-/// When the first client may come back, in seconds.
+/// Delay after which the first client may reconnect, in seconds.
 const FIRST_RETRY_S: f64 = 0.1;
-/// The least rate at which clients come back, per second.
-const MIN_RETURN_RATE_PER_S: f64 = 0.001;
+/// Minimum rate at which clients are told to reconnect, per second.
+const MIN_RECONNECT_RATE_PER_S: f64 = 0.001;
 
 /// Close code "going away" (RFC 6455, section 7.4.1).
 pub(super) const GOING_AWAY: u16 = 1001;
 /// Close code "service restart" (RFC 6455's registry).
 const SERVICE_RESTART: u16 = 1012;
 
-/// A socket that has to be told to close.
+/// A socket for which [`Command::Drain`] has not been issued yet.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PendingDrain {
     id: SocketId,
     /// When the socket is cut.
     cut_at: Micros,
-    /// The place of its client among those that come back.
-    place: usize,
+    /// The position of its client in the order in which clients reconnect, from 0.
+    position: usize,
 }
 
 impl Sockets {
-    /// The list of servers says that a server is ready, or that it is not: it drains, is removed, or has another address.
-    /// In the latter case its sockets close, the first at once and all within the time of a drain.
+    /// Applies a change of the endpoint list: a server is ready, or it is not because it drains, was removed or has
+    /// another address. The sockets of a server that is not ready close, the first of them immediately and all within
+    /// the time limit of a drain.
     pub fn on_server_status(&mut self, now: Micros, server: ServerId, ready: bool) -> Vec<Command> {
         if ready {
             self.unavailable.remove(&server);
@@ -50,7 +51,7 @@
         self.tick(now)
     }
 
-    /// The node stops: all sockets close, and no upgrade is admitted.
+    /// Closes all sockets and rejects further upgrades, because the node stops.
     pub fn stop(&mut self, now: Micros) -> Vec<Command> {
         self.stopped = true;
         let open = self.by_id.iter();
@@ -63,12 +64,12 @@
 
     fn drain(&mut self, now: Micros, ids: Vec<SocketId>) {
         let drained_by = now.saturating_add(self.limits.drain_within);
-        for (place, id) in ids.into_iter().enumerate() {
+        for (position, id) in ids.into_iter().enumerate() {
             let Some(socket) = self.by_id.get(&id) else {
                 continue;
             };
             if let Some(cut_at) = socket.cut_at {
-                // It closes already, and is cut no later than the others.
+                // The socket is already closing; it is cut no later than the others.
                 self.cut_by(id, cut_at.min(drained_by));
                 continue;
             }
@@ -76,23 +77,23 @@
             self.draining.push_back(PendingDrain {
                 id,
                 cut_at: drained_by,
-                place,
+                position,
             });
         }
     }
 
-    /// Closes a socket that has opened to a server that drains.
+    /// Closes a socket that has just opened at a draining server.
     pub(super) fn drain_at_once(&mut self, now: Micros, id: SocketId) -> Command {
         let cut_at = now.saturating_add(self.limits.drain_within);
         self.cut_by(id, cut_at);
         self.drain_command(PendingDrain {
             id,
             cut_at,
-            place: 0,
+            position: 0,
         })
     }
 
-    /// When the next batch is due, if sockets have to be told to close.
+    /// Returns the time at which the next batch is due; `None` if no socket waits to be drained.
     pub(super) fn next_batch_at(&self) -> Option<Micros> {
         if self.draining.is_empty() {
             return None;
@@ -100,15 +101,15 @@
         Some(self.last_drain_at.saturating_add(BATCH_INTERVAL))
     }
 
-    /// Tells a batch of sockets to close: as many as it takes to tell all of them in time.
+    /// Issues the drain commands of one batch. The batch is large enough for all close frames to be sent in time.
     pub(super) fn drain_batch(&mut self, now: Micros, commands: &mut Vec<Command>) {
         self.last_drain_at = now;
         let handshake_time = (self.limits.drain_within as f64 * (1.0 - NOTIFY_FRACTION)) as Micros;
-        let told_by = self
+        let notified_by = self
             .draining
             .back()
             .map_or(now, |last| last.cut_at.saturating_sub(handshake_time));
-        let batches_left = (told_by.saturating_sub(now) / BATCH_INTERVAL).max(1) as usize;
+        let batches_left = (notified_by.saturating_sub(now) / BATCH_INTERVAL).max(1) as usize;
         let waiting = self.draining.len();
         let batch = waiting.div_ceil(batches_left).max(MIN_BATCH).min(waiting);
         let due: Vec<PendingDrain> = self.draining.drain(..batch).collect();
@@ -125,14 +126,14 @@
         } else {
             GOING_AWAY
         };
-        let reason = self.retry_after(pending.place);
+        let reason = self.retry_after(pending.position);
         Command::Drain(pending.id, code, reason, pending.cut_at)
     }
 
-    /// The reason of a close frame: when the client at this place of those that come back may do so.
-    pub(super) fn retry_after(&self, place: usize) -> String {
-        let rate_per_s = self.limits.back_per_s.max(MIN_RETURN_RATE_PER_S);
-        let seconds = FIRST_RETRY_S + place as f64 / rate_per_s;
+    /// Returns the reason of a close frame: the delay after which the client at this position may reconnect.
+    pub(super) fn retry_after(&self, position: usize) -> String {
+        let rate_per_s = self.limits.back_per_s.max(MIN_RECONNECT_RATE_PER_S);
+        let seconds = FIRST_RETRY_S + position as f64 / rate_per_s;
         format!("retry-after={seconds:.3}")
     }
 }
--- a/crates/websocket/src/table/limits.rs
+++ b/crates/websocket/src/table/limits.rs
@@ -1,33 +1,34 @@
-//! What an installation sets for sockets.
+//! Limits that an installation sets for sockets.
 
 use saffronpaddle_policy::interface::Micros;
 
-/// Limits of sockets. Spans are in microseconds.
+/// Limits on sockets. Durations are in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Sockets of this node, pending upgrades among them. It keeps file descriptors and memory for requests.
+    /// Maximum number of sockets of this node, including pending upgrades. It reserves file descriptors and memory for
+    /// requests.
     pub per_node: usize,
-    /// Sockets of one customer, over all of its nodes together.
+    /// Maximum number of sockets of one customer over all of its nodes.
     pub per_customer: u32,
-    /// Sockets of this node to one server.
+    /// Maximum number of sockets from this node to one server.
     pub per_server: usize,
-    /// Upgrades that are admitted per second, and at once. It protects servers when all clients of another server come
-    /// back together.
+    /// Maximum number of upgrades per second, which is also the size of a burst. It protects servers when all clients
+    /// of another server reconnect at the same time.
     pub opens_per_s: f64,
-    /// A side that has been silent for this long is sent a ping.
+    /// How long a side may be silent before it is sent a ping.
     pub ping_after: Micros,
-    /// A side that has been silent for this long counts as gone. More than `ping_after`.
+    /// How long a side may be silent before the socket is closed. More than `ping_after`.
     pub silent_after: Micros,
-    /// A socket without data either way for this long is closed; 0: never.
+    /// How long a socket may be without data in either direction before it is closed; 0 for no limit.
     pub idle_for: Micros,
-    /// A socket that has been open for this long is closed; 0: never.
+    /// How long a socket may be open before it is closed; 0 for no limit.
     pub life_for: Micros,
-    /// From the time at which a server drains to the last byte that may reach it.
+    /// Time from the drain of a server to the last byte that may reach it.
     pub drain_within: Micros,
-    /// How long a closing handshake may take otherwise.
+    /// Time limit of a closing handshake for other reasons.
     pub close_within: Micros,
-    /// Clients of sockets that close together are told to come back at this rate per second.
+    /// The rate per second at which clients of sockets that are drained together are told to reconnect.
     pub back_per_s: f64,
-    /// Whether a drain closes with 1012 (service restart) instead of 1001 (going away).
+    /// Whether drained sockets are closed with 1012 (service restart) instead of 1001 (going away).
     pub restart: bool,
 }
--- a/crates/websocket/src/table/tests.rs
+++ b/crates/websocket/src/table/tests.rs
@@ -20,10 +20,10 @@
     }
 }
 
-/// Events come in any order. The count must stay right, and once all sockets have ended, nothing may be kept of them:
-/// memory would grow without end.
+/// Guards against memory that grows without bound: after random events, the count must be right, and no state may be
+/// left once all sockets have ended.
 #[test]
-fn nothing_is_kept_of_ended_sockets() {
+fn no_state_is_left_of_ended_sockets() {
     let mut random = fastrand::Rng::with_seed(3);
     let mut sockets = Sockets::new(limits(), 0);
     let (mut now, mut open) = (0, Vec::new());
--- a/crates/websocket/src/upgrade.rs
+++ b/crates/websocket/src/upgrade.rs
@@ -1,37 +1,38 @@
-//! The opening handshake (RFC 6455, section 4): which upgrade requests are valid, and whether a server's response agrees to
-//! what its client offered.
+//! The opening handshake (RFC 6455, section 4): validates upgrade requests, and checks that a server's response matches
+//! what the client offered.
 
 mod request;
 mod response;
 
-pub use request::{read, Bad, Offer, VERSION};
+pub use request::{read, Offer, Rejection, VERSION};
 pub use response::{accepted, verify, Switch, SwitchError};
 
 use http::header::{HeaderMap, HeaderName, HeaderValue, CONNECTION};
 
-/// The most bytes of the offered subprotocols, and of the extensions. It bounds the memory that pending upgrades can take.
+/// Maximum length of the list of offered subprotocols, and of that of extensions, in bytes. It bounds the memory that
+/// pending upgrades take.
 const MAX_OFFER_BYTES: usize = 1024;
 
-/// Why a list in headers cannot be kept.
+/// Why a list of subprotocols or extensions is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ListError {
-    /// It has more than [`MAX_OFFER_BYTES`].
+    /// The list is longer than [`MAX_OFFER_BYTES`].
     TooLong,
-    /// It is no valid header value.
+    /// The list is not a valid header value.
     Malformed,
 }
 
-/// Whether `Connection` names the upgrade.
+/// Whether the `Connection` header contains `upgrade`.
 fn connection_names_upgrade(headers: &HeaderMap) -> bool {
     tokens(headers, &CONNECTION).any(|token| token.eq_ignore_ascii_case("upgrade"))
 }
 
-/// The items of a list that may be spread over several headers.
+/// Returns the items of a list that may be split over several header lines.
 fn tokens<'a>(headers: &'a HeaderMap, name: &HeaderName) -> impl Iterator<Item = &'a str> {
     headers.get_all(name).into_iter().flat_map(items)
 }
 
-/// The items of a list in one header.
+/// Returns the items of a list in one header line.
 fn items(value: &HeaderValue) -> impl Iterator<Item = &str> {
     let text = value.to_str().unwrap_or_default();
     text.split(',')
@@ -39,7 +40,7 @@
         .filter(|item| !item.is_empty())
 }
 
-/// A list that may be spread over several headers, in one header.
+/// Joins a list that may be split over several header lines into one value. `None` if the header is absent.
 fn joined(headers: &HeaderMap, name: &HeaderName) -> Result<Option<HeaderValue>, ListError> {
     let values = headers.get_all(name).iter();
     let values: Vec<&[u8]> = values.map(HeaderValue::as_bytes).collect();
--- a/crates/websocket/src/upgrade/request.rs
+++ b/crates/websocket/src/upgrade/request.rs
@@ -1,4 +1,4 @@
-//! Upgrade requests of clients.
+//! Validates the upgrade requests of clients.
 
 use super::{connection_names_upgrade, joined, tokens};
 use http::header::{
@@ -7,33 +7,37 @@
 };
 use http::{Method, StatusCode, Version};
 
-/// The only version of the protocol (section 4.1).
+/// The only supported version of the protocol (section 4.1).
 pub const VERSION: HeaderValue = HeaderValue::from_static("13");
-/// The bytes of a key's nonce (section 4.1).
+/// Length of the decoded key (section 4.1).
 const NONCE_BYTES: usize = 16;
 
-/// What a client offers.
+/// What a client offers in its upgrade request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Offer {
     /// `Sec-WebSocket-Key`, which the server's response has to match.
     pub key: HeaderValue,
-    /// The subprotocols, in the client's order.
+    /// The list of subprotocols, in the client's order of preference.
     pub protocols: Option<HeaderValue>,
-    /// The extensions.
+    /// The list of extensions with their parameters.
     pub extensions: Option<HeaderValue>,
 }
 
-/// Why an upgrade request is rejected: the status and the body of the response.
-pub type Bad = (StatusCode, &'static str);
+/// The status and the body of the response to an invalid upgrade request.
+pub type Rejection = (StatusCode, &'static str);
 
-/// Reads a request's head. `None` if the request asks for no WebSocket and is a request like any other; upgrades to other
-/// protocols are ignored, as RFC 9110 (section 7.8) allows, and never forwarded.
+/// Parses the upgrade request in a request's head. Returns `None` for a request without an upgrade to WebSocket.
+/// Upgrades to other protocols are ignored, as RFC 9110 (section 7.8) allows, and never forwarded.
 ///
 /// # Errors
-/// The upgrade request is invalid: 400, or 426 for another version.
-pub fn read(method: &Method, version: Version, headers: &HeaderMap) -> Result<Option<Offer>, Bad> {
+/// The upgrade request is invalid. The status is 426 for another version of the protocol, otherwise 400.
+pub fn read(
+    method: &Method,
+    version: Version,
+    headers: &HeaderMap,
+) -> Result<Option<Offer>, Rejection> {
     if !tokens(headers, &UPGRADE).any(|token| token.eq_ignore_ascii_case("websocket")) {
-        // A server might take a request with a key for an upgrade.
+        // A server might treat a request with a key as an upgrade.
         if headers.contains_key(SEC_WEBSOCKET_KEY) {
             return bad_request("Sec-WebSocket-Key without Upgrade\n");
         }
@@ -68,19 +72,19 @@
     }))
 }
 
-fn bad_request<T>(body: &'static str) -> Result<T, Bad> {
+fn bad_request<T>(body: &'static str) -> Result<T, Rejection> {
     Err((StatusCode::BAD_REQUEST, body))
 }
 
-/// Whether the request has a body. If it had, the node and the server could disagree on where the first frame starts, and a
-/// client could smuggle a request in its frames.
+/// Whether the request has a body. With one, the node and the server could disagree on where the first frame starts,
+/// and a client could smuggle a request in its frames.
 fn has_body(headers: &HeaderMap) -> bool {
     let length = headers.get(CONTENT_LENGTH);
     length.is_some_and(|length| length.as_bytes() != b"0")
         || headers.contains_key(TRANSFER_ENCODING)
 }
 
-/// The value of a header that occurs once.
+/// Returns the value of a header that occurs exactly once, otherwise `None`.
 fn only_value<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a HeaderValue> {
     let mut values = headers.get_all(name).iter();
     let first = values.next();
--- a/crates/websocket/src/upgrade/response.rs
+++ b/crates/websocket/src/upgrade/response.rs
@@ -1,4 +1,4 @@
-//! Responses of servers to upgrade requests.
+//! Validates the responses of servers to upgrade requests.
 
 use super::request::Offer;
 use super::{connection_names_upgrade, items, joined, tokens, ListError};
@@ -9,52 +9,52 @@
 use std::fmt;
 use tungstenite::handshake::derive_accept_key;
 
-/// The extension that is passed through: with it, a message's first frame may have RSV1 set (RFC 7692, section 6).
+/// The only supported extension. With it, a message's first frame may have RSV1 set (RFC 7692, section 6).
 const DEFLATE: &str = "permessage-deflate";
 
-/// What a server agreed to.
+/// What a server agreed to in its response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Switch {
-    /// The subprotocol, one of those offered.
+    /// The chosen subprotocol, which is one of those offered.
     pub protocol: Option<HeaderValue>,
-    /// The extensions, all of them offered.
+    /// The agreed extensions, all of which were offered.
     pub extensions: Option<HeaderValue>,
-    /// Messages may be compressed.
+    /// Whether messages may be compressed.
     pub deflate: bool,
 }
 
-/// Why a server's response is invalid.
+/// Why a server's response to an upgrade request is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SwitchError {
-    /// It upgrades to another protocol.
+    /// The `Upgrade` header does not name WebSocket, or names several protocols.
     OtherProtocol,
-    /// Its `Connection` does not name the upgrade.
+    /// The `Connection` header does not contain `upgrade`.
     NoConnectionUpgrade,
-    /// Its `Sec-WebSocket-Accept` is not the one of the client's key.
+    /// The `Sec-WebSocket-Accept` header does not match the client's key.
     OtherAccept,
-    /// Its subprotocol was not offered.
+    /// The subprotocol was not offered, or there are several.
     SubprotocolNotOffered,
-    /// Its extensions were not offered.
+    /// An extension was not offered.
     ExtensionNotOffered,
-    /// Its extensions are unknown to this node.
+    /// An extension is not supported by this node.
     UnknownExtension,
-    /// Its list of subprotocols or extensions is too long.
+    /// The list of subprotocols or extensions is too long.
     TooLong,
-    /// Its list of subprotocols or extensions is malformed.
+    /// The list of subprotocols or extensions is not a valid header value.
     Malformed,
 }
 
 impl fmt::Display for SwitchError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            SwitchError::OtherProtocol => "it upgrades to something else",
-            SwitchError::NoConnectionUpgrade => "its Connection does not name the upgrade",
-            SwitchError::OtherAccept => "its Sec-WebSocket-Accept is another",
-            SwitchError::SubprotocolNotOffered => "its subprotocol was not offered",
-            SwitchError::ExtensionNotOffered => "its extensions were not offered",
-            SwitchError::UnknownExtension => "its extensions are not known",
-            SwitchError::TooLong => "too long",
-            SwitchError::Malformed => "not to be read",
+            SwitchError::OtherProtocol => "the Upgrade header does not name websocket alone",
+            SwitchError::NoConnectionUpgrade => "the Connection header does not contain upgrade",
+            SwitchError::OtherAccept => "Sec-WebSocket-Accept does not match the client's key",
+            SwitchError::SubprotocolNotOffered => "the subprotocol was not offered by the client",
+            SwitchError::ExtensionNotOffered => "an extension was not offered by the client",
+            SwitchError::UnknownExtension => "an extension is not supported by this node",
+            SwitchError::TooLong => "the list of subprotocols or extensions is too long",
+            SwitchError::Malformed => "the list of subprotocols or extensions is malformed",
         })
     }
 }
@@ -70,10 +70,10 @@
     }
 }
 
-/// The headers of the response to a client whose server has agreed.
+/// Returns the handshake headers of the response to the client, after the server has agreed to the upgrade.
 pub fn accepted(offer_key: &HeaderValue, switch: &Switch) -> HeaderMap {
     let mut headers = HeaderMap::new();
-    // Base64 is always a valid header value.
+    // A base64 string is always a valid header value.
     if let Ok(accept) = HeaderValue::try_from(derive_accept_key(offer_key.as_bytes())) {
         headers.insert(SEC_WEBSOCKET_ACCEPT, accept);
     }
@@ -86,10 +86,10 @@
     headers
 }
 
-/// Checks a response of status 101 against the offer (section 4.1, at its end).
+/// Checks a response of status 101 against the client's offer (end of section 4.1).
 ///
 /// # Errors
-/// The response is invalid; its connection has to be closed.
+/// The response is invalid. The connection to the server must be closed.
 pub fn verify(offer: &Offer, headers: &HeaderMap) -> Result<Switch, SwitchError> {
     verify_upgrade(headers)?;
     verify_accept(offer, headers)?;
@@ -137,21 +137,21 @@
     Ok(())
 }
 
-/// Returns whether messages may be compressed.
+/// Checks the agreed extensions. Returns whether messages may be compressed.
 fn verify_extensions(offer: &Offer, agreed: Option<&HeaderValue>) -> Result<bool, SwitchError> {
     let agreed: Vec<String> = agreed.into_iter().flat_map(extension_names).collect();
     let offered: Vec<String> = offer.extensions.iter().flat_map(extension_names).collect();
     if agreed.iter().any(|name| !offered.contains(name)) {
         return Err(SwitchError::ExtensionNotOffered);
     }
-    // What the frames of an unknown extension look like cannot be checked.
+    // The frames of an unknown extension cannot be validated.
     if agreed.iter().any(|name| name != DEFLATE) {
         return Err(SwitchError::UnknownExtension);
     }
     Ok(!agreed.is_empty())
 }
 
-/// The names of extensions, in lower case and without parameters.
+/// Returns the names of extensions, in lower case and without parameters.
 fn extension_names(value: &HeaderValue) -> impl Iterator<Item = String> + '_ {
     items(value).map(|item| {
         let name = item.split(';').next().unwrap_or_default();
--- a/crates/websocket/tests/frames.rs
+++ b/crates/websocket/tests/frames.rs
@@ -1,8 +1,8 @@
-//! Which frames pass, by the sections of RFC 6455 and RFC 7692.
+//! Validation of frames, by the sections of RFC 6455 and RFC 7692.
 
-use saffronpaddle_websocket::frames::{close, ping, Rules, Scanner, Seen, Side, OWN_PING};
+use saffronpaddle_websocket::frames::{close, ping, Rules, Scanner, Seen, Side, OWN_PING_PAYLOAD};
 
-/// Of most tests.
+/// The rules of most tests.
 const RULES: Rules = Rules {
     frame_most: 1000,
     message_most: 2000,
@@ -10,11 +10,11 @@
     utf8: true,
 };
 
-/// What a scanner makes of some bytes.
+/// The result of scanning some bytes.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Scanned {
     out: Vec<u8>,
-    /// Without [`Seen::Data`], as how often that is reported depends on how the bytes are cut.
+    /// Without [`Seen::Data`], because how often that is reported depends on how the bytes are split.
     seen: Vec<Seen>,
     /// The close code of the fault.
     fault: Option<u16>,
@@ -34,7 +34,7 @@
     scanned
 }
 
-/// Scans bytes all at once and byte by byte; the result must be the same.
+/// Scans bytes in one piece and byte by byte, and asserts that the results are the same.
 fn scan(side: Side, rules: Rules, bytes: &[u8]) -> Scanned {
     let at_once = scan_pieces(side, rules, std::iter::once(bytes));
     let byte_by_byte = scan_pieces(side, rules, bytes.chunks(1));
@@ -46,7 +46,7 @@
     at_once
 }
 
-/// Frames that pass unchanged.
+/// The result for valid frames, which are forwarded unchanged.
 fn passed(bytes: &[u8]) -> Scanned {
     Scanned {
         out: bytes.to_vec(),
@@ -62,8 +62,8 @@
     let mask = [7, 11, 13, 17];
     let mut bytes = vec![first, 0x80 | payload.len() as u8];
     bytes.extend(mask);
-    let places = payload.iter().enumerate();
-    bytes.extend(places.map(|(place, byte)| byte ^ mask[place % 4]));
+    let indexed = payload.iter().enumerate();
+    bytes.extend(indexed.map(|(index, byte)| byte ^ mask[index % 4]));
     bytes
 }
 
@@ -110,12 +110,12 @@
     assert_eq!(
         server(&[0x80, 1, b'a']).fault,
         Some(1002),
-        "the rest of none"
+        "a continuation frame without a message"
     );
     assert_eq!(
         server(&[0x01, 1, b'a', 0x81, 1, b'b']).fault,
         Some(1002),
-        "a message inside another"
+        "a new message before the end of another"
     );
 }
 
@@ -125,7 +125,7 @@
     assert_eq!(server(&[0x89, 126, 0, 126]).fault, Some(1002));
     let pong = [0x8a, 2, b'h', b'i'];
     assert_eq!(server(&pong), passed(&pong), "an unsolicited pong passes");
-    let pong: Vec<u8> = [&[0x8a, OWN_PING.len() as u8], OWN_PING].concat();
+    let pong: Vec<u8> = [&[0x8a, OWN_PING_PAYLOAD.len() as u8], OWN_PING_PAYLOAD].concat();
     assert_eq!(
         server(&pong),
         Scanned {
@@ -156,7 +156,7 @@
     assert_eq!(server(&[0x88, 0]).seen, [Seen::Close(None)]);
     assert_eq!(server(&[0x88, 1, 3]).fault, Some(1002));
     assert_eq!(server(&[0x88, 3, 3, 232, 0xff]).fault, Some(1007));
-    // Nothing passes after a close frame.
+    // Nothing is forwarded after a close frame.
     assert_eq!(server(&[0x88, 0, 0x81, 1, b'a']).out, [0x88, 0]);
 }
 
@@ -187,14 +187,18 @@
     assert_eq!(
         server(&[0x82, 126, 3, 233]).fault,
         Some(1009),
-        "a frame of 1001"
+        "a frame of 1001 bytes"
     );
     let mut message = Vec::new();
     for first in [0x02, 0x00, 0x80] {
         message.extend([first, 126, 3, 0]);
         message.extend([0; 768]);
     }
-    assert_eq!(server(&message).fault, Some(1009), "a message of 2304");
+    assert_eq!(
+        server(&message).fault,
+        Some(1009),
+        "a message of 2304 bytes"
+    );
 }
 
 #[test]
@@ -211,12 +215,12 @@
     assert_eq!(
         scan(Side::Server, deflate, &[0x41, 1, 0xff, 0xc0, 1, 0xff]).fault,
         Some(1002),
-        "on a later frame"
+        "RSV1 on a later frame"
     );
     assert_eq!(
         scan(Side::Server, deflate, &[0xc9, 0]).fault,
         Some(1002),
-        "on a control frame"
+        "RSV1 on a control frame"
     );
 }
 
@@ -231,7 +235,7 @@
     }
 }
 
-/// Arbitrary bytes must not end the process, nor make the node send more than it received.
+/// Arbitrary bytes must neither cause a panic nor make the node forward more than it received.
 #[test]
 fn arbitrary_bytes_never_panic_nor_add_output() {
     let mut random = fastrand::Rng::with_seed(7);
--- a/crates/websocket/tests/sockets.rs
+++ b/crates/websocket/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! How many sockets there may be, how long each may be silent, and how they close.
+//! Limits on sockets, their timeouts, and how they close.
 
 use saffronpaddle_policy::interface::{CustomerId, Micros, ServerId};
 use saffronpaddle_websocket::frames::Side;
@@ -6,10 +6,8 @@
 
 /// Microseconds in a millisecond.
 const MS: Micros = 1_000;
-/// A server.
-const ONE: ServerId = ServerId(1);
-/// Another server.
-const OTHER: ServerId = ServerId(2);
+const SERVER: ServerId = ServerId(1);
+const OTHER_SERVER: ServerId = ServerId(2);
 
 fn limits() -> Limits {
     Limits {
@@ -28,17 +26,17 @@
     }
 }
 
-/// Sockets of `count` customers to one server.
+/// Opens one socket each for `count` customers, all at [`SERVER`].
 fn open_sockets(limits: Limits, count: u64) -> Sockets {
     let mut sockets = Sockets::new(limits, 0);
     for customer in 0..count {
         let id = sockets.admit(0, CustomerId(customer), 1).expect("admitted");
-        assert!(sockets.opened(0, id, ONE).is_empty());
+        assert!(sockets.opened(0, id, SERVER).is_empty());
     }
     sockets
 }
 
-/// Ticks from `now` until nothing is due by `end`. Returns each command with its time.
+/// Ticks from `now` until nothing is due before or at `end`. Returns each command with its time.
 fn run_until(sockets: &mut Sockets, mut now: Micros, end: Micros) -> Vec<(Micros, Command)> {
     let mut all = Vec::new();
     while let Some(at) = sockets.next_alarm().filter(|at| *at <= end) {
@@ -56,15 +54,15 @@
 }
 
 #[test]
-fn a_drain_of_thousands_closes_in_batches_within_its_time_and_spreads_their_return() {
+fn a_drain_of_thousands_closes_in_batches_within_its_time_limit_and_spreads_reconnects() {
     let mut sockets = open_sockets(limits(), 10_000);
     let other = sockets.admit(0, CustomerId(99_999), 1).expect("admitted");
-    assert!(sockets.opened(0, other, OTHER).is_empty());
+    assert!(sockets.opened(0, other, OTHER_SERVER).is_empty());
     let now = 500 * MS;
-    let first = sockets.on_server_status(now, ONE, false);
+    let first = sockets.on_server_status(now, SERVER, false);
     assert!(
         drain_commands(&first) > 0 && drain_commands(&first) < 1_000,
-        "some at once, not all: {}",
+        "some immediately, not all: {}",
         drain_commands(&first)
     );
     let later = run_until(&mut sockets, now, now + 150 * MS);
@@ -76,7 +74,7 @@
     let last = closes.iter().map(|(at, _)| *at).max().expect("not empty");
     assert!(
         last <= now + 110 * MS,
-        "the last after {} ms",
+        "the last one after {} ms",
         (last - now) / MS
     );
     let most = closes
@@ -84,14 +82,14 @@
         .map(<[_]>::len)
         .max()
         .expect("not empty");
-    assert!(most < 400, "{most} at once");
-    // All that are left are cut at the end of the drain's time and not before.
+    assert!(most < 400, "{most} in one batch");
+    // All sockets that have not ended are cut at the end of the drain's time limit and not before.
     let cuts = run_until(&mut sockets, now + 150 * MS, now + 300 * MS);
     assert_eq!(cuts.len(), 10_000);
     assert!(cuts
         .iter()
         .all(|(at, command)| *at == now + 200 * MS && matches!(command, Command::Cut(_))));
-    // Clients are told to come back one after the other.
+    // Clients are told to reconnect one after the other.
     let Some((_, Command::Drain(_, 1001, advice, _))) = closes.last() else {
         panic!("a close")
     };
@@ -106,31 +104,31 @@
 }
 
 #[test]
-fn a_socket_that_opens_to_a_draining_server_closes_at_once() {
+fn a_socket_that_opens_at_a_draining_server_closes_immediately() {
     let mut sockets = open_sockets(limits(), 0);
     let id = sockets.admit(0, CustomerId(1), 1).expect("admitted");
-    assert!(sockets.on_server_status(10, ONE, false).is_empty());
-    let closes = sockets.opened(20, id, ONE);
+    assert!(sockets.on_server_status(10, SERVER, false).is_empty());
+    let closes = sockets.opened(20, id, SERVER);
     assert!(
         matches!(closes[..], [Command::Drain(_, 1001, _, at)] if at == 20 + 200 * MS),
         "{closes:?}"
     );
     sockets.ended(id);
-    // The server is ready again, and nothing is kept of the drain.
-    assert!(sockets.on_server_status(30, ONE, true).is_empty());
+    // The server is ready again, and no state of the drain is left.
+    assert!(sockets.on_server_status(30, SERVER, true).is_empty());
     let id = sockets.admit(40, CustomerId(1), 1).expect("admitted");
-    assert!(sockets.opened(50, id, ONE).is_empty());
+    assert!(sockets.opened(50, id, SERVER).is_empty());
 }
 
 #[test]
-fn a_customers_limit_is_divided_over_its_nodes_and_freed_again() {
+fn a_customers_limit_is_divided_over_its_nodes_and_ended_sockets_free_it() {
     let mut sockets = Sockets::new(limits(), 0);
     let three: Vec<_> = (0..3)
         .map(|_| sockets.admit(0, CustomerId(1), 2).expect("admitted"))
         .collect();
     assert!(
         sockets.admit(0, CustomerId(1), 2).is_err(),
-        "three of six at one of two nodes"
+        "one of two nodes may open three of six sockets"
     );
     assert!(
         sockets.admit(0, CustomerId(2), 2).is_ok(),
@@ -138,13 +136,13 @@
     );
     sockets.ended(three[0]);
     assert!(sockets.admit(0, CustomerId(1), 2).is_ok());
-    // If there are more nodes than sockets, each node has one.
+    // With more nodes than sockets, each node may open one.
     assert!(sockets.admit(0, CustomerId(3), 9).is_ok());
     assert!(sockets.admit(0, CustomerId(3), 9).is_err());
 }
 
 #[test]
-fn nodes_and_servers_have_limits_of_their_own() {
+fn sockets_are_limited_per_node_and_per_server() {
     let mut sockets = Sockets::new(
         Limits {
             per_node: 2,
@@ -156,9 +154,9 @@
     let one = sockets.admit(0, CustomerId(1), 1).expect("admitted");
     let two = sockets.admit(0, CustomerId(2), 1).expect("admitted");
     assert!(sockets.admit(0, CustomerId(3), 1).is_err());
-    assert!(sockets.opened(1, one, ONE).is_empty());
+    assert!(sockets.opened(1, one, SERVER).is_empty());
     assert!(matches!(
-        sockets.opened(2, two, ONE)[..],
+        sockets.opened(2, two, SERVER)[..],
         [Command::Close(_, 1013, _)]
     ));
     sockets.ended(one);
@@ -166,7 +164,7 @@
     assert_eq!(
         (sockets.count(), sockets.next_alarm()),
         (0, None),
-        "nothing is kept"
+        "no state is left"
     );
 }
 
@@ -196,7 +194,7 @@
     let first = run_until(&mut sockets, 0, 1_000 * MS);
     assert_eq!(first, [(1_000 * MS, Command::Ping(id, Side::Server))]);
     sockets.on_received(1_010 * MS, id, Side::Server, false);
-    // Both sides sent bytes: each is pinged a second later, and the server answers.
+    // Both sides have sent bytes. Each is pinged a second later, and only the server answers.
     let again = run_until(&mut sockets, 1_010 * MS, 2_010 * MS);
     assert_eq!(again.len(), 2, "{again:?}");
     sockets.on_received(2_020 * MS, id, Side::Server, false);
@@ -210,7 +208,7 @@
 }
 
 #[test]
-fn idle_and_old_sockets_close() {
+fn idle_sockets_close_and_0_disables_the_limit() {
     let bounds = Limits {
         idle_for: 500 * MS,
         life_for: 2_000 * MS,
@@ -248,7 +246,10 @@
     assert_eq!(drain_commands(&closes), 50);
     assert!(sockets.admit(20, CustomerId(1_000), 1).is_err());
     assert!(
-        matches!(sockets.opened(30, pending, ONE)[..], [Command::Drain(..)]),
+        matches!(
+            sockets.opened(30, pending, SERVER)[..],
+            [Command::Drain(..)]
+        ),
         "a pending upgrade"
     );
 }
--- a/crates/websocket/tests/upgrade.rs
+++ b/crates/websocket/tests/upgrade.rs
@@ -1,8 +1,8 @@
-//! Which upgrade requests and responses are valid.
+//! Validation of upgrade requests and responses.
 
 use http::header::{HeaderMap, HeaderName, HeaderValue};
 use http::{Method, Version};
-use saffronpaddle_websocket::upgrade::{read, verify, Bad, Offer, Switch};
+use saffronpaddle_websocket::upgrade::{read, verify, Offer, Rejection, Switch};
 
 /// The key of RFC 6455, section 1.3.
 const KEY: &str = "dGhlIHNhbXBsZSBub25jZQ==";
@@ -24,7 +24,7 @@
     ]
 }
 
-fn request(lines: &[(&'static str, &str)]) -> Result<Option<Offer>, Bad> {
+fn request(lines: &[(&'static str, &str)]) -> Result<Option<Offer>, Rejection> {
     read(&Method::GET, Version::HTTP_11, &head(lines))
 }
 
@@ -82,15 +82,15 @@
         ),
     ]);
     let offer = request(&lines).expect("valid").expect("an upgrade");
-    // The pair of key and response in section 1.3.
+    // The accept value for `KEY` in section 1.3.
     let accept = "s3pPLMBiTxaQ9kYGzzhZRbK+xOo=";
-    let yes = [
+    let valid = [
         ("upgrade", "websocket"),
         ("connection", "Upgrade"),
         ("sec-websocket-accept", accept),
     ];
     let response =
-        |more: &[(&'static str, &str)]| verify(&offer, &head(&[&yes[..], more].concat()));
+        |more: &[(&'static str, &str)]| verify(&offer, &head(&[&valid[..], more].concat()));
     assert_eq!(
         response(&[]),
         Ok(Switch {
@@ -107,11 +107,11 @@
     assert!(response(&[("sec-websocket-protocol", "chat")]).is_err());
     assert!(response(&[("sec-websocket-extensions", "x-other")]).is_err());
     let other = head(&[
-        yes[0],
-        yes[1],
+        valid[0],
+        valid[1],
         ("sec-websocket-accept", "AAAAAAAAAAAAAAAAAAAAAAAAAAA="),
     ]);
     assert!(verify(&offer, &other).is_err());
-    assert!(verify(&offer, &head(&yes[1..])).is_err());
-    assert!(verify(&offer, &head(&[yes[0], yes[2]])).is_err());
+    assert!(verify(&offer, &head(&valid[1..])).is_err());
+    assert!(verify(&offer, &head(&[valid[0], valid[2]])).is_err());
 }
