--- a/crates/etcd/src/api.rs
+++ b/crates/etcd/src/api.rs
@@ -1,6 +1,6 @@
-//! Messages of etcd's v3 API (`etcdserverpb`, `mvccpb`) with the tags of its public definitions, as far as the client and
-//! the test double need them. Fields that are left out are skipped when read.
-#![allow(missing_docs)] // The names are those of the public definitions, which document them.
+//! Messages of etcd's v3 API (`etcdserverpb`, `mvccpb`), with the tags of its published definitions. Only the messages
+//! and fields that the client and the test double need are declared; other fields are skipped when decoding.
+#![allow(missing_docs)] // The published definitions document the messages and fields under the same names.
 
 use prost::{Enumeration, Message, Oneof};
 
@@ -167,7 +167,7 @@
     }
 }
 
-/// A transaction. The test double knows no comparisons, so only transactions without any succeed there.
+/// A transaction. The test double implements no comparisons, so there only transactions without comparisons succeed.
 #[derive(Clone, PartialEq, Message)]
 pub struct TxnRequest {
     #[prost(bytes = "vec", repeated, tag = "1")]
@@ -232,7 +232,7 @@
     pub start_revision: i64,
     #[prost(bool, tag = "4")]
     pub progress_notify: bool,
-    /// 0: no puts, 1: no deletes.
+    /// Event types that are not sent. 0: puts, 1: deletes.
     #[prost(int32, repeated, tag = "5")]
     pub filters: Vec<i32>,
     #[prost(bool, tag = "6")]
@@ -377,8 +377,8 @@
     pub raft_term: u64,
 }
 
-/// The end of the range of all keys that begin with a prefix (etcd's API guide, "Key ranges"): the last byte below 0xff is
-/// incremented and the bytes after it are cut off.
+/// Returns the end of the range of all keys that begin with a prefix (etcd's API guide, "Key ranges"): the last byte
+/// below 0xff is incremented and the bytes after it are removed.
 pub fn prefix_end(prefix: &[u8]) -> Vec<u8> {
     let mut end = prefix.to_vec();
     while let Some(last) = end.pop() {
@@ -387,7 +387,7 @@
             return end;
         }
     }
-    // All bytes are 0xff: etcd takes a zero byte for the end of all keys.
+    // All bytes are 0xff. etcd takes a zero byte as the end of the whole key space.
     vec![0]
 }
 
@@ -401,7 +401,7 @@
     pub const DELETE_RANGE: &str = "/etcdserverpb.KV/DeleteRange";
     /// Runs a transaction.
     pub const TXN: &str = "/etcdserverpb.KV/Txn";
-    /// Forgets revisions before a given one.
+    /// Compacts the history up to a given revision.
     pub const COMPACT: &str = "/etcdserverpb.KV/Compact";
     /// Streams the changes of keys.
     pub const WATCH: &str = "/etcdserverpb.Watch/Watch";
--- a/crates/etcd/src/client.rs
+++ b/crates/etcd/src/client.rs
@@ -1,4 +1,4 @@
-//! Follows a prefix of a cluster until nobody listens, from member to member.
+//! Follows the endpoint list under a prefix of a cluster, and switches to the next member when one fails.
 
 pub use crate::news::NEWS_MOST;
 
@@ -14,8 +14,8 @@
 use tokio::sync::mpsc;
 use tokio::time::{interval, sleep, MissedTickBehavior};
 
-/// How often a watch is opened at one member before the next member is connected. A member that cancels every watch at
-/// once would otherwise be asked without a pause.
+/// Maximum number of watches on one connection to a member. Without this limit, a member that cancels every watch
+/// immediately would be called in a loop without a pause.
 const MAX_WATCHES: u32 = 3;
 
 /// Follows the endpoint list until the receiver of `sender` is dropped.
@@ -28,7 +28,7 @@
         started_at: Instant::now(),
     };
     let members = client.settings.endpoints.len().max(1);
-    // Each node starts at a random member, so that they don't all connect to the first one.
+    // Each node starts at a random member, so that not all nodes connect to the first one.
     let mut next = fastrand::usize(..members);
     let (mut backoff, mut behind, mut reread) = (client.settings.timing.backoff.0, 0, true);
     let mut last_logged = String::new();
@@ -46,7 +46,7 @@
             last_logged.clear();
         }
         reread |= error.requires_reread();
-        // If every member is behind, the cluster was restored from a backup: only a range shows its state.
+        // If every member is behind, the cluster was restored from a backup, and only a range yields its state.
         behind += usize::from(error.is_behind());
         reread |= behind > members;
         let reason = error.to_string();
@@ -66,16 +66,18 @@
     }
 }
 
-/// The receiver of the news was dropped.
+/// The error of sending news whose receiver was dropped.
 struct Closed;
 
-/// How a watch ended without a fault of the member.
+/// Why a watch ended without an error of the member.
 enum WatchEnd {
+    /// The receiver of the news was dropped.
     Closed,
+    /// The whole prefix must be read again.
     Reread,
 }
 
-/// Whether a watch goes on after a response.
+/// Whether a watch continues after a response.
 enum AfterResponse {
     Continue,
     End(WatchEnd),
@@ -89,7 +91,7 @@
 }
 
 impl Client {
-    /// The revision to resume at and the count of ranges, which show whether a member was of use.
+    /// Returns the resume revision and the number of ranges read. A change shows that a member has made progress.
     fn progress(&self) -> (Option<i64>, u64) {
         (
             self.follower.resume_revision(),
@@ -101,7 +103,7 @@
         self.sender.send(news).await.map_err(|_| Closed)
     }
 
-    /// Sends a change, if it has any content, and what the follower has for the log.
+    /// Sends a change unless it is empty, and the log lines of the follower.
     async fn send_change(
         &mut self,
         change: EndpointUpdate,
@@ -116,12 +118,13 @@
         Ok(())
     }
 
-    /// The time since the client's start, as the follower takes it.
+    /// Returns the time since the client's start, which is the time origin of the follower.
     fn elapsed(&self, moment: Instant) -> Duration {
         moment.saturating_duration_since(self.started_at)
     }
 
-    /// Follows the list at one member until the receiver is dropped; anything else is an error of the member.
+    /// Follows the list at one member. Returns `Ok` once the receiver is dropped, and an error if the member must be
+    /// left.
     async fn follow_member(&mut self, address: SocketAddr, mut reread: bool) -> Result<()> {
         let mut member = Member::connect(address, &self.settings).await?;
         for _ in 0..MAX_WATCHES {
@@ -138,7 +141,7 @@
         Err(MemberError::WatchUnstable)
     }
 
-    /// Reads the complete list and sends what has changed since it was last known.
+    /// Reads the complete list and sends the changes against the known one.
     async fn read_list(&mut self, member: &mut Member) -> Result<std::result::Result<(), Closed>> {
         let (header, listing) = member.range(|| self.follower.listing()).await?;
         let read = member.take_read_time();
@@ -156,7 +159,7 @@
         }
     }
 
-    /// Watches from the revision at which the follower resumes.
+    /// Watches from the resume revision of the follower.
     async fn watch(&mut self, member: &mut Member) -> Result<WatchEnd> {
         let timing = self.settings.timing.clone();
         let start_revision = self.follower.resume_revision().unwrap_or(0);
@@ -164,7 +167,7 @@
         let mut probe = interval(timing.probe_every);
         probe.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut last_heard_at = Instant::now();
-        // One timer serves all responses: thousands of changes don't each set one up.
+        // One timer is reused for all responses, because setting one up for each of thousands of changes is expensive.
         let (silence, sender) = (sleep(timing.silent_after), self.sender.clone());
         let closed = sender.closed();
         tokio::pin!(silence, closed);
@@ -197,7 +200,7 @@
         }
     }
 
-    /// Applies a response and sends what it changes.
+    /// Applies a response and sends the resulting change.
     async fn on_watch_response(
         &mut self,
         response: api::WatchResponse,
--- a/crates/etcd/src/convert.rs
+++ b/crates/etcd/src/convert.rs
@@ -1,9 +1,8 @@
-//! Converts messages of etcd's API into the types that the follower takes.
+//! Converts messages of etcd's API into the types of the follower.
 
 use crate::api;
 use saffronpaddle_endpoints::{Header, KeyValue, WatchEvent};
 
-/// A response's header.
 pub fn header(header: api::ResponseHeader) -> Header {
     let api::ResponseHeader {
         cluster_id,
@@ -19,7 +18,6 @@
     }
 }
 
-/// A key and its value.
 pub fn key_value(kv: api::KeyValue) -> KeyValue {
     let api::KeyValue {
         key,
@@ -36,7 +34,7 @@
     }
 }
 
-/// An event of a watch; none if it has no key, which etcd never sends.
+/// Converts a watch event. Returns `None` for an event without a key, which etcd does not send.
 pub fn watch_event(event: api::Event) -> Option<WatchEvent> {
     let delete = event.r#type == api::EventType::Delete as i32;
     event.kv.map(|kv| WatchEvent {
--- a/crates/etcd/src/error.rs
+++ b/crates/etcd/src/error.rs
@@ -1,42 +1,42 @@
-//! Why the client leaves a member of the cluster for the next one.
+//! Errors because of which the client leaves a member and connects to the next one.
 
 use saffronpaddle_endpoints::LeaveReason;
 use std::fmt;
 use tonic::Status;
 
-/// A result of a call to one member.
+/// The result of an operation at one member.
 pub type Result<T> = std::result::Result<T, MemberError>;
 
-/// Why a member is left.
+/// Why the client leaves a member.
 #[derive(Debug)]
 pub enum MemberError {
-    /// A call failed.
+    /// A call failed with this gRPC status.
     Status(Status),
-    /// The connection can't be configured.
+    /// The connection cannot be configured.
     Endpoint(tonic::transport::Error),
-    /// The member refuses connections.
+    /// The connection failed, for example because it was refused.
     Unreachable,
-    /// No connection came up in time.
+    /// The connection was not established in time.
     ConnectTimeout,
-    /// The token of the authentication can't be sent as metadata.
+    /// The authentication token cannot be sent as gRPC metadata.
     InvalidToken,
     /// A call was not answered in time.
     CallTimeout,
-    /// A response to a range request has no header.
+    /// A range response has no header.
     RangeWithoutHeader,
     /// The watch was not opened in time.
     WatchTimeout,
-    /// A response on a watch has no header.
+    /// A watch response has no header.
     WatchWithoutHeader,
     /// The member closed the watch.
     WatchEnded,
-    /// The member cancelled the watch for the reason that it gives.
+    /// The member cancelled the watch, with this reason.
     WatchCancelled(String),
-    /// The watch had to be opened again too often.
+    /// The watch had to be reopened too often.
     WatchUnstable,
     /// The member has sent nothing for too long.
     Silent,
-    /// The member's state is older than what is already known.
+    /// The member's state is older than the one already known.
     Behind(LeaveReason),
 }
 
@@ -46,7 +46,7 @@
         matches!(self, MemberError::WatchUnstable)
     }
 
-    /// Whether the member's state is older than what is already known.
+    /// Whether the member's state is older than the one already known.
     pub fn is_behind(&self) -> bool {
         matches!(self, MemberError::Behind(_))
     }
@@ -64,15 +64,15 @@
             MemberError::Status(status) => write!(f, "{:?}: {}", status.code(), status.message()),
             MemberError::Endpoint(error) => write!(f, "{error}"),
             MemberError::Unreachable => f.write_str("it can't be reached"),
-            MemberError::ConnectTimeout => f.write_str("its connection does not come up"),
-            MemberError::InvalidToken => f.write_str("its token is no text"),
-            MemberError::CallTimeout => f.write_str("it does not answer"),
-            MemberError::RangeWithoutHeader => f.write_str("a range without a header"),
-            MemberError::WatchTimeout => f.write_str("its watch does not open"),
-            MemberError::WatchWithoutHeader => f.write_str("a watch without a header"),
+            MemberError::ConnectTimeout => f.write_str("connecting to it timed out"),
+            MemberError::InvalidToken => f.write_str("its token cannot be sent as gRPC metadata"),
+            MemberError::CallTimeout => f.write_str("a call to it timed out"),
+            MemberError::RangeWithoutHeader => f.write_str("its range response has no header"),
+            MemberError::WatchTimeout => f.write_str("opening its watch timed out"),
+            MemberError::WatchWithoutHeader => f.write_str("its watch response has no header"),
             MemberError::WatchEnded => f.write_str("its watch has ended"),
             MemberError::WatchCancelled(reason) => write!(f, "its watch was cancelled: {reason}"),
-            MemberError::WatchUnstable => f.write_str("its watch does not stand"),
+            MemberError::WatchUnstable => f.write_str("its watch had to be reopened too often"),
             MemberError::Silent => f.write_str("it is silent"),
             MemberError::Behind(reason) => write!(f, "{reason}"),
         }
--- a/crates/etcd/src/lib.rs
+++ b/crates/etcd/src/lib.rs
@@ -1,7 +1,8 @@
-//! etcd's v3 API as far as an endpoint list needs it, and a client that survives failures of its cluster.
+//! An etcd v3 client that follows an endpoint list across failures of cluster members.
 //!
-//! `saffronpaddle-endpoints` decides what a response means: where to resume, and what to do about compaction, lag, and
-//! restored or wiped clusters. This crate does the I/O: gRPC over HTTP/2 by `tonic`, with the messages of [`api`].
+//! `saffronpaddle-endpoints` interprets the responses: from which revision to resume, and how to handle compaction,
+//! lagging members, and restored or wiped clusters. This crate does the I/O: gRPC over HTTP/2 with `tonic`, using the
+//! messages of [`api`].
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/etcd/src/member.rs
+++ b/crates/etcd/src/member.rs
@@ -1,4 +1,4 @@
-//! A connection to one member, and the calls that the client makes on it.
+//! A connection to one cluster member, and the calls of the client on it.
 
 use crate::api::{self, path, prefix_end};
 use crate::convert::{header, key_value};
@@ -21,15 +21,17 @@
 use tonic::{Request, Status, Streaming};
 use tonic_prost::ProstCodec;
 
-/// Keys in one page of a range. It bounds memory, since a page is decoded as one message.
+/// Maximum number of keys in a page of a range. It bounds memory, because a page is decoded as one message.
 const PAGE_KEYS: i64 = 1000;
-/// Longest message, in bytes. A member splits its watch into fragments of 1.5 MiB (`--max-request-bytes`).
+/// Maximum length of a received message, in bytes. Members split watch responses into fragments of 1.5 MiB
+/// (`--max-request-bytes`).
 const MAX_MESSAGE_BYTES: usize = 16 << 20;
 /// HTTP/2 flow-control window of a stream, in bytes; a connection has twice as much.
 const STREAM_WINDOW_BYTES: u32 = 1 << 20;
-/// How often a range is read again from its first page when its revision is compacted between two pages.
+/// Maximum number of times a range is read again from its first page because a later page failed, as it does if the
+/// revision of the range has been compacted in the meantime.
 const MAX_RANGE_RESTARTS: u32 = 3;
-/// Name of the metadata in which etcd takes a token.
+/// Name of the gRPC metadata entry for the authentication token.
 const TOKEN_METADATA: &str = "token";
 
 type Token = MetadataValue<Ascii>;
@@ -47,7 +49,7 @@
     /// Connects to a member and authenticates if the settings name a user.
     ///
     /// # Errors
-    /// The member doesn't accept the connection or the user in time.
+    /// The connection or the authentication fails or times out.
     pub async fn connect(address: SocketAddr, settings: &Settings) -> Result<Member> {
         let read_times = ReadTimes::default();
         let channel = open_channel(address, settings, read_times.clone()).await?;
@@ -64,7 +66,7 @@
         Ok(member)
     }
 
-    /// When the message that was decoded last was read off the socket.
+    /// Returns when the last decoded message was read from the socket.
     pub fn take_read_time(&self) -> Instant {
         self.read_times.take()
     }
@@ -99,10 +101,10 @@
         }
     }
 
-    /// Reads all keys of the prefix into `empty`, linearizable and at one revision, page by page.
+    /// Reads all keys of the prefix page by page, linearizable and at one revision, into a listing created by `empty`.
     ///
     /// # Errors
-    /// A call fails, or the revision is compacted between two pages each time.
+    /// A call fails, or the revision is compacted between two pages in every attempt.
     pub async fn range(&mut self, empty: impl Fn() -> Listing) -> Result<(Header, Listing)> {
         let mut restarts = 0;
         loop {
@@ -149,15 +151,15 @@
             if !response.more {
                 return Ok((header, listing));
             }
-            // The least key after the last one.
+            // The smallest key that is greater than the last one.
             key = [&last_key[..], &[0]].concat();
         }
     }
 
-    /// Opens a watch of the prefix from `start_revision` on; 0 stands for the member's next revision.
+    /// Opens a watch of the prefix from `start_revision` on; 0 means the member's next revision.
     ///
     /// # Errors
-    /// The member doesn't open the watch in time.
+    /// The call fails or times out.
     pub async fn watch(&mut self, start_revision: i64) -> Result<WatchStream> {
         let (requests, outgoing) = mpsc::channel(MAX_QUEUED_REQUESTS);
         let create = api::WatchCreateRequest {
@@ -168,7 +170,7 @@
             fragment: true,
             ..api::WatchCreateRequest::default()
         };
-        // The channel is still empty, so this can't fail.
+        // The channel is still empty, so this cannot fail.
         let _ = requests.try_send(watch_request(api::watch_request::Request::Create(create)));
         let request = with_token(
             Request::new(ReceiverStream::new(outgoing)),
@@ -190,15 +192,15 @@
     }
 }
 
-/// Why a page of a range can't be had.
+/// Why reading a page of a range failed.
 enum PageError {
-    /// The call failed, as it does when the revision of the pages before was compacted.
+    /// The call failed, as it does if the revision of the earlier pages has been compacted.
     Call(MemberError),
     /// The response is malformed.
     Response(MemberError),
 }
 
-/// Requests on a watch that may be queued for the member.
+/// Maximum number of requests on a watch that are queued for the member.
 const MAX_QUEUED_REQUESTS: usize = 8;
 
 /// An open watch.
@@ -208,7 +210,7 @@
 }
 
 impl WatchStream {
-    /// The next response.
+    /// Waits for the next response.
     ///
     /// # Errors
     /// The watch has failed or ended.
@@ -219,7 +221,8 @@
             .ok_or(MemberError::WatchEnded)
     }
 
-    /// Asks the member for its revision. A full queue means that the member doesn't read: its silence then ends the watch.
+    /// Requests a progress response. The request is dropped if the queue is full, which means that the member does not
+    /// read; the watch then ends because the member is silent.
     pub fn request_progress(&self) {
         let progress = api::watch_request::Request::Progress(api::WatchProgressRequest {});
         let _ = self.requests.try_send(watch_request(progress));
--- a/crates/etcd/src/news.rs
+++ b/crates/etcd/src/news.rs
@@ -1,22 +1,23 @@
-//! What the client reports to its user.
+//! Messages from the client to its owner.
 
 use saffronpaddle_endpoints::EndpointUpdate;
 use std::time::Instant;
 
-/// Capacity of the channel that carries [`News`], in messages. It bounds memory: the watch is not read while it is full.
+/// Capacity of the channel for [`News`], in messages. It bounds memory, because the client does not read from the watch
+/// while the channel is full.
 pub const NEWS_MOST: usize = 1024;
 
-/// What the client reports.
+/// A message from the client.
 #[derive(Debug)]
 pub enum News {
     /// The endpoint list has changed.
     Changed {
-        /// What has changed.
+        /// The changes.
         change: EndpointUpdate,
-        /// When the first byte of it was read off the socket.
+        /// When the first byte of the change was read from the socket.
         read: Instant,
     },
-    /// A member has sent something else than a change, so the list is current.
+    /// A member has sent a response without a change, so the list is up to date.
     Alive,
     /// A line for the log.
     Log(String),
--- a/crates/etcd/src/read_time.rs
+++ b/crates/etcd/src/read_time.rs
@@ -1,6 +1,7 @@
-//! A connection that records when bytes were read off its socket.
+//! A connection that records when bytes were read from its socket.
 //!
-//! The 250 ms of a drain run from that moment. The time at which a message is decoded is later by its wait for the task.
+//! The time limit of a drain (250 ms) runs from that moment. A message is decoded only later, once its task is
+//! scheduled.
 
 use saffronpaddle_netio::Socket;
 use std::io;
@@ -10,13 +11,13 @@
 use std::time::Instant;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// When the bytes of a connection were read.
+/// The times of the reads on one connection, shared between the connection and its user.
 #[derive(Clone, Debug, Default)]
 pub struct ReadTimes(Arc<Mutex<Reads>>);
 
 #[derive(Debug, Default)]
 struct Reads {
-    /// The first read since a message was last taken.
+    /// The first read since the last call of [`ReadTimes::take`].
     first: Option<Instant>,
     last: Option<Instant>,
 }
@@ -29,8 +30,8 @@
         reads.last = Some(now);
     }
 
-    /// When the message that has just been decoded was read: at the first read since the message before it. If its bytes
-    /// came together with those of the message before, it was read no later than at the last read.
+    /// Returns when the message that has just been decoded was read, which is the first read since the previous
+    /// message. If its bytes arrived together with those of the previous message, this is the time of the last read.
     pub fn take(&self) -> Instant {
         let mut reads = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         reads
@@ -43,9 +44,9 @@
 
 /// A socket that records its reads.
 pub struct TimedSocket {
-    /// The socket.
+    /// The TCP connection to the member.
     pub stream: Socket,
-    /// Where the reads are recorded.
+    /// The record of its reads, shared with the [`Member`](crate::member::Member).
     pub read_times: ReadTimes,
 }
 
--- a/crates/etcd/src/settings.rs
+++ b/crates/etcd/src/settings.rs
@@ -9,11 +9,11 @@
 pub struct Timing {
     /// Timeout of a connection attempt and of a call.
     pub answer_within: Duration,
-    /// Interval of progress requests on a watch; the response shows that the member is alive.
+    /// Interval of progress requests on a watch. The response shows that the member is alive.
     pub probe_every: Duration,
-    /// A member that has sent nothing for this long is left for the next one.
+    /// How long a member may send nothing before the client switches to the next one.
     pub silent_after: Duration,
-    /// First and longest backoff between two members. It doubles each time, with a jitter of half either way.
+    /// Initial and maximum backoff before the next member is tried. It doubles each time, with a jitter of ±50 %.
     pub backoff: (Duration, Duration),
 }
 
@@ -28,20 +28,20 @@
     }
 }
 
-/// Which cluster is followed, and what of it.
+/// The cluster and prefix to follow.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Its members' client addresses, tried in this order from a random one on.
+    /// The client addresses of the members. They are tried in this order, starting at a random one.
     pub endpoints: Vec<SocketAddr>,
-    /// The prefix of the servers' keys, as a rule with a slash at its end.
+    /// The prefix of the servers' keys, usually with a slash at its end.
     pub prefix: String,
-    /// A user and its password (`Auth.Authenticate`); none where the cluster has no authentication.
+    /// User name and password (`Auth.Authenticate`); `None` if the cluster does not use authentication.
     pub user: Option<(String, String)>,
     /// Timeouts and intervals.
     pub timing: Timing,
     /// When an empty list is accepted.
     pub rules: Rules,
-    /// The certificates (PEM) by which members are trusted, and the name that theirs must bear; none for no TLS.
+    /// The trusted CA certificates (PEM), and the name that the members' certificates must contain; `None` for no TLS.
     #[cfg(feature = "tls")]
     pub tls: Option<(Vec<u8>, String)>,
 }
--- a/crates/etcd/tests/client.rs
+++ b/crates/etcd/tests/client.rs
@@ -1,4 +1,5 @@
-//! The follower against the stand-in cluster: each break that it must survive.
+//! The client against the test double of an etcd cluster: broken connections, compaction, fragments, and members that
+//! lag, freeze or are replaced.
 
 use saffronpaddle_endpoints::{EndpointStatus, Rules};
 use saffronpaddle_etcd::{follow, News, Settings, Timing};
@@ -8,8 +9,8 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// No wait is longer; only a failing test gets there.
-const PATIENCE: Duration = Duration::from_mins(1);
+/// Timeout of each wait, which only a failing test reaches.
+const TEST_TIMEOUT: Duration = Duration::from_mins(1);
 
 fn timing() -> Timing {
     Timing {
@@ -30,23 +31,23 @@
     format!("/board/{host}")
 }
 
-/// A follower, with all that it has told.
-struct Roster {
+/// A running client, with the list and the log lines that result from its news.
+struct ListClient {
     news: mpsc::Receiver<News>,
     hosts: BTreeMap<String, (EndpointStatus, u64)>,
     logs: Vec<String>,
-    /// The longest that a change took from its read to here.
-    late: Duration,
+    /// The longest time from the read of a change to its arrival at the test.
+    max_delay: Duration,
     changes: usize,
 }
 
-impl Roster {
-    fn follow(etcd: &Etcd, empty_after: Duration) -> Roster {
-        Roster::with(etcd, empty_after, None)
+impl ListClient {
+    fn follow(etcd: &Etcd, empty_after: Duration) -> ListClient {
+        ListClient::with(etcd, empty_after, None)
     }
 
-    fn with(etcd: &Etcd, empty_after: Duration, user: Option<(String, String)>) -> Roster {
-        let (tell, news) = mpsc::channel(1024);
+    fn with(etcd: &Etcd, empty_after: Duration, user: Option<(String, String)>) -> ListClient {
+        let (sender, news) = mpsc::channel(1024);
         let settings = Settings {
             endpoints: etcd.endpoints(),
             prefix: "/board/".to_owned(),
@@ -56,24 +57,24 @@
             #[cfg(feature = "tls")]
             tls: None,
         };
-        tokio::spawn(follow(settings, tell));
-        Roster {
+        tokio::spawn(follow(settings, sender));
+        ListClient {
             news,
             hosts: BTreeMap::new(),
             logs: Vec::new(),
-            late: Duration::ZERO,
+            max_delay: Duration::ZERO,
             changes: 0,
         }
     }
 
     async fn next(&mut self) {
-        match timeout(PATIENCE, self.news.recv())
+        match timeout(TEST_TIMEOUT, self.news.recv())
             .await
-            .expect("news come")
-            .expect("it follows")
+            .expect("news arrive in time")
+            .expect("the client is running")
         {
             News::Changed { change, read } => {
-                self.late = self.late.max(read.elapsed());
+                self.max_delay = self.max_delay.max(read.elapsed());
                 self.changes += 1;
                 if change.snapshot {
                     self.hosts.clear();
@@ -92,11 +93,11 @@
         }
     }
 
-    async fn until(&mut self, what: &str, seen: impl Fn(&Roster) -> bool) {
-        let begun = Instant::now();
+    async fn wait_until(&mut self, what: &str, seen: impl Fn(&ListClient) -> bool) {
+        let started = Instant::now();
         while !seen(self) {
             assert!(
-                begun.elapsed() < PATIENCE,
+                started.elapsed() < TEST_TIMEOUT,
                 "{what}: {:?} {:?}",
                 self.hosts,
                 self.logs
@@ -105,10 +106,10 @@
         }
     }
 
-    async fn until_standing(&mut self, host: &str, standing: Option<EndpointStatus>) {
-        let what = format!("{host} is {standing:?}");
-        self.until(&what, |roster| {
-            roster.hosts.get(host).map(|held| held.0) == standing
+    async fn wait_for_status(&mut self, host: &str, status: Option<EndpointStatus>) {
+        let what = format!("{host} is {status:?}");
+        self.wait_until(&what, |client| {
+            client.hosts.get(host).map(|server| server.0) == status
         })
         .await;
     }
@@ -128,31 +129,31 @@
 async fn the_list_is_read_and_followed() {
     let etcd = cluster(1).await;
     etcd.put("/other/x", "noise");
-    let mut roster = Roster::follow(&etcd, HOUR);
-    roster
-        .until("the list", |roster| roster.hosts.len() == 3)
+    let mut client = ListClient::follow(&etcd, HOUR);
+    client
+        .wait_until("the list", |client| client.hosts.len() == 3)
         .await;
     etcd.put(&key("a"), &value("draining", 7));
-    roster
-        .until_standing("a", Some(EndpointStatus::Draining))
+    client
+        .wait_for_status("a", Some(EndpointStatus::Draining))
         .await;
     etcd.put_all(&[(&key("b"), None), (&key("d"), Some(&value("ready", 9)))]);
-    let changes = roster.changes;
-    roster
-        .until_standing("d", Some(EndpointStatus::Ready))
+    let changes = client.changes;
+    client
+        .wait_for_status("d", Some(EndpointStatus::Ready))
         .await;
     assert!(
-        !roster.hosts.contains_key("b") && roster.changes == changes + 1,
-        "one revision is one change"
+        !client.hosts.contains_key("b") && client.changes == changes + 1,
+        "one revision is applied as one change"
     );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_stream_that_breaks_resumes_from_an_old_revision_without_a_range() {
+async fn a_broken_watch_resumes_from_its_revision_without_a_range() {
     let etcd = cluster(3).await;
-    let mut roster = Roster::follow(&etcd, HOUR);
-    roster
-        .until("the list", |roster| roster.hosts.len() == 3)
+    let mut client = ListClient::follow(&etcd, HOUR);
+    client
+        .wait_until("the list", |client| client.hosts.len() == 3)
         .await;
     let ranges: u64 = etcd
         .members
@@ -160,34 +161,35 @@
         .map(saffronpaddle_test_doubles::etcd::Member::ranges)
         .sum();
     for round in 0..5 {
-        // Changed while nobody watches.
+        // The change occurs while no watch is open.
         etcd.members
             .iter()
             .for_each(saffronpaddle_test_doubles::etcd::Member::cut);
         let health = if round % 2 == 0 { "draining" } else { "ready" };
         etcd.put(&key("a"), &value(health, 7));
-        let standing = if round % 2 == 0 {
+        let status = if round % 2 == 0 {
             EndpointStatus::Draining
         } else {
             EndpointStatus::Ready
         };
-        roster.until_standing("a", Some(standing)).await;
+        client.wait_for_status("a", Some(status)).await;
     }
     let after: u64 = etcd
         .members
         .iter()
         .map(saffronpaddle_test_doubles::etcd::Member::ranges)
         .sum();
-    assert_eq!(after, ranges, "it resumed each time");
+    assert_eq!(after, ranges, "the watch resumed each time");
 }
 
-/// In the gap a server is drained and another one removed.
+/// While no member accepts connections, one server is drained, another is removed and a third one is added. These
+/// revisions are compacted before the client can reconnect.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn compaction_past_the_revision_that_was_seen_is_survived() {
+async fn the_list_is_read_again_after_compaction_past_the_known_revision() {
     let etcd = cluster(2).await;
-    let mut roster = Roster::follow(&etcd, HOUR);
-    roster
-        .until("the list", |roster| roster.hosts.len() == 3)
+    let mut client = ListClient::follow(&etcd, HOUR);
+    client
+        .wait_until("the list", |client| client.hosts.len() == 3)
         .await;
     etcd.members
         .iter()
@@ -201,29 +203,28 @@
     etcd.members
         .iter()
         .for_each(|member| member.set(|faults| faults.refuses = false));
-    roster
-        .until_standing("d", Some(EndpointStatus::Ready))
+    client
+        .wait_for_status("d", Some(EndpointStatus::Ready))
         .await;
     assert!(
-        !roster.hosts.contains_key("b") && roster.hosts["a"].0 == EndpointStatus::Draining,
+        !client.hosts.contains_key("b") && client.hosts["a"].0 == EndpointStatus::Draining,
         "{:?}",
-        roster.hosts
+        client.hosts
     );
     assert!(
-        roster.logs.iter().any(|line| line.contains("compacted")),
+        client.logs.iter().any(|line| line.contains("compacted")),
         "{:?}",
-        roster.logs
+        client.logs
     );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_reconnect_between_a_drain_and_its_last_fragment_tells_the_drain_at_once_and_the_rest_later(
-) {
+async fn a_reconnect_after_a_fragment_with_a_drain_reports_the_drain_first_and_the_rest_later() {
     let etcd = cluster(1).await;
     let member = &etcd.members[0];
-    let mut roster = Roster::follow(&etcd, HOUR);
-    roster
-        .until("the list", |roster| roster.hosts.len() == 3)
+    let mut client = ListClient::follow(&etcd, HOUR);
+    client
+        .wait_until("the list", |client| client.hosts.len() == 3)
         .await;
     member.set(|faults| {
         (faults.fragment_at, faults.cut_after_fragments) = (1, Some(1));
@@ -235,132 +236,136 @@
         (&key("b"), None),
         (&key("d"), Some(&value("ready", 9))),
     ]);
-    roster
-        .until_standing("a", Some(EndpointStatus::Draining))
+    client
+        .wait_for_status("a", Some(EndpointStatus::Draining))
         .await;
-    assert!(roster.hosts.contains_key("b"), "the rest has not come yet");
-    roster
-        .until_standing("d", Some(EndpointStatus::Ready))
+    assert!(
+        client.hosts.contains_key("b"),
+        "the rest has not arrived yet"
+    );
+    client
+        .wait_for_status("d", Some(EndpointStatus::Ready))
         .await;
-    assert!(!roster.hosts.contains_key("b") && member.watches() > watches);
+    assert!(!client.hosts.contains_key("b") && member.watches() > watches);
 }
 
-/// A frame that is cut in its middle, at every one of many places.
+/// The connection breaks inside a frame, at many different offsets.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_frame_cut_in_its_middle_loses_nothing() {
+async fn no_change_is_lost_when_a_connection_breaks_inside_a_frame() {
     let etcd = cluster(1).await;
-    let mut roster = Roster::follow(&etcd, HOUR);
-    roster
-        .until("the list", |roster| roster.hosts.len() == 3)
+    let mut client = ListClient::follow(&etcd, HOUR);
+    client
+        .wait_until("the list", |client| client.hosts.len() == 3)
         .await;
     for bytes in (1..200).step_by(13) {
         etcd.members[0].set(|faults| faults.cut_after_bytes = Some(bytes));
-        let born = 1000 + bytes;
-        etcd.put(&key("a"), &value("ready", born));
-        roster
-            .until("the change", |roster| roster.hosts["a"].1 == born)
+        let start_ms = 1000 + bytes;
+        etcd.put(&key("a"), &value("ready", start_ms));
+        client
+            .wait_until("the change", |client| client.hosts["a"].1 == start_ms)
             .await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_lease_that_expires_and_is_granted_anew_is_a_new_cold_server() {
+async fn a_key_recreated_after_its_lease_expired_is_a_new_start_of_its_server() {
     let etcd = cluster(1).await;
-    let mut roster = Roster::follow(&etcd, HOUR);
-    roster
-        .until("the list", |roster| roster.hosts.len() == 3)
+    let mut client = ListClient::follow(&etcd, HOUR);
+    client
+        .wait_until("the list", |client| client.hosts.len() == 3)
         .await;
     etcd.put_leased(&key("l"), &value("ready", 0), Duration::from_millis(200));
-    roster
-        .until_standing("l", Some(EndpointStatus::Ready))
+    client
+        .wait_for_status("l", Some(EndpointStatus::Ready))
         .await;
-    let first = roster.hosts["l"].1;
-    roster.until_standing("l", None).await;
+    let first = client.hosts["l"].1;
+    client.wait_for_status("l", None).await;
     etcd.put_leased(&key("l"), &value("ready", 0), Duration::from_secs(100));
-    roster
-        .until_standing("l", Some(EndpointStatus::Ready))
+    client
+        .wait_for_status("l", Some(EndpointStatus::Ready))
         .await;
     assert!(
-        first > 0 && roster.hosts["l"].1 > first,
-        "it started later: {first}, {:?}",
-        roster.hosts["l"]
+        first > 0 && client.hosts["l"].1 > first,
+        "the second start is later: {first}, {:?}",
+        client.hosts["l"]
     );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn put_delete_and_put_of_one_key_come_to_the_last() {
+async fn of_put_delete_and_put_of_one_key_in_a_response_the_last_one_is_applied() {
     let etcd = cluster(1).await;
-    let mut roster = Roster::follow(&etcd, HOUR);
-    roster
-        .until("the list", |roster| roster.hosts.len() == 3)
+    let mut client = ListClient::follow(&etcd, HOUR);
+    client
+        .wait_until("the list", |client| client.hosts.len() == 3)
         .await;
     etcd.members[0].set(|faults| faults.refuses = true);
     etcd.members[0].cut();
     etcd.put(&key("a"), &value("draining", 7));
     etcd.delete(&key("a"));
     etcd.put(&key("a"), &value("ready", 0));
-    let changes = roster.changes;
+    let changes = client.changes;
     etcd.members[0].set(|faults| faults.refuses = false);
-    roster
-        .until("the new process", |roster| {
-            roster.hosts.get("a").is_some_and(|held| held.1 > 7)
+    client
+        .wait_until("the new process", |client| {
+            client.hosts.get("a").is_some_and(|server| server.1 > 7)
         })
         .await;
     assert_eq!(
-        (roster.hosts["a"].0, roster.changes),
+        (client.hosts["a"].0, client.changes),
         (EndpointStatus::Ready, changes + 1),
         "all in one response"
     );
 }
 
-/// The member that is followed freezes, the next one lags behind what is known: the third one is followed.
+/// The member in use freezes, and the next one lags behind the known revision, so the client must switch to the third
+/// one.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_member_that_freezes_and_one_that_lags_are_left() {
+async fn a_frozen_member_and_a_lagging_one_are_left() {
     let etcd = cluster(3).await;
-    let mut roster = Roster::follow(&etcd, HOUR);
-    roster
-        .until("the list", |roster| roster.hosts.len() == 3)
+    let mut client = ListClient::follow(&etcd, HOUR);
+    client
+        .wait_until("the list", |client| client.hosts.len() == 3)
         .await;
     let old = etcd.revision();
     etcd.put(&key("a"), &value("draining", 7));
-    roster
-        .until_standing("a", Some(EndpointStatus::Draining))
+    client
+        .wait_for_status("a", Some(EndpointStatus::Draining))
         .await;
     let followed = etcd
         .members
         .iter()
         .position(|member| member.watches() > 0)
-        .expect("one is followed");
+        .expect("one member is watched");
     let (next, last) = ((followed + 1) % 3, (followed + 2) % 3);
     etcd.members[next].set(|faults| faults.stuck_at = Some(old));
     etcd.members[followed].set(|faults| faults.frozen = true);
     etcd.put(&key("b"), &value("draining", 7));
-    roster
-        .until_standing("b", Some(EndpointStatus::Draining))
+    client
+        .wait_for_status("b", Some(EndpointStatus::Draining))
         .await;
     assert!(
         etcd.members[last].watches() > 0,
-        "the third one is followed"
+        "the third member is watched"
     );
     assert_eq!(
-        roster.hosts["a"].0,
+        client.hosts["a"].0,
         EndpointStatus::Draining,
-        "nothing went back"
+        "the older state is not applied"
     );
-    let said = |what: &str| roster.logs.iter().any(|line| line.contains(what));
-    assert!(said("silent") && said("lags"), "{:?}", roster.logs);
+    let logged = |what: &str| client.logs.iter().any(|line| line.contains(what));
+    assert!(logged("silent") && logged("lags"), "{:?}", client.logs);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_cluster_that_was_recreated_or_restored_is_read_whole() {
+async fn the_list_is_read_again_after_a_cluster_is_recreated_or_restored() {
     for recreated in [true, false] {
         let etcd = cluster(2).await;
         for _ in 0..20 {
             etcd.put(&key("a"), &value("ready", 7));
         }
-        let mut roster = Roster::follow(&etcd, HOUR);
-        roster
-            .until("the list", |roster| roster.hosts.len() == 3)
+        let mut client = ListClient::follow(&etcd, HOUR);
+        client
+            .wait_until("the list", |client| client.hosts.len() == 3)
             .await;
         etcd.restore(
             &[
@@ -369,119 +374,121 @@
             ],
             recreated,
         );
-        roster
-            .until_standing("z", Some(EndpointStatus::Ready))
+        client
+            .wait_for_status("z", Some(EndpointStatus::Ready))
             .await;
-        let hosts: Vec<&String> = roster.hosts.keys().collect();
+        let hosts: Vec<&String> = client.hosts.keys().collect();
         assert_eq!(hosts, ["b", "z"], "recreated: {recreated}");
-        assert_eq!(roster.hosts["b"].0, EndpointStatus::Draining);
+        assert_eq!(client.hosts["b"].0, EndpointStatus::Draining);
         etcd.put(&key("z"), &value("draining", 9));
-        roster
-            .until_standing("z", Some(EndpointStatus::Draining))
+        client
+            .wait_for_status("z", Some(EndpointStatus::Draining))
             .await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_wiped_prefix_is_believed_only_once_it_has_lasted() {
+async fn a_wiped_prefix_is_accepted_only_after_it_has_stayed_empty() {
     let etcd = cluster(1).await;
-    let mut roster = Roster::follow(&etcd, Duration::from_millis(1500));
-    roster
-        .until("the list", |roster| roster.hosts.len() == 3)
+    let mut client = ListClient::follow(&etcd, Duration::from_millis(1500));
+    client
+        .wait_until("the list", |client| client.hosts.len() == 3)
         .await;
     etcd.wipe("/board/");
     etcd.put("/board/b", &value("ready", 7));
-    roster
-        .until("the doubt", |roster| {
-            roster
+    client
+        .wait_until("the suspected wipe", |client| {
+            client
                 .logs
                 .iter()
                 .any(|line| line.contains("the prefix is empty"))
         })
         .await;
-    assert_eq!(roster.hosts.len(), 3, "kept");
-    let begun = Instant::now();
-    roster
-        .until("it is believed", |roster| roster.hosts.len() == 1)
+    assert_eq!(client.hosts.len(), 3, "the servers are kept");
+    let started = Instant::now();
+    client
+        .wait_until("the confirmed wipe", |client| client.hosts.len() == 1)
         .await;
     assert!(
-        begun.elapsed() > Duration::from_secs(1) && roster.hosts.contains_key("b"),
+        started.elapsed() > Duration::from_secs(1) && client.hosts.contains_key("b"),
         "{:?}",
-        roster.hosts
+        client.hosts
     );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_cluster_with_authentication_wants_the_password() {
+async fn a_cluster_with_authentication_requires_the_right_password() {
     let etcd = cluster(1).await;
     etcd.protect("edge", "secret");
-    let mut wrong = Roster::with(&etcd, HOUR, Some(("edge".to_owned(), "guess".to_owned())));
+    let mut wrong = ListClient::with(&etcd, HOUR, Some(("edge".to_owned(), "guess".to_owned())));
     wrong
-        .until("the refusal", |roster| {
-            roster
+        .wait_until("the rejection", |client| {
+            client
                 .logs
                 .iter()
                 .any(|line| line.contains("authentication failed"))
         })
         .await;
     assert!(wrong.hosts.is_empty());
-    let mut none = Roster::follow(&etcd, HOUR);
-    none.until("the refusal", |roster| {
-        roster
-            .logs
-            .iter()
-            .any(|line| line.contains("invalid auth token"))
-    })
-    .await;
-    let mut right = Roster::with(&etcd, HOUR, Some(("edge".to_owned(), "secret".to_owned())));
+    let mut anonymous = ListClient::follow(&etcd, HOUR);
+    anonymous
+        .wait_until("the rejection", |client| {
+            client
+                .logs
+                .iter()
+                .any(|line| line.contains("invalid auth token"))
+        })
+        .await;
+    let mut right = ListClient::with(&etcd, HOUR, Some(("edge".to_owned(), "secret".to_owned())));
     right
-        .until("the list", |roster| roster.hosts.len() == 3)
+        .wait_until("the list", |client| client.hosts.len() == 3)
         .await;
 }
 
-/// Ten thousand servers are read page by page, and ten thousand changes in a storm followed to the end.
+/// Ten thousand servers are read page by page, and a burst of ten thousand changes is applied completely.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn ten_thousand_keys_and_ten_thousand_changes_are_followed() {
     let etcd = cluster(1).await;
     for number in 0..10_000 {
         etcd.put(&key(&format!("s{number}")), &value("ready", 7));
     }
-    let mut roster = Roster::follow(&etcd, HOUR);
-    roster
-        .until("the list", |roster| roster.hosts.len() == 10_003)
+    let mut client = ListClient::follow(&etcd, HOUR);
+    client
+        .wait_until("the list", |client| client.hosts.len() == 10_003)
         .await;
-    assert!(etcd.members[0].ranges() >= 11, "in pages");
+    assert!(etcd.members[0].ranges() >= 11, "the range is read in pages");
     for number in 0..10_000 {
         etcd.put(&key(&format!("s{number}")), &value("draining", 7));
     }
-    roster
-        .until("the storm's end", |roster| {
-            roster
+    client
+        .wait_until("the end of the burst", |client| {
+            client
                 .hosts
                 .values()
-                .filter(|held| held.0 == EndpointStatus::Draining)
+                .filter(|server| server.0 == EndpointStatus::Draining)
                 .count()
                 == 10_000
         })
         .await;
 }
 
-/// A slow taker of news holds back the watch, and memory stays bounded; it ends with its taker.
+/// While its receiver is slow, the client stops reading the watch, so that memory stays bounded. It must end when the
+/// receiver is dropped, and not reconnect.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn it_ends_when_nobody_takes_its_news() {
+async fn the_client_ends_when_its_receiver_is_dropped() {
     let etcd = cluster(1).await;
-    let mut roster = Roster::follow(&etcd, HOUR);
-    roster
-        .until("the list", |roster| roster.hosts.len() == 3)
+    let mut client = ListClient::follow(&etcd, HOUR);
+    client
+        .wait_until("the list", |client| client.hosts.len() == 3)
         .await;
     let connections = etcd.members[0].connections();
-    drop(roster);
+    drop(client);
     tokio::time::sleep(Duration::from_millis(500)).await;
     etcd.members[0].cut();
     tokio::time::sleep(Duration::from_millis(500)).await;
     assert_eq!(
         etcd.members[0].connections(),
         connections,
-        "it does not come back"
+        "the client does not reconnect"
     );
 }
--- a/crates/netio/src/accept.rs
+++ b/crates/netio/src/accept.rs
@@ -1,22 +1,24 @@
-//! What an error of `accept` means (`accept(2)`, "Errors" and "Notes").
+//! Classification of the errors of `accept` (`accept(2)`, "Errors" and "Notes").
 
 use nix::errno::Errno;
 use std::io;
 
-/// What an error of `accept` means for the listener.
+/// How a listener has to react to an error of `accept`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptFailure {
-    /// The connection that would have been returned has failed, or the call was interrupted: accept the next one at once.
+    /// The connection that would have been returned has failed, or a signal interrupted the call. Accept the next one
+    /// immediately.
     OfOneConnection,
-    /// This process has no file descriptor left: one has to be closed first.
+    /// This process has reached its limit of file descriptors. One must be closed before the next connection can be
+    /// accepted.
     NoDescriptor,
-    /// The machine lacks a resource for a moment, or the cause is not known: accept again after a pause. Closing
+    /// The machine temporarily lacks a resource, or the cause is unknown. Accept again after a pause; closing
     /// connections of this process would not help.
     Passing,
 }
 
 impl AcceptFailure {
-    /// Classifies an error of `accept`. Linux returns pending network errors of the new connection from `accept`.
+    /// Classifies an error of `accept`. On Linux, these include pending network errors of the new connection.
     pub fn of(error: &io::Error) -> AcceptFailure {
         match error.raw_os_error().map(Errno::from_raw) {
             Some(
--- a/crates/netio/src/lib.rs
+++ b/crates/netio/src/lib.rs
@@ -1,10 +1,10 @@
-//! What a failed system call on a socket means, and how it is retried, for all sockets of a node.
+//! Classification and retries of failed system calls on sockets.
 //!
-//! - A call that a signal has interrupted (`EINTR`) did nothing and is retried at once: by [`Socket`] for TCP, by
+//! - A call that a signal has interrupted (`EINTR`) had no effect and is retried immediately: by [`Socket`] for TCP, by
 //!   [`Uninterrupted`] for other streams, by [`retry_interrupted`] for single calls.
-//! - `accept` fails for the connection that it would have returned, or for a shortage of this process or of the whole
-//!   machine: [`AcceptFailure`].
-//! - A call that fails for a shortage while the process starts is retried for some time: [`retry_shortage`].
+//! - [`AcceptFailure`] tells whether `accept` failed because of the connection that it would have returned, or because
+//!   this process or the machine has run out of a resource.
+//! - [`retry_shortage`] retries a call during the start of the process while the machine lacks a resource.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/netio/src/shortage.rs
+++ b/crates/netio/src/shortage.rs
@@ -1,4 +1,4 @@
-//! Calls that fail because this process or this machine lacks a resource.
+//! Detection and retries of calls that fail because this process or this machine lacks a resource.
 
 use nix::errno::Errno;
 use std::future::Future;
@@ -6,12 +6,13 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// Between two attempts.
+/// Pause between two attempts of a call.
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// For how long a failing call is repeated. A service manager waits longer for a start.
+/// How long a failing call is retried. Service managers allow more time than this for a start.
 const RETRY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Whether a call failed for a resource that other processes may free in a moment, or was interrupted.
+/// Whether a call failed for lack of a resource that other processes may soon release, or because a signal interrupted
+/// it.
 pub fn is_shortage(error: &io::Error) -> bool {
     let errno = error.raw_os_error().map(Errno::from_raw);
     matches!(
@@ -20,13 +21,14 @@
     )
 }
 
-/// Whether connecting failed for a resource on this side, which says nothing about the other side.
+/// Whether connecting failed for lack of a resource on this machine, so that the error does not indicate a failure of
+/// the peer.
 pub fn is_local_failure(error: &io::Error) -> bool {
     let errno = error.raw_os_error().map(Errno::from_raw);
     is_shortage(error) || matches!(errno, Some(Errno::EMFILE | Errno::EADDRNOTAVAIL))
 }
 
-/// Repeats a call while it fails for a shortage, for at most 5 s.
+/// Retries a call while it fails as described at [`is_shortage`], for at most 5 s.
 ///
 /// # Errors
 /// The last error of the call.
--- a/crates/netio/src/socket.rs
+++ b/crates/netio/src/socket.rs
@@ -1,7 +1,8 @@
 //! A TCP connection that one task reads and writes while others observe it.
 //!
-//! tokio's own stream takes a read or write that moved fewer bytes than asked for as a sign that the kernel would block
-//! next. If that is wrong, it waits for an event that never comes. This one goes by `EWOULDBLOCK` only.
+//! tokio's `TcpStream` takes a partial read or write as a sign that the next call would block. If it would not, the
+//! stream waits for a readiness event that never arrives. [`Socket`] therefore waits only after the kernel returned
+//! `EWOULDBLOCK`.
 
 use crate::retry_interrupted;
 use socket2::SockRef;
@@ -15,8 +16,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Whether the other side has closed the connection, as far as the kernel knows, even if there are unread bytes before its
-/// end.
+/// Whether the peer has closed the connection, as far as the kernel knows. Unread bytes may still be buffered.
 pub fn has_ended(stream: &TcpStream) -> bool {
     let ready = std::pin::pin!(stream.ready(Interest::READABLE));
     match ready.poll(&mut Context::from_waker(Waker::noop())) {
@@ -25,14 +25,14 @@
     }
 }
 
-/// Whether a connection has nothing to read, not even its end. It asks the kernel, as the runtime learns of an event only
-/// when it polls next.
+/// Whether a connection has nothing to read: no bytes, no end of stream and no error. Asks the kernel directly, because
+/// the runtime learns of an event only at its next poll.
 pub fn is_quiet(stream: &TcpStream) -> bool {
     let peeked = retry_interrupted(|| SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]));
     peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
 }
 
-/// The reading and writing side. Calls that a signal interrupts are retried.
+/// The handle that reads and writes the connection. Calls that a signal interrupts are retried.
 #[derive(Debug)]
 pub struct Socket(Arc<TcpStream>);
 
@@ -42,17 +42,17 @@
         Socket(stream.into())
     }
 
-    /// The connection, to observe it.
+    /// Returns the connection, for observing its state.
     pub fn stream(&self) -> &TcpStream {
         &self.0
     }
 
-    /// The connection without its wrapper; `None` while another handle to it exists.
+    /// Unwraps the connection. `None` if other handles to it exist.
     pub fn into_inner(self) -> Option<TcpStream> {
         Arc::try_unwrap(self.0).ok()
     }
 
-    /// Calls `write` until the kernel takes some bytes.
+    /// Calls `write` until the kernel accepts some bytes or fails with an error other than `EWOULDBLOCK`.
     fn write(
         &self,
         context: &mut Context<'_>,
@@ -110,7 +110,7 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // A socket has no buffer of its own.
+        // There is no buffer in user space.
         Poll::Ready(Ok(()))
     }
 
--- a/crates/netio/src/uninterrupted.rs
+++ b/crates/netio/src/uninterrupted.rs
@@ -1,11 +1,11 @@
-//! Retries of calls that a signal has interrupted.
+//! Retries of calls that a signal has interrupted (`EINTR`).
 
 use std::io::{self, ErrorKind, IoSlice};
 use std::pin::Pin;
 use std::task::{ready, Context, Poll};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Repeats a call while signals interrupt it.
+/// Retries a call until it is not interrupted by a signal.
 ///
 /// # Errors
 /// All other errors of the call.
@@ -18,7 +18,7 @@
     }
 }
 
-/// A stream whose reads and writes are retried if a signal has interrupted them.
+/// A stream whose reads and writes are retried if a signal interrupts them.
 #[derive(Debug)]
 pub struct Uninterrupted<S>(S);
 
@@ -28,13 +28,13 @@
         Uninterrupted(stream)
     }
 
-    /// The stream.
+    /// Returns the wrapped stream.
     pub fn get_ref(&self) -> &S {
         &self.0
     }
 }
 
-/// Polls again while signals interrupt the call.
+/// Polls until the call is not interrupted by a signal.
 fn poll_uninterrupted<T>(mut poll: impl FnMut() -> Poll<io::Result<T>>) -> Poll<io::Result<T>> {
     loop {
         match ready!(poll()) {
--- a/crates/netio/tests/failures.rs
+++ b/crates/netio/tests/failures.rs
@@ -1,4 +1,4 @@
-//! The documented errnos of socket calls, and how each is classified and retried.
+//! Classification and retries of the documented errors of socket calls.
 
 use saffronpaddle_netio::{
     is_local_failure, is_shortage, retry_shortage, AcceptFailure, Uninterrupted,
@@ -9,18 +9,19 @@
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, ReadBuf};
 
-/// A stream on which each call is interrupted `times` times and then moves one byte.
+/// A stream on which each read or write is interrupted `times` times and then transfers one byte.
 struct Interrupted {
     times: u32,
-    left: u32,
+    remaining: u32,
     written: Vec<u8>,
 }
 
 impl Interrupted {
+    /// Returns whether the current call is to be interrupted, and counts it.
     fn interrupts(&mut self) -> bool {
-        let interrupts = self.left > 0;
-        self.left = if interrupts {
-            self.left - 1
+        let interrupts = self.remaining > 0;
+        self.remaining = if interrupts {
+            self.remaining - 1
         } else {
             self.times
         };
@@ -65,15 +66,21 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn interrupted_calls_are_retried_and_no_byte_is_lost_or_doubled() {
+async fn interrupted_calls_are_retried_without_losing_or_duplicating_bytes() {
     let mut stream = Uninterrupted::new(Interrupted {
         times: 3,
-        left: 3,
+        remaining: 3,
         written: Vec::new(),
     });
     let mut read = [0; 5];
-    stream.read_exact(&mut read).await.expect("it reads");
-    stream.write_all(b"a request").await.expect("it writes");
+    stream
+        .read_exact(&mut read)
+        .await
+        .expect("the interrupted reads are retried");
+    stream
+        .write_all(b"a request")
+        .await
+        .expect("the interrupted writes are retried");
     assert_eq!(
         (&read, &stream.get_ref().written[..]),
         (b"xxxxx", &b"a request"[..])
@@ -81,7 +88,7 @@
 }
 
 #[test]
-fn accept_errors_of_one_connection_are_told_from_shortages() {
+fn accept_errors_of_one_connection_are_distinguished_from_shortages() {
     use nix::errno::Errno::*;
     let failure =
         |errno: nix::errno::Errno| AcceptFailure::of(&io::Error::from_raw_os_error(errno as i32));
@@ -110,7 +117,7 @@
 }
 
 #[test]
-fn local_shortages_are_no_failures_of_the_server() {
+fn local_shortages_are_distinguished_from_failures_of_the_server() {
     use nix::errno::Errno::*;
     let local =
         |errno: nix::errno::Errno| is_local_failure(&io::Error::from_raw_os_error(errno as i32));
@@ -158,7 +165,7 @@
         .await
         .expect_err("the shortage lasts");
     assert!(is_shortage(&error));
-    // Any other error is returned at once.
+    // Any other error is returned immediately.
     let refused = || std::future::ready(Err::<(), _>(io::Error::from(ErrorKind::AddrInUse)));
     assert!(retry_shortage(refused).await.is_err());
 }
