--- a/crates/endpoints/src/json_objects.rs
+++ b/crates/endpoints/src/json_objects.rs
@@ -10,7 +10,7 @@
 /// Why a stream of objects cannot be read any further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unreadable {
-    /// This byte stands where an object should start, and is neither white space nor an opening brace.
+    /// Found this byte where an object should start. It is neither white space nor an opening brace.
     ExpectedObject(u8),
     /// An object exceeds the maximum length.
     TooLong,
