--- a/crates/endpoints/src/follower.rs
+++ b/crates/endpoints/src/follower.rs
@@ -92,7 +92,7 @@
     ///
     /// Drops the fragments of an incomplete response. Their events are received again, because `revision` has not
     /// advanced past them. Drains that the fragments announced remain in force.
-    pub fn reconnected(&mut self) {
+    pub fn reset_connection(&mut self) {
         self.fragments.reset();
         self.progress_revision = None;
     }
@@ -163,7 +163,7 @@
         self.stats.ranges += 1;
         self.check_replaced(header);
         let first = self.revision.is_none();
-        self.reconnected();
+        self.reset_connection();
         self.header = Some(header);
         self.revision = Some(header.revision);
         // The endpoints of the listing share these zone names.
--- a/crates/endpoints/tests/follower.rs
+++ b/crates/endpoints/tests/follower.rs
@@ -44,7 +44,7 @@
 fn a_broken_watch_resumes_from_the_next_revision_and_skips_stale_events() {
     let mut follower = three_servers();
     respond(&mut follower, 11, vec![put("a", 2, 11, "draining")]);
-    follower.reconnected();
+    follower.reset_connection();
     assert_eq!(follower.resume_revision(), Some(12));
     // The member sends events from before the requested revision.
     let update = respond(
@@ -112,7 +112,7 @@
         (statuses(&update), step),
         (expected.into(), WatchStep::Continue)
     );
-    follower.reconnected();
+    follower.reset_connection();
     assert_eq!(
         follower.resume_revision(),
         Some(11),
@@ -358,6 +358,7 @@
     }
 }
 
+/// Otherwise the resume revision of a watch without events would be compacted sooner or later.
 #[test]
 fn progress_advances_the_resume_revision_of_a_watch_without_events() {
     let mut follower = three_servers();
@@ -390,7 +391,7 @@
         EndpointStatus::Draining
     );
     follower.apply_progress(header(14));
-    follower.reconnected();
+    follower.reset_connection();
     assert_eq!(
         follower.resume_revision(),
         Some(13),
--- a/crates/endpoints/tests/random_histories.rs
+++ b/crates/endpoints/tests/random_histories.rs
@@ -120,7 +120,7 @@
         if random.below(3) > 0 {
             self.receive(store, last, false);
         } else {
-            self.follower.reconnected();
+            self.follower.reset_connection();
         }
     }
 }
@@ -139,7 +139,7 @@
         for _ in 0..40 {
             store.change(&mut random);
             match random.below(6) {
-                0 => client.follower.reconnected(),
+                0 => client.follower.reset_connection(),
                 1 => client.read(&store),
                 2 | 3 => client.watch(&store, &mut random),
                 _ => {}
--- a/crates/etcd/src/client.rs
+++ b/crates/etcd/src/client.rs
@@ -40,7 +40,7 @@
         let Err(error) = client.follow_member(member, reread).await else {
             return;
         };
-        client.follower.reconnected();
+        client.follower.reset_connection();
         if before != client.progress() {
             (backoff, behind, reread) = (client.settings.timing.backoff.0, 0, false);
             last_logged.clear();
--- a/crates/websocket/src/frames.rs
+++ b/crates/websocket/src/frames.rs
@@ -59,23 +59,23 @@
 
 /// Why a frame is rejected, as the code and reason of the close frame that the node sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct FrameError {
     /// The close code (section 7.4.1): 1002 (protocol error), 1007 (invalid payload data) or 1009 (message too big).
     pub code: u16,
     /// The close reason.
     pub why: &'static str,
 }
 
-impl Fault {
-    fn protocol_error(why: &'static str) -> Fault {
-        Fault { code: 1002, why }
+impl FrameError {
+    fn protocol_error(why: &'static str) -> FrameError {
+        FrameError { code: 1002, why }
     }
 
-    fn invalid_data(why: &'static str) -> Fault {
-        Fault { code: 1007, why }
+    fn invalid_data(why: &'static str) -> FrameError {
+        FrameError { code: 1007, why }
     }
 
-    fn too_large(why: &'static str) -> Fault {
-        Fault { code: 1009, why }
+    fn too_large(why: &'static str) -> FrameError {
+        FrameError { code: 1009, why }
     }
 }
--- a/crates/websocket/src/frames/scanner.rs
+++ b/crates/websocket/src/frames/scanner.rs
@@ -1,6 +1,6 @@
 //! Parses and validates the frames that one side sends.
 
-use super::{Fault, Rules, Seen, Side, MAX_CONTROL_BYTES, OWN_PING_PAYLOAD};
+use super::{FrameError, Rules, Seen, Side, MAX_CONTROL_BYTES, OWN_PING_PAYLOAD};
 use std::io::Cursor;
 use tungstenite::protocol::frame::coding::{CloseCode, Control, Data, OpCode};
 use tungstenite::protocol::frame::FrameHeader;
@@ -93,7 +93,7 @@
         mut bytes: &[u8],
         out: &mut Vec<u8>,
         seen: &mut Vec<Seen>,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), FrameError> {
         while !bytes.is_empty() && !self.closed {
             if self.frame.is_none() {
                 self.take_header(&mut bytes, out, seen)?;
@@ -111,7 +111,7 @@
         bytes: &mut &[u8],
         out: &mut Vec<u8>,
         seen: &mut Vec<Seen>,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), FrameError> {
         let missing = self.expected_header_bytes() - self.header_bytes;
         let (part, rest) = bytes.split_at(missing.min(bytes.len()));
         let end = self.header_bytes + part.len();
@@ -144,11 +144,11 @@
     }
 
     /// Validates a complete header (section 5.2) and starts its frame.
-    fn start_frame(&mut self, out: &mut Vec<u8>, seen: &mut Vec<Seen>) -> Result<(), Fault> {
+    fn start_frame(&mut self, out: &mut Vec<u8>, seen: &mut Vec<Seen>) -> Result<(), FrameError> {
         let raw_header = &self.header[..self.header_bytes];
         let parsed = FrameHeader::parse(&mut Cursor::new(raw_header));
         let Ok(Some((header, length))) = parsed else {
-            return Err(Fault::protocol_error("an opcode that is reserved"));
+            return Err(FrameError::protocol_error("an opcode that is reserved"));
         };
         self.check_header(&header, length)?;
         let (control, check_text) = match header.opcode {
@@ -175,9 +175,9 @@
     }
 
     /// Checks the rules for the headers of all frames.
-    fn check_header(&self, header: &FrameHeader, length: u64) -> Result<(), Fault> {
+    fn check_header(&self, header: &FrameHeader, length: u64) -> Result<(), FrameError> {
         if length >> 63 != 0 {
-            return Err(Fault::protocol_error("a length beyond 2^63"));
+            return Err(FrameError::protocol_error("a length beyond 2^63"));
         }
         let not_minimal = match self.header[1] & LENGTH_BITS {
             LENGTH_IN_2_BYTES => length < u64::from(LENGTH_IN_2_BYTES),
@@ -185,15 +185,17 @@
             _ => false,
         };
         if not_minimal {
-            return Err(Fault::protocol_error(
+            return Err(FrameError::protocol_error(
                 "a length that is not written the short way",
             ));
         }
         if header.mask.is_some() != (self.side == Side::Client) {
-            return Err(Fault::protocol_error("a mask that is missing, or too many"));
+            return Err(FrameError::protocol_error(
+                "a mask that is missing, or too many",
+            ));
         }
         if header.rsv2 || header.rsv3 {
-            return Err(Fault::protocol_error("a bit that is reserved"));
+            return Err(FrameError::protocol_error("a bit that is reserved"));
         }
         Ok(())
     }
@@ -204,15 +206,15 @@
         header: &FrameHeader,
         data: Data,
         length: u64,
-    ) -> Result<bool, Fault> {
+    ) -> Result<bool, FrameError> {
         let starts_message = data != Data::Continue;
         if starts_message == self.message.is_some() {
-            return Err(Fault::protocol_error(
+            return Err(FrameError::protocol_error(
                 "a message inside another, or the rest of none",
             ));
         }
         if header.rsv1 && !(self.rules.deflate && starts_message) {
-            return Err(Fault::protocol_error("a bit that is reserved"));
+            return Err(FrameError::protocol_error("a bit that is reserved"));
         }
         let message = self.message.unwrap_or(OpenMessage {
             bytes: 0,
@@ -220,7 +222,9 @@
         });
         let bytes = message.bytes.saturating_add(length);
         if length > self.rules.frame_most || bytes > self.rules.message_most {
-            return Err(Fault::too_large("a frame or a message that is too large"));
+            return Err(FrameError::too_large(
+                "a frame or a message that is too large",
+            ));
         }
         self.message = Some(OpenMessage { bytes, ..message });
         Ok(message.check_text)
@@ -233,7 +237,7 @@
         bytes: &mut &[u8],
         out: &mut Vec<u8>,
         seen: &mut Vec<Seen>,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), FrameError> {
         let remaining = usize::try_from(frame.remaining).unwrap_or(usize::MAX);
         let (payload, rest) = bytes.split_at(remaining.min(bytes.len()));
         *bytes = rest;
@@ -263,11 +267,13 @@
     }
 
     /// Handles the end of a data frame.
-    fn end_data(&mut self, frame: &OpenFrame) -> Result<(), Fault> {
+    fn end_data(&mut self, frame: &OpenFrame) -> Result<(), FrameError> {
         if frame.is_final {
             self.message = None;
             if !std::mem::take(&mut self.partial_character).is_empty() {
-                return Err(Fault::invalid_data("text that ends within a character"));
+                return Err(FrameError::invalid_data(
+                    "text that ends within a character",
+                ));
             }
         }
         Ok(())
@@ -281,7 +287,7 @@
         header_bytes: usize,
         out: &mut Vec<u8>,
         seen: &mut Vec<Seen>,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), FrameError> {
         let masked = std::mem::take(&mut self.control);
         let payload: Vec<u8> = unmask(frame.mask, 0, &masked).collect();
         if control == Control::Pong && payload == OWN_PING_PAYLOAD {
@@ -300,7 +306,7 @@
 
     /// Checks that a piece of text is valid UTF-8 (section 8.1). Keeps the bytes of an incomplete character for the
     /// next piece.
-    fn check_text(&mut self, frame: &OpenFrame, piece: &[u8]) -> Result<(), Fault> {
+    fn check_text(&mut self, frame: &OpenFrame, piece: &[u8]) -> Result<(), FrameError> {
         let text = &mut self.partial_character;
         text.extend(unmask(frame.mask, frame.received, piece));
         match std::str::from_utf8(text) {
@@ -309,16 +315,16 @@
                 let valid = error.valid_up_to();
                 text.drain(..valid);
             }
-            Err(_) => return Err(Fault::invalid_data("text that is no UTF-8")),
+            Err(_) => return Err(FrameError::invalid_data("text that is no UTF-8")),
         }
         Ok(())
     }
 }
 
 /// Checks the rules for the headers of control frames (section 5.5).
-fn check_control(header: &FrameHeader, length: u64) -> Result<(), Fault> {
+fn check_control(header: &FrameHeader, length: u64) -> Result<(), FrameError> {
     if header.rsv1 || !header.is_final || length > MAX_CONTROL_BYTES as u64 {
-        return Err(Fault::protocol_error(
+        return Err(FrameError::protocol_error(
             "a control frame in pieces, too long or compressed",
         ));
     }
@@ -337,17 +343,19 @@
 }
 
 /// Validates the payload of a close frame and returns its code (sections 5.5.1 and 7.4).
-fn close_code(payload: &[u8]) -> Result<Option<u16>, Fault> {
+fn close_code(payload: &[u8]) -> Result<Option<u16>, FrameError> {
     let (code, reason) = match payload {
         [] => return Ok(None),
-        [_] => return Err(Fault::protocol_error("a close code of one byte")),
+        [_] => return Err(FrameError::protocol_error("a close code of one byte")),
         [high, low, reason @ ..] => (u16::from_be_bytes([*high, *low]), reason),
     };
     if !CloseCode::from(code).is_allowed() {
-        return Err(Fault::protocol_error("a close code that is not allowed"));
+        return Err(FrameError::protocol_error(
+            "a close code that is not allowed",
+        ));
     }
     if std::str::from_utf8(reason).is_err() {
-        return Err(Fault::invalid_data("a reason that is no UTF-8"));
+        return Err(FrameError::invalid_data("a reason that is no UTF-8"));
     }
     Ok(Some(code))
 }
--- a/crates/websocket/src/upgrade/response.rs
+++ b/crates/websocket/src/upgrade/response.rs
@@ -25,7 +25,7 @@
 
 /// Why a server's response to an upgrade request is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SwitchError {
+pub enum UpgradeError {
     /// The `Upgrade` header does not name WebSocket, or names several protocols.
     OtherProtocol,
     /// The `Connection` header does not contain `upgrade`.
@@ -44,28 +44,28 @@
     Malformed,
 }
 
-impl fmt::Display for SwitchError {
+impl fmt::Display for UpgradeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            SwitchError::OtherProtocol => "the Upgrade header does not name websocket alone",
-            SwitchError::NoConnectionUpgrade => "the Connection header does not contain upgrade",
-            SwitchError::OtherAccept => "Sec-WebSocket-Accept does not match the client's key",
-            SwitchError::SubprotocolNotOffered => "the subprotocol was not offered by the client",
-            SwitchError::ExtensionNotOffered => "an extension was not offered by the client",
-            SwitchError::UnknownExtension => "an extension is not supported by this node",
-            SwitchError::TooLong => "the list of subprotocols or extensions is too long",
-            SwitchError::Malformed => "the list of subprotocols or extensions is malformed",
+            UpgradeError::OtherProtocol => "the Upgrade header does not name websocket alone",
+            UpgradeError::NoConnectionUpgrade => "the Connection header does not contain upgrade",
+            UpgradeError::OtherAccept => "Sec-WebSocket-Accept does not match the client's key",
+            UpgradeError::SubprotocolNotOffered => "the subprotocol was not offered by the client",
+            UpgradeError::ExtensionNotOffered => "an extension was not offered by the client",
+            UpgradeError::UnknownExtension => "an extension is not supported by this node",
+            UpgradeError::TooLong => "the list of subprotocols or extensions is too long",
+            UpgradeError::Malformed => "the list of subprotocols or extensions is malformed",
         })
     }
 }
 
-impl std::error::Error for SwitchError {}
+impl std::error::Error for UpgradeError {}
 
-impl From<ListError> for SwitchError {
-    fn from(error: ListError) -> SwitchError {
+impl From<ListError> for UpgradeError {
+    fn from(error: ListError) -> UpgradeError {
         match error {
-            ListError::TooLong => SwitchError::TooLong,
-            ListError::Malformed => SwitchError::Malformed,
+            ListError::TooLong => UpgradeError::TooLong,
+            ListError::Malformed => UpgradeError::Malformed,
         }
     }
 }
@@ -90,7 +90,7 @@
 ///
 /// # Errors
 /// The response is invalid. The connection to the server must be closed.
-pub fn verify(offer: &Offer, headers: &HeaderMap) -> Result<Switch, SwitchError> {
+pub fn verify(offer: &Offer, headers: &HeaderMap) -> Result<Switch, UpgradeError> {
     verify_upgrade(headers)?;
     verify_accept(offer, headers)?;
     let protocol = joined(headers, &SEC_WEBSOCKET_PROTOCOL)?;
@@ -104,49 +104,49 @@
     })
 }
 
-fn verify_upgrade(headers: &HeaderMap) -> Result<(), SwitchError> {
+fn verify_upgrade(headers: &HeaderMap) -> Result<(), UpgradeError> {
     let mut upgrades = tokens(headers, &UPGRADE);
     let first = upgrades.next();
     let to_websocket = first.is_some_and(|token| token.eq_ignore_ascii_case("websocket"));
     if !to_websocket || upgrades.next().is_some() {
-        return Err(SwitchError::OtherProtocol);
+        return Err(UpgradeError::OtherProtocol);
     }
     if !connection_names_upgrade(headers) {
-        return Err(SwitchError::NoConnectionUpgrade);
+        return Err(UpgradeError::NoConnectionUpgrade);
     }
     Ok(())
 }
 
-fn verify_accept(offer: &Offer, headers: &HeaderMap) -> Result<(), SwitchError> {
+fn verify_accept(offer: &Offer, headers: &HeaderMap) -> Result<(), UpgradeError> {
     let expected = derive_accept_key(offer.key.as_bytes());
     let mut values = headers.get_all(SEC_WEBSOCKET_ACCEPT).iter();
     let first = values.next();
     let matches = first.is_some_and(|value| value.as_bytes() == expected.as_bytes());
     if !matches || values.next().is_some() {
-        return Err(SwitchError::OtherAccept);
+        return Err(UpgradeError::OtherAccept);
     }
     Ok(())
 }
 
-fn verify_subprotocol(offer: &Offer, chosen: Option<&HeaderValue>) -> Result<(), SwitchError> {
+fn verify_subprotocol(offer: &Offer, chosen: Option<&HeaderValue>) -> Result<(), UpgradeError> {
     let chosen: Vec<&str> = chosen.into_iter().flat_map(items).collect();
     let offered: Vec<&str> = offer.protocols.iter().flat_map(items).collect();
     if chosen.len() > 1 || chosen.iter().any(|name| !offered.contains(name)) {
-        return Err(SwitchError::SubprotocolNotOffered);
+        return Err(UpgradeError::SubprotocolNotOffered);
     }
     Ok(())
 }
 
 /// Checks the agreed extensions. Returns whether messages may be compressed.
-fn verify_extensions(offer: &Offer, agreed: Option<&HeaderValue>) -> Result<bool, SwitchError> {
+fn verify_extensions(offer: &Offer, agreed: Option<&HeaderValue>) -> Result<bool, UpgradeError> {
     let agreed: Vec<String> = agreed.into_iter().flat_map(extension_names).collect();
     let offered: Vec<String> = offer.extensions.iter().flat_map(extension_names).collect();
     if agreed.iter().any(|name| !offered.contains(name)) {
-        return Err(SwitchError::ExtensionNotOffered);
+        return Err(UpgradeError::ExtensionNotOffered);
     }
     // The frames of an unknown extension cannot be validated.
     if agreed.iter().any(|name| name != DEFLATE) {
-        return Err(SwitchError::UnknownExtension);
+        return Err(UpgradeError::UnknownExtension);
     }
     Ok(!agreed.is_empty())
 }
--- a/crates/websocket/tests/frames.rs
+++ b/crates/websocket/tests/frames.rs
@@ -16,8 +16,8 @@
     out: Vec<u8>,
     /// Without [`Seen::Data`], because how often that is reported depends on how the bytes are split.
     seen: Vec<Seen>,
-    /// The close code of the fault.
-    fault: Option<u16>,
+    /// The close code of the error, if a frame was rejected.
+    error: Option<u16>,
 }
 
 fn scan_pieces<'a>(side: Side, rules: Rules, pieces: impl Iterator<Item = &'a [u8]>) -> Scanned {
@@ -25,8 +25,8 @@
     let mut scanned = Scanned::default();
     for piece in pieces {
         let result = scanner.scan(piece, &mut scanned.out, &mut scanned.seen);
-        if let Err(fault) = result {
-            scanned.fault = Some(fault.code);
+        if let Err(error) = result {
+            scanned.error = Some(error.code);
             break;
         }
     }
@@ -38,9 +38,9 @@
 fn scan(side: Side, rules: Rules, bytes: &[u8]) -> Scanned {
     let at_once = scan_pieces(side, rules, std::iter::once(bytes));
     let byte_by_byte = scan_pieces(side, rules, bytes.chunks(1));
-    assert_eq!(at_once.fault, byte_by_byte.fault);
+    assert_eq!(at_once.error, byte_by_byte.error);
     assert_eq!(at_once.seen, byte_by_byte.seen);
-    if at_once.fault.is_none() {
+    if at_once.error.is_none() {
         assert_eq!(at_once.out, byte_by_byte.out);
     }
     at_once
@@ -83,24 +83,24 @@
 #[test]
 fn section_5_1_only_clients_mask() {
     assert_eq!(
-        scan(Side::Client, RULES, &[0x81, 1, b'a']).fault,
+        scan(Side::Client, RULES, &[0x81, 1, b'a']).error,
         Some(1002)
     );
-    assert_eq!(server(&masked(0x81, b"a")).fault, Some(1002));
+    assert_eq!(server(&masked(0x81, b"a")).error, Some(1002));
 }
 
 #[test]
 fn section_5_2_reserved_bits_opcodes_and_lengths() {
     for first in [0xc1, 0xa1, 0x91, 0x83, 0x87, 0x8b, 0x8f] {
-        assert_eq!(server(&[first, 0]).fault, Some(1002), "{first:x}");
+        assert_eq!(server(&[first, 0]).error, Some(1002), "{first:x}");
     }
     let mut beyond = vec![0x82, 127];
     beyond.extend((1_u64 << 63).to_be_bytes());
-    assert_eq!(server(&beyond).fault, Some(1002));
-    assert_eq!(server(&[0x82, 126, 0, 125]).fault, Some(1002));
+    assert_eq!(server(&beyond).error, Some(1002));
+    assert_eq!(server(&[0x82, 126, 0, 125]).error, Some(1002));
     let mut long_way = vec![0x82, 127];
     long_way.extend(65_535_u64.to_be_bytes());
-    assert_eq!(server(&long_way).fault, Some(1002));
+    assert_eq!(server(&long_way).error, Some(1002));
 }
 
 #[test]
@@ -108,12 +108,12 @@
     let pieces = [0x01, 1, b'a', 0x89, 1, b'p', 0x00, 1, b'b', 0x80, 1, b'c'];
     assert_eq!(server(&pieces), passed(&pieces));
     assert_eq!(
-        server(&[0x80, 1, b'a']).fault,
+        server(&[0x80, 1, b'a']).error,
         Some(1002),
         "a continuation frame without a message"
     );
     assert_eq!(
-        server(&[0x01, 1, b'a', 0x81, 1, b'b']).fault,
+        server(&[0x01, 1, b'a', 0x81, 1, b'b']).error,
         Some(1002),
         "a new message before the end of another"
     );
@@ -121,8 +121,8 @@
 
 #[test]
 fn section_5_5_control_frames_are_short_and_unfragmented() {
-    assert_eq!(server(&[0x09, 0]).fault, Some(1002));
-    assert_eq!(server(&[0x89, 126, 0, 126]).fault, Some(1002));
+    assert_eq!(server(&[0x09, 0]).error, Some(1002));
+    assert_eq!(server(&[0x89, 126, 0, 126]).error, Some(1002));
     let pong = [0x8a, 2, b'h', b'i'];
     assert_eq!(server(&pong), passed(&pong), "an unsolicited pong passes");
     let pong: Vec<u8> = [&[0x8a, OWN_PING_PAYLOAD.len() as u8], OWN_PING_PAYLOAD].concat();
@@ -151,11 +151,11 @@
         );
     }
     for code in [0, 999, 1004, 1005, 1006, 1015, 1016, 2999, 5000, 65535] {
-        assert_eq!(server(&close(code)).fault, Some(1002), "{code}");
+        assert_eq!(server(&close(code)).error, Some(1002), "{code}");
     }
     assert_eq!(server(&[0x88, 0]).seen, [Seen::Close(None)]);
-    assert_eq!(server(&[0x88, 1, 3]).fault, Some(1002));
-    assert_eq!(server(&[0x88, 3, 3, 232, 0xff]).fault, Some(1007));
+    assert_eq!(server(&[0x88, 1, 3]).error, Some(1002));
+    assert_eq!(server(&[0x88, 3, 3, 232, 0xff]).error, Some(1007));
     // Nothing is forwarded after a close frame.
     assert_eq!(server(&[0x88, 0, 0x81, 1, b'a']).out, [0x88, 0]);
 }
@@ -164,28 +164,28 @@
 fn section_8_1_text_is_checked_if_that_is_set() {
     let split = [0x01, 1, 0xc3, 0x80, 1, 0xa9];
     assert_eq!(server(&split), passed(&split));
-    assert_eq!(server(&[0x81, 1, 0xff]).fault, Some(1007));
-    assert_eq!(server(&[0x81, 1, 0xc3]).fault, Some(1007));
+    assert_eq!(server(&[0x81, 1, 0xff]).error, Some(1007));
+    assert_eq!(server(&[0x81, 1, 0xc3]).error, Some(1007));
     assert_eq!(
-        scan(Side::Client, RULES, &masked(0x81, "¡é!".as_bytes())).fault,
+        scan(Side::Client, RULES, &masked(0x81, "¡é!".as_bytes())).error,
         None
     );
     assert_eq!(
-        scan(Side::Client, RULES, &masked(0x81, &[0xc3, 0x28])).fault,
+        scan(Side::Client, RULES, &masked(0x81, &[0xc3, 0x28])).error,
         Some(1007)
     );
     let unchecked = Rules {
         utf8: false,
         ..RULES
     };
-    assert_eq!(scan(Side::Server, unchecked, &[0x81, 1, 0xff]).fault, None);
-    assert_eq!(server(&[0x82, 1, 0xff]).fault, None, "binary is not text");
+    assert_eq!(scan(Side::Server, unchecked, &[0x81, 1, 0xff]).error, None);
+    assert_eq!(server(&[0x82, 1, 0xff]).error, None, "binary is not text");
 }
 
 #[test]
 fn section_10_4_frames_and_messages_are_bounded() {
     assert_eq!(
-        server(&[0x82, 126, 3, 233]).fault,
+        server(&[0x82, 126, 3, 233]).error,
         Some(1009),
         "a frame of 1001 bytes"
     );
@@ -195,7 +195,7 @@
         message.extend([0; 768]);
     }
     assert_eq!(
-        server(&message).fault,
+        server(&message).error,
         Some(1009),
         "a message of 2304 bytes"
     );
@@ -213,12 +213,12 @@
         passed(&compressed)
     );
     assert_eq!(
-        scan(Side::Server, deflate, &[0x41, 1, 0xff, 0xc0, 1, 0xff]).fault,
+        scan(Side::Server, deflate, &[0x41, 1, 0xff, 0xc0, 1, 0xff]).error,
         Some(1002),
         "RSV1 on a later frame"
     );
     assert_eq!(
-        scan(Side::Server, deflate, &[0xc9, 0]).fault,
+        scan(Side::Server, deflate, &[0xc9, 0]).error,
         Some(1002),
         "RSV1 on a control frame"
     );
