--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -21,7 +21,7 @@
 
 pub use callers::{Caller, CallerTable};
 pub use counters::{ClassCounts, RequestCounters, RequestEnd};
-pub use line::{Call, CallError, Line, MAX_LINE_BYTES};
+pub use line::{AdminCommand, CommandError, Line, MAX_LINE_BYTES};
 pub use log_fields::Fields;
 pub use metrics::{Metrics, PeerMessageCounts};
 
--- a/crates/admin/tests/commands.rs
+++ b/crates/admin/tests/commands.rs
@@ -2,21 +2,21 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::FileFailurePersistence;
-use saffronpaddle_admin::{Call, CallError, Line, MAX_LINE_BYTES};
+use saffronpaddle_admin::{AdminCommand, CommandError, Line, MAX_LINE_BYTES};
 
-fn parse(text: impl AsRef<[u8]>) -> Option<Result<Call, CallError>> {
+fn parse(text: impl AsRef<[u8]>) -> Option<Result<AdminCommand, CommandError>> {
     Line::default().take(text.as_ref())
 }
 
 #[test]
 fn commands_match_exactly_with_any_line_end() {
-    for call in Call::ALL {
+    for call in AdminCommand::ALL {
         let name = call.name();
         assert_eq!(parse(format!("{name}\n")), Some(Ok(call)));
         assert_eq!(parse(format!("{name} \r\n")), Some(Ok(call)));
         assert_eq!(parse(format!("{name}\nINFO\n")), Some(Ok(call)));
     }
-    let names = Call::ALL.map(Call::name);
+    let names = AdminCommand::ALL.map(AdminCommand::name);
     assert_eq!(names, ["PING", "INFO", "LAMEDUCK", "REJOIN"]);
     for other in [
         "\n",
@@ -27,7 +27,7 @@
         "\u{ff}\n",
         "GET / HTTP/1.1\r\n",
     ] {
-        assert_eq!(parse(other), Some(Err(CallError::Unknown)), "{other:?}");
+        assert_eq!(parse(other), Some(Err(CommandError::Unknown)), "{other:?}");
     }
 }
 
--- a/crates/bench/src/sockets.rs
+++ b/crates/bench/src/sockets.rs
@@ -412,8 +412,8 @@
 
 fn rules() -> Rules {
     Rules {
-        frame_most: 1 << 20,
-        message_most: 1 << 20,
+        max_frame_bytes: 1 << 20,
+        max_message_bytes: 1 << 20,
         deflate: false,
         utf8: false,
     }
--- a/crates/bench/tests/size/fixture.rs
+++ b/crates/bench/tests/size/fixture.rs
@@ -11,7 +11,7 @@
 use saffronpaddle_hollow::audit::{Audited, Faults, Note};
 use saffronpaddle_hollow::tenants::{plans, Tenants};
 use saffronpaddle_hollow::{server_id, Spec};
-use saffronpaddle_subsetting::{Subset, FULL_LIST_MAX, TARGET_SIZE};
+use saffronpaddle_subsetting::{Subset, FULL_LIST_MAX_SERVERS, TARGET_SUBSET_SIZE};
 use saffronpaddle_test_doubles::links::{End, Fault, LinkSet, Links};
 use saffronpaddle_test_doubles::load::{class_of, Cancellations, Customer, LoadGenerator};
 use saffronpaddle_test_doubles::oracle::{
@@ -102,7 +102,7 @@
         let lengths = self.lengths.iter().filter(|length| at < **length);
         let mut set = Subset::new(0, NODES as u32);
         // Places do not hang on the length, only on that not all nodes send to all servers.
-        set.resize(FULL_LIST_MAX + 1);
+        set.resize(FULL_LIST_MAX_SERVERS + 1);
         let real = |cover: usize| {
             let number = server_id(&format!("s-{at}")).0;
             (0..cover.min(NODES) as u32)
@@ -110,7 +110,8 @@
         };
         // A set may be half as large again as is sought.
         lengths.into_iter().any(|length| {
-            *length <= FULL_LIST_MAX || real((TARGET_SIZE * NODES).div_ceil(*length) * 3 / 2)
+            *length <= FULL_LIST_MAX_SERVERS
+                || real((TARGET_SUBSET_SIZE * NODES).div_ceil(*length) * 3 / 2)
         })
     }
 
--- a/crates/connection-eviction/src/lib.rs
+++ b/crates/connection-eviction/src/lib.rs
@@ -39,5 +39,5 @@
 pub use connection::ConnectionState;
 pub use limits::Limits;
 pub use pressure::{EvictionCount, EvictionPressure};
-pub use receive_time_bound::{rested, ReceiveTimeBound};
+pub use receive_time_bound::{time_unread, ReceiveTimeBound};
 pub use time::Time;
--- a/crates/connection-eviction/src/receive_time_bound.rs
+++ b/crates/connection-eviction/src/receive_time_bound.rs
@@ -60,7 +60,7 @@
 
 /// Returns how long bytes received after `since` may have waited to be read at `now`; zero if that is within the event
 /// loop's usual delay.
-pub fn rested(since: Time, now: Time) -> Duration {
+pub fn time_unread(since: Time, now: Time) -> Duration {
     let waited = now.saturating_sub(since);
     if waited > USUAL_DELAY {
         waited
--- a/crates/connection-eviction/tests/receive_time_bound.rs
+++ b/crates/connection-eviction/tests/receive_time_bound.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::FileFailurePersistence;
-use saffronpaddle_connection_eviction::{rested, ReceiveTimeBound};
+use saffronpaddle_connection_eviction::{time_unread, ReceiveTimeBound};
 use std::time::Duration;
 
 const MS: Duration = Duration::from_millis(1);
@@ -15,9 +15,9 @@
     bound.on_sleep(10 * MS);
     bound.on_wake(60 * MS, LONGEST_SLEEP);
     assert_eq!(bound.earliest(), 60 * MS);
-    assert_eq!(rested(bound.earliest(), 64 * MS), Duration::ZERO);
+    assert_eq!(time_unread(bound.earliest(), 64 * MS), Duration::ZERO);
     // The iteration takes long.
-    assert_eq!(rested(bound.earliest(), 90 * MS), 30 * MS);
+    assert_eq!(time_unread(bound.earliest(), 90 * MS), 30 * MS);
     // The loop did not sleep, as bytes were available: they may have been received at any time during the iteration.
     bound.on_sleep(90 * MS);
     bound.on_wake(90 * MS, LONGEST_SLEEP);
@@ -28,7 +28,7 @@
     // The sleep was longer than requested: the process was suspended, and bytes may have been received at its start.
     bound.on_sleep(95 * MS);
     bound.on_wake(2000 * MS, LONGEST_SLEEP);
-    assert_eq!(rested(bound.earliest(), 2000 * MS), 1909 * MS);
+    assert_eq!(time_unread(bound.earliest(), 2000 * MS), 1909 * MS);
     // The loop wakes up without having slept.
     bound.on_sleep(2000 * MS);
     bound.on_wake(2000 * MS, LONGEST_SLEEP);
--- a/crates/endpoints/src/json_objects.rs
+++ b/crates/endpoints/src/json_objects.rs
@@ -9,25 +9,25 @@
 
 /// Why a stream of objects cannot be read any further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unreadable {
+pub enum JsonStreamError {
     /// Found this byte where an object should start. It is neither white space nor an opening brace.
     ExpectedObject(u8),
     /// An object exceeds the maximum length.
     TooLong,
 }
 
-impl fmt::Display for Unreadable {
+impl fmt::Display for JsonStreamError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Unreadable::ExpectedObject(byte) => {
+            JsonStreamError::ExpectedObject(byte) => {
                 write!(f, "{:?} where an object begins", char::from(*byte))
             }
-            Unreadable::TooLong => f.write_str("an object has no end"),
+            JsonStreamError::TooLong => f.write_str("an object has no end"),
         }
     }
 }
 
-impl std::error::Error for Unreadable {}
+impl std::error::Error for JsonStreamError {}
 
 /// Finds the end of each object in a stream. Does not validate the objects; that is left to the JSON parser. Examines
 /// each byte once, regardless of how the stream is split into reads.
@@ -59,11 +59,11 @@
     ///
     /// # Errors
     /// The stream contains something other than objects, or an object that is too long. It cannot be read any further.
-    pub fn next(&mut self, bytes: &mut &[u8]) -> Result<Option<Vec<u8>>, Unreadable> {
+    pub fn next(&mut self, bytes: &mut &[u8]) -> Result<Option<Vec<u8>>, JsonStreamError> {
         if self.incomplete.is_empty() {
             *bytes = bytes.trim_ascii_start();
             if let Some(first) = bytes.first().filter(|first| **first != b'{') {
-                return Err(Unreadable::ExpectedObject(*first));
+                return Err(JsonStreamError::ExpectedObject(*first));
             }
         }
         let end = bytes.iter().position(|byte| self.ends_with(*byte));
@@ -71,7 +71,7 @@
         self.incomplete.extend_from_slice(taken);
         *bytes = rest;
         if self.incomplete.len() > self.max_bytes {
-            return Err(Unreadable::TooLong);
+            return Err(JsonStreamError::TooLong);
         }
         Ok(end.map(|_| std::mem::take(&mut self.incomplete)))
     }
--- a/crates/endpoints/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! - [`Follower`] tracks one etcd prefix across reconnects, compaction, lagging members, fragmented responses, and
 //!   restored or wiped clusters.
-//! - [`Merge`] merges several sources. If they report different statuses, the most restrictive one wins.
+//! - [`MergedList`] merges several sources. If they report different statuses, the most restrictive one wins.
 //! - [`read_value`] parses the value of a server's key.
 //! - [`JsonObjects`] splits a byte stream into the lists of the platform's discovery.
 //! - [`PollBackoff`] and [`PollLimits`] schedule the calls to the platform's discovery; [`EmptyListProtection`] decides
@@ -35,8 +35,8 @@
     Follower, FollowerEvent, FollowerStats, Header, KeyValue, LeaveReason, Listing, RereadReason,
     Rules, WatchEvent, WatchStep,
 };
-pub use json_objects::{JsonObjects, Unreadable};
-pub use merge::{Merge, Source};
+pub use json_objects::{JsonObjects, JsonStreamError};
+pub use merge::{MergedList, Source};
 pub use poll::{EmptyListProtection, HedgedPolls, PollBackoff, PollLimits};
 pub use record::{EndpointRecord, EndpointStatus};
 pub use time::Time;
--- a/crates/endpoints/src/merge.rs
+++ b/crates/endpoints/src/merge.rs
@@ -25,16 +25,16 @@
 
 /// The merged list of all sources.
 #[derive(Clone, Debug, Default)]
-pub struct Merge {
+pub struct MergedList {
     hosts: BTreeMap<Arc<str>, HostRecords>,
     zones: ZoneNames,
     contradictions: u64,
 }
 
-impl Merge {
+impl MergedList {
     /// Creates an empty list.
-    pub fn new() -> Merge {
-        Merge::default()
+    pub fn new() -> MergedList {
+        MergedList::default()
     }
 
     /// Applies an update of one source. Returns the resulting update of the merged list.
--- a/crates/endpoints/tests/json_objects.rs
+++ b/crates/endpoints/tests/json_objects.rs
@@ -2,10 +2,10 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::FileFailurePersistence;
-use saffronpaddle_endpoints::{JsonObjects, Unreadable};
+use saffronpaddle_endpoints::{JsonObjects, JsonStreamError};
 
 /// Returns all objects of a stream that arrives in pieces of `piece` bytes.
-fn read(stream: &[u8], piece: usize) -> Result<Vec<String>, Unreadable> {
+fn read(stream: &[u8], piece: usize) -> Result<Vec<String>, JsonStreamError> {
     let (mut objects, mut all) = (JsonObjects::new(1000), Vec::new());
     for mut bytes in stream.chunks(piece) {
         while let Some(object) = objects.next(&mut bytes)? {
@@ -31,14 +31,17 @@
 
 #[test]
 fn other_data_and_an_object_that_is_too_long_are_errors() {
-    assert_eq!(read(b"\n noise", 3), Err(Unreadable::ExpectedObject(b'n')));
+    assert_eq!(
+        read(b"\n noise", 3),
+        Err(JsonStreamError::ExpectedObject(b'n'))
+    );
     assert_eq!(
         read(b"{\"seq\":1}]", 100),
-        Err(Unreadable::ExpectedObject(b']'))
+        Err(JsonStreamError::ExpectedObject(b']'))
     );
     assert_eq!(
         read(&[b"{\"a\":\"", &[b'x'; 2000][..]].concat(), 100),
-        Err(Unreadable::TooLong)
+        Err(JsonStreamError::TooLong)
     );
     assert_eq!(read(b"{\"seq\":1", 2), Ok(vec![]), "an incomplete object");
 }
--- a/crates/endpoints/tests/merge.rs
+++ b/crates/endpoints/tests/merge.rs
@@ -29,7 +29,7 @@
     use Source::{Discovery, Etcd};
     for first in [Ready, Draining, Removed] {
         for second in [Ready, Draining, Removed] {
-            let mut merge = Merge::new();
+            let mut merge = MergedList::new();
             // Both sources list the host before they contradict each other.
             merge.take(Discovery, update_of("a", Ready, 80, 0));
             merge.take(Etcd, update_of("a", Ready, 90, 0));
@@ -48,7 +48,7 @@
 #[test]
 fn a_source_is_considered_only_for_hosts_that_it_has_listed() {
     use Source::{Discovery, Etcd};
-    let mut merge = Merge::new();
+    let mut merge = MergedList::new();
     let update = merge.take(Etcd, update_of("a", EndpointStatus::Ready, 90, 5));
     assert_eq!(
         (
@@ -100,7 +100,7 @@
 
 #[test]
 fn an_unchanged_record_yields_no_update() {
-    let mut merge = Merge::new();
+    let mut merge = MergedList::new();
     assert_eq!(
         merge
             .take(Source::Etcd, update_of("a", EndpointStatus::Ready, 80, 0))
--- a/crates/etcd/src/client.rs
+++ b/crates/etcd/src/client.rs
@@ -1,12 +1,12 @@
 //! Follows the endpoint list under a prefix of a cluster, and switches to the next member when one fails.
 
-pub use crate::news::NEWS_MOST;
+pub use crate::news::MAX_QUEUED_EVENTS;
 
 use crate::api;
 use crate::convert::{header, watch_event};
 use crate::error::{MemberError, Result};
 use crate::member::Member;
-use crate::news::News;
+use crate::news::ClientEvent;
 use crate::settings::Settings;
 use saffronpaddle_endpoints::{EndpointUpdate, Follower, WatchStep};
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
 const MAX_WATCHES: u32 = 3;
 
 /// Follows the endpoint list until the receiver of `sender` is dropped.
-pub async fn follow(settings: Settings, sender: mpsc::Sender<News>) {
+pub async fn follow(settings: Settings, sender: mpsc::Sender<ClientEvent>) {
     let follower = Follower::new(settings.prefix.clone(), settings.rules);
     let mut client = Client {
         settings,
@@ -53,7 +53,7 @@
         if last_logged != reason {
             let line = format!("etcd: left {member}: {reason}");
             last_logged = reason;
-            if client.send(News::Log(line)).await.is_err() {
+            if client.send(ClientEvent::Log(line)).await.is_err() {
                 return;
             }
         }
@@ -86,7 +86,7 @@
 struct Client {
     settings: Settings,
     follower: Follower,
-    sender: mpsc::Sender<News>,
+    sender: mpsc::Sender<ClientEvent>,
     started_at: Instant,
 }
 
@@ -99,7 +99,7 @@
         )
     }
 
-    async fn send(&self, news: News) -> std::result::Result<(), Closed> {
+    async fn send(&self, news: ClientEvent) -> std::result::Result<(), Closed> {
         self.sender.send(news).await.map_err(|_| Closed)
     }
 
@@ -110,10 +110,10 @@
         read: Instant,
     ) -> std::result::Result<(), Closed> {
         if change.is_relevant() {
-            self.send(News::Changed { change, read }).await?;
+            self.send(ClientEvent::Changed { change, read }).await?;
         }
         for line in self.follower.take_events() {
-            self.send(News::Log(format!("etcd: {line}"))).await?;
+            self.send(ClientEvent::Log(format!("etcd: {line}"))).await?;
         }
         Ok(())
     }
@@ -207,7 +207,7 @@
         read: Instant,
     ) -> Result<AfterResponse> {
         let (change, step) = self.apply(response, read)?;
-        if !change.is_relevant() && self.send(News::Alive).await.is_err() {
+        if !change.is_relevant() && self.send(ClientEvent::Alive).await.is_err() {
             return Ok(AfterResponse::End(WatchEnd::Closed));
         }
         if self.send_change(change, read).await.is_err() {
--- a/crates/etcd/src/lib.rs
+++ b/crates/etcd/src/lib.rs
@@ -16,5 +16,5 @@
 mod settings;
 
 pub use client::follow;
-pub use news::News;
+pub use news::ClientEvent;
 pub use settings::{Settings, Timing};
--- a/crates/etcd/src/news.rs
+++ b/crates/etcd/src/news.rs
@@ -3,13 +3,13 @@
 use saffronpaddle_endpoints::EndpointUpdate;
 use std::time::Instant;
 
-/// Capacity of the channel for [`News`], in messages. It bounds memory, because the client does not read from the watch
+/// Capacity of the channel for [`ClientEvent`], in messages. It bounds memory, because the client does not read from the watch
 /// while the channel is full.
-pub const NEWS_MOST: usize = 1024;
+pub const MAX_QUEUED_EVENTS: usize = 1024;
 
 /// A message from the client.
 #[derive(Debug)]
-pub enum News {
+pub enum ClientEvent {
     /// The endpoint list has changed.
     Changed {
         /// The changes.
--- a/crates/etcd/tests/client.rs
+++ b/crates/etcd/tests/client.rs
@@ -2,7 +2,7 @@
 //! lag, freeze or are replaced.
 
 use saffronpaddle_endpoints::{EndpointStatus, Rules};
-use saffronpaddle_etcd::{follow, News, Settings, Timing};
+use saffronpaddle_etcd::{follow, ClientEvent, Settings, Timing};
 use saffronpaddle_test_doubles::etcd::Etcd;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -33,7 +33,7 @@
 
 /// A running client, with the list and the log lines that result from its news.
 struct ListClient {
-    news: mpsc::Receiver<News>,
+    news: mpsc::Receiver<ClientEvent>,
     hosts: BTreeMap<String, (EndpointStatus, u64)>,
     logs: Vec<String>,
     /// The longest time from the read of a change to its arrival at the test.
@@ -73,7 +73,7 @@
             .expect("news arrive in time")
             .expect("the client is running")
         {
-            News::Changed { change, read } => {
+            ClientEvent::Changed { change, read } => {
                 self.max_delay = self.max_delay.max(read.elapsed());
                 self.changes += 1;
                 if change.snapshot {
@@ -88,8 +88,8 @@
                     }
                 }
             }
-            News::Alive => {}
-            News::Log(line) => self.logs.push(line),
+            ClientEvent::Alive => {}
+            ClientEvent::Log(line) => self.logs.push(line),
         }
     }
 
--- a/crates/exchange/src/event.rs
+++ b/crates/exchange/src/event.rs
@@ -41,7 +41,7 @@
         /// The connection that carries the request.
         connection: ConnectionId,
         /// Nothing was received on the connection since the last response, neither bytes nor the end of the stream.
-        quiet: bool,
+        no_unread_bytes: bool,
     },
     /// A complete response was received, or the end of a streaming one.
     ResponseComplete {
--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -152,14 +152,17 @@
                 deadline,
                 policy_event,
             } => self.request_received(now, effect, deadline, policy_event, commands),
-            Event::ClientGone { id, ticket } => self.client_gone(&id, ticket),
+            Event::ClientGone { id, ticket } => self.on_client_disconnected(&id, ticket),
             Event::Connected { connection } => self.connected(now, connection, commands),
             Event::ConnectFailed {
                 connection,
                 local_shortage,
             } => self.connect_failed(connection, local_shortage),
-            Event::FirstByteReady { connection, quiet } => {
-                self.first_byte_ready(now, connection, quiet, commands);
+            Event::FirstByteReady {
+                connection,
+                no_unread_bytes,
+            } => {
+                self.first_byte_ready(now, connection, no_unread_bytes, commands);
             }
             Event::ResponseComplete {
                 connection,
--- a/crates/exchange/src/exchange/first_byte.rs
+++ b/crates/exchange/src/exchange/first_byte.rs
@@ -84,7 +84,7 @@
         &mut self,
         now: Micros,
         connection: ConnectionId,
-        quiet: bool,
+        no_unread_bytes: bool,
         commands: &mut Commands<A>,
     ) {
         let Some(id) = self
@@ -96,7 +96,7 @@
         if !self.still_eligible(now, &id, connection) {
             return self.abort_attempt(&id, Outcome::Cancelled, commands);
         }
-        if !quiet && !self.bugs.planted(Bug::ReuseWithBytesWaiting) {
+        if !no_unread_bytes && !self.bugs.planted(Bug::ReuseWithBytesWaiting) {
             return self.replace_connection(now, &id, connection, commands);
         }
         self.verify_first_byte(now, &id, connection);
--- a/crates/exchange/src/exchange/requests.rs
+++ b/crates/exchange/src/exchange/requests.rs
@@ -74,7 +74,7 @@
         });
     }
 
-    pub(super) fn client_gone(&mut self, id: &RequestId, ticket: Ticket) {
+    pub(super) fn on_client_disconnected(&mut self, id: &RequestId, ticket: Ticket) {
         let Some(request) = self.requests.get(id) else {
             return;
         };
--- a/crates/exchange/src/exchange/statistics.rs
+++ b/crates/exchange/src/exchange/statistics.rs
@@ -68,7 +68,7 @@
     }
 
     /// Counts a request that the I/O layer answered itself because it was malformed or its id is in use.
-    pub fn count_unreceived(&mut self, class: usize, end: RequestEnd) {
+    pub fn count_answered_locally(&mut self, class: usize, end: RequestEnd) {
         self.counters.taken(class);
         self.counters.ended(class, end);
     }
--- a/crates/exchange/src/guard.rs
+++ b/crates/exchange/src/guard.rs
@@ -60,7 +60,7 @@
     ];
 
     /// Returns the name of the denial counter in the metrics.
-    pub fn figure(self) -> &'static str {
+    pub fn counter_name(self) -> &'static str {
         match self {
             Denial::ClientGone => "denied_client_gone",
             Denial::DeadlinePassed => "denied_time_is_up",
--- a/crates/exchange/src/invariants.rs
+++ b/crates/exchange/src/invariants.rs
@@ -39,7 +39,7 @@
     ];
 
     /// Returns the name of the violation counter in the metrics.
-    pub fn figure(self) -> &'static str {
+    pub fn counter_name(self) -> &'static str {
         match self {
             Invariant::AnsweredBeforeExit => "violated_answered_before_exit",
             Invariant::AnsweredInTime => "violated_answered_in_time",
--- a/crates/hollow/src/shard.rs
+++ b/crates/hollow/src/shard.rs
@@ -25,7 +25,7 @@
 use saffronpaddle_endpoints::EndpointRecord;
 use saffronpaddle_exchange::{Command, ConnectionId, Event, FinalAnswer, Limits};
 use saffronpaddle_node::config::{List, PeerAddresses};
-use saffronpaddle_node::endpoints::{server_entry, server_id};
+use saffronpaddle_node::endpoints::{server_id, to_policy_endpoint};
 use saffronpaddle_node::peers::Peers;
 use saffronpaddle_policy::interface::{
     Action, ClassId, CustomerId, Event as ModuleEvent, Micros, NodeId, Outcome, PlanId, RequestId,
@@ -536,7 +536,7 @@
                 node.on.borrow_mut().insert(link, id);
                 events.push_back(Event::FirstByteReady {
                     connection: link,
-                    quiet: true,
+                    no_unread_bytes: true,
                 });
             }
             Command::Write { connection: link } => self.works(node, now, link),
@@ -601,7 +601,7 @@
         self.audit
             .borrow_mut()
             .listed(self.now(), node.me.0, list, server_id);
-        let entry = |host| server_entry(&EndpointRecord::from(host), &self.spec.zones);
+        let entry = |host| to_policy_endpoint(&EndpointRecord::from(host), &self.spec.zones);
         let entries = list.hosts.iter().map(entry).collect();
         self.happened(
             node,
@@ -756,7 +756,10 @@
         let nodes = self.nodes.borrow();
         let of = |node: &Rc<Node>| {
             let exchange = node.exchange.borrow();
-            (exchange.table_sizes().1, exchange.policy().tracked())
+            (
+                exchange.table_sizes().1,
+                exchange.policy().tracked_entries(),
+            )
         };
         let (links, kept) = nodes
             .iter()
--- a/crates/lifecycle/src/event.rs
+++ b/crates/lifecycle/src/event.rs
@@ -1,6 +1,6 @@
 //! The inputs of the state machine.
 
-use crate::readiness::Facts;
+use crate::readiness::HealthSample;
 use crate::time::Time;
 
 /// An input of the state machine.
@@ -10,7 +10,7 @@
     Listening,
     /// The current measurements for the readiness conditions. The next ones are due after
     /// [`Lifecycle::next_sample_in`](crate::Lifecycle::next_sample_in).
-    Observed(Facts),
+    Observed(HealthSample),
     /// The signal to stop (SIGTERM).
     Stop {
         /// Lower bound of the time at which the signal was sent. A process that was suspended reads the signal late.
--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -29,7 +29,7 @@
 pub use event::Event;
 pub use limits::Limits;
 pub use machine::Lifecycle;
-pub use readiness::{Conditions, Facts, Readiness, Reason, Reasons};
+pub use readiness::{Conditions, HealthSample, Readiness, Reason, Reasons};
 pub use shutdown::{kill_after, ShutdownPlan, MAX_SCHEDULING_DELAY};
 pub use state::State;
 pub use time::Time;
--- a/crates/lifecycle/src/limits.rs
+++ b/crates/lifecycle/src/limits.rs
@@ -16,11 +16,11 @@
     pub readiness: Conditions,
     /// How long requests are still accepted after the signal to stop. Without this delay, clients whose front end has
     /// not noticed the stop yet would be rejected.
-    pub leave_for: Duration,
+    pub drain_duration: Duration,
     /// How long requests in flight may take after that. Bounds the shutdown if a client never reads its response.
-    pub finish_within: Duration,
+    pub close_timeout: Duration,
     /// Timeout of a reload. Bounds a reload from a file system that hangs.
-    pub reload_within: Duration,
+    pub reload_timeout: Duration,
 }
 
 impl Limits {
@@ -30,9 +30,9 @@
         let total = kill_after(longest_deadline).saturating_sub(EXIT_BEFORE_KILL);
         Limits {
             readiness: Conditions::none(),
-            leave_for: DEFAULT_LEAVE_FOR.min(total),
-            finish_within: total.saturating_sub(DEFAULT_LEAVE_FOR),
-            reload_within: DEFAULT_RELOAD_TIMEOUT,
+            drain_duration: DEFAULT_LEAVE_FOR.min(total),
+            close_timeout: total.saturating_sub(DEFAULT_LEAVE_FOR),
+            reload_timeout: DEFAULT_RELOAD_TIMEOUT,
         }
     }
 }
--- a/crates/lifecycle/src/machine.rs
+++ b/crates/lifecycle/src/machine.rs
@@ -238,7 +238,7 @@
             State::Ready => {
                 out.push(Action::NotifyManager(ManagerMessage::Reloading));
                 out.push(Action::ReadConfiguration);
-                self.enter(State::Reloading, now, self.limits.reload_within);
+                self.enter(State::Reloading, now, self.limits.reload_timeout);
             }
             // The service manager still waits for READY=1 and must not receive RELOADING=1 before it.
             State::Starting if !self.reloading_at_start => {
@@ -321,11 +321,11 @@
     }
 
     fn drain(&mut self, now: Time, since: Time, out: &mut Vec<Action>) {
-        let max_duration = self.limits.leave_for + self.limits.finish_within;
+        let max_duration = self.limits.drain_duration + self.limits.close_timeout;
         let plan = ShutdownPlan::new(now, since, max_duration);
         self.shutdown_plan = Some(plan);
         let left = plan.exit_by.saturating_sub(now);
-        self.enter(State::Draining, now, self.limits.leave_for.min(left));
+        self.enter(State::Draining, now, self.limits.drain_duration.min(left));
         out.push(Action::NotifyManager(ManagerMessage::Stopping));
         let manager_timeout = max_duration + MANAGER_TIMEOUT_MARGIN;
         out.push(Action::NotifyManager(ManagerMessage::ExtendTimeout(
@@ -339,7 +339,7 @@
 
     /// Handles a second signal to stop: closes the listener now and brings the shutdown deadline forward.
     fn shorten_shutdown(&mut self, now: Time, since: Time, out: &mut Vec<Action>) {
-        let plan = ShutdownPlan::new(now, since, self.limits.finish_within);
+        let plan = ShutdownPlan::new(now, since, self.limits.close_timeout);
         self.shutdown_plan = Some(
             self.shutdown_plan
                 .map_or(plan, |before| before.earlier(plan)),
@@ -352,7 +352,7 @@
         // signal.
         let left = self
             .shutdown_plan
-            .map_or(self.limits.finish_within, |plan| {
+            .map_or(self.limits.close_timeout, |plan| {
                 plan.exit_by.saturating_sub(now)
             });
         self.enter(State::Closing, now, left);
--- a/crates/lifecycle/src/readiness.rs
+++ b/crates/lifecycle/src/readiness.rs
@@ -8,7 +8,7 @@
 mod debounce;
 mod reason;
 
-pub use conditions::{Conditions, Facts};
+pub use conditions::{Conditions, HealthSample};
 pub use reason::{Reason, Reasons};
 
 use crate::time::Time;
@@ -29,7 +29,7 @@
     conditions: Conditions,
     started_at: Time,
     /// The latest measurements; `None` before the first.
-    facts: Option<Facts>,
+    facts: Option<HealthSample>,
     /// The node still waits for a list from a discovery source.
     list_awaited: bool,
     /// The node still waits for messages from peers.
@@ -61,7 +61,7 @@
     }
 
     /// Records measurements. The caller must call [`Readiness::advance`] afterwards.
-    pub fn observe(&mut self, now: Time, facts: &Facts) {
+    pub fn observe(&mut self, now: Time, facts: &HealthSample) {
         let first = self.facts.is_none();
         let conditions = &self.conditions;
         for (reason, condition) in RUNTIME_CONDITIONS.into_iter().zip(&mut self.runtime) {
@@ -127,7 +127,7 @@
 }
 
 /// Whether the measurements violate a runtime condition. A disabled condition never fails.
-fn fails(reason: Reason, conditions: &Conditions, facts: &Facts) -> bool {
+fn fails(reason: Reason, conditions: &Conditions, facts: &HealthSample) -> bool {
     match reason {
         Reason::ListStale => conditions
             .max_list_age
--- a/crates/lifecycle/src/readiness/conditions.rs
+++ b/crates/lifecycle/src/readiness/conditions.rs
@@ -60,7 +60,7 @@
 
 /// Measurements of the I/O layer at one point in time.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Facts {
+pub struct HealthSample {
     /// Number of ready app servers on the list, from any source.
     pub servers: usize,
     /// Time since a discovery source last answered, including answers without changes; `None` before the first answer.
--- a/crates/lifecycle/tests/lifecycle/event_orders.rs
+++ b/crates/lifecycle/tests/lifecycle/event_orders.rs
@@ -105,7 +105,7 @@
     [
         Event::Listening,
         Event::Observed(healthy()),
-        Event::Observed(Facts {
+        Event::Observed(HealthSample {
             event_loop_lag: ms(9_000),
             ..healthy()
         }),
--- a/crates/lifecycle/tests/lifecycle/readiness.rs
+++ b/crates/lifecycle/tests/lifecycle/readiness.rs
@@ -25,7 +25,7 @@
 
 #[test]
 fn a_start_without_discovery_and_peers_waits_then_serves_from_the_configured_list() {
-    let silent = Facts {
+    let silent = HealthSample {
         endpoint_list_age: None,
         reachable_peers: 0,
         ..healthy()
@@ -53,7 +53,7 @@
 
 #[test]
 fn without_any_list_a_node_is_never_ready() {
-    let nothing = Facts {
+    let nothing = HealthSample {
         servers: 0,
         endpoint_list_age: None,
         ..healthy()
@@ -70,42 +70,42 @@
 fn a_condition_must_fail_or_hold_for_its_delay_before_readiness_changes() {
     let cases = [
         (
-            Facts {
+            HealthSample {
                 endpoint_list_age: Some(ms(10_001)),
                 ..healthy()
             },
             "list-stale",
         ),
         (
-            Facts {
+            HealthSample {
                 free_descriptors: 15,
                 ..healthy()
             },
             "descriptors",
         ),
         (
-            Facts {
+            HealthSample {
                 memory: 91,
                 ..healthy()
             },
             "memory",
         ),
         (
-            Facts {
+            HealthSample {
                 clock_moved: ms(2_001),
                 ..healthy()
             },
             "clock",
         ),
         (
-            Facts {
+            HealthSample {
                 clock_implausible: true,
                 ..healthy()
             },
             "clock",
         ),
         (
-            Facts {
+            HealthSample {
                 event_loop_lag: ms(1_001),
                 ..healthy()
             },
@@ -147,7 +147,7 @@
 #[test]
 fn a_condition_that_flaps_faster_than_its_delay_does_not_change_readiness() {
     let mut node = TestNode::ready();
-    let bad = Facts {
+    let bad = HealthSample {
         event_loop_lag: ms(5_000),
         ..healthy()
     };
@@ -165,7 +165,7 @@
 fn a_condition_that_fails_at_start_up_counts_without_delay() {
     let mut node = TestNode::new();
     node.send(Event::Listening);
-    node.send(Event::Observed(Facts {
+    node.send(Event::Observed(HealthSample {
         free_descriptors: 0,
         ..healthy()
     }));
--- a/crates/lifecycle/tests/lifecycle/shutdown.rs
+++ b/crates/lifecycle/tests/lifecycle/shutdown.rs
@@ -139,8 +139,8 @@
     node.stop();
     let plan = node.lifecycle.shutdown_plan();
     node.lifecycle.set_limits(Limits {
-        finish_within: ms(60_000),
-        leave_for: ms(60_000),
+        close_timeout: ms(60_000),
+        drain_duration: ms(60_000),
         ..limits()
     });
     node.send(Event::Reloaded { applied: true });
--- a/crates/lifecycle/tests/lifecycle/support.rs
+++ b/crates/lifecycle/tests/lifecycle/support.rs
@@ -20,15 +20,15 @@
             failure_delay: ms(2_000),
             recovery_delay: ms(1_000),
         },
-        leave_for: ms(600),
-        finish_within: ms(3_000),
-        reload_within: ms(10_000),
+        drain_duration: ms(600),
+        close_timeout: ms(3_000),
+        reload_timeout: ms(10_000),
     }
 }
 
 /// Measurements that satisfy all conditions of [`limits`].
-pub fn healthy() -> Facts {
-    Facts {
+pub fn healthy() -> HealthSample {
+    HealthSample {
         servers: 3,
         endpoint_list_age: Some(ms(100)),
         reachable_peers: 2,
@@ -82,7 +82,7 @@
     }
 
     /// Sends the same measurements every 100 ms for `duration_ms`.
-    pub fn observe_for(&mut self, facts: &Facts, duration_ms: u64) -> Vec<Action> {
+    pub fn observe_for(&mut self, facts: &HealthSample, duration_ms: u64) -> Vec<Action> {
         let mut out = Vec::new();
         for _ in 0..duration_ms / 100 {
             self.now += ms(100);
--- a/crates/model-checker/src/fleet.rs
+++ b/crates/model-checker/src/fleet.rs
@@ -4,9 +4,9 @@
 
 mod clients;
 mod commands;
+mod event;
 mod network;
 mod nodes;
-mod occurrence;
 mod servers;
 mod simulation;
 
--- a/crates/model-checker/src/fleet/clients.rs
+++ b/crates/model-checker/src/fleet/clients.rs
@@ -1,6 +1,6 @@
 //! The clients: their requests and disconnects.
 
-use super::occurrence::{NodeRef, SimulationEvent};
+use super::event::{NodeRef, SimulationEvent};
 use super::simulation::{Simulation, CUSTOMERS};
 use saffronpaddle_exchange::{Event, Ticket};
 use saffronpaddle_policy::interface::{
--- a/crates/model-checker/src/fleet/commands.rs
+++ b/crates/model-checker/src/fleet/commands.rs
@@ -1,7 +1,7 @@
 //! Delivers events to exchanges, and carries out their commands.
 
+use super::event::{AttemptRef, ConnectionRef, SimulationEvent};
 use super::nodes::Connection;
-use super::occurrence::{AttemptRef, ConnectionRef, SimulationEvent};
 use super::servers::ServerFault;
 use super::simulation::Simulation;
 use saffronpaddle_exchange::{Command, ConnectionId, Event, FinalAnswer};
--- a/crates/model-checker/src/fleet/network.rs
+++ b/crates/model-checker/src/fleet/network.rs
@@ -1,6 +1,6 @@
 //! Events of connections and datagrams at the nodes.
 
-use super::occurrence::{AttemptRef, ConnectionRef, SimulationEvent};
+use super::event::{AttemptRef, ConnectionRef, SimulationEvent};
 use super::simulation::Simulation;
 use saffronpaddle_exchange::Event;
 use saffronpaddle_policy::interface::{Event as PolicyEvent, Micros, NodeId, Outcome, RequestId};
@@ -49,7 +49,7 @@
         };
         let event = Event::FirstByteReady {
             connection: connection.id,
-            quiet: !ready.unexpected_bytes,
+            no_unread_bytes: !ready.unexpected_bytes,
         };
         self.deliver(connection.node.index, event, None);
     }
--- a/crates/model-checker/src/fleet/nodes.rs
+++ b/crates/model-checker/src/fleet/nodes.rs
@@ -1,6 +1,6 @@
 //! The nodes: their exchanges, timers and restarts.
 
-use super::occurrence::{AttemptRef, ConnectionRef, NodeRef};
+use super::event::{AttemptRef, ConnectionRef, NodeRef};
 use super::simulation::Simulation;
 use super::FleetError;
 use saffronpaddle_exchange::{Bug, ConnectionId, Event, Exchange, Limits, Ticket};
--- a/crates/model-checker/src/fleet/servers.rs
+++ b/crates/model-checker/src/fleet/servers.rs
@@ -1,6 +1,6 @@
 //! The app servers: how they serve requests, fail, drain and move.
 
-use super::occurrence::{AttemptRef, SimulationEvent};
+use super::event::{AttemptRef, SimulationEvent};
 use super::simulation::{Simulation, START};
 use saffronpaddle_policy::interface::{
     DeduplicationDomainId, Endpoint, EndpointStatus, Micros, Outcome, RequestId, ServerId, ZoneId,
--- a/crates/model-checker/src/fleet/simulation.rs
+++ b/crates/model-checker/src/fleet/simulation.rs
@@ -1,7 +1,7 @@
 //! The simulation: its state and its event queue.
 
+use super::event::SimulationEvent;
 use super::nodes::Node;
-use super::occurrence::SimulationEvent;
 use super::servers::Server;
 use super::{FleetError, FleetRun, FleetSetup};
 use saffronpaddle_policy::interface::{Micros, RequestId};
--- a/crates/model-checker/src/world.rs
+++ b/crates/model-checker/src/world.rs
@@ -3,12 +3,12 @@
 //! [`World::possible_steps`] lists the steps that are possible in a state. [`World::take`] takes one [`Step`], carries
 //! out the commands of the exchange as the I/O layer would, and verifies each [`Property`].
 
+mod apply_step;
 mod client;
 mod commands;
 mod connection;
 mod final_checks;
 mod first_byte;
-mod occurrences;
 mod oracle;
 mod policy;
 mod policy_events;
--- a/crates/model-checker/src/world/occurrences.rs
+++ b/crates/model-checker/src/world/apply_step.rs
@@ -201,7 +201,7 @@
                 let ready = self.connections.get(&connection)?;
                 Event::FirstByteReady {
                     connection,
-                    quiet: ready.inbound.is_empty() && !ready.reset,
+                    no_unread_bytes: ready.inbound.is_empty() && !ready.reset,
                 }
             }
             Step::NodeSeesEnd(_) => {
--- a/crates/model-checker/src/world/commands.rs
+++ b/crates/model-checker/src/world/commands.rs
@@ -1,7 +1,7 @@
 //! Carries out the exchange's commands as the I/O layer would, and verifies each of them.
 
+use super::apply_step::ReadResponse;
 use super::connection::{CarriedRequest, Connection};
-use super::occurrences::ReadResponse;
 use super::oracle::rejection_is_harmless;
 use super::policy::PolicyModel;
 use super::property::{violated, Property, PropertyViolation};
--- a/crates/netio/src/accept.rs
+++ b/crates/netio/src/accept.rs
@@ -8,13 +8,13 @@
 pub enum AcceptFailure {
     /// The connection that would have been returned has failed, or a signal interrupted the call. Accept the next one
     /// immediately.
-    OfOneConnection,
+    ConnectionFailed,
     /// This process has reached its limit of file descriptors. One must be closed before the next connection can be
     /// accepted.
-    NoDescriptor,
+    OutOfDescriptors,
     /// The machine temporarily lacks a resource, or the cause is unknown. Accept again after a pause; closing
     /// connections of this process would not help.
-    Passing,
+    Transient,
 }
 
 impl AcceptFailure {
@@ -35,9 +35,9 @@
                 | Errno::EOPNOTSUPP
                 | Errno::ENETUNREACH
                 | Errno::ETIMEDOUT,
-            ) => AcceptFailure::OfOneConnection,
-            Some(Errno::EMFILE) => AcceptFailure::NoDescriptor,
-            _ => AcceptFailure::Passing,
+            ) => AcceptFailure::ConnectionFailed,
+            Some(Errno::EMFILE) => AcceptFailure::OutOfDescriptors,
+            _ => AcceptFailure::Transient,
         }
     }
 }
--- a/crates/netio/src/lib.rs
+++ b/crates/netio/src/lib.rs
@@ -15,5 +15,5 @@
 
 pub use accept::AcceptFailure;
 pub use shortage::{is_local_failure, is_shortage, retry_shortage};
-pub use socket::{has_ended, is_quiet, Socket};
+pub use socket::{has_no_unread_bytes, is_read_closed, Socket};
 pub use uninterrupted::{retry_interrupted, Uninterrupted};
--- a/crates/netio/src/socket.rs
+++ b/crates/netio/src/socket.rs
@@ -17,7 +17,7 @@
 use tokio::net::TcpStream;
 
 /// Whether the peer has closed the connection, as far as the kernel knows. Unread bytes may still be buffered.
-pub fn has_ended(stream: &TcpStream) -> bool {
+pub fn is_read_closed(stream: &TcpStream) -> bool {
     let ready = std::pin::pin!(stream.ready(Interest::READABLE));
     match ready.poll(&mut Context::from_waker(Waker::noop())) {
         Poll::Ready(readiness) => readiness.is_ok_and(tokio::io::Ready::is_read_closed),
@@ -27,7 +27,7 @@
 
 /// Whether a connection has nothing to read: no bytes, no end of stream and no error. Asks the kernel directly, because
 /// the runtime learns of an event only at its next poll.
-pub fn is_quiet(stream: &TcpStream) -> bool {
+pub fn has_no_unread_bytes(stream: &TcpStream) -> bool {
     let peeked = retry_interrupted(|| SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]));
     peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
 }
--- a/crates/netio/tests/failures.rs
+++ b/crates/netio/tests/failures.rs
@@ -108,11 +108,11 @@
         ETIMEDOUT,
     ];
     for errno in of_one {
-        assert_eq!(failure(errno), AcceptFailure::OfOneConnection, "{errno}");
+        assert_eq!(failure(errno), AcceptFailure::ConnectionFailed, "{errno}");
     }
-    assert_eq!(failure(EMFILE), AcceptFailure::NoDescriptor);
+    assert_eq!(failure(EMFILE), AcceptFailure::OutOfDescriptors);
     for errno in [ENFILE, ENOBUFS, ENOMEM, EINVAL] {
-        assert_eq!(failure(errno), AcceptFailure::Passing, "{errno}");
+        assert_eq!(failure(errno), AcceptFailure::Transient, "{errno}");
     }
 }
 
--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -3,7 +3,9 @@
 use crate::deadline::reached;
 use crate::error::NodeError;
 use crate::node::Node;
-use saffronpaddle_admin::{failure, success, Call, CallError, Caller, CallerTable, Line};
+use saffronpaddle_admin::{
+    failure, success, AdminCommand, Caller, CallerTable, CommandError, Line,
+};
 use saffronpaddle_netio::{retry_shortage, AcceptFailure, Socket};
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -33,7 +35,7 @@
 
 /// A call that the life cycle answers, and the channel for its reply.
 pub struct AdminCall {
-    pub call: Call,
+    pub call: AdminCommand,
     pub answer: oneshot::Sender<AdminReply>,
 }
 
@@ -108,7 +110,7 @@
                     });
                     callers.borrow_mut().tasks.insert(caller, task.abort_handle());
                 }
-                Err(error) if AcceptFailure::of(&error) == AcceptFailure::OfOneConnection => {}
+                Err(error) if AcceptFailure::of(&error) == AcceptFailure::ConnectionFailed => {}
                 Err(_) => sleep(ACCEPT_RETRY_INTERVAL).await,
             },
             () = reached(deadline) => {
@@ -132,14 +134,14 @@
     let call = loop {
         let length = stream.read(&mut buffer).await?;
         if length == 0 {
-            break Err(CallError::Half);
+            break Err(CommandError::Incomplete);
         }
         if let Some(call) = line.take(&buffer[..length]) {
             break call;
         }
     };
     let text = match call {
-        Ok(Call::Info) => node.metrics_text(),
+        Ok(AdminCommand::Info) => node.metrics_text(),
         Ok(call) => {
             let (answer, reply) = oneshot::channel();
             // Sending fails only if the life cycle has ended; waiting for the reply fails then, too.
--- a/crates/node/src/alarm.rs
+++ b/crates/node/src/alarm.rs
@@ -34,7 +34,11 @@
 
     /// Waits until the state machine is due, even if [`Alarm::set`] changes that time meanwhile. `next` returns the
     /// time at which it is due, and `now` the current time, both in µs.
-    pub async fn rings(&self, next: impl Fn() -> Option<Micros>, now: impl Fn() -> Micros) {
+    pub async fn wait_until_due(
+        &self,
+        next: impl Fn() -> Option<Micros>,
+        now: impl Fn() -> Micros,
+    ) {
         loop {
             let next = next();
             self.wake_at.set(next.unwrap_or(Micros::MAX));
--- a/crates/node/src/clients.rs
+++ b/crates/node/src/clients.rs
@@ -32,11 +32,11 @@
     /// Serves requests and keeps connections alive.
     Serving,
     /// No longer ready. Requests are served, and each response closes its connection.
-    Leaving,
-    /// As `Leaving`, and idle connections are closed. The process may return to `Serving`.
-    Emptying,
+    CloseAfterResponse,
+    /// As `CloseAfterResponse`, and idle connections are closed. The process may return to `Serving`.
+    CloseIdle,
     /// No new connection is accepted, and idle connections are closed.
-    Closing,
+    StopAccepting,
 }
 
 /// How the node currently serves its clients.
@@ -162,7 +162,7 @@
     /// Accepts clients until the node closes.
     async fn accept_until_closing(&mut self) {
         let mut status = self.status.clone();
-        let closing = phase_reached(self.status.clone(), Phase::Closing);
+        let closing = phase_reached(self.status.clone(), Phase::StopAccepting);
         tokio::pin!(closing);
         loop {
             // Reaps ended tasks.
@@ -217,13 +217,13 @@
             Err(error) => error,
         };
         match AcceptFailure::of(&error) {
-            AcceptFailure::OfOneConnection => {}
+            AcceptFailure::ConnectionFailed => {}
             // The connection stays queued in the kernel until a descriptor is free.
-            AcceptFailure::NoDescriptor => {
+            AcceptFailure::OutOfDescriptors => {
                 self.connections.evict(self.connections.tasks.len());
                 self.descriptors_exhausted = true;
             }
-            AcceptFailure::Passing => self.descriptors_exhausted = true,
+            AcceptFailure::Transient => self.descriptors_exhausted = true,
         }
     }
 
--- a/crates/node/src/clients/backlog.rs
+++ b/crates/node/src/clients/backlog.rs
@@ -84,7 +84,7 @@
                     stream,
                     arrived_after: self.queued_after,
                 }),
-                Err(error) if AcceptFailure::of(&error) == AcceptFailure::OfOneConnection => {}
+                Err(error) if AcceptFailure::of(&error) == AcceptFailure::ConnectionFailed => {}
                 Err(_) if pauses >= MAX_FINAL_RETRIES => break,
                 Err(_) => {
                     pauses += 1;
--- a/crates/node/src/clients/connection.rs
+++ b/crates/node/src/clients/connection.rs
@@ -113,7 +113,7 @@
     tokio::select! {
         biased;
         _ = &mut connection => return,
-        () = phase_reached(status.clone(), Phase::Emptying) => {}
+        () = phase_reached(status.clone(), Phase::CloseIdle) => {}
     }
     // Bytes held by the kernel are read before the connection counts as idle.
     tokio::task::yield_now().await;
--- a/crates/node/src/discovery/error.rs
+++ b/crates/node/src/discovery/error.rs
@@ -2,7 +2,7 @@
 
 use super::WATCH_TIMEOUT;
 use hyper::StatusCode;
-use saffronpaddle_endpoints::Unreadable;
+use saffronpaddle_endpoints::JsonStreamError;
 use std::io;
 use thiserror::Error;
 use tokio::time::error::Elapsed;
@@ -36,7 +36,7 @@
     Silent,
     /// The data is not a sequence of JSON objects, or an object is too long.
     #[error("cannot split the watch's data into lists")]
-    Unreadable(#[from] Unreadable),
+    JsonStreamError(#[from] JsonStreamError),
     /// An object is not an endpoint list.
     #[error("cannot parse a list of the watch")]
     List(#[from] serde_json::Error),
--- a/crates/node/src/discovery_status.rs
+++ b/crates/node/src/discovery_status.rs
@@ -1,6 +1,6 @@
 //! Status of the node's watches on the endpoint list, and whether the kernel holds a change that has not been read.
 
-use saffronpaddle_netio::is_quiet;
+use saffronpaddle_netio::has_no_unread_bytes;
 use std::cell::{Cell, RefCell};
 use std::rc::{Rc, Weak};
 use std::sync::{Arc, Weak as WeakArc};
@@ -29,8 +29,11 @@
 impl WatchStatus {
     /// Whether the service has sent bytes that the node has not read yet, on the watch or as the answer to a call.
     fn is_unread(&self) -> bool {
-        let has_more =
-            |stream: &WeakArc<TcpStream>| stream.upgrade().is_some_and(|stream| !is_quiet(&stream));
+        let has_more = |stream: &WeakArc<TcpStream>| {
+            stream
+                .upgrade()
+                .is_some_and(|stream| !has_no_unread_bytes(&stream))
+        };
         (self.watch_open.get()
             && (!self.all_consumed.get() || has_more(&self.watch_connection.borrow())))
             || self.unanswered_calls.borrow().iter().any(has_more)
--- a/crates/node/src/downstream.rs
+++ b/crates/node/src/downstream.rs
@@ -2,8 +2,8 @@
 
 use crate::event_loop;
 use crate::head_scanner::HeadScanner;
-use saffronpaddle_connection_eviction::{rested, ConnectionState};
-use saffronpaddle_netio::{has_ended, Socket};
+use saffronpaddle_connection_eviction::{time_unread, ConnectionState};
+use saffronpaddle_netio::{is_read_closed, Socket};
 use std::io;
 use std::pin::Pin;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -113,7 +113,7 @@
     pub fn client_is_gone(&self) -> bool {
         self.stream
             .upgrade()
-            .is_none_or(|stream| has_ended(&stream))
+            .is_none_or(|stream| is_read_closed(&stream))
     }
 
     /// Whether reading has paused since the last call.
@@ -158,7 +158,7 @@
     /// response; zero if that is negligible. It is deducted from the request's timeout: a server would otherwise be
     /// promised time that its client no longer has.
     pub fn time_queued(&self) -> Duration {
-        rested(
+        time_unread(
             Duration::from_micros(self.sent_after_us.load(Ordering::Relaxed)),
             self.epoch.elapsed(),
         )
--- a/crates/node/src/edge.rs
+++ b/crates/node/src/edge.rs
@@ -277,7 +277,7 @@
         let operator = self.files.operator();
         let etcd = operator.and_then(|operator| operator.etcd.clone());
         let poll_limits = operator.and_then(|operator| operator.list.clone());
-        let counts_interval = operator.and_then(|operator| operator.log.counts_every);
+        let counts_interval = operator.and_then(|operator| operator.log.metrics_interval);
         let manager = Rc::clone(&self.manager);
         let tasks = vec![
             spawn_local(endpoint_sources::follow(
--- a/crates/node/src/endpoint_sources/by_etcd.rs
+++ b/crates/node/src/endpoint_sources/by_etcd.rs
@@ -3,8 +3,8 @@
 use crate::config::List;
 use crate::node::Node;
 use saffronpaddle_endpoints::{EndpointRecord, EndpointUpdate, Rules, Source};
-use saffronpaddle_etcd::client::NEWS_MOST;
-use saffronpaddle_etcd::{News, Settings, Timing};
+use saffronpaddle_etcd::client::MAX_QUEUED_EVENTS;
+use saffronpaddle_etcd::{ClientEvent, Settings, Timing};
 use saffronpaddle_operator_config::Etcd;
 use std::collections::BTreeMap;
 use std::io;
@@ -61,7 +61,7 @@
             answer_within: etcd.answer_within,
             probe_every: etcd.probe_every,
             silent_after: etcd.silent_after,
-            backoff: (Timing::default().backoff.0, etcd.backoff_most),
+            backoff: (Timing::default().backoff.0, etcd.max_backoff),
         },
         rules: Rules {
             empty_after: etcd.empty_after,
@@ -80,7 +80,7 @@
             return error!(%error, "etcd: cannot read the settings; the list in etcd is not followed")
         }
     };
-    let (update_sender, mut updates) = mpsc::channel(NEWS_MOST);
+    let (update_sender, mut updates) = mpsc::channel(MAX_QUEUED_EVENTS);
     let thread = std::thread::Builder::new()
         .name("etcd".to_owned())
         .spawn(move || {
@@ -103,13 +103,13 @@
         return error!(%error, "etcd: cannot start a thread; the list in etcd is not followed");
     }
     let mut batch = Vec::new();
-    while updates.recv_many(&mut batch, NEWS_MOST).await > 0 {
+    while updates.recv_many(&mut batch, MAX_QUEUED_EVENTS).await > 0 {
         let mut changes = Changes::default();
         for update in batch.drain(..) {
             match update {
-                News::Changed { change, read } => changes.add(&node, change, read),
-                News::Alive => node.record_list_contact(),
-                News::Log(line) => info!("{line}"),
+                ClientEvent::Changed { change, read } => changes.add(&node, change, read),
+                ClientEvent::Alive => node.record_list_contact(),
+                ClientEvent::Log(line) => info!("{line}"),
             }
         }
         changes.flush(&node);
--- a/crates/node/src/endpoints.rs
+++ b/crates/node/src/endpoints.rs
@@ -14,7 +14,7 @@
 
 /// Converts a record of the endpoint list into the policy's endpoint and the server's address. `zones`: the zone names
 /// in the order of the settings. A zone that is not among them becomes `ZoneId(u32::MAX)`, which matches none.
-pub fn server_entry(entry: &EndpointRecord, zones: &[String]) -> (Endpoint, SocketAddr) {
+pub fn to_policy_endpoint(entry: &EndpointRecord, zones: &[String]) -> (Endpoint, SocketAddr) {
     let zone = zones.iter().position(|zone| **zone == *entry.zone);
     let server = Endpoint {
         server: server_id(&entry.host),
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -1,7 +1,7 @@
 //! Bounds how late this thread's event loop reads data that the kernel has received, from the loop's sleeps and
 //! completed rounds.
 
-use saffronpaddle_connection_eviction::{rested, ReceiveTimeBound};
+use saffronpaddle_connection_eviction::{time_unread, ReceiveTimeBound};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -46,7 +46,7 @@
 pub fn arrived_after() -> Option<Instant> {
     let observed_since = OBSERVED_SINCE.get()?;
     let earliest = observed_since + RECEIVE_TIME_BOUND.get().earliest();
-    if !rested(
+    if !time_unread(
         earliest.duration_since(observed_since),
         observed_since.elapsed(),
     )
--- a/crates/node/src/lifecycle_runner.rs
+++ b/crates/node/src/lifecycle_runner.rs
@@ -9,7 +9,7 @@
 use crate::node::Node;
 use crate::readiness::ReadinessSampler;
 use crate::shutdown;
-use saffronpaddle_admin::Call;
+use saffronpaddle_admin::AdminCommand;
 use saffronpaddle_lifecycle::{Action, Event, Lifecycle, Limits, ShutdownPlan, State};
 use std::future::{pending, Future};
 use std::pin::Pin;
@@ -91,22 +91,22 @@
     }
 
     /// The reply to a call whose event the state machine has handled.
-    fn answer(&self, call: Call) -> AdminReply {
+    fn answer(&self, call: AdminCommand) -> AdminReply {
         match call {
-            Call::Ping => AdminReply {
+            AdminCommand::Ping => AdminReply {
                 ok: self.machine.ready(),
                 text: self.machine.status(),
             },
-            Call::Lameduck => AdminReply {
+            AdminCommand::Lameduck => AdminReply {
                 ok: self.machine.closes_connections(),
                 text: self.machine.status(),
             },
-            Call::Rejoin => AdminReply {
+            AdminCommand::Rejoin => AdminReply {
                 ok: self.machine.state() < State::Draining,
                 text: self.machine.status(),
             },
             // The admin listener answers `INFO` itself and does not pass it on.
-            Call::Info => AdminReply {
+            AdminCommand::Info => AdminReply {
                 ok: false,
                 text: String::new(),
             },
@@ -211,12 +211,14 @@
             match action {
                 Action::NotifyManager(message) => self.manager.notify(&message),
                 Action::ReadConfiguration => start_reload(),
-                Action::CloseAfterAnswers => status.phase = status.phase.max(Phase::Leaving),
-                Action::CloseIdle => status.phase = status.phase.max(Phase::Emptying),
+                Action::CloseAfterAnswers => {
+                    status.phase = status.phase.max(Phase::CloseAfterResponse)
+                }
+                Action::CloseIdle => status.phase = status.phase.max(Phase::CloseIdle),
                 Action::KeepOpen => status.phase = Phase::Serving,
                 Action::PauseAccepting => status.accepts = false,
                 Action::ResumeAccepting => status.accepts = true,
-                Action::StopAccepting => status.phase = Phase::Closing,
+                Action::StopAccepting => status.phase = Phase::StopAccepting,
                 Action::Report(event) => info!("{event}"),
                 // `run` returns after this iteration.
                 Action::Exit => {}
@@ -287,9 +289,9 @@
             call = received_call(&mut inputs.calls) => {
                 let Some(call) = call else { return Event::Tick };
                 let event = match call.call {
-                    Call::Lameduck => Event::Lameduck,
-                    Call::Rejoin => Event::Rejoin,
-                    Call::Ping | Call::Info => Event::Tick,
+                    AdminCommand::Lameduck => Event::Lameduck,
+                    AdminCommand::Rejoin => Event::Rejoin,
+                    AdminCommand::Ping | AdminCommand::Info => Event::Tick,
                 };
                 self.pending_call = Some(call);
                 event
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -3,7 +3,7 @@
 
 mod commands;
 mod endpoint_list;
-mod figures;
+mod metrics;
 mod requests;
 
 use crate::alarm::Alarm;
@@ -20,7 +20,7 @@
 use endpoint_list::RecordedList;
 use requests::Pending;
 use saffronpaddle_admin::RequestEnd;
-use saffronpaddle_endpoints::Merge;
+use saffronpaddle_endpoints::MergedList;
 use saffronpaddle_exchange::{ConnectionId, Event, Exchange, Limits, OpenRequest, Violation};
 use saffronpaddle_operator_config::Sockets;
 use saffronpaddle_policy::interface::{ClassId, Event as PolicyEvent, Micros, NodeId, RequestId};
@@ -78,7 +78,7 @@
     requests: RefCell<HashMap<RequestId, Pending>>,
     alarm: Alarm,
     /// Merges the sources of the endpoint list; `None` with a single source.
-    merge: RefCell<Option<Merge>>,
+    merge: RefCell<Option<MergedList>>,
     /// When a policy timer last fired.
     last_timer_at: Cell<Instant>,
     /// When a source of the endpoint list last answered; `None` if none has yet.
@@ -105,15 +105,15 @@
         answer_by.saturating_duration_since(Instant::now())
     }
 
-    fn ready_request(&self, connection: ConnectionId) -> Option<Rc<Forward>> {
-        self.upstream.ready_request(connection)
+    fn prepared_request(&self, connection: ConnectionId) -> Option<Rc<Forward>> {
+        self.upstream.prepared_request(connection)
     }
 
     fn has_unread_endpoints(&self) -> bool {
         self.watch_statuses.are_unread()
     }
 
-    fn client_gone(self: Rc<Self>, forward: &Rc<Forward>) {
+    fn on_client_disconnected(self: Rc<Self>, forward: &Rc<Forward>) {
         self.abandon_forward(forward);
     }
 }
@@ -204,7 +204,7 @@
     pub async fn run_timer(self: Rc<Self>) {
         loop {
             self.alarm
-                .rings(|| self.exchange.borrow().next_alarm(), || self.clock.now())
+                .wait_until_due(|| self.exchange.borrow().next_alarm(), || self.clock.now())
                 .await;
             // Reads what the kernel has already received first, so that a timeout is not charged to a server whose
             // response this node was late to read.
@@ -274,7 +274,9 @@
     /// Counts a request that was answered without being submitted to the exchange.
     pub fn record_rejection(&self, class: ClassId, end: RequestEnd) {
         debug!(class = class.0, ?end, "request rejected before submission");
-        self.exchange.borrow_mut().count_unreceived(class.0, end);
+        self.exchange
+            .borrow_mut()
+            .count_answered_locally(class.0, end);
     }
 
     /// Passes an event to the policy engine that the exchange itself does not use.
--- a/crates/node/src/node/endpoint_list.rs
+++ b/crates/node/src/node/endpoint_list.rs
@@ -2,7 +2,7 @@
 
 use super::Node;
 use crate::config::{Health, Host, List};
-use crate::endpoints::server_entry;
+use crate::endpoints::to_policy_endpoint;
 use saffronpaddle_endpoints::{EndpointRecord, EndpointUpdate, Source};
 use saffronpaddle_exchange::Event;
 use saffronpaddle_policy::interface::{Endpoint, EndpointStatus};
@@ -77,7 +77,7 @@
     fn apply_endpoints(self: &Rc<Self>, records: &[EndpointRecord], snapshot: bool) {
         let endpoints = records
             .iter()
-            .map(|record| server_entry(record, &self.platform.zones));
+            .map(|record| to_policy_endpoint(record, &self.platform.zones));
         let endpoints: Vec<(Endpoint, SocketAddr)> = endpoints.collect();
         if let Some(websockets) = &self.websockets {
             let servers = endpoints.iter().map(|(endpoint, address)| {
@@ -103,6 +103,6 @@
     pub fn merge_endpoint_sources(&self) {
         self.merge
             .borrow_mut()
-            .get_or_insert_with(saffronpaddle_endpoints::Merge::new);
+            .get_or_insert_with(saffronpaddle_endpoints::MergedList::new);
     }
 }
--- a/crates/node/src/node/figures.rs
+++ b/crates/node/src/node/metrics.rs
@@ -41,11 +41,11 @@
         policy_counters.extend(
             exchange
                 .denials()
-                .map(|(denial, count)| (denial.figure(), count)),
+                .map(|(denial, count)| (denial.counter_name(), count)),
         );
         let violations = exchange.violations();
         policy_counters.extend(
-            Invariant::ALL.map(|invariant| (invariant.figure(), violations.count(invariant))),
+            Invariant::ALL.map(|invariant| (invariant.counter_name(), violations.count(invariant))),
         );
         let (sent, received) = self.peers.as_ref().map_or((0, 0), Peers::message_counts);
         write(&Metrics {
--- a/crates/node/src/readiness.rs
+++ b/crates/node/src/readiness.rs
@@ -1,7 +1,7 @@
 //! Samples the facts about the node and its process on which readiness depends.
 
 use crate::node::Node;
-use saffronpaddle_lifecycle::Facts;
+use saffronpaddle_lifecycle::HealthSample;
 use std::fs;
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -46,7 +46,7 @@
     }
 
     /// Samples the facts now. `event_loop_lag` is how late the event loop runs this sample.
-    pub fn sample(&mut self, event_loop_lag: Duration) -> Facts {
+    pub fn sample(&mut self, event_loop_lag: Duration) -> HealthSample {
         let (_, open_descriptors, memory) = match self.last_count {
             Some(count) if count.0.elapsed() < COUNT_INTERVAL => count,
             _ => *self
@@ -55,7 +55,7 @@
         };
         let expected = self.started_at.0 + self.started_at.1.elapsed();
         let (reachable_peers, peers) = self.node.reachable_peers();
-        Facts {
+        HealthSample {
             servers: self.node.ready(),
             endpoint_list_age: self.node.list_age(),
             reachable_peers,
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -87,13 +87,13 @@
         };
         Limits {
             readiness: operator.ready.clone(),
-            leave_for: if self.stops_accepting_at_once {
+            drain_duration: if self.stops_accepting_at_once {
                 Duration::ZERO
             } else {
-                operator.stop.leave_for
+                operator.stop.drain_duration
             },
-            finish_within: operator.stop.finish_within.unwrap_or(self.longest_deadline),
-            reload_within: operator.reload.within,
+            close_timeout: operator.stop.close_timeout.unwrap_or(self.longest_deadline),
+            reload_timeout: operator.reload.within,
         }
     }
 }
--- a/crates/node/src/shutdown.rs
+++ b/crates/node/src/shutdown.rs
@@ -17,7 +17,7 @@
 /// Waits until the node closes, then logs the unanswered requests at an interval until it is dropped.
 pub async fn log_open_requests(node: Rc<Node>, mut status: watch::Receiver<ServingStatus>) {
     if status
-        .wait_for(|status| status.phase >= Phase::Closing)
+        .wait_for(|status| status.phase >= Phase::StopAccepting)
         .await
         .is_err()
     {
--- a/crates/node/src/upstream.rs
+++ b/crates/node/src/upstream.rs
@@ -223,7 +223,7 @@
     }
 
     /// Returns the request that is prepared on a connection.
-    pub fn ready_request(&self, connection: ConnectionId) -> Option<Rc<Forward>> {
+    pub fn prepared_request(&self, connection: ConnectionId) -> Option<Rc<Forward>> {
         self.connections
             .borrow()
             .get(&connection)
--- a/crates/node/src/upstream/gate.rs
+++ b/crates/node/src/upstream/gate.rs
@@ -4,7 +4,7 @@
 use hyper::rt::{Read, ReadBufCursor, Write};
 use hyper_util::rt::TokioIo;
 use saffronpaddle_exchange::{ConnectionId, Event};
-use saffronpaddle_netio::{is_quiet, Socket};
+use saffronpaddle_netio::{has_no_unread_bytes, Socket};
 use std::future::Future;
 use std::io::{self, IoSlice};
 use std::pin::Pin;
@@ -60,7 +60,7 @@
             return Poll::Ready(Ok(()));
         }
         if let Some(owner) = upstream_events::owner(self.gate.owner_number) {
-            let forward = owner.ready_request(self.gate.connection);
+            let forward = owner.prepared_request(self.gate.connection);
             // The client of a connection that was just accepted may have disconnected before the kernel reported either
             // event. One scheduler yield lets the disconnection show.
             let needs_check = forward
@@ -79,14 +79,14 @@
             // A client may have disconnected while the event loop was delayed, or after bytes that are not read. A
             // server would execute its request in vain, so this is checked immediately before the first byte.
             if let Some(forward) = forward.filter(|forward| forward.client.client_is_gone()) {
-                Rc::clone(&owner).client_gone(&forward);
+                Rc::clone(&owner).on_client_disconnected(&forward);
             }
             // Bytes left over from an earlier response would be read as the next one, so the exchange is told of them.
-            let quiet = is_quiet(self.stream.inner().stream());
+            let no_unread_bytes = has_no_unread_bytes(self.stream.inner().stream());
             owner.on_event(
                 Event::FirstByteReady {
                     connection: self.gate.connection,
-                    quiet,
+                    no_unread_bytes,
                 },
                 None,
             );
--- a/crates/node/src/upstream_events.rs
+++ b/crates/node/src/upstream_events.rs
@@ -19,13 +19,13 @@
     fn time_left(&self, forward: &Forward) -> Duration;
 
     /// The request that is prepared on a connection.
-    fn ready_request(&self, connection: ConnectionId) -> Option<Rc<Forward>>;
+    fn prepared_request(&self, connection: ConnectionId) -> Option<Rc<Forward>>;
 
     /// Whether this machine has received a change of the endpoint list that the node has not read yet.
     fn has_unread_endpoints(&self) -> bool;
 
     /// Handles the disconnection of a request's client that the client's connection has not reported yet.
-    fn client_gone(self: Rc<Self>, forward: &Rc<Forward>);
+    fn on_client_disconnected(self: Rc<Self>, forward: &Rc<Forward>);
 }
 
 /// The number of the next owner registered in this process.
--- a/crates/node/src/websocket.rs
+++ b/crates/node/src/websocket.rs
@@ -11,8 +11,8 @@
 use hyper::header::{HeaderMap, HeaderValue};
 use saffronpaddle_policy::interface::{ClassId, CustomerId, Micros, ServerId};
 use saffronpaddle_websocket::frames::Rules;
-use saffronpaddle_websocket::table::{Command, Shut, SocketId, Sockets};
-use saffronpaddle_websocket::upgrade::{self, Switch};
+use saffronpaddle_websocket::table::{AdmissionError, Command, SocketId, Sockets};
+use saffronpaddle_websocket::upgrade::{self, AgreedUpgrade};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -26,7 +26,7 @@
     /// The value of `Sec-WebSocket-Key` in the client's request.
     pub key: HeaderValue,
     /// The subprotocol and extensions that the server accepted.
-    pub switch: Switch,
+    pub switch: AgreedUpgrade,
     /// The server that accepted the upgrade.
     pub server: ServerId,
     /// The connection to that server.
@@ -119,7 +119,7 @@
         self: &Rc<Self>,
         customer: CustomerId,
         subset_size: u32,
-    ) -> Result<WebsocketPermit, Shut> {
+    ) -> Result<WebsocketPermit, AdmissionError> {
         let id = self
             .table
             .borrow_mut()
@@ -224,7 +224,7 @@
     pub async fn run_timer(&self) {
         loop {
             self.alarm
-                .rings(|| self.table.borrow().next_alarm(), || self.now())
+                .wait_until_due(|| self.table.borrow().next_alarm(), || self.now())
                 .await;
             let commands = self.table.borrow_mut().tick(self.now());
             self.execute(commands);
@@ -232,10 +232,10 @@
     }
 
     /// The frame rules of a socket with the extensions in `switch`.
-    fn rules(&self, switch: &Switch) -> Rules {
+    fn rules(&self, switch: &AgreedUpgrade) -> Rules {
         Rules {
-            frame_most: self.settings.frame_most,
-            message_most: self.settings.message_most,
+            max_frame_bytes: self.settings.max_frame_bytes,
+            max_message_bytes: self.settings.max_message_bytes,
             deflate: switch.deflate,
             utf8: self.settings.utf8,
         }
--- a/crates/node/src/websocket/relay.rs
+++ b/crates/node/src/websocket/relay.rs
@@ -3,7 +3,7 @@
 use super::{RelayControl, UpgradedConnection, WebsocketPermit, WebsocketProxy};
 use bytes::Bytes;
 use saffronpaddle_netio::retry_interrupted;
-use saffronpaddle_websocket::frames::{self, Scanner, Seen, Side};
+use saffronpaddle_websocket::frames::{self, FrameEvent, Scanner, Side};
 use socket2::SockRef;
 use std::cell::RefCell;
 use std::io;
@@ -228,12 +228,15 @@
                 .scanner
                 .scan(bytes, &mut direction.pending, &mut events)
         };
-        let data = events.contains(&Seen::Data);
+        let data = events.contains(&FrameEvent::Data);
         websockets
             .table
             .borrow_mut()
             .on_received(websockets.now(), self.permit.id, from, data);
-        if events.iter().any(|event| matches!(event, Seen::Close(_))) {
+        if events
+            .iter()
+            .any(|event| matches!(event, FrameEvent::Close(_)))
+        {
             // Unless the node started the close, the frame was relayed to the other side, which answers it.
             direction.write_closed = true;
             websockets.on_close_started(self.permit.id);
--- a/crates/operator-config/src/etcd.rs
+++ b/crates/operator-config/src/etcd.rs
@@ -28,7 +28,7 @@
     /// The node switches to another member if the current one has been silent for longer than this.
     pub silent_after: Duration,
     /// Maximum backoff before connecting to the next member.
-    pub backoff_most: Duration,
+    pub max_backoff: Duration,
     /// How long a list that has become empty in one update must stay empty before it is applied.
     pub empty_after: Duration,
 }
@@ -74,7 +74,7 @@
             answer_within: section.span_ms("answer_within_ms", 2_000, 10..=60_000),
             probe_every: section.span_ms("probe_every_ms", 1_000, 10..=60_000),
             silent_after: section.span_ms("silent_after_ms", 3_000, 20..=600_000),
-            backoff_most: section.span_ms("backoff_most_ms", 2_000, 50..=600_000),
+            max_backoff: section.span_ms("backoff_most_ms", 2_000, 50..=600_000),
             empty_after: section.span_ms("empty_after_ms", 30_000, 0..=86_400_000),
         };
         if etcd.silent_after <= etcd.probe_every {
--- a/crates/operator-config/src/process.rs
+++ b/crates/operator-config/src/process.rs
@@ -36,16 +36,16 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Stop {
     /// How long requests are still accepted after the signal to stop.
-    pub leave_for: Duration,
+    pub drain_duration: Duration,
     /// How long requests in flight may take after that; `None` for the longest deadline in the settings.
-    pub finish_within: Option<Duration>,
+    pub close_timeout: Option<Duration>,
 }
 
 impl Stop {
     pub(crate) fn read(section: &mut Section) -> Stop {
         Stop {
-            leave_for: section.span_ms("leave_for_ms", 600, 0..=600_000),
-            finish_within: section.span_ms_or_none("finish_within_ms", 0, 3_600_000),
+            drain_duration: section.span_ms("leave_for_ms", 600, 0..=600_000),
+            close_timeout: section.span_ms_or_none("finish_within_ms", 0, 3_600_000),
         }
     }
 }
@@ -87,13 +87,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Log {
     /// Interval between log lines with all metrics; `None` disables them.
-    pub counts_every: Option<Duration>,
+    pub metrics_interval: Option<Duration>,
 }
 
 impl Log {
     pub(crate) fn read(section: &mut Section) -> Log {
         Log {
-            counts_every: section.span_ms_or_none("counts_every_ms", 0, 3_600_000),
+            metrics_interval: section.span_ms_or_none("counts_every_ms", 0, 3_600_000),
         }
     }
 }
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -14,9 +14,9 @@
 use crate::interface::{Action, CustomerId, HardLimit, Micros, RequestId, MILLISECOND, SECOND};
 use crate::request::Request;
 use crate::shard_owners::NodeSubset;
-use crate::state::{LAST_CALL, MAX_RETRY_AFTER, RESTART_WINDOW};
+use crate::state::{ANSWER_MARGIN, MAX_RETRY_AFTER, RESTART_WINDOW};
 use crate::statistics::poisson_below;
-use crate::token_bucket::{silent_peers, TokenBucket, KEEP_UNUSED_FOR, USAGE_WINDOW};
+use crate::token_bucket::{silent_peers, TokenBucket, MIN_BUCKET_RETENTION, USAGE_WINDOW};
 
 /// Minimum `retry_after` of a rejection.
 const MIN_RETRY_AFTER: Micros = 20 * MILLISECOND;
@@ -82,7 +82,7 @@
             return;
         };
         let plans = &self.settings.plans;
-        if bucket.has_changed(request.plan, subset) {
+        if bucket.record_plan_and_subset(request.plan, subset) {
             let had_hard_limit = plans[bucket.plan.0].hard_limit.is_some();
             let hard_limit_tokens = if had_hard_limit {
                 bucket.hard_limit_tokens.min(0.0)
@@ -147,7 +147,7 @@
     fn isolated_bucket(&mut self, request: &Request, bucket: TokenBucket) -> TokenBucket {
         let plan = &self.settings.plans[request.plan.0];
         let share = (UNEVEN_SHARE / bucket.subset_size).min(1.0);
-        let quota_while_kept = plan.burst + plan.rate * KEEP_UNUSED_FOR as f64 / 1e6;
+        let quota_while_kept = plan.burst + plan.rate * MIN_BUCKET_RETENTION as f64 / 1e6;
         let even_quota_while_kept = quota_while_kept / bucket.subset_size;
         let share_below_one_request = share * plan.burst < bucket.even_capacity;
         let holds_one_request = share_below_one_request
@@ -181,7 +181,7 @@
         let plan = &self.settings.plans[bucket.plan.0];
         let large_fleet = self.large_fleet;
         // The next firing of the timer would be too late to answer the request by its deadline.
-        let deadline_too_near = request.deadline <= now.saturating_add(LAST_CALL);
+        let deadline_too_near = request.deadline <= now.saturating_add(ANSWER_MARGIN);
         // An owner denied the customer's latest requests, or as many grant requests as allowed are open.
         let rejected_by_cached_decision = large_fleet
             && (bucket.rejections.is_rejecting(now)
--- a/crates/policy/src/controller_period.rs
+++ b/crates/policy/src/controller_period.rs
@@ -9,7 +9,7 @@
 use crate::request::Request;
 use crate::shard_owners::ShardOwners;
 use crate::state::{OwnedShard, CONTROLLER_PERIOD, CONTROLLER_PERIOD_S};
-use crate::token_bucket::{silent_peers, KEEP_UNUSED_FOR};
+use crate::token_bucket::{silent_peers, MIN_BUCKET_RETENTION};
 use crate::utilization::SERVICE_RATE_WEIGHT;
 
 /// Weight of a period in the mean number of attempts in flight, in a large fleet, where a node has none most of the
@@ -178,6 +178,6 @@
         let plan = &plans[self.plan.0];
         let owners = ShardOwners::of(plan, self.subset_size);
         let limits = owners.limits(plan, self.owner, max_units, partition_safe);
-        self.shard.is_idle(now, &limits, KEEP_UNUSED_FOR)
+        self.shard.is_idle(now, &limits, MIN_BUCKET_RETENTION)
     }
 }
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -99,7 +99,7 @@
     fn send(&mut self, now: Micros, id: RequestId, server: ServerId, actions: &mut Actions) {
         let probe_interval = self.probe_interval();
         let slow_start_limits = self.slow_start_limits(server);
-        let uninformed = self.slow_start.uninformed;
+        let lacks_throughput_baseline = self.slow_start.lacks_throughput_baseline;
         let Some(request) = self.requests.open.get_mut(&id) else {
             return;
         };
@@ -121,8 +121,8 @@
             self.counters.add(Counter::Retries);
         }
         let rules = &self.settings.slow_start;
-        if uninformed || target.capacity_fraction(rules, now) < 1.0 {
-            target.spend_slow_start(&slow_start_limits, uninformed, now);
+        if lacks_throughput_baseline || target.capacity_fraction(rules, now) < 1.0 {
+            target.charge_slow_start(&slow_start_limits, lacks_throughput_baseline, now);
             self.slow_start.attempts += 1.0;
             self.counters.add(Counter::SlowStartAttempts);
         }
--- a/crates/policy/src/endpoint_table.rs
+++ b/crates/policy/src/endpoint_table.rs
@@ -3,7 +3,7 @@
 //! With 40,000 servers no outcome, message or controller period may iterate over all of them, nor may an update of a
 //! few endpoints. So the aggregates that the policies read ([`Aggregates`]) are updated incrementally: a server is
 //! changed through [`ServerEdit`], which removes it from the aggregates and adds it again afterwards. Of a list of more
-//! than `FULL_LIST_MAX` servers each node uses a subset (see `saffronpaddle-subsetting`). Only servers in the subset
+//! than `FULL_LIST_MAX_SERVERS` servers each node uses a subset (see `saffronpaddle-subsetting`). Only servers in the subset
 //! count in the aggregates of members and keep their statistics.
 
 mod aggregates;
@@ -18,13 +18,13 @@
 };
 use crate::server::Server;
 use aggregates::{known_wait, Aggregates};
-use saffronpaddle_subsetting::{SlowStartGroup, Subset, FULL_LIST_MAX, TARGET_SIZE};
+use saffronpaddle_subsetting::{SlowStartGroup, Subset, FULL_LIST_MAX_SERVERS, TARGET_SUBSET_SIZE};
 use short_ids::ShortIds;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Number of members below which waits are no longer kept in order. It is lower than `FULL_LIST_MAX`, above which
+/// Number of members below which waits are no longer kept in order. It is lower than `FULL_LIST_MAX_SERVERS`, above which
 /// ordering starts, so that a number of members that varies around that limit does not rebuild the subset each time.
-const ORDERED_WAITS_MIN: usize = FULL_LIST_MAX * 3 / 4;
+const ORDERED_WAITS_MIN: usize = FULL_LIST_MAX_SERVERS * 3 / 4;
 
 /// Numbers of ready servers: on the whole list, and in this node's subset.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -178,11 +178,11 @@
     fn follow_list_length(&mut self, now: Micros, recent: Micros) {
         let ready = self.aggregates.ready;
         let subset_changed = self.subsetting && self.subset.resize(ready);
-        let subsetted = self.subsetting && ready > FULL_LIST_MAX;
+        let subsetted = self.subsetting && ready > FULL_LIST_MAX_SERVERS;
         let ordered = if self.aggregates.waits_ordered {
             self.members.len() >= ORDERED_WAITS_MIN
         } else {
-            self.members.len() > FULL_LIST_MAX
+            self.members.len() > FULL_LIST_MAX_SERVERS
         };
         let outdated = subsetted != self.subsetted || ordered != self.aggregates.waits_ordered;
         if subset_changed || outdated {
@@ -195,7 +195,7 @@
         if self.subsetting {
             self.subset.resize(self.aggregates.ready);
         }
-        self.subsetted = self.subsetting && self.aggregates.ready > FULL_LIST_MAX;
+        self.subsetted = self.subsetting && self.aggregates.ready > FULL_LIST_MAX_SERVERS;
         let waits_were_ordered = std::mem::take(&mut self.aggregates.waits_ordered);
         self.short_ids = ShortIds::for_list(self.subsetted);
         self.members = Vec::new();
@@ -218,7 +218,7 @@
                 }
             }
         }
-        let many = self.members.len() > FULL_LIST_MAX;
+        let many = self.members.len() > FULL_LIST_MAX_SERVERS;
         let still_many = waits_were_ordered && self.members.len() >= ORDERED_WAITS_MIN;
         self.aggregates
             .reorder_waits(many || still_many, &self.servers);
@@ -286,7 +286,7 @@
     }
 
     /// Ready servers to select from, in order of id: all ready members, or, where members are so many that their waits
-    /// are kept in order, those among `TARGET_SIZE` consecutive members. `draw` selects the first of these, given the
+    /// are kept in order, those among `TARGET_SUBSET_SIZE` consecutive members. `draw` selects the first of these, given the
     /// number of members.
     pub fn candidates(&self, draw: impl FnOnce(usize) -> usize) -> Vec<&Server> {
         if !self.subsetted {
@@ -298,7 +298,7 @@
                 .collect();
         }
         let (first, count) = if self.aggregates.waits_ordered {
-            (draw(self.members.len()), TARGET_SIZE)
+            (draw(self.members.len()), TARGET_SUBSET_SIZE)
         } else {
             (0, self.members.len())
         };
@@ -363,13 +363,13 @@
         });
     }
 
-    /// Applies `judge` to each of these servers, which may change it, and updates the aggregates.
-    pub fn judge(&mut self, mut judge: impl FnMut(&mut Server)) {
+    /// Applies `evaluate_ejections` to each of these servers, which may change it, and updates the aggregates.
+    pub fn evaluate_ejections(&mut self, mut evaluate_ejections: impl FnMut(&mut Server)) {
         self.for_each_evaluated(|aggregates, server| {
             let classes = aggregates.classes;
             aggregates.change(server, |server| {
                 server.ensure_statistics(classes);
-                judge(server);
+                evaluate_ejections(server);
             });
         });
     }
--- a/crates/policy/src/endpoint_table/tests.rs
+++ b/crates/policy/src/endpoint_table/tests.rs
@@ -293,7 +293,7 @@
 
     fn decay_evidence(&mut self) {
         self.table.decay_evidence(0.5);
-        self.table.judge(|server| {
+        self.table.evaluate_ejections(|server| {
             server
                 .statistics
                 .iter_mut()
--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -226,7 +226,7 @@
     }
 
     /// Number of servers, token buckets and quota shards kept in memory.
-    pub fn tracked(&self) -> usize {
+    pub fn tracked_entries(&self) -> usize {
         self.endpoints.len() + self.quotas.buckets.len() + self.quotas.shards.len()
     }
 
--- a/crates/policy/src/load_shedding.rs
+++ b/crates/policy/src/load_shedding.rs
@@ -31,7 +31,7 @@
 impl PolicyEngine {
     /// Returns the probability with which a request is shed.
     pub(crate) fn shed_probability(&self, request: &Request) -> f64 {
-        if self.slow_start.uninformed {
+        if self.slow_start.lacks_throughput_baseline {
             // Servers in slow start respond slowly even without overload, and the attempts sent to them are limited by
             // permits.
             return 0.0;
--- a/crates/policy/src/outlier_ejection.rs
+++ b/crates/policy/src/outlier_ejection.rs
@@ -245,7 +245,7 @@
         let nodes_per_server = Some(self.endpoints.nodes_per_server());
         let random = &mut self.random;
         let counters = &mut self.counters;
-        self.endpoints.judge(|server| {
+        self.endpoints.evaluate_ejections(|server| {
             for (statistics, mean) in server.statistics.iter_mut().zip(&mean_fault_rates) {
                 let probe_at = now.saturating_add(next_probe_interval(random, nodes_per_server));
                 if statistics.update_ejection(nodes_per_server, *mean, probe_at) {
--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -213,7 +213,7 @@
     }
 
     /// Returns an attempt of a sibling process and its key.
-    pub(crate) fn of_sibling(sibling: SiblingAttempt) -> (AttemptKey, Attempt) {
+    pub(crate) fn from_sibling(sibling: SiblingAttempt) -> (AttemptKey, Attempt) {
         let attempt = Attempt {
             server: sibling.server,
             customer: sibling.customer,
--- a/crates/policy/src/server_selection.rs
+++ b/crates/policy/src/server_selection.rs
@@ -98,7 +98,7 @@
 
     /// Returns whether a server is expected to respond to one more attempt in time.
     fn has_capacity(&self, server: &Server, now: Micros) -> bool {
-        if self.is_warming_up(server, now) && !self.may_warm_up(server, now) {
+        if self.is_limited_by_slow_start(server, now) && !self.may_send_in_slow_start(server, now) {
             return false;
         }
         let wait = self.wait_per_attempt(server, now) * f64::from(server.in_flight + 1);
--- a/crates/policy/src/siblings.rs
+++ b/crates/policy/src/siblings.rs
@@ -32,15 +32,15 @@
         let charge = sibling.charge.as_ref();
         let units = charge.and_then(|charge| self.charge(now, customer, charge));
         let limits = self.slow_start_limits(sibling.server);
-        let uninformed = self.slow_start.uninformed;
+        let lacks_throughput_baseline = self.slow_start.lacks_throughput_baseline;
         if let Some(mut server) = self.endpoints.edit(sibling.server) {
             server.in_flight += 1;
-            server.spend_slow_start(&limits, uninformed, now);
+            server.charge_slow_start(&limits, lacks_throughput_baseline, now);
         }
         if let Some(bucket) = self.quotas.buckets.get_mut(&customer) {
             bucket.record_attempt(now, units.unwrap_or(0.0), units.is_some());
         }
-        let (key, attempt) = Attempt::of_sibling(sibling);
+        let (key, attempt) = Attempt::from_sibling(sibling);
         self.requests
             .sibling_attempts
             .insert(key, RemoteAttempt { link, attempt });
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -59,11 +59,15 @@
 
 /// The limits of slow start at one server. Time slots belong to the nodes that certainly use it: slots of nodes that
 /// never use a server of a long list would leave the server without attempts.
-fn limits(settings: &Settings, up_since: Micros, group: SlowStartGroup) -> SlowStartLimits {
+fn limits(
+    settings: &Settings,
+    process_started_at: Micros,
+    group: SlowStartGroup,
+) -> SlowStartLimits {
     SlowStartLimits {
         node_count: group.size,
         node: group.rank,
-        up_since,
+        process_started_at,
         overload_multiple: settings.slow_start.overload_multiple,
         overload_window: settings.slow_start.overload_window,
     }
@@ -72,14 +76,14 @@
 impl Server {
     /// Charges an attempt to the server while it warms up: uses a permit if this node is uninformed and has one,
     /// otherwise credit.
-    pub(crate) fn spend_slow_start(
+    pub(crate) fn charge_slow_start(
         &mut self,
         limits: &SlowStartLimits,
-        uninformed: bool,
+        lacks_throughput_baseline: bool,
         now: Micros,
     ) {
         let number = self.endpoint.server.0;
-        if !uninformed || !self.budget_mut().consume(now, number, limits) {
+        if !lacks_throughput_baseline || !self.budget_mut().take_permit(now, number, limits) {
             self.slow_start_credit -= 1.0;
         }
     }
@@ -100,17 +104,18 @@
     /// Whether a server is limited by slow start: it warms up, or it started recently and this node is still
     /// uninformed. Without the second condition, servers that all become warm at the same time would be sent the whole
     /// queue at once.
-    pub(crate) fn is_warming_up(&self, server: &Server, now: Micros) -> bool {
+    pub(crate) fn is_limited_by_slow_start(&self, server: &Server, now: Micros) -> bool {
         let rules = &self.settings.slow_start;
         let window = RECENT_START_PERIODS * rules.warm_up_period;
         let recently = |started: Micros| now < started + window;
         server.capacity_fraction(rules, now) < 1.0
-            || self.slow_start.uninformed && server.endpoint.started_at.is_some_and(recently)
+            || self.slow_start.lacks_throughput_baseline
+                && server.endpoint.started_at.is_some_and(recently)
     }
 
     /// Whether this node may send one more attempt to a server that warms up.
-    pub(crate) fn may_warm_up(&self, server: &Server, now: Micros) -> bool {
-        if !self.slow_start.uninformed {
+    pub(crate) fn may_send_in_slow_start(&self, server: &Server, now: Micros) -> bool {
+        if !self.slow_start.lacks_throughput_baseline {
             return server.slow_start_credit >= 1.0;
         }
         let id = server.endpoint.server;
@@ -156,7 +161,7 @@
         let warm = self.warm_servers(now);
         let any_warming = self
             .recently_started_servers()
-            .any(|server| self.is_warming_up(server, now));
+            .any(|server| self.is_limited_by_slow_start(server, now));
         let ready = self.endpoints.ready().in_subset;
         let few_warm = ready > 0.0 && warm < MIN_WARM_SHARE * ready;
         if !few_warm && ready != 0.0 {
@@ -166,9 +171,10 @@
         let uninformed_rate = UNINFORMED_ATTEMPTS_PER_S / self.endpoints.nodes_per_server();
         let informed = self.slow_start.responses_per_server > uninformed_rate;
         // After the servers have become warm, the mode ends at the first check that finds an empty queue.
-        let has_backlog =
-            self.slow_start.uninformed && any_warming && !self.requests.queue.is_empty();
-        self.slow_start.uninformed = few_warm && !informed || has_backlog;
+        let has_backlog = self.slow_start.lacks_throughput_baseline
+            && any_warming
+            && !self.requests.queue.is_empty();
+        self.slow_start.lacks_throughput_baseline = few_warm && !informed || has_backlog;
     }
 
     /// Records the result of an attempt at a server in slow start, from which the server's budget earns permits.
@@ -178,7 +184,7 @@
         attempt: &Attempt,
         outcome: Outcome,
     ) {
-        if !self.slow_start.uninformed {
+        if !self.slow_start.lacks_throughput_baseline {
             return;
         }
         let limits = self.slow_start_limits(attempt.server);
@@ -234,7 +240,7 @@
     /// Rejects queued requests that cannot be sent in time, and transfers permits that this node does not need.
     pub(crate) fn slow_start_on_timer(&mut self, now: Micros, actions: &mut Actions) {
         self.slow_start.transfer_check_at = Micros::MAX;
-        if !self.slow_start.uninformed {
+        if !self.slow_start.lacks_throughput_baseline {
             return;
         }
         self.reject_excess(now, actions);
@@ -267,14 +273,14 @@
     fn transfer_unused_permits(&mut self, now: Micros, actions: &mut Actions) {
         let due = now >= self.slow_start.next_transfer_at;
         let settings = &self.settings;
-        let up_since = self.started_at;
+        let process_started_at = self.started_at;
         let mut transfer = None;
         let mut holds_permits = false;
         self.endpoints.for_each_with_permits(|subset, server| {
             let id = server.endpoint.server;
             let budget = server.budget_mut();
             if transfer.is_none() && due {
-                let limits = limits(settings, up_since, subset.slow_start_group(id.0));
+                let limits = limits(settings, process_started_at, subset.slow_start_group(id.0));
                 let permit = budget.transfer_unused(now, id.0, &limits);
                 transfer = permit.map(|permit| (id, permit));
             }
@@ -304,7 +310,7 @@
     /// When a rejected client should retry, µs from now: after the time in which the queue is sent. `None` unless this
     /// node is uninformed.
     pub(crate) fn slow_start_retry_after(&self) -> Option<Micros> {
-        if !self.slow_start.uninformed {
+        if !self.slow_start.lacks_throughput_baseline {
             return None;
         }
         let queued = self.requests.queue.len() as f64 + 1.0;
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -134,7 +134,7 @@
         self.requests.sibling_attempts = snapshot
             .attempts
             .into_iter()
-            .map(Attempt::of_sibling)
+            .map(Attempt::from_sibling)
             .map(|(key, attempt)| (key, RemoteAttempt { link, attempt }))
             .collect();
     }
--- a/crates/policy/src/state/mod.rs
+++ b/crates/policy/src/state/mod.rs
@@ -13,6 +13,6 @@
 pub(crate) use quota_table::{OwnedShard, QuotaTable};
 pub(crate) use slow_start::SlowStartState;
 pub(crate) use timers::{
-    Timers, CONTROLLER_PERIOD, CONTROLLER_PERIOD_S, LAST_CALL, MAX_RETRY_AFTER, TIMER_INTERVAL,
+    Timers, ANSWER_MARGIN, CONTROLLER_PERIOD, CONTROLLER_PERIOD_S, MAX_RETRY_AFTER, TIMER_INTERVAL,
 };
 pub(crate) use zones::ZoneReachability;
--- a/crates/policy/src/state/slow_start.rs
+++ b/crates/policy/src/state/slow_start.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct SlowStartState {
     /// Whether the throughput of a warm server is unknown: too few servers are warm, and none has shown it before.
-    pub uninformed: bool,
+    pub lacks_throughput_baseline: bool,
     /// Responses per second of one warm server to this node, as of the last time at which half of the servers were
     /// warm.
     pub responses_per_server: f64,
@@ -28,7 +28,7 @@
 impl SlowStartState {
     pub fn new(now: Micros) -> Self {
         SlowStartState {
-            uninformed: false,
+            lacks_throughput_baseline: false,
             responses_per_server: 0.0,
             baseline: BaselineLatency::default(),
             attempts: 0.0,
--- a/crates/policy/src/state/timers.rs
+++ b/crates/policy/src/state/timers.rs
@@ -5,7 +5,7 @@
 /// Timer interval while requests are open; much shorter than the latency objectives.
 pub(crate) const TIMER_INTERVAL: Micros = 10 * MILLISECOND;
 /// How long before its deadline a request is answered, as the next timer may fire late.
-pub(crate) const LAST_CALL: Micros = 2 * TIMER_INTERVAL;
+pub(crate) const ANSWER_MARGIN: Micros = 2 * TIMER_INTERVAL;
 
 /// Length of a controller period. The 4 s in the paper that `concurrency_limit` implements are longer than load bursts.
 pub(crate) const CONTROLLER_PERIOD: Micros = 500 * MILLISECOND;
--- a/crates/policy/src/timer.rs
+++ b/crates/policy/src/timer.rs
@@ -12,7 +12,7 @@
 use crate::engine::{Actions, PolicyEngine};
 use crate::interface::{Action, Class, Micros, RequestId, MILLISECOND};
 use crate::request::Request;
-use crate::state::LAST_CALL;
+use crate::state::ANSWER_MARGIN;
 
 /// Delay of the timer above which servers are not checked for stalled attempts: this node is overloaded itself, and may
 /// not have read their responses yet.
@@ -36,7 +36,7 @@
 
 impl DueCheck {
     fn due_action(&self, request: &Request, class: &Class) -> DueAction {
-        let now_with_margin = self.now + LAST_CALL;
+        let now_with_margin = self.now + ANSWER_MARGIN;
         if request.body_incomplete {
             // Only the client delays the request, so only its deadline counts.
             return if now_with_margin >= request.deadline {
--- a/crates/policy/src/token_bucket.rs
+++ b/crates/policy/src/token_bucket.rs
@@ -25,7 +25,7 @@
 /// Time without a report after which a peer counts as failed and the others use its share.
 const DEAD_FROM: Micros = 25 * SECOND;
 /// Minimum time for which a customer's bucket is kept after its last request.
-pub(crate) const KEEP_UNUSED_FOR: Micros = 60 * SECOND;
+pub(crate) const MIN_BUCKET_RETENTION: Micros = 60 * SECOND;
 /// Usage that peers have forwarded but not reported yet, estimated as seconds at their reported rate.
 const UNREPORTED_USE_S: f64 = 0.5;
 /// Consecutive requests that must name another plan or subset before the bucket changes. A single request with a wrong
@@ -157,7 +157,7 @@
 
     /// Records the plan and subset that a request names. Returns whether enough consecutive requests differ from the
     /// bucket's own that it has to change.
-    pub(crate) fn has_changed(&mut self, plan: PlanId, subset: NodeSubset) -> bool {
+    pub(crate) fn record_plan_and_subset(&mut self, plan: PlanId, subset: NodeSubset) -> bool {
         let named = (plan, subset.first, f64::from(subset.size));
         let same = named == (self.plan, self.first_node, self.subset_size);
         self.mismatches = if same { 0 } else { self.mismatches + 1 };
@@ -248,9 +248,9 @@
         }
     }
 
-    /// Whether dropping the bucket would change no decision: it has been unused for [`KEEP_UNUSED_FOR`] and is full.
+    /// Whether dropping the bucket would change no decision: it has been unused for [`MIN_BUCKET_RETENTION`] and is full.
     pub(crate) fn is_idle(&mut self, now: Micros, plan: &Plan, silent_peers: f64) -> bool {
-        if self.in_flight > 0 || now.saturating_sub(self.last_used_at) < KEEP_UNUSED_FOR {
+        if self.in_flight > 0 || now.saturating_sub(self.last_used_at) < MIN_BUCKET_RETENTION {
             return false;
         }
         self.refill(now, plan, silent_peers);
--- a/crates/policy/tests/engine.rs
+++ b/crates/policy/tests/engine.rs
@@ -23,7 +23,11 @@
         node.advance(20 * MILLISECOND);
     }
     node.advance(90 * SECOND);
-    assert!(node.engine.tracked() <= 8, "{}", node.engine.tracked());
+    assert!(
+        node.engine.tracked_entries() <= 8,
+        "{}",
+        node.engine.tracked_entries()
+    );
 }
 
 #[test]
--- a/crates/policy/tests/snapshot.rs
+++ b/crates/policy/tests/snapshot.rs
@@ -16,5 +16,9 @@
     assert_eq!((state.size().customers, state.size().servers), (1, 0));
     let mut engine = PolicyEngine::new(1, settings(0, 300), 2 * SECOND).expect("valid settings");
     engine.restore(state, 0);
-    assert_eq!(engine.tracked(), 1, "the customer's bucket but no shard");
+    assert_eq!(
+        engine.tracked_entries(),
+        1,
+        "the customer's bucket but no shard"
+    );
 }
--- a/crates/policy/tests/stored_state.rs
+++ b/crates/policy/tests/stored_state.rs
@@ -276,14 +276,14 @@
     let limits = SlowStartLimits {
         node_count: 3,
         node: 1,
-        up_since: 0,
+        process_started_at: 0,
         overload_multiple: 3.0,
         overload_window: SECOND,
     };
     let mut budget = SlowStartBudget::default();
     budget.on_server_start(5 * SECOND, 10 * SECOND);
     budget.on_server_start(6 * SECOND, 10 * SECOND);
-    budget.consume(8 * SECOND, 4, &limits);
+    budget.take_permit(8 * SECOND, 4, &limits);
     let result = AttemptResult {
         served: true,
         latency: 40 * MILLISECOND,
--- a/crates/slow-start/src/budget.rs
+++ b/crates/slow-start/src/budget.rs
@@ -98,7 +98,7 @@
         let begins_at = self
             .server_started_at
             .saturating_add(index.saturating_mul(length));
-        if begins_at <= limits.up_since {
+        if begins_at <= limits.process_started_at {
             return None;
         }
         let node_count = u64::from(limits.node_count.max(1));
@@ -118,7 +118,7 @@
     }
 
     /// Takes a permit, or else the current time slot, for a request. Returns whether there was one.
-    pub fn consume(&mut self, now: Micros, server: u64, limits: &SlowStartLimits) -> bool {
+    pub fn take_permit(&mut self, now: Micros, server: u64, limits: &SlowStartLimits) -> bool {
         self.remove_expired(now);
         self.idle_since = None;
         let permit = self
--- a/crates/slow-start/src/budget/transfer.rs
+++ b/crates/slow-start/src/budget/transfer.rs
@@ -109,7 +109,7 @@
         let slot_length = slot_length(self.restarted_early);
         // A restarted node doesn't know which transfers it received before, so a duplicate of one would count again. A
         // permit is valid for at most one slot length, so all of these have expired one slot length after the restart.
-        if now < limits.up_since.saturating_add(slot_length) {
+        if now < limits.process_started_at.saturating_add(slot_length) {
             return false;
         }
         let longest_lifetime = limits.permit_lifetime().max(slot_length);
--- a/crates/slow-start/src/limits.rs
+++ b/crates/slow-start/src/limits.rs
@@ -33,7 +33,7 @@
     pub node: u32,
     /// When this node's process started, µs. The node must not use a slot that began earlier: its previous process may
     /// have used that slot, and a node that restarts repeatedly within a slot would use it once per process.
-    pub up_since: Micros,
+    pub process_started_at: Micros,
     /// Load above which a server is overloaded, as a multiple of what it can process within `overload_window`.
     pub overload_multiple: f64,
     /// Time span to which `overload_multiple` applies, µs.
--- a/crates/slow-start/tests/exhaustive.rs
+++ b/crates/slow-start/tests/exhaustive.rs
@@ -88,7 +88,7 @@
 struct SystemState {
     tick: u8,
     budgets: [[SlowStartBudget; 2]; 3],
-    up_since: [Micros; 3],
+    process_started_at: [Micros; 3],
     server_started_at: [Micros; 2],
     in_flight: Vec<Attempt>,
     /// Transfers in transit.
@@ -126,10 +126,10 @@
         SlowStartLimits {
             node_count: if is_only_node { 1 } else { u32::from(NODES) },
             node: if is_only_node { 0 } else { u32::from(node) },
-            up_since: if self.fault == Some(Fault::SlotReused) {
+            process_started_at: if self.fault == Some(Fault::SlotReused) {
                 0
             } else {
-                state.up_since[usize::from(node)]
+                state.process_started_at[usize::from(node)]
             },
             overload_multiple: 3.0,
             overload_window: S,
@@ -141,7 +141,7 @@
         let (now, limits, index) = (state.now(), self.limits(state, node), usize::from(server));
         if !state
             .budget(node, server)
-            .consume(now, u64::from(server), &limits)
+            .take_permit(now, u64::from(server), &limits)
         {
             return false;
         }
@@ -231,7 +231,7 @@
 
     fn kill_node(state: &mut SystemState, node: u8) {
         state.remaining_failures.node_kills -= 1;
-        state.up_since[usize::from(node)] = state.now();
+        state.process_started_at[usize::from(node)] = state.now();
         for server in 0..SERVERS {
             let server_started_at = state.server_started_at[usize::from(server)];
             let budget = state.budget(node, server);
@@ -261,7 +261,7 @@
         let limits = SlowStartLimits {
             node_count: 1,
             node: 0,
-            up_since: 0,
+            process_started_at: 0,
             ..self.limits(state, 0)
         };
         // A single node owns all time slots, so it counts those that have begun since the server's start.
@@ -269,7 +269,7 @@
         only_node.on_server_start(state.server_started_at[server], WARM_UP_PERIOD);
         let first_tick = (state.server_started_at[server] - SERVERS_STARTED_AT) / TICK;
         let slots = (first_tick..=Micros::from(state.tick))
-            .filter(|tick| only_node.consume(time_of_tick(*tick), 0, &limits))
+            .filter(|tick| only_node.take_permit(time_of_tick(*tick), 0, &limits))
             .count();
         usize::from(state.sent[server]) <= slots + usize::from(state.earned[server])
     }
@@ -290,7 +290,7 @@
                 budgets_of_node.clone(),
                 budgets_of_node,
             ],
-            up_since: [0; 3],
+            process_started_at: [0; 3],
             server_started_at: [SERVERS_STARTED_AT; 2],
             in_flight: Vec::new(),
             transfers: BTreeSet::new(),
--- a/crates/slow-start/tests/fleet.rs
+++ b/crates/slow-start/tests/fleet.rs
@@ -76,26 +76,26 @@
     budget: SlowStartBudget,
     baseline: BaselineLatency,
     /// Time since which the process knows what its node has sent, µs.
-    up_since: Micros,
+    process_started_at: Micros,
 }
 
 impl Node {
-    fn new(up_since: Micros) -> Node {
+    fn new(process_started_at: Micros) -> Node {
         let mut budget = SlowStartBudget::default();
         budget.on_server_start(1, WARM_UP_PERIOD);
         Node {
             budget,
             baseline: BaselineLatency::default(),
-            up_since,
+            process_started_at,
         }
     }
 }
 
-fn limits(node_count: u32, node: u32, up_since: Micros) -> SlowStartLimits {
+fn limits(node_count: u32, node: u32, process_started_at: Micros) -> SlowStartLimits {
     SlowStartLimits {
         node_count,
         node,
-        up_since,
+        process_started_at,
         overload_multiple: OVERLOAD_MULTIPLE,
         overload_window: OVERLOAD_WINDOW,
     }
@@ -177,20 +177,24 @@
     }
 
     fn limits_of(&self, node: usize) -> SlowStartLimits {
-        limits(self.scenario.nodes, node as u32, self.fleet[node].up_since)
+        limits(
+            self.scenario.nodes,
+            node as u32,
+            self.fleet[node].process_started_at,
+        )
     }
 
     fn step(
         &mut self,
         now: Micros,
-        up_since: impl Fn(Micros) -> Micros,
+        process_started_at: impl Fn(Micros) -> Micros,
         record_result: &impl RecordResult,
     ) {
         let scenario = self.scenario;
         self.totals.work_possible += scenario.cores as f64 * capacity_fraction(now) * STEP as f64;
         if scenario.restart_interval > 0 && now % scenario.restart_interval < STEP {
             let node = self.random.usize(0..scenario.nodes as usize);
-            self.fleet[node] = Node::new(up_since(now));
+            self.fleet[node] = Node::new(process_started_at(now));
         }
         self.deliver_answers(now, record_result);
         self.deliver_transfers(now);
@@ -267,7 +271,7 @@
             if let Some(permit) = budget.transfer_unused(now, SERVER, &limits) {
                 self.transfer(now, node as u32, permit);
             }
-        } else if budget.consume(now, SERVER, &limits) {
+        } else if budget.take_permit(now, SERVER, &limits) {
             queue.pop_front();
             self.send(now, node as u32);
         }
@@ -341,16 +345,16 @@
     run_with_up_since(scenario, |now| now, record_result)
 }
 
-/// Like [`run`], but `up_since` may inject a fault too: it returns the time since which a node that restarts at a given
+/// Like [`run`], but `process_started_at` may inject a fault too: it returns the time since which a node that restarts at a given
 /// time claims to know what it has sent.
 fn run_with_up_since(
     scenario: &Scenario,
-    up_since: impl Fn(Micros) -> Micros,
+    process_started_at: impl Fn(Micros) -> Micros,
     record_result: impl RecordResult,
 ) -> Outcome {
     let mut run = Run::new(scenario);
     for step in 0..scenario.seconds * S / STEP {
-        run.step(1 + step * STEP, &up_since, &record_result);
+        run.step(1 + step * STEP, &process_started_at, &record_result);
     }
     run.outcome()
 }
@@ -468,7 +472,7 @@
     let slots = |budget: &SlowStartBudget| {
         let mut budget = budget.clone();
         (0..10_000)
-            .filter(|tick| budget.consume(3 * S + tick * 10 * MS, 0, &limits))
+            .filter(|tick| budget.take_permit(3 * S + tick * 10 * MS, 0, &limits))
             .count()
     };
     let mut first_start = SlowStartBudget::default();
@@ -518,7 +522,7 @@
                 for node in order {
                     let limits = limits(3, node as u32, 0);
                     let local_now = now + clock_offsets[node];
-                    if budgets[node].consume(local_now, server, &limits) {
+                    if budgets[node].take_permit(local_now, server, &limits) {
                         sent.push_back(now);
                     }
                 }
--- a/crates/subsetting/src/lib.rs
+++ b/crates/subsetting/src/lib.rs
@@ -5,7 +5,7 @@
 //! stale. A node must also store, iterate over and connect to all servers. Limiting each node to a subset prevents
 //! this.
 //!
-//! - [`Subset`]: with up to [`FULL_LIST_MAX`] servers, each node sends to all of them. In a longer list, each server is
+//! - [`Subset`]: with up to [`FULL_LIST_MAX_SERVERS`] servers, each node sends to all of them. In a longer list, each server is
 //!   assigned [`Subset::nodes_per_server`] nodes. The assignment depends only on the server's number, so adding or
 //!   removing a server does not reassign the others, and each node can compute the nodes of a server without messages.
 //! - [`Median`]: the median of a changing set of values, without sorting them.
@@ -18,4 +18,6 @@
 mod subset;
 
 pub use median::Median;
-pub use subset::{SlowStartGroup, Subset, FULL_LIST_MAX, SLOW_START_GROUP_SIZE, TARGET_SIZE};
+pub use subset::{
+    SlowStartGroup, Subset, FULL_LIST_MAX_SERVERS, SLOW_START_GROUP_SIZE, TARGET_SUBSET_SIZE,
+};
--- a/crates/subsetting/src/subset.rs
+++ b/crates/subsetting/src/subset.rs
@@ -5,10 +5,10 @@
 //! so small changes of the list do not change any subset.
 
 /// Maximum number of servers with which each node sends to all servers.
-pub const FULL_LIST_MAX: usize = 512;
+pub const FULL_LIST_MAX_SERVERS: usize = 512;
 /// Target number of servers in a node's subset of a longer list: enough for load balancing, but few enough that the
 /// node sends to each of them often.
-pub const TARGET_SIZE: usize = 256;
+pub const TARGET_SUBSET_SIZE: usize = 256;
 /// Minimum number of nodes per server, if the fleet has as many. These first nodes of a server's order don't depend on
 /// the length of the list. They share the server's slow start.
 pub const SLOW_START_GROUP_SIZE: u32 = 8;
@@ -57,11 +57,12 @@
     }
 
     fn nodes_per_server_for(&self, server_count: usize) -> u32 {
-        if server_count <= FULL_LIST_MAX {
+        if server_count <= FULL_LIST_MAX_SERVERS {
             return self.node_count;
         }
-        let needed =
-            (TARGET_SIZE as f64 * f64::from(self.node_count) / server_count.max(1) as f64).ceil();
+        let needed = (TARGET_SUBSET_SIZE as f64 * f64::from(self.node_count)
+            / server_count.max(1) as f64)
+            .ceil();
         let is_within_tolerance = (self.clamp_node_count(needed)
             ..=self.clamp_node_count(needed * MAX_RATIO_BEFORE_SHRINK))
             .contains(&self.nodes_per_server);
--- a/crates/subsetting/tests/subset.rs
+++ b/crates/subsetting/tests/subset.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::FileFailurePersistence;
 use saffronpaddle_subsetting::{
-    SlowStartGroup, Subset, FULL_LIST_MAX, SLOW_START_GROUP_SIZE, TARGET_SIZE,
+    SlowStartGroup, Subset, FULL_LIST_MAX_SERVERS, SLOW_START_GROUP_SIZE, TARGET_SUBSET_SIZE,
 };
 
 /// Returns server numbers that are evenly distributed, like hashes of names.
@@ -54,10 +54,10 @@
 fn each_node_sends_to_all_servers_of_a_short_list() {
     for node_count in [1, 3, 300, 2_700] {
         for node in [0, node_count / 2, node_count - 1] {
-            let subset = subset(node, node_count, FULL_LIST_MAX);
+            let subset = subset(node, node_count, FULL_LIST_MAX_SERVERS);
             assert!(
                 subset.is_complete()
-                    && servers(FULL_LIST_MAX)
+                    && servers(FULL_LIST_MAX_SERVERS)
                         .iter()
                         .all(|server| subset.contains(*server))
             );
@@ -122,7 +122,7 @@
             distribution.max_load_ratio
         );
         assert!(
-            distribution.smallest_subset >= TARGET_SIZE * 3 / 4,
+            distribution.smallest_subset >= TARGET_SUBSET_SIZE * 3 / 4,
             "{node_count} nodes: a subset of {} servers",
             distribution.smallest_subset
         );
@@ -198,7 +198,7 @@
         subset.resize(remaining.len());
         let after = members(&subset, &remaining);
         assert!(
-            after.len() >= TARGET_SIZE * 3 / 4,
+            after.len() >= TARGET_SUBSET_SIZE * 3 / 4,
             "a subset of {} servers",
             after.len()
         );
--- a/crates/websocket/src/frames.rs
+++ b/crates/websocket/src/frames.rs
@@ -37,9 +37,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rules {
     /// Maximum length of a frame's payload, in bytes.
-    pub frame_most: u64,
+    pub max_frame_bytes: u64,
     /// Maximum length of a message, which is the sum of its frames' payloads, in bytes.
-    pub message_most: u64,
+    pub max_message_bytes: u64,
     /// Whether messages may be compressed, so that their first frame may have RSV1 set.
     pub deflate: bool,
     /// Whether uncompressed text messages are checked to be valid UTF-8.
@@ -48,7 +48,7 @@
 
 /// What the scanner reports to the relay about the scanned frames.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Seen {
+pub enum FrameEvent {
     /// A close frame, with its code if it has one, was forwarded. Bytes after it are not forwarded.
     Close(Option<u16>),
     /// A pong that answers a ping of the node was received. It is not forwarded.
--- a/crates/websocket/src/frames/scanner.rs
+++ b/crates/websocket/src/frames/scanner.rs
@@ -1,6 +1,6 @@
 //! Parses and validates the frames that one side sends.
 
-use super::{FrameError, Rules, Seen, Side, MAX_CONTROL_BYTES, OWN_PING_PAYLOAD};
+use super::{FrameError, FrameEvent, Rules, Side, MAX_CONTROL_BYTES, OWN_PING_PAYLOAD};
 use std::io::Cursor;
 use tungstenite::protocol::frame::coding::{CloseCode, Control, Data, OpCode};
 use tungstenite::protocol::frame::FrameHeader;
@@ -92,7 +92,7 @@
         &mut self,
         mut bytes: &[u8],
         out: &mut Vec<u8>,
-        seen: &mut Vec<Seen>,
+        seen: &mut Vec<FrameEvent>,
     ) -> Result<(), FrameError> {
         while !bytes.is_empty() && !self.closed {
             if self.frame.is_none() {
@@ -110,7 +110,7 @@
         &mut self,
         bytes: &mut &[u8],
         out: &mut Vec<u8>,
-        seen: &mut Vec<Seen>,
+        seen: &mut Vec<FrameEvent>,
     ) -> Result<(), FrameError> {
         let missing = self.expected_header_bytes() - self.header_bytes;
         let (part, rest) = bytes.split_at(missing.min(bytes.len()));
@@ -144,7 +144,11 @@
     }
 
     /// Validates a complete header (section 5.2) and starts its frame.
-    fn start_frame(&mut self, out: &mut Vec<u8>, seen: &mut Vec<Seen>) -> Result<(), FrameError> {
+    fn start_frame(
+        &mut self,
+        out: &mut Vec<u8>,
+        seen: &mut Vec<FrameEvent>,
+    ) -> Result<(), FrameError> {
         let raw_header = &self.header[..self.header_bytes];
         let parsed = FrameHeader::parse(&mut Cursor::new(raw_header));
         let Ok(Some((header, length))) = parsed else {
@@ -159,7 +163,7 @@
             OpCode::Data(data) => {
                 let check_text = self.add_to_message(&header, data, length)?;
                 out.extend_from_slice(&self.header[..self.header_bytes]);
-                seen.push(Seen::Data);
+                seen.push(FrameEvent::Data);
                 (None, check_text)
             }
         };
@@ -221,7 +225,7 @@
             check_text: self.rules.utf8 && data == Data::Text && !header.rsv1,
         });
         let bytes = message.bytes.saturating_add(length);
-        if length > self.rules.frame_most || bytes > self.rules.message_most {
+        if length > self.rules.max_frame_bytes || bytes > self.rules.max_message_bytes {
             return Err(FrameError::too_large(
                 "a frame or a message that is too large",
             ));
@@ -236,7 +240,7 @@
         mut frame: OpenFrame,
         bytes: &mut &[u8],
         out: &mut Vec<u8>,
-        seen: &mut Vec<Seen>,
+        seen: &mut Vec<FrameEvent>,
     ) -> Result<(), FrameError> {
         let remaining = usize::try_from(frame.remaining).unwrap_or(usize::MAX);
         let (payload, rest) = bytes.split_at(remaining.min(bytes.len()));
@@ -249,7 +253,7 @@
             }
             out.extend_from_slice(payload);
             if !payload.is_empty() {
-                seen.push(Seen::Data);
+                seen.push(FrameEvent::Data);
             }
         }
         frame.received += payload.len();
@@ -286,18 +290,18 @@
         control: Control,
         header_bytes: usize,
         out: &mut Vec<u8>,
-        seen: &mut Vec<Seen>,
+        seen: &mut Vec<FrameEvent>,
     ) -> Result<(), FrameError> {
         let masked = std::mem::take(&mut self.control);
         let payload: Vec<u8> = unmask(frame.mask, 0, &masked).collect();
         if control == Control::Pong && payload == OWN_PING_PAYLOAD {
-            seen.push(Seen::OwnPong);
+            seen.push(FrameEvent::OwnPong);
             return Ok(());
         }
         if control == Control::Close {
             let code = close_code(&payload)?;
             self.closed = true;
-            seen.push(Seen::Close(code));
+            seen.push(FrameEvent::Close(code));
         }
         out.extend_from_slice(&self.header[..header_bytes]);
         out.extend_from_slice(&masked);
--- a/crates/websocket/src/table.rs
+++ b/crates/websocket/src/table.rs
@@ -13,7 +13,7 @@
 #[cfg(test)]
 mod tests;
 
-pub use admission::Shut;
+pub use admission::AdmissionError;
 pub use limits::Limits;
 
 use crate::frames::Side;
--- a/crates/websocket/src/table/admission.rs
+++ b/crates/websocket/src/table/admission.rs
@@ -12,7 +12,7 @@
 
 /// Why an upgrade is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Shut {
+pub struct AdmissionError {
     /// The reason, which is the body of the response to the client.
     pub why: &'static str,
     /// The delay after which the client may retry, in microseconds.
@@ -66,12 +66,14 @@
         now: Micros,
         customer: CustomerId,
         spread: u32,
-    ) -> Result<SocketId, Shut> {
+    ) -> Result<SocketId, AdmissionError> {
         self.check_limits(customer, spread)?;
-        self.upgrade_tokens.take(now).map_err(|retry_in| Shut {
-            why: "too many at once",
-            retry_in,
-        })?;
+        self.upgrade_tokens
+            .take(now)
+            .map_err(|retry_in| AdmissionError {
+                why: "too many at once",
+                retry_in,
+            })?;
         *self.by_customer.entry(customer).or_default() += 1;
         let id = SocketId(self.next_id);
         self.next_id += 1;
@@ -80,15 +82,15 @@
         Ok(id)
     }
 
-    fn check_limits(&self, customer: CustomerId, spread: u32) -> Result<(), Shut> {
+    fn check_limits(&self, customer: CustomerId, spread: u32) -> Result<(), AdmissionError> {
         if self.stopped {
-            return Err(Shut {
+            return Err(AdmissionError {
                 why: "the node leaves",
                 retry_in: RETRY_AFTER_STOP,
             });
         }
         if self.by_id.len() >= self.limits.per_node {
-            return Err(Shut {
+            return Err(AdmissionError {
                 why: "the node has all the sockets that it may have",
                 retry_in: RETRY_AFTER_LIMIT,
             });
@@ -97,7 +99,7 @@
         let limit_here = (self.limits.per_customer / spread.max(1)).max(1);
         let open = self.by_customer.get(&customer).copied().unwrap_or(0);
         if open >= limit_here {
-            return Err(Shut {
+            return Err(AdmissionError {
                 why: "the customer has all the sockets that it may have",
                 retry_in: RETRY_AFTER_LIMIT,
             });
--- a/crates/websocket/src/table/alarms.rs
+++ b/crates/websocket/src/table/alarms.rs
@@ -79,8 +79,9 @@
             .last_received_at
             .iter()
             .any(|at| now >= at.saturating_add(limits.silent_after));
-        let idle = limits.idle_for > 0 && now >= self.last_data_at.saturating_add(limits.idle_for);
-        let old = limits.life_for > 0 && now >= self.opened_at.saturating_add(limits.life_for);
+        let idle =
+            limits.idle_timeout > 0 && now >= self.last_data_at.saturating_add(limits.idle_timeout);
+        let old = limits.max_age > 0 && now >= self.opened_at.saturating_add(limits.max_age);
         silent || idle || old
     }
 
@@ -111,7 +112,7 @@
         };
         silence(Side::Client)
             .min(silence(Side::Server))
-            .min(after(self.last_data_at, limits.idle_for))
-            .min(after(self.opened_at, limits.life_for))
+            .min(after(self.last_data_at, limits.idle_timeout))
+            .min(after(self.opened_at, limits.max_age))
     }
 }
--- a/crates/websocket/src/table/drain.rs
+++ b/crates/websocket/src/table/drain.rs
@@ -132,7 +132,7 @@
 
     /// Returns the reason of a close frame: the delay after which the client at this position may reconnect.
     pub(super) fn retry_after(&self, position: usize) -> String {
-        let rate_per_s = self.limits.back_per_s.max(MIN_RECONNECT_RATE_PER_S);
+        let rate_per_s = self.limits.reconnects_per_s.max(MIN_RECONNECT_RATE_PER_S);
         let seconds = FIRST_RETRY_S + position as f64 / rate_per_s;
         format!("retry-after={seconds:.3}")
     }
--- a/crates/websocket/src/table/limits.rs
+++ b/crates/websocket/src/table/limits.rs
@@ -20,15 +20,15 @@
     /// How long a side may be silent before the socket is closed. More than `ping_after`.
     pub silent_after: Micros,
     /// How long a socket may be without data in either direction before it is closed; 0 for no limit.
-    pub idle_for: Micros,
+    pub idle_timeout: Micros,
     /// How long a socket may be open before it is closed; 0 for no limit.
-    pub life_for: Micros,
+    pub max_age: Micros,
     /// Time from the drain of a server to the last byte that may reach it.
     pub drain_within: Micros,
     /// Time limit of a closing handshake for other reasons.
     pub close_within: Micros,
     /// The rate per second at which clients of sockets that are drained together are told to reconnect.
-    pub back_per_s: f64,
+    pub reconnects_per_s: f64,
     /// Whether drained sockets are closed with 1012 (service restart) instead of 1001 (going away).
     pub restart: bool,
 }
--- a/crates/websocket/src/table/tests.rs
+++ b/crates/websocket/src/table/tests.rs
@@ -11,11 +11,11 @@
         opens_per_s: 100_000.0,
         ping_after: 1_000 * MS,
         silent_after: 3_000 * MS,
-        idle_for: 70 * MS,
-        life_for: 200 * MS,
+        idle_timeout: 70 * MS,
+        max_age: 200 * MS,
         drain_within: 200 * MS,
         close_within: 1_000 * MS,
-        back_per_s: 100.0,
+        reconnects_per_s: 100.0,
         restart: false,
     }
 }
--- a/crates/websocket/src/upgrade.rs
+++ b/crates/websocket/src/upgrade.rs
@@ -5,7 +5,7 @@
 mod response;
 
 pub use request::{read, Offer, Rejection, VERSION};
-pub use response::{accepted, verify, Switch, UpgradeError};
+pub use response::{accepted, verify, AgreedUpgrade, UpgradeError};
 
 use http::header::{HeaderMap, HeaderName, HeaderValue, CONNECTION};
 
--- a/crates/websocket/src/upgrade/response.rs
+++ b/crates/websocket/src/upgrade/response.rs
@@ -14,7 +14,7 @@
 
 /// What a server agreed to in its response.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Switch {
+pub struct AgreedUpgrade {
     /// The chosen subprotocol, which is one of those offered.
     pub protocol: Option<HeaderValue>,
     /// The agreed extensions, all of which were offered.
@@ -71,7 +71,7 @@
 }
 
 /// Returns the handshake headers of the response to the client, after the server has agreed to the upgrade.
-pub fn accepted(offer_key: &HeaderValue, switch: &Switch) -> HeaderMap {
+pub fn accepted(offer_key: &HeaderValue, switch: &AgreedUpgrade) -> HeaderMap {
     let mut headers = HeaderMap::new();
     // A base64 string is always a valid header value.
     if let Ok(accept) = HeaderValue::try_from(derive_accept_key(offer_key.as_bytes())) {
@@ -90,14 +90,14 @@
 ///
 /// # Errors
 /// The response is invalid. The connection to the server must be closed.
-pub fn verify(offer: &Offer, headers: &HeaderMap) -> Result<Switch, UpgradeError> {
+pub fn verify(offer: &Offer, headers: &HeaderMap) -> Result<AgreedUpgrade, UpgradeError> {
     verify_upgrade(headers)?;
     verify_accept(offer, headers)?;
     let protocol = joined(headers, &SEC_WEBSOCKET_PROTOCOL)?;
     verify_subprotocol(offer, protocol.as_ref())?;
     let extensions = joined(headers, &SEC_WEBSOCKET_EXTENSIONS)?;
     let deflate = verify_extensions(offer, extensions.as_ref())?;
-    Ok(Switch {
+    Ok(AgreedUpgrade {
         protocol,
         extensions,
         deflate,
--- a/crates/websocket/tests/frames.rs
+++ b/crates/websocket/tests/frames.rs
@@ -1,11 +1,13 @@
 //! Validation of frames, by the sections of RFC 6455 and RFC 7692.
 
-use saffronpaddle_websocket::frames::{close, ping, Rules, Scanner, Seen, Side, OWN_PING_PAYLOAD};
+use saffronpaddle_websocket::frames::{
+    close, ping, FrameEvent, Rules, Scanner, Side, OWN_PING_PAYLOAD,
+};
 
 /// The rules of most tests.
 const RULES: Rules = Rules {
-    frame_most: 1000,
-    message_most: 2000,
+    max_frame_bytes: 1000,
+    max_message_bytes: 2000,
     deflate: false,
     utf8: true,
 };
@@ -14,8 +16,8 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 struct Scanned {
     out: Vec<u8>,
-    /// Without [`Seen::Data`], because how often that is reported depends on how the bytes are split.
-    seen: Vec<Seen>,
+    /// Without [`FrameEvent::Data`], because how often that is reported depends on how the bytes are split.
+    seen: Vec<FrameEvent>,
     /// The close code of the error, if a frame was rejected.
     error: Option<u16>,
 }
@@ -30,7 +32,7 @@
             break;
         }
     }
-    scanned.seen.retain(|seen| *seen != Seen::Data);
+    scanned.seen.retain(|seen| *seen != FrameEvent::Data);
     scanned
 }
 
@@ -129,7 +131,7 @@
     assert_eq!(
         server(&pong),
         Scanned {
-            seen: vec![Seen::OwnPong],
+            seen: vec![FrameEvent::OwnPong],
             ..Scanned::default()
         }
     );
@@ -144,7 +146,7 @@
         assert_eq!(
             server(&close(code)),
             Scanned {
-                seen: vec![Seen::Close(Some(code))],
+                seen: vec![FrameEvent::Close(Some(code))],
                 ..passed(&close(code))
             },
             "{code}"
@@ -153,7 +155,7 @@
     for code in [0, 999, 1004, 1005, 1006, 1015, 1016, 2999, 5000, 65535] {
         assert_eq!(server(&close(code)).error, Some(1002), "{code}");
     }
-    assert_eq!(server(&[0x88, 0]).seen, [Seen::Close(None)]);
+    assert_eq!(server(&[0x88, 0]).seen, [FrameEvent::Close(None)]);
     assert_eq!(server(&[0x88, 1, 3]).error, Some(1002));
     assert_eq!(server(&[0x88, 3, 3, 232, 0xff]).error, Some(1007));
     // Nothing is forwarded after a close frame.
@@ -229,7 +231,10 @@
     let long = "é".repeat(100);
     for (to, from) in [(Side::Client, Side::Server), (Side::Server, Side::Client)] {
         let bytes = close(to, 1001, &long, [1, 2, 3, 4]);
-        assert_eq!(scan(from, RULES, &bytes).seen, [Seen::Close(Some(1001))]);
+        assert_eq!(
+            scan(from, RULES, &bytes).seen,
+            [FrameEvent::Close(Some(1001))]
+        );
         let bytes = ping(to, [1, 2, 3, 4]);
         assert_eq!(scan(from, RULES, &bytes), passed(&bytes));
     }
--- a/crates/websocket/tests/sockets.rs
+++ b/crates/websocket/tests/sockets.rs
@@ -17,11 +17,11 @@
         opens_per_s: 100_000.0,
         ping_after: 1_000 * MS,
         silent_after: 3_000 * MS,
-        idle_for: 0,
-        life_for: 0,
+        idle_timeout: 0,
+        max_age: 0,
         drain_within: 200 * MS,
         close_within: 1_000 * MS,
-        back_per_s: 100.0,
+        reconnects_per_s: 100.0,
         restart: false,
     }
 }
@@ -210,8 +210,8 @@
 #[test]
 fn idle_sockets_close_and_0_disables_the_limit() {
     let bounds = Limits {
-        idle_for: 500 * MS,
-        life_for: 2_000 * MS,
+        idle_timeout: 500 * MS,
+        max_age: 2_000 * MS,
         ping_after: 9_000 * MS,
         silent_after: 10_000 * MS,
         ..limits()
@@ -225,7 +225,7 @@
     );
     let mut sockets = open_sockets(
         Limits {
-            idle_for: 0,
+            idle_timeout: 0,
             ..limits()
         },
         1,
--- a/crates/websocket/tests/upgrade.rs
+++ b/crates/websocket/tests/upgrade.rs
@@ -2,7 +2,7 @@
 
 use http::header::{HeaderMap, HeaderName, HeaderValue};
 use http::{Method, Version};
-use saffronpaddle_websocket::upgrade::{read, verify, Offer, Rejection, Switch};
+use saffronpaddle_websocket::upgrade::{read, verify, AgreedUpgrade, Offer, Rejection};
 
 /// The key of RFC 6455, section 1.3.
 const KEY: &str = "dGhlIHNhbXBsZSBub25jZQ==";
@@ -93,7 +93,7 @@
         |more: &[(&'static str, &str)]| verify(&offer, &head(&[&valid[..], more].concat()));
     assert_eq!(
         response(&[]),
-        Ok(Switch {
+        Ok(AgreedUpgrade {
             protocol: None,
             extensions: None,
             deflate: false
