--- a/crates/saffronpaddle/tests/edge.rs
+++ b/crates/saffronpaddle/tests/edge.rs
@@ -615,8 +615,12 @@
         &[2, 1, 0, 0, 9, 9],
         &[7; 256],
     ] {
-        node.peer.send_to(noise, node.datagrams).expect("sent");
-        stranger.send_to(noise, node.datagrams).expect("sent");
+        node.peer_socket
+            .send_to(noise, node.datagram_address)
+            .expect("sent");
+        stranger
+            .send_to(noise, node.datagram_address)
+            .expect("sent");
     }
     for number in 0..3 {
         assert_eq!(
@@ -626,8 +630,11 @@
             200
         );
         let mut buffer = [0; 2000];
-        let (length, from) = node.peer.recv_from(&mut buffer).expect("the peer is told");
-        assert!(length <= 256 && from == node.datagrams);
+        let (length, from) = node
+            .peer_socket
+            .recv_from(&mut buffer)
+            .expect("the peer is told");
+        assert!(length <= 256 && from == node.datagram_address);
     }
     assert!(node.is_running());
 }
--- a/crates/saffronpaddle/tests/etcd.rs
+++ b/crates/saffronpaddle/tests/etcd.rs
@@ -14,7 +14,7 @@
 const PREFIX: &str = "/saffronpaddle/servers/";
 
 /// An operator file that follows these members.
-fn operator(tag: &str, endpoints: &[SocketAddr], more: &str) -> Temporary {
+fn operator(tag: &str, endpoints: &[SocketAddr], more: &str) -> TempFile {
     let endpoints: Vec<String> = endpoints
         .iter()
         .map(|address| format!("\"{address}\""))
@@ -24,7 +24,7 @@
          silent_after_ms = 500\n{more}\n",
         endpoints.join(", ")
     );
-    Temporary::new(&format!("{tag}.toml"), &text)
+    TempFile::new(&format!("{tag}.toml"), &text)
 }
 
 fn value(dial: SocketAddr, health: &str) -> String {
@@ -47,7 +47,7 @@
     (runtime, etcd)
 }
 
-fn node(tag: &str, discovery: SocketAddr, hosts: &[String], file: &Temporary) -> Node {
+fn node(tag: &str, discovery: SocketAddr, hosts: &[String], file: &TempFile) -> Node {
     Node::start_with_command(tag, discovery, hosts, 1024, |command| {
         command.arg("run").arg("--operator").arg(&file.0);
     })
--- a/crates/saffronpaddle/tests/life.rs
+++ b/crates/saffronpaddle/tests/life.rs
@@ -40,13 +40,13 @@
 
 struct Notified {
     socket: UnixDatagram,
-    file: Temporary,
+    file: TempFile,
     heard: Vec<String>,
 }
 
 impl Notified {
     fn new(tag: &str) -> Notified {
-        let file = Temporary::new(tag, "");
+        let file = TempFile::new(tag, "");
         std::fs::remove_file(&file.0).expect("only the name was wanted");
         let socket = UnixDatagram::bind(&file.0).expect("a socket");
         socket
@@ -84,7 +84,7 @@
 /// then serves from the list of its configuration. Without any list it is never ready.
 #[test]
 fn a_node_starts_while_discovery_and_all_peers_are_silent() {
-    let operator = Temporary::new(
+    let operator = TempFile::new(
         "silent-operator",
         "[ready]\nlist_within_ms = 400\npeers_within_ms = 700\n",
     );
@@ -116,7 +116,7 @@
 
 #[test]
 fn readiness_comes_with_the_first_word_of_discovery_and_peers() {
-    let operator = Temporary::new(
+    let operator = TempFile::new(
         "word-operator",
         "[ready]\nlist_within_ms = 600000\npeers_within_ms = 600000\n",
     );
@@ -136,15 +136,15 @@
         assert!(node.is_running());
     }
     // A count of nothing, as a peer that has just started tells it.
-    node.peer
-        .send_to(&[2, 0, 1, 0, 0, 0], node.datagrams)
+    node.peer_socket
+        .send_to(&[2, 0, 1, 0, 0, 0], node.datagram_address)
         .expect("sent");
     until_ready(&node);
 }
 
 #[test]
 fn the_service_manager_hears_of_each_step_and_a_reload_is_framed() {
-    let operator = Temporary::new(
+    let operator = TempFile::new(
         "manager-operator",
         "[ready]\nlist_within_ms = 1\npeers_within_ms = 1\n",
     );
@@ -207,7 +207,7 @@
 /// The notify socket missing at the start, never read by anybody, or gone while the node runs: it serves all the same.
 #[test]
 fn a_notify_socket_that_is_missing_full_or_gone_harms_nobody() {
-    let operator = Temporary::new(
+    let operator = TempFile::new(
         "notify-operator",
         "[ready]\nlist_within_ms = 1\npeers_within_ms = 1\n",
     );
@@ -282,7 +282,7 @@
 /// yet, are all served: none is refused or reset.
 #[test]
 fn a_listener_is_handed_over_with_connections_in_its_backlog() {
-    let operator = Temporary::new(
+    let operator = TempFile::new(
         "handed-operator",
         "[ready]\nlist_within_ms = 1\npeers_within_ms = 1\n",
     );
@@ -359,7 +359,7 @@
 #[test]
 fn old_and_new_overlap_on_one_address() {
     let text = "[listen]\nreuse_port = true\n[ready]\nlist_within_ms = 1\npeers_within_ms = 1\n";
-    let operator = Temporary::new("overlap-operator", text);
+    let operator = TempFile::new("overlap-operator", text);
     let (servers, discovery) = (Servers::new(), Discovery::start());
     let dial = servers.start("s-1", &[REPLY_OK]);
     let hosts = [host_json("s-1", dial, 1, "ready")];
@@ -386,7 +386,7 @@
 
 #[test]
 fn sigterm_twice_takes_nothing_new_and_still_finishes() {
-    let operator = Temporary::new("twice-operator", "[stop]\nleave_for_ms = 600000\n");
+    let operator = TempFile::new("twice-operator", "[stop]\nleave_for_ms = 600000\n");
     let (servers, discovery) = (Servers::new(), Discovery::start());
     let dial = servers.start("s-1", &[Reply::NoResponse, REPLY_OK]);
     let hosts = [host_json("s-1", dial, 1, "ready")];
@@ -418,7 +418,7 @@
 
 #[test]
 fn sigterm_while_starting_ends_it_without_ready() {
-    let operator = Temporary::new(
+    let operator = TempFile::new(
         "early-operator",
         "[ready]\nlist_within_ms = 600000\n[stop]\nleave_for_ms = 50\n",
     );
@@ -444,7 +444,7 @@
 #[test]
 fn check_tells_all_that_is_wrong_with_an_operator_file() {
     let check = |text: &str| {
-        let file = Temporary::new(&format!("check-{}", text.len()), text);
+        let file = TempFile::new(&format!("check-{}", text.len()), text);
         let output = Command::new(program())
             .arg("check")
             .arg(&file.0)
@@ -466,7 +466,7 @@
         assert!(told.contains(key), "{key} in {told}");
     }
     // At the start it is one line that names the key and the reason.
-    let file = Temporary::new("start-operator", "[ready]\nlag = 1\n");
+    let file = TempFile::new("start-operator", "[ready]\nlag = 1\n");
     let output = Command::new(program())
         .args(["run", "--operator"])
         .arg(&file.0)
--- a/crates/saffronpaddle/tests/sockets.rs
+++ b/crates/saffronpaddle/tests/sockets.rs
@@ -70,14 +70,14 @@
 
 struct Operated {
     node: Node,
-    _file: Temporary,
+    _file: TempFile,
 }
 
 fn node(tag: &str, more: &str, discovery: &Discovery, hosts: &[String]) -> Operated {
     let text = format!(
         "[stop]\nleave_for_ms = 0\n[sockets]\nclass = \"read\"\nopens_per_s = 10000.0\n{more}\n"
     );
-    let file = Temporary::new(&format!("{tag}.toml"), &text);
+    let file = TempFile::new(&format!("{tag}.toml"), &text);
     let node = Node::start_with_command(tag, discovery.address, hosts, 4096, |command| {
         command.env("SAFFRONPADDLE_OPERATOR", &file.0);
     });
@@ -777,7 +777,7 @@
 /// Sockets never take what requests need: a node that would leave too little does not start.
 #[test]
 fn a_bound_on_sockets_that_starves_requests_is_refused_at_start() {
-    let file = Temporary::new(
+    let file = TempFile::new(
         "ws-starve.toml",
         "[sockets]\nclass = \"read\"\nper_node = 500\n",
     );
--- a/crates/saffronpaddle/tests/upgrade.rs
+++ b/crates/saffronpaddle/tests/upgrade.rs
@@ -218,7 +218,7 @@
     until_said(&elder, "it has gone");
     // It hears its peers again, and speaks to them itself.
     let mut datagram = [0; 300];
-    elder.peer.recv(&mut datagram).expect("a count");
+    elder.peer_socket.recv(&mut datagram).expect("a count");
     let admin = free_address();
     let next = rig.next(&elder, admin);
     until_ready(admin);
--- a/crates/test-doubles/src/discovery.rs
+++ b/crates/test-doubles/src/discovery.rs
@@ -13,7 +13,7 @@
 use tokio::sync::watch;
 
 /// While nothing changes, an empty line comes this often.
-const SIGN_OF_LIFE: Duration = Duration::from_secs(2);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 /// A caller that would wait for longer than this is turned away, if the service does that at all.
 pub const MAX_QUEUE_DELAY: Duration = Duration::from_secs(10);
 
@@ -98,7 +98,7 @@
 }
 
 impl List {
-    fn since(&self, from: Option<u64>, node: usize, dials: &Dials) -> (String, Vec<Entry>) {
+    fn changes_since(&self, from: Option<u64>, node: usize, dials: &Dials) -> (String, Vec<Entry>) {
         let whole = from.is_none();
         let changed = |at: u64, entry: &Entry| match from {
             Some(from) => at > from,
@@ -133,12 +133,12 @@
     list: Mutex<List>,
     seq: watch::Sender<u64>,
     silent: watch::Sender<bool>,
-    lateness: Mutex<Duration>,
-    bearing: Mutex<ServiceLimits>,
+    delay: Mutex<Duration>,
+    limits: Mutex<ServiceLimits>,
     /// Until when the service works on what it has taken.
-    busy: Mutex<Duration>,
-    calls: Mutex<CallStats>,
-    first: Mutex<Option<List>>,
+    busy_until: Mutex<Duration>,
+    call_stats: Mutex<CallStats>,
+    first_list: Mutex<Option<List>>,
     /// Where a node finds a host, if not where it listens.
     dials: Mutex<Dials>,
 }
@@ -154,29 +154,29 @@
             list: Mutex::default(),
             seq: watch::channel(0).0,
             silent: watch::channel(false).0,
-            lateness: Mutex::default(),
-            bearing: Mutex::default(),
-            busy: Mutex::default(),
-            calls: Mutex::default(),
-            first: Mutex::default(),
+            delay: Mutex::default(),
+            limits: Mutex::default(),
+            busy_until: Mutex::default(),
+            call_stats: Mutex::default(),
+            first_list: Mutex::default(),
             dials: Mutex::default(),
         })
     }
 
     /// Changes what the service bears.
     pub fn set_limits(&self, change: impl FnOnce(&mut ServiceLimits)) {
-        change(&mut lock(&self.bearing));
+        change(&mut lock(&self.limits));
     }
 
     /// What was asked of it.
     pub fn call_stats(&self) -> CallStats {
-        lock(&self.calls).clone()
+        lock(&self.call_stats).clone()
     }
 
     /// It has lost something, and is back without. All watches that are open are told.
     pub fn restore(&self, back: RestoreMode) {
         let seq = {
-            let (mut list, first) = (lock(&self.list), lock(&self.first).clone());
+            let (mut list, first) = (lock(&self.list), lock(&self.first_list).clone());
             match back {
                 RestoreMode::FirstVersion => *list = first.unwrap_or_default(),
                 RestoreMode::Empty => *list = List::default(),
@@ -191,18 +191,18 @@
     }
 
     /// Waits until the service has worked on a call of so many bytes; whether it answers.
-    async fn turn(&self, bytes: usize) -> Result<(), Duration> {
+    async fn wait_for_capacity(&self, bytes: usize) -> Result<(), Duration> {
         let ServiceLimits {
             calls_per_s,
             bytes_per_s,
             sheds_load: turns_away,
             ..
-        } = lock(&self.bearing).clone();
+        } = lock(&self.limits).clone();
         let share = |of: f64, a_second: f64| if a_second > 0.0 { of / a_second } else { 0.0 };
         let takes =
             Duration::from_secs_f64(share(1.0, calls_per_s) + share(bytes as f64, bytes_per_s));
         let (now, until) = {
-            let (now, mut busy) = (self.world.now(), lock(&self.busy));
+            let (now, mut busy) = (self.world.now(), lock(&self.busy_until));
             let line = busy.saturating_sub(now);
             if turns_away && line > MAX_QUEUE_DELAY {
                 return Err(line);
@@ -225,7 +225,7 @@
                     .into_iter()
                     .map(|entry| (entry.host.clone(), (seq, entry))),
             );
-            lock(&self.first).get_or_insert_with(|| list.clone());
+            lock(&self.first_list).get_or_insert_with(|| list.clone());
             seq
         };
         self.seq.send_replace(seq);
@@ -246,7 +246,9 @@
 
     /// The same as one node is told it.
     pub fn full_list_for(&self, node: usize) -> String {
-        lock(&self.list).since(None, node, &lock(&self.dials)).0
+        lock(&self.list)
+            .changes_since(None, node, &lock(&self.dials))
+            .0
     }
 
     /// A node finds a host elsewhere than others.
@@ -261,7 +263,7 @@
 
     /// Each change is written so much later, by each agent.
     pub fn set_delay(&self, lateness: Duration) {
-        *lock(&self.lateness) = lateness;
+        *lock(&self.delay) = lateness;
     }
 
     /// Starts the agent of one node; the address is where that node finds discovery.
@@ -285,14 +287,14 @@
     }
 
     async fn serve(&self, node: usize, stream: TcpStream) -> std::io::Result<()> {
-        let mut wire = HttpConnection::new(stream);
-        if lock(&self.bearing).down {
-            return wire.stream.set_zero_linger();
+        let mut connection = HttpConnection::new(stream);
+        if lock(&self.limits).down {
+            return connection.stream.set_zero_linger();
         }
-        let Some(request) = wire.read_message(&self.world).await? else {
+        let Some(request) = connection.read_message(&self.world).await? else {
             return Ok(());
         };
-        lock(&self.calls).times.push(self.world.now());
+        lock(&self.call_stats).times.push(self.world.now());
         let mut from = request
             .target()
             .split(['?', '&'])
@@ -308,17 +310,17 @@
             let list = lock(&self.list);
             // A version that is not known here is answered with the whole list.
             from = from.filter(|from| *from <= list.seq);
-            list.since(from, node, &lock(&self.dials)).0.len()
+            list.changes_since(from, node, &lock(&self.dials)).0.len()
         };
-        if let Err(line) = self.turn(bytes).await {
-            lock(&self.calls).rejected += 1;
+        if let Err(line) = self.wait_for_capacity(bytes).await {
+            lock(&self.call_stats).rejected += 1;
             let after = format!("Retry-After: {}\r\n", line.as_secs().max(1));
-            return wire
+            return connection
                 .write(&crate::wire::response("503 Busy", &after, ""))
                 .await;
         }
-        let _open = Open::begin(&self.calls);
-        let stream = &mut wire.stream;
+        let _open = OpenWatch::begin(&self.call_stats);
+        let stream = &mut connection.stream;
         stream
             .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             .await?;
@@ -326,13 +328,13 @@
         let mut first = true;
         loop {
             seq.borrow_and_update();
-            if lock(&self.bearing).down {
-                return wire.stream.set_zero_linger();
+            if lock(&self.limits).down {
+                return connection.stream.set_zero_linger();
             }
             let (text, entries, version) = {
                 let list = lock(&self.list);
                 from = from.filter(|from| *from <= list.seq);
-                let (text, entries) = list.since(from, node, &lock(&self.dials));
+                let (text, entries) = list.changes_since(from, node, &lock(&self.dials));
                 (text, entries, list.seq)
             };
             if std::mem::take(&mut first) || from != Some(version) {
@@ -340,17 +342,17 @@
                 stream.write_all(line.as_bytes()).await?;
                 let now = self.world.now();
                 {
-                    let mut calls = lock(&self.calls);
+                    let mut calls = lock(&self.call_stats);
                     calls.list_bytes += text.len() as u64;
                     calls.first_answers.entry(node).or_insert(now);
                 }
-                let mut ledger = self.world.oracle();
+                let mut oracle = self.world.oracle();
                 entries.iter().for_each(|entry| {
-                    ledger.health_delivered(now, node, &entry.host, entry.health == "ready");
+                    oracle.health_delivered(now, node, &entry.host, entry.health == "ready");
                 });
                 from = Some(version);
             }
-            let changed = tokio::time::timeout(SIGN_OF_LIFE, seq.changed())
+            let changed = tokio::time::timeout(KEEPALIVE_INTERVAL, seq.changed())
                 .await
                 .is_ok();
             silent
@@ -358,7 +360,7 @@
                 .await
                 .map_err(std::io::Error::other)?;
             if changed {
-                let lateness = *lock(&self.lateness);
+                let lateness = *lock(&self.delay);
                 tokio::time::sleep(lateness).await;
             } else {
                 stream.write_all(b"1\r\n\n\r\n").await?;
@@ -368,20 +370,20 @@
 }
 
 /// A watch that is open.
-struct Open<'a>(&'a Mutex<CallStats>);
+struct OpenWatch<'a>(&'a Mutex<CallStats>);
 
-impl Open<'_> {
-    fn begin(calls: &Mutex<CallStats>) -> Open<'_> {
+impl OpenWatch<'_> {
+    fn begin(calls: &Mutex<CallStats>) -> OpenWatch<'_> {
         {
             let mut calls = lock(calls);
             calls.open_watches += 1;
             calls.max_open_watches = calls.max_open_watches.max(calls.open_watches);
         }
-        Open(calls)
+        OpenWatch(calls)
     }
 }
 
-impl Drop for Open<'_> {
+impl Drop for OpenWatch<'_> {
     fn drop(&mut self) {
         lock(self.0).open_watches -= 1;
     }
--- a/crates/test-doubles/src/etcd.rs
+++ b/crates/test-doubles/src/etcd.rs
@@ -29,9 +29,9 @@
 use tonic_prost::ProstCodec;
 
 /// Leases are looked at this often.
-const LEASES_EVERY: Duration = Duration::from_millis(20);
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// Responses that may wait for a slow reader of a watch.
-const WAITING_MOST: usize = 16;
+const MAX_QUEUED_RESPONSES: usize = 16;
 
 #[derive(Clone, Debug)]
 struct Lease {
@@ -86,7 +86,7 @@
         let (key, end) = (key.to_vec(), end.to_vec());
         self.keys
             .keys()
-            .filter(move |other| inside(&key, &end, other))
+            .filter(move |other| in_range(&key, &end, other))
     }
 
     /// Puts a key as part of the change of a revision.
@@ -168,10 +168,14 @@
 
     fn range(
         &self,
-        ask: &api::RangeRequest,
+        message: &api::RangeRequest,
         seen: i64,
     ) -> Result<(Vec<KeyValue>, bool, i64), Status> {
-        let revision = if ask.revision > 0 { ask.revision } else { seen };
+        let revision = if message.revision > 0 {
+            message.revision
+        } else {
+            seen
+        };
         if revision > self.revision {
             return Err(Status::out_of_range(
                 "etcdserver: mvcc: required revision is a future revision",
@@ -183,22 +187,22 @@
             ));
         }
         let live = self
-            .within(&ask.key, &ask.range_end)
+            .within(&message.key, &message.range_end)
             .filter_map(|key| self.live(key, revision));
         let mut kvs: Vec<KeyValue> = live.cloned().collect();
         let count = kvs.len() as i64;
         // Sorted by key, ascending, as without a sort; descending is 2.
-        if ask.sort_order == 2 {
+        if message.sort_order == 2 {
             kvs.reverse();
         }
-        let more = ask.limit > 0 && count > ask.limit;
+        let more = message.limit > 0 && count > message.limit;
         if more {
-            kvs.truncate(ask.limit as usize);
+            kvs.truncate(message.limit as usize);
         }
-        if ask.count_only {
+        if message.count_only {
             kvs.clear();
         }
-        if ask.keys_only {
+        if message.keys_only {
             kvs.iter_mut().for_each(|kv| kv.value.clear());
         }
         Ok((kvs, more, count))
@@ -230,7 +234,7 @@
 }
 
 /// Whether a key lies in a range: no end is the key alone, and an end of one nought is everything from the key on.
-fn inside(key: &[u8], end: &[u8], other: &[u8]) -> bool {
+fn in_range(key: &[u8], end: &[u8], other: &[u8]) -> bool {
     match end {
         [] => other == key,
         [0] => other >= key,
@@ -258,13 +262,13 @@
 }
 
 #[derive(Debug)]
-struct Inside {
+struct MemberState {
     store: Arc<Mutex<Store>>,
     changed: watch::Sender<i64>,
     id: u64,
     faults: Mutex<Faults>,
     /// Changed whenever faults are; connections look again.
-    stirred: watch::Sender<u64>,
+    faults_changed: watch::Sender<u64>,
     /// Raised to cut all connections.
     cuts: watch::Sender<u64>,
     connections: AtomicU64,
@@ -275,7 +279,7 @@
 /// One member of the cluster.
 #[derive(Clone, Debug)]
 pub struct Member {
-    inside: Arc<Inside>,
+    state: Arc<MemberState>,
     /// Where clients connect.
     pub address: SocketAddr,
 }
@@ -301,18 +305,18 @@
         for number in 0..members {
             let listener = TcpListener::bind("127.0.0.1:0").await?;
             let address = listener.local_addr()?;
-            let inside = Arc::new(Inside {
+            let state = Arc::new(MemberState {
                 store: Arc::clone(&store),
                 changed: changed.clone(),
                 id: number as u64 + 0x100,
                 faults: Mutex::default(),
-                stirred: watch::channel(0).0,
+                faults_changed: watch::channel(0).0,
                 cuts: watch::channel(0).0,
                 connections: AtomicU64::new(0),
                 watches: AtomicU64::new(0),
                 ranges: AtomicU64::new(0),
             });
-            let member = Member { inside, address };
+            let member = Member { state, address };
             tokio::spawn(member.clone().accept(listener));
             all.push(member);
         }
@@ -446,7 +450,7 @@
 
     async fn expire(self) {
         loop {
-            tokio::time::sleep(LEASES_EVERY).await;
+            tokio::time::sleep(LEASE_CHECK_INTERVAL).await;
             let now = Instant::now();
             let over: Vec<i64> = {
                 let store = lock(&self.store);
@@ -497,29 +501,29 @@
 impl Member {
     /// Changes what befalls it from now on.
     pub fn set_faults(&self, change: impl FnOnce(&mut Faults)) {
-        change(&mut lock(&self.inside.faults));
-        self.inside.stirred.send_modify(|count| *count += 1);
-        self.inside.changed.send_modify(|_| {});
+        change(&mut lock(&self.state.faults));
+        self.state.faults_changed.send_modify(|count| *count += 1);
+        self.state.changed.send_modify(|_| {});
     }
 
     /// Cuts all its connections, in the middle of whatever they do.
     pub fn cut_connections(&self) {
-        self.inside.cuts.send_modify(|count| *count += 1);
+        self.state.cuts.send_modify(|count| *count += 1);
     }
 
     /// Connections that it has taken so far.
     pub fn connections(&self) -> u64 {
-        self.inside.connections.load(Ordering::Relaxed)
+        self.state.connections.load(Ordering::Relaxed)
     }
 
     /// Watches that were created at it so far.
     pub fn watches(&self) -> u64 {
-        self.inside.watches.load(Ordering::Relaxed)
+        self.state.watches.load(Ordering::Relaxed)
     }
 
     /// Ranges that it has answered so far.
     pub fn ranges(&self) -> u64 {
-        self.inside.ranges.load(Ordering::Relaxed)
+        self.state.ranges.load(Ordering::Relaxed)
     }
 
     async fn accept(self, listener: TcpListener) {
@@ -527,23 +531,23 @@
             let Ok((stream, _)) = listener.accept().await else {
                 continue;
             };
-            self.inside.connections.fetch_add(1, Ordering::Relaxed);
-            if lock(&self.inside.faults).refuse_connections {
+            self.state.connections.fetch_add(1, Ordering::Relaxed);
+            if lock(&self.state.faults).refuse_connections {
                 continue;
             }
             let _ = stream.set_nodelay(true);
-            let inside = Arc::clone(&self.inside);
+            let state = Arc::clone(&self.state);
             tokio::spawn(async move {
-                let mut cuts = inside.cuts.subscribe();
+                let mut cuts = state.cuts.subscribe();
                 cuts.borrow_and_update();
-                let mut stirred = inside.stirred.subscribe();
-                let pace = Box::pin(async move { _ = stirred.changed().await });
-                let io = Faulty {
+                let mut faults_changed = state.faults_changed.subscribe();
+                let next_change = Box::pin(async move { _ = faults_changed.changed().await });
+                let io = FaultyStream {
                     stream,
-                    inside: Arc::clone(&inside),
-                    pace,
+                    state: Arc::clone(&state),
+                    next_change,
                 };
-                let service = TowerToHyperService::new(Api(inside));
+                let service = TowerToHyperService::new(Api(state));
                 let http = hyper::server::conn::http2::Builder::new(TokioExecutor::new());
                 tokio::select! {
                     // How it ended is the client's concern.
@@ -556,30 +560,30 @@
 }
 
 /// A connection that its member's faults act on.
-struct Faulty {
+struct FaultyStream {
     stream: TcpStream,
-    inside: Arc<Inside>,
+    state: Arc<MemberState>,
     /// Ends when the faults have changed.
-    pace: Pin<Box<dyn Future<Output = ()> + Send>>,
+    next_change: Pin<Box<dyn Future<Output = ()> + Send>>,
 }
 
-impl Faulty {
+impl FaultyStream {
     /// Whether the member stands still; whoever asks is woken when that may have changed.
     fn frozen(&mut self, context: &mut Context<'_>) -> bool {
         loop {
-            if !lock(&self.inside.faults).frozen {
+            if !lock(&self.state.faults).frozen {
                 return false;
             }
-            if self.pace.as_mut().poll(context).is_pending() {
+            if self.next_change.as_mut().poll(context).is_pending() {
                 return true;
             }
-            let mut stirred = self.inside.stirred.subscribe();
-            self.pace = Box::pin(async move { _ = stirred.changed().await });
+            let mut faults_changed = self.state.faults_changed.subscribe();
+            self.next_change = Box::pin(async move { _ = faults_changed.changed().await });
         }
     }
 }
 
-impl AsyncRead for Faulty {
+impl AsyncRead for FaultyStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -592,7 +596,7 @@
     }
 }
 
-impl AsyncWrite for Faulty {
+impl AsyncWrite for FaultyStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -601,16 +605,16 @@
         if self.frozen(context) {
             return Poll::Pending;
         }
-        let left = lock(&self.inside.faults).cut_after_bytes;
+        let left = lock(&self.state.faults).cut_after_bytes;
         let part = left.map_or(bytes.len(), |left| bytes.len().min(left as usize));
         if part == 0 && !bytes.is_empty() {
-            lock(&self.inside.faults).cut_after_bytes = None;
-            self.inside.cuts.send_modify(|count| *count += 1);
+            lock(&self.state.faults).cut_after_bytes = None;
+            self.state.cuts.send_modify(|count| *count += 1);
             return Poll::Ready(Err(io::ErrorKind::ConnectionReset.into()));
         }
         let written = Pin::new(&mut self.stream).poll_write(context, &bytes[..part]);
         if let (Poll::Ready(Ok(count)), Some(left)) =
-            (&written, &mut lock(&self.inside.faults).cut_after_bytes)
+            (&written, &mut lock(&self.state.faults).cut_after_bytes)
         {
             *left = left.saturating_sub(*count as u64);
         }
@@ -626,20 +630,20 @@
     }
 }
 
-impl Inside {
+impl MemberState {
     fn store(&self) -> MutexGuard<'_, Store> {
         lock(&self.store)
     }
 
     /// The revision that this member shows.
-    fn seen(&self) -> i64 {
+    fn visible_revision(&self) -> i64 {
         let stuck = lock(&self.faults).stuck_at_revision;
         let revision = self.store().revision;
         stuck.map_or(revision, |stuck| stuck.min(revision))
     }
 
     fn header(&self) -> ResponseHeader {
-        let revision = self.seen();
+        let revision = self.visible_revision();
         let store = self.store();
         ResponseHeader {
             cluster_id: store.cluster_id,
@@ -653,7 +657,7 @@
         change_store(&self.store, &self.changed, change)
     }
 
-    fn allow(&self, metadata: &tonic::metadata::MetadataMap) -> Result<(), Status> {
+    fn check_auth(&self, metadata: &tonic::metadata::MetadataMap) -> Result<(), Status> {
         let store = self.store();
         let Some((name, _)) = &store.user else {
             return Ok(());
@@ -670,17 +674,17 @@
         ))
     }
 
-    async fn range(&self, ask: api::RangeRequest) -> Result<api::RangeResponse, Status> {
-        if !ask.serializable {
+    async fn range(&self, message: api::RangeRequest) -> Result<api::RangeResponse, Status> {
+        if !message.serializable {
             // Linearizable: a member that lags answers when it has caught up.
-            let mut stirred = self.stirred.subscribe();
+            let mut faults_changed = self.faults_changed.subscribe();
             while lock(&self.faults).stuck_at_revision.is_some() {
-                let _ = stirred.changed().await;
+                let _ = faults_changed.changed().await;
             }
         }
         self.ranges.fetch_add(1, Ordering::Relaxed);
-        let seen = self.seen();
-        let (kvs, more, count) = self.store().range(&ask, seen)?;
+        let seen = self.visible_revision();
+        let (kvs, more, count) = self.store().range(&message, seen)?;
         Ok(api::RangeResponse {
             header: Some(self.header()),
             kvs,
@@ -689,75 +693,80 @@
         })
     }
 
-    async fn unary(&self, call: Call) -> Result<Answered, Status> {
+    async fn unary(&self, call: Call) -> Result<CallResponse, Status> {
         Ok(match call {
-            Call::Range(ask) => Answered::Range(self.range(ask).await?),
-            Call::Put(ask) => {
-                let before = self.change(|store, revision| store.put(revision, &ask))?;
-                let prev_kv = before.filter(|_| ask.prev_kv);
-                Answered::Put(api::PutResponse {
+            Call::Range(message) => CallResponse::Range(self.range(message).await?),
+            Call::Put(message) => {
+                let before = self.change(|store, revision| store.put(revision, &message))?;
+                let prev_kv = before.filter(|_| message.prev_kv);
+                CallResponse::Put(api::PutResponse {
                     header: Some(self.header()),
                     prev_kv,
                 })
             }
-            Call::Delete(ask) => {
-                let prev_kvs =
-                    self.change(|store, revision| store.delete(revision, &ask.key, &ask.range_end));
+            Call::Delete(message) => {
+                let prev_kvs = self.change(|store, revision| {
+                    store.delete(revision, &message.key, &message.range_end)
+                });
                 let deleted = prev_kvs.len() as i64;
-                let prev_kvs = if ask.prev_kv { prev_kvs } else { Vec::new() };
-                Answered::Delete(api::DeleteRangeResponse {
+                let prev_kvs = if message.prev_kv {
+                    prev_kvs
+                } else {
+                    Vec::new()
+                };
+                CallResponse::Delete(api::DeleteRangeResponse {
                     header: Some(self.header()),
                     deleted,
                     prev_kvs,
                 })
             }
-            Call::Txn(ask) => Answered::Txn(self.txn(ask)?),
-            Call::Compact(ask) => {
-                self.store().compact(ask.revision)?;
+            Call::Txn(message) => CallResponse::Txn(self.txn(message)?),
+            Call::Compact(message) => {
+                self.store().compact(message.revision)?;
                 // Watches behind it are cancelled.
                 self.changed.send_modify(|_| {});
-                Answered::Compact(api::CompactionResponse {
+                CallResponse::Compact(api::CompactionResponse {
                     header: Some(self.header()),
                 })
             }
-            Call::Grant(ask) => {
+            Call::Grant(message) => {
                 let mut store = self.store();
-                let id = if ask.id == 0 {
+                let id = if message.id == 0 {
                     store.next_lease
                 } else {
-                    ask.id
+                    message.id
                 };
                 store.next_lease = store.next_lease.max(id) + 1;
-                let until = Instant::now() + Duration::from_secs(ask.ttl.max(1) as u64);
+                let until = Instant::now() + Duration::from_secs(message.ttl.max(1) as u64);
                 store.leases.insert(
                     id,
                     Lease {
-                        ttl: ask.ttl,
+                        ttl: message.ttl,
                         until,
                         keys: BTreeSet::new(),
                     },
                 );
                 drop(store);
                 let header = Some(self.header());
-                Answered::Grant(api::LeaseGrantResponse {
+                CallResponse::Grant(api::LeaseGrantResponse {
                     header,
                     id,
-                    ttl: ask.ttl,
+                    ttl: message.ttl,
                     error: String::new(),
                 })
             }
-            Call::Revoke(ask) => {
-                if !revoke(&self.store, &self.changed, ask.id) {
+            Call::Revoke(message) => {
+                if !revoke(&self.store, &self.changed, message.id) {
                     return Err(Status::not_found("etcdserver: requested lease not found"));
                 }
-                Answered::Revoke(api::LeaseRevokeResponse {
+                CallResponse::Revoke(api::LeaseRevokeResponse {
                     header: Some(self.header()),
                 })
             }
-            Call::TimeToLive(ask) => {
+            Call::TimeToLive(message) => {
                 let header = Some(self.header());
                 let store = self.store();
-                let lease = store.leases.get(&ask.id);
+                let lease = store.leases.get(&message.id);
                 let left = lease.map(|lease| {
                     lease
                         .until
@@ -765,30 +774,30 @@
                         .as_secs()
                 });
                 let keys = lease
-                    .filter(|_| ask.keys)
+                    .filter(|_| message.keys)
                     .map(|lease| lease.keys.iter().cloned().collect());
-                Answered::TimeToLive(api::LeaseTimeToLiveResponse {
+                CallResponse::TimeToLive(api::LeaseTimeToLiveResponse {
                     header,
-                    id: ask.id,
+                    id: message.id,
                     ttl: left.map_or(-1, |left| left as i64),
                     granted_ttl: lease.map_or(0, |lease| lease.ttl),
                     keys: keys.unwrap_or_default(),
                 })
             }
-            Call::Authenticate(ask) => {
+            Call::Authenticate(message) => {
                 let header = Some(self.header());
                 let store = self.store();
-                if store.user != Some((ask.name.clone(), ask.password)) {
+                if store.user != Some((message.name.clone(), message.password)) {
                     return Err(Status::invalid_argument(
                         "etcdserver: authentication failed, invalid user ID or password",
                     ));
                 }
-                let token = format!("{}.{}", ask.name, store.cluster_id);
-                Answered::Authenticate(api::AuthenticateResponse { header, token })
+                let token = format!("{}.{}", message.name, store.cluster_id);
+                CallResponse::Authenticate(api::AuthenticateResponse { header, token })
             }
             Call::Status => {
                 let header = self.header();
-                Answered::Status(api::StatusResponse {
+                CallResponse::Status(api::StatusResponse {
                     header: Some(header),
                     version: "3.5.0".to_owned(),
                     db_size: 1,
@@ -800,29 +809,31 @@
         })
     }
 
-    fn txn(&self, ask: api::TxnRequest) -> Result<api::TxnResponse, Status> {
-        if !ask.compare.is_empty() {
+    fn txn(&self, message: api::TxnRequest) -> Result<api::TxnResponse, Status> {
+        if !message.compare.is_empty() {
             return Err(Status::unimplemented("the stand-in knows no comparisons"));
         }
-        let seen = self.seen();
+        let seen = self.visible_revision();
         let responses = self.change(|store, revision| {
             let mut responses = Vec::new();
-            for op in ask.success {
+            for op in message.success {
                 let response = match op.request {
                     Some(api::request_op::Request::Put(put)) => {
                         store.put(revision, &put)?;
                         api::response_op::Response::Put(api::PutResponse::default())
                     }
-                    Some(api::request_op::Request::Delete(ask)) => {
-                        let deleted = store.delete(revision, &ask.key, &ask.range_end).len() as i64;
+                    Some(api::request_op::Request::Delete(message)) => {
+                        let deleted = store
+                            .delete(revision, &message.key, &message.range_end)
+                            .len() as i64;
                         let answer = api::DeleteRangeResponse {
                             deleted,
                             ..Default::default()
                         };
                         api::response_op::Response::Delete(answer)
                     }
-                    Some(api::request_op::Request::Range(ask)) => {
-                        let (kvs, more, count) = store.range(&ask, seen)?;
+                    Some(api::request_op::Request::Range(message)) => {
+                        let (kvs, more, count) = store.range(&message, seen)?;
                         api::response_op::Response::Range(api::RangeResponse {
                             header: None,
                             kvs,
@@ -848,7 +859,7 @@
 
 /// One watcher of a stream.
 struct Watcher {
-    ask: api::WatchCreateRequest,
+    message: api::WatchCreateRequest,
     /// The revision from which events are still to be sent.
     next: i64,
 }
@@ -856,30 +867,30 @@
 type Responses = mpsc::Sender<Result<api::WatchResponse, Status>>;
 
 /// One watch stream, which may hold several watchers.
-struct Watching {
-    inside: Arc<Inside>,
+struct WatchStream {
+    state: Arc<MemberState>,
     watchers: BTreeMap<i64, Watcher>,
     next_id: i64,
     responses: Responses,
 }
 
-impl Watching {
-    async fn run(mut self, mut asks: Streaming<api::WatchRequest>) {
-        let mut changed = self.inside.changed.subscribe();
+impl WatchStream {
+    async fn run(mut self, mut requests: Streaming<api::WatchRequest>) {
+        let mut changed = self.state.changed.subscribe();
         loop {
             changed.borrow_and_update();
             if self.catch_up().await.is_none() {
                 return;
             }
-            let ask = tokio::select! {
-                ask = asks.message() => match ask {
-                    Ok(Some(ask)) => ask,
+            let message = tokio::select! {
+                message = requests.message() => match message {
+                    Ok(Some(message)) => message,
                     _ => return,
                 },
                 _ = changed.changed() => continue,
                 () = self.responses.closed() => return,
             };
-            if self.take(ask).await.is_none() {
+            if self.take(message).await.is_none() {
                 return;
             }
         }
@@ -887,23 +898,23 @@
 
     async fn send(&self, response: api::WatchResponse) -> Option<()> {
         let response = api::WatchResponse {
-            header: Some(self.inside.header()),
+            header: Some(self.state.header()),
             ..response
         };
         self.responses.send(Ok(response)).await.ok()
     }
 
-    async fn take(&mut self, ask: api::WatchRequest) -> Option<()> {
-        match ask.request {
-            Some(api::watch_request::Request::Create(ask)) => {
-                self.inside.watches.fetch_add(1, Ordering::Relaxed);
-                let free = ask.watch_id == 0 || self.watchers.contains_key(&ask.watch_id);
-                let watch_id = if free { self.next_id } else { ask.watch_id };
+    async fn take(&mut self, message: api::WatchRequest) -> Option<()> {
+        match message.request {
+            Some(api::watch_request::Request::Create(message)) => {
+                self.state.watches.fetch_add(1, Ordering::Relaxed);
+                let free = message.watch_id == 0 || self.watchers.contains_key(&message.watch_id);
+                let watch_id = if free { self.next_id } else { message.watch_id };
                 self.next_id = self.next_id.max(watch_id) + 1;
-                let next = if ask.start_revision > 0 {
-                    ask.start_revision
+                let next = if message.start_revision > 0 {
+                    message.start_revision
                 } else {
-                    self.inside.seen() + 1
+                    self.state.visible_revision() + 1
                 };
                 self.send(api::WatchResponse {
                     watch_id,
@@ -911,11 +922,11 @@
                     ..Default::default()
                 })
                 .await?;
-                self.watchers.insert(watch_id, Watcher { ask, next });
+                self.watchers.insert(watch_id, Watcher { message, next });
                 Some(())
             }
-            Some(api::watch_request::Request::Cancel(ask)) => {
-                let watch_id = ask.watch_id;
+            Some(api::watch_request::Request::Cancel(message)) => {
+                let watch_id = message.watch_id;
                 self.watchers.remove(&watch_id);
                 self.send(api::WatchResponse {
                     watch_id,
@@ -927,7 +938,7 @@
             Some(api::watch_request::Request::Progress(_)) => {
                 // It tells a revision up to which all watchers have been sent everything, and none beyond.
                 let header = loop {
-                    let header = self.inside.header();
+                    let header = self.state.header();
                     self.catch_up().await?;
                     if self
                         .watchers
@@ -952,14 +963,15 @@
     async fn catch_up(&mut self) -> Option<()> {
         let ids: Vec<i64> = self.watchers.keys().copied().collect();
         for watch_id in ids {
-            let seen = self.inside.seen();
+            let seen = self.state.visible_revision();
             let watcher = self.watchers.get_mut(&watch_id)?;
             let (events, compacted) = {
-                let store = self.inside.store();
-                let ask = &watcher.ask;
+                let store = self.state.store();
+                let message = &watcher.message;
                 let wanted = |event: &&Event| {
                     let key = event.kv.as_ref().map_or(&[][..], |kv| &kv.key);
-                    inside(&ask.key, &ask.range_end, key) && !ask.filters.contains(&event.r#type)
+                    in_range(&message.key, &message.range_end, key)
+                        && !message.filters.contains(&event.r#type)
                 };
                 let range = watcher.next..=seen.max(watcher.next - 1);
                 let events: Vec<Event> = if watcher.next <= seen {
@@ -995,7 +1007,7 @@
             if events.is_empty() {
                 continue;
             }
-            let (prev_kv, fragment) = (watcher.ask.prev_kv, watcher.ask.fragment);
+            let (prev_kv, fragment) = (watcher.message.prev_kv, watcher.message.fragment);
             self.send_events(watch_id, events, prev_kv, fragment)
                 .await?;
         }
@@ -1014,7 +1026,7 @@
             events.iter_mut().for_each(|event| event.prev_kv = None);
         }
         let (at, between) = {
-            let faults = lock(&self.inside.faults);
+            let faults = lock(&self.state.faults);
             (faults.fragment_at, faults.fragment_delay)
         };
         let at = if fragment && at > 0 { at } else { events.len() };
@@ -1031,12 +1043,12 @@
             if fragment {
                 // Time for it to be written before whatever comes next.
                 tokio::time::sleep(between).await;
-                let mut faults = lock(&self.inside.faults);
+                let mut faults = lock(&self.state.faults);
                 if let Some(left) = &mut faults.cut_after_fragments {
                     *left = left.saturating_sub(1);
                     if *left == 0 {
                         faults.cut_after_fragments = None;
-                        self.inside.cuts.send_modify(|count| *count += 1);
+                        self.state.cuts.send_modify(|count| *count += 1);
                         return None;
                     }
                 }
@@ -1059,7 +1071,7 @@
     Status,
 }
 
-enum Answered {
+enum CallResponse {
     Range(api::RangeResponse),
     Put(api::PutResponse),
     Delete(api::DeleteRangeResponse),
@@ -1073,7 +1085,11 @@
 }
 
 /// One unary call: which it is, and how its answer is told from the others.
-struct Unary<A, B>(Arc<Inside>, fn(A) -> Call, fn(Answered) -> Option<B>);
+struct Unary<A, B>(
+    Arc<MemberState>,
+    fn(A) -> Call,
+    fn(CallResponse) -> Option<B>,
+);
 
 type Boxed<T> = Pin<Box<dyn Future<Output = Result<T, Status>> + Send>>;
 
@@ -1082,22 +1098,22 @@
     type Future = Boxed<tonic::Response<B>>;
 
     fn call(&mut self, request: tonic::Request<A>) -> Self::Future {
-        let (inside, call, answer) = (Arc::clone(&self.0), self.1, self.2);
+        let (state, call, answer) = (Arc::clone(&self.0), self.1, self.2);
         Box::pin(async move {
-            let (metadata, _, ask) = request.into_parts();
-            let call = call(ask);
+            let (metadata, _, message) = request.into_parts();
+            let call = call(message);
             if !matches!(call, Call::Authenticate(_)) {
-                inside.allow(&metadata)?;
+                state.check_auth(&metadata)?;
             }
-            let answered = answer(inside.unary(call).await?);
-            answered
+            let call_response = answer(state.unary(call).await?);
+            call_response
                 .map(tonic::Response::new)
                 .ok_or_else(|| Status::internal("another call's answer"))
         })
     }
 }
 
-struct Watches(Arc<Inside>);
+struct Watches(Arc<MemberState>);
 
 impl StreamingService<api::WatchRequest> for Watches {
     type Response = api::WatchResponse;
@@ -1105,23 +1121,23 @@
     type Future = Boxed<tonic::Response<Self::ResponseStream>>;
 
     fn call(&mut self, request: tonic::Request<Streaming<api::WatchRequest>>) -> Self::Future {
-        let inside = Arc::clone(&self.0);
+        let state = Arc::clone(&self.0);
         Box::pin(async move {
-            inside.allow(request.metadata())?;
-            let (responses, stream) = mpsc::channel(WAITING_MOST);
-            let watching = Watching {
-                inside,
+            state.check_auth(request.metadata())?;
+            let (responses, stream) = mpsc::channel(MAX_QUEUED_RESPONSES);
+            let watch_stream = WatchStream {
+                state,
                 watchers: BTreeMap::new(),
                 next_id: 0,
                 responses,
             };
-            tokio::spawn(watching.run(request.into_inner()));
+            tokio::spawn(watch_stream.run(request.into_inner()));
             Ok(tonic::Response::new(ReceiverStream::new(stream)))
         })
     }
 }
 
-struct KeepAlives(Arc<Inside>);
+struct KeepAlives(Arc<MemberState>);
 
 impl StreamingService<api::LeaseKeepAliveRequest> for KeepAlives {
     type Response = api::LeaseKeepAliveResponse;
@@ -1132,25 +1148,25 @@
         &mut self,
         request: tonic::Request<Streaming<api::LeaseKeepAliveRequest>>,
     ) -> Self::Future {
-        let inside = Arc::clone(&self.0);
+        let state = Arc::clone(&self.0);
         Box::pin(async move {
-            inside.allow(request.metadata())?;
-            let (responses, stream) = mpsc::channel(WAITING_MOST);
-            let mut asks = request.into_inner();
+            state.check_auth(request.metadata())?;
+            let (responses, stream) = mpsc::channel(MAX_QUEUED_RESPONSES);
+            let mut requests = request.into_inner();
             tokio::spawn(async move {
-                while let Ok(Some(ask)) = asks.message().await {
+                while let Ok(Some(message)) = requests.message().await {
                     let ttl = {
-                        let mut store = inside.store();
-                        store.leases.get_mut(&ask.id).map_or(0, |lease| {
+                        let mut store = state.store();
+                        store.leases.get_mut(&message.id).map_or(0, |lease| {
                             lease.until =
                                 Instant::now() + Duration::from_secs(lease.ttl.max(1) as u64);
                             lease.ttl
                         })
                     };
-                    let header = Some(inside.header());
+                    let header = Some(state.header());
                     let response = api::LeaseKeepAliveResponse {
                         header,
-                        id: ask.id,
+                        id: message.id,
                         ttl,
                     };
                     if responses.send(Ok(response)).await.is_err() {
@@ -1165,12 +1181,12 @@
 
 /// All calls of one connection.
 #[derive(Clone)]
-struct Api(Arc<Inside>);
+struct Api(Arc<MemberState>);
 
 macro_rules! unary {
-    ($inside:expr, $request:expr, $variant:ident, $call:expr) => {{
-        let service = Unary($inside, $call, |answered| match answered {
-            Answered::$variant(answer) => Some(answer),
+    ($state:expr, $request:expr, $variant:ident, $call:expr) => {{
+        let service = Unary($state, $call, |call_response| match call_response {
+            CallResponse::$variant(answer) => Some(answer),
             _ => None,
         });
         Grpc::new(ProstCodec::default())
@@ -1189,30 +1205,30 @@
     }
 
     fn call(&mut self, request: Request<hyper::body::Incoming>) -> Self::Future {
-        let inside = Arc::clone(&self.0);
+        let state = Arc::clone(&self.0);
         Box::pin(async move {
             let called = request.uri().path().to_owned();
             Ok(match &called[..] {
-                path::RANGE => unary!(inside, request, Range, Call::Range),
-                path::PUT => unary!(inside, request, Put, Call::Put),
-                path::DELETE_RANGE => unary!(inside, request, Delete, Call::Delete),
-                path::TXN => unary!(inside, request, Txn, Call::Txn),
-                path::COMPACT => unary!(inside, request, Compact, Call::Compact),
-                path::LEASE_GRANT => unary!(inside, request, Grant, Call::Grant),
-                path::LEASE_REVOKE => unary!(inside, request, Revoke, Call::Revoke),
-                path::LEASE_TIME_TO_LIVE => unary!(inside, request, TimeToLive, Call::TimeToLive),
-                path::AUTHENTICATE => unary!(inside, request, Authenticate, Call::Authenticate),
-                path::STATUS => unary!(inside, request, Status, |_: api::StatusRequest| {
+                path::RANGE => unary!(state, request, Range, Call::Range),
+                path::PUT => unary!(state, request, Put, Call::Put),
+                path::DELETE_RANGE => unary!(state, request, Delete, Call::Delete),
+                path::TXN => unary!(state, request, Txn, Call::Txn),
+                path::COMPACT => unary!(state, request, Compact, Call::Compact),
+                path::LEASE_GRANT => unary!(state, request, Grant, Call::Grant),
+                path::LEASE_REVOKE => unary!(state, request, Revoke, Call::Revoke),
+                path::LEASE_TIME_TO_LIVE => unary!(state, request, TimeToLive, Call::TimeToLive),
+                path::AUTHENTICATE => unary!(state, request, Authenticate, Call::Authenticate),
+                path::STATUS => unary!(state, request, Status, |_: api::StatusRequest| {
                     Call::Status
                 }),
                 path::WATCH => {
                     Grpc::new(ProstCodec::default())
-                        .streaming(Watches(inside), request)
+                        .streaming(Watches(state), request)
                         .await
                 }
                 path::LEASE_KEEP_ALIVE => {
                     Grpc::new(ProstCodec::default())
-                        .streaming(KeepAlives(inside), request)
+                        .streaming(KeepAlives(state), request)
                         .await
                 }
                 _ => Status::unimplemented(called).into_http(),
--- a/crates/test-doubles/src/lib.rs
+++ b/crates/test-doubles/src/lib.rs
@@ -1,7 +1,7 @@
 //! Stand-ins on loopback for all that an edge node talks to, and a ledger that judges each run.
 //!
 //! Written from the platform's protocol and from public specifications; they start nothing of anybody else's. A
-//! [`World`] holds one run's clock and its [`ledger`]; the others share it.
+//! [`World`] holds one run's clock and its [`oracle`]; the others share it.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -27,7 +27,7 @@
 pub struct World {
     started: Instant,
     unix: Duration,
-    ledger: Mutex<Oracle>,
+    oracle: Mutex<Oracle>,
 }
 
 impl World {
@@ -39,7 +39,7 @@
         Arc::new(World {
             started: Instant::now(),
             unix,
-            ledger: Mutex::new(Oracle::new(bounds)),
+            oracle: Mutex::new(Oracle::new(bounds)),
         })
     }
 
@@ -55,7 +55,7 @@
 
     /// The ledger. A panic elsewhere does not spoil it: it holds plain entries.
     pub fn oracle(&self) -> MutexGuard<'_, Oracle> {
-        self.ledger.lock().unwrap_or_else(PoisonError::into_inner)
+        self.oracle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
--- a/crates/test-doubles/src/links.rs
+++ b/crates/test-doubles/src/links.rs
@@ -17,16 +17,16 @@
 use tokio::sync::watch;
 
 /// How long a lost piece of a connection's bytes takes to be sent again: the machine's least time-out for that.
-const SENT_AGAIN: Duration = Duration::from_millis(200);
+const RETRANSMIT_DELAY: Duration = Duration::from_millis(200);
 /// How long a relay waits for the far side to come up.
-const CONNECT: Duration = Duration::from_secs(2);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Connections that may wait to be accepted, as a rule; own ones that keep others out, at the most, and how long one of these
 /// may take to come up before the queue counts as full.
 const BACKLOG: i32 = 1024;
-const OWN_MOST: usize = 64;
-const COMES_UP: Duration = Duration::from_millis(50);
+const MAX_FILLER_CONNECTIONS: usize = 64;
+const FILLER_CONNECT_TIMEOUT: Duration = Duration::from_millis(50);
 /// Bytes that move at once.
-const PIECE: usize = 16 * 1024;
+const COPY_BUFFER_BYTES: usize = 16 * 1024;
 
 /// One end of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -61,7 +61,7 @@
 }
 
 impl Fault {
-    fn and(self, other: Fault) -> Fault {
+    fn combine(self, other: Fault) -> Fault {
         let either = |a: f64, b: f64| 1.0 - (1.0 - a) * (1.0 - b);
         Fault {
             loss: either(self.loss, other.loss),
@@ -181,7 +181,7 @@
     pub fn fault_between(&self, from: End, to: End) -> Fault {
         let rules = lock(&self.rules);
         let meant = rules.values().filter(|(which, _)| which.contains(from, to));
-        meant.fold(Fault::default(), |all, (_, fault)| all.and(*fault))
+        meant.fold(Fault::default(), |all, (_, fault)| all.combine(*fault))
     }
 }
 
@@ -194,7 +194,7 @@
     target: SocketAddr,
 }
 
-enum Ended {
+enum RelayEnd {
     /// One side has ended in good order.
     Closed,
     /// It is to be reset on both sides.
@@ -228,12 +228,12 @@
                     .fault_between(relay.near, relay.far)
                     .drops_connects
                 {
-                    relay.hears_nobody(&listener, listen).await;
+                    relay.block_connects(&listener, listen).await;
                     continue;
                 }
                 tokio::select! {
                     accepted = listener.accept() => if let Ok((stream, _)) = accepted {
-                        tokio::spawn(relay.clone().carry(stream));
+                        tokio::spawn(relay.clone().relay_connection(stream));
                     },
                     // The sender lives as long as the links do.
                     _ = changed.changed() => {}
@@ -245,18 +245,19 @@
 
     /// Lets no connection come up until the fault is lifted: the queue of those that wait to be accepted is kept full, and
     /// the machine drops the first packet of any more.
-    async fn hears_nobody(&self, listener: &TcpListener, at: SocketAddr) {
+    async fn block_connects(&self, listener: &TcpListener, at: SocketAddr) {
         let queue = |length| socket2::SockRef::from(listener).listen(length);
         // Where the machine does not let the queue be shortened, connections come up and stall: no run depends on more.
         let _ = queue(0);
         let mut own = Vec::new();
         // One more than the length is let in (`listen(2)`); those that wait already are in the way, too.
-        while own.len() < OWN_MOST {
-            let comes_up = tokio::time::timeout(COMES_UP, TcpStream::connect(at)).await;
+        while own.len() < MAX_FILLER_CONNECTIONS {
+            let comes_up =
+                tokio::time::timeout(FILLER_CONNECT_TIMEOUT, TcpStream::connect(at)).await;
             let Ok(Ok(stream)) = comes_up else { break };
             own.push(stream);
         }
-        self.until(self.near, self.far, |fault| !fault.drops_connects)
+        self.wait_for_fault(self.near, self.far, |fault| !fault.drops_connects)
             .await;
         let _ = queue(BACKLOG);
         let own: BTreeSet<SocketAddr> = own
@@ -266,20 +267,20 @@
         for _ in 0..own.len() {
             match listener.accept().await {
                 Ok((_, from)) if own.contains(&from) => {}
-                Ok((stream, _)) => _ = tokio::spawn(self.clone().carry(stream)),
+                Ok((stream, _)) => _ = tokio::spawn(self.clone().relay_connection(stream)),
                 Err(_) => break,
             }
         }
     }
 
     /// Carries one connection to its end.
-    async fn carry(self, near: TcpStream) {
-        if self.open(self.near, self.far).await.is_err() {
+    async fn relay_connection(self, near: TcpStream) {
+        if self.wait_until_passable(self.near, self.far).await.is_err() {
             // Works all the same where it can't be set: it closes then.
             let _ = near.set_zero_linger();
             return;
         }
-        let far = tokio::time::timeout(CONNECT, TcpStream::connect(self.target)).await;
+        let far = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(self.target)).await;
         let Ok(Ok(far)) = far else {
             let _ = near.set_zero_linger();
             return;
@@ -290,22 +291,22 @@
         }
         let ended = {
             let ((from_near, to_near), (from_far, to_far)) = (near.split(), far.split());
-            let there = self.pump((self.near, self.far), from_near, to_far);
-            let back = self.pump((self.far, self.near), from_far, to_near);
+            let there = self.copy_one_way((self.near, self.far), from_near, to_far);
+            let back = self.copy_one_way((self.far, self.near), from_far, to_near);
             tokio::pin!(there, back);
             // A connection that is half closed goes on the other way; one that is reset ends both ways.
             tokio::select! {
-                ended = &mut there => if matches!(ended, Ended::Closed) { back.await } else { ended },
-                ended = &mut back => if matches!(ended, Ended::Closed) { there.await } else { ended },
+                ended = &mut there => if matches!(ended, RelayEnd::Closed) { back.await } else { ended },
+                ended = &mut back => if matches!(ended, RelayEnd::Closed) { there.await } else { ended },
             }
         };
-        if matches!(ended, Ended::Reset) {
+        if matches!(ended, RelayEnd::Reset) {
             let _ = (near.set_zero_linger(), far.set_zero_linger());
         }
     }
 
     /// Waits until what lies on a link is such.
-    async fn until(&self, from: End, to: End, such: impl Fn(&Fault) -> bool) -> Fault {
+    async fn wait_for_fault(&self, from: End, to: End, such: impl Fn(&Fault) -> bool) -> Fault {
         let mut changed = self.links.changed.subscribe();
         loop {
             changed.borrow_and_update();
@@ -319,9 +320,9 @@
     }
 
     /// Waits until bytes may pass one way; an error where the link resets.
-    async fn open(&self, from: End, to: End) -> Result<Fault, ()> {
+    async fn wait_until_passable(&self, from: End, to: End) -> Result<Fault, ()> {
         let fault = self
-            .until(from, to, |fault| fault.reset || !fault.stalled)
+            .wait_for_fault(from, to, |fault| fault.reset || !fault.stalled)
             .await;
         if fault.reset {
             Err(())
@@ -330,26 +331,26 @@
         }
     }
 
-    async fn pump(
+    async fn copy_one_way(
         &self,
         (from, to): (End, End),
         mut read: ReadHalf<'_>,
         mut write: WriteHalf<'_>,
-    ) -> Ended {
-        let mut buffer = vec![0; PIECE];
+    ) -> RelayEnd {
+        let mut buffer = vec![0; COPY_BUFFER_BYTES];
         loop {
             let length = tokio::select! {
                 length = read.read(&mut buffer) => length,
-                _ = self.until(from, to, |fault| fault.reset) => return Ended::Reset,
+                _ = self.wait_for_fault(from, to, |fault| fault.reset) => return RelayEnd::Reset,
             };
             let Ok(length) = length else {
-                return Ended::Reset;
+                return RelayEnd::Reset;
             };
-            let Ok(fault) = self.open(from, to).await else {
-                return Ended::Reset;
+            let Ok(fault) = self.wait_until_passable(from, to).await else {
+                return RelayEnd::Reset;
             };
             let again = if fastrand::f64() < fault.loss {
-                SENT_AGAIN
+                RETRANSMIT_DELAY
             } else {
                 Duration::ZERO
             };
@@ -360,10 +361,10 @@
             if length == 0 {
                 // The end is passed on; where the other side has gone, that is seen the other way.
                 let _ = write.shutdown().await;
-                return Ended::Closed;
+                return RelayEnd::Closed;
             }
             if write.write_all(&buffer[..length]).await.is_err() {
-                return Ended::Reset;
+                return RelayEnd::Reset;
             }
         }
     }
--- a/crates/test-doubles/src/load.rs
+++ b/crates/test-doubles/src/load.rs
@@ -17,28 +17,28 @@
 use tokio::task::JoinSet;
 
 /// Between the front's looks at a node's readiness.
-const POLL: Duration = Duration::from_millis(250);
+const READINESS_POLL_INTERVAL: Duration = Duration::from_millis(250);
 /// How long a connection may take to come up.
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// For how long a set's busiest node stays the same.
-const SHIFT: Duration = Duration::from_secs(8);
+const HOT_NODE_PERIOD: Duration = Duration::from_secs(8);
 /// Share of a customer's tries that goes to its busiest node.
-const BUSIEST: f64 = 0.6;
+const HOT_NODE_SHARE: f64 = 0.6;
 /// A keyed request is sent again by its client no later than this after the first time: a node sends what it took by half
 /// of its time, so that it runs while servers still drop repeats of the first.
-const KEY_AGAIN: Duration = Duration::from_millis(300);
+const KEYED_RETRY_WINDOW: Duration = Duration::from_millis(300);
 /// Share of clients that come back when they are told to, and longest that they stay away.
-const COMPLY: (f64, Duration) = (0.5, Duration::from_secs(2));
+const RETRY_AFTER_COMPLIANCE: (f64, Duration) = (0.5, Duration::from_secs(2));
 /// Times that a client comes again.
-const RETRIES: u32 = 2;
+const MAX_RETRIES: u32 = 2;
 /// Most connections without a request that idle clients hold open to one node: more than it may hold itself.
-const CROWD: usize = 1100;
+const MAX_IDLE_CLIENTS: usize = 1100;
 /// Between idle clients' looks at their connections.
-const CROWD_LOOK: Duration = Duration::from_millis(100);
+const IDLE_CLIENT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// A request and the close of its connection may cross: the close is seen no later than so long after the request was written.
-const CROSSES_WITHIN: Duration = Duration::from_millis(250);
+const CROSSING_CLOSE_WINDOW: Duration = Duration::from_millis(250);
 /// Idle connections kept to one node.
-const IDLE_MOST: usize = 64;
+const MAX_IDLE_CONNECTIONS: usize = 64;
 
 /// A customer.
 #[derive(Clone, Debug)]
@@ -59,9 +59,9 @@
     /// The nodes of its set in the order in which a try of this moment is dealt out: most often the busiest first.
     pub fn nodes(&self, all: usize, now: Duration) -> impl Iterator<Item = usize> {
         let (spread, first) = (self.node_count.clamp(1, all), self.first_node);
-        let turn = now.as_secs() / SHIFT.as_secs().max(1) + self.id;
+        let turn = now.as_secs() / HOT_NODE_PERIOD.as_secs().max(1) + self.id;
         let busiest = (turn.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 33) as usize % spread;
-        let place = if fastrand::f64() < BUSIEST {
+        let place = if fastrand::f64() < HOT_NODE_SHARE {
             busiest
         } else {
             fastrand::usize(..spread)
@@ -78,9 +78,9 @@
 /// A client's request, over all of its tries.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryState {
-    begun: Duration,
+    started_at: Duration,
     keyed: bool,
-    complies: bool,
+    honors_retry_after: bool,
     retries: u32,
 }
 
@@ -88,26 +88,26 @@
     /// One that begins now.
     pub fn new(now: Duration, keyed: bool) -> RetryState {
         RetryState {
-            begun: now,
+            started_at: now,
             keyed,
-            complies: fastrand::f64() < COMPLY.0,
+            honors_retry_after: fastrand::f64() < RETRY_AFTER_COMPLIANCE.0,
             retries: 0,
         }
     }
 
     /// How long until it tries again, where a try was not served and `after` was advised; `None` once it gives up.
     pub fn next_delay(&mut self, now: Duration, after: Option<Duration>) -> Option<Duration> {
-        if self.retries >= RETRIES {
+        if self.retries >= MAX_RETRIES {
             return None;
         }
         self.retries += 1;
         let least = after
-            .filter(|_| self.complies)
+            .filter(|_| self.honors_retry_after)
             .unwrap_or_default()
-            .min(COMPLY.1);
+            .min(RETRY_AFTER_COMPLIANCE.1);
         let pause = least + Duration::from_millis(100 + fastrand::u64(0..400));
         // Danger: an effect that takes place twice as its client came again when servers had forgotten the key.
-        (!self.keyed || now + pause <= self.begun + KEY_AGAIN).then_some(pause)
+        (!self.keyed || now + pause <= self.started_at + KEYED_RETRY_WINDOW).then_some(pause)
     }
 }
 
@@ -125,11 +125,11 @@
 
 /// The way to one node, as the front sees it.
 #[derive(Debug)]
-struct Door {
+struct NodeTarget {
     address: SocketAddr,
     /// Whether the front deals it clients.
-    open: AtomicBool,
-    idle: Mutex<Vec<HttpConnection>>,
+    ready: AtomicBool,
+    idle_connections: Mutex<Vec<HttpConnection>>,
     /// Times that it was killed, or that its process was back.
     kills: AtomicU64,
     /// Times that it was made to stand still, or went on.
@@ -158,20 +158,20 @@
 pub struct LoadGenerator {
     world: Arc<World>,
     fleet: Fleet,
-    doors: Vec<Door>,
-    next: AtomicU64,
+    targets: Vec<NodeTarget>,
+    next_id: AtomicU64,
     seed: u64,
-    leaves: Cancellations,
-    figures: Figures,
+    cancellations: Cancellations,
+    counters: Counters,
 }
 
 #[derive(Debug, Default)]
-struct Figures {
+struct Counters {
     refused_connections: AtomicU64,
     resent: AtomicU64,
     retries: AtomicU64,
-    nobody: AtomicU64,
-    late_us: Mutex<Vec<u32>>,
+    no_ready_node: AtomicU64,
+    latencies_us: Mutex<Vec<u32>>,
 }
 
 /// What the front counted beside the ledger.
@@ -203,7 +203,7 @@
     format!("{:032x}", fastrand::u128(..))
 }
 
-enum End {
+enum RequestEnd {
     /// With how long to stay away, where that was said.
     Answered(Answer, Option<Duration>),
     Unanswered(Unanswered),
@@ -218,69 +218,71 @@
         seed: u64,
         leaves: Cancellations,
     ) -> Arc<LoadGenerator> {
-        let door = |address: &SocketAddr| Door {
+        let target = |address: &SocketAddr| NodeTarget {
             address: *address,
-            open: AtomicBool::new(false),
-            idle: Mutex::default(),
+            ready: AtomicBool::new(false),
+            idle_connections: Mutex::default(),
             kills: AtomicU64::new(0),
             pauses: AtomicU64::new(0),
         };
-        let doors = nodes.iter().map(door).collect();
-        let (next, figures) = (AtomicU64::new(1), Figures::default());
+        let doors = nodes.iter().map(target).collect();
+        let (next, figures) = (AtomicU64::new(1), Counters::default());
         Arc::new(LoadGenerator {
             world,
             fleet,
-            doors,
-            next,
+            targets: doors,
+            next_id: next,
             seed,
-            leaves,
-            figures,
+            cancellations: leaves,
+            counters: figures,
         })
     }
 
     /// Notes that a node is killed in this moment, or that its process runs again: what it held or what waits for it
     /// meanwhile is lost with it.
     pub fn node_killed_or_restarted(&self, node: usize) {
-        self.doors[node].kills.fetch_add(1, Ordering::SeqCst);
+        self.targets[node].kills.fetch_add(1, Ordering::SeqCst);
     }
 
     /// Notes that a node stands still from now on, or goes on.
     pub fn node_paused_or_resumed(&self, node: usize) {
-        self.doors[node].pauses.fetch_add(1, Ordering::SeqCst);
+        self.targets[node].pauses.fetch_add(1, Ordering::SeqCst);
     }
 
     /// Nodes that the front takes for ready.
     pub fn ready_nodes(&self) -> usize {
-        self.doors
+        self.targets
             .iter()
-            .filter(|door| door.open.load(Ordering::Relaxed))
+            .filter(|target| target.ready.load(Ordering::Relaxed))
             .count()
     }
 
     /// Looks at all nodes' readiness for ever.
     pub fn watch_readiness(self: &Arc<Self>) {
-        for node in 0..self.doors.len() {
+        for node in 0..self.targets.len() {
             let front = Arc::clone(self);
             tokio::spawn(async move {
                 loop {
                     let open = matches!(
-                        tokio::time::timeout(CONNECT, front.look(node)).await,
+                        tokio::time::timeout(CONNECT_TIMEOUT, front.probe_ready(node)).await,
                         Ok(Some(200))
                     );
-                    front.doors[node].open.store(open, Ordering::Relaxed);
-                    tokio::time::sleep(POLL).await;
+                    front.targets[node].ready.store(open, Ordering::Relaxed);
+                    tokio::time::sleep(READINESS_POLL_INTERVAL).await;
                 }
             });
         }
     }
 
-    async fn look(&self, node: usize) -> Option<u16> {
-        let mut wire =
-            HttpConnection::new(TcpStream::connect(self.doors[node].address).await.ok()?);
-        wire.write(b"GET /-/ready HTTP/1.1\r\nHost: fleet\r\nConnection: close\r\n\r\n")
+    async fn probe_ready(&self, node: usize) -> Option<u16> {
+        let mut connection =
+            HttpConnection::new(TcpStream::connect(self.targets[node].address).await.ok()?);
+        connection
+            .write(b"GET /-/ready HTTP/1.1\r\nHost: fleet\r\nConnection: close\r\n\r\n")
             .await
             .ok()?;
-        wire.read_message(&self.world)
+        connection
+            .read_message(&self.world)
             .await
             .ok()?
             .map(|message| message.status())
@@ -318,49 +320,49 @@
             let request = self.request(customer.clone(), class, key.clone());
             let after = match self.send(&request).await {
                 Some(
-                    End::Answered(Answer::Served, _)
-                    | End::Unanswered(Unanswered::ClientDisconnected),
+                    RequestEnd::Answered(Answer::Served, _)
+                    | RequestEnd::Unanswered(Unanswered::ClientDisconnected),
                 ) => return,
-                Some(End::Answered(_, after)) => after,
-                Some(End::Unanswered(_)) | None => None,
+                Some(RequestEnd::Answered(_, after)) => after,
+                Some(RequestEnd::Unanswered(_)) | None => None,
             };
             let Some(pause) = patience.next_delay(self.world.now(), after) else {
                 return;
             };
             tokio::time::sleep(pause).await;
-            self.figures.retries.fetch_add(1, Ordering::Relaxed);
+            self.counters.retries.fetch_add(1, Ordering::Relaxed);
         }
     }
 
     /// Sends one try to a node of its set; `None` where no connection came up at all.
-    async fn send(&self, request: &Request) -> Option<End> {
+    async fn send(&self, request: &Request) -> Option<RequestEnd> {
         let mut shut = Vec::new();
         loop {
-            let Some(node) = self.pick(&request.customer, &shut) else {
-                self.figures.nobody.fetch_add(1, Ordering::Relaxed);
+            let Some(node) = self.pick_node(&request.customer, &shut) else {
+                self.counters.no_ready_node.fetch_add(1, Ordering::Relaxed);
                 return None;
             };
-            let kept = lock(&self.doors[node].idle).pop();
+            let kept = lock(&self.targets[node].idle_connections).pop();
             let fresh = kept.is_none();
-            let wire = match kept {
-                Some(wire) => wire,
+            let connection = match kept {
+                Some(connection) => connection,
                 None => {
-                    if let Some(wire) = self.connect(node).await {
-                        wire
+                    if let Some(connection) = self.connect(node).await {
+                        connection
                     } else {
                         shut.push(node);
                         continue;
                     }
                 }
             };
-            let end = self.exchange(request, node, wire, fresh).await;
+            let end = self.exchange(request, node, connection, fresh).await;
             // Its connection closed unread: the client sends it once more on a new one.
-            if matches!(end, End::Unanswered(Unanswered::NotAccepted)) && !fresh {
-                self.figures.resent.fetch_add(1, Ordering::Relaxed);
-                lock(&self.doors[node].idle).clear();
+            if matches!(end, RequestEnd::Unanswered(Unanswered::NotAccepted)) && !fresh {
+                self.counters.resent.fetch_add(1, Ordering::Relaxed);
+                lock(&self.targets[node].idle_connections).clear();
                 continue;
             }
-            self.note(&request.id, &end);
+            self.record_end(&request.id, &end);
             return Some(end);
         }
     }
@@ -375,7 +377,7 @@
     ) -> JoinSet<()> {
         let mut askers = JoinSet::new();
         for _ in 0..count {
-            let (Some(wire), Some(customer)) =
+            let (Some(connection), Some(customer)) =
                 (self.connect(node).await, fastrand::choice(customers))
             else {
                 continue;
@@ -383,7 +385,7 @@
             let (front, customer) = (Arc::clone(self), customer.clone());
             askers.spawn(async move {
                 front
-                    .ask_once(node, wire, customer, within.mul_f64(fastrand::f64()))
+                    .send_after(node, connection, customer, within.mul_f64(fastrand::f64()))
                     .await;
             });
         }
@@ -391,10 +393,10 @@
     }
 
     /// Asks once on a connection, after a while.
-    async fn ask_once(
+    async fn send_after(
         &self,
         node: usize,
-        wire: HttpConnection,
+        connection: HttpConnection,
         customer: Customer,
         after: Duration,
     ) {
@@ -402,13 +404,13 @@
         let class = class_of(&self.fleet, fastrand::f64());
         let request = self.request(customer, class, None);
         // It may close while nothing was asked; what was asked by then is asked again elsewhere.
-        let end = self.exchange(&request, node, wire, false).await;
-        self.note(&request.id, &end);
+        let end = self.exchange(&request, node, connection, false).await;
+        self.record_end(&request.id, &end);
     }
 
     /// A request with an id of its own.
     fn request(&self, customer: Customer, class: usize, key: Option<String>) -> Request {
-        let number = self.next.fetch_add(1, Ordering::Relaxed);
+        let number = self.next_id.fetch_add(1, Ordering::Relaxed);
         let key = key.or_else(|| self.fleet.classes[class].keyed.then(new_key));
         Request {
             id: format!("{:08x}{number:08x}", self.seed as u32),
@@ -419,14 +421,16 @@
     }
 
     /// Notes how a try has ended.
-    fn note(&self, id: &str, end: &End) {
+    fn record_end(&self, id: &str, end: &RequestEnd) {
         let world = &self.world;
         match end {
-            End::Answered(answer, _) => world.oracle().response_received(world.now(), id, *answer),
-            End::Unanswered(Unanswered::ClientDisconnected) => {
+            RequestEnd::Answered(answer, _) => {
+                world.oracle().response_received(world.now(), id, *answer)
+            }
+            RequestEnd::Unanswered(Unanswered::ClientDisconnected) => {
                 world.oracle().client_disconnected(world.now(), id);
             }
-            End::Unanswered(why) => world.oracle().request_unanswered(id, *why),
+            RequestEnd::Unanswered(why) => world.oracle().request_unanswered(id, *why),
         }
     }
 
@@ -437,24 +441,27 @@
         while self.world.now() < end {
             let waits = |stream: &TcpStream| matches!(stream.try_read(&mut [0]), Err(error) if error.kind() == ErrorKind::WouldBlock);
             held.retain(waits);
-            while held.len() < CROWD && self.world.now() < end {
-                match tokio::time::timeout(CROWD_LOOK, TcpStream::connect(self.doors[node].address))
-                    .await
+            while held.len() < MAX_IDLE_CLIENTS && self.world.now() < end {
+                match tokio::time::timeout(
+                    IDLE_CLIENT_CHECK_INTERVAL,
+                    TcpStream::connect(self.targets[node].address),
+                )
+                .await
                 {
                     Ok(Ok(stream)) => held.push(stream),
                     _ => break,
                 }
             }
-            tokio::time::sleep(CROWD_LOOK).await;
+            tokio::time::sleep(IDLE_CLIENT_CHECK_INTERVAL).await;
         }
     }
 
     async fn connect(&self, node: usize) -> Option<HttpConnection> {
-        let connect = TcpStream::connect(self.doors[node].address);
-        if let Ok(Ok(stream)) = tokio::time::timeout(CONNECT, connect).await {
+        let connect = TcpStream::connect(self.targets[node].address);
+        if let Ok(Ok(stream)) = tokio::time::timeout(CONNECT_TIMEOUT, connect).await {
             Some(HttpConnection::new(stream))
         } else {
-            self.figures
+            self.counters
                 .refused_connections
                 .fetch_add(1, Ordering::Relaxed);
             None
@@ -462,22 +469,22 @@
     }
 
     /// A node of the customer's set that the front takes for open, most often the busiest of the moment.
-    fn pick(&self, customer: &Customer, shut: &[usize]) -> Option<usize> {
-        let mut nodes = customer.nodes(self.doors.len(), self.world.now());
-        nodes.find(|node| !shut.contains(node) && self.doors[*node].open.load(Ordering::Relaxed))
+    fn pick_node(&self, customer: &Customer, shut: &[usize]) -> Option<usize> {
+        let mut nodes = customer.nodes(self.targets.len(), self.world.now());
+        nodes.find(|node| !shut.contains(node) && self.targets[*node].ready.load(Ordering::Relaxed))
     }
 
     async fn exchange(
         &self,
         request: &Request,
         node: usize,
-        mut wire: HttpConnection,
+        mut connection: HttpConnection,
         fresh: bool,
-    ) -> End {
-        let (world, door) = (&self.world, &self.doors[node]);
+    ) -> RequestEnd {
+        let (world, target) = (&self.world, &self.targets[node]);
         let class = &self.fleet.classes[request.class];
-        let kills = door.kills.load(Ordering::SeqCst);
-        let pauses = door.pauses.load(Ordering::SeqCst);
+        let kills = target.kills.load(Ordering::SeqCst);
+        let pauses = target.pauses.load(Ordering::SeqCst);
         let repeats = if class.keyed {
             RepeatSafety::Keyed
         } else {
@@ -496,16 +503,19 @@
         world.oracle().request_sent(world.now(), asked);
         let sent = world.now();
         let patience = class.deadline + self.fleet.bounds.answer_slack * 2;
-        let leaves = self.leaves.draw().filter(|after| *after < patience);
-        let begun = match wire.write(self.head(request, class).as_bytes()).await {
+        let leaves = self.cancellations.draw().filter(|after| *after < patience);
+        let begun = match connection
+            .write(self.request_head(request, class).as_bytes())
+            .await
+        {
             // It may have answered and closed before it had read all.
             Ok(()) | Err(_) => tokio::time::timeout(leaves.unwrap_or(patience), async {
-                wire.read_message(world).await
+                connection.read_message(world).await
             }),
         };
         let excuse = || match (
-            door.kills.load(Ordering::SeqCst),
-            door.pauses.load(Ordering::SeqCst),
+            target.kills.load(Ordering::SeqCst),
+            target.pauses.load(Ordering::SeqCst),
         ) {
             // An odd count: it is dead, or stands still.
             (now, _) if now != kills || kills % 2 == 1 => Some(Unanswered::Killed),
@@ -519,7 +529,7 @@
                     429 | 503 => Answer::Refused,
                     _ => Answer::Failed,
                 };
-                if wire.has_unread_bytes() {
+                if connection.has_unread_bytes() {
                     world.oracle().extra_bytes_received(&request.id);
                 }
                 if answer == Answer::Served {
@@ -532,17 +542,17 @@
                         .unwrap()
                         .as_micros()
                         .min(u128::from(u32::MAX)) as u32;
-                    lock(&self.figures.late_us).push(took);
+                    lock(&self.counters.latencies_us).push(took);
                 }
                 if message.header("connection") != "close" {
-                    let mut idle = lock(&door.idle);
-                    if idle.len() < IDLE_MOST {
-                        idle.push(wire);
+                    let mut idle = lock(&target.idle_connections);
+                    if idle.len() < MAX_IDLE_CONNECTIONS {
+                        idle.push(connection);
                     }
                 }
                 if world.now() > sent + class.deadline + self.fleet.bounds.answer_slack {
                     if let Some(why) = excuse() {
-                        return End::Unanswered(why);
+                        return RequestEnd::Unanswered(why);
                     }
                 }
                 let after = message
@@ -550,26 +560,28 @@
                     .parse()
                     .ok()
                     .filter(|after| (0.0..1e6).contains(after));
-                End::Answered(answer, after.map(Duration::from_secs_f64))
+                RequestEnd::Answered(answer, after.map(Duration::from_secs_f64))
             }
             // The connection closes here.
-            Err(_) if leaves.is_some() => End::Unanswered(Unanswered::ClientDisconnected),
+            Err(_) if leaves.is_some() => RequestEnd::Unanswered(Unanswered::ClientDisconnected),
             ended => {
                 let closed = matches!(ended, Ok(Ok(None) | Err(_)));
                 // A close that crosses a request comes at once; one that comes later has dropped it.
-                let crossed = world.now() < sent + CROSSES_WITHIN;
+                let crossed = world.now() < sent + CROSSING_CLOSE_WINDOW;
                 let unread = crossed && world.oracle().attempt_count(&request.id) == 0;
                 match excuse() {
-                    Some(why) => End::Unanswered(why),
+                    Some(why) => RequestEnd::Unanswered(why),
                     // Closed between two requests: that crossed this one, and no attempt was made of it.
-                    None if closed && !fresh && unread => End::Unanswered(Unanswered::NotAccepted),
-                    None => End::Unanswered(Unanswered::Lost),
+                    None if closed && !fresh && unread => {
+                        RequestEnd::Unanswered(Unanswered::NotAccepted)
+                    }
+                    None => RequestEnd::Unanswered(Unanswered::Lost),
                 }
             }
         }
     }
 
-    fn head(&self, request: &Request, class: &Class) -> String {
+    fn request_head(&self, request: &Request, class: &Class) -> String {
         let Customer {
             id,
             plan,
@@ -596,7 +608,7 @@
 
     /// What was counted.
     pub fn counts(&self) -> LoadCounts {
-        let mut late = lock(&self.figures.late_us).clone();
+        let mut late = lock(&self.counters.latencies_us).clone();
         late.sort_unstable();
         let at = |share: f64| {
             let place = (late.len() as f64 * share) as usize;
@@ -604,10 +616,10 @@
                 .map_or(0.0, |us| f64::from(*us) / 1e3)
         };
         LoadCounts {
-            refused_connections: self.figures.refused_connections.load(Ordering::Relaxed),
-            resent: self.figures.resent.load(Ordering::Relaxed),
-            retries: self.figures.retries.load(Ordering::Relaxed),
-            no_ready_node: self.figures.nobody.load(Ordering::Relaxed),
+            refused_connections: self.counters.refused_connections.load(Ordering::Relaxed),
+            resent: self.counters.resent.load(Ordering::Relaxed),
+            retries: self.counters.retries.load(Ordering::Relaxed),
+            no_ready_node: self.counters.no_ready_node.load(Ordering::Relaxed),
             p50_ms: at(0.5),
             p99_ms: at(0.99),
         }
--- a/crates/test-doubles/src/oracle.rs
+++ b/crates/test-doubles/src/oracle.rs
@@ -139,27 +139,27 @@
 }
 
 #[derive(Debug)]
-struct Try {
-    asked: SentRequest,
-    at: Duration,
+struct TrackedRequest {
+    request: SentRequest,
+    sent_at: Duration,
     answer: Option<(Answer, Duration)>,
     unanswered: Option<Unanswered>,
     /// When its client closed the connection while it waited, and how many attempts there had been.
-    left: Option<(Duration, u32)>,
+    disconnected: Option<(Duration, u32)>,
     attempts: u32,
-    out: u32,
+    in_flight: u32,
     /// When an attempt came while another was out.
-    beside: Option<Duration>,
+    overlapped_at: Option<Duration>,
     effects: u32,
     /// When its first attempt had come whole, and its units beyond the quota then.
-    sent: Option<(Duration, f64)>,
+    first_attempt: Option<(Duration, f64)>,
     /// Seconds of work of its last attempt on a warm server.
     work: f64,
     /// Refused while half or more of its customer's quota and ceiling, and what it takes, was unused.
-    with_room: bool,
+    refused_within_limits: bool,
 }
 
-impl Try {
+impl TrackedRequest {
     /// Whether it has an end: an answer, or none for a known reason.
     fn is_over(&self) -> bool {
         self.answer.is_some() || self.unanswered.is_some()
@@ -186,127 +186,128 @@
 }
 
 #[derive(Debug)]
-struct Limit {
+struct TokenBucket {
     rate: f64,
     depth: f64,
     level: f64,
-    at: Duration,
+    refilled_at: Duration,
     /// Farthest below nothing that it ever was.
-    worst: f64,
-    beyond: f64,
+    max_deficit: f64,
+    units_beyond: f64,
 }
 
-impl Limit {
-    fn new(rate: f64, depth: f64) -> Limit {
-        Limit {
+impl TokenBucket {
+    fn new(rate: f64, depth: f64) -> TokenBucket {
+        TokenBucket {
             rate,
             depth,
             level: depth,
-            at: Duration::ZERO,
-            worst: 0.0,
-            beyond: 0.0,
+            refilled_at: Duration::ZERO,
+            max_deficit: 0.0,
+            units_beyond: 0.0,
         }
     }
 
-    fn fill(&mut self, now: Duration) {
-        let span = now.saturating_sub(self.at).as_secs_f64();
-        self.at = self.at.max(now);
+    fn refill(&mut self, now: Duration) {
+        let span = now.saturating_sub(self.refilled_at).as_secs_f64();
+        self.refilled_at = self.refilled_at.max(now);
         self.level = (self.level + self.rate * span).min(self.depth);
     }
 
     /// Whether half of it or more is unused, and so much is there.
     fn has_room(&mut self, now: Duration, units: f64) -> bool {
-        self.fill(now);
+        self.refill(now);
         self.level >= units.max(self.depth / 2.0)
     }
 
     /// Takes units whether or not they are there, as a ceiling is judged.
     fn take(&mut self, now: Duration, units: f64) {
-        self.fill(now);
+        self.refill(now);
         self.level -= units;
-        self.worst = self.worst.max(-self.level);
+        self.max_deficit = self.max_deficit.max(-self.level);
     }
 
     /// Takes units if they are there; otherwise they are beyond the quota and take nothing.
     /// Returns the units that are beyond.
-    fn draw(&mut self, now: Duration, units: f64) -> f64 {
-        self.fill(now);
+    fn take_if_available(&mut self, now: Duration, units: f64) -> f64 {
+        self.refill(now);
         let beyond = if self.level >= units { 0.0 } else { units };
         self.level -= units - beyond;
-        self.beyond += beyond;
+        self.units_beyond += beyond;
         beyond
     }
 }
 
 #[derive(Debug)]
-struct Cold {
-    born: Duration,
+struct ColdServer {
+    started_at: Duration,
     /// Seconds of work a second at full capacity.
     capacity: f64,
     work: VecDeque<(Duration, f64)>,
-    worst: f64,
+    max_load: f64,
     /// Most requests of mean work in the window, as a share of what a Poisson stream of the bound's mean stays within.
-    crowded: f64,
-    fell: bool,
+    max_crowding: f64,
+    overloaded: bool,
 }
 
 /// What one node did with what it got.
 #[derive(Debug, Default)]
-struct Stint {
+struct NodeRecord {
     /// Turned away unsent since its last attempt, and when the first of these was.
-    turned: u64,
-    since: Option<Duration>,
+    rejections_in_row: u64,
+    rejecting_since: Option<Duration>,
     /// Whether it ever turned away all for too long.
-    shut: bool,
+    rejected_all: bool,
     /// Requests of its present process that had an end, and those of them that were served.
-    got: u64,
+    finished: u64,
     served: u64,
     /// Processes of it that have ended and served nobody.
-    unserving: u64,
+    processes_never_serving: u64,
 }
 
-impl Stint {
-    fn unserving(&self) -> u64 {
-        self.unserving + u64::from(self.got >= SERVES && self.served == 0)
+impl NodeRecord {
+    fn processes_never_serving(&self) -> u64 {
+        self.processes_never_serving
+            + u64::from(self.finished >= MIN_REQUESTS_TO_JUDGE && self.served == 0)
     }
 }
 
 /// A node that turns away so many, and all that it gets, for so long, is shut.
-const SHUT: (u64, Duration) = (15, Duration::from_secs(4));
+const REJECTING_ALL: (u64, Duration) = (15, Duration::from_secs(4));
 /// A process that has got so many requests and served none serves nobody.
-const SERVES: u64 = 5;
+const MIN_REQUESTS_TO_JUDGE: u64 = 5;
 /// Attempts after their clients had gone that break no rule.
-const AFTER_LEAVE: usize = 2;
+const MAX_ATTEMPTS_AFTER_DISCONNECT: usize = 2;
 
 /// The keys that a group has run, and when first.
-type Keys = HashMap<(u64, String), Duration>;
+type ExecutedKeys = HashMap<(u64, String), Duration>;
 
 /// The ledger of one run.
 #[derive(Debug)]
 pub struct Oracle {
     bounds: Bounds,
     /// In the order in which they were asked: sums over them come out the same each time.
-    tries: IndexMap<String, Try>,
+    requests: IndexMap<String, TrackedRequest>,
     /// How many of them have no end yet.
-    open: usize,
-    keys: Keys,
+    open_count: usize,
+    executed_keys: ExecutedKeys,
     /// By key: how many of its effects took place in all groups.
-    effects: HashMap<String, u32>,
+    effects_by_key: HashMap<String, u32>,
     /// When a node was last told that a server drains or is gone, and how late the latest new work reached it after that.
-    told: HashMap<(usize, String), (Duration, Duration)>,
+    unhealthy_since: HashMap<(usize, String), (Duration, Duration)>,
     /// The same of drains that are over.
-    drains: Vec<Duration>,
-    ceilings: BTreeMap<u64, Limit>,
-    quotas: BTreeMap<u64, Limit>,
-    cold: BTreeMap<String, Cold>,
+    ended_drains: Vec<Duration>,
+    ceilings: BTreeMap<u64, TokenBucket>,
+    quotas: BTreeMap<u64, TokenBucket>,
+    cold_servers: BTreeMap<String, ColdServer>,
     /// The highest share of servers' earlier lives.
-    crowded: f64,
-    stints: BTreeMap<usize, Stint>,
+    max_crowding: f64,
+    node_records: BTreeMap<usize, NodeRecord>,
     after_leave: Vec<Breach>,
-    late_sends: Vec<Duration>,
+    delays_after_drain: Vec<Duration>,
     after_drain: u64,
-    unasked: u64,
-    double: Vec<Breach>,
+    unsolicited_attempts: u64,
+    breaches: Vec<Breach>,
 }
 
 /// Attempts by how they ended at servers, answers by kind and what broke: a run in figures.
@@ -381,124 +382,130 @@
     pub fn new(bounds: Bounds) -> Oracle {
         Oracle {
             bounds,
-            tries: IndexMap::new(),
-            open: 0,
-            keys: HashMap::new(),
-            effects: HashMap::new(),
-            told: HashMap::new(),
-            drains: Vec::new(),
+            requests: IndexMap::new(),
+            open_count: 0,
+            executed_keys: HashMap::new(),
+            effects_by_key: HashMap::new(),
+            unhealthy_since: HashMap::new(),
+            ended_drains: Vec::new(),
             ceilings: BTreeMap::new(),
             quotas: BTreeMap::new(),
-            cold: BTreeMap::new(),
-            crowded: 0.0,
-            stints: BTreeMap::new(),
+            cold_servers: BTreeMap::new(),
+            max_crowding: 0.0,
+            node_records: BTreeMap::new(),
             after_leave: Vec::new(),
-            late_sends: Vec::new(),
+            delays_after_drain: Vec::new(),
             after_drain: 0,
-            unasked: 0,
-            double: Vec::new(),
+            unsolicited_attempts: 0,
+            breaches: Vec::new(),
         }
     }
 
     /// A customer's quota, and its hard ceiling if there is one: units a second, and units at once.
     pub fn set_limits(&mut self, customer: u64, quota: (f64, f64), ceiling: Option<(f64, f64)>) {
-        self.quotas.insert(customer, Limit::new(quota.0, quota.1));
+        self.quotas
+            .insert(customer, TokenBucket::new(quota.0, quota.1));
         if let Some((rate, depth)) = ceiling {
-            self.ceilings.insert(customer, Limit::new(rate, depth));
+            self.ceilings
+                .insert(customer, TokenBucket::new(rate, depth));
         }
     }
 
     /// A try's last byte is written. The same try, sent once more as its connection had closed unread, counts once.
     pub fn request_sent(&mut self, now: Duration, asked: SentRequest) {
         let id = asked.id.clone();
-        let entry = Try {
-            asked,
-            at: now,
+        let entry = TrackedRequest {
+            request: asked,
+            sent_at: now,
             answer: None,
             unanswered: None,
-            left: None,
+            disconnected: None,
             attempts: 0,
-            out: 0,
-            beside: None,
+            in_flight: 0,
+            overlapped_at: None,
             effects: 0,
-            sent: None,
+            first_attempt: None,
             work: 0.0,
-            with_room: false,
+            refused_within_limits: false,
         };
-        let (node, before) = (entry.asked.node, self.tries.len());
-        self.tries.entry(id).or_insert(entry).asked.node = node;
-        self.open += self.tries.len() - before;
+        let (node, before) = (entry.request.node, self.requests.len());
+        self.requests.entry(id).or_insert(entry).request.node = node;
+        self.open_count += self.requests.len() - before;
     }
 
     /// A try's final answer has come whole.
     pub fn response_received(&mut self, now: Duration, id: &str, answer: Answer) {
         let bounds = &self.bounds;
-        let Some(entry) = self.tries.get_mut(id) else {
+        let Some(entry) = self.requests.get_mut(id) else {
             return self
-                .double
+                .breaches
                 .push(Breach::ForeignAnswer(format!("{id}: an answer to nothing")));
         };
         if entry.is_over() {
-            return self.double.push(Breach::AnsweredTwice(id.to_owned()));
+            return self.breaches.push(Breach::AnsweredTwice(id.to_owned()));
         }
         entry.answer = Some((answer, now));
-        self.open -= 1;
-        let (customer, units) = (entry.asked.customer, entry.asked.units);
-        let room = |limits: &mut BTreeMap<u64, Limit>| {
+        self.open_count -= 1;
+        let (customer, units) = (entry.request.customer, entry.request.units);
+        let room = |limits: &mut BTreeMap<u64, TokenBucket>| {
             limits
                 .get_mut(&customer)
                 .is_none_or(|limit| limit.has_room(now, units))
         };
-        entry.with_room =
+        entry.refused_within_limits =
             answer == Answer::Refused && room(&mut self.quotas) && room(&mut self.ceilings);
-        let stint = self.stints.entry(entry.asked.node).or_default();
-        stint.got += 1;
+        let record = self.node_records.entry(entry.request.node).or_default();
+        record.finished += 1;
         if answer == Answer::Served {
-            stint.served += 1;
+            record.served += 1;
         } else if entry.attempts == 0 {
-            stint.turned += 1;
-            let since = *stint.since.get_or_insert(now);
-            stint.shut |= stint.turned >= SHUT.0 && now.saturating_sub(since) >= SHUT.1;
+            record.rejections_in_row += 1;
+            let since = *record.rejecting_since.get_or_insert(now);
+            record.rejected_all |= record.rejections_in_row >= REJECTING_ALL.0
+                && now.saturating_sub(since) >= REJECTING_ALL.1;
         }
-        if now > entry.at + entry.asked.timeout + bounds.answer_slack {
+        if now > entry.sent_at + entry.request.timeout + bounds.answer_slack {
             let late = now
-                .checked_sub(entry.at)
+                .checked_sub(entry.sent_at)
                 .unwrap()
-                .checked_sub(entry.asked.timeout)
+                .checked_sub(entry.request.timeout)
                 .unwrap()
                 .as_millis();
-            self.double
+            self.breaches
                 .push(Breach::LateAnswer(format!("{id}: {late} ms")));
         }
     }
 
     /// Bytes came behind an answer.
     pub fn extra_bytes_received(&mut self, id: &str) {
-        self.double.push(Breach::AnsweredTwice(format!(
+        self.breaches.push(Breach::AnsweredTwice(format!(
             "{id}: bytes behind the answer"
         )));
     }
 
     /// A served answer was not what a server made for this try.
     pub fn wrong_response_received(&mut self, id: &str) {
-        self.double.push(Breach::ForeignAnswer(id.to_owned()));
+        self.breaches.push(Breach::ForeignAnswer(id.to_owned()));
     }
 
     /// A try will get no answer.
     pub fn request_unanswered(&mut self, id: &str, why: Unanswered) {
-        if let Some(entry) = self.tries.get_mut(id) {
-            self.open -= usize::from(!entry.is_over());
+        if let Some(entry) = self.requests.get_mut(id) {
+            self.open_count -= usize::from(!entry.is_over());
             entry.unanswered.get_or_insert(why);
             let got = why == Unanswered::Lost;
-            self.stints.entry(entry.asked.node).or_default().got += u64::from(got);
+            self.node_records
+                .entry(entry.request.node)
+                .or_default()
+                .finished += u64::from(got);
         }
     }
 
     /// A client has closed its connection while its request waited.
     pub fn client_disconnected(&mut self, now: Duration, id: &str) {
         self.request_unanswered(id, Unanswered::ClientDisconnected);
-        if let Some(entry) = self.tries.get_mut(id) {
-            entry.left.get_or_insert((now, entry.attempts));
+        if let Some(entry) = self.requests.get_mut(id) {
+            entry.disconnected.get_or_insert((now, entry.attempts));
         }
     }
 
@@ -506,45 +513,58 @@
     pub fn health_delivered(&mut self, now: Duration, node: usize, server: &str, ready: bool) {
         let place = (node, server.to_owned());
         if ready {
-            self.drains
-                .extend(self.told.remove(&place).map(|(_, latest)| latest));
+            self.ended_drains.extend(
+                self.unhealthy_since
+                    .remove(&place)
+                    .map(|(_, latest)| latest),
+            );
         } else {
-            self.told.entry(place).or_insert((now, Duration::ZERO));
+            self.unhealthy_since
+                .entry(place)
+                .or_insert((now, Duration::ZERO));
         }
     }
 
     /// A node's process has started anew: it knows nothing of what its predecessor was told.
     pub fn node_restarted(&mut self, node: usize) {
-        self.told.retain(|(other, _), _| *other != node);
-        let stint = self.stints.entry(node).or_default();
-        (stint.unserving, stint.got, stint.served) = (stint.unserving(), 0, 0);
+        self.unhealthy_since.retain(|(other, _), _| *other != node);
+        let record = self.node_records.entry(node).or_default();
+        (
+            record.processes_never_serving,
+            record.finished,
+            record.served,
+        ) = (record.processes_never_serving(), 0, 0);
     }
 
     /// A server has started cold; `capacity` in seconds of work a second once it is warm.
     pub fn server_started_cold(&mut self, now: Duration, server: &str, capacity: f64) {
-        let cold = Cold {
-            born: now,
+        let cold = ColdServer {
+            started_at: now,
             capacity,
             work: VecDeque::new(),
-            worst: 0.0,
-            crowded: 0.0,
-            fell: false,
+            max_load: 0.0,
+            max_crowding: 0.0,
+            overloaded: false,
         };
-        let before = self.cold.insert(server.to_owned(), cold);
-        self.crowded = before.map_or(self.crowded, |before| before.crowded.max(self.crowded));
+        let before = self.cold_servers.insert(server.to_owned(), cold);
+        self.max_crowding = before.map_or(self.max_crowding, |before| {
+            before.max_crowding.max(self.max_crowding)
+        });
     }
 
     /// Share of its capacity that a server has.
     pub fn capacity_share(&self, now: Duration, server: &str) -> f64 {
-        let Some(cold) = self.cold.get(server) else {
+        let Some(cold) = self.cold_servers.get(server) else {
             return 1.0;
         };
-        warmth(&self.bounds, now.saturating_sub(cold.born))
+        warmth(&self.bounds, now.saturating_sub(cold.started_at))
     }
 
     /// Whether a server has fallen over.
     pub fn is_overloaded(&self, server: &str) -> bool {
-        self.cold.get(server).is_some_and(|cold| cold.fell)
+        self.cold_servers
+            .get(server)
+            .is_some_and(|cold| cold.overloaded)
     }
 
     /// An attempt has come whole to a server. `first` is when its first byte came, `work` the seconds that it takes on
@@ -558,43 +578,46 @@
         work: f64,
     ) {
         let bounds = &self.bounds;
-        let Some(entry) = self.tries.get_mut(id) else {
+        let Some(entry) = self.requests.get_mut(id) else {
             // The client may have written its last byte in this very moment; then it is known a little later.
-            self.unasked += 1;
+            self.unsolicited_attempts += 1;
             return;
         };
         entry.attempts += 1;
-        entry.out += 1;
+        entry.in_flight += 1;
         entry.work = work;
-        if entry.out > 1 {
+        if entry.in_flight > 1 {
             // The end of the earlier one may be on its way; it clears this if it comes at once.
-            entry.beside = Some(now);
+            entry.overlapped_at = Some(now);
         }
-        let stint = self.stints.entry(entry.asked.node).or_default();
-        (stint.turned, stint.since) = (0, None);
-        if let Some((left, _)) = entry.left {
+        let record = self.node_records.entry(entry.request.node).or_default();
+        (record.rejections_in_row, record.rejecting_since) = (0, None);
+        if let Some((left, _)) = entry.disconnected {
             if first > left + bounds.disconnect_grace + bounds.transit_slack {
                 let late = first.checked_sub(left).unwrap().as_millis();
                 let line = format!(
                     "{id} from node {} to {server} after {late} ms",
-                    entry.asked.node
+                    entry.request.node
                 );
                 self.after_leave.push(Breach::SentAfterLeave(line));
             }
         }
-        if let Some((told, latest)) = self.told.get_mut(&(entry.asked.node, server.to_owned())) {
+        if let Some((told, latest)) = self
+            .unhealthy_since
+            .get_mut(&(entry.request.node, server.to_owned()))
+        {
             if let Some(late) = first.checked_sub(*told) {
                 *latest = late.max(*latest);
                 self.after_drain += 1;
-                self.late_sends.push(late);
+                self.delays_after_drain.push(late);
                 if late > bounds.drain_grace + bounds.transit_slack {
                     let line = format!("{id} to {server} after {} ms", late.as_millis());
-                    self.double.push(Breach::SentAfterDrain(line));
+                    self.breaches.push(Breach::SentAfterDrain(line));
                 }
             }
         }
         if entry.attempts == 1 {
-            let (customer, units) = (entry.asked.customer, entry.asked.units);
+            let (customer, units) = (entry.request.customer, entry.request.units);
             if let Some(ceiling) = self.ceilings.get_mut(&customer) {
                 ceiling.take(now, units);
                 let (share, least) = bounds.ceiling_slack;
@@ -603,17 +626,17 @@
                 if ceiling.level < -slack {
                     let over = -ceiling.level - slack;
                     let line = format!("customer {customer:x} by {over:.2} units beyond the slack");
-                    self.double.push(Breach::CeilingPassed(line));
+                    self.breaches.push(Breach::CeilingPassed(line));
                 }
             }
             let beyond = self
                 .quotas
                 .get_mut(&customer)
-                .map_or(0.0, |quota| quota.draw(now, units));
-            entry.sent = Some((now, beyond));
+                .map_or(0.0, |quota| quota.take_if_available(now, units));
+            entry.first_attempt = Some((now, beyond));
         }
-        if let Some(cold) = self.cold.get_mut(server) {
-            let age = now.saturating_sub(cold.born);
+        if let Some(cold) = self.cold_servers.get_mut(server) {
+            let age = now.saturating_sub(cold.started_at);
             if age < bounds.slow_start_duration {
                 cold.work.push_back((now, work));
                 while cold
@@ -632,16 +655,16 @@
                 } else {
                     0.0
                 };
-                cold.worst = cold.worst.max(load);
+                cold.max_load = cold.max_load.max(load);
                 let allowed = can * bounds.overload_multiple / bounds.mean_work;
                 let crowd = sent / bounds.mean_work / (allowed + 2.0 * allowed.sqrt() + 2.0);
-                cold.crowded = cold.crowded.max(crowd);
-                if load > 1.0 && !std::mem::replace(&mut cold.fell, true) {
+                cold.max_crowding = cold.max_crowding.max(crowd);
+                if load > 1.0 && !std::mem::replace(&mut cold.overloaded, true) {
                     let line = format!(
                         "{server}, {} ms old, at {load:.2} of its bound",
                         age.as_millis()
                     );
-                    self.double.push(Breach::Fell(line));
+                    self.breaches.push(Breach::Fell(line));
                 }
             }
         }
@@ -657,32 +680,32 @@
         id: &str,
     ) -> bool {
         let window = self.bounds.idempotency_window;
-        let Some(entry) = self.tries.get_mut(id) else {
+        let Some(entry) = self.requests.get_mut(id) else {
             return false;
         };
-        match (entry.asked.repeat_safety, entry.asked.key.clone()) {
+        match (entry.request.repeat_safety, entry.request.key.clone()) {
             (RepeatSafety::Safe, _) => return false,
             (RepeatSafety::Keyed, Some(key)) => {
-                let known = self.keys.get(&(group, key.clone()));
+                let known = self.executed_keys.get(&(group, key.clone()));
                 if known.is_some_and(|at| came.saturating_sub(*at) <= window) {
                     return false;
                 }
-                self.keys.insert((group, key.clone()), now);
-                *self.effects.entry(key).or_default() += 1;
+                self.executed_keys.insert((group, key.clone()), now);
+                *self.effects_by_key.entry(key).or_default() += 1;
             }
             _ => {}
         }
         entry.effects += 1;
         if entry.effects > 1 {
-            self.double.push(Breach::TwiceEffect(id.to_owned()));
+            self.breaches.push(Breach::TwiceEffect(id.to_owned()));
         }
         true
     }
 
     /// An attempt is over at its server: its answer is written, or its connection has ended.
     pub fn attempt_finished(&mut self, id: &str) {
-        if let Some(entry) = self.tries.get_mut(id) {
-            entry.out = entry.out.saturating_sub(1);
+        if let Some(entry) = self.requests.get_mut(id) {
+            entry.in_flight = entry.in_flight.saturating_sub(1);
         }
     }
 
@@ -690,45 +713,45 @@
     /// so one that comes within the slack after another attempt's arrival stands for an end before it.
     pub fn attempt_canceled(&mut self, now: Duration, id: &str) {
         let slack = self.bounds.transit_slack;
-        if let Some(entry) = self.tries.get_mut(id) {
-            entry.out = entry.out.saturating_sub(1);
-            entry.beside = entry.beside.filter(|at| now > *at + slack);
+        if let Some(entry) = self.requests.get_mut(id) {
+            entry.in_flight = entry.in_flight.saturating_sub(1);
+            entry.overlapped_at = entry.overlapped_at.filter(|at| now > *at + slack);
         }
     }
 
     /// How many attempts of a try have reached a server.
     pub fn attempt_count(&self, id: &str) -> u32 {
-        self.tries.get(id).map_or(0, |entry| entry.attempts)
+        self.requests.get(id).map_or(0, |entry| entry.attempts)
     }
 
     /// A node that stood still goes on: what was written to it meanwhile counts as told now.
     pub fn node_resumed(&mut self, now: Duration, node: usize, stopped: Duration) {
         let of = self
-            .told
+            .unhealthy_since
             .iter_mut()
             .filter(|((other, _), (at, _))| *other == node && *at >= stopped);
         of.for_each(|(_, (at, _))| *at = now);
         // So does a client's close.
         let tries = self
-            .tries
+            .requests
             .values_mut()
-            .filter(|entry| entry.asked.node == node);
+            .filter(|entry| entry.request.node == node);
         tries
-            .filter_map(|entry| entry.left.as_mut())
+            .filter_map(|entry| entry.disconnected.as_mut())
             .filter(|(at, _)| *at >= stopped)
             .for_each(|(at, _)| *at = now);
     }
 
     /// All tries, in the order in which they were asked.
     pub fn requests(&self) -> impl Iterator<Item = RequestRecord> + '_ {
-        self.tries.values().map(|entry| RequestRecord {
-            node: entry.asked.node,
-            sent_at: entry.at,
+        self.requests.values().map(|entry| RequestRecord {
+            node: entry.request.node,
+            sent_at: entry.sent_at,
             answer: entry.answer.map(|(answer, _)| answer),
-            first_attempt: entry.sent,
-            units: entry.asked.units,
+            first_attempt: entry.first_attempt,
+            units: entry.request.units,
             work: entry.work,
-            refused_within_limits: entry.with_room,
+            refused_within_limits: entry.refused_within_limits,
         })
     }
 
@@ -741,7 +764,7 @@
         let at = |step: u32| from + STEP * step + STEP / 2;
         // Looked up once a server: there may be tens of thousands.
         let of = |(name, capacity): &(String, f64)| {
-            let born = self.cold.get(name).map(|cold| cold.born);
+            let born = self.cold_servers.get(name).map(|cold| cold.started_at);
             let warmth = |now: Duration| {
                 born.map_or(1.0, |born| warmth(&self.bounds, now.saturating_sub(born)))
             };
@@ -754,16 +777,16 @@
 
     /// Tries that have no end yet.
     pub fn open_requests(&self) -> usize {
-        self.open
+        self.open_count
     }
 
     /// Judges the run, which is over: what has no end by now is lost.
     pub fn verdict(&self) -> Verdict {
-        let mut breaches = self.double.clone();
+        let mut breaches = self.breaches.clone();
         let mut count = [0_u64; 3];
         let mut unanswered = [0_u64; 5];
-        for (id, entry) in &self.tries {
-            breaches.extend(entry.beside.map(|_| Breach::TwoAttempts(id.clone())));
+        for (id, entry) in &self.requests {
+            breaches.extend(entry.overlapped_at.map(|_| Breach::TwoAttempts(id.clone())));
             match (entry.answer, entry.unanswered) {
                 (Some((answer, _)), _) => {
                     count[answer as usize] += 1;
@@ -777,28 +800,32 @@
                     if why == Unanswered::Lost {
                         breaches.push(Breach::NoAnswer(format!(
                             "{id} at node {}",
-                            entry.asked.node
+                            entry.request.node
                         )));
                     }
                 }
             }
         }
-        if self.after_leave.len() > AFTER_LEAVE {
+        if self.after_leave.len() > MAX_ATTEMPTS_AFTER_DISCONNECT {
             breaches.extend_from_slice(&self.after_leave);
         }
         breaches.sort();
-        let mut drains: Vec<Duration> = self.told.values().map(|(_, latest)| *latest).collect();
-        drains.extend(&self.drains);
+        let mut drains: Vec<Duration> = self
+            .unhealthy_since
+            .values()
+            .map(|(_, latest)| *latest)
+            .collect();
+        drains.extend(&self.ended_drains);
         drains.sort();
         let sent: f64 = self
-            .tries
+            .requests
             .values()
             .filter(|entry| entry.attempts > 0)
-            .map(|entry| entry.asked.units)
+            .map(|entry| entry.request.units)
             .sum();
-        let beyond: f64 = self.quotas.values().map(|quota| quota.beyond).sum();
+        let beyond: f64 = self.quotas.values().map(|quota| quota.units_beyond).sum();
         Verdict {
-            requests: self.tries.len() as u64,
+            requests: self.requests.len() as u64,
             served: count[Answer::Served as usize],
             refused: count[Answer::Refused as usize],
             failed: count[Answer::Failed as usize],
@@ -808,7 +835,7 @@
             disconnected: unanswered[Unanswered::ClientDisconnected as usize],
             lost: unanswered[Unanswered::Lost as usize],
             attempts: self
-                .tries
+                .requests
                 .values()
                 .map(|entry| u64::from(entry.attempts))
                 .sum(),
@@ -818,37 +845,53 @@
                 .get(drains.len() / 2)
                 .map_or(0.0, |late| late.as_secs_f64() * 1e3),
             attempts_after_drain_max_ms: self
-                .late_sends
+                .delays_after_drain
                 .iter()
                 .max()
                 .map_or(0.0, |late| late.as_secs_f64() * 1e3),
-            effects: self.effects.values().map(|count| u64::from(*count)).sum(),
-            duplicated_keys: self.effects.values().filter(|count| **count > 1).count() as u64,
+            effects: self
+                .effects_by_key
+                .values()
+                .map(|count| u64::from(*count))
+                .sum(),
+            duplicated_keys: self
+                .effects_by_key
+                .values()
+                .filter(|count| **count > 1)
+                .count() as u64,
             cold_load_max: self
-                .cold
+                .cold_servers
                 .values()
-                .map(|cold| cold.worst)
+                .map(|cold| cold.max_load)
                 .fold(0.0, f64::max),
             cold_crowding_max: self
-                .cold
+                .cold_servers
                 .values()
-                .map(|cold| cold.crowded)
-                .fold(self.crowded, f64::max),
+                .map(|cold| cold.max_crowding)
+                .fold(self.max_crowding, f64::max),
             disconnected_before_attempt: self
-                .tries
+                .requests
                 .values()
-                .filter(|entry| matches!(entry.left, Some((_, 0))))
+                .filter(|entry| matches!(entry.disconnected, Some((_, 0))))
                 .count() as u64,
             attempts_after_disconnect: self.after_leave.len() as u64,
-            nodes_rejecting_all: self.stints.values().filter(|stint| stint.shut).count() as u64,
-            processes_never_serving: self.stints.values().map(Stint::unserving).sum(),
+            nodes_rejecting_all: self
+                .node_records
+                .values()
+                .filter(|record| record.rejected_all)
+                .count() as u64,
+            processes_never_serving: self
+                .node_records
+                .values()
+                .map(NodeRecord::processes_never_serving)
+                .sum(),
             share_beyond_quota: if sent > 0.0 { beyond / sent } else { 0.0 },
             ceiling_excess_max: self
                 .ceilings
                 .values()
-                .map(|ceiling| ceiling.worst)
+                .map(|ceiling| ceiling.max_deficit)
                 .fold(0.0, f64::max),
-            unsolicited_attempts: self.unasked,
+            unsolicited_attempts: self.unsolicited_attempts,
             breaches,
         }
     }
--- a/crates/test-doubles/src/oracle/tests.rs
+++ b/crates/test-doubles/src/oracle/tests.rs
@@ -19,23 +19,23 @@
 }
 
 fn one(repeats: RepeatSafety) -> Oracle {
-    let mut ledger = Oracle::new(Bounds::default());
-    ledger.request_sent(ms(0), asked("a", repeats));
-    ledger
+    let mut oracle = Oracle::new(Bounds::default());
+    oracle.request_sent(ms(0), asked("a", repeats));
+    oracle
 }
 
-fn breaches(ledger: &Oracle) -> Vec<Breach> {
-    ledger.verdict().breaches
+fn breaches(oracle: &Oracle) -> Vec<Breach> {
+    oracle.verdict().breaches
 }
 
 #[test]
 fn a_run_that_keeps_the_rules_has_no_breach() {
-    let mut ledger = one(RepeatSafety::Keyed);
-    ledger.attempt_received(ms(10), ms(10), "s", "a", 0.1);
-    assert!(ledger.attempt_executed(ms(100), ms(100), 1, "a"));
-    ledger.attempt_finished("a");
-    ledger.response_received(ms(101), "a", Answer::Served);
-    let verdict = ledger.verdict();
+    let mut oracle = one(RepeatSafety::Keyed);
+    oracle.attempt_received(ms(10), ms(10), "s", "a", 0.1);
+    assert!(oracle.attempt_executed(ms(100), ms(100), 1, "a"));
+    oracle.attempt_finished("a");
+    oracle.response_received(ms(101), "a", Answer::Served);
+    let verdict = oracle.verdict();
     assert!(verdict.breaches.is_empty(), "{verdict:?}");
     assert_eq!(
         (
@@ -54,14 +54,14 @@
         breaches(&one(RepeatSafety::Safe)),
         [Breach::NoAnswer("a at node 0".to_owned())]
     );
-    let mut ledger = one(RepeatSafety::Safe);
-    ledger.response_received(ms(10), "a", Answer::Served);
-    ledger.response_received(ms(11), "a", Answer::Failed);
-    assert_eq!(breaches(&ledger), [Breach::AnsweredTwice("a".to_owned())]);
-    let mut ledger = one(RepeatSafety::Safe);
-    ledger.response_received(ms(1051), "a", Answer::Failed);
+    let mut oracle = one(RepeatSafety::Safe);
+    oracle.response_received(ms(10), "a", Answer::Served);
+    oracle.response_received(ms(11), "a", Answer::Failed);
+    assert_eq!(breaches(&oracle), [Breach::AnsweredTwice("a".to_owned())]);
+    let mut oracle = one(RepeatSafety::Safe);
+    oracle.response_received(ms(1051), "a", Answer::Failed);
     assert_eq!(
-        breaches(&ledger),
+        breaches(&oracle),
         [Breach::LateAnswer("a: 51 ms".to_owned())]
     );
     for (why, lost) in [
@@ -69,20 +69,20 @@
         (Unanswered::ClientDisconnected, 0),
         (Unanswered::Lost, 1),
     ] {
-        let mut ledger = one(RepeatSafety::Safe);
-        ledger.request_unanswered("a", why);
-        assert_eq!(breaches(&ledger).len(), lost, "{why:?}");
+        let mut oracle = one(RepeatSafety::Safe);
+        oracle.request_unanswered("a", why);
+        assert_eq!(breaches(&oracle).len(), lost, "{why:?}");
     }
 }
 
 #[test]
 fn tries_without_an_end_are_counted_and_all_are_told_in_the_order_in_which_they_were_asked() {
-    let mut ledger = Oracle::new(Bounds::default());
+    let mut oracle = Oracle::new(Bounds::default());
     let ids: Vec<String> = (0..100)
         .map(|number| format!("t{}", number * 7 % 100))
         .collect();
     for (node, id) in ids.iter().enumerate() {
-        ledger.request_sent(
+        oracle.request_sent(
             ms(5),
             SentRequest {
                 node,
@@ -90,7 +90,7 @@
             },
         );
     }
-    ledger.request_sent(
+    oracle.request_sent(
         ms(6),
         SentRequest {
             node: 3,
@@ -98,63 +98,63 @@
         },
     );
     assert_eq!(
-        ledger.open_requests(),
+        oracle.open_requests(),
         100,
         "sent once more, it counts once"
     );
     let ended: [fn(&mut Oracle, &str); 4] = [
-        |ledger, id| ledger.response_received(ms(10), id, Answer::Refused),
-        |ledger, id| ledger.request_unanswered(id, Unanswered::Killed),
-        |ledger, id| ledger.client_disconnected(ms(10), id),
-        |ledger, id| ledger.response_received(ms(10), id, Answer::Served),
+        |oracle, id| oracle.response_received(ms(10), id, Answer::Refused),
+        |oracle, id| oracle.request_unanswered(id, Unanswered::Killed),
+        |oracle, id| oracle.client_disconnected(ms(10), id),
+        |oracle, id| oracle.response_received(ms(10), id, Answer::Served),
     ];
     for (id, end) in ids.iter().zip(ended.iter().cycle()).take(40) {
-        end(&mut ledger, id);
+        end(&mut oracle, id);
         // What ends twice has ended once.
-        ledger.response_received(ms(11), id, Answer::Served);
-        ledger.request_unanswered(id, Unanswered::Lost);
+        oracle.response_received(ms(11), id, Answer::Served);
+        oracle.request_unanswered(id, Unanswered::Lost);
     }
-    ledger.response_received(ms(12), "nobody's", Answer::Served);
-    assert_eq!(ledger.open_requests(), 60);
-    assert!(ledger.requests().map(|seen| seen.node).eq(0..100));
+    oracle.response_received(ms(12), "nobody's", Answer::Served);
+    assert_eq!(oracle.open_requests(), 60);
+    assert!(oracle.requests().map(|seen| seen.node).eq(0..100));
 }
 
 #[test]
 fn each_breach_of_the_second_rule_is_seen() {
-    let mut ledger = one(RepeatSafety::Safe);
-    ledger.attempt_received(ms(10), ms(10), "s", "a", 0.1);
-    ledger.attempt_received(ms(20), ms(20), "t", "a", 0.1);
-    ledger.response_received(ms(30), "a", Answer::Served);
-    assert_eq!(breaches(&ledger), [Breach::TwoAttempts("a".to_owned())]);
+    let mut oracle = one(RepeatSafety::Safe);
+    oracle.attempt_received(ms(10), ms(10), "s", "a", 0.1);
+    oracle.attempt_received(ms(20), ms(20), "t", "a", 0.1);
+    oracle.response_received(ms(30), "a", Answer::Served);
+    assert_eq!(breaches(&oracle), [Breach::TwoAttempts("a".to_owned())]);
     // The end of the first is seen a little late, or it comes too late.
-    ledger.attempt_canceled(ms(71), "a");
-    assert_eq!(breaches(&ledger), [Breach::TwoAttempts("a".to_owned())]);
-    ledger.attempt_canceled(ms(70), "a");
-    assert!(breaches(&ledger).is_empty());
+    oracle.attempt_canceled(ms(71), "a");
+    assert_eq!(breaches(&oracle), [Breach::TwoAttempts("a".to_owned())]);
+    oracle.attempt_canceled(ms(70), "a");
+    assert!(breaches(&oracle).is_empty());
     // One after the other, into another group: its key is not known there.
-    let mut ledger = one(RepeatSafety::Keyed);
+    let mut oracle = one(RepeatSafety::Keyed);
     for (group, server) in [(1, "s"), (2, "t")] {
-        ledger.attempt_received(ms(10), ms(10), server, "a", 0.1);
-        ledger.attempt_executed(ms(20), ms(20), group, "a");
-        ledger.attempt_finished("a");
+        oracle.attempt_received(ms(10), ms(10), server, "a", 0.1);
+        oracle.attempt_executed(ms(20), ms(20), group, "a");
+        oracle.attempt_finished("a");
     }
-    ledger.response_received(ms(30), "a", Answer::Served);
-    assert_eq!(breaches(&ledger), [Breach::TwiceEffect("a".to_owned())]);
+    oracle.response_received(ms(30), "a", Answer::Served);
+    assert_eq!(breaches(&oracle), [Breach::TwiceEffect("a".to_owned())]);
     // In the same group it is dropped while the group remembers.
     for (at, twice) in [(2019, false), (2021, true)] {
-        let mut ledger = one(RepeatSafety::Keyed);
-        assert!(ledger.attempt_executed(ms(20), ms(20), 1, "a"));
+        let mut oracle = one(RepeatSafety::Keyed);
+        assert!(oracle.attempt_executed(ms(20), ms(20), 1, "a"));
         assert_eq!(
-            ledger.attempt_executed(ms(at + 500), ms(at), 1, "a"),
+            oracle.attempt_executed(ms(at + 500), ms(at), 1, "a"),
             twice,
             "by when it came"
         );
     }
-    let mut ledger = one(RepeatSafety::Unsafe);
-    ledger.attempt_executed(ms(20), ms(20), 1, "a");
-    ledger.response_received(ms(30), "a", Answer::Refused);
+    let mut oracle = one(RepeatSafety::Unsafe);
+    oracle.attempt_executed(ms(20), ms(20), 1, "a");
+    oracle.response_received(ms(30), "a", Answer::Refused);
     assert_eq!(
-        breaches(&ledger),
+        breaches(&oracle),
         [Breach::RefusedAfterEffect("a".to_owned())]
     );
 }
@@ -162,22 +162,22 @@
 #[test]
 fn sends_after_a_drain_count_from_when_this_node_was_told() {
     for (first, breach) in [(1299, false), (1301, true)] {
-        let mut ledger = one(RepeatSafety::Safe);
-        ledger.health_delivered(ms(1000), 0, "s", false);
-        ledger.health_delivered(ms(1200), 0, "s", false);
-        ledger.health_delivered(ms(0), 1, "s", false);
-        ledger.attempt_received(ms(first + 50), ms(first), "s", "a", 0.1);
-        ledger.response_received(ms(999), "a", Answer::Served);
-        let verdict = ledger.verdict();
+        let mut oracle = one(RepeatSafety::Safe);
+        oracle.health_delivered(ms(1000), 0, "s", false);
+        oracle.health_delivered(ms(1200), 0, "s", false);
+        oracle.health_delivered(ms(0), 1, "s", false);
+        oracle.attempt_received(ms(first + 50), ms(first), "s", "a", 0.1);
+        oracle.response_received(ms(999), "a", Answer::Served);
+        let verdict = oracle.verdict();
         assert_eq!(!verdict.breaches.is_empty(), breach, "{verdict:?}");
         assert_eq!(verdict.attempts_after_drain, 1);
     }
-    let mut ledger = one(RepeatSafety::Safe);
-    ledger.health_delivered(ms(0), 0, "s", false);
-    ledger.health_delivered(ms(500), 0, "s", true);
-    ledger.attempt_received(ms(700), ms(700), "s", "a", 0.1);
+    let mut oracle = one(RepeatSafety::Safe);
+    oracle.health_delivered(ms(0), 0, "s", false);
+    oracle.health_delivered(ms(500), 0, "s", true);
+    oracle.attempt_received(ms(700), ms(700), "s", "a", 0.1);
     assert_eq!(
-        ledger.verdict().attempts_after_drain,
+        oracle.verdict().attempts_after_drain,
         0,
         "it is ready again"
     );
@@ -186,15 +186,15 @@
 #[test]
 fn a_cold_server_falls_by_what_all_nodes_send_it_together() {
     let fill = |count: u64| {
-        let mut ledger = Oracle::new(Bounds::default());
-        ledger.server_started_cold(ms(0), "s", 2.0);
+        let mut oracle = Oracle::new(Bounds::default());
+        oracle.server_started_cold(ms(0), "s", 2.0);
         for number in 0..count {
             let mut asked = asked(&number.to_string(), RepeatSafety::Safe);
             asked.node = number as usize % 3;
-            ledger.request_sent(ms(0), asked);
-            ledger.attempt_received(ms(10 + number), ms(10), "s", &number.to_string(), 0.1);
+            oracle.request_sent(ms(0), asked);
+            oracle.attempt_received(ms(10 + number), ms(10), "s", &number.to_string(), 0.1);
         }
-        (ledger.is_overloaded("s"), ledger.verdict().cold_load_max)
+        (oracle.is_overloaded("s"), oracle.verdict().cold_load_max)
     };
     // 2 s of work a second, of which 0.21 are there, times 3: 1.26 s of work in the first second.
     assert!(!fill(12).0 && fill(13).0, "{:?} {:?}", fill(12), fill(13));
@@ -203,27 +203,27 @@
 
 #[test]
 fn a_ceiling_is_judged_over_all_nodes_with_its_slack_and_a_quota_only_counted() {
-    let mut ledger = Oracle::new(Bounds::default());
-    ledger.set_limits(7, (1.0, 2.0), Some((2.0, 4.0)));
+    let mut oracle = Oracle::new(Bounds::default());
+    oracle.set_limits(7, (1.0, 2.0), Some((2.0, 4.0)));
     for number in 0..6_u64 {
         let id = number.to_string();
-        ledger.request_sent(
+        oracle.request_sent(
             ms(0),
             SentRequest {
                 node: number as usize,
                 ..asked(&id, RepeatSafety::Safe)
             },
         );
-        ledger.attempt_received(ms(0), ms(0), "s", &id, 0.1);
-        ledger.response_received(ms(1), &id, Answer::Served);
+        oracle.attempt_received(ms(0), ms(0), "s", &id, 0.1);
+        oracle.response_received(ms(1), &id, Answer::Served);
         // 4 units at once, one for the slack and 0.3 for lateness.
         assert_eq!(
-            ledger.verdict().breaches.len(),
+            oracle.verdict().breaches.len(),
             usize::from(number >= 5),
             "{number}"
         );
     }
-    let verdict = ledger.verdict();
+    let verdict = oracle.verdict();
     assert!(
         (verdict.share_beyond_quota - 4.0 / 6.0).abs() < 1e-9,
         "{verdict:?}"
@@ -237,12 +237,12 @@
 #[test]
 fn attempts_after_their_clients_have_gone_are_found_and_the_third_is_a_break() {
     for (first, count) in [(1150, 0), (1151, 1)] {
-        let mut ledger = Oracle::new(Bounds::default());
+        let mut oracle = Oracle::new(Bounds::default());
         for (place, id) in ["a", "b", "c"].into_iter().enumerate() {
-            ledger.request_sent(ms(900), asked(id, RepeatSafety::Safe));
-            ledger.client_disconnected(ms(1000), id);
-            ledger.attempt_received(ms(first + 20), ms(first), "s", id, 0.1);
-            let verdict = ledger.verdict();
+            oracle.request_sent(ms(900), asked(id, RepeatSafety::Safe));
+            oracle.client_disconnected(ms(1000), id);
+            oracle.attempt_received(ms(first + 20), ms(first), "s", id, 0.1);
+            let verdict = oracle.verdict();
             assert_eq!(
                 verdict.attempts_after_disconnect,
                 count * (place as u64 + 1),
@@ -254,7 +254,7 @@
                 "{verdict:?}"
             );
         }
-        let verdict = ledger.verdict();
+        let verdict = oracle.verdict();
         assert_eq!(
             (
                 verdict.disconnected,
@@ -266,24 +266,24 @@
         assert_eq!(verdict.breaches.len() as u64, 3 * count);
     }
     // A further attempt counts as a first one does, and only what has had none was unsent.
-    let mut ledger = one(RepeatSafety::Safe);
-    ledger.attempt_received(ms(10), ms(10), "s", "a", 0.1);
-    ledger.client_disconnected(ms(20), "a");
-    ledger.attempt_finished("a");
-    ledger.attempt_received(ms(300), ms(300), "t", "a", 0.1);
+    let mut oracle = one(RepeatSafety::Safe);
+    oracle.attempt_received(ms(10), ms(10), "s", "a", 0.1);
+    oracle.client_disconnected(ms(20), "a");
+    oracle.attempt_finished("a");
+    oracle.attempt_received(ms(300), ms(300), "t", "a", 0.1);
     assert_eq!(
         (
-            ledger.verdict().disconnected_before_attempt,
-            ledger.verdict().attempts_after_disconnect
+            oracle.verdict().disconnected_before_attempt,
+            oracle.verdict().attempts_after_disconnect
         ),
         (0, 1)
     );
     // A node that stood still learns of the close when it goes on.
-    let mut ledger = one(RepeatSafety::Safe);
-    ledger.client_disconnected(ms(100), "a");
-    ledger.node_resumed(ms(900), 0, ms(50));
-    ledger.attempt_received(ms(1000), ms(1000), "s", "a", 0.1);
-    assert_eq!(ledger.verdict().attempts_after_disconnect, 0);
+    let mut oracle = one(RepeatSafety::Safe);
+    oracle.client_disconnected(ms(100), "a");
+    oracle.node_resumed(ms(900), 0, ms(50));
+    oracle.attempt_received(ms(1000), ms(1000), "s", "a", 0.1);
+    assert_eq!(oracle.verdict().attempts_after_disconnect, 0);
 }
 
 #[test]
@@ -292,28 +292,28 @@
         mean_work: 0.05,
         ..Bounds::default()
     };
-    let mut ledger = Oracle::new(bounds);
+    let mut oracle = Oracle::new(bounds);
     // 2 s of work a second, of which 0.21 are there, times 3: 25.2 of mean work, and 37.2 with chance.
     for life in [0_u64, 5000] {
-        ledger.server_started_cold(ms(life), "s", 2.0);
+        oracle.server_started_cold(ms(life), "s", 2.0);
         for number in 0..(if life == 0 { 8 } else { 4 }) {
             let id = format!("{life}-{number}");
-            ledger.request_sent(
+            oracle.request_sent(
                 ms(life),
                 SentRequest {
                     node: number,
                     ..asked(&id, RepeatSafety::Safe)
                 },
             );
-            ledger.attempt_received(ms(life), ms(life), "s", &id, 0.1);
+            oracle.attempt_received(ms(life), ms(life), "s", &id, 0.1);
         }
     }
     let allowed: f64 = 1.26 / 0.05;
     let share = 16.0 / (allowed + 2.0 * allowed.sqrt() + 2.0);
     assert!(
-        (ledger.verdict().cold_crowding_max - share).abs() < 1e-9,
+        (oracle.verdict().cold_crowding_max - share).abs() < 1e-9,
         "{:?}",
-        ledger.verdict()
+        oracle.verdict()
     );
 }
 
@@ -325,16 +325,16 @@
         (290, Some(7), 0),
         (400, Some(7), 0),
     ] {
-        let mut ledger = Oracle::new(Bounds::default());
+        let mut oracle = Oracle::new(Bounds::default());
         for number in 0..15_u64 {
             let (id, at) = (number.to_string(), ms(number * apart));
-            ledger.request_sent(at, asked(&id, RepeatSafety::Safe));
+            oracle.request_sent(at, asked(&id, RepeatSafety::Safe));
             if attempt == Some(number) {
-                ledger.attempt_received(at, at, "s", &id, 0.1);
+                oracle.attempt_received(at, at, "s", &id, 0.1);
             }
-            ledger.response_received(at, &id, Answer::Refused);
+            oracle.response_received(at, &id, Answer::Refused);
         }
-        let verdict = ledger.verdict();
+        let verdict = oracle.verdict();
         assert_eq!(
             (verdict.nodes_rejecting_all, verdict.processes_never_serving),
             (shut, 1),
@@ -345,23 +345,23 @@
 
 #[test]
 fn a_process_serves_nobody_whatever_its_successor_serves() {
-    let mut ledger = Oracle::new(Bounds::default());
-    let ask = |ledger: &mut Oracle, answer| {
-        let id = ledger.tries.len().to_string();
-        ledger.request_sent(ms(0), asked(&id, RepeatSafety::Safe));
-        ledger.response_received(ms(1), &id, answer);
+    let mut oracle = Oracle::new(Bounds::default());
+    let ask = |oracle: &mut Oracle, answer| {
+        let id = oracle.requests.len().to_string();
+        oracle.request_sent(ms(0), asked(&id, RepeatSafety::Safe));
+        oracle.response_received(ms(1), &id, answer);
     };
-    (0..5).for_each(|_| ask(&mut ledger, Answer::Refused));
-    ledger.node_restarted(0);
-    assert_eq!(ledger.verdict().processes_never_serving, 1);
-    (0..4).for_each(|_| ask(&mut ledger, Answer::Failed));
+    (0..5).for_each(|_| ask(&mut oracle, Answer::Refused));
+    oracle.node_restarted(0);
+    assert_eq!(oracle.verdict().processes_never_serving, 1);
+    (0..4).for_each(|_| ask(&mut oracle, Answer::Failed));
     assert_eq!(
-        ledger.verdict().processes_never_serving,
+        oracle.verdict().processes_never_serving,
         1,
         "too few to tell"
     );
-    ask(&mut ledger, Answer::Failed);
-    assert_eq!(ledger.verdict().processes_never_serving, 2);
-    ask(&mut ledger, Answer::Served);
-    assert_eq!(ledger.verdict().processes_never_serving, 1);
+    ask(&mut oracle, Answer::Failed);
+    assert_eq!(oracle.verdict().processes_never_serving, 2);
+    ask(&mut oracle, Answer::Served);
+    assert_eq!(oracle.verdict().processes_never_serving, 1);
 }
--- a/crates/test-doubles/src/peers.rs
+++ b/crates/test-doubles/src/peers.rs
@@ -11,7 +11,7 @@
 use tokio::net::UdpSocket;
 
 /// Most bytes of a datagram, as the platform has it.
-const MOST: usize = 256;
+const MAX_DATAGRAM_BYTES: usize = 256;
 
 /// The relays between all nodes.
 #[derive(Debug)]
@@ -26,7 +26,7 @@
     received: Vec<AtomicU64>,
     bytes: AtomicU64,
     too_long: AtomicU64,
-    strangers: AtomicU64,
+    unknown_sender_count: AtomicU64,
 }
 
 impl Network {
@@ -58,7 +58,7 @@
             received,
             bytes,
             too_long,
-            strangers,
+            unknown_sender_count: strangers,
         };
         let network = Arc::new(network);
         for to in 0..network.nodes.len() {
@@ -99,22 +99,22 @@
 
     /// Datagrams that no node of this run sent.
     pub fn from_unknown_senders(&self) -> u64 {
-        self.strangers.load(Ordering::Relaxed)
+        self.unknown_sender_count.load(Ordering::Relaxed)
     }
 
     async fn relay(self: Arc<Self>, to: usize) {
-        let mut buffer = [0; MOST + 1];
+        let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let Ok((length, sender)) = self.relays[to].recv_from(&mut buffer).await else {
                 continue;
             };
             let Some(from) = self.numbers.get(&sender).copied() else {
-                self.strangers.fetch_add(1, Ordering::Relaxed);
+                self.unknown_sender_count.fetch_add(1, Ordering::Relaxed);
                 continue;
             };
             self.sent[from].fetch_add(1, Ordering::Relaxed);
             self.bytes.fetch_add(length as u64, Ordering::Relaxed);
-            if length > MOST {
+            if length > MAX_DATAGRAM_BYTES {
                 self.too_long.fetch_add(1, Ordering::Relaxed);
                 continue;
             }
--- a/crates/test-doubles/src/ports.rs
+++ b/crates/test-doubles/src/ports.rs
@@ -13,7 +13,7 @@
 /// The second byte of a block's addresses. 127.0.x.y is left to all others.
 const BLOCKS: std::ops::RangeInclusive<u8> = 16..=250;
 /// Addresses of a block; the first and the last of each 256 are left out.
-const EACH: u32 = 254 * 250;
+const ADDRESSES_PER_BLOCK: u32 = 254 * 250;
 /// The one port that is used, below those that the machine hands out by itself (`ip_local_port_range`).
 const PORT: u16 = 7420;
 
@@ -60,7 +60,7 @@
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let block = block()?;
     let next = NEXT.fetch_add(1, Ordering::Relaxed);
-    if next >= EACH {
+    if next >= ADDRESSES_PER_BLOCK {
         return Err(std::io::ErrorKind::AddrNotAvailable.into());
     }
     let (high, low) = ((next / 254) as u8, (next % 254 + 1) as u8);
--- a/crates/test-doubles/src/process.rs
+++ b/crates/test-doubles/src/process.rs
@@ -3,7 +3,7 @@
 use std::fs;
 
 /// Ticks of the machine's CPU accounting in a second (`sysconf(_SC_CLK_TCK)`; 100 on Linux).
-const TICKS: f64 = 100.0;
+const TICKS_PER_S: f64 = 100.0;
 
 /// CPU seconds of all threads of a process, to 10 ms (`stat`, fields 14 and 15); none where it is gone.
 pub fn cpu_seconds(pid: u32) -> Option<f64> {
@@ -12,7 +12,7 @@
     let mut fields = stat.rsplit_once(')')?.1.split_whitespace().skip(11);
     let user: f64 = fields.next()?.parse().ok()?;
     let system: f64 = fields.next()?.parse().ok()?;
-    Some((user + system) / TICKS)
+    Some((user + system) / TICKS_PER_S)
 }
 
 /// Bytes of memory that a process has in use (`status`, `VmRSS`); none where it is gone.
--- a/crates/test-doubles/src/scripted.rs
+++ b/crates/test-doubles/src/scripted.rs
@@ -135,8 +135,8 @@
 
 /// App servers, which do what they are told.
 pub struct Servers {
-    got: Receiver<ReceivedRequest>,
-    tell: Sender<ReceivedRequest>,
+    received: Receiver<ReceivedRequest>,
+    sender: Sender<ReceivedRequest>,
     /// Attempts that were never answered, by the request's id.
     unanswered: Arc<Mutex<Vec<(String, TcpStream)>>>,
 }
@@ -152,8 +152,8 @@
     pub fn new() -> Servers {
         let (tell, got) = mpsc::channel();
         Servers {
-            got,
-            tell,
+            received: got,
+            sender: tell,
             unanswered: Arc::default(),
         }
     }
@@ -170,7 +170,7 @@
         let server = Server {
             name: name.to_owned(),
             turns: Arc::clone(turns),
-            tell: self.tell.clone(),
+            sender: self.sender.clone(),
             unanswered: Arc::clone(&self.unanswered),
         };
         thread::spawn(move || {
@@ -185,7 +185,7 @@
     /// The next request that has come to any of them.
     pub fn next_request(&self) -> ReceivedRequest {
         let got = self
-            .got
+            .received
             .recv_timeout(TEST_TIMEOUT)
             .expect("a request comes to an app server");
         assert!(
@@ -197,12 +197,12 @@
 
     /// Drops all requests that have come and were not looked at, and their connections here.
     pub fn discard_requests(&self) {
-        self.got.try_iter().for_each(drop);
+        self.received.try_iter().for_each(drop);
     }
 
     /// Fails if a request has come that was not looked at.
     pub fn assert_no_more_requests(&self) {
-        assert!(self.got.try_recv().is_err(), "one attempt too many");
+        assert!(self.received.try_recv().is_err(), "one attempt too many");
     }
 }
 
@@ -210,7 +210,7 @@
 struct Server {
     name: String,
     turns: ReplyQueue,
-    tell: Sender<ReceivedRequest>,
+    sender: Sender<ReceivedRequest>,
     unanswered: Arc<Mutex<Vec<(String, TcpStream)>>>,
 }
 
@@ -236,7 +236,7 @@
             drop(unanswered);
             let (server, told) = (self.name.clone(), stream.try_clone().expect("a clone"));
             // The test may have ended.
-            let _ = self.tell.send(ReceivedRequest {
+            let _ = self.sender.send(ReceivedRequest {
                 server,
                 message,
                 connection,
@@ -360,18 +360,18 @@
 const SETTINGS: &str = r#"{"balancers":2,"me":0,"zone":"a","zones":["a"],"periodUs":2000,"discovery":"automatic","ceilings":{"cancel":true,"probes":false,"mayTell":true,"secondCopies":false,"sendCap":4,"connIdleUs":15000000,"connectTimeoutUs":250000},"classes":[{"name":"read","aimUs":400000,"deadlineUs":30000000,"lateValue":0.2,"worth":3.0,"repeat":"read_like"},{"name":"submit","aimUs":400000,"deadlineUs":30000000,"lateValue":0.2,"worth":2.0,"repeat":"idempotency_key","group":"cell","windowUs":60000000},{"name":"pay","aimUs":400000,"deadlineUs":30000000,"lateValue":0.2,"worth":9.0,"repeat":"non_idempotent"}],"packages":[{"name":"p","rate":1000.0,"storeSize":1000.0,"price":1.0},{"name":"tiny","rate":0.5,"storeSize":1.0,"price":1.0}],"rules":{"coldFrom":0.2,"coldUs":1000000,"fallMultiple":3.0,"overloadForUs":1000000},"extra":{"peerInPerS":60.0,"maxUnits":1}}"#;
 
 /// A file of a test, which goes with it.
-pub struct Temporary(pub PathBuf);
+pub struct TempFile(pub PathBuf);
 
-impl Temporary {
+impl TempFile {
     /// Writes one; the tag names it among those of this process.
-    pub fn new(tag: &str, text: &str) -> Temporary {
+    pub fn new(tag: &str, text: &str) -> TempFile {
         let path = std::env::temp_dir().join(format!("saffronpaddle-{}-{tag}", std::process::id()));
         std::fs::write(&path, text).expect("it is written");
-        Temporary(path)
+        TempFile(path)
     }
 }
 
-impl Drop for Temporary {
+impl Drop for TempFile {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.0);
     }
@@ -383,9 +383,9 @@
     /// Where clients connect.
     pub address: SocketAddr,
     /// Where the peer's datagrams come in.
-    pub peer: UdpSocket,
+    pub peer_socket: UdpSocket,
     /// Where the node's come in.
-    pub datagrams: SocketAddr,
+    pub datagram_address: SocketAddr,
     config: PathBuf,
     /// Lines of its log.
     log: Receiver<String>,
@@ -551,8 +551,8 @@
         Node {
             child,
             address,
-            peer,
-            datagrams,
+            peer_socket: peer,
+            datagram_address: datagrams,
             config,
             log,
         }
@@ -565,12 +565,12 @@
         let tag = format!("{}-successor", self.child.id());
         let (child, config) = start_with(&tag, &text, change);
         let (child, address, log) = listening(child);
-        let peer = self.peer.try_clone().expect("a clone");
+        let peer = self.peer_socket.try_clone().expect("a clone");
         Node {
             child,
             address,
-            peer,
-            datagrams: self.datagrams,
+            peer_socket: peer,
+            datagram_address: self.datagram_address,
             config,
             log,
         }
--- a/crates/test-doubles/src/servers.rs
+++ b/crates/test-doubles/src/servers.rs
@@ -60,24 +60,24 @@
 }
 
 #[derive(Debug)]
-struct Inside {
+struct Shared {
     world: Arc<World>,
     spec: Spec,
-    temper: Mutex<Behavior>,
+    behavior: Mutex<Behavior>,
     cores: Semaphore,
-    held: AtomicUsize,
+    held_requests: AtomicUsize,
     /// When each connection was made, and how many requests came.
     handshakes: Mutex<Vec<Duration>>,
     requests: AtomicUsize,
     /// Its life: each process has a number, 0 while none runs.
-    life: watch::Sender<u64>,
-    _keeper: TcpSocket,
+    process_id: watch::Sender<u64>,
+    _reserved_socket: TcpSocket,
 }
 
 /// A server. Its address stays the same over its restarts.
 #[derive(Clone, Debug)]
 pub struct AppServer {
-    inside: Arc<Inside>,
+    shared: Arc<Shared>,
     address: SocketAddr,
 }
 
@@ -93,32 +93,32 @@
         let listener = bound(address)?.listen(BACKLOG)?;
         let (life, _) = watch::channel(1);
         let cores = Semaphore::new(spec.cores);
-        let (temper, held, handshakes, requests) = Default::default();
-        let inside = Inside {
+        let (behavior, held, handshakes, requests) = Default::default();
+        let shared = Shared {
             world,
             spec,
-            temper,
+            behavior,
             cores,
-            held,
+            held_requests: held,
             handshakes,
             requests,
-            life,
-            _keeper: keeper,
+            process_id: life,
+            _reserved_socket: keeper,
         };
-        let inside = Arc::new(inside);
-        let server = AppServer { inside, address };
+        let shared = Arc::new(shared);
+        let server = AppServer { shared, address };
         tokio::spawn(server.clone().accept(listener));
         Ok(server)
     }
 
     /// Its name on the list.
     pub fn name(&self) -> &str {
-        &self.inside.spec.name
+        &self.shared.spec.name
     }
 
     /// The group that drops repeats.
     pub fn block(&self) -> u64 {
-        self.inside.spec.block
+        self.shared.spec.block
     }
 
     /// Where it listens.
@@ -128,25 +128,25 @@
 
     /// Seconds of work a second that it can do once it is warm.
     pub fn capacity(&self) -> f64 {
-        self.inside.spec.cores as f64
+        self.shared.spec.cores as f64
     }
 
     /// When each connection was made to it, since the run's beginning, and how many requests came.
     pub fn handshakes_and_requests(&self) -> (Vec<Duration>, usize) {
         (
-            lock(&self.inside.handshakes).clone(),
-            self.inside.requests.load(Ordering::Relaxed),
+            lock(&self.shared.handshakes).clone(),
+            self.shared.requests.load(Ordering::Relaxed),
         )
     }
 
     /// Changes its temper.
     pub fn set_behavior(&self, change: impl FnOnce(&mut Behavior)) {
-        change(&mut lock(&self.inside.temper));
+        change(&mut lock(&self.shared.behavior));
     }
 
     /// Ends its process: connections are reset, new ones refused.
     pub fn kill(&self) {
-        self.inside.life.send_replace(0);
+        self.shared.process_id.send_replace(0);
     }
 
     /// Starts its process anew after [`AppServer::kill`]; it is cold, and the ledger watches whether it falls.
@@ -155,24 +155,24 @@
     /// Its port could not be had again.
     pub fn start_cold(&self) -> std::io::Result<()> {
         let listener = bound(self.address)?.listen(BACKLOG)?;
-        let world = &self.inside.world;
+        let world = &self.shared.world;
         world
             .oracle()
             .server_started_cold(world.now(), self.name(), self.capacity());
         let number = world.now().as_nanos() as u64 | 1;
-        self.inside.life.send_replace(number);
+        self.shared.process_id.send_replace(number);
         tokio::spawn(self.clone().accept(listener));
         Ok(())
     }
 
     async fn accept(self, listener: TcpListener) {
-        let mut life = self.inside.life.subscribe();
+        let mut life = self.shared.process_id.subscribe();
         let mine = *life.borrow_and_update();
         loop {
             tokio::select! {
                 accepted = listener.accept() => {
                     if let Ok((stream, _)) = accepted {
-                        lock(&self.inside.handshakes).push(self.inside.world.now());
+                        lock(&self.shared.handshakes).push(self.shared.world.now());
                         tokio::spawn(self.clone().serve(stream, mine));
                     }
                 }
@@ -182,15 +182,15 @@
     }
 
     async fn serve(self, stream: TcpStream, mine: u64) {
-        let mut life = self.inside.life.subscribe();
-        let mut wire = HttpConnection::new(stream);
+        let mut life = self.shared.process_id.subscribe();
+        let mut connection = HttpConnection::new(stream);
         let died = async move {
             let _ = life.wait_for(|now| *now != mine).await;
         };
         tokio::pin!(died);
         loop {
             let message = tokio::select! {
-                message = wire.read_message(&self.inside.world) => message,
+                message = connection.read_message(&self.shared.world) => message,
                 () = &mut died => None.ok_or(std::io::ErrorKind::ConnectionReset.into()),
             };
             let Ok(Some(message)) = message else { break };
@@ -202,21 +202,21 @@
                 .next()
                 .unwrap_or("")
                 .to_owned();
-            let inside = Arc::clone(&self.inside);
-            inside.requests.fetch_add(1, Ordering::Relaxed);
-            let work = inside.work(&class);
-            let world = &inside.world;
+            let shared = Arc::clone(&self.shared);
+            shared.requests.fetch_add(1, Ordering::Relaxed);
+            let work = shared.work(&class);
+            let world = &shared.world;
             world.oracle().attempt_received(
                 world.now(),
                 message.first_byte_at,
-                &inside.spec.name,
+                &shared.spec.name,
                 &id,
                 work,
             );
-            let held = Held::take(Arc::clone(&inside));
-            if held.count > inside.spec.slots || world.oracle().is_overloaded(&inside.spec.name) {
+            let held = HeldRequest::take(Arc::clone(&shared));
+            if held.count > shared.spec.slots || world.oracle().is_overloaded(&shared.spec.name) {
                 world.oracle().attempt_finished(&id);
-                if wire
+                if connection
                     .write(&response("503 Full", "X-Not-Run: 1\r\n", ""))
                     .await
                     .is_err()
@@ -226,72 +226,78 @@
                 continue;
             }
             // The work goes on when nobody waits for it any more.
-            let job = tokio::spawn(run(Arc::clone(&inside), id.clone(), work, held, mine));
+            let job = tokio::spawn(execute(Arc::clone(&shared), id.clone(), work, held, mine));
             tokio::pin!(job);
             let done = tokio::select! {
                 done = &mut job => done.ok(),
-                () = wire.wait_until_closed() => {
+                () = connection.wait_until_closed() => {
                     world.oracle().attempt_canceled(world.now(), &id);
                     return;
                 }
                 () = &mut died => None,
             };
             match done {
-                Some(Done::Answer(words)) => {
+                Some(Outcome::Answer(words)) => {
                     // Over once it is written: the node may send elsewhere from then on.
                     world.oracle().attempt_finished(&id);
-                    if wire.write(&words).await.is_err() {
+                    if connection.write(&words).await.is_err() {
                         break;
                     }
                 }
-                Some(Done::Reset) | None => {
+                Some(Outcome::Reset) | None => {
                     world.oracle().attempt_finished(&id);
                     break;
                 }
             }
         }
         // A process that dies resets its connections: an end in the middle would look like an answer's.
-        let _ = wire.stream.set_zero_linger();
+        let _ = connection.stream.set_zero_linger();
     }
 }
 
-enum Done {
+enum Outcome {
     Answer(Vec<u8>),
     Reset,
 }
 
-async fn run(inside: Arc<Inside>, id: String, work: f64, _held: Held, mine: u64) -> Done {
-    let world = &inside.world;
+async fn execute(
+    shared: Arc<Shared>,
+    id: String,
+    work: f64,
+    _held: HeldRequest,
+    mine: u64,
+) -> Outcome {
+    let world = &shared.world;
     let came = world.now();
-    let temper = *lock(&inside.temper);
-    if temper.silent {
-        let mut life = inside.life.subscribe();
+    let behavior = *lock(&shared.behavior);
+    if behavior.silent {
+        let mut life = shared.process_id.subscribe();
         let _ = life.wait_for(|now| *now != mine).await;
-        return Done::Reset;
+        return Outcome::Reset;
     }
     // It is never closed.
-    let Ok(_core) = inside.cores.acquire().await else {
-        return Done::Reset;
+    let Ok(_core) = shared.cores.acquire().await else {
+        return Outcome::Reset;
     };
     let warmth = world
         .oracle()
-        .capacity_share(world.now(), &inside.spec.name);
+        .capacity_share(world.now(), &shared.spec.name);
     tokio::time::sleep(Duration::from_secs_f64(
-        work * temper.work_multiplier / warmth,
+        work * behavior.work_multiplier / warmth,
     ))
     .await;
-    if *inside.life.borrow() != mine {
-        return Done::Reset;
+    if *shared.process_id.borrow() != mine {
+        return Outcome::Reset;
     }
     world
         .oracle()
-        .attempt_executed(world.now(), came, inside.spec.block, &id);
+        .attempt_executed(world.now(), came, shared.spec.block, &id);
     match fastrand::f64() {
-        chance if chance < temper.reset_share => Done::Reset,
-        chance if chance < temper.reset_share + temper.error_share => {
-            Done::Answer(response("500 Oh", "", ""))
+        chance if chance < behavior.reset_share => Outcome::Reset,
+        chance if chance < behavior.reset_share + behavior.error_share => {
+            Outcome::Answer(response("500 Oh", "", ""))
         }
-        _ => Done::Answer(response("200 OK", "", &response_body(&id))),
+        _ => Outcome::Answer(response("200 OK", "", &response_body(&id))),
     }
 }
 
@@ -300,7 +306,7 @@
     format!("ranks for {id}\n")
 }
 
-impl Inside {
+impl Shared {
     /// Seconds of work that a request takes, half to one and a half of its class's mean.
     fn work(&self, class: &str) -> f64 {
         let mean = self.spec.work.iter().find(|(name, _)| name == class);
@@ -309,20 +315,20 @@
 }
 
 /// A place in a server, in work or waiting.
-struct Held {
-    inside: Arc<Inside>,
+struct HeldRequest {
+    shared: Arc<Shared>,
     count: usize,
 }
 
-impl Held {
-    fn take(inside: Arc<Inside>) -> Held {
-        let count = inside.held.fetch_add(1, Ordering::Relaxed) + 1;
-        Held { inside, count }
+impl HeldRequest {
+    fn take(shared: Arc<Shared>) -> HeldRequest {
+        let count = shared.held_requests.fetch_add(1, Ordering::Relaxed) + 1;
+        HeldRequest { shared, count }
     }
 }
 
-impl Drop for Held {
+impl Drop for HeldRequest {
     fn drop(&mut self) {
-        self.inside.held.fetch_sub(1, Ordering::Relaxed);
+        self.shared.held_requests.fetch_sub(1, Ordering::Relaxed);
     }
 }
--- a/crates/test-doubles/src/settings.rs
+++ b/crates/test-doubles/src/settings.rs
@@ -97,9 +97,9 @@
     }
 
     /// Notes what binds a customer.
-    pub fn register_limits(&self, ledger: &mut Oracle, customer: &Customer) {
+    pub fn register_limits(&self, oracle: &mut Oracle, customer: &Customer) {
         let plan = &self.plans[customer.plan];
-        ledger.set_limits(customer.id, (plan.rate, plan.burst), plan.ceiling);
+        oracle.set_limits(customer.id, (plan.rate, plan.burst), plan.ceiling);
     }
 
     /// The settings of one node.
--- a/crates/test-doubles/src/wire.rs
+++ b/crates/test-doubles/src/wire.rs
@@ -7,9 +7,9 @@
 use tokio::net::TcpStream;
 
 /// Most bytes of a head. Guards the stand-in's memory.
-const HEAD_MOST: usize = 64 * 1024;
+const MAX_HEAD_BYTES: usize = 64 * 1024;
 /// Most bytes of a body.
-const BODY_MOST: usize = 4 << 20;
+const MAX_BODY_BYTES: usize = 4 << 20;
 
 /// A message, whole.
 #[derive(Clone, Debug)]
@@ -82,7 +82,7 @@
             if let Some(end) = self.buffer.windows(4).position(|four| four == b"\r\n\r\n") {
                 break end + 4;
             }
-            if self.buffer.len() > HEAD_MOST {
+            if self.buffer.len() > MAX_HEAD_BYTES {
                 return Err(ErrorKind::InvalidData.into());
             }
             if self.stream.read_buf(&mut self.buffer).await? == 0 {
@@ -107,7 +107,7 @@
         let length = length.map_or(Ok(0), |(_, length)| length.parse::<usize>());
         let length = length
             .ok()
-            .filter(|length| *length <= BODY_MOST)
+            .filter(|length| *length <= MAX_BODY_BYTES)
             .ok_or(ErrorKind::InvalidData)?;
         while self.buffer.len() < head + length {
             if self.stream.read_buf(&mut self.buffer).await? == 0 {
@@ -135,7 +135,7 @@
     /// Comes back once the other side has ended the connection. What it still sends is kept.
     pub async fn wait_until_closed(&mut self) {
         while !matches!(self.stream.read_buf(&mut self.buffer).await, Ok(0) | Err(_)) {
-            if self.buffer.len() > BODY_MOST {
+            if self.buffer.len() > MAX_BODY_BYTES {
                 return;
             }
         }
