--- a/crates/test-doubles/src/discovery.rs
+++ b/crates/test-doubles/src/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery: one list of app servers, and an agent for each edge node that writes it as a watch. What an agent has
-//! written counts as told, and the ledger notes when.
+//! Discovery: one list of app servers, and one agent per edge node that serves it as a watch. What an agent has
+//! written counts as delivered to the node, and the oracle records when.
 
 use crate::wire::HttpConnection;
 use crate::{lock, World};
@@ -12,72 +12,72 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// While nothing changes, an empty line comes this often.
+/// Interval of empty lines while nothing changes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
-/// A caller that would wait for longer than this is turned away, if the service does that at all.
+/// A service that sheds load rejects callers that would have to wait for longer than this.
 pub const MAX_QUEUE_DELAY: Duration = Duration::from_secs(10);
 
-/// What the service can bear, and how it is.
+/// Capacity and availability of the list service.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServiceLimits {
-    /// Calls that it answers a second, one after the other; 0 for any number. It works on what it took though the caller
+    /// Calls answered per second, one after the other; 0 for no limit. A call takes up its time even if the caller
     /// has left.
     pub calls_per_s: f64,
-    /// Bytes of lists that it writes a second; 0 for any number.
+    /// Bytes of lists written per second; 0 for no limit.
     pub bytes_per_s: f64,
-    /// Whether it turns callers away with 503 and `Retry-After` once its line is long; else it takes them all.
+    /// Whether callers are rejected with 503 and `Retry-After` once the queue is long; otherwise all are accepted.
     pub sheds_load: bool,
-    /// Connections are reset.
+    /// Whether connections are reset.
     pub down: bool,
 }
 
-/// How a list service comes back that has lost something.
+/// State of a list service that comes back after it lost data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RestoreMode {
-    /// With the list of its first version, whatever has changed since.
+    /// The list of its first version, regardless of later changes.
     FirstVersion,
-    /// With no entries, and its numbers begun anew.
+    /// No entries, and version numbers that start again.
     Empty,
-    /// With its list, and its numbers begun anew.
+    /// The current list, with version numbers that start again.
     Renumbered,
 }
 
-/// What was asked of the service.
+/// Statistics of the calls to the service.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CallStats {
-    /// When each call came, since the run's beginning.
+    /// When each call arrived, since the start of the run.
     pub times: Vec<Duration>,
-    /// When the first line was written to each node for the first time.
+    /// By node: when the first line was written to it.
     pub first_answers: BTreeMap<usize, Duration>,
-    /// Bytes of lists that were written.
+    /// Bytes of lists written.
     pub list_bytes: u64,
-    /// Watches that are open, and the most that were.
+    /// Watches that are open.
     pub open_watches: usize,
-    /// See there.
+    /// Most watches that were open at once.
     pub max_open_watches: usize,
-    /// Callers that were turned away.
+    /// Calls that were rejected.
     pub rejected: u64,
 }
 
-/// What the list says of a server.
+/// A server's entry on the list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// Its name.
+    /// Name of the server.
     pub host: String,
-    /// Where it listens.
+    /// Address on which the server listens.
     pub dial: SocketAddr,
-    /// Its hall.
+    /// Zone of the server.
     pub site: String,
-    /// The group that drops repeats.
+    /// Group of servers that drops repeats of an idempotency key together.
     pub block: u64,
     /// `ready`, `draining` or `gone`.
     pub health: &'static str,
-    /// When it started, Unix time in milliseconds; 0 for long ago.
+    /// Unix time in milliseconds at which the server started; 0 for long ago.
     pub born_ms: u64,
 }
 
 impl Entry {
-    /// As it is written under an etcd key.
+    /// The value under the server's etcd key.
     pub fn value(&self) -> String {
         self.json(self.dial).to_string()
     }
@@ -93,7 +93,7 @@
 #[derive(Clone, Debug, Default)]
 struct List {
     seq: u64,
-    /// With the version of the last change.
+    /// With the version in which the entry last changed.
     entries: BTreeMap<String, (u64, Entry)>,
 }
 
@@ -126,7 +126,7 @@
     }
 }
 
-/// Discovery, with its agents.
+/// The discovery service with its agents.
 #[derive(Debug)]
 pub struct Discovery {
     world: Arc<World>,
@@ -135,19 +135,19 @@
     silent: watch::Sender<bool>,
     delay: Mutex<Duration>,
     limits: Mutex<ServiceLimits>,
-    /// Until when the service works on what it has taken.
+    /// Time until which the service is busy with calls that it accepted.
     busy_until: Mutex<Duration>,
     call_stats: Mutex<CallStats>,
     first_list: Mutex<Option<List>>,
-    /// Where a node finds a host, if not where it listens.
+    /// Addresses at which a node reaches a host, if they differ from the entry's.
     dials: Mutex<Dials>,
 }
 
-/// Addresses that differ from one node to the next.
+/// By node and host.
 type Dials = BTreeMap<(usize, String), SocketAddr>;
 
 impl Discovery {
-    /// An empty list.
+    /// Creates a service with an empty list.
     pub fn new(world: Arc<World>) -> Arc<Discovery> {
         Arc::new(Discovery {
             world,
@@ -163,17 +163,17 @@
         })
     }
 
-    /// Changes what the service bears.
+    /// Changes the limits of the service.
     pub fn set_limits(&self, change: impl FnOnce(&mut ServiceLimits)) {
         change(&mut lock(&self.limits));
     }
 
-    /// What was asked of it.
+    /// Statistics of all calls so far.
     pub fn call_stats(&self) -> CallStats {
         lock(&self.call_stats).clone()
     }
 
-    /// It has lost something, and is back without. All watches that are open are told.
+    /// Brings the service back after a loss of data. All open watches get the new list.
     pub fn restore(&self, back: RestoreMode) {
         let seq = {
             let (mut list, first) = (lock(&self.list), lock(&self.first_list).clone());
@@ -190,7 +190,8 @@
         self.seq.send_replace(seq);
     }
 
-    /// Waits until the service has worked on a call of so many bytes; whether it answers.
+    /// Waits until the service has processed a call of this many bytes. An error if it rejects the call, with the
+    /// time that the caller would have to wait.
     async fn wait_for_capacity(&self, bytes: usize) -> Result<(), Duration> {
         let ServiceLimits {
             calls_per_s,
@@ -231,7 +232,7 @@
         self.seq.send_replace(seq);
     }
 
-    /// An entry as it stands.
+    /// The current entry of a host.
     pub fn entry(&self, host: &str) -> Option<Entry> {
         lock(&self.list)
             .entries
@@ -239,37 +240,36 @@
             .map(|(_, entry)| entry.clone())
     }
 
-    /// The whole list in discovery's form, as a configuration's `known`.
+    /// The whole list in discovery's format, as a configuration's `known` holds it.
     pub fn full_list(&self) -> String {
         self.full_list_for(usize::MAX)
     }
 
-    /// The same as one node is told it.
+    /// The same as one node gets it, with the addresses of [`Discovery::redirect`].
     pub fn full_list_for(&self, node: usize) -> String {
         lock(&self.list)
             .changes_since(None, node, &lock(&self.dials))
             .0
     }
 
-    /// A node finds a host elsewhere than others.
+    /// Lets a node reach a host at another address than its entry's.
     pub fn redirect(&self, node: usize, host: &str, dial: SocketAddr) {
         lock(&self.dials).insert((node, host.to_owned()), dial);
     }
 
-    /// Writes nothing to anybody, or does so again.
+    /// Stops or resumes writing to all watches.
     pub fn set_silent(&self, silent: bool) {
         self.silent.send_replace(silent);
     }
 
-    /// Each change is written so much later, by each agent.
+    /// Sets the delay with which each agent writes a change.
     pub fn set_delay(&self, lateness: Duration) {
         *lock(&self.delay) = lateness;
     }
 
-    /// Starts the agent of one node; the address is where that node finds discovery.
+    /// Starts the agent of one node and returns the address at which that node reaches discovery.
     ///
-    /// # Errors
-    /// No port could be had.
+    /// # Errors No address is available.
     pub async fn start_agent(self: &Arc<Self>, node: usize) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind(crate::ports::reserve_address()?).await?;
         let address = listener.local_addr()?;
@@ -278,7 +278,7 @@
             loop {
                 if let Ok((stream, _)) = listener.accept().await {
                     let discovery = Arc::clone(&discovery);
-                    // How it ended is the node's concern.
+                    // The node handles a connection that fails.
                     tokio::spawn(async move { discovery.serve(node, stream).await.ok() });
                 }
             }
@@ -301,14 +301,14 @@
             .find_map(|part| part.strip_prefix("from="));
         let mut from: Option<u64> = from.take().and_then(|from| from.parse().ok());
         let (mut seq, mut silent) = (self.seq.subscribe(), self.silent.subscribe());
-        // The other side writes nothing more; its end is seen by the next write.
+        // The client sends nothing more; a closed connection shows at the next write.
         silent
             .wait_for(|silent| !silent)
             .await
             .map_err(std::io::Error::other)?;
         let bytes = {
             let list = lock(&self.list);
-            // A version that is not known here is answered with the whole list.
+            // A version that is unknown here is answered with the whole list.
             from = from.filter(|from| *from <= list.seq);
             list.changes_since(from, node, &lock(&self.dials)).0.len()
         };
@@ -324,7 +324,7 @@
         stream
             .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             .await?;
-        // The first line comes in any case: it tells that nothing has changed.
+        // The first line is always written: it tells the node that nothing has changed.
         let mut first = true;
         loop {
             seq.borrow_and_update();
@@ -369,7 +369,7 @@
     }
 }
 
-/// A watch that is open.
+/// Counts a watch while it is open.
 struct OpenWatch<'a>(&'a Mutex<CallStats>);
 
 impl OpenWatch<'_> {
--- a/crates/test-doubles/src/lib.rs
+++ b/crates/test-doubles/src/lib.rs
@@ -1,7 +1,7 @@
-//! Stand-ins on loopback for all that an edge node talks to, and a ledger that judges each run.
+//! Test doubles on loopback for everything that an edge node talks to, and a test oracle that judges each run.
 //!
-//! Written from the platform's protocol and from public specifications; they start nothing of anybody else's. A
-//! [`World`] holds one run's clock and its [`oracle`]; the others share it.
+//! They are written from the platform's protocol and from public specifications, and start no third-party programs. A
+//! [`World`] holds the clock and the [`oracle`] of one run, which the doubles share.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -22,7 +22,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// One run: its clock and its ledger.
+/// The clock and the oracle of one test run.
 #[derive(Debug)]
 pub struct World {
     started: Instant,
@@ -31,7 +31,7 @@
 }
 
 impl World {
-    /// A run that begins now.
+    /// Starts a run now.
     pub fn start(bounds: Bounds) -> Arc<World> {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -43,7 +43,7 @@
         })
     }
 
-    /// Since the run's beginning.
+    /// Time since the start of the run.
     pub fn now(&self) -> Duration {
         self.started.elapsed()
     }
@@ -53,13 +53,13 @@
         (self.unix + self.now()).as_millis() as u64
     }
 
-    /// The ledger. A panic elsewhere does not spoil it: it holds plain entries.
+    /// Locks the oracle. A poisoned lock is used on: the oracle holds plain records.
     pub fn oracle(&self) -> MutexGuard<'_, Oracle> {
         self.oracle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// A lock that a panic elsewhere does not spoil.
+/// Locks a mutex, also after a panic of another holder.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/test-doubles/src/links.rs
+++ b/crates/test-doubles/src/links.rs
@@ -1,9 +1,9 @@
-//! The links of a run and what befalls them: one table of faults for datagrams and connections alike, and the relays
-//! through which connections go.
+//! Faults on the links of a run: one table of faults for datagrams and connections, and the relays through which
+//! connections pass.
 //!
-//! A link leads from one [`End`] to another, and each direction is a link of its own. What lies on it is the sum of all
-//! rules that name it. Datagrams pass through [`crate::peers`]; a connection passes through a [`Relay`] where a rule of
-//! the run may touch it, and goes straight elsewhere.
+//! A link leads from one [`End`] to another; each direction is a link of its own. The fault of a link combines all
+//! rules that name it. Datagrams pass through [`crate::peers`]. A connection passes through a [`Relay`] where a rule
+//! of the run may affect it, and is made directly elsewhere.
 
 use crate::lock;
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,16 +16,17 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// How long a lost piece of a connection's bytes takes to be sent again: the machine's least time-out for that.
+/// How long a lost segment takes to be retransmitted: the minimum retransmission time-out of Linux.
 const RETRANSMIT_DELAY: Duration = Duration::from_millis(200);
-/// How long a relay waits for the far side to come up.
+/// How long a relay waits for its connection to the target.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Connections that may wait to be accepted, as a rule; own ones that keep others out, at the most, and how long one of these
-/// may take to come up before the queue counts as full.
+/// Length of the accept queue while connections are allowed.
 const BACKLOG: i32 = 1024;
+/// Most connections of the relay itself that fill the accept queue to keep others out.
 const MAX_FILLER_CONNECTIONS: usize = 64;
+/// A filler connection that takes longer than this to be established means that the queue is full.
 const FILLER_CONNECT_TIMEOUT: Duration = Duration::from_millis(50);
-/// Bytes that move at once.
+/// Bytes that are copied at once.
 const COPY_BUFFER_BYTES: usize = 16 * 1024;
 
 /// One end of a link.
@@ -35,28 +36,28 @@
     Node(usize),
     /// An app server, by its number.
     Server(usize),
-    /// The list service.
+    /// The discovery service.
     List,
-    /// The counter.
+    /// The counter service.
     Counter,
-    /// The clients' side of all nodes.
+    /// The clients of all nodes.
     Clients,
 }
 
-/// What befalls what passes one way.
+/// What happens to traffic in one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Fault {
-    /// Share that is lost; of a connection's bytes, that has to be sent again.
+    /// Share of datagrams that is lost; for a connection, the share of reads that is delayed as by a retransmission.
     pub loss: f64,
-    /// Share of datagrams that come twice.
+    /// Share of datagrams that is delivered twice.
     pub duplicated: f64,
-    /// Shortest and longest way, drawn for each: what is sent later may overtake.
+    /// Shortest and longest delay, drawn for each datagram, so that datagrams may be reordered.
     pub delay: (Duration, Duration),
-    /// Connections are taken and nothing moves on them, and nothing closes; datagrams are lost.
+    /// Connections are accepted, but no data moves on them and none closes; datagrams are lost.
     pub stalled: bool,
     /// Connections are reset; datagrams are lost.
     pub reset: bool,
-    /// New connections never come up; those that there are go on, and datagrams are lost.
+    /// New connections are never established; existing ones go on, and datagrams are lost.
     pub drops_connects: bool,
 }
 
@@ -73,32 +74,32 @@
         }
     }
 
-    /// Whether a datagram is lost now.
+    /// Draws whether a datagram is lost.
     pub fn drops_datagram(&self) -> bool {
         self.stalled || self.reset || self.drops_connects || fastrand::f64() < self.loss
     }
 
-    /// How long the way is this time.
+    /// Draws the delay of one datagram or read.
     pub fn draw_delay(&self) -> Duration {
         let (shortest, longest) = self.delay;
         shortest + longest.saturating_sub(shortest).mul_f64(fastrand::f64())
     }
 }
 
-/// Which links a fault lies on.
+/// The links that a fault applies to.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LinkSet {
-    /// From any of these to any of those.
+    /// From any end of the first set to any end of the second.
     OneWay(BTreeSet<End>, BTreeSet<End>),
-    /// Between these and those, both ways.
+    /// Between the ends of both sets, in both directions.
     BothWays(BTreeSet<End>, BTreeSet<End>),
-    /// Between any two of these sides' ends that no side has both of: sides may overlap, so that one end hears two that
-    /// do not hear each other.
+    /// Between any two ends that are in different sides and share none. Sides may overlap, so that one end can reach
+    /// two others that cannot reach each other.
     Partition(Vec<BTreeSet<End>>),
 }
 
 impl LinkSet {
-    /// Whether the link from one end to the other is meant.
+    /// Whether the link from one end to the other is in the set.
     pub fn contains(&self, from: End, to: End) -> bool {
         match self {
             LinkSet::OneWay(these, those) => {
@@ -121,7 +122,7 @@
 }
 
 impl LinkSet {
-    /// The same without the links of these ends: those that have healed already.
+    /// The same set without the links of these ends, which have recovered already.
     #[must_use]
     pub fn without(&self, healed: &BTreeSet<End>) -> LinkSet {
         let rest = |ends: &BTreeSet<End>| ends.difference(healed).copied().collect();
@@ -132,7 +133,7 @@
         }
     }
 
-    /// All ends that it names.
+    /// All ends that the set names.
     pub fn ends(&self) -> BTreeSet<End> {
         match self {
             LinkSet::OneWay(these, those) | LinkSet::BothWays(these, those) => {
@@ -143,7 +144,7 @@
     }
 }
 
-/// The faults of a run as they are now.
+/// The faults of a run that apply now.
 #[derive(Debug)]
 pub struct Links {
     rules: Mutex<BTreeMap<u64, (LinkSet, Fault)>>,
@@ -163,7 +164,7 @@
 }
 
 impl Links {
-    /// Lays a fault on links, until it is lifted by its number.
+    /// Adds a fault to links. Returns the number with which it is removed.
     pub fn add_fault(&self, which: LinkSet, fault: Fault) -> u64 {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
         lock(&self.rules).insert(number, (which, fault));
@@ -171,13 +172,13 @@
         number
     }
 
-    /// Lifts a fault.
+    /// Removes a fault by its number.
     pub fn remove_fault(&self, number: u64) {
         lock(&self.rules).remove(&number);
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// What befalls what goes from one end to the other now.
+    /// The combined fault of the link from one end to the other.
     pub fn fault_between(&self, from: End, to: End) -> Fault {
         let rules = lock(&self.rules);
         let meant = rules.values().filter(|(which, _)| which.contains(from, to));
@@ -185,7 +186,7 @@
     }
 }
 
-/// The relay of connections from one end, or several that no rule tells apart, to another.
+/// Relays connections from one end, or several that no rule tells apart, to another.
 #[derive(Clone, Debug)]
 pub struct Relay {
     links: Arc<Links>,
@@ -195,17 +196,17 @@
 }
 
 enum RelayEnd {
-    /// One side has ended in good order.
+    /// One side was closed in order.
     Closed,
-    /// It is to be reset on both sides.
+    /// Both sides are to be reset.
     Reset,
 }
 
 impl Relay {
-    /// Listens at an address, for ever. `near` stands for all that connect there.
+    /// Starts to relay connections to an address for the rest of the run. `near` stands for all ends that connect
+    /// there.
     ///
-    /// # Errors
-    /// The address can't be had.
+    /// # Errors The address can't be bound.
     pub async fn start(
         links: &Arc<Links>,
         (near, far): (End, End),
@@ -243,14 +244,15 @@
         Ok(())
     }
 
-    /// Lets no connection come up until the fault is lifted: the queue of those that wait to be accepted is kept full, and
-    /// the machine drops the first packet of any more.
+    /// Lets no connection be established until the fault is removed. It keeps the accept queue full, so that the
+    /// kernel drops the SYN packets of further connections.
     async fn block_connects(&self, listener: &TcpListener, at: SocketAddr) {
         let queue = |length| socket2::SockRef::from(listener).listen(length);
-        // Where the machine does not let the queue be shortened, connections come up and stall: no run depends on more.
+        // If the kernel does not shorten the queue, connections are established and stall; no run depends on more.
         let _ = queue(0);
         let mut own = Vec::new();
-        // One more than the length is let in (`listen(2)`); those that wait already are in the way, too.
+        // The kernel admits one more than the length (`listen(2)`), and connections that wait already take up the
+        // queue, too.
         while own.len() < MAX_FILLER_CONNECTIONS {
             let comes_up =
                 tokio::time::timeout(FILLER_CONNECT_TIMEOUT, TcpStream::connect(at)).await;
@@ -273,10 +275,10 @@
         }
     }
 
-    /// Carries one connection to its end.
+    /// Relays one connection until it ends.
     async fn relay_connection(self, near: TcpStream) {
         if self.wait_until_passable(self.near, self.far).await.is_err() {
-            // Works all the same where it can't be set: it closes then.
+            // Best effort: without it the connection is closed instead of reset.
             let _ = near.set_zero_linger();
             return;
         }
@@ -294,7 +296,7 @@
             let there = self.copy_one_way((self.near, self.far), from_near, to_far);
             let back = self.copy_one_way((self.far, self.near), from_far, to_near);
             tokio::pin!(there, back);
-            // A connection that is half closed goes on the other way; one that is reset ends both ways.
+            // A half-closed connection goes on in the other direction; a reset one ends in both.
             tokio::select! {
                 ended = &mut there => if matches!(ended, RelayEnd::Closed) { back.await } else { ended },
                 ended = &mut back => if matches!(ended, RelayEnd::Closed) { there.await } else { ended },
@@ -305,7 +307,7 @@
         }
     }
 
-    /// Waits until what lies on a link is such.
+    /// Waits until the fault of a link meets a condition.
     async fn wait_for_fault(&self, from: End, to: End, such: impl Fn(&Fault) -> bool) -> Fault {
         let mut changed = self.links.changed.subscribe();
         loop {
@@ -319,7 +321,7 @@
         }
     }
 
-    /// Waits until bytes may pass one way; an error where the link resets.
+    /// Waits until data may pass in one direction; an error where the link resets connections.
     async fn wait_until_passable(&self, from: End, to: End) -> Result<Fault, ()> {
         let fault = self
             .wait_for_fault(from, to, |fault| fault.reset || !fault.stalled)
@@ -359,7 +361,7 @@
                 tokio::time::sleep(way).await;
             }
             if length == 0 {
-                // The end is passed on; where the other side has gone, that is seen the other way.
+                // Passes the end of the stream on. If the other side is gone, the other direction notices.
                 let _ = write.shutdown().await;
                 return RelayEnd::Closed;
             }
--- a/crates/test-doubles/src/links/tests.rs
+++ b/crates/test-doubles/src/links/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn sides_that_overlap_hear_their_common_ends_only() {
+fn overlapping_sides_reach_only_their_common_ends() {
     let links = Links::default();
     let cut = Fault {
         loss: 1.0,
@@ -22,14 +22,14 @@
     };
     assert!(lost(0, 2) && lost(2, 0));
     assert!(!lost(0, 1) && !lost(1, 0) && !lost(1, 2) && !lost(2, 1));
-    // One that is on no side is not meant.
+    // An end that is on no side is not affected.
     assert!(!lost(0, 3) && !lost(3, 2));
     links.remove_fault(number);
     assert!(!lost(0, 2));
 }
 
 #[test]
-fn one_direction_is_a_link_of_its_own_and_faults_add_up() {
+fn directions_are_separate_links_and_faults_combine() {
     let links = Links::default();
     let half = Fault {
         loss: 0.5,
@@ -58,7 +58,7 @@
 }
 
 #[tokio::test]
-async fn a_connection_that_never_comes_up_leaves_others_alone_and_the_next_comes_up() {
+async fn blocked_connects_do_not_affect_open_connections_and_later_ones_succeed() {
     let links = Arc::new(Links::default());
     let listen = crate::ports::reserve_address().expect("an address");
     Relay::start(&links, (End::Node(0), End::Server(0)), listen, echo().await)
@@ -76,30 +76,35 @@
             ..Fault::default()
         },
     );
-    let mut comes_up = true;
+    let mut established = true;
     for _ in 0..100 {
-        comes_up = tokio::time::timeout(Duration::from_millis(100), TcpStream::connect(listen))
+        established = tokio::time::timeout(Duration::from_millis(100), TcpStream::connect(listen))
             .await
             .is_ok();
-        if !comes_up {
+        if !established {
             break;
         }
     }
-    assert!(!comes_up, "it comes up all the same");
+    assert!(
+        !established,
+        "a connection was established despite the fault"
+    );
     before.write_all(b"b").await.expect("written");
     before
         .read_exact(&mut byte)
         .await
-        .expect("what is up goes on");
+        .expect("open connections go on");
     links.remove_fault(number);
-    let mut after = TcpStream::connect(listen).await.expect("it comes up again");
+    let mut after = TcpStream::connect(listen)
+        .await
+        .expect("connections are established again");
     after.write_all(b"c").await.expect("written");
     after.read_exact(&mut byte).await.expect("echoed");
     assert_eq!(byte, *b"c");
 }
 
 #[tokio::test]
-async fn a_stalled_connection_moves_no_byte_and_goes_on_and_a_reset_one_ends() {
+async fn a_stalled_connection_moves_no_data_until_it_resumes_and_a_reset_one_ends() {
     let links = Arc::new(Links::default());
     let listen = crate::ports::reserve_address().expect("an address");
     let ends = (End::Node(0), End::Server(0));
@@ -115,14 +120,17 @@
         stalled: true,
         ..Fault::default()
     };
-    // One way only: it gets there, and the answer does not come back.
+    // In one direction only: the data arrives, and the echo does not come back.
     let number = links.add_fault(LinkSet::OneWay(back.clone(), there.clone()), stalled);
     stream.write_all(b"b").await.expect("written");
     let silent =
         tokio::time::timeout(Duration::from_millis(100), stream.read_exact(&mut byte)).await;
-    assert!(silent.is_err(), "nothing moves");
+    assert!(silent.is_err(), "no data moves");
     links.remove_fault(number);
-    stream.read_exact(&mut byte).await.expect("it goes on");
+    stream
+        .read_exact(&mut byte)
+        .await
+        .expect("the connection resumes");
     assert_eq!(byte, *b"b");
     links.add_fault(
         LinkSet::OneWay(there, back),
@@ -131,12 +139,15 @@
             ..Fault::default()
         },
     );
-    assert!(stream.read_exact(&mut byte).await.is_err(), "it is reset");
+    assert!(
+        stream.read_exact(&mut byte).await.is_err(),
+        "the connection is reset"
+    );
     let mut next = TcpStream::connect(listen)
         .await
-        .expect("the machine takes it");
+        .expect("the kernel accepts it");
     assert!(
         !matches!(next.read(&mut byte).await, Ok(1..)),
-        "and so is a new one"
+        "a new connection is reset, too"
     );
 }
--- a/crates/test-doubles/src/load.rs
+++ b/crates/test-doubles/src/load.rs
@@ -1,7 +1,9 @@
-//! Clients, and the front that deals them out among the edge nodes of their customer's set.
+//! Load generator: clients, and the front-end balancer that distributes them over the edge nodes of their customer's
+//! subset.
 //!
-//! Arrivals are drawn ahead and wait for nothing. A client keeps its connections, waits as long as it says, and tries
-//! again a little later what was refused, failed or lost with its node, as a new request under the same key.
+//! Arrivals are drawn in advance and do not wait for earlier requests (open loop). A client keeps its connections,
+//! waits until its timeout, and retries requests that were refused, failed or lost with their node a little later, as
+//! new requests with the same idempotency key.
 
 use crate::oracle::{Answer, RepeatSafety, SentRequest, Unanswered};
 use crate::servers::response_body;
@@ -16,51 +18,52 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinSet;
 
-/// Between the front's looks at a node's readiness.
+/// Interval between readiness probes of a node.
 const READINESS_POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// How long a connection may take to come up.
+/// How long opening a connection may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// For how long a set's busiest node stays the same.
+/// How long the hot node of a subset stays the same.
 const HOT_NODE_PERIOD: Duration = Duration::from_secs(8);
-/// Share of a customer's tries that goes to its busiest node.
+/// Share of a customer's requests that goes to the hot node of its subset.
 const HOT_NODE_SHARE: f64 = 0.6;
-/// A keyed request is sent again by its client no later than this after the first time: a node sends what it took by half
-/// of its time, so that it runs while servers still drop repeats of the first.
+/// A client retries a keyed request no later than this after the first try. A node sends what it accepted within half
+/// of the request's time, so the retry runs while servers still drop repeats of the first.
 const KEYED_RETRY_WINDOW: Duration = Duration::from_millis(300);
-/// Share of clients that come back when they are told to, and longest that they stay away.
+/// Share of clients that honor `Retry-After`, and the longest time that they do so.
 const RETRY_AFTER_COMPLIANCE: (f64, Duration) = (0.5, Duration::from_secs(2));
-/// Times that a client comes again.
+/// Retries of one client request.
 const MAX_RETRIES: u32 = 2;
-/// Most connections without a request that idle clients hold open to one node: more than it may hold itself.
+/// Connections without a request that idle clients hold open to one node: more than the node may hold.
 const MAX_IDLE_CLIENTS: usize = 1100;
-/// Between idle clients' looks at their connections.
+/// Interval between idle clients' checks of their connections.
 const IDLE_CLIENT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// A request and the close of its connection may cross: the close is seen no later than so long after the request was written.
+/// A request and the close of its connection may cross: the close is then seen within this time after the request was
+/// written.
 const CROSSING_CLOSE_WINDOW: Duration = Duration::from_millis(250);
 /// Idle connections kept to one node.
 const MAX_IDLE_CONNECTIONS: usize = 64;
 
-/// A customer.
+/// A customer with its subset of nodes and its offered load.
 #[derive(Clone, Debug)]
 pub struct Customer {
-    /// Its number, below 2^33.
+    /// Id, below 2^33.
     pub id: u64,
-    /// Place of its plan.
+    /// Index of its plan in [`Fleet::plans`].
     pub plan: usize,
-    /// First node of its set.
+    /// Index of the first node of its subset.
     pub first_node: usize,
-    /// Nodes in its set.
+    /// Number of nodes in its subset.
     pub node_count: usize,
-    /// Tries a second that it sends.
+    /// Requests per second.
     pub rate: f64,
 }
 
 impl Customer {
-    /// The nodes of its set in the order in which a try of this moment is dealt out: most often the busiest first.
+    /// The nodes of the subset in the order in which a request of this moment tries them, usually the hot node first.
     pub fn nodes(&self, all: usize, now: Duration) -> impl Iterator<Item = usize> {
         let (spread, first) = (self.node_count.clamp(1, all), self.first_node);
-        let turn = now.as_secs() / HOT_NODE_PERIOD.as_secs().max(1) + self.id;
-        let busiest = (turn.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 33) as usize % spread;
+        let period = now.as_secs() / HOT_NODE_PERIOD.as_secs().max(1) + self.id;
+        let busiest = (period.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 33) as usize % spread;
         let place = if fastrand::f64() < HOT_NODE_SHARE {
             busiest
         } else {
@@ -69,13 +72,13 @@
         (0..spread).map(move |step| (first + (place + step) % spread) % all)
     }
 
-    /// How long until its next try: arrivals of many independent clients, so the gaps are exponential.
+    /// Time until the next request. Arrivals of many independent clients have exponentially distributed gaps.
     pub fn arrival_gap(&self, draw: f64) -> Duration {
         Duration::from_secs_f64(-(1.0 - draw).ln() / self.rate)
     }
 }
 
-/// A client's request, over all of its tries.
+/// Retry state of one client request.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryState {
     started_at: Duration,
@@ -85,7 +88,7 @@
 }
 
 impl RetryState {
-    /// One that begins now.
+    /// State of a request that starts now.
     pub fn new(now: Duration, keyed: bool) -> RetryState {
         RetryState {
             started_at: now,
@@ -95,7 +98,8 @@
         }
     }
 
-    /// How long until it tries again, where a try was not served and `after` was advised; `None` once it gives up.
+    /// Delay until the next try after one that was not served; `after` is the advised `Retry-After`. `None` once the
+    /// client gives up.
     pub fn next_delay(&mut self, now: Duration, after: Option<Duration>) -> Option<Duration> {
         if self.retries >= MAX_RETRIES {
             return None;
@@ -106,12 +110,12 @@
             .unwrap_or_default()
             .min(RETRY_AFTER_COMPLIANCE.1);
         let pause = least + Duration::from_millis(100 + fastrand::u64(0..400));
-        // Danger: an effect that takes place twice as its client came again when servers had forgotten the key.
+        // A retry after the servers have forgotten the idempotency key would let the effect take place twice.
         (!self.keyed || now + pause <= self.started_at + KEYED_RETRY_WINDOW).then_some(pause)
     }
 }
 
-/// The class of a try, by a draw.
+/// Index of the class for a uniform random number in 0..1.
 pub fn class_of(fleet: &Fleet, draw: f64) -> usize {
     let share = |class: usize| {
         fleet.classes[..=class]
@@ -123,25 +127,25 @@
     class.unwrap_or(fleet.classes.len() - 1)
 }
 
-/// The way to one node, as the front sees it.
+/// State of one node as the load generator sees it.
 #[derive(Debug)]
 struct NodeTarget {
     address: SocketAddr,
-    /// Whether the front deals it clients.
+    /// Whether the node gets new requests.
     ready: AtomicBool,
     idle_connections: Mutex<Vec<HttpConnection>>,
-    /// Times that it was killed, or that its process was back.
+    /// Number of times that the node was killed or its process was restarted; odd while it is dead.
     kills: AtomicU64,
-    /// Times that it was made to stand still, or went on.
+    /// Number of times that the node was suspended or resumed; odd while it is suspended.
     pauses: AtomicU64,
 }
 
-/// Clients that close their connection while they wait.
+/// Clients that close their connection while they wait for the response.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Cancellations {
-    /// Share of all tries.
+    /// Share of all requests.
     pub share: f64,
-    /// Shortest and longest time that they wait.
+    /// Shortest and longest time until the client closes its connection.
     pub delay: (Duration, Duration),
 }
 
@@ -153,7 +157,7 @@
     }
 }
 
-/// The front, with all its clients.
+/// Generates the load of all clients.
 #[derive(Debug)]
 pub struct LoadGenerator {
     world: Arc<World>,
@@ -174,24 +178,24 @@
     latencies_us: Mutex<Vec<u32>>,
 }
 
-/// What the front counted beside the ledger.
+/// Counters of the load generator, in addition to the oracle's.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadCounts {
-    /// Connections that a node, or nobody, refused.
+    /// Connections that failed to open.
     pub refused_connections: u64,
-    /// Tries written once more as their kept connection had closed unread.
+    /// Requests sent again because their reused connection had closed before the node read them.
     pub resent: u64,
     /// Retries by clients.
     pub retries: u64,
-    /// Tries for which no node of the set was open.
+    /// Requests for which no node of the subset was ready.
     pub no_ready_node: u64,
-    /// Median and 99th percentile of the time to a served answer, in ms.
+    /// Median time to a response with status 200, in ms.
     pub p50_ms: f64,
-    /// See there.
+    /// 99th percentile of the same time, in ms.
     pub p99_ms: f64,
 }
 
-/// A try that a client sends.
+/// A request as a client sends it.
 struct Request {
     id: String,
     key: Option<String>,
@@ -204,19 +208,19 @@
 }
 
 enum RequestEnd {
-    /// With how long to stay away, where that was said.
+    /// The response, with the advised `Retry-After` if there was one.
     Answered(Answer, Option<Duration>),
     Unanswered(Unanswered),
 }
 
 impl LoadGenerator {
-    /// A front before nodes at these addresses, none of which it has seen ready yet.
+    /// Creates a load generator for nodes at these addresses, all of which count as not ready until they are probed.
     pub fn new(
         world: Arc<World>,
         fleet: Fleet,
         nodes: &[SocketAddr],
         seed: u64,
-        leaves: Cancellations,
+        cancellations: Cancellations,
     ) -> Arc<LoadGenerator> {
         let target = |address: &SocketAddr| NodeTarget {
             address: *address,
@@ -233,23 +237,23 @@
             targets: doors,
             next_id: next,
             seed,
-            cancellations: leaves,
+            cancellations: cancellations,
             counters: figures,
         })
     }
 
-    /// Notes that a node is killed in this moment, or that its process runs again: what it held or what waits for it
-    /// meanwhile is lost with it.
+    /// Notes that a node is killed now, or that its process runs again. Requests that it held or that wait for it
+    /// meanwhile are lost.
     pub fn node_killed_or_restarted(&self, node: usize) {
         self.targets[node].kills.fetch_add(1, Ordering::SeqCst);
     }
 
-    /// Notes that a node stands still from now on, or goes on.
+    /// Notes that a node is suspended from now on, or resumed.
     pub fn node_paused_or_resumed(&self, node: usize) {
         self.targets[node].pauses.fetch_add(1, Ordering::SeqCst);
     }
 
-    /// Nodes that the front takes for ready.
+    /// Number of nodes that were ready at their last probe.
     pub fn ready_nodes(&self) -> usize {
         self.targets
             .iter()
@@ -257,7 +261,7 @@
             .count()
     }
 
-    /// Looks at all nodes' readiness for ever.
+    /// Starts probing the readiness of all nodes, for the rest of the run.
     pub fn watch_readiness(self: &Arc<Self>) {
         for node in 0..self.targets.len() {
             let front = Arc::clone(self);
@@ -288,7 +292,7 @@
             .map(|message| message.status())
     }
 
-    /// Offers a customer's tries for a span, each in its own time; comes back when the last has ended.
+    /// Generates a customer's requests for a span, each at its own time. Returns when the last one has ended.
     pub async fn run_customer(self: Arc<Self>, customer: Customer, span: Duration) {
         let mut random =
             fastrand::Rng::with_seed(self.seed ^ customer.id.wrapping_mul(0x9e37_79b9));
@@ -312,10 +316,10 @@
         while clients.join_next().await.is_some() {}
     }
 
-    /// One client's request, with its retries; comes back when the last try has ended.
+    /// Runs one client request with its retries. Returns when the last try has ended.
     pub async fn run_client(&self, customer: Customer, class: usize) {
         let key = self.fleet.classes[class].keyed.then(new_key);
-        let mut patience = RetryState::new(self.world.now(), key.is_some());
+        let mut retry = RetryState::new(self.world.now(), key.is_some());
         loop {
             let request = self.request(customer.clone(), class, key.clone());
             let after = match self.send(&request).await {
@@ -326,7 +330,7 @@
                 Some(RequestEnd::Answered(_, after)) => after,
                 Some(RequestEnd::Unanswered(_)) | None => None,
             };
-            let Some(pause) = patience.next_delay(self.world.now(), after) else {
+            let Some(pause) = retry.next_delay(self.world.now(), after) else {
                 return;
             };
             tokio::time::sleep(pause).await;
@@ -334,30 +338,30 @@
         }
     }
 
-    /// Sends one try to a node of its set; `None` where no connection came up at all.
+    /// Sends one request to a node of the customer's subset; `None` where no connection could be opened.
     async fn send(&self, request: &Request) -> Option<RequestEnd> {
-        let mut shut = Vec::new();
+        let mut unreachable = Vec::new();
         loop {
-            let Some(node) = self.pick_node(&request.customer, &shut) else {
+            let Some(node) = self.pick_node(&request.customer, &unreachable) else {
                 self.counters.no_ready_node.fetch_add(1, Ordering::Relaxed);
                 return None;
             };
-            let kept = lock(&self.targets[node].idle_connections).pop();
-            let fresh = kept.is_none();
-            let connection = match kept {
+            let reused = lock(&self.targets[node].idle_connections).pop();
+            let is_new = reused.is_none();
+            let connection = match reused {
                 Some(connection) => connection,
                 None => {
                     if let Some(connection) = self.connect(node).await {
                         connection
                     } else {
-                        shut.push(node);
+                        unreachable.push(node);
                         continue;
                     }
                 }
             };
-            let end = self.exchange(request, node, connection, fresh).await;
-            // Its connection closed unread: the client sends it once more on a new one.
-            if matches!(end, RequestEnd::Unanswered(Unanswered::NotAccepted)) && !fresh {
+            let end = self.exchange(request, node, connection, is_new).await;
+            // The connection closed before the node read the request: the client sends it again on a new one.
+            if matches!(end, RequestEnd::Unanswered(Unanswered::NotAccepted)) && !is_new {
                 self.counters.resent.fetch_add(1, Ordering::Relaxed);
                 lock(&self.targets[node].idle_connections).clear();
                 continue;
@@ -367,7 +371,7 @@
         }
     }
 
-    /// Opens connections to a node now, each of which first asks at a moment within this span.
+    /// Opens connections to a node now, each of which sends its first request at a random time within this span.
     pub async fn open_delayed_clients(
         self: &Arc<Self>,
         node: usize,
@@ -375,7 +379,7 @@
         count: usize,
         within: Duration,
     ) -> JoinSet<()> {
-        let mut askers = JoinSet::new();
+        let mut clients = JoinSet::new();
         for _ in 0..count {
             let (Some(connection), Some(customer)) =
                 (self.connect(node).await, fastrand::choice(customers))
@@ -383,16 +387,16 @@
                 continue;
             };
             let (front, customer) = (Arc::clone(self), customer.clone());
-            askers.spawn(async move {
+            clients.spawn(async move {
                 front
                     .send_after(node, connection, customer, within.mul_f64(fastrand::f64()))
                     .await;
             });
         }
-        askers
+        clients
     }
 
-    /// Asks once on a connection, after a while.
+    /// Sends one request on a connection after a delay.
     async fn send_after(
         &self,
         node: usize,
@@ -403,12 +407,12 @@
         tokio::time::sleep(after).await;
         let class = class_of(&self.fleet, fastrand::f64());
         let request = self.request(customer, class, None);
-        // It may close while nothing was asked; what was asked by then is asked again elsewhere.
+        // The node may close a connection without requests; a request that it has not read is sent again elsewhere.
         let end = self.exchange(&request, node, connection, false).await;
         self.record_end(&request.id, &end);
     }
 
-    /// A request with an id of its own.
+    /// Creates a request with a new id.
     fn request(&self, customer: Customer, class: usize, key: Option<String>) -> Request {
         let number = self.next_id.fetch_add(1, Ordering::Relaxed);
         let key = key.or_else(|| self.fleet.classes[class].keyed.then(new_key));
@@ -420,7 +424,7 @@
         }
     }
 
-    /// Notes how a try has ended.
+    /// Records how a request has ended.
     fn record_end(&self, id: &str, end: &RequestEnd) {
         let world = &self.world;
         match end {
@@ -430,17 +434,18 @@
             RequestEnd::Unanswered(Unanswered::ClientDisconnected) => {
                 world.oracle().client_disconnected(world.now(), id);
             }
-            RequestEnd::Unanswered(why) => world.oracle().request_unanswered(id, *why),
+            RequestEnd::Unanswered(reason) => world.oracle().request_unanswered(id, *reason),
         }
     }
 
-    /// Fills a node's descriptors with connections that never send a word, and opens new ones where it closes some.
-    pub async fn hold_idle_connections(&self, node: usize, lasts: Duration) {
-        let end = self.world.now() + lasts;
+    /// Uses up a node's descriptors with connections that never send anything, and opens new ones where the node
+    /// closes some.
+    pub async fn hold_idle_connections(&self, node: usize, duration: Duration) {
+        let end = self.world.now() + duration;
         let mut held: Vec<TcpStream> = Vec::new();
         while self.world.now() < end {
-            let waits = |stream: &TcpStream| matches!(stream.try_read(&mut [0]), Err(error) if error.kind() == ErrorKind::WouldBlock);
-            held.retain(waits);
+            let is_open = |stream: &TcpStream| matches!(stream.try_read(&mut [0]), Err(error) if error.kind() == ErrorKind::WouldBlock);
+            held.retain(is_open);
             while held.len() < MAX_IDLE_CLIENTS && self.world.now() < end {
                 match tokio::time::timeout(
                     IDLE_CLIENT_CHECK_INTERVAL,
@@ -468,10 +473,12 @@
         }
     }
 
-    /// A node of the customer's set that the front takes for open, most often the busiest of the moment.
-    fn pick_node(&self, customer: &Customer, shut: &[usize]) -> Option<usize> {
+    /// A ready node of the customer's subset, usually the hot one of the moment.
+    fn pick_node(&self, customer: &Customer, unreachable: &[usize]) -> Option<usize> {
         let mut nodes = customer.nodes(self.targets.len(), self.world.now());
-        nodes.find(|node| !shut.contains(node) && self.targets[*node].ready.load(Ordering::Relaxed))
+        nodes.find(|node| {
+            !unreachable.contains(node) && self.targets[*node].ready.load(Ordering::Relaxed)
+        })
     }
 
     async fn exchange(
@@ -479,7 +486,7 @@
         request: &Request,
         node: usize,
         mut connection: HttpConnection,
-        fresh: bool,
+        is_new: bool,
     ) -> RequestEnd {
         let (world, target) = (&self.world, &self.targets[node]);
         let class = &self.fleet.classes[request.class];
@@ -490,7 +497,7 @@
         } else {
             RepeatSafety::Safe
         };
-        let asked = SentRequest {
+        let sent_request = SentRequest {
             id: request.id.clone(),
             key: request.key.clone(),
             repeat_safety: repeats,
@@ -499,30 +506,34 @@
             units: 1.0,
             timeout: class.deadline,
         };
-        // Noted before the last byte is written, or the node may be quicker than the ledger.
-        world.oracle().request_sent(world.now(), asked);
+        // Recorded before the last byte is written; otherwise the node could respond before the oracle knows the
+        // request.
+        world.oracle().request_sent(world.now(), sent_request);
         let sent = world.now();
-        let patience = class.deadline + self.fleet.bounds.answer_slack * 2;
-        let leaves = self.cancellations.draw().filter(|after| *after < patience);
-        let begun = match connection
+        let wait_limit = class.deadline + self.fleet.bounds.answer_slack * 2;
+        let cancel_after = self
+            .cancellations
+            .draw()
+            .filter(|after| *after < wait_limit);
+        let pending_response = match connection
             .write(self.request_head(request, class).as_bytes())
             .await
         {
-            // It may have answered and closed before it had read all.
-            Ok(()) | Err(_) => tokio::time::timeout(leaves.unwrap_or(patience), async {
+            // The node may have responded and closed the connection before it had read everything.
+            Ok(()) | Err(_) => tokio::time::timeout(cancel_after.unwrap_or(wait_limit), async {
                 connection.read_message(world).await
             }),
         };
-        let excuse = || match (
+        let node_outage = || match (
             target.kills.load(Ordering::SeqCst),
             target.pauses.load(Ordering::SeqCst),
         ) {
-            // An odd count: it is dead, or stands still.
+            // An odd count means that the node is dead or suspended.
             (now, _) if now != kills || kills % 2 == 1 => Some(Unanswered::Killed),
             (_, now) if now != pauses || pauses % 2 == 1 => Some(Unanswered::Paused),
             _ => None,
         };
-        match begun.await {
+        match pending_response.await {
             Ok(Ok(Some(message))) => {
                 let answer = match message.status() {
                     200 => Answer::Served,
@@ -536,13 +547,13 @@
                     if message.body != response_body(&request.id).as_bytes() {
                         world.oracle().wrong_response_received(&request.id);
                     }
-                    let took = world
+                    let latency_us = world
                         .now()
                         .checked_sub(sent)
                         .unwrap()
                         .as_micros()
                         .min(u128::from(u32::MAX)) as u32;
-                    lock(&self.counters.latencies_us).push(took);
+                    lock(&self.counters.latencies_us).push(latency_us);
                 }
                 if message.header("connection") != "close" {
                     let mut idle = lock(&target.idle_connections);
@@ -551,8 +562,8 @@
                     }
                 }
                 if world.now() > sent + class.deadline + self.fleet.bounds.answer_slack {
-                    if let Some(why) = excuse() {
-                        return RequestEnd::Unanswered(why);
+                    if let Some(reason) = node_outage() {
+                        return RequestEnd::Unanswered(reason);
                     }
                 }
                 let after = message
@@ -562,17 +573,20 @@
                     .filter(|after| (0.0..1e6).contains(after));
                 RequestEnd::Answered(answer, after.map(Duration::from_secs_f64))
             }
-            // The connection closes here.
-            Err(_) if leaves.is_some() => RequestEnd::Unanswered(Unanswered::ClientDisconnected),
+            // The connection is closed here.
+            Err(_) if cancel_after.is_some() => {
+                RequestEnd::Unanswered(Unanswered::ClientDisconnected)
+            }
             ended => {
                 let closed = matches!(ended, Ok(Ok(None) | Err(_)));
-                // A close that crosses a request comes at once; one that comes later has dropped it.
+                // A close that crosses a request arrives at once; a later close means that the node dropped the
+                // request.
                 let crossed = world.now() < sent + CROSSING_CLOSE_WINDOW;
                 let unread = crossed && world.oracle().attempt_count(&request.id) == 0;
-                match excuse() {
-                    Some(why) => RequestEnd::Unanswered(why),
-                    // Closed between two requests: that crossed this one, and no attempt was made of it.
-                    None if closed && !fresh && unread => {
+                match node_outage() {
+                    Some(reason) => RequestEnd::Unanswered(reason),
+                    // Closed between two requests: the close crossed this request, and no attempt of it was made.
+                    None if closed && !is_new && unread => {
                         RequestEnd::Unanswered(Unanswered::NotAccepted)
                     }
                     None => RequestEnd::Unanswered(Unanswered::Lost),
@@ -606,13 +620,14 @@
         )
     }
 
-    /// What was counted.
+    /// The counters so far.
     pub fn counts(&self) -> LoadCounts {
-        let mut late = lock(&self.counters.latencies_us).clone();
-        late.sort_unstable();
-        let at = |share: f64| {
-            let place = (late.len() as f64 * share) as usize;
-            late.get(place.min(late.len().saturating_sub(1)))
+        let mut latencies = lock(&self.counters.latencies_us).clone();
+        latencies.sort_unstable();
+        let percentile_ms = |share: f64| {
+            let index = (latencies.len() as f64 * share) as usize;
+            latencies
+                .get(index.min(latencies.len().saturating_sub(1)))
                 .map_or(0.0, |us| f64::from(*us) / 1e3)
         };
         LoadCounts {
@@ -620,8 +635,8 @@
             resent: self.counters.resent.load(Ordering::Relaxed),
             retries: self.counters.retries.load(Ordering::Relaxed),
             no_ready_node: self.counters.no_ready_node.load(Ordering::Relaxed),
-            p50_ms: at(0.5),
-            p99_ms: at(0.99),
+            p50_ms: percentile_ms(0.5),
+            p99_ms: percentile_ms(0.99),
         }
     }
 }
--- a/crates/test-doubles/src/oracle.rs
+++ b/crates/test-doubles/src/oracle.rs
@@ -1,42 +1,43 @@
-//! The ledger: all that clients, app servers and discovery saw of a run, and its judgement by the five rules.
+//! The test oracle: records what clients, app servers and discovery observed during a run and checks it against the
+//! five rules of correctness.
 //!
-//! It does no input or output and reads no clock: each entry bears its time, counted from the run's start.
+//! It does no input or output and reads no clock: each record carries its time, counted from the start of the run.
 
 use indexmap::IndexMap;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
 
-/// What a run is judged by.
+/// Limits and tolerances against which a run is judged.
 #[derive(Clone, Debug)]
 pub struct Bounds {
-    /// After a node was told that a server drains or is gone, new work may reach it for so long.
+    /// How long new work may still reach a server after the node was informed that the server is draining or gone.
     pub drain_grace: Duration,
-    /// What is added to each time limit for the way from one process to another.
+    /// Added to each time limit for the transit from one process to another.
     pub transit_slack: Duration,
-    /// An answer that comes later than so long after its client's time is late.
+    /// How long after its client's timeout a response may still arrive before it counts as late.
     pub answer_slack: Duration,
-    /// How long a group of servers drops repeats of a key.
+    /// How long a group of servers drops repeats of an idempotency key.
     pub idempotency_window: Duration,
-    /// Share of its capacity at which a server starts.
+    /// Share of its capacity with which a server starts.
     pub cold_start_share: f64,
-    /// After so long it has all of it.
+    /// Time after its start at which a server has its full capacity.
     pub slow_start_duration: Duration,
-    /// More work than this multiple of what it can do ...
+    /// A server is overloaded by more work than this multiple of what it can do within `overload_window`.
     pub overload_multiple: f64,
-    /// ... within this span makes it fall.
+    /// Span over which the work sent to a server is summed up.
     pub overload_window: Duration,
-    /// Seconds of work of a mean request.
+    /// Seconds of work of an average request.
     pub mean_work: f64,
-    /// After a client has closed its connection an attempt of its request may begin for so long.
+    /// How long after a client has closed its connection an attempt of its request may still begin.
     pub disconnect_grace: Duration,
-    /// Slack of a ceiling: a share of its depth, or so many units, whichever is more.
+    /// Tolerance of a ceiling: a share of its depth and a number of units, of which the larger applies.
     pub ceiling_slack: (f64, f64),
-    /// The slack is wider by what the ceiling's rate gives in this span.
+    /// Widens the tolerance of a ceiling by what its rate yields in this span.
     pub ceiling_delay: Duration,
 }
 
 impl Default for Bounds {
-    /// The platform's figures.
+    /// The platform's values.
     fn default() -> Bounds {
         Bounds {
             drain_grace: Duration::from_millis(250),
@@ -55,86 +56,86 @@
     }
 }
 
-/// What a repeat of a request does.
+/// Effect of repeating a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RepeatSafety {
-    /// Nothing.
+    /// A repeat has no effect.
     Safe,
-    /// It is dropped by servers of the same group, for a while.
+    /// Servers of the same group drop repeats of the idempotency key for [`Bounds::idempotency_window`].
     Keyed,
-    /// Harm.
+    /// A repeat takes effect a second time.
     Unsafe,
 }
 
-/// A try of a client, as it sends it.
+/// A request as a client sends it.
 #[derive(Clone, Debug)]
 pub struct SentRequest {
-    /// `X-Request-Id`.
+    /// Value of `X-Request-Id`.
     pub id: String,
-    /// `Idempotency-Key`.
+    /// Value of `Idempotency-Key`.
     pub key: Option<String>,
-    /// What a repeat does.
+    /// Effect of a repeat.
     pub repeat_safety: RepeatSafety,
-    /// The edge node that it was sent to.
+    /// Number of the edge node that the request was sent to.
     pub node: usize,
-    /// The customer.
+    /// Id of the customer.
     pub customer: u64,
-    /// Units that it takes.
+    /// Units that the request takes from the customer's quota.
     pub units: f64,
-    /// How long the client waits.
+    /// How long the client waits for the response.
     pub timeout: Duration,
 }
 
-/// A final answer, as a client reads it.
+/// Kind of a final response, as the client reads it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// 200.
+    /// Status 200.
     Served,
-    /// 429 or 503: trying again is harmless.
+    /// Status 429 or 503: the request may safely be retried.
     Refused,
-    /// Any other.
+    /// Any other status.
     Failed,
 }
 
-/// Why a try has no answer.
+/// Why a request got no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unanswered {
-    /// Its node was killed with it.
+    /// The test killed the node while it held the request.
     Killed,
-    /// Its node stood still, by order, while it waited.
+    /// The test suspended the node while the request waited.
     Paused,
-    /// It was never taken: the connection was refused or closed before it was read.
+    /// The connection was refused, or closed before the node read the request.
     NotAccepted,
-    /// The client went away by itself.
+    /// The client closed its connection.
     ClientDisconnected,
-    /// None of these: it is lost.
+    /// None of the other reasons applies: the request is lost.
     Lost,
 }
 
-/// A rule that was broken, in a line.
+/// A violated rule, with a line that describes the case. Reports print the names of the variants.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Breach {
-    /// A try that was taken got no answer.
+    /// A request that a node accepted got no response.
     NoAnswer(String),
-    /// A second answer, or bytes behind the first.
+    /// A second response, or bytes after the first one.
     AnsweredTwice(String),
-    /// An answer after the client's time was up.
+    /// A response after the client's timeout.
     LateAnswer(String),
-    /// Two attempts of a request out at once.
+    /// Two attempts of a request were in flight at once.
     TwoAttempts(String),
-    /// An effect that took place twice.
+    /// An effect took place twice.
     TwiceEffect(String),
-    /// A refusal of what may have run.
+    /// A request was refused although it may have been executed.
     RefusedAfterEffect(String),
-    /// New work reached a server too long after the drain was told.
+    /// New work reached a server too long after the node was informed of its drain.
     SentAfterDrain(String),
-    /// An attempt of a request whose client had gone, from the third on.
+    /// Attempts of requests whose clients had disconnected, if a run has more than two of them.
     SentAfterLeave(String),
-    /// A cold server fell over.
+    /// A cold server was overloaded.
     Fell(String),
-    /// A ceiling was passed.
+    /// A customer's ceiling was exceeded.
     CeilingPassed(String),
-    /// Served with what no server made for it.
+    /// A response with status 200 whose body no server made for this request.
     ForeignAnswer(String),
 }
 
@@ -144,44 +145,46 @@
     sent_at: Duration,
     answer: Option<(Answer, Duration)>,
     unanswered: Option<Unanswered>,
-    /// When its client closed the connection while it waited, and how many attempts there had been.
+    /// When its client closed the connection while waiting, and the number of attempts until then.
     disconnected: Option<(Duration, u32)>,
     attempts: u32,
     in_flight: u32,
-    /// When an attempt came while another was out.
+    /// When an attempt arrived while another one was in flight.
     overlapped_at: Option<Duration>,
     effects: u32,
-    /// When its first attempt had come whole, and its units beyond the quota then.
+    /// When its first attempt was received in full, and its units beyond the quota at that time.
     first_attempt: Option<(Duration, f64)>,
-    /// Seconds of work of its last attempt on a warm server.
+    /// Seconds of work that its last attempt takes on a warm server.
     work: f64,
-    /// Refused while half or more of its customer's quota and ceiling, and what it takes, was unused.
+    /// Refused while the customer's quota and ceiling each had room: at least half of the depth, and the units it
+    /// takes.
     refused_within_limits: bool,
 }
 
 impl TrackedRequest {
-    /// Whether it has an end: an answer, or none for a known reason.
+    /// Whether the request has ended: with a response, or without one for a known reason.
     fn is_over(&self) -> bool {
         self.answer.is_some() || self.unanswered.is_some()
     }
 }
 
-/// A try as the ledger saw it.
+/// A request as the oracle recorded it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestRecord {
-    /// The edge node that it was sent to.
+    /// Number of the edge node that the request was sent to.
     pub node: usize,
     /// When its last byte was written.
     pub sent_at: Duration,
-    /// Its final answer, if it got one.
+    /// Kind of its final response; `None` where it got none.
     pub answer: Option<Answer>,
-    /// When its first attempt had come whole, and its units beyond the quota.
+    /// When its first attempt was received in full, and its units beyond the quota.
     pub first_attempt: Option<(Duration, f64)>,
-    /// Units that it takes.
+    /// Units that the request takes from the customer's quota.
     pub units: f64,
-    /// Seconds of work of its last attempt on a warm server.
+    /// Seconds of work that its last attempt takes on a warm server.
     pub work: f64,
-    /// Refused while half or more of its customer's quota and ceiling, and what it takes, was unused.
+    /// Refused while the customer's quota and ceiling each had room: at least half of the depth, and the units it
+    /// takes.
     pub refused_within_limits: bool,
 }
 
@@ -191,7 +194,7 @@
     depth: f64,
     level: f64,
     refilled_at: Duration,
-    /// Farthest below nothing that it ever was.
+    /// Largest deficit so far, in units.
     max_deficit: f64,
     units_beyond: f64,
 }
@@ -214,21 +217,21 @@
         self.level = (self.level + self.rate * span).min(self.depth);
     }
 
-    /// Whether half of it or more is unused, and so much is there.
+    /// Whether at least half of the depth, and at least `units`, are available.
     fn has_room(&mut self, now: Duration, units: f64) -> bool {
         self.refill(now);
         self.level >= units.max(self.depth / 2.0)
     }
 
-    /// Takes units whether or not they are there, as a ceiling is judged.
+    /// Takes units whether or not they are available, as a ceiling is judged.
     fn take(&mut self, now: Duration, units: f64) {
         self.refill(now);
         self.level -= units;
         self.max_deficit = self.max_deficit.max(-self.level);
     }
 
-    /// Takes units if they are there; otherwise they are beyond the quota and take nothing.
-    /// Returns the units that are beyond.
+    /// Takes the units if they are available. Otherwise all of them are beyond the quota and nothing is taken.
+    /// Returns the units beyond the quota.
     fn take_if_available(&mut self, now: Duration, units: f64) -> f64 {
         self.refill(now);
         let beyond = if self.level >= units { 0.0 } else { units };
@@ -241,27 +244,28 @@
 #[derive(Debug)]
 struct ColdServer {
     started_at: Duration,
-    /// Seconds of work a second at full capacity.
+    /// Seconds of work per second at full capacity.
     capacity: f64,
     work: VecDeque<(Duration, f64)>,
     max_load: f64,
-    /// Most requests of mean work in the window, as a share of what a Poisson stream of the bound's mean stays within.
+    /// Most requests of average work in the window, as a share of the upper bound of a Poisson stream with the
+    /// allowed mean.
     max_crowding: f64,
     overloaded: bool,
 }
 
-/// What one node did with what it got.
+/// How one node handled its requests.
 #[derive(Debug, Default)]
 struct NodeRecord {
-    /// Turned away unsent since its last attempt, and when the first of these was.
+    /// Requests rejected without an attempt since the node's last attempt, and when the first of them was.
     rejections_in_row: u64,
     rejecting_since: Option<Duration>,
-    /// Whether it ever turned away all for too long.
+    /// Whether the node ever rejected all requests for too long.
     rejected_all: bool,
-    /// Requests of its present process that had an end, and those of them that were served.
+    /// Requests of the current process that ended, and how many of them were served.
     finished: u64,
     served: u64,
-    /// Processes of it that have ended and served nobody.
+    /// Ended processes of the node that never served a request.
     processes_never_serving: u64,
 }
 
@@ -272,113 +276,113 @@
     }
 }
 
-/// A node that turns away so many, and all that it gets, for so long, is shut.
+/// A node that rejects at least this many requests, and all that it gets, for this long counts as rejecting all.
 const REJECTING_ALL: (u64, Duration) = (15, Duration::from_secs(4));
-/// A process that has got so many requests and served none serves nobody.
+/// A process that got this many requests and served none counts as never serving.
 const MIN_REQUESTS_TO_JUDGE: u64 = 5;
-/// Attempts after their clients had gone that break no rule.
+/// Attempts after their clients disconnected that break no rule.
 const MAX_ATTEMPTS_AFTER_DISCONNECT: usize = 2;
 
-/// The keys that a group has run, and when first.
+/// Idempotency keys that each group has executed, with the time of the first execution.
 type ExecutedKeys = HashMap<(u64, String), Duration>;
 
-/// The ledger of one run.
+/// Records and judges one run.
 #[derive(Debug)]
 pub struct Oracle {
     bounds: Bounds,
-    /// In the order in which they were asked: sums over them come out the same each time.
+    /// In the order in which they were sent, so that sums over them are reproducible.
     requests: IndexMap<String, TrackedRequest>,
-    /// How many of them have no end yet.
+    /// Requests that have not ended yet.
     open_count: usize,
     executed_keys: ExecutedKeys,
-    /// By key: how many of its effects took place in all groups.
+    /// By idempotency key: effects that took place, over all groups.
     effects_by_key: HashMap<String, u32>,
-    /// When a node was last told that a server drains or is gone, and how late the latest new work reached it after that.
+    /// By node and server: when the node was last informed that the server is draining or gone, and the largest delay
+    /// after that with which new work reached the server.
     unhealthy_since: HashMap<(usize, String), (Duration, Duration)>,
-    /// The same of drains that are over.
+    /// The largest delays of drains that have ended.
     ended_drains: Vec<Duration>,
     ceilings: BTreeMap<u64, TokenBucket>,
     quotas: BTreeMap<u64, TokenBucket>,
     cold_servers: BTreeMap<String, ColdServer>,
-    /// The highest share of servers' earlier lives.
+    /// Highest crowding in earlier lives of servers.
     max_crowding: f64,
     node_records: BTreeMap<usize, NodeRecord>,
-    after_leave: Vec<Breach>,
+    attempts_after_disconnect: Vec<Breach>,
     delays_after_drain: Vec<Duration>,
-    after_drain: u64,
+    attempts_after_drain: u64,
     unsolicited_attempts: u64,
     breaches: Vec<Breach>,
 }
 
-/// Attempts by how they ended at servers, answers by kind and what broke: a run in figures.
+/// The result of a run: requests by outcome, attempts, and violated rules.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Verdict {
-    /// Tries that were sent, each counted once.
+    /// Requests that were sent, each counted once.
     pub requests: u64,
-    /// By final answer.
+    /// Requests with status 200.
     pub served: u64,
-    /// Refused: trying again is harmless.
+    /// Requests that were refused and may safely be retried.
     pub refused: u64,
-    /// Failed.
+    /// Requests with any other status.
     pub failed: u64,
-    /// Unanswered as their node was killed with them.
+    /// Requests without a response because the test killed their node.
     pub killed: u64,
-    /// Unanswered as their node stood still by order.
+    /// Requests without a response because the test suspended their node.
     pub paused: u64,
-    /// Unanswered as they were never taken.
+    /// Requests without a response because the node never accepted them.
     pub not_accepted: u64,
-    /// Unanswered as the client left.
+    /// Requests without a response because the client disconnected.
     pub disconnected: u64,
-    /// Unanswered for no such reason.
+    /// Requests without a response for none of these reasons.
     pub lost: u64,
-    /// Attempts that reached a server whole.
+    /// Attempts that reached a server in full.
     pub attempts: u64,
-    /// Attempts whose first byte came after a node was told of a drain, and how late at the most, in ms.
+    /// Attempts whose first byte arrived after the node was informed of the server's drain.
     pub attempts_after_drain: u64,
-    /// The latest of them.
+    /// Largest delay of such an attempt after the node was informed, in ms.
     pub attempts_after_drain_max_ms: f64,
-    /// Drains that nodes were told, each counted once a node, and the median over them of how late the latest new work
-    /// came, in ms; nought where none came.
+    /// Drains that nodes were informed of, each counted once per node.
     pub drains: u64,
-    /// See there.
+    /// Median over these drains of the largest delay of new work, in ms; 0 for a drain without new work.
     pub drain_median_ms: f64,
-    /// Effects of keyed requests that took place, and keys with more than one over all groups (a client that retried
-    /// what had failed may cause these; they break no rule).
+    /// Effects of keyed requests that took place.
     pub effects: u64,
-    /// Keys with several effects.
+    /// Idempotency keys with more than one effect over all groups. A client's retry of a failed request may cause
+    /// one, so they break no rule.
     pub duplicated_keys: u64,
-    /// Worst load of a cold server: work sent within the window, as a share of what makes it fall.
+    /// Highest load of a cold server: work sent within the window, as a share of what overloads it.
     pub cold_load_max: f64,
-    /// Most requests of mean work that a cold server got from all nodes within the window, as a share of N + 2 sqrt(N) + 2,
-    /// N being how many make it fall on the mean.
+    /// Most requests of average work that a cold server got from all nodes within the window, as a share of N + 2
+    /// sqrt(N) + 2, where N is the number that overloads it on average.
     pub cold_crowding_max: f64,
-    /// Requests whose clients left while they waited for their first attempt.
+    /// Requests whose clients disconnected before the first attempt.
     pub disconnected_before_attempt: u64,
-    /// Attempts that began too long after their clients had left.
+    /// Attempts that began too long after their clients disconnected.
     pub attempts_after_disconnect: u64,
-    /// Nodes that turned away all that they got for 4 s on end, 15 requests or more, with no attempt in between.
+    /// Nodes that rejected all requests for 4 s, at least 15 of them, with no attempt in between.
     pub nodes_rejecting_all: u64,
-    /// Processes that got five requests or more and served none.
+    /// Processes that got at least five requests and served none.
     pub processes_never_serving: u64,
     /// Units sent beyond quotas, as a share of all units sent.
     pub share_beyond_quota: f64,
-    /// Farthest that a ceiling was passed, in units over its slack-free bound.
+    /// Largest excess over a ceiling, in units, without the tolerance.
     pub ceiling_excess_max: f64,
-    /// Attempts that no client asked for.
+    /// Attempts that no client request accounts for.
     pub unsolicited_attempts: u64,
-    /// What broke, sorted.
+    /// Violated rules, sorted.
     pub breaches: Vec<Breach>,
 }
 
 impl Verdict {
-    /// Requests that got no answer though their clients waited, whatever befell their nodes.
+    /// Requests that got no response although their clients waited, for whatever reason.
     pub fn unanswered(&self) -> u64 {
         self.killed + self.paused + self.not_accepted + self.lost
     }
 }
 
 impl Oracle {
-    /// An empty one.
+    /// An oracle without records.
     pub fn new(bounds: Bounds) -> Oracle {
         Oracle {
             bounds,
@@ -393,15 +397,15 @@
             cold_servers: BTreeMap::new(),
             max_crowding: 0.0,
             node_records: BTreeMap::new(),
-            after_leave: Vec::new(),
+            attempts_after_disconnect: Vec::new(),
             delays_after_drain: Vec::new(),
-            after_drain: 0,
+            attempts_after_drain: 0,
             unsolicited_attempts: 0,
             breaches: Vec::new(),
         }
     }
 
-    /// A customer's quota, and its hard ceiling if there is one: units a second, and units at once.
+    /// Sets a customer's quota and, if there is one, its hard ceiling: units per second, and depth in units.
     pub fn set_limits(&mut self, customer: u64, quota: (f64, f64), ceiling: Option<(f64, f64)>) {
         self.quotas
             .insert(customer, TokenBucket::new(quota.0, quota.1));
@@ -411,11 +415,12 @@
         }
     }
 
-    /// A try's last byte is written. The same try, sent once more as its connection had closed unread, counts once.
-    pub fn request_sent(&mut self, now: Duration, asked: SentRequest) {
-        let id = asked.id.clone();
+    /// Records that the last byte of a request was written. A request that is sent again because its connection
+    /// closed before it was read counts once.
+    pub fn request_sent(&mut self, now: Duration, request: SentRequest) {
+        let id = request.id.clone();
         let entry = TrackedRequest {
-            request: asked,
+            request,
             sent_at: now,
             answer: None,
             unanswered: None,
@@ -433,13 +438,13 @@
         self.open_count += self.requests.len() - before;
     }
 
-    /// A try's final answer has come whole.
+    /// Records that a request's final response was received in full.
     pub fn response_received(&mut self, now: Duration, id: &str, answer: Answer) {
         let bounds = &self.bounds;
         let Some(entry) = self.requests.get_mut(id) else {
-            return self
-                .breaches
-                .push(Breach::ForeignAnswer(format!("{id}: an answer to nothing")));
+            return self.breaches.push(Breach::ForeignAnswer(format!(
+                "{id}: response to an unknown request"
+            )));
         };
         if entry.is_over() {
             return self.breaches.push(Breach::AnsweredTwice(id.to_owned()));
@@ -465,43 +470,43 @@
                 && now.saturating_sub(since) >= REJECTING_ALL.1;
         }
         if now > entry.sent_at + entry.request.timeout + bounds.answer_slack {
-            let late = now
+            let delay = now
                 .checked_sub(entry.sent_at)
                 .unwrap()
                 .checked_sub(entry.request.timeout)
                 .unwrap()
                 .as_millis();
             self.breaches
-                .push(Breach::LateAnswer(format!("{id}: {late} ms")));
+                .push(Breach::LateAnswer(format!("{id}: {delay} ms")));
         }
     }
 
-    /// Bytes came behind an answer.
+    /// Records that bytes followed a response.
     pub fn extra_bytes_received(&mut self, id: &str) {
         self.breaches.push(Breach::AnsweredTwice(format!(
-            "{id}: bytes behind the answer"
+            "{id}: bytes after the response"
         )));
     }
 
-    /// A served answer was not what a server made for this try.
+    /// Records a response with status 200 whose body no server made for this request.
     pub fn wrong_response_received(&mut self, id: &str) {
         self.breaches.push(Breach::ForeignAnswer(id.to_owned()));
     }
 
-    /// A try will get no answer.
-    pub fn request_unanswered(&mut self, id: &str, why: Unanswered) {
+    /// Records that a request will get no response.
+    pub fn request_unanswered(&mut self, id: &str, reason: Unanswered) {
         if let Some(entry) = self.requests.get_mut(id) {
             self.open_count -= usize::from(!entry.is_over());
-            entry.unanswered.get_or_insert(why);
-            let got = why == Unanswered::Lost;
+            entry.unanswered.get_or_insert(reason);
+            let counts_as_finished = reason == Unanswered::Lost;
             self.node_records
                 .entry(entry.request.node)
                 .or_default()
-                .finished += u64::from(got);
+                .finished += u64::from(counts_as_finished);
         }
     }
 
-    /// A client has closed its connection while its request waited.
+    /// Records that a client closed its connection while its request waited.
     pub fn client_disconnected(&mut self, now: Duration, id: &str) {
         self.request_unanswered(id, Unanswered::ClientDisconnected);
         if let Some(entry) = self.requests.get_mut(id) {
@@ -509,23 +514,23 @@
         }
     }
 
-    /// A node was told a server's standing: ready, or else draining or gone.
+    /// Records that a node was informed of a server's health: ready, or else draining or gone.
     pub fn health_delivered(&mut self, now: Duration, node: usize, server: &str, ready: bool) {
-        let place = (node, server.to_owned());
+        let node_and_server = (node, server.to_owned());
         if ready {
             self.ended_drains.extend(
                 self.unhealthy_since
-                    .remove(&place)
-                    .map(|(_, latest)| latest),
+                    .remove(&node_and_server)
+                    .map(|(_, max_delay)| max_delay),
             );
         } else {
             self.unhealthy_since
-                .entry(place)
+                .entry(node_and_server)
                 .or_insert((now, Duration::ZERO));
         }
     }
 
-    /// A node's process has started anew: it knows nothing of what its predecessor was told.
+    /// Records that a node's process was restarted: it knows nothing of what its predecessor was informed of.
     pub fn node_restarted(&mut self, node: usize) {
         self.unhealthy_since.retain(|(other, _), _| *other != node);
         let record = self.node_records.entry(node).or_default();
@@ -536,7 +541,7 @@
         ) = (record.processes_never_serving(), 0, 0);
     }
 
-    /// A server has started cold; `capacity` in seconds of work a second once it is warm.
+    /// Records that a server started cold; `capacity` is in seconds of work per second once it is warm.
     pub fn server_started_cold(&mut self, now: Duration, server: &str, capacity: f64) {
         let cold = ColdServer {
             started_at: now,
@@ -552,23 +557,23 @@
         });
     }
 
-    /// Share of its capacity that a server has.
+    /// Share of its capacity that a server has at this time.
     pub fn capacity_share(&self, now: Duration, server: &str) -> f64 {
         let Some(cold) = self.cold_servers.get(server) else {
             return 1.0;
         };
-        warmth(&self.bounds, now.saturating_sub(cold.started_at))
+        warm_share(&self.bounds, now.saturating_sub(cold.started_at))
     }
 
-    /// Whether a server has fallen over.
+    /// Whether a server has been overloaded since it started.
     pub fn is_overloaded(&self, server: &str) -> bool {
         self.cold_servers
             .get(server)
             .is_some_and(|cold| cold.overloaded)
     }
 
-    /// An attempt has come whole to a server. `first` is when its first byte came, `work` the seconds that it takes on
-    /// a warm server.
+    /// Records that an attempt was received by a server in full. `first` is when its first byte arrived, `work` the
+    /// seconds that it takes on a warm server.
     pub fn attempt_received(
         &mut self,
         now: Duration,
@@ -579,7 +584,8 @@
     ) {
         let bounds = &self.bounds;
         let Some(entry) = self.requests.get_mut(id) else {
-            // The client may have written its last byte in this very moment; then it is known a little later.
+            // The client may only just have written its last byte, in which case the request is recorded a little
+            // later.
             self.unsolicited_attempts += 1;
             return;
         };
@@ -587,31 +593,33 @@
         entry.in_flight += 1;
         entry.work = work;
         if entry.in_flight > 1 {
-            // The end of the earlier one may be on its way; it clears this if it comes at once.
+            // The end of the earlier attempt may still be in transit; `attempt_canceled` clears this if it comes
+            // soon.
             entry.overlapped_at = Some(now);
         }
         let record = self.node_records.entry(entry.request.node).or_default();
         (record.rejections_in_row, record.rejecting_since) = (0, None);
-        if let Some((left, _)) = entry.disconnected {
-            if first > left + bounds.disconnect_grace + bounds.transit_slack {
-                let late = first.checked_sub(left).unwrap().as_millis();
+        if let Some((disconnected_at, _)) = entry.disconnected {
+            if first > disconnected_at + bounds.disconnect_grace + bounds.transit_slack {
+                let delay = first.checked_sub(disconnected_at).unwrap().as_millis();
                 let line = format!(
-                    "{id} from node {} to {server} after {late} ms",
+                    "{id} from node {} to {server} after {delay} ms",
                     entry.request.node
                 );
-                self.after_leave.push(Breach::SentAfterLeave(line));
+                self.attempts_after_disconnect
+                    .push(Breach::SentAfterLeave(line));
             }
         }
-        if let Some((told, latest)) = self
+        if let Some((informed_at, max_delay)) = self
             .unhealthy_since
             .get_mut(&(entry.request.node, server.to_owned()))
         {
-            if let Some(late) = first.checked_sub(*told) {
-                *latest = late.max(*latest);
-                self.after_drain += 1;
-                self.delays_after_drain.push(late);
-                if late > bounds.drain_grace + bounds.transit_slack {
-                    let line = format!("{id} to {server} after {} ms", late.as_millis());
+            if let Some(delay) = first.checked_sub(*informed_at) {
+                *max_delay = delay.max(*max_delay);
+                self.attempts_after_drain += 1;
+                self.delays_after_drain.push(delay);
+                if delay > bounds.drain_grace + bounds.transit_slack {
+                    let line = format!("{id} to {server} after {} ms", delay.as_millis());
                     self.breaches.push(Breach::SentAfterDrain(line));
                 }
             }
@@ -625,7 +633,8 @@
                     + ceiling.rate * bounds.ceiling_delay.as_secs_f64();
                 if ceiling.level < -slack {
                     let over = -ceiling.level - slack;
-                    let line = format!("customer {customer:x} by {over:.2} units beyond the slack");
+                    let line =
+                        format!("customer {customer:x} by {over:.2} units beyond the tolerance");
                     self.breaches.push(Breach::CeilingPassed(line));
                 }
             }
@@ -647,18 +656,18 @@
                     cold.work.pop_front();
                 }
                 let sent: f64 = cold.work.iter().map(|(_, work)| work).sum();
-                let can =
-                    cold.capacity * warmth(bounds, age) * bounds.overload_window.as_secs_f64();
-                // One heavy request alone is chance, not a push.
+                let possible_work =
+                    cold.capacity * warm_share(bounds, age) * bounds.overload_window.as_secs_f64();
+                // A single heavy request is chance, not overload.
                 let load = if cold.work.len() > 1 {
-                    sent / (can * bounds.overload_multiple)
+                    sent / (possible_work * bounds.overload_multiple)
                 } else {
                     0.0
                 };
                 cold.max_load = cold.max_load.max(load);
-                let allowed = can * bounds.overload_multiple / bounds.mean_work;
-                let crowd = sent / bounds.mean_work / (allowed + 2.0 * allowed.sqrt() + 2.0);
-                cold.max_crowding = cold.max_crowding.max(crowd);
+                let allowed = possible_work * bounds.overload_multiple / bounds.mean_work;
+                let crowding = sent / bounds.mean_work / (allowed + 2.0 * allowed.sqrt() + 2.0);
+                cold.max_crowding = cold.max_crowding.max(crowding);
                 if load > 1.0 && !std::mem::replace(&mut cold.overloaded, true) {
                     let line = format!(
                         "{server}, {} ms old, at {load:.2} of its bound",
@@ -670,12 +679,13 @@
         }
     }
 
-    /// An attempt's work was done, which came whole at that time. Whether its effect took place: a keyed one that its group
-    /// remembered when it came does nothing. Danger: a repeat that came in time and waited, judged by when it was done.
+    /// Records that the work of an attempt was done; `received_at` is when it was received in full. Returns whether its
+    /// effect took place: a keyed attempt does nothing if its group remembered the key when the attempt was received.
+    /// The time of receipt decides, because a repeat that came in time may wait before it is executed.
     pub fn attempt_executed(
         &mut self,
         now: Duration,
-        came: Duration,
+        received_at: Duration,
         group: u64,
         id: &str,
     ) -> bool {
@@ -687,7 +697,7 @@
             (RepeatSafety::Safe, _) => return false,
             (RepeatSafety::Keyed, Some(key)) => {
                 let known = self.executed_keys.get(&(group, key.clone()));
-                if known.is_some_and(|at| came.saturating_sub(*at) <= window) {
+                if known.is_some_and(|at| received_at.saturating_sub(*at) <= window) {
                     return false;
                 }
                 self.executed_keys.insert((group, key.clone()), now);
@@ -702,15 +712,16 @@
         true
     }
 
-    /// An attempt is over at its server: its answer is written, or its connection has ended.
+    /// Records that an attempt ended at its server: its response is written, or its connection has ended.
     pub fn attempt_finished(&mut self, id: &str) {
         if let Some(entry) = self.requests.get_mut(id) {
             entry.in_flight = entry.in_flight.saturating_sub(1);
         }
     }
 
-    /// The node has closed an attempt's connection: it is not out any more. Ends of connections are seen a little late,
-    /// so one that comes within the slack after another attempt's arrival stands for an end before it.
+    /// Records that the node closed the connection of an attempt, which is then no longer in flight. Ends of
+    /// connections are observed with a delay, so one within the transit tolerance after the arrival of another
+    /// attempt counts as an end before that arrival.
     pub fn attempt_canceled(&mut self, now: Duration, id: &str) {
         let slack = self.bounds.transit_slack;
         if let Some(entry) = self.requests.get_mut(id) {
@@ -719,30 +730,30 @@
         }
     }
 
-    /// How many attempts of a try have reached a server.
+    /// Number of attempts of a request that reached a server.
     pub fn attempt_count(&self, id: &str) -> u32 {
         self.requests.get(id).map_or(0, |entry| entry.attempts)
     }
 
-    /// A node that stood still goes on: what was written to it meanwhile counts as told now.
+    /// Records that a suspended node was resumed: what was written to it meanwhile counts as received now.
     pub fn node_resumed(&mut self, now: Duration, node: usize, stopped: Duration) {
-        let of = self
+        let informed = self
             .unhealthy_since
             .iter_mut()
             .filter(|((other, _), (at, _))| *other == node && *at >= stopped);
-        of.for_each(|(_, (at, _))| *at = now);
-        // So does a client's close.
-        let tries = self
+        informed.for_each(|(_, (at, _))| *at = now);
+        // The same holds for a client's close.
+        let node_requests = self
             .requests
             .values_mut()
             .filter(|entry| entry.request.node == node);
-        tries
+        node_requests
             .filter_map(|entry| entry.disconnected.as_mut())
             .filter(|(at, _)| *at >= stopped)
             .for_each(|(at, _)| *at = now);
     }
 
-    /// All tries, in the order in which they were asked.
+    /// All requests, in the order in which they were sent.
     pub fn requests(&self) -> impl Iterator<Item = RequestRecord> + '_ {
         self.requests.values().map(|entry| RequestRecord {
             node: entry.request.node,
@@ -755,32 +766,34 @@
         })
     }
 
-    /// Seconds of work that all of these servers could do between two moments: each has its capacity, or the part of it
-    /// that it has while it is cold.
+    /// Seconds of work that these servers could do between two times: each has its capacity, or a part of it while it
+    /// is cold.
     pub fn available_work(&self, servers: &[(String, f64)], from: Duration, to: Duration) -> f64 {
-        /// Steps of the sum; the warmth rises in a straight line, so that few will do.
+        /// Step of the sum. The capacity rises linearly, so few steps suffice.
         const STEP: Duration = Duration::from_millis(100);
         let steps = (to.saturating_sub(from).as_secs_f64() / STEP.as_secs_f64()) as u32;
-        let at = |step: u32| from + STEP * step + STEP / 2;
-        // Looked up once a server: there may be tens of thousands.
-        let of = |(name, capacity): &(String, f64)| {
-            let born = self.cold_servers.get(name).map(|cold| cold.started_at);
-            let warmth = |now: Duration| {
-                born.map_or(1.0, |born| warmth(&self.bounds, now.saturating_sub(born)))
+        let middle_of = |step: u32| from + STEP * step + STEP / 2;
+        // Looked up once per server: there may be tens of thousands.
+        let work_of = |(name, capacity): &(String, f64)| {
+            let started_at = self.cold_servers.get(name).map(|cold| cold.started_at);
+            let warm_share = |now: Duration| {
+                started_at.map_or(1.0, |started_at| {
+                    warm_share(&self.bounds, now.saturating_sub(started_at))
+                })
             };
             (0..steps)
-                .map(|step| capacity * warmth(at(step)) * STEP.as_secs_f64())
+                .map(|step| capacity * warm_share(middle_of(step)) * STEP.as_secs_f64())
                 .sum::<f64>()
         };
-        servers.iter().map(of).sum()
+        servers.iter().map(work_of).sum()
     }
 
-    /// Tries that have no end yet.
+    /// Number of requests that have not ended yet.
     pub fn open_requests(&self) -> usize {
         self.open_count
     }
 
-    /// Judges the run, which is over: what has no end by now is lost.
+    /// Judges the finished run: requests that have not ended by now are lost.
     pub fn verdict(&self) -> Verdict {
         let mut breaches = self.breaches.clone();
         let mut count = [0_u64; 3];
@@ -794,10 +807,10 @@
                         breaches.push(Breach::RefusedAfterEffect(id.clone()));
                     }
                 }
-                (None, why) => {
-                    let why = why.unwrap_or(Unanswered::Lost);
-                    unanswered[why as usize] += 1;
-                    if why == Unanswered::Lost {
+                (None, reason) => {
+                    let reason = reason.unwrap_or(Unanswered::Lost);
+                    unanswered[reason as usize] += 1;
+                    if reason == Unanswered::Lost {
                         breaches.push(Breach::NoAnswer(format!(
                             "{id} at node {}",
                             entry.request.node
@@ -806,14 +819,14 @@
                 }
             }
         }
-        if self.after_leave.len() > MAX_ATTEMPTS_AFTER_DISCONNECT {
-            breaches.extend_from_slice(&self.after_leave);
+        if self.attempts_after_disconnect.len() > MAX_ATTEMPTS_AFTER_DISCONNECT {
+            breaches.extend_from_slice(&self.attempts_after_disconnect);
         }
         breaches.sort();
         let mut drains: Vec<Duration> = self
             .unhealthy_since
             .values()
-            .map(|(_, latest)| *latest)
+            .map(|(_, max_delay)| *max_delay)
             .collect();
         drains.extend(&self.ended_drains);
         drains.sort();
@@ -839,16 +852,16 @@
                 .values()
                 .map(|entry| u64::from(entry.attempts))
                 .sum(),
-            attempts_after_drain: self.after_drain,
+            attempts_after_drain: self.attempts_after_drain,
             drains: drains.len() as u64,
             drain_median_ms: drains
                 .get(drains.len() / 2)
-                .map_or(0.0, |late| late.as_secs_f64() * 1e3),
+                .map_or(0.0, |delay| delay.as_secs_f64() * 1e3),
             attempts_after_drain_max_ms: self
                 .delays_after_drain
                 .iter()
                 .max()
-                .map_or(0.0, |late| late.as_secs_f64() * 1e3),
+                .map_or(0.0, |delay| delay.as_secs_f64() * 1e3),
             effects: self
                 .effects_by_key
                 .values()
@@ -874,7 +887,7 @@
                 .values()
                 .filter(|entry| matches!(entry.disconnected, Some((_, 0))))
                 .count() as u64,
-            attempts_after_disconnect: self.after_leave.len() as u64,
+            attempts_after_disconnect: self.attempts_after_disconnect.len() as u64,
             nodes_rejecting_all: self
                 .node_records
                 .values()
@@ -897,9 +910,9 @@
     }
 }
 
-fn warmth(bounds: &Bounds, age: Duration) -> f64 {
-    let grown = age.as_secs_f64() / bounds.slow_start_duration.as_secs_f64().max(1e-9);
-    (bounds.cold_start_share + (1.0 - bounds.cold_start_share) * grown).min(1.0)
+fn warm_share(bounds: &Bounds, age: Duration) -> f64 {
+    let elapsed_share = age.as_secs_f64() / bounds.slow_start_duration.as_secs_f64().max(1e-9);
+    (bounds.cold_start_share + (1.0 - bounds.cold_start_share) * elapsed_share).min(1.0)
 }
 
 #[cfg(test)]
--- a/crates/test-doubles/src/oracle/tests.rs
+++ b/crates/test-doubles/src/oracle/tests.rs
@@ -4,7 +4,7 @@
     Duration::from_millis(span)
 }
 
-fn asked(id: &str, repeats: RepeatSafety) -> SentRequest {
+fn request(id: &str, repeats: RepeatSafety) -> SentRequest {
     let key = (repeats == RepeatSafety::Keyed).then(|| "k".to_owned());
     let (id, patience) = (id.to_owned(), ms(1000));
     SentRequest {
@@ -18,9 +18,9 @@
     }
 }
 
-fn one(repeats: RepeatSafety) -> Oracle {
+fn oracle_with_request(repeats: RepeatSafety) -> Oracle {
     let mut oracle = Oracle::new(Bounds::default());
-    oracle.request_sent(ms(0), asked("a", repeats));
+    oracle.request_sent(ms(0), request("a", repeats));
     oracle
 }
 
@@ -29,8 +29,8 @@
 }
 
 #[test]
-fn a_run_that_keeps_the_rules_has_no_breach() {
-    let mut oracle = one(RepeatSafety::Keyed);
+fn a_run_that_follows_the_rules_has_no_violation() {
+    let mut oracle = oracle_with_request(RepeatSafety::Keyed);
     oracle.attempt_received(ms(10), ms(10), "s", "a", 0.1);
     assert!(oracle.attempt_executed(ms(100), ms(100), 1, "a"));
     oracle.attempt_finished("a");
@@ -49,34 +49,34 @@
 }
 
 #[test]
-fn each_breach_of_the_first_rule_is_seen() {
+fn missing_second_and_late_responses_are_violations() {
     assert_eq!(
-        breaches(&one(RepeatSafety::Safe)),
+        breaches(&oracle_with_request(RepeatSafety::Safe)),
         [Breach::NoAnswer("a at node 0".to_owned())]
     );
-    let mut oracle = one(RepeatSafety::Safe);
+    let mut oracle = oracle_with_request(RepeatSafety::Safe);
     oracle.response_received(ms(10), "a", Answer::Served);
     oracle.response_received(ms(11), "a", Answer::Failed);
     assert_eq!(breaches(&oracle), [Breach::AnsweredTwice("a".to_owned())]);
-    let mut oracle = one(RepeatSafety::Safe);
+    let mut oracle = oracle_with_request(RepeatSafety::Safe);
     oracle.response_received(ms(1051), "a", Answer::Failed);
     assert_eq!(
         breaches(&oracle),
         [Breach::LateAnswer("a: 51 ms".to_owned())]
     );
-    for (why, lost) in [
+    for (reason, lost) in [
         (Unanswered::Killed, 0),
         (Unanswered::ClientDisconnected, 0),
         (Unanswered::Lost, 1),
     ] {
-        let mut oracle = one(RepeatSafety::Safe);
-        oracle.request_unanswered("a", why);
-        assert_eq!(breaches(&oracle).len(), lost, "{why:?}");
+        let mut oracle = oracle_with_request(RepeatSafety::Safe);
+        oracle.request_unanswered("a", reason);
+        assert_eq!(breaches(&oracle).len(), lost, "{reason:?}");
     }
 }
 
 #[test]
-fn tries_without_an_end_are_counted_and_all_are_told_in_the_order_in_which_they_were_asked() {
+fn open_requests_are_counted_and_all_requests_are_listed_in_the_order_sent() {
     let mut oracle = Oracle::new(Bounds::default());
     let ids: Vec<String> = (0..100)
         .map(|number| format!("t{}", number * 7 % 100))
@@ -86,7 +86,7 @@
             ms(5),
             SentRequest {
                 node,
-                ..asked(id, RepeatSafety::Safe)
+                ..request(id, RepeatSafety::Safe)
             },
         );
     }
@@ -94,13 +94,13 @@
         ms(6),
         SentRequest {
             node: 3,
-            ..asked(&ids[3], RepeatSafety::Safe)
+            ..request(&ids[3], RepeatSafety::Safe)
         },
     );
     assert_eq!(
         oracle.open_requests(),
         100,
-        "sent once more, it counts once"
+        "a request that is sent again counts once"
     );
     let ended: [fn(&mut Oracle, &str); 4] = [
         |oracle, id| oracle.response_received(ms(10), id, Answer::Refused),
@@ -110,29 +110,29 @@
     ];
     for (id, end) in ids.iter().zip(ended.iter().cycle()).take(40) {
         end(&mut oracle, id);
-        // What ends twice has ended once.
+        // A second end of the same request does not count.
         oracle.response_received(ms(11), id, Answer::Served);
         oracle.request_unanswered(id, Unanswered::Lost);
     }
     oracle.response_received(ms(12), "nobody's", Answer::Served);
     assert_eq!(oracle.open_requests(), 60);
-    assert!(oracle.requests().map(|seen| seen.node).eq(0..100));
+    assert!(oracle.requests().map(|record| record.node).eq(0..100));
 }
 
 #[test]
-fn each_breach_of_the_second_rule_is_seen() {
-    let mut oracle = one(RepeatSafety::Safe);
+fn overlapping_attempts_and_repeated_effects_are_violations() {
+    let mut oracle = oracle_with_request(RepeatSafety::Safe);
     oracle.attempt_received(ms(10), ms(10), "s", "a", 0.1);
     oracle.attempt_received(ms(20), ms(20), "t", "a", 0.1);
     oracle.response_received(ms(30), "a", Answer::Served);
     assert_eq!(breaches(&oracle), [Breach::TwoAttempts("a".to_owned())]);
-    // The end of the first is seen a little late, or it comes too late.
+    // The end of the first attempt is observed with a delay, which may be too long.
     oracle.attempt_canceled(ms(71), "a");
     assert_eq!(breaches(&oracle), [Breach::TwoAttempts("a".to_owned())]);
     oracle.attempt_canceled(ms(70), "a");
     assert!(breaches(&oracle).is_empty());
-    // One after the other, into another group: its key is not known there.
-    let mut oracle = one(RepeatSafety::Keyed);
+    // One attempt after the other, to different groups: the second group does not know the key.
+    let mut oracle = oracle_with_request(RepeatSafety::Keyed);
     for (group, server) in [(1, "s"), (2, "t")] {
         oracle.attempt_received(ms(10), ms(10), server, "a", 0.1);
         oracle.attempt_executed(ms(20), ms(20), group, "a");
@@ -140,17 +140,17 @@
     }
     oracle.response_received(ms(30), "a", Answer::Served);
     assert_eq!(breaches(&oracle), [Breach::TwiceEffect("a".to_owned())]);
-    // In the same group it is dropped while the group remembers.
+    // The same group drops the repeat while it remembers the key.
     for (at, twice) in [(2019, false), (2021, true)] {
-        let mut oracle = one(RepeatSafety::Keyed);
+        let mut oracle = oracle_with_request(RepeatSafety::Keyed);
         assert!(oracle.attempt_executed(ms(20), ms(20), 1, "a"));
         assert_eq!(
             oracle.attempt_executed(ms(at + 500), ms(at), 1, "a"),
             twice,
-            "by when it came"
+            "decided by the time of receipt"
         );
     }
-    let mut oracle = one(RepeatSafety::Unsafe);
+    let mut oracle = oracle_with_request(RepeatSafety::Unsafe);
     oracle.attempt_executed(ms(20), ms(20), 1, "a");
     oracle.response_received(ms(30), "a", Answer::Refused);
     assert_eq!(
@@ -160,9 +160,9 @@
 }
 
 #[test]
-fn sends_after_a_drain_count_from_when_this_node_was_told() {
+fn attempts_after_a_drain_count_from_when_their_node_was_informed() {
     for (first, breach) in [(1299, false), (1301, true)] {
-        let mut oracle = one(RepeatSafety::Safe);
+        let mut oracle = oracle_with_request(RepeatSafety::Safe);
         oracle.health_delivered(ms(1000), 0, "s", false);
         oracle.health_delivered(ms(1200), 0, "s", false);
         oracle.health_delivered(ms(0), 1, "s", false);
@@ -172,7 +172,7 @@
         assert_eq!(!verdict.breaches.is_empty(), breach, "{verdict:?}");
         assert_eq!(verdict.attempts_after_drain, 1);
     }
-    let mut oracle = one(RepeatSafety::Safe);
+    let mut oracle = oracle_with_request(RepeatSafety::Safe);
     oracle.health_delivered(ms(0), 0, "s", false);
     oracle.health_delivered(ms(500), 0, "s", true);
     oracle.attempt_received(ms(700), ms(700), "s", "a", 0.1);
@@ -184,25 +184,25 @@
 }
 
 #[test]
-fn a_cold_server_falls_by_what_all_nodes_send_it_together() {
+fn the_load_of_a_cold_server_is_summed_over_all_nodes() {
     let fill = |count: u64| {
         let mut oracle = Oracle::new(Bounds::default());
         oracle.server_started_cold(ms(0), "s", 2.0);
         for number in 0..count {
-            let mut asked = asked(&number.to_string(), RepeatSafety::Safe);
-            asked.node = number as usize % 3;
-            oracle.request_sent(ms(0), asked);
+            let mut request = request(&number.to_string(), RepeatSafety::Safe);
+            request.node = number as usize % 3;
+            oracle.request_sent(ms(0), request);
             oracle.attempt_received(ms(10 + number), ms(10), "s", &number.to_string(), 0.1);
         }
         (oracle.is_overloaded("s"), oracle.verdict().cold_load_max)
     };
-    // 2 s of work a second, of which 0.21 are there, times 3: 1.26 s of work in the first second.
+    // 2 s of work per second, of which a share of 0.21 is available, times 3: 1.26 s of work in the first second.
     assert!(!fill(12).0 && fill(13).0, "{:?} {:?}", fill(12), fill(13));
     assert!((fill(12).1 - 1.2 / 1.26).abs() < 0.01);
 }
 
 #[test]
-fn a_ceiling_is_judged_over_all_nodes_with_its_slack_and_a_quota_only_counted() {
+fn a_ceiling_is_judged_over_all_nodes_with_tolerance_and_a_quota_is_only_counted() {
     let mut oracle = Oracle::new(Bounds::default());
     oracle.set_limits(7, (1.0, 2.0), Some((2.0, 4.0)));
     for number in 0..6_u64 {
@@ -211,12 +211,12 @@
             ms(0),
             SentRequest {
                 node: number as usize,
-                ..asked(&id, RepeatSafety::Safe)
+                ..request(&id, RepeatSafety::Safe)
             },
         );
         oracle.attempt_received(ms(0), ms(0), "s", &id, 0.1);
         oracle.response_received(ms(1), &id, Answer::Served);
-        // 4 units at once, one for the slack and 0.3 for lateness.
+        // 4 units of depth, 1 of tolerance and 0.3 for the delay.
         assert_eq!(
             oracle.verdict().breaches.len(),
             usize::from(number >= 5),
@@ -235,11 +235,11 @@
 }
 
 #[test]
-fn attempts_after_their_clients_have_gone_are_found_and_the_third_is_a_break() {
+fn attempts_after_a_disconnect_are_counted_and_the_third_is_a_violation() {
     for (first, count) in [(1150, 0), (1151, 1)] {
         let mut oracle = Oracle::new(Bounds::default());
         for (place, id) in ["a", "b", "c"].into_iter().enumerate() {
-            oracle.request_sent(ms(900), asked(id, RepeatSafety::Safe));
+            oracle.request_sent(ms(900), request(id, RepeatSafety::Safe));
             oracle.client_disconnected(ms(1000), id);
             oracle.attempt_received(ms(first + 20), ms(first), "s", id, 0.1);
             let verdict = oracle.verdict();
@@ -265,8 +265,9 @@
         );
         assert_eq!(verdict.breaches.len() as u64, 3 * count);
     }
-    // A further attempt counts as a first one does, and only what has had none was unsent.
-    let mut oracle = one(RepeatSafety::Safe);
+    // A further attempt counts like a first one; only a request without any attempt counts as disconnected before
+    // one.
+    let mut oracle = oracle_with_request(RepeatSafety::Safe);
     oracle.attempt_received(ms(10), ms(10), "s", "a", 0.1);
     oracle.client_disconnected(ms(20), "a");
     oracle.attempt_finished("a");
@@ -278,8 +279,8 @@
         ),
         (0, 1)
     );
-    // A node that stood still learns of the close when it goes on.
-    let mut oracle = one(RepeatSafety::Safe);
+    // A suspended node learns of the close when it is resumed.
+    let mut oracle = oracle_with_request(RepeatSafety::Safe);
     oracle.client_disconnected(ms(100), "a");
     oracle.node_resumed(ms(900), 0, ms(50));
     oracle.attempt_received(ms(1000), ms(1000), "s", "a", 0.1);
@@ -287,13 +288,14 @@
 }
 
 #[test]
-fn a_cold_server_is_crowded_by_the_mean_requests_of_all_nodes_in_all_its_lives() {
+fn crowding_of_a_cold_server_counts_average_requests_of_all_nodes_over_its_restarts() {
     let bounds = Bounds {
         mean_work: 0.05,
         ..Bounds::default()
     };
     let mut oracle = Oracle::new(bounds);
-    // 2 s of work a second, of which 0.21 are there, times 3: 25.2 of mean work, and 37.2 with chance.
+    // 2 s of work per second, of which a share of 0.21 is available, times 3: 25.2 average requests, and 37.2 with
+    // chance.
     for life in [0_u64, 5000] {
         oracle.server_started_cold(ms(life), "s", 2.0);
         for number in 0..(if life == 0 { 8 } else { 4 }) {
@@ -302,7 +304,7 @@
                 ms(life),
                 SentRequest {
                     node: number,
-                    ..asked(&id, RepeatSafety::Safe)
+                    ..request(&id, RepeatSafety::Safe)
                 },
             );
             oracle.attempt_received(ms(life), ms(life), "s", &id, 0.1);
@@ -318,8 +320,8 @@
 }
 
 #[test]
-fn a_node_that_turns_all_away_for_four_seconds_is_told_from_one_that_sends_once() {
-    for (apart, attempt, shut) in [
+fn a_node_that_rejects_all_for_four_seconds_differs_from_one_that_sends_an_attempt() {
+    for (interval_ms, attempt, shut) in [
         (290, None, 1),
         (285, None, 0),
         (290, Some(7), 0),
@@ -327,8 +329,8 @@
     ] {
         let mut oracle = Oracle::new(Bounds::default());
         for number in 0..15_u64 {
-            let (id, at) = (number.to_string(), ms(number * apart));
-            oracle.request_sent(at, asked(&id, RepeatSafety::Safe));
+            let (id, at) = (number.to_string(), ms(number * interval_ms));
+            oracle.request_sent(at, request(&id, RepeatSafety::Safe));
             if attempt == Some(number) {
                 oracle.attempt_received(at, at, "s", &id, 0.1);
             }
@@ -338,17 +340,17 @@
         assert_eq!(
             (verdict.nodes_rejecting_all, verdict.processes_never_serving),
             (shut, 1),
-            "{apart} ms apart: {verdict:?}"
+            "{interval_ms} ms apart: {verdict:?}"
         );
     }
 }
 
 #[test]
-fn a_process_serves_nobody_whatever_its_successor_serves() {
+fn a_process_that_never_serves_is_counted_whatever_its_successor_serves() {
     let mut oracle = Oracle::new(Bounds::default());
     let ask = |oracle: &mut Oracle, answer| {
         let id = oracle.requests.len().to_string();
-        oracle.request_sent(ms(0), asked(&id, RepeatSafety::Safe));
+        oracle.request_sent(ms(0), request(&id, RepeatSafety::Safe));
         oracle.response_received(ms(1), &id, answer);
     };
     (0..5).for_each(|_| ask(&mut oracle, Answer::Refused));
--- a/crates/test-doubles/src/peers.rs
+++ b/crates/test-doubles/src/peers.rs
@@ -1,7 +1,7 @@
-//! The network between edge nodes: datagrams pass through relays, one for each node, on which faults may lie.
+//! The network between edge nodes: datagrams pass through relays, one per node, to which faults apply.
 //!
-//! Each node sees each other one under the address of that one's relay, which is also where its datagrams come from. A
-//! relay takes what anybody sends to its node; who that was is told by the sender's address.
+//! Each node reaches every other node at the address of that node's relay, from which that node's datagrams come as
+//! well. A relay takes the datagrams sent to its node and identifies their sender by its address.
 
 use crate::links::{End, Links};
 use std::collections::HashMap;
@@ -10,16 +10,17 @@
 use std::sync::Arc;
 use tokio::net::UdpSocket;
 
-/// Most bytes of a datagram, as the platform has it.
+/// Longest datagram that the platform allows.
 const MAX_DATAGRAM_BYTES: usize = 256;
 
 /// The relays between all nodes.
 #[derive(Debug)]
 pub struct Network {
-    /// Where each node receives, and its number by that.
+    /// Receiving address of each node.
     nodes: Vec<SocketAddr>,
+    /// Number of each node by its receiving address.
     numbers: HashMap<SocketAddr, usize>,
-    /// What each node is to the others.
+    /// Address of each node as the other nodes see it.
     relays: Vec<Arc<UdpSocket>>,
     links: Arc<Links>,
     sent: Vec<AtomicU64>,
@@ -30,10 +31,9 @@
 }
 
 impl Network {
-    /// Relays between nodes that receive at these addresses.
+    /// Starts relays between nodes that receive at these addresses.
     ///
-    /// # Errors
-    /// No addresses could be had.
+    /// # Errors No addresses are available.
     pub async fn start(nodes: Vec<SocketAddr>, links: Arc<Links>) -> std::io::Result<Arc<Network>> {
         let mut relays = Vec::new();
         for _ in &nodes {
@@ -67,10 +67,9 @@
         Ok(network)
     }
 
-    /// The addresses of all nodes as one of them has them in its configuration, its own among them.
+    /// The addresses of all nodes as the configuration of one node lists them, its own among them.
     ///
-    /// # Errors
-    /// A socket has no address.
+    /// # Errors A socket has no address.
     pub fn peers_of(&self, node: usize) -> std::io::Result<Vec<SocketAddr>> {
         let address = |(other, relay): (usize, &Arc<UdpSocket>)| match other {
             other if other == node => Ok(self.nodes[node]),
@@ -79,7 +78,7 @@
         self.relays.iter().enumerate().map(address).collect()
     }
 
-    /// Datagrams that a node has sent, and those that were delivered to it.
+    /// Number of datagrams that a node sent, and number of those delivered to it.
     pub fn counts(&self, node: usize) -> (u64, u64) {
         (
             self.sent[node].load(Ordering::Relaxed),
@@ -87,7 +86,7 @@
         )
     }
 
-    /// Bytes of all datagrams that were sent.
+    /// Bytes of all datagrams sent.
     pub fn bytes(&self) -> u64 {
         self.bytes.load(Ordering::Relaxed)
     }
@@ -97,7 +96,7 @@
         self.too_long.load(Ordering::Relaxed)
     }
 
-    /// Datagrams that no node of this run sent.
+    /// Datagrams whose sender is no node of this run.
     pub fn from_unknown_senders(&self) -> u64 {
         self.unknown_sender_count.load(Ordering::Relaxed)
     }
@@ -130,7 +129,7 @@
                     fault.draw_delay(),
                 );
                 let deliver = async move {
-                    // From the relay of who sent it: under that address the receiver knows it.
+                    // Sent from the relay of the sender, by whose address the receiver identifies it.
                     if network.relays[from]
                         .send_to(&bytes, network.nodes[to])
                         .await
--- a/crates/test-doubles/src/ports.rs
+++ b/crates/test-doubles/src/ports.rs
@@ -1,8 +1,8 @@
-//! Addresses of this process alone: a block of loopback, claimed for as long as it lives.
+//! Addresses of this process alone: a block of loopback addresses, claimed for the lifetime of the process.
 //!
-//! Danger that it guards against: two runs beside one another that take each other's words, and a port that the machine
-//! picked and got back, which it gives to whoever asks next while the process that it was meant for starts, or is dead for
-//! a moment. All of 127.0.0.0/8 is this machine's, so each process takes a 127.x.0.0/16 that no other has.
+//! It guards against two runs on one machine that receive each other's messages, and against a port that the kernel
+//! picked, got back, and gives to another process while the process that it was meant for starts or is dead for a
+//! moment. All of 127.0.0.0/8 is loopback, so each process claims a 127.x.0.0/16 that no other process has.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::os::linux::net::SocketAddrExt;
@@ -10,14 +10,14 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::OnceLock;
 
-/// The second byte of a block's addresses. 127.0.x.y is left to all others.
+/// The second byte of a block's addresses. 127.0.x.y is left to all other programs.
 const BLOCKS: std::ops::RangeInclusive<u8> = 16..=250;
-/// Addresses of a block; the first and the last of each 256 are left out.
+/// Addresses of a block, without the first and the last of each 256.
 const ADDRESSES_PER_BLOCK: u32 = 254 * 250;
-/// The one port that is used, below those that the machine hands out by itself (`ip_local_port_range`).
+/// Port of all addresses, below the range of ephemeral ports (`ip_local_port_range`).
 const PORT: u16 = 7420;
 
-/// What claims a block: an abstract socket's name, which ends with the process.
+/// A claim on a block: the name of an abstract socket, which is released when the process ends.
 #[derive(Debug)]
 struct Block {
     number: u8,
@@ -35,8 +35,7 @@
 
 /// The block of this process: the second byte of its addresses.
 ///
-/// # Errors
-/// All blocks are taken: more than two hundred such processes run.
+/// # Errors All blocks are claimed: more than two hundred such processes run.
 pub fn block() -> std::io::Result<u8> {
     static MINE: OnceLock<Option<Block>> = OnceLock::new();
     let claimed = MINE.get_or_init(|| {
@@ -51,11 +50,10 @@
         .ok_or(std::io::ErrorKind::AddrInUse.into())
 }
 
-/// An address in this process's block, for datagrams or connections, which is never given twice: it stays free between
-/// two processes that bind it one after the other.
+/// Reserves an address in this process's block, for datagrams or connections. No address is given twice, so it stays
+/// free between two processes that bind it one after the other.
 ///
-/// # Errors
-/// No block could be had, or all of its addresses were given.
+/// # Errors No block is available, or all of its addresses are reserved.
 pub fn reserve_address() -> std::io::Result<SocketAddr> {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let block = block()?;
--- a/crates/test-doubles/src/ports/tests.rs
+++ b/crates/test-doubles/src/ports/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn no_address_is_given_twice_and_none_is_another_processs() {
+fn addresses_are_unique_and_within_the_block_of_this_process() {
     let all: std::collections::BTreeSet<_> = (0..600)
         .map(|_| reserve_address().expect("an address"))
         .collect();
@@ -9,9 +9,9 @@
     assert!(all
         .iter()
         .all(|address| is_own_address(*address) && address.ip().is_loopback()));
-    let mine = block().expect("a block");
+    let own_block = block().expect("a block");
     assert!(
-        claim(mine).is_err(),
-        "who asks for the same block is told no"
+        claim(own_block).is_err(),
+        "a second claim on the same block fails"
     );
 }
--- a/crates/test-doubles/src/process.rs
+++ b/crates/test-doubles/src/process.rs
@@ -1,21 +1,21 @@
-//! What a process on this machine costs, as the machine tells (`proc(5)`).
+//! CPU time and memory of a process on this machine (`proc(5)`).
 
 use std::fs;
 
-/// Ticks of the machine's CPU accounting in a second (`sysconf(_SC_CLK_TCK)`; 100 on Linux).
+/// Unit of CPU times in `/proc` (`sysconf(_SC_CLK_TCK)`; 100 on Linux).
 const TICKS_PER_S: f64 = 100.0;
 
-/// CPU seconds of all threads of a process, to 10 ms (`stat`, fields 14 and 15); none where it is gone.
+/// CPU seconds of all threads of a process, to 10 ms (`stat`, fields 14 and 15); `None` if the process is gone.
 pub fn cpu_seconds(pid: u32) -> Option<f64> {
     let stat = fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
-    // The name may hold anything, but it ends with the last bracket.
+    // The process name may contain any character; it ends at the last parenthesis.
     let mut fields = stat.rsplit_once(')')?.1.split_whitespace().skip(11);
     let user: f64 = fields.next()?.parse().ok()?;
     let system: f64 = fields.next()?.parse().ok()?;
     Some((user + system) / TICKS_PER_S)
 }
 
-/// Bytes of memory that a process has in use (`status`, `VmRSS`); none where it is gone.
+/// Resident memory of a process in bytes (`status`, `VmRSS`); `None` if the process is gone.
 pub fn memory_bytes(pid: u32) -> Option<u64> {
     let status = fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
     let line = status
--- a/crates/test-doubles/src/servers.rs
+++ b/crates/test-doubles/src/servers.rs
@@ -1,4 +1,4 @@
-//! App servers: each has cores, a waiting room and a temper that a script may change, and starts cold.
+//! App servers: each has cores, a queue and a behavior that a script may change, and starts cold after a kill.
 
 use crate::wire::{response, HttpConnection};
 use crate::{lock, World};
@@ -9,10 +9,10 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::{watch, Semaphore};
 
-/// Connections that may wait to be accepted.
+/// Length of the accept queue.
 const BACKLOG: u32 = 1024;
 
-/// A socket that others may bind beside it.
+/// A socket whose address other sockets may bind, too.
 fn bound(address: SocketAddr) -> std::io::Result<TcpSocket> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseport(true)?;
@@ -20,16 +20,16 @@
     Ok(socket)
 }
 
-/// What a server does with its requests.
+/// How a server handles its requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Behavior {
-    /// Times its usual work that a request takes.
+    /// Factor on the time that a request takes.
     pub work_multiplier: f64,
-    /// It takes requests and answers none.
+    /// Whether the server accepts requests and answers none.
     pub silent: bool,
-    /// Share of its requests that end in a reset, after they ran.
+    /// Share of requests whose connection is reset after they ran.
     pub reset_share: f64,
-    /// Share of them that are answered 500, after they ran.
+    /// Share of requests that are answered with status 500 after they ran.
     pub error_share: f64,
 }
 
@@ -44,18 +44,18 @@
     }
 }
 
-/// What a server is.
+/// Properties of a server.
 #[derive(Clone, Debug)]
 pub struct Spec {
-    /// Its name on the list.
+    /// Name on the list.
     pub name: String,
-    /// The group that drops repeats.
+    /// Group of servers that drops repeats of an idempotency key together.
     pub block: u64,
-    /// Requests in work at once.
+    /// Requests executed at once.
     pub cores: usize,
-    /// Requests held at once, beyond which it turns away unseen.
+    /// Requests held at once; the server rejects further ones without running them.
     pub slots: usize,
-    /// Mean work by class, which is the first part of the path.
+    /// Mean work by class, which is the first segment of the path.
     pub work: Vec<(String, Duration)>,
 }
 
@@ -66,15 +66,16 @@
     behavior: Mutex<Behavior>,
     cores: Semaphore,
     held_requests: AtomicUsize,
-    /// When each connection was made, and how many requests came.
+    /// When each connection was accepted.
     handshakes: Mutex<Vec<Duration>>,
+    /// Requests received.
     requests: AtomicUsize,
-    /// Its life: each process has a number, 0 while none runs.
+    /// Number of the current process; 0 while none runs.
     process_id: watch::Sender<u64>,
     _reserved_socket: TcpSocket,
 }
 
-/// A server. Its address stays the same over its restarts.
+/// An app server. Its address stays the same over restarts.
 #[derive(Clone, Debug)]
 pub struct AppServer {
     shared: Arc<Shared>,
@@ -82,12 +83,11 @@
 }
 
 impl AppServer {
-    /// Starts one, warm, on a port of its own.
+    /// Starts a warm server on a port of its own.
     ///
-    /// # Errors
-    /// No port could be had.
+    /// # Errors No address is available.
     pub fn start(world: Arc<World>, spec: Spec) -> std::io::Result<AppServer> {
-        // Bound but never listening: nobody else gets the port while no process runs, and connections are refused.
+        // Bound but never listening: while no process runs, nobody else gets the port and connections are refused.
         let address = crate::ports::reserve_address()?;
         let keeper = bound(address)?;
         let listener = bound(address)?.listen(BACKLOG)?;
@@ -111,27 +111,27 @@
         Ok(server)
     }
 
-    /// Its name on the list.
+    /// Name on the list.
     pub fn name(&self) -> &str {
         &self.shared.spec.name
     }
 
-    /// The group that drops repeats.
+    /// Group of servers that drops repeats of an idempotency key together.
     pub fn block(&self) -> u64 {
         self.shared.spec.block
     }
 
-    /// Where it listens.
+    /// Address on which the server listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Seconds of work a second that it can do once it is warm.
+    /// Seconds of work per second once the server is warm.
     pub fn capacity(&self) -> f64 {
         self.shared.spec.cores as f64
     }
 
-    /// When each connection was made to it, since the run's beginning, and how many requests came.
+    /// When each connection was accepted, since the start of the run, and the number of requests received.
     pub fn handshakes_and_requests(&self) -> (Vec<Duration>, usize) {
         (
             lock(&self.shared.handshakes).clone(),
@@ -139,20 +139,19 @@
         )
     }
 
-    /// Changes its temper.
+    /// Changes the behavior of the server.
     pub fn set_behavior(&self, change: impl FnOnce(&mut Behavior)) {
         change(&mut lock(&self.shared.behavior));
     }
 
-    /// Ends its process: connections are reset, new ones refused.
+    /// Ends the process: connections are reset and new ones refused.
     pub fn kill(&self) {
         self.shared.process_id.send_replace(0);
     }
 
-    /// Starts its process anew after [`AppServer::kill`]; it is cold, and the ledger watches whether it falls.
+    /// Starts a new process after [`AppServer::kill`]. It is cold, and the oracle checks whether it is overloaded.
     ///
-    /// # Errors
-    /// Its port could not be had again.
+    /// # Errors The port can't be bound again.
     pub fn start_cold(&self) -> std::io::Result<()> {
         let listener = bound(self.address)?.listen(BACKLOG)?;
         let world = &self.shared.world;
@@ -225,7 +224,7 @@
                 }
                 continue;
             }
-            // The work goes on when nobody waits for it any more.
+            // The work goes on if the client no longer waits.
             let job = tokio::spawn(execute(Arc::clone(&shared), id.clone(), work, held, mine));
             tokio::pin!(job);
             let done = tokio::select! {
@@ -238,7 +237,7 @@
             };
             match done {
                 Some(Outcome::Answer(words)) => {
-                    // Over once it is written: the node may send elsewhere from then on.
+                    // Finished as soon as the response is written: the node may send elsewhere from then on.
                     world.oracle().attempt_finished(&id);
                     if connection.write(&words).await.is_err() {
                         break;
@@ -250,7 +249,8 @@
                 }
             }
         }
-        // A process that dies resets its connections: an end in the middle would look like an answer's.
+        // A process that dies resets its connections: an orderly end in the middle would look like the end of a
+        // response.
         let _ = connection.stream.set_zero_linger();
     }
 }
@@ -275,7 +275,7 @@
         let _ = life.wait_for(|now| *now != mine).await;
         return Outcome::Reset;
     }
-    // It is never closed.
+    // The semaphore is never closed.
     let Ok(_core) = shared.cores.acquire().await else {
         return Outcome::Reset;
     };
@@ -301,20 +301,20 @@
     }
 }
 
-/// What a server answers to a request: no other has the same.
+/// The body that a server returns for a request, unique per request id.
 pub fn response_body(id: &str) -> String {
     format!("ranks for {id}\n")
 }
 
 impl Shared {
-    /// Seconds of work that a request takes, half to one and a half of its class's mean.
+    /// Seconds of work that a request takes: 0.5 to 1.5 times the mean of its class.
     fn work(&self, class: &str) -> f64 {
         let mean = self.spec.work.iter().find(|(name, _)| name == class);
         mean.map_or(0.0, |(_, mean)| mean.as_secs_f64()) * (0.5 + fastrand::f64())
     }
 }
 
-/// A place in a server, in work or waiting.
+/// Counts a request while the server holds it.
 struct HeldRequest {
     shared: Arc<Shared>,
     count: usize,
--- a/crates/test-doubles/src/settings.rs
+++ b/crates/test-doubles/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings as the platform gives them to an edge node, for fleets of stand-ins.
+//! Settings of edge nodes as the platform writes them, for fleets among test doubles.
 
 use crate::load::Customer;
 use crate::oracle::{Bounds, Oracle};
@@ -9,15 +9,15 @@
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Its name, the first part of the path.
+    /// Name, the first segment of the path.
     pub name: &'static str,
-    /// Whether it bears a key; without one it is safe to repeat.
+    /// Whether requests carry an idempotency key; those without one are safe to repeat.
     pub keyed: bool,
     /// Share of all requests.
     pub share: f64,
     /// Mean work at a server.
     pub work: Duration,
-    /// An answer within this span is worth most.
+    /// A response within this time has its full value.
     pub latency_target: Duration,
     /// How long clients wait.
     pub deadline: Duration,
@@ -26,33 +26,33 @@
 /// A plan of customers.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Its name.
+    /// Name of the plan.
     pub name: &'static str,
-    /// Units a second.
+    /// Rate of the quota, in units per second.
     pub rate: f64,
-    /// Units at once.
+    /// Depth of the quota, in units.
     pub burst: f64,
-    /// Hard ceiling: units a second, and at once.
+    /// Hard ceiling: rate in units per second, and depth in units.
     pub ceiling: Option<(f64, f64)>,
 }
 
-/// What all nodes of a fleet are told alike.
+/// Settings that all nodes of a fleet share.
 #[derive(Clone, Debug)]
 pub struct Fleet {
-    /// How many nodes there are.
+    /// Number of nodes.
     pub nodes: usize,
     /// Classes of requests.
     pub classes: Vec<Class>,
     /// Plans of customers.
     pub plans: Vec<Plan>,
-    /// The rules' figures.
+    /// Values of the rules.
     pub bounds: Bounds,
-    /// Names of the halls.
+    /// Names of the zones.
     pub sites: Vec<&'static str>,
 }
 
 impl Fleet {
-    /// Reads and keyed writes, and four plans of which one has a hard ceiling: the shape of the platform's days.
+    /// Reads and keyed writes, and four plans of which one has a hard ceiling: similar to the platform's workload.
     pub fn typical(nodes: usize) -> Fleet {
         let ms = Duration::from_millis;
         let class = |name, keyed, share, work, aim, deadline| Class {
@@ -96,7 +96,7 @@
         mean_work(&self.classes)
     }
 
-    /// Notes what binds a customer.
+    /// Sets the oracle's limits of a customer.
     pub fn register_limits(&self, oracle: &mut Oracle, customer: &Customer) {
         let plan = &self.plans[customer.plan];
         oracle.set_limits(customer.id, (plan.rate, plan.burst), plan.ceiling);
@@ -150,26 +150,26 @@
         .sum()
 }
 
-/// Where one node finds what it talks to.
+/// Addresses and resource limits of one node.
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
-    /// Its name.
+    /// Name of the node.
     pub name: String,
-    /// Where clients connect.
+    /// Address for clients.
     pub listen: SocketAddr,
-    /// Discovery.
+    /// Address of its discovery agent.
     pub discovery: SocketAddr,
-    /// Where it takes datagrams.
+    /// Address for datagrams.
     pub peer_listen: SocketAddr,
-    /// Where they come from and go, by number, its own address among them.
+    /// Addresses of the datagrams of all nodes, by number, its own among them.
     pub peers: Vec<SocketAddr>,
-    /// Descriptors that it may hold.
+    /// Limit of descriptors.
     pub sockets: usize,
-    /// Memory that it may use, in MB.
+    /// Memory limit, in MB.
     pub memory_mb: usize,
 }
 
-/// The configuration of one node as the platform writes it. `known` is a list in discovery's form.
+/// The configuration file of one node in the platform's format. `known` is a list in discovery's format.
 pub fn configuration(
     places: &NodeConfig,
     settings: &Value,
--- a/crates/test-doubles/src/wire.rs
+++ b/crates/test-doubles/src/wire.rs
@@ -1,4 +1,5 @@
-//! HTTP/1.1 as far as the stand-ins need it: messages with a body of known length, and when their first byte came.
+//! HTTP/1.1 as far as the test doubles need it: messages with a body of known length, and the time of their first
+//! byte.
 
 use crate::World;
 use std::io::{self, ErrorKind};
@@ -6,26 +7,26 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Most bytes of a head. Guards the stand-in's memory.
+/// Limit of a message head, which guards the test double's memory.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
-/// Most bytes of a body.
+/// Limit of a body.
 const MAX_BODY_BYTES: usize = 4 << 20;
 
-/// A message, whole.
+/// A complete message.
 #[derive(Clone, Debug)]
 pub struct Message {
-    /// Its first line.
+    /// Request line or status line.
     pub start_line: String,
-    /// Its headers, their names in lower case.
+    /// Headers, with names in lower case.
     pub headers: Vec<(String, String)>,
-    /// Its body.
+    /// The body.
     pub body: Vec<u8>,
-    /// When its first byte was read, since the run's beginning.
+    /// When the first byte was read, since the start of the run.
     pub first_byte_at: Duration,
 }
 
 impl Message {
-    /// A header's value; empty where there is none.
+    /// Value of a header; empty if there is none.
     pub fn header(&self, name: &str) -> &str {
         self.headers
             .iter()
@@ -33,7 +34,7 @@
             .map_or("", |(_, value)| value)
     }
 
-    /// The status of an answer; 0 where it has none.
+    /// Status of a response; 0 if the start line has none.
     pub fn status(&self) -> u16 {
         self.start_line
             .split(' ')
@@ -42,24 +43,24 @@
             .unwrap_or(0)
     }
 
-    /// The path and query of a request.
+    /// Path and query of a request.
     pub fn target(&self) -> &str {
         self.start_line.split(' ').nth(1).unwrap_or("")
     }
 }
 
-/// A connection on which messages come one after the other.
+/// A connection that carries one message after the other.
 #[derive(Debug)]
 pub struct HttpConnection {
-    /// The connection.
+    /// The underlying connection.
     pub stream: TcpStream,
     buffer: Vec<u8>,
 }
 
 impl HttpConnection {
-    /// A connection on which nothing has been read.
+    /// Wraps a connection from which nothing has been read.
     pub fn new(stream: TcpStream) -> HttpConnection {
-        // Works all the same without it.
+        // Best effort: an optimization.
         let _ = stream.set_nodelay(true);
         HttpConnection {
             stream,
@@ -67,15 +68,14 @@
         }
     }
 
-    /// Whether bytes have come that no message took.
+    /// Whether bytes have been read that belong to no message.
     pub fn has_unread_bytes(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// The next message; `None` where the connection ends before one begins.
+    /// Reads the next message; `None` if the connection ends before one begins.
     ///
-    /// # Errors
-    /// The connection broke, ended inside a message, or the message can't be read.
+    /// # Errors The connection broke or ended within a message, or the message is malformed.
     pub async fn read_message(&mut self, world: &World) -> io::Result<Option<Message>> {
         let mut first = (!self.buffer.is_empty()).then(|| world.now());
         let head = loop {
@@ -124,15 +124,14 @@
         }))
     }
 
-    /// Writes bytes.
+    /// Writes all bytes.
     ///
-    /// # Errors
-    /// The connection has ended.
+    /// # Errors The connection has ended.
     pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes).await
     }
 
-    /// Comes back once the other side has ended the connection. What it still sends is kept.
+    /// Returns once the other side has closed the connection. Bytes that it still sends are kept.
     pub async fn wait_until_closed(&mut self) {
         while !matches!(self.stream.read_buf(&mut self.buffer).await, Ok(0) | Err(_)) {
             if self.buffer.len() > MAX_BODY_BYTES {
@@ -142,7 +141,7 @@
     }
 }
 
-/// An answer with a body of known length.
+/// Formats a response with a body of known length.
 pub fn response(status: &str, more: &str, body: &str) -> Vec<u8> {
     format!(
         "HTTP/1.1 {status}\r\n{more}Content-Length: {}\r\n\r\n{body}",
