--- a/crates/test-doubles/src/discovery.rs
+++ b/crates/test-doubles/src/discovery.rs
@@ -196,19 +196,25 @@
         let ServiceLimits {
             calls_per_s,
             bytes_per_s,
-            sheds_load: turns_away,
+            sheds_load,
             ..
         } = lock(&self.limits).clone();
-        let share = |of: f64, a_second: f64| if a_second > 0.0 { of / a_second } else { 0.0 };
-        let takes =
+        let share = |of: f64, per_second: f64| {
+            if per_second > 0.0 {
+                of / per_second
+            } else {
+                0.0
+            }
+        };
+        let service_time =
             Duration::from_secs_f64(share(1.0, calls_per_s) + share(bytes as f64, bytes_per_s));
         let (now, until) = {
             let (now, mut busy) = (self.world.now(), lock(&self.busy_until));
-            let line = busy.saturating_sub(now);
-            if turns_away && line > MAX_QUEUE_DELAY {
-                return Err(line);
+            let queue_delay = busy.saturating_sub(now);
+            if sheds_load && queue_delay > MAX_QUEUE_DELAY {
+                return Err(queue_delay);
             }
-            *busy = now.max(*busy) + takes;
+            *busy = now.max(*busy) + service_time;
             (now, *busy)
         };
         tokio::time::sleep(until.saturating_sub(now)).await;
@@ -269,7 +275,8 @@
 
     /// Starts the agent of one node and returns the address at which that node reaches discovery.
     ///
-    /// # Errors No address is available.
+    /// # Errors
+    /// No address is available.
     pub async fn start_agent(self: &Arc<Self>, node: usize) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind(crate::ports::reserve_address()?).await?;
         let address = listener.local_addr()?;
@@ -312,9 +319,9 @@
             from = from.filter(|from| *from <= list.seq);
             list.changes_since(from, node, &lock(&self.dials)).0.len()
         };
-        if let Err(line) = self.wait_for_capacity(bytes).await {
+        if let Err(queue_delay) = self.wait_for_capacity(bytes).await {
             lock(&self.call_stats).rejected += 1;
-            let after = format!("Retry-After: {}\r\n", line.as_secs().max(1));
+            let after = format!("Retry-After: {}\r\n", queue_delay.as_secs().max(1));
             return connection
                 .write(&crate::wire::response("503 Busy", &after, ""))
                 .await;
--- a/crates/test-doubles/src/etcd.rs
+++ b/crates/test-doubles/src/etcd.rs
@@ -1,8 +1,8 @@
-//! A stand-in for an etcd cluster, written from the public v3 API: one MVCC store with revisions, compaction, leases and
-//! watches, served by several members, each of which may lag, fall silent, cut its connections or refuse them.
+//! Test double of an etcd cluster, written from the public v3 API: one MVCC store with revisions, compaction, leases
+//! and watches, served by several members, each of which may lag, hang, cut its connections or refuse them.
 //!
-//! It has no raft: all members serve one store, and a member that lags shows an older revision of it. Of transactions it
-//! knows those without comparisons.
+//! It has no Raft: all members serve one store, and a member that lags shows an older revision of it. It supports
+//! only transactions without comparisons.
 
 use crate::lock;
 use http::{Request, Response};
@@ -28,9 +28,9 @@
 use tonic::{Code, Status, Streaming};
 use tonic_prost::ProstCodec;
 
-/// Leases are looked at this often.
+/// Interval of checks for expired leases.
 const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// Responses that may wait for a slow reader of a watch.
+/// Responses queued for a slow reader of a watch.
 const MAX_QUEUED_RESPONSES: usize = 16;
 
 #[derive(Clone, Debug)]
@@ -40,7 +40,7 @@
     keys: BTreeSet<Vec<u8>>,
 }
 
-/// One key's history: its value from each revision on, or none where it was deleted then.
+/// History of one key: its value from each revision on, `None` from a revision that deleted it.
 type Versions = Vec<(i64, Option<KeyValue>)>;
 
 #[derive(Debug)]
@@ -54,7 +54,7 @@
     events: BTreeMap<i64, Vec<Event>>,
     leases: HashMap<i64, Lease>,
     next_lease: i64,
-    /// A user that calls must bear the token of; none where there is no authentication.
+    /// User whose token every call must carry; `None` without authentication.
     user: Option<(String, String)>,
 }
 
@@ -191,7 +191,7 @@
             .filter_map(|key| self.live(key, revision));
         let mut kvs: Vec<KeyValue> = live.cloned().collect();
         let count = kvs.len() as i64;
-        // Sorted by key, ascending, as without a sort; descending is 2.
+        // Sorted by key in ascending order, as without a sort order; 2 is descending.
         if message.sort_order == 2 {
             kvs.reverse();
         }
@@ -233,7 +233,8 @@
     }
 }
 
-/// Whether a key lies in a range: no end is the key alone, and an end of one nought is everything from the key on.
+/// Whether a key is in a range. An empty end means the key alone, and an end of one zero byte everything from the key
+/// on.
 fn in_range(key: &[u8], end: &[u8], other: &[u8]) -> bool {
     match end {
         [] => other == key,
@@ -242,22 +243,22 @@
     }
 }
 
-/// What befalls a member.
+/// Faults of a member.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// It shows no revision beyond this one, and answers no linearizable range until it is lifted.
+    /// Shows no revision after this one, and answers no linearizable range until the fault is removed.
     pub stuck_at_revision: Option<i64>,
-    /// Nothing is read or written on its connections, which stay open.
+    /// Reads and writes nothing on the connections, which stay open.
     pub frozen: bool,
-    /// New connections are refused, by closing them at once.
+    /// Closes new connections at once.
     pub refuse_connections: bool,
-    /// Most events of one response where the watcher asked for fragments; 0 for all in one.
+    /// Most events per response if the watcher asked for fragments; 0 for no limit.
     pub fragment_at: usize,
-    /// Each fragment waits for so long.
+    /// Delay after each fragment.
     pub fragment_delay: Duration,
-    /// After so many fragments in all the connection is cut, once.
+    /// Cuts the connections once, after this many fragments in total.
     pub cut_after_fragments: Option<u64>,
-    /// After so many bytes more on any connection, all are cut in the middle of whatever they write, once.
+    /// Cuts all connections once, after this many bytes more on any of them, in the middle of a write.
     pub cut_after_bytes: Option<u64>,
 }
 
@@ -267,37 +268,37 @@
     changed: watch::Sender<i64>,
     id: u64,
     faults: Mutex<Faults>,
-    /// Changed whenever faults are; connections look again.
+    /// Changes whenever the faults do, so that connections check them again.
     faults_changed: watch::Sender<u64>,
-    /// Raised to cut all connections.
+    /// Incremented to cut all connections.
     cuts: watch::Sender<u64>,
     connections: AtomicU64,
     watches: AtomicU64,
     ranges: AtomicU64,
 }
 
-/// One member of the cluster.
+/// A member of the cluster.
 #[derive(Clone, Debug)]
 pub struct Member {
     state: Arc<MemberState>,
-    /// Where clients connect.
+    /// Address for clients.
     pub address: SocketAddr,
 }
 
-/// The cluster.
+/// A cluster whose members share one store.
 #[derive(Clone, Debug)]
 pub struct Etcd {
     store: Arc<Mutex<Store>>,
     changed: watch::Sender<i64>,
-    /// Its members.
+    /// The members, by number.
     pub members: Vec<Member>,
 }
 
 impl Etcd {
-    /// Starts a cluster of so many members with an empty store.
+    /// Starts a cluster of this many members with an empty store.
     ///
     /// # Errors
-    /// No port could be had.
+    /// No port is available.
     pub async fn start(members: usize) -> io::Result<Etcd> {
         let store = Arc::new(Mutex::new(Store::new(fastrand::u64(1..))));
         let (changed, _) = watch::channel(1);
@@ -329,7 +330,7 @@
         Ok(etcd)
     }
 
-    /// Where its members listen.
+    /// Addresses of the members.
     pub fn endpoints(&self) -> Vec<SocketAddr> {
         self.members.iter().map(|member| member.address).collect()
     }
@@ -338,17 +339,17 @@
         change_store(&self.store, &self.changed, change)
     }
 
-    /// Puts a key; the revision.
+    /// Puts a key and returns the revision.
     pub fn put(&self, key: &str, value: &str) -> i64 {
         self.apply(&[(key, Some(value))])
     }
 
-    /// Deletes a key; the revision.
+    /// Deletes a key and returns the revision.
     pub fn delete(&self, key: &str) -> i64 {
         self.apply(&[(key, None)])
     }
 
-    /// Puts and deletes several keys in one revision.
+    /// Puts (`Some`) and deletes (`None`) keys in one revision, which it returns.
     pub fn apply(&self, changes: &[(&str, Option<&str>)]) -> i64 {
         self.change(|store, revision| {
             for (key, value) in changes {
@@ -356,7 +357,7 @@
                 match value {
                     Some(value) => {
                         let value = value.as_bytes().to_vec();
-                        // Without a lease nothing can be missing.
+                        // Only a missing lease is an error, and there is none here.
                         let _ = store.put(
                             revision,
                             &api::PutRequest {
@@ -373,7 +374,7 @@
         self.revision()
     }
 
-    /// Grants a lease of so many seconds and puts a key under it.
+    /// Grants a lease, puts a key under it, and returns the lease's id.
     pub fn put_leased(&self, key: &str, value: &str, ttl: Duration) -> i64 {
         let mut store = lock(&self.store);
         let id = store.next_lease;
@@ -390,7 +391,7 @@
         drop(store);
         let (key, value) = (key.as_bytes().to_vec(), value.as_bytes().to_vec());
         self.change(|store, revision| {
-            // The lease is there.
+            // The lease exists.
             let _ = store.put(
                 revision,
                 &api::PutRequest {
@@ -404,25 +405,25 @@
         id
     }
 
-    /// The store's revision.
+    /// Current revision of the store.
     pub fn revision(&self) -> i64 {
         lock(&self.store).revision
     }
 
-    /// Drops all history up to a revision.
+    /// Compacts the history up to a revision.
     pub fn compact(&self, revision: i64) {
-        // A revision that is compacted already stays so.
+        // Ignored if the revision is compacted already.
         let _ = lock(&self.store).compact(revision);
     }
 
-    /// Deletes all keys under a prefix in one revision.
+    /// Deletes all keys with a prefix in one revision.
     pub fn delete_prefix(&self, prefix: &str) {
         let end = api::prefix_end(prefix.as_bytes());
         self.change(|store, revision| store.delete(revision, prefix.as_bytes(), &end));
     }
 
-    /// The cluster is restored from a backup that holds these keys: its history begins anew, under another id if it is
-    /// `recreated`. All connections are cut, as its processes start anew.
+    /// Restores the cluster from a backup with these keys. Its history starts again, under another cluster id if it
+    /// is `recreated`. All connections are cut, as if the processes had been restarted.
     pub fn restore(&self, keys: &[(&str, &str)], recreated: bool) {
         {
             let mut store = lock(&self.store);
@@ -443,7 +444,7 @@
         self.members.iter().for_each(Member::cut_connections);
     }
 
-    /// Calls must bear the token of this user from now on.
+    /// Requires the token of this user on all further calls.
     pub fn require_auth(&self, name: &str, password: &str) {
         lock(&self.store).user = Some((name.to_owned(), password.to_owned()));
     }
@@ -499,29 +500,29 @@
 }
 
 impl Member {
-    /// Changes what befalls it from now on.
+    /// Changes the faults of the member.
     pub fn set_faults(&self, change: impl FnOnce(&mut Faults)) {
         change(&mut lock(&self.state.faults));
         self.state.faults_changed.send_modify(|count| *count += 1);
         self.state.changed.send_modify(|_| {});
     }
 
-    /// Cuts all its connections, in the middle of whatever they do.
+    /// Cuts all connections of the member at any point of their traffic.
     pub fn cut_connections(&self) {
         self.state.cuts.send_modify(|count| *count += 1);
     }
 
-    /// Connections that it has taken so far.
+    /// Connections accepted so far.
     pub fn connections(&self) -> u64 {
         self.state.connections.load(Ordering::Relaxed)
     }
 
-    /// Watches that were created at it so far.
+    /// Watches created so far.
     pub fn watches(&self) -> u64 {
         self.state.watches.load(Ordering::Relaxed)
     }
 
-    /// Ranges that it has answered so far.
+    /// Range requests answered so far.
     pub fn ranges(&self) -> u64 {
         self.state.ranges.load(Ordering::Relaxed)
     }
@@ -550,7 +551,7 @@
                 let service = TowerToHyperService::new(Api(state));
                 let http = hyper::server::conn::http2::Builder::new(TokioExecutor::new());
                 tokio::select! {
-                    // How it ended is the client's concern.
+                    // The client handles a connection that fails.
                     _ = http.serve_connection(TokioIo::new(io), service) => {}
                     _ = cuts.changed() => {}
                 }
@@ -559,16 +560,16 @@
     }
 }
 
-/// A connection that its member's faults act on.
+/// A connection to which the faults of its member apply.
 struct FaultyStream {
     stream: TcpStream,
     state: Arc<MemberState>,
-    /// Ends when the faults have changed.
+    /// Completes when the faults have changed.
     next_change: Pin<Box<dyn Future<Output = ()> + Send>>,
 }
 
 impl FaultyStream {
-    /// Whether the member stands still; whoever asks is woken when that may have changed.
+    /// Whether the member is frozen. If so, the task is woken when that may have changed.
     fn frozen(&mut self, context: &mut Context<'_>) -> bool {
         loop {
             if !lock(&self.state.faults).frozen {
@@ -635,7 +636,7 @@
         lock(&self.store)
     }
 
-    /// The revision that this member shows.
+    /// The latest revision that this member shows.
     fn visible_revision(&self) -> i64 {
         let stuck = lock(&self.faults).stuck_at_revision;
         let revision = self.store().revision;
@@ -676,7 +677,7 @@
 
     async fn range(&self, message: api::RangeRequest) -> Result<api::RangeResponse, Status> {
         if !message.serializable {
-            // Linearizable: a member that lags answers when it has caught up.
+            // Linearizable: a member that lags answers once it has caught up.
             let mut faults_changed = self.faults_changed.subscribe();
             while lock(&self.faults).stuck_at_revision.is_some() {
                 let _ = faults_changed.changed().await;
@@ -723,7 +724,7 @@
             Call::Txn(message) => CallResponse::Txn(self.txn(message)?),
             Call::Compact(message) => {
                 self.store().compact(message.revision)?;
-                // Watches behind it are cancelled.
+                // Wakes the watches, so that those behind the revision are canceled.
                 self.changed.send_modify(|_| {});
                 CallResponse::Compact(api::CompactionResponse {
                     header: Some(self.header()),
@@ -811,7 +812,9 @@
 
     fn txn(&self, message: api::TxnRequest) -> Result<api::TxnResponse, Status> {
         if !message.compare.is_empty() {
-            return Err(Status::unimplemented("the stand-in knows no comparisons"));
+            return Err(Status::unimplemented(
+                "this test double supports no comparisons",
+            ));
         }
         let seen = self.visible_revision();
         let responses = self.change(|store, revision| {
@@ -860,13 +863,13 @@
 /// One watcher of a stream.
 struct Watcher {
     message: api::WatchCreateRequest,
-    /// The revision from which events are still to be sent.
+    /// First revision whose events are still to be sent.
     next: i64,
 }
 
 type Responses = mpsc::Sender<Result<api::WatchResponse, Status>>;
 
-/// One watch stream, which may hold several watchers.
+/// A watch stream, which may hold several watchers.
 struct WatchStream {
     state: Arc<MemberState>,
     watchers: BTreeMap<i64, Watcher>,
@@ -936,7 +939,7 @@
                 .await
             }
             Some(api::watch_request::Request::Progress(_)) => {
-                // It tells a revision up to which all watchers have been sent everything, and none beyond.
+                // Reports a revision up to which all watchers have been sent all events, and none beyond it.
                 let header = loop {
                     let header = self.state.header();
                     self.catch_up().await?;
@@ -959,7 +962,7 @@
         }
     }
 
-    /// Sends each watcher what it has not been sent yet.
+    /// Sends each watcher the events that it has not been sent yet.
     async fn catch_up(&mut self) -> Option<()> {
         let ids: Vec<i64> = self.watchers.keys().copied().collect();
         for watch_id in ids {
@@ -1041,7 +1044,7 @@
             })
             .await?;
             if fragment {
-                // Time for it to be written before whatever comes next.
+                // Leaves time for the fragment to be written before whatever follows.
                 tokio::time::sleep(between).await;
                 let mut faults = lock(&self.state.faults);
                 if let Some(left) = &mut faults.cut_after_fragments {
@@ -1084,7 +1087,7 @@
     Status(api::StatusResponse),
 }
 
-/// One unary call: which it is, and how its answer is told from the others.
+/// A unary call: the conversions from its request and to its response.
 struct Unary<A, B>(
     Arc<MemberState>,
     fn(A) -> Call,
@@ -1108,7 +1111,7 @@
             let call_response = answer(state.unary(call).await?);
             call_response
                 .map(tonic::Response::new)
-                .ok_or_else(|| Status::internal("another call's answer"))
+                .ok_or_else(|| Status::internal("response to another call"))
         })
     }
 }
@@ -1179,7 +1182,7 @@
     }
 }
 
-/// All calls of one connection.
+/// Serves all calls of one connection.
 #[derive(Clone)]
 struct Api(Arc<MemberState>);
 
--- a/crates/test-doubles/src/links.rs
+++ b/crates/test-doubles/src/links.rs
@@ -63,10 +63,10 @@
 
 impl Fault {
     fn combine(self, other: Fault) -> Fault {
-        let either = |a: f64, b: f64| 1.0 - (1.0 - a) * (1.0 - b);
+        let combined_share = |a: f64, b: f64| 1.0 - (1.0 - a) * (1.0 - b);
         Fault {
-            loss: either(self.loss, other.loss),
-            duplicated: either(self.duplicated, other.duplicated),
+            loss: combined_share(self.loss, other.loss),
+            duplicated: combined_share(self.duplicated, other.duplicated),
             delay: (self.delay.0 + other.delay.0, self.delay.1 + other.delay.1),
             stalled: self.stalled || other.stalled,
             reset: self.reset || other.reset,
@@ -102,17 +102,17 @@
     /// Whether the link from one end to the other is in the set.
     pub fn contains(&self, from: End, to: End) -> bool {
         match self {
-            LinkSet::OneWay(these, those) => {
-                from != to && these.contains(&from) && those.contains(&to)
+            LinkSet::OneWay(first, second) => {
+                from != to && first.contains(&from) && second.contains(&to)
             }
-            LinkSet::BothWays(these, those) => {
-                let leads = |from, to| these.contains(from) && those.contains(to);
-                from != to && (leads(&from, &to) || leads(&to, &from))
+            LinkSet::BothWays(first, second) => {
+                let connects = |from, to| first.contains(from) && second.contains(to);
+                from != to && (connects(&from, &to) || connects(&to, &from))
             }
             LinkSet::Partition(sides) => {
-                let some = |end| sides.iter().any(|side| side.contains(&end));
-                some(from)
-                    && some(to)
+                let on_any_side = |end| sides.iter().any(|side| side.contains(&end));
+                on_any_side(from)
+                    && on_any_side(to)
                     && !sides
                         .iter()
                         .any(|side| side.contains(&from) && side.contains(&to))
@@ -127,8 +127,8 @@
     pub fn without(&self, healed: &BTreeSet<End>) -> LinkSet {
         let rest = |ends: &BTreeSet<End>| ends.difference(healed).copied().collect();
         match self {
-            LinkSet::OneWay(these, those) => LinkSet::OneWay(rest(these), rest(those)),
-            LinkSet::BothWays(these, those) => LinkSet::BothWays(rest(these), rest(those)),
+            LinkSet::OneWay(first, second) => LinkSet::OneWay(rest(first), rest(second)),
+            LinkSet::BothWays(first, second) => LinkSet::BothWays(rest(first), rest(second)),
             LinkSet::Partition(sides) => LinkSet::Partition(sides.iter().map(rest).collect()),
         }
     }
@@ -136,8 +136,8 @@
     /// All ends that the set names.
     pub fn ends(&self) -> BTreeSet<End> {
         match self {
-            LinkSet::OneWay(these, those) | LinkSet::BothWays(these, those) => {
-                these.union(those).copied().collect()
+            LinkSet::OneWay(first, second) | LinkSet::BothWays(first, second) => {
+                first.union(second).copied().collect()
             }
             LinkSet::Partition(sides) => sides.iter().flatten().copied().collect(),
         }
@@ -165,9 +165,9 @@
 
 impl Links {
     /// Adds a fault to links. Returns the number with which it is removed.
-    pub fn add_fault(&self, which: LinkSet, fault: Fault) -> u64 {
+    pub fn add_fault(&self, link_set: LinkSet, fault: Fault) -> u64 {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
-        lock(&self.rules).insert(number, (which, fault));
+        lock(&self.rules).insert(number, (link_set, fault));
         self.changed.send_modify(|count| *count += 1);
         number
     }
@@ -181,8 +181,10 @@
     /// The combined fault of the link from one end to the other.
     pub fn fault_between(&self, from: End, to: End) -> Fault {
         let rules = lock(&self.rules);
-        let meant = rules.values().filter(|(which, _)| which.contains(from, to));
-        meant.fold(Fault::default(), |all, (_, fault)| all.combine(*fault))
+        let matching = rules
+            .values()
+            .filter(|(link_set, _)| link_set.contains(from, to));
+        matching.fold(Fault::default(), |all, (_, fault)| all.combine(*fault))
     }
 }
 
@@ -206,7 +208,8 @@
     /// Starts to relay connections to an address for the rest of the run. `near` stands for all ends that connect
     /// there.
     ///
-    /// # Errors The address can't be bound.
+    /// # Errors
+    /// The address can't be bound.
     pub async fn start(
         links: &Arc<Links>,
         (near, far): (End, End),
@@ -250,25 +253,25 @@
         let queue = |length| socket2::SockRef::from(listener).listen(length);
         // If the kernel does not shorten the queue, connections are established and stall; no run depends on more.
         let _ = queue(0);
-        let mut own = Vec::new();
+        let mut fillers = Vec::new();
         // The kernel admits one more than the length (`listen(2)`), and connections that wait already take up the
         // queue, too.
-        while own.len() < MAX_FILLER_CONNECTIONS {
-            let comes_up =
+        while fillers.len() < MAX_FILLER_CONNECTIONS {
+            let connected =
                 tokio::time::timeout(FILLER_CONNECT_TIMEOUT, TcpStream::connect(at)).await;
-            let Ok(Ok(stream)) = comes_up else { break };
-            own.push(stream);
+            let Ok(Ok(stream)) = connected else { break };
+            fillers.push(stream);
         }
         self.wait_for_fault(self.near, self.far, |fault| !fault.drops_connects)
             .await;
         let _ = queue(BACKLOG);
-        let own: BTreeSet<SocketAddr> = own
+        let fillers: BTreeSet<SocketAddr> = fillers
             .iter()
             .filter_map(|stream| stream.local_addr().ok())
             .collect();
-        for _ in 0..own.len() {
+        for _ in 0..fillers.len() {
             match listener.accept().await {
-                Ok((_, from)) if own.contains(&from) => {}
+                Ok((_, from)) if fillers.contains(&from) => {}
                 Ok((stream, _)) => _ = tokio::spawn(self.clone().relay_connection(stream)),
                 Err(_) => break,
             }
@@ -293,13 +296,13 @@
         }
         let ended = {
             let ((from_near, to_near), (from_far, to_far)) = (near.split(), far.split());
-            let there = self.copy_one_way((self.near, self.far), from_near, to_far);
+            let forward = self.copy_one_way((self.near, self.far), from_near, to_far);
             let back = self.copy_one_way((self.far, self.near), from_far, to_near);
-            tokio::pin!(there, back);
+            tokio::pin!(forward, back);
             // A half-closed connection goes on in the other direction; a reset one ends in both.
             tokio::select! {
-                ended = &mut there => if matches!(ended, RelayEnd::Closed) { back.await } else { ended },
-                ended = &mut back => if matches!(ended, RelayEnd::Closed) { there.await } else { ended },
+                ended = &mut forward => if matches!(ended, RelayEnd::Closed) { back.await } else { ended },
+                ended = &mut back => if matches!(ended, RelayEnd::Closed) { forward.await } else { ended },
             }
         };
         if matches!(ended, RelayEnd::Reset) {
@@ -308,12 +311,17 @@
     }
 
     /// Waits until the fault of a link meets a condition.
-    async fn wait_for_fault(&self, from: End, to: End, such: impl Fn(&Fault) -> bool) -> Fault {
+    async fn wait_for_fault(
+        &self,
+        from: End,
+        to: End,
+        condition: impl Fn(&Fault) -> bool,
+    ) -> Fault {
         let mut changed = self.links.changed.subscribe();
         loop {
             changed.borrow_and_update();
             let fault = self.links.fault_between(from, to);
-            if such(&fault) {
+            if condition(&fault) {
                 return fault;
             }
             // The sender lives as long as the links do.
@@ -351,14 +359,14 @@
             let Ok(fault) = self.wait_until_passable(from, to).await else {
                 return RelayEnd::Reset;
             };
-            let again = if fastrand::f64() < fault.loss {
+            let retransmission = if fastrand::f64() < fault.loss {
                 RETRANSMIT_DELAY
             } else {
                 Duration::ZERO
             };
-            let way = fault.draw_delay() + again;
-            if !way.is_zero() {
-                tokio::time::sleep(way).await;
+            let delay = fault.draw_delay() + retransmission;
+            if !delay.is_zero() {
+                tokio::time::sleep(delay).await;
             }
             if length == 0 {
                 // Passes the end of the stream on. If the other side is gone, the other direction notices.
--- a/crates/test-doubles/src/load.rs
+++ b/crates/test-doubles/src/load.rs
@@ -64,12 +64,12 @@
         let (spread, first) = (self.node_count.clamp(1, all), self.first_node);
         let period = now.as_secs() / HOT_NODE_PERIOD.as_secs().max(1) + self.id;
         let busiest = (period.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 33) as usize % spread;
-        let place = if fastrand::f64() < HOT_NODE_SHARE {
+        let position = if fastrand::f64() < HOT_NODE_SHARE {
             busiest
         } else {
             fastrand::usize(..spread)
         };
-        (0..spread).map(move |step| (first + (place + step) % spread) % all)
+        (0..spread).map(move |step| (first + (position + step) % spread) % all)
     }
 
     /// Time until the next request. Arrivals of many independent clients have exponentially distributed gaps.
@@ -237,7 +237,7 @@
             targets: doors,
             next_id: next,
             seed,
-            cancellations: cancellations,
+            cancellations,
             counters: figures,
         })
     }
@@ -264,14 +264,14 @@
     /// Starts probing the readiness of all nodes, for the rest of the run.
     pub fn watch_readiness(self: &Arc<Self>) {
         for node in 0..self.targets.len() {
-            let front = Arc::clone(self);
+            let generator = Arc::clone(self);
             tokio::spawn(async move {
                 loop {
                     let open = matches!(
-                        tokio::time::timeout(CONNECT_TIMEOUT, front.probe_ready(node)).await,
+                        tokio::time::timeout(CONNECT_TIMEOUT, generator.probe_ready(node)).await,
                         Ok(Some(200))
                     );
-                    front.targets[node].ready.store(open, Ordering::Relaxed);
+                    generator.targets[node].ready.store(open, Ordering::Relaxed);
                     tokio::time::sleep(READINESS_POLL_INTERVAL).await;
                 }
             });
@@ -309,8 +309,8 @@
             }
             tokio::time::sleep(at.saturating_sub(self.world.now())).await;
             let class = class_of(&self.fleet, random.f64());
-            let (front, customer) = (Arc::clone(&self), customer.clone());
-            clients.spawn(async move { front.run_client(customer, class).await });
+            let (generator, customer) = (Arc::clone(&self), customer.clone());
+            clients.spawn(async move { generator.run_client(customer, class).await });
             while clients.try_join_next().is_some() {}
         }
         while clients.join_next().await.is_some() {}
@@ -386,9 +386,9 @@
             else {
                 continue;
             };
-            let (front, customer) = (Arc::clone(self), customer.clone());
+            let (generator, customer) = (Arc::clone(self), customer.clone());
             clients.spawn(async move {
-                front
+                generator
                     .send_after(node, connection, customer, within.mul_f64(fastrand::f64()))
                     .await;
             });
@@ -429,7 +429,7 @@
         let world = &self.world;
         match end {
             RequestEnd::Answered(answer, _) => {
-                world.oracle().response_received(world.now(), id, *answer)
+                world.oracle().response_received(world.now(), id, *answer);
             }
             RequestEnd::Unanswered(Unanswered::ClientDisconnected) => {
                 world.oracle().client_disconnected(world.now(), id);
@@ -492,7 +492,7 @@
         let class = &self.fleet.classes[request.class];
         let kills = target.kills.load(Ordering::SeqCst);
         let pauses = target.pauses.load(Ordering::SeqCst);
-        let repeats = if class.keyed {
+        let repeat_safety = if class.keyed {
             RepeatSafety::Keyed
         } else {
             RepeatSafety::Safe
@@ -500,7 +500,7 @@
         let sent_request = SentRequest {
             id: request.id.clone(),
             key: request.key.clone(),
-            repeat_safety: repeats,
+            repeat_safety,
             node,
             customer: request.customer.id,
             units: 1.0,
--- a/crates/test-doubles/src/peers.rs
+++ b/crates/test-doubles/src/peers.rs
@@ -33,7 +33,8 @@
 impl Network {
     /// Starts relays between nodes that receive at these addresses.
     ///
-    /// # Errors No addresses are available.
+    /// # Errors
+    /// No addresses are available.
     pub async fn start(nodes: Vec<SocketAddr>, links: Arc<Links>) -> std::io::Result<Arc<Network>> {
         let mut relays = Vec::new();
         for _ in &nodes {
@@ -69,7 +70,8 @@
 
     /// The addresses of all nodes as the configuration of one node lists them, its own among them.
     ///
-    /// # Errors A socket has no address.
+    /// # Errors
+    /// A socket has no address.
     pub fn peers_of(&self, node: usize) -> std::io::Result<Vec<SocketAddr>> {
         let address = |(other, relay): (usize, &Arc<UdpSocket>)| match other {
             other if other == node => Ok(self.nodes[node]),
--- a/crates/test-doubles/src/ports.rs
+++ b/crates/test-doubles/src/ports.rs
@@ -35,13 +35,14 @@
 
 /// The block of this process: the second byte of its addresses.
 ///
-/// # Errors All blocks are claimed: more than two hundred such processes run.
+/// # Errors
+/// All blocks are claimed: more than two hundred such processes run.
 pub fn block() -> std::io::Result<u8> {
     static MINE: OnceLock<Option<Block>> = OnceLock::new();
     let claimed = MINE.get_or_init(|| {
-        let many = BLOCKS.len() as u32;
-        let from = std::process::id() % many;
-        let mut numbers = (0..many).map(|step| BLOCKS.start() + ((from + step) % many) as u8);
+        let count = BLOCKS.len() as u32;
+        let from = std::process::id() % count;
+        let mut numbers = (0..count).map(|step| BLOCKS.start() + ((from + step) % count) as u8);
         numbers.find_map(|number| claim(number).ok())
     });
     claimed
@@ -53,7 +54,8 @@
 /// Reserves an address in this process's block, for datagrams or connections. No address is given twice, so it stays
 /// free between two processes that bind it one after the other.
 ///
-/// # Errors No block is available, or all of its addresses are reserved.
+/// # Errors
+/// No block is available, or all of its addresses are reserved.
 pub fn reserve_address() -> std::io::Result<SocketAddr> {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let block = block()?;
--- a/crates/test-doubles/src/scripted.rs
+++ b/crates/test-doubles/src/scripted.rs
@@ -1,6 +1,6 @@
-//! Stand-ins that do as a test tells them, turn by turn: app servers, discovery, clients, and one edge node as a process.
+//! Test doubles that follow a script step by step: app servers, discovery, clients, and one edge node as a process.
 //!
-//! Made for tests: what can't go on panics.
+//! They are made for tests and panic on any failure.
 
 use crate::ports::reserve_address;
 use std::collections::HashMap;
@@ -13,22 +13,22 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// No wait is longer; only a failing test gets there.
+/// Upper bound of every wait; only a failing test reaches it.
 pub const TEST_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// A message of HTTP/1.1 with a body of known length, or in chunks.
+/// An HTTP/1.1 message with a body of known length or in chunks.
 #[derive(Clone, Debug)]
 pub struct Message {
-    /// Its first line.
+    /// Request line or status line.
     pub start_line: String,
-    /// Its headers, their names in lower case.
+    /// Headers, with names in lower case.
     pub headers: HashMap<String, String>,
-    /// Its body.
+    /// The body.
     pub body: Vec<u8>,
 }
 
 impl Message {
-    /// `None` at the end of the connection, or where the message is cut.
+    /// Reads a message; `None` at the end of the connection or if the message is truncated.
     pub fn read(stream: &mut impl BufRead) -> Option<Message> {
         let line = |stream: &mut dyn BufRead| {
             let mut line = String::new();
@@ -72,7 +72,7 @@
         }
         let length = headers
             .get("content-length")
-            .map_or(0, |length| length.parse().expect("a length"));
+            .map_or(0, |length| length.parse().expect("a valid content length"));
         let mut body = vec![0; length];
         stream.read_exact(&mut body).ok()?;
         Some(Message {
@@ -82,12 +82,12 @@
         })
     }
 
-    /// A header's value; empty where there is none.
+    /// Value of a header; empty if there is none.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", String::as_str)
     }
 
-    /// The status of an answer.
+    /// Status of a response.
     pub fn status(&self) -> u16 {
         self.start_line
             .split(' ')
@@ -97,43 +97,43 @@
     }
 }
 
-/// What an app server does with a request.
+/// How an app server responds to a request.
 #[derive(Clone, Debug)]
 pub enum Reply {
-    /// Says this.
+    /// Writes these bytes.
     Respond(&'static str),
-    /// Closes the connection, without a word, after what it says.
+    /// Writes these bytes and closes the connection.
     RespondAndClose(&'static str),
-    /// Says nothing and keeps the connection open.
+    /// Writes nothing and keeps the connection open.
     NoResponse,
 }
 
-/// Serves.
+/// Status 200.
 pub const REPLY_OK: Reply = Reply::Respond("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nranks");
-/// Answers with an error.
+/// Status 500.
 pub const REPLY_ERROR: Reply = Reply::Respond("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n");
-/// Turns away unseen.
+/// Status 503, with the header that tells that the request was not run.
 pub const REPLY_OVERLOADED: Reply =
     Reply::Respond("HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
 
-/// A request that came whole to an app server, and the connection on which it came.
+/// A request that an app server received in full, with its connection.
 pub struct ReceivedRequest {
-    /// Which server.
+    /// Name of the server.
     pub server: String,
     /// The request.
     pub message: Message,
     /// Number of the connection at that server, from 0.
     pub connection: usize,
-    /// No earlier attempt of the request was still out.
+    /// Whether no earlier attempt of the request was still in flight.
     pub only_attempt: bool,
     /// The connection.
     pub stream: TcpStream,
 }
 
-/// What is to be done by turns; the last of it for ever.
+/// Replies in order; the last one repeats.
 pub type ReplyQueue = Arc<Mutex<Vec<Reply>>>;
 
-/// App servers, which do what they are told.
+/// Scripted app servers, which report the requests that they receive.
 pub struct Servers {
     received: Receiver<ReceivedRequest>,
     sender: Sender<ReceivedRequest>,
@@ -148,28 +148,28 @@
 }
 
 impl Servers {
-    /// None yet.
+    /// Creates the double without any servers.
     pub fn new() -> Servers {
-        let (tell, got) = mpsc::channel();
+        let (sender, received) = mpsc::channel();
         Servers {
-            received: got,
-            sender: tell,
+            received,
+            sender,
             unanswered: Arc::default(),
         }
     }
 
-    /// Starts one that has its own turns.
-    pub fn start(&self, name: &str, does: &[Reply]) -> SocketAddr {
-        self.start_with_queue(name, &Arc::new(Mutex::new(does.to_vec())))
+    /// Starts a server with its own replies.
+    pub fn start(&self, name: &str, replies: &[Reply]) -> SocketAddr {
+        self.start_with_queue(name, &Arc::new(Mutex::new(replies.to_vec())))
     }
 
-    /// Starts one that takes turns with others.
-    pub fn start_with_queue(&self, name: &str, turns: &ReplyQueue) -> SocketAddr {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
+    /// Starts a server that takes its replies from a queue shared with others.
+    pub fn start_with_queue(&self, name: &str, reply_queue: &ReplyQueue) -> SocketAddr {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+        let address = listener.local_addr().expect("the socket has an address");
         let server = Server {
             name: name.to_owned(),
-            turns: Arc::clone(turns),
+            reply_queue: Arc::clone(reply_queue),
             sender: self.sender.clone(),
             unanswered: Arc::clone(&self.unanswered),
         };
@@ -182,71 +182,78 @@
         address
     }
 
-    /// The next request that has come to any of them.
+    /// The next request that any of the servers has received.
     pub fn next_request(&self) -> ReceivedRequest {
-        let got = self
+        let received = self
             .received
             .recv_timeout(TEST_TIMEOUT)
-            .expect("a request comes to an app server");
+            .expect("an app server receives a request");
         assert!(
-            got.only_attempt,
-            "two attempts of a request are out at once"
+            received.only_attempt,
+            "two attempts of a request are in flight at once"
         );
-        got
+        received
     }
 
-    /// Drops all requests that have come and were not looked at, and their connections here.
+    /// Discards all requests that were received and not fetched yet, and closes this side's handles of their
+    /// connections.
     pub fn discard_requests(&self) {
         self.received.try_iter().for_each(drop);
     }
 
-    /// Fails if a request has come that was not looked at.
+    /// Panics if a request was received and not fetched.
     pub fn assert_no_more_requests(&self) {
-        assert!(self.received.try_recv().is_err(), "one attempt too many");
+        assert!(
+            self.received.try_recv().is_err(),
+            "an app server received an unexpected request"
+        );
     }
 }
 
 #[derive(Clone)]
 struct Server {
     name: String,
-    turns: ReplyQueue,
+    reply_queue: ReplyQueue,
     sender: Sender<ReceivedRequest>,
     unanswered: Arc<Mutex<Vec<(String, TcpStream)>>>,
 }
 
 impl Server {
     fn serve(&self, connection: usize, mut stream: TcpStream) {
-        let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
+        let mut reader = BufReader::new(stream.try_clone().expect("the socket can be cloned"));
         while let Some(message) = Message::read(&mut reader) {
-            let turn = {
-                let mut turns = self.turns.lock().expect("no panic");
-                if turns.len() > 1 {
-                    turns.remove(0)
+            let reply = {
+                let mut reply_queue = self.reply_queue.lock().expect("the lock is not poisoned");
+                if reply_queue.len() > 1 {
+                    reply_queue.remove(0)
                 } else {
-                    turns[0].clone()
+                    reply_queue[0].clone()
                 }
             };
             let id = message.header("x-request-id").to_owned();
-            let mut unanswered = self.unanswered.lock().expect("no panic");
+            let mut unanswered = self.unanswered.lock().expect("the lock is not poisoned");
             let earlier = unanswered.iter().filter(|(other, _)| *other == id);
             let alone = earlier.into_iter().all(|(_, stream)| is_closed(stream));
-            if matches!(turn, Reply::NoResponse) {
-                unanswered.push((id, stream.try_clone().expect("a clone")));
+            if matches!(reply, Reply::NoResponse) {
+                unanswered.push((id, stream.try_clone().expect("the socket can be cloned")));
             }
             drop(unanswered);
-            let (server, told) = (self.name.clone(), stream.try_clone().expect("a clone"));
+            let (server, handle) = (
+                self.name.clone(),
+                stream.try_clone().expect("the socket can be cloned"),
+            );
             // The test may have ended.
             let _ = self.sender.send(ReceivedRequest {
                 server,
                 message,
                 connection,
                 only_attempt: alone,
-                stream: told,
+                stream: handle,
             });
-            match turn {
-                Reply::Respond(words) => stream.write_all(words.as_bytes()).unwrap_or(()),
-                Reply::RespondAndClose(words) => {
-                    stream.write_all(words.as_bytes()).unwrap_or(());
+            match reply {
+                Reply::Respond(text) => stream.write_all(text.as_bytes()).unwrap_or(()),
+                Reply::RespondAndClose(text) => {
+                    stream.write_all(text.as_bytes()).unwrap_or(());
                     let _ = stream.shutdown(Shutdown::Both);
                 }
                 Reply::NoResponse => {}
@@ -255,42 +262,44 @@
     }
 }
 
-/// An agent of discovery. Watches come to the test, which writes to them.
+/// A discovery agent that hands each watch to the test, which writes to it.
 pub struct Discovery {
-    /// Where it listens.
+    /// Address of the agent.
     pub address: SocketAddr,
     watches: Receiver<(String, TcpStream)>,
 }
 
 impl Discovery {
-    /// Starts one.
+    /// Starts an agent.
     pub fn start() -> Discovery {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
-        let (tell, watches) = mpsc::channel();
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+        let address = listener.local_addr().expect("the socket has an address");
+        let (sender, watches) = mpsc::channel();
         thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
-                stream.set_nodelay(true).expect("it can be");
-                let head = Message::read(&mut BufReader::new(stream.try_clone().expect("a clone")));
+                stream.set_nodelay(true).expect("TCP_NODELAY can be set");
+                let head = Message::read(&mut BufReader::new(
+                    stream.try_clone().expect("the socket can be cloned"),
+                ));
                 let chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
                 if let (Some(head), Ok(())) = (head, stream.write_all(chunked)) {
-                    let _ = tell.send((head.start_line, stream));
+                    let _ = sender.send((head.start_line, stream));
                 }
             }
         });
         Discovery { address, watches }
     }
 
-    /// The next watch that the edge node opens: how it was asked for, and where to write.
+    /// The next watch that the edge node opens: its request line, and the connection to write to.
     pub fn next_watch(&self) -> (String, TcpStream) {
         self.watches
             .recv_timeout(TEST_TIMEOUT)
-            .expect("a watch is opened")
+            .expect("the node opens a watch")
     }
 }
 
-/// Writes a piece of a watch, as it is: in one write. Danger: a piece in several writes, of which the machine keeps all but the
-/// first here until the other side's has said that it has that.
+/// Writes a chunk of a watch in a single write. With several writes the kernel would hold back all but the first
+/// until the other side has acknowledged it.
 pub fn write_chunk(watch: &mut TcpStream, piece: &str) {
     let chunk = format!("{:x}\r\n{piece}\r\n", piece.len());
     watch
@@ -303,11 +312,12 @@
     write_chunk(watch, &format!("{list}\n"));
 }
 
-/// Bytes that a connection's other side, a process of this machine, has there and has not read yet (`/proc/net/tcp`).
+/// Bytes that the process on the other side of the connection, on this machine, has received and not read yet
+/// (`/proc/net/tcp`).
 pub fn unread_bytes(stream: &TcpStream) -> usize {
-    let own = stream.local_addr().expect("an address");
-    let other = stream.peer_addr().expect("it is connected");
-    let shown = |address: SocketAddr| match address {
+    let own = stream.local_addr().expect("the socket has an address");
+    let other = stream.peer_addr().expect("the stream is connected");
+    let hex_address = |address: SocketAddr| match address {
         SocketAddr::V4(address) => {
             format!(
                 "{:08X}:{:04X}",
@@ -317,39 +327,38 @@
         }
         SocketAddr::V6(_) => panic!("tests connect by IPv4"),
     };
-    let ends = (shown(other), shown(own));
-    let table =
-        std::fs::read_to_string("/proc/net/tcp").expect("the machine tells of its connections");
+    let addresses = (hex_address(other), hex_address(own));
+    let table = std::fs::read_to_string("/proc/net/tcp").expect("/proc/net/tcp can be read");
     let row = table.lines().find_map(|row| {
         let mut fields = row.split_whitespace().skip(1);
-        let row_ends = (fields.next()?.to_owned(), fields.next()?.to_owned());
-        (row_ends == ends).then(|| fields.nth(1).map(str::to_owned))?
+        let row_addresses = (fields.next()?.to_owned(), fields.next()?.to_owned());
+        (row_addresses == addresses).then(|| fields.nth(1).map(str::to_owned))?
     });
-    let queues = row.expect("the other side is of this machine");
-    let (_, unread) = queues.split_once(':').expect("two queues");
+    let queues = row.expect("the other side is on this machine");
+    let (_, unread) = queues.split_once(':').expect("two queue lengths");
     usize::from_str_radix(unread, 16).expect("a number")
 }
 
-/// Waits until a connection's other side has so many bytes there that it has not read.
+/// Waits until the other side of the connection has at least this many unread bytes.
 pub fn wait_for_unread(stream: &TcpStream, bytes: usize) {
-    let begun = Instant::now();
+    let started = Instant::now();
     while unread_bytes(stream) < bytes {
         assert!(
-            begun.elapsed() < TEST_TIMEOUT,
-            "{bytes} bytes come to the other side's machine"
+            started.elapsed() < TEST_TIMEOUT,
+            "the other side has {bytes} unread bytes"
         );
         thread::sleep(Duration::from_millis(1));
     }
 }
 
-/// An entry of the list, in discovery's form.
+/// An entry of the list in discovery's format.
 pub fn host_json(name: &str, dial: SocketAddr, block: u32, health: &str) -> String {
     format!(
         r#"{{"host":"{name}","dial":"{dial}","site":"a","class":"k","block":{block},"health":"{health}","share":1.0,"born_ms":0}}"#
     )
 }
 
-/// A list in discovery's form.
+/// A list in discovery's format.
 pub fn list_json(seq: u64, whole: bool, hosts: &[String]) -> String {
     format!(
         r#"{{"seq":{seq},"whole":{whole},"hosts":[{}]}}"#,
@@ -359,14 +368,14 @@
 
 const SETTINGS: &str = r#"{"balancers":2,"me":0,"zone":"a","zones":["a"],"periodUs":2000,"discovery":"automatic","ceilings":{"cancel":true,"probes":false,"mayTell":true,"secondCopies":false,"sendCap":4,"connIdleUs":15000000,"connectTimeoutUs":250000},"classes":[{"name":"read","aimUs":400000,"deadlineUs":30000000,"lateValue":0.2,"worth":3.0,"repeat":"read_like"},{"name":"submit","aimUs":400000,"deadlineUs":30000000,"lateValue":0.2,"worth":2.0,"repeat":"idempotency_key","group":"cell","windowUs":60000000},{"name":"pay","aimUs":400000,"deadlineUs":30000000,"lateValue":0.2,"worth":9.0,"repeat":"non_idempotent"}],"packages":[{"name":"p","rate":1000.0,"storeSize":1000.0,"price":1.0},{"name":"tiny","rate":0.5,"storeSize":1.0,"price":1.0}],"rules":{"coldFrom":0.2,"coldUs":1000000,"fallMultiple":3.0,"overloadForUs":1000000},"extra":{"peerInPerS":60.0,"maxUnits":1}}"#;
 
-/// A file of a test, which goes with it.
+/// A temporary file, removed on drop.
 pub struct TempFile(pub PathBuf);
 
 impl TempFile {
-    /// Writes one; the tag names it among those of this process.
+    /// Writes a file; the tag distinguishes it from others of this process.
     pub fn new(tag: &str, text: &str) -> TempFile {
         let path = std::env::temp_dir().join(format!("saffronpaddle-{}-{tag}", std::process::id()));
-        std::fs::write(&path, text).expect("it is written");
+        std::fs::write(&path, text).expect("the file can be written");
         TempFile(path)
     }
 }
@@ -377,27 +386,27 @@
     }
 }
 
-/// An edge node that runs, with its peers' and its own datagrams' addresses.
+/// A running edge node, with the address of its datagrams and the socket of its only peer.
 pub struct Node {
     child: Child,
-    /// Where clients connect.
+    /// Address for clients.
     pub address: SocketAddr,
-    /// Where the peer's datagrams come in.
+    /// Socket that receives the datagrams for the peer.
     pub peer_socket: UdpSocket,
-    /// Where the node's come in.
+    /// Address at which the node receives datagrams.
     pub datagram_address: SocketAddr,
     config: PathBuf,
-    /// Lines of its log.
+    /// Lines of the node's log.
     log: Receiver<String>,
 }
 
-/// Waits until a node's process listens: where, and the lines of its log from then on.
-fn listening(mut child: Child) -> (Child, SocketAddr, Receiver<String>) {
-    let mut log = BufReader::new(child.stderr.take().expect("piped"));
-    let (tell, lines) = mpsc::channel();
+/// Waits until a node's process listens. Returns its address and the lines of its log from then on.
+fn wait_until_listening(mut child: Child) -> (Child, SocketAddr, Receiver<String>) {
+    let mut log = BufReader::new(child.stderr.take().expect("standard error is piped"));
+    let (sender, lines) = mpsc::channel();
     let address = loop {
         let mut line = String::new();
-        log.read_line(&mut line).expect("a line");
+        log.read_line(&mut line).expect("a log line");
         let listens = line.contains(": listening on ");
         let address = line
             .trim_end()
@@ -410,20 +419,20 @@
         }
         assert!(
             log_message(&line).starts_with("hand-over: "),
-            "it listens: {line}"
+            "unexpected log line before the node listens: {line}"
         );
-        let _ = tell.send(line.trim_end().to_owned());
+        let _ = sender.send(line.trim_end().to_owned());
     };
-    // Read on when nobody listens any more: a full pipe would hold the node up.
+    // Keeps reading if nobody receives the lines: a full pipe would block the node.
     thread::spawn(move || {
         log.lines()
             .map_while(Result::ok)
-            .for_each(|line| _ = tell.send(line));
+            .for_each(|line| _ = sender.send(line));
     });
     (child, address, lines)
 }
 
-/// A line of a log without the level that it begins with.
+/// A log line without its level.
 fn log_message(line: &str) -> &str {
     let line = line.trim_start();
     ["INFO ", "WARN ", "ERROR "]
@@ -432,13 +441,13 @@
         .unwrap_or(line)
 }
 
-/// The edge node's program, which is built beside the tests of its package.
+/// Path of the edge node's program, which is built next to the tests of its package.
 pub fn program() -> std::path::PathBuf {
     let test = std::env::current_exe().expect("this test's program");
     let folder = test
         .ancestors()
         .nth(2)
-        .expect("it stands in the folder of tests");
+        .expect("the test's program is two levels below the build folder");
     folder.join("saffronpaddle")
 }
 
@@ -457,7 +466,7 @@
     }
     command.env("LB_CONFIG", &path).stderr(Stdio::piped());
     change(&mut command);
-    (command.spawn().expect("it starts"), path)
+    (command.spawn().expect("the node's program starts"), path)
 }
 
 /// The configuration of a node that knows these app servers.
@@ -478,25 +487,25 @@
     )
 }
 
-/// Starts a node that can't go on: how it ended, and what it said.
+/// Starts a node that can't run. Returns its exit status and what it wrote to standard error.
 pub fn start_expecting_failure(
     tag: &str,
     sockets: usize,
     change: impl FnOnce(&mut Command),
 ) -> (ExitStatus, String) {
-    let nowhere = reserve_address().expect("a port");
+    let unused = reserve_address().expect("a free port");
     let (child, config) = start_with(
         tag,
         &configuration(
-            nowhere,
+            unused,
             &[],
             sockets,
-            reserve_address().expect("a port"),
-            nowhere,
+            reserve_address().expect("a free port"),
+            unused,
         ),
         change,
     );
-    let output = child.wait_with_output().expect("it ends");
+    let output = child.wait_with_output().expect("the process exits");
     let _ = std::fs::remove_file(config);
     (
         output.status,
@@ -505,12 +514,12 @@
 }
 
 impl Node {
-    /// Starts one that knows these app servers.
+    /// Starts a node that knows these app servers.
     pub fn start(tag: &str, discovery: SocketAddr, hosts: &[String]) -> Node {
         Node::with_sockets(tag, discovery, hosts, 1024)
     }
 
-    /// The same with so many descriptors.
+    /// Starts a node with a limit of descriptors.
     pub fn with_sockets(
         tag: &str,
         discovery: SocketAddr,
@@ -520,7 +529,7 @@
         Node::start_with_command(tag, discovery, hosts, sockets, |_| {})
     }
 
-    /// The same, with the command changed before it is run.
+    /// Starts a node with changes to its command.
     pub fn start_with_command(
         tag: &str,
         discovery: SocketAddr,
@@ -531,7 +540,7 @@
         Node::start_with_config(tag, discovery, hosts, sockets, |text| text, change)
     }
 
-    /// The same with another configuration.
+    /// Starts a node with changes to its configuration and its command.
     pub fn start_with_config(
         tag: &str,
         discovery: SocketAddr,
@@ -540,14 +549,14 @@
         alter: impl FnOnce(String) -> String,
         change: impl FnOnce(&mut Command),
     ) -> Node {
-        let peer = UdpSocket::bind("127.0.0.1:0").expect("a port");
+        let peer = UdpSocket::bind("127.0.0.1:0").expect("a free port");
         peer.set_read_timeout(Some(TEST_TIMEOUT))
-            .expect("a time-out");
-        let datagrams = reserve_address().expect("a port");
-        let peer_address = peer.local_addr().expect("an address");
+            .expect("the time-out can be set");
+        let datagrams = reserve_address().expect("a free port");
+        let peer_address = peer.local_addr().expect("the socket has an address");
         let config = configuration(discovery, hosts, sockets, datagrams, peer_address);
         let (child, config) = start_with(tag, &alter(config), change);
-        let (child, address, log) = listening(child);
+        let (child, address, log) = wait_until_listening(child);
         Node {
             child,
             address,
@@ -558,14 +567,17 @@
         }
     }
 
-    /// Another process with the same configuration, which takes its place as this one's successor.
+    /// Starts another process with the same configuration, as the successor of this one.
     #[must_use]
     pub fn successor(&self, change: impl FnOnce(&mut Command)) -> Node {
         let text = std::fs::read_to_string(&self.config).expect("the configuration is there");
         let tag = format!("{}-successor", self.child.id());
         let (child, config) = start_with(&tag, &text, change);
-        let (child, address, log) = listening(child);
-        let peer = self.peer_socket.try_clone().expect("a clone");
+        let (child, address, log) = wait_until_listening(child);
+        let peer = self
+            .peer_socket
+            .try_clone()
+            .expect("the socket can be cloned");
         Node {
             child,
             address,
@@ -576,90 +588,97 @@
         }
     }
 
-    /// A client's connection to it.
+    /// Opens a client connection to the node.
     pub fn connect(&self) -> Client {
         let stream = TcpStream::connect(self.address).expect("the edge node accepts");
         stream
             .set_read_timeout(Some(TEST_TIMEOUT))
-            .expect("a time-out");
-        let reader = BufReader::new(stream.try_clone().expect("a clone"));
+            .expect("the time-out can be set");
+        let reader = BufReader::new(stream.try_clone().expect("the socket can be cloned"));
         Client { stream, reader }
     }
 
-    /// Tells it to stop.
+    /// Sends SIGTERM.
     pub fn terminate(&self) {
         self.signal("-TERM");
     }
 
-    /// Puts another text in place of its configuration, then has it read again; comes back once that is done.
+    /// Replaces the configuration file and has the node reload it. Returns once the reload has ended.
     pub fn reload(&self, change: impl FnOnce(String) -> String) {
         let text = std::fs::read_to_string(&self.config).expect("the configuration is there");
         let new = self.config.with_extension("new");
         std::fs::write(&new, change(text)).expect("the configuration is written");
         std::fs::rename(new, &self.config).expect("the configuration is replaced");
         self.signal("-HUP");
-        // Two words that overlap are one more reload than a test expects.
-        let done = ["reloaded", "the old configuration stays", "no reload"];
+        // Two overlapping reload signals cause one more reload than a test expects.
+        let outcomes = ["reloaded", "the old configuration stays", "no reload"];
         loop {
             let line = self.log_line();
-            if done.iter().any(|word| line.starts_with(word)) {
+            if outcomes.iter().any(|word| line.starts_with(word)) {
                 return;
             }
         }
     }
 
-    /// Has it stand still, and comes back once all of its threads do. Danger: a signal that was sent and has not got there.
+    /// Suspends the process. Returns once all of its threads have stopped: the signal takes effect only after it was
+    /// sent.
     pub fn suspend(&self) {
         self.signal("-STOP");
         let tasks = format!("/proc/{}/task", self.child.id());
-        let stands = |task: std::fs::DirEntry| {
+        let is_stopped = |task: std::fs::DirEntry| {
             let stat = std::fs::read_to_string(task.path().join("stat")).unwrap_or_default();
             stat.rsplit_once(") ")
                 .is_some_and(|(_, rest)| rest.starts_with('T'))
         };
-        let begun = Instant::now();
+        let started = Instant::now();
         while !std::fs::read_dir(&tasks)
-            .expect("it runs")
+            .expect("the process exists")
             .flatten()
-            .all(stands)
+            .all(is_stopped)
         {
-            assert!(begun.elapsed() < TEST_TIMEOUT, "it stands still");
+            assert!(
+                started.elapsed() < TEST_TIMEOUT,
+                "all threads of the node stop"
+            );
             thread::sleep(Duration::from_millis(1));
         }
     }
 
-    /// Sends it a signal, as `kill` names it.
+    /// Sends a signal, named as for `kill`.
     pub fn signal(&self, name: &str) {
         let kill = Command::new("kill")
             .args([name, &self.child.id().to_string()])
             .status();
-        assert!(kill.expect("kill runs").success());
+        assert!(kill.expect("the kill program runs").success());
     }
 
-    /// Its process's id.
+    /// Process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// The next line of its log, without its level.
+    /// The next line of the log, without its level.
     pub fn log_line(&self) -> String {
         let line = self.log.recv_timeout(TEST_TIMEOUT);
         log_message(&line.expect("a line of the log")).to_owned()
     }
 
-    /// The lines of its log that were written and not read yet.
+    /// The log lines written and not read yet.
     pub fn drain_log(&self) -> Vec<String> {
         self.log.try_iter().collect()
     }
 
-    /// Waits for its end.
+    /// Waits for the process to exit.
     pub fn wait(&mut self) -> ExitStatus {
-        self.child.wait().expect("it ends")
+        self.child.wait().expect("the process exits")
     }
 
-    /// Whether it runs.
+    /// Whether the process is running.
     pub fn is_running(&mut self) -> bool {
-        self.child.try_wait().expect("its state is known").is_none()
+        self.child
+            .try_wait()
+            .expect("the process's state is known")
+            .is_none()
     }
 }
 
@@ -671,36 +690,40 @@
     }
 }
 
-/// A free address, for a node that is told it.
+/// A free address for a node that gets its address from the configuration.
 pub fn free_address() -> SocketAddr {
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    listener.local_addr().expect("an address")
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
+    listener.local_addr().expect("the socket has an address")
 }
 
-/// Calls a node at its operators' address; all that it answers.
+/// Sends a command to a node's admin address and returns the whole answer.
 pub fn admin_request(address: SocketAddr, line: &str) -> String {
-    let mut stream = TcpStream::connect(address).expect("it is called");
+    let mut stream = TcpStream::connect(address).expect("the admin address accepts");
     stream
         .set_read_timeout(Some(TEST_TIMEOUT))
-        .expect("a time-out");
-    stream.write_all(line.as_bytes()).expect("written");
+        .expect("the time-out can be set");
+    stream
+        .write_all(line.as_bytes())
+        .expect("the command can be written");
     let mut answer = String::new();
-    stream.read_to_string(&mut answer).expect("an answer");
+    stream
+        .read_to_string(&mut answer)
+        .expect("the answer can be read");
     answer
 }
 
-/// A figure of an answer to `INFO`, by its name and labels.
+/// The value of a metric in the answer to `INFO`, by its name with labels.
 pub fn metric_value(answer: &str, name: &str) -> u64 {
     let value = answer
         .lines()
         .find_map(|line| line.strip_prefix(name)?.strip_prefix(' ')?.parse().ok());
-    value.unwrap_or_else(|| panic!("{name} in {answer}"))
+    value.unwrap_or_else(|| panic!("no metric {name} in {answer}"))
 }
 
-/// An edge node that knows one app server, which does this.
-pub fn start_with_one_server(tag: &str, does: &[Reply]) -> (Servers, Discovery, Node) {
+/// Starts an edge node that knows one app server with these replies.
+pub fn start_with_one_server(tag: &str, replies: &[Reply]) -> (Servers, Discovery, Node) {
     let (servers, discovery) = (Servers::new(), Discovery::start());
-    let dial = servers.start("s-1", does);
+    let dial = servers.start("s-1", replies);
     let node = Node::start(
         tag,
         discovery.address,
@@ -709,16 +732,16 @@
     (servers, discovery, node)
 }
 
-/// A client's connection.
+/// A client's connection to the edge node.
 pub struct Client {
     /// The connection.
     pub stream: TcpStream,
     reader: BufReader<TcpStream>,
 }
 
-/// A request of a class, as its method goes.
+/// A request of a class, with the method and body that the class takes.
 pub fn request(id: &str, class: &str, deadline: &str) -> String {
-    let (method, more) = match class {
+    let (method, extra_headers) = match class {
         "read" => ("GET", ""),
         "submit" => ("POST", "Idempotency-Key: 5c0f6e1a\r\nContent-Length: 4\r\n"),
         _ => ("POST", "Content-Length: 4\r\n"),
@@ -727,30 +750,30 @@
     format!(
         "{method} /{class}/00000000b4d65521?game=7 HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: {id}\r\n\
          X-Class: {class}\r\nX-Tier: p\r\nX-Deadline: {deadline}\r\nX-Call-Terms: units=1,spread=1,first=0\r\n\
-         {more}\r\n{body}"
+         {extra_headers}\r\n{body}"
     )
 }
 
 impl Client {
-    /// Writes.
-    pub fn write(&mut self, words: &str) {
+    /// Writes bytes.
+    pub fn write(&mut self, text: &str) {
         self.stream
-            .write_all(words.as_bytes())
+            .write_all(text.as_bytes())
             .expect("the connection is open");
     }
 
-    /// The next answer; `None` where the connection ended first.
+    /// Reads the next response; `None` if the connection ends first.
     pub fn read_response(&mut self) -> Option<Message> {
         Message::read(&mut self.reader)
     }
 
-    /// Writes a request and reads its answer.
-    pub fn exchange(&mut self, words: &str) -> Message {
-        self.write(words);
-        self.read_response().expect("a whole answer")
+    /// Writes a request and reads its response.
+    pub fn exchange(&mut self, text: &str) -> Message {
+        self.write(text);
+        self.read_response().expect("a complete response")
     }
 
-    /// Comes back once the edge node has closed the connection; nothing more may have come on it.
+    /// Waits until the edge node has closed the connection, and panics if anything more arrives on it.
     pub fn expect_close(&mut self) {
         let mut rest = Vec::new();
         let read = self.reader.read_to_end(&mut rest);
@@ -762,18 +785,21 @@
     }
 }
 
-/// Waits until the edge node has closed a connection to an app server.
-pub fn wait_until_closed(got: &ReceivedRequest) -> bool {
-    got.stream
+/// Waits up to [`TEST_TIMEOUT`] for the edge node to close a connection to an app server. Returns false only if it
+/// sends data first: a time-out counts as closed.
+pub fn wait_until_closed(received: &ReceivedRequest) -> bool {
+    received
+        .stream
         .set_read_timeout(Some(TEST_TIMEOUT))
-        .expect("a time-out");
-    matches!(got.stream.peek(&mut [0]), Ok(0) | Err(_))
+        .expect("the time-out can be set");
+    matches!(received.stream.peek(&mut [0]), Ok(0) | Err(_))
 }
 
 /// Whether the edge node has closed a connection to an app server.
 pub fn is_closed(stream: &TcpStream) -> bool {
-    stream.set_nonblocking(true).expect("a mode");
-    let seen = stream.peek(&mut [0]);
-    stream.set_nonblocking(false).expect("a mode");
-    matches!(seen, Ok(0)) || seen.is_err_and(|error| error.kind() != std::io::ErrorKind::WouldBlock)
+    stream.set_nonblocking(true).expect("the mode can be set");
+    let peeked = stream.peek(&mut [0]);
+    stream.set_nonblocking(false).expect("the mode can be set");
+    matches!(peeked, Ok(0))
+        || peeked.is_err_and(|error| error.kind() != std::io::ErrorKind::WouldBlock)
 }
--- a/crates/test-doubles/src/servers.rs
+++ b/crates/test-doubles/src/servers.rs
@@ -71,7 +71,7 @@
     /// Requests received.
     requests: AtomicUsize,
     /// Number of the current process; 0 while none runs.
-    process_id: watch::Sender<u64>,
+    process_number: watch::Sender<u64>,
     _reserved_socket: TcpSocket,
 }
 
@@ -85,13 +85,14 @@
 impl AppServer {
     /// Starts a warm server on a port of its own.
     ///
-    /// # Errors No address is available.
+    /// # Errors
+    /// No address is available.
     pub fn start(world: Arc<World>, spec: Spec) -> std::io::Result<AppServer> {
         // Bound but never listening: while no process runs, nobody else gets the port and connections are refused.
         let address = crate::ports::reserve_address()?;
-        let keeper = bound(address)?;
+        let reserved_socket = bound(address)?;
         let listener = bound(address)?.listen(BACKLOG)?;
-        let (life, _) = watch::channel(1);
+        let (process, _) = watch::channel(1);
         let cores = Semaphore::new(spec.cores);
         let (behavior, held, handshakes, requests) = Default::default();
         let shared = Shared {
@@ -102,8 +103,8 @@
             held_requests: held,
             handshakes,
             requests,
-            process_id: life,
-            _reserved_socket: keeper,
+            process_number: process,
+            _reserved_socket: reserved_socket,
         };
         let shared = Arc::new(shared);
         let server = AppServer { shared, address };
@@ -146,12 +147,13 @@
 
     /// Ends the process: connections are reset and new ones refused.
     pub fn kill(&self) {
-        self.shared.process_id.send_replace(0);
+        self.shared.process_number.send_replace(0);
     }
 
     /// Starts a new process after [`AppServer::kill`]. It is cold, and the oracle checks whether it is overloaded.
     ///
-    /// # Errors The port can't be bound again.
+    /// # Errors
+    /// The port can't be bound again.
     pub fn start_cold(&self) -> std::io::Result<()> {
         let listener = bound(self.address)?.listen(BACKLOG)?;
         let world = &self.shared.world;
@@ -159,38 +161,38 @@
             .oracle()
             .server_started_cold(world.now(), self.name(), self.capacity());
         let number = world.now().as_nanos() as u64 | 1;
-        self.shared.process_id.send_replace(number);
+        self.shared.process_number.send_replace(number);
         tokio::spawn(self.clone().accept(listener));
         Ok(())
     }
 
     async fn accept(self, listener: TcpListener) {
-        let mut life = self.shared.process_id.subscribe();
-        let mine = *life.borrow_and_update();
+        let mut process = self.shared.process_number.subscribe();
+        let own_process = *process.borrow_and_update();
         loop {
             tokio::select! {
                 accepted = listener.accept() => {
                     if let Ok((stream, _)) = accepted {
                         lock(&self.shared.handshakes).push(self.shared.world.now());
-                        tokio::spawn(self.clone().serve(stream, mine));
+                        tokio::spawn(self.clone().serve(stream, own_process));
                     }
                 }
-                _ = life.wait_for(|now| *now != mine) => return,
+                _ = process.wait_for(|now| *now != own_process) => return,
             }
         }
     }
 
-    async fn serve(self, stream: TcpStream, mine: u64) {
-        let mut life = self.shared.process_id.subscribe();
+    async fn serve(self, stream: TcpStream, own_process: u64) {
+        let mut process = self.shared.process_number.subscribe();
         let mut connection = HttpConnection::new(stream);
-        let died = async move {
-            let _ = life.wait_for(|now| *now != mine).await;
+        let process_ended = async move {
+            let _ = process.wait_for(|now| *now != own_process).await;
         };
-        tokio::pin!(died);
+        tokio::pin!(process_ended);
         loop {
             let message = tokio::select! {
                 message = connection.read_message(&self.shared.world) => message,
-                () = &mut died => None.ok_or(std::io::ErrorKind::ConnectionReset.into()),
+                () = &mut process_ended => None.ok_or(std::io::ErrorKind::ConnectionReset.into()),
             };
             let Ok(Some(message)) = message else { break };
             let id = message.header("x-request-id").to_owned();
@@ -225,17 +227,23 @@
                 continue;
             }
             // The work goes on if the client no longer waits.
-            let job = tokio::spawn(execute(Arc::clone(&shared), id.clone(), work, held, mine));
+            let job = tokio::spawn(execute(
+                Arc::clone(&shared),
+                id.clone(),
+                work,
+                held,
+                own_process,
+            ));
             tokio::pin!(job);
-            let done = tokio::select! {
-                done = &mut job => done.ok(),
+            let outcome = tokio::select! {
+                outcome = &mut job => outcome.ok(),
                 () = connection.wait_until_closed() => {
                     world.oracle().attempt_canceled(world.now(), &id);
                     return;
                 }
-                () = &mut died => None,
+                () = &mut process_ended => None,
             };
-            match done {
+            match outcome {
                 Some(Outcome::Answer(words)) => {
                     // Finished as soon as the response is written: the node may send elsewhere from then on.
                     world.oracle().attempt_finished(&id);
@@ -265,14 +273,14 @@
     id: String,
     work: f64,
     _held: HeldRequest,
-    mine: u64,
+    own_process: u64,
 ) -> Outcome {
     let world = &shared.world;
-    let came = world.now();
+    let received_at = world.now();
     let behavior = *lock(&shared.behavior);
     if behavior.silent {
-        let mut life = shared.process_id.subscribe();
-        let _ = life.wait_for(|now| *now != mine).await;
+        let mut process = shared.process_number.subscribe();
+        let _ = process.wait_for(|now| *now != own_process).await;
         return Outcome::Reset;
     }
     // The semaphore is never closed.
@@ -286,15 +294,15 @@
         work * behavior.work_multiplier / warmth,
     ))
     .await;
-    if *shared.process_id.borrow() != mine {
+    if *shared.process_number.borrow() != own_process {
         return Outcome::Reset;
     }
     world
         .oracle()
-        .attempt_executed(world.now(), came, shared.spec.block, &id);
+        .attempt_executed(world.now(), received_at, shared.spec.block, &id);
     match fastrand::f64() {
-        chance if chance < behavior.reset_share => Outcome::Reset,
-        chance if chance < behavior.reset_share + behavior.error_share => {
+        draw if draw < behavior.reset_share => Outcome::Reset,
+        draw if draw < behavior.reset_share + behavior.error_share => {
             Outcome::Answer(response("500 Oh", "", ""))
         }
         _ => Outcome::Answer(response("200 OK", "", &response_body(&id))),
--- a/crates/test-doubles/src/wire.rs
+++ b/crates/test-doubles/src/wire.rs
@@ -75,7 +75,8 @@
 
     /// Reads the next message; `None` if the connection ends before one begins.
     ///
-    /// # Errors The connection broke or ended within a message, or the message is malformed.
+    /// # Errors
+    /// The connection broke or ended within a message, or the message is malformed.
     pub async fn read_message(&mut self, world: &World) -> io::Result<Option<Message>> {
         let mut first = (!self.buffer.is_empty()).then(|| world.now());
         let head = loop {
@@ -86,23 +87,23 @@
                 return Err(ErrorKind::InvalidData.into());
             }
             if self.stream.read_buf(&mut self.buffer).await? == 0 {
-                let cut = if first.is_some() {
+                let closed = if first.is_some() {
                     Err(ErrorKind::UnexpectedEof.into())
                 } else {
                     Ok(None)
                 };
-                return cut;
+                return closed;
             }
             first.get_or_insert_with(|| world.now());
         };
         let text = String::from_utf8_lossy(&self.buffer[..head]).into_owned();
         let mut lines = text.split("\r\n");
         let start = lines.next().unwrap_or("").to_owned();
-        let pair = |line: &str| {
+        let header = |line: &str| {
             let (name, value) = line.split_once(':')?;
             Some((name.to_ascii_lowercase(), value.trim().to_owned()))
         };
-        let headers: Vec<_> = lines.filter_map(pair).collect();
+        let headers: Vec<_> = lines.filter_map(header).collect();
         let length = headers.iter().find(|(name, _)| name == "content-length");
         let length = length.map_or(Ok(0), |(_, length)| length.parse::<usize>());
         let length = length
@@ -114,8 +115,8 @@
                 return Err(ErrorKind::UnexpectedEof.into());
             }
         }
-        let rest = self.buffer.split_off(head + length);
-        let body = std::mem::replace(&mut self.buffer, rest).split_off(head);
+        let remainder = self.buffer.split_off(head + length);
+        let body = std::mem::replace(&mut self.buffer, remainder).split_off(head);
         Ok(Some(Message {
             start_line: start,
             headers,
@@ -126,7 +127,8 @@
 
     /// Writes all bytes.
     ///
-    /// # Errors The connection has ended.
+    /// # Errors
+    /// The connection has ended.
     pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes).await
     }
