--- a/compat/etcd-client/tests/drives.rs
+++ b/compat/etcd-client/tests/drives.rs
@@ -85,12 +85,12 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn fragments_come_with_their_mark_and_end_without_it() {
     let etcd = Etcd::start(1).await.expect("a cluster");
-    etcd.members[0].set(|faults| faults.fragment_at = 2);
+    etcd.members[0].set_faults(|faults| faults.fragment_at = 2);
     let mut client = connected(&etcd).await;
     // A watch without a revision begins when it comes: on a busy machine that is after what is put next.
     let options = WatchOptions::new().with_prefix().with_fragment().with_start_revision(etcd.revision() + 1);
     let mut stream = client.watch("f/", Some(options)).await.expect("watch");
-    etcd.put_all(&[("f/1", Some("x")), ("f/2", Some("x")), ("f/3", Some("x")), ("f/4", Some("x")), ("f/5", Some("x"))]);
+    etcd.apply(&[("f/1", Some("x")), ("f/2", Some("x")), ("f/3", Some("x")), ("f/4", Some("x")), ("f/5", Some("x"))]);
     let mut events = 0;
     while events < 5 {
         let response = next(&mut stream).await;
@@ -134,7 +134,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn authentication_wants_the_password() {
     let etcd = Etcd::start(1).await.expect("a cluster");
-    etcd.protect("edge", "secret");
+    etcd.require_auth("edge", "secret");
     let endpoint = etcd.endpoints()[0].to_string();
     let wrong = ConnectOptions::new().with_user("edge", "guess");
     assert!(Client::connect([endpoint.clone()], Some(wrong)).await.is_err());
--- a/crates/test-doubles/src/load.rs
+++ b/crates/test-doubles/src/load.rs
@@ -29,7 +29,7 @@
 /// A client retries a keyed request no later than this after the first try. A node sends what it accepted within half
 /// of the request's time, so the retry runs while servers still drop repeats of the first.
 const KEYED_RETRY_WINDOW: Duration = Duration::from_millis(300);
-/// Share of clients that honor `Retry-After`, and the longest time that they do so.
+/// Share of clients that honor `Retry-After`, and the cap on the delay that they honor.
 const RETRY_AFTER_COMPLIANCE: (f64, Duration) = (0.5, Duration::from_secs(2));
 /// Retries of one client request.
 const MAX_RETRIES: u32 = 2;
@@ -61,15 +61,15 @@
 impl Customer {
     /// The nodes of the subset in the order in which a request of this moment tries them, usually the hot node first.
     pub fn nodes(&self, all: usize, now: Duration) -> impl Iterator<Item = usize> {
-        let (spread, first) = (self.node_count.clamp(1, all), self.first_node);
+        let (count, first) = (self.node_count.clamp(1, all), self.first_node);
         let period = now.as_secs() / HOT_NODE_PERIOD.as_secs().max(1) + self.id;
-        let busiest = (period.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 33) as usize % spread;
+        let hot_index = (period.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 33) as usize % count;
         let position = if fastrand::f64() < HOT_NODE_SHARE {
-            busiest
+            hot_index
         } else {
-            fastrand::usize(..spread)
+            fastrand::usize(..count)
         };
-        (0..spread).map(move |step| (first + (position + step) % spread) % all)
+        (0..count).map(move |step| (first + (position + step) % count) % all)
     }
 
     /// Time until the next request. Arrivals of many independent clients have exponentially distributed gaps.
--- a/crates/test-doubles/src/oracle.rs
+++ b/crates/test-doubles/src/oracle.rs
@@ -196,6 +196,7 @@
     refilled_at: Duration,
     /// Largest deficit so far, in units.
     max_deficit: f64,
+    /// Units that `take_if_available` did not find so far.
     units_beyond: f64,
 }
 
--- a/crates/test-doubles/src/servers.rs
+++ b/crates/test-doubles/src/servers.rs
@@ -287,11 +287,11 @@
     let Ok(_core) = shared.cores.acquire().await else {
         return Outcome::Reset;
     };
-    let warmth = world
+    let share = world
         .oracle()
         .capacity_share(world.now(), &shared.spec.name);
     tokio::time::sleep(Duration::from_secs_f64(
-        work * behavior.work_multiplier / warmth,
+        work * behavior.work_multiplier / share,
     ))
     .await;
     if *shared.process_number.borrow() != own_process {
