--- a/crates/test-doubles/src/etcd.rs
+++ b/crates/test-doubles/src/etcd.rs
@@ -168,11 +168,11 @@
 
     fn range(
         &self,
-        message: &api::RangeRequest,
+        request: &api::RangeRequest,
         seen: i64,
     ) -> Result<(Vec<KeyValue>, bool, i64), Status> {
-        let revision = if message.revision > 0 {
-            message.revision
+        let revision = if request.revision > 0 {
+            request.revision
         } else {
             seen
         };
@@ -187,22 +187,22 @@
             ));
         }
         let live = self
-            .within(&message.key, &message.range_end)
+            .within(&request.key, &request.range_end)
             .filter_map(|key| self.live(key, revision));
         let mut kvs: Vec<KeyValue> = live.cloned().collect();
         let count = kvs.len() as i64;
         // Sorted by key in ascending order, as without a sort order; 2 is descending.
-        if message.sort_order == 2 {
+        if request.sort_order == 2 {
             kvs.reverse();
         }
-        let more = message.limit > 0 && count > message.limit;
+        let more = request.limit > 0 && count > request.limit;
         if more {
-            kvs.truncate(message.limit as usize);
+            kvs.truncate(request.limit as usize);
         }
-        if message.count_only {
+        if request.count_only {
             kvs.clear();
         }
-        if message.keys_only {
+        if request.keys_only {
             kvs.iter_mut().for_each(|kv| kv.value.clear());
         }
         Ok((kvs, more, count))
@@ -675,8 +675,8 @@
         ))
     }
 
-    async fn range(&self, message: api::RangeRequest) -> Result<api::RangeResponse, Status> {
-        if !message.serializable {
+    async fn range(&self, request: api::RangeRequest) -> Result<api::RangeResponse, Status> {
+        if !request.serializable {
             // Linearizable: a member that lags answers once it has caught up.
             let mut faults_changed = self.faults_changed.subscribe();
             while lock(&self.faults).stuck_at_revision.is_some() {
@@ -685,7 +685,7 @@
         }
         self.ranges.fetch_add(1, Ordering::Relaxed);
         let seen = self.visible_revision();
-        let (kvs, more, count) = self.store().range(&message, seen)?;
+        let (kvs, more, count) = self.store().range(&request, seen)?;
         Ok(api::RangeResponse {
             header: Some(self.header()),
             kvs,
@@ -696,21 +696,21 @@
 
     async fn unary(&self, call: Call) -> Result<CallResponse, Status> {
         Ok(match call {
-            Call::Range(message) => CallResponse::Range(self.range(message).await?),
-            Call::Put(message) => {
-                let before = self.change(|store, revision| store.put(revision, &message))?;
-                let prev_kv = before.filter(|_| message.prev_kv);
+            Call::Range(request) => CallResponse::Range(self.range(request).await?),
+            Call::Put(request) => {
+                let before = self.change(|store, revision| store.put(revision, &request))?;
+                let prev_kv = before.filter(|_| request.prev_kv);
                 CallResponse::Put(api::PutResponse {
                     header: Some(self.header()),
                     prev_kv,
                 })
             }
-            Call::Delete(message) => {
+            Call::Delete(request) => {
                 let prev_kvs = self.change(|store, revision| {
-                    store.delete(revision, &message.key, &message.range_end)
+                    store.delete(revision, &request.key, &request.range_end)
                 });
                 let deleted = prev_kvs.len() as i64;
-                let prev_kvs = if message.prev_kv {
+                let prev_kvs = if request.prev_kv {
                     prev_kvs
                 } else {
                     Vec::new()
@@ -721,28 +721,28 @@
                     prev_kvs,
                 })
             }
-            Call::Txn(message) => CallResponse::Txn(self.txn(message)?),
-            Call::Compact(message) => {
-                self.store().compact(message.revision)?;
+            Call::Txn(request) => CallResponse::Txn(self.txn(request)?),
+            Call::Compact(request) => {
+                self.store().compact(request.revision)?;
                 // Wakes the watches, so that those behind the revision are canceled.
                 self.changed.send_modify(|_| {});
                 CallResponse::Compact(api::CompactionResponse {
                     header: Some(self.header()),
                 })
             }
-            Call::Grant(message) => {
+            Call::Grant(request) => {
                 let mut store = self.store();
-                let id = if message.id == 0 {
+                let id = if request.id == 0 {
                     store.next_lease
                 } else {
-                    message.id
+                    request.id
                 };
                 store.next_lease = store.next_lease.max(id) + 1;
-                let until = Instant::now() + Duration::from_secs(message.ttl.max(1) as u64);
+                let until = Instant::now() + Duration::from_secs(request.ttl.max(1) as u64);
                 store.leases.insert(
                     id,
                     Lease {
-                        ttl: message.ttl,
+                        ttl: request.ttl,
                         until,
                         keys: BTreeSet::new(),
                     },
@@ -752,22 +752,22 @@
                 CallResponse::Grant(api::LeaseGrantResponse {
                     header,
                     id,
-                    ttl: message.ttl,
+                    ttl: request.ttl,
                     error: String::new(),
                 })
             }
-            Call::Revoke(message) => {
-                if !revoke(&self.store, &self.changed, message.id) {
+            Call::Revoke(request) => {
+                if !revoke(&self.store, &self.changed, request.id) {
                     return Err(Status::not_found("etcdserver: requested lease not found"));
                 }
                 CallResponse::Revoke(api::LeaseRevokeResponse {
                     header: Some(self.header()),
                 })
             }
-            Call::TimeToLive(message) => {
+            Call::TimeToLive(request) => {
                 let header = Some(self.header());
                 let store = self.store();
-                let lease = store.leases.get(&message.id);
+                let lease = store.leases.get(&request.id);
                 let left = lease.map(|lease| {
                     lease
                         .until
@@ -775,25 +775,25 @@
                         .as_secs()
                 });
                 let keys = lease
-                    .filter(|_| message.keys)
+                    .filter(|_| request.keys)
                     .map(|lease| lease.keys.iter().cloned().collect());
                 CallResponse::TimeToLive(api::LeaseTimeToLiveResponse {
                     header,
-                    id: message.id,
+                    id: request.id,
                     ttl: left.map_or(-1, |left| left as i64),
                     granted_ttl: lease.map_or(0, |lease| lease.ttl),
                     keys: keys.unwrap_or_default(),
                 })
             }
-            Call::Authenticate(message) => {
+            Call::Authenticate(request) => {
                 let header = Some(self.header());
                 let store = self.store();
-                if store.user != Some((message.name.clone(), message.password)) {
+                if store.user != Some((request.name.clone(), request.password)) {
                     return Err(Status::invalid_argument(
                         "etcdserver: authentication failed, invalid user ID or password",
                     ));
                 }
-                let token = format!("{}.{}", message.name, store.cluster_id);
+                let token = format!("{}.{}", request.name, store.cluster_id);
                 CallResponse::Authenticate(api::AuthenticateResponse { header, token })
             }
             Call::Status => {
@@ -810,8 +810,8 @@
         })
     }
 
-    fn txn(&self, message: api::TxnRequest) -> Result<api::TxnResponse, Status> {
-        if !message.compare.is_empty() {
+    fn txn(&self, request: api::TxnRequest) -> Result<api::TxnResponse, Status> {
+        if !request.compare.is_empty() {
             return Err(Status::unimplemented(
                 "this test double supports no comparisons",
             ));
@@ -819,15 +819,15 @@
         let seen = self.visible_revision();
         let responses = self.change(|store, revision| {
             let mut responses = Vec::new();
-            for op in message.success {
+            for op in request.success {
                 let response = match op.request {
                     Some(api::request_op::Request::Put(put)) => {
                         store.put(revision, &put)?;
                         api::response_op::Response::Put(api::PutResponse::default())
                     }
-                    Some(api::request_op::Request::Delete(message)) => {
+                    Some(api::request_op::Request::Delete(request)) => {
                         let deleted = store
-                            .delete(revision, &message.key, &message.range_end)
+                            .delete(revision, &request.key, &request.range_end)
                             .len() as i64;
                         let answer = api::DeleteRangeResponse {
                             deleted,
@@ -835,8 +835,8 @@
                         };
                         api::response_op::Response::Delete(answer)
                     }
-                    Some(api::request_op::Request::Range(message)) => {
-                        let (kvs, more, count) = store.range(&message, seen)?;
+                    Some(api::request_op::Request::Range(request)) => {
+                        let (kvs, more, count) = store.range(&request, seen)?;
                         api::response_op::Response::Range(api::RangeResponse {
                             header: None,
                             kvs,
@@ -862,7 +862,7 @@
 
 /// One watcher of a stream.
 struct Watcher {
-    message: api::WatchCreateRequest,
+    request: api::WatchCreateRequest,
     /// First revision whose events are still to be sent.
     next: i64,
 }
@@ -885,15 +885,15 @@
             if self.catch_up().await.is_none() {
                 return;
             }
-            let message = tokio::select! {
-                message = requests.message() => match message {
-                    Ok(Some(message)) => message,
+            let request = tokio::select! {
+                request = requests.message() => match request {
+                    Ok(Some(request)) => request,
                     _ => return,
                 },
                 _ = changed.changed() => continue,
                 () = self.responses.closed() => return,
             };
-            if self.take(message).await.is_none() {
+            if self.take(request).await.is_none() {
                 return;
             }
         }
@@ -907,15 +907,15 @@
         self.responses.send(Ok(response)).await.ok()
     }
 
-    async fn take(&mut self, message: api::WatchRequest) -> Option<()> {
-        match message.request {
-            Some(api::watch_request::Request::Create(message)) => {
+    async fn take(&mut self, request: api::WatchRequest) -> Option<()> {
+        match request.request {
+            Some(api::watch_request::Request::Create(request)) => {
                 self.state.watches.fetch_add(1, Ordering::Relaxed);
-                let free = message.watch_id == 0 || self.watchers.contains_key(&message.watch_id);
-                let watch_id = if free { self.next_id } else { message.watch_id };
+                let free = request.watch_id == 0 || self.watchers.contains_key(&request.watch_id);
+                let watch_id = if free { self.next_id } else { request.watch_id };
                 self.next_id = self.next_id.max(watch_id) + 1;
-                let next = if message.start_revision > 0 {
-                    message.start_revision
+                let next = if request.start_revision > 0 {
+                    request.start_revision
                 } else {
                     self.state.visible_revision() + 1
                 };
@@ -925,11 +925,11 @@
                     ..Default::default()
                 })
                 .await?;
-                self.watchers.insert(watch_id, Watcher { message, next });
+                self.watchers.insert(watch_id, Watcher { request, next });
                 Some(())
             }
-            Some(api::watch_request::Request::Cancel(message)) => {
-                let watch_id = message.watch_id;
+            Some(api::watch_request::Request::Cancel(request)) => {
+                let watch_id = request.watch_id;
                 self.watchers.remove(&watch_id);
                 self.send(api::WatchResponse {
                     watch_id,
@@ -970,11 +970,11 @@
             let watcher = self.watchers.get_mut(&watch_id)?;
             let (events, compacted) = {
                 let store = self.state.store();
-                let message = &watcher.message;
+                let request = &watcher.request;
                 let wanted = |event: &&Event| {
                     let key = event.kv.as_ref().map_or(&[][..], |kv| &kv.key);
-                    in_range(&message.key, &message.range_end, key)
-                        && !message.filters.contains(&event.r#type)
+                    in_range(&request.key, &request.range_end, key)
+                        && !request.filters.contains(&event.r#type)
                 };
                 let range = watcher.next..=seen.max(watcher.next - 1);
                 let events: Vec<Event> = if watcher.next <= seen {
@@ -1010,7 +1010,7 @@
             if events.is_empty() {
                 continue;
             }
-            let (prev_kv, fragment) = (watcher.message.prev_kv, watcher.message.fragment);
+            let (prev_kv, fragment) = (watcher.request.prev_kv, watcher.request.fragment);
             self.send_events(watch_id, events, prev_kv, fragment)
                 .await?;
         }
--- a/crates/test-doubles/src/scripted.rs
+++ b/crates/test-doubles/src/scripted.rs
@@ -233,7 +233,7 @@
             let id = message.header("x-request-id").to_owned();
             let mut unanswered = self.unanswered.lock().expect("the lock is not poisoned");
             let earlier = unanswered.iter().filter(|(other, _)| *other == id);
-            let alone = earlier.into_iter().all(|(_, stream)| is_closed(stream));
+            let only_attempt = earlier.into_iter().all(|(_, stream)| is_closed(stream));
             if matches!(reply, Reply::NoResponse) {
                 unanswered.push((id, stream.try_clone().expect("the socket can be cloned")));
             }
@@ -247,7 +247,7 @@
                 server,
                 message,
                 connection,
-                only_attempt: alone,
+                only_attempt,
                 stream: handle,
             });
             match reply {
