--- a/crates/test-doubles/src/links.rs
+++ b/crates/test-doubles/src/links.rs
@@ -1,9 +1,9 @@
-//! The links of a run and what befalls them: one table of faults for datagrams and connections alike, and the relays
-//! through which connections go.
+//! Faults on the links of a run: one table of faults for datagrams and connections, and the relays through which
+//! connections pass.
 //!
-//! A link leads from one [`End`] to another, and each direction is a link of its own. What lies on it is the sum of all
-//! rules that name it. Datagrams pass through [`crate::peers`]; a connection passes through a [`Relay`] where a rule of
-//! the run may touch it, and goes straight elsewhere.
+//! A link leads from one [`End`] to another; each direction is a link of its own. The fault of a link combines all
+//! rules that name it. Datagrams pass through [`crate::peers`]. A connection passes through a [`Relay`] where a rule
+//! of the run may affect it, and is made directly elsewhere.
 
 use crate::lock;
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,17 +16,18 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// How long a lost piece of a connection's bytes takes to be sent again: the machine's least time-out for that.
-const SENT_AGAIN: Duration = Duration::from_millis(200);
-/// How long a relay waits for the far side to come up.
-const CONNECT: Duration = Duration::from_secs(2);
-/// Connections that may wait to be accepted, as a rule; own ones that keep others out, at the most, and how long one of these
-/// may take to come up before the queue counts as full.
+/// How long a lost segment takes to be retransmitted: the minimum retransmission time-out of Linux.
+const RETRANSMIT_DELAY: Duration = Duration::from_millis(200);
+/// How long a relay waits for its connection to the target.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Length of the accept queue while connections are allowed.
 const BACKLOG: i32 = 1024;
-const OWN_MOST: usize = 64;
-const COMES_UP: Duration = Duration::from_millis(50);
-/// Bytes that move at once.
-const PIECE: usize = 16 * 1024;
+/// Most connections of the relay itself that fill the accept queue to keep others out.
+const MAX_FILLER_CONNECTIONS: usize = 64;
+/// A filler connection that takes longer than this to be established means that the queue is full.
+const FILLER_CONNECT_TIMEOUT: Duration = Duration::from_millis(50);
+/// Bytes that are copied at once.
+const COPY_BUFFER_BYTES: usize = 16 * 1024;
 
 /// One end of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -35,37 +36,37 @@
     Node(usize),
     /// An app server, by its number.
     Server(usize),
-    /// The list service.
+    /// The discovery service.
     List,
-    /// The counter.
+    /// The counter service.
     Counter,
-    /// The clients' side of all nodes.
+    /// The clients of all nodes.
     Clients,
 }
 
-/// What befalls what passes one way.
+/// What happens to traffic in one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Fault {
-    /// Share that is lost; of a connection's bytes, that has to be sent again.
+    /// Share of datagrams that is lost; for a connection, the share of reads that is delayed as by a retransmission.
     pub loss: f64,
-    /// Share of datagrams that come twice.
+    /// Share of datagrams that is delivered twice.
     pub duplicated: f64,
-    /// Shortest and longest way, drawn for each: what is sent later may overtake.
+    /// Shortest and longest delay, drawn for each datagram, so that datagrams may be reordered.
     pub delay: (Duration, Duration),
-    /// Connections are taken and nothing moves on them, and nothing closes; datagrams are lost.
+    /// Connections are accepted, but no data moves on them and none closes; datagrams are lost.
     pub stalled: bool,
     /// Connections are reset; datagrams are lost.
     pub reset: bool,
-    /// New connections never come up; those that there are go on, and datagrams are lost.
+    /// New connections are never established; existing ones go on, and datagrams are lost.
     pub drops_connects: bool,
 }
 
 impl Fault {
-    fn and(self, other: Fault) -> Fault {
-        let either = |a: f64, b: f64| 1.0 - (1.0 - a) * (1.0 - b);
+    fn combine(self, other: Fault) -> Fault {
+        let combined_share = |a: f64, b: f64| 1.0 - (1.0 - a) * (1.0 - b);
         Fault {
-            loss: either(self.loss, other.loss),
-            duplicated: either(self.duplicated, other.duplicated),
+            loss: combined_share(self.loss, other.loss),
+            duplicated: combined_share(self.duplicated, other.duplicated),
             delay: (self.delay.0 + other.delay.0, self.delay.1 + other.delay.1),
             stalled: self.stalled || other.stalled,
             reset: self.reset || other.reset,
@@ -73,45 +74,45 @@
         }
     }
 
-    /// Whether a datagram is lost now.
+    /// Draws whether a datagram is lost.
     pub fn drops_datagram(&self) -> bool {
         self.stalled || self.reset || self.drops_connects || fastrand::f64() < self.loss
     }
 
-    /// How long the way is this time.
+    /// Draws the delay of one datagram or read.
     pub fn draw_delay(&self) -> Duration {
         let (shortest, longest) = self.delay;
         shortest + longest.saturating_sub(shortest).mul_f64(fastrand::f64())
     }
 }
 
-/// Which links a fault lies on.
+/// The links that a fault applies to.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LinkSet {
-    /// From any of these to any of those.
+    /// From any end of the first set to any end of the second.
     OneWay(BTreeSet<End>, BTreeSet<End>),
-    /// Between these and those, both ways.
+    /// Between the ends of both sets, in both directions.
     BothWays(BTreeSet<End>, BTreeSet<End>),
-    /// Between any two of these sides' ends that no side has both of: sides may overlap, so that one end hears two that
-    /// do not hear each other.
+    /// Between any two ends that are in different sides and share none. Sides may overlap, so that one end can reach
+    /// two others that cannot reach each other.
     Partition(Vec<BTreeSet<End>>),
 }
 
 impl LinkSet {
-    /// Whether the link from one end to the other is meant.
+    /// Whether the link from one end to the other is in the set.
     pub fn contains(&self, from: End, to: End) -> bool {
         match self {
-            LinkSet::OneWay(these, those) => {
-                from != to && these.contains(&from) && those.contains(&to)
+            LinkSet::OneWay(first, second) => {
+                from != to && first.contains(&from) && second.contains(&to)
             }
-            LinkSet::BothWays(these, those) => {
-                let leads = |from, to| these.contains(from) && those.contains(to);
-                from != to && (leads(&from, &to) || leads(&to, &from))
+            LinkSet::BothWays(first, second) => {
+                let connects = |from, to| first.contains(from) && second.contains(to);
+                from != to && (connects(&from, &to) || connects(&to, &from))
             }
             LinkSet::Partition(sides) => {
-                let some = |end| sides.iter().any(|side| side.contains(&end));
-                some(from)
-                    && some(to)
+                let on_any_side = |end| sides.iter().any(|side| side.contains(&end));
+                on_any_side(from)
+                    && on_any_side(to)
                     && !sides
                         .iter()
                         .any(|side| side.contains(&from) && side.contains(&to))
@@ -121,29 +122,29 @@
 }
 
 impl LinkSet {
-    /// The same without the links of these ends: those that have healed already.
+    /// The same set without the links of these ends, which have recovered already.
     #[must_use]
     pub fn without(&self, healed: &BTreeSet<End>) -> LinkSet {
         let rest = |ends: &BTreeSet<End>| ends.difference(healed).copied().collect();
         match self {
-            LinkSet::OneWay(these, those) => LinkSet::OneWay(rest(these), rest(those)),
-            LinkSet::BothWays(these, those) => LinkSet::BothWays(rest(these), rest(those)),
+            LinkSet::OneWay(first, second) => LinkSet::OneWay(rest(first), rest(second)),
+            LinkSet::BothWays(first, second) => LinkSet::BothWays(rest(first), rest(second)),
             LinkSet::Partition(sides) => LinkSet::Partition(sides.iter().map(rest).collect()),
         }
     }
 
-    /// All ends that it names.
+    /// All ends that the set names.
     pub fn ends(&self) -> BTreeSet<End> {
         match self {
-            LinkSet::OneWay(these, those) | LinkSet::BothWays(these, those) => {
-                these.union(those).copied().collect()
+            LinkSet::OneWay(first, second) | LinkSet::BothWays(first, second) => {
+                first.union(second).copied().collect()
             }
             LinkSet::Partition(sides) => sides.iter().flatten().copied().collect(),
         }
     }
 }
 
-/// The faults of a run as they are now.
+/// The faults of a run that apply now.
 #[derive(Debug)]
 pub struct Links {
     rules: Mutex<BTreeMap<u64, (LinkSet, Fault)>>,
@@ -163,29 +164,31 @@
 }
 
 impl Links {
-    /// Lays a fault on links, until it is lifted by its number.
-    pub fn add_fault(&self, which: LinkSet, fault: Fault) -> u64 {
+    /// Adds a fault to links. Returns the number with which it is removed.
+    pub fn add_fault(&self, link_set: LinkSet, fault: Fault) -> u64 {
         let number = self.next.fetch_add(1, Ordering::Relaxed);
-        lock(&self.rules).insert(number, (which, fault));
+        lock(&self.rules).insert(number, (link_set, fault));
         self.changed.send_modify(|count| *count += 1);
         number
     }
 
-    /// Lifts a fault.
+    /// Removes a fault by its number.
     pub fn remove_fault(&self, number: u64) {
         lock(&self.rules).remove(&number);
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// What befalls what goes from one end to the other now.
+    /// The combined fault of the link from one end to the other.
     pub fn fault_between(&self, from: End, to: End) -> Fault {
         let rules = lock(&self.rules);
-        let meant = rules.values().filter(|(which, _)| which.contains(from, to));
-        meant.fold(Fault::default(), |all, (_, fault)| all.and(*fault))
+        let matching = rules
+            .values()
+            .filter(|(link_set, _)| link_set.contains(from, to));
+        matching.fold(Fault::default(), |all, (_, fault)| all.combine(*fault))
     }
 }
 
-/// The relay of connections from one end, or several that no rule tells apart, to another.
+/// Relays connections from one end, or several that no rule tells apart, to another.
 #[derive(Clone, Debug)]
 pub struct Relay {
     links: Arc<Links>,
@@ -194,18 +197,19 @@
     target: SocketAddr,
 }
 
-enum Ended {
-    /// One side has ended in good order.
+enum RelayEnd {
+    /// One side was closed in order.
     Closed,
-    /// It is to be reset on both sides.
+    /// Both sides are to be reset.
     Reset,
 }
 
 impl Relay {
-    /// Listens at an address, for ever. `near` stands for all that connect there.
+    /// Starts to relay connections to an address for the rest of the run. `near` stands for all ends that connect
+    /// there.
     ///
     /// # Errors
-    /// The address can't be had.
+    /// The address can't be bound.
     pub async fn start(
         links: &Arc<Links>,
         (near, far): (End, End),
@@ -228,12 +232,12 @@
                     .fault_between(relay.near, relay.far)
                     .drops_connects
                 {
-                    relay.hears_nobody(&listener, listen).await;
+                    relay.block_connects(&listener, listen).await;
                     continue;
                 }
                 tokio::select! {
                     accepted = listener.accept() => if let Ok((stream, _)) = accepted {
-                        tokio::spawn(relay.clone().carry(stream));
+                        tokio::spawn(relay.clone().relay_connection(stream));
                     },
                     // The sender lives as long as the links do.
                     _ = changed.changed() => {}
@@ -243,43 +247,45 @@
         Ok(())
     }
 
-    /// Lets no connection come up until the fault is lifted: the queue of those that wait to be accepted is kept full, and
-    /// the machine drops the first packet of any more.
-    async fn hears_nobody(&self, listener: &TcpListener, at: SocketAddr) {
+    /// Lets no connection be established until the fault is removed. It keeps the accept queue full, so that the
+    /// kernel drops the SYN packets of further connections.
+    async fn block_connects(&self, listener: &TcpListener, at: SocketAddr) {
         let queue = |length| socket2::SockRef::from(listener).listen(length);
-        // Where the machine does not let the queue be shortened, connections come up and stall: no run depends on more.
+        // If the kernel does not shorten the queue, connections are established and stall; no run depends on more.
         let _ = queue(0);
-        let mut own = Vec::new();
-        // One more than the length is let in (`listen(2)`); those that wait already are in the way, too.
-        while own.len() < OWN_MOST {
-            let comes_up = tokio::time::timeout(COMES_UP, TcpStream::connect(at)).await;
-            let Ok(Ok(stream)) = comes_up else { break };
-            own.push(stream);
+        let mut fillers = Vec::new();
+        // The kernel admits one more than the length (`listen(2)`), and connections that wait already take up the
+        // queue, too.
+        while fillers.len() < MAX_FILLER_CONNECTIONS {
+            let connected =
+                tokio::time::timeout(FILLER_CONNECT_TIMEOUT, TcpStream::connect(at)).await;
+            let Ok(Ok(stream)) = connected else { break };
+            fillers.push(stream);
         }
-        self.until(self.near, self.far, |fault| !fault.drops_connects)
+        self.wait_for_fault(self.near, self.far, |fault| !fault.drops_connects)
             .await;
         let _ = queue(BACKLOG);
-        let own: BTreeSet<SocketAddr> = own
+        let fillers: BTreeSet<SocketAddr> = fillers
             .iter()
             .filter_map(|stream| stream.local_addr().ok())
             .collect();
-        for _ in 0..own.len() {
+        for _ in 0..fillers.len() {
             match listener.accept().await {
-                Ok((_, from)) if own.contains(&from) => {}
-                Ok((stream, _)) => _ = tokio::spawn(self.clone().carry(stream)),
+                Ok((_, from)) if fillers.contains(&from) => {}
+                Ok((stream, _)) => _ = tokio::spawn(self.clone().relay_connection(stream)),
                 Err(_) => break,
             }
         }
     }
 
-    /// Carries one connection to its end.
-    async fn carry(self, near: TcpStream) {
-        if self.open(self.near, self.far).await.is_err() {
-            // Works all the same where it can't be set: it closes then.
+    /// Relays one connection until it ends.
+    async fn relay_connection(self, near: TcpStream) {
+        if self.wait_until_passable(self.near, self.far).await.is_err() {
+            // Best effort: without it the connection is closed instead of reset.
             let _ = near.set_zero_linger();
             return;
         }
-        let far = tokio::time::timeout(CONNECT, TcpStream::connect(self.target)).await;
+        let far = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(self.target)).await;
         let Ok(Ok(far)) = far else {
             let _ = near.set_zero_linger();
             return;
@@ -290,27 +296,32 @@
         }
         let ended = {
             let ((from_near, to_near), (from_far, to_far)) = (near.split(), far.split());
-            let there = self.pump((self.near, self.far), from_near, to_far);
-            let back = self.pump((self.far, self.near), from_far, to_near);
-            tokio::pin!(there, back);
-            // A connection that is half closed goes on the other way; one that is reset ends both ways.
+            let forward = self.copy_one_way((self.near, self.far), from_near, to_far);
+            let back = self.copy_one_way((self.far, self.near), from_far, to_near);
+            tokio::pin!(forward, back);
+            // A half-closed connection goes on in the other direction; a reset one ends in both.
             tokio::select! {
-                ended = &mut there => if matches!(ended, Ended::Closed) { back.await } else { ended },
-                ended = &mut back => if matches!(ended, Ended::Closed) { there.await } else { ended },
+                ended = &mut forward => if matches!(ended, RelayEnd::Closed) { back.await } else { ended },
+                ended = &mut back => if matches!(ended, RelayEnd::Closed) { forward.await } else { ended },
             }
         };
-        if matches!(ended, Ended::Reset) {
+        if matches!(ended, RelayEnd::Reset) {
             let _ = (near.set_zero_linger(), far.set_zero_linger());
         }
     }
 
-    /// Waits until what lies on a link is such.
-    async fn until(&self, from: End, to: End, such: impl Fn(&Fault) -> bool) -> Fault {
+    /// Waits until the fault of a link meets a condition.
+    async fn wait_for_fault(
+        &self,
+        from: End,
+        to: End,
+        condition: impl Fn(&Fault) -> bool,
+    ) -> Fault {
         let mut changed = self.links.changed.subscribe();
         loop {
             changed.borrow_and_update();
             let fault = self.links.fault_between(from, to);
-            if such(&fault) {
+            if condition(&fault) {
                 return fault;
             }
             // The sender lives as long as the links do.
@@ -318,10 +329,10 @@
         }
     }
 
-    /// Waits until bytes may pass one way; an error where the link resets.
-    async fn open(&self, from: End, to: End) -> Result<Fault, ()> {
+    /// Waits until data may pass in one direction; an error where the link resets connections.
+    async fn wait_until_passable(&self, from: End, to: End) -> Result<Fault, ()> {
         let fault = self
-            .until(from, to, |fault| fault.reset || !fault.stalled)
+            .wait_for_fault(from, to, |fault| fault.reset || !fault.stalled)
             .await;
         if fault.reset {
             Err(())
@@ -330,40 +341,40 @@
         }
     }
 
-    async fn pump(
+    async fn copy_one_way(
         &self,
         (from, to): (End, End),
         mut read: ReadHalf<'_>,
         mut write: WriteHalf<'_>,
-    ) -> Ended {
-        let mut buffer = vec![0; PIECE];
+    ) -> RelayEnd {
+        let mut buffer = vec![0; COPY_BUFFER_BYTES];
         loop {
             let length = tokio::select! {
                 length = read.read(&mut buffer) => length,
-                _ = self.until(from, to, |fault| fault.reset) => return Ended::Reset,
+                _ = self.wait_for_fault(from, to, |fault| fault.reset) => return RelayEnd::Reset,
             };
             let Ok(length) = length else {
-                return Ended::Reset;
+                return RelayEnd::Reset;
             };
-            let Ok(fault) = self.open(from, to).await else {
-                return Ended::Reset;
+            let Ok(fault) = self.wait_until_passable(from, to).await else {
+                return RelayEnd::Reset;
             };
-            let again = if fastrand::f64() < fault.loss {
-                SENT_AGAIN
+            let retransmission = if fastrand::f64() < fault.loss {
+                RETRANSMIT_DELAY
             } else {
                 Duration::ZERO
             };
-            let way = fault.draw_delay() + again;
-            if !way.is_zero() {
-                tokio::time::sleep(way).await;
+            let delay = fault.draw_delay() + retransmission;
+            if !delay.is_zero() {
+                tokio::time::sleep(delay).await;
             }
             if length == 0 {
-                // The end is passed on; where the other side has gone, that is seen the other way.
+                // Passes the end of the stream on. If the other side is gone, the other direction notices.
                 let _ = write.shutdown().await;
-                return Ended::Closed;
+                return RelayEnd::Closed;
             }
             if write.write_all(&buffer[..length]).await.is_err() {
-                return Ended::Reset;
+                return RelayEnd::Reset;
             }
         }
     }
--- a/crates/test-doubles/src/servers.rs
+++ b/crates/test-doubles/src/servers.rs
@@ -1,4 +1,4 @@
-//! App servers: each has cores, a waiting room and a temper that a script may change, and starts cold.
+//! App servers: each has cores, a queue and a behavior that a script may change, and starts cold after a kill.
 
 use crate::wire::{response, HttpConnection};
 use crate::{lock, World};
@@ -9,10 +9,10 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::{watch, Semaphore};
 
-/// Connections that may wait to be accepted.
+/// Length of the accept queue.
 const BACKLOG: u32 = 1024;
 
-/// A socket that others may bind beside it.
+/// A socket whose address other sockets may bind, too.
 fn bound(address: SocketAddr) -> std::io::Result<TcpSocket> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseport(true)?;
@@ -20,16 +20,16 @@
     Ok(socket)
 }
 
-/// What a server does with its requests.
+/// How a server handles its requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Behavior {
-    /// Times its usual work that a request takes.
+    /// Factor on the time that a request takes.
     pub work_multiplier: f64,
-    /// It takes requests and answers none.
+    /// Whether the server accepts requests and answers none.
     pub silent: bool,
-    /// Share of its requests that end in a reset, after they ran.
+    /// Share of requests whose connection is reset after they ran.
     pub reset_share: f64,
-    /// Share of them that are answered 500, after they ran.
+    /// Share of requests that are answered with status 500 after they ran.
     pub error_share: f64,
 }
 
@@ -44,154 +44,155 @@
     }
 }
 
-/// What a server is.
+/// Properties of a server.
 #[derive(Clone, Debug)]
 pub struct Spec {
-    /// Its name on the list.
+    /// Name on the list.
     pub name: String,
-    /// The group that drops repeats.
+    /// Group of servers that drops repeats of an idempotency key together.
     pub block: u64,
-    /// Requests in work at once.
+    /// Requests executed at once.
     pub cores: usize,
-    /// Requests held at once, beyond which it turns away unseen.
+    /// Requests held at once; the server rejects further ones without running them.
     pub slots: usize,
-    /// Mean work by class, which is the first part of the path.
+    /// Mean work by class, which is the first segment of the path.
     pub work: Vec<(String, Duration)>,
 }
 
 #[derive(Debug)]
-struct Inside {
+struct Shared {
     world: Arc<World>,
     spec: Spec,
-    temper: Mutex<Behavior>,
+    behavior: Mutex<Behavior>,
     cores: Semaphore,
-    held: AtomicUsize,
-    /// When each connection was made, and how many requests came.
+    held_requests: AtomicUsize,
+    /// When each connection was accepted.
     handshakes: Mutex<Vec<Duration>>,
+    /// Requests received.
     requests: AtomicUsize,
-    /// Its life: each process has a number, 0 while none runs.
-    life: watch::Sender<u64>,
-    _keeper: TcpSocket,
+    /// Number of the current process; 0 while none runs.
+    process_number: watch::Sender<u64>,
+    _reserved_socket: TcpSocket,
 }
 
-/// A server. Its address stays the same over its restarts.
+/// An app server. Its address stays the same over restarts.
 #[derive(Clone, Debug)]
 pub struct AppServer {
-    inside: Arc<Inside>,
+    shared: Arc<Shared>,
     address: SocketAddr,
 }
 
 impl AppServer {
-    /// Starts one, warm, on a port of its own.
+    /// Starts a warm server on a port of its own.
     ///
     /// # Errors
-    /// No port could be had.
+    /// No address is available.
     pub fn start(world: Arc<World>, spec: Spec) -> std::io::Result<AppServer> {
-        // Bound but never listening: nobody else gets the port while no process runs, and connections are refused.
+        // Bound but never listening: while no process runs, nobody else gets the port and connections are refused.
         let address = crate::ports::reserve_address()?;
-        let keeper = bound(address)?;
+        let reserved_socket = bound(address)?;
         let listener = bound(address)?.listen(BACKLOG)?;
-        let (life, _) = watch::channel(1);
+        let (process, _) = watch::channel(1);
         let cores = Semaphore::new(spec.cores);
-        let (temper, held, handshakes, requests) = Default::default();
-        let inside = Inside {
+        let (behavior, held, handshakes, requests) = Default::default();
+        let shared = Shared {
             world,
             spec,
-            temper,
+            behavior,
             cores,
-            held,
+            held_requests: held,
             handshakes,
             requests,
-            life,
-            _keeper: keeper,
+            process_number: process,
+            _reserved_socket: reserved_socket,
         };
-        let inside = Arc::new(inside);
-        let server = AppServer { inside, address };
+        let shared = Arc::new(shared);
+        let server = AppServer { shared, address };
         tokio::spawn(server.clone().accept(listener));
         Ok(server)
     }
 
-    /// Its name on the list.
+    /// Name on the list.
     pub fn name(&self) -> &str {
-        &self.inside.spec.name
+        &self.shared.spec.name
     }
 
-    /// The group that drops repeats.
+    /// Group of servers that drops repeats of an idempotency key together.
     pub fn block(&self) -> u64 {
-        self.inside.spec.block
+        self.shared.spec.block
     }
 
-    /// Where it listens.
+    /// Address on which the server listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Seconds of work a second that it can do once it is warm.
+    /// Seconds of work per second once the server is warm.
     pub fn capacity(&self) -> f64 {
-        self.inside.spec.cores as f64
+        self.shared.spec.cores as f64
     }
 
-    /// When each connection was made to it, since the run's beginning, and how many requests came.
+    /// When each connection was accepted, since the start of the run, and the number of requests received.
     pub fn handshakes_and_requests(&self) -> (Vec<Duration>, usize) {
         (
-            lock(&self.inside.handshakes).clone(),
-            self.inside.requests.load(Ordering::Relaxed),
+            lock(&self.shared.handshakes).clone(),
+            self.shared.requests.load(Ordering::Relaxed),
         )
     }
 
-    /// Changes its temper.
+    /// Changes the behavior of the server.
     pub fn set_behavior(&self, change: impl FnOnce(&mut Behavior)) {
-        change(&mut lock(&self.inside.temper));
+        change(&mut lock(&self.shared.behavior));
     }
 
-    /// Ends its process: connections are reset, new ones refused.
+    /// Ends the process: connections are reset and new ones refused.
     pub fn kill(&self) {
-        self.inside.life.send_replace(0);
+        self.shared.process_number.send_replace(0);
     }
 
-    /// Starts its process anew after [`AppServer::kill`]; it is cold, and the ledger watches whether it falls.
+    /// Starts a new process after [`AppServer::kill`]. It is cold, and the oracle checks whether it is overloaded.
     ///
     /// # Errors
-    /// Its port could not be had again.
+    /// The port can't be bound again.
     pub fn start_cold(&self) -> std::io::Result<()> {
         let listener = bound(self.address)?.listen(BACKLOG)?;
-        let world = &self.inside.world;
+        let world = &self.shared.world;
         world
             .oracle()
             .server_started_cold(world.now(), self.name(), self.capacity());
         let number = world.now().as_nanos() as u64 | 1;
-        self.inside.life.send_replace(number);
+        self.shared.process_number.send_replace(number);
         tokio::spawn(self.clone().accept(listener));
         Ok(())
     }
 
     async fn accept(self, listener: TcpListener) {
-        let mut life = self.inside.life.subscribe();
-        let mine = *life.borrow_and_update();
+        let mut process = self.shared.process_number.subscribe();
+        let own_process = *process.borrow_and_update();
         loop {
             tokio::select! {
                 accepted = listener.accept() => {
                     if let Ok((stream, _)) = accepted {
-                        lock(&self.inside.handshakes).push(self.inside.world.now());
-                        tokio::spawn(self.clone().serve(stream, mine));
+                        lock(&self.shared.handshakes).push(self.shared.world.now());
+                        tokio::spawn(self.clone().serve(stream, own_process));
                     }
                 }
-                _ = life.wait_for(|now| *now != mine) => return,
+                _ = process.wait_for(|now| *now != own_process) => return,
             }
         }
     }
 
-    async fn serve(self, stream: TcpStream, mine: u64) {
-        let mut life = self.inside.life.subscribe();
-        let mut wire = HttpConnection::new(stream);
-        let died = async move {
-            let _ = life.wait_for(|now| *now != mine).await;
+    async fn serve(self, stream: TcpStream, own_process: u64) {
+        let mut process = self.shared.process_number.subscribe();
+        let mut connection = HttpConnection::new(stream);
+        let process_ended = async move {
+            let _ = process.wait_for(|now| *now != own_process).await;
         };
-        tokio::pin!(died);
+        tokio::pin!(process_ended);
         loop {
             let message = tokio::select! {
-                message = wire.read_message(&self.inside.world) => message,
-                () = &mut died => None.ok_or(std::io::ErrorKind::ConnectionReset.into()),
+                message = connection.read_message(&self.shared.world) => message,
+                () = &mut process_ended => None.ok_or(std::io::ErrorKind::ConnectionReset.into()),
             };
             let Ok(Some(message)) = message else { break };
             let id = message.header("x-request-id").to_owned();
@@ -202,21 +203,21 @@
                 .next()
                 .unwrap_or("")
                 .to_owned();
-            let inside = Arc::clone(&self.inside);
-            inside.requests.fetch_add(1, Ordering::Relaxed);
-            let work = inside.work(&class);
-            let world = &inside.world;
+            let shared = Arc::clone(&self.shared);
+            shared.requests.fetch_add(1, Ordering::Relaxed);
+            let work = shared.work(&class);
+            let world = &shared.world;
             world.oracle().attempt_received(
                 world.now(),
                 message.first_byte_at,
-                &inside.spec.name,
+                &shared.spec.name,
                 &id,
                 work,
             );
-            let held = Held::take(Arc::clone(&inside));
-            if held.count > inside.spec.slots || world.oracle().is_overloaded(&inside.spec.name) {
+            let held = HeldRequest::take(Arc::clone(&shared));
+            if held.count > shared.spec.slots || world.oracle().is_overloaded(&shared.spec.name) {
                 world.oracle().attempt_finished(&id);
-                if wire
+                if connection
                     .write(&response("503 Full", "X-Not-Run: 1\r\n", ""))
                     .await
                     .is_err()
@@ -225,104 +226,117 @@
                 }
                 continue;
             }
-            // The work goes on when nobody waits for it any more.
-            let job = tokio::spawn(run(Arc::clone(&inside), id.clone(), work, held, mine));
+            // The work goes on if the client no longer waits.
+            let job = tokio::spawn(execute(
+                Arc::clone(&shared),
+                id.clone(),
+                work,
+                held,
+                own_process,
+            ));
             tokio::pin!(job);
-            let done = tokio::select! {
-                done = &mut job => done.ok(),
-                () = wire.wait_until_closed() => {
+            let outcome = tokio::select! {
+                outcome = &mut job => outcome.ok(),
+                () = connection.wait_until_closed() => {
                     world.oracle().attempt_canceled(world.now(), &id);
                     return;
                 }
-                () = &mut died => None,
+                () = &mut process_ended => None,
             };
-            match done {
-                Some(Done::Answer(words)) => {
-                    // Over once it is written: the node may send elsewhere from then on.
+            match outcome {
+                Some(Outcome::Answer(words)) => {
+                    // Finished as soon as the response is written: the node may send elsewhere from then on.
                     world.oracle().attempt_finished(&id);
-                    if wire.write(&words).await.is_err() {
+                    if connection.write(&words).await.is_err() {
                         break;
                     }
                 }
-                Some(Done::Reset) | None => {
+                Some(Outcome::Reset) | None => {
                     world.oracle().attempt_finished(&id);
                     break;
                 }
             }
         }
-        // A process that dies resets its connections: an end in the middle would look like an answer's.
-        let _ = wire.stream.set_zero_linger();
+        // A process that dies resets its connections: an orderly end in the middle would look like the end of a
+        // response.
+        let _ = connection.stream.set_zero_linger();
     }
 }
 
-enum Done {
+enum Outcome {
     Answer(Vec<u8>),
     Reset,
 }
 
-async fn run(inside: Arc<Inside>, id: String, work: f64, _held: Held, mine: u64) -> Done {
-    let world = &inside.world;
-    let came = world.now();
-    let temper = *lock(&inside.temper);
-    if temper.silent {
-        let mut life = inside.life.subscribe();
-        let _ = life.wait_for(|now| *now != mine).await;
-        return Done::Reset;
+async fn execute(
+    shared: Arc<Shared>,
+    id: String,
+    work: f64,
+    _held: HeldRequest,
+    own_process: u64,
+) -> Outcome {
+    let world = &shared.world;
+    let received_at = world.now();
+    let behavior = *lock(&shared.behavior);
+    if behavior.silent {
+        let mut process = shared.process_number.subscribe();
+        let _ = process.wait_for(|now| *now != own_process).await;
+        return Outcome::Reset;
     }
-    // It is never closed.
-    let Ok(_core) = inside.cores.acquire().await else {
-        return Done::Reset;
+    // The semaphore is never closed.
+    let Ok(_core) = shared.cores.acquire().await else {
+        return Outcome::Reset;
     };
-    let warmth = world
+    let share = world
         .oracle()
-        .capacity_share(world.now(), &inside.spec.name);
+        .capacity_share(world.now(), &shared.spec.name);
     tokio::time::sleep(Duration::from_secs_f64(
-        work * temper.work_multiplier / warmth,
+        work * behavior.work_multiplier / share,
     ))
     .await;
-    if *inside.life.borrow() != mine {
-        return Done::Reset;
+    if *shared.process_number.borrow() != own_process {
+        return Outcome::Reset;
     }
     world
         .oracle()
-        .attempt_executed(world.now(), came, inside.spec.block, &id);
+        .attempt_executed(world.now(), received_at, shared.spec.block, &id);
     match fastrand::f64() {
-        chance if chance < temper.reset_share => Done::Reset,
-        chance if chance < temper.reset_share + temper.error_share => {
-            Done::Answer(response("500 Oh", "", ""))
+        draw if draw < behavior.reset_share => Outcome::Reset,
+        draw if draw < behavior.reset_share + behavior.error_share => {
+            Outcome::Answer(response("500 Oh", "", ""))
         }
-        _ => Done::Answer(response("200 OK", "", &response_body(&id))),
+        _ => Outcome::Answer(response("200 OK", "", &response_body(&id))),
     }
 }
 
-/// What a server answers to a request: no other has the same.
+/// The body that a server returns for a request, unique per request id.
 pub fn response_body(id: &str) -> String {
     format!("ranks for {id}\n")
 }
 
-impl Inside {
-    /// Seconds of work that a request takes, half to one and a half of its class's mean.
+impl Shared {
+    /// Seconds of work that a request takes: 0.5 to 1.5 times the mean of its class.
     fn work(&self, class: &str) -> f64 {
         let mean = self.spec.work.iter().find(|(name, _)| name == class);
         mean.map_or(0.0, |(_, mean)| mean.as_secs_f64()) * (0.5 + fastrand::f64())
     }
 }
 
-/// A place in a server, in work or waiting.
-struct Held {
-    inside: Arc<Inside>,
+/// Counts a request while the server holds it.
+struct HeldRequest {
+    shared: Arc<Shared>,
     count: usize,
 }
 
-impl Held {
-    fn take(inside: Arc<Inside>) -> Held {
-        let count = inside.held.fetch_add(1, Ordering::Relaxed) + 1;
-        Held { inside, count }
+impl HeldRequest {
+    fn take(shared: Arc<Shared>) -> HeldRequest {
+        let count = shared.held_requests.fetch_add(1, Ordering::Relaxed) + 1;
+        HeldRequest { shared, count }
     }
 }
 
-impl Drop for Held {
+impl Drop for HeldRequest {
     fn drop(&mut self) {
-        self.inside.held.fetch_sub(1, Ordering::Relaxed);
+        self.shared.held_requests.fetch_sub(1, Ordering::Relaxed);
     }
 }
