--- a/crates/saffronpaddle/src/call.rs
+++ b/crates/saffronpaddle/src/call.rs
@@ -7,46 +7,46 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Longest time for the connection, and between two reads of the response. A healthy node takes less than a second.
+/// Longest time to connect, and between two reads of the response. A healthy node takes less than a second.
 const TIMEOUT: Duration = Duration::from_secs(3);
-/// Longest response, in bytes. Whatever listens at an address that is no node's could otherwise fill the memory.
+/// Longest response, in bytes. Without a limit, a program that is not a node could send until memory is exhausted.
 const MAX_RESPONSE_BYTES: u64 = 1 << 20;
-/// The line that ends a response of many lines.
+/// The line that ends a response of several lines.
 const END_OF_TEXT: &str = "EOT\n";
-/// What the response to a command that was carried out begins with.
+/// Start of the response to a command that was carried out.
 const SUCCESS: &str = "SUCCESS";
 
-/// Sends the command that the arguments give and prints the response.
+/// Sends the command that the arguments name and prints the response.
 ///
-/// The exit code is success if the command was carried out, or if metrics came completely.
+/// The exit code is success if the command was carried out, or if the metrics were received completely.
 ///
 /// # Errors
 /// The arguments are wrong, or no node responds at the address.
 pub fn call(mut arguments: lexopt::Parser) -> Result<ExitCode> {
     let address: SocketAddr = arguments
         .value()
-        .context("call takes an address and a word")?
+        .context("call: missing arguments ADDRESS and COMMAND")?
         .parse()?;
     let command = arguments
         .value()
-        .context("call takes a word: PING, INFO, LAMEDUCK or REJOIN")?;
+        .context("call: missing argument COMMAND: PING, INFO, LAMEDUCK or REJOIN")?;
     let command = command.to_string_lossy().to_uppercase();
     let response = exchange(address, &command)?;
-    let complete = response.strip_suffix(END_OF_TEXT);
-    print!("{}", complete.unwrap_or(&response));
-    let succeeded = complete.is_some() || response.starts_with(SUCCESS);
+    let complete_metrics = response.strip_suffix(END_OF_TEXT);
+    print!("{}", complete_metrics.unwrap_or(&response));
+    let succeeded = complete_metrics.is_some() || response.starts_with(SUCCESS);
     Ok(crate::exit_code(succeeded))
 }
 
 fn exchange(address: SocketAddr, command: &str) -> Result<String> {
     let mut stream = TcpStream::connect_timeout(&address, TIMEOUT)
-        .with_context(|| format!("no node at {address}"))?;
+        .with_context(|| format!("connect to the admin address {address}"))?;
     stream.set_read_timeout(Some(TIMEOUT))?;
     stream.write_all(format!("{command}\n").as_bytes())?;
     let mut response = String::new();
     stream
         .take(MAX_RESPONSE_BYTES)
         .read_to_string(&mut response)
-        .with_context(|| format!("{address} is silent"))?;
+        .with_context(|| format!("read the response of {address} to {command}"))?;
     Ok(response)
 }
--- a/crates/saffronpaddle/src/check.rs
+++ b/crates/saffronpaddle/src/check.rs
@@ -5,12 +5,12 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Checks the file that the arguments name. Its errors go to standard error, a line each.
+/// Checks the file that the arguments name and writes each of its errors as a line to standard error.
 ///
 /// # Errors
-/// No file is named, or it can't be read.
+/// The arguments name no file, or it can't be read.
 pub fn check(mut arguments: lexopt::Parser) -> Result<ExitCode> {
-    let path = PathBuf::from(arguments.value().context("check takes a file")?);
+    let path = PathBuf::from(arguments.value().context("check: missing argument FILE")?);
     let text = std::fs::read_to_string(&path).with_context(|| path.display().to_string())?;
     match Operator::parse(&text) {
         Ok(_) => {
--- a/crates/saffronpaddle/src/demo.rs
+++ b/crates/saffronpaddle/src/demo.rs
@@ -1,4 +1,4 @@
-//! `saffronpaddle demo`: one node in front of stand-in app servers, all on loopback, with nothing to set up.
+//! `saffronpaddle demo`: one node in front of simulated app servers, all on loopback and without any configuration.
 
 use anyhow::{Context, Result};
 use saffronpaddle_node::{Config, Edge, Manager, Options, ProcessSignal};
@@ -14,20 +14,19 @@
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
 
-/// Where the node listens unless the command line says otherwise.
+/// Address that the node listens on unless the command line gives another.
 const DEFAULT_LISTEN: &str = "127.0.0.1:8480";
-/// Count of app servers.
-const SERVERS: usize = 3;
-/// Requests that an app server works on at the same time.
+const SERVER_COUNT: usize = 3;
+/// Requests that an app server processes at the same time.
 const SERVER_CORES: usize = 4;
-/// Requests that an app server takes at most, queued ones among them.
+/// Most requests that an app server accepts at a time, queued ones included.
 const SERVER_SLOTS: usize = 64;
-/// Sockets that the node may open.
+/// Most sockets that the node may open.
 const NODE_SOCKETS: usize = 1024;
-/// Memory of the node, in MB.
+/// Memory limit of the node, in MB.
 const NODE_MEMORY_MB: usize = 192;
 
-/// Runs the demo until the process is told to stop.
+/// Runs the demo until the process receives SIGINT or SIGTERM.
 ///
 /// # Errors
 /// The arguments are wrong, or the node or an app server can't be started.
@@ -50,7 +49,7 @@
     let fleet = Fleet::typical(1);
     let world = World::start(fleet.bounds.clone());
     let discovery = Discovery::new(Arc::clone(&world));
-    // The servers run until they are dropped.
+    // Dropping the servers stops them.
     let _servers = start_servers(&fleet, &world, &discovery)?;
     let options = Options {
         config: node_config(listen, &fleet, &discovery).await?,
@@ -71,7 +70,7 @@
     discovery: &Discovery,
 ) -> Result<Vec<AppServer>> {
     let mut servers = Vec::new();
-    for number in 0..SERVERS {
+    for number in 0..SERVER_COUNT {
         let spec = Spec {
             name: format!("s-{number}"),
             block: 1,
@@ -83,7 +82,7 @@
                 .map(|class| (class.name.to_owned(), class.work))
                 .collect(),
         };
-        let server = AppServer::start(Arc::clone(world), spec).context("an app server")?;
+        let server = AppServer::start(Arc::clone(world), spec).context("start an app server")?;
         discovery.change(vec![Entry {
             host: server.name().to_owned(),
             dial: server.address(),
@@ -103,7 +102,7 @@
     discovery: &Arc<Discovery>,
 ) -> Result<Config> {
     let peer_address = UdpSocket::bind("127.0.0.1:0").and_then(|socket| socket.local_addr())?;
-    let places = NodeConfig {
+    let node_config = NodeConfig {
         name: "demo".to_owned(),
         listen,
         discovery: discovery.start_agent(0).await?,
@@ -113,7 +112,7 @@
         memory_mb: NODE_MEMORY_MB,
     };
     let text = configuration(
-        &places,
+        &node_config,
         &fleet.settings(0),
         Some(&discovery.full_list()),
         fastrand::u64(..),
@@ -122,7 +121,7 @@
 }
 
 fn print_instructions(address: SocketAddr) {
-    println!("One edge node before {SERVERS} stand-in app servers. Ask it for ranked times:");
+    println!("One edge node is running in front of {SERVER_COUNT} simulated app servers. Send it a request:");
     println!();
     println!(
         "  curl -si http://{address}/read/0000000000000007 -H 'X-Request-Id: r1' -H 'X-Class: read' \\\n    \
@@ -130,11 +129,11 @@
     );
     println!();
     println!(
-        "Plan small allows 4 at once, then 0.8 a second: ask more often and it is refused. Ctrl-C ends it."
+        "Plan small allows bursts of 4 requests, then 0.8 per second; requests beyond that are refused. Press Ctrl-C to stop."
     );
 }
 
-/// Receives a message whenever the process is told to stop.
+/// Returns a channel that receives [`ProcessSignal::Stop`] at each SIGINT and SIGTERM.
 fn stop_signals() -> Result<mpsc::UnboundedReceiver<ProcessSignal>> {
     let (sender, receiver) = mpsc::unbounded_channel();
     for kind in [SignalKind::interrupt(), SignalKind::terminate()] {
--- a/crates/saffronpaddle/src/fleet.rs
+++ b/crates/saffronpaddle/src/fleet.rs
@@ -1,4 +1,4 @@
-//! `saffronpaddle fleet`: plays a scenario and prints the verdict.
+//! `saffronpaddle fleet`: runs a scenario on a local fleet and prints the report.
 
 use crate::{log_counts, soak};
 use anyhow::{Context, Result};
@@ -8,32 +8,33 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// What the command line asks for.
+/// The command that the arguments of `fleet` select.
 enum Command {
     Counts(lexopt::Parser),
     Soak(lexopt::Parser),
-    Play(Box<PlayArguments>),
+    Scenario(Box<ScenarioArguments>),
 }
 
-/// How a scenario is to be played.
-struct PlayArguments {
-    /// A scenario's file, or the name of one that comes with the program.
+/// Arguments of a scenario's run.
+struct ScenarioArguments {
+    /// Path of a scenario file, or name of a built-in scenario.
     scenario: String,
     seed: u64,
-    /// Where the report is written as JSON.
+    /// File to which the report is written as JSON.
     json: Option<PathBuf>,
-    /// Where configurations and logs are kept; a temporary folder otherwise.
+    /// Folder in which configurations and logs are kept. If `None`, a temporary folder is used.
     keep: Option<PathBuf>,
-    /// Whether each second is printed.
-    table: bool,
+    /// Whether to print a table with a row for each second.
+    print_table: bool,
     in_virtual_time: bool,
+    /// The program that instances run. If `None`, this one.
     program: Option<PathBuf>,
-    /// Text of the instances' operator file; empty for what the scenario says.
+    /// Text of the instances' operator file. If empty, that of the scenario is used.
     operator: String,
     overrides: Overrides,
 }
 
-/// Plays a scenario, or goes on to `fleet counts` or `fleet soak`.
+/// Runs a scenario, `fleet counts` or `fleet soak`.
 ///
 /// # Errors
 /// The arguments or the scenario are wrong, or the fleet can't be started.
@@ -41,13 +42,13 @@
     match parse(arguments)? {
         Command::Counts(arguments) => log_counts::log_counts(arguments),
         Command::Soak(arguments) => soak::soak(arguments),
-        Command::Play(arguments) => play(*arguments),
+        Command::Scenario(arguments) => run_scenario(*arguments),
     }
 }
 
 fn parse(mut arguments: lexopt::Parser) -> Result<Command> {
     let (mut scenario, mut seed, mut json, mut keep) = (None, 1, None, None);
-    let (mut table, mut program, mut operator) = (false, None, String::new());
+    let (mut print_table, mut program, mut operator) = (false, None, String::new());
     let mut in_virtual_time = false;
     let mut overrides = Overrides::default();
     while let Some(argument) = arguments.next()? {
@@ -60,7 +61,7 @@
             Long("seed") => seed = arguments.value()?.parse()?,
             Long("json") => json = Some(PathBuf::from(arguments.value()?)),
             Long("keep") => keep = Some(PathBuf::from(arguments.value()?)),
-            Long("table") => table = true,
+            Long("table") => print_table = true,
             Long("virtual") => in_virtual_time = true,
             Long("program") => program = Some(PathBuf::from(arguments.value()?)),
             Long("operator") => {
@@ -76,12 +77,12 @@
             other => return Err(other.unexpected().into()),
         }
     }
-    Ok(Command::Play(Box::new(PlayArguments {
-        scenario: scenario.context("fleet takes a scenario")?,
+    Ok(Command::Scenario(Box::new(ScenarioArguments {
+        scenario: scenario.context("fleet: missing argument SCENARIO")?,
         seed,
         json,
         keep,
-        table,
+        print_table,
         in_virtual_time,
         program,
         operator,
@@ -89,36 +90,36 @@
     })))
 }
 
-fn play(arguments: PlayArguments) -> Result<ExitCode> {
+fn run_scenario(arguments: ScenarioArguments) -> Result<ExitCode> {
     let scenario = read_scenario(&arguments)?;
-    let (json, table) = (arguments.json.clone(), arguments.table);
-    let report = run(scenario, arguments)?;
+    let (json, print_table) = (arguments.json.clone(), arguments.print_table);
+    let report = play(scenario, arguments)?;
     if let Some(path) = json {
         std::fs::write(&path, format!("{:#}\n", report.json()))
             .with_context(|| path.display().to_string())?;
     }
-    if table {
+    if print_table {
         print!("{}", report.table());
     }
     println!("{report}");
     Ok(crate::exit_code(report.good()))
 }
 
-fn read_scenario(arguments: &PlayArguments) -> Result<Scenario> {
+fn read_scenario(arguments: &ScenarioArguments) -> Result<Scenario> {
     let name = &arguments.scenario;
-    let shipped = SHIPPED
+    let built_in = SHIPPED
         .iter()
-        .find(|(shipped_name, _)| shipped_name == name)
+        .find(|(built_in_name, _)| built_in_name == name)
         .map(|(_, text)| (*text).to_owned());
-    let text = match shipped {
+    let text = match built_in {
         Some(text) => text,
         None => std::fs::read_to_string(name).with_context(|| name.clone())?,
     };
     Scenario::parse_with(&text, &arguments.overrides, arguments.seed).with_context(|| name.clone())
 }
 
-fn run(scenario: Scenario, arguments: PlayArguments) -> Result<Report> {
-    // The command line's operator file goes before the scenario's.
+fn play(scenario: Scenario, arguments: ScenarioArguments) -> Result<Report> {
+    // The command line's operator file takes precedence over the scenario's.
     let operator = if arguments.operator.is_empty() {
         scenario.operator.clone()
     } else {
--- a/crates/saffronpaddle/src/log_counts.rs
+++ b/crates/saffronpaddle/src/log_counts.rs
@@ -1,4 +1,4 @@
-//! `saffronpaddle fleet counts`: adds up the counts that nodes wrote to their logs.
+//! `saffronpaddle fleet counts`: adds up the counters that nodes wrote to their logs.
 
 use anyhow::Result;
 use lexopt::prelude::*;
@@ -21,7 +21,7 @@
     }
     anyhow::ensure!(
         !paths.is_empty(),
-        "fleet counts takes logs, or folders of logs"
+        "fleet counts: missing argument LOGS: log files, or folders of them"
     );
     let counts = Counts::read(&paths)?;
     print!("{}", if csv { counts.csv() } else { counts.table() });
--- a/crates/saffronpaddle/src/main.rs
+++ b/crates/saffronpaddle/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `saffronpaddle`: picks the subcommand that the command line names.
+//! The program `saffronpaddle`: runs the subcommand that the command line names.
 //!
 //! Exit codes: 0 for success, 1 for a failure, which is explained on standard error.
 #![forbid(unsafe_code)]
@@ -19,7 +19,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Environment variable that names the operator file where the command line doesn't.
+/// Environment variable that names the operator file if the command line doesn't.
 const OPERATOR_VARIABLE: &str = "SAFFRONPADDLE_OPERATOR";
 
 fn main() -> ExitCode {
@@ -45,7 +45,7 @@
             return Ok(ExitCode::SUCCESS);
         }
         Some(Value(name)) => name.to_string_lossy().into_owned(),
-        // Options without a subcommand are those of `run`.
+        // An option without a subcommand is one of `run`.
         Some(Long("operator")) => return run_node(Some(arguments.value()?), arguments),
         Some(other) => return Err(other.unexpected().into()),
     };
@@ -58,11 +58,11 @@
             demo::demo(arguments)
         }
         "fleet" => fleet::fleet(arguments),
-        _ => anyhow::bail!("unknown job {subcommand:?}; --help tells which there are"),
+        _ => anyhow::bail!("unknown subcommand {subcommand:?}; --help lists them"),
     }
 }
 
-/// Runs one node until it is told to stop.
+/// Runs one node until a signal stops it.
 fn run_node(mut operator: Option<OsString>, mut arguments: lexopt::Parser) -> Result<ExitCode> {
     while let Some(argument) = arguments.next()? {
         match argument {
@@ -76,11 +76,11 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// The program that instances of a fleet run: the one that was named, or else this one.
+/// Returns the program that the instances of a fleet run: `named`, or this program if it is `None`.
 fn instance_program(named: Option<PathBuf>) -> Result<PathBuf> {
     named
         .map_or_else(std::env::current_exe, Ok)
-        .context("this program")
+        .context("find the path of this program")
 }
 
 fn exit_code(succeeded: bool) -> ExitCode {
--- a/crates/saffronpaddle/src/soak.rs
+++ b/crates/saffronpaddle/src/soak.rs
@@ -1,4 +1,4 @@
-//! `saffronpaddle fleet soak`: plays fleets with random faults, one seed after the other.
+//! `saffronpaddle fleet soak`: runs fleets with random faults that overlap, one seed after another.
 
 use anyhow::Result;
 use lexopt::prelude::*;
@@ -7,22 +7,22 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// What the command line sets.
+/// Arguments of `fleet soak`.
 struct SoakArguments {
     first_seed: u64,
     runs: u64,
     size: Size,
-    /// Whether a plan that fails is made smaller.
+    /// Whether to shrink a plan that fails, by leaving out faults.
     shrink: bool,
     /// The program that instances run.
     program: PathBuf,
-    /// Where the logs of seeds that fail are kept.
+    /// Folder in which the logs of failed seeds are kept.
     folder: PathBuf,
-    /// A library that makes system calls of the instances fail.
+    /// Library that is preloaded into the instances and makes system calls fail. If `None`, no library is preloaded.
     preload: Option<PathBuf>,
 }
 
-/// Plays as many seeds as the arguments say. The exit code is a failure if any of them broke a rule.
+/// Runs the seeds that the arguments select. The exit code is a failure if any of them violated a rule.
 ///
 /// # Errors
 /// The arguments are wrong, or a fleet can't be started.
@@ -31,7 +31,7 @@
     let runs = arguments.runs;
     let mut failed = 0;
     for seed in arguments.first_seed..arguments.first_seed + runs {
-        if !arguments.play_seed(seed)? {
+        if !arguments.run_seed(seed)? {
             failed += 1;
         }
     }
@@ -80,8 +80,8 @@
         }
     }
 
-    /// Plays one seed, prints its report, and says whether all rules were kept.
-    fn play_seed(&self, seed: u64) -> Result<bool> {
+    /// Runs one seed and prints its report. Returns whether all rules were kept.
+    fn run_seed(&self, seed: u64) -> Result<bool> {
         let folder = self.folder.join(seed.to_string());
         let plan = Plan::draw(seed, self.size);
         let report = soak::play(&plan, &self.options(seed, &folder))?;
@@ -90,7 +90,7 @@
             std::fs::remove_dir_all(&folder)?;
             return Ok(true);
         }
-        println!("seed {seed} fails; logs are in {}", folder.display());
+        println!("seed {seed} failed; its logs are in {}", folder.display());
         println!("{}", soak::timeline(&report, &folder));
         let smallest = if self.shrink {
             let options = self.options(seed, &self.folder.join("shrinks"));
@@ -98,10 +98,7 @@
         } else {
             plan
         };
-        println!(
-            "the smallest plan that was seen to fail:\n{}",
-            smallest.text()
-        );
+        println!("smallest plan found that fails:\n{}", smallest.text());
         Ok(false)
     }
 }
