--- a/crates/saffronpaddle/src/call.rs
+++ b/crates/saffronpaddle/src/call.rs
@@ -13,12 +13,12 @@
 const MAX_RESPONSE_BYTES: u64 = 1 << 20;
 /// The line that ends a response of several lines.
 const END_OF_TEXT: &str = "EOT\n";
-/// Start of the response to a command that was carried out.
+/// Start of the response to a command that succeeded.
 const SUCCESS: &str = "SUCCESS";
 
 /// Sends the command that the arguments name and prints the response.
 ///
-/// The exit code is success if the command was carried out, or if the metrics were received completely.
+/// The exit code is success if the command succeeded, or if the metrics were received completely.
 ///
 /// # Errors
 /// The arguments are wrong, or no node responds at the address.
--- a/crates/saffronpaddle/src/fleet.rs
+++ b/crates/saffronpaddle/src/fleet.rs
@@ -23,7 +23,7 @@
     /// File to which the report is written as JSON.
     json: Option<PathBuf>,
     /// Folder in which configurations and logs are kept. If `None`, a temporary folder is used.
-    keep: Option<PathBuf>,
+    output_folder: Option<PathBuf>,
     /// Whether to print a table with a row for each second.
     print_table: bool,
     in_virtual_time: bool,
@@ -47,7 +47,7 @@
 }
 
 fn parse(mut arguments: lexopt::Parser) -> Result<Command> {
-    let (mut scenario, mut seed, mut json, mut keep) = (None, 1, None, None);
+    let (mut scenario, mut seed, mut json, mut output_folder) = (None, 1, None, None);
     let (mut print_table, mut program, mut operator) = (false, None, String::new());
     let mut in_virtual_time = false;
     let mut overrides = Overrides::default();
@@ -60,7 +60,7 @@
             },
             Long("seed") => seed = arguments.value()?.parse()?,
             Long("json") => json = Some(PathBuf::from(arguments.value()?)),
-            Long("keep") => keep = Some(PathBuf::from(arguments.value()?)),
+            Long("keep") => output_folder = Some(PathBuf::from(arguments.value()?)),
             Long("table") => print_table = true,
             Long("virtual") => in_virtual_time = true,
             Long("program") => program = Some(PathBuf::from(arguments.value()?)),
@@ -81,7 +81,7 @@
         scenario: scenario.context("fleet: expected SCENARIO")?,
         seed,
         json,
-        keep,
+        output_folder,
         print_table,
         in_virtual_time,
         program,
@@ -132,15 +132,15 @@
     }
     let temporary_folder =
         || std::env::temp_dir().join(format!("saffronpaddle-fleet-{}", std::process::id()));
-    let keep = arguments.keep.is_some();
+    let keep_folder = arguments.output_folder.is_some();
     let options = Options {
         program,
         seed: arguments.seed,
-        folder: arguments.keep.unwrap_or_else(temporary_folder),
+        folder: arguments.output_folder.unwrap_or_else(temporary_folder),
         operator,
         say: true,
         log_level: "info",
         preload: None,
     };
-    saffronpaddle_fleet_harness::run(scenario, &options, keep)
+    saffronpaddle_fleet_harness::run(scenario, &options, keep_folder)
 }
--- a/crates/saffronpaddle/tests/admin.rs
+++ b/crates/saffronpaddle/tests/admin.rs
@@ -21,14 +21,14 @@
 
 /// Polls until the metric has the wanted value.
 fn wait_for_metric(admin: SocketAddr, name: &str, wanted: u64) {
-    let begun = Instant::now();
+    let started = Instant::now();
     loop {
         let metrics = admin_request(admin, "INFO\n");
         if metric_value(&metrics, name) == wanted {
             return;
         }
         assert!(
-            begun.elapsed() < TEST_TIMEOUT,
+            started.elapsed() < TEST_TIMEOUT,
             "{name} is not {wanted}: {metrics}"
         );
     }
@@ -223,7 +223,7 @@
     );
     // REJOIN does not cancel a stop.
     node.terminate();
-    let begun = Instant::now();
+    let started = Instant::now();
     while node.is_running() {
         if let Ok(mut stream) = TcpStream::connect(admin) {
             let mut answer = String::new();
@@ -232,7 +232,7 @@
                 .write_all(b"REJOIN\n")
                 .and_then(|()| stream.read_to_string(&mut answer));
         }
-        assert!(begun.elapsed() < TEST_TIMEOUT);
+        assert!(started.elapsed() < TEST_TIMEOUT);
         std::thread::sleep(Duration::from_millis(20));
     }
 }
--- a/crates/saffronpaddle/tests/lifecycle.rs
+++ b/crates/saffronpaddle/tests/lifecycle.rs
@@ -24,7 +24,7 @@
 /// Polls until the node is ready. Returns how often it was not, and the last reason that it gave.
 fn wait_until_ready(node: &Node) -> (u32, String) {
     let (mut not_ready, mut reason) = (0, String::new());
-    let begun = Instant::now();
+    let started = Instant::now();
     loop {
         let answer = node.connect().exchange(READY_REQUEST);
         if answer.status() == 200 {
@@ -34,7 +34,7 @@
             not_ready + 1,
             String::from_utf8_lossy(&answer.body).into_owned(),
         );
-        assert!(begun.elapsed() < TEST_TIMEOUT, "never ready: {reason}");
+        assert!(started.elapsed() < TEST_TIMEOUT, "never ready: {reason}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
@@ -311,14 +311,14 @@
     );
     early.into_iter().for_each(assert_ok_response);
     // One connection is open while the node is told to stop, and many are opened afterwards.
-    let mut kept = first.connect();
+    let mut idle = first.connect();
     assert_eq!(
-        kept.exchange(&request("kept", "read", "20000m")).status(),
+        idle.exchange(&request("kept", "read", "20000m")).status(),
         200
     );
     first.terminate();
     assert!(first.wait().success());
-    kept.expect_close();
+    idle.expect_close();
     let between: Vec<_> = (0..20)
         .map(|n| connect_and_send(address, &request(&format!("between{n}"), "read", "20000m")))
         .collect();
@@ -350,14 +350,14 @@
     let mut early: Vec<_> = (0..20)
         .map(|_| TcpStream::connect(node.address).expect("a connection"))
         .collect();
-    let mut kept = node.connect();
+    let mut idle = node.connect();
     assert_eq!(
-        kept.exchange(&request("kept", "read", "20000m")).status(),
+        idle.exchange(&request("kept", "read", "20000m")).status(),
         200
     );
     node.terminate();
     // Once the idle connection is closed, the node has handled the signal.
-    kept.expect_close();
+    idle.expect_close();
     for (number, stream) in early.iter_mut().enumerate() {
         stream
             .write_all(request(&format!("late{number}"), "read", "20000m").as_bytes())
@@ -418,7 +418,7 @@
     let mut stream = got.stream;
     stream
         .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nranks")
-        .expect("the attempt is still out");
+        .expect("the attempt is still pending");
     assert_eq!(
         held.read_response()
             .expect("an accepted request is answered")
