--- a/crates/saffronpaddle/tests/crossings.rs
+++ b/crates/saffronpaddle/tests/crossings.rs
@@ -1,8 +1,8 @@
-//! Instants in which something is still owed, forced over loopback against the program: a watch that dies, a client that
-//! leaves, a process that ends, each just as something else happens. `docs/properties.md` has the table.
+//! Races between two events, forced over loopback against the program: a watch ends, a client disconnects or the
+//! process stops while a request or an update is still pending. `docs/properties.md` has the table.
 //!
-//! Events order what happens. Where the machine alone knows when bytes have come, a node that is made to stand still finds
-//! them all at once as it goes on.
+//! The tests order events by waiting for each one. Where only the kernel knows when bytes have arrived, the node is
+//! suspended, so that it finds all of them at once when it resumes.
 
 use saffronpaddle_test_doubles::scripted::*;
 use std::io::{BufReader, Read, Write};
@@ -10,17 +10,17 @@
 use std::thread;
 use std::time::Duration;
 
-/// Requests that all go to one server show that a change of the list has been taken and holds.
-const HOLDS: usize = 10;
-/// Requests after which a change of the list that has not shown never does.
-const MANY: usize = 2000;
+/// Consecutive requests that one server must answer before a change of the list counts as applied.
+const CONSECUTIVE_ANSWERS: usize = 10;
+/// Requests after which a change of the list that has had no effect counts as lost.
+const MAX_REQUESTS: usize = 2000;
 
-/// Asks until a server answers, then some more: it is the only one from then on.
-fn until_only(client: &mut Client, servers: &Servers, name: &str) {
-    let (mut held, mut number) = (0, 0);
-    while held < HOLDS {
+/// Sends requests until the server answers one, then asserts that it answers all that follow.
+fn wait_until_only_server(client: &mut Client, servers: &Servers, name: &str) {
+    let (mut consecutive, mut number) = (0, 0);
+    while consecutive < CONSECUTIVE_ANSWERS {
         number += 1;
-        assert!(number < MANY, "{name} never answers");
+        assert!(number < MAX_REQUESTS, "{name} has answered no request");
         assert_eq!(
             client
                 .exchange(&request(&format!("{name}-{number}"), "read", "20000m"))
@@ -28,13 +28,16 @@
             200
         );
         let server = servers.next_request().server;
-        assert!(held == 0 || server == name, "{server} after {name}");
-        held += usize::from(server == name);
+        assert!(
+            consecutive == 0 || server == name,
+            "{server} answered after {name} had"
+        );
+        consecutive += usize::from(server == name);
     }
 }
 
-/// Two servers of which a node knows the first.
-fn two(tag: &str) -> (Servers, Discovery, Node, [SocketAddr; 2]) {
+/// Starts two servers, and a node that knows only the first.
+fn start_with_two_servers(tag: &str) -> (Servers, Discovery, Node, [SocketAddr; 2]) {
     let (servers, discovery) = (Servers::new(), Discovery::start());
     let dials = ["s-1", "s-2"].map(|name| servers.start(name, &[REPLY_OK]));
     let node = Node::start(
@@ -45,8 +48,8 @@
     (servers, discovery, node, dials)
 }
 
-/// The first drains, the second is ready.
-fn moved(seq: u64, whole: bool, dials: [SocketAddr; 2]) -> String {
+/// A list on which the first server is draining and the second is ready.
+fn list_draining_first(seq: u64, whole: bool, dials: [SocketAddr; 2]) -> String {
     list_json(
         seq,
         whole,
@@ -59,10 +62,10 @@
 
 // ---- Watches ----
 
-/// Danger: read line by line, each line of such a list fails, and each new watch fails in the same way.
+/// Guards against a parser that reads line by line: each line of an indented list would fail, on every new watch again.
 #[test]
-fn lists_that_come_indented_over_several_lines_are_read() {
-    let (servers, discovery, node, dials) = two("indented");
+fn a_list_indented_over_several_lines_is_parsed() {
+    let (servers, discovery, node, dials) = start_with_two_servers("indented");
     let (_, mut watch) = discovery.next_watch();
     let json: String = list_json(2, true, &[]).replace("[]", "[@]");
     let entries = [
@@ -70,21 +73,21 @@
         host_json("s-2", dials[1], 1, "ready"),
     ]
     .join(",\n    ");
-    let spread = json.replace(
+    let indented = json.replace(
         '@',
         &format!("\n    {}\n  ", entries.replace(",\"", ",\n      \"")),
     );
-    // In pieces that end anywhere, and the last without the end of its line.
-    for piece in spread.as_bytes().chunks(7) {
+    // Written in pieces that end at arbitrary bytes, without a line feed at the end.
+    for piece in indented.as_bytes().chunks(7) {
         write_chunk(&mut watch, std::str::from_utf8(piece).expect("it is ASCII"));
     }
-    until_only(&mut node.connect(), &servers, "s-2");
+    wait_until_only_server(&mut node.connect(), &servers, "s-2");
 }
 
-/// Two lists in one piece, and the next begun in it: each counts as it ends.
+/// One chunk holds two lists and the beginning of a third: each list is applied as soon as it is complete.
 #[test]
-fn lists_that_come_in_one_piece_are_all_taken() {
-    let (servers, discovery, node, dials) = two("one-piece");
+fn all_lists_in_one_chunk_are_applied() {
+    let (servers, discovery, node, dials) = start_with_two_servers("one-piece");
     let (_, mut watch) = discovery.next_watch();
     let back = list_json(
         3,
@@ -94,20 +97,24 @@
             host_json("s-2", dials[1], 1, "draining"),
         ],
     );
-    let last = moved(4, true, dials);
-    let (begun, rest) = last.split_at(last.len() / 2);
+    let last = list_draining_first(4, true, dials);
+    let (beginning, rest) = last.split_at(last.len() / 2);
     write_chunk(
         &mut watch,
-        &format!("\n{}{back}\n\n{begun}", moved(2, true, dials)),
+        &format!(
+            "\n{}{back}\n\n{beginning}",
+            list_draining_first(2, true, dials)
+        ),
     );
     write_chunk(&mut watch, rest);
-    until_only(&mut node.connect(), &servers, "s-2");
+    wait_until_only_server(&mut node.connect(), &servers, "s-2");
 }
 
-/// Danger: where lists are asked for, a large fleet whose watches have ended waited for as long as one whose calls fail. What
-/// a silent watch misses counts as told 6 s after its last word. Ten times in a row, which took two minutes at the mean.
+/// Guards against a node of a large fleet in `subscribe` mode that, after an open watch has ended, waits as long as
+/// after a failed call. A change that a silent watch misses counts as announced 6 s after the watch's last message.
+/// With that fault, the ten watches here took two minutes on average.
 #[test]
-fn a_watch_that_was_open_is_opened_again_at_once_in_a_large_fleet_that_asks() {
+fn a_large_subscribing_fleet_reopens_an_ended_watch_at_once() {
     let (servers, discovery) = (Servers::new(), Discovery::start());
     let known = host_json("s-1", servers.start("s-1", &[REPLY_OK]), 1, "ready");
     let large = |text: String| {
@@ -123,17 +130,18 @@
     drop(node);
 }
 
-/// Danger: SIGHUP names another discovery, which is silent, while the old one still tells of a drain. The old one stays told
-/// until the new one has spoken, also where the new one's numbers begin anew; then it is left.
+/// After SIGHUP has configured another discovery service, which is silent, the old one announces a drain. The old one
+/// stays in use until the new one has sent a list, also where the new one's sequence numbers start again; then its
+/// watch ends.
 #[test]
-fn what_the_old_discovery_tells_counts_until_the_new_one_has_spoken() {
-    let (servers, old, node, dials) = two("moves");
+fn the_old_discovery_stays_in_use_until_the_new_one_has_sent_a_list() {
+    let (servers, old, node, dials) = start_with_two_servers("moves");
     let (_, mut watch) = old.next_watch();
     write_list(
         &mut watch,
         &list_json(7, true, &[host_json("s-1", dials[0], 1, "ready")]),
     );
-    // It accepts, and says nothing; then comes a second move to one like it.
+    // Both accept connections and send nothing; the node is moved to one, then to the other.
     let silent = [(); 2].map(|()| TcpListener::bind("127.0.0.1:0").expect("a port"));
     let silent_at = silent
         .each_ref()
@@ -141,10 +149,10 @@
     let from = old.address.to_string();
     node.reload(|text| text.replace(&from, &silent_at[0]));
     node.reload(|text| text.replace(&silent_at[0], &silent_at[1]));
-    write_list(&mut watch, &moved(8, false, dials));
+    write_list(&mut watch, &list_draining_first(8, false, dials));
     let mut client = node.connect();
-    until_only(&mut client, &servers, "s-2");
-    // The new one begins its numbers anew, and speaks at last: what it says counts, and the old one is left.
+    wait_until_only_server(&mut client, &servers, "s-2");
+    // The new one's sequence numbers start again. Its first list is applied, and the old watch ends.
     let new = Discovery::start();
     node.reload(|text| text.replace(&silent_at[1], &new.address.to_string()));
     let (asked, mut first) = new.next_watch();
@@ -153,7 +161,7 @@
         &mut first,
         &list_json(1, true, &[host_json("s-1", dials[0], 1, "ready")]),
     );
-    until_only(&mut client, &servers, "s-1");
+    wait_until_only_server(&mut client, &servers, "s-1");
     watch
         .set_read_timeout(Some(TEST_TIMEOUT))
         .expect("a time-out");
@@ -162,37 +170,38 @@
         .expect("the old watch ends");
 }
 
-/// A process that starts with an old list: what its agent has counts from its first moment on.
+/// The configuration of a restarted process holds an old list: the agent's list replaces it.
 #[test]
-fn a_process_that_is_back_with_an_old_list_follows_its_agent() {
-    let (servers, discovery, node, dials) = two("killed");
+fn a_restarted_process_with_an_old_list_applies_the_list_of_its_agent() {
+    let (servers, discovery, node, dials) = start_with_two_servers("killed");
     let (_, mut watch) = discovery.next_watch();
-    write_list(&mut watch, &moved(2, true, dials));
-    until_only(&mut node.connect(), &servers, "s-2");
+    write_list(&mut watch, &list_draining_first(2, true, dials));
+    wait_until_only_server(&mut node.connect(), &servers, "s-2");
     node.signal("-KILL");
-    // Its addresses are free once it has ended, which is a moment after the word.
+    // Its addresses are free once the process has ended, which is shortly after the signal.
     let stat = format!("/proc/{}/stat", node.id());
     while std::fs::read_to_string(&stat).is_ok_and(|stat| !stat.contains(") Z ")) {
         std::thread::sleep(std::time::Duration::from_millis(1));
     }
-    // Its configuration still has the list of before.
-    let back = node.successor(|_| {});
+    // The configuration still has the list from before the drain.
+    let restarted = node.successor(|_| {});
     let (_, mut watch) = discovery.next_watch();
-    write_list(&mut watch, &moved(2, true, dials));
-    until_only(&mut back.connect(), &servers, "s-2");
+    write_list(&mut watch, &list_draining_first(2, true, dials));
+    wait_until_only_server(&mut restarted.connect(), &servers, "s-2");
 }
 
 // ---- Drains ----
 
-/// Has a node stand still, over and over, while requests and news of the list come to it: the one drains of whom the other was
-/// drained before. All of it is there unread as the node goes on, the news in such pieces.
-fn stands_still(tag: &str, pieces: impl Fn(&str) -> Vec<String>) {
-    let (servers, discovery, node, dials) = two(tag);
+/// Suspends a node again and again while requests and a changed list arrive; the two servers drain in turn. When the
+/// node resumes, all of it is unread, the list in the chunks that `pieces` cuts it into. Asserts that every request
+/// goes to the server that the new list has as ready.
+fn assert_drain_precedes_requests(tag: &str, pieces: impl Fn(&str) -> Vec<String>) {
+    let (servers, discovery, node, dials) = start_with_two_servers(tag);
     let (_, mut watch) = discovery.next_watch();
     let mut clients: Vec<Client> = (0..8).map(|_| node.connect()).collect();
-    let mut drains = true;
+    let mut first_drains = true;
     for round in 0..20 {
-        // Connections are kept to who is ready.
+        // These requests leave kept connections to the server that is ready.
         for (number, client) in clients.iter_mut().enumerate() {
             let id = format!("w{round}-{number}");
             assert_eq!(
@@ -201,7 +210,7 @@
             );
             servers.next_request();
         }
-        let (name, health) = if drains {
+        let (name, health) = if first_drains {
             ("s-2", ["draining", "ready"])
         } else {
             ("s-1", ["ready", "draining"])
@@ -211,7 +220,7 @@
             host_json("s-2", dials[1], 1, health[1]),
         ];
         node.suspend();
-        // The requests first: the order in which the machine tells of them is theirs.
+        // The requests come first: the kernel reports them in the order of arrival.
         for (number, client) in clients.iter_mut().enumerate() {
             let request = request(&format!("r{round}-{number}"), "pay", "20000m");
             client.write(&request);
@@ -233,22 +242,23 @@
             assert_eq!(client.read_response().expect("an answer").status(), 200);
             assert_eq!(servers.next_request().server, name, "round {round}");
         }
-        drains = !drains;
+        first_drains = !first_drains;
     }
 }
 
-/// Danger: a loop that was late finds a drain and requests waiting for it at once, and writes the requests first. The news was
-/// there before the node went on: not one of them may go to the server that drains, over kept connections or new ones.
+/// Guards against a late event loop that finds a drain and requests at once and sends the requests first. The drain
+/// arrived before the node resumed: no request may go to the draining server, over kept connections or new ones.
 #[test]
-fn a_node_that_stood_still_takes_the_drain_before_the_requests_that_came_with_it() {
-    stands_still("still", |list| vec![format!("{list}\n")]);
+fn a_suspended_node_applies_a_drain_before_requests_that_arrived_with_it() {
+    assert_drain_precedes_requests("still", |list| vec![format!("{list}\n")]);
 }
 
-/// Danger: news that has been read off its socket and is not taken yet, behind the signs of life that came before it or in the
-/// middle of a list that came in pieces, while a first byte asks whether anything waits.
+/// Guards against a list that has been read from its socket but not applied, because it follows keep-alive blanks or
+/// came in several chunks, at the moment at which the node checks for pending updates before the first byte of an
+/// attempt.
 #[test]
-fn a_node_that_stood_still_takes_a_drain_that_came_in_pieces_behind_signs_of_life() {
-    stands_still("still-pieces", |list| {
+fn a_suspended_node_applies_a_drain_that_arrived_in_pieces_after_keep_alives() {
+    assert_drain_precedes_requests("still-pieces", |list| {
         let mut pieces = vec![" ".to_owned(), "\n".to_owned()];
         pieces.extend(
             list.as_bytes()
@@ -260,9 +270,10 @@
     });
 }
 
-/// Danger: the answer to a call for the list, with the list behind it, that waits beside requests: no watch is open yet.
+/// Guards against a node that has no open watch yet and finds the answer to its call, followed by the list, beside
+/// requests.
 #[test]
-fn a_node_that_stood_still_takes_a_drain_that_came_with_the_answer_to_its_call() {
+fn a_suspended_node_applies_a_drain_that_arrived_with_the_response_to_its_call() {
     let (servers, listener) = (
         Servers::new(),
         TcpListener::bind("127.0.0.1:0").expect("a port"),
@@ -270,7 +281,9 @@
     let dials = ["s-1", "s-2"].map(|name| servers.start(name, &[REPLY_OK]));
     let at = listener.local_addr().expect("an address");
     let node = Node::start("still-call", at, &[host_json("s-1", dials[0], 1, "ready")]);
-    listener.set_nonblocking(true).expect("it can be");
+    listener
+        .set_nonblocking(true)
+        .expect("the listener becomes non-blocking");
     let mut clients: Vec<Client> = (0..8).map(|_| node.connect()).collect();
     for (number, client) in clients.iter_mut().enumerate() {
         assert_eq!(
@@ -282,17 +295,17 @@
         assert_eq!(servers.next_request().server, "s-1");
     }
     let mut newest = None;
-    let mut called = loop {
+    let mut open_call = loop {
         node.suspend();
         newest = std::iter::from_fn(|| listener.accept().ok())
             .last()
             .or(newest);
-        // A call that is on its way, or that was given up, is none to be answered.
+        // A call whose request has not arrived, or that the node has cancelled, is not answered.
         let call = newest.take_if(|(stream, _)| {
             stream.set_nonblocking(true).expect("a mode");
-            let seen = stream.peek(&mut [0]).is_ok();
+            let has_arrived = stream.peek(&mut [0]).is_ok();
             stream.set_nonblocking(false).expect("a mode");
-            seen
+            has_arrived
         });
         if let Some((stream, _)) = call {
             Message::read(&mut BufReader::new(stream.try_clone().expect("a clone")));
@@ -308,13 +321,13 @@
         client.write(&request);
         wait_for_unread(&client.stream, request.len());
     }
-    let list = moved(2, true, dials) + "\n";
+    let list = list_draining_first(2, true, dials) + "\n";
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     let answer = format!("{head}{:x}\r\n{list}\r\n", list.len());
-    called
+    open_call
         .write_all(answer.as_bytes())
         .expect("the call is open");
-    wait_for_unread(&called, answer.len());
+    wait_for_unread(&open_call, answer.len());
     node.signal("-CONT");
     for client in &mut clients {
         assert_eq!(client.read_response().expect("an answer").status(), 200);
@@ -324,8 +337,8 @@
 
 // ---- Clients ----
 
-/// A node with its operators' address, which knows one server in some standing.
-fn with_admin(
+/// Starts a node with an admin address, which knows one server with the given health.
+fn start_with_admin(
     tag: &str,
     servers: &Servers,
     health: &str,
@@ -344,99 +357,106 @@
     (discovery, node, admin, dial)
 }
 
-/// Waits until a node has so many requests open, and none that it has refused or failed meanwhile: who left is neither.
-fn until_open(admin: SocketAddr, open: u64) {
+/// Waits until a node has this many open requests. Asserts that it has refused or failed none meanwhile: a request
+/// whose client disconnects counts as neither.
+fn wait_for_open_requests(admin: SocketAddr, open: u64) {
     loop {
-        let told = admin_request(admin, "INFO\n");
+        let info = admin_request(admin, "INFO\n");
         for end in ["throttled", "faulted"] {
             for class in ["read", "submit", "pay"] {
-                let ended = metric_value(&told, &format!("lb_{end}{{priority=\"{class}\"}}"));
+                let ended = metric_value(&info, &format!("lb_{end}{{priority=\"{class}\"}}"));
                 assert_eq!(
                     ended, 0,
-                    "it was given up by the node, not left by its client: {told}"
+                    "the node refused or failed a request whose client disconnected: {info}"
                 );
             }
         }
-        if metric_value(&told, "lb_open_requests") == open {
+        if metric_value(&info, "lb_open_requests") == open {
             return;
         }
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// How a client leaves.
+/// How a client ends its connection.
 #[derive(Clone, Copy, Debug)]
-enum Leaves {
-    /// It closes.
-    Closes,
-    /// It has sent another request behind the first, then closes. Danger: the library reads no further then, and sees no end.
-    ClosesBehindAnother,
-    /// It has sent rubbish, more than the library keeps, then closes. (Beyond what the machine keeps no end comes through.)
-    ClosesBehindRubbish,
-    /// It resets.
-    Resets,
-    /// It has sent more, and resets.
-    ResetsBehindAnother,
+enum Disconnect {
+    Close,
+    /// Closes after a second, pipelined request: the HTTP library reads no further then, and does not see the end.
+    CloseAfterSecondRequest,
+    /// Closes after garbage of more bytes than the HTTP library buffers. (Where the garbage exceeds the kernel's
+    /// buffers as well, the end does not arrive.)
+    CloseAfterGarbage,
+    Reset,
+    ResetAfterSecondRequest,
 }
 
-impl Leaves {
-    const ALL: [Leaves; 5] = [
-        Leaves::Closes,
-        Leaves::ClosesBehindAnother,
-        Leaves::ClosesBehindRubbish,
-        Leaves::Resets,
-        Leaves::ResetsBehindAnother,
+impl Disconnect {
+    const ALL: [Disconnect; 5] = [
+        Disconnect::Close,
+        Disconnect::CloseAfterSecondRequest,
+        Disconnect::CloseAfterGarbage,
+        Disconnect::Reset,
+        Disconnect::ResetAfterSecondRequest,
     ];
 
-    /// What it sends behind its request.
-    fn behind(self) -> String {
+    /// What the client sends after its request.
+    fn trailing_bytes(self) -> String {
         match self {
-            Leaves::Closes | Leaves::Resets => String::new(),
-            Leaves::ClosesBehindAnother | Leaves::ResetsBehindAnother => {
+            Disconnect::Close | Disconnect::Reset => String::new(),
+            Disconnect::CloseAfterSecondRequest | Disconnect::ResetAfterSecondRequest => {
                 request("behind", "read", "30000m")
             }
-            Leaves::ClosesBehindRubbish => {
+            Disconnect::CloseAfterGarbage => {
                 "GET /read/0 HTTP/1.1\r\nX-Junk: ".to_owned() + &"j".repeat(50_000)
             }
         }
     }
 
-    fn leave(self, client: Client) {
-        if matches!(self, Leaves::Resets | Leaves::ResetsBehindAnother) {
+    fn apply(self, client: Client) {
+        if matches!(
+            self,
+            Disconnect::Reset | Disconnect::ResetAfterSecondRequest
+        ) {
             let socket = socket2::SockRef::from(&client.stream);
-            socket.set_linger(Some(Duration::ZERO)).expect("it can be");
+            socket
+                .set_linger(Some(Duration::ZERO))
+                .expect("SO_LINGER is set");
         }
         client.stream.shutdown(Shutdown::Both).unwrap_or(());
     }
 }
 
-/// Nothing of a request is sent on whose client has left while it waited for a server, however it left.
+/// A request whose client disconnects, in whichever way, while it waits for a ready server is never sent upstream.
 #[test]
-fn a_client_that_leaves_while_its_request_waits_is_seen_and_nothing_is_sent_on() {
-    for leaves in Leaves::ALL {
+fn a_waiting_request_is_dropped_when_its_client_disconnects() {
+    for how in Disconnect::ALL {
         let servers = Servers::new();
         let (discovery, node, admin, dial) =
-            with_admin(&format!("leaves-{leaves:?}"), &servers, "draining");
+            start_with_admin(&format!("leaves-{how:?}"), &servers, "draining");
         let (_, mut watch) = discovery.next_watch();
         let mut client = node.connect();
         client.write(&request("left", "read", "30000m"));
-        until_open(admin, 1);
-        client.stream.set_nonblocking(true).expect("it can be");
-        // As much as the machine takes.
-        let _ = client.stream.write(leaves.behind().as_bytes());
-        leaves.leave(client);
-        until_open(admin, 0);
+        wait_for_open_requests(admin, 1);
+        client
+            .stream
+            .set_nonblocking(true)
+            .expect("the stream becomes non-blocking");
+        // Writes as much as the kernel accepts.
+        let _ = client.stream.write(how.trailing_bytes().as_bytes());
+        how.apply(client);
+        wait_for_open_requests(admin, 0);
         write_list(
             &mut watch,
             &list_json(2, true, &[host_json("s-1", dial, 1, "ready")]),
         );
-        until_only(&mut node.connect(), &servers, "s-1");
+        wait_until_only_server(&mut node.connect(), &servers, "s-1");
     }
 }
 
-/// The same between two attempts: the first was turned away, and its server drains meanwhile.
+/// The client disconnects between two attempts: the first has failed, and its server has been drained meanwhile.
 #[test]
-fn a_client_that_leaves_between_two_attempts_ends_its_request() {
+fn a_request_ends_when_its_client_disconnects_between_two_attempts() {
     let (servers, discovery, admin) = (Servers::new(), Discovery::start(), free_address());
     let dial = servers.start("s-1", &[Reply::NoResponse, REPLY_OK]);
     let node = Node::start_with_command(
@@ -458,25 +478,25 @@
     );
     got.stream
         .shutdown(Shutdown::Both)
-        .expect("the attempt is out, or called off as it is silent");
-    until_open(admin, 1);
+        .expect("the attempt is open, or was cancelled because the server is silent");
+    wait_for_open_requests(admin, 1);
     drop(client);
-    until_open(admin, 0);
+    wait_for_open_requests(admin, 0);
     write_list(
         &mut watch,
         &list_json(3, true, &[host_json("s-1", dial, 1, "ready")]),
     );
-    until_only(&mut node.connect(), &servers, "s-1");
+    wait_until_only_server(&mut node.connect(), &servers, "s-1");
 }
 
-/// A body that never comes whole, as its client leaves: nothing of it is sent.
+/// The client disconnects before the last byte of its body.
 #[test]
-fn a_client_that_leaves_before_its_body_is_whole_has_asked_nothing() {
+fn a_request_with_an_incomplete_body_is_not_sent_upstream() {
     let (servers, _discovery, node) = start_with_one_server("half-body", &[REPLY_OK]);
     for round in 0..10 {
         let mut client = node.connect();
-        let whole = request(&format!("half{round}"), "pay", "20000m");
-        client.write(&whole[..whole.len() - 1]);
+        let complete = request(&format!("half{round}"), "pay", "20000m");
+        client.write(&complete[..complete.len() - 1]);
         drop(client);
         let mut other = node.connect();
         assert_eq!(
@@ -493,10 +513,10 @@
     servers.assert_no_more_requests();
 }
 
-/// Each request on one kept connection is judged by its own class, customer and plan, whatever came before it, where names begin
-/// one another and a class has another effect than its method suggests.
+/// Requests of several classes, plans and customers share one kept connection. Some names are prefixes of others, and
+/// the class `read-all` is unsafe although its name suggests a read.
 #[test]
-fn each_request_on_a_kept_connection_is_judged_by_its_own_class_plan_and_customer() {
+fn each_request_on_a_kept_connection_uses_its_own_class_plan_and_customer() {
     let (servers, discovery) = (Servers::new(), Discovery::start());
     let dial = servers.start("s-1", &[REPLY_OK]);
     let renamed = |text: String| {
@@ -523,7 +543,7 @@
     assert_eq!(
         client.exchange(&of("b", "read", "p-1", poor)).status(),
         503,
-        "its store of one is empty"
+        "its quota of one unit is used up"
     );
     assert_eq!(
         client.exchange(&of("c", "read", "p", rich)).status(),
@@ -538,7 +558,7 @@
     assert_eq!(
         client.exchange(&of("e", "submit", "p-1", poor)).status(),
         503,
-        "the same in another class"
+        "the same customer and plan in another class"
     );
     for (id, class) in [("a", "read"), ("c", "read"), ("d", "read-all")] {
         let got = servers.next_request().message;
@@ -550,7 +570,7 @@
         );
         assert_eq!(got.start_line.starts_with("GET"), class == "read");
     }
-    // A class takes the method of its own effect, and no other's.
+    // A class accepts only the method that belongs to its effect.
     let wrong = of("f", "read-all", "p", rich).replacen("POST", "GET", 1);
     assert_eq!(client.exchange(&wrong).status(), 400);
     servers.assert_no_more_requests();
@@ -558,9 +578,9 @@
 
 // ---- Answers ----
 
-/// `X-Not-Run` proves nothing but beside a refusal; and a head that never ends is no answer.
+/// `X-Not-Run` is proof only beside a refusal, and a head that never ends is a failed attempt that may have run.
 #[test]
-fn an_answer_that_ran_is_not_unsaid_by_a_header() {
+fn an_unsafe_request_is_not_retried_without_a_valid_proof_that_it_did_not_run() {
     let head = "HTTP/1.1 200 OK\r\nX-Junk: ".to_owned() + &"j".repeat(40_000);
     let cases = [
         (
@@ -599,21 +619,22 @@
         assert_eq!(
             servers.next_request().message.header("x-request-id"),
             "b",
-            "{tag}: an unsafe request went twice"
+            "{tag}: an unsafe request was sent twice"
         );
     }
 }
 
 // ---- The process ends ----
 
-/// Reads a node's log up to a line.
-fn until_said(node: &Node, line: &str) {
+/// Reads a node's log up to and including a line.
+fn wait_for_log_line(node: &Node, line: &str) {
     while node.log_line() != line {}
 }
 
-/// Danger: the library takes a kept connection for idle though half of a head has come on it, and closes it as the node ends.
+/// Guards against the HTTP library, which treats a kept connection with half a head as idle and closes it during
+/// shutdown.
 #[test]
-fn half_a_head_on_a_kept_connection_is_answered_once_it_comes_whole_as_the_node_ends() {
+fn a_request_whose_head_is_incomplete_at_sigterm_is_answered_once_complete() {
     let (servers, _discovery, mut node) = start_with_one_server("half-head", &[REPLY_OK]);
     let (mut client, mut idle) = (node.connect(), node.connect());
     for client in [&mut client, &mut idle] {
@@ -628,10 +649,12 @@
     let (half, rest) = text.split_at(40);
     client.write(half);
     node.terminate();
-    // It closes what is idle.
+    // The node closes idle connections.
     idle.expect_close();
     client.write(rest);
-    let answer = client.read_response().expect("what came whole is answered");
+    let answer = client
+        .read_response()
+        .expect("the completed request is answered");
     assert_eq!(
         (answer.status(), answer.header("connection")),
         (200, "close")
@@ -641,9 +664,9 @@
     assert!(node.wait().success());
 }
 
-/// Danger: a request that is taken on the way out, whose client would wait for longer than the process is there.
+/// Guards against a request that is accepted during shutdown and whose deadline lies after the exit of the process.
 #[test]
-fn what_is_taken_on_the_way_out_is_answered_before_the_process_ends() {
+fn requests_accepted_during_shutdown_are_answered_before_the_process_exits() {
     let (servers, discovery) = (Servers::new(), Discovery::start());
     let dial = servers.start("s-1", &[Reply::NoResponse]);
     let short = |text: String| text.replace(r#""deadlineUs":30000000"#, r#""deadlineUs":1500000"#);
@@ -652,14 +675,17 @@
         Node::start_with_config("way-out", discovery.address, &hosts, 1024, short, |_| {});
     let mut fresh: Vec<Client> = (0..3).map(|_| node.connect()).collect();
     node.terminate();
-    until_said(&node, "life cycle: closing");
-    // It has never asked, so it still may; the later, the more of its time lies behind the node's end.
+    wait_for_log_line(&node, "life cycle: closing");
+    // A connection that has sent no request may still send one; the later it does, the further its deadline lies behind
+    // the exit.
     thread::sleep(Duration::from_millis(250));
     for (client, class) in fresh.iter_mut().zip(["read", "submit", "pay"]) {
         client.write(&request(class, class, "1500m"));
     }
     for client in &mut fresh {
-        let answer = client.read_response().expect("what was taken is answered");
+        let answer = client
+            .read_response()
+            .expect("an accepted request is answered");
         assert!(
             [502, 503].contains(&answer.status()),
             "{}",
@@ -669,9 +695,9 @@
     assert!(node.wait().success());
 }
 
-/// SIGTERM while a SIGHUP is under way, and twice: what was taken is answered, and the process ends by itself.
+/// SIGTERM and SIGHUP in any order, also repeated: the open request is answered, and the process exits by itself.
 #[test]
-fn words_to_end_and_to_reload_cross_and_nothing_is_lost() {
+fn an_open_request_is_answered_when_sigterm_and_sighup_arrive_together() {
     for (tag, signals) in [
         ("hup-term", &["-HUP", "-TERM"][..]),
         ("term-hup", &["-TERM", "-HUP"]),
@@ -682,18 +708,18 @@
         let mut client = node.connect();
         client.write(&request("a", "pay", "20000m"));
         let mut got = servers.next_request();
-        // All of them find the node at one stroke.
+        // The node is stopped, so that it finds all signals at once.
         node.signal("-STOP");
         signals.iter().for_each(|signal| node.signal(signal));
         node.signal("-CONT");
-        until_said(&node, "life cycle: closing");
+        wait_for_log_line(&node, "life cycle: closing");
         got.stream
             .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nranks")
-            .expect("the attempt is out");
+            .expect("the attempt is open");
         assert_eq!(
             client
                 .read_response()
-                .expect("what was taken is answered")
+                .expect("an accepted request is answered")
                 .status(),
             200,
             "{tag}"
@@ -702,9 +728,9 @@
     }
 }
 
-/// An answer that is larger than what the machine takes at once is written to its end before the process ends.
+/// The answer exceeds the kernel's send buffer, so that the node still holds a part of it at SIGTERM.
 #[test]
-fn an_answer_that_is_not_yet_flushed_is_written_to_its_end_as_the_node_ends() {
+fn an_unflushed_answer_is_written_completely_before_the_process_exits() {
     let words = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: 20000000\r\n\r\n{}",
         "r".repeat(20_000_000)
@@ -724,7 +750,11 @@
     node.terminate();
     idle.expect_close();
     assert_eq!(
-        client.read_response().expect("it is whole").body.len(),
+        client
+            .read_response()
+            .expect("a complete answer")
+            .body
+            .len(),
         20_000_000
     );
     assert!(node.wait().success());
@@ -732,11 +762,11 @@
 
 // ---- Bad input ----
 
-/// What can't be read changes nothing, and what comes after it counts.
+/// A malformed list changes nothing, and the next valid list is applied.
 #[test]
-fn a_list_that_can_not_be_read_leaves_the_last_good_one() {
-    let (servers, discovery, node, dials) = two("bad-lists");
-    let bad_entry = moved(9, true, dials).replace(&dials[0].to_string(), "nowhere");
+fn a_malformed_list_leaves_the_last_valid_one_in_use() {
+    let (servers, discovery, node, dials) = start_with_two_servers("bad-lists");
+    let bad_entry = list_draining_first(9, true, dials).replace(&dials[0].to_string(), "nowhere");
     for bad in [
         "noise",
         "[1]",
@@ -755,6 +785,6 @@
         assert_eq!(servers.next_request().server, "s-1", "{bad}");
     }
     let (_, mut watch) = discovery.next_watch();
-    write_list(&mut watch, &moved(2, true, dials));
-    until_only(&mut node.connect(), &servers, "s-2");
+    write_list(&mut watch, &list_draining_first(2, true, dials));
+    wait_until_only_server(&mut node.connect(), &servers, "s-2");
 }
--- /dev/null
+++ b/crates/saffronpaddle/tests/delayed_requests.rs
@@ -0,0 +1,341 @@
+//! Requests that wait before the node reads them, over loopback against the program: behind hundreds of idle
+//! connections, or because the event loop is late. The deadline that a server receives is what its client has left, and
+//! no attempt begins for a client that has disconnected.
+//!
+//! Tests that need a least waiting time suspend the node: a slow machine makes the wait longer, never shorter.
+
+use saffronpaddle_test_doubles::scripted::*;
+use std::io::Write;
+use std::net::{Shutdown, TcpStream};
+use std::thread;
+use std::time::{Duration, Instant};
+
+/// How long a node stays suspended.
+const SUSPENSION: Duration = Duration::from_millis(700);
+/// Deadline of requests that outlast a suspension: as sent in the header, and in ms.
+const LONG_DEADLINE: (&str, u128) = ("20000m", 20_000);
+/// Deadline of requests that expire during a suspension.
+const SHORT_DEADLINE: &str = "400m";
+/// The node's limit on sockets, and the idle connections that exceed it.
+const SOCKET_LIMIT_AND_IDLE_CONNECTIONS: (usize, usize) = (128, 500);
+
+/// Sends SIGSTOP to a node's process, and returns once the process has stopped.
+fn suspend(node: &Node) {
+    node.signal("-STOP");
+    let stat = format!("/proc/{}/stat", node.id());
+    while !std::fs::read_to_string(&stat)
+        .expect("the process exists")
+        .contains(") T ")
+    {
+        thread::sleep(Duration::from_millis(1));
+    }
+}
+
+/// Keeps a node suspended for a while after a request was sent to it, then resumes it. Returns the least number of ms
+/// that the request has waited.
+fn resume_after_suspension(node: &Node, sent: Instant) -> u128 {
+    thread::sleep(SUSPENSION);
+    let waited = sent.elapsed().as_millis();
+    node.signal("-CONT");
+    waited
+}
+
+/// The deadline in ms that a server received.
+fn received_deadline_ms(got: &ReceivedRequest) -> u128 {
+    let deadline = got.message.header("x-deadline");
+    deadline
+        .trim_end_matches('m')
+        .parse()
+        .unwrap_or_else(|_| panic!("X-Deadline: {deadline:?} is not a number of ms"))
+}
+
+/// Starts a node whose sockets the idle connections can use up.
+fn start_with_few_sockets(tag: &str) -> (Servers, Discovery, Node) {
+    let (servers, discovery) = (Servers::new(), Discovery::start());
+    let dial = servers.start("s-1", &[REPLY_OK]);
+    let node = Node::with_sockets(
+        tag,
+        discovery.address,
+        &[host_json("s-1", dial, 1, "ready")],
+        SOCKET_LIMIT_AND_IDLE_CONNECTIONS.0,
+    );
+    assert_eq!(
+        node.connect()
+            .exchange(&request("first", "read", LONG_DEADLINE.0))
+            .status(),
+        200
+    );
+    servers.next_request();
+    (servers, discovery, node)
+}
+
+fn open_idle_connections(node: &Node, count: usize) -> Vec<TcpStream> {
+    (0..count)
+        .map(|_| TcpStream::connect(node.address).expect("the kernel accepts the connection"))
+        .collect()
+}
+
+/// Sends one request, `b0`, `b1` and so on, over each of `count` new connections.
+fn send_one_request_each(node: &Node, count: usize, deadline: &str) -> Vec<Client> {
+    let send = |number| {
+        let mut client = node.connect();
+        client.write(&request(&format!("b{number}"), "read", deadline));
+        client
+    };
+    (0..count).map(send).collect()
+}
+
+/// Guards against a node that makes room for one connection after the other, so that clients with a request wait behind
+/// hundreds without one.
+#[test]
+fn requests_behind_idle_connections_are_answered_in_time() {
+    let (servers, _discovery, node) = start_with_few_sockets("behind");
+    let began = Instant::now();
+    // The idle connections use up all sockets, and more wait in the backlog.
+    let idle: Vec<_> = (0..3)
+        .flat_map(|_| open_idle_connections(&node, SOCKET_LIMIT_AND_IDLE_CONNECTIONS.1))
+        .collect();
+    let mut clients = send_one_request_each(&node, 20, "1500m");
+    for client in &mut clients {
+        assert_eq!(
+            client.read_response().expect("an answer").status(),
+            200,
+            "after {:?}",
+            began.elapsed()
+        );
+        servers.next_request();
+    }
+    drop(idle);
+}
+
+/// The node is suspended meanwhile: its backlog holds idle connections, and requests behind them.
+#[test]
+fn requests_behind_idle_connections_forward_no_more_time_than_is_left() {
+    let (servers, _discovery, node) = start_with_few_sockets("told");
+    // The idle connections use up all sockets, and none is left in the backlog, whose length the kernel limits.
+    let mut idle = open_idle_connections(&node, SOCKET_LIMIT_AND_IDLE_CONNECTIONS.1);
+    assert_eq!(
+        node.connect()
+            .exchange(&request("second", "read", LONG_DEADLINE.0))
+            .status(),
+        200
+    );
+    servers.next_request();
+    suspend(&node);
+    idle.extend(open_idle_connections(&node, 60));
+    let mut clients = send_one_request_each(&node, 20, LONG_DEADLINE.0);
+    let waited = resume_after_suspension(&node, Instant::now());
+    for client in &mut clients {
+        assert_eq!(client.read_response().expect("an answer").status(), 200);
+        let forwarded = received_deadline_ms(&servers.next_request());
+        assert!(
+            forwarded <= LONG_DEADLINE.1 - waited,
+            "{forwarded} ms forwarded after {waited} ms"
+        );
+    }
+    drop(idle);
+}
+
+/// Requests arrive on new connections while the node is suspended. One is sent on with the time that is left; the
+/// other, whose deadline has passed, is not sent on.
+#[test]
+fn a_request_that_waited_in_the_backlog_forwards_no_more_time_than_is_left() {
+    let (servers, _discovery, node) = start_with_one_server("backlog", &[REPLY_OK]);
+    for round in 0..3 {
+        let before = Instant::now();
+        suspend(&node);
+        let (mut long, mut short) = (node.connect(), node.connect());
+        long.write(&request(&format!("long{round}"), "read", LONG_DEADLINE.0));
+        short.write(&request(&format!("short{round}"), "read", SHORT_DEADLINE));
+        let waited = resume_after_suspension(&node, Instant::now());
+        assert_eq!(long.read_response().expect("an answer").status(), 200);
+        let got = servers.next_request();
+        let (forwarded, elapsed) = (received_deadline_ms(&got), before.elapsed().as_millis());
+        assert_eq!(got.message.header("x-request-id"), format!("long{round}"));
+        assert!(
+            forwarded <= LONG_DEADLINE.1 - waited,
+            "{forwarded} ms forwarded after {waited} ms"
+        );
+        // The node deducts at most the time that has passed, and an allowance of up to 2 s for waits that it cannot
+        // observe.
+        assert!(
+            forwarded + elapsed + 2000 >= LONG_DEADLINE.1,
+            "{forwarded} ms forwarded after {elapsed} ms"
+        );
+        assert_eq!(short.read_response().expect("an answer").status(), 503);
+    }
+    servers.assert_no_more_requests();
+}
+
+/// Requests arrive on a hundred kept connections while the node is suspended: the last one that the loop handles has
+/// waited as long as the first.
+#[test]
+fn requests_that_waited_on_kept_connections_forward_no_more_time_than_is_left() {
+    let (servers, _discovery, node) = start_with_one_server("kept", &[REPLY_OK]);
+    let mut clients: Vec<_> = (0..100).map(|_| node.connect()).collect();
+    for (number, client) in clients.iter_mut().enumerate() {
+        assert_eq!(
+            client
+                .exchange(&request(&format!("a{number}"), "read", LONG_DEADLINE.0))
+                .status(),
+            200
+        );
+        servers.next_request();
+    }
+    suspend(&node);
+    for (number, client) in clients.iter_mut().enumerate() {
+        client.write(&request(
+            &format!("b{number}"),
+            "read",
+            if number % 2 == 0 {
+                LONG_DEADLINE.0
+            } else {
+                SHORT_DEADLINE
+            },
+        ));
+    }
+    let waited = resume_after_suspension(&node, Instant::now());
+    for (number, client) in clients.iter_mut().enumerate() {
+        let is_long = number % 2 == 0;
+        assert_eq!(
+            client.read_response().expect("an answer").status(),
+            if is_long { 200 } else { 503 },
+            "{number}"
+        );
+        if is_long {
+            let forwarded = received_deadline_ms(&servers.next_request());
+            assert!(
+                forwarded <= LONG_DEADLINE.1 - waited,
+                "{forwarded} ms forwarded after {waited} ms"
+            );
+        }
+    }
+    servers.assert_no_more_requests();
+}
+
+/// A node whose loop is on time deducts nothing: the forwarded deadline is the client's, less the time for the answer's
+/// way back and the delays of a busy machine.
+#[test]
+fn a_request_that_did_not_wait_is_forwarded_with_all_its_time() {
+    let (servers, _discovery, node) = start_with_one_server("on-time", &[REPLY_OK]);
+    for round in 0..20 {
+        let mut client = node.connect();
+        let before = Instant::now();
+        for number in 0..5 {
+            let id = format!("r{round}-{number}");
+            assert_eq!(
+                client
+                    .exchange(&request(&id, "read", LONG_DEADLINE.0))
+                    .status(),
+                200
+            );
+            let (forwarded, elapsed) = (
+                received_deadline_ms(&servers.next_request()),
+                before.elapsed().as_millis(),
+            );
+            // The time for which the idle loop sleeps is not a wait of a request.
+            assert!(
+                forwarded + elapsed + 2000 >= LONG_DEADLINE.1 && forwarded < LONG_DEADLINE.1,
+                "{forwarded} ms forwarded after {elapsed} ms"
+            );
+        }
+    }
+}
+
+/// Guards against pipelined bytes that hide a client's disconnect, so that a retry begins although nobody waits for it.
+/// The kernel has the disconnect before it has the failure of the first attempt.
+#[test]
+fn no_retry_begins_for_a_client_that_disconnected_after_pipelined_bytes() {
+    let (servers, discovery) = (Servers::new(), Discovery::start());
+    let replies = (0..20)
+        .flat_map(|_| [Reply::NoResponse, REPLY_OK])
+        .collect();
+    let replies = ReplyQueue::new(std::sync::Mutex::new(replies));
+    let hosts = ["s-1", "s-2"]
+        .map(|name| host_json(name, servers.start_with_queue(name, &replies), 1, "ready"));
+    let node = Node::start("gone", discovery.address, &hosts);
+    for round in 0..20 {
+        let mut client = node.connect();
+        client.write(&request(&format!("left{round}"), "read", LONG_DEADLINE.0));
+        let got = servers.next_request();
+        assert_eq!(got.message.header("x-request-id"), format!("left{round}"));
+        client.write(&request("behind", "read", LONG_DEADLINE.0));
+        client
+            .stream
+            .shutdown(Shutdown::Both)
+            .expect("the connection is open");
+        got.stream.shutdown(Shutdown::Both).unwrap_or(());
+        let answer =
+            node.connect()
+                .exchange(&request(&format!("other{round}"), "read", LONG_DEADLINE.0));
+        assert_eq!(answer.status(), 200);
+        assert_eq!(
+            servers.next_request().message.header("x-request-id"),
+            format!("other{round}")
+        );
+    }
+    servers.assert_no_more_requests();
+}
+
+/// Clients connect, send a request and disconnect while the node is suspended; some send a part of a second request
+/// too.
+#[test]
+fn no_attempt_begins_for_a_client_that_disconnected_while_the_node_was_suspended() {
+    let (servers, _discovery, node) = start_with_one_server("came-and-left", &[REPLY_OK]);
+    let mut kept = node.connect();
+    assert_eq!(
+        kept.exchange(&request("first", "read", LONG_DEADLINE.0))
+            .status(),
+        200
+    );
+    servers.next_request();
+    for round in 0..5 {
+        suspend(&node);
+        for (name, trailing) in [("alone", ""), ("more", "GET /read/0 HTTP/1.1\r\nX-Junk: ")] {
+            let mut client = node.connect();
+            client.write(&(request(&format!("{name}{round}"), "read", LONG_DEADLINE.0) + trailing));
+            client
+                .stream
+                .shutdown(Shutdown::Both)
+                .expect("the connection is open");
+        }
+        node.signal("-CONT");
+        for number in 0..3 {
+            let id = format!("other{round}-{number}");
+            assert_eq!(
+                node.connect()
+                    .exchange(&request(&id, "read", LONG_DEADLINE.0))
+                    .status(),
+                200
+            );
+            assert_eq!(servers.next_request().message.header("x-request-id"), id);
+        }
+    }
+    drop(kept);
+    servers.assert_no_more_requests();
+}
+
+/// Guards against a node that, after other processes have used up the descriptors or its own connection slots were full
+/// of requests, accepts no new client once there is room again, or cannot exit.
+#[test]
+fn a_waiting_client_gets_a_slot_as_soon_as_a_request_has_ended() {
+    let (servers, discovery) = (Servers::new(), Discovery::start());
+    let dial = servers.start("s-1", &[Reply::NoResponse]);
+    let node = Node::with_sockets(
+        "full",
+        discovery.address,
+        &[host_json("s-1", dial, 1, "ready")],
+        64,
+    );
+    // More clients than connection slots: a client whose request is open keeps its slot.
+    let mut clients = send_one_request_each(&node, 40, LONG_DEADLINE.0);
+    let mut first = servers.next_request();
+    let words = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nranks";
+    first.stream.write_all(words).expect("the attempt is open");
+    let id = first.message.header("x-request-id").to_owned();
+    let number: usize = id[1..].parse().expect("a number");
+    assert_eq!(
+        clients[number].read_response().expect("an answer").status(),
+        200
+    );
+}
