--- a/crates/saffronpaddle/tests/edge.rs
+++ b/crates/saffronpaddle/tests/edge.rs
@@ -1,24 +1,34 @@
-//! The edge node over loopback sockets. Each test stands for something that can go wrong there; none asserts
-//! on speed.
+//! The edge node over loopback sockets: requests, retries, lists of servers, signals and limits. No test asserts on
+//! speed.
 
 use saffronpaddle_test_doubles::scripted::*;
 use std::io::Write;
 use std::time::Instant;
 
-/// An edge node that knows two app servers. The first attempt gets one answer, all others another.
-fn with_two(tag: &str, blocks: [u32; 2], first: Reply, then: Reply) -> (Servers, Discovery, Node) {
+/// Starts an edge node that knows two servers. The first attempt gets the reply `first`, all others get `then`.
+fn start_with_two_servers(
+    tag: &str,
+    blocks: [u32; 2],
+    first: Reply,
+    then: Reply,
+) -> (Servers, Discovery, Node) {
     let (servers, discovery) = (Servers::new(), Discovery::start());
-    let turns = ReplyQueue::new(vec![first, then].into());
-    let number = |(block, name): (u32, &str)| {
-        host_json(name, servers.start_with_queue(name, &turns), block, "ready")
+    let replies = ReplyQueue::new(vec![first, then].into());
+    let host = |(block, name): (u32, &str)| {
+        host_json(
+            name,
+            servers.start_with_queue(name, &replies),
+            block,
+            "ready",
+        )
     };
-    let hosts: Vec<_> = blocks.into_iter().zip(["s-1", "s-2"]).map(number).collect();
+    let hosts: Vec<_> = blocks.into_iter().zip(["s-1", "s-2"]).map(host).collect();
     let node = Node::start(tag, discovery.address, &hosts);
     (servers, discovery, node)
 }
 
 #[test]
-fn requests_go_on_unchanged_and_answers_come_back_over_kept_connections() {
+fn requests_are_forwarded_unchanged_and_connections_are_reused() {
     let (servers, _discovery, node) = start_with_one_server("plain", &[REPLY_OK]);
     let mut client = node.connect();
     assert_eq!(
@@ -32,8 +42,8 @@
         assert_eq!((answer.status(), &answer.body[..]), (200, &b"ranks"[..]));
         let got = servers.next_request();
         let method = if class == "read" { "GET" } else { "POST" };
-        let start = format!("{method} /{class}/00000000b4d65521?game=7 HTTP/1.1");
-        assert_eq!(got.message.start_line, start);
+        let start_line = format!("{method} /{class}/00000000b4d65521?game=7 HTTP/1.1");
+        assert_eq!(got.message.start_line, start_line);
         assert_eq!(got.message.header("x-request-id"), class);
         assert!(got.message.header("x-deadline").ends_with('m'));
         assert_eq!(
@@ -46,14 +56,14 @@
             got.connection, 0,
             "request {number} opened a connection of its own"
         );
-        // One that has just answered is not used again at once.
+        // A connection is not reused immediately after an answer.
         std::thread::sleep(std::time::Duration::from_millis(100));
     }
     servers.assert_no_more_requests();
 }
 
 #[test]
-fn bad_requests_are_answered_400_and_413_and_harm_nobody() {
+fn bad_requests_are_answered_400_or_413_and_affect_no_other_request() {
     let (servers, _discovery, mut node) = start_with_one_server("bad", &[REPLY_OK]);
     let good = request("a", "read", "20000m");
     let cases = [
@@ -83,7 +93,8 @@
         ("spread=1", "spread=3", "400"),
         ("spread=1", "spread=-1", "400"),
         ("first=0", "first=2", "400"),
-        // A length and an encoding, in either order: one of them may hide a request in the other's body.
+        // Request smuggling: with both a length and an encoding, a request may hide in what one of them takes as the
+        // body.
         (
             "X-Tier: p",
             "X-Tier: p\r\nContent-Length: 4\r\nTransfer-Encoding: chunked",
@@ -115,7 +126,7 @@
         request("c", "pay", "20000m").replace("Length: 4\r\n\r\ntime", "Length: 60000000\r\n\r\n");
     let mut client = node.connect();
     client.write(&large);
-    // It may answer before it has read all.
+    // The node may answer and close before it has read the whole body, so that the write may fail.
     let _ = client.stream.write_all(&vec![b'x'; 65537]);
     assert_eq!(client.read_response().expect("an answer").status(), 413);
     assert!(node.is_running());
@@ -124,10 +135,10 @@
 }
 
 #[test]
-fn a_bad_configuration_ends_in_one_plain_line() {
+fn a_bad_configuration_fails_the_start_with_an_error_of_one_line() {
     for (number, config) in ["", "{}", "{\"name\":1}", "[]"].into_iter().enumerate() {
         let (child, path) = start(&format!("config-{number}"), config);
-        let output = child.wait_with_output().expect("it ends");
+        let output = child.wait_with_output().expect("the process exits");
         let _ = std::fs::remove_file(path);
         let error = String::from_utf8_lossy(&output.stderr);
         assert!(
@@ -138,7 +149,7 @@
 }
 
 #[test]
-fn an_id_in_use_is_not_taken_twice() {
+fn a_request_with_an_id_in_use_is_refused() {
     let (servers, _discovery, node) = start_with_one_server("twice", &[Reply::NoResponse]);
     let mut first = node.connect();
     first.write(&request("same", "pay", "20000m"));
@@ -154,9 +165,10 @@
     servers.assert_no_more_requests();
 }
 
-/// What has never run may be sent again whatever its class; what may have run only as its class allows.
+/// A request that certainly has not run is retried whatever its class; one that may have run only if its class allows
+/// it.
 #[test]
-fn a_request_is_sent_again_only_as_its_class_allows() {
+fn a_request_is_retried_only_as_its_class_allows() {
     let reset = Reply::RespondAndClose("");
     let cut = Reply::RespondAndClose("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\nran");
     let cases = [
@@ -178,8 +190,8 @@
         ("reset-keyed", reset, "submit", 200, 2),
     ];
     for (tag, first, class, status, attempts) in cases {
-        // Both are of one cell, so that a keyed request may go to either.
-        let (servers, _discovery, node) = with_two(tag, [1, 1], first, REPLY_OK);
+        // Both servers are in one cell, so that a keyed request may go to either.
+        let (servers, _discovery, node) = start_with_two_servers(tag, [1, 1], first, REPLY_OK);
         let answer = node.connect().exchange(&request(tag, class, "20000m"));
         assert_eq!(answer.status(), status, "{tag}");
         for _ in 0..attempts {
@@ -189,9 +201,9 @@
     }
 }
 
-/// A spoilt answer is a failed attempt that may have run, and its connection is closed.
+/// A malformed answer is a failed attempt that may have run, and its connection is closed.
 #[test]
-fn spoilt_answers_are_not_passed_on() {
+fn malformed_answers_are_not_forwarded() {
     let cases = [
         ("noise", "\u{1}\u{2}noise\r\n\r\n"),
         (
@@ -220,9 +232,9 @@
             "HTTP/1.1 101 Switching Protocols\r\nUpgrade: noise\r\n\r\n",
         ),
     ];
-    for (tag, words) in cases {
+    for (tag, response) in cases {
         let (servers, _discovery, node) =
-            start_with_one_server(tag, &[Reply::Respond(words), REPLY_OK]);
+            start_with_one_server(tag, &[Reply::Respond(response), REPLY_OK]);
         let mut client = node.connect();
         assert_eq!(
             client.exchange(&request("a", "pay", "20000m")).status(),
@@ -239,9 +251,9 @@
     }
 }
 
-/// What comes ahead of a good answer, or cannot be read in it, is passed over.
+/// Interim answers before a valid answer, and a header of it that cannot be parsed, are ignored.
 #[test]
-fn good_answers_may_bring_more_than_belongs_to_them() {
+fn interim_answers_and_a_malformed_load_header_are_ignored() {
     let ahead =
         "HTTP/1.1 103 Early\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nX-Load: \
                  inflight=x,,=\r\nContent-Length: 5\r\n\r\nranks";
@@ -251,16 +263,16 @@
     servers.next_request();
 }
 
-/// Bodies larger than the usual, either way, are taken while memory allows.
+/// Bodies above the usual size, of requests and answers, are accepted while memory allows.
 #[test]
-fn large_bodies_pass_both_ways() {
-    let words = format!(
+fn large_bodies_are_forwarded_both_ways() {
+    let response = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n{}",
         "r".repeat(400_000)
     );
     let (servers, _discovery, node) = start_with_one_server(
         "large",
-        &[Reply::Respond(Box::leak(words.into_boxed_str()))],
+        &[Reply::Respond(Box::leak(response.into_boxed_str()))],
     );
     let mut client = node.connect();
     let large = format!("Length: 300000\r\n\r\n{}", "t".repeat(300_000));
@@ -272,9 +284,10 @@
     }
 }
 
-/// A second copy right behind an answer, or later on the idle connection, must never answer the next request.
+/// Guards against a second answer, sent directly after the first or later on the idle connection, that is taken for the
+/// answer to the next request.
 #[test]
-fn what_comes_behind_an_answer_is_no_answer() {
+fn bytes_after_an_answer_never_answer_the_next_request() {
     let twice =
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirstHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst";
     let (servers, _discovery, node) =
@@ -292,7 +305,7 @@
     let mut got = servers.next_request();
     got.stream
         .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale")
-        .expect("it is kept");
+        .expect("the connection is kept open");
     assert_eq!(
         client.exchange(&request("c", "pay", "20000m")).body,
         b"ranks"
@@ -304,7 +317,7 @@
 #[test]
 fn a_keyed_request_that_may_have_run_stays_in_its_cell() {
     let (servers, _discovery, node) =
-        with_two("cell", [1, 2], Reply::RespondAndClose(""), REPLY_OK);
+        start_with_two_servers("cell", [1, 2], Reply::RespondAndClose(""), REPLY_OK);
     let answer = node.connect().exchange(&request("a", "submit", "20000m"));
     let (first, second) = (servers.next_request(), servers.next_request());
     assert_eq!((answer.status(), first.server), (200, second.server));
@@ -312,14 +325,14 @@
 }
 
 #[test]
-fn a_refused_connection_proves_that_nothing_ran() {
+fn an_unsafe_request_is_retried_after_a_refused_connection() {
     let (servers, discovery) = (Servers::new(), Discovery::start());
-    let gone =
+    let closed =
         std::net::TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr());
-    let dead = gone.expect("an address");
+    let refusing = closed.expect("an address");
     let dial = servers.start("s-2", &[REPLY_OK]);
     let hosts = [
-        host_json("s-1", dead, 1, "ready"),
+        host_json("s-1", refusing, 1, "ready"),
         host_json("s-2", dial, 2, "ready"),
     ];
     let node = Node::start("refused", discovery.address, &hosts);
@@ -335,14 +348,14 @@
 }
 
 #[test]
-fn a_silent_server_costs_one_answer_before_the_deadline() {
+fn an_unsafe_request_to_a_silent_server_is_answered_502() {
     let (servers, _discovery, node) = start_with_one_server("silent", &[Reply::NoResponse]);
     let begun = Instant::now();
     let answer = node.connect().exchange(&request("a", "pay", "700m"));
     assert_eq!(
         answer.status(),
         502,
-        "an unsafe request that may have run is no refusal"
+        "an unsafe request that may have run must not be answered as a refusal"
     );
     assert!(
         begun.elapsed().as_millis() < 20_000,
@@ -350,15 +363,16 @@
     );
     assert!(
         wait_until_closed(&servers.next_request()),
-        "the attempt is given up"
+        "the attempt is cancelled"
     );
     servers.assert_no_more_requests();
 }
 
-/// A stalled attempt is called off and its connection closed before the next is written.
+/// A stalled attempt is cancelled and its connection closed before the next attempt is written.
 #[test]
-fn two_attempts_are_never_out_at_once() {
-    let (servers, _discovery, node) = with_two("stalled", [1, 1], Reply::NoResponse, REPLY_OK);
+fn a_request_never_has_two_open_attempts() {
+    let (servers, _discovery, node) =
+        start_with_two_servers("stalled", [1, 1], Reply::NoResponse, REPLY_OK);
     for (number, class) in ["read", "submit"].into_iter().enumerate() {
         assert_eq!(
             node.connect()
@@ -367,7 +381,7 @@
             200
         );
         servers.next_request();
-        // Whether the first was alone is seen as the second comes.
+        // Whether the first attempt was still open shows when the second arrives.
         if number == 0 {
             assert!(servers.next_request().only_attempt);
         }
@@ -375,7 +389,7 @@
 }
 
 #[test]
-fn a_client_that_goes_away_ends_its_attempt() {
+fn an_attempt_is_cancelled_when_its_client_disconnects() {
     let (servers, _discovery, node) = start_with_one_server("gone", &[Reply::NoResponse, REPLY_OK]);
     let mut client = node.connect();
     client.write(&request("a", "pay", "20000m"));
@@ -390,9 +404,9 @@
     );
 }
 
-/// A connection that the server closed while it was idle is not written to: that would end as a reset.
+/// Guards against a request on an idle connection that the server has closed, which would end in a reset.
 #[test]
-fn a_close_of_an_idle_connection_is_noticed() {
+fn an_idle_connection_that_the_server_closed_is_not_reused() {
     let (servers, _discovery, node) = start_with_one_server("idle", &[REPLY_OK]);
     let mut client = node.connect();
     assert_eq!(
@@ -402,8 +416,8 @@
     let got = servers.next_request();
     got.stream
         .shutdown(std::net::Shutdown::Both)
-        .expect("it is open");
-    // The edge node closes its side as soon as it has noticed.
+        .expect("the connection is open");
+    // The edge node closes its side as soon as it has seen the close.
     assert!(wait_until_closed(&got));
     let answer = client.exchange(&request("b", "pay", "20000m"));
     assert_eq!(
@@ -413,7 +427,7 @@
 }
 
 #[test]
-fn the_list_is_followed_in_order_and_a_broken_watch_is_opened_again() {
+fn lists_are_applied_in_order_and_a_broken_watch_is_reopened() {
     let (servers, discovery) = (Servers::new(), Discovery::start());
     let one = servers.start("s-1", &[REPLY_OK]);
     let two = servers.start("s-2", &[REPLY_OK]);
@@ -425,10 +439,10 @@
     );
     let mut client = node.connect();
     let mut number = 0;
-    let mut until = |name: &str| {
-        // Once a change has shown, it must hold.
-        let mut held = 0;
-        while held < 10 {
+    let mut wait_until_only_server = |name: &str| {
+        // Once the server has answered, it must answer all that follow.
+        let mut consecutive = 0;
+        while consecutive < 10 {
             number += 1;
             assert_eq!(
                 client
@@ -437,17 +451,20 @@
                 200
             );
             let server = servers.next_request().server;
-            assert!(held == 0 || server == name, "{server} after {name}");
-            held += u32::from(server == name);
+            assert!(
+                consecutive == 0 || server == name,
+                "{server} answered after {name} had"
+            );
+            consecutive += u32::from(server == name);
         }
     };
-    until("s-1");
+    wait_until_only_server("s-1");
     let (asked, mut watch) = discovery.next_watch();
     assert!(
         asked.contains("watch=1") && asked.contains("from=1"),
         "{asked}"
     );
-    // Changes: one drains, another comes.
+    // An update: one server drains, another is added.
     write_list(
         &mut watch,
         &list_json(
@@ -459,14 +476,14 @@
             ],
         ),
     );
-    until("s-2");
-    // The watch breaks in the midst of a line; the old list stands, and the next watch goes on from there.
+    wait_until_only_server("s-2");
+    // The watch breaks off within a line: the old list stays in use, and the next watch asks from its sequence number.
     watch.write_all(b"14\r\n{\"seq\":3,").expect("open");
     watch.shutdown(std::net::Shutdown::Both).expect("open");
     let (asked, mut watch) = discovery.next_watch();
     assert!(asked.contains("from=2"), "{asked}");
-    until("s-2");
-    // What is old changes nothing; who is not on a whole list is gone.
+    wait_until_only_server("s-2");
+    // A list with an older sequence number changes nothing; a server that is not on a complete list is removed.
     write_list(
         &mut watch,
         &list_json(
@@ -482,18 +499,18 @@
         &mut watch,
         &list_json(4, true, &[host_json("s-3", three, 3, "ready")]),
     );
-    until("s-3");
+    wait_until_only_server("s-3");
     // The same server at another address.
     let moved = servers.start("s-3 moved", &[REPLY_OK]);
     write_list(
         &mut watch,
         &list_json(5, false, &[host_json("s-3", moved, 3, "ready")]),
     );
-    until("s-3 moved");
+    wait_until_only_server("s-3 moved");
 }
 
 #[test]
-fn a_silent_watch_is_opened_again() {
+fn a_silent_watch_is_reopened() {
     let (_servers, discovery, _node) = start_with_one_server("watch", &[REPLY_OK]);
     let (_, silent) = discovery.next_watch();
     let (asked, _) = discovery.next_watch();
@@ -501,10 +518,11 @@
     drop(silent);
 }
 
-/// Danger: what an agent has counts as told, whether or not a watch is open. While it is silent calls go on beside those that
-/// are open, so that one is there in the moment in which it has a list again.
+/// A list that the agent has counts as announced whether or not a watch is open. While the agent is silent the node
+/// makes further calls beside those that are open, so that a call is open at the moment at which the agent has a list
+/// again.
 #[test]
-fn an_agent_that_is_silent_is_called_again_beside_calls_that_wait() {
+fn a_silent_agent_is_called_again_while_earlier_calls_are_open() {
     let agent = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let servers = Servers::new();
     let known = host_json("s-1", servers.start("s-1", &[REPLY_OK]), 1, "ready");
@@ -514,14 +532,17 @@
         &[known],
     );
     let mut calls: Vec<std::net::TcpStream> = Vec::new();
-    // Each call waits in vain; before the next, the last was left.
+    // No call is answered. A node with the fault cancels each call before it makes the next.
     while calls.iter().filter(|call| !is_closed(call)).count() < 3 {
-        let (call, _) = agent.accept().expect("it calls on");
+        let (call, _) = agent.accept().expect("the node makes another call");
         Message::read(&mut std::io::BufReader::new(&call)).expect("a call");
         calls.push(call);
-        assert!(calls.len() < 30, "never three at once");
+        assert!(
+            calls.len() < 30,
+            "30 calls, of which three were never open at once"
+        );
     }
-    let mut last = calls.pop().expect("some");
+    let mut last = calls.pop().expect("three calls are open");
     drop(calls);
     last.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         .expect("written");
@@ -549,18 +570,18 @@
         if servers.next_request().server == "s-2" {
             break;
         }
-        assert!(number < 1000, "it never takes the list");
+        assert!(number < 1000, "the node has not applied the list");
     }
 }
 
-/// SIGHUP ends a process that does not ask for it. The new discovery's versions are numbered anew, and the old
-/// list stands until it has spoken.
+/// SIGHUP terminates a process that does not handle it. The sequence numbers of the new discovery service start again,
+/// and the old list stays in use until the new service has sent one.
 #[test]
-fn sighup_moves_to_the_discovery_that_the_file_names() {
+fn sighup_switches_to_the_discovery_service_in_the_configuration() {
     let (servers, old, mut node) = start_with_one_server("reload", &[REPLY_OK]);
-    let (asked, mut before) = old.next_watch();
+    let (asked, mut old_watch) = old.next_watch();
     assert!(asked.contains("from=1"), "{asked}");
-    let serves = |client: &mut Client, id: &str| {
+    let serving_server = |client: &mut Client, id: &str| {
         assert_eq!(
             client.exchange(&request(id, "read", "20000m")).status(),
             200
@@ -570,7 +591,7 @@
     let mut client = node.connect();
     // A file that cannot be read as a configuration changes nothing.
     node.reload(|text| text.replacen('{', "", 1));
-    assert_eq!(serves(&mut client, "a"), "s-1");
+    assert_eq!(serving_server(&mut client, "a"), "s-1");
     node.reload(|text| format!("{{{text}"));
     let new = Discovery::start();
     let (from, to) = (old.address.to_string(), new.address.to_string());
@@ -580,30 +601,31 @@
         asked.contains("watch=1") && !asked.contains("from"),
         "{asked}"
     );
-    assert_eq!(serves(&mut client, "b"), "s-1");
+    assert_eq!(serving_server(&mut client, "b"), "s-1");
     let two = servers.start("s-2", &[REPLY_OK]);
     write_list(
         &mut watch,
         &list_json(1, true, &[host_json("s-2", two, 2, "ready")]),
     );
     let mut number = 0;
-    while serves(&mut client, &format!("c{number}")) != "s-2" {
+    while serving_server(&mut client, &format!("c{number}")) != "s-2" {
         number += 1;
     }
-    // Until then the old one could still tell of a drain; now its watch is left, without another word.
+    // Until then the old service could still announce a drain; now the node closes its watch and sends
+    // nothing more on it.
     let mut rest = Vec::new();
-    before
+    old_watch
         .set_read_timeout(Some(TEST_TIMEOUT))
         .expect("a time-out");
-    std::io::Read::read_to_end(&mut before, &mut rest).expect("the old watch ends");
+    std::io::Read::read_to_end(&mut old_watch, &mut rest).expect("the old watch ends");
     node.terminate();
-    // Also on its way out.
+    // SIGHUP must not end the process during shutdown either.
     node.reload(|text| text);
     assert!(node.wait().success());
 }
 
 #[test]
-fn peers_are_told_and_noise_is_passed_over() {
+fn peers_are_informed_and_malformed_datagrams_are_ignored() {
     let (_servers, _discovery, mut node) = start_with_one_server("peers", &[REPLY_OK]);
     let mut client = node.connect();
     let stranger = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port");
@@ -626,14 +648,17 @@
             200
         );
         let mut buffer = [0; 2000];
-        let (length, from) = node.peer.recv_from(&mut buffer).expect("the peer is told");
+        let (length, from) = node
+            .peer
+            .recv_from(&mut buffer)
+            .expect("the peer receives a datagram");
         assert!(length <= 256 && from == node.datagrams);
     }
     assert!(node.is_running());
 }
 
 #[test]
-fn a_customer_beyond_its_quota_is_refused_at_once() {
+fn a_customer_over_quota_is_refused_without_delay() {
     let (servers, _discovery, node) = start_with_one_server("quota", &[REPLY_OK]);
     let mut client = node.connect();
     let tiny = |id: &str| request(id, "read", "25000m").replace("X-Tier: p", "X-Tier: tiny");
@@ -649,24 +674,24 @@
     assert!(advice > 0.0 && advice < 60.0, "{advice}");
     assert!(
         begun.elapsed().as_secs() < 20,
-        "a refusal is not held back until the deadline"
+        "the refusal must not wait for the deadline"
     );
 }
 
 #[test]
-fn sigterm_serves_out_what_was_taken() {
+fn accepted_requests_are_served_after_sigterm() {
     let (servers, _discovery, mut node) =
         start_with_one_server("term", &[Reply::NoResponse, REPLY_OK]);
-    let (mut held, mut idle) = (node.connect(), node.connect());
+    let (mut waiting, mut idle) = (node.connect(), node.connect());
     assert_eq!(
         idle.exchange("GET /-/ready HTTP/1.1\r\nHost: n0\r\n\r\n")
             .status(),
         200
     );
-    held.write(&request("a", "read", "20000m"));
+    waiting.write(&request("a", "read", "20000m"));
     let got = servers.next_request();
     node.terminate();
-    // New connections are accepted for a while yet, and told to close.
+    // For a while the node still accepts connections, and answers with `Connection: close`.
     let late = loop {
         let answer = node
             .connect()
@@ -685,8 +710,10 @@
     let mut stream = got.stream;
     stream
         .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nranks")
-        .expect("the attempt is still out");
-    let answer = held.read_response().expect("what was taken is answered");
+        .expect("the attempt is still open");
+    let answer = waiting
+        .read_response()
+        .expect("an accepted request is answered");
     assert_eq!(
         (answer.status(), answer.header("connection")),
         (200, "close")
@@ -694,19 +721,19 @@
     assert!(node.wait().success());
 }
 
-/// A client that says nothing, or stops in the midst of a request, does not keep its connection.
+/// A client that sends nothing, or stops within a request, loses its connection.
 #[test]
-fn silence_ends_a_connection() {
+fn a_silent_client_is_disconnected() {
     let (servers, _discovery, node) = start_with_one_server("silence", &[REPLY_OK]);
-    let whole = request("a", "submit", "20000m");
-    let (half_head, half_body) = (&whole[..60], &whole[..whole.len() - 2]);
-    for words in ["", half_head, half_body] {
+    let complete = request("a", "submit", "20000m");
+    let (half_head, half_body) = (&complete[..60], &complete[..complete.len() - 2]);
+    for bytes in ["", half_head, half_body] {
         let mut client = node.connect();
         client
             .stream
             .set_read_timeout(Some(TEST_TIMEOUT / 3))
             .expect("a time-out");
-        client.write(words);
+        client.write(bytes);
         if let Some(answer) = client.read_response() {
             assert_eq!(answer.status(), 400);
         }
@@ -715,9 +742,10 @@
     servers.assert_no_more_requests();
 }
 
-/// Clients that asked once and stay, and some that never ask, do not shut out another.
+/// Clients that keep their connection after one request, and some that never send one, do not prevent others from
+/// connecting.
 #[test]
-fn a_crowd_shuts_out_nobody() {
+fn idle_clients_do_not_block_new_clients() {
     let (servers, discovery) = (Servers::new(), Discovery::start());
     let dial = servers.start("s-1", &[REPLY_OK]);
     let node = Node::with_sockets(
@@ -726,7 +754,7 @@
         &[host_json("s-1", dial, 1, "ready")],
         64,
     );
-    let mut crowd = Vec::new();
+    let mut idle = Vec::new();
     for number in 0..60 {
         let mut client = node.connect();
         client
@@ -741,13 +769,13 @@
                 200
             );
         }
-        crowd.push(client);
+        idle.push(client);
     }
 }
 
-/// More clients than descriptors: the surplus waits, and is served once there is room.
+/// More clients than descriptors: the surplus waits, and is served once descriptors are free.
 #[test]
-fn the_edge_node_outlives_a_lack_of_descriptors() {
+fn a_client_beyond_the_descriptor_limit_is_served_once_there_is_room() {
     let (servers, discovery) = (Servers::new(), Discovery::start());
     let dial = servers.start("s-1", &[REPLY_OK]);
     let node = Node::with_sockets(
--- a/crates/saffronpaddle/tests/external_names.rs
+++ b/crates/saffronpaddle/tests/external_names.rs
@@ -1,7 +1,8 @@
-//! Checks that every name which leaves the process still stands in the sources, letter for letter.
+//! Checks that every name which leaves the process still occurs in the sources, letter for letter.
 //!
-//! `docs/external-names.txt` lists the names of peer messages, stored state, settings, headers, metrics, log fields and the
-//! like. A rename of one of them would break a peer, a client, stored data or an operator's tool without a compile error.
+//! `docs/external-names.txt` lists the names of peer messages, stored state, settings, headers, metrics, log fields and
+//! the like. A rename of one of them would break a peer, a client, stored data or an operator's tool without a compile
+//! error.
 
 use proc_macro2::{Delimiter, TokenStream, TokenTree};
 use std::collections::BTreeSet;
@@ -9,12 +10,12 @@
 use std::path::{Path, PathBuf};
 use syn::visit::Visit;
 
-/// Where the names of a section of the list are looked for.
+/// The part of the sources in which the names of a section must occur.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Kind {
-    /// Fields and variants of types that serde reads or writes. The section lists all of its folder.
+    /// Fields and variants of types that serde reads or writes. The section lists all of those in its folder.
     Serialized,
-    /// String literals, or parts of one between punctuation and blanks.
+    /// String literals, or their parts between punctuation and blanks.
     Text,
     /// Identifiers in the log macros.
     LogField,
@@ -22,10 +23,10 @@
     Key,
 }
 
-/// A heading of the list, with the names below it.
+/// A heading of the list, and the names below it.
 struct Section {
     kind: Kind,
-    /// The folder or file of the sources, from the root of the repository.
+    /// The folder or file of the sources, relative to the root of the repository.
     path: String,
     names: Vec<String>,
 }
@@ -65,7 +66,7 @@
     sections
 }
 
-/// The source files at a path, without tests.
+/// The source files at a path, except tests.
 fn source_files(path: &Path) -> Vec<PathBuf> {
     if path.is_file() {
         return vec![path.to_owned()];
@@ -155,7 +156,7 @@
     }
 }
 
-/// What serde's attributes of an item say about names.
+/// The serde attributes of an item that affect names.
 #[derive(Default)]
 struct SerdeAttributes {
     rename: Option<String>,
@@ -183,7 +184,7 @@
                     }
                     Ok(())
                 })
-                .expect("serde's attributes are words or pairs of a word and a text");
+                .expect("serde attributes are words or `word = \"text\"` pairs");
         }
         read
     }
@@ -203,15 +204,15 @@
     found
 }
 
-/// A field's name by serde's `rename_all`.
+/// The outer name of a field under serde's `rename_all`.
 fn rename_field(name: &str, rule: Option<&str>) -> String {
     match rule {
         None | Some("snake_case" | "lowercase") => name.to_owned(),
         Some("camelCase") => {
             let mut renamed = String::new();
-            for (place, word) in name.split('_').enumerate() {
+            for (index, word) in name.split('_').enumerate() {
                 let (first, rest) = word.split_at(word.len().min(1));
-                if place == 0 {
+                if index == 0 {
                     renamed.push_str(first);
                 } else {
                     renamed.push_str(&first.to_uppercase());
@@ -224,7 +225,7 @@
     }
 }
 
-/// A variant's name by serde's `rename_all`.
+/// The outer name of a variant under serde's `rename_all`.
 fn rename_variant(name: &str, rule: Option<&str>) -> String {
     match rule {
         None => name.to_owned(),
@@ -243,11 +244,11 @@
     }
 }
 
-/// Collects string and byte string literals, each whole (a line feed as `\n`) and in its parts. Leaves out documentation
-/// and modules of tests.
+/// Collects string and byte string literals, each as a whole (with line feeds as `\n`) and in parts. Skips
+/// documentation and test modules.
 fn collect_texts(tokens: TokenStream, names: &mut BTreeSet<String>) {
     let tokens: Vec<TokenTree> = tokens.into_iter().collect();
-    for (place, token) in tokens.iter().enumerate() {
+    for (index, token) in tokens.iter().enumerate() {
         match token {
             TokenTree::Literal(literal) => {
                 let text = match syn::Lit::new(literal.clone()) {
@@ -262,7 +263,7 @@
             }
             TokenTree::Group(group) => {
                 let content = group.stream();
-                if !is_documentation(&content) && !follows_mod_tests(&tokens[..place]) {
+                if !is_documentation(&content) && !follows_mod_tests(&tokens[..index]) {
                     collect_texts(content, names);
                 }
             }
@@ -284,20 +285,20 @@
     keyword == "mod" && name == "tests"
 }
 
-/// Collects the identifiers in the arguments of log macros; the fields that are logged are among them.
+/// Collects the identifiers in the arguments of log macros, among which are the log fields.
 fn collect_log_fields(tokens: TokenStream, names: &mut BTreeSet<String>) {
     let tokens: Vec<TokenTree> = tokens.into_iter().collect();
-    for (place, token) in tokens.iter().enumerate() {
+    for (index, token) in tokens.iter().enumerate() {
         let TokenTree::Group(group) = token else {
             continue;
         };
-        let called = match &tokens[..place] {
+        let macro_name = match &tokens[..index] {
             [.., TokenTree::Ident(name), TokenTree::Punct(sign)] if sign.as_char() == '!' => {
                 name.to_string()
             }
             _ => String::new(),
         };
-        let is_log_macro = matches!(&*called, "error" | "warn" | "info" | "debug" | "trace");
+        let is_log_macro = matches!(&*macro_name, "error" | "warn" | "info" | "debug" | "trace");
         if is_log_macro && group.delimiter() == Delimiter::Parenthesis {
             collect_identifiers(group.stream(), names);
         } else {
@@ -319,23 +320,31 @@
 }
 
 #[test]
-fn every_external_name_on_the_list_stands_in_its_sources() {
+fn every_listed_external_name_occurs_in_its_sources() {
     let sections = read_list();
     assert!(!sections.is_empty(), "the list has no section");
-    let mut faults = String::new();
+    let mut missing = String::new();
     for section in &sections {
         let found = names_in_sources(section.kind, &section.path);
-        assert!(!section.names.is_empty(), "no name under {}", section.path);
+        assert!(
+            !section.names.is_empty(),
+            "the section of {} lists no name",
+            section.path
+        );
         for name in section.names.iter().filter(|name| !found.contains(*name)) {
             let kind = section.kind;
-            writeln!(faults, "{}: {name:?} ({kind:?}) is gone", section.path).expect("a string");
+            writeln!(missing, "{}: {name:?} ({kind:?}) is missing", section.path)
+                .expect("a string");
         }
     }
-    assert!(faults.is_empty(), "names that leave the process:\n{faults}");
+    assert!(
+        missing.is_empty(),
+        "external names that no longer occur in the sources:\n{missing}"
+    );
 }
 
 #[test]
-fn every_serialized_name_of_the_sources_is_on_the_list() {
+fn every_serialized_name_in_the_sources_is_listed() {
     let sections = read_list();
     let serialized = sections
         .iter()
@@ -343,7 +352,11 @@
     for section in serialized {
         for name in names_in_sources(Kind::Serialized, &section.path) {
             let listed = section.names.contains(&name);
-            assert!(listed, "{}: {name:?} is not on the list", section.path);
+            assert!(
+                listed,
+                "{}: {name:?} is not in docs/external-names.txt",
+                section.path
+            );
         }
     }
 }
--- a/crates/saffronpaddle/tests/shutdown.rs
+++ b/crates/saffronpaddle/tests/shutdown.rs
@@ -1,47 +1,52 @@
-//! Processes that are told to stop and killed later, as the platform does it: each request that was taken has its final
-//! answer before the kill, whatever servers do and however long its client would wait.
+//! Processes that receive SIGTERM and later SIGKILL, as the platform sends them: each accepted request has its final
+//! answer before the kill, whatever the servers do and however long its client would wait.
 
 use saffronpaddle_test_doubles::scripted::*;
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The platform kills so long after SIGTERM, where the longest deadline of the settings is 3 s or more.
-const KILLED_AFTER: Duration = Duration::from_millis(3_700);
-/// Processes that are told to stop together.
+/// Time between SIGTERM and SIGKILL on the platform, where the longest deadline of the settings is 3 s or more.
+const KILL_DELAY: Duration = Duration::from_millis(3_700);
+/// Processes that are stopped at the same time.
 const PROCESSES: usize = 3;
 
-/// Classes of requests, each with what its client waits.
-type Asked = [(&'static str, &'static str); 4];
+/// The class and the deadline of each request.
+type Requests = [(&'static str, &'static str); 4];
 
-/// Clients that wait longer than the process has left.
-const LONG: Asked = [
+/// Deadlines that lie after the kill.
+const LONG: Requests = [
     ("read", "9113m"),
     ("submit", "4591m"),
     ("pay", "9113m"),
     ("read", "30000m"),
 ];
-/// Clients of a deployment whose longest deadline is 3 s.
-const SHORT: Asked = [
+/// Deadlines of a deployment whose longest deadline is 3 s.
+const SHORT: Requests = [
     ("read", "3000m"),
     ("submit", "2400m"),
     ("pay", "3000m"),
     ("read", "900m"),
 ];
 
-/// What became of a request: who asked, and the status of its answer, if it got one before its process was killed.
+/// A request's id, and the status of its answer; `None` if its process was killed before it answered.
 type Outcome = (String, Option<u16>);
 
-/// Asks once `at` has come, and waits for the answer until the connection ends.
-fn ask_at(mut client: Client, at: Instant, id: String, (class, deadline): (&str, &str)) -> Outcome {
+/// Sends a request at the given time, and waits for the answer until the connection ends.
+fn send_at(
+    mut client: Client,
+    at: Instant,
+    id: String,
+    (class, deadline): (&str, &str),
+) -> Outcome {
     thread::sleep(at.saturating_duration_since(Instant::now()));
     client.write(&request(&id, class, deadline));
     let status = client.read_response().map(|answer| answer.status());
     (id, status)
 }
 
-/// One process whose server never answers: requests are taken before SIGTERM, while it leaves, and on connections that
-/// first ask while it closes.
-fn stopped_and_killed(number: usize, longest_us: &str, requests: Asked) -> Vec<Outcome> {
+/// Runs one process whose server never answers, stops and kills it. Requests are sent before SIGTERM, while the process
+/// drains, and as the first ones of their connections while it closes.
+fn stop_and_kill(number: usize, longest_us: &str, requests: Requests) -> Vec<Outcome> {
     let (servers, discovery) = (Servers::new(), Discovery::start());
     let dial = servers.start("s-1", &[Reply::NoResponse]);
     let hosts = [host_json("s-1", dial, 1, "ready")];
@@ -54,40 +59,45 @@
     let tag = format!("killed-{longest_us}-{number}");
     let mut node =
         Node::start_with_config(&tag, discovery.address, &hosts, 1024, deadlines, |_| {});
-    let mut asked = Vec::new();
-    let ask = |node: &Node, at: Instant, id: String, what| {
+    let mut pending = Vec::new();
+    let send = |node: &Node, at: Instant, id: String, class_and_deadline| {
         let client = node.connect();
-        thread::spawn(move || ask_at(client, at, id, what))
+        thread::spawn(move || send_at(client, at, id, class_and_deadline))
     };
-    for (place, what) in requests.into_iter().enumerate() {
-        asked.push(ask(
+    for (index, class_and_deadline) in requests.into_iter().enumerate() {
+        pending.push(send(
             &node,
             Instant::now(),
-            format!("before-{number}-{place}"),
-            what,
+            format!("before-{number}-{index}"),
+            class_and_deadline,
         ));
     }
     thread::sleep(Duration::from_millis(300));
-    let told = Instant::now();
+    let schedule_start = Instant::now();
     for (after, when) in [(200, "leaving"), (650, "closing"), (900, "closing-late")] {
-        for (place, what) in requests.into_iter().enumerate() {
-            let at = told + Duration::from_millis(after);
-            asked.push(ask(&node, at, format!("{when}-{number}-{place}"), what));
+        for (index, class_and_deadline) in requests.into_iter().enumerate() {
+            let at = schedule_start + Duration::from_millis(after);
+            pending.push(send(
+                &node,
+                at,
+                format!("{when}-{number}-{index}"),
+                class_and_deadline,
+            ));
         }
     }
-    // The machine has accepted them before the signal.
+    // Gives the kernel time to accept the connections before the signal.
     thread::sleep(Duration::from_millis(50));
-    let told = Instant::now();
+    let terminated = Instant::now();
     node.terminate();
-    while node.is_running() && told.elapsed() < KILLED_AFTER {
+    while node.is_running() && terminated.elapsed() < KILL_DELAY {
         thread::sleep(Duration::from_millis(5));
     }
     if node.is_running() {
         node.signal("-KILL");
     }
-    let outcomes: Vec<Outcome> = asked
+    let outcomes: Vec<Outcome> = pending
         .into_iter()
-        .map(|asked| asked.join().expect("no panic"))
+        .map(|request| request.join().expect("no panic"))
         .collect();
     if outcomes.iter().any(|(_, status)| status.is_none()) {
         node.drain_log()
@@ -97,42 +107,42 @@
     outcomes
 }
 
-/// Requests that had no answer when their process was killed, of how many.
-fn lost(longest_us: &'static str, requests: Asked) -> (Vec<String>, usize) {
-    let play =
-        move |number| thread::spawn(move || stopped_and_killed(number, longest_us, requests));
-    let processes: Vec<_> = (0..PROCESSES).map(play).collect();
+/// The ids of the requests that had no answer when their process was killed, and the number of all requests.
+fn lost_requests(longest_us: &'static str, requests: Requests) -> (Vec<String>, usize) {
+    let run_process =
+        move |number| thread::spawn(move || stop_and_kill(number, longest_us, requests));
+    let processes: Vec<_> = (0..PROCESSES).map(run_process).collect();
     let outcomes: Vec<Outcome> = processes
         .into_iter()
         .flat_map(|process| process.join().expect("no panic"))
         .collect();
-    let asked = outcomes.len();
+    let sent = outcomes.len();
     (
         outcomes
             .into_iter()
             .filter(|(_, status)| status.is_none())
             .map(|(id, _)| id)
             .collect(),
-        asked,
+        sent,
     )
 }
 
 #[test]
-fn each_request_is_answered_before_the_kill_where_clients_wait_longer_than_the_process_has() {
-    let (lost, asked) = lost("30000000", LONG);
+fn each_request_is_answered_before_the_kill_where_deadlines_lie_after_it() {
+    let (lost, sent) = lost_requests("30000000", LONG);
     assert!(
         lost.is_empty(),
-        "{} of {asked} requests had no answer: {lost:?}",
+        "{} of {sent} requests had no answer: {lost:?}",
         lost.len()
     );
 }
 
 #[test]
 fn each_request_is_answered_before_the_kill_where_the_longest_deadline_is_three_seconds() {
-    let (lost, asked) = lost("3000000", SHORT);
+    let (lost, sent) = lost_requests("3000000", SHORT);
     assert!(
         lost.is_empty(),
-        "{} of {asked} requests had no answer: {lost:?}",
+        "{} of {sent} requests had no answer: {lost:?}",
         lost.len()
     );
 }
--- a/crates/saffronpaddle/tests/upgrade.rs
+++ b/crates/saffronpaddle/tests/upgrade.rs
@@ -1,4 +1,5 @@
-//! Upgrades in place: a second process of a node is started beside the first and takes over from it.
+//! Hot restarts: a second process of a node (the child) is started beside the first (the parent) and takes over from
+//! it.
 
 use command_fds::{CommandFdExt, FdMapping};
 use saffronpaddle_test_doubles::scripted::*;
@@ -10,7 +11,7 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-/// The listener that the platform holds, and the folder that processes of one node share.
+/// The listener that the platform holds, and the folder in which the processes of one node find each other's socket.
 struct Platform {
     listener: TcpListener,
     folder: PathBuf,
@@ -26,7 +27,8 @@
         }
     }
 
-    fn gives(&self, command: &mut Command, admin: SocketAddr) {
+    /// Passes the listener, the folder and the admin address on to a process.
+    fn configure(&self, command: &mut Command, admin: SocketAddr) {
         let parent_fd = OwnedFd::from(self.listener.try_clone().expect("a clone"));
         command
             .fd_mappings(vec![FdMapping {
@@ -40,12 +42,12 @@
             .env("LB_ADMIN_ADDR", admin.to_string());
     }
 
-    /// Where a node's processes meet.
-    fn meeting(&self) -> PathBuf {
+    /// Waits for the path of the socket over which a node's processes talk.
+    fn hand_over_socket(&self) -> PathBuf {
         let begun = Instant::now();
         loop {
             let files = std::fs::read_dir(&self.folder)
-                .expect("it is there")
+                .expect("the folder exists")
                 .flatten()
                 .map(|file| file.path());
             let found = files
@@ -54,7 +56,10 @@
             if let Some(path) = found {
                 return path;
             }
-            assert!(begun.elapsed() < TEST_TIMEOUT, "nothing to meet at");
+            assert!(
+                begun.elapsed() < TEST_TIMEOUT,
+                "no hand-over socket within {TEST_TIMEOUT:?}"
+            );
             std::thread::sleep(Duration::from_millis(5));
         }
     }
@@ -71,18 +76,19 @@
     }
 }
 
-struct Rig {
+/// A node's server, discovery service and platform.
+struct Environment {
     servers: Servers,
     discovery: Discovery,
     hosts: Vec<String>,
     platform: Platform,
 }
 
-impl Rig {
-    fn new(tag: &str, does: &[Reply]) -> Rig {
+impl Environment {
+    fn new(tag: &str, replies: &[Reply]) -> Environment {
         let (servers, discovery) = (Servers::new(), Discovery::start());
-        let dial = servers.start("s-1", does);
-        Rig {
+        let dial = servers.start("s-1", replies);
+        Environment {
             servers,
             discovery,
             hosts: vec![host_json("s-1", dial, 1, "ready")],
@@ -90,56 +96,60 @@
         }
     }
 
-    fn first(&self, tag: &str, admin: SocketAddr) -> Node {
+    /// Starts the first process of the node.
+    fn start_first(&self, tag: &str, admin: SocketAddr) -> Node {
         Node::start_with_command(tag, self.discovery.address, &self.hosts, 1024, |command| {
-            self.platform.gives(command, admin);
+            self.platform.configure(command, admin);
         })
     }
 
-    fn next(&self, of: &Node, admin: SocketAddr) -> Node {
-        of.successor(|command| self.platform.gives(command, admin))
+    /// Starts a process that takes over from the parent.
+    fn start_child(&self, parent: &Node, admin: SocketAddr) -> Node {
+        parent.successor(|command| self.platform.configure(command, admin))
     }
 }
 
-fn until_ready(admin: SocketAddr) {
+fn wait_until_ready(admin: SocketAddr) {
     let begun = Instant::now();
     while !admin_request(admin, "PING\n").starts_with("SUCCESS") {
         assert!(begun.elapsed() < TEST_TIMEOUT);
     }
 }
 
-/// Waits for a line of a node's log that holds these words.
-fn until_said(node: &Node, words: &str) {
-    while !node.log_line().contains(words) {}
+/// Reads a node's log up to and including a line that contains the text.
+fn wait_for_log_line(node: &Node, text: &str) {
+    while !node.log_line().contains(text) {}
 }
 
-/// Clients go on asking while one process after another takes the node over: each request is answered, none meets a door
-/// that is shut, what was under way is finished by who took it, and only the old processes end.
+/// Clients send requests while three processes in turn take over the node: no connection is refused, each request is
+/// answered by the process that accepted it, and only the old processes exit.
 #[test]
-fn a_node_is_upgraded_in_place_and_no_request_meets_a_shut_door() {
-    let rig = Rig::new("inplace", &[REPLY_OK]);
+fn a_hot_restart_refuses_no_connection_and_answers_every_request() {
+    let environment = Environment::new("inplace", &[REPLY_OK]);
     let (mut admin, stop) = (free_address(), std::sync::atomic::AtomicBool::new(false));
-    let mut node = rig.first("inplace", admin);
+    let mut node = environment.start_first("inplace", admin);
     let address = node.address;
     std::thread::scope(|scope| {
         let clients: Vec<_> = (0..4)
             .map(|client| {
                 let stop = &stop;
                 scope.spawn(move || {
-                    let mut asked = 0;
+                    let mut sent = 0;
                     while !stop.load(std::sync::atomic::Ordering::Relaxed) {
-                        let stream =
-                            std::net::TcpStream::connect(address).expect("the door is open");
+                        let stream = std::net::TcpStream::connect(address)
+                            .expect("the listener accepts connections");
                         stream
                             .set_read_timeout(Some(TEST_TIMEOUT))
                             .expect("a time-out");
                         let mut reader =
                             std::io::BufReader::new(stream.try_clone().expect("a clone"));
-                        // A few on each connection, as clients keep them; who is told to close does.
+                        // Five requests on each connection, as clients keep them, or fewer after `Connection: close`.
                         for _ in 0..5 {
-                            asked += 1;
-                            let words = request(&format!("c{client}-{asked}"), "read", "20000m");
-                            (&stream).write_all(words.as_bytes()).expect("it is read");
+                            sent += 1;
+                            let text = request(&format!("c{client}-{sent}"), "read", "20000m");
+                            (&stream)
+                                .write_all(text.as_bytes())
+                                .expect("the node reads the request");
                             let answer =
                                 Message::read(&mut reader).expect("each request is answered");
                             assert!([200, 503].contains(&answer.status()), "{}", answer.status());
@@ -148,41 +158,41 @@
                             }
                         }
                     }
-                    asked
+                    sent
                 })
             })
             .collect();
         for _ in 0..3 {
             let fresh = free_address();
-            let next = rig.next(&node, fresh);
-            until_ready(fresh);
+            let child = environment.start_child(&node, fresh);
+            wait_until_ready(fresh);
             assert!(
                 admin_request(admin, "PING\n").starts_with("SUCCESS"),
-                "both serve"
+                "both processes serve"
             );
             node.terminate();
             assert!(node.wait().success());
-            (node, admin) = (next, fresh);
+            (node, admin) = (child, fresh);
         }
         stop.store(true, std::sync::atomic::Ordering::Relaxed);
-        let asked: i32 = clients
+        let sent: i32 = clients
             .into_iter()
-            .map(|client| client.join().expect("it saw no shut door"))
+            .map(|client| client.join().expect("no client failed"))
             .sum();
-        assert!(asked > 100, "{asked}");
+        assert!(sent > 100, "only {sent} requests were sent");
     });
-    assert!(node.is_running() && rig.discovery.address.port() > 0);
-    let _ = rig.servers.next_request();
+    assert!(node.is_running() && environment.discovery.address.port() > 0);
+    let _ = environment.servers.next_request();
 }
 
-/// The heir knows what the elder knew: the list, also where discovery is silent to it.
+/// The child has the parent's list of servers, although the discovery service does not answer it.
 #[test]
-fn an_heir_goes_on_from_what_its_elder_knew() {
-    let rig = Rig::new("knows", &[REPLY_OK]);
+fn a_child_starts_with_the_state_of_its_parent() {
+    let environment = Environment::new("knows", &[REPLY_OK]);
     let (first, second) = (free_address(), free_address());
-    let elder = rig.first("knows", first);
-    let dial = rig.servers.start("s-2", &[REPLY_OK]);
-    let (_, mut watch) = rig.discovery.next_watch();
+    let parent = environment.start_first("knows", first);
+    let dial = environment.servers.start("s-2", &[REPLY_OK]);
+    let (_, mut watch) = environment.discovery.next_watch();
     write_list(
         &mut watch,
         &list_json(2, false, &[host_json("s-2", dial, 1, "ready")]),
@@ -191,60 +201,64 @@
     while metric_value(&admin_request(first, "INFO\n"), "lb_registry_entries") != 2 {
         assert!(begun.elapsed() < TEST_TIMEOUT);
     }
-    let heir = rig.next(&elder, second);
-    until_ready(second);
-    // Its configuration has one; its counts begin with it.
-    let figures = admin_request(second, "INFO\n");
+    let child = environment.start_child(&parent, second);
+    wait_until_ready(second);
+    // The child's configuration has one server; the counters start at zero.
+    let metrics = admin_request(second, "INFO\n");
     assert_eq!(
         (
-            metric_value(&figures, "lb_registry_entries"),
-            metric_value(&figures, "lb_relayed")
+            metric_value(&metrics, "lb_registry_entries"),
+            metric_value(&metrics, "lb_relayed")
         ),
         (2, 0)
     );
-    drop(heir);
+    drop(child);
 }
 
-/// An heir that dies before or after its yes leaves the elder as it was: it serves, speaks to its peers, and is found by
-/// the next one.
+/// The child is killed after it became ready. The parent serves, exchanges messages with its peers, and hands over to
+/// the next child.
 #[test]
-fn an_heir_that_dies_leaves_the_elder_as_it_was() {
-    let rig = Rig::new("dies", &[REPLY_OK]);
-    let mut elder = rig.first("dies", free_address());
+fn a_parent_continues_after_its_child_was_killed() {
+    let environment = Environment::new("dies", &[REPLY_OK]);
+    let mut parent = environment.start_first("dies", free_address());
     let admin = free_address();
-    let heir = rig.next(&elder, admin);
-    until_ready(admin);
-    drop(heir);
-    until_said(&elder, "the connection was closed");
-    // It hears its peers again, and speaks to them itself.
+    let child = environment.start_child(&parent, admin);
+    wait_until_ready(admin);
+    drop(child);
+    wait_for_log_line(&parent, "the connection was closed");
+    // The parent receives the datagrams of its peers again, and sends its own.
     let mut datagram = [0; 300];
-    elder.peer.recv(&mut datagram).expect("a count");
+    parent
+        .peer
+        .recv(&mut datagram)
+        .expect("a datagram with counts");
     let admin = free_address();
-    let next = rig.next(&elder, admin);
-    until_ready(admin);
-    elder.terminate();
-    assert!(elder.wait().success());
-    until_said(&next, "taken over from a process of this node");
+    let second_child = environment.start_child(&parent, admin);
+    wait_until_ready(admin);
+    parent.terminate();
+    assert!(parent.wait().success());
+    wait_for_log_line(&second_child, "taken over from a process of this node");
     assert_eq!(
-        next.connect()
+        second_child
+            .connect()
             .exchange(&request("a", "read", "20000m"))
             .status(),
         200
     );
 }
 
-/// One that is killed outright is no hindrance either.
+/// Three processes run at once, and the two older ones are killed.
 #[test]
-fn an_elder_that_is_killed_leaves_the_node_to_its_heir() {
-    let rig = Rig::new("killed", &[REPLY_OK]);
-    let elder = rig.first("killed", free_address());
+fn a_child_continues_after_its_parents_were_killed() {
+    let environment = Environment::new("killed", &[REPLY_OK]);
+    let parent = environment.start_first("killed", free_address());
     let (second, third) = (free_address(), free_address());
-    let heir = rig.next(&elder, second);
-    // A third while two run.
-    let last = rig.next(&heir, third);
-    until_ready(third);
-    drop(elder);
-    drop(heir);
+    let child = environment.start_child(&parent, second);
+    // A third process is started while two run.
+    let last = environment.start_child(&child, third);
+    wait_until_ready(third);
+    drop(parent);
+    drop(child);
     let mut client = last.connect();
     assert_eq!(
         client.exchange(&request("a", "read", "20000m")).status(),
@@ -253,46 +267,46 @@
     assert!(admin_request(third, "PING\n").starts_with("SUCCESS"));
 }
 
-/// What is no elder of use, stalls or talks rubbish, delays a start by no more than its bound and changes nothing; what is
-/// no heir of use is not listened to.
+/// Guards against a malformed or silent parent, which may delay a start only up to the time-out and must not change it,
+/// and against a malformed or silent child, which the parent must ignore.
 #[test]
-fn who_finds_rubbish_or_silence_starts_as_if_it_were_the_first() {
-    let rig = Rig::new("rubbish", &[REPLY_OK]);
-    let elder = rig.first("rubbish", free_address());
-    let path = rig.platform.meeting();
-    for words in [
+fn a_process_with_a_malformed_or_silent_parent_starts_as_the_first() {
+    let environment = Environment::new("rubbish", &[REPLY_OK]);
+    let parent = environment.start_first("rubbish", free_address());
+    let path = environment.platform.hand_over_socket();
+    for bytes in [
         "rubbish\n",
         "{\"hello\":{\"version\":1,\"name\":\"other\"}}\n",
         "",
     ] {
-        let mut stream = UnixStream::connect(&path).expect("it is met");
+        let mut stream = UnixStream::connect(&path).expect("the parent listens");
         stream
             .set_read_timeout(Some(TEST_TIMEOUT))
             .expect("a time-out");
-        stream.write_all(words.as_bytes()).expect("written");
+        stream.write_all(bytes.as_bytes()).expect("written");
         let mut answer = Vec::new();
         let _ = stream.read_to_end(&mut answer);
-        assert!(answer.is_empty(), "{words:?}");
+        assert!(answer.is_empty(), "{bytes:?} was answered");
     }
-    drop(elder);
-    for words in ["rubbish\n", ""] {
-        std::fs::remove_file(&path).expect("it was there");
-        let silent = UnixListener::bind(&path).expect("a socket");
-        let stalls = std::thread::spawn(move || {
-            let (mut stream, _) = silent.accept().expect("it is met");
-            stream.write_all(words.as_bytes()).expect("written");
+    drop(parent);
+    for bytes in ["rubbish\n", ""] {
+        std::fs::remove_file(&path).expect("the socket exists");
+        let listener = UnixListener::bind(&path).expect("a socket");
+        let false_parent = std::thread::spawn(move || {
+            let (mut stream, _) = listener.accept().expect("the child connects");
+            stream.write_all(bytes.as_bytes()).expect("written");
             let mut rest = Vec::new();
             let _ = stream.read_to_end(&mut rest);
         });
         let admin = free_address();
-        let node = rig.first("rubbish", admin);
-        until_ready(admin);
+        let node = environment.start_first("rubbish", admin);
+        wait_until_ready(admin);
         assert_eq!(
             node.connect()
                 .exchange(&request("a", "read", "20000m"))
                 .status(),
             200
         );
-        stalls.join().expect("it was met");
+        false_parent.join().expect("the child connected");
     }
 }
