--- a/crates/saffronpaddle/tests/crossings.rs
+++ b/crates/saffronpaddle/tests/crossings.rs
@@ -79,7 +79,10 @@
     );
     // Written in pieces that end at arbitrary bytes, without a line feed at the end.
     for piece in indented.as_bytes().chunks(7) {
-        write_chunk(&mut watch, std::str::from_utf8(piece).expect("it is ASCII"));
+        write_chunk(
+            &mut watch,
+            std::str::from_utf8(piece).expect("the list is ASCII"),
+        );
     }
     wait_until_only_server(&mut node.connect(), &servers, "s-2");
 }
@@ -125,7 +128,7 @@
     for number in 0..10 {
         let (_, mut watch) = discovery.next_watch();
         write_list(&mut watch, &list_json(number, true, &[]));
-        watch.shutdown(Shutdown::Both).expect("it is open");
+        watch.shutdown(Shutdown::Both).expect("the watch is open");
     }
     drop(node);
 }
@@ -367,7 +370,7 @@
                 let ended = metric_value(&info, &format!("lb_{end}{{priority=\"{class}\"}}"));
                 assert_eq!(
                     ended, 0,
-                    "the node refused or failed a request whose client disconnected: {info}"
+                    "the node refused or failed a request before its client disconnected: {info}"
                 );
             }
         }
@@ -676,7 +679,7 @@
     let mut fresh: Vec<Client> = (0..3).map(|_| node.connect()).collect();
     node.terminate();
     wait_for_log_line(&node, "life cycle: closing");
-    // A connection that has sent no request may still send one; the later it does, the further its deadline lies behind
+    // A connection that has sent no request may still send one; the later it does, the further its deadline lies after
     // the exit.
     thread::sleep(Duration::from_millis(250));
     for (client, class) in fresh.iter_mut().zip(["read", "submit", "pay"]) {
--- a/crates/saffronpaddle/tests/discovery_recovery.rs
+++ b/crates/saffronpaddle/tests/discovery_recovery.rs
@@ -95,9 +95,9 @@
         let (measured, stopped) = (Arc::clone(&longest_ms), Arc::clone(&stop));
         thread::spawn(move || {
             while !stopped.load(Ordering::Relaxed) {
-                let begun = Instant::now();
+                let started = Instant::now();
                 thread::sleep(Duration::from_millis(10));
-                measured.fetch_max(begun.elapsed().as_millis() as u64, Ordering::Relaxed);
+                measured.fetch_max(started.elapsed().as_millis() as u64, Ordering::Relaxed);
             }
         });
         SchedulingDelay { longest_ms, stop }
@@ -116,14 +116,14 @@
 
 /// Sends requests until one is served, and returns the server that it went to.
 fn next_serving_server(client: &mut Client, servers: &Servers, tag: &str) -> String {
-    let begun = Instant::now();
+    let started = Instant::now();
     for number in 0.. {
         let answer = client.exchange(&request(&format!("{tag}-{number}"), "read", "20000m"));
         if answer.status() == 200 {
             return servers.next_request().server;
         }
         assert!(
-            begun.elapsed() < TEST_TIMEOUT,
+            started.elapsed() < TEST_TIMEOUT,
             "{tag}: no request was served within {TEST_TIMEOUT:?}; the last answer: {}",
             answer.start_line
         );
@@ -175,7 +175,7 @@
             host_json("s-2", dials[1], 2, "ready"),
         ],
     ));
-    let begun = Instant::now();
+    let started = Instant::now();
     let service = match service {
         Some(service) => {
             service.set_mode(recovered);
@@ -191,7 +191,7 @@
                 .answered_at
                 .recv_timeout(TEST_TIMEOUT)
                 .expect("each node calls the service")
-                - begun
+                - started
         })
         .collect();
     let bound = ANNOUNCED_AFTER + delay.longest();
@@ -199,7 +199,7 @@
         answered_after.iter().all(|after| *after <= bound),
         "{tag}: the nodes called after {answered_after:?}, the bound is {bound:?}"
     );
-    while begun.elapsed() < bound {
+    while started.elapsed() < bound {
         thread::sleep(Duration::from_millis(10));
     }
     for (number, node) in nodes.iter().enumerate() {
--- a/crates/saffronpaddle/tests/edge.rs
+++ b/crates/saffronpaddle/tests/edge.rs
@@ -350,7 +350,7 @@
 #[test]
 fn an_unsafe_request_to_a_silent_server_is_answered_502() {
     let (servers, _discovery, node) = start_with_one_server("silent", &[Reply::NoResponse]);
-    let begun = Instant::now();
+    let started = Instant::now();
     let answer = node.connect().exchange(&request("a", "pay", "700m"));
     assert_eq!(
         answer.status(),
@@ -358,7 +358,7 @@
         "an unsafe request that may have run must not be answered as a refusal"
     );
     assert!(
-        begun.elapsed().as_millis() < 20_000,
+        started.elapsed().as_millis() < 20_000,
         "the deadline is enforced"
     );
     assert!(
@@ -664,7 +664,7 @@
     let tiny = |id: &str| request(id, "read", "25000m").replace("X-Tier: p", "X-Tier: tiny");
     assert_eq!(client.exchange(&tiny("a")).status(), 200);
     servers.next_request();
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut refused = client.exchange(&tiny("b"));
     for number in 0..3 {
         refused = client.exchange(&tiny(&format!("c{number}")));
@@ -673,7 +673,7 @@
     let advice: f64 = refused.header("retry-after").parse().expect("seconds");
     assert!(advice > 0.0 && advice < 60.0, "{advice}");
     assert!(
-        begun.elapsed().as_secs() < 20,
+        started.elapsed().as_secs() < 20,
         "the refusal must not wait for the deadline"
     );
 }
--- a/crates/saffronpaddle/tests/upgrade.rs
+++ b/crates/saffronpaddle/tests/upgrade.rs
@@ -44,7 +44,7 @@
 
     /// Waits for the path of the socket over which a node's processes talk.
     fn hand_over_socket(&self) -> PathBuf {
-        let begun = Instant::now();
+        let started = Instant::now();
         loop {
             let files = std::fs::read_dir(&self.folder)
                 .expect("the folder exists")
@@ -57,7 +57,7 @@
                 return path;
             }
             assert!(
-                begun.elapsed() < TEST_TIMEOUT,
+                started.elapsed() < TEST_TIMEOUT,
                 "no hand-over socket within {TEST_TIMEOUT:?}"
             );
             std::thread::sleep(Duration::from_millis(5));
@@ -110,9 +110,9 @@
 }
 
 fn wait_until_ready(admin: SocketAddr) {
-    let begun = Instant::now();
+    let started = Instant::now();
     while !admin_request(admin, "PING\n").starts_with("SUCCESS") {
-        assert!(begun.elapsed() < TEST_TIMEOUT);
+        assert!(started.elapsed() < TEST_TIMEOUT);
     }
 }
 
@@ -197,9 +197,9 @@
         &mut watch,
         &list_json(2, false, &[host_json("s-2", dial, 1, "ready")]),
     );
-    let begun = Instant::now();
+    let started = Instant::now();
     while metric_value(&admin_request(first, "INFO\n"), "lb_registry_entries") != 2 {
-        assert!(begun.elapsed() < TEST_TIMEOUT);
+        assert!(started.elapsed() < TEST_TIMEOUT);
     }
     let child = environment.start_child(&parent, second);
     wait_until_ready(second);
