--- a/crates/fleet-harness/src/counts.rs
+++ b/crates/fleet-harness/src/counts.rs
@@ -1,7 +1,7 @@
-//! Adds the lines of counts in many nodes' logs up over nodes and time.
+//! Sums the counter lines in the logs of many nodes, over nodes and time.
 //!
-//! A node's counts only rise, and begin anew with each process. A line that shows less of anything than the one before, or an
-//! earlier time, is a new process: what the old one had counted stays counted.
+//! A node's counters only increase, and start from zero in each process. A line in which a counter or the time is lower
+//! than in the line before comes from a new process; the counters of the old process are kept.
 
 use anyhow::{Context, Result};
 use saffronpaddle_admin::Fields;
@@ -10,63 +10,63 @@
 use std::io::{BufRead, BufReader};
 use std::path::{Path, PathBuf};
 
-/// How many of the busiest nodes are told apart: one in ten.
-const BUSIEST: usize = 10;
-/// Figures that stand at a level and do not rise: they are not added up.
-const LEVELS: [&str; 3] = ["open_requests", "registry_entries", "out_of_rotation"];
+/// The table shows the busiest tenth of the nodes on its own: one in this many.
+const NODES_PER_BUSIEST: usize = 10;
+/// Names that are gauges rather than counters and are not summed.
+const GAUGES: [&str; 3] = ["open_requests", "registry_entries", "out_of_rotation"];
 
-/// What one node has counted, over all of its processes.
+/// The counters of one node, over all of its processes.
 #[derive(Clone, Debug, Default)]
 struct Node {
-    /// Of processes that have ended.
-    before: BTreeMap<String, u64>,
-    /// The last line of the one that runs.
-    last: Fields,
-    /// ms that processes were seen to run.
-    ran_ms: u64,
+    /// Sums over the processes that have ended.
+    ended_processes: BTreeMap<String, u64>,
+    /// The latest line of the running process.
+    latest: Fields,
+    /// Time covered by the lines of all processes, ms.
+    observed_ms: u64,
 }
 
 impl Node {
-    fn take(&mut self, line: Fields) {
-        let less = |(name, value): (&String, &u64)| {
-            !LEVELS.contains(&&name[..]) && line.of.get(name).is_none_or(|now| now < value)
+    fn add_line(&mut self, line: Fields) {
+        let decreased = |(name, value): (&String, &u64)| {
+            !GAUGES.contains(&&name[..]) && line.of.get(name).is_none_or(|now| now < value)
         };
-        if line.at_ms < self.last.at_ms || self.last.of.iter().any(less) {
-            for (name, value) in std::mem::take(&mut self.last.of) {
-                *self.before.entry(name).or_default() += value;
+        if line.at_ms < self.latest.at_ms || self.latest.of.iter().any(decreased) {
+            for (name, value) in std::mem::take(&mut self.latest.of) {
+                *self.ended_processes.entry(name).or_default() += value;
             }
-            self.last.at_ms = 0;
+            self.latest.at_ms = 0;
         }
-        self.ran_ms += line.at_ms - self.last.at_ms;
-        self.last = line;
+        self.observed_ms += line.at_ms - self.latest.at_ms;
+        self.latest = line;
     }
 
-    fn of(&self, name: &str) -> u64 {
-        let of = |counts: &BTreeMap<String, u64>| counts.get(name).copied().unwrap_or(0);
-        of(&self.before) + of(&self.last.of)
+    fn total(&self, name: &str) -> u64 {
+        let count_in = |counts: &BTreeMap<String, u64>| counts.get(name).copied().unwrap_or(0);
+        count_in(&self.ended_processes) + count_in(&self.latest.of)
     }
 }
 
-/// The counts of a fleet.
+/// The counters of a fleet.
 #[derive(Clone, Debug, Default)]
 pub struct Counts {
     nodes: BTreeMap<u32, Node>,
 }
 
 impl Counts {
-    /// Takes a line of a log in; whether it was one of counts.
-    pub fn line(&mut self, line: &str) -> bool {
+    /// Adds a line of a log. Returns whether it is a counter line.
+    pub fn add_line(&mut self, line: &str) -> bool {
         let Some(fields) = Fields::read(line) else {
             return false;
         };
-        self.nodes.entry(fields.node).or_default().take(fields);
+        self.nodes.entry(fields.node).or_default().add_line(fields);
         true
     }
 
-    /// Reads files, and all files of folders.
+    /// Reads files, and all files in folders.
     ///
     /// # Errors
-    /// One could not be read.
+    /// A file could not be read, or there is no counter line.
     pub fn read(paths: &[PathBuf]) -> Result<Counts> {
         let mut counts = Counts::default();
         for path in paths {
@@ -74,9 +74,9 @@
                 let shown = || file.display().to_string();
                 let mut reader = BufReader::new(std::fs::File::open(&file).with_context(shown)?);
                 let mut line = Vec::new();
-                // A log may hold bytes of others that are no text.
+                // A log may contain bytes of other programs that are not UTF-8.
                 while reader.read_until(b'\n', &mut line).with_context(shown)? > 0 {
-                    counts.line(&String::from_utf8_lossy(&line));
+                    counts.add_line(&String::from_utf8_lossy(&line));
                     line.clear();
                 }
             }
@@ -92,54 +92,62 @@
         let lines = self
             .nodes
             .values()
-            .flat_map(|node| node.before.keys().chain(node.last.of.keys()));
+            .flat_map(|node| node.ended_processes.keys().chain(node.latest.of.keys()));
         let mut names: Vec<&str> = lines
             .map(|name| &name[..])
-            .filter(|name| !LEVELS.contains(name))
+            .filter(|name| !GAUGES.contains(name))
             .collect();
         names.sort_unstable();
         names.dedup();
         names
     }
 
-    /// A row a figure: its name, the sum, a node and second on the mean, at the median node, at the busiest tenth and at the
-    /// busiest, and what share of the sum that tenth has.
+    /// One row per counter: its name, the sum, then the rates per node and second (mean, median node, mean of the
+    /// busiest tenth, busiest node), and the busiest tenth's share of the sum.
     fn rows(&self) -> Vec<(String, [f64; 6])> {
-        let rate =
-            |node: &Node, name: &str| node.of(name) as f64 / (node.ran_ms.max(1) as f64 / 1e3);
+        let rate = |node: &Node, name: &str| {
+            node.total(name) as f64 / (node.observed_ms.max(1) as f64 / 1e3)
+        };
         let all = self.nodes.len();
-        let tenth = all.div_ceil(BUSIEST);
+        let tenth = all.div_ceil(NODES_PER_BUSIEST);
         let row = |name: &str| {
-            let mut by: Vec<(f64, u64)> = self
+            let mut by_rate: Vec<(f64, u64)> = self
                 .nodes
                 .values()
-                .map(|node| (rate(node, name), node.of(name)))
+                .map(|node| (rate(node, name), node.total(name)))
                 .collect();
-            by.sort_by(|a, b| b.0.total_cmp(&a.0));
-            let sum: u64 = by.iter().map(|of| of.1).sum();
-            let mean =
-                |of: &[(f64, u64)]| of.iter().map(|of| of.0).sum::<f64>() / of.len().max(1) as f64;
-            let top = by[..tenth].iter().map(|of| of.1).sum::<u64>() as f64 / (sum as f64).max(1.0);
+            by_rate.sort_by(|a, b| b.0.total_cmp(&a.0));
+            let sum: u64 = by_rate.iter().map(|entry| entry.1).sum();
+            let mean = |nodes: &[(f64, u64)]| {
+                nodes.iter().map(|entry| entry.0).sum::<f64>() / nodes.len().max(1) as f64
+            };
+            let busiest_share = by_rate[..tenth].iter().map(|entry| entry.1).sum::<u64>() as f64
+                / (sum as f64).max(1.0);
             (
                 name.to_owned(),
                 [
                     sum as f64,
-                    mean(&by),
-                    by[all / 2].0,
-                    mean(&by[..tenth]),
-                    by[0].0,
-                    top,
+                    mean(&by_rate),
+                    by_rate[all / 2].0,
+                    mean(&by_rate[..tenth]),
+                    by_rate[0].0,
+                    busiest_share,
                 ],
             )
         };
         self.names().into_iter().map(row).collect()
     }
 
-    /// The sums as a table.
+    /// The sums as a text table.
     pub fn table(&self) -> String {
-        let seconds = self.nodes.values().map(|node| node.ran_ms).sum::<u64>() as f64 / 1e3;
+        let seconds = self
+            .nodes
+            .values()
+            .map(|node| node.observed_ms)
+            .sum::<u64>() as f64
+            / 1e3;
         let mut text = format!("{} nodes, {seconds:.0} s of nodes\n", self.nodes.len());
-        let heads = [
+        let headings = [
             "sum",
             "a node and s",
             "median",
@@ -149,7 +157,9 @@
         ];
         // Writing to a string does not fail.
         let _ = write!(text, "{:26}", "figure");
-        heads.iter().for_each(|head| _ = write!(text, "{head:>15}"));
+        headings
+            .iter()
+            .for_each(|head| _ = write!(text, "{head:>15}"));
         text.push('\n');
         for (name, row) in self.rows() {
             let _ = write!(text, "{name:26}{:>15.0}", row[0]);
@@ -161,13 +171,21 @@
         text
     }
 
-    /// The sums of each node as CSV (RFC 4180), a line a node.
+    /// The sums of each node as CSV (RFC 4180), one line per node.
     pub fn csv(&self) -> String {
         let names = self.names();
         let mut text = format!("node,ran_ms,{}\r\n", names.join(","));
         for (number, node) in &self.nodes {
-            let values: Vec<String> = names.iter().map(|name| node.of(name).to_string()).collect();
-            let _ = write!(text, "{number},{},{}\r\n", node.ran_ms, values.join(","));
+            let values: Vec<String> = names
+                .iter()
+                .map(|name| node.total(name).to_string())
+                .collect();
+            let _ = write!(
+                text,
+                "{number},{},{}\r\n",
+                node.observed_ms,
+                values.join(",")
+            );
         }
         text
     }
--- a/crates/fleet-harness/src/customers.rs
+++ b/crates/fleet-harness/src/customers.rs
@@ -1,36 +1,42 @@
-//! The customers of a run: whose tries come through which nodes, and how many. A seed draws the same for real instances and
-//! for a fleet in virtual time.
+//! The customers of a run: the nodes that they send requests to, and their rates. A seed draws the same customers for
+//! real instances and for virtual time.
 
 use crate::scenario::Scenario;
 use saffronpaddle_test_doubles::load::Customer;
 use saffronpaddle_test_doubles::settings::Fleet;
 
-/// Share of its quota that a usual customer uses, and that of each fifth one, which is beyond its quota.
-const USUAL: f64 = 0.7;
-const GREEDY: f64 = 1.6;
+/// Share of its quota that a usual customer uses, and that of every fifth customer, which exceeds its quota.
+const USUAL_QUOTA_SHARE: f64 = 0.7;
+const GREEDY_QUOTA_SHARE: f64 = 1.6;
 
-/// All of them, the hot one last.
+/// All customers; the hot one is last.
 pub fn customers(scenario: &Scenario, fleet: &Fleet, seed: u64) -> Vec<Customer> {
     let mut random = fastrand::Rng::with_seed(seed);
-    let usual = |place: usize| if place % 5 == 4 { GREEDY } else { USUAL };
-    let plan = |place: usize| place % fleet.plans.len();
+    let quota_share = |index: usize| {
+        if index % 5 == 4 {
+            GREEDY_QUOTA_SHARE
+        } else {
+            USUAL_QUOTA_SHARE
+        }
+    };
+    let plan = |index: usize| index % fleet.plans.len();
     let all = 0..scenario.customers;
-    let whole: f64 = all
+    let demand_at_quota_shares: f64 = all
         .clone()
-        .map(|place| fleet.plans[plan(place)].rate * usual(place))
+        .map(|index| fleet.plans[plan(index)].rate * quota_share(index))
         .sum();
-    let (least, most) = scenario.spread;
-    let customer = |place: usize| {
-        let own = fleet.plans[plan(place)].rate;
-        let rate = match scenario.times_quota {
-            0.0 => own * usual(place) / whole * scenario.rate,
-            times => own * times,
+    let (fewest, most) = scenario.nodes_per_customer;
+    let customer = |index: usize| {
+        let quota_rate = fleet.plans[plan(index)].rate;
+        let rate = match scenario.quota_factor {
+            0.0 => quota_rate * quota_share(index) / demand_at_quota_shares * scenario.rate,
+            factor => quota_rate * factor,
         };
         Customer {
             id: random.u64(1..1 << 33),
-            plan: plan(place),
+            plan: plan(index),
             first_node: random.usize(..scenario.instances),
-            node_count: random.usize(least..=most).min(scenario.instances),
+            node_count: random.usize(fewest..=most).min(scenario.instances),
             rate,
         }
     };
--- /dev/null
+++ b/crates/fleet-harness/src/harness.rs
@@ -0,0 +1,820 @@
+//! Plays a scenario with real processes: starts everything, applies the steps, and checks the result.
+
+use crate::customers::customers;
+use crate::instance::Instance;
+use crate::manager::ServiceManager;
+use crate::relays::RelayPlan;
+use crate::report::{InstanceReport, Report};
+use crate::room;
+use crate::scenario::{
+    EndpointSource, InitialList, Scenario, Step, StepAction, SERVERS_PER_DEDUPLICATION_DOMAIN,
+    SLOTS_PER_CORE,
+};
+use crate::windows;
+use anyhow::{Context, Result};
+use nix::sys::signal::Signal;
+use saffronpaddle_test_doubles::discovery::{Discovery, Entry};
+use saffronpaddle_test_doubles::etcd::Etcd;
+use saffronpaddle_test_doubles::links::{End, Links, Relay};
+use saffronpaddle_test_doubles::load::{Customer, LoadGenerator};
+use saffronpaddle_test_doubles::peers::Network;
+use saffronpaddle_test_doubles::ports::reserve_address;
+use saffronpaddle_test_doubles::servers::{AppServer, Spec};
+use saffronpaddle_test_doubles::settings::{configuration, Fleet, NodeConfig};
+use saffronpaddle_test_doubles::World;
+use std::collections::BTreeSet;
+use std::net::TcpListener;
+use std::path::PathBuf;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::time::{sleep, timeout};
+
+/// Options for a run with real processes.
+#[derive(Clone, Debug)]
+pub struct Options {
+    /// The program that instances run.
+    pub program: PathBuf,
+    /// Draws everything that the scenario leaves open, the customers' behaviour and the nodes' seeds.
+    pub seed: u64,
+    /// Folder for configurations and logs.
+    pub folder: PathBuf,
+    /// More lines for the operator file of all instances.
+    pub operator: String,
+    /// Whether each step is printed to standard error when it starts.
+    pub say: bool,
+    /// Log level of the instances (`LB_LOG`).
+    pub log_level: &'static str,
+    /// A library that makes system calls of the instances fail, as `failing_calls` of the scenario says.
+    pub preload: Option<PathBuf>,
+}
+
+/// How long a drained server's process runs after its list entry has changed.
+pub(crate) const DRAIN_TIME: Duration = Duration::from_millis(1500);
+/// All clients have ended within this time after the load: it covers the longest deadline and its retries.
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(20);
+/// Memory limit of an instance, as on the platform's scored days.
+const MEMORY_MB: usize = 192;
+/// The platform kills a terminated process this long after the longest deadline, which counts at most as
+/// `MAX_DEADLINE_BEFORE_KILL`.
+const KILL_GRACE: Duration = Duration::from_millis(700);
+const MAX_DEADLINE_BEFORE_KILL: Duration = Duration::from_secs(3);
+/// How long the platform may stall a process.
+const STALL_TIME: Duration = Duration::from_millis(150);
+/// Clients that connect before an instance is terminated and send their request after that, and the time within which
+/// they do.
+const DELAYED_CLIENTS: usize = 6;
+const DELAYED_CLIENT_SPAN: Duration = Duration::from_millis(1300);
+
+static RUN_COUNT: AtomicU64 = AtomicU64::new(0);
+
+/// A running fleet and the test doubles around it.
+struct Harness {
+    world: Arc<World>,
+    discovery: Arc<Discovery>,
+    servers: Vec<AppServer>,
+    links: Arc<Links>,
+    network: Arc<Network>,
+    load_generator: Arc<LoadGenerator>,
+    instances: Vec<Arc<Instance>>,
+    roster: ServerList,
+    customers: Vec<Customer>,
+    scenario: Scenario,
+}
+
+/// Writes changes of the list of app servers to discovery and etcd.
+#[derive(Clone)]
+struct ServerList {
+    world: Arc<World>,
+    discovery: Arc<Discovery>,
+    etcd: Option<Etcd>,
+    instances: usize,
+}
+
+/// Prefix of the servers' keys in etcd.
+const KEY_PREFIX: &str = "/saffronpaddle/servers/";
+
+impl ServerList {
+    fn change(&self, entry: Entry) {
+        if let Some(etcd) = &self.etcd {
+            let key = format!("{KEY_PREFIX}{}", entry.host);
+            // Every node counts as informed once the change is written, even if its etcd connection is down.
+            for node in 0..self.instances {
+                self.world.oracle().health_delivered(
+                    self.world.now(),
+                    node,
+                    &entry.host,
+                    entry.health == "ready",
+                );
+            }
+            match entry.health {
+                "gone" => _ = etcd.delete(&key),
+                _ => _ = etcd.put(&key, &entry.value()),
+            }
+        }
+        self.discovery.change(vec![entry]);
+    }
+}
+
+/// Plays a scenario on a runtime of its own. Creates the folder of `options`, and removes it at the end unless `keep`
+/// is set.
+///
+/// # Errors
+/// The harness could not be set up. Failures of the fleet are in the report.
+pub fn run(scenario: Scenario, options: &Options, keep: bool) -> Result<Report> {
+    let folder = &options.folder;
+    room::reserve(&scenario)?;
+    std::fs::create_dir_all(folder).with_context(|| folder.display().to_string())?;
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .enable_all()
+        .build()?;
+    let report = runtime.block_on(play(scenario, options));
+    // The test doubles' remaining tasks no longer matter.
+    runtime.shutdown_timeout(Duration::from_secs(1));
+    if !keep {
+        // A failure to remove the folder does not affect the result.
+        let _ = std::fs::remove_dir_all(folder);
+    }
+    report
+}
+
+/// Plays a scenario to its end.
+///
+/// # Errors
+/// The harness could not be set up. Failures of the fleet are in the report.
+pub async fn play(scenario: Scenario, options: &Options) -> Result<Report> {
+    let harness = Harness::set_up(scenario, options).await?;
+    harness.start().await?;
+    let (before, load_start) = (harness.datagrams(), harness.world.now());
+    let duration = harness.scenario.duration;
+    let offered = harness.offer();
+    let steps_done = harness.run_steps(options.say);
+    let (offered, ()) = tokio::join!(timeout(duration + CLIENT_TIMEOUT, offered), steps_done);
+    let mut faults = Vec::new();
+    if offered.is_err() {
+        faults.push(format!(
+            "{} requests were still open at the client timeout",
+            harness.world.oracle().open_requests()
+        ));
+    }
+    let seconds = harness
+        .world
+        .now()
+        .checked_sub(load_start)
+        .unwrap()
+        .as_secs_f64();
+    let after = harness.datagrams();
+    let mut stops = tokio::task::JoinSet::new();
+    for instance in harness.instances.clone() {
+        stops.spawn(async move { instance.stop().await });
+    }
+    while stops.join_next().await.is_some() {}
+    // The task that watches each process records its end and costs up to 500 ms later.
+    sleep(Duration::from_millis(700)).await;
+    let instance_report = |instance: &Arc<Instance>| {
+        let costs = instance.costs().clone();
+        let (at_start, at_end) = (before[instance.number], after[instance.number]);
+        InstanceReport {
+            processes: costs.processes,
+            ready_ms: costs
+                .ready
+                .iter()
+                .map(|span| span.as_secs_f64() * 1e3)
+                .collect(),
+            memory_idle_mb: costs.memory_idle as f64 / 1e6,
+            memory_most_mb: costs.memory_peak as f64 / 1e6,
+            cpu_s: costs.cpu_ended + costs.cpu_running,
+            sent_s: (at_end.0 - at_start.0) as f64 / seconds,
+            received_s: (at_end.1 - at_start.1) as f64 / seconds,
+        }
+    };
+    faults.extend(
+        harness
+            .instances
+            .iter()
+            .flat_map(|instance| instance.costs().faults.clone()),
+    );
+    faults.extend(
+        harness
+            .instances
+            .iter()
+            .flat_map(|instance| instance.violations()),
+    );
+    faults.extend(harness.find_interference());
+    let capacities: Vec<(String, f64)> = harness
+        .servers
+        .iter()
+        .map(|server| (server.name().to_owned(), server.capacity()))
+        .collect();
+    let (verdict, could_s, windows) = {
+        let oracle = harness.world.oracle();
+        let could = oracle.available_work(&capacities, load_start, load_start + duration);
+        (
+            oracle.verdict(),
+            could,
+            windows::tally_seconds(&oracle, &harness.scenario.sides, load_start),
+        )
+    };
+    Ok(Report {
+        scenario: harness.scenario.name.clone(),
+        seed: options.seed,
+        seconds,
+        verdict,
+        counts: harness.load_generator.counts(),
+        rows: harness.instances.iter().map(instance_report).collect(),
+        could_s,
+        offered_s: duration.as_secs() as usize,
+        windows,
+        list: harness.discovery.call_stats(),
+        met: harness
+            .servers
+            .iter()
+            .map(AppServer::handshakes_and_requests)
+            .collect(),
+        oversized_datagrams: harness.network.too_long(),
+        peer_bytes: harness.network.bytes(),
+        processes: harness
+            .instances
+            .iter()
+            .map(|instance| instance.costs().processes)
+            .sum(),
+        reloads: harness
+            .instances
+            .iter()
+            .map(|instance| instance.manager.notifications().reloads)
+            .sum(),
+        decision_counters: Vec::new(),
+        faults,
+    })
+}
+
+impl Harness {
+    async fn set_up(scenario: Scenario, options: &Options) -> Result<Harness> {
+        let fleet = scenario.fleet();
+        let world = World::start(fleet.bounds.clone());
+        let discovery = Discovery::new(Arc::clone(&world));
+        let servers = start_servers(&scenario, &fleet, &world, &discovery)?;
+        let datagrams = (0..scenario.instances).map(|_| reserve_address());
+        let datagrams = datagrams
+            .collect::<std::io::Result<Vec<_>>>()
+            .context("reserving ports for peer datagrams")?;
+        let links = Arc::new(Links::default());
+        let network = Network::start(datagrams.clone(), Arc::clone(&links)).await;
+        let network = network.context("starting the peer network")?;
+        discovery.set_limits(|limits| {
+            (limits.calls_per_s, limits.bytes_per_s) = scenario.list_service_limits;
+            limits.sheds_load = scenario.list_service_sheds_load;
+        });
+        let relay_plan = RelayPlan::for_scenario(&scenario);
+        let relays = relay_plan.server_relays();
+        anyhow::ensure!(
+            relays.is_empty() || scenario.endpoint_source == EndpointSource::Discovery,
+            "faults on links to app servers need roster = \"discovery\""
+        );
+        for (nodes, server) in relays {
+            let (listen, target) = (reserve_address()?, &servers[server]);
+            let ends = (End::Node(nodes[0]), End::Server(server));
+            Relay::start(&links, ends, listen, target.address())
+                .await
+                .context("starting a relay to an app server")?;
+            nodes
+                .iter()
+                .for_each(|node| discovery.redirect(*node, target.name(), listen));
+        }
+        let mut operator = options.operator.clone();
+        let etcd = match scenario.endpoint_source {
+            EndpointSource::Discovery => None,
+            _ => Some(
+                Etcd::start(scenario.etcd_members)
+                    .await
+                    .context("starting the etcd cluster")?,
+            ),
+        };
+        if let Some(etcd) = &etcd {
+            let endpoints: Vec<String> = etcd
+                .endpoints()
+                .iter()
+                .map(|address| format!("\"{address}\""))
+                .collect();
+            let instead = scenario.endpoint_source == EndpointSource::Etcd;
+            operator.push_str(&format!(
+                "\n[etcd]\nendpoints = [{}]\ninstead = {instead}\nprobe_every_ms = 200\nsilent_after_ms = 800\n",
+                endpoints.join(", ")
+            ));
+            servers
+                .iter()
+                .filter_map(|server| discovery.entry(server.name()))
+                .for_each(|entry| {
+                    etcd.put(&format!("{KEY_PREFIX}{}", entry.host), &entry.value());
+                });
+        }
+        std::fs::write(options.folder.join("operator.toml"), operator)?;
+        // Several runs in one process need different notify-socket names.
+        let run = RUN_COUNT.fetch_add(1, Ordering::Relaxed);
+        let (mut instances, mut client_addresses) = (Vec::new(), Vec::new());
+        for (number, peer_listen) in datagrams.into_iter().enumerate() {
+            let listener =
+                TcpListener::bind(reserve_address()?).context("binding a client listener")?;
+            let address = listener.local_addr()?;
+            let manager = ServiceManager::start(&format!(
+                "saffronpaddle-fleet-{}-{run}-{number}",
+                std::process::id()
+            ))?;
+            let listener = scenario.listeners_passed.then_some(listener);
+            let mut instance = Instance::new(
+                number,
+                address,
+                listener,
+                manager,
+                &options.program,
+                &options.folder,
+            );
+            (instance.has_operator_file, instance.log_level) =
+                (scenario.has_operator_file, options.log_level);
+            let plan = Some(scenario.failing_calls.clone()).filter(|plan| !plan.is_empty());
+            instance.preload = options.preload.clone().zip(plan);
+            let (me, mut agent, mut client_address) = (
+                End::Node(number),
+                discovery.start_agent(number).await?,
+                address,
+            );
+            if relay_plan.affects(me, End::List) {
+                let agent_address = std::mem::replace(&mut agent, reserve_address()?);
+                Relay::start(&links, (me, End::List), agent, agent_address)
+                    .await
+                    .context("starting a relay to the list service")?;
+            }
+            if relay_plan.affects(me, End::Clients) {
+                client_address = reserve_address()?;
+                Relay::start(&links, (End::Clients, me), client_address, address)
+                    .await
+                    .context("starting a relay for clients")?;
+            }
+            client_addresses.push(client_address);
+            let node_config = NodeConfig {
+                name: format!("n{number}"),
+                listen: address,
+                discovery: agent,
+                peer_listen,
+                peers: network.peers_of(number)?,
+                sockets: scenario.sockets,
+                memory_mb: MEMORY_MB,
+            };
+            let seed = options
+                .seed
+                .wrapping_add(number as u64)
+                .wrapping_mul(0x9e37_79b9_7f4a_7c15);
+            let settings = fleet.settings(number);
+            let known = match scenario.initial_list {
+                InitialList::Current => Some(discovery.full_list_for(number)),
+                InitialList::Absent => None,
+                InitialList::Stale => Some(stale_list(&discovery.full_list_for(number))?),
+            };
+            let text = configuration(&node_config, &settings, known.as_deref(), seed);
+            std::fs::write(instance.configuration(), text)?;
+            instances.push(Arc::new(instance));
+        }
+        let customers = customers(&scenario, &fleet, options.seed);
+        let load_generator = LoadGenerator::new(
+            Arc::clone(&world),
+            fleet,
+            &client_addresses,
+            options.seed,
+            scenario.cancellations,
+        );
+        let roster = ServerList {
+            world: Arc::clone(&world),
+            discovery: Arc::clone(&discovery),
+            etcd,
+            instances: scenario.instances,
+        };
+        Ok(Harness {
+            world,
+            discovery,
+            servers,
+            links,
+            network,
+            load_generator,
+            instances,
+            roster,
+            customers,
+            scenario,
+        })
+    }
+
+    /// Starts all instances and waits until the load generator sees all of them as ready.
+    async fn start(&self) -> Result<()> {
+        let ready_timeout = self.scenario.ready_timeout;
+        let mut starts = tokio::task::JoinSet::new();
+        let absent = &self.scenario.absent;
+        let present = |instance: &Arc<Instance>| !absent.contains(&instance.number);
+        for instance in self.instances.iter().filter(|instance| present(instance)) {
+            let instance = Arc::clone(instance);
+            if self.scenario.start_together {
+                starts.spawn(async move { instance.start(ready_timeout).await });
+            } else {
+                instance.start(ready_timeout).await?;
+            }
+        }
+        while let Some(started) = starts.join_next().await {
+            started.context("starting an instance")??;
+        }
+        self.load_generator.watch_readiness();
+        let all = async {
+            while self.load_generator.ready_nodes() < self.instances.len() - absent.len() {
+                sleep(Duration::from_millis(20)).await;
+            }
+        };
+        // An instance that does not become ready has already recorded a fault.
+        let _ = timeout(ready_timeout, all).await;
+        Ok(())
+    }
+
+    /// Detects that another run interferes with this one: datagrams from unknown senders, or datagrams that were sent
+    /// but never received although no step affects links.
+    fn find_interference(&self) -> Option<String> {
+        let unknown_senders = self.network.from_unknown_senders();
+        let all = self.datagrams();
+        let (sent, received): (u64, u64) = (
+            all.iter().map(|(sent, _)| sent).sum(),
+            all.iter().map(|(_, received)| received).sum(),
+        );
+        let cut = self
+            .scenario
+            .steps
+            .iter()
+            .any(|step| matches!(step.action, StepAction::LinkFault(..)));
+        if unknown_senders > 0 {
+            return Some(format!(
+                "{unknown_senders} datagrams came from unknown senders: another run interferes with this one"
+            ));
+        }
+        (sent > 0 && received == 0 && !cut).then(|| {
+            format!("{sent} peer datagrams sent and none received, although no step affects links")
+        })
+    }
+
+    fn datagrams(&self) -> Vec<(u64, u64)> {
+        (0..self.instances.len())
+            .map(|node| self.network.counts(node))
+            .collect()
+    }
+
+    /// Offers the load of all customers and returns when the last client has ended.
+    async fn offer(&self) {
+        let fleet = self.scenario.fleet();
+        let mut clients = tokio::task::JoinSet::new();
+        for customer in &self.customers {
+            fleet.register_limits(&mut self.world.oracle(), customer);
+            clients.spawn(
+                Arc::clone(&self.load_generator)
+                    .run_customer(customer.clone(), self.scenario.duration),
+            );
+        }
+        while clients.join_next().await.is_some() {}
+    }
+
+    async fn run_steps(&self, print_steps: bool) {
+        let load_start = self.world.now();
+        let mut tasks = tokio::task::JoinSet::new();
+        for step in &self.scenario.steps {
+            sleep((load_start + step.at).saturating_sub(self.world.now())).await;
+            if print_steps {
+                eprintln!(
+                    "{:>7.2} s  {:?}",
+                    self.world
+                        .now()
+                        .checked_sub(load_start)
+                        .unwrap()
+                        .as_secs_f64(),
+                    step.action
+                );
+            }
+            tasks.spawn(self.run_step(step));
+            while tasks.try_join_next().is_some() {}
+        }
+        while tasks.join_next().await.is_some() {}
+    }
+
+    /// Runs one step on its own.
+    fn run_step(&self, step: &Step) -> impl std::future::Future<Output = ()> + Send + 'static {
+        let (world, discovery) = (Arc::clone(&self.world), Arc::clone(&self.discovery));
+        let (links, load_generator, roster) = (
+            Arc::clone(&self.links),
+            Arc::clone(&self.load_generator),
+            self.roster.clone(),
+        );
+        let (instances, servers) = (self.instances.clone(), self.servers.clone());
+        let customers = self.customers.clone();
+        let (ready_timeout, discovery_delay) =
+            (self.scenario.ready_timeout, self.scenario.discovery_delay);
+        let longest = self
+            .scenario
+            .fleet()
+            .classes
+            .iter()
+            .map(|class| class.deadline)
+            .max();
+        let killed_after = longest.unwrap_or_default().min(MAX_DEADLINE_BEFORE_KILL) + KILL_GRACE;
+        let action = step.action.clone();
+        async move {
+            let locked_instance = match action {
+                StepAction::Start(target)
+                | StepAction::Restart(target)
+                | StepAction::Terminate(target, _) => Some(target),
+                StepAction::Kill(target, _)
+                | StepAction::KillDuringStart(target, _)
+                | StepAction::Pause(target, _) => Some(target),
+                _ => None,
+            };
+            // Guards against an instance that is killed while it restarts and then runs twice.
+            let _lifecycle_guard = match locked_instance {
+                Some(target) => Some(instances[target].lifecycle_lock.lock().await),
+                None => None,
+            };
+            match action {
+                StepAction::Start(target) if !instances[target].is_running() => {
+                    start_instance(&instances[target], ready_timeout).await;
+                }
+                StepAction::Start(_) => {}
+                StepAction::Reload(target) => {
+                    instances[target].wait_for_first_log_line().await;
+                    instances[target].signal(Signal::SIGHUP);
+                }
+                StepAction::Restart(target) if instances[target].is_running() => {
+                    let old = Arc::clone(&instances[target]);
+                    world.oracle().node_restarted(target);
+                    old.stop().await;
+                    start_instance(&old, ready_timeout).await;
+                }
+                StepAction::Restart(_) => {}
+                StepAction::Terminate(target, termination) if instances[target].is_running() => {
+                    let delayed = load_generator
+                        .open_delayed_clients(
+                            target,
+                            &customers,
+                            DELAYED_CLIENTS,
+                            DELAYED_CLIENT_SPAN,
+                        )
+                        .await;
+                    instances[target]
+                        .terminate(killed_after, termination.stall_at, STALL_TIME)
+                        .await;
+                    world.oracle().node_restarted(target);
+                    delayed.join_all().await;
+                    sleep(termination.restart_delay).await;
+                    start_instance(&instances[target], ready_timeout).await;
+                }
+                StepAction::Terminate(..) => {}
+                StepAction::Kill(target, duration) if instances[target].is_running() => {
+                    load_generator.node_killed_or_restarted(target);
+                    instances[target].signal(Signal::SIGKILL);
+                    sleep(duration).await;
+                    world.oracle().node_restarted(target);
+                    load_generator.node_killed_or_restarted(target);
+                    if !instances[target].is_running() {
+                        start_instance(&instances[target], ready_timeout).await;
+                    }
+                }
+                StepAction::Kill(..) => {}
+                StepAction::KillDuringStart(target, duration) if instances[target].is_running() => {
+                    for during_start in [true, false] {
+                        load_generator.node_killed_or_restarted(target);
+                        instances[target].signal(Signal::SIGKILL);
+                        while instances[target].is_running() {
+                            sleep(Duration::from_millis(5)).await;
+                        }
+                        world.oracle().node_restarted(target);
+                        load_generator.node_killed_or_restarted(target);
+                        if during_start {
+                            // The process is killed whether or not it is ready by then.
+                            let _ = tokio::join!(
+                                sleep(duration),
+                                timeout(
+                                    duration,
+                                    start_instance(&instances[target], ready_timeout)
+                                )
+                            );
+                        } else {
+                            start_instance(&instances[target], ready_timeout).await;
+                        }
+                    }
+                }
+                StepAction::KillDuringStart(..) => {}
+                StepAction::Pause(target, duration) => {
+                    let stopped = world.now();
+                    load_generator.node_paused_or_resumed(target);
+                    instances[target].was_paused.store(true, Ordering::Relaxed);
+                    if instances[target].signal(Signal::SIGSTOP) {
+                        sleep(duration).await;
+                        instances[target].signal(Signal::SIGCONT);
+                        world.oracle().node_resumed(world.now(), target, stopped);
+                    }
+                    load_generator.node_paused_or_resumed(target);
+                }
+                StepAction::LinkFault(link_set, fault, duration, heal_gap) => {
+                    let mut fault_id = links.add_fault(link_set.clone(), fault);
+                    let Some(duration) = duration else { return };
+                    sleep(duration).await;
+                    let mut healed = BTreeSet::new();
+                    for end in link_set.ends().into_iter().filter(|_| !heal_gap.is_zero()) {
+                        healed.insert(end);
+                        let rest = links.add_fault(link_set.without(&healed), fault);
+                        links.remove_fault(std::mem::replace(&mut fault_id, rest));
+                        sleep(heal_gap).await;
+                    }
+                    links.remove_fault(fault_id);
+                }
+                StepAction::ListServiceDown(duration) => {
+                    discovery.set_limits(|limits| limits.down = true);
+                    sleep(duration).await;
+                    discovery.set_limits(|limits| limits.down = false);
+                }
+                StepAction::RestoreList(mode) => discovery.restore(mode),
+                StepAction::AddServer(target) => start_server(&world, &roster, &servers[target]),
+                StepAction::LoadBurst(factor, duration) => {
+                    let mut clients = tokio::task::JoinSet::new();
+                    for customer in customers {
+                        let rate = customer.rate * (factor - 1.0).max(0.0);
+                        clients.spawn(
+                            Arc::clone(&load_generator)
+                                .run_customer(Customer { rate, ..customer }, duration),
+                        );
+                    }
+                    while clients.join_next().await.is_some() {}
+                }
+                StepAction::HoldIdleConnections(target, duration) => {
+                    load_generator.hold_idle_connections(target, duration).await;
+                }
+                StepAction::DrainServer(target, duration) => {
+                    update_entry(&roster, &servers[target], "draining", None);
+                    sleep(discovery_delay + DRAIN_TIME).await;
+                    crash_server(&world, &roster, &servers[target], duration).await;
+                }
+                StepAction::ToggleDraining(target, duration) => {
+                    update_entry(&roster, &servers[target], "draining", None);
+                    sleep(duration).await;
+                    update_entry(&roster, &servers[target], "ready", None);
+                }
+                StepAction::CrashServer(target, duration) => {
+                    crash_server(&world, &roster, &servers[target], duration).await;
+                }
+                StepAction::CutEtcdConnections(target) => roster
+                    .etcd
+                    .iter()
+                    .for_each(|etcd| etcd.members[target].cut_connections()),
+                StepAction::FreezeEtcdMember(target, duration) => {
+                    let members = roster.etcd.iter().map(|etcd| etcd.members[target].clone());
+                    let members: Vec<_> = members.collect();
+                    members
+                        .iter()
+                        .for_each(|member| member.set_faults(|faults| faults.frozen = true));
+                    sleep(duration).await;
+                    members
+                        .iter()
+                        .for_each(|member| member.set_faults(|faults| faults.frozen = false));
+                }
+                StepAction::CompactEtcd => roster
+                    .etcd
+                    .iter()
+                    .for_each(|etcd| etcd.compact(etcd.revision())),
+                StepAction::SilenceServer(target, duration) => {
+                    servers[target].set_behavior(|behavior| behavior.silent = true);
+                    sleep(duration).await;
+                    servers[target].set_behavior(|behavior| behavior.silent = false);
+                }
+                StepAction::ServerResets(target, share, duration) => {
+                    servers[target].set_behavior(|behavior| behavior.reset_share = share);
+                    sleep(duration).await;
+                    servers[target].set_behavior(|behavior| behavior.reset_share = 0.0);
+                }
+                StepAction::ServerErrors(target, share, duration) => {
+                    servers[target].set_behavior(|behavior| behavior.error_share = share);
+                    sleep(duration).await;
+                    servers[target].set_behavior(|behavior| behavior.error_share = 0.0);
+                }
+                StepAction::SlowServers(factor, duration) => {
+                    servers.iter().for_each(|server| {
+                        server.set_behavior(|behavior| behavior.work_multiplier = factor);
+                    });
+                    sleep(duration).await;
+                    servers.iter().for_each(|server| {
+                        server.set_behavior(|behavior| behavior.work_multiplier = 1.0);
+                    });
+                }
+                StepAction::SilenceDiscovery(duration) => {
+                    discovery.set_silent(true);
+                    sleep(duration).await;
+                    discovery.set_silent(false);
+                }
+            }
+        }
+    }
+}
+
+/// Makes a list outdated: every second server gets another name, and every third one another server's address.
+fn stale_list(known: &str) -> Result<String> {
+    let mut list: serde_json::Value = serde_json::from_str(known)?;
+    let hosts = list["hosts"]
+        .as_array_mut()
+        .context("the list has no hosts")?;
+    let dials: Vec<_> = hosts.iter().map(|host| host["dial"].clone()).collect();
+    for (index, host) in hosts.iter_mut().enumerate() {
+        host["born_ms"] = 0.into();
+        if index % 2 == 1 {
+            host["host"] = format!("gone-{index}").into();
+        }
+        if index % 3 == 0 {
+            host["dial"] = dials[(index + 1) % dials.len()].clone();
+        }
+    }
+    list["seq"] = 0.into();
+    Ok(list.to_string())
+}
+
+async fn start_instance(instance: &Arc<Instance>, ready_timeout: Duration) {
+    if let Err(error) = instance.start(ready_timeout).await {
+        instance
+            .costs()
+            .faults
+            .push(format!("instance {}: {error:#}", instance.number));
+    }
+}
+
+fn update_entry(
+    roster: &ServerList,
+    server: &AppServer,
+    health: &'static str,
+    born_ms: Option<u64>,
+) {
+    if let Some(entry) = roster.discovery.entry(server.name()) {
+        let born_ms = born_ms.unwrap_or(entry.born_ms);
+        roster.change(Entry {
+            health,
+            born_ms,
+            ..entry
+        });
+    }
+}
+
+async fn crash_server(world: &World, roster: &ServerList, server: &AppServer, duration: Duration) {
+    server.kill();
+    update_entry(roster, server, "gone", None);
+    sleep(duration).await;
+    start_server(world, roster, server);
+}
+
+/// Starts a server's process, cold, and lists it as ready.
+fn start_server(world: &World, roster: &ServerList, server: &AppServer) {
+    match server.start_cold() {
+        Ok(()) => update_entry(roster, server, "ready", Some(world.unix_ms())),
+        Err(error) => eprintln!("app server {} could not be started: {error}", server.name()),
+    }
+}
+
+fn start_servers(
+    scenario: &Scenario,
+    fleet: &Fleet,
+    world: &Arc<World>,
+    discovery: &Discovery,
+) -> Result<Vec<AppServer>> {
+    let cores = scenario.cores_per_server(fleet);
+    let mut servers = Vec::new();
+    let mut entries = Vec::new();
+    for number in 0..scenario.servers {
+        let spec = Spec {
+            name: format!("s-{number}"),
+            block: (number / SERVERS_PER_DEDUPLICATION_DOMAIN) as u64,
+            cores,
+            slots: cores * SLOTS_PER_CORE,
+            work: fleet
+                .classes
+                .iter()
+                .map(|class| (class.name.to_owned(), class.work))
+                .collect(),
+        };
+        let block = spec.block;
+        let server = AppServer::start(Arc::clone(world), spec).context("starting an app server")?;
+        let born_ms = if scenario.cold { world.unix_ms() } else { 0 };
+        let absent = scenario.absent_servers.contains(&number);
+        if absent {
+            server.kill();
+        } else if scenario.cold {
+            world
+                .oracle()
+                .server_started_cold(world.now(), server.name(), server.capacity());
+        }
+        entries.push(Entry {
+            host: server.name().to_owned(),
+            dial: server.address(),
+            site: fleet.sites[number % fleet.sites.len()].to_owned(),
+            block,
+            health: if absent { "gone" } else { "ready" },
+            born_ms,
+        });
+        servers.push(server);
+    }
+    discovery.change(entries);
+    discovery.set_delay(scenario.discovery_delay);
+    Ok(servers)
+}
--- a/crates/fleet-harness/src/instance.rs
+++ b/crates/fleet-harness/src/instance.rs
@@ -1,6 +1,6 @@
-//! One instance: a real process of the program, its listener, its manager and what it has cost.
+//! One instance: a real process of the program, with its listener, its service manager and its costs.
 
-use crate::manager::Manager;
+use crate::manager::ServiceManager;
 use anyhow::{Context, Result};
 use command_fds::{CommandFdExt, FdMapping};
 use nix::sys::signal::{kill, Signal};
@@ -17,64 +17,64 @@
 use tokio::process::Child;
 use tokio::time::timeout;
 
-/// An instance that was told to stop must have ended by then: its bound is 3.6 s.
-const END_WITHIN: Duration = Duration::from_secs(15);
+/// Time within which an instance that was told to stop must have ended; the program's own limit is 3.6 s.
+const STOP_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Lines of an instance's log that a fault shows.
-const LAST_LINES: usize = 4;
+/// Lines of an instance's log that a fault message quotes.
+const LOG_TAIL_LINES: usize = 4;
 
-/// What an instance's processes have cost and how they went.
+/// What an instance's processes have used, and their faults.
 #[derive(Clone, Debug, Default)]
-pub struct Cost {
-    /// Spans from exec to ready.
+pub struct ProcessCosts {
+    /// Time from exec to ready of each process.
     pub ready: Vec<Duration>,
-    /// Bytes of memory when it was first ready, and the most that was seen.
+    /// Resident memory when the first process became ready, bytes.
     pub memory_idle: u64,
-    /// See there.
-    pub memory_most: u64,
-    /// CPU seconds of processes that have ended, and of the one that runs.
-    pub cpu_before: f64,
-    /// See there.
-    pub cpu_now: f64,
-    /// Processes that were started.
+    /// Highest resident memory seen, bytes.
+    pub memory_peak: u64,
+    /// CPU seconds of processes that have ended.
+    pub cpu_ended: f64,
+    /// CPU seconds of the running process.
+    pub cpu_running: f64,
+    /// Number of processes that were started.
     pub processes: u64,
-    /// What went wrong, each in a line.
+    /// Faults, one line each.
     pub faults: Vec<String>,
 }
 
-/// One instance.
+/// An instance and the process that currently runs for it.
 pub struct Instance {
-    /// Its number.
+    /// Index in the fleet.
     pub number: usize,
-    /// Where clients connect.
+    /// Address that the instance listens on for clients.
     pub address: SocketAddr,
-    /// What it tells its manager.
-    pub manager: Arc<Manager>,
-    /// Held by who starts or ends its processes: one deed at a time.
-    pub turn: tokio::sync::Mutex<()>,
-    /// Whether it has an operator file, and a service manager that it tells how it goes.
-    pub operated: bool,
-    /// What it tells its log.
+    /// Receives the instance's `sd_notify` messages.
+    pub manager: Arc<ServiceManager>,
+    /// Held by the task that starts or ends a process, so that only one does at a time.
+    pub lifecycle_lock: tokio::sync::Mutex<()>,
+    /// Whether the instance has an operator file and reports its state to a service manager.
+    pub has_operator_file: bool,
+    /// Log level (`LB_LOG`).
     pub log_level: &'static str,
-    /// A library that is loaded into its processes and makes system calls fail, and by which plan.
+    /// A library that is preloaded and makes system calls fail, and the calls with their percentages.
     pub preload: Option<(PathBuf, String)>,
-    /// Whether a process of it was made to stand still, for longer than one may be held up.
-    pub stood_still: AtomicBool,
+    /// Whether a process was paused for longer than the platform may stall one.
+    pub was_paused: AtomicBool,
     listener: Option<TcpListener>,
     program: PathBuf,
     folder: PathBuf,
     process: Mutex<Option<Arc<Process>>>,
-    cost: Mutex<Cost>,
+    costs: Mutex<ProcessCosts>,
 }
 
 /// A process of an instance.
 struct Process {
     pid: Pid,
     child: tokio::sync::Mutex<Child>,
-    /// Whether it was told to end.
-    told: Mutex<bool>,
-    /// How long the instance's log was when it began.
-    log_from: u64,
+    /// Whether the harness has told it to end.
+    stop_ordered: Mutex<bool>,
+    /// Length of the instance's log when the process started.
+    log_start: u64,
 }
 
 impl Process {
@@ -84,33 +84,33 @@
 }
 
 impl Instance {
-    /// An instance that does not run yet. `listener` is kept here and handed over, or its address is bound by the
-    /// instance itself.
+    /// Creates an instance that is not running yet. With a `listener`, that one is kept here and passed to each
+    /// process; without one, the process binds `address`.
     pub fn new(
         number: usize,
         address: SocketAddr,
         listener: Option<TcpListener>,
-        manager: Arc<Manager>,
+        manager: Arc<ServiceManager>,
         program: &Path,
         folder: &Path,
     ) -> Instance {
         let (program, folder) = (program.to_owned(), folder.to_owned());
-        let (turn, process, cost) = Default::default();
-        let (operated, log_level) = (true, "info");
+        let (lifecycle_lock, process, costs) = Default::default();
+        let (has_operator_file, log_level) = (true, "info");
         Instance {
             number,
             address,
             manager,
-            turn,
-            operated,
+            lifecycle_lock,
+            has_operator_file,
             log_level,
             preload: None,
-            stood_still: AtomicBool::new(false),
+            was_paused: AtomicBool::new(false),
             listener,
             program,
             folder,
             process,
-            cost,
+            costs,
         }
     }
 
@@ -121,34 +121,37 @@
             .clone()
     }
 
-    /// What it has cost.
-    pub fn cost(&self) -> MutexGuard<'_, Cost> {
-        self.cost.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Costs and faults so far.
+    pub fn costs(&self) -> MutexGuard<'_, ProcessCosts> {
+        self.costs.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether a process of it runs.
-    pub fn runs(&self) -> bool {
+    /// Whether a process is running.
+    pub fn is_running(&self) -> bool {
         self.process().is_some()
     }
 
-    /// Waits until the process that runs has said a first word, if one does. Danger: a reload between its exec and its first
-    /// instruction, of which no program knows.
-    pub async fn speaks(&self) {
-        let silent = |process: &Process| {
-            std::fs::metadata(self.log()).is_ok_and(|log| log.len() <= process.log_from)
+    /// Waits until the running process, if there is one, has written its first log line. Guards against a reload signal
+    /// between exec and the process's first instruction, which no program can handle.
+    pub async fn wait_for_first_log_line(&self) {
+        let has_logged_nothing = |process: &Process| {
+            std::fs::metadata(self.log()).is_ok_and(|log| log.len() <= process.log_start)
         };
-        while self.process().is_some_and(|process| silent(&process)) {
+        while self
+            .process()
+            .is_some_and(|process| has_logged_nothing(&process))
+        {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     }
 
-    /// Where its configuration stands.
+    /// Path of the configuration file.
     pub fn configuration(&self) -> PathBuf {
         self.folder.join(format!("node-{}.json", self.number))
     }
 
     fn fault(&self, line: impl Into<String>) {
-        self.cost()
+        self.costs()
             .faults
             .push(format!("instance {}: {}", self.number, line.into()));
     }
@@ -157,34 +160,34 @@
         self.folder.join(format!("node-{}.log", self.number))
     }
 
-    /// The last lines of its log, in one: why it ended stands there.
-    fn last_words(&self) -> String {
+    /// The last lines of the log joined into one line; they say why a process ended.
+    fn log_tail(&self) -> String {
         let text =
             std::fs::read(self.log()).map(|bytes| String::from_utf8_lossy(&bytes).into_owned());
         let text = text.unwrap_or_default();
-        let lines: Vec<&str> = text.lines().rev().take(LAST_LINES).collect();
+        let lines: Vec<&str> = text.lines().rev().take(LOG_TAIL_LINES).collect();
         lines.into_iter().rev().collect::<Vec<_>>().join(" | ")
     }
 
-    /// Starts a process and waits until it is ready; a fault where it is not in time.
+    /// Starts a process and waits until it is ready; records a fault if it is not ready in time.
     ///
     /// # Errors
-    /// It could not be started at all.
-    pub async fn start(self: &Arc<Self>, ready_within: Duration) -> Result<()> {
+    /// The process could not be started.
+    pub async fn start(self: &Arc<Self>, ready_timeout: Duration) -> Result<()> {
         let log = std::fs::OpenOptions::new()
             .create(true)
             .append(true)
             .open(self.log())?;
-        let log_from = log.metadata()?.len();
+        let log_start = log.metadata()?.len();
         let mut command = Command::new(&self.program);
         command.arg("run").env("LB_LOG", self.log_level);
-        if self.operated {
+        if self.has_operator_file {
             command
                 .arg("--operator")
                 .arg(self.folder.join("operator.toml"));
         }
         if let Some((library, plan)) = &self.preload {
-            let seed = (self.number as u64 + 1) * (self.cost().processes + 1);
+            let seed = (self.number as u64 + 1) * (self.costs().processes + 1);
             command
                 .env("LD_PRELOAD", library)
                 .env("FAILING_CALLS", plan);
@@ -218,64 +221,69 @@
                 .env("LISTEN_FDS", "1")
                 .env("LISTEN_FDNAMES", "clients");
         }
-        self.manager.forget();
-        let begun = Instant::now();
+        self.manager.reset_readiness();
+        let started = Instant::now();
         let mut command = tokio::process::Command::from(command);
-        // Danger: instances that outlive a rig that was ended.
+        // Guards against instances that outlive a harness that was stopped.
         command.kill_on_drop(true);
-        let child = command.spawn().context("an instance is started")?;
+        let child = command.spawn().context("starting an instance's process")?;
         let pid = child
             .id()
             .and_then(|pid| i32::try_from(pid).ok())
-            .context("it has ended already")?;
+            .context("the process has already ended")?;
         let child = tokio::sync::Mutex::new(child);
         let process = Arc::new(Process {
             pid: Pid::from_raw(pid),
             child,
-            told: Mutex::new(false),
-            log_from,
+            stop_ordered: Mutex::new(false),
+            log_start,
         });
         *self.process.lock().unwrap_or_else(PoisonError::into_inner) = Some(Arc::clone(&process));
         {
-            let mut cost = self.cost();
-            cost.processes += 1;
-            cost.cpu_before += cost.cpu_now;
-            cost.cpu_now = 0.0;
+            let mut costs = self.costs();
+            costs.processes += 1;
+            costs.cpu_ended += costs.cpu_running;
+            costs.cpu_running = 0.0;
         }
         tokio::spawn(Arc::clone(self).watch(Arc::clone(&process)));
-        match timeout(ready_within, self.ready()).await {
+        match timeout(ready_timeout, self.wait_until_ready()).await {
             Ok(at) => {
                 let memory = memory_bytes(process.number()).unwrap_or(0);
-                let mut cost = self.cost();
-                cost.ready.push(at.saturating_duration_since(begun));
-                if cost.memory_idle == 0 {
-                    cost.memory_idle = memory;
+                let mut costs = self.costs();
+                costs.ready.push(at.saturating_duration_since(started));
+                if costs.memory_idle == 0 {
+                    costs.memory_idle = memory;
                 }
             }
-            Err(_) if *process.told.lock().unwrap_or_else(PoisonError::into_inner) => {}
+            Err(_)
+                if *process
+                    .stop_ordered
+                    .lock()
+                    .unwrap_or_else(PoisonError::into_inner) => {}
             Err(_) => {
-                let status = self.manager.heard().status;
+                let status = self.manager.notifications().status;
                 self.fault(format!(
-                    "not ready in time: {status}; its log ends: {}",
-                    self.last_words()
+                    "not ready within {ready_timeout:?}, status: {status}; end of its log: {}",
+                    self.log_tail()
                 ));
             }
         }
         Ok(())
     }
 
-    /// When it was first ready: it says so, or is asked where it has nobody to tell.
-    async fn ready(&self) -> Instant {
-        if self.operated {
-            return self.manager.ready().await;
+    /// Returns when the process is first ready: as it reports to its service manager, or by polling `/-/ready` if it
+    /// has none.
+    async fn wait_until_ready(&self) -> Instant {
+        if self.has_operator_file {
+            return self.manager.wait_until_ready().await;
         }
-        while !self.answers_ready().await {
+        while !self.readiness_probe_succeeds().await {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
         Instant::now()
     }
 
-    async fn answers_ready(&self) -> bool {
+    async fn readiness_probe_succeeds(&self) -> bool {
         let Ok(mut stream) = tokio::net::TcpStream::connect(self.address).await else {
             return false;
         };
@@ -287,32 +295,32 @@
             && answer.starts_with("HTTP/1.1 200")
     }
 
-    /// Lines of its log that tell of an invariant that did not hold. One that stood still by order answers late.
+    /// Log lines about violated invariants. A process that was paused on purpose may answer late.
     pub fn violations(&self) -> Vec<String> {
         let text =
             std::fs::read(self.log()).map(|bytes| String::from_utf8_lossy(&bytes).into_owned());
         let text = text.unwrap_or_default();
-        let stood_still = self.stood_still.load(Ordering::Relaxed);
-        let excused = |line: &&str| stood_still && line.contains("answered_in_time");
+        let was_paused = self.was_paused.load(Ordering::Relaxed);
+        let is_excused = |line: &&str| was_paused && line.contains("answered_in_time");
         let violated = text
             .lines()
             .filter(|line| line.contains("an invariant does not hold"));
         violated
-            .filter(|line| !excused(line))
+            .filter(|line| !is_excused(line))
             .map(|line| format!("instance {}: {line}", self.number))
             .collect()
     }
 
-    /// Watches a process to its end: an end that nobody ordered is a fault, and so is a bad one.
+    /// Watches a process until it ends. An end that was not ordered and a failure status are faults.
     async fn watch(self: Arc<Self>, process: Arc<Process>) {
         let status = loop {
             {
-                let mut cost = self.cost();
+                let mut costs = self.costs();
                 if let Some(spent) = cpu_seconds(process.number()) {
-                    cost.cpu_now = cost.cpu_now.max(spent);
+                    costs.cpu_running = costs.cpu_running.max(spent);
                 }
-                cost.memory_most = cost
-                    .memory_most
+                costs.memory_peak = costs
+                    .memory_peak
                     .max(memory_bytes(process.number()).unwrap_or(0));
             }
             let mut child = process.child.lock().await;
@@ -330,68 +338,77 @@
                 *current = None;
             }
         }
-        let told = *process.told.lock().unwrap_or_else(PoisonError::into_inner);
+        let stop_ordered = *process
+            .stop_ordered
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         match status {
-            _ if !told => {
+            _ if !stop_ordered => {
                 self.fault(format!(
-                    "ended by itself: {status:?}; its log ends: {}",
-                    self.last_words()
+                    "ended without being told to: {status:?}; end of its log: {}",
+                    self.log_tail()
                 ));
             }
-            Some(status) if !status.success() && !killed(status) => self.fault(format!(
-                "ended badly: {status}; its log ends: {}",
-                self.last_words()
+            Some(status) if !status.success() && !was_killed(status) => self.fault(format!(
+                "ended with a failure: {status}; end of its log: {}",
+                self.log_tail()
             )),
             _ => {}
         }
     }
 
-    /// Sends a signal to the process that runs, if one does.
+    /// Sends a signal to the running process. Returns false if none is running.
     pub fn signal(&self, signal: Signal) -> bool {
         let Some(process) = self.process() else {
             return false;
         };
         if matches!(signal, Signal::SIGKILL | Signal::SIGTERM) {
-            *process.told.lock().unwrap_or_else(PoisonError::into_inner) = true;
+            *process
+                .stop_ordered
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner) = true;
         }
         kill(process.pid, signal).is_ok()
     }
 
-    /// Tells the process that runs to stop, and waits until it has ended; a fault where that takes too long.
+    /// Tells the running process to stop and waits until it has ended; records a fault if that takes too long.
     pub async fn stop(&self) {
         let Some(process) = self.process() else {
             return;
         };
         self.signal(Signal::SIGTERM);
-        if timeout(END_WITHIN, ended(&process)).await.is_err() {
-            self.fault("told to stop and did not end");
+        if timeout(STOP_TIMEOUT, wait_until_ended(&process))
+            .await
+            .is_err()
+        {
+            self.fault("did not end after SIGTERM; killing it");
             self.signal(Signal::SIGKILL);
         }
     }
 
-    /// Tells the process that runs to stop, and kills it when its time is up. It may be held up once meanwhile.
+    /// Tells the running process to stop and kills it when `killed_after` is over. It may be stalled once in between.
     pub async fn terminate(
         &self,
         killed_after: Duration,
-        held_up_at: Option<Duration>,
-        hold_up: Duration,
+        stall_at: Option<Duration>,
+        stall: Duration,
     ) {
         let Some(process) = self.process() else {
             return;
         };
-        let begun = Instant::now();
-        let ends = ended(&process);
+        let started = Instant::now();
+        let ends = wait_until_ended(&process);
         tokio::pin!(ends);
         self.signal(Signal::SIGTERM);
-        if let Some(at) = held_up_at {
+        if let Some(at) = stall_at {
             if timeout(at, &mut ends).await.is_ok() {
                 return;
             }
             self.signal(Signal::SIGSTOP);
-            tokio::time::sleep(hold_up).await;
+            tokio::time::sleep(stall).await;
             self.signal(Signal::SIGCONT);
         }
-        if timeout(killed_after.saturating_sub(begun.elapsed()), &mut ends)
+        if timeout(killed_after.saturating_sub(started.elapsed()), &mut ends)
             .await
             .is_err()
         {
@@ -401,8 +418,8 @@
     }
 }
 
-/// Comes back once a process has ended.
-async fn ended(process: &Process) {
+/// Returns once a process has ended.
+async fn wait_until_ended(process: &Process) {
     loop {
         let mut child = process.child.lock().await;
         if !matches!(child.try_wait(), Ok(None)) {
@@ -413,7 +430,7 @@
     }
 }
 
-fn killed(status: ExitStatus) -> bool {
+fn was_killed(status: ExitStatus) -> bool {
     use std::os::unix::process::ExitStatusExt;
     status.signal() == Some(Signal::SIGKILL as i32)
 }
--- a/crates/fleet-harness/src/lib.rs
+++ b/crates/fleet-harness/src/lib.rs
@@ -1,23 +1,23 @@
-//! The fleet rig: real instances of the program on one machine, before stand-ins, played by a written scenario and
-//! judged by the stand-ins' ledger.
+//! Fleet harness: runs real instances of the program on one machine against test doubles, as a scenario describes, and
+//! checks the run with the test doubles' oracle.
 #![recursion_limit = "256"]
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 pub mod counts;
 pub mod customers;
-pub mod ends;
+pub mod harness;
 pub mod instance;
+pub mod link_ends;
 pub mod manager;
+pub mod relays;
 pub mod report;
-pub mod rig;
 pub mod room;
 pub mod scenario;
 pub mod soak;
 pub mod virtually;
-pub mod ways;
 pub mod windows;
 
+pub use harness::{play, run, Options};
 pub use report::Report;
-pub use rig::{play, run, Options};
 pub use scenario::{Overrides, Scenario};
--- a/crates/fleet-harness/src/ends.rs
+++ b/crates/fleet-harness/src/link_ends.rs
@@ -1,22 +1,27 @@
-//! How a scenario names the ends of links: `n3`, `n0-n11`, `s2`, `nodes`, `servers`, `list`, `counter`, `clients`, or a
-//! side that it has given a name; several with commas.
+//! Parses the ends of links in a scenario: `n3`, `n0-n11`, `s2`, `nodes`, `servers`, `list`, `counter`, `clients`, or
+//! the name of a side; several are separated by commas.
 
 use saffronpaddle_operator_config::Section;
 use saffronpaddle_test_doubles::links::End;
 use std::collections::BTreeSet;
 use toml::Value;
 
-/// A side: a name, and what is on it.
+/// A named group of instances and servers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Side {
-    /// Its name.
+    /// Name that steps and reports use.
     pub name: String,
-    /// What is on it.
+    /// The group's members.
     pub ends: BTreeSet<End>,
 }
 
-/// The ends that a text names; none where it names something that there is not. `counts` are instances and servers.
-pub fn ends(text: &str, counts: (usize, usize), sides: &[Side]) -> Option<BTreeSet<End>> {
+/// Parses a list of ends; `None` if it names one that does not exist. `counts` are the numbers of instances and
+/// servers.
+pub fn parse_link_ends(
+    text: &str,
+    counts: (usize, usize),
+    sides: &[Side],
+) -> Option<BTreeSet<End>> {
     let mut all = BTreeSet::new();
     for part in text.split(',').map(str::trim) {
         let side = sides.iter().find(|side| side.name == part);
@@ -29,7 +34,7 @@
             ("clients", None) => BTreeSet::from([End::Clients]),
             (part, None) => {
                 let (first, last) = part.split_once('-').unwrap_or((part, part));
-                let (first, last) = (one(first, counts)?, one(last, counts)?);
+                let (first, last) = (parse_end(first, counts)?, parse_end(last, counts)?);
                 match (first, last) {
                     (End::Node(first), End::Node(last)) => (first..=last).map(End::Node).collect(),
                     (End::Server(first), End::Server(last)) => {
@@ -44,7 +49,7 @@
     Some(all)
 }
 
-fn one(text: &str, (nodes, servers): (usize, usize)) -> Option<End> {
+fn parse_end(text: &str, (nodes, servers): (usize, usize)) -> Option<End> {
     let number = |text: &str, most: usize| text.parse().ok().filter(|number| *number < most);
     match text.split_at_checked(1)? {
         ("n", rest) => number(rest, nodes).map(End::Node),
@@ -53,10 +58,14 @@
     }
 }
 
-/// The sides of a scenario, from its `[[side]]` sections; what is wrong with them is told to the file.
-pub fn sides(written: Option<Value>, counts: (usize, usize), file: &mut Section) -> Vec<Side> {
+/// Parses the `[[side]]` sections of a scenario. Faults are added to `file`.
+pub fn parse_sides(
+    sections: Option<Value>,
+    counts: (usize, usize),
+    file: &mut Section,
+) -> Vec<Side> {
     let mut all: Vec<Side> = Vec::new();
-    let written = match written {
+    let sections = match sections {
         None => return all,
         Some(Value::Array(sections)) => sections,
         Some(_) => {
@@ -64,10 +73,10 @@
             return all;
         }
     };
-    for section in written {
+    for section in sections {
         let text = |key: &str| section.get(key).and_then(Value::as_str);
         let known = section.as_table().is_some_and(|table| table.len() == 2);
-        let named = text("has").and_then(|has| ends(has, counts, &all));
+        let named = text("has").and_then(|has| parse_link_ends(has, counts, &all));
         match (text("name"), named) {
             (Some(name), Some(ends)) if known && !name.contains(',') => {
                 all.push(Side {
--- a/crates/fleet-harness/src/ends/tests.rs
+++ b/crates/fleet-harness/src/link_ends/tests.rs
@@ -1,25 +1,25 @@
 use super::*;
 
 #[test]
-fn ends_are_named_one_by_one_in_spans_and_by_side() {
+fn link_ends_are_parsed_singly_as_ranges_and_by_side() {
     let sides = [Side {
         name: "west".to_owned(),
         ends: BTreeSet::from([End::Node(7)]),
     }];
-    let read = |text: &str| ends(text, (10, 4), &sides);
+    let parse = |text: &str| parse_link_ends(text, (10, 4), &sides);
     let nodes = |numbers: &[usize]| {
         numbers
             .iter()
             .map(|number| End::Node(*number))
             .collect::<BTreeSet<_>>()
     };
-    assert_eq!(read("n0-n2, n9"), Some(nodes(&[0, 1, 2, 9])));
-    assert_eq!(read("west"), Some(nodes(&[7])));
+    assert_eq!(parse("n0-n2, n9"), Some(nodes(&[0, 1, 2, 9])));
+    assert_eq!(parse("west"), Some(nodes(&[7])));
     assert_eq!(
-        read("s3,list"),
+        parse("s3,list"),
         Some(BTreeSet::from([End::Server(3), End::List]))
     );
     for bad in ["n10", "s4", "n1-s2", "east", "", "n"] {
-        assert_eq!(read(bad), None, "{bad}");
+        assert_eq!(parse(bad), None, "{bad}");
     }
 }
--- a/crates/fleet-harness/src/manager.rs
+++ b/crates/fleet-harness/src/manager.rs
@@ -1,4 +1,5 @@
-//! A stand-in for the service manager, from `sd_notify(3)`: one notify socket an instance, and what it heard there.
+//! A test double of the service manager (`sd_notify(3)`): one notify socket per instance, and the messages received on
+//! it.
 
 use std::io;
 use std::os::linux::net::SocketAddrExt;
@@ -8,70 +9,73 @@
 use tokio::net::UnixDatagram;
 use tokio::sync::watch;
 
-/// What an instance has said.
+/// What an instance has reported.
 #[derive(Clone, Debug, Default)]
-pub struct Heard {
-    /// `READY=1`, how often.
+pub struct Notifications {
+    /// Number of `READY=1` messages.
     pub readies: u64,
-    /// `RELOADING=1`, how often.
+    /// Number of `RELOADING=1` messages.
     pub reloads: u64,
-    /// `STOPPING=1`, how often.
+    /// Number of `STOPPING=1` messages.
     pub stops: u64,
-    /// `WATCHDOG=1`, how often.
-    pub feeds: u64,
-    /// The last `STATUS=`.
+    /// Number of `WATCHDOG=1` messages.
+    pub watchdog_pings: u64,
+    /// Text of the last `STATUS=` message.
     pub status: String,
-    /// When it was first ready since [`Manager::forget`].
+    /// When it first reported ready since [`ServiceManager::reset_readiness`].
     pub ready: Option<Instant>,
 }
 
-/// The manager's side of one instance.
+/// The service manager of one instance.
 #[derive(Debug)]
-pub struct Manager {
-    /// What `NOTIFY_SOCKET` is to say.
+pub struct ServiceManager {
+    /// Value for `NOTIFY_SOCKET`.
     pub address: String,
-    heard: Mutex<Heard>,
+    notifications: Mutex<Notifications>,
     changed: watch::Sender<u64>,
 }
 
-impl Manager {
-    /// Listens at an abstract socket of this name.
+impl ServiceManager {
+    /// Listens on an abstract socket with this name.
     ///
     /// # Errors
-    /// The name is taken.
-    pub fn start(name: &str) -> io::Result<Arc<Manager>> {
+    /// The name is in use.
+    pub fn start(name: &str) -> io::Result<Arc<ServiceManager>> {
         let socket = StdDatagram::bind_addr(&SocketAddr::from_abstract_name(name)?)?;
         socket.set_nonblocking(true)?;
         let socket = UnixDatagram::from_std(socket)?;
         let (changed, _) = watch::channel(0);
-        let manager = Arc::new(Manager {
+        let manager = Arc::new(ServiceManager {
             address: format!("@{name}"),
-            heard: Mutex::default(),
+            notifications: Mutex::default(),
             changed,
         });
         let listener = Arc::clone(&manager);
         tokio::spawn(async move {
             let mut buffer = [0; 4096];
             while let Ok(length) = socket.recv(&mut buffer).await {
-                listener.hear(&String::from_utf8_lossy(&buffer[..length]));
+                listener.record(&String::from_utf8_lossy(&buffer[..length]));
             }
         });
         Ok(manager)
     }
 
-    fn hear(&self, text: &str) {
+    fn record(&self, text: &str) {
         {
-            let mut heard = self.heard.lock().unwrap_or_else(PoisonError::into_inner);
+            let mut notifications = self
+                .notifications
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner);
             for line in text.lines() {
                 match line.split_once('=') {
                     Some(("READY", "1")) => {
-                        heard.readies += 1;
-                        heard.ready.get_or_insert_with(Instant::now);
+                        notifications.readies += 1;
+                        notifications.ready.get_or_insert_with(Instant::now);
                     }
-                    Some(("RELOADING", "1")) => heard.reloads += 1,
-                    Some(("STOPPING", "1")) => heard.stops += 1,
-                    Some(("WATCHDOG", "1")) => heard.feeds += 1,
-                    Some(("STATUS", status)) => status.clone_into(&mut heard.status),
+                    Some(("RELOADING", "1")) => notifications.reloads += 1,
+                    Some(("STOPPING", "1")) => notifications.stops += 1,
+                    Some(("WATCHDOG", "1")) => notifications.watchdog_pings += 1,
+                    Some(("STATUS", status)) => status.clone_into(&mut notifications.status),
                     _ => {}
                 }
             }
@@ -79,30 +83,30 @@
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// What was heard so far.
-    pub fn heard(&self) -> Heard {
-        self.heard
+    /// A copy of what the instance has reported so far.
+    pub fn notifications(&self) -> Notifications {
+        self.notifications
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .clone()
     }
 
-    /// A new process starts: readiness is awaited anew.
-    pub fn forget(&self) {
-        self.heard
+    /// Clears the time of readiness before a new process starts.
+    pub fn reset_readiness(&self) {
+        self.notifications
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .ready = None;
     }
 
-    /// Comes back once the process has said that it is ready.
-    pub async fn ready(&self) -> Instant {
+    /// Waits until the process has reported that it is ready, and returns when it did.
+    pub async fn wait_until_ready(&self) -> Instant {
         let mut changed = self.changed.subscribe();
         loop {
-            if let Some(ready) = self.heard().ready {
+            if let Some(ready) = self.notifications().ready {
                 return ready;
             }
-            // The sender lives as long as this does.
+            // The sender is a field of `self`, so the channel is open.
             let _ = changed.changed().await;
         }
     }
--- a/crates/fleet-harness/src/report.rs
+++ b/crates/fleet-harness/src/report.rs
@@ -1,6 +1,6 @@
-//! What a run showed, for people and as JSON.
+//! The result of a run, as text and as JSON.
 
-use crate::windows::{Of, Windows};
+use crate::windows::{SideWindows, WindowCounts};
 use saffronpaddle_test_doubles::discovery::CallStats;
 use saffronpaddle_test_doubles::load::LoadCounts;
 use saffronpaddle_test_doubles::oracle::{Breach, Verdict};
@@ -9,89 +9,89 @@
 use std::fmt;
 use std::time::Duration;
 
-/// What one instance did.
+/// Figures of one instance.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Row {
-    /// Processes that were started.
+pub struct InstanceReport {
+    /// Number of processes that were started.
     pub processes: u64,
-    /// Milliseconds from exec to ready, for each of its processes.
+    /// Time from exec to ready of each process.
     pub ready_ms: Vec<f64>,
-    /// Memory when it was first ready, and the most that was seen, in MB.
+    /// Memory when the first process became ready.
     pub memory_idle_mb: f64,
-    /// See there.
+    /// Highest memory seen.
     pub memory_most_mb: f64,
-    /// CPU seconds of all of its processes.
+    /// CPU seconds of all its processes.
     pub cpu_s: f64,
-    /// Datagrams that it sent, and those that reached it, a second.
+    /// Datagrams sent per second.
     pub sent_s: f64,
-    /// See there.
+    /// Datagrams received per second.
     pub received_s: f64,
 }
 
-/// What a run showed.
+/// The result of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Report {
-    /// The scenario's name.
+    /// Name of the scenario.
     pub scenario: String,
-    /// The seed.
+    /// Seed that drew what the scenario leaves open.
     pub seed: u64,
-    /// Seconds in which load was offered.
+    /// Seconds from the start of the load until the last client ended; in virtual time, the duration of the load.
     pub seconds: f64,
-    /// The ledger's verdict.
+    /// The oracle's verdict.
     pub verdict: Verdict,
-    /// What the front counted.
+    /// Counts of the load generator.
     pub counts: LoadCounts,
-    /// Each instance.
-    pub rows: Vec<Row>,
+    /// Figures of each instance.
+    pub rows: Vec<InstanceReport>,
     /// Seconds of work that the servers could do while load was offered.
     pub could_s: f64,
-    /// For how long load was offered, whole seconds.
+    /// How long load was offered, in whole seconds.
     pub offered_s: usize,
-    /// What happened in each second, by side.
-    pub windows: Vec<Windows>,
-    /// What was asked of the list service.
+    /// Counts of each second, by side.
+    pub windows: Vec<SideWindows>,
+    /// Calls on the list service.
     pub list: CallStats,
-    /// Connections made to each app server, and requests that came.
+    /// For each app server, the times of its new connections and its number of requests.
     pub met: Vec<(Vec<Duration>, usize)>,
-    /// Datagrams that were longer than allowed, and bytes of all.
-    pub too_long: u64,
-    /// See there.
+    /// Peer datagrams above the allowed length.
+    pub oversized_datagrams: u64,
+    /// Bytes of all peer datagrams.
     pub peer_bytes: u64,
-    /// Processes that were started, and words to reload that were answered by READY.
+    /// Number of processes that were started.
     pub processes: u64,
-    /// See there.
+    /// Reloads that instances reported with `RELOADING=1`.
     pub reloads: u64,
-    /// What the decision modules counted, summed over all nodes, where the run sees into them: in virtual time.
-    pub decided: Vec<(&'static str, u64)>,
-    /// Instances that crashed, were not ready or did not end, each in a line.
+    /// Counters of the policy engines, summed over all nodes. Only in virtual time; empty otherwise.
+    pub decision_counters: Vec<(&'static str, u64)>,
+    /// Instances that crashed, did not become ready or did not end, one line each.
     pub faults: Vec<String>,
 }
 
 impl Report {
-    /// Whether the rules were kept and all instances did what they were told.
+    /// Whether all rules were kept and all instances did what they were told.
     pub fn good(&self) -> bool {
-        self.verdict.breaches.is_empty() && self.faults.is_empty() && self.too_long == 0
+        self.verdict.breaches.is_empty() && self.faults.is_empty() && self.oversized_datagrams == 0
     }
 
-    /// Processes that were started in place of another and were ready within [`AGAIN_WITHIN_MS`], and all of these.
+    /// Restarted processes that were ready within [`RESTART_READY_LIMIT_MS`], and all restarted processes.
     pub fn restarted(&self) -> (usize, usize) {
-        let again = |row: &Row| row.processes.saturating_sub(1) as usize;
-        let quick = |row: &Row| {
+        let restarts = |row: &InstanceReport| row.processes.saturating_sub(1) as usize;
+        let quick = |row: &InstanceReport| {
             row.ready_ms
                 .iter()
                 .rev()
-                .take(again(row))
-                .filter(|ms| **ms <= AGAIN_WITHIN_MS)
+                .take(restarts(row))
+                .filter(|ms| **ms <= RESTART_READY_LIMIT_MS)
                 .count()
         };
         (
             self.rows.iter().map(quick).sum(),
-            self.rows.iter().map(again).sum(),
+            self.rows.iter().map(restarts).sum(),
         )
     }
 
-    /// Breaches by their kind.
-    pub fn kinds(&self) -> BTreeMap<String, usize> {
+    /// Number of breaches of each kind.
+    pub fn breaches_by_kind(&self) -> BTreeMap<String, usize> {
         let mut kinds = BTreeMap::new();
         for breach in &self.verdict.breaches {
             let name = format!("{breach:?}");
@@ -102,17 +102,17 @@
         kinds
     }
 
-    /// Seconds of work of the tries that came while load was offered and were served.
+    /// Seconds of work of the requests that were sent while load was offered and were served.
     pub fn served_s(&self) -> f64 {
         self.within("all", 0, self.offered_s).served_work
     }
 
-    /// Most calls on the list service in any second, from the start of the first instance on.
+    /// Most calls on the list service within one second, from the start of the first instance on.
     pub fn list_calls_most(&self) -> usize {
         most_in_a_second(&self.list.times)
     }
 
-    /// Most connections made to one app server in any second.
+    /// Most new connections to one app server within one second.
     pub fn handshakes_most(&self) -> usize {
         self.met
             .iter()
@@ -121,7 +121,7 @@
             .unwrap_or(0)
     }
 
-    /// When nodes had their first list, ms from the first call on, in order.
+    /// Times at which nodes received their first list, in ms since the first call, sorted.
     pub fn first_lists(&self) -> Vec<f64> {
         let first = self.list.times.iter().min().copied().unwrap_or_default();
         let mut all: Vec<f64> = self
@@ -134,23 +134,23 @@
         all
     }
 
-    /// What happened in a span of the run, counted from when load began, on one side; on all of them for "all".
-    pub fn within(&self, side: &str, from_s: usize, to_s: usize) -> Of {
+    /// Sums the counts from second `from_s` to second `to_s` of the load on one side; "all" is the whole fleet.
+    pub fn within(&self, side: &str, from_s: usize, to_s: usize) -> WindowCounts {
         let windows = self.windows.iter().find(|windows| windows.side == side);
         let seconds = windows.map_or(&[][..], |windows| &windows.seconds);
         seconds
             .iter()
             .take(to_s)
             .skip(from_s)
-            .fold(Of::default(), super::windows::Of::and)
+            .fold(WindowCounts::default(), WindowCounts::plus)
     }
 
-    /// The table of seconds, by side.
+    /// The counts of each second as a text table, by side.
     pub fn table(&self) -> String {
         crate::windows::table(&self.windows)
     }
 
-    fn ready(&self) -> Vec<f64> {
+    fn sorted_ready_ms(&self) -> Vec<f64> {
         let mut all: Vec<f64> = self
             .rows
             .iter()
@@ -160,17 +160,17 @@
         all
     }
 
-    fn mean(&self, of: impl Fn(&Row) -> f64) -> f64 {
+    fn mean(&self, of: impl Fn(&InstanceReport) -> f64) -> f64 {
         self.rows.iter().map(of).sum::<f64>() / self.rows.len().max(1) as f64
     }
 
-    /// CPU µs of all instances together, a try.
+    /// CPU time of all instances per request, µs.
     pub fn cpu_us_per_try(&self) -> f64 {
         self.rows.iter().map(|row| row.cpu_s).sum::<f64>() * 1e6
             / (self.verdict.requests.max(1) as f64)
     }
 
-    /// All of it as JSON.
+    /// The whole report as JSON.
     pub fn json(&self) -> Value {
         let verdict = &self.verdict;
         let breaches: Vec<String> = verdict
@@ -178,7 +178,7 @@
             .iter()
             .map(|breach| format!("{breach:?}"))
             .collect();
-        let ready = self.ready();
+        let ready = self.sorted_ready_ms();
         json!({
             "scenario": self.scenario, "seed": self.seed, "seconds": self.seconds, "good": self.good(),
             "instances": self.rows.len(), "processes": self.processes, "reloads": self.reloads,
@@ -205,59 +205,59 @@
             "cpu_share_per_instance": self.mean(|row| row.cpu_s) / self.seconds.max(0.001),
             "peer_sent_s": self.mean(|row| row.sent_s), "peer_received_s": self.mean(|row| row.received_s),
             "peer_received_s_most": self.rows.iter().map(|row| row.received_s).fold(0.0, f64::max),
-            "peer_bytes": self.peer_bytes, "peer_too_long": self.too_long,
+            "peer_bytes": self.peer_bytes, "peer_too_long": self.oversized_datagrams,
             "could_s": self.could_s, "served_s": self.served_s(),
             "list": {
                 "calls": self.list.times.len(), "calls_most_s": self.list_calls_most(), "bytes": self.list.list_bytes,
                 "open_most": self.list.max_open_watches, "turned_away": self.list.rejected,
-                "first_ms": at(&self.first_lists(), &[0.5, 0.99]),
+                "first_ms": percentiles(&self.first_lists(), &[0.5, 0.99]),
             },
             "servers": {
                 "handshakes": self.met.iter().map(|(at, _)| at.len()).sum::<usize>(),
                 "handshakes_most_s": self.handshakes_most(),
                 "requests": self.met.iter().map(|(_, requests)| requests).collect::<Vec<_>>(),
             },
-            "decided": self.decided.iter().map(|(name, count)| json!([name, count])).collect::<Vec<_>>(),
-            "windows": self.windows.iter().map(crate::windows::Windows::json).collect::<Vec<_>>(),
+            "decided": self.decision_counters.iter().map(|(name, count)| json!([name, count])).collect::<Vec<_>>(),
+            "windows": self.windows.iter().map(SideWindows::json).collect::<Vec<_>>(),
         })
     }
 }
 
-/// A process that was started again is to be ready by then.
-pub const AGAIN_WITHIN_MS: f64 = 10_000.0;
+/// Time within which a restarted process must be ready.
+pub const RESTART_READY_LIMIT_MS: f64 = 10_000.0;
 
-/// Most moments within any one second.
+/// Most times within any one second.
 fn most_in_a_second(at: &[Duration]) -> usize {
     let mut at = at.to_vec();
     at.sort();
     let mut first = 0;
     let mut most = 0;
-    for (place, moment) in at.iter().enumerate() {
+    for (index, moment) in at.iter().enumerate() {
         while at[first] + Duration::from_secs(1) <= *moment {
             first += 1;
         }
-        most = most.max(place + 1 - first);
+        most = most.max(index + 1 - first);
     }
     most
 }
 
-/// What stands at these shares of sorted figures.
-pub(crate) fn at(sorted: &[f64], shares: &[f64]) -> Vec<f64> {
-    let place = |share: f64| (sorted.len() as f64 * share) as usize;
+/// The values at the given shares of sorted figures; 0 if there are none.
+pub(crate) fn percentiles(sorted: &[f64], shares: &[f64]) -> Vec<f64> {
+    let index = |share: f64| (sorted.len() as f64 * share) as usize;
     shares
         .iter()
-        .map(|share| sorted.get(place(*share)).copied().unwrap_or(0.0))
+        .map(|share| sorted.get(index(*share)).copied().unwrap_or(0.0))
         .collect()
 }
 
-/// Breaches that are shown one by one.
-const SHOWN: usize = 10;
+/// Breaches that the text lists one by one.
+const MAX_BREACHES_SHOWN: usize = 10;
 
 impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let verdict = &self.verdict;
-        let ready = self.ready();
-        let ready_at = at(&ready, &[0.0, 0.5]);
+        let ready = self.sorted_ready_ms();
+        let ready_at = percentiles(&ready, &[0.0, 0.5]);
         writeln!(
             f,
             "{} (seed {}): {} instances, {} processes, {} reloads, {:.0} s",
@@ -290,10 +290,10 @@
             verdict.cold_crowding_max, verdict.disconnected, verdict.disconnected_before_attempt,
             verdict.attempts_after_disconnect
         )?;
-        let (quick, again) = self.restarted();
+        let (quick, restarts) = self.restarted();
         writeln!(
             f,
-            "unanswered {}; processes that served nobody {}; nodes that turned all away for 4 s {}; started again {again}, ready within 10 s {quick}",
+            "unanswered {}; processes that served nobody {}; nodes that turned all away for 4 s {}; started again {restarts}, ready within 10 s {quick}",
             verdict.unanswered(), verdict.processes_never_serving, verdict.nodes_rejecting_all
         )?;
         writeln!(
@@ -315,7 +315,7 @@
             self.mean(|row| row.received_s),
             self.rows.iter().map(|row| row.received_s).fold(0.0, f64::max)
         )?;
-        let first = at(&self.first_lists(), &[0.5, 0.99]);
+        let first = percentiles(&self.first_lists(), &[0.5, 0.99]);
         writeln!(
             f,
             "list service: {} calls, at most {} in a second, {} bytes, {} watches at most, {} turned away; first list after {:.0} ms, p99 {:.0} ms",
@@ -332,26 +332,26 @@
         writeln!(
             f,
             "refused with room: {} of {} tries: {:.3}",
-            all.with_room,
+            all.refused_within_limits,
             all.tries,
-            all.with_room as f64 / all.tries.max(1) as f64
+            all.refused_within_limits as f64 / all.tries.max(1) as f64
         )?;
-        let decided: Vec<String> = self
-            .decided
+        let decision_counters: Vec<String> = self
+            .decision_counters
             .iter()
             .map(|(name, count)| format!("{name}={count}"))
             .collect();
-        if !decided.is_empty() {
-            writeln!(f, "decided: {}", decided.join(" "))?;
+        if !decision_counters.is_empty() {
+            writeln!(f, "decided: {}", decision_counters.join(" "))?;
         }
-        for (kind, count) in self.kinds() {
+        for (kind, count) in self.breaches_by_kind() {
             writeln!(f, "BROKEN {kind}: {count}")?;
         }
         let shown = |breach: &&Breach| format!("  {breach:?}");
         for line in verdict
             .breaches
             .iter()
-            .take(SHOWN)
+            .take(MAX_BREACHES_SHOWN)
             .map(|breach| shown(&breach))
         {
             writeln!(f, "{line}")?;
--- a/crates/fleet-harness/src/room.rs
+++ b/crates/fleet-harness/src/room.rs
@@ -1,84 +1,88 @@
-//! Whether this machine holds a run: descriptors and memory are reckoned before anything starts.
+//! Checks before a run starts whether this machine has enough file descriptors and memory for it.
 
+use crate::relays::RelayPlan;
 use crate::scenario::Scenario;
-use crate::ways::Ways;
 use anyhow::{ensure, Context, Result};
 use nix::sys::resource::{getrlimit, setrlimit, Resource};
 
-/// Descriptors of the rig for each instance: its listener, relay, manager, list agent with a watch, log and process.
-const EACH_INSTANCE: usize = 10;
-/// Connections of clients to an instance that the rig holds, at the most.
-const EACH_DOOR: usize = 24;
-/// Connections of instances to one app server that the rig holds: those that have been used in the last 15 s.
-const EACH_SERVER: usize = 40;
-/// Connections through one relay, twice: it has both sides.
-const EACH_RELAY: usize = 40;
-/// Bytes of an instance: idle it takes 8 MB, and as much again with its connections.
-const INSTANCE_BYTES: u64 = 16_000_000;
-/// Most instances as processes, app servers before them and tries that clients offer them a second.
-const PROCESSES: usize = 400;
-const SERVERS: usize = 1_000;
-const RATE: f64 = 5_000.0;
-/// Bytes of the rig itself.
-const RIG_BYTES: u64 = 500_000_000;
+/// Descriptors of the harness per instance: its listener, relay, service manager, list agent with a watch, log and
+/// process.
+const DESCRIPTORS_PER_INSTANCE: usize = 10;
+/// Most client connections to an instance that the harness holds.
+const CLIENT_CONNECTIONS_PER_INSTANCE: usize = 24;
+/// Connections from instances to one app server that the harness holds: those used in the last 15 s.
+const CONNECTIONS_PER_SERVER: usize = 40;
+/// Descriptors for the connections through one relay, which holds both sides of each.
+const DESCRIPTORS_PER_RELAY: usize = 40;
+/// Memory of an instance, bytes: 8 MB idle, and as much again for its connections.
+const BYTES_PER_INSTANCE: u64 = 16_000_000;
+/// Limits for runs with real processes: instances, app servers, and requests per second.
+const MAX_PROCESSES: usize = 400;
+const MAX_SERVERS: usize = 1_000;
+const MAX_RATE: f64 = 5_000.0;
+/// Memory of the harness itself, bytes.
+const HARNESS_BYTES: u64 = 500_000_000;
 
-/// Descriptors and bytes that a run needs.
-pub fn needs(scenario: &Scenario) -> (u64, u64) {
-    let ways = Ways::of(scenario);
-    let relays = ways.servers().len();
+/// Descriptors and bytes of memory that a run needs.
+pub fn required_resources(scenario: &Scenario) -> (u64, u64) {
+    let relay_plan = RelayPlan::for_scenario(scenario);
+    let relays = relay_plan.server_relays().len();
     let descriptors = 200
-        + scenario.instances * (EACH_INSTANCE + EACH_DOOR)
-        + scenario.servers * (2 + EACH_SERVER.min(2 * scenario.instances))
-        + relays * (1 + EACH_RELAY);
+        + scenario.instances * (DESCRIPTORS_PER_INSTANCE + CLIENT_CONNECTIONS_PER_INSTANCE)
+        + scenario.servers * (2 + CONNECTIONS_PER_SERVER.min(2 * scenario.instances))
+        + relays * (1 + DESCRIPTORS_PER_RELAY);
     (
         descriptors as u64,
-        scenario.instances as u64 * INSTANCE_BYTES + RIG_BYTES,
+        scenario.instances as u64 * BYTES_PER_INSTANCE + HARNESS_BYTES,
     )
 }
 
-/// Makes room for a run: as many descriptors as this process may have.
+/// Checks that the machine can hold a run with real processes, and raises this process's descriptor limit to the hard
+/// limit.
 ///
 /// # Errors
-/// The machine can't hold it, with what it lacks.
-pub fn make(scenario: &Scenario) -> Result<()> {
+/// The machine cannot hold the run; the message says what is missing.
+pub fn reserve(scenario: &Scenario) -> Result<()> {
     ensure!(
-        scenario.instances <= PROCESSES,
-        "{} instances: {PROCESSES} processes are the most, and more are for virtual time",
+        scenario.instances <= MAX_PROCESSES,
+        "{} instances exceed the limit of {MAX_PROCESSES} processes; larger fleets run in virtual time",
         scenario.instances
     );
     ensure!(
-        scenario.servers <= SERVERS && scenario.rate <= RATE,
-        "{} servers and {} tries a second: {SERVERS} and {RATE} are the most, and more are for virtual time",
+        scenario.servers <= MAX_SERVERS && scenario.rate <= MAX_RATE,
+        "{} servers and {} requests per second exceed the limits of {MAX_SERVERS} and {MAX_RATE}; larger runs use virtual time",
         scenario.servers,
         scenario.rate
     );
-    let (descriptors, bytes) = needs(scenario);
-    let (soft, hard) = getrlimit(Resource::RLIMIT_NOFILE).context("the limit of descriptors")?;
+    let (descriptors, bytes) = required_resources(scenario);
+    let (soft, hard) =
+        getrlimit(Resource::RLIMIT_NOFILE).context("reading the limit on file descriptors")?;
     ensure!(
         descriptors <= hard,
-        "{} instances and {} servers need {descriptors} descriptors, and this process may have {hard}",
+        "{} instances and {} servers need {descriptors} file descriptors; the limit of this process is {hard}",
         scenario.instances,
         scenario.servers
     );
     if soft < hard {
-        setrlimit(Resource::RLIMIT_NOFILE, hard, hard).context("more descriptors")?;
+        setrlimit(Resource::RLIMIT_NOFILE, hard, hard)
+            .context("raising the limit on file descriptors")?;
     }
-    holds(scenario, bytes)
+    ensure_memory(scenario, bytes)
 }
 
-/// Looks whether there is room for a run in virtual time.
+/// Checks that there is enough memory for a run in virtual time.
 ///
 /// # Errors
-/// The machine can't hold it, with what it lacks.
+/// The machine cannot hold the run; the message says what is missing.
 pub fn look(scenario: &Scenario) -> Result<()> {
-    holds(scenario, crate::virtually::needs(scenario))
+    ensure_memory(scenario, crate::virtually::required_bytes(scenario))
 }
 
-fn holds(scenario: &Scenario, bytes: u64) -> Result<()> {
-    let free = available().unwrap_or(u64::MAX);
+fn ensure_memory(scenario: &Scenario, bytes: u64) -> Result<()> {
+    let free = available_bytes().unwrap_or(u64::MAX);
     ensure!(
         bytes <= free,
-        "{} instances need {} MB of memory, and {} are free",
+        "{} instances need {} MB of memory; {} MB are available",
         scenario.instances,
         bytes / 1_000_000,
         free / 1_000_000
@@ -86,8 +90,8 @@
     Ok(())
 }
 
-/// Bytes of memory that are free for new work; none where the machine does not tell (`proc(5)`, `MemAvailable`).
-fn available() -> Option<u64> {
+/// Available memory in bytes; `None` if the system does not report it (`proc(5)`, `MemAvailable`).
+fn available_bytes() -> Option<u64> {
     let text = std::fs::read_to_string("/proc/meminfo").ok()?;
     let line = text
         .lines()
--- a/crates/fleet-harness/src/scenario.rs
+++ b/crates/fleet-harness/src/scenario.rs
@@ -1,7 +1,8 @@
-//! A scenario: how large the fleet is, what it is offered, and what befalls it when. Typed and checked like the
-//! operator file; a seed draws all that it leaves open, so that the same seed gives the same run of steps.
+//! Scenarios: the size of the fleet, its load, and the faults and changes that happen at given times. A scenario is
+//! parsed into types and validated like the operator file. A seed draws everything that it leaves open, so that the
+//! same seed gives the same steps.
 
-use crate::ends::{ends, sides, Side};
+use crate::link_ends::{parse_link_ends, parse_sides, Side};
 use saffronpaddle_operator_config::{Fault, Faults, Section};
 use saffronpaddle_test_doubles::discovery::RestoreMode;
 use saffronpaddle_test_doubles::links::{self, End, LinkSet};
@@ -11,248 +12,257 @@
 use std::time::Duration;
 use toml::{Table, Value};
 
-/// What befalls the fleet.
+/// An action of a step: a fault, or a change to the fleet, its load or the services around it.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Deed {
-    /// Start an instance that does not run.
+pub enum StepAction {
+    /// Starts an instance that is not running.
     Start(usize),
-    /// SIGHUP.
+    /// Sends SIGHUP to an instance.
     Reload(usize),
-    /// SIGTERM, and once it has ended, a new process.
+    /// Sends SIGTERM to an instance and starts a new process once the old one has ended.
     Restart(usize),
-    /// SIGTERM, and SIGKILL when the platform's time for it is up; a new process after a while.
-    Terminate(usize, Terminated),
-    /// SIGKILL, and a new process after a while.
+    /// Sends SIGTERM to an instance, and SIGKILL if it has not ended within the platform's grace period; a new process
+    /// starts after a delay.
+    Terminate(usize, Termination),
+    /// Sends SIGKILL to an instance; a new process starts after the given time.
     Kill(usize, Duration),
-    /// SIGKILL, a new process after a while, which is killed so long after its own start, and another.
-    Killearly(usize, Duration),
-    /// SIGSTOP, and SIGCONT after a while.
+    /// Sends SIGKILL to an instance, starts a new process, kills that one the given time after its start, and starts
+    /// another.
+    KillDuringStart(usize, Duration),
+    /// Sends SIGSTOP to an instance, and SIGCONT after the given time.
     Pause(usize, Duration),
-    /// A fault on links, for a while or to the end; then they heal, at once or node by node with this pause.
-    Link(LinkSet, links::Fault, Option<Duration>, Duration),
-    /// The list service is down for a while: it resets connections.
-    ListDown(Duration),
-    /// It is back without something.
-    ListBack(RestoreMode),
-    /// An app server that was absent starts, cold, and is listed.
-    Join(usize),
-    /// Customers ask for so many times as much for a while.
-    Burst(f64, Duration),
-    /// Clients that say nothing fill an instance's descriptors for a while.
-    Crowd(usize, Duration),
-    /// An app server drains, then its process ends, and it starts anew and cold after a while.
-    Drain(usize, Duration),
-    /// An app server is listed as draining for a while, and then as ready again.
-    Flip(usize, Duration),
-    /// An app server dies and starts anew, cold, after a while.
-    Crash(usize, Duration),
-    /// An app server takes requests and answers none for a while.
-    Silent(usize, Duration),
-    /// An app server resets so many of its connections, after the work was done, for a while.
-    Resets(usize, f64, Duration),
-    /// An app server answers so many of its requests with an error, after the work was done, for a while.
-    Errors(usize, f64, Duration),
-    /// All app servers take so many times as long for a while.
-    Slow(f64, Duration),
-    /// Discovery is silent for a while.
-    Undiscovered(Duration),
-    /// A member of the etcd cluster cuts all its connections.
-    Etcdcut(usize),
-    /// One stands still for a while.
-    Etcdfreeze(usize, Duration),
-    /// The cluster drops all its history.
-    Etcdcompact,
+    /// Puts a fault on links, for the given time or until the end of the run. The links then heal all at once, or one
+    /// end after the other if the last value, the time between two ends, is not zero.
+    LinkFault(LinkSet, links::Fault, Option<Duration>, Duration),
+    /// Takes the list service down for the given time: it resets connections.
+    ListServiceDown(Duration),
+    /// The list service loses state and serves the list that `RestoreMode` names.
+    RestoreList(RestoreMode),
+    /// Starts an app server that was absent until now; it starts cold and is listed.
+    AddServer(usize),
+    /// Multiplies the customers' request rate by a factor for the given time.
+    LoadBurst(f64, Duration),
+    /// Clients that send nothing use up an instance's file descriptors for the given time.
+    HoldIdleConnections(usize, Duration),
+    /// Drains an app server and ends its process; it starts again, cold, after the given time.
+    DrainServer(usize, Duration),
+    /// Lists an app server as draining for the given time, and then as ready again.
+    ToggleDraining(usize, Duration),
+    /// Kills an app server; it starts again, cold, after the given time.
+    CrashServer(usize, Duration),
+    /// An app server accepts requests and answers none for the given time.
+    SilenceServer(usize, Duration),
+    /// An app server resets this share of its connections after it has done the work, for the given time.
+    ServerResets(usize, f64, Duration),
+    /// An app server answers this share of its requests with an error after it has done the work, for the given time.
+    ServerErrors(usize, f64, Duration),
+    /// Multiplies the work time of all app servers by a factor for the given time.
+    SlowServers(f64, Duration),
+    /// Discovery sends nothing for the given time.
+    SilenceDiscovery(Duration),
+    /// A member of the etcd cluster closes all its connections.
+    CutEtcdConnections(usize),
+    /// A member of the etcd cluster stops responding for the given time.
+    FreezeEtcdMember(usize, Duration),
+    /// The etcd cluster compacts its whole history.
+    CompactEtcd,
 }
 
-impl Deed {
-    /// Whether it is for processes alone: there is none of it in virtual time.
-    pub fn of_processes(&self) -> bool {
-        use Deed::{
-            Burst, Crowd, Errors, Etcdcompact, Etcdcut, Etcdfreeze, Join, Killearly, Resets,
-            Terminate,
+impl StepAction {
+    /// Whether the action needs real processes, so that it is not available in virtual time.
+    pub fn needs_processes(&self) -> bool {
+        use StepAction::{
+            AddServer, CompactEtcd, CutEtcdConnections, FreezeEtcdMember, HoldIdleConnections,
+            KillDuringStart, LoadBurst, ServerErrors, ServerResets, Terminate,
         };
         matches!(
             self,
-            Etcdcut(_)
-                | Etcdfreeze(..)
-                | Etcdcompact
-                | Killearly(..)
-                | Join(_)
-                | Burst(..)
-                | Crowd(..)
+            CutEtcdConnections(_)
+                | FreezeEtcdMember(..)
+                | CompactEtcd
+                | KillDuringStart(..)
+                | AddServer(_)
+                | LoadBurst(..)
+                | HoldIdleConnections(..)
                 | Terminate(..)
-                | Resets(..)
-                | Errors(..)
+                | ServerResets(..)
+                | ServerErrors(..)
         )
     }
 }
 
-/// How an instance is told to end by the platform.
+/// How the platform terminates an instance.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terminated {
-    /// When its next process starts, after the end of this one.
-    pub back_after: Duration,
-    /// When it stands still, after SIGTERM, for as long as a process may be held up; never without this.
-    pub held_up_at: Option<Duration>,
+pub struct Termination {
+    /// Time from the end of the process to the start of the next one.
+    pub restart_delay: Duration,
+    /// Time from SIGTERM to a stall of the process, as long as the platform may cause one; `None` for no stall.
+    pub stall_at: Option<Duration>,
 }
 
-/// A deed and its time, counted from when the fleet is up.
+/// An action and when it happens.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
-    /// When.
+    /// Time since the whole fleet was ready.
     pub at: Duration,
-    /// What.
-    pub deed: Deed,
+    /// What happens.
+    pub action: StepAction,
 }
 
-/// Where instances learn of app servers.
+/// The source of the instances' list of app servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Roster {
-    /// From the platform's discovery.
+pub enum EndpointSource {
+    /// The platform's discovery.
     #[default]
     Discovery,
-    /// From etcd alone.
+    /// Only etcd.
     Etcd,
-    /// From both.
+    /// Discovery and etcd.
     Both,
 }
 
-impl Roster {
-    fn read(text: &str) -> Option<Roster> {
+impl EndpointSource {
+    fn parse(text: &str) -> Option<EndpointSource> {
         match text {
-            "discovery" => Some(Roster::Discovery),
-            "etcd" => Some(Roster::Etcd),
-            "both" => Some(Roster::Both),
+            "discovery" => Some(EndpointSource::Discovery),
+            "etcd" => Some(EndpointSource::Etcd),
+            "both" => Some(EndpointSource::Both),
             _ => None,
         }
     }
 }
 
-/// What instances know of the list at their start.
+/// The list of app servers that an instance's configuration contains when it starts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Known {
-    /// The list as it is.
+pub enum InitialList {
+    /// The current list.
     #[default]
-    Fresh,
-    /// Nothing.
-    Nothing,
-    /// A list of yesterday: half of its servers are gone, and a third of the addresses are others'.
+    Current,
+    /// No list.
+    Absent,
+    /// An outdated list: half of its servers no longer exist, and a third of the addresses belong to other servers.
     Stale,
 }
 
-impl Known {
-    fn read(text: &str) -> Option<Known> {
+impl InitialList {
+    fn parse(text: &str) -> Option<InitialList> {
         match text {
-            "fresh" => Some(Known::Fresh),
-            "nothing" => Some(Known::Nothing),
-            "stale" => Some(Known::Stale),
+            "fresh" => Some(InitialList::Current),
+            "nothing" => Some(InitialList::Absent),
+            "stale" => Some(InitialList::Stale),
             _ => None,
         }
     }
 }
 
-/// A scenario, drawn.
+/// A scenario in which the seed has fixed everything that the text left open.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
-    /// Its name.
+    /// Name of the scenario, which its report repeats.
     pub name: String,
-    /// Instances.
+    /// Number of instances.
     pub instances: usize,
-    /// App servers.
+    /// Number of app servers.
     pub servers: usize,
-    /// Customers.
+    /// Number of customers, without the hot one.
     pub customers: usize,
-    /// Requests that are offered a second, over all customers.
+    /// Offered requests per second, summed over all customers.
     pub rate: f64,
-    /// Times its quota that each customer asks for, in place of `rate`; 0 for that.
-    pub times_quota: f64,
-    /// Share of all tries that one more customer asks for, of the largest plan and through all nodes; 0 for none.
+    /// Demand of each customer as a multiple of its quota, in place of `rate`; 0 to use `rate`.
+    pub quota_factor: f64,
+    /// Share of all requests that come from one more customer, which has the largest plan and uses all nodes; 0 for
+    /// none.
     pub hot_share: f64,
-    /// Fewest and most nodes that a customer's tries come through.
-    pub spread: (usize, usize),
-    /// For how long they are offered.
+    /// Fewest and most nodes that a customer sends requests to.
+    pub nodes_per_customer: (usize, usize),
+    /// How long load is offered.
     pub duration: Duration,
-    /// Whether all instances start at once, or one after the other.
-    pub together: bool,
-    /// Requests in work at once at each app server; 0 for twice what the offered load needs.
+    /// Whether all instances start at the same time, or one after the other.
+    pub start_together: bool,
+    /// Requests that an app server processes concurrently; 0 for twice what the offered load needs.
     pub cores: usize,
     /// Whether app servers are cold when the fleet starts.
     pub cold: bool,
-    /// How late discovery tells of changes.
-    pub lateness: Duration,
-    /// Where instances learn of app servers.
-    pub roster: Roster,
-    /// Members of the etcd cluster, where there is one.
-    pub members: usize,
-    /// Whether listeners are kept by the rig and handed over.
-    pub handed_over: bool,
+    /// Delay with which discovery reports changes.
+    pub discovery_delay: Duration,
+    /// The source of the instances' list of app servers.
+    pub endpoint_source: EndpointSource,
+    /// Members of the etcd cluster, if the scenario uses one.
+    pub etcd_members: usize,
+    /// Whether the harness opens the instances' listeners and passes them on, as socket activation does.
+    pub listeners_passed: bool,
     /// Whether instances have an operator file. Without one they run as the platform starts them.
-    pub operated: bool,
-    /// Times the usual deadlines of all classes.
-    pub deadline_times: f64,
-    /// Descriptors that an instance may hold.
+    pub has_operator_file: bool,
+    /// Factor on the default deadlines of all classes.
+    pub deadline_factor: f64,
+    /// Limit on an instance's file descriptors.
     pub sockets: usize,
-    /// System calls of the instances that fail, with the percent of each: `accept=5,recv=5`. Nothing fails without a library
-    /// that makes them fail.
+    /// System calls of the instances that fail, with the percentage of each: `accept=5,recv=5`. Has no effect without a
+    /// preloaded library that makes calls fail.
     pub failing_calls: String,
-    /// Sides: groups of instances and servers, by name; figures are told by side.
+    /// Named groups of instances and servers. Figures are reported for each side.
     pub sides: Vec<Side>,
-    /// Instances that are not started with the others.
+    /// Instances that do not start with the others.
     pub absent: BTreeSet<usize>,
-    /// App servers that are neither started nor listed with the others.
+    /// App servers that are neither started nor listed at first.
     pub absent_servers: BTreeSet<usize>,
-    /// How much later than its client's time an answer may come.
+    /// How much later than the client's deadline an answer may arrive.
     pub answer_slack: Duration,
-    /// Clients that leave while they wait.
-    pub leaves: Cancellations,
-    /// Calls and bytes of lists that the list service can answer a second; 0 for any number.
-    pub list_bears: (f64, f64),
-    /// Whether the list service turns callers away once its line is long.
-    pub list_turns_away: bool,
+    /// Clients that disconnect while they wait for an answer.
+    pub cancellations: Cancellations,
+    /// Calls and list bytes per second that the list service can handle; 0 for no limit.
+    pub list_service_limits: (f64, f64),
+    /// Whether the list service rejects calls once its queue is long.
+    pub list_service_sheds_load: bool,
     /// Lines for the operator file of all instances.
     pub operator: String,
-    /// What instances know of the list at their start.
-    pub known: Known,
-    /// An instance that does not become ready by then has failed.
-    pub ready_within: Duration,
-    /// What befalls it, in order.
+    /// The list of app servers that instances start with.
+    pub initial_list: InitialList,
+    /// An instance that is not ready within this time counts as failed.
+    pub ready_timeout: Duration,
+    /// The steps, sorted by time.
     pub steps: Vec<Step>,
 }
 
-/// What a step's section says beside its time: whom it is about, and its figures.
-struct Said {
-    who: usize,
-    lasts: Duration,
+/// The arguments of a step's section, except for its times.
+struct StepArguments {
+    target: usize,
+    duration: Duration,
     times: f64,
-    /// The part of requests that is meant.
+    /// The share of requests or connections that the action affects.
     share: f64,
-    /// The links that are meant: all between instances where nothing is said.
-    which: LinkSet,
+    /// The affected links; all links between instances by default.
+    link_set: LinkSet,
     fault: links::Fault,
-    /// Whether it lasts to the end.
-    forever: bool,
+    /// Whether the fault lasts until the end of the run.
+    until_end: bool,
     heal_gap: Duration,
-    held_up_at: Option<Duration>,
+    stall_at: Option<Duration>,
 }
 
-impl Said {
-    /// No datagrams from or to one instance.
+impl StepArguments {
+    /// The links for datagrams from and to the target instance.
     fn cut(&self) -> LinkSet {
         let (one, others) = self
-            .which
+            .link_set
             .ends()
             .into_iter()
-            .partition(|end| *end == End::Node(self.who));
+            .partition(|end| *end == End::Node(self.target));
         LinkSet::Partition(vec![one, others])
     }
 
-    fn link(&self, which: LinkSet, fault: links::Fault, lasts: Option<Duration>) -> Deed {
-        Deed::Link(which, fault, lasts, self.heal_gap)
+    fn link(
+        &self,
+        link_set: LinkSet,
+        fault: links::Fault,
+        duration: Option<Duration>,
+    ) -> StepAction {
+        StepAction::LinkFault(link_set, fault, duration, self.heal_gap)
     }
 }
 
-/// Nothing comes through.
-const LOST: links::Fault = links::Fault {
+/// A fault that lets nothing through.
+const TOTAL_LOSS: links::Fault = links::Fault {
     loss: 1.0,
     duplicated: 0.0,
     delay: (Duration::ZERO, Duration::ZERO),
@@ -261,117 +271,133 @@
     drops_connects: false,
 };
 
-/// What a step may be: its name, whom it is about, and what is done.
-type Kind = (&'static str, Whom, fn(&Said) -> Deed);
+/// A kind of step: its name in scenarios, what it targets, and how its action is built.
+type StepKind = (&'static str, TargetKind, fn(&StepArguments) -> StepAction);
 
-/// All that a step may be.
-const DEEDS: [Kind; 29] = [
-    ("start", Whom::Instance, |said| Deed::Start(said.who)),
-    ("reload", Whom::Instance, |said| Deed::Reload(said.who)),
-    ("restart", Whom::Instance, |said| Deed::Restart(said.who)),
-    ("terminate", Whom::Instance, |said| {
-        Deed::Terminate(
-            said.who,
-            Terminated {
-                back_after: said.lasts,
-                held_up_at: said.held_up_at,
+/// All kinds of steps.
+const STEP_KINDS: [StepKind; 29] = [
+    ("start", TargetKind::Instance, |arguments| {
+        StepAction::Start(arguments.target)
+    }),
+    ("reload", TargetKind::Instance, |arguments| {
+        StepAction::Reload(arguments.target)
+    }),
+    ("restart", TargetKind::Instance, |arguments| {
+        StepAction::Restart(arguments.target)
+    }),
+    ("terminate", TargetKind::Instance, |arguments| {
+        StepAction::Terminate(
+            arguments.target,
+            Termination {
+                restart_delay: arguments.duration,
+                stall_at: arguments.stall_at,
             },
         )
     }),
-    ("kill", Whom::Instance, |said| {
-        Deed::Kill(said.who, said.lasts)
+    ("kill", TargetKind::Instance, |arguments| {
+        StepAction::Kill(arguments.target, arguments.duration)
     }),
-    ("kill-early", Whom::Instance, |said| {
-        Deed::Killearly(said.who, said.lasts)
+    ("kill-early", TargetKind::Instance, |arguments| {
+        StepAction::KillDuringStart(arguments.target, arguments.duration)
     }),
-    ("crowd", Whom::Instance, |said| {
-        Deed::Crowd(said.who, said.lasts)
+    ("crowd", TargetKind::Instance, |arguments| {
+        StepAction::HoldIdleConnections(arguments.target, arguments.duration)
     }),
-    ("join", Whom::Server, |said| Deed::Join(said.who)),
-    ("burst", Whom::All, |said| {
-        Deed::Burst(said.times, said.lasts)
+    ("join", TargetKind::Server, |arguments| {
+        StepAction::AddServer(arguments.target)
     }),
-    ("pause", Whom::Instance, |said| {
-        Deed::Pause(said.who, said.lasts)
+    ("burst", TargetKind::WholeRun, |arguments| {
+        StepAction::LoadBurst(arguments.times, arguments.duration)
     }),
-    ("peers", Whom::All, |said| {
-        said.link(said.which.clone(), said.fault, None)
+    ("pause", TargetKind::Instance, |arguments| {
+        StepAction::Pause(arguments.target, arguments.duration)
     }),
-    ("cut", Whom::Instance, |said| {
-        said.link(said.cut(), LOST, Some(said.lasts))
+    ("peers", TargetKind::WholeRun, |arguments| {
+        arguments.link(arguments.link_set.clone(), arguments.fault, None)
     }),
-    ("link", Whom::All, |said| {
-        said.link(
-            said.which.clone(),
-            said.fault,
-            (!said.forever).then_some(said.lasts),
+    ("cut", TargetKind::Instance, |arguments| {
+        arguments.link(arguments.cut(), TOTAL_LOSS, Some(arguments.duration))
+    }),
+    ("link", TargetKind::WholeRun, |arguments| {
+        arguments.link(
+            arguments.link_set.clone(),
+            arguments.fault,
+            (!arguments.until_end).then_some(arguments.duration),
         )
     }),
-    ("split", Whom::All, |said| {
-        said.link(
-            said.which.clone(),
-            LOST,
-            (!said.forever).then_some(said.lasts),
+    ("split", TargetKind::WholeRun, |arguments| {
+        arguments.link(
+            arguments.link_set.clone(),
+            TOTAL_LOSS,
+            (!arguments.until_end).then_some(arguments.duration),
         )
     }),
-    ("list-down", Whom::All, |said| Deed::ListDown(said.lasts)),
-    ("list-older", Whom::All, |_| {
-        Deed::ListBack(RestoreMode::FirstVersion)
+    ("list-down", TargetKind::WholeRun, |arguments| {
+        StepAction::ListServiceDown(arguments.duration)
+    }),
+    ("list-older", TargetKind::WholeRun, |_| {
+        StepAction::RestoreList(RestoreMode::FirstVersion)
+    }),
+    ("list-empty", TargetKind::WholeRun, |_| {
+        StepAction::RestoreList(RestoreMode::Empty)
     }),
-    ("list-empty", Whom::All, |_| {
-        Deed::ListBack(RestoreMode::Empty)
+    ("list-renumbered", TargetKind::WholeRun, |_| {
+        StepAction::RestoreList(RestoreMode::Renumbered)
     }),
-    ("list-renumbered", Whom::All, |_| {
-        Deed::ListBack(RestoreMode::Renumbered)
+    ("drain", TargetKind::Server, |arguments| {
+        StepAction::DrainServer(arguments.target, arguments.duration)
     }),
-    ("drain", Whom::Server, |said| {
-        Deed::Drain(said.who, said.lasts)
+    ("flip", TargetKind::Server, |arguments| {
+        StepAction::ToggleDraining(arguments.target, arguments.duration)
     }),
-    ("flip", Whom::Server, |said| {
-        Deed::Flip(said.who, said.lasts)
+    ("crash", TargetKind::Server, |arguments| {
+        StepAction::CrashServer(arguments.target, arguments.duration)
     }),
-    ("crash", Whom::Server, |said| {
-        Deed::Crash(said.who, said.lasts)
+    ("silent", TargetKind::Server, |arguments| {
+        StepAction::SilenceServer(arguments.target, arguments.duration)
     }),
-    ("silent", Whom::Server, |said| {
-        Deed::Silent(said.who, said.lasts)
+    ("resets", TargetKind::Server, |arguments| {
+        StepAction::ServerResets(arguments.target, arguments.share, arguments.duration)
     }),
-    ("resets", Whom::Server, |said| {
-        Deed::Resets(said.who, said.share, said.lasts)
+    ("errors", TargetKind::Server, |arguments| {
+        StepAction::ServerErrors(arguments.target, arguments.share, arguments.duration)
     }),
-    ("errors", Whom::Server, |said| {
-        Deed::Errors(said.who, said.share, said.lasts)
+    ("slow", TargetKind::WholeRun, |arguments| {
+        StepAction::SlowServers(arguments.times, arguments.duration)
     }),
-    ("slow", Whom::All, |said| Deed::Slow(said.times, said.lasts)),
-    ("undiscovered", Whom::All, |said| {
-        Deed::Undiscovered(said.lasts)
+    ("undiscovered", TargetKind::WholeRun, |arguments| {
+        StepAction::SilenceDiscovery(arguments.duration)
     }),
-    ("etcd-cut", Whom::Member, |said| Deed::Etcdcut(said.who)),
-    ("etcd-freeze", Whom::Member, |said| {
-        Deed::Etcdfreeze(said.who, said.lasts)
+    ("etcd-cut", TargetKind::EtcdMember, |arguments| {
+        StepAction::CutEtcdConnections(arguments.target)
+    }),
+    ("etcd-freeze", TargetKind::EtcdMember, |arguments| {
+        StepAction::FreezeEtcdMember(arguments.target, arguments.duration)
+    }),
+    ("etcd-compact", TargetKind::WholeRun, |_| {
+        StepAction::CompactEtcd
     }),
-    ("etcd-compact", Whom::All, |_| Deed::Etcdcompact),
 ];
 
 #[derive(Clone, Copy, PartialEq)]
-enum Whom {
+enum TargetKind {
     Instance,
     Server,
-    Member,
-    /// The run as a whole, once.
-    All,
+    EtcdMember,
+    /// The step has no single target and happens once.
+    WholeRun,
 }
 
-/// What a command line sets in place of a scenario's own lines.
+/// Values from the command line that replace those of the scenario.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Overrides {
-    /// Instances.
+    /// Number of instances.
     pub instances: Option<u32>,
-    /// Requests that are offered a second.
+    /// Offered requests per second.
     pub rate: Option<f64>,
-    /// App servers.
+    /// Number of app servers.
     pub servers: Option<u32>,
-    /// Seconds for which they are offered; steps behind that are left out.
+    /// How long load is offered, in seconds. Steps after that are left out.
     pub seconds: Option<u32>,
     /// `discovery`, `etcd` or `both`.
     pub roster: Option<String>,
@@ -401,18 +427,18 @@
 }
 
 impl Scenario {
-    /// Reads a scenario and draws what it leaves open.
+    /// Parses a scenario and draws what it leaves open.
     ///
     /// # Errors
-    /// All that is wrong with it.
+    /// All faults of the text.
     pub fn parse(text: &str, seed: u64) -> Result<Scenario, Faults> {
         Scenario::parse_with(text, &Overrides::default(), seed)
     }
 
-    /// The same with some of its lines overruled.
+    /// Parses a scenario as [`Scenario::parse`] does, with some of its values replaced.
     ///
     /// # Errors
-    /// All that is wrong with it.
+    /// All faults of the text and of the replaced values.
     pub fn parse_with(text: &str, overrides: &Overrides, seed: u64) -> Result<Scenario, Faults> {
         let mut table = text.parse::<Table>().map_err(|error| {
             Faults(vec![Fault {
@@ -422,80 +448,80 @@
         })?;
         overrides.apply(&mut table);
         let mut random = fastrand::Rng::with_seed(seed);
-        let (written, parted) = (table.remove("step"), table.remove("side"));
+        let (step_sections, side_sections) = (table.remove("step"), table.remove("side"));
         let mut file = Section::root(table);
         let mut scenario = Scenario {
             name: file
                 .parsed("name", "a text", |name| Some(name.to_owned()))
                 .unwrap_or_default(),
-            instances: file.number("instances", 3, 1..=NODES_MOST) as usize,
-            servers: file.number("servers", 12, 1..=SERVERS_MOST) as usize,
+            instances: file.number("instances", 3, 1..=MAX_INSTANCES) as usize,
+            servers: file.number("servers", 12, 1..=MAX_SERVERS) as usize,
             customers: file.number("customers", 60, 1..=10_000) as usize,
-            rate: file.figure("rate", 160.0, 0.0..=RATE_MOST),
-            times_quota: file.figure("times_quota", 0.0, 0.0..=100.0),
+            rate: file.figure("rate", 160.0, 0.0..=MAX_RATE),
+            quota_factor: file.figure("times_quota", 0.0, 0.0..=100.0),
             hot_share: file.figure("hot_share", 0.0, 0.0..=0.9),
-            spread: (
-                file.number("spread_least", 2, 1..=NODES_MOST) as usize,
-                file.number("spread_most", 4, 1..=NODES_MOST) as usize,
+            nodes_per_customer: (
+                file.number("spread_least", 2, 1..=MAX_INSTANCES) as usize,
+                file.number("spread_most", 4, 1..=MAX_INSTANCES) as usize,
             ),
             duration: file.span_ms("duration_ms", 30_000, 1000..=3_600_000),
-            together: file.flag("together", true),
+            start_together: file.flag("together", true),
             cores: file.number("cores", 0, 0..=1000) as usize,
             cold: file.flag("cold", false),
-            lateness: file.span_ms("lateness_ms", 500, 0..=10_000),
-            roster: file
-                .parsed("roster", "discovery, etcd or both", Roster::read)
+            discovery_delay: file.span_ms("lateness_ms", 500, 0..=10_000),
+            endpoint_source: file
+                .parsed("roster", "discovery, etcd or both", EndpointSource::parse)
                 .unwrap_or_default(),
-            members: file.number("members", 3, 1..=9) as usize,
-            handed_over: file.flag("handed_over", true),
-            operated: file.flag("operated", true),
-            deadline_times: file.figure("deadline_times", 1.0, 0.01..=100.0),
+            etcd_members: file.number("members", 3, 1..=9) as usize,
+            listeners_passed: file.flag("handed_over", true),
+            has_operator_file: file.flag("operated", true),
+            deadline_factor: file.figure("deadline_times", 1.0, 0.01..=100.0),
             failing_calls: file
                 .parsed("failing_calls", "a text", |text| Some(text.to_owned()))
                 .unwrap_or_default(),
-            sockets: file.number("sockets", SOCKETS, 64..=65_536) as usize,
-            ready_within: file.span_ms("ready_within_ms", 30_000, 1000..=600_000),
+            sockets: file.number("sockets", DEFAULT_DESCRIPTORS, 64..=65_536) as usize,
+            ready_timeout: file.span_ms("ready_within_ms", 30_000, 1000..=600_000),
             sides: Vec::new(),
             absent: BTreeSet::new(),
             absent_servers: BTreeSet::new(),
             answer_slack: file.span_ms("answer_slack_ms", 50, 0..=10_000),
-            leaves: Cancellations {
+            cancellations: Cancellations {
                 share: file.figure("leave_share", 0.0, 0.0..=1.0),
                 delay: (
                     file.span_ms("leave_least_ms", 20, 0..=60_000),
                     file.span_ms("leave_most_ms", 1_000, 0..=60_000),
                 ),
             },
-            list_bears: (
+            list_service_limits: (
                 file.figure("list_calls_per_s", 0.0, 0.0..=100_000.0),
                 file.figure("list_bytes_per_s", 0.0, 0.0..=1e9),
             ),
-            list_turns_away: file.flag("list_turns_away", false),
+            list_service_sheds_load: file.flag("list_turns_away", false),
             operator: file
                 .parsed("operator", "a text", |text| Some(text.to_owned()))
                 .unwrap_or_default(),
-            known: file
-                .parsed("known", "fresh, nothing or stale", Known::read)
+            initial_list: file
+                .parsed("known", "fresh, nothing or stale", InitialList::parse)
                 .unwrap_or_default(),
             steps: Vec::new(),
         };
-        if scenario.handed_over && !scenario.operated {
+        if scenario.listeners_passed && !scenario.has_operator_file {
             file.fault("handed_over", "needs an operator file");
         }
-        if scenario.spread.0 > scenario.spread.1 {
+        if scenario.nodes_per_customer.0 > scenario.nodes_per_customer.1 {
             file.fault("spread_least", "must be at most spread_most");
-            scenario.spread.0 = scenario.spread.1;
+            scenario.nodes_per_customer.0 = scenario.nodes_per_customer.1;
         }
         let counts = (scenario.instances, scenario.servers);
-        scenario.sides = sides(parted, counts, &mut file);
-        let among = |text: &str| ends(text, counts, &scenario.sides);
+        scenario.sides = parse_sides(side_sections, counts, &mut file);
+        let parse_ends = |text: &str| parse_link_ends(text, counts, &scenario.sides);
         let absent = file
-            .parsed("absent", "instances and servers", among)
+            .parsed("absent", "instances and servers", parse_ends)
             .unwrap_or_default();
-        scenario.absent_servers = absent.iter().filter_map(server).collect();
-        scenario.absent = absent.into_iter().filter_map(node).collect();
+        scenario.absent_servers = absent.iter().filter_map(server_number).collect();
+        scenario.absent = absent.into_iter().filter_map(node_number).collect();
         let mut faults = Vec::new();
-        let written = match written {
+        let step_sections = match step_sections {
             None => Vec::new(),
             Some(Value::Array(steps)) => steps,
             Some(_) => {
@@ -503,15 +529,15 @@
                 Vec::new()
             }
         };
-        for (place, step) in written.into_iter().enumerate() {
+        for (index, step) in step_sections.into_iter().enumerate() {
             let Value::Table(table) = step else {
                 file.fault("step", "must be a list of sections");
                 break;
             };
             let mut section = Section::root(table);
-            scenario.draw(&mut section, &mut random);
+            scenario.add_steps(&mut section, &mut random);
             let key = |fault: Fault| Fault {
-                key: format!("step[{place}].{}", fault.key),
+                key: format!("step[{index}].{}", fault.key),
                 ..fault
             };
             faults.extend(section.rest().into_iter().map(key));
@@ -528,19 +554,19 @@
         Ok(scenario)
     }
 
-    /// What all instances are told alike.
+    /// The settings that all instances share.
     pub fn fleet(&self) -> Fleet {
         let mut fleet = Fleet::typical(self.instances);
         fleet.bounds.answer_slack = self.answer_slack;
         for class in &mut fleet.classes {
-            class.deadline = class.deadline.mul_f64(self.deadline_times);
+            class.deadline = class.deadline.mul_f64(self.deadline_factor);
             class.latency_target = class.latency_target.min(class.deadline);
         }
         fleet
     }
 
-    /// Requests in work at once at each app server.
-    pub fn cores_of(&self, fleet: &Fleet) -> usize {
+    /// Requests that each app server processes concurrently.
+    pub fn cores_per_server(&self, fleet: &Fleet) -> usize {
         let needed = self.rate * fleet.mean_work() / self.servers as f64;
         if self.cores > 0 {
             self.cores
@@ -549,12 +575,13 @@
         }
     }
 
-    fn ends(&self, text: &str) -> Option<BTreeSet<End>> {
-        ends(text, (self.instances, self.servers), &self.sides)
+    fn parse_ends(&self, text: &str) -> Option<BTreeSet<End>> {
+        parse_link_ends(text, (self.instances, self.servers), &self.sides)
     }
 
-    /// The links that a step is about: `sides` that are apart, or all `from` some ends `to` others.
-    fn which(&self, section: &mut Section) -> LinkSet {
+    /// Reads the links that a step affects: those between different `sides`, or those from the ends `from` to the ends
+    /// `to`.
+    fn read_link_set(&self, section: &mut Section) -> LinkSet {
         let apart = section.parsed("sides", "names of sides, or each", |text| match text {
             "each" => Some(
                 (0..self.instances)
@@ -563,12 +590,12 @@
             ),
             names => names
                 .split(',')
-                .map(|name| self.ends(name.trim()))
+                .map(|name| self.parse_ends(name.trim()))
                 .collect::<Option<Vec<_>>>(),
         });
         let nodes: BTreeSet<End> = (0..self.instances).map(End::Node).collect();
-        let from = section.parsed("from", "ends of links", |text| self.ends(text));
-        let to = section.parsed("to", "ends of links", |text| self.ends(text));
+        let from = section.parsed("from", "ends of links", |text| self.parse_ends(text));
+        let to = section.parsed("to", "ends of links", |text| self.parse_ends(text));
         let one_way = section.flag("one_way", false);
         let (from, to) = (from.unwrap_or_else(|| nodes.clone()), to.unwrap_or(nodes));
         match apart {
@@ -578,22 +605,27 @@
         }
     }
 
-    /// Draws the steps of one section.
-    fn draw(&mut self, section: &mut Section, random: &mut fastrand::Rng) {
-        let names: Vec<&str> = DEEDS.iter().map(|(name, _, _)| *name).collect();
-        let known = |name: &str| DEEDS.iter().find(|(other, _, _)| *other == name).copied();
+    /// Adds the steps of one section and draws the targets that it leaves open.
+    fn add_steps(&mut self, section: &mut Section, random: &mut fastrand::Rng) {
+        let names: Vec<&str> = STEP_KINDS.iter().map(|(name, _, _)| *name).collect();
+        let find_kind = |name: &str| {
+            STEP_KINDS
+                .iter()
+                .find(|(other, _, _)| *other == name)
+                .copied()
+        };
         if !section.has("do") {
             section.fault("do", "is missing");
         }
-        let deed = section.parsed("do", &format!("one of {}", names.join(", ")), known);
+        let kind = section.parsed("do", &format!("one of {}", names.join(", ")), find_kind);
         let at = section.span_ms("at_ms", 0, 0..=3_600_000);
         let every = section.span_ms_or_none("every_ms", 0, 3_600_000);
         let gap = section.span_ms("gap_ms", 0, 0..=600_000);
-        let forever = !section.has("for_ms");
-        let lasts = section.span_ms("for_ms", 2_000, 0..=600_000);
+        let until_end = !section.has("for_ms");
+        let duration = section.span_ms("for_ms", 2_000, 0..=600_000);
         let times = section.figure("times", 2.0, 0.1..=100.0);
         let share = section.figure("share", 0.5, 0.0..=1.0);
-        let held_up_at = section.span_ms_or_none("held_up_at_ms", 0, 60_000);
+        let stall_at = section.span_ms_or_none("held_up_at_ms", 0, 60_000);
         let delay = section.span_ms("delay_ms", 0, 0..=10_000);
         let fault = links::Fault {
             loss: section.figure("loss", 0.0, 0.0..=1.0),
@@ -609,98 +641,102 @@
             drops_connects: section.flag("unheard", false),
         };
         let heal_gap = section.span_ms("heal_gap_ms", 0, 0..=60_000);
-        let section_counts = section.has("count");
-        let wanted = section.number("count", 1, 1..=SERVERS_MOST) as usize;
-        let fixed = section
+        let has_count = section.has("count");
+        let count = section.number("count", 1, 1..=MAX_SERVERS) as usize;
+        let fixed_target = section
             .has("who")
-            .then(|| section.number("who", 0, 0..=SERVERS_MOST) as usize);
-        let which = self.which(section);
-        let named = section.parsed("side", "instances or a side", |text| self.ends(text));
-        let named: Option<Vec<usize>> =
-            named.map(|ends| ends.into_iter().filter_map(node).collect());
-        let Some((_, whom, does)) = deed else { return };
-        let all = match whom {
-            Whom::Instance => self.instances,
-            Whom::Server => self.servers,
-            Whom::Member => self.members,
-            Whom::All => 1,
+            .then(|| section.number("who", 0, 0..=MAX_SERVERS) as usize);
+        let link_set = self.read_link_set(section);
+        let side_nodes =
+            section.parsed("side", "instances or a side", |text| self.parse_ends(text));
+        let side_nodes: Option<Vec<usize>> =
+            side_nodes.map(|ends| ends.into_iter().filter_map(node_number).collect());
+        let Some((_, target_kind, build_action)) = kind else {
+            return;
+        };
+        let target_count = match target_kind {
+            TargetKind::Instance => self.instances,
+            TargetKind::Server => self.servers,
+            TargetKind::EtcdMember => self.etcd_members,
+            TargetKind::WholeRun => 1,
         };
-        if fixed.is_some_and(|who| who >= all) {
-            section.fault("who", format!("must be below {all}"));
+        if fixed_target.is_some_and(|target| target >= target_count) {
+            section.fault("who", format!("must be below {target_count}"));
             return;
         }
-        let mut begin = at;
+        let mut start = at;
         loop {
-            let mut everyone: Vec<usize> = (0..all).collect();
-            random.shuffle(&mut everyone);
-            let chosen: Vec<usize> = match (fixed, &named) {
-                (Some(who), _) => vec![who],
-                // All of a side, or so many of it.
-                (None, Some(named)) if whom == Whom::Instance => {
-                    let most = if section_counts { wanted } else { named.len() };
-                    everyone
+            let mut candidates: Vec<usize> = (0..target_count).collect();
+            random.shuffle(&mut candidates);
+            let targets: Vec<usize> = match (fixed_target, &side_nodes) {
+                (Some(target), _) => vec![target],
+                // All instances of the side, or `count` of them.
+                (None, Some(side_nodes)) if target_kind == TargetKind::Instance => {
+                    let most = if has_count { count } else { side_nodes.len() };
+                    candidates
                         .into_iter()
-                        .filter(|who| named.contains(who))
+                        .filter(|target| side_nodes.contains(target))
                         .take(most)
                         .collect()
                 }
-                _ => everyone.into_iter().take(wanted).collect(),
+                _ => candidates.into_iter().take(count).collect(),
             };
-            for (place, who) in chosen.into_iter().enumerate() {
-                let which = which.clone();
-                let deed = does(&Said {
-                    who,
-                    lasts,
+            for (index, target) in targets.into_iter().enumerate() {
+                let link_set = link_set.clone();
+                let action = build_action(&StepArguments {
+                    target,
+                    duration,
                     times,
                     share,
-                    which,
+                    link_set,
                     fault,
-                    forever,
+                    until_end,
                     heal_gap,
-                    held_up_at,
+                    stall_at,
                 });
                 self.steps.push(Step {
-                    at: begin + gap * place as u32,
-                    deed,
+                    at: start + gap * index as u32,
+                    action,
                 });
             }
             let Some(every) = every else { break };
-            begin += every;
-            if begin >= self.duration {
+            start += every;
+            if start >= self.duration {
                 break;
             }
         }
     }
 }
 
-/// An end's number, if it is an instance.
-fn node(end: End) -> Option<usize> {
+/// The number of an end that is an instance.
+fn node_number(end: End) -> Option<usize> {
     match end {
         End::Node(number) => Some(number),
         _ => None,
     }
 }
 
-/// An end's number, if it is an app server.
-fn server(end: &End) -> Option<usize> {
+/// The number of an end that is an app server.
+fn server_number(end: &End) -> Option<usize> {
     match end {
         End::Server(number) => Some(*number),
         _ => None,
     }
 }
 
-/// Requests that an app server holds at once for each core, beyond which it turns away unseen.
-pub const SLOTS: usize = 16;
-/// App servers in a group that drops repeats.
-pub const GROUP: usize = 3;
-/// Descriptors of an instance, as on the platform's scored days.
-const SOCKETS: u64 = 1024;
-/// Most instances, app servers and tries a second, as virtual time bears them; by processes there are fewer (`room`).
-const NODES_MOST: u64 = 10_000;
-const SERVERS_MOST: u64 = 100_000;
-const RATE_MOST: f64 = 100_000.0;
+/// Requests that an app server holds per core; it rejects further ones unread.
+pub const SLOTS_PER_CORE: usize = 16;
+/// App servers that share a record of idempotency keys and so drop repeated requests.
+pub const SERVERS_PER_DEDUPLICATION_DOMAIN: usize = 3;
+/// Limit on an instance's file descriptors, as on the platform's scored days.
+const DEFAULT_DESCRIPTORS: u64 = 1024;
+/// Limits that virtual time supports: instances, app servers and requests per second. Lower ones hold for real
+/// processes (see `room`).
+const MAX_INSTANCES: u64 = 10_000;
+const MAX_SERVERS: u64 = 100_000;
+const MAX_RATE: f64 = 100_000.0;
 
-/// The scenarios that come with the program, by name.
+/// The scenarios that are built into the program, by name.
 pub const SHIPPED: [(&str, &str); 11] = [
     ("thirty", include_str!("../scenarios/thirty.toml")),
     ("short", include_str!("../scenarios/short.toml")),
--- a/crates/fleet-harness/src/scenario/tests.rs
+++ b/crates/fleet-harness/src/scenario/tests.rs
@@ -1,14 +1,14 @@
 use super::*;
 
 #[test]
-fn all_shipped_scenarios_are_good_and_a_seed_draws_the_same_steps() {
+fn all_shipped_scenarios_are_valid_and_a_seed_draws_the_same_steps() {
     for (name, text) in SHIPPED {
         let one = Scenario::parse(text, 7).unwrap_or_else(|faults| panic!("{name}: {faults}"));
         assert_eq!(one.name, name);
         assert_eq!(Ok(one.clone()), Scenario::parse(text, 7));
         assert!(
             one.steps.windows(2).all(|two| two[0].at <= two[1].at),
-            "in order"
+            "{name}: steps are sorted by time"
         );
         let last = one.steps.last().map_or(Duration::ZERO, |step| step.at);
         assert!(last <= one.duration, "{name}: a step after the end");
@@ -18,10 +18,12 @@
 }
 
 #[test]
-fn faults_of_steps_are_told_by_their_place() {
+fn faults_of_steps_name_the_index_of_the_step() {
     let text =
         "instances = 0\n[[step]]\ndo = \"kil\"\n[[step]]\ndo = \"kill\"\nwho = 9\nwhen = 3\n[[step]]\n";
-    let faults = Scenario::parse(text, 1).expect_err("it is bad").to_string();
+    let faults = Scenario::parse(text, 1)
+        .expect_err("the scenario is invalid")
+        .to_string();
     for part in [
         "instances: ",
         "step[0].do: ",
@@ -29,6 +31,6 @@
         "step[1].when: unknown",
         "step[2].do",
     ] {
-        assert!(faults.contains(part), "{part} in {faults}");
+        assert!(faults.contains(part), "{part} is not in {faults}");
     }
 }
--- a/crates/fleet-harness/src/virtually/lists.rs
+++ b/crates/fleet-harness/src/virtually/lists.rs
@@ -1,8 +1,8 @@
-//! The list service in virtual time, and what each node's follower does; when it calls is decided by `saffronpaddle_endpoints`,
+//! The list service in virtual time and each node's client of it. `saffronpaddle_endpoints` decides when a node calls,
 //! as in a process.
 
-use super::{Virtual, START, WAY};
-use crate::scenario::{Scenario, GROUP};
+use super::{Simulation, NETWORK_DELAY_US, START_US};
+use crate::scenario::{Scenario, SERVERS_PER_DEDUPLICATION_DOMAIN};
 use saffronpaddle_endpoints::{EmptyListProtection, PollBackoff, PollLimits};
 use saffronpaddle_policy::interface::{
     DeduplicationDomainId, Endpoint, EndpointStatus, EndpointUpdate, Micros, ServerId, ZoneId,
@@ -15,179 +15,186 @@
 use std::ops::Bound;
 use std::time::Duration;
 
-/// A watch that says nothing for so long is left, and a call without terms that is not answered, µs.
-const SILENT_FOR: Micros = 3_000_000;
-/// While nothing changes, a sign of life comes this often, µs.
-const SIGN_OF_LIFE: Micros = 2_000_000;
-/// Bytes of a list's entry, and of the rest of a line, for the service's line.
-const BYTES: (usize, usize) = (150, 40);
-/// A server that no longer exists; the lists of yesterday have some.
-const GONE: u64 = 1 << 40;
+/// Time after which a node gives up a watch that sends nothing, and an unanswered call for which no limits are
+/// configured, µs.
+const WATCH_TIMEOUT_US: Micros = 3_000_000;
+/// Interval of heartbeats on a watch while nothing changes, µs.
+const HEARTBEAT_INTERVAL_US: Micros = 2_000_000;
+/// Bytes of a list entry and of the rest of a response. They count against the service's capacity.
+const ENTRY_AND_HEADER_BYTES: (usize, usize) = (150, 40);
+/// First number of servers that no longer exist, which outdated lists contain.
+const REMOVED_SERVER_BASE: u64 = 1 << 40;
 
-/// What comes about between a node and the list service. The number is the call's: what belongs to an earlier one is void.
+/// An event between a node and the list service. The first number is that of the call; events of an earlier call are
+/// ignored.
 #[derive(Debug)]
-pub(super) enum Comes {
-    Call,
-    Answered(u64),
-    Told(u64),
-    Sign(u64),
-    Ended(u64, Option<Duration>),
+pub(super) enum ListEvent {
+    Poll,
+    Response(u64),
+    Update(u64),
+    Heartbeat(u64),
+    CallEnded(u64, Option<Duration>),
 }
 
-/// A server on a line of a watch: its number, its health, when it started.
-type Line = (usize, &'static str, Option<Micros>);
+/// A server in an update of a watch: its number, health and start time.
+type ChangedEntry = (usize, &'static str, Option<Micros>);
 
-/// The list, each entry with the version of its last change.
+/// The list of servers; each entry has the version of its last change.
 #[derive(Clone, Default)]
 struct List {
-    seq: u64,
+    version: u64,
     entries: Vec<(u64, &'static str, Option<Micros>)>,
-    /// The entries by the version of their last change. Guards against a walk over a long list for each node and change.
+    /// The entries by the version of their last change, so that an update does not scan a long list for each node.
     by_version: BTreeSet<(u64, usize)>,
 }
 
 impl List {
-    /// So many servers, all ready.
-    fn whole(servers: usize, born: Option<Micros>) -> List {
-        let entries = vec![(1, "ready", born); servers];
+    /// A list of ready servers.
+    fn full(servers: usize, started_at: Option<Micros>) -> List {
+        let entries = vec![(1, "ready", started_at); servers];
         List {
-            seq: 1,
+            version: 1,
             entries,
-            by_version: (0..servers).map(|at| (1, at)).collect(),
+            by_version: (0..servers).map(|index| (1, index)).collect(),
         }
     }
 
-    fn write(&mut self, at: usize, health: &'static str) {
-        self.seq += 1;
-        let Some(entry) = self.entries.get_mut(at) else {
+    fn set_health(&mut self, index: usize, health: &'static str) {
+        self.version += 1;
+        let Some(entry) = self.entries.get_mut(index) else {
             return;
         };
-        self.by_version.remove(&(entry.0, at));
-        self.by_version.insert((self.seq, at));
-        (entry.0, entry.1) = (self.seq, health);
+        self.by_version.remove(&(entry.0, index));
+        self.by_version.insert((self.version, index));
+        (entry.0, entry.1) = (self.version, health);
     }
 
-    /// Numbered anew, as if all had been written at one stroke.
+    /// Gives all entries version 1, as if they had been written in one change.
     fn renumber(&mut self) {
-        self.seq = 1;
+        self.version = 1;
         self.entries.iter_mut().for_each(|entry| entry.0 = 1);
-        self.by_version = (0..self.entries.len()).map(|at| (1, at)).collect();
+        self.by_version = (0..self.entries.len()).map(|index| (1, index)).collect();
     }
 
-    /// The places of the entries that changed after a version, in order.
+    /// The indices, in ascending order, of the entries that changed after a version.
     fn changed(&self, from: u64) -> Vec<usize> {
         let later = (Bound::Excluded((from, usize::MAX)), Bound::Unbounded);
-        let mut changed: Vec<usize> = self.by_version.range(later).map(|(_, at)| *at).collect();
+        let mut changed: Vec<usize> = self
+            .by_version
+            .range(later)
+            .map(|(_, index)| *index)
+            .collect();
         changed.sort_unstable();
         changed
     }
 }
 
-pub(super) struct Service {
+pub(super) struct ListService {
     list: List,
-    first: List,
-    pub bears: ServiceLimits,
+    initial: List,
+    pub limits: ServiceLimits,
     pub silent: bool,
-    busy: Micros,
-    pub calls: CallStats,
+    busy_until: Micros,
+    pub call_stats: CallStats,
 }
 
-impl Service {
-    pub fn of(scenario: &Scenario) -> Service {
-        let (calls_per_s, bytes_per_s) = scenario.list_bears;
-        let born = scenario.cold.then_some(START);
-        let list = List::whole(scenario.servers, born);
-        let bears = ServiceLimits {
+impl ListService {
+    pub fn for_scenario(scenario: &Scenario) -> ListService {
+        let (calls_per_s, bytes_per_s) = scenario.list_service_limits;
+        let started_at = scenario.cold.then_some(START_US);
+        let list = List::full(scenario.servers, started_at);
+        let limits = ServiceLimits {
             calls_per_s,
             bytes_per_s,
-            sheds_load: scenario.list_turns_away,
+            sheds_load: scenario.list_service_sheds_load,
             down: false,
         };
-        let first = list.clone();
-        Service {
+        let initial = list.clone();
+        ListService {
             list,
-            first,
-            bears,
+            initial,
+            limits,
             silent: false,
-            busy: 0,
-            calls: CallStats::default(),
+            busy_until: 0,
+            call_stats: CallStats::default(),
         }
     }
 
-    pub fn back(&mut self, back: RestoreMode) {
-        match back {
-            RestoreMode::FirstVersion => self.list = self.first.clone(),
+    pub fn restore(&mut self, mode: RestoreMode) {
+        match mode {
+            RestoreMode::FirstVersion => self.list = self.initial.clone(),
             RestoreMode::Empty => self.list = List::default(),
             RestoreMode::Renumbered => self.list.renumber(),
         }
     }
 
-    /// A server has started then.
-    pub fn born(&mut self, at: usize, now: Micros) {
-        if let Some(entry) = self.list.entries.get_mut(at) {
+    /// Records the start time of a server.
+    pub fn set_started_at(&mut self, server_index: usize, now: Micros) {
+        if let Some(entry) = self.list.entries.get_mut(server_index) {
             entry.2 = Some(now);
         }
     }
 
-    /// The entries since a version, and whether they are the whole list.
-    fn since(&self, from: Option<u64>) -> (bool, Vec<Line>) {
-        let from = from.filter(|from| *from <= self.list.seq);
-        let line =
-            |(at, entry): (usize, &(u64, &'static str, Option<Micros>))| (at, entry.1, entry.2);
+    /// Whether the returned entries are the full list, and the entries that changed after version `from`.
+    fn changes_since(&self, from: Option<u64>) -> (bool, Vec<ChangedEntry>) {
+        let from = from.filter(|from| *from <= self.list.version);
+        let changed_entry = |(index, entry): (usize, &(u64, &'static str, Option<Micros>))| {
+            (index, entry.1, entry.2)
+        };
         let all = &self.list.entries;
         let entries = match from {
             Some(from) => self
                 .list
                 .changed(from)
                 .into_iter()
-                .map(|at| line((at, &all[at])))
+                .map(|index| changed_entry((index, &all[index])))
                 .collect(),
             None => all
                 .iter()
                 .enumerate()
                 .filter(|(_, entry)| entry.1 != "gone")
-                .map(line)
+                .map(changed_entry)
                 .collect(),
         };
         (from.is_none(), entries)
     }
 }
 
-/// One node's follower.
-pub(super) struct Follower {
-    seq: Option<u64>,
-    /// The number of the call that is out or answered, and whether it was answered.
+/// A node's client of the list service.
+pub(super) struct ListClient {
+    version: Option<u64>,
+    /// Number of the current call. `watching` is set once it is answered.
     call: u64,
-    watches: bool,
-    pace: PollBackoff,
-    doubt: EmptyListProtection,
+    watching: bool,
+    backoff: PollBackoff,
+    empty_list_protection: EmptyListProtection,
 }
 
-impl Follower {
-    pub fn new(nodes: u32, terms: Option<&PollLimits>) -> Follower {
-        // Without terms the address is the agent of the node's machine.
-        let pace = terms.map_or_else(PollBackoff::for_agent, |terms| {
-            PollBackoff::with_limits(nodes, terms)
+impl ListClient {
+    pub fn new(nodes: u32, list_limits: Option<&PollLimits>) -> ListClient {
+        // Without configured limits, the address is that of the agent on the node's machine.
+        let backoff = list_limits.map_or_else(PollBackoff::for_agent, |list_limits| {
+            PollBackoff::with_limits(nodes, list_limits)
         });
-        Follower {
-            seq: None,
+        ListClient {
+            version: None,
             call: 0,
-            watches: false,
-            pace,
-            doubt: EmptyListProtection::default(),
+            watching: false,
+            backoff,
+            empty_list_protection: EmptyListProtection::default(),
         }
     }
 }
 
-impl Virtual {
-    /// What a node's configuration holds: the list as it is, or one of yesterday.
-    pub(super) fn knows(&mut self, at: usize, stale: bool) {
-        let (_, entries) = self.service.since(None);
-        let known = |(place, (server, health, born)): (usize, Line)| {
-            let entry = entry(server, health, born);
+impl Simulation {
+    /// Loads the list of a node's configuration: the current list, or an outdated one.
+    pub(super) fn load_initial_list(&mut self, node_index: usize, stale: bool) {
+        let (_, entries) = self.list_service.changes_since(None);
+        let initial_entry = |(index, (server, health, started_at)): (usize, ChangedEntry)| {
+            let entry = entry(server, health, started_at);
             match stale {
-                true if place % 2 == 1 => Endpoint {
-                    server: ServerId(GONE + place as u64),
+                true if index % 2 == 1 => Endpoint {
+                    server: ServerId(REMOVED_SERVER_BASE + index as u64),
                     ..entry
                 },
                 true => Endpoint {
@@ -197,194 +204,259 @@
                 false => entry,
             }
         };
-        let entries = entries.into_iter().enumerate().map(known).collect();
-        self.nodes[at].follower.seq = Some(if stale { 0 } else { self.service.list.seq });
-        self.listed(at, EndpointUpdate::Snapshot, entries);
+        let entries = entries.into_iter().enumerate().map(initial_entry).collect();
+        self.nodes[node_index].list_client.version = Some(if stale {
+            0
+        } else {
+            self.list_service.list.version
+        });
+        self.update_endpoints(node_index, EndpointUpdate::Snapshot, entries);
     }
 
-    /// An entry is written.
-    pub(super) fn write(&mut self, server: usize, health: &'static str) {
-        self.service.list.write(server, health);
-        self.push();
+    /// Changes a server's entry in the list.
+    pub(super) fn set_health(&mut self, server: usize, health: &'static str) {
+        self.list_service.list.set_health(server, health);
+        self.push_update();
     }
 
-    /// All open watches are told of what has changed, as late as the service is.
-    pub(super) fn push(&mut self) {
-        let late = self.scenario.lateness.as_micros() as Micros;
-        self.tell_watches(late, Comes::Told);
+    /// Sends the change to all open watches, after the discovery delay.
+    pub(super) fn push_update(&mut self) {
+        let delay = self.scenario.discovery_delay.as_micros() as Micros;
+        self.schedule_for_watches(delay, ListEvent::Update);
     }
 
-    /// Something comes to each node whose watch is open.
-    fn tell_watches(&mut self, after: Micros, comes: impl Fn(u64) -> Comes) {
-        for at in 0..self.nodes.len() {
-            if self.nodes[at].follower.watches {
-                let (way, call) = (self.way(), self.nodes[at].follower.call);
-                self.list_later(at, after + way, comes(call));
+    /// Schedules an event for each node with an open watch.
+    fn schedule_for_watches(&mut self, after: Micros, event: impl Fn(u64) -> ListEvent) {
+        for node_index in 0..self.nodes.len() {
+            if self.nodes[node_index].list_client.watching {
+                let (network_delay, call) = (
+                    self.draw_network_delay(),
+                    self.nodes[node_index].list_client.call,
+                );
+                self.schedule_list_event(node_index, after + network_delay, event(call));
             }
         }
     }
 
-    /// A node's watch is open no more, if it was.
-    pub(super) fn unwatch(&mut self, at: usize) {
-        if std::mem::take(&mut self.nodes[at].follower.watches) {
-            self.service.calls.open_watches -= 1;
+    /// Closes a node's watch if it is open.
+    pub(super) fn close_watch(&mut self, node_index: usize) {
+        if std::mem::take(&mut self.nodes[node_index].list_client.watching) {
+            self.list_service.call_stats.open_watches -= 1;
         }
     }
 
-    /// All watches end at one stroke.
+    /// Ends all watches at once.
     pub(super) fn end_watches(&mut self) {
-        self.tell_watches(0, |call| Comes::Ended(call, None));
+        self.schedule_for_watches(0, |call| ListEvent::CallEnded(call, None));
     }
 
-    fn list_later(&mut self, at: usize, after: Micros, comes: Comes) {
-        let life = self.nodes[at].life;
-        self.later(after, super::Comes::List(at, life, comes));
+    fn schedule_list_event(&mut self, node_index: usize, after: Micros, event: ListEvent) {
+        let incarnation = self.nodes[node_index].incarnation;
+        self.schedule(
+            after,
+            super::ScheduledEvent::ListService(node_index, incarnation, event),
+        );
     }
 
-    /// Whether words of the service come through to a node.
-    fn hears_list(&self, at: usize) -> bool {
-        let fault = self.links.fault_between(End::List, End::Node(at));
-        !self.service.silent && !fault.stalled && !fault.reset
+    /// Whether messages of the list service reach a node.
+    fn list_reachable(&self, node_index: usize) -> bool {
+        let fault = self.links.fault_between(End::List, End::Node(node_index));
+        !self.list_service.silent && !fault.stalled && !fault.reset
     }
 
-    pub(super) fn list(&mut self, at: usize, comes: Comes) {
-        let call = self.nodes[at].follower.call;
-        match comes {
-            Comes::Call => self.calls(at),
-            Comes::Answered(of) if of == call => {
-                self.nodes[at].follower.watches = true;
-                self.service.calls.open_watches += 1;
-                self.service.calls.max_open_watches = self
-                    .service
-                    .calls
+    pub(super) fn handle_list_event(&mut self, node_index: usize, event: ListEvent) {
+        let call = self.nodes[node_index].list_client.call;
+        match event {
+            ListEvent::Poll => self.poll_list(node_index),
+            ListEvent::Response(call_id) if call_id == call => {
+                self.nodes[node_index].list_client.watching = true;
+                self.list_service.call_stats.open_watches += 1;
+                self.list_service.call_stats.max_open_watches = self
+                    .list_service
+                    .call_stats
                     .max_open_watches
-                    .max(self.service.calls.open_watches);
-                self.told(at);
-                self.list_later(at, SIGN_OF_LIFE, Comes::Sign(call));
+                    .max(self.list_service.call_stats.open_watches);
+                self.receive_update(node_index);
+                self.schedule_list_event(
+                    node_index,
+                    HEARTBEAT_INTERVAL_US,
+                    ListEvent::Heartbeat(call),
+                );
             }
-            Comes::Told(of) if of == call && self.nodes[at].follower.watches => {
-                if self.hears_list(at) {
-                    self.told(at);
+            ListEvent::Update(call_id)
+                if call_id == call && self.nodes[node_index].list_client.watching =>
+            {
+                if self.list_reachable(node_index) {
+                    self.receive_update(node_index);
                 }
             }
-            Comes::Sign(of) if of == call && self.nodes[at].follower.watches => {
-                // A list in doubt is asked for again when it is to be settled.
-                let terms = self.terms.as_ref();
-                let doubt = terms.and_then(|terms| {
-                    self.nodes[at]
-                        .follower
-                        .doubt
-                        .poll_again_after(terms.empty_after)
+            ListEvent::Heartbeat(call_id)
+                if call_id == call && self.nodes[node_index].list_client.watching =>
+            {
+                // A list that is suspiciously empty is polled again when the protection's time is over.
+                let list_limits = self.list_limits.as_ref();
+                let repoll_at = list_limits.and_then(|list_limits| {
+                    self.nodes[node_index]
+                        .list_client
+                        .empty_list_protection
+                        .poll_again_after(list_limits.empty_after)
                 });
-                let settled = doubt.is_some_and(|at| at <= self.since());
-                if !self.hears_list(at) || settled {
-                    let after = if settled {
+                let doubt_over = repoll_at.is_some_and(|at| at <= self.elapsed());
+                if !self.list_reachable(node_index) || doubt_over {
+                    let after = if doubt_over {
                         0
                     } else {
-                        SILENT_FOR - SIGN_OF_LIFE
+                        WATCH_TIMEOUT_US - HEARTBEAT_INTERVAL_US
                     };
-                    self.list_later(at, after, Comes::Ended(call, None));
+                    self.schedule_list_event(node_index, after, ListEvent::CallEnded(call, None));
                 } else {
-                    self.list_later(at, SIGN_OF_LIFE, Comes::Sign(call));
+                    self.schedule_list_event(
+                        node_index,
+                        HEARTBEAT_INTERVAL_US,
+                        ListEvent::Heartbeat(call),
+                    );
                 }
             }
-            Comes::Ended(of, after) if of == call => {
+            ListEvent::CallEnded(call_id, after) if call_id == call => {
                 let draw = self.random.f64();
-                let watched = self.nodes[at].follower.watches;
-                self.unwatch(at);
-                let follower = &mut self.nodes[at].follower;
-                follower.call += 1;
-                let pause = match after {
-                    Some(after) => follower.pace.after_response(after, draw),
-                    None if watched => follower.pace.after_watch_end(draw),
-                    None => follower.pace.after_failure(draw),
+                let was_watching = self.nodes[node_index].list_client.watching;
+                self.close_watch(node_index);
+                let list_client = &mut self.nodes[node_index].list_client;
+                list_client.call += 1;
+                let delay = match after {
+                    Some(after) => list_client.backoff.after_response(after, draw),
+                    None if was_watching => list_client.backoff.after_watch_end(draw),
+                    None => list_client.backoff.after_failure(draw),
                 };
-                self.list_later(at, pause.as_micros() as Micros, Comes::Call);
+                self.schedule_list_event(node_index, delay.as_micros() as Micros, ListEvent::Poll);
             }
-            Comes::Answered(_) | Comes::Told(_) | Comes::Sign(_) | Comes::Ended(..) => {}
+            ListEvent::Response(_)
+            | ListEvent::Update(_)
+            | ListEvent::Heartbeat(_)
+            | ListEvent::CallEnded(..) => {}
         }
     }
 
-    fn calls(&mut self, at: usize) {
-        let call = self.nodes[at].follower.call;
-        // Of an agent's calls that go out beside one another the first that is answered counts: one, given up that often, stands for them.
-        let every = self.nodes[at]
-            .follower
-            .pace
+    fn poll_list(&mut self, node_index: usize) {
+        let call = self.nodes[node_index].list_client.call;
+        // A node hedges its calls to an agent, and the first answer counts. One call with the hedging interval as its
+        // timeout stands for them.
+        let hedge_interval = self.nodes[node_index]
+            .list_client
+            .backoff
             .hedged()
             .map(|hedged| hedged.every);
-        let answers = self
-            .terms
+        let response_timeout = self
+            .list_limits
             .as_ref()
-            .map(|terms| terms.answer_within)
-            .or(every);
-        let answers = answers.map_or(SILENT_FOR, |span| span.as_micros() as Micros);
-        let way = self.random.u64(WAY);
-        let there = self.links.fault_between(End::Node(at), End::List);
-        if self.service.bears.down || there.reset {
-            return self.list_later(at, way, Comes::Ended(call, None));
+            .map(|list_limits| list_limits.answer_within)
+            .or(hedge_interval);
+        let response_timeout =
+            response_timeout.map_or(WATCH_TIMEOUT_US, |span| span.as_micros() as Micros);
+        let network_delay = self.random.u64(NETWORK_DELAY_US);
+        let link_fault = self.links.fault_between(End::Node(node_index), End::List);
+        if self.list_service.limits.down || link_fault.reset {
+            return self.schedule_list_event(
+                node_index,
+                network_delay,
+                ListEvent::CallEnded(call, None),
+            );
         }
-        if there.stalled || there.drops_connects || !self.hears_list(at) {
-            return self.list_later(at, answers, Comes::Ended(call, None));
+        if link_fault.stalled || link_fault.drops_connects || !self.list_reachable(node_index) {
+            return self.schedule_list_event(
+                node_index,
+                response_timeout,
+                ListEvent::CallEnded(call, None),
+            );
         }
-        let since = self.since();
-        self.service.calls.times.push(since);
+        let elapsed = self.elapsed();
+        self.list_service.call_stats.times.push(elapsed);
         let ServiceLimits {
             calls_per_s,
             bytes_per_s,
-            sheds_load: turns_away,
+            sheds_load,
             ..
-        } = self.service.bears;
-        let (_, entries) = self.service.since(self.nodes[at].follower.seq);
-        let bytes = entries.len() * BYTES.0 + BYTES.1;
-        let share = |of: f64, a_second: f64| if a_second > 0.0 { of / a_second } else { 0.0 };
-        let takes = share(1.0, calls_per_s) + share(bytes as f64, bytes_per_s);
-        let line = self.service.busy.saturating_sub(self.now);
-        if turns_away && u128::from(line) > MAX_QUEUE_DELAY.as_micros() {
-            self.service.calls.rejected += 1;
-            let after = Duration::from_secs((line / 1_000_000).max(1));
-            return self.list_later(at, way, Comes::Ended(call, Some(after)));
+        } = self.list_service.limits;
+        let (_, entries) = self
+            .list_service
+            .changes_since(self.nodes[node_index].list_client.version);
+        let bytes = entries.len() * ENTRY_AND_HEADER_BYTES.0 + ENTRY_AND_HEADER_BYTES.1;
+        let seconds_of = |amount: f64, per_second: f64| {
+            if per_second > 0.0 {
+                amount / per_second
+            } else {
+                0.0
+            }
+        };
+        let service_time = seconds_of(1.0, calls_per_s) + seconds_of(bytes as f64, bytes_per_s);
+        let queue_us = self.list_service.busy_until.saturating_sub(self.now);
+        if sheds_load && u128::from(queue_us) > MAX_QUEUE_DELAY.as_micros() {
+            self.list_service.call_stats.rejected += 1;
+            let after = Duration::from_secs((queue_us / 1_000_000).max(1));
+            return self.schedule_list_event(
+                node_index,
+                network_delay,
+                ListEvent::CallEnded(call, Some(after)),
+            );
         }
-        // It works on what it took though the caller has left.
-        self.service.busy = self.service.busy.max(self.now) + (takes * 1e6) as Micros;
-        let after = self.service.busy - self.now + 2 * way;
-        if after > answers {
-            self.list_later(at, answers, Comes::Ended(call, None));
+        // The service processes a call that it has accepted even if the caller has given up.
+        self.list_service.busy_until =
+            self.list_service.busy_until.max(self.now) + (service_time * 1e6) as Micros;
+        let after = self.list_service.busy_until - self.now + 2 * network_delay;
+        if after > response_timeout {
+            self.schedule_list_event(
+                node_index,
+                response_timeout,
+                ListEvent::CallEnded(call, None),
+            );
         } else {
-            self.list_later(at, after, Comes::Answered(call));
+            self.schedule_list_event(node_index, after, ListEvent::Response(call));
         }
     }
 
-    /// A line of the watch: what has changed since the last.
-    fn told(&mut self, at: usize) {
-        let from = self.nodes[at].follower.seq;
-        let (whole, entries) = self.service.since(from);
-        let since = self.since();
-        self.service.calls.first_answers.entry(at).or_insert(since);
-        self.service.calls.list_bytes += (entries.len() * BYTES.0 + BYTES.1) as u64;
+    /// Delivers what has changed since the last update of the watch.
+    fn receive_update(&mut self, node_index: usize) {
+        let from = self.nodes[node_index].list_client.version;
+        let (is_full, entries) = self.list_service.changes_since(from);
+        let elapsed = self.elapsed();
+        self.list_service
+            .call_stats
+            .first_answers
+            .entry(node_index)
+            .or_insert(elapsed);
+        self.list_service.call_stats.list_bytes +=
+            (entries.len() * ENTRY_AND_HEADER_BYTES.0 + ENTRY_AND_HEADER_BYTES.1) as u64;
         for (server, health, _) in &entries {
-            self.ledger
-                .health_delivered(since, at, &format!("s-{server}"), *health == "ready");
+            self.oracle.health_delivered(
+                elapsed,
+                node_index,
+                &format!("s-{server}"),
+                *health == "ready",
+            );
         }
-        if let Some(terms) = self.terms.as_ref().filter(|_| whole) {
-            let known = self.nodes[at].gateway.endpoint_counts().0;
-            if !self.nodes[at].follower.doubt.accepts(
-                since,
-                entries.len(),
-                known,
-                terms.empty_after,
-            ) {
+        if let Some(list_limits) = self.list_limits.as_ref().filter(|_| is_full) {
+            let known_endpoints = self.nodes[node_index].engine.endpoint_counts().0;
+            if !self.nodes[node_index]
+                .list_client
+                .empty_list_protection
+                .accepts(
+                    elapsed,
+                    entries.len(),
+                    known_endpoints,
+                    list_limits.empty_after,
+                )
+            {
                 return;
             }
         }
-        self.nodes[at].follower.seq = Some(self.service.list.seq);
+        self.nodes[node_index].list_client.version = Some(self.list_service.list.version);
         let entries = entries
             .into_iter()
-            .map(|(server, health, born)| entry(server, health, born))
+            .map(|(server, health, started_at)| entry(server, health, started_at))
             .collect();
-        self.listed(
-            at,
-            if whole {
+        self.update_endpoints(
+            node_index,
+            if is_full {
                 EndpointUpdate::Snapshot
             } else {
                 EndpointUpdate::Delta
@@ -394,17 +466,17 @@
     }
 }
 
-fn entry(server: usize, health: &str, born: Option<Micros>) -> Endpoint {
+fn entry(server: usize, health: &str, started_at: Option<Micros>) -> Endpoint {
     Endpoint {
         server: ServerId(server as u64),
         zone: ZoneId((server % 2) as u32),
-        domain: DeduplicationDomainId((server / GROUP) as u64),
+        domain: DeduplicationDomainId((server / SERVERS_PER_DEDUPLICATION_DOMAIN) as u64),
         status: match health {
             "ready" => EndpointStatus::Ready,
             "draining" => EndpointStatus::Draining,
             _ => EndpointStatus::Removed,
         },
         size: 1.0,
-        started_at: born,
+        started_at,
     }
 }
