--- a/crates/fleet-harness/src/virtually/mod.rs
+++ b/crates/fleet-harness/src/virtually/mod.rs
@@ -1,18 +1,18 @@
-//! A scenario in virtual time: the decision modules of a whole fleet in one process, with the rig's customers, servers, links
-//! and faults, judged by the same ledger. It stands for fleets that no machine holds as processes, and for runs that must be
-//! the same each time: everything follows from the seed. Nothing of the program's shell runs here, so what a process does with
-//! sockets, descriptors and signals is the rig's to show.
+//! Runs a scenario in virtual time: the policy engines of a whole fleet in one process, with the same customers,
+//! servers, links and faults as the harness, checked by the same oracle. It covers fleets that are too large for one
+//! machine, and runs that must be reproducible: everything follows from the seed. Nothing of the node's I/O code runs
+//! here; what a process does with sockets, descriptors and signals is covered by runs with real processes.
 
 mod lists;
 mod servers;
 
 use crate::customers::customers;
-use crate::report::{at, Report, Row};
-use crate::rig::DRAINS_FOR;
-use crate::scenario::{Deed, Known, Roster, Scenario};
+use crate::harness::DRAIN_TIME;
+use crate::report::{percentiles, InstanceReport, Report};
+use crate::scenario::{EndpointSource, InitialList, Scenario, StepAction};
 use crate::windows;
 use anyhow::{ensure, Result};
-use lists::{Follower, Service};
+use lists::{ListClient, ListEvent, ListService};
 use saffronpaddle_endpoints::PollLimits;
 use saffronpaddle_operator_config::Operator;
 use saffronpaddle_policy::interface::{
@@ -25,494 +25,531 @@
 use saffronpaddle_test_doubles::load::{class_of, Customer, LoadCounts, RetryState};
 use saffronpaddle_test_doubles::oracle::{Answer, Oracle, RepeatSafety, SentRequest, Unanswered};
 use saffronpaddle_test_doubles::settings::Fleet;
-use servers::{Flight, Server};
+use servers::{InFlightAttempt, Server};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
-/// When a run begins on all clocks, µs of Unix time.
-const START: Micros = 1_700_000_000_000_000;
-/// What a front keeps back of a client's time, µs.
-const DELIVERY: Micros = 5_000;
-/// One way between two processes without a fault, µs.
-const WAY: std::ops::Range<Micros> = 100..1_000;
-/// From exec to ready, µs; and from then on until the front has seen it, or that a process is ready no more.
-const UP: Micros = 20_000;
-const SEEN: Micros = 250_000;
-/// How long after SIGTERM a node takes new work, and how long what it took may take then, µs.
-const LEAVES: Micros = 600_000;
-const FINISHES: Micros = 3_100_000;
-/// A process that stands still is dealt clients for so long, µs.
-const SEEN_STILL: Micros = 1_250_000;
-/// Words that the machine keeps for a process that does not read.
-const UNREAD: usize = 270;
-/// Load begins so long after the first process started.
-const BEFORE: Micros = 500_000;
-/// Bytes of a node, of what it knows of a server and of a peer, and of a try, which the ledger keeps to the end.
-const NODE_BYTES: f64 = 50_000.0;
-const SERVER_BYTES: f64 = 180.0;
-const PEER_BYTES: f64 = 50.0;
-const TRY_BYTES: f64 = 1_000.0;
-/// Tries for each that is offered first: clients come again.
-const TRIES: f64 = 1.5;
-/// How long after the last try a run may go on. All is over long before.
-const AFTER: Micros = 20_000_000;
-
-/// Something that comes about at its time.
+/// Unix time at which a run begins on all clocks, µs.
+const START_US: Micros = 1_700_000_000_000_000;
+/// Part of a client's deadline that is reserved for delivery, µs.
+const DELIVERY_MARGIN_US: Micros = 5_000;
+/// One-way delay between two processes without a fault, µs.
+const NETWORK_DELAY_US: std::ops::Range<Micros> = 100..1_000;
+/// Time from exec to ready, µs; and time until the load generator sees that a process is ready or no longer ready.
+const PROCESS_START_US: Micros = 20_000;
+const READINESS_DETECTION_US: Micros = 250_000;
+/// Time after SIGTERM during which a node accepts new requests, and the time that accepted requests may then take, µs.
+const DRAIN_ACCEPT_US: Micros = 600_000;
+const DRAIN_FINISH_US: Micros = 3_100_000;
+/// Time during which a paused process still gets clients, µs.
+const PAUSE_DETECTION_US: Micros = 1_250_000;
+/// Messages that the socket buffer of a paused process holds.
+const SOCKET_BUFFER_MESSAGES: usize = 270;
+/// Time from the start of the first process to the start of the load.
+const WARMUP_US: Micros = 500_000;
+/// Memory estimate, bytes: a node, what it holds for each server and each peer, and a request, which the oracle keeps
+/// until the end.
+const BYTES_PER_NODE: f64 = 50_000.0;
+const BYTES_PER_KNOWN_SERVER: f64 = 180.0;
+const BYTES_PER_PEER: f64 = 50.0;
+const BYTES_PER_TRY: f64 = 1_000.0;
+/// Requests per first request, with the clients' retries.
+const TRIES_PER_REQUEST: f64 = 1.5;
+/// Time by which a run may exceed the load's duration, µs. All requests end long before.
+const MAX_OVERRUN_US: Micros = 20_000_000;
+
+/// An event of the simulation's queue.
 #[derive(Debug)]
-enum Comes {
-    /// The next try of a customer.
-    Arrival(usize),
-    /// A client's try reaches the front.
-    Try(Client),
-    Wakes(usize, u32, u64),
-    Hears(usize, NodeId, Vec<u8>),
-    Reaches(Flight),
-    Done(Flight, u32),
-    Replies(Flight, Outcome),
-    List(usize, u32, lists::Comes),
+enum ScheduledEvent {
+    /// The next request of a customer.
+    CustomerArrival(usize),
+    /// A client sends a request, for the first time or as a retry.
+    ClientRequest(Client),
+    TimerFired(usize, u32, u64),
+    PeerMessage(usize, NodeId, Vec<u8>),
+    AttemptReceived(InFlightAttempt),
+    WorkDone(InFlightAttempt, u32),
+    AttemptEnded(InFlightAttempt, Outcome),
+    ListService(usize, u32, ListEvent),
     Step(usize),
-    /// A node is taken for ready by the front, or no more.
-    Opens(usize, u32, bool),
-    /// A process is there after its start.
-    Up(usize, u32),
-    /// A node that leaves has done with what it took, or its time is over.
-    Leaves(usize, u32, Micros),
-    GoesOn(usize),
-    Lifts(u64),
-    HealsNext(
+    /// The load generator adds a node to its rotation or removes it.
+    SetInRotation(usize, u32, bool),
+    /// A started process is ready.
+    ProcessReady(usize, u32),
+    /// Ends a draining node once its requests are finished or its time is up.
+    CheckDrained(usize, u32, Micros),
+    Resume(usize),
+    RemoveFault(u64),
+    HealNextEnd(
         LinkSet,
         saffronpaddle_test_doubles::links::Fault,
         Vec<End>,
         u64,
         Duration,
     ),
-    ListUp,
-    Discovered,
-    Drained(usize, Duration),
-    Flips(usize),
-    Back(usize),
-    Speaks(usize),
-    Quick,
+    ListServiceUp,
+    DiscoveryResumed,
+    ServerDrained(usize, Duration),
+    ServerReadyAgain(usize),
+    ServerRestarted(usize),
+    ServerResponsive(usize),
+    WorkTimeNormal,
 }
 
-/// A client's request, over its tries.
+/// A client's request, over its retries.
 #[derive(Clone, Debug)]
 struct Client {
     customer: usize,
     class: usize,
     key: Option<String>,
-    patience: RetryState,
+    retry_state: RetryState,
 }
 
 /// A request at a node that has no final answer.
-struct Waiting {
+struct OpenRequest {
     client: Client,
-    sent: u32,
-    /// Nobody counts its answer any more.
-    given_up: bool,
+    attempts_sent: u32,
+    /// The client is no longer counted, and the answer is ignored.
+    abandoned: bool,
 }
 
 struct Node {
-    gateway: PolicyEngine,
-    named: PlatformSettings,
-    /// Counts its processes: what is under way to an earlier one is lost.
-    life: u32,
-    runs: bool,
-    /// Whether the front deals it clients.
-    open: bool,
-    /// Since when it stands still, and what waits for it.
-    still: Option<(Micros, Vec<Comes>)>,
-    waits: BTreeMap<RequestId, Waiting>,
-    /// Attempts that are out.
-    out: BTreeMap<RequestId, (AttemptNumber, usize)>,
-    /// When a connection to a server was last used.
-    wires: HashMap<usize, Micros>,
-    follower: Follower,
-    words: (u64, u64),
-    /// When its intake was last filled, and for how many words it has room.
-    intake: (Micros, f64),
+    engine: PolicyEngine,
+    platform_settings: PlatformSettings,
+    /// Number of the node's process. Events for an earlier one are dropped.
+    incarnation: u32,
+    running: bool,
+    /// Whether the load generator sends clients to it.
+    in_rotation: bool,
+    /// When the process was paused, and the events that wait for it.
+    paused: Option<(Micros, Vec<ScheduledEvent>)>,
+    open_requests: BTreeMap<RequestId, OpenRequest>,
+    /// Attempts that have not ended.
+    attempts: BTreeMap<RequestId, (AttemptNumber, usize)>,
+    /// When the idle connection to a server was last used.
+    idle_connections: HashMap<usize, Micros>,
+    list_client: ListClient,
+    peer_messages: (u64, u64),
+    /// Token bucket for peer messages: when it was last refilled, and its tokens.
+    inbound_budget: (Micros, f64),
 }
 
-struct Virtual {
+struct Simulation {
     scenario: Scenario,
     fleet: Fleet,
     customers: Vec<Customer>,
-    terms: Option<PollLimits>,
+    list_limits: Option<PollLimits>,
     seed: u64,
     random: fastrand::Rng,
     now: Micros,
-    began: Micros,
-    queue: BTreeMap<(Micros, u64), Comes>,
-    serial: u64,
+    load_start: Micros,
+    queue: BTreeMap<(Micros, u64), ScheduledEvent>,
+    next_event_id: u64,
     nodes: Vec<Node>,
     servers: Vec<Server>,
-    slow: f64,
-    service: Service,
+    work_time_factor: f64,
+    list_service: ListService,
     links: Links,
-    ledger: Oracle,
-    /// What modules of processes that have ended had counted.
-    decided: BTreeMap<&'static str, u64>,
+    oracle: Oracle,
+    /// Counters of policy engines whose processes have ended.
+    decision_counters: BTreeMap<&'static str, u64>,
     processes: u64,
-    words_bytes: u64,
+    peer_bytes: u64,
     retries: u64,
-    nobody: u64,
-    /// How long served answers took, ms.
-    took_ms: Vec<f64>,
+    no_ready_node: u64,
+    /// Latencies of served requests, ms.
+    latencies_ms: Vec<f64>,
     requests: u64,
 }
 
-/// Plays a scenario to its end. `operator` is the operator file of all nodes, of which the list service's terms, quotas and
-/// the working set of servers count.
+/// Plays a scenario to its end. Of `operator`, the operator file of all nodes, the limits of the list service, the
+/// quotas and the working set of servers apply.
 ///
 /// # Errors
-/// The scenario asks for what there is not in virtual time, or the operator file is wrong.
+/// The scenario needs something that virtual time does not have, or the operator file is invalid.
 pub fn play(scenario: Scenario, seed: u64, operator: &str) -> Result<Report> {
     ensure!(
-        scenario.roster == Roster::Discovery
-            && !scenario.steps.iter().any(|step| step.deed.of_processes()),
-        "there is no etcd in virtual time, and no step that needs processes"
+        scenario.endpoint_source == EndpointSource::Discovery
+            && !scenario
+                .steps
+                .iter()
+                .any(|step| step.action.needs_processes()),
+        "virtual time supports neither etcd nor steps that need processes"
     );
     ensure!(
-        scenario.leaves.share == 0.0 && scenario.absent_servers.is_empty(),
-        "clients don't leave and servers don't join in virtual time"
+        scenario.cancellations.share == 0.0 && scenario.absent_servers.is_empty(),
+        "virtual time supports neither clients that disconnect nor servers that join later"
     );
-    let says = Operator::parse(operator)?;
-    let mut run = Virtual::new(scenario, seed, says)?;
+    let operator_settings = Operator::parse(operator)?;
+    let mut run = Simulation::new(scenario, seed, operator_settings)?;
     run.run();
     Ok(run.report())
 }
 
-/// Bytes that a run needs, from above.
-pub fn needs(scenario: &Scenario) -> u64 {
+/// Upper estimate of the bytes of memory that a run needs.
+pub fn required_bytes(scenario: &Scenario) -> u64 {
     let (nodes, servers) = (scenario.instances as f64, scenario.servers as f64);
     let fleet = Fleet::typical(scenario.instances);
     let offered: f64 = customers(scenario, &fleet, 0)
         .iter()
         .map(|customer| customer.rate)
         .sum();
-    let tries = offered * scenario.duration.as_secs_f64() * TRIES;
-    let node = NODE_BYTES + servers * SERVER_BYTES + nodes * PEER_BYTES;
-    (nodes * node + tries * TRY_BYTES) as u64
+    let tries = offered * scenario.duration.as_secs_f64() * TRIES_PER_REQUEST;
+    let node = BYTES_PER_NODE + servers * BYTES_PER_KNOWN_SERVER + nodes * BYTES_PER_PEER;
+    (nodes * node + tries * BYTES_PER_TRY) as u64
 }
 
-impl Virtual {
-    fn new(scenario: Scenario, seed: u64, says: Operator) -> Result<Virtual> {
-        // What links and clients draw comes from the thread's own generator.
+impl Simulation {
+    fn new(scenario: Scenario, seed: u64, operator_settings: Operator) -> Result<Simulation> {
+        // Links and clients draw from the thread's own generator.
         fastrand::seed(seed);
         let fleet = Fleet::typical(scenario.instances);
         let customers = customers(&scenario, &fleet, seed);
-        let mut ledger = Oracle::new(fleet.bounds.clone());
+        let mut oracle = Oracle::new(fleet.bounds.clone());
         customers
             .iter()
-            .for_each(|customer| fleet.register_limits(&mut ledger, customer));
-        let mut run = Virtual {
+            .for_each(|customer| fleet.register_limits(&mut oracle, customer));
+        let mut run = Simulation {
             random: fastrand::Rng::with_seed(seed),
-            now: START,
-            began: START + BEFORE,
+            now: START_US,
+            load_start: START_US + WARMUP_US,
             queue: BTreeMap::new(),
-            serial: 0,
+            next_event_id: 0,
             nodes: Vec::new(),
             servers: Vec::new(),
-            slow: 1.0,
-            service: Service::of(&scenario),
+            work_time_factor: 1.0,
+            list_service: ListService::for_scenario(&scenario),
             links: Links::default(),
-            ledger,
-            decided: BTreeMap::new(),
+            oracle,
+            decision_counters: BTreeMap::new(),
             processes: 0,
-            words_bytes: 0,
+            peer_bytes: 0,
             retries: 0,
-            nobody: 0,
-            took_ms: Vec::new(),
+            no_ready_node: 0,
+            latencies_ms: Vec::new(),
             requests: 0,
             scenario,
             fleet,
             customers,
-            terms: says.list,
+            list_limits: operator_settings.list,
             seed,
         };
-        run.begin_servers();
-        for at in 0..run.scenario.instances {
-            let mut named =
-                setup::read(&run.fleet.settings(at).to_string()).map_err(anyhow::Error::new)?;
+        run.start_servers();
+        for node_index in 0..run.scenario.instances {
+            let mut platform_settings = setup::read(&run.fleet.settings(node_index).to_string())
+                .map_err(anyhow::Error::new)?;
             (
-                named.settings.partition_safe,
-                named.settings.retransmission_budget,
+                platform_settings.settings.partition_safe,
+                platform_settings.settings.retransmission_budget,
             ) = (
-                says.quotas.partition_safe,
-                says.quotas.retransmission_budget,
+                operator_settings.quotas.partition_safe,
+                operator_settings.quotas.retransmission_budget,
             );
-            named.settings.subsetting = says.servers.subsetting;
-            let gateway = PolicyEngine::new(seed ^ at as u64, named.settings.clone(), run.now)?;
-            let follower = Follower::new(run.scenario.instances as u32, run.terms.as_ref());
+            platform_settings.settings.subsetting = operator_settings.servers.subsetting;
+            let engine = PolicyEngine::new(
+                seed ^ node_index as u64,
+                platform_settings.settings.clone(),
+                run.now,
+            )?;
+            let list_client =
+                ListClient::new(run.scenario.instances as u32, run.list_limits.as_ref());
             run.nodes.push(Node {
-                gateway,
-                named,
-                life: 0,
-                runs: false,
-                open: false,
-                still: None,
-                waits: BTreeMap::new(),
-                out: BTreeMap::new(),
-                wires: HashMap::new(),
-                follower,
-                words: (0, 0),
-                intake: (0, 0.0),
+                engine,
+                platform_settings,
+                incarnation: 0,
+                running: false,
+                in_rotation: false,
+                paused: None,
+                open_requests: BTreeMap::new(),
+                attempts: BTreeMap::new(),
+                idle_connections: HashMap::new(),
+                list_client,
+                peer_messages: (0, 0),
+                inbound_budget: (0, 0.0),
             });
         }
         Ok(run)
     }
 
-    fn since(&self) -> Duration {
-        Duration::from_micros(self.now - START)
+    fn elapsed(&self) -> Duration {
+        Duration::from_micros(self.now - START_US)
     }
 
-    fn later(&mut self, after: Micros, comes: Comes) {
-        self.serial += 1;
-        self.queue.insert((self.now + after, self.serial), comes);
+    fn schedule(&mut self, after: Micros, event: ScheduledEvent) {
+        self.next_event_id += 1;
+        self.queue
+            .insert((self.now + after, self.next_event_id), event);
     }
 
-    fn way(&mut self) -> Micros {
-        self.random.u64(WAY)
+    fn draw_network_delay(&mut self) -> Micros {
+        self.random.u64(NETWORK_DELAY_US)
     }
 
     fn run(&mut self) {
-        for at in (0..self.nodes.len())
-            .filter(|at| !self.scenario.absent.contains(at))
+        for node_index in (0..self.nodes.len())
+            .filter(|node_index| !self.scenario.absent.contains(node_index))
             .collect::<Vec<_>>()
         {
-            self.start(at);
+            self.start_process(node_index);
         }
         for customer in 0..self.customers.len() {
             let after = self.customers[customer].arrival_gap(self.random.f64());
-            self.later(
-                BEFORE + after.as_micros() as Micros,
-                Comes::Arrival(customer),
+            self.schedule(
+                WARMUP_US + after.as_micros() as Micros,
+                ScheduledEvent::CustomerArrival(customer),
             );
         }
         for step in 0..self.scenario.steps.len() {
             let at = self.scenario.steps[step].at.as_micros() as Micros;
-            self.later(BEFORE + at, Comes::Step(step));
+            self.schedule(WARMUP_US + at, ScheduledEvent::Step(step));
         }
-        let end = self.began + self.scenario.duration.as_micros() as Micros + AFTER;
-        while let Some(((at, _), comes)) = self.queue.pop_first() {
+        let end = self.load_start + self.scenario.duration.as_micros() as Micros + MAX_OVERRUN_US;
+        while let Some(((at, _), event)) = self.queue.pop_first() {
             self.now = at;
-            if at > end || (at > end - AFTER && self.ledger.open_requests() == 0) {
+            if at > end || (at > end - MAX_OVERRUN_US && self.oracle.open_requests() == 0) {
                 break;
             }
-            self.comes(comes);
+            self.handle(event);
         }
     }
 
-    fn comes(&mut self, comes: Comes) {
-        if let Some(at) = Self::reader(&comes) {
-            if let Some((_, unread)) = &mut self.nodes[at].still {
-                let full = unread
+    fn handle(&mut self, event: ScheduledEvent) {
+        if let Some(node_index) = Self::receiving_node(&event) {
+            if let Some((_, unread)) = &mut self.nodes[node_index].paused {
+                let buffer_full = unread
                     .iter()
-                    .filter(|comes| matches!(comes, Comes::Hears(..)))
+                    .filter(|event| matches!(event, ScheduledEvent::PeerMessage(..)))
                     .count()
-                    >= UNREAD;
-                if !(full && matches!(comes, Comes::Hears(..))) {
-                    unread.push(comes);
+                    >= SOCKET_BUFFER_MESSAGES;
+                if !(buffer_full && matches!(event, ScheduledEvent::PeerMessage(..))) {
+                    unread.push(event);
                 }
                 return;
             }
         }
-        match comes {
-            Comes::Arrival(customer) => self.arrival(customer),
-            Comes::Try(client) => self.tries(client),
-            Comes::Wakes(at, life, token) => {
-                if self.alive(at, life) {
-                    self.tell(at, Event::TimerFired { token });
+        match event {
+            ScheduledEvent::CustomerArrival(customer) => self.customer_arrival(customer),
+            ScheduledEvent::ClientRequest(client) => self.send_request(client),
+            ScheduledEvent::TimerFired(node_index, incarnation, token) => {
+                if self.is_current(node_index, incarnation) {
+                    self.deliver(node_index, Event::TimerFired { token });
                 }
             }
-            Comes::Hears(at, from, bytes) => {
-                if self.nodes[at].runs {
-                    self.nodes[at].words.1 += 1;
-                    self.tell(at, Event::PeerMessage { from, bytes });
+            ScheduledEvent::PeerMessage(node_index, from, bytes) => {
+                if self.nodes[node_index].running {
+                    self.nodes[node_index].peer_messages.1 += 1;
+                    self.deliver(node_index, Event::PeerMessage { from, bytes });
                 }
             }
-            Comes::Reaches(flight) => self.reaches(flight),
-            Comes::Done(flight, life) => self.done(flight, life),
-            Comes::Replies(flight, outcome) => self.replies(&flight, outcome),
-            Comes::List(at, life, comes) => {
-                if self.alive(at, life) {
-                    self.list(at, comes);
+            ScheduledEvent::AttemptReceived(in_flight) => self.attempt_received(in_flight),
+            ScheduledEvent::WorkDone(in_flight, incarnation) => {
+                self.work_done(in_flight, incarnation);
+            }
+            ScheduledEvent::AttemptEnded(in_flight, outcome) => {
+                self.reply_received(&in_flight, outcome);
+            }
+            ScheduledEvent::ListService(node_index, incarnation, list_event) => {
+                if self.is_current(node_index, incarnation) {
+                    self.handle_list_event(node_index, list_event);
                 }
             }
-            Comes::Step(step) => {
-                let deed = self.scenario.steps[step].deed.clone();
-                self.deed(deed);
+            ScheduledEvent::Step(step) => {
+                let action = self.scenario.steps[step].action.clone();
+                self.run_step(action);
             }
-            Comes::Opens(at, life, open) => {
-                if self.alive(at, life) {
-                    self.nodes[at].open = open;
+            ScheduledEvent::SetInRotation(node_index, incarnation, in_rotation) => {
+                if self.is_current(node_index, incarnation) {
+                    self.nodes[node_index].in_rotation = in_rotation;
                 }
             }
-            Comes::Up(at, life) => {
-                if self.nodes[at].life == life {
-                    self.up(at);
+            ScheduledEvent::ProcessReady(node_index, incarnation) => {
+                if self.nodes[node_index].incarnation == incarnation {
+                    self.process_ready(node_index);
                 }
             }
-            Comes::Leaves(at, life, until) => {
-                if self.alive(at, life) {
-                    if self.nodes[at].waits.is_empty() || self.now >= until {
-                        self.ends(at, Unanswered::Lost);
-                        self.start(at);
+            ScheduledEvent::CheckDrained(node_index, incarnation, until) => {
+                if self.is_current(node_index, incarnation) {
+                    if self.nodes[node_index].open_requests.is_empty() || self.now >= until {
+                        self.end_process(node_index, Unanswered::Lost);
+                        self.start_process(node_index);
                     } else {
-                        self.later(20_000, Comes::Leaves(at, life, until));
+                        self.schedule(
+                            20_000,
+                            ScheduledEvent::CheckDrained(node_index, incarnation, until),
+                        );
                     }
                 }
             }
-            Comes::GoesOn(at) => self.goes_on(at),
-            Comes::Lifts(number) => self.links.remove_fault(number),
-            Comes::HealsNext(which, fault, mut ends, number, gap) => {
-                self.links.remove_fault(number);
+            ScheduledEvent::Resume(node_index) => self.resume(node_index),
+            ScheduledEvent::RemoveFault(fault_id) => self.links.remove_fault(fault_id),
+            ScheduledEvent::HealNextEnd(link_set, fault, mut ends, fault_id, gap) => {
+                self.links.remove_fault(fault_id);
                 let Some(_) = ends.pop() else { return };
                 let rest: BTreeSet<End> = ends.iter().copied().collect();
-                let healed: BTreeSet<End> = which.ends().difference(&rest).copied().collect();
-                let number = self.links.add_fault(which.without(&healed), fault);
-                self.later(
+                let healed: BTreeSet<End> = link_set.ends().difference(&rest).copied().collect();
+                let fault_id = self.links.add_fault(link_set.without(&healed), fault);
+                self.schedule(
                     gap.as_micros() as Micros,
-                    Comes::HealsNext(which, fault, ends, number, gap),
+                    ScheduledEvent::HealNextEnd(link_set, fault, ends, fault_id, gap),
                 );
             }
-            Comes::ListUp => self.service.bears.down = false,
-            Comes::Discovered => self.service.silent = false,
-            Comes::Drained(server, lasts) => self.crash(server, lasts),
-            Comes::Flips(server) => self.write(server, "ready"),
-            Comes::Back(server) => self.back(server),
-            Comes::Speaks(server) => self.servers[server].silent = false,
-            Comes::Quick => self.slow = 1.0,
+            ScheduledEvent::ListServiceUp => self.list_service.limits.down = false,
+            ScheduledEvent::DiscoveryResumed => self.list_service.silent = false,
+            ScheduledEvent::ServerDrained(server, duration) => self.crash_server(server, duration),
+            ScheduledEvent::ServerReadyAgain(server) => self.set_health(server, "ready"),
+            ScheduledEvent::ServerRestarted(server) => self.restart_server(server),
+            ScheduledEvent::ServerResponsive(server) => self.servers[server].silent = false,
+            ScheduledEvent::WorkTimeNormal => self.work_time_factor = 1.0,
         }
     }
 
-    /// The node whose process has to run for something to come about.
-    fn reader(comes: &Comes) -> Option<usize> {
-        match comes {
-            Comes::Wakes(at, ..) | Comes::Hears(at, ..) | Comes::List(at, ..) => Some(*at),
-            Comes::Replies(flight, _) => Some(flight.node),
+    /// The node that must be running and not paused to receive an event.
+    fn receiving_node(event: &ScheduledEvent) -> Option<usize> {
+        match event {
+            ScheduledEvent::TimerFired(node_index, ..)
+            | ScheduledEvent::PeerMessage(node_index, ..)
+            | ScheduledEvent::ListService(node_index, ..) => Some(*node_index),
+            ScheduledEvent::AttemptEnded(in_flight, _) => Some(in_flight.node),
             _ => None,
         }
     }
 
-    fn alive(&self, at: usize, life: u32) -> bool {
-        self.nodes[at].runs && self.nodes[at].life == life
+    fn is_current(&self, node_index: usize, incarnation: u32) -> bool {
+        self.nodes[node_index].running && self.nodes[node_index].incarnation == incarnation
     }
 
     // ---- Processes ----
 
-    fn start(&mut self, at: usize) {
-        let life = self.nodes[at].life;
-        self.later(UP, Comes::Up(at, life));
+    fn start_process(&mut self, node_index: usize) {
+        let incarnation = self.nodes[node_index].incarnation;
+        self.schedule(
+            PROCESS_START_US,
+            ScheduledEvent::ProcessReady(node_index, incarnation),
+        );
     }
 
-    fn up(&mut self, at: usize) {
+    fn process_ready(&mut self, node_index: usize) {
         self.processes += 1;
-        let number = self.serial;
-        let (seed, terms) = (
-            self.seed ^ (at as u64).wrapping_mul(0x9e37) ^ number,
-            self.terms.clone(),
+        let event_id = self.next_event_id;
+        let (seed, list_limits) = (
+            self.seed ^ (node_index as u64).wrapping_mul(0x9e37) ^ event_id,
+            self.list_limits.clone(),
         );
         let (now, nodes) = (self.now, self.nodes.len() as u32);
-        let node = &mut self.nodes[at];
-        // The settings were good when the run began.
-        if let Ok(gateway) = PolicyEngine::new(seed, node.named.settings.clone(), now) {
-            node.gateway = gateway;
+        let node = &mut self.nodes[node_index];
+        // The settings were valid when the run began.
+        if let Ok(engine) = PolicyEngine::new(seed, node.platform_settings.settings.clone(), now) {
+            node.engine = engine;
         }
-        node.follower = Follower::new(nodes, terms.as_ref());
-        (node.runs, node.intake) = (true, (0, 0.0));
-        node.wires.clear();
-        let life = node.life;
-        self.tell(at, Event::EndpointsUnavailable);
-        match self.scenario.known {
-            Known::Nothing => {}
-            Known::Fresh => self.knows(at, false),
-            Known::Stale => self.knows(at, true),
+        node.list_client = ListClient::new(nodes, list_limits.as_ref());
+        (node.running, node.inbound_budget) = (true, (0, 0.0));
+        node.idle_connections.clear();
+        let incarnation = node.incarnation;
+        self.deliver(node_index, Event::EndpointsUnavailable);
+        match self.scenario.initial_list {
+            InitialList::Absent => {}
+            InitialList::Current => self.load_initial_list(node_index, false),
+            InitialList::Stale => self.load_initial_list(node_index, true),
         }
         let draw = self.random.f64();
-        let first = terms.map_or(Duration::ZERO, |terms| {
-            terms.first_call((at as u32, nodes), draw)
+        let first_call = list_limits.map_or(Duration::ZERO, |list_limits| {
+            list_limits.first_call((node_index as u32, nodes), draw)
         });
-        self.later(
-            first.as_micros() as Micros,
-            Comes::List(at, life, lists::Comes::Call),
+        self.schedule(
+            first_call.as_micros() as Micros,
+            ScheduledEvent::ListService(node_index, incarnation, ListEvent::Poll),
+        );
+        let detection_delay = if self.now < self.load_start {
+            0
+        } else {
+            READINESS_DETECTION_US
+        };
+        self.schedule(
+            detection_delay,
+            ScheduledEvent::SetInRotation(node_index, incarnation, true),
         );
-        let seen = if self.now < self.began { 0 } else { SEEN };
-        self.later(seen, Comes::Opens(at, life, true));
     }
 
-    /// Adds up what its module has counted.
-    fn count(&mut self, at: usize) {
-        for (name, count) in self.nodes[at].gateway.counters().by_name() {
-            *self.decided.entry(name).or_default() += count;
+    /// Adds up the counters of a node's policy engine.
+    fn collect_counters(&mut self, node_index: usize) {
+        for (name, count) in self.nodes[node_index].engine.counters().by_name() {
+            *self.decision_counters.entry(name).or_default() += count;
         }
-        *self.decided.entry("servers_looked_at").or_default() +=
-            self.nodes[at].gateway.servers_examined();
+        *self
+            .decision_counters
+            .entry("servers_looked_at")
+            .or_default() += self.nodes[node_index].engine.servers_examined();
     }
 
-    /// Its process ends in this moment, with all that it held.
-    fn ends(&mut self, at: usize, why: Unanswered) {
-        let since = self.since();
-        self.count(at);
-        self.unwatch(at);
-        let node = &mut self.nodes[at];
-        (node.runs, node.open, node.still) = (false, false, None);
-        node.life += 1;
-        for (id, waiting) in std::mem::take(&mut node.waits) {
-            if !waiting.given_up {
-                self.ledger.request_unanswered(&id.0, why);
+    /// Ends a node's process with all its state.
+    fn end_process(&mut self, node_index: usize, cause: Unanswered) {
+        let elapsed = self.elapsed();
+        self.collect_counters(node_index);
+        self.close_watch(node_index);
+        let node = &mut self.nodes[node_index];
+        (node.running, node.in_rotation, node.paused) = (false, false, None);
+        node.incarnation += 1;
+        for (id, open_request) in std::mem::take(&mut node.open_requests) {
+            if !open_request.abandoned {
+                self.oracle.request_unanswered(&id.0, cause);
             }
         }
-        for (id, _) in std::mem::take(&mut node.out) {
-            self.ledger.attempt_canceled(since, &id.0);
+        for (id, _) in std::mem::take(&mut node.attempts) {
+            self.oracle.attempt_canceled(elapsed, &id.0);
         }
-        self.ledger.node_restarted(at);
+        self.oracle.node_restarted(node_index);
     }
 
-    fn goes_on(&mut self, at: usize) {
-        let Some((stopped, unread)) = self.nodes[at].still.take() else {
+    fn resume(&mut self, node_index: usize) {
+        let Some((stopped, unread)) = self.nodes[node_index].paused.take() else {
             return;
         };
-        let (now, stopped) = (self.since(), Duration::from_micros(stopped - START));
-        self.ledger.node_resumed(now, at, stopped);
-        unread.into_iter().for_each(|comes| self.comes(comes));
-        let life = self.nodes[at].life;
-        self.later(SEEN, Comes::Opens(at, life, true));
+        let (now, stopped) = (self.elapsed(), Duration::from_micros(stopped - START_US));
+        self.oracle.node_resumed(now, node_index, stopped);
+        unread.into_iter().for_each(|event| self.handle(event));
+        let incarnation = self.nodes[node_index].incarnation;
+        self.schedule(
+            READINESS_DETECTION_US,
+            ScheduledEvent::SetInRotation(node_index, incarnation, true),
+        );
     }
 
     // ---- Clients ----
 
-    fn arrival(&mut self, customer: usize) {
-        let end = self.began + self.scenario.duration.as_micros() as Micros;
+    fn customer_arrival(&mut self, customer: usize) {
+        let end = self.load_start + self.scenario.duration.as_micros() as Micros;
         if self.now >= end {
             return;
         }
         let class = class_of(&self.fleet, self.random.f64());
         let keyed = self.fleet.classes[class].keyed;
-        let key = keyed.then(|| format!("k{}", self.serial));
-        let patience = RetryState::new(self.since(), keyed);
-        self.tries(Client {
+        let key = keyed.then(|| format!("k{}", self.next_event_id));
+        let retry_state = RetryState::new(self.elapsed(), keyed);
+        self.send_request(Client {
             customer,
             class,
             key,
-            patience,
+            retry_state,
         });
         let gap = self.customers[customer].arrival_gap(self.random.f64());
-        self.later(gap.as_micros() as Micros, Comes::Arrival(customer));
+        self.schedule(
+            gap.as_micros() as Micros,
+            ScheduledEvent::CustomerArrival(customer),
+        );
     }
 
-    fn tries(&mut self, client: Client) {
+    fn send_request(&mut self, client: Client) {
         let customer = &self.customers[client.customer];
-        let since = self.since();
-        let mut nodes = customer.nodes(self.nodes.len(), since);
-        let Some(at) = nodes.find(|node| self.nodes[*node].open) else {
-            self.nobody += 1;
+        let elapsed = self.elapsed();
+        let mut nodes = customer.nodes(self.nodes.len(), elapsed);
+        let Some(node_index) = nodes.find(|node| self.nodes[*node].in_rotation) else {
+            self.no_ready_node += 1;
             return;
         };
         self.requests += 1;
         let id = RequestId(format!("t{}", self.requests).into());
         let class = &self.fleet.classes[client.class];
-        let asked = SentRequest {
+        let sent_request = SentRequest {
             id: id.0.to_string(),
             key: client.key.clone(),
             repeat_safety: if class.keyed {
@@ -520,17 +557,17 @@
             } else {
                 RepeatSafety::Safe
             },
-            node: at,
+            node: node_index,
             customer: customer.id,
             units: 1.0,
             timeout: class.deadline,
         };
-        self.ledger.request_sent(since, asked);
-        if self.nodes[at].still.is_some() {
-            self.ledger.request_unanswered(&id.0, Unanswered::Paused);
+        self.oracle.request_sent(elapsed, sent_request);
+        if self.nodes[node_index].paused.is_some() {
+            self.oracle.request_unanswered(&id.0, Unanswered::Paused);
             return;
         }
-        let tell = Event::RequestArrived {
+        let event = Event::RequestArrived {
             id: id.clone(),
             class: ClassId(client.class),
             plan: PlanId(customer.plan),
@@ -538,257 +575,314 @@
             units: 1.0,
             subset_first: NodeId(customer.first_node as u32),
             subset_size: customer.node_count as u32,
-            timeout: class.deadline.as_micros() as Micros - DELIVERY,
+            timeout: class.deadline.as_micros() as Micros - DELIVERY_MARGIN_US,
             complete: true,
         };
-        self.nodes[at].waits.insert(
+        self.nodes[node_index].open_requests.insert(
             id,
-            Waiting {
+            OpenRequest {
                 client,
-                sent: 0,
-                given_up: false,
+                attempts_sent: 0,
+                abandoned: false,
             },
         );
-        self.tell(at, tell);
+        self.deliver(node_index, event);
     }
 
-    fn answered(&mut self, at: usize, id: &RequestId, answer: Answer, advice: Option<Micros>) {
-        let Some(mut waiting) = self.nodes[at].waits.remove(id) else {
+    fn finish_request(
+        &mut self,
+        node_index: usize,
+        id: &RequestId,
+        answer: Answer,
+        retry_after: Option<Micros>,
+    ) {
+        let Some(mut open_request) = self.nodes[node_index].open_requests.remove(id) else {
             return;
         };
-        if waiting.given_up {
+        if open_request.abandoned {
             return;
         }
-        let since = self.since();
-        self.ledger.response_received(since, &id.0, answer);
+        let elapsed = self.elapsed();
+        self.oracle.response_received(elapsed, &id.0, answer);
         if answer == Answer::Served {
             return;
         }
-        if let Some(pause) = waiting
+        if let Some(delay) = open_request
             .client
-            .patience
-            .next_delay(since, advice.map(Duration::from_micros))
+            .retry_state
+            .next_delay(elapsed, retry_after.map(Duration::from_micros))
         {
             self.retries += 1;
-            self.later(pause.as_micros() as Micros, Comes::Try(waiting.client));
+            self.schedule(
+                delay.as_micros() as Micros,
+                ScheduledEvent::ClientRequest(open_request.client),
+            );
         }
     }
 
-    // ---- The decision module ----
+    // ---- Policy engine ----
 
-    fn tell(&mut self, at: usize, event: Event) {
+    fn deliver(&mut self, node_index: usize, event: Event) {
         let mut out = Vec::new();
-        self.nodes[at].gateway.handle(self.now, event, &mut out);
+        self.nodes[node_index]
+            .engine
+            .handle(self.now, event, &mut out);
         for action in out {
-            self.act(at, action);
+            self.perform(node_index, action);
         }
     }
 
-    fn act(&mut self, at: usize, action: Action) {
-        let life = self.nodes[at].life;
+    fn perform(&mut self, node_index: usize, action: Action) {
+        let incarnation = self.nodes[node_index].incarnation;
         match action {
-            Action::SetTimer { after, token } => self.later(after, Comes::Wakes(at, life, token)),
-            Action::SendToPeer { to, bytes } => self.word(at, to.0 as usize, bytes),
+            Action::SetTimer { after, token } => self.schedule(
+                after,
+                ScheduledEvent::TimerFired(node_index, incarnation, token),
+            ),
+            Action::SendToPeer { to, bytes } => {
+                self.send_peer_message(node_index, to.0 as usize, bytes);
+            }
             Action::Broadcast { bytes } => {
-                for to in (0..self.nodes.len()).filter(|to| *to != at) {
-                    self.word(at, to, bytes.clone());
+                for to in (0..self.nodes.len()).filter(|to| *to != node_index) {
+                    self.send_peer_message(node_index, to, bytes.clone());
                 }
             }
-            Action::Reject {
-                id,
-                retry_after: retry_in,
-            } => self.answered(at, &id, Answer::Refused, retry_in),
-            Action::Fail { id } => self.answered(at, &id, Answer::Failed, None),
-            Action::Send { id, server, .. } => self.sends(at, id, server),
+            Action::Reject { id, retry_after } => {
+                self.finish_request(node_index, &id, Answer::Refused, retry_after);
+            }
+            Action::Fail { id } => self.finish_request(node_index, &id, Answer::Failed, None),
+            Action::Send { id, server, .. } => self.send_attempt(node_index, id, server),
             Action::Cancel { id, attempt } => {
-                let same = |(number, _): &(AttemptNumber, usize)| *number == attempt;
-                if self.nodes[at].out.get(&id).is_some_and(same) {
-                    let since = self.since();
-                    self.ledger.attempt_canceled(since, &id.0);
-                    self.over(at, id, Outcome::Cancelled);
+                let is_same_attempt = |(number, _): &(AttemptNumber, usize)| *number == attempt;
+                if self.nodes[node_index]
+                    .attempts
+                    .get(&id)
+                    .is_some_and(is_same_attempt)
+                {
+                    let elapsed = self.elapsed();
+                    self.oracle.attempt_canceled(elapsed, &id.0);
+                    self.attempt_ended(node_index, id, Outcome::Cancelled);
                 }
             }
             Action::SendToSiblings(_) | Action::Subscribe | Action::Report(_) => {}
         }
     }
 
-    /// An attempt that is out has ended.
-    fn over(&mut self, at: usize, id: RequestId, outcome: Outcome) {
-        let Some((attempt, server)) = self.nodes[at].out.remove(&id) else {
+    /// Handles the end of an outstanding attempt.
+    fn attempt_ended(&mut self, node_index: usize, id: RequestId, outcome: Outcome) {
+        let Some((attempt, server)) = self.nodes[node_index].attempts.remove(&id) else {
             return;
         };
         let now = self.now;
         match outcome {
-            Outcome::Ok | Outcome::Rejected => _ = self.nodes[at].wires.insert(server, now),
-            _ => _ = self.nodes[at].wires.remove(&server),
+            Outcome::Ok | Outcome::Rejected => {
+                _ = self.nodes[node_index].idle_connections.insert(server, now);
+            }
+            _ => _ = self.nodes[node_index].idle_connections.remove(&server),
         }
         if outcome == Outcome::Ok {
-            self.answered(at, &id, Answer::Served, None);
+            self.finish_request(node_index, &id, Answer::Served, None);
         }
-        let closed = !self.nodes[at].waits.contains_key(&id);
-        self.tell(
-            at,
+        let request_closed = !self.nodes[node_index].open_requests.contains_key(&id);
+        self.deliver(
+            node_index,
             Event::AttemptEnded {
                 id,
                 attempt,
                 outcome,
-                request_closed: closed,
+                request_closed,
             },
         );
     }
 
-    fn sends(&mut self, at: usize, id: RequestId, to: ServerId) {
-        let Some(waiting) = self.nodes[at].waits.get_mut(&id) else {
+    fn send_attempt(&mut self, node_index: usize, id: RequestId, to: ServerId) {
+        let Some(open_request) = self.nodes[node_index].open_requests.get_mut(&id) else {
             return;
         };
-        let attempt = AttemptNumber(waiting.sent);
-        waiting.sent += 1;
+        let attempt = AttemptNumber(open_request.attempts_sent);
+        open_request.attempts_sent += 1;
         let server = to.0 as usize;
-        self.nodes[at].out.insert(id.clone(), (attempt, server));
-        let (way, life) = (self.way(), self.nodes[at].life);
-        let flight = Flight {
-            node: at,
-            life,
+        self.nodes[node_index]
+            .attempts
+            .insert(id.clone(), (attempt, server));
+        let (network_delay, incarnation) = (
+            self.draw_network_delay(),
+            self.nodes[node_index].incarnation,
+        );
+        let in_flight = InFlightAttempt {
+            node: node_index,
+            incarnation,
             id,
             attempt,
             server,
-            first: self.now + way,
+            first_byte_at: self.now + network_delay,
         };
-        self.fly(flight, way);
+        self.transmit(in_flight, network_delay);
     }
 
-    fn word(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
-        self.nodes[from].words.0 += 1;
-        self.words_bytes += bytes.len() as u64;
+    fn send_peer_message(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
+        self.nodes[from].peer_messages.0 += 1;
+        self.peer_bytes += bytes.len() as u64;
         if to >= self.nodes.len() {
             return;
         }
         let fault = self.links.fault_between(End::Node(from), End::Node(to));
         for _ in 0..=usize::from(fastrand::f64() < fault.duplicated) {
-            if fault.drops_datagram() || !self.takes_in(to) {
+            if fault.drops_datagram() || !self.accepts_message(to) {
                 continue;
             }
-            let way = self.way() + fault.draw_delay().as_micros() as Micros;
-            self.later(way, Comes::Hears(to, NodeId(from as u32), bytes.clone()));
+            let network_delay =
+                self.draw_network_delay() + fault.draw_delay().as_micros() as Micros;
+            self.schedule(
+                network_delay,
+                ScheduledEvent::PeerMessage(to, NodeId(from as u32), bytes.clone()),
+            );
         }
     }
 
-    /// Whether a node's intake has room for one more word: so many a second, and as many at once.
-    fn takes_in(&mut self, at: usize) -> bool {
-        let most = self.nodes[at].named.settings.peer_messages_per_s;
-        let (filled, level) = &mut self.nodes[at].intake;
-        let span = self.now.saturating_sub(*filled) as f64 / 1e6;
-        (*level, *filled) = ((*level + most * span).min(most), self.now);
-        let takes = *level >= 1.0;
-        *level -= f64::from(u8::from(takes));
-        takes
+    /// Takes a token from a node's bucket for peer messages, if one is left. The bucket holds as many tokens as it
+    /// gains per second.
+    fn accepts_message(&mut self, node_index: usize) -> bool {
+        let limit = self.nodes[node_index]
+            .platform_settings
+            .settings
+            .peer_messages_per_s;
+        let (refilled_at, tokens) = &mut self.nodes[node_index].inbound_budget;
+        let elapsed_s = self.now.saturating_sub(*refilled_at) as f64 / 1e6;
+        (*tokens, *refilled_at) = ((*tokens + limit * elapsed_s).min(limit), self.now);
+        let accepted = *tokens >= 1.0;
+        *tokens -= f64::from(u8::from(accepted));
+        accepted
     }
 
     // ---- Steps ----
 
-    fn deed(&mut self, deed: Deed) {
+    fn run_step(&mut self, action: StepAction) {
         let us = |span: Duration| span.as_micros() as Micros;
-        match deed {
-            Deed::Start(at) if !self.nodes[at].runs => self.start(at),
-            Deed::Restart(at) if self.nodes[at].runs => {
-                let life = self.nodes[at].life;
-                self.later(SEEN, Comes::Opens(at, life, false));
-                self.later(
-                    LEAVES,
-                    Comes::Leaves(at, life, self.now + LEAVES + FINISHES),
+        match action {
+            StepAction::Start(node_index) if !self.nodes[node_index].running => {
+                self.start_process(node_index);
+            }
+            StepAction::Restart(node_index) if self.nodes[node_index].running => {
+                let incarnation = self.nodes[node_index].incarnation;
+                self.schedule(
+                    READINESS_DETECTION_US,
+                    ScheduledEvent::SetInRotation(node_index, incarnation, false),
+                );
+                self.schedule(
+                    DRAIN_ACCEPT_US,
+                    ScheduledEvent::CheckDrained(
+                        node_index,
+                        incarnation,
+                        self.now + DRAIN_ACCEPT_US + DRAIN_FINISH_US,
+                    ),
                 );
             }
-            Deed::Kill(at, lasts) if self.nodes[at].runs => {
-                self.ends(at, Unanswered::Killed);
-                let life = self.nodes[at].life;
-                self.later(us(lasts) + UP, Comes::Up(at, life));
+            StepAction::Kill(node_index, duration) if self.nodes[node_index].running => {
+                self.end_process(node_index, Unanswered::Killed);
+                let incarnation = self.nodes[node_index].incarnation;
+                self.schedule(
+                    us(duration) + PROCESS_START_US,
+                    ScheduledEvent::ProcessReady(node_index, incarnation),
+                );
             }
-            Deed::Pause(at, lasts) if self.nodes[at].runs && self.nodes[at].still.is_none() => {
-                let ids: Vec<RequestId> = self.nodes[at].waits.keys().cloned().collect();
+            StepAction::Pause(node_index, duration)
+                if self.nodes[node_index].running && self.nodes[node_index].paused.is_none() =>
+            {
+                let ids: Vec<RequestId> = self.nodes[node_index]
+                    .open_requests
+                    .keys()
+                    .cloned()
+                    .collect();
                 for id in ids {
-                    self.ledger.request_unanswered(&id.0, Unanswered::Paused);
-                    self.nodes[at]
-                        .waits
+                    self.oracle.request_unanswered(&id.0, Unanswered::Paused);
+                    self.nodes[node_index]
+                        .open_requests
                         .entry(id)
-                        .and_modify(|waiting| waiting.given_up = true);
+                        .and_modify(|open_request| open_request.abandoned = true);
                 }
-                self.nodes[at].still = Some((self.now, Vec::new()));
-                let life = self.nodes[at].life;
-                if us(lasts) > SEEN_STILL {
-                    self.later(SEEN_STILL, Comes::Opens(at, life, false));
+                self.nodes[node_index].paused = Some((self.now, Vec::new()));
+                let incarnation = self.nodes[node_index].incarnation;
+                if us(duration) > PAUSE_DETECTION_US {
+                    self.schedule(
+                        PAUSE_DETECTION_US,
+                        ScheduledEvent::SetInRotation(node_index, incarnation, false),
+                    );
                 }
-                self.later(us(lasts), Comes::GoesOn(at));
-            }
-            // The configuration stays the same here.
-            Deed::Start(_)
-            | Deed::Restart(_)
-            | Deed::Kill(..)
-            | Deed::Pause(..)
-            | Deed::Reload(_) => {}
-            Deed::Link(which, fault, lasts, heal_gap) => {
-                let number = self.links.add_fault(which.clone(), fault);
-                let Some(lasts) = lasts else { return };
+                self.schedule(us(duration), ScheduledEvent::Resume(node_index));
+            }
+            // The configuration does not change in virtual time.
+            StepAction::Start(_)
+            | StepAction::Restart(_)
+            | StepAction::Kill(..)
+            | StepAction::Pause(..)
+            | StepAction::Reload(_) => {}
+            StepAction::LinkFault(link_set, fault, duration, heal_gap) => {
+                let fault_id = self.links.add_fault(link_set.clone(), fault);
+                let Some(duration) = duration else { return };
                 if heal_gap.is_zero() {
-                    return self.later(us(lasts), Comes::Lifts(number));
+                    return self.schedule(us(duration), ScheduledEvent::RemoveFault(fault_id));
                 }
-                let ends: Vec<End> = which.ends().into_iter().rev().collect();
-                self.later(
-                    us(lasts),
-                    Comes::HealsNext(which, fault, ends, number, heal_gap),
+                let ends: Vec<End> = link_set.ends().into_iter().rev().collect();
+                self.schedule(
+                    us(duration),
+                    ScheduledEvent::HealNextEnd(link_set, fault, ends, fault_id, heal_gap),
                 );
             }
-            Deed::ListDown(lasts) => {
-                self.service.bears.down = true;
+            StepAction::ListServiceDown(duration) => {
+                self.list_service.limits.down = true;
                 self.end_watches();
-                self.later(us(lasts), Comes::ListUp);
+                self.schedule(us(duration), ScheduledEvent::ListServiceUp);
             }
-            Deed::ListBack(back) => {
-                self.service.back(back);
-                self.push();
+            StepAction::RestoreList(mode) => {
+                self.list_service.restore(mode);
+                self.push_update();
             }
-            Deed::Drain(server, lasts) => {
-                self.write(server, "draining");
-                let after = us(self.scenario.lateness + DRAINS_FOR);
-                self.later(after, Comes::Drained(server, lasts));
+            StepAction::DrainServer(server, duration) => {
+                self.set_health(server, "draining");
+                let after = us(self.scenario.discovery_delay + DRAIN_TIME);
+                self.schedule(after, ScheduledEvent::ServerDrained(server, duration));
             }
-            Deed::Flip(server, lasts) => {
-                self.write(server, "draining");
-                self.later(us(lasts), Comes::Flips(server));
+            StepAction::ToggleDraining(server, duration) => {
+                self.set_health(server, "draining");
+                self.schedule(us(duration), ScheduledEvent::ServerReadyAgain(server));
             }
-            Deed::Crash(server, lasts) => self.crash(server, lasts),
-            Deed::Silent(server, lasts) => {
+            StepAction::CrashServer(server, duration) => self.crash_server(server, duration),
+            StepAction::SilenceServer(server, duration) => {
                 self.servers[server].silent = true;
-                self.later(us(lasts), Comes::Speaks(server));
-            }
-            Deed::Slow(times, lasts) => {
-                self.slow = times;
-                self.later(us(lasts), Comes::Quick);
-            }
-            Deed::Undiscovered(lasts) => {
-                self.service.silent = true;
-                self.later(us(lasts), Comes::Discovered);
-            }
-            // Refused when the run began.
-            Deed::Etcdcut(_) | Deed::Etcdfreeze(..) | Deed::Etcdcompact => {}
-            Deed::Killearly(..)
-            | Deed::Join(_)
-            | Deed::Burst(..)
-            | Deed::Crowd(..)
-            | Deed::Terminate(..)
-            | Deed::Resets(..)
-            | Deed::Errors(..) => {}
+                self.schedule(us(duration), ScheduledEvent::ServerResponsive(server));
+            }
+            StepAction::SlowServers(factor, duration) => {
+                self.work_time_factor = factor;
+                self.schedule(us(duration), ScheduledEvent::WorkTimeNormal);
+            }
+            StepAction::SilenceDiscovery(duration) => {
+                self.list_service.silent = true;
+                self.schedule(us(duration), ScheduledEvent::DiscoveryResumed);
+            }
+            // `play` rejects scenarios with these.
+            StepAction::CutEtcdConnections(_)
+            | StepAction::FreezeEtcdMember(..)
+            | StepAction::CompactEtcd => {}
+            StepAction::KillDuringStart(..)
+            | StepAction::AddServer(_)
+            | StepAction::LoadBurst(..)
+            | StepAction::HoldIdleConnections(..)
+            | StepAction::Terminate(..)
+            | StepAction::ServerResets(..)
+            | StepAction::ServerErrors(..) => {}
         }
     }
 
     fn report(mut self) -> Report {
-        let (began, duration) = (
-            Duration::from_micros(self.began - START),
+        let (load_start, duration) = (
+            Duration::from_micros(self.load_start - START_US),
             self.scenario.duration,
         );
         let seconds = duration.as_secs_f64();
-        for at in 0..self.nodes.len() {
-            if self.nodes[at].runs {
-                self.count(at);
+        for node_index in 0..self.nodes.len() {
+            if self.nodes[node_index].running {
+                self.collect_counters(node_index);
             }
         }
         let capacities: Vec<(String, f64)> = self
@@ -796,56 +890,59 @@
             .iter()
             .map(|server| (server.name.clone(), server.capacity()))
             .collect();
-        let row = |node: &Node| Row {
+        let instance_report = |node: &Node| InstanceReport {
             ready_ms: Vec::new(),
             processes: 0,
             memory_idle_mb: 0.0,
             memory_most_mb: 0.0,
             cpu_s: 0.0,
-            sent_s: node.words.0 as f64 / seconds,
-            received_s: node.words.1 as f64 / seconds,
+            sent_s: node.peer_messages.0 as f64 / seconds,
+            received_s: node.peer_messages.1 as f64 / seconds,
         };
-        self.took_ms.sort_by(f64::total_cmp);
-        let took = at(&self.took_ms, &[0.5, 0.99]);
+        self.latencies_ms.sort_by(f64::total_cmp);
+        let latencies = percentiles(&self.latencies_ms, &[0.5, 0.99]);
         let counts = LoadCounts {
             refused_connections: 0,
             resent: 0,
             retries: self.retries,
-            no_ready_node: self.nobody,
-            p50_ms: took[0],
-            p99_ms: took[1],
+            no_ready_node: self.no_ready_node,
+            p50_ms: latencies[0],
+            p99_ms: latencies[1],
         };
         Report {
             scenario: self.scenario.name.clone(),
             seed: self.seed,
             seconds,
-            verdict: self.ledger.verdict(),
+            verdict: self.oracle.verdict(),
             counts,
-            rows: self.nodes.iter().map(row).collect(),
+            rows: self.nodes.iter().map(instance_report).collect(),
             could_s: self
-                .ledger
-                .available_work(&capacities, began, began + duration),
+                .oracle
+                .available_work(&capacities, load_start, load_start + duration),
             offered_s: duration.as_secs() as usize,
-            windows: windows::cut(&self.ledger, &self.scenario.sides, began),
-            list: self.service.calls.clone(),
-            met: self.servers.iter().map(Server::met).collect(),
-            too_long: 0,
-            peer_bytes: self.words_bytes,
+            windows: windows::tally_seconds(&self.oracle, &self.scenario.sides, load_start),
+            list: self.list_service.call_stats.clone(),
+            met: self
+                .servers
+                .iter()
+                .map(Server::handshakes_and_requests)
+                .collect(),
+            oversized_datagrams: 0,
+            peer_bytes: self.peer_bytes,
             processes: self.processes,
             reloads: 0,
-            decided: self.decided.into_iter().collect(),
+            decision_counters: self.decision_counters.into_iter().collect(),
             faults: Vec::new(),
         }
     }
 
-    /// Tells a node of servers.
-    fn listed(&mut self, at: usize, kind: EndpointUpdate, entries: Vec<Endpoint>) {
-        self.tell(
-            at,
-            Event::EndpointsChanged {
-                update: kind,
-                endpoints: entries,
-            },
-        );
+    /// Tells a node's policy engine about servers.
+    fn update_endpoints(
+        &mut self,
+        node_index: usize,
+        update: EndpointUpdate,
+        endpoints: Vec<Endpoint>,
+    ) {
+        self.deliver(node_index, Event::EndpointsChanged { update, endpoints });
     }
 }
--- a/crates/fleet-harness/src/virtually/servers.rs
+++ b/crates/fleet-harness/src/virtually/servers.rs
@@ -1,7 +1,7 @@
-//! App servers in virtual time: cores, a waiting room, and how warm they are.
+//! App servers in virtual time: cores, a queue, and a capacity that depends on how warm they are.
 
-use super::{Comes, Virtual, START};
-use crate::scenario::{GROUP, SLOTS};
+use super::{ScheduledEvent, Simulation, START_US};
+use crate::scenario::{SERVERS_PER_DEDUPLICATION_DOMAIN, SLOTS_PER_CORE};
 use saffronpaddle_policy::interface::{AttemptNumber, Micros, Outcome, RequestId};
 use saffronpaddle_test_doubles::links::End;
 use std::time::Duration;
@@ -9,13 +9,13 @@
 pub(super) struct Server {
     pub name: String,
     pub block: u64,
-    pub runs: bool,
-    /// Counts its processes.
-    pub life: u32,
+    pub running: bool,
+    /// Number of the server's process. Work of an earlier one is dropped.
+    pub incarnation: u32,
     pub silent: bool,
-    /// Until when each core works.
+    /// When each core becomes idle.
     cores: Vec<Micros>,
-    held: usize,
+    requests_held: usize,
     handshakes: Vec<Duration>,
     requests: usize,
 }
@@ -25,203 +25,239 @@
         self.cores.len() as f64
     }
 
-    pub fn met(&self) -> (Vec<Duration>, usize) {
+    pub fn handshakes_and_requests(&self) -> (Vec<Duration>, usize) {
         (self.handshakes.clone(), self.requests)
     }
 }
 
-/// An attempt under way.
+/// An attempt between a node and a server.
 #[derive(Clone, Debug)]
-pub(super) struct Flight {
+pub(super) struct InFlightAttempt {
     pub node: usize,
-    pub life: u32,
+    pub incarnation: u32,
     pub id: RequestId,
     pub attempt: AttemptNumber,
     pub server: usize,
-    /// When its first byte is at the server.
-    pub first: Micros,
+    /// When its first byte reaches the server.
+    pub first_byte_at: Micros,
 }
 
-impl Virtual {
-    pub(super) fn begin_servers(&mut self) {
-        let cores = self.scenario.cores_of(&self.fleet);
+impl Simulation {
+    pub(super) fn start_servers(&mut self) {
+        let cores = self.scenario.cores_per_server(&self.fleet);
         for number in 0..self.scenario.servers {
             let name = format!("s-{number}");
             if self.scenario.cold {
-                self.ledger
+                self.oracle
                     .server_started_cold(Duration::ZERO, &name, cores as f64);
             }
             self.servers.push(Server {
                 name,
-                block: (number / GROUP) as u64,
-                runs: true,
-                life: 0,
+                block: (number / SERVERS_PER_DEDUPLICATION_DOMAIN) as u64,
+                running: true,
+                incarnation: 0,
                 silent: false,
-                cores: vec![START; cores],
-                held: 0,
+                cores: vec![START_US; cores],
+                requests_held: 0,
                 handshakes: Vec::new(),
                 requests: 0,
             });
         }
     }
 
-    /// An attempt leaves its node; it comes to its server whole after one way, and two more where it needs a connection.
-    pub(super) fn fly(&mut self, flight: Flight, way: Micros) {
-        let (near, far) = (End::Node(flight.node), End::Server(flight.server));
-        let there = self.links.fault_between(near, far);
-        if there.reset
+    /// Sends an attempt. The whole request reaches its server after one network delay, or after three if it needs a new
+    /// connection.
+    pub(super) fn transmit(&mut self, in_flight: InFlightAttempt, network_delay: Micros) {
+        let (near, far) = (End::Node(in_flight.node), End::Server(in_flight.server));
+        let fault_to_server = self.links.fault_between(near, far);
+        if fault_to_server.reset
             || self
                 .servers
-                .get(flight.server)
-                .is_none_or(|server| !server.runs)
+                .get(in_flight.server)
+                .is_none_or(|server| !server.running)
         {
-            return self.later(way, Comes::Replies(flight, Outcome::Unreachable));
+            return self.schedule(
+                network_delay,
+                ScheduledEvent::AttemptEnded(in_flight, Outcome::Unreachable),
+            );
         }
-        let idle = self.nodes[flight.node].named.settings.server_idle_timeout;
-        let used = self.nodes[flight.node].wires.remove(&flight.server);
-        let kept = used.is_some_and(|used| self.now < used + idle);
-        if !kept && there.drops_connects {
-            let after = self.nodes[flight.node].named.connect_timeout;
-            return self.later(after, Comes::Replies(flight, Outcome::Unreachable));
+        let idle_timeout = self.nodes[in_flight.node]
+            .platform_settings
+            .settings
+            .server_idle_timeout;
+        let last_used = self.nodes[in_flight.node]
+            .idle_connections
+            .remove(&in_flight.server);
+        let reuses_connection =
+            last_used.is_some_and(|last_used| self.now < last_used + idle_timeout);
+        if !reuses_connection && fault_to_server.drops_connects {
+            let after = self.nodes[in_flight.node].platform_settings.connect_timeout;
+            return self.schedule(
+                after,
+                ScheduledEvent::AttemptEnded(in_flight, Outcome::Unreachable),
+            );
         }
-        let since = self.since();
-        if !kept {
-            self.servers[flight.server].handshakes.push(since);
+        let elapsed = self.elapsed();
+        if !reuses_connection {
+            self.servers[in_flight.server].handshakes.push(elapsed);
         }
-        // What stalls is taken, and goes no farther: its node gives it up.
-        if !there.stalled {
-            let way = way * if kept { 1 } else { 3 } + there.draw_delay().as_micros() as Micros;
-            self.later(way, Comes::Reaches(flight));
+        // A stalled link takes the request but does not deliver it; the node gives up on it.
+        if !fault_to_server.stalled {
+            let network_delay = network_delay * if reuses_connection { 1 } else { 3 }
+                + fault_to_server.draw_delay().as_micros() as Micros;
+            self.schedule(network_delay, ScheduledEvent::AttemptReceived(in_flight));
         }
     }
 
-    fn is_out(&self, flight: &Flight) -> bool {
-        let out = self.nodes[flight.node].out.get(&flight.id);
-        self.alive(flight.node, flight.life)
-            && out.is_some_and(|(attempt, _)| *attempt == flight.attempt)
+    fn is_outstanding(&self, in_flight: &InFlightAttempt) -> bool {
+        let outstanding = self.nodes[in_flight.node].attempts.get(&in_flight.id);
+        self.is_current(in_flight.node, in_flight.incarnation)
+            && outstanding.is_some_and(|(attempt, _)| *attempt == in_flight.attempt)
     }
 
-    pub(super) fn reaches(&mut self, flight: Flight) {
-        if !self.is_out(&flight) {
+    pub(super) fn attempt_received(&mut self, in_flight: InFlightAttempt) {
+        if !self.is_outstanding(&in_flight) {
             return;
         }
-        let (since, way) = (self.since(), self.way());
-        let Some(client) = self.nodes[flight.node]
-            .waits
-            .get(&flight.id)
-            .map(|waiting| &waiting.client)
+        let (elapsed, network_delay) = (self.elapsed(), self.draw_network_delay());
+        let Some(client) = self.nodes[in_flight.node]
+            .open_requests
+            .get(&in_flight.id)
+            .map(|open_request| &open_request.client)
         else {
             return;
         };
         let mean = self.fleet.classes[client.class].work.as_secs_f64();
-        let server = &mut self.servers[flight.server];
-        if !server.runs {
-            return self.later(way, Comes::Replies(flight, Outcome::ConnectionLost));
+        let server = &mut self.servers[in_flight.server];
+        if !server.running {
+            return self.schedule(
+                network_delay,
+                ScheduledEvent::AttemptEnded(in_flight, Outcome::ConnectionLost),
+            );
         }
         let work = mean * (0.5 + self.random.f64());
-        let first = Duration::from_micros(flight.first - START);
-        self.ledger
-            .attempt_received(since, first, &server.name, &flight.id.0, work);
+        let first_byte_at = Duration::from_micros(in_flight.first_byte_at - START_US);
+        self.oracle
+            .attempt_received(elapsed, first_byte_at, &server.name, &in_flight.id.0, work);
         server.requests += 1;
-        if server.held >= SLOTS * server.cores.len() || self.ledger.is_overloaded(&server.name) {
-            self.ledger.attempt_finished(&flight.id.0);
-            return self.later(way, Comes::Replies(flight, Outcome::Rejected));
+        if server.requests_held >= SLOTS_PER_CORE * server.cores.len()
+            || self.oracle.is_overloaded(&server.name)
+        {
+            self.oracle.attempt_finished(&in_flight.id.0);
+            return self.schedule(
+                network_delay,
+                ScheduledEvent::AttemptEnded(in_flight, Outcome::Rejected),
+            );
         }
-        server.held += 1;
+        server.requests_held += 1;
         if server.silent {
             return;
         }
         let Some(core) = server.cores.iter_mut().min() else {
             return;
         };
-        let begins = (*core).max(self.now);
-        let warmth = self
-            .ledger
-            .capacity_share(Duration::from_micros(begins - START), &server.name);
-        *core = begins + (work * self.slow / warmth * 1e6) as Micros;
-        let (after, life) = (*core - self.now, server.life);
-        self.later(after, Comes::Done(flight, life));
+        let work_start = (*core).max(self.now);
+        let capacity_share = self
+            .oracle
+            .capacity_share(Duration::from_micros(work_start - START_US), &server.name);
+        *core = work_start + (work * self.work_time_factor / capacity_share * 1e6) as Micros;
+        let (after, incarnation) = (*core - self.now, server.incarnation);
+        self.schedule(after, ScheduledEvent::WorkDone(in_flight, incarnation));
     }
 
-    pub(super) fn done(&mut self, flight: Flight, life: u32) {
-        let (since, way) = (self.since(), self.way());
-        let server = &mut self.servers[flight.server];
-        if server.life != life {
+    pub(super) fn work_done(&mut self, in_flight: InFlightAttempt, incarnation: u32) {
+        let (elapsed, network_delay) = (self.elapsed(), self.draw_network_delay());
+        let server = &mut self.servers[in_flight.server];
+        if server.incarnation != incarnation {
             return;
         }
-        server.held = server.held.saturating_sub(1);
+        server.requests_held = server.requests_held.saturating_sub(1);
         let block = server.block;
-        self.ledger
-            .attempt_executed(since, since, block, &flight.id.0);
-        if !self.is_out(&flight) {
+        self.oracle
+            .attempt_executed(elapsed, elapsed, block, &in_flight.id.0);
+        if !self.is_outstanding(&in_flight) {
             return;
         }
-        self.ledger.attempt_finished(&flight.id.0);
-        let back = self
+        self.oracle.attempt_finished(&in_flight.id.0);
+        let fault_to_node = self
             .links
-            .fault_between(End::Server(flight.server), End::Node(flight.node));
-        let outcome = if back.reset {
+            .fault_between(End::Server(in_flight.server), End::Node(in_flight.node));
+        let outcome = if fault_to_node.reset {
             Outcome::ConnectionLost
         } else {
             Outcome::Ok
         };
-        if !back.stalled {
-            let way = way + back.draw_delay().as_micros() as Micros;
-            self.later(way, Comes::Replies(flight, outcome));
+        if !fault_to_node.stalled {
+            let network_delay = network_delay + fault_to_node.draw_delay().as_micros() as Micros;
+            self.schedule(
+                network_delay,
+                ScheduledEvent::AttemptEnded(in_flight, outcome),
+            );
         }
     }
 
-    pub(super) fn replies(&mut self, flight: &Flight, outcome: Outcome) {
-        if !self.is_out(flight) {
+    pub(super) fn reply_received(&mut self, in_flight: &InFlightAttempt, outcome: Outcome) {
+        if !self.is_outstanding(in_flight) {
             return;
         }
         if outcome == Outcome::Ok {
-            self.took_ms.push((self.now - flight.first) as f64 / 1e3);
+            self.latencies_ms
+                .push((self.now - in_flight.first_byte_at) as f64 / 1e3);
         }
-        self.over(flight.node, flight.id.clone(), outcome);
+        self.attempt_ended(in_flight.node, in_flight.id.clone(), outcome);
     }
 
-    /// A server's process dies, and starts anew and cold after a while.
-    pub(super) fn crash(&mut self, at: usize, lasts: Duration) {
-        let server = &mut self.servers[at];
-        (server.runs, server.held) = (false, 0);
-        server.life += 1;
+    /// Kills a server; it starts again, cold, after `duration`.
+    pub(super) fn crash_server(&mut self, server_index: usize, duration: Duration) {
+        let server = &mut self.servers[server_index];
+        (server.running, server.requests_held) = (false, 0);
+        server.incarnation += 1;
         let cores = server.cores.len();
         server.cores = vec![self.now; cores];
-        self.write(at, "gone");
+        self.set_health(server_index, "gone");
         for node in 0..self.nodes.len() {
-            self.nodes[node].wires.remove(&at);
+            self.nodes[node].idle_connections.remove(&server_index);
             let ids = self.nodes[node]
-                .out
+                .attempts
                 .iter()
-                .filter(|(_, (_, server))| *server == at);
+                .filter(|(_, (_, server))| *server == server_index);
             for (id, attempt) in ids
                 .map(|(id, (attempt, _))| (id.clone(), *attempt))
                 .collect::<Vec<_>>()
             {
-                self.ledger.attempt_finished(&id.0);
-                let (life, first, way) = (self.nodes[node].life, self.now, self.way());
-                let flight = Flight {
+                self.oracle.attempt_finished(&id.0);
+                let (incarnation, first_byte_at, network_delay) = (
+                    self.nodes[node].incarnation,
+                    self.now,
+                    self.draw_network_delay(),
+                );
+                let in_flight = InFlightAttempt {
                     node,
-                    life,
+                    incarnation,
                     id,
                     attempt,
-                    server: at,
-                    first,
+                    server: server_index,
+                    first_byte_at,
                 };
-                self.later(way, Comes::Replies(flight, Outcome::ConnectionLost));
+                self.schedule(
+                    network_delay,
+                    ScheduledEvent::AttemptEnded(in_flight, Outcome::ConnectionLost),
+                );
             }
         }
-        self.later(lasts.as_micros() as Micros, Comes::Back(at));
+        self.schedule(
+            duration.as_micros() as Micros,
+            ScheduledEvent::ServerRestarted(server_index),
+        );
     }
 
-    pub(super) fn back(&mut self, at: usize) {
-        let (since, now) = (self.since(), self.now);
-        let server = &mut self.servers[at];
-        server.runs = true;
+    pub(super) fn restart_server(&mut self, server_index: usize) {
+        let (elapsed, now) = (self.elapsed(), self.now);
+        let server = &mut self.servers[server_index];
+        server.running = true;
         let (name, capacity) = (server.name.clone(), server.capacity());
-        self.ledger.server_started_cold(since, &name, capacity);
-        self.service.born(at, now);
-        self.write(at, "ready");
+        self.oracle.server_started_cold(elapsed, &name, capacity);
+        self.list_service.set_started_at(server_index, now);
+        self.set_health(server_index, "ready");
     }
 }
--- a/crates/fleet-harness/src/windows.rs
+++ b/crates/fleet-harness/src/windows.rs
@@ -1,42 +1,42 @@
-//! A run second by second and side by side, from the ledger's entries.
+//! Counts of a run for each second and side, from the oracle's records.
 
-use crate::ends::Side;
+use crate::link_ends::Side;
 use saffronpaddle_test_doubles::links::End;
 use saffronpaddle_test_doubles::oracle::{Answer, Oracle};
 use serde_json::{json, Value};
 use std::time::Duration;
 
-/// What happened in a second, or in several.
+/// Counts of one second, or of several.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Of {
-    /// Tries whose last byte was written then.
+pub struct WindowCounts {
+    /// Requests whose last byte was sent in this time.
     pub tries: u64,
-    /// Of these, how many ended so.
+    /// Of `tries`, those that were served.
     pub served: u64,
-    /// See there.
+    /// Of `tries`, those that were refused.
     pub refused: u64,
-    /// See there.
+    /// Of `tries`, those that failed.
     pub failed: u64,
-    /// Refused while half or more of what binds the customer was unused.
-    pub with_room: u64,
-    /// Units that came to servers then, and those of them beyond their customers' quotas.
+    /// Of `refused`, those for which at least half of what limits the customer (quota and ceiling) was unused.
+    pub refused_within_limits: u64,
+    /// Units of requests that reached a server for the first time in this time.
     pub units: f64,
-    /// See there.
+    /// Of `units`, those beyond their customers' quotas.
     pub beyond: f64,
-    /// Seconds of work, on a warm server, of the tries that were served.
+    /// Seconds of work, on a warm server, of the requests that were served.
     pub served_work: f64,
 }
 
-impl Of {
-    /// The sum.
+impl WindowCounts {
+    /// Adds two counts.
     #[must_use]
-    pub fn and(self, other: &Of) -> Of {
-        Of {
+    pub fn plus(self, other: &WindowCounts) -> WindowCounts {
+        WindowCounts {
             tries: self.tries + other.tries,
             served: self.served + other.served,
             refused: self.refused + other.refused,
             failed: self.failed + other.failed,
-            with_room: self.with_room + other.with_room,
+            refused_within_limits: self.refused_within_limits + other.refused_within_limits,
             units: self.units + other.units,
             beyond: self.beyond + other.beyond,
             served_work: self.served_work + other.served_work,
@@ -44,28 +44,28 @@
     }
 }
 
-/// The seconds of one side, counted from when load began.
+/// The counts of one side, second by second from the start of the load.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Windows {
-    /// Its name; `all` is everything.
+pub struct SideWindows {
+    /// Name of the side; `all` is the whole fleet.
     pub side: String,
-    /// Second by second.
-    pub seconds: Vec<Of>,
+    /// Counts by the second since the start of the load.
+    pub seconds: Vec<WindowCounts>,
 }
 
-impl Windows {
-    /// As JSON.
+impl SideWindows {
+    /// The counts as JSON; `figures` names the columns.
     pub fn json(&self) -> Value {
-        let second = |of: &Of| {
+        let second = |counts: &WindowCounts| {
             json!([
-                of.tries,
-                of.served,
-                of.refused,
-                of.failed,
-                of.with_room,
-                of.units,
-                of.beyond,
-                of.served_work
+                counts.tries,
+                counts.served,
+                counts.refused,
+                counts.failed,
+                counts.refused_within_limits,
+                counts.units,
+                counts.beyond,
+                counts.served_work
             ])
         };
         json!({
@@ -75,49 +75,56 @@
         })
     }
 
-    fn at(&mut self, since: Option<Duration>) -> Option<&mut Of> {
+    fn second_at(&mut self, since: Option<Duration>) -> Option<&mut WindowCounts> {
         let second = since?.as_secs() as usize;
         if self.seconds.len() <= second {
-            self.seconds.resize(second + 1, Of::default());
+            self.seconds.resize(second + 1, WindowCounts::default());
         }
         self.seconds.get_mut(second)
     }
 }
 
-/// Cuts a run into seconds, over all nodes and for each side.
-pub fn cut(ledger: &Oracle, sides: &[Side], begun: Duration) -> Vec<Windows> {
+/// Counts the requests of a run by second, for the whole fleet and for each side.
+pub fn tally_seconds(oracle: &Oracle, sides: &[Side], load_start: Duration) -> Vec<SideWindows> {
     let named = std::iter::once("all").chain(sides.iter().map(|side| &*side.name));
-    let mut all: Vec<Windows> = named
-        .map(|side| Windows {
+    let mut all: Vec<SideWindows> = named
+        .map(|side| SideWindows {
             side: side.to_owned(),
             seconds: Vec::new(),
         })
         .collect();
-    for seen in ledger.requests() {
-        let on = |place: usize| place == 0 || sides[place - 1].ends.contains(&End::Node(seen.node));
-        for (_, windows) in all.iter_mut().enumerate().filter(|(place, _)| on(*place)) {
-            if let Some(of) = windows.at(seen.sent_at.checked_sub(begun)) {
-                of.tries += 1;
-                match seen.answer {
+    for request in oracle.requests() {
+        let belongs =
+            |index: usize| index == 0 || sides[index - 1].ends.contains(&End::Node(request.node));
+        for (_, windows) in all
+            .iter_mut()
+            .enumerate()
+            .filter(|(index, _)| belongs(*index))
+        {
+            if let Some(counts) = windows.second_at(request.sent_at.checked_sub(load_start)) {
+                counts.tries += 1;
+                match request.answer {
                     Some(Answer::Served) => {
-                        (of.served, of.served_work) = (of.served + 1, of.served_work + seen.work);
+                        (counts.served, counts.served_work) =
+                            (counts.served + 1, counts.served_work + request.work);
                     }
                     Some(Answer::Refused) => {
-                        (of.refused, of.with_room) = (
-                            of.refused + 1,
-                            of.with_room + u64::from(seen.refused_within_limits),
+                        (counts.refused, counts.refused_within_limits) = (
+                            counts.refused + 1,
+                            counts.refused_within_limits + u64::from(request.refused_within_limits),
                         );
                     }
-                    Some(Answer::Failed) => of.failed += 1,
+                    Some(Answer::Failed) => counts.failed += 1,
                     None => {}
                 }
             }
-            let sent = seen
+            let sent = request
                 .first_attempt
-                .and_then(|(at, beyond)| Some((at.checked_sub(begun)?, beyond)));
+                .and_then(|(at, beyond)| Some((at.checked_sub(load_start)?, beyond)));
             if let Some((at, beyond)) = sent {
-                if let Some(of) = windows.at(Some(at)) {
-                    (of.units, of.beyond) = (of.units + seen.units, of.beyond + beyond);
+                if let Some(counts) = windows.second_at(Some(at)) {
+                    (counts.units, counts.beyond) =
+                        (counts.units + request.units, counts.beyond + beyond);
                 }
             }
         }
@@ -125,22 +132,22 @@
     all
 }
 
-/// A table for people.
-pub fn table(all: &[Windows]) -> String {
+/// The counts as a text table.
+pub fn table(all: &[SideWindows]) -> String {
     let mut text =
         String::from("side      second  tries served refused failed with-room  units beyond\n");
     for windows in all {
-        for (second, of) in windows.seconds.iter().enumerate() {
+        for (second, counts) in windows.seconds.iter().enumerate() {
             text.push_str(&format!(
                 "{:<10}{second:>6}{:>7}{:>7}{:>8}{:>7}{:>10}{:>7.0}{:>7.0}\n",
                 windows.side,
-                of.tries,
-                of.served,
-                of.refused,
-                of.failed,
-                of.with_room,
-                of.units,
-                of.beyond
+                counts.tries,
+                counts.served,
+                counts.refused,
+                counts.failed,
+                counts.refused_within_limits,
+                counts.units,
+                counts.beyond
             ));
         }
     }
