--- a/crates/fleet-harness/src/harness.rs
+++ b/crates/fleet-harness/src/harness.rs
@@ -77,7 +77,7 @@
     network: Arc<Network>,
     load_generator: Arc<LoadGenerator>,
     instances: Vec<Arc<Instance>>,
-    roster: ServerList,
+    server_list: ServerList,
     customers: Vec<Customer>,
     scenario: Scenario,
 }
@@ -179,7 +179,7 @@
             ready_ms: costs
                 .ready
                 .iter()
-                .map(|span| span.as_secs_f64() * 1e3)
+                .map(|time| time.as_secs_f64() * 1e3)
                 .collect(),
             memory_idle_mb: costs.memory_idle as f64 / 1e6,
             memory_most_mb: costs.memory_peak as f64 / 1e6,
@@ -331,22 +331,23 @@
             );
             (instance.has_operator_file, instance.log_level) =
                 (scenario.has_operator_file, options.log_level);
-            let plan = Some(scenario.failing_calls.clone()).filter(|plan| !plan.is_empty());
-            instance.preload = options.preload.clone().zip(plan);
-            let (me, mut agent, mut client_address) = (
+            let failing_calls = Some(scenario.failing_calls.clone())
+                .filter(|failing_calls| !failing_calls.is_empty());
+            instance.preload = options.preload.clone().zip(failing_calls);
+            let (node_end, mut agent, mut client_address) = (
                 End::Node(number),
                 discovery.start_agent(number).await?,
                 address,
             );
-            if relay_plan.affects(me, End::List) {
+            if relay_plan.affects(node_end, End::List) {
                 let agent_address = std::mem::replace(&mut agent, reserve_address()?);
-                Relay::start(&links, (me, End::List), agent, agent_address)
+                Relay::start(&links, (node_end, End::List), agent, agent_address)
                     .await
                     .context("starting a relay to the list service")?;
             }
-            if relay_plan.affects(me, End::Clients) {
+            if relay_plan.affects(node_end, End::Clients) {
                 client_address = reserve_address()?;
-                Relay::start(&links, (End::Clients, me), client_address, address)
+                Relay::start(&links, (End::Clients, node_end), client_address, address)
                     .await
                     .context("starting a relay for clients")?;
             }
@@ -382,7 +383,7 @@
             options.seed,
             scenario.cancellations,
         );
-        let roster = ServerList {
+        let server_list = ServerList {
             world: Arc::clone(&world),
             discovery: Arc::clone(&discovery),
             etcd,
@@ -396,7 +397,7 @@
             network,
             load_generator,
             instances,
-            roster,
+            server_list,
             customers,
             scenario,
         })
@@ -499,23 +500,26 @@
     /// Runs one step on its own.
     fn run_step(&self, step: &Step) -> impl std::future::Future<Output = ()> + Send + 'static {
         let (world, discovery) = (Arc::clone(&self.world), Arc::clone(&self.discovery));
-        let (links, load_generator, roster) = (
+        let (links, load_generator, server_list) = (
             Arc::clone(&self.links),
             Arc::clone(&self.load_generator),
-            self.roster.clone(),
+            self.server_list.clone(),
         );
         let (instances, servers) = (self.instances.clone(), self.servers.clone());
         let customers = self.customers.clone();
         let (ready_timeout, discovery_delay) =
             (self.scenario.ready_timeout, self.scenario.discovery_delay);
-        let longest = self
+        let longest_deadline = self
             .scenario
             .fleet()
             .classes
             .iter()
             .map(|class| class.deadline)
             .max();
-        let killed_after = longest.unwrap_or_default().min(MAX_DEADLINE_BEFORE_KILL) + KILL_GRACE;
+        let killed_after = longest_deadline
+            .unwrap_or_default()
+            .min(MAX_DEADLINE_BEFORE_KILL)
+            + KILL_GRACE;
         let action = step.action.clone();
         async move {
             let locked_instance = match action {
@@ -631,7 +635,9 @@
                     discovery.set_limits(|limits| limits.down = false);
                 }
                 StepAction::RestoreList(mode) => discovery.restore(mode),
-                StepAction::AddServer(target) => start_server(&world, &roster, &servers[target]),
+                StepAction::AddServer(target) => {
+                    start_server(&world, &server_list, &servers[target]);
+                }
                 StepAction::LoadBurst(factor, duration) => {
                     let mut clients = tokio::task::JoinSet::new();
                     for customer in customers {
@@ -647,24 +653,27 @@
                     load_generator.hold_idle_connections(target, duration).await;
                 }
                 StepAction::DrainServer(target, duration) => {
-                    update_entry(&roster, &servers[target], "draining", None);
+                    update_entry(&server_list, &servers[target], "draining", None);
                     sleep(discovery_delay + DRAIN_TIME).await;
-                    crash_server(&world, &roster, &servers[target], duration).await;
+                    crash_server(&world, &server_list, &servers[target], duration).await;
                 }
                 StepAction::ToggleDraining(target, duration) => {
-                    update_entry(&roster, &servers[target], "draining", None);
+                    update_entry(&server_list, &servers[target], "draining", None);
                     sleep(duration).await;
-                    update_entry(&roster, &servers[target], "ready", None);
+                    update_entry(&server_list, &servers[target], "ready", None);
                 }
                 StepAction::CrashServer(target, duration) => {
-                    crash_server(&world, &roster, &servers[target], duration).await;
+                    crash_server(&world, &server_list, &servers[target], duration).await;
                 }
-                StepAction::CutEtcdConnections(target) => roster
+                StepAction::CutEtcdConnections(target) => server_list
                     .etcd
                     .iter()
                     .for_each(|etcd| etcd.members[target].cut_connections()),
                 StepAction::FreezeEtcdMember(target, duration) => {
-                    let members = roster.etcd.iter().map(|etcd| etcd.members[target].clone());
+                    let members = server_list
+                        .etcd
+                        .iter()
+                        .map(|etcd| etcd.members[target].clone());
                     let members: Vec<_> = members.collect();
                     members
                         .iter()
@@ -674,7 +683,7 @@
                         .iter()
                         .for_each(|member| member.set_faults(|faults| faults.frozen = false));
                 }
-                StepAction::CompactEtcd => roster
+                StepAction::CompactEtcd => server_list
                     .etcd
                     .iter()
                     .for_each(|etcd| etcd.compact(etcd.revision())),
@@ -718,14 +727,14 @@
     let hosts = list["hosts"]
         .as_array_mut()
         .context("the list has no hosts")?;
-    let dials: Vec<_> = hosts.iter().map(|host| host["dial"].clone()).collect();
+    let addresses: Vec<_> = hosts.iter().map(|host| host["dial"].clone()).collect();
     for (index, host) in hosts.iter_mut().enumerate() {
         host["born_ms"] = 0.into();
         if index % 2 == 1 {
             host["host"] = format!("gone-{index}").into();
         }
         if index % 3 == 0 {
-            host["dial"] = dials[(index + 1) % dials.len()].clone();
+            host["dial"] = addresses[(index + 1) % addresses.len()].clone();
         }
     }
     list["seq"] = 0.into();
@@ -742,14 +751,14 @@
 }
 
 fn update_entry(
-    roster: &ServerList,
+    server_list: &ServerList,
     server: &AppServer,
     health: &'static str,
     born_ms: Option<u64>,
 ) {
-    if let Some(entry) = roster.discovery.entry(server.name()) {
+    if let Some(entry) = server_list.discovery.entry(server.name()) {
         let born_ms = born_ms.unwrap_or(entry.born_ms);
-        roster.change(Entry {
+        server_list.change(Entry {
             health,
             born_ms,
             ..entry
@@ -757,17 +766,22 @@
     }
 }
 
-async fn crash_server(world: &World, roster: &ServerList, server: &AppServer, duration: Duration) {
+async fn crash_server(
+    world: &World,
+    server_list: &ServerList,
+    server: &AppServer,
+    duration: Duration,
+) {
     server.kill();
-    update_entry(roster, server, "gone", None);
+    update_entry(server_list, server, "gone", None);
     sleep(duration).await;
-    start_server(world, roster, server);
+    start_server(world, server_list, server);
 }
 
 /// Starts a server's process, cold, and lists it as ready.
-fn start_server(world: &World, roster: &ServerList, server: &AppServer) {
+fn start_server(world: &World, server_list: &ServerList, server: &AppServer) {
     match server.start_cold() {
-        Ok(()) => update_entry(roster, server, "ready", Some(world.unix_ms())),
+        Ok(()) => update_entry(server_list, server, "ready", Some(world.unix_ms())),
         Err(error) => eprintln!("app server {} could not be started: {error}", server.name()),
     }
 }
--- a/crates/fleet-harness/src/scenario.rs
+++ b/crates/fleet-harness/src/scenario.rs
@@ -228,7 +228,7 @@
 struct StepArguments {
     target: usize,
     duration: Duration,
-    times: f64,
+    factor: f64,
     /// The share of requests or connections that the action affects.
     share: f64,
     /// The affected links; all links between instances by default.
@@ -307,7 +307,7 @@
         StepAction::AddServer(arguments.target)
     }),
     ("burst", TargetKind::WholeRun, |arguments| {
-        StepAction::LoadBurst(arguments.times, arguments.duration)
+        StepAction::LoadBurst(arguments.factor, arguments.duration)
     }),
     ("pause", TargetKind::Instance, |arguments| {
         StepAction::Pause(arguments.target, arguments.duration)
@@ -363,7 +363,7 @@
         StepAction::ServerErrors(arguments.target, arguments.share, arguments.duration)
     }),
     ("slow", TargetKind::WholeRun, |arguments| {
-        StepAction::SlowServers(arguments.times, arguments.duration)
+        StepAction::SlowServers(arguments.factor, arguments.duration)
     }),
     ("undiscovered", TargetKind::WholeRun, |arguments| {
         StepAction::SilenceDiscovery(arguments.duration)
@@ -623,7 +623,7 @@
         let gap = section.span_ms("gap_ms", 0, 0..=600_000);
         let until_end = !section.has("for_ms");
         let duration = section.span_ms("for_ms", 2_000, 0..=600_000);
-        let times = section.figure("times", 2.0, 0.1..=100.0);
+        let factor = section.figure("times", 2.0, 0.1..=100.0);
         let share = section.figure("share", 0.5, 0.0..=1.0);
         let stall_at = section.span_ms_or_none("held_up_at_ms", 0, 60_000);
         let delay = section.span_ms("delay_ms", 0, 0..=10_000);
@@ -686,7 +686,7 @@
                 let action = build_action(&StepArguments {
                     target,
                     duration,
-                    times,
+                    factor,
                     share,
                     link_set,
                     fault,
--- a/crates/fleet-harness/src/soak.rs
+++ b/crates/fleet-harness/src/soak.rs
@@ -128,35 +128,36 @@
     let (instances, servers) = counts;
     let (instance, server) = (random.usize(..instances), random.usize(..servers));
     let duration_ms = random.u64(300..4_000);
-    let step = |kind: &str, more: &str| format!("do = \"{kind}\"\nat_ms = {at}\n{more}");
-    let of_instance = |more: &str| format!("who = {instance}\n{more}");
-    let of_server = |more: &str| format!("who = {server}\nfor_ms = {duration_ms}\n{more}");
+    let step = |kind: &str, extra: &str| format!("do = \"{kind}\"\nat_ms = {at}\n{extra}");
+    let on_instance = |extra: &str| format!("who = {instance}\n{extra}");
+    let on_server = |extra: &str| format!("who = {server}\nfor_ms = {duration_ms}\n{extra}");
     match random.u32(0..21) {
         0..=4 => {
             let restart_delay = random.u64(0..1_500);
-            let mut more = of_instance(&format!("for_ms = {restart_delay}\n"));
+            let mut extra = on_instance(&format!("for_ms = {restart_delay}\n"));
             if random.bool() {
                 // Writing to a string does not fail.
-                let _ = writeln!(more, "held_up_at_ms = {}", random.u64(0..3_600));
+                let _ = writeln!(extra, "held_up_at_ms = {}", random.u64(0..3_600));
             }
-            steps.push(step("terminate", &more));
+            steps.push(step("terminate", &extra));
             if random.bool() {
                 let count = random.usize(servers.div_ceil(4)..=servers.div_ceil(2));
-                let hang = format!("count = {count}\nfor_ms = {}\n", random.u64(2_000..6_000));
-                steps.push(step("silent", &hang));
+                let silent_servers =
+                    format!("count = {count}\nfor_ms = {}\n", random.u64(2_000..6_000));
+                steps.push(step("silent", &silent_servers));
             }
         }
         5 => steps.push(step(
             "kill",
-            &of_instance(&format!("for_ms = {}\n", random.u64(50..1_500))),
+            &on_instance(&format!("for_ms = {}\n", random.u64(50..1_500))),
         )),
         6 => steps.push(step(
             "kill-early",
-            &of_instance(&format!("for_ms = {}\n", random.u64(20..400))),
+            &on_instance(&format!("for_ms = {}\n", random.u64(20..400))),
         )),
         7 => steps.push(step(
             "pause",
-            &of_instance(&format!("for_ms = {}\n", random.u64(150..5_000))),
+            &on_instance(&format!("for_ms = {}\n", random.u64(150..5_000))),
         )),
         8 => {
             for later in [0, 30, 90] {
@@ -164,12 +165,12 @@
                 steps.push(format!("do = \"reload\"\nat_ms = {at}\nwho = {instance}\n"));
             }
         }
-        9 => steps.push(step("silent", &of_server(""))),
-        10 => steps.push(step("resets", &of_server("share = 0.3\n"))),
-        11 => steps.push(step("errors", &of_server("share = 0.3\n"))),
-        12 => steps.push(step("crash", &of_server(""))),
-        13 => steps.push(step("drain", &of_server(""))),
-        14 => steps.push(step("flip", &of_server(""))),
+        9 => steps.push(step("silent", &on_server(""))),
+        10 => steps.push(step("resets", &on_server("share = 0.3\n"))),
+        11 => steps.push(step("errors", &on_server("share = 0.3\n"))),
+        12 => steps.push(step("crash", &on_server(""))),
+        13 => steps.push(step("drain", &on_server(""))),
+        14 => steps.push(step("flip", &on_server(""))),
         15 => steps.push(step("undiscovered", &format!("for_ms = {duration_ms}\n"))),
         16 => steps.push(step("list-down", &format!("for_ms = {duration_ms}\n"))),
         17 => {
@@ -180,10 +181,10 @@
             let half: Vec<String> = (0..instances / 2).map(|node| format!("n{node}")).collect();
             let one_way = random.bool();
             let from = half.join(",");
-            let more = format!(
+            let extra = format!(
                 "for_ms = {duration_ms}\nfrom = \"{from}\"\nstalled = true\none_way = {one_way}\n"
             );
-            steps.push(step("link", &more));
+            steps.push(step("link", &extra));
         }
         19 => {
             let fault = ["stalled = true", "reset = true", "loss = 0.5"][random.usize(0..3)];
--- a/crates/fleet-harness/src/virtually/lists.rs
+++ b/crates/fleet-harness/src/virtually/lists.rs
@@ -29,10 +29,15 @@
 /// ignored.
 #[derive(Debug)]
 pub(super) enum ListEvent {
+    /// The node calls the list service.
     Poll,
+    /// The service answers; the answer opens a watch.
     Response(u64),
+    /// A change arrives on the watch.
     Update(u64),
+    /// A heartbeat is due on the watch.
     Heartbeat(u64),
+    /// The call or its watch has ended. The duration is the `Retry-After` of a rejected call.
     CallEnded(u64, Option<Duration>),
 }
 
@@ -318,15 +323,15 @@
                 }
             }
             ListEvent::CallEnded(call_id, after) if call_id == call => {
-                let draw = self.random.f64();
+                let random_share = self.random.f64();
                 let was_watching = self.nodes[node_index].list_client.watching;
                 self.close_watch(node_index);
                 let list_client = &mut self.nodes[node_index].list_client;
                 list_client.call += 1;
                 let delay = match after {
-                    Some(after) => list_client.backoff.after_response(after, draw),
-                    None if was_watching => list_client.backoff.after_watch_end(draw),
-                    None => list_client.backoff.after_failure(draw),
+                    Some(after) => list_client.backoff.after_response(after, random_share),
+                    None if was_watching => list_client.backoff.after_watch_end(random_share),
+                    None => list_client.backoff.after_failure(random_share),
                 };
                 self.schedule_list_event(node_index, delay.as_micros() as Micros, ListEvent::Poll);
             }
--- a/crates/fleet-harness/src/virtually/mod.rs
+++ b/crates/fleet-harness/src/virtually/mod.rs
@@ -52,9 +52,9 @@
 const BYTES_PER_NODE: f64 = 50_000.0;
 const BYTES_PER_KNOWN_SERVER: f64 = 180.0;
 const BYTES_PER_PEER: f64 = 50.0;
-const BYTES_PER_TRY: f64 = 1_000.0;
-/// Requests per first request, with the clients' retries.
-const TRIES_PER_REQUEST: f64 = 1.5;
+const BYTES_PER_REQUEST: f64 = 1_000.0;
+/// Requests that clients send per request that they start with: they retry.
+const RETRY_FACTOR: f64 = 1.5;
 /// Time by which a run may exceed the load's duration, µs. All requests end long before.
 const MAX_OVERRUN_US: Micros = 20_000_000;
 
@@ -65,12 +65,19 @@
     CustomerArrival(usize),
     /// A client sends a request, for the first time or as a retry.
     ClientRequest(Client),
+    /// A timer of a node's process fires: node, process number and the timer's token.
     TimerFired(usize, u32, u64),
+    /// A message reaches a node: the node, the sender and the message.
     PeerMessage(usize, NodeId, Vec<u8>),
+    /// A server has received the whole request of an attempt.
     AttemptReceived(InFlightAttempt),
+    /// A server's process, given by its number, has done the work of an attempt.
     WorkDone(InFlightAttempt, u32),
+    /// The outcome of an attempt reaches its node.
     AttemptEnded(InFlightAttempt, Outcome),
+    /// An event between a node's process, given by its number, and the list service.
     ListService(usize, u32, ListEvent),
+    /// The step of the scenario with this index begins.
     Step(usize),
     /// The load generator adds a node to its rotation or removes it.
     SetInRotation(usize, u32, bool),
@@ -78,8 +85,11 @@
     ProcessReady(usize, u32),
     /// Ends a draining node once its requests are finished or its time is up.
     CheckDrained(usize, u32, Micros),
+    /// A paused process continues.
     Resume(usize),
     RemoveFault(u64),
+    /// The next of the remaining ends heals: the links, their fault, the ends left, the id of the current fault and the
+    /// time between two ends.
     HealNextEnd(
         LinkSet,
         saffronpaddle_test_doubles::links::Fault,
@@ -89,10 +99,13 @@
     ),
     ListServiceUp,
     DiscoveryResumed,
+    /// A drained server's process ends, and starts again after the given time.
     ServerDrained(usize, Duration),
+    /// A server that was only listed as draining is listed as ready.
     ServerReadyAgain(usize),
     ServerRestarted(usize),
     ServerResponsive(usize),
+    /// The work time of all servers is back to normal.
     WorkTimeNormal,
 }
 
@@ -109,7 +122,7 @@
 struct OpenRequest {
     client: Client,
     attempts_sent: u32,
-    /// The client is no longer counted, and the answer is ignored.
+    /// The oracle was told that the request has no answer, so a later answer is not counted.
     abandoned: bool,
 }
 
@@ -129,6 +142,7 @@
     /// When the idle connection to a server was last used.
     idle_connections: HashMap<usize, Micros>,
     list_client: ListClient,
+    /// Peer messages sent and received.
     peer_messages: (u64, u64),
     /// Token bucket for peer messages: when it was last refilled, and its tokens.
     inbound_budget: (Micros, f64),
@@ -144,7 +158,7 @@
     now: Micros,
     load_start: Micros,
     queue: BTreeMap<(Micros, u64), ScheduledEvent>,
-    next_event_id: u64,
+    last_event_id: u64,
     nodes: Vec<Node>,
     servers: Vec<Server>,
     work_time_factor: f64,
@@ -194,9 +208,9 @@
         .iter()
         .map(|customer| customer.rate)
         .sum();
-    let tries = offered * scenario.duration.as_secs_f64() * TRIES_PER_REQUEST;
+    let requests = offered * scenario.duration.as_secs_f64() * RETRY_FACTOR;
     let node = BYTES_PER_NODE + servers * BYTES_PER_KNOWN_SERVER + nodes * BYTES_PER_PEER;
-    (nodes * node + tries * BYTES_PER_TRY) as u64
+    (nodes * node + requests * BYTES_PER_REQUEST) as u64
 }
 
 impl Simulation {
@@ -214,7 +228,7 @@
             now: START_US,
             load_start: START_US + WARMUP_US,
             queue: BTreeMap::new(),
-            next_event_id: 0,
+            last_event_id: 0,
             nodes: Vec::new(),
             servers: Vec::new(),
             work_time_factor: 1.0,
@@ -276,9 +290,9 @@
     }
 
     fn schedule(&mut self, after: Micros, event: ScheduledEvent) {
-        self.next_event_id += 1;
+        self.last_event_id += 1;
         self.queue
-            .insert((self.now + after, self.next_event_id), event);
+            .insert((self.now + after, self.last_event_id), event);
     }
 
     fn draw_network_delay(&mut self) -> Micros {
@@ -430,7 +444,7 @@
 
     fn process_ready(&mut self, node_index: usize) {
         self.processes += 1;
-        let event_id = self.next_event_id;
+        let event_id = self.last_event_id;
         let (seed, list_limits) = (
             self.seed ^ (node_index as u64).wrapping_mul(0x9e37) ^ event_id,
             self.list_limits.clone(),
@@ -451,9 +465,9 @@
             InitialList::Current => self.load_initial_list(node_index, false),
             InitialList::Stale => self.load_initial_list(node_index, true),
         }
-        let draw = self.random.f64();
+        let random_share = self.random.f64();
         let first_call = list_limits.map_or(Duration::ZERO, |list_limits| {
-            list_limits.first_call((node_index as u32, nodes), draw)
+            list_limits.first_call((node_index as u32, nodes), random_share)
         });
         self.schedule(
             first_call.as_micros() as Micros,
@@ -523,7 +537,7 @@
         }
         let class = class_of(&self.fleet, self.random.f64());
         let keyed = self.fleet.classes[class].keyed;
-        let key = keyed.then(|| format!("k{}", self.next_event_id));
+        let key = keyed.then(|| format!("k{}", self.last_event_id));
         let retry_state = RetryState::new(self.elapsed(), keyed);
         self.send_request(Client {
             customer,
@@ -758,7 +772,7 @@
     // ---- Steps ----
 
     fn run_step(&mut self, action: StepAction) {
-        let us = |span: Duration| span.as_micros() as Micros;
+        let micros = |time: Duration| time.as_micros() as Micros;
         match action {
             StepAction::Start(node_index) if !self.nodes[node_index].running => {
                 self.start_process(node_index);
@@ -782,7 +796,7 @@
                 self.end_process(node_index, Unanswered::Killed);
                 let incarnation = self.nodes[node_index].incarnation;
                 self.schedule(
-                    us(duration) + PROCESS_START_US,
+                    micros(duration) + PROCESS_START_US,
                     ScheduledEvent::ProcessReady(node_index, incarnation),
                 );
             }
@@ -803,13 +817,13 @@
                 }
                 self.nodes[node_index].paused = Some((self.now, Vec::new()));
                 let incarnation = self.nodes[node_index].incarnation;
-                if us(duration) > PAUSE_DETECTION_US {
+                if micros(duration) > PAUSE_DETECTION_US {
                     self.schedule(
                         PAUSE_DETECTION_US,
                         ScheduledEvent::SetInRotation(node_index, incarnation, false),
                     );
                 }
-                self.schedule(us(duration), ScheduledEvent::Resume(node_index));
+                self.schedule(micros(duration), ScheduledEvent::Resume(node_index));
             }
             // The configuration does not change in virtual time.
             StepAction::Start(_)
@@ -821,18 +835,18 @@
                 let fault_id = self.links.add_fault(link_set.clone(), fault);
                 let Some(duration) = duration else { return };
                 if heal_gap.is_zero() {
-                    return self.schedule(us(duration), ScheduledEvent::RemoveFault(fault_id));
+                    return self.schedule(micros(duration), ScheduledEvent::RemoveFault(fault_id));
                 }
                 let ends: Vec<End> = link_set.ends().into_iter().rev().collect();
                 self.schedule(
-                    us(duration),
+                    micros(duration),
                     ScheduledEvent::HealNextEnd(link_set, fault, ends, fault_id, heal_gap),
                 );
             }
             StepAction::ListServiceDown(duration) => {
                 self.list_service.limits.down = true;
                 self.end_watches();
-                self.schedule(us(duration), ScheduledEvent::ListServiceUp);
+                self.schedule(micros(duration), ScheduledEvent::ListServiceUp);
             }
             StepAction::RestoreList(mode) => {
                 self.list_service.restore(mode);
@@ -840,25 +854,25 @@
             }
             StepAction::DrainServer(server, duration) => {
                 self.set_health(server, "draining");
-                let after = us(self.scenario.discovery_delay + DRAIN_TIME);
+                let after = micros(self.scenario.discovery_delay + DRAIN_TIME);
                 self.schedule(after, ScheduledEvent::ServerDrained(server, duration));
             }
             StepAction::ToggleDraining(server, duration) => {
                 self.set_health(server, "draining");
-                self.schedule(us(duration), ScheduledEvent::ServerReadyAgain(server));
+                self.schedule(micros(duration), ScheduledEvent::ServerReadyAgain(server));
             }
             StepAction::CrashServer(server, duration) => self.crash_server(server, duration),
             StepAction::SilenceServer(server, duration) => {
                 self.servers[server].silent = true;
-                self.schedule(us(duration), ScheduledEvent::ServerResponsive(server));
+                self.schedule(micros(duration), ScheduledEvent::ServerResponsive(server));
             }
             StepAction::SlowServers(factor, duration) => {
                 self.work_time_factor = factor;
-                self.schedule(us(duration), ScheduledEvent::WorkTimeNormal);
+                self.schedule(micros(duration), ScheduledEvent::WorkTimeNormal);
             }
             StepAction::SilenceDiscovery(duration) => {
                 self.list_service.silent = true;
-                self.schedule(us(duration), ScheduledEvent::DiscoveryResumed);
+                self.schedule(micros(duration), ScheduledEvent::DiscoveryResumed);
             }
             // `play` rejects scenarios with these.
             StepAction::CutEtcdConnections(_)
