--- a/crates/fleet-harness/src/counts.rs
+++ b/crates/fleet-harness/src/counts.rs
@@ -10,8 +10,8 @@
 use std::io::{BufRead, BufReader};
 use std::path::{Path, PathBuf};
 
-/// The table shows the busiest tenth of the nodes on its own: one in this many.
-const NODES_PER_BUSIEST: usize = 10;
+/// The busiest nodes, one in this many, have columns of their own in the table.
+const NODES_PER_BUSY_NODE: usize = 10;
 /// Names that are gauges rather than counters and are not summed.
 const GAUGES: [&str; 3] = ["open_requests", "registry_entries", "out_of_rotation"];
 
@@ -109,7 +109,7 @@
             node.total(name) as f64 / (node.observed_ms.max(1) as f64 / 1e3)
         };
         let all = self.nodes.len();
-        let tenth = all.div_ceil(NODES_PER_BUSIEST);
+        let tenth = all.div_ceil(NODES_PER_BUSY_NODE);
         let row = |name: &str| {
             let mut by_rate: Vec<(f64, u64)> = self
                 .nodes
--- a/crates/fleet-harness/src/harness.rs
+++ b/crates/fleet-harness/src/harness.rs
@@ -182,7 +182,7 @@
                 .map(|time| time.as_secs_f64() * 1e3)
                 .collect(),
             memory_idle_mb: costs.memory_idle as f64 / 1e6,
-            memory_most_mb: costs.memory_peak as f64 / 1e6,
+            memory_peak_mb: costs.memory_peak as f64 / 1e6,
             cpu_s: costs.cpu_ended + costs.cpu_running,
             sent_s: (at_end.0 - at_start.0) as f64 / seconds,
             received_s: (at_end.1 - at_start.1) as f64 / seconds,
@@ -366,12 +366,12 @@
                 .wrapping_add(number as u64)
                 .wrapping_mul(0x9e37_79b9_7f4a_7c15);
             let settings = fleet.settings(number);
-            let known = match scenario.initial_list {
+            let initial_list = match scenario.initial_list {
                 InitialList::Current => Some(discovery.full_list_for(number)),
                 InitialList::Absent => None,
                 InitialList::Stale => Some(stale_list(&discovery.full_list_for(number))?),
             };
-            let text = configuration(&node_config, &settings, known.as_deref(), seed);
+            let text = configuration(&node_config, &settings, initial_list.as_deref(), seed);
             std::fs::write(instance.configuration(), text)?;
             instances.push(Arc::new(instance));
         }
@@ -421,20 +421,20 @@
             started.context("starting an instance")??;
         }
         self.load_generator.watch_readiness();
-        let all = async {
+        let all_ready = async {
             while self.load_generator.ready_nodes() < self.instances.len() - absent.len() {
                 sleep(Duration::from_millis(20)).await;
             }
         };
         // An instance that does not become ready has already recorded a fault.
-        let _ = timeout(ready_timeout, all).await;
+        let _ = timeout(ready_timeout, all_ready).await;
         Ok(())
     }
 
     /// Detects that another run interferes with this one: datagrams from unknown senders, or datagrams that were sent
     /// but never received although no step affects links.
     fn find_interference(&self) -> Option<String> {
-        let unknown_senders = self.network.from_unknown_senders();
+        let stray_datagrams = self.network.from_unknown_senders();
         let all = self.datagrams();
         let (sent, received): (u64, u64) = (
             all.iter().map(|(sent, _)| sent).sum(),
@@ -445,9 +445,9 @@
             .steps
             .iter()
             .any(|step| matches!(step.action, StepAction::LinkFault(..)));
-        if unknown_senders > 0 {
+        if stray_datagrams > 0 {
             return Some(format!(
-                "{unknown_senders} datagrams came from unknown senders: another run interferes with this one"
+                "{stray_datagrams} datagrams came from unknown senders: another run interferes with this one"
             ));
         }
         (sent > 0 && received == 0 && !cut).then(|| {
@@ -722,8 +722,8 @@
 }
 
 /// Makes a list outdated: every second server gets another name, and every third one another server's address.
-fn stale_list(known: &str) -> Result<String> {
-    let mut list: serde_json::Value = serde_json::from_str(known)?;
+fn stale_list(current: &str) -> Result<String> {
+    let mut list: serde_json::Value = serde_json::from_str(current)?;
     let hosts = list["hosts"]
         .as_array_mut()
         .context("the list has no hosts")?;
--- a/crates/fleet-harness/src/instance.rs
+++ b/crates/fleet-harness/src/instance.rs
@@ -287,9 +287,9 @@
         let Ok(mut stream) = tokio::net::TcpStream::connect(self.address).await else {
             return false;
         };
-        let asked = b"GET /-/ready HTTP/1.1\r\nHost: fleet\r\nConnection: close\r\n\r\n";
+        let request = b"GET /-/ready HTTP/1.1\r\nHost: fleet\r\nConnection: close\r\n\r\n";
         let mut answer = String::new();
-        let written = stream.write_all(asked).await.is_ok();
+        let written = stream.write_all(request).await.is_ok();
         written
             && stream.read_to_string(&mut answer).await.is_ok()
             && answer.starts_with("HTTP/1.1 200")
--- a/crates/fleet-harness/src/report.rs
+++ b/crates/fleet-harness/src/report.rs
@@ -19,7 +19,7 @@
     /// Memory when the first process became ready.
     pub memory_idle_mb: f64,
     /// Highest memory seen.
-    pub memory_most_mb: f64,
+    pub memory_peak_mb: f64,
     /// CPU seconds of all its processes.
     pub cpu_s: f64,
     /// Datagrams sent per second.
@@ -113,7 +113,7 @@
     }
 
     /// Most new connections to one app server within one second.
-    pub fn handshakes_most(&self) -> usize {
+    pub fn max_handshakes_per_second(&self) -> usize {
         self.met
             .iter()
             .map(|(at, _)| most_in_a_second(at))
@@ -122,7 +122,7 @@
     }
 
     /// Times at which nodes received their first list, in ms since the first call, sorted.
-    pub fn first_lists(&self) -> Vec<f64> {
+    pub fn first_list_times_ms(&self) -> Vec<f64> {
         let first = self.list.times.iter().min().copied().unwrap_or_default();
         let mut all: Vec<f64> = self
             .list
@@ -200,7 +200,7 @@
             "p50_ms": self.counts.p50_ms, "p99_ms": self.counts.p99_ms,
             "ready_ms": {"first": ready.first(), "last": ready.last(), "median": ready.get(ready.len() / 2)},
             "memory_idle_mb": self.mean(|row| row.memory_idle_mb),
-            "memory_most_mb": self.rows.iter().map(|row| row.memory_most_mb).fold(0.0, f64::max),
+            "memory_most_mb": self.rows.iter().map(|row| row.memory_peak_mb).fold(0.0, f64::max),
             "cpu_us_per_try": self.cpu_us_per_try(), "cpu_s_per_instance": self.mean(|row| row.cpu_s),
             "cpu_share_per_instance": self.mean(|row| row.cpu_s) / self.seconds.max(0.001),
             "peer_sent_s": self.mean(|row| row.sent_s), "peer_received_s": self.mean(|row| row.received_s),
@@ -210,11 +210,11 @@
             "list": {
                 "calls": self.list.times.len(), "calls_most_s": self.list_calls_most(), "bytes": self.list.list_bytes,
                 "open_most": self.list.max_open_watches, "turned_away": self.list.rejected,
-                "first_ms": percentiles(&self.first_lists(), &[0.5, 0.99]),
+                "first_ms": percentiles(&self.first_list_times_ms(), &[0.5, 0.99]),
             },
             "servers": {
                 "handshakes": self.met.iter().map(|(at, _)| at.len()).sum::<usize>(),
-                "handshakes_most_s": self.handshakes_most(),
+                "handshakes_most_s": self.max_handshakes_per_second(),
                 "requests": self.met.iter().map(|(_, requests)| requests).collect::<Vec<_>>(),
             },
             "decided": self.decision_counters.iter().map(|(name, count)| json!([name, count])).collect::<Vec<_>>(),
@@ -315,7 +315,7 @@
             self.mean(|row| row.received_s),
             self.rows.iter().map(|row| row.received_s).fold(0.0, f64::max)
         )?;
-        let first = percentiles(&self.first_lists(), &[0.5, 0.99]);
+        let first = percentiles(&self.first_list_times_ms(), &[0.5, 0.99]);
         writeln!(
             f,
             "list service: {} calls, at most {} in a second, {} bytes, {} watches at most, {} turned away; first list after {:.0} ms, p99 {:.0} ms",
@@ -326,7 +326,7 @@
             f,
             "servers: {:.1} s of work served, of {:.1} s that they could do: {:.2}; {} handshakes, at most {} in a second at one",
             self.served_s(), self.could_s, self.served_s() / self.could_s.max(1e-9),
-            self.met.iter().map(|(at, _)| at.len()).sum::<usize>(), self.handshakes_most()
+            self.met.iter().map(|(at, _)| at.len()).sum::<usize>(), self.max_handshakes_per_second()
         )?;
         let all = self.within("all", 0, usize::MAX);
         writeln!(
--- a/crates/fleet-harness/src/scenario.rs
+++ b/crates/fleet-harness/src/scenario.rs
@@ -224,7 +224,7 @@
     pub steps: Vec<Step>,
 }
 
-/// The arguments of a step's section, except for its times.
+/// The arguments of a step's section, except for when it happens.
 struct StepArguments {
     target: usize,
     duration: Duration,
@@ -582,7 +582,7 @@
     /// Reads the links that a step affects: those between different `sides`, or those from the ends `from` to the ends
     /// `to`.
     fn read_link_set(&self, section: &mut Section) -> LinkSet {
-        let apart = section.parsed("sides", "names of sides, or each", |text| match text {
+        let partition = section.parsed("sides", "names of sides, or each", |text| match text {
             "each" => Some(
                 (0..self.instances)
                     .map(|node| BTreeSet::from([End::Node(node)]))
@@ -598,7 +598,7 @@
         let to = section.parsed("to", "ends of links", |text| self.parse_ends(text));
         let one_way = section.flag("one_way", false);
         let (from, to) = (from.unwrap_or_else(|| nodes.clone()), to.unwrap_or(nodes));
-        match apart {
+        match partition {
             Some(sides) => LinkSet::Partition(sides),
             None if one_way || from == to => LinkSet::OneWay(from, to),
             None => LinkSet::BothWays(from, to),
@@ -672,11 +672,11 @@
                 (Some(target), _) => vec![target],
                 // All instances of the side, or `count` of them.
                 (None, Some(side_nodes)) if target_kind == TargetKind::Instance => {
-                    let most = if has_count { count } else { side_nodes.len() };
+                    let limit = if has_count { count } else { side_nodes.len() };
                     candidates
                         .into_iter()
                         .filter(|target| side_nodes.contains(target))
-                        .take(most)
+                        .take(limit)
                         .collect()
                 }
                 _ => candidates.into_iter().take(count).collect(),
--- a/crates/fleet-harness/src/virtually/mod.rs
+++ b/crates/fleet-harness/src/virtually/mod.rs
@@ -908,7 +908,7 @@
             ready_ms: Vec::new(),
             processes: 0,
             memory_idle_mb: 0.0,
-            memory_most_mb: 0.0,
+            memory_peak_mb: 0.0,
             cpu_s: 0.0,
             sent_s: node.peer_messages.0 as f64 / seconds,
             received_s: node.peer_messages.1 as f64 / seconds,
--- a/crates/fleet-harness/tests/virtual_at_size.rs
+++ b/crates/fleet-harness/tests/virtual_at_size.rs
@@ -11,7 +11,7 @@
 }
 
 /// A scenario with one server per four nodes and as many customers as nodes; each customer uses 24 nodes and asks for
-/// `times` its quota.
+/// `quota_factor` times its quota.
 fn fleet(nodes: usize, quota_factor: f64, seconds: usize, extra_lines: &str) -> String {
     let half = nodes / 2;
     format!(
--- a/crates/fleet-harness/tests/virtual_time.rs
+++ b/crates/fleet-harness/tests/virtual_time.rs
@@ -159,7 +159,7 @@
         // more calls.
         assert!(report.list_calls_most() <= 36, "{nodes} nodes: {report}");
         assert_eq!(report.list.first_answers.len(), nodes, "{report}");
-        let (first, span) = (report.first_lists(), nodes as f64 / 25.0);
+        let (first, span) = (report.first_list_times_ms(), nodes as f64 / 25.0);
         let last = first.last().copied().unwrap_or(0.0) / 1e3;
         assert!(
             last <= 2.5 * span + 16.0,
