--- a/crates/node/src/lifecycle_runner.rs
+++ b/crates/node/src/lifecycle_runner.rs
@@ -212,7 +212,7 @@
                 Action::NotifyManager(message) => self.manager.notify(&message),
                 Action::ReadConfiguration => start_reload(),
                 Action::CloseAfterAnswers => {
-                    status.phase = status.phase.max(Phase::CloseAfterResponse)
+                    status.phase = status.phase.max(Phase::CloseAfterResponse);
                 }
                 Action::CloseIdle => status.phase = status.phase.max(Phase::CloseIdle),
                 Action::KeepOpen => status.phase = Phase::Serving,
