--- a/crates/hollow/src/audit.rs
+++ b/crates/hollow/src/audit.rs
@@ -1,7 +1,8 @@
-//! What a ledger is told of hollow nodes, and the faults that befall them by order.
+//! Events of hollow nodes for a test's oracle, and faults that a test injects.
 //!
-//! Danger that it guards against: rules that hold at a few processes and are broken by hundreds of nodes beside them, unseen, as
-//! sums count no request and no server. Off unless a process is told otherwise ([`Trial`]): a measurement pays for none of it.
+//! Totals identify no request and no server, so they would not show that hundreds of hollow nodes break a rule which
+//! a few processes keep. The audit is off unless [`AuditOptions`] turns it on, so that measurements do not pay for
+//! it.
 
 use saffronpaddle_exchange::{ConnectionId, FinalAnswer};
 use saffronpaddle_node::config::{Health, List};
@@ -9,194 +10,237 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, HashSet};
 
-/// Entries that wait to be read at the most; those beyond are counted. Guards memory against a reader that has gone.
-const NOTES_MOST: usize = 2_000_000;
-/// New work may reach a server for so long after a node was told that it is not ready, µs.
-const DRAIN_GRACE: Micros = 250_000;
+/// Most events that wait to be read; further ones are dropped and counted. Bounds the memory if the reader has stopped.
+const MAX_UNREAD_EVENTS: usize = 2_000_000;
+/// Time for which a node may send new attempts to a server after the node received that it is not ready, µs.
+const DRAIN_GRACE_US: Micros = 250_000;
 
-/// What the first line says beside the [`Spec`](crate::Spec), in keys that may be left out.
+/// Optional keys of the first line, beside those of [`Spec`](crate::Spec).
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
-pub struct Trial {
-    /// Whether all of this is kept.
+pub struct AuditOptions {
+    /// Whether the events of this module are recorded.
     #[serde(default)]
     pub audit: bool,
-    /// As `[quotas] fenced` in the operator file.
+    /// The setting `[quotas] fenced` of the operator file.
     #[serde(default)]
     pub fenced: bool,
 }
 
-/// What befalls the nodes of a process, until it is told otherwise.
+/// Faults injected into the nodes of a process, until the next command replaces them.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Faults {
-    /// Share of the datagrams that are lost on their way to a node.
+    /// Share (0 to 1) of the datagrams to each node that are dropped.
     pub loss: f64,
-    /// Nodes of the whole fleet that hear none but one another, and whom none else hears.
-    pub apart: HashSet<u32>,
-    /// Servers that answer no attempt that is written to them from now on, and end no connection.
-    pub silent: HashSet<String>,
+    /// Nodes of the fleet that exchange datagrams only with one another.
+    #[serde(rename = "apart")]
+    pub isolated: HashSet<u32>,
+    /// App servers that leave each new attempt unanswered and its connection open.
+    #[serde(rename = "silent")]
+    pub silent_servers: HashSet<String>,
 }
 
-/// Something that happened at a hollow node or at an app server that it has drawn.
+/// An event at a hollow node or at an app server that it simulates.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Note {
-    /// A try was taken: its number, its node, tenant and class.
-    Asked(String, u32, u64, usize),
-    /// Its first byte was written to a server, where it takes so many seconds of work once that is warm.
-    Arrived(String, String, f64),
-    /// A server's work on it, in the group that drops repeats, is done; when it came, µs.
-    Ran(String, u64, Micros),
-    /// An attempt was answered.
-    Over(String),
-    /// An attempt's connection was closed.
-    Closed(String),
-    /// The final answer: served, refused or failed.
-    Answered(String, u8),
-    /// Its node was restarted.
-    Cut(String),
+pub enum AuditEvent {
+    /// A node received a request: request id, node, tenant and class.
+    #[serde(rename = "Asked")]
+    RequestReceived(String, u32, u64, usize),
+    /// The first byte of an attempt reached a server: request id, server, and the work of a warm server on it in
+    /// seconds.
+    #[serde(rename = "Arrived")]
+    AttemptReceived(String, String, f64),
+    /// A server finished its work on an attempt: request id, the group of servers that drops repeats, and the attempt's
+    /// arrival time in µs.
+    #[serde(rename = "Ran")]
+    AttemptExecuted(String, u64, Micros),
+    /// An attempt was answered: request id.
+    #[serde(rename = "Over")]
+    AttemptFinished(String),
+    /// The connection of an attempt was closed: request id.
+    #[serde(rename = "Closed")]
+    AttemptCanceled(String),
+    /// The client got its final answer: request id, and 0 for served, 1 for refused, 2 for failed.
+    #[serde(rename = "Answered")]
+    ResponseSent(String, u8),
+    /// The node of an unanswered request was restarted: request id.
+    #[serde(rename = "Cut")]
+    RequestInterrupted(String),
 }
 
-/// What has been kept since the last word for it.
+/// Events recorded since the last report, and counters since the process began.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Audited {
-    /// The process's clock, µs.
+pub struct AuditReport {
+    /// Time of the report by the process's clock, µs.
     pub at: Micros,
-    /// In the order in which it happened, each with its time, µs.
-    pub notes: Vec<(Micros, Note)>,
-    /// Notes that found no room.
-    pub lost: u64,
-    /// First bytes to servers that their node had been told are not ready, since the process began.
+    /// Events with their times in µs, in the order in which they were recorded.
+    #[serde(rename = "notes")]
+    pub events: Vec<(Micros, AuditEvent)>,
+    /// Events dropped because too many were unread.
+    #[serde(rename = "lost")]
+    pub dropped_events: u64,
+    /// Attempts sent to a server after their node received that it is not ready.
     pub after_drain: u64,
-    /// The latest of them, µs after the node was told.
-    pub after_drain_most: Micros,
-    /// Those that came after more than 250 ms.
+    /// Longest time from that news to such an attempt, µs.
+    #[serde(rename = "after_drain_most")]
+    pub after_drain_max: Micros,
+    /// Such attempts sent more than 250 ms after the news.
     pub late: u64,
-    /// Datagrams that were lost by order.
-    pub unheard: u64,
+    /// Datagrams dropped by injected faults.
+    #[serde(rename = "unheard")]
+    pub dropped_datagrams: u64,
 }
 
-struct Listed {
+/// A server as the list of app servers describes it.
+struct ListedServer {
     name: String,
     group: u64,
     started: Option<Micros>,
     ready: bool,
-    /// The version that said first that it is not ready, and the last that said that it is.
-    drained: u64,
-    back: u64,
+    /// List version in which it last ceased to be ready; 0 if it never did.
+    drained_in: u64,
+    /// List version in which it last became ready.
+    ready_in: u64,
 }
 
-/// An attempt that is on a connection.
-struct On {
+/// An attempt on a connection.
+struct InFlightAttempt {
     id: RequestId,
     server: ServerId,
 }
 
-/// All of it.
+/// Recorder of events and injector of faults for the nodes of one process.
 pub struct Audit {
-    trial: Trial,
-    rules: SlowStartRules,
-    /// What befalls the nodes now.
+    options: AuditOptions,
+    slow_start: SlowStartRules,
+    /// Faults that apply now.
     pub faults: Faults,
-    kept: Audited,
-    servers: HashMap<ServerId, Listed>,
-    seq: u64,
-    /// Versions that each node has acted on in its present life, and when.
-    told: HashMap<u32, Vec<(u64, Micros)>>,
-    on: HashMap<(u32, ConnectionId), On>,
+    report: AuditReport,
+    servers: HashMap<ServerId, ListedServer>,
+    /// Latest list version that any node has received.
+    latest_seq: u64,
+    /// List versions that each node has applied since its last start, with their times.
+    applied_lists: HashMap<u32, Vec<(u64, Micros)>>,
+    in_flight: HashMap<(u32, ConnectionId), InFlightAttempt>,
 }
 
 impl Audit {
-    /// Nothing has happened yet.
-    pub fn new(trial: Trial, rules: SlowStartRules) -> Audit {
-        let (faults, kept, servers, seq, told, on) = Default::default();
+    /// An audit without events and faults. The simulated app servers warm up by the rules of `slow_start`.
+    pub fn new(options: AuditOptions, slow_start: SlowStartRules) -> Audit {
+        let (faults, report, servers, latest_seq, applied_lists, in_flight) = Default::default();
         Audit {
-            trial,
-            rules,
+            options,
+            slow_start,
             faults,
-            kept,
+            report,
             servers,
-            seq,
-            told,
-            on,
+            latest_seq,
+            applied_lists,
+            in_flight,
         }
     }
 
-    /// What was kept; what is summed goes on.
-    pub fn take(&mut self, now: Micros) -> Audited {
-        let notes = std::mem::take(&mut self.kept.notes);
-        Audited {
+    /// Takes the recorded events. The counters are not reset.
+    pub fn take_report(&mut self, now: Micros) -> AuditReport {
+        let events = std::mem::take(&mut self.report.events);
+        AuditReport {
             at: now,
-            notes,
-            ..self.kept
+            events,
+            ..self.report
         }
     }
 
-    fn note(&mut self, now: Micros, note: Note) {
-        if !self.trial.audit {
-        } else if self.kept.notes.len() < NOTES_MOST {
-            self.kept.notes.push((now, note));
+    fn record(&mut self, now: Micros, event: AuditEvent) {
+        if !self.options.audit {
+        } else if self.report.events.len() < MAX_UNREAD_EVENTS {
+            self.report.events.push((now, event));
         } else {
-            self.kept.lost += 1;
+            self.report.dropped_events += 1;
         }
     }
 
-    /// Whether a datagram gets to a node.
-    pub fn hears(&mut self, from: u32, me: u32) -> bool {
-        let Faults { loss, apart, .. } = &self.faults;
-        let heard = (*loss <= 0.0 || fastrand::f64() >= *loss)
-            && apart.contains(&from) == apart.contains(&me);
-        self.kept.unheard += u64::from(!heard);
-        heard
+    /// Whether the faults let a datagram from node `from` reach node `node`. Counts it if they do not.
+    pub fn delivers(&mut self, from: u32, node: u32) -> bool {
+        let Faults { loss, isolated, .. } = &self.faults;
+        let delivered = (*loss <= 0.0 || fastrand::f64() >= *loss)
+            && isolated.contains(&from) == isolated.contains(&node);
+        self.report.dropped_datagrams += u64::from(!delivered);
+        delivered
     }
 
-    /// A try was taken.
-    pub fn asked(&mut self, now: Micros, id: &RequestId, me: u32, tenant: u64, class: usize) {
-        self.note(now, Note::Asked(id.0.to_string(), me, tenant, class));
+    /// Records that a node received a request.
+    pub fn request_received(
+        &mut self,
+        now: Micros,
+        id: &RequestId,
+        node: u32,
+        tenant: u64,
+        class: usize,
+    ) {
+        self.record(
+            now,
+            AuditEvent::RequestReceived(id.0.to_string(), node, tenant, class),
+        );
     }
 
-    /// A node is about to act on a list.
-    pub fn listed(&mut self, now: Micros, me: u32, list: &List, number: impl Fn(&str) -> ServerId) {
-        if !self.trial.audit {
+    /// Records that a node is about to apply a list. `server_id` maps a server's name to its id.
+    pub fn list_received(
+        &mut self,
+        now: Micros,
+        node: u32,
+        list: &List,
+        server_id: impl Fn(&str) -> ServerId,
+    ) {
+        if !self.options.audit {
             return;
         }
-        self.told.entry(me).or_default().push((list.seq, now));
-        if list.seq <= self.seq {
+        self.applied_lists
+            .entry(node)
+            .or_default()
+            .push((list.seq, now));
+        if list.seq <= self.latest_seq {
             return;
         }
         let seq = list.seq;
-        self.seq = seq;
-        let mut named = HashSet::new();
+        self.latest_seq = seq;
+        let mut listed = HashSet::new();
         for host in &list.hosts {
             let ready = host.health == Health::Ready;
-            let server = number(&host.host);
+            let server = server_id(&host.host);
             if list.whole {
-                named.insert(server);
+                listed.insert(server);
             }
-            let listed = self.servers.entry(server).or_insert_with(|| Listed {
+            let entry = self.servers.entry(server).or_insert_with(|| ListedServer {
                 name: host.host.clone(),
                 group: host.block,
                 started: None,
                 ready: true,
-                drained: 0,
-                back: seq,
+                drained_in: 0,
+                ready_in: seq,
             });
-            listed.started = (host.born_ms > 0).then_some(host.born_ms.saturating_mul(1000));
-            stands(listed, ready, seq);
+            entry.started = (host.born_ms > 0).then_some(host.born_ms.saturating_mul(1000));
+            set_ready(entry, ready, seq);
         }
         if list.whole {
             let missing = self
                 .servers
                 .iter_mut()
-                .filter(|(server, _)| !named.contains(server));
-            missing.for_each(|(_, listed)| stands(listed, false, seq));
+                .filter(|(server, _)| !listed.contains(server));
+            missing.for_each(|(_, entry)| set_ready(entry, false, seq));
         }
     }
 
-    /// An attempt is to go out on a connection.
-    pub fn sends(&mut self, me: u32, link: ConnectionId, id: &RequestId, server: ServerId) {
-        if self.trial.audit {
-            self.on.insert(
-                (me, link),
-                On {
+    /// Registers an attempt that is about to be sent on a connection.
+    pub fn attempt_started(
+        &mut self,
+        node: u32,
+        connection: ConnectionId,
+        id: &RequestId,
+        server: ServerId,
+    ) {
+        if self.options.audit {
+            self.in_flight.insert(
+                (node, connection),
+                InFlightAttempt {
                     id: id.clone(),
                     server,
                 },
@@ -204,87 +248,98 @@
         }
     }
 
-    /// Its first byte is written, with so much work for a warm server, µs: how much it is there, and none where it is never
-    /// answered.
-    pub fn written(
+    /// Records that the first byte of an attempt was written. Returns the server's time to answer, µs, given the time
+    /// `work` of a warm server; `None` if it never answers.
+    pub fn attempt_sent(
         &mut self,
         now: Micros,
-        (me, link): (u32, ConnectionId),
+        (node, connection): (u32, ConnectionId),
         work: Micros,
     ) -> Option<Micros> {
-        let on = self.on.get(&(me, link));
-        let Some((on, listed)) = on.and_then(|on| Some((on, self.servers.get(&on.server)?))) else {
+        let attempt = self.in_flight.get(&(node, connection));
+        let attempt =
+            attempt.and_then(|attempt| Some((attempt, self.servers.get(&attempt.server)?)));
+        let Some((attempt, listed)) = attempt else {
             return Some(work);
         };
-        let versions = self.told.get(&me).map_or(&[][..], Vec::as_slice);
-        let knows = versions.last().map_or(0, |(seq, _)| *seq);
-        let again = listed.back > listed.drained && knows >= listed.back;
-        let drained = listed.drained > 0 && knows >= listed.drained && !again;
-        let told = versions
+        let versions = self.applied_lists.get(&node).map_or(&[][..], Vec::as_slice);
+        let node_seq = versions.last().map_or(0, |(seq, _)| *seq);
+        let ready_again = listed.ready_in > listed.drained_in && node_seq >= listed.ready_in;
+        let drained = listed.drained_in > 0 && node_seq >= listed.drained_in && !ready_again;
+        let drain_received = versions
             .iter()
-            .find(|(seq, _)| *seq >= listed.drained)
+            .find(|(seq, _)| *seq >= listed.drained_in)
             .map(|(_, at)| *at);
-        if let Some(told) = told.filter(|_| drained) {
-            let late = now.saturating_sub(told);
-            self.kept.after_drain += 1;
-            self.kept.after_drain_most = self.kept.after_drain_most.max(late);
-            self.kept.late += u64::from(late > DRAIN_GRACE);
+        if let Some(received) = drain_received.filter(|_| drained) {
+            let delay = now.saturating_sub(received);
+            self.report.after_drain += 1;
+            self.report.after_drain_max = self.report.after_drain_max.max(delay);
+            self.report.late += u64::from(delay > DRAIN_GRACE_US);
         }
-        let silent = self.faults.silent.contains(&listed.name);
-        let there = work as f64 / warmth(&self.rules, listed.started, now);
-        let (id, name, group) = (on.id.0.to_string(), listed.name.clone(), listed.group);
-        self.note(now, Note::Arrived(id.clone(), name, work as f64 / 1e6));
-        let there = there as Micros;
+        let silent = self.faults.silent_servers.contains(&listed.name);
+        let duration = work as f64 / capacity(&self.slow_start, listed.started, now);
+        let (id, name, group) = (attempt.id.0.to_string(), listed.name.clone(), listed.group);
+        self.record(
+            now,
+            AuditEvent::AttemptReceived(id.clone(), name, work as f64 / 1e6),
+        );
+        let duration = duration as Micros;
         if !silent {
-            self.note(now + there, Note::Ran(id, group, now));
+            self.record(now + duration, AuditEvent::AttemptExecuted(id, group, now));
         }
-        (!silent).then_some(there)
+        (!silent).then_some(duration)
     }
 
-    /// An attempt was answered.
-    pub fn over(&mut self, now: Micros, me: u32, link: ConnectionId) {
-        if let Some(On { id, .. }) = self.on.remove(&(me, link)) {
-            self.note(now, Note::Over(id.0.to_string()));
+    /// Records that the server has answered the attempt on a connection.
+    pub fn attempt_finished(&mut self, now: Micros, node: u32, connection: ConnectionId) {
+        if let Some(InFlightAttempt { id, .. }) = self.in_flight.remove(&(node, connection)) {
+            self.record(now, AuditEvent::AttemptFinished(id.0.to_string()));
         }
     }
 
-    /// A connection is closed, whatever was on it.
-    pub fn closed(&mut self, now: Micros, me: u32, link: ConnectionId) {
-        if let Some(On { id, .. }) = self.on.remove(&(me, link)) {
-            self.note(now, Note::Closed(id.0.to_string()));
+    /// Records that a connection is closed and the attempt on it, if any, is canceled.
+    pub fn connection_closed(&mut self, now: Micros, node: u32, connection: ConnectionId) {
+        if let Some(InFlightAttempt { id, .. }) = self.in_flight.remove(&(node, connection)) {
+            self.record(now, AuditEvent::AttemptCanceled(id.0.to_string()));
         }
     }
 
-    /// A final answer was given.
-    pub fn answered(&mut self, now: Micros, id: &RequestId, verdict: FinalAnswer) {
-        let kind = match verdict {
+    /// Records the final answer to a request.
+    pub fn response_sent(&mut self, now: Micros, id: &RequestId, answer: FinalAnswer) {
+        let kind = match answer {
             FinalAnswer::Served => 0,
             FinalAnswer::Rejected(_) => 1,
             FinalAnswer::Failed => 2,
         };
-        self.note(now, Note::Answered(id.0.to_string(), kind));
+        self.record(now, AuditEvent::ResponseSent(id.0.to_string(), kind));
     }
 
-    /// A node ends with all that it holds.
-    pub fn ended<'a>(&mut self, now: Micros, me: u32, tries: impl Iterator<Item = &'a RequestId>) {
-        self.told.remove(&me);
-        self.on.retain(|(other, _), _| *other != me);
-        tries.for_each(|id| self.note(now, Note::Cut(id.0.to_string())));
+    /// Records that a node has ended, with its unanswered requests.
+    pub fn node_ended<'a>(
+        &mut self,
+        now: Micros,
+        node: u32,
+        requests: impl Iterator<Item = &'a RequestId>,
+    ) {
+        self.applied_lists.remove(&node);
+        self.in_flight.retain(|(other, _), _| *other != node);
+        requests.for_each(|id| self.record(now, AuditEvent::RequestInterrupted(id.0.to_string())));
     }
 }
 
-fn stands(listed: &mut Listed, ready: bool, seq: u64) {
-    match (listed.ready, ready) {
-        (true, false) => listed.drained = seq,
-        (false, true) => listed.back = seq,
+fn set_ready(server: &mut ListedServer, ready: bool, seq: u64) {
+    match (server.ready, ready) {
+        (true, false) => server.drained_in = seq,
+        (false, true) => server.ready_in = seq,
         _ => {}
     }
-    listed.ready = ready;
+    server.ready = ready;
 }
 
-/// Share of what a warm server can do that one can do which started then.
-fn warmth(rules: &SlowStartRules, started: Option<Micros>, now: Micros) -> f64 {
+/// Capacity of a server that started at `started`, as a share of that of a warm server. A server without a known
+/// start is warm.
+fn capacity(rules: &SlowStartRules, started: Option<Micros>, now: Micros) -> f64 {
     let Some(started) = started else { return 1.0 };
-    let grown = now.saturating_sub(started) as f64 / rules.warm_up_period.max(1) as f64;
-    (rules.initial_capacity + (1.0 - rules.initial_capacity) * grown).min(1.0)
+    let warm_up = now.saturating_sub(started) as f64 / rules.warm_up_period.max(1) as f64;
+    (rules.initial_capacity + (1.0 - rules.initial_capacity) * warm_up).min(1.0)
 }
--- a/crates/hollow/src/figures.rs
+++ b/crates/hollow/src/figures.rs
@@ -1,33 +1,33 @@
-//! What the nodes of one process have counted. Sums go on for ever; spans begin anew with each look.
+//! Counters and duration histograms of the nodes of one process. Totals are never reset; each snapshot resets the
+//! histograms.
 
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-/// Longest span that is kept apart from longer ones, µs.
-const LONGEST: u64 = 600_000_000;
+/// Longest duration that the histogram distinguishes, µs. Longer ones are recorded as this one.
+const MAX_DURATION_US: u64 = 600_000_000;
 
-/// Spans, by how many there were of each length, µs.
+/// A histogram of durations, µs.
 #[derive(Clone, Debug)]
-pub struct Spans(Histogram<u64>);
+pub struct DurationHistogram(Histogram<u64>);
 
-impl Default for Spans {
+impl Default for DurationHistogram {
     fn default() -> Self {
-        // Bounds that are right by their values.
-        Spans(
-            Histogram::new_with_bounds(1, LONGEST, 3)
+        DurationHistogram(
+            Histogram::new_with_bounds(1, MAX_DURATION_US, 3)
                 .unwrap_or_else(|_| unreachable!("1 is less than 600 s")),
         )
     }
 }
 
-impl Spans {
-    /// Adds one.
-    pub fn add(&mut self, span: u64) {
-        self.0.saturating_record(span.max(1));
+impl DurationHistogram {
+    /// Records one duration, µs; 0 counts as 1.
+    pub fn record(&mut self, duration: u64) {
+        self.0.saturating_record(duration.max(1));
     }
 
-    /// Lengths, and how many there were of each.
-    pub fn pairs(&self) -> Vec<(u64, u64)> {
+    /// Recorded durations, µs, each with its count.
+    pub fn buckets(&self) -> Vec<(u64, u64)> {
         self.0
             .iter_recorded()
             .map(|value| {
@@ -39,120 +39,141 @@
             .collect()
     }
 
-    /// Adds what another process has counted.
-    pub fn merge(&mut self, pairs: &[(u64, u64)]) {
-        pairs
+    /// Adds the buckets of another process.
+    pub fn merge(&mut self, buckets: &[(u64, u64)]) {
+        buckets
             .iter()
-            .for_each(|(span, many)| self.0.saturating_record_n(*span, *many));
+            .for_each(|(duration, count)| self.0.saturating_record_n(*duration, *count));
     }
 
-    /// The length that this share of them is at the most; none where there are none.
-    pub fn at(&self, share: f64) -> Option<f64> {
+    /// The quantile at `share` (0 to 1), µs; `None` without recorded durations.
+    pub fn quantile(&self, share: f64) -> Option<f64> {
         (!self.0.is_empty()).then(|| self.0.value_at_quantile(share) as f64)
     }
 
-    /// How many there are.
-    pub fn many(&self) -> u64 {
+    /// Number of recorded durations.
+    pub fn count(&self) -> u64 {
         self.0.len()
     }
 
-    /// Forgets all.
-    pub fn clear(&mut self) {
+    /// Removes all recorded durations.
+    pub fn reset(&mut self) {
         self.0.reset();
     }
 }
 
-/// What the decision was entered for.
+/// Kind of event that the exchange and its policy engine handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Why {
-    /// A request, or what came of its attempts and connections.
+pub enum EventKind {
+    /// A request, or an event of its attempts and connections.
     Request,
-    /// A wake-up of its own.
-    Wake,
-    /// A peer's datagram.
-    Word,
-    /// News of the list.
-    List,
+    /// A timer of the policy engine.
+    #[serde(rename = "Wake")]
+    Timer,
+    /// A datagram of a peer.
+    #[serde(rename = "Word")]
+    PeerMessage,
+    /// A list of app servers, or a change of it.
+    #[serde(rename = "List")]
+    EndpointList,
 }
 
-/// How often the decision was entered, and its CPU.
+/// Number of handled events and the CPU time that they took.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Spent {
-    /// Times.
-    pub times: u64,
-    /// CPU, ns, the clock's own reading included.
-    pub ns: u64,
+pub struct HandlingCost {
+    /// Handled events.
+    #[serde(rename = "times")]
+    pub events: u64,
+    /// CPU time, ns, including the reading of the clock.
+    #[serde(rename = "ns")]
+    pub cpu_ns: u64,
 }
 
-/// Sums over all nodes of a process.
+/// Totals over all nodes of a process since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Sums {
-    /// Tries that were due.
+pub struct Totals {
+    /// Requests that clients sent.
     pub offered: u64,
-    /// Tries that have their final answer: served,
+    /// Requests answered as served.
     pub served: u64,
-    /// refused,
+    /// Requests answered as refused.
     pub refused: u64,
-    /// or failed.
+    /// Requests answered as failed.
     pub failed: u64,
-    /// Tries whose node was restarted before their answer.
-    pub cut: u64,
-    /// Datagrams sent, and bytes in them.
-    pub sent: (u64, u64),
-    /// Datagrams taken, and bytes in them.
-    pub taken: (u64, u64),
-    /// Calls on the list service, bytes that it wrote, and lists among these.
-    pub list: (u64, u64, u64),
-    /// Connections to app servers that were asked for.
+    /// Requests whose node was restarted before their answer.
+    #[serde(rename = "cut")]
+    pub interrupted: u64,
+    /// Datagrams sent, and their payload in bytes.
+    #[serde(rename = "sent")]
+    pub datagrams_sent: (u64, u64),
+    /// Datagrams received, and their payload in bytes.
+    #[serde(rename = "taken")]
+    pub datagrams_received: (u64, u64),
+    /// Calls to the list service, bytes that it sent, and the lists in them.
+    #[serde(rename = "list")]
+    pub list_traffic: (u64, u64, u64),
+    /// Connections to app servers that the exchange opened.
     pub connects: u64,
-    /// Attempts that were written.
+    /// Attempts that were written to an app server.
     pub attempts: u64,
-    /// Lines for the log.
-    pub logged: u64,
-    /// The decision's CPU: requests,
-    pub on_requests: Spent,
-    /// wake-ups,
-    pub on_wakes: Spent,
-    /// words,
-    pub on_words: Spent,
-    /// lists.
-    pub on_lists: Spent,
+    /// Reports of the policy engine that a node would log.
+    #[serde(rename = "logged")]
+    pub reports: u64,
+    /// Cost of events of requests.
+    #[serde(rename = "on_requests")]
+    pub request_cost: HandlingCost,
+    /// Cost of timers.
+    #[serde(rename = "on_wakes")]
+    pub timer_cost: HandlingCost,
+    /// Cost of datagrams of peers.
+    #[serde(rename = "on_words")]
+    pub peer_message_cost: HandlingCost,
+    /// Cost of lists.
+    #[serde(rename = "on_lists")]
+    pub list_cost: HandlingCost,
 }
 
-impl Sums {
-    /// Where a reason is counted.
-    pub fn spent(&mut self, why: Why) -> &mut Spent {
-        match why {
-            Why::Request => &mut self.on_requests,
-            Why::Wake => &mut self.on_wakes,
-            Why::Word => &mut self.on_words,
-            Why::List => &mut self.on_lists,
+impl Totals {
+    /// The cost counter of a kind of event.
+    pub fn cost_mut(&mut self, kind: EventKind) -> &mut HandlingCost {
+        match kind {
+            EventKind::Request => &mut self.request_cost,
+            EventKind::Timer => &mut self.timer_cost,
+            EventKind::PeerMessage => &mut self.peer_message_cost,
+            EventKind::EndpointList => &mut self.list_cost,
         }
     }
 
-    /// Tries that have their final answer.
-    pub fn done(&self) -> u64 {
-        self.served + self.refused + self.failed + self.cut
+    /// Requests that are answered or were interrupted by a restart.
+    pub fn completed(&self) -> u64 {
+        self.served + self.refused + self.failed + self.interrupted
     }
 }
 
-/// A look at a process.
+/// State of a process of hollow nodes at one time.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Look {
-    /// When, Unix time in µs.
+pub struct Snapshot {
+    /// Unix time, µs.
     pub at: u64,
-    /// CPU of the whole process so far, ns.
+    /// CPU time of the whole process since its start, ns.
     pub cpu_ns: u64,
-    /// Its memory in use, bytes.
-    pub memory: u64,
-    /// Connections to app servers that are open.
-    pub links: usize,
-    /// What the decision keeps in mind of servers and tenants, over all nodes.
-    pub kept: usize,
-    /// Sums.
-    pub sums: Sums,
-    /// How late the loop was, µs, since the last look.
-    pub lag: Vec<(u64, u64)>,
-    /// From a try's due time to its served answer less the app server's own work, µs, since the last look.
-    pub added: Vec<(u64, u64)>,
+    /// Resident memory of the process, bytes.
+    #[serde(rename = "memory")]
+    pub memory_bytes: u64,
+    /// Open connections to app servers.
+    #[serde(rename = "links")]
+    pub open_connections: usize,
+    /// Entries that the policy engines of all nodes hold on servers and tenants.
+    #[serde(rename = "kept")]
+    pub tracked_entries: usize,
+    /// Totals since the start of the process.
+    #[serde(rename = "sums")]
+    pub totals: Totals,
+    /// Delay of the event loop, µs, as histogram buckets since the last snapshot.
+    #[serde(rename = "lag")]
+    pub loop_lag: Vec<(u64, u64)>,
+    /// Time from a request's due time to its served answer less the app server's own work, µs, as histogram buckets
+    /// since the last snapshot.
+    #[serde(rename = "added")]
+    pub added_latency: Vec<(u64, u64)>,
 }
--- a/crates/hollow/src/lib.rs
+++ b/crates/hollow/src/lib.rs
@@ -1,17 +1,18 @@
-//! Hollow nodes: many edge nodes in one process, for measurements of fleets that no machine holds as processes.
+//! Hollow nodes: many edge nodes in one process, for measurements of fleets that are too large to run as processes on
+//! one machine.
 //!
-//! Danger that it guards against: figures of a model that behaves as one hopes. Of a hollow node the following are the
-//! program's own and do what they do in a process: the decision module, with quotas and warm-up in it; the exchange, with the
-//! connections that it makes, keeps and closes; the datagrams of peers, on a UDP socket of each node's own; the watch on the
-//! list of app servers, on a TCP connection of each node's own, in the platform's protocol; the reader of lists. Its clock is
-//! the machine's. What is not there: HTTP on either side, connections to app servers (they come up after a span and carry
-//! nothing), app servers (they answer after a span), and clients (tries are drawn). No figure of CPU or memory of a hollow
-//! node holds for a process; `docs/scale.md` says which of them stand for what.
+//! A hollow node runs the code of the program rather than a model of it: the policy engine with quotas and slow
+//! start; the exchange with the connections that it opens, keeps and closes; the datagrams between peers, on a UDP
+//! socket for each node; the watch on the list of app servers in the platform's protocol, on a TCP connection for
+//! each node; and the parser of the lists. It uses the machine's clock. The rest is simulated: there is no HTTP on
+//! either side, connections to app servers open after a fixed delay and carry no data, app servers answer after a
+//! random delay, and clients' requests are random. CPU and memory of a hollow node are not those of a process;
+//! `docs/scale.md` says what each figure stands for.
 //!
-//! - [`tenants`]: who the tries are of, and what their quotas are.
-//! - [`figures`]: what is counted.
-//! - [`audit`]: what a ledger is told of them, and faults between them, where a test asks for it.
-//! - [`shard`]: the nodes of one process, and the words by which it is told what to do.
+//! - [`tenants`]: the customers that send requests, and their quotas.
+//! - [`figures`]: counters and histograms.
+//! - [`audit`]: events for a test's oracle, and injected faults.
+//! - [`shard`]: the nodes of one process, and the commands that control it.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -22,6 +23,6 @@
 pub mod shard;
 pub mod tenants;
 
-pub use list::LIST_MOST;
+pub use list::MAX_LIST_BYTES;
 pub use saffronpaddle_node::endpoints::server_id;
 pub use shard::{serve, Spec};
--- a/crates/hollow/src/list.rs
+++ b/crates/hollow/src/list.rs
@@ -1,4 +1,5 @@
-//! A node's watch on the list of app servers, as `saffronpaddle-node` keeps its own: the same protocol, reader, pauses and calls.
+//! A hollow node's watch on the list of app servers, with the protocol, parser, backoff and hedged calls of
+//! `saffronpaddle-node`.
 
 use crate::node::Node;
 use crate::shard::Shard;
@@ -20,62 +21,69 @@
 use tokio::task::{JoinHandle, JoinSet};
 use tokio::time::{sleep, timeout};
 
-/// As in `saffronpaddle-node`: a watch that says nothing for so long is taken for dead.
-const SILENT_FOR: Duration = Duration::from_secs(3);
-/// And the most bytes of one list.
-pub const LIST_MOST: usize = 40_000 * 256;
+/// A watch without data for this long is closed, as in `saffronpaddle-node`.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(3);
+/// Largest list that a node accepts, bytes, as in `saffronpaddle-node`.
+pub const MAX_LIST_BYTES: usize = 40_000 * 256;
 
-struct Driver(JoinHandle<()>);
+struct ConnectionDriver(JoinHandle<()>);
 
-impl Drop for Driver {
+impl Drop for ConnectionDriver {
     fn drop(&mut self) {
         self.0.abort();
     }
 }
 
 struct Watch {
-    _driver: Driver,
+    _driver: ConnectionDriver,
     body: Incoming,
 }
 
-/// Follows the list for ever.
+/// Follows the list and reconnects after each failure; never returns.
 pub async fn follow(shard: Rc<Shard>, node: Rc<Node>) {
-    let mut pace = match node.discovery {
+    let mut backoff = match node.discovery {
         DiscoveryMode::Pushed => PollBackoff::for_agent(),
-        DiscoveryMode::Subscribed => PollBackoff::for_fleet(shard.spec.gateways),
+        DiscoveryMode::Subscribed => PollBackoff::for_fleet(shard.spec.fleet_size),
     };
     let mut seq = None;
     loop {
         let mut opened = false;
-        if let Err(error) = watch(&shard, &node, (&mut seq, &mut opened), pace.hedged()).await {
-            shard.complain(&error);
+        if let Err(error) = watch(&shard, &node, (&mut seq, &mut opened), backoff.hedged()).await {
+            shard.report_watch_error(&error);
         }
         let pause = if opened {
-            pace.after_watch_end(fastrand::f64())
+            backoff.after_watch_end(fastrand::f64())
         } else {
-            pace.after_failure(fastrand::f64())
+            backoff.after_failure(fastrand::f64())
         };
         sleep(pause).await;
     }
 }
 
-async fn call(address: SocketAddr, path: String, answers: Duration) -> Result<Watch> {
-    let stream = timeout(SILENT_FOR.min(answers), TcpStream::connect(address)).await??;
+async fn call(address: SocketAddr, path: String, answer_timeout: Duration) -> Result<Watch> {
+    let stream = timeout(
+        WATCH_TIMEOUT.min(answer_timeout),
+        TcpStream::connect(address),
+    )
+    .await??;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
-    let driver = Driver(tokio::task::spawn_local(async move {
-        // How it ended shows in the watch.
+    let driver = ConnectionDriver(tokio::task::spawn_local(async move {
+        // The watch's body reports the error.
         let _ = connection.await;
     }));
     let request = Request::builder()
         .uri(path)
         .header(HOST, address.to_string());
     let answer = timeout(
-        answers,
+        answer_timeout,
         sender.send_request(request.body(Empty::<Bytes>::new())?),
     )
     .await??;
     if answer.status() != StatusCode::OK {
-        bail!("the watch was answered {}", answer.status());
+        bail!(
+            "the list service answered the watch with status {}",
+            answer.status()
+        );
     }
     Ok(Watch {
         _driver: driver,
@@ -83,12 +91,17 @@
     })
 }
 
-/// Calls again and again while earlier calls are still open, until one is answered with a watch.
-async fn soonest(shard: &Shard, path: &str, hedged: HedgedPolls) -> Watch {
+/// Starts a further call at each hedging interval while earlier ones are unanswered; returns the first watch that
+/// opens.
+async fn hedged_call(shard: &Shard, path: &str, hedged: HedgedPolls) -> Watch {
     let mut calls = JoinSet::new();
     loop {
-        shard.figures.borrow_mut().list.0 += 1;
-        calls.spawn_local(call(shard.spec.list, path.to_owned(), hedged.answer_within));
+        shard.totals.borrow_mut().list_traffic.0 += 1;
+        calls.spawn_local(call(
+            shard.spec.list_address,
+            path.to_owned(),
+            hedged.answer_within,
+        ));
         let next = sleep(hedged.every);
         tokio::pin!(next);
         loop {
@@ -113,35 +126,41 @@
     let from = seq.map_or(String::new(), |seq| format!("&from={seq}"));
     let path = format!("/api/targets?watch=1{from}");
     let mut watch = if let Some(hedged) = hedged {
-        soonest(shard, &path, hedged).await
+        hedged_call(shard, &path, hedged).await
     } else {
-        shard.figures.borrow_mut().list.0 += 1;
-        call(shard.spec.list, path, SILENT_FOR).await?
+        shard.totals.borrow_mut().list_traffic.0 += 1;
+        call(shard.spec.list_address, path, WATCH_TIMEOUT).await?
     };
     *opened = true;
-    let mut lists = JsonObjects::new(LIST_MOST);
+    let mut lists = JsonObjects::new(MAX_LIST_BYTES);
     loop {
-        let frame = timeout(SILENT_FOR, watch.body.frame())
+        let frame = timeout(WATCH_TIMEOUT, watch.body.frame())
             .await
-            .context("the watch is silent")?;
+            .with_context(|| {
+                format!("the watch on the list sent no data within {WATCH_TIMEOUT:?}")
+            })?;
         let Some(frame) = frame else {
-            bail!("the watch ended")
+            bail!("the list service closed the watch")
         };
         let Ok(data) = frame?.into_data() else {
             continue;
         };
-        shard.figures.borrow_mut().list.1 += data.len() as u64;
+        shard.totals.borrow_mut().list_traffic.1 += data.len() as u64;
         if data.trim_ascii().is_empty() {
-            // A sign of life.
+            // An empty line is a heartbeat.
             continue;
         }
-        let _turn = shard.turn().await;
+        let _permit = shard.list_permit().await;
         let mut rest = &data[..];
-        while let Some(list) = lists.next(&mut rest).context("the watch")? {
-            let list: List = serde_json::from_slice(&list).context("a list of the watch")?;
+        while let Some(list) = lists
+            .next(&mut rest)
+            .context("parsing the watch on the list")?
+        {
+            let list: List =
+                serde_json::from_slice(&list).context("decoding a list from the watch")?;
             if list.whole || seq.is_none_or(|seq| list.seq > seq) {
                 *seq = Some(list.seq);
-                shard.listed(node, &list);
+                shard.apply_list(node, &list);
             }
         }
     }
--- a/crates/hollow/src/node.rs
+++ b/crates/hollow/src/node.rs
@@ -1,4 +1,4 @@
-//! One hollow node: the exchange with the decision module inside, and what is kept beside them.
+//! One hollow node: the exchange with its policy engine, and the state that the shard keeps for the node.
 
 use saffronpaddle_exchange::{ConnectionId, Exchange, Limits};
 use saffronpaddle_node::peers::Peers;
@@ -10,59 +10,59 @@
 use std::rc::Rc;
 use tokio::task::JoinHandle;
 
-/// A try that has no final answer yet.
-pub struct Try {
-    /// When it was due.
-    pub due: Micros,
+/// A request without a final answer.
+pub struct PendingRequest {
+    /// Scheduled arrival time.
+    pub due_at: Micros,
     pub class: usize,
-    /// What app servers have worked on it so far, µs.
+    /// Time that app servers have worked on it so far, µs.
     pub work: Micros,
 }
 
-/// One life of a node.
+/// One incarnation of a node.
 pub struct Node {
-    /// Its place in its process.
-    pub place: usize,
-    pub me: NodeId,
-    /// Which life of that place: what belongs to an earlier one is void.
-    pub life: u32,
+    /// Index among the nodes of the process.
+    pub index: usize,
+    pub id: NodeId,
+    /// Number of restarts of this index so far. Events of earlier incarnations are dropped.
+    pub incarnation: u32,
     pub discovery: DiscoveryMode,
-    pub born: Micros,
+    pub started_at: Micros,
     pub exchange: RefCell<Exchange<SocketAddr, PolicyEngine>>,
-    /// None once this life is over: its address is the next life's.
+    /// `None` once the node has ended: the next incarnation binds the same address.
     pub peers: RefCell<Option<Rc<Peers>>>,
-    /// When the exchange is looked at next.
-    pub alarm: Cell<Micros>,
-    pub tries: RefCell<HashMap<RequestId, Try>>,
-    /// The request that is on a connection.
-    pub on: RefCell<HashMap<ConnectionId, RequestId>>,
-    /// When its first list was acted on.
-    pub listed: Cell<Option<Micros>>,
+    /// Earliest time for which a timer of the exchange is scheduled.
+    pub next_alarm: Cell<Micros>,
+    pub pending: RefCell<HashMap<RequestId, PendingRequest>>,
+    /// The request on each connection.
+    pub in_flight: RefCell<HashMap<ConnectionId, RequestId>>,
+    /// Time at which the first list was applied.
+    pub first_list_at: Cell<Option<Micros>>,
     pub tasks: RefCell<Vec<JoinHandle<()>>>,
 }
 
 impl Node {
     pub fn new(
-        (place, life): (usize, u32),
+        (index, incarnation): (usize, u32),
         settings: Settings,
-        bounds: Limits,
+        limits: Limits,
         peers: Peers,
         (seed, now): (u64, Micros),
     ) -> anyhow::Result<Rc<Node>> {
-        let (me, discovery) = (settings.node, settings.discovery);
-        let gateway = PolicyEngine::new(seed, settings, now)?;
+        let (id, discovery) = (settings.node, settings.discovery);
+        let policy = PolicyEngine::new(seed, settings, now)?;
         Ok(Rc::new(Node {
-            place,
-            me,
-            life,
+            index,
+            id,
+            incarnation,
             discovery,
-            born: now,
-            exchange: RefCell::new(Exchange::new(bounds, gateway)),
+            started_at: now,
+            exchange: RefCell::new(Exchange::new(limits, policy)),
             peers: RefCell::new(Some(Rc::new(peers))),
-            alarm: Cell::new(Micros::MAX),
-            tries: RefCell::default(),
-            on: RefCell::default(),
-            listed: Cell::new(None),
+            next_alarm: Cell::new(Micros::MAX),
+            pending: RefCell::default(),
+            in_flight: RefCell::default(),
+            first_list_at: Cell::new(None),
             tasks: RefCell::default(),
         }))
     }
--- a/crates/hollow/src/shard.rs
+++ b/crates/hollow/src/shard.rs
@@ -1,25 +1,31 @@
-//! The nodes of one process: their clock, their loop, and the words by which the process is told what to do.
+//! The nodes of one process: their clock, their event loop, and the commands that control the process.
 //!
-//! A process takes one line of JSON, its [`Spec`], and then words, each on a line and each answered by one line of JSON:
+//! A process reads its [`Spec`] as one line of JSON from its standard input and answers with a [`Snapshot`] from
+//! before it starts any node. Then it reads commands, one a line, and answers each with one line of JSON:
 //!
-//! - `ready`: once all nodes have a list: how long after their start each had it, µs.
-//! - `look`: a [`Look`].
-//! - `load` and `rest`: tries begin, or end.
-//! - `restart SHARE`: that share of its nodes ends at once and starts anew; once all of these have a list again: how long each
-//!   took, µs.
-//! - `audit`: what was kept for a ledger since the last such word ([`Audited`](crate::audit::Audited)), if the first line says so.
-//! - `faults {...}`: what befalls its nodes from now on ([`Faults`](crate::audit::Faults)).
-//! - `renew SHARE`: as `restart`, without a wait for lists; `unlisted` says how many nodes have none.
-//! - `acted [[SEQ, AT], ...]`: for each change of the list, when the last of its nodes had acted on it, µs after AT (none where
-//!   one has not yet); and these spans over all nodes and changes.
+//! - `ready`: waits until all nodes have a list; answers the time from each node's start to its first list, µs.
+//! - `look`: answers a [`Snapshot`].
+//! - `load` and `rest`: start or stop the clients' requests.
+//! - `restart SHARE`: ends that share of the nodes without notice and starts them again; waits until all of these
+//!   have a list;
+//!   answers how long each took, µs.
+//! - `audit`: answers the [`AuditReport`](crate::audit::AuditReport) since the last such command, if the first line
+//!   turns the
+//!   audit on.
+//! - `faults {...}`: replaces the injected [`Faults`](crate::audit::Faults).
+//! - `renew SHARE`: like `restart`, without waiting for lists.
+//! - `unlisted`: answers the number of nodes without a list.
+//! - `acted [[SEQ, AT], ...]`: answers, for each change of the list, when the last node had applied it, µs after AT
+//!   (null if a
+//!   node has not yet), and the histogram of these delays over all nodes and changes.
 //!
-//! It ends with its standard input.
+//! The process ends when its standard input is closed.
 
-use crate::audit::{Audit, Trial};
-use crate::figures::{Look, Spans, Sums, Why};
+use crate::audit::{Audit, AuditOptions};
+use crate::figures::{DurationHistogram, EventKind, Snapshot, Totals};
 use crate::list;
-use crate::node::{Node, Try};
-use crate::tenants::{Drawn, Tenants};
+use crate::node::{Node, PendingRequest};
+use crate::tenants::{TenantSampler, Tenants};
 use anyhow::{Context, Result};
 use nix::time::{clock_gettime, ClockId};
 use saffronpaddle_endpoints::EndpointRecord;
@@ -41,84 +47,98 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::sync::{mpsc, Mutex, MutexGuard, Notify};
 
-/// A connection to an app server comes up after this, µs.
-const HANDSHAKE: Micros = 400;
-/// What the front and the shell take of a client's time, µs.
-const DELIVERY: Micros = 5_000;
-/// What comes about at once before sockets are read again.
-const AT_ONCE: usize = 64;
-/// Between two looks at whether all nodes have a list.
-const LOOK: Duration = Duration::from_millis(2);
-/// Complaints that are written; the rest is counted.
-const COMPLAINTS: u64 = 3;
-
-/// What a process of hollow nodes is told.
+/// Time that it takes to open a connection to an app server, µs.
+const CONNECT_TIME_US: Micros = 400;
+/// Part of a client's timeout that delivery to and from the node takes, µs.
+const DELIVERY_TIME_US: Micros = 5_000;
+/// Most due events that are handled before the loop reads sockets again.
+const EVENT_BATCH: usize = 64;
+/// Interval between checks whether all nodes have a list.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// Errors of watches that are printed; further ones are only counted.
+const MAX_PRINTED_ERRORS: u64 = 3;
+
+/// Configuration of a process of hollow nodes.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Spec {
     /// Nodes of the whole fleet.
-    pub gateways: u32,
-    /// The first of them that run: tries come through these alone.
-    pub present: u32,
-    /// The first of this process, and how many it has.
+    #[serde(rename = "gateways")]
+    pub fleet_size: u32,
+    /// Number of nodes that run, the first ones of the fleet. Clients send requests only to these.
+    #[serde(rename = "present")]
+    pub running_nodes: u32,
+    /// First node of this process, and the number of its nodes.
     pub nodes: (u32, u32),
-    /// Settings of node 0 as the platform gives them, and the zone's name of each node by its number, counted round.
+    /// Settings of node 0 in the platform's JSON.
     pub settings: String,
-    /// See there.
+    /// Names of the zones. Nodes are assigned to them in turn by their number.
     pub zones: Vec<String>,
-    /// Where each node of the fleet takes datagrams.
+    /// Address of each node of the fleet for peers' datagrams.
     pub peers: Vec<SocketAddr>,
-    /// The list service.
-    pub list: SocketAddr,
-    /// Connections to app servers that a node may have.
-    pub links: usize,
-    /// Tenants, and the exponent of their demands.
+    /// Address of the list service.
+    #[serde(rename = "list")]
+    pub list_address: SocketAddr,
+    /// Most connections to app servers for each node.
+    #[serde(rename = "links")]
+    pub max_connections: usize,
+    /// Number of tenants, and the exponent of Zipf's law for their demands.
     pub tenants: (usize, f64),
-    /// Nodes that a tenant's tries come through at the least; 0 for all.
-    pub spread: u32,
-    /// Tries a node and second.
-    pub tries: f64,
-    /// Mean work of an app server on a try of each class, µs.
-    pub work: Vec<Micros>,
-    /// Share of each class.
-    pub classes: Vec<f64>,
-    /// How long clients wait, by class, µs.
-    pub patience: Vec<Micros>,
-    /// Where all that is drawn comes from.
+    /// Minimum number of nodes that a tenant sends its requests to; 0 for all.
+    #[serde(rename = "spread")]
+    pub min_subset_size: u32,
+    /// Requests/s that clients send to each node.
+    #[serde(rename = "tries")]
+    pub node_rate: f64,
+    /// Mean time of a warm app server for an attempt of each class, µs.
+    #[serde(rename = "work")]
+    pub mean_work: Vec<Micros>,
+    /// Share of the requests of each class.
+    #[serde(rename = "classes")]
+    pub class_shares: Vec<f64>,
+    /// Timeout of the clients by class, µs.
+    #[serde(rename = "patience")]
+    pub client_timeouts: Vec<Micros>,
+    /// Seed of the random numbers.
     pub seed: u64,
 }
 
-/// Something that comes about at its time.
-enum What {
-    Wake(u64),
-    Happens(Event<SocketAddr>),
-    Alarm,
-    Try,
+/// An event that is due at a scheduled time.
+enum TimedEvent {
+    /// A timer that the policy engine has set.
+    PolicyTimer(u64),
+    /// An event for the exchange.
+    Exchange(Event<SocketAddr>),
+    /// The exchange's own timer.
+    ExchangeTimer,
+    /// A client's request.
+    Request,
 }
 
-struct Due {
+/// A scheduled event of one incarnation of a node. Events of the same time are handled in the order of `serial`.
+struct ScheduledEvent {
     at: Micros,
     serial: u64,
-    place: usize,
-    life: u32,
-    what: What,
+    node_index: usize,
+    incarnation: u32,
+    event: TimedEvent,
 }
 
-impl PartialEq for Due {
-    fn eq(&self, other: &Due) -> bool {
+impl PartialEq for ScheduledEvent {
+    fn eq(&self, other: &ScheduledEvent) -> bool {
         (self.at, self.serial) == (other.at, other.serial)
     }
 }
 
-impl Eq for Due {}
+impl Eq for ScheduledEvent {}
 
-impl PartialOrd for Due {
-    fn partial_cmp(&self, other: &Due) -> Option<std::cmp::Ordering> {
+impl PartialOrd for ScheduledEvent {
+    fn partial_cmp(&self, other: &ScheduledEvent) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Due {
-    fn cmp(&self, other: &Due) -> std::cmp::Ordering {
+impl Ord for ScheduledEvent {
+    fn cmp(&self, other: &ScheduledEvent) -> std::cmp::Ordering {
         (self.at, self.serial).cmp(&(other.at, other.serial))
     }
 }
@@ -130,37 +150,43 @@
     started: (Instant, Micros),
     nodes: RefCell<Vec<Rc<Node>>>,
     tenants: Tenants,
-    drawn: Vec<Drawn>,
-    due: RefCell<BinaryHeap<Reverse<Due>>>,
+    samplers: Vec<TenantSampler>,
+    schedule: RefCell<BinaryHeap<Reverse<ScheduledEvent>>>,
     serial: Cell<u64>,
-    armed: Cell<Micros>,
-    sooner: Notify,
-    /// Whose list is read. Danger: a change that hundreds of nodes read in one go, while what is due to others waits.
-    reading: Mutex<()>,
+    /// Time until which the event loop sleeps.
+    sleeping_until: Cell<Micros>,
+    /// Wakes the event loop for an event that is due earlier.
+    earlier_event: Notify,
+    /// Held by the node that parses its list, so that due events are handled between the nodes when hundreds of them
+    /// receive the same change.
+    list_parsing: Mutex<()>,
     random: RefCell<fastrand::Rng>,
-    loading: Cell<bool>,
-    /// Node, version of the list, when it was acted on.
-    acted: RefCell<Vec<(u32, u64, Micros)>>,
-    pub(crate) figures: RefCell<Sums>,
-    lag: RefCell<Spans>,
-    added: RefCell<Spans>,
-    complaints: Cell<u64>,
+    clients_active: Cell<bool>,
+    /// Node, list version, and the time at which the node applied it.
+    applied_lists: RefCell<Vec<(u32, u64, Micros)>>,
+    pub(crate) totals: RefCell<Totals>,
+    loop_lag: RefCell<DurationHistogram>,
+    added_latency: RefCell<DurationHistogram>,
+    watch_errors: Cell<u64>,
     audit: RefCell<Audit>,
 }
 
-/// Serves the words of whoever started this process, until there are no more.
+/// Runs a process of hollow nodes until its standard input is closed.
 ///
 /// # Errors
-/// What it was told makes no sense, an address could not be had, or its memory can't be told.
+/// Fails if the first line or a command is invalid, if an address cannot be bound, or if the memory in use
+/// cannot be read.
 pub fn serve() -> Result<()> {
     let mut first = String::new();
     std::io::stdin().read_line(&mut first)?;
-    let spec: Spec = serde_json::from_str(&first).context("its first line")?;
-    let trial: Trial = serde_json::from_str(&first).context("its first line")?;
-    let (words, told) = mpsc::unbounded_channel();
+    let spec: Spec =
+        serde_json::from_str(&first).context("reading the configuration from the first line")?;
+    let options: AuditOptions =
+        serde_json::from_str(&first).context("reading the audit options from the first line")?;
+    let (lines, commands) = mpsc::unbounded_channel();
     std::thread::spawn(move || {
         for line in std::io::stdin().lines().map_while(Result::ok) {
-            if words.send(line).is_err() {
+            if lines.send(line).is_err() {
                 return;
             }
         }
@@ -169,79 +195,89 @@
         .enable_all()
         .build()?;
     let local = tokio::task::LocalSet::new();
-    local.block_on(&runtime, run(spec, trial, told))
+    local.block_on(&runtime, run(spec, options, commands))
 }
 
-async fn run(spec: Spec, trial: Trial, told: mpsc::UnboundedReceiver<String>) -> Result<()> {
-    let shard = Rc::new(Shard::new(spec, trial)?);
-    say(&shard.look()?)?;
-    shard.begin().await?;
-    // Danger: what is due behind a change that is just read by hundreds of tasks. This one is looked at between few of them.
+async fn run(
+    spec: Spec,
+    options: AuditOptions,
+    commands: mpsc::UnboundedReceiver<String>,
+) -> Result<()> {
+    let shard = Rc::new(Shard::new(spec, options)?);
+    write_answer(&shard.snapshot()?)?;
+    shard.start_nodes().await?;
+    // The event loop runs in the main task and not in one of its own: the main task is polled after few other tasks,
+    // so that due events do not wait while hundreds of tasks read a change of the list.
     tokio::select! {
-        () = Rc::clone(&shard).drive() => Ok(()),
-        over = obey(&shard, told) => over,
+        () = Rc::clone(&shard).run_event_loop() => Ok(()),
+        ended = serve_commands(&shard, commands) => ended,
     }
 }
 
-/// Does what it is told, until there are no more words.
-async fn obey(shard: &Rc<Shard>, mut told: mpsc::UnboundedReceiver<String>) -> Result<()> {
-    while let Some(word) = told.recv().await {
-        let (word, rest) = word.split_once(' ').unwrap_or((&word, ""));
-        match word {
-            "ready" => say(&shard.listed_all(0).await)?,
-            "look" => say(&shard.look()?)?,
+/// Executes commands until the input is closed.
+async fn serve_commands(
+    shard: &Rc<Shard>,
+    mut commands: mpsc::UnboundedReceiver<String>,
+) -> Result<()> {
+    while let Some(line) = commands.recv().await {
+        let (command, argument) = line.split_once(' ').unwrap_or((&line, ""));
+        match command {
+            "ready" => write_answer(&shard.first_list_times(0).await)?,
+            "look" => write_answer(&shard.snapshot()?)?,
             "load" => {
-                shard.load();
-                say(&())?;
+                shard.start_clients();
+                write_answer(&())?;
             }
             "rest" => {
-                shard.loading.set(false);
-                say(&())?;
+                shard.clients_active.set(false);
+                write_answer(&())?;
             }
             "restart" => {
-                let from = shard.now();
-                shard.restart(rest.parse()?).await?;
-                say(&shard.listed_all(from).await)?;
+                let since = shard.now();
+                shard.restart(argument.parse()?).await?;
+                write_answer(&shard.first_list_times(since).await)?;
             }
             "renew" => {
-                shard.restart(rest.parse()?).await?;
-                say(&())?;
+                shard.restart(argument.parse()?).await?;
+                write_answer(&())?;
             }
             "unlisted" => {
-                let unlisted = |node: &&Rc<Node>| node.listed.get().is_none();
-                say(&shard.nodes.borrow().iter().filter(unlisted).count())?;
+                let unlisted = |node: &&Rc<Node>| node.first_list_at.get().is_none();
+                write_answer(&shard.nodes.borrow().iter().filter(unlisted).count())?;
             }
-            "audit" => say(&shard.audit.borrow_mut().take(shard.now()))?,
+            "audit" => write_answer(&shard.audit.borrow_mut().take_report(shard.now()))?,
             "faults" => {
-                shard.audit.borrow_mut().faults = serde_json::from_str(rest)?;
-                say(&())?;
+                shard.audit.borrow_mut().faults = serde_json::from_str(argument)?;
+                write_answer(&())?;
             }
-            "acted" => say(&shard.acted_on(&serde_json::from_str::<Vec<(u64, Micros)>>(rest)?))?,
-            _ => anyhow::bail!("an unknown word: {word}"),
+            "acted" => write_answer(
+                &shard.list_delays(&serde_json::from_str::<Vec<(u64, Micros)>>(argument)?),
+            )?,
+            _ => anyhow::bail!("unknown command of a process of hollow nodes: {command}"),
         }
     }
     Ok(())
 }
 
-fn say(what: &impl Serialize) -> Result<()> {
-    println!("{}", serde_json::to_string(what)?);
+fn write_answer(answer: &impl Serialize) -> Result<()> {
+    println!("{}", serde_json::to_string(answer)?);
     Ok(())
 }
 
-/// CPU of this thread, or of the process, ns.
-fn cpu(clock: ClockId) -> u64 {
+/// CPU time by one of the clocks of this thread or process, ns.
+fn cpu_time_ns(clock: ClockId) -> u64 {
     clock_gettime(clock).map_or(0, |time| {
         time.tv_sec() as u64 * 1_000_000_000 + time.tv_nsec() as u64
     })
 }
 
-/// Bytes of memory in use (`proc(5)`, `VmRSS`).
-fn memory() -> Result<u64> {
+/// Resident memory of this process, bytes (`VmRSS`, see `proc(5)`).
+fn resident_memory() -> Result<u64> {
     let status = std::fs::read_to_string("/proc/self/status")?;
     let line = status
         .lines()
         .find_map(|line| line.strip_prefix("VmRSS:"))
-        .context("VmRSS")?;
+        .context("/proc/self/status has no VmRSS")?;
     Ok(line
         .split_whitespace()
         .next()
@@ -251,16 +287,16 @@
 }
 
 impl Shard {
-    fn new(spec: Spec, trial: Trial) -> Result<Shard> {
-        let named = setup::read(&spec.settings).map_err(anyhow::Error::new)?;
+    fn new(spec: Spec, options: AuditOptions) -> Result<Shard> {
+        let setup = setup::read(&spec.settings).map_err(anyhow::Error::new)?;
         let tenants = Tenants::new(
             spec.tenants.0,
             spec.tenants.1,
-            (spec.present, spec.tries),
-            spec.spread,
+            (spec.running_nodes, spec.node_rate),
+            spec.min_subset_size,
         );
-        let drawn = (0..spec.nodes.1)
-            .map(|place| tenants.at(spec.nodes.0 + place))
+        let samplers = (0..spec.nodes.1)
+            .map(|index| tenants.sampler(spec.nodes.0 + index))
             .collect();
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -269,28 +305,28 @@
         fastrand::seed(spec.seed);
         let settings = Settings {
             subsetting: true,
-            partition_safe: trial.fenced,
-            ..named.settings
+            partition_safe: options.fenced,
+            ..setup.settings
         };
         Ok(Shard {
-            audit: RefCell::new(Audit::new(trial, settings.slow_start)),
+            audit: RefCell::new(Audit::new(options, settings.slow_start)),
             settings,
             started: (Instant::now(), unix),
             nodes: RefCell::default(),
             tenants,
-            drawn,
-            due: RefCell::default(),
+            samplers,
+            schedule: RefCell::default(),
             serial: Cell::new(0),
-            armed: Cell::new(Micros::MAX),
-            sooner: Notify::new(),
-            reading: Mutex::new(()),
+            sleeping_until: Cell::new(Micros::MAX),
+            earlier_event: Notify::new(),
+            list_parsing: Mutex::new(()),
             random: RefCell::new(fastrand::Rng::with_seed(spec.seed)),
-            loading: Cell::new(false),
-            acted: RefCell::default(),
-            figures: RefCell::default(),
-            lag: RefCell::default(),
-            added: RefCell::default(),
-            complaints: Cell::new(0),
+            clients_active: Cell::new(false),
+            applied_lists: RefCell::default(),
+            totals: RefCell::default(),
+            loop_lag: RefCell::default(),
+            added_latency: RefCell::default(),
+            watch_errors: Cell::new(0),
             spec,
         })
     }
@@ -299,217 +335,227 @@
         self.started.1 + self.started.0.elapsed().as_micros() as Micros
     }
 
-    /// Something went wrong with a watch, which is called for again.
-    pub fn complain(&self, error: &anyhow::Error) {
-        self.complaints.set(self.complaints.get() + 1);
-        if self.complaints.get() <= COMPLAINTS {
-            eprintln!("a hollow node's list: {error:#}");
+    /// Counts a failed watch, and prints the first few errors.
+    pub fn report_watch_error(&self, error: &anyhow::Error) {
+        self.watch_errors.set(self.watch_errors.get() + 1);
+        if self.watch_errors.get() <= MAX_PRINTED_ERRORS {
+            eprintln!("a hollow node reconnects to the list service: {error:#}");
         }
     }
 
-    // ---- Lives of nodes ----
+    // ---- Start and restart of nodes ----
 
-    async fn begin(self: &Rc<Self>) -> Result<()> {
-        for place in 0..self.spec.nodes.1 as usize {
-            let node = self.node(place, 0).await?;
+    async fn start_nodes(self: &Rc<Self>) -> Result<()> {
+        for index in 0..self.spec.nodes.1 as usize {
+            let node = self.create_node(index, 0).await?;
             self.nodes.borrow_mut().push(Rc::clone(&node));
-            self.starts(&node);
+            self.start_node(&node);
         }
         Ok(())
     }
 
-    async fn node(&self, place: usize, life: u32) -> Result<Rc<Node>> {
-        let me = self.spec.nodes.0 + place as u32;
-        let zone = ZoneId(me % self.spec.zones.len().max(1) as u32);
+    async fn create_node(&self, index: usize, incarnation: u32) -> Result<Rc<Node>> {
+        let number = self.spec.nodes.0 + index as u32;
+        let zone = ZoneId(number % self.spec.zones.len().max(1) as u32);
         let settings = Settings {
-            node: NodeId(me),
+            node: NodeId(number),
             zone,
             ..self.settings.clone()
         };
-        let listen = *self
-            .spec
-            .peers
-            .get(me as usize)
-            .context("an address for each node")?;
+        let listen =
+            *self.spec.peers.get(number as usize).with_context(|| {
+                format!("the configuration has no peer address for node {number}")
+            })?;
         let addresses = PeerAddresses {
             listen,
             each: self.spec.peers.clone(),
             all: None,
         };
         let peers = Peers::bind(addresses, settings.node, false).await?;
-        let bounds = Limits::for_node(self.spec.links, settings.server_idle_timeout, 250_000);
-        let seed = self.spec.seed ^ u64::from(me) << 20 ^ u64::from(life);
-        Node::new((place, life), settings, bounds, peers, (seed, self.now()))
+        let limits = Limits::for_node(
+            self.spec.max_connections,
+            settings.server_idle_timeout,
+            250_000,
+        );
+        let seed = self.spec.seed ^ u64::from(number) << 20 ^ u64::from(incarnation);
+        Node::new(
+            (index, incarnation),
+            settings,
+            limits,
+            peers,
+            (seed, self.now()),
+        )
     }
 
-    fn starts(self: &Rc<Self>, node: &Rc<Node>) {
-        self.happened(
+    fn start_node(self: &Rc<Self>, node: &Rc<Node>) {
+        self.handle(
             node,
             Event::PolicyEvent(ModuleEvent::EndpointsUnavailable),
-            Why::Wake,
+            EventKind::Timer,
         );
-        let words = tokio::task::spawn_local(hear(Rc::clone(self), Rc::clone(node)));
+        let messages =
+            tokio::task::spawn_local(receive_peer_messages(Rc::clone(self), Rc::clone(node)));
         let list = tokio::task::spawn_local(list::follow(Rc::clone(self), Rc::clone(node)));
-        node.tasks.borrow_mut().extend([words, list]);
-        if self.loading.get() {
-            self.next_try(node, self.now());
+        node.tasks.borrow_mut().extend([messages, list]);
+        if self.clients_active.get() {
+            self.schedule_request(node, self.now());
         }
     }
 
-    /// Ends a share of the nodes, with all that they hold, and starts them anew.
+    /// Ends a share of the nodes without notice, and starts them again with empty state.
     async fn restart(self: &Rc<Self>, share: f64) -> Result<()> {
-        let many = (self.nodes.borrow().len() as f64 * share).ceil() as usize;
-        let ends: Vec<Rc<Node>> = self.nodes.borrow().iter().take(many).cloned().collect();
-        for node in ends {
-            let (place, life) = (node.place, node.life + 1);
+        let count = (self.nodes.borrow().len() as f64 * share).ceil() as usize;
+        let ended: Vec<Rc<Node>> = self.nodes.borrow().iter().take(count).cloned().collect();
+        for node in ended {
+            let (index, incarnation) = (node.index, node.incarnation + 1);
             let tasks: Vec<_> = node.tasks.borrow_mut().drain(..).collect();
             for task in tasks {
                 task.abort();
-                // Its socket is free when it has ended.
+                // The task holds its socket until it has ended.
                 let _ = task.await;
             }
             node.peers.take();
             self.audit
                 .borrow_mut()
-                .ended(self.now(), node.me.0, node.tries.borrow().keys());
-            let fresh = self.node(place, life).await?;
-            self.figures.borrow_mut().cut += node.tries.borrow().len() as u64;
-            self.nodes.borrow_mut()[place] = Rc::clone(&fresh);
-            self.starts(&fresh);
+                .node_ended(self.now(), node.id.0, node.pending.borrow().keys());
+            let restarted = self.create_node(index, incarnation).await?;
+            self.totals.borrow_mut().interrupted += node.pending.borrow().len() as u64;
+            self.nodes.borrow_mut()[index] = Rc::clone(&restarted);
+            self.start_node(&restarted);
         }
         Ok(())
     }
 
-    /// Comes back once all nodes that were born since have a list: how long each took, µs.
-    async fn listed_all(&self, since: Micros) -> Vec<Micros> {
+    /// Waits until all nodes that were started since have a list. Returns the time from each one's start to its list,
+    /// µs.
+    async fn first_list_times(&self, since: Micros) -> Vec<Micros> {
         loop {
-            let spans: Option<Vec<Micros>> = {
+            let times: Option<Vec<Micros>> = {
                 let nodes = self.nodes.borrow();
-                let young = nodes.iter().filter(|node| node.born >= since);
-                young
-                    .map(|node| node.listed.get().map(|at| at - node.born))
+                let started = nodes.iter().filter(|node| node.started_at >= since);
+                started
+                    .map(|node| node.first_list_at.get().map(|at| at - node.started_at))
                     .collect()
             };
-            if let Some(spans) = spans {
-                return spans;
+            if let Some(times) = times {
+                return times;
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    // ---- The loop ----
+    // ---- Event loop ----
 
-    fn later(&self, node: &Node, at: Micros, what: What) {
+    fn schedule(&self, node: &Node, at: Micros, event: TimedEvent) {
         let serial = self.serial.get();
         self.serial.set(serial + 1);
-        self.due.borrow_mut().push(Reverse(Due {
+        self.schedule.borrow_mut().push(Reverse(ScheduledEvent {
             at,
             serial,
-            place: node.place,
-            life: node.life,
-            what,
+            node_index: node.index,
+            incarnation: node.incarnation,
+            event,
         }));
-        if at < self.armed.get() {
-            self.sooner.notify_one();
+        if at < self.sleeping_until.get() {
+            self.earlier_event.notify_one();
         }
     }
 
-    async fn drive(self: Rc<Self>) {
+    async fn run_event_loop(self: Rc<Self>) {
         loop {
-            let mut many = 0;
+            let mut handled = 0;
             loop {
                 let now = self.now();
                 let due = {
-                    let mut queue = self.due.borrow_mut();
+                    let mut queue = self.schedule.borrow_mut();
                     let is_due = queue.peek().is_some_and(|Reverse(due)| due.at <= now);
-                    if is_due && many < AT_ONCE {
+                    if is_due && handled < EVENT_BATCH {
                         queue.pop()
                     } else {
                         None
                     }
                 };
                 let Some(Reverse(due)) = due else { break };
-                many += 1;
-                self.lag.borrow_mut().add(now - due.at);
-                self.comes(due);
+                handled += 1;
+                self.loop_lag.borrow_mut().record(now - due.at);
+                self.dispatch(due);
             }
-            if many >= AT_ONCE {
+            if handled >= EVENT_BATCH {
                 tokio::task::yield_now().await;
                 continue;
             }
             let next = self
-                .due
+                .schedule
                 .borrow()
                 .peek()
                 .map_or(Micros::MAX, |Reverse(due)| due.at);
-            self.armed.set(next);
-            let span = next.saturating_sub(self.now()).min(60_000_000);
+            self.sleeping_until.set(next);
+            let sleep_us = next.saturating_sub(self.now()).min(60_000_000);
             tokio::select! {
-                () = tokio::time::sleep(Duration::from_micros(span)) => {}
-                () = self.sooner.notified() => {}
+                () = tokio::time::sleep(Duration::from_micros(sleep_us)) => {}
+                () = self.earlier_event.notified() => {}
             }
-            self.armed.set(0);
+            self.sleeping_until.set(0);
         }
     }
 
-    fn comes(self: &Rc<Self>, due: Due) {
-        let node = self.nodes.borrow().get(due.place).cloned();
-        let Some(node) = node.filter(|node| node.life == due.life) else {
+    fn dispatch(self: &Rc<Self>, due: ScheduledEvent) {
+        let node = self.nodes.borrow().get(due.node_index).cloned();
+        let Some(node) = node.filter(|node| node.incarnation == due.incarnation) else {
             return;
         };
-        match due.what {
-            What::Wake(token) => {
-                self.happened(
+        match due.event {
+            TimedEvent::PolicyTimer(token) => {
+                self.handle(
                     &node,
                     Event::PolicyEvent(ModuleEvent::TimerFired { token }),
-                    Why::Wake,
+                    EventKind::Timer,
                 );
             }
-            What::Happens(event) => {
-                if let Event::ResponseComplete {
-                    connection: link, ..
-                } = &event
-                {
-                    self.audit.borrow_mut().over(self.now(), node.me.0, *link);
+            TimedEvent::Exchange(event) => {
+                if let Event::ResponseComplete { connection, .. } = &event {
+                    self.audit
+                        .borrow_mut()
+                        .attempt_finished(self.now(), node.id.0, *connection);
                 }
-                self.happened(&node, event, Why::Request);
+                self.handle(&node, event, EventKind::Request);
             }
-            What::Alarm => {
-                if node.alarm.get() == due.at {
-                    node.alarm.set(Micros::MAX);
-                    self.happened(&node, Event::TimerFired, Why::Request);
+            TimedEvent::ExchangeTimer => {
+                if node.next_alarm.get() == due.at {
+                    node.next_alarm.set(Micros::MAX);
+                    self.handle(&node, Event::TimerFired, EventKind::Request);
                 }
             }
-            What::Try => self.tried(&node, due.at),
+            TimedEvent::Request => self.send_request(&node, due.at),
         }
     }
 
-    /// Tells a node's exchange what happened, and does what it asks for.
-    pub fn happened(&self, node: &Rc<Node>, event: Event<SocketAddr>, why: Why) {
+    /// Passes an event to a node's exchange and executes the commands that it returns.
+    pub fn handle(&self, node: &Rc<Node>, event: Event<SocketAddr>, kind: EventKind) {
         let (mut events, mut commands) = (VecDeque::from([event]), Vec::new());
         while let Some(event) = events.pop_front() {
             let now = self.now();
-            let before = cpu(ClockId::CLOCK_THREAD_CPUTIME_ID);
+            let before = cpu_time_ns(ClockId::CLOCK_THREAD_CPUTIME_ID);
             node.exchange.borrow_mut().handle(now, event, &mut commands);
-            let ns = cpu(ClockId::CLOCK_THREAD_CPUTIME_ID).saturating_sub(before);
+            let cpu_ns = cpu_time_ns(ClockId::CLOCK_THREAD_CPUTIME_ID).saturating_sub(before);
             {
-                let mut figures = self.figures.borrow_mut();
-                let spent = figures.spent(why);
-                spent.times += 1;
-                spent.ns += ns;
+                let mut totals = self.totals.borrow_mut();
+                let cost = totals.cost_mut(kind);
+                cost.events += 1;
+                cost.cpu_ns += cpu_ns;
             }
             commands
                 .drain(..)
-                .for_each(|command| self.carry_out(node, now, command, &mut events));
+                .for_each(|command| self.execute(node, now, command, &mut events));
         }
         let next = node.exchange.borrow().next_alarm();
-        if let Some(next) = next.filter(|next| *next < node.alarm.get()) {
-            node.alarm.set(next);
-            self.later(node, next, What::Alarm);
+        if let Some(next) = next.filter(|next| *next < node.next_alarm.get()) {
+            node.next_alarm.set(next);
+            self.schedule(node, next, TimedEvent::ExchangeTimer);
         }
     }
 
-    fn carry_out(
+    fn execute(
         &self,
         node: &Rc<Node>,
         now: Micros,
@@ -517,63 +563,68 @@
         events: &mut VecDeque<Event<SocketAddr>>,
     ) {
         match command {
-            Command::Connect {
-                connection: link, ..
-            } => {
-                self.figures.borrow_mut().connects += 1;
-                self.later(
+            Command::Connect { connection, .. } => {
+                self.totals.borrow_mut().connects += 1;
+                self.schedule(
                     node,
-                    now + HANDSHAKE,
-                    What::Happens(Event::Connected { connection: link }),
+                    now + CONNECT_TIME_US,
+                    TimedEvent::Exchange(Event::Connected { connection }),
                 );
             }
             Command::Send {
-                connection: link,
+                connection,
                 id,
                 server,
             } => {
-                self.audit.borrow_mut().sends(node.me.0, link, &id, server);
-                node.on.borrow_mut().insert(link, id);
+                self.audit
+                    .borrow_mut()
+                    .attempt_started(node.id.0, connection, &id, server);
+                node.in_flight.borrow_mut().insert(connection, id);
                 events.push_back(Event::FirstByteReady {
-                    connection: link,
+                    connection,
                     quiet: true,
                 });
             }
-            Command::Write { connection: link } => self.works(node, now, link),
-            Command::Close { connection: link } => {
-                node.on.borrow_mut().remove(&link);
-                self.audit.borrow_mut().closed(now, node.me.0, link);
-                events.push_back(Event::Closed { connection: link });
+            Command::Write { connection } => self.serve_attempt(node, now, connection),
+            Command::Close { connection } => {
+                node.in_flight.borrow_mut().remove(&connection);
+                self.audit
+                    .borrow_mut()
+                    .connection_closed(now, node.id.0, connection);
+                events.push_back(Event::Closed { connection });
             }
-            Command::Answer {
-                id,
-                answer: verdict,
-            } => self.answered(node, now, &id, verdict),
-            Command::PolicyAction(action) => self.act(node, now, action),
-            // Tries come whole.
+            Command::Answer { id, answer } => self.count_answer(node, now, &id, answer),
+            Command::PolicyAction(action) => self.execute_policy_action(node, now, action),
+            // Requests arrive with their whole body.
             Command::ReleaseBody { .. } => {}
         }
     }
 
-    fn act(&self, node: &Rc<Node>, now: Micros, action: Action) {
+    fn execute_policy_action(&self, node: &Rc<Node>, now: Micros, action: Action) {
         match action {
             Action::Broadcast { bytes } => {
                 node.peers
                     .borrow()
                     .iter()
                     .for_each(|peers| peers.broadcast(&bytes));
-                self.said(u64::from(self.spec.gateways.saturating_sub(1)), bytes.len());
+                self.count_datagrams(
+                    u64::from(self.spec.fleet_size.saturating_sub(1)),
+                    bytes.len(),
+                );
             }
             Action::SendToPeer { to, bytes } => {
                 node.peers
                     .borrow()
                     .iter()
                     .for_each(|peers| peers.send_to(to, &bytes));
-                self.said(1, bytes.len());
+                self.count_datagrams(1, bytes.len());
+            }
+            Action::SetTimer { after, token } => {
+                self.schedule(node, now + after, TimedEvent::PolicyTimer(token));
             }
-            Action::SetTimer { after, token } => self.later(node, now + after, What::Wake(token)),
-            Action::Report(_) => self.figures.borrow_mut().logged += 1,
-            // As in a process: the list is always followed, there is no twin, and the rest is the exchange's.
+            Action::Report(_) => self.totals.borrow_mut().reports += 1,
+            // As in a process of the program: the list is always followed, and the exchange executes the remaining
+            // actions. A hollow node has no sibling process.
             Action::Subscribe
             | Action::SendToSiblings(_)
             | Action::Send { .. }
@@ -583,79 +634,83 @@
         }
     }
 
-    fn said(&self, many: u64, bytes: usize) {
-        let mut figures = self.figures.borrow_mut();
-        figures.sent.0 += many;
-        figures.sent.1 += many * bytes as u64;
+    fn count_datagrams(&self, count: u64, bytes: usize) {
+        let mut totals = self.totals.borrow_mut();
+        totals.datagrams_sent.0 += count;
+        totals.datagrams_sent.1 += count * bytes as u64;
     }
 
-    /// Comes back when the node may read its list: one after another, and between two of them comes what else is due.
-    pub async fn turn(&self) -> MutexGuard<'_, ()> {
-        let turn = self.reading.lock().await;
+    /// Waits for the permit to parse a list. Nodes parse one after another, and due events are handled between them.
+    pub async fn list_permit(&self) -> MutexGuard<'_, ()> {
+        let permit = self.list_parsing.lock().await;
         tokio::task::yield_now().await;
-        turn
+        permit
     }
 
-    /// A list has come; when it was acted on is noted.
-    pub fn listed(&self, node: &Rc<Node>, list: &List) {
+    /// Passes a list to a node and records when the node has applied it.
+    pub fn apply_list(&self, node: &Rc<Node>, list: &List) {
         self.audit
             .borrow_mut()
-            .listed(self.now(), node.me.0, list, server_id);
+            .list_received(self.now(), node.id.0, list, server_id);
         let entry = |host| server_entry(&EndpointRecord::from(host), &self.spec.zones);
         let entries = list.hosts.iter().map(entry).collect();
-        self.happened(
+        self.handle(
             node,
             Event::EndpointsChanged {
                 snapshot: list.whole,
                 endpoints: entries,
             },
-            Why::List,
+            EventKind::EndpointList,
         );
         let now = self.now();
-        self.figures.borrow_mut().list.2 += 1;
-        self.acted.borrow_mut().push((node.me.0, list.seq, now));
-        if node.listed.get().is_none() {
-            node.listed.set(Some(now));
+        self.totals.borrow_mut().list_traffic.2 += 1;
+        self.applied_lists
+            .borrow_mut()
+            .push((node.id.0, list.seq, now));
+        if node.first_list_at.get().is_none() {
+            node.first_list_at.set(Some(now));
         }
     }
 
     // ---- Clients and app servers ----
 
-    fn load(&self) {
-        if !self.loading.replace(true) {
+    fn start_clients(&self) {
+        if !self.clients_active.replace(true) {
             let nodes: Vec<Rc<Node>> = self.nodes.borrow().clone();
             nodes
                 .iter()
-                .for_each(|node| self.next_try(node, self.now()));
+                .for_each(|node| self.schedule_request(node, self.now()));
         }
     }
 
-    /// The next try of a node's clients: they wait for nothing, so the gaps are exponential.
-    fn next_try(&self, node: &Rc<Node>, from: Micros) {
-        if self.spec.tries > 0.0 {
-            let gap = -(1.0 - self.random.borrow_mut().f64()).ln() / self.spec.tries;
-            self.later(node, from + (gap * 1e6) as Micros, What::Try);
+    /// Schedules the next request to a node. Clients do not wait for answers (open loop), so the gaps are exponential.
+    fn schedule_request(&self, node: &Rc<Node>, from: Micros) {
+        if self.spec.node_rate > 0.0 {
+            let gap = -(1.0 - self.random.borrow_mut().f64()).ln() / self.spec.node_rate;
+            self.schedule(node, from + (gap * 1e6) as Micros, TimedEvent::Request);
         }
     }
 
-    fn tried(&self, node: &Rc<Node>, due: Micros) {
-        if !self.loading.get() {
+    fn send_request(&self, node: &Rc<Node>, due_at: Micros) {
+        if !self.clients_active.get() {
             return;
         }
-        self.next_try(node, due);
-        let (who, kind, number) = {
+        self.schedule_request(node, due_at);
+        let (tenant_draw, class_draw, number) = {
             let mut random = self.random.borrow_mut();
             (random.f64(), random.f64(), self.serial.get())
         };
-        let tenant = self.tenants.tenant(self.drawn[node.place].draw(who));
-        let mut share = 0.0;
-        let class = self.spec.classes.iter().position(|of| {
-            share += of;
-            kind < share
+        let tenant = self
+            .tenants
+            .tenant(self.samplers[node.index].rank(tenant_draw));
+        let mut cumulative = 0.0;
+        let class = self.spec.class_shares.iter().position(|share| {
+            cumulative += share;
+            class_draw < cumulative
         });
         let class = class.unwrap_or(0);
-        self.figures.borrow_mut().offered += 1;
-        let Some(effect) = self
+        self.totals.borrow_mut().offered += 1;
+        let Some(idempotency) = self
             .settings
             .classes
             .get(class)
@@ -663,168 +718,173 @@
         else {
             return;
         };
-        let patience = self
+        let timeout = self
             .spec
-            .patience
+            .client_timeouts
             .get(class)
-            .map_or(1_000_000, |patience| patience - DELIVERY.min(*patience));
-        let id = RequestId(format!("{:x}-{number:x}", node.me.0).into());
-        let tell = ModuleEvent::RequestArrived {
+            .map_or(1_000_000, |timeout| {
+                timeout - DELIVERY_TIME_US.min(*timeout)
+            });
+        let id = RequestId(format!("{:x}-{number:x}", node.id.0).into());
+        let policy_event = ModuleEvent::RequestArrived {
             id: id.clone(),
             class: ClassId(class),
             plan: PlanId(tenant.plan),
             customer: CustomerId(tenant.id),
             units: 1.0,
-            subset_first: NodeId(tenant.first),
-            subset_size: tenant.spread,
-            timeout: patience,
+            subset_first: NodeId(tenant.subset_first),
+            subset_size: tenant.subset_size,
+            timeout,
             complete: true,
         };
         self.audit
             .borrow_mut()
-            .asked(self.now(), &id, node.me.0, tenant.id, class);
-        node.tries.borrow_mut().insert(
+            .request_received(self.now(), &id, node.id.0, tenant.id, class);
+        node.pending.borrow_mut().insert(
             id,
-            Try {
-                due,
+            PendingRequest {
+                due_at,
                 class,
                 work: 0,
             },
         );
-        let deadline = self.now() + patience;
-        self.happened(
+        let deadline = self.now() + timeout;
+        self.handle(
             node,
             Event::RequestReceived {
-                idempotency: effect,
+                idempotency,
                 deadline,
-                policy_event: tell,
+                policy_event,
             },
-            Why::Request,
+            EventKind::Request,
         );
     }
 
-    /// An app server has a try, and answers it in its time.
-    fn works(&self, node: &Rc<Node>, now: Micros, link: ConnectionId) {
-        self.figures.borrow_mut().attempts += 1;
+    /// Simulates an app server: schedules the answer to the attempt on a connection.
+    fn serve_attempt(&self, node: &Rc<Node>, now: Micros, connection: ConnectionId) {
+        self.totals.borrow_mut().attempts += 1;
         let draw = self.random.borrow_mut().f64();
-        let id = node.on.borrow().get(&link).cloned();
-        let mut tries = node.tries.borrow_mut();
-        let of = id.and_then(|id| tries.get_mut(&id));
-        let class = of.as_ref().map_or(0, |of| of.class);
-        let mean = self.spec.work.get(class).copied().unwrap_or(0) as f64;
+        let id = node.in_flight.borrow().get(&connection).cloned();
+        let mut pending = node.pending.borrow_mut();
+        let request = id.and_then(|id| pending.get_mut(&id));
+        let class = request.as_ref().map_or(0, |request| request.class);
+        let mean = self.spec.mean_work.get(class).copied().unwrap_or(0) as f64;
         let work = (mean * (0.5 + draw)) as Micros;
-        of.into_iter().for_each(|of| of.work += work);
-        drop(tries);
+        request.into_iter().for_each(|request| request.work += work);
+        drop(pending);
         let Some(work) = self
             .audit
             .borrow_mut()
-            .written(now, (node.me.0, link), work)
+            .attempt_sent(now, (node.id.0, connection), work)
         else {
             return;
         };
-        self.later(
+        self.schedule(
             node,
             now + work,
-            What::Happens(Event::ResponseComplete {
-                connection: link,
+            TimedEvent::Exchange(Event::ResponseComplete {
+                connection,
                 outcome: Outcome::Ok,
             }),
         );
     }
 
-    fn answered(&self, node: &Rc<Node>, now: Micros, id: &RequestId, verdict: FinalAnswer) {
-        self.audit.borrow_mut().answered(now, id, verdict);
-        let Some(of) = node.tries.borrow_mut().remove(id) else {
+    fn count_answer(&self, node: &Rc<Node>, now: Micros, id: &RequestId, answer: FinalAnswer) {
+        self.audit.borrow_mut().response_sent(now, id, answer);
+        let Some(request) = node.pending.borrow_mut().remove(id) else {
             return;
         };
-        let mut figures = self.figures.borrow_mut();
-        match verdict {
+        let mut totals = self.totals.borrow_mut();
+        match answer {
             FinalAnswer::Served => {
-                figures.served += 1;
-                self.added
-                    .borrow_mut()
-                    .add(now.saturating_sub(of.due).saturating_sub(of.work));
+                totals.served += 1;
+                self.added_latency.borrow_mut().record(
+                    now.saturating_sub(request.due_at)
+                        .saturating_sub(request.work),
+                );
             }
-            FinalAnswer::Rejected(_) => figures.refused += 1,
-            FinalAnswer::Failed => figures.failed += 1,
+            FinalAnswer::Rejected(_) => totals.refused += 1,
+            FinalAnswer::Failed => totals.failed += 1,
         }
     }
 
-    // ---- What is told ----
+    // ---- Answers to commands ----
 
-    fn look(&self) -> Result<Look> {
+    fn snapshot(&self) -> Result<Snapshot> {
         let nodes = self.nodes.borrow();
-        let of = |node: &Rc<Node>| {
+        let sizes = |node: &Rc<Node>| {
             let exchange = node.exchange.borrow();
             (exchange.table_sizes().1, exchange.policy().tracked())
         };
-        let (links, kept) = nodes
+        let (open_connections, tracked_entries) = nodes
             .iter()
-            .map(of)
+            .map(sizes)
             .fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
-        let look = Look {
+        let snapshot = Snapshot {
             at: self.now(),
-            cpu_ns: cpu(ClockId::CLOCK_PROCESS_CPUTIME_ID),
-            memory: memory()?,
-            links,
-            kept,
-            sums: *self.figures.borrow(),
-            lag: self.lag.borrow().pairs(),
-            added: self.added.borrow().pairs(),
+            cpu_ns: cpu_time_ns(ClockId::CLOCK_PROCESS_CPUTIME_ID),
+            memory_bytes: resident_memory()?,
+            open_connections,
+            tracked_entries,
+            totals: *self.totals.borrow(),
+            loop_lag: self.loop_lag.borrow().buckets(),
+            added_latency: self.added_latency.borrow().buckets(),
         };
-        self.lag.borrow_mut().clear();
-        self.added.borrow_mut().clear();
-        Ok(look)
+        self.loop_lag.borrow_mut().reset();
+        self.added_latency.borrow_mut().reset();
+        Ok(snapshot)
     }
 
-    /// For each change, when the last node had acted on it, and these spans over all nodes.
-    fn acted_on(&self, changes: &[(u64, Micros)]) -> (Vec<Option<Micros>>, Vec<(u64, u64)>) {
+    /// For each change of the list, given as version and time of publication, the delay until the last node had
+    /// applied it; and the histogram of the delays of all nodes.
+    fn list_delays(&self, changes: &[(u64, Micros)]) -> (Vec<Option<Micros>>, Vec<(u64, u64)>) {
         let mut by_node: Vec<Vec<(u64, Micros)>> = vec![Vec::new(); self.spec.nodes.1 as usize];
-        for (me, seq, at) in self.acted.borrow().iter() {
-            if let Some(of) = by_node.get_mut((me - self.spec.nodes.0) as usize) {
-                of.push((*seq, *at));
+        for (node, seq, at) in self.applied_lists.borrow().iter() {
+            if let Some(applied) = by_node.get_mut((node - self.spec.nodes.0) as usize) {
+                applied.push((*seq, *at));
             }
         }
-        let mut all = Spans::default();
-        let mut last = Vec::with_capacity(changes.len());
+        let mut delays = DurationHistogram::default();
+        let mut last_delays = Vec::with_capacity(changes.len());
         let mut next = vec![0; by_node.len()];
-        for (seq, told) in changes {
-            let mut latest = Some(0);
-            for (of, next) in by_node.iter().zip(&mut next) {
-                // Versions only rise, but where a node has begun anew: what is passed over once is old for all that follow.
-                while of
+        for (seq, published) in changes {
+            let mut last_delay = Some(0);
+            for (applied, next) in by_node.iter().zip(&mut next) {
+                // Versions only rise, except when a node restarts, so an entry that is too old for one change is too
+                // old for all later ones.
+                while applied
                     .get(*next)
-                    .is_some_and(|(reached, at)| reached < seq || at < told)
+                    .is_some_and(|(version, at)| version < seq || at < published)
                 {
                     *next += 1;
                 }
-                let acted = of.get(*next).map(|(_, at)| at - told);
-                acted.into_iter().for_each(|span| all.add(span));
-                latest = latest.zip(acted).map(|(one, other)| one.max(other));
+                let delay = applied.get(*next).map(|(_, at)| at - published);
+                delay.into_iter().for_each(|delay| delays.record(delay));
+                last_delay = last_delay.zip(delay).map(|(one, other)| one.max(other));
             }
-            last.push(latest);
+            last_delays.push(last_delay);
         }
-        (last, all.pairs())
+        (last_delays, delays.buckets())
     }
 }
 
-/// Hears peers for ever.
-async fn hear(shard: Rc<Shard>, node: Rc<Node>) {
+/// Receives peers' datagrams; never returns.
+async fn receive_peer_messages(shard: Rc<Shard>, node: Rc<Node>) {
     let Some(peers) = node.peers.borrow().clone() else {
         return;
     };
     loop {
         if let Some((from, bytes)) = peers.receive().await {
             {
-                let mut figures = shard.figures.borrow_mut();
-                figures.taken.0 += 1;
-                figures.taken.1 += bytes.len() as u64;
+                let mut totals = shard.totals.borrow_mut();
+                totals.datagrams_received.0 += 1;
+                totals.datagrams_received.1 += bytes.len() as u64;
             }
-            if shard.audit.borrow_mut().hears(from.0, node.me.0) {
-                shard.happened(
+            if shard.audit.borrow_mut().delivers(from.0, node.id.0) {
+                shard.handle(
                     &node,
                     Event::PolicyEvent(ModuleEvent::PeerMessage { from, bytes }),
-                    Why::Word,
+                    EventKind::PeerMessage,
                 );
             }
         }
--- a/crates/hollow/src/tenants.rs
+++ b/crates/hollow/src/tenants.rs
@@ -1,52 +1,53 @@
-//! Tenants: how the tries are spread over them (Zipf), what quota each has, and through which nodes its tries come.
+//! Tenants: their shares of the requests (Zipf's law), their quotas, and the nodes that their requests arrive at.
 
 use std::sync::Arc;
 
-/// Units a second of the least plan; each further plan has so many times more.
-const LEAST: (f64, f64) = (0.8, 4.0);
-/// What a plan allows at once, in seconds of its rate, and the least of that.
-const AT_ONCE: (f64, f64) = (4.0, 4.0);
-/// Plans at the most: the largest has 0.8 x 4^8 = 52,429 units a second.
-const PLANS: usize = 9;
-/// A usual tenant uses this share of its quota at the most; each fifth one gets the plan below that.
-const USUAL: f64 = 0.7;
-/// Share of one node's tries that a tenant's demand may be, or its set is larger than the least.
-const OF_A_NODE: f64 = 0.25;
+/// Rate of the smallest plan, units/s, and the factor from each plan to the next.
+const SMALLEST_PLAN: (f64, f64) = (0.8, 4.0);
+/// Burst of a plan, in seconds of its rate, and the smallest burst, units.
+const BURST: (f64, f64) = (4.0, 4.0);
+/// Number of plans: the largest has 0.8 x 4^8 = 52,429 units/s.
+const PLAN_COUNT: usize = 9;
+/// Largest share of its quota that a tenant uses. Every fifth tenant gets the next smaller plan instead.
+const MAX_USE_OF_QUOTA: f64 = 0.7;
+/// A tenant's set is larger than the minimum if each of its nodes would get more than this share of a node's requests
+/// from it.
+const MAX_SHARE_OF_NODE: f64 = 0.25;
 
-/// All tenants of a fleet. Their order is that of their demand, the largest first.
+/// All tenants of a fleet, in descending order of their demand. A tenant's rank is its index in this order.
 #[derive(Clone, Debug)]
 pub struct Tenants {
     nodes: u32,
-    /// Tries a second of one node.
-    tries: f64,
-    /// Nodes in a set at the least; 0 for all.
-    spread: u32,
-    /// Share of all tries of the tenants up to each place.
+    /// Requests/s of one node.
+    node_rate: f64,
+    /// Minimum nodes in a set; 0 for all nodes.
+    min_subset_size: u32,
+    /// Share of all requests that the tenants up to each rank send together.
     cumulative: Arc<Vec<f64>>,
 }
 
-/// A tenant as tries tell of it.
+/// A tenant as its requests describe it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its id.
+    /// Customer id in the requests.
     pub id: u64,
-    /// Place of its plan in [`plans`].
+    /// Index of its plan in [`plans`].
     pub plan: usize,
     /// First node of its set.
-    pub first: u32,
+    pub subset_first: u32,
     /// Nodes in its set.
-    pub spread: u32,
+    pub subset_size: u32,
 }
 
-/// Units a second, and at once, of each plan.
+/// Rate (units/s) and burst (units) of each plan.
 pub fn plans() -> Vec<(f64, f64)> {
-    let rate = |place: usize| LEAST.0 * LEAST.1.powi(place as i32);
-    (0..PLANS)
-        .map(|place| (rate(place), (rate(place) * AT_ONCE.0).max(AT_ONCE.1)))
+    let rate = |plan: usize| SMALLEST_PLAN.0 * SMALLEST_PLAN.1.powi(plan as i32);
+    (0..PLAN_COUNT)
+        .map(|plan| (rate(plan), (rate(plan) * BURST.0).max(BURST.1)))
         .collect()
 }
 
-/// Mixes a number (splitmix64's finisher): neighbours have nothing in common.
+/// Hashes a number with the finalizer of splitmix64, so that consecutive numbers give unrelated values.
 fn mix(number: u64) -> u64 {
     let mut mixed = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -55,62 +56,69 @@
 }
 
 impl Tenants {
-    /// So many, one at the least, whose demands follow Zipf's law with this exponent.
-    pub fn new(many: usize, skew: f64, (nodes, tries): (u32, f64), spread: u32) -> Tenants {
+    /// `count` tenants (at least one) whose demands follow Zipf's law with the exponent `skew`, on `nodes` nodes with
+    /// `node_rate` requests/s each.
+    pub fn new(
+        count: usize,
+        skew: f64,
+        (nodes, node_rate): (u32, f64),
+        min_subset_size: u32,
+    ) -> Tenants {
         let mut sum = 0.0;
-        let weight = |place: usize| (place as f64 + 1.0).powf(-skew);
-        let mut cumulative: Vec<f64> = (0..many.max(1))
-            .map(|place| {
-                sum += weight(place);
+        let weight = |rank: usize| (rank as f64 + 1.0).powf(-skew);
+        let mut cumulative: Vec<f64> = (0..count.max(1))
+            .map(|rank| {
+                sum += weight(rank);
                 sum
             })
             .collect();
         cumulative.iter_mut().for_each(|share| *share /= sum);
         Tenants {
             nodes: nodes.max(1),
-            tries,
-            spread,
+            node_rate,
+            min_subset_size,
             cumulative: Arc::new(cumulative),
         }
     }
 
-    /// How many there are.
-    pub fn many(&self) -> usize {
+    /// Number of tenants.
+    pub fn count(&self) -> usize {
         self.cumulative.len()
     }
 
-    fn share(&self, place: usize) -> f64 {
-        let before = place
+    fn share(&self, rank: usize) -> f64 {
+        let before = rank
             .checked_sub(1)
             .map_or(0.0, |before| self.cumulative[before]);
-        self.cumulative[place] - before
+        self.cumulative[rank] - before
     }
 
-    /// Tries a second of one of them, through all nodes.
-    pub fn demand(&self, place: usize) -> f64 {
-        self.share(place) * f64::from(self.nodes) * self.tries
+    /// Requests/s of the tenant of this rank, over all nodes.
+    pub fn demand(&self, rank: usize) -> f64 {
+        self.share(rank) * f64::from(self.nodes) * self.node_rate
     }
 
-    /// One of them.
-    pub fn tenant(&self, place: usize) -> Tenant {
-        let demand = self.demand(place);
-        let id = 1 + (mix(place as u64) >> 31);
+    /// The tenant of this rank.
+    pub fn tenant(&self, rank: usize) -> Tenant {
+        let demand = self.demand(rank);
+        let id = 1 + (mix(rank as u64) >> 31);
         let wanted = plans()
             .iter()
-            .position(|(rate, _)| *rate * USUAL >= demand)
-            .unwrap_or(PLANS - 1);
-        let plan = if place % 5 == 4 {
+            .position(|(rate, _)| *rate * MAX_USE_OF_QUOTA >= demand)
+            .unwrap_or(PLAN_COUNT - 1);
+        let plan = if rank % 5 == 4 {
             wanted.saturating_sub(1)
         } else {
             wanted
         };
-        let needed = (demand / (OF_A_NODE * self.tries.max(f64::EPSILON))).ceil() as u32;
-        let spread = if self.spread == 0 {
+        let needed =
+            (demand / (MAX_SHARE_OF_NODE * self.node_rate.max(f64::EPSILON))).ceil() as u32;
+        let subset_size = if self.min_subset_size == 0 {
             self.nodes
         } else {
-            self.spread.max(needed).min(self.nodes)
+            self.min_subset_size.max(needed).min(self.nodes)
         };
-        let first = if spread == self.nodes {
+        let subset_first = if subset_size == self.nodes {
             0
         } else {
             (mix(id) % u64::from(self.nodes)) as u32
@@ -118,64 +126,68 @@
         Tenant {
             id,
             plan,
-            first,
-            spread,
+            subset_first,
+            subset_size,
         }
     }
 
-    /// Those whose tries come through a node, to draw from.
-    pub fn at(&self, node: u32) -> Drawn {
-        if self.spread == 0 || self.spread >= self.nodes {
-            return Drawn {
-                places: None,
+    /// The tenants whose requests arrive at a node.
+    pub fn sampler(&self, node: u32) -> TenantSampler {
+        if self.min_subset_size == 0 || self.min_subset_size >= self.nodes {
+            return TenantSampler {
+                ranks: None,
                 cumulative: Arc::clone(&self.cumulative),
             };
         }
-        let (mut places, mut cumulative, mut sum) = (Vec::new(), Vec::new(), 0.0);
-        for place in 0..self.many() {
-            let Tenant { first, spread, .. } = self.tenant(place);
-            if (node + self.nodes - first) % self.nodes < spread {
-                sum += self.share(place) / f64::from(spread);
-                places.push(place as u32);
+        let (mut ranks, mut cumulative, mut sum) = (Vec::new(), Vec::new(), 0.0);
+        for rank in 0..self.count() {
+            let Tenant {
+                subset_first,
+                subset_size,
+                ..
+            } = self.tenant(rank);
+            if (node + self.nodes - subset_first) % self.nodes < subset_size {
+                sum += self.share(rank) / f64::from(subset_size);
+                ranks.push(rank as u32);
                 cumulative.push(sum);
             }
         }
-        if places.is_empty() {
-            return Drawn {
-                places: Some(vec![0]),
+        if ranks.is_empty() {
+            return TenantSampler {
+                ranks: Some(vec![0]),
                 cumulative: Arc::new(vec![1.0]),
             };
         }
         cumulative.iter_mut().for_each(|share| *share /= sum);
-        Drawn {
-            places: Some(places),
+        TenantSampler {
+            ranks: Some(ranks),
             cumulative: Arc::new(cumulative),
         }
     }
 }
 
-/// The tenants of one node.
+/// Draws tenants of one node in proportion to the requests that they send to it.
 #[derive(Clone, Debug)]
-pub struct Drawn {
-    /// Their places; none where all tenants come through it.
-    places: Option<Vec<u32>>,
+pub struct TenantSampler {
+    /// Ranks of its tenants; `None` if all tenants send requests to it.
+    ranks: Option<Vec<u32>>,
     cumulative: Arc<Vec<f64>>,
 }
 
-impl Drawn {
-    /// The place of a tenant, by a draw from 0 to 1.
-    pub fn draw(&self, draw: f64) -> usize {
-        let place = self
+impl TenantSampler {
+    /// The rank of the tenant that a uniform random number from 0 to 1 selects.
+    pub fn rank(&self, draw: f64) -> usize {
+        let rank = self
             .cumulative
             .partition_point(|share| *share < draw)
             .min(self.cumulative.len() - 1);
-        self.places
+        self.ranks
             .as_ref()
-            .map_or(place, |places| places[place] as usize)
+            .map_or(rank, |ranks| ranks[rank] as usize)
     }
 
-    /// How many there are.
-    pub fn many(&self) -> usize {
+    /// Number of tenants that send requests to the node.
+    pub fn count(&self) -> usize {
         self.cumulative.len()
     }
 }
