--- a/crates/bench/src/idle.rs
+++ b/crates/bench/src/idle.rs
@@ -1,4 +1,4 @@
-//! Time from exec to the first answer, and memory of an instance that has nothing to do.
+//! Time from exec to readiness, and memory and CPU of an idle node.
 
 use crate::process;
 use anyhow::{ensure, Result};
@@ -27,24 +27,26 @@
         let world = World::start(Bounds::default());
         let discovery = Discovery::new(Arc::clone(&world));
         let agent = discovery.start_agent(0).await?;
-        let fleet = process::unbound();
-        let (mut spans, mut memory, mut spent) = (Vec::new(), 0.0_f64, 0.0_f64);
+        let fleet = process::unlimited_fleet();
+        let (mut ready_ms, mut memory_mb, mut cpu_share) = (Vec::new(), 0.0_f64, 0.0_f64);
         for _ in 0..starts {
-            let begun = Instant::now();
-            let node = process::node(&crate::program()?, &fleet, agent, &discovery.full_list())?;
+            let started = Instant::now();
+            let node =
+                process::start_node(&crate::program()?, &fleet, agent, &discovery.full_list())?;
             loop {
                 ensure!(
-                    begun.elapsed() < Duration::from_secs(20),
-                    "it does not come up"
+                    started.elapsed() < Duration::from_secs(20),
+                    "the node is not ready within 20 s"
                 );
                 let Ok(stream) = TcpStream::connect(node.address).await else {
                     tokio::time::sleep(Duration::from_micros(200)).await;
                     continue;
                 };
-                let mut wire = HttpConnection::new(stream);
-                wire.write(b"GET /-/ready HTTP/1.1\r\nHost: bench\r\n\r\n")
+                let mut connection = HttpConnection::new(stream);
+                connection
+                    .write(b"GET /-/ready HTTP/1.1\r\nHost: bench\r\n\r\n")
                     .await?;
-                if wire
+                if connection
                     .read_message(&world)
                     .await?
                     .is_some_and(|answer| answer.status() == 200)
@@ -52,21 +54,21 @@
                     break;
                 }
             }
-            spans.push(begun.elapsed().as_secs_f64() * 1e3);
-            let before = node.spent()?;
+            ready_ms.push(started.elapsed().as_secs_f64() * 1e3);
+            let before = node.main_thread_cpu_ns()?;
             tokio::time::sleep(Duration::from_secs(1)).await;
-            spent = spent.max((node.spent()? - before) as f64 / 1e9);
-            memory = memory.max(node.memory()? as f64 / 1e6);
+            cpu_share = cpu_share.max((node.main_thread_cpu_ns()? - before) as f64 / 1e9);
+            memory_mb = memory_mb.max(node.memory()? as f64 / 1e6);
         }
-        spans.sort_by(f64::total_cmp);
-        let (first, last) = (spans[0], spans[spans.len() - 1]);
+        ready_ms.sort_by(f64::total_cmp);
+        let (first, last) = (ready_ms[0], ready_ms[ready_ms.len() - 1]);
         println!(
             "{starts} starts: exec to ready {first:.1} to {last:.1} ms, median {:.1}",
-            spans[spans.len() / 2]
+            ready_ms[ready_ms.len() / 2]
         );
         println!(
-            "idle: {memory:.1} MB at most, {:.3}% of a core at most",
-            spent * 100.0
+            "idle: {memory_mb:.1} MB at most, {:.3}% of a core at most",
+            cpu_share * 100.0
         );
         Ok(())
     })
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,4 +1,4 @@
-//! Measurements of the edge node, each a command. All of it stays on loopback and stops by itself.
+//! Measurements of the edge node, one for each subcommand. They use only the loopback interface and end by themselves.
 #![forbid(unsafe_code)]
 
 mod cost;
@@ -18,32 +18,32 @@
 saffronpaddle-bench: measurements of the edge node (build with --release first)
 
   cost [--servers N] [--connections N] [--requests N] [--rounds N] [--against PROGRAM]
-        CPU a request of one node, of a bare hyper relay and, if asked, of another build of the node, on the same core
+        CPU per request of one node, of a bare hyper relay and optionally of another build of the node, on the same core
         in the same run, as ratios
   idle [--starts N]
-        time from exec to the first answer, and memory of an idle instance
+        time from exec to readiness, and memory of an idle instance
   size [--seconds N]
         peer traffic and CPU of fleets of 3, 10 and 30 instances
   roster [--hosts N] [--changes N] [--seconds N]
-        a roster in etcd: time to the whole list, memory and CPU at so many changes a second
+        a list of servers in etcd: time to the whole list, memory and CPU at the given rate of changes per second
   scale [--quick] [--sweep NAME --points X,Y,...] [--seconds N] [--csv FILE] [--plot FILE.svg] [--nodes N] [--servers N]
         [--tenants N] [--tries R] [--changes R] [--restart SHARE] [--real N] [--spread N] [--skew S] [--list agent|service]
-        real processes beside hollow nodes, one figure of the fleet swept at a time (docs/scale.md)
+        processes of the program beside hollow nodes, one parameter of the fleet swept at a time (docs/scale.md)
   sockets [--count N] [--echoes N] [--talkers N] [--requests N]
-        WebSocket: echoes beside bare relays, memory and CPU of idle sockets, the drain of the server that has them all
+        WebSocket: echoes compared with bare relays, memory and CPU of idle sockets, the drain of their server
   byte-relay | frame-relay LISTEN SERVER
-        the bare relays of that
+        the bare relays that `sockets` compares with
   relay LISTEN SERVER...
-        the bare hyper relay itself
+        the bare hyper relay that `cost` compares with
 ";
 
 fn main() -> Result<()> {
     let mut arguments = lexopt::Parser::from_env();
-    let Some(Value(job)) = arguments.next()? else {
+    let Some(Value(subcommand)) = arguments.next()? else {
         print!("{USAGE}");
         return Ok(());
     };
-    match &*job.to_string_lossy() {
+    match &*subcommand.to_string_lossy() {
         "cost" => cost::measure(arguments),
         "idle" => idle::measure(arguments),
         "roster" => roster::measure(arguments),
@@ -51,18 +51,21 @@
         "hollow" => saffronpaddle_hollow::serve(),
         "size" => size::measure(arguments),
         "sockets" => sockets::measure(arguments),
-        "byte-relay" => sockets::relay(arguments, false),
-        "frame-relay" => sockets::relay(arguments, true),
+        "byte-relay" => sockets::serve_relay(arguments, false),
+        "frame-relay" => sockets::serve_relay(arguments, true),
         "relay" => relay::serve(arguments),
-        other => bail!("unknown job {other:?}\n{USAGE}"),
+        other => bail!("unknown subcommand {other:?}\n{USAGE}"),
     }
 }
 
-/// The edge node's program, which is built beside this one.
+/// Path of the edge node's program, which is built into the same folder as this one.
 fn program() -> Result<PathBuf> {
     let program = std::env::current_exe()?.with_file_name("saffronpaddle");
     if !program.exists() {
-        bail!("{} is not there: cargo build --release", program.display());
+        bail!(
+            "{} does not exist: run cargo build --release",
+            program.display()
+        );
     }
     Ok(program)
 }
--- a/crates/bench/src/process.rs
+++ b/crates/bench/src/process.rs
@@ -1,4 +1,4 @@
-//! Processes that are measured: what they cost, and on which core they run.
+//! Processes under measurement: starting them, pinning them to a core, and reading their CPU time and memory.
 
 use anyhow::{Context, Result};
 use nix::sched::{sched_setaffinity, CpuSet};
@@ -10,88 +10,91 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// Descriptors that a measured node may hold, if nothing else is said.
-const DESCRIPTORS: usize = 4096;
+/// Default limit of descriptors of a node.
+const DEFAULT_DESCRIPTORS: usize = 4096;
 
-/// A process that ends with this value.
-pub struct Measured {
+/// A process that is killed when this value is dropped.
+pub struct MeasuredProcess {
     child: Child,
+    /// Address at which the process accepts connections.
     pub address: SocketAddr,
+    /// Configuration file, which is removed with the process, as is the operator file beside it, if there is one.
     config: Option<PathBuf>,
 }
 
-impl Measured {
+impl MeasuredProcess {
     fn pid(&self) -> Result<Pid> {
         Ok(Pid::from_raw(
-            i32::try_from(self.child.id()).context("a process id")?,
+            i32::try_from(self.child.id()).context("a process id fits into i32")?,
         ))
     }
 
-    /// CPU time of its main thread, in ns (`/proc/PID/schedstat`); it has no other that works.
-    pub fn spent(&self) -> Result<u64> {
+    /// CPU time of the main thread, ns (`/proc/PID/schedstat`). The other threads of a node are idle.
+    pub fn main_thread_cpu_ns(&self) -> Result<u64> {
         let text = std::fs::read_to_string(format!("/proc/{}/schedstat", self.child.id()))?;
         text.split(' ')
             .next()
-            .and_then(|word| word.parse().ok())
-            .context("schedstat")
+            .and_then(|field| field.parse().ok())
+            .context("schedstat has no CPU time")
     }
 
-    /// CPU time in ns and runs of its threads so far, by their names (`/proc/PID/task/*/schedstat`). A thread that has ended
-    /// is not among them.
-    pub fn threads(&self) -> Result<BTreeMap<String, (u64, u64)>> {
+    /// CPU time (ns) and time slices of the threads, by thread name (`/proc/PID/task/*/schedstat`). Threads that have
+    /// ended are not included.
+    pub fn thread_usage(&self) -> Result<BTreeMap<String, (u64, u64)>> {
         let mut threads = BTreeMap::new();
         for task in std::fs::read_dir(format!("/proc/{}/task", self.child.id()))? {
             let task = task?.path();
-            // It may have ended meanwhile.
+            // Reading fails if the thread has ended meanwhile.
             let read = |file| std::fs::read_to_string(task.join(file));
             let (Ok(name), Ok(text)) = (read("comm"), read("schedstat")) else {
                 continue;
             };
-            let mut words = text.split_whitespace().map(str::parse::<u64>);
-            let (Some(Ok(spent)), Some(Ok(runs))) = (words.next(), words.nth(1)) else {
+            let mut fields = text.split_whitespace().map(str::parse::<u64>);
+            let (Some(Ok(cpu_ns)), Some(Ok(slices))) = (fields.next(), fields.nth(1)) else {
                 continue;
             };
             let sum = threads.entry(name.trim_end().to_owned()).or_insert((0, 0));
-            *sum = (sum.0 + spent, sum.1 + runs);
+            *sum = (sum.0 + cpu_ns, sum.1 + slices);
         }
         Ok(threads)
     }
 
-    /// CPU seconds of all its threads.
-    pub fn spent_all(&self) -> Result<f64> {
-        cpu_seconds(self.child.id()).context("its CPU time")
+    /// CPU time of all threads, s.
+    pub fn cpu_seconds(&self) -> Result<f64> {
+        cpu_seconds(self.child.id()).context("reading the CPU time of the process")
     }
 
-    /// Memory in use, in bytes.
+    /// Memory in use, bytes.
     pub fn memory(&self) -> Result<u64> {
-        memory_bytes(self.child.id()).context("its memory")
+        memory_bytes(self.child.id()).context("reading the memory of the process")
     }
 
-    /// Keeps it to one core.
+    /// Pins the process to one core.
     pub fn pin(&self, core: usize) -> Result<()> {
         let mut set = CpuSet::new();
         set.set(core)?;
-        sched_setaffinity(self.pid()?, &set).context("one core")
+        sched_setaffinity(self.pid()?, &set)
+            .with_context(|| format!("pinning the process to core {core}"))
     }
 }
 
-impl Drop for Measured {
+impl Drop for MeasuredProcess {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // Fails if the process has already ended.
         let _ = self.child.kill();
         let _ = self.child.wait();
         self.config
             .iter()
             .for_each(|path| _ = std::fs::remove_file(path));
-        // Only some have one.
+        // The operator file, which only some processes have.
         self.config
             .iter()
             .for_each(|path| _ = std::fs::remove_file(path.with_extension("toml")));
     }
 }
 
-/// A fleet of one node whose customers' quotas bind nobody.
-pub fn unbound() -> Fleet {
+/// A fleet of one node whose quotas are too large to limit any customer.
+pub fn unlimited_fleet() -> Fleet {
     let plan = Plan {
         name: "free",
         rate: 1e9,
@@ -104,29 +107,48 @@
     }
 }
 
-/// Starts one node that knows these servers.
-pub fn node(program: &Path, fleet: &Fleet, discovery: SocketAddr, known: &str) -> Result<Measured> {
-    start(program, fleet, discovery, Some(known), None, DESCRIPTORS)
+/// Starts a node with a list of known servers in its configuration.
+pub fn start_node(
+    program: &Path,
+    fleet: &Fleet,
+    discovery: SocketAddr,
+    known: &str,
+) -> Result<MeasuredProcess> {
+    start(
+        program,
+        fleet,
+        discovery,
+        Some(known),
+        None,
+        DEFAULT_DESCRIPTORS,
+    )
 }
 
-/// Starts one node with an operator file, which knows no servers.
-pub fn operated(
+/// Starts a node with an operator file and without known servers.
+pub fn start_operated_node(
     program: &Path,
     fleet: &Fleet,
     discovery: SocketAddr,
     operator: Option<&Path>,
-) -> Result<Measured> {
-    start(program, fleet, discovery, None, operator, DESCRIPTORS)
+) -> Result<MeasuredProcess> {
+    start(
+        program,
+        fleet,
+        discovery,
+        None,
+        operator,
+        DEFAULT_DESCRIPTORS,
+    )
 }
 
-/// The same with so many descriptors.
-pub fn with_descriptors(
+/// Like [`start_operated_node`], with a limit of descriptors.
+pub fn start_node_with_descriptors(
     program: &Path,
     fleet: &Fleet,
     discovery: SocketAddr,
     operator: Option<&Path>,
     descriptors: usize,
-) -> Result<Measured> {
+) -> Result<MeasuredProcess> {
     start(program, fleet, discovery, None, operator, descriptors)
 }
 
@@ -137,10 +159,10 @@
     known: Option<&str>,
     operator: Option<&Path>,
     sockets: usize,
-) -> Result<Measured> {
+) -> Result<MeasuredProcess> {
     let address = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
     let datagrams = UdpSocket::bind("127.0.0.1:0")?.local_addr()?;
-    let places = NodeConfig {
+    let config = NodeConfig {
         name: "n0".to_owned(),
         listen: address,
         discovery,
@@ -149,7 +171,7 @@
         sockets,
         memory_mb: 192,
     };
-    let text = configuration(&places, &fleet.settings(0), known, 1);
+    let text = configuration(&config, &fleet.settings(0), known, 1);
     let path = std::env::temp_dir().join(format!("saffronpaddle-bench-{}.json", address.port()));
     std::fs::write(&path, text)?;
     let mut command = Command::new(program);
@@ -161,16 +183,20 @@
         .stdin(Stdio::null())
         .stdout(Stdio::null())
         .stderr(Stdio::null());
-    let child = command.spawn().context("the node")?;
-    Ok(Measured {
+    let child = command.spawn().context("starting the node")?;
+    Ok(MeasuredProcess {
         child,
         address,
         config: Some(path),
     })
 }
 
-/// Starts one of several nodes, with this configuration.
-pub fn member(program: &Path, address: SocketAddr, text: &str) -> Result<Measured> {
+/// Starts one of several nodes with the given configuration, which says that it listens at `address`.
+pub fn start_fleet_node(
+    program: &Path,
+    address: SocketAddr,
+    text: &str,
+) -> Result<MeasuredProcess> {
     let name = format!("saffronpaddle-bench-{}-{address}.json", std::process::id());
     let path = std::env::temp_dir().join(name);
     std::fs::write(&path, text)?;
@@ -186,24 +212,27 @@
         .stdin(Stdio::null())
         .stdout(Stdio::null())
         .stderr(Stdio::null());
-    let child = command.spawn().context("the node")?;
-    Ok(Measured {
+    let child = command.spawn().context("starting the node")?;
+    Ok(MeasuredProcess {
         child,
         address,
         config: Some(path),
     })
 }
 
-/// Starts a bare relay before these servers, as a job of this program.
-pub fn relay(job: &str, servers: &[SocketAddr]) -> Result<Measured> {
+/// Starts a bare relay to these servers by a subcommand of this program.
+pub fn start_relay(subcommand: &str, servers: &[SocketAddr]) -> Result<MeasuredProcess> {
     let address = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
     let mut command = Command::new(std::env::current_exe()?);
     command
-        .arg(job)
+        .arg(subcommand)
         .arg(address.to_string())
         .args(servers.iter().map(SocketAddr::to_string));
-    let child = command.stdin(Stdio::null()).spawn().context("the relay")?;
-    Ok(Measured {
+    let child = command
+        .stdin(Stdio::null())
+        .spawn()
+        .context("starting the relay")?;
+    Ok(MeasuredProcess {
         child,
         address,
         config: None,
--- a/crates/bench/src/relay.rs
+++ b/crates/bench/src/relay.rs
@@ -1,5 +1,5 @@
-//! A bare relay on hyper: each request goes on to the next server over a kept connection, and its answer comes back.
-//! It decides nothing: what an edge node costs beyond it is what its rules cost.
+//! A bare relay on hyper: forwards each request to the next server in turn over a pooled connection. It applies no
+//! policy, so the CPU that an edge node uses beyond it is the cost of the node's policies.
 
 use anyhow::{Context, Result};
 use bytes::Bytes;
@@ -16,6 +16,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::LocalSet;
 
+/// The servers, with the idle connections to each of them.
 struct Pool {
     servers: Vec<SocketAddr>,
     idle: Vec<RefCell<Vec<SendRequest<Full<Bytes>>>>>,
@@ -32,7 +33,9 @@
             other => return Err(other.unexpected().into()),
         }
     }
-    let listen = *addresses.first().context("an address to listen at")?;
+    let listen = *addresses
+        .first()
+        .context("the address to listen on is missing")?;
     let servers = addresses.split_off(1);
     let idle = servers.iter().map(|_| RefCell::default()).collect();
     let pool = Rc::new(Pool {
@@ -51,7 +54,7 @@
             let pool = Rc::clone(&pool);
             tokio::task::spawn_local(async move {
                 let service = service_fn(move |request| forward(Rc::clone(&pool), request));
-                // The client sees how it ended.
+                // The client sees the error.
                 let _ = http1::Builder::new()
                     .serve_connection(TokioIo::new(stream), service)
                     .await;
@@ -61,20 +64,20 @@
 }
 
 async fn forward(pool: Rc<Pool>, request: Request<Incoming>) -> Result<Response<Full<Bytes>>> {
-    let place = pool.next.get() % pool.servers.len();
-    pool.next.set(place + 1);
-    let kept = pool.idle[place]
+    let server = pool.next.get() % pool.servers.len();
+    pool.next.set(server + 1);
+    let idle = pool.idle[server]
         .borrow_mut()
         .pop()
         .filter(hyper::client::conn::http1::SendRequest::is_ready);
-    let mut sender = if let Some(sender) = kept {
+    let mut sender = if let Some(sender) = idle {
         sender
     } else {
-        let stream = TcpStream::connect(pool.servers[place]).await?;
+        let stream = TcpStream::connect(pool.servers[server]).await?;
         stream.set_nodelay(true)?;
         let (sender, connection) = handshake(TokioIo::new(stream)).await?;
         tokio::task::spawn_local(async move {
-            // Its end shows in the exchange.
+            // The error is returned by the request on this connection.
             let _ = connection.await;
         });
         sender
@@ -86,6 +89,6 @@
         .await?;
     let (head, body) = answer.into_parts();
     let body = body.collect().await?.to_bytes();
-    pool.idle[place].borrow_mut().push(sender);
+    pool.idle[server].borrow_mut().push(sender);
     Ok(Response::from_parts(head, Full::new(body)))
 }
--- a/crates/bench/src/roster.rs
+++ b/crates/bench/src/roster.rs
@@ -1,5 +1,5 @@
-//! The roster through etcd: time to the first whole list, memory and CPU with ten thousand hosts at a hundred changes a
-//! second, and how long each change takes from its write to the follower's taker.
+//! The list of servers in etcd: time to the first whole list, memory and CPU. By default there are 10,000 hosts and
+//! 100 changes per second.
 
 use crate::process;
 use anyhow::{ensure, Context, Result};
@@ -50,35 +50,35 @@
             ),
         )?;
         let agent = discovery.start_agent(0).await?;
-        let begun = Instant::now();
-        let node = process::operated(&crate::program()?, &process::unbound(), agent, Some(&file))?;
-        while !ready(&world, &node).await {
-            ensure!(begun.elapsed() < Duration::from_mins(1), "it does not come up");
+        let started = Instant::now();
+        let node = process::start_operated_node(&crate::program()?, &process::unlimited_fleet(), agent, Some(&file))?;
+        while !is_ready(&world, &node).await {
+            ensure!(started.elapsed() < Duration::from_mins(1), "the node is not ready within 60 s");
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        println!("{hosts} hosts: exec to ready with the whole list {:.0} ms", begun.elapsed().as_secs_f64() * 1e3);
+        println!("{hosts} hosts: exec to ready with the whole list {:.0} ms", started.elapsed().as_secs_f64() * 1e3);
         println!("memory then {:.1} MB", node.memory()? as f64 / 1e6);
         tokio::time::sleep(Duration::from_secs(1)).await;
-        let (before, begun) = (node.threads()?, Instant::now());
+        let (before, started) = (node.thread_usage()?, Instant::now());
         tokio::time::sleep(Duration::from_secs(3)).await;
-        let idle = since(&before, &node.threads()?, begun.elapsed());
-        let (before, begun) = (node.threads()?, Instant::now());
+        let idle = usage_rates(&before, &node.thread_usage()?, started.elapsed());
+        let (before, started) = (node.thread_usage()?, Instant::now());
         let mut tick = tokio::time::interval(Duration::from_secs(1) / changes_s);
         for number in 0..(changes_s * seconds) as usize {
             tick.tick().await;
             let health = if number / hosts % 2 == 0 { "draining" } else { "ready" };
             etcd.put(&key(number % hosts), &value(number % hosts, health));
         }
-        let busy = since(&before, &node.threads()?, begun.elapsed());
-        let all = |rates: &Rates| rates.values().map(|(spent, _)| spent).sum::<f64>();
-        let (idle_all, busy_all) = (all(&idle), all(&busy));
-        println!("idle {:.3}% of a core; at {changes_s} changes a second {:.3}%", idle_all * 100.0, busy_all * 100.0);
-        let a_change = 1.0 / f64::from(changes_s);
-        println!("a change costs {:.1} µs of CPU", (busy_all - idle_all) * 1e6 * a_change);
-        for (name, (spent, runs)) in &busy {
-            let (idle_spent, idle_runs) = idle.get(name).copied().unwrap_or_default();
-            let (spent, runs) = ((spent - idle_spent) * 1e6 * a_change, (runs - idle_runs) * a_change);
-            println!("  thread {name}: {spent:.1} µs and {runs:.2} runs a change, {:.3}% idle", idle_spent * 100.0);
+        let busy = usage_rates(&before, &node.thread_usage()?, started.elapsed());
+        let total = |rates: &Rates| rates.values().map(|(cpu, _)| cpu).sum::<f64>();
+        let (idle_total, busy_total) = (total(&idle), total(&busy));
+        println!("idle {:.3}% of a core; at {changes_s} changes a second {:.3}%", idle_total * 100.0, busy_total * 100.0);
+        let seconds_per_change = 1.0 / f64::from(changes_s);
+        println!("a change costs {:.1} µs of CPU", (busy_total - idle_total) * 1e6 * seconds_per_change);
+        for (name, (cpu, slices)) in &busy {
+            let (idle_cpu, idle_slices) = idle.get(name).copied().unwrap_or_default();
+            let (cpu, slices) = ((cpu - idle_cpu) * 1e6 * seconds_per_change, (slices - idle_slices) * seconds_per_change);
+            println!("  thread {name}: {cpu:.1} µs and {slices:.2} runs a change, {:.3}% idle", idle_cpu * 100.0);
         }
         println!("memory after {} changes {:.1} MB", changes_s * seconds, node.memory()? as f64 / 1e6);
         let _ = std::fs::remove_file(&file);
@@ -86,32 +86,36 @@
     })
 }
 
-/// Seconds of CPU and runs a second, by thread.
+/// CPU time (s) and time slices per second, by thread name.
 type Rates = BTreeMap<String, (f64, f64)>;
 
-fn since(
+fn usage_rates(
     before: &BTreeMap<String, (u64, u64)>,
     after: &BTreeMap<String, (u64, u64)>,
-    over: Duration,
+    elapsed: Duration,
 ) -> Rates {
-    let over = over.as_secs_f64();
-    let rate = |(name, (spent, runs)): (&String, &(u64, u64))| {
-        let (spent_before, runs_before) = before.get(name).copied().unwrap_or_default();
-        let spent = spent.saturating_sub(spent_before) as f64 / 1e9 / over;
+    let elapsed_s = elapsed.as_secs_f64();
+    let rate = |(name, (cpu_ns, slices)): (&String, &(u64, u64))| {
+        let (cpu_ns_before, slices_before) = before.get(name).copied().unwrap_or_default();
+        let cpu = cpu_ns.saturating_sub(cpu_ns_before) as f64 / 1e9 / elapsed_s;
         (
             name.clone(),
-            (spent, runs.saturating_sub(runs_before) as f64 / over),
+            (cpu, slices.saturating_sub(slices_before) as f64 / elapsed_s),
         )
     };
     after.iter().map(rate).collect()
 }
 
-async fn ready(world: &World, node: &process::Measured) -> bool {
-    let asked = async {
-        let mut wire = HttpConnection::new(TcpStream::connect(node.address).await?);
-        wire.write(b"GET /-/ready HTTP/1.1\r\nHost: bench\r\n\r\n")
+async fn is_ready(world: &World, node: &process::MeasuredProcess) -> bool {
+    let request = async {
+        let mut connection = HttpConnection::new(TcpStream::connect(node.address).await?);
+        connection
+            .write(b"GET /-/ready HTTP/1.1\r\nHost: bench\r\n\r\n")
             .await?;
-        wire.read_message(world).await?.context("an answer")
+        connection
+            .read_message(world)
+            .await?
+            .context("the node closed the connection without an answer")
     };
-    asked.await.is_ok_and(|answer| answer.status() == 200)
+    request.await.is_ok_and(|answer| answer.status() == 200)
 }
--- a/crates/bench/src/scale/bounds.rs
+++ b/crates/bench/src/scale/bounds.rs
@@ -1,87 +1,90 @@
-//! What a run may take of the machine. All of it is looked at before anything is started.
+//! Limits of a run's parameters, time, memory and descriptors. They are checked before the run starts anything.
 
 use anyhow::{bail, ensure, Result};
 use nix::sys::resource::{getrlimit, Resource};
 use std::time::Duration;
 
-/// What the fleet of one point is.
+/// The fleet and load of one point of a sweep.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Point {
     /// Nodes that the fleet's settings name.
     pub nodes: usize,
-    /// The first of them that run, real ones among them; 0 for all. The others take no words, and no tries come through them.
+    /// Number of nodes that run, real ones included; 0 for all. The remaining nodes receive neither datagrams nor
+    /// requests.
     pub present: usize,
-    /// Processes of the program among them.
+    /// Running nodes that are processes of the program.
     pub real: usize,
-    /// App servers on the list.
     pub servers: usize,
-    /// Tenants.
     pub tenants: usize,
-    /// Tries a node and second.
+    /// Requests/s to each node.
     pub tries: f64,
-    /// Changes of the list a second.
+    /// Changes of the list, 1/s.
     pub changes: f64,
-    /// Share of the hollow nodes that is restarted.
+    /// Share of the hollow nodes that are restarted.
     pub restart: f64,
-    /// Nodes that a tenant's tries come through at the least; 0 for all.
+    /// Minimum number of nodes that a tenant sends its requests to; 0 for all.
     pub spread: usize,
-    /// Exponent of the tenants' demands.
+    /// Exponent of Zipf's law for the tenants' demands.
     pub skew: f64,
-    /// How long each of the two looks takes, s.
+    /// Duration of each of the two measurement windows (idle and loaded), s.
     pub seconds: u64,
 }
 
-/// Least and most of each figure.
-const NODES: (usize, usize) = (1, 2_700);
-const REAL: (usize, usize) = (0, 8);
-const SERVERS: (usize, usize) = (1, 100_000);
-const TENANTS: (usize, usize) = (1, 1_000_000);
-const TRIES: (f64, f64) = (0.0, 1_000.0);
-const CHANGES: (f64, f64) = (0.0, 1_000.0);
-const SHARE: (f64, f64) = (0.0, 1.0);
-const SKEW: (f64, f64) = (0.0, 2.0);
-const SECONDS: (u64, u64) = (1, 60);
-/// The longest that one point, and that all of them, may take.
-pub const POINT: Duration = Duration::from_secs(90);
-pub const ALL: Duration = Duration::from_secs(590);
-/// Hollow processes at the most.
-const PROCESSES: usize = 6;
-/// Nodes times servers for which one more is worth while, and the servers that each counts with at the least. Danger: nodes
-/// that wait for one another in one loop, as no processes would.
-const A_LOOP: (usize, usize) = (15_000, 200);
-/// Tries a second of all nodes of one loop, above which one more process is worth while: about half of a core.
-const A_LOOP_TRIES: f64 = 1_500.0;
-/// How long is waited after a change of load, where a look is short, and else.
-const SETTLES: (Duration, Duration) = (Duration::from_millis(500), Duration::from_millis(1_500));
-/// A look of so many seconds is short.
-const SHORT: u64 = 2;
-/// Bytes of one node at the most, from the first measurements and half as much again: by itself, for each server, for each
-/// peer, for each tenant whose tries it may see.
-const NODE: f64 = 500e3;
-const A_SERVER: f64 = 3_500.0;
-const A_PEER: f64 = 120.0;
-const A_TENANT: f64 = 600.0;
-/// What the run itself takes, and for each of its processes.
-const RUN: f64 = 400e6;
-const A_PROCESS: f64 = 30e6;
-/// Descriptors of a run beside those of its nodes.
-const DESCRIPTORS: usize = 1_000;
+/// Minimum and maximum of each parameter.
+const NODES_RANGE: (usize, usize) = (1, 2_700);
+const REAL_RANGE: (usize, usize) = (0, 8);
+const SERVERS_RANGE: (usize, usize) = (1, 100_000);
+const TENANTS_RANGE: (usize, usize) = (1, 1_000_000);
+const TRIES_RANGE: (f64, f64) = (0.0, 1_000.0);
+const CHANGES_RANGE: (f64, f64) = (0.0, 1_000.0);
+const SHARE_RANGE: (f64, f64) = (0.0, 1.0);
+const SKEW_RANGE: (f64, f64) = (0.0, 2.0);
+const SECONDS_RANGE: (u64, u64) = (1, 60);
+/// Longest duration of one point.
+pub const MAX_POINT_TIME: Duration = Duration::from_secs(90);
+/// Longest duration of all points of a run.
+pub const MAX_RUN_TIME: Duration = Duration::from_secs(590);
+/// Most processes of hollow nodes.
+const MAX_PROCESSES: usize = 6;
+/// Product of nodes and servers that one process of hollow nodes carries, and the minimum number of servers in this
+/// product. With more of them, nodes in one event loop would delay one another, which nodes in separate processes do
+/// not.
+const NODE_SERVERS_PER_PROCESS: (usize, usize) = (15_000, 200);
+/// Requests/s that one process of hollow nodes carries: about half of a core.
+const REQUEST_RATE_PER_PROCESS: f64 = 1_500.0;
+/// Time between a change of load and the next window: for short windows, and for others.
+const SETTLE_TIMES: (Duration, Duration) =
+    (Duration::from_millis(500), Duration::from_millis(1_500));
+/// Longest window that counts as short, s.
+const SHORT_WINDOW_S: u64 = 2;
+/// Estimated memory of one node in bytes: a base, and for each server, each peer and each tenant that sends it
+/// requests. Each estimate includes a reserve of half as much again.
+const NODE_BYTES: f64 = 500e3;
+const BYTES_PER_SERVER: f64 = 3_500.0;
+const BYTES_PER_PEER: f64 = 120.0;
+const BYTES_PER_TENANT: f64 = 600.0;
+/// Estimated memory of the run itself, bytes.
+const RUN_BYTES: f64 = 400e6;
+/// Estimated memory of each process of hollow nodes without its nodes, bytes.
+const PROCESS_BYTES: f64 = 30e6;
+/// Descriptors that a run needs beside those of its nodes.
+const BASE_DESCRIPTORS: usize = 1_000;
 
-fn within<T: PartialOrd + std::fmt::Display>(
+fn check_range<T: PartialOrd + std::fmt::Display>(
     name: &str,
-    of: T,
-    (least, most): (T, T),
+    value: T,
+    (min, max): (T, T),
 ) -> Result<()> {
     ensure!(
-        of >= least && of <= most,
-        "{name} {of} is not from {least} to {most}"
+        value >= min && value <= max,
+        "{name} {value} is not from {min} to {max}"
     );
     Ok(())
 }
 
 impl Point {
-    /// Nodes that run.
-    pub fn running(&self) -> usize {
+    /// Number of nodes that run, real and hollow.
+    pub fn running_nodes(&self) -> usize {
         if self.present == 0 {
             self.nodes
         } else {
@@ -89,56 +92,60 @@
         }
     }
 
-    /// Hollow nodes that run.
-    pub fn hollow(&self) -> usize {
-        self.running().saturating_sub(self.real)
+    /// Number of hollow nodes that run.
+    pub fn hollow_nodes(&self) -> usize {
+        self.running_nodes().saturating_sub(self.real)
     }
 
-    /// Hollow processes.
-    pub fn processes(&self) -> usize {
-        let hollow = self.hollow();
-        let by_size = (hollow * self.servers.max(A_LOOP.1)).div_ceil(A_LOOP.0);
-        let by_tries = (hollow as f64 * self.tries / A_LOOP_TRIES).ceil() as usize;
-        by_size.max(by_tries).min(PROCESSES).min(hollow)
+    /// Number of processes that the hollow nodes are spread over.
+    pub fn hollow_processes(&self) -> usize {
+        let hollow = self.hollow_nodes();
+        let by_size = (hollow * self.servers.max(NODE_SERVERS_PER_PROCESS.1))
+            .div_ceil(NODE_SERVERS_PER_PROCESS.0);
+        let by_tries = (hollow as f64 * self.tries / REQUEST_RATE_PER_PROCESS).ceil() as usize;
+        by_size.max(by_tries).min(MAX_PROCESSES).min(hollow)
     }
 
-    /// Between what is started or ended and the next look, so that its beginning is not measured.
-    pub fn settles(&self) -> Duration {
-        if self.seconds <= SHORT {
-            SETTLES.0
+    /// Time between a change of load and the next window, so that start-up effects are not measured.
+    pub fn settle_time(&self) -> Duration {
+        if self.seconds <= SHORT_WINDOW_S {
+            SETTLE_TIMES.0
         } else {
-            SETTLES.1
+            SETTLE_TIMES.1
         }
     }
 
-    /// The least that it takes: two looks, and what settles before them and after.
-    pub fn least(&self) -> Duration {
-        2 * Duration::from_secs(self.seconds) + 3 * self.settles()
+    /// Shortest duration of the point: two windows, and the settle time before, between and after them.
+    pub fn min_duration(&self) -> Duration {
+        2 * Duration::from_secs(self.seconds) + 3 * self.settle_time()
     }
 
-    /// Bytes that it takes at the most, as reckoned.
-    pub fn bytes(&self) -> f64 {
-        let seen = (self.tries * 3.0 * self.seconds as f64).min(self.tenants as f64);
-        let node = NODE
-            + self.servers as f64 * A_SERVER
-            + self.nodes as f64 * A_PEER
-            + (seen + self.tenants as f64 / self.running() as f64) * A_TENANT;
-        let table = if self.spread == 0 {
+    /// Estimate of the memory that the point needs at most, bytes.
+    pub fn estimated_bytes(&self) -> f64 {
+        let active_tenants = (self.tries * 3.0 * self.seconds as f64).min(self.tenants as f64);
+        let node = NODE_BYTES
+            + self.servers as f64 * BYTES_PER_SERVER
+            + self.nodes as f64 * BYTES_PER_PEER
+            + (active_tenants + self.tenants as f64 / self.running_nodes() as f64)
+                * BYTES_PER_TENANT;
+        let sampler_bytes = if self.spread == 0 {
             0.0
         } else {
             self.tenants as f64 * 16.0
         };
-        RUN + self.processes() as f64 * (A_PROCESS + 16.0 * self.tenants as f64 + table)
-            + self.running() as f64 * node
+        RUN_BYTES
+            + self.hollow_processes() as f64
+                * (PROCESS_BYTES + 16.0 * self.tenants as f64 + sampler_bytes)
+            + self.running_nodes() as f64 * node
     }
 
-    /// Whether the machine bears it.
+    /// Checks the parameters and the resources of this machine.
     ///
     /// # Errors
-    /// What is out of range, or does not fit, in one line.
+    /// Fails with one line on the parameter that is out of range or the resource that is too small.
     pub fn check(&self) -> Result<()> {
-        within("nodes", self.nodes, NODES)?;
-        within("real", self.real, REAL)?;
+        check_range("nodes", self.nodes, NODES_RANGE)?;
+        check_range("real", self.real, REAL_RANGE)?;
         ensure!(
             self.present <= self.nodes,
             "present {} is more than nodes {}",
@@ -146,57 +153,58 @@
             self.nodes
         );
         ensure!(
-            self.real <= self.running(),
+            self.real <= self.running_nodes(),
             "real {} is more than nodes {}",
             self.real,
-            self.running()
+            self.running_nodes()
         );
-        within("servers", self.servers, SERVERS)?;
-        within("tenants", self.tenants, TENANTS)?;
-        within("tries", self.tries, TRIES)?;
-        within("changes", self.changes, CHANGES)?;
-        within("restart", self.restart, SHARE)?;
-        within("spread", self.spread, (0, self.running()))?;
-        within("skew", self.skew, SKEW)?;
-        within("seconds", self.seconds, SECONDS)?;
-        let least = self.least();
+        check_range("servers", self.servers, SERVERS_RANGE)?;
+        check_range("tenants", self.tenants, TENANTS_RANGE)?;
+        check_range("tries", self.tries, TRIES_RANGE)?;
+        check_range("changes", self.changes, CHANGES_RANGE)?;
+        check_range("restart", self.restart, SHARE_RANGE)?;
+        check_range("spread", self.spread, (0, self.running_nodes()))?;
+        check_range("skew", self.skew, SKEW_RANGE)?;
+        check_range("seconds", self.seconds, SECONDS_RANGE)?;
+        let duration = self.min_duration();
         ensure!(
-            least < POINT,
-            "two looks of {} s take {least:?}; a point may take {POINT:?}",
+            duration < MAX_POINT_TIME,
+            "two windows of {} s take {duration:?}; a point may take {MAX_POINT_TIME:?}",
             self.seconds
         );
-        let (all, free) = machine()?;
-        let (needed, most) = (self.bytes(), (all / 2.0).min(free));
-        if needed > most {
+        let (total, available) = machine_memory()?;
+        let (needed, usable) = (self.estimated_bytes(), (total / 2.0).min(available));
+        if needed > usable {
             bail!(
                 "{} nodes with {} servers and {} tenants need about {:.1} GB; {:.1} GB may be used here",
-                self.running(),
+                self.running_nodes(),
                 self.servers,
                 self.tenants,
                 needed / 1e9,
-                most / 1e9
+                usable / 1e9
             );
         }
-        let (descriptors, _) = getrlimit(Resource::RLIMIT_NOFILE)?;
-        // A watch of each node at the service, and twice that while calls go out beside one another.
-        let needed = 3 * self.nodes + DESCRIPTORS;
+        let (descriptor_limit, _) = getrlimit(Resource::RLIMIT_NOFILE)?;
+        // The list service holds one watch for each node, and up to three while hedged calls are open.
+        let needed = 3 * self.nodes + BASE_DESCRIPTORS;
         ensure!(
-            needed as u64 <= descriptors,
-            "{needed} descriptors are needed; this process may have {descriptors}"
+            needed as u64 <= descriptor_limit,
+            "{needed} descriptors are needed; this process may have {descriptor_limit}"
         );
         Ok(())
     }
 }
 
-/// Bytes of memory of this machine, and those of them that are free (`proc(5)`, `meminfo`).
-fn machine() -> Result<(f64, f64)> {
+/// Total and available memory of this machine, bytes (`meminfo`, see `proc(5)`).
+fn machine_memory() -> Result<(f64, f64)> {
     let text = std::fs::read_to_string("/proc/meminfo")?;
     let kilobytes = |name: &str| {
         let line = text.lines().find_map(|line| line.strip_prefix(name))?;
         line.split_whitespace().next()?.parse::<f64>().ok()
     };
-    let (Some(all), Some(free)) = (kilobytes("MemTotal:"), kilobytes("MemAvailable:")) else {
-        bail!("/proc/meminfo does not say how much memory there is");
+    let (Some(total), Some(available)) = (kilobytes("MemTotal:"), kilobytes("MemAvailable:"))
+    else {
+        bail!("/proc/meminfo has no MemTotal or no MemAvailable");
     };
-    Ok((all * 1024.0, free * 1024.0))
+    Ok((total * 1024.0, available * 1024.0))
 }
--- a/crates/bench/src/scale/mod.rs
+++ b/crates/bench/src/scale/mod.rs
@@ -1,5 +1,6 @@
-//! The fleet's size, one figure at a time: real processes of the program beside hollow nodes (`saffronpaddle_hollow`) on one
-//! loopback, for what they cost, say to one another, and how long a change of the list takes. `docs/scale.md` is its page.
+//! Measurements of large fleets: sweeps one parameter of a fleet at a time, with processes of the program beside
+//! hollow nodes (`saffronpaddle_hollow`) on the loopback interface. Measures CPU, memory, traffic between peers and
+//! the propagation of changes of the list. `docs/scale.md` describes it.
 
 mod bounds;
 mod fit;
@@ -10,49 +11,51 @@
 mod shards;
 
 use anyhow::{bail, ensure, Context, Result};
-use bounds::{Point, ALL, POINT};
+use bounds::{Point, MAX_POINT_TIME, MAX_RUN_TIME};
 use lexopt::prelude::*;
-use real::{Clients, Real};
-use report::{Kind, Row, Rows};
-use saffronpaddle_hollow::figures::{Look, Spans, Spent, Sums};
+use real::{Clients, RealNode};
+use report::{Measurement, PointReport, Source};
+use saffronpaddle_hollow::figures::{DurationHistogram, HandlingCost, Snapshot, Totals};
 use saffronpaddle_hollow::tenants::{plans, Tenants};
 use saffronpaddle_hollow::Spec;
 use saffronpaddle_test_doubles::oracle::Bounds;
 use saffronpaddle_test_doubles::settings::{Fleet, Plan};
 use saffronpaddle_test_doubles::World;
 use serde_json::{json, Value as Json};
-use service::Service;
-use shards::Shards;
+use service::ListService;
+use shards::HollowProcesses;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::net::TcpListener;
 
-/// What the process ends with where a run is refused before anything was started.
-const REFUSED: i32 = 2;
-/// Addresses at which the app servers of the list are found.
-const DIALS: usize = 8;
-/// Zones of the fleet: nodes and servers are spread over them in turn.
+/// Exit code for invalid arguments, with which a run ends before it starts anything.
+const INVALID_ARGUMENTS: i32 = 2;
+/// Number of addresses that the app servers of the list share.
+const DIAL_ADDRESSES: usize = 8;
+/// Number of zones of the fleet. Nodes and servers are assigned to them in turn.
 const ZONES: usize = 9;
-/// Names of the plans, as many as there may be.
+/// Names of the plans.
 const PLANS: [&str; 9] = ["p0", "p1", "p2", "p3", "p4", "p5", "p6", "p7", "p8"];
 const SITES: [&str; ZONES] = ["z0", "z1", "z2", "z3", "z4", "z5", "z6", "z7", "z8"];
-/// Connections to app servers that a hollow node may have: those of a process with 4,096 descriptors.
-const LINKS: usize = 2_000;
-/// The machine keeps up while no process of several hollow nodes takes more of a core, no more tries are without an answer than
-/// come in this time, s, and their loop is not late. A node with a process of its own is as late as one of the program.
-const KEEPS_UP: (f64, f64) = (0.85, 0.3);
-/// A loop is late by more than this, µs, where something holds it: a sweep of the decision's.
-const LATE: f64 = 10_000.0;
-/// Longest wait for the last node to act on the loss of a zone, and between two looks.
-const ZONE: (Duration, Duration) = (Duration::from_secs(5), Duration::from_millis(100));
-/// Headers of a datagram (IPv4, UDP), bytes.
-const HEADERS: f64 = 28.0;
-/// Words that the platform lets a node take a second.
-const INTAKE: f64 = 60.0;
+/// Most connections of a hollow node to app servers: as many as a process with 4,096 descriptors has.
+const MAX_CONNECTIONS: usize = 2_000;
+/// Largest CPU share of a core of a process of several hollow nodes, and largest backlog of unanswered requests, in
+/// seconds of their rate, at which the machine keeps up; the event loop must not be late either. The limits do not
+/// apply to a node with a process of its own, which is as late as a process of the program would be.
+const KEEPS_UP_LIMITS: (f64, f64) = (0.85, 0.3);
+/// An event loop with a larger 99th percentile of its delay is late, µs. A sweep of the policy engine can block it
+/// for less.
+const LATE_LOOP_US: f64 = 10_000.0;
+/// Longest wait until the last node has applied the loss of a zone, and the interval between two checks.
+const ZONE_LOSS_WAIT: (Duration, Duration) = (Duration::from_secs(5), Duration::from_millis(100));
+/// Size of the IPv4 and UDP headers of a datagram, bytes.
+const DATAGRAM_HEADER_BYTES: f64 = 28.0;
+/// Datagrams that the platform lets a node receive, 1/s.
+const MAX_RECEIVED_PER_S: f64 = 60.0;
 
-/// A figure of the fleet that can be swept.
+/// A parameter of the fleet that can be swept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Sweep {
     Nodes,
@@ -63,6 +66,7 @@
     Restart,
 }
 
+/// Sweeps with their names, their points, and their points with `--quick`.
 const SWEEPS: [(Sweep, &str, &[f64], &[f64]); 6] = [
     (
         Sweep::Nodes,
@@ -93,8 +97,8 @@
 ];
 
 impl Sweep {
-    /// The fleet around which a figure is swept, so that what else is large does not hide it.
-    fn base(self, seconds: u64) -> Point {
+    /// The fleet of the sweep's points. The other parameters are small enough not to hide the effect of the swept one.
+    fn base_point(self, seconds: u64) -> Point {
         let base = Point {
             nodes: 30,
             present: 0,
@@ -114,14 +118,15 @@
                 changes: 0.4,
                 ..base
             },
-            // A few nodes of the size to design for, with as many tries as each has there at the peak.
+            // A few nodes of a fleet of the design size, each with its peak request rate in such a fleet.
             Sweep::Servers => Point {
                 nodes: 2700,
                 present: 3,
                 tries: 81.5,
                 ..base
             },
-            // So many that a node meets in a look as many tenants as it keeps in mind at that size.
+            // At this rate a node receives requests of as many tenants in a window as it tracks in a fleet of the
+            // design size.
             Sweep::Tenants => Point {
                 nodes: 3,
                 tries: 400.0,
@@ -136,37 +141,40 @@
         }
     }
 
-    fn set(self, point: &mut Point, at: f64) -> Result<()> {
+    /// Sets the swept parameter of a point.
+    fn set(self, point: &mut Point, x: f64) -> Result<()> {
         let whole = || {
             ensure!(
-                at.fract() == 0.0 && at >= 0.0,
-                "a point of this sweep is a whole number, not {at}"
+                x.fract() == 0.0 && x >= 0.0,
+                "a point of this sweep is a whole number, not {x}"
             );
-            Ok(at as usize)
+            Ok(x as usize)
         };
         match self {
             Sweep::Nodes => point.nodes = whole()?,
             Sweep::Servers => point.servers = whole()?,
             Sweep::Tenants => point.tenants = whole()?,
-            Sweep::Tries => point.tries = at,
-            Sweep::Changes => point.changes = at,
-            Sweep::Restart => point.restart = at,
+            Sweep::Tries => point.tries = x,
+            Sweep::Changes => point.changes = x,
+            Sweep::Restart => point.restart = x,
         }
         Ok(())
     }
 }
 
-/// What was asked for, each point looked at.
-struct Asked {
+/// The checked arguments of a run.
+struct Options {
+    /// Name of the sweep, value of the swept parameter, and the point.
     points: Vec<(&'static str, f64, Point)>,
-    followed: bool,
+    /// Whether nodes subscribe to the list at a central service; otherwise agents push it to them.
+    subscribe: bool,
     csv: Option<PathBuf>,
     plot: Option<PathBuf>,
 }
 
-fn parse(mut arguments: lexopt::Parser) -> Result<Asked> {
-    let (mut quick, mut followed, mut csv, mut plot) = (false, false, None, None);
-    let (mut sweep, mut at, mut seconds): (Option<String>, Option<Vec<f64>>, Option<u64>) =
+fn parse(mut arguments: lexopt::Parser) -> Result<Options> {
+    let (mut quick, mut subscribe, mut csv, mut plot) = (false, false, None, None);
+    let (mut sweep, mut xs, mut seconds): (Option<String>, Option<Vec<f64>>, Option<u64>) =
         (None, None, None);
     let mut others: Vec<(String, String)> = Vec::new();
     while let Some(argument) = arguments.next()? {
@@ -176,7 +184,7 @@
             Long("points") => {
                 let text = arguments.value()?.string()?;
                 let points = text.split(',').map(|point| point.trim().parse());
-                at = Some(
+                xs = Some(
                     points
                         .collect::<Result<_, _>>()
                         .with_context(|| format!("--points {text}"))?,
@@ -186,8 +194,8 @@
             Long("csv") => csv = Some(PathBuf::from(arguments.value()?)),
             Long("plot") => plot = Some(PathBuf::from(arguments.value()?)),
             Long("list") => match &*arguments.value()?.string()? {
-                "agent" => followed = false,
-                "service" => followed = true,
+                "agent" => subscribe = false,
+                "service" => subscribe = true,
                 other => bail!("--list {other}: agent or service"),
             },
             Long(
@@ -200,7 +208,7 @@
             other => return Err(other.unexpected().into()),
         }
     }
-    ensure!(at.is_none() || sweep.is_some(), "--points needs --sweep");
+    ensure!(xs.is_none() || sweep.is_some(), "--points needs --sweep");
     let named = SWEEPS
         .iter()
         .find(|(_, name, ..)| Some(*name) == sweep.as_deref());
@@ -218,35 +226,37 @@
     );
     let seconds = seconds.unwrap_or(if quick { 2 } else { 5 });
     let mut points = Vec::new();
-    for (of, name, whole, few) in named.map_or(&SWEEPS[..], std::slice::from_ref) {
-        let usual = if quick { few } else { whole };
-        let at = at.clone().unwrap_or_else(|| usual.to_vec());
+    for (swept, name, full_points, quick_points) in named.map_or(&SWEEPS[..], std::slice::from_ref)
+    {
+        let default_points = if quick { quick_points } else { full_points };
+        let xs = xs.clone().unwrap_or_else(|| default_points.to_vec());
         ensure!(
-            named.is_none() || !at.is_empty(),
+            named.is_none() || !xs.is_empty(),
             "--sweep {name} has no points here: give --points"
         );
-        for at in at {
-            let mut point = of.base(seconds);
+        for x in xs {
+            let mut point = swept.base_point(seconds);
             for (other, text) in &others {
-                set(&mut point, other, text).with_context(|| format!("--{other} {text}"))?;
+                set_parameter(&mut point, other, text)
+                    .with_context(|| format!("--{other} {text}"))?;
             }
-            of.set(&mut point, at)?;
+            swept.set(&mut point, x)?;
             point
                 .check()
-                .with_context(|| format!("sweep {name}, point {at}"))?;
+                .with_context(|| format!("sweep {name}, point {x}"))?;
             ensure!(
                 !points
                     .iter()
-                    .any(|(of, other, _)| of == name && *other == at),
-                "point {at} is there twice"
+                    .any(|(other_name, other, _)| other_name == name && *other == x),
+                "point {x} is there twice"
             );
-            points.push((*name, at, point));
+            points.push((*name, x, point));
         }
     }
-    let least: Duration = points.iter().map(|(.., point)| point.least()).sum();
+    let duration: Duration = points.iter().map(|(.., point)| point.min_duration()).sum();
     ensure!(
-        least < ALL,
-        "{} points take {least:?} at the least; all may take {ALL:?}",
+        duration < MAX_RUN_TIME,
+        "{} points take {duration:?} at the least; all may take {MAX_RUN_TIME:?}",
         points.len()
     );
     for path in [&csv, &plot].into_iter().flatten() {
@@ -263,15 +273,16 @@
     if points.iter().any(|(.., point)| point.real > 0) {
         crate::program()?;
     }
-    Ok(Asked {
+    Ok(Options {
         points,
-        followed,
+        subscribe,
         csv,
         plot,
     })
 }
 
-fn set(point: &mut Point, name: &str, text: &str) -> Result<()> {
+/// Sets a parameter of a point by the name of its option.
+fn set_parameter(point: &mut Point, name: &str, text: &str) -> Result<()> {
     match name {
         "nodes" => point.nodes = text.parse()?,
         "present" => point.present = text.parse()?,
@@ -287,14 +298,14 @@
     Ok(())
 }
 
-/// The job itself.
+/// Runs the subcommand `scale`.
 pub fn measure(arguments: lexopt::Parser) -> Result<()> {
-    let asked = match parse(arguments) {
-        Ok(asked) => asked,
+    let options = match parse(arguments) {
+        Ok(options) => options,
         Err(error) => {
-            // One line, whatever is wrong and however the machine is told to show errors.
+            // One line without a backtrace, also with RUST_BACKTRACE set.
             eprintln!("saffronpaddle-bench scale: {error:#}");
-            std::process::exit(REFUSED);
+            std::process::exit(INVALID_ARGUMENTS);
         }
     };
     println!(
@@ -304,81 +315,83 @@
         .worker_threads(3)
         .enable_all()
         .build()?;
-    let begun = Instant::now();
-    let (mut rows, mut undone) = (Vec::new(), 0);
-    for (sweep, at, point) in &asked.points {
-        let left = ALL.saturating_sub(begun.elapsed()).min(POINT);
-        if left < POINT / 3 {
-            println!("{sweep} {at}: not run, as the time for all points is over");
-            undone += 1;
+    let started = Instant::now();
+    let (mut rows, mut unmeasured) = (Vec::new(), 0);
+    for (sweep, x, point) in &options.points {
+        let left = MAX_RUN_TIME
+            .saturating_sub(started.elapsed())
+            .min(MAX_POINT_TIME);
+        if left < MAX_POINT_TIME / 3 {
+            println!("{sweep} {x}: not run, as the time for all points is over");
+            unmeasured += 1;
             continue;
         }
-        let took = Instant::now();
-        let mut of = Rows {
+        let point_started = Instant::now();
+        let mut report = PointReport {
             sweep,
-            at: *at,
+            x: *x,
             point,
             all: Vec::new(),
         };
         let ran = runtime.block_on(async {
-            tokio::time::timeout(left, run(&mut of, asked.followed, left))
+            tokio::time::timeout(left, run(&mut report, options.subscribe, left))
                 .await
-                .unwrap_or_else(|_| bail!("its time is over"))
+                .unwrap_or_else(|_| bail!("the time limit of the point is reached"))
         });
         match ran {
-            Ok(()) => print(&of, took.elapsed()),
+            Ok(()) => print(&report, point_started.elapsed()),
             Err(error) => {
-                println!("{sweep} {at}: not measured to its end: {error:#}");
-                of.add(
-                    Kind::Reckoned,
+                println!("{sweep} {x}: not measured to its end: {error:#}");
+                report.add(
+                    Source::Derived,
                     ("not_measured", "point"),
                     1.0,
                     &format!("{error:#}"),
                 );
-                undone += 1;
+                unmeasured += 1;
             }
         }
-        rows.extend(of.all);
-        // What there is is kept, should the next point not end well.
-        asked
+        rows.extend(report.all);
+        // Written after each point, so that a failure at a later one loses nothing.
+        options
             .csv
             .as_deref()
             .map_or(Ok(()), |path| report::write(path, &rows))?;
     }
     report::print_slopes(&rows);
-    asked
+    options
         .plot
         .as_deref()
         .map_or(Ok(()), |path| plot::draw(path, &rows))?;
     ensure!(
-        undone == 0,
-        "{undone} of {} points were not measured",
-        asked.points.len()
+        unmeasured == 0,
+        "{unmeasured} of {} points were not measured",
+        options.points.len()
     );
     Ok(())
 }
 
-fn print(rows: &Rows, took: Duration) {
+fn print(report: &PointReport, duration: Duration) {
     println!(
         "{} {}: {:?} ({:.0} s)",
-        rows.sweep,
-        rows.at,
-        rows.point,
-        took.as_secs_f64()
+        report.sweep,
+        report.x,
+        report.point,
+        duration.as_secs_f64()
     );
-    for Row {
-        kind,
+    for Measurement {
+        source,
         measure,
         unit,
         value,
         note,
         ..
-    } in &rows.all
+    } in &report.all
     {
         println!(
             "  {:<8} {measure:<26} {:>10} {unit:<12} {note}",
-            kind.name(),
-            report::figure(*value)
+            source.name(),
+            report::format_value(*value)
         );
     }
 }
@@ -390,7 +403,7 @@
         .as_micros() as u64
 }
 
-/// The fleet's settings, with the tenants' plans and the zones of the size to design for.
+/// The fleet's settings, with the tenants' plans and as many zones as at the design size.
 fn fleet(point: &Point) -> Fleet {
     let plan = |(name, (rate, burst)): (&'static str, (f64, f64))| Plan {
         name,
@@ -406,66 +419,66 @@
     }
 }
 
-fn settings(fleet: &Fleet, me: usize, followed: bool) -> Json {
-    let mut settings = fleet.settings(me);
-    if followed {
+fn settings(fleet: &Fleet, node: usize, subscribe: bool) -> Json {
+    let mut settings = fleet.settings(node);
+    if subscribe {
         settings["discovery"] = json!("subscribe");
     }
     settings
 }
 
-/// Everything of one point that has to be ended with it.
-struct Rig {
-    shards: Shards,
-    real: Vec<Real>,
+/// The processes, app servers and list service of one point.
+struct Deployment {
+    processes: HollowProcesses,
+    real: Vec<RealNode>,
     servers: Vec<SocketAddr>,
-    service: Arc<Service>,
+    list_service: Arc<ListService>,
     world: Arc<World>,
     fleet: Fleet,
     tenants: Tenants,
 }
 
-async fn begin(point: &Point, followed: bool, left: Duration) -> Result<Rig> {
+async fn start(point: &Point, subscribe: bool, time_limit: Duration) -> Result<Deployment> {
     let world = World::start(Bounds::default());
     let fleet = fleet(point);
     let zones: Vec<String> = SITES.iter().map(|site| (*site).to_owned()).collect();
     let mut servers = Vec::new();
-    for _ in 0..DIALS {
+    for _ in 0..DIAL_ADDRESSES {
         let listener =
             TcpListener::bind(saffronpaddle_test_doubles::ports::reserve_address()?).await?;
         servers.push(listener.local_addr()?);
-        tokio::spawn(crate::cost::answer(Arc::clone(&world), listener));
+        tokio::spawn(crate::cost::serve_immediately(Arc::clone(&world), listener));
     }
-    let (service, list) =
-        Service::start(Arc::clone(&world), point.servers, &zones, &servers).await?;
+    let (list_service, list_address) =
+        ListService::start(Arc::clone(&world), point.servers, &zones, &servers).await?;
     let peers: Vec<SocketAddr> = (0..point.nodes)
         .map(|_| saffronpaddle_test_doubles::ports::reserve_address())
         .collect::<Result<_, _>>()?;
-    let (hollow, processes) = (point.hollow(), point.processes());
+    let (hollow_nodes, process_count) = (point.hollow_nodes(), point.hollow_processes());
     let spec = |number: usize| {
-        let from = |number: usize| point.real + hollow * number / processes;
+        let first_node = |number: usize| point.real + hollow_nodes * number / process_count;
         Spec {
-            gateways: point.nodes as u32,
-            present: point.running() as u32,
+            fleet_size: point.nodes as u32,
+            running_nodes: point.running_nodes() as u32,
             nodes: (
-                from(number) as u32,
-                (from(number + 1) - from(number)) as u32,
+                first_node(number) as u32,
+                (first_node(number + 1) - first_node(number)) as u32,
             ),
-            settings: settings(&fleet, 0, followed).to_string(),
+            settings: settings(&fleet, 0, subscribe).to_string(),
             zones: zones.clone(),
             peers: peers.clone(),
-            list,
-            links: LINKS,
+            list_address,
+            max_connections: MAX_CONNECTIONS,
             tenants: (point.tenants, point.skew),
-            spread: point.spread as u32,
-            tries: point.tries,
-            work: fleet
+            min_subset_size: point.spread as u32,
+            node_rate: point.tries,
+            mean_work: fleet
                 .classes
                 .iter()
                 .map(|class| class.work.as_micros() as u64)
                 .collect(),
-            classes: fleet.classes.iter().map(|class| class.share).collect(),
-            patience: fleet
+            class_shares: fleet.classes.iter().map(|class| class.share).collect(),
+            client_timeouts: fleet
                 .classes
                 .iter()
                 .map(|class| class.deadline.as_micros() as u64)
@@ -473,694 +486,837 @@
             seed: number as u64 + 1,
         }
     };
-    let specs: Vec<Spec> = (0..processes).map(spec).collect();
-    let shards = tokio::task::block_in_place(|| Shards::start(&specs, left))?;
+    let specs: Vec<Spec> = (0..process_count).map(spec).collect();
+    let processes = tokio::task::block_in_place(|| HollowProcesses::start(&specs, time_limit))?;
     let mut real = Vec::new();
-    for me in 0..point.real {
-        real.push(real::start(&world, me, &settings(&fleet, me, followed), &peers, list).await?);
+    for node in 0..point.real {
+        real.push(
+            real::start(
+                &world,
+                node,
+                &settings(&fleet, node, subscribe),
+                &peers,
+                list_address,
+            )
+            .await?,
+        );
     }
     let tenants = Tenants::new(
         point.tenants,
         point.skew,
-        (point.running() as u32, point.tries),
+        (point.running_nodes() as u32, point.tries),
         point.spread as u32,
     );
-    Ok(Rig {
-        shards,
+    Ok(Deployment {
+        processes,
         real,
         servers,
-        service,
+        list_service,
         world,
         fleet,
         tenants,
     })
 }
 
-/// CPU and memory of real processes.
-fn costs(real: &[Real]) -> Result<Vec<(f64, f64)>> {
+/// CPU time (ns) and memory (bytes) of each process of the program.
+fn resource_usage(real: &[RealNode]) -> Result<Vec<(f64, f64)>> {
     real.iter()
-        .map(|real| Ok((real.process.spent()? as f64, real.process.memory()? as f64)))
+        .map(|real| {
+            Ok((
+                real.process.main_thread_cpu_ns()? as f64,
+                real.process.memory()? as f64,
+            ))
+        })
         .collect()
 }
 
-async fn run(rows: &mut Rows<'_>, followed: bool, left: Duration) -> Result<()> {
-    let point = rows.point;
-    let mut rig = begin(point, followed, left).await?;
-    let hollow = point.hollow();
-    let ask =
-        |rig: &mut Rig, word: &str| tokio::task::block_in_place(|| rig.shards.ask::<Look>(word));
-    let first: Vec<Vec<u64>> = tokio::task::block_in_place(|| rig.shards.ask("ready"))?;
-    let mut spans = Spans::default();
-    first.iter().flatten().for_each(|span| spans.add(*span));
-    let ms = |spans: &Spans, share: f64| spans.at(share).map(|us| us / 1e3);
-    rows.add(
-        Kind::Hollow,
+/// Measures one point: idle, under load with changes of the list, at the loss of a zone, and with restarts.
+async fn run(report: &mut PointReport<'_>, subscribe: bool, time_limit: Duration) -> Result<()> {
+    let point = report.point;
+    let mut deployment = start(point, subscribe, time_limit).await?;
+    let hollow = point.hollow_nodes();
+    let request = |deployment: &mut Deployment, command: &str| {
+        tokio::task::block_in_place(|| deployment.processes.request::<Snapshot>(command))
+    };
+    let first: Vec<Vec<u64>> =
+        tokio::task::block_in_place(|| deployment.processes.request("ready"))?;
+    let mut list_times = DurationHistogram::default();
+    first
+        .iter()
+        .flatten()
+        .for_each(|time| list_times.record(*time));
+    let ms =
+        |histogram: &DurationHistogram, share: f64| histogram.quantile(share).map(|us| us / 1e3);
+    report.add(
+        Source::Hollow,
         ("first_list_p50", "ms"),
-        ms(&spans, 0.5),
+        ms(&list_times, 0.5),
         "from a node's start until it acted on the list",
     );
-    rows.add(Kind::Hollow, ("first_list_max", "ms"), ms(&spans, 1.0), "");
-    for real in &rig.real {
+    report.add(
+        Source::Hollow,
+        ("first_list_max", "ms"),
+        ms(&list_times, 1.0),
+        "",
+    );
+    for real in &deployment.real {
         let note = "from exec to /-/ready, which waits for no list unless an operator says so";
-        rows.add(Kind::Real, ("ready", "ms"), real.ready_ms, note);
+        report.add(Source::Real, ("ready", "ms"), real.ready_ms, note);
     }
-    let (full, text) = rig.service.texts;
-    let note = if text < full {
+    let (full_size, sent_size) = deployment.list_service.list_sizes;
+    let note = if sent_size < full_size {
         "with all of the platform's fields it is longer than what a node takes"
     } else {
         ""
     };
-    rows.add(Kind::Reckoned, ("list_full", "B"), full as f64, note);
-    let note = if text < full {
+    report.add(Source::Derived, ("list_full", "B"), full_size as f64, note);
+    let note = if sent_size < full_size {
         "without class, share and born_ms"
     } else {
         ""
     };
-    rows.add(Kind::Reckoned, ("list_text", "B"), text as f64, note);
+    report.add(Source::Derived, ("list_text", "B"), sent_size as f64, note);
 
-    // Idle.
-    tokio::time::sleep(point.settles()).await;
+    // Idle window.
+    tokio::time::sleep(point.settle_time()).await;
     let window = Duration::from_secs(point.seconds);
-    let (began, real_began) = (ask(&mut rig, "look")?, costs(&rig.real)?);
+    let (before, real_before) = (
+        request(&mut deployment, "look")?,
+        resource_usage(&deployment.real)?,
+    );
     let clock = Instant::now();
     tokio::time::sleep(window).await;
-    let (ended, real_ended) = (ask(&mut rig, "look")?, costs(&rig.real)?);
-    let span = clock.elapsed().as_secs_f64();
-    let idle = between(&began, &ended);
+    let (after, real_after) = (
+        request(&mut deployment, "look")?,
+        resource_usage(&deployment.real)?,
+    );
+    let elapsed_s = clock.elapsed().as_secs_f64();
+    let idle = snapshot_delta(&before, &after);
     if hollow > 0 {
-        let bare: u64 = rig.shards.bare().iter().map(|look| look.memory).sum();
-        let memory = |looks: &[Look]| {
-            looks
+        let baseline: u64 = deployment
+            .processes
+            .baselines()
+            .iter()
+            .map(|process| process.memory_bytes)
+            .sum();
+        let memory = |snapshots: &[Snapshot]| {
+            snapshots
                 .iter()
-                .map(|look| look.memory)
+                .map(|process| process.memory_bytes)
                 .sum::<u64>()
-                .saturating_sub(bare)
+                .saturating_sub(baseline)
         };
-        let each = memory(&ended) as f64 / hollow as f64 / 1e6;
-        rows.add(
-            Kind::Hollow,
+        let memory_per_node = memory(&after) as f64 / hollow as f64 / 1e6;
+        report.add(
+            Source::Hollow,
             ("memory_idle", "MB/node"),
-            each,
+            memory_per_node,
             "resident, less the process without nodes",
         );
-        let each = 1.0 / hollow as f64 / span;
-        rows.add(
-            Kind::Hollow,
+        let per_node_second = 1.0 / hollow as f64 / elapsed_s;
+        report.add(
+            Source::Hollow,
             ("cpu_idle", "% of a core"),
-            idle.cpu_ns / 1e7 * each,
+            idle.cpu_ns / 1e7 * per_node_second,
             "decision, list, datagrams, timers",
         );
-        rows.add(
-            Kind::Hollow,
+        report.add(
+            Source::Hollow,
             ("decision_idle", "% of a core"),
-            idle.decision() / 1e7 * each,
+            idle.decision_ns() / 1e7 * per_node_second,
             "the decision and exchange alone",
         );
     }
-    for (before, after) in real_began.iter().zip(&real_ended) {
-        rows.add(
-            Kind::Real,
+    for (before, after) in real_before.iter().zip(&real_after) {
+        report.add(
+            Source::Real,
             ("memory_idle", "MB/node"),
             after.1 / 1e6,
             "resident, the whole process",
         );
-        rows.add(
-            Kind::Real,
+        report.add(
+            Source::Real,
             ("cpu_idle", "% of a core"),
-            (after.0 - before.0) / 1e7 / span,
+            (after.0 - before.0) / 1e7 / elapsed_s,
             "",
         );
     }
 
-    // Under load, while the list changes.
-    let _: Vec<()> = tokio::task::block_in_place(|| rig.shards.ask("load"))?;
+    // Loaded window, during which the list changes.
+    let _: Vec<()> = tokio::task::block_in_place(|| deployment.processes.request("load"))?;
     let mut clients = Vec::new();
-    let direct = (rig.servers[0], point.nodes);
-    let through = rig
+    let direct = (deployment.servers[0], point.nodes);
+    let addresses = deployment
         .real
         .iter()
-        .map(|real| (real.process.address, real.me))
+        .map(|real| (real.process.address, real.node))
         .chain([direct]);
-    let mut offers = tokio::task::JoinSet::new();
-    for place in through.collect::<Vec<_>>() {
-        let of = Clients::new(
-            Arc::clone(&rig.world),
-            rig.fleet.clone(),
-            rig.tenants.clone(),
-            place,
+    let mut load = tokio::task::JoinSet::new();
+    for address in addresses.collect::<Vec<_>>() {
+        let address_clients = Clients::new(
+            Arc::clone(&deployment.world),
+            deployment.fleet.clone(),
+            deployment.tenants.clone(),
+            address,
         );
-        if !rig.real.is_empty() {
-            offers.spawn(Arc::clone(&of).offer(point.tries, point.settles() + window));
+        if !deployment.real.is_empty() {
+            load.spawn(
+                Arc::clone(&address_clients)
+                    .send_requests(point.tries, point.settle_time() + window),
+            );
         }
-        clients.push(of);
+        clients.push(address_clients);
     }
-    tokio::time::sleep(point.settles()).await;
-    clients.iter().for_each(|clients| _ = clients.seen());
-    let (began, real_began) = (ask(&mut rig, "look")?, costs(&rig.real)?);
+    tokio::time::sleep(point.settle_time()).await;
+    clients.iter().for_each(|clients| _ = clients.take_stats());
+    let (before, real_before) = (
+        request(&mut deployment, "look")?,
+        resource_usage(&deployment.real)?,
+    );
     let clock = Instant::now();
-    let changes = change(&rig.service, point, window).await;
+    let changes = change_list(&deployment.list_service, point, window).await;
     tokio::time::sleep(window.saturating_sub(clock.elapsed())).await;
-    let (ended, real_ended) = (ask(&mut rig, "look")?, costs(&rig.real)?);
-    let span = clock.elapsed().as_secs_f64();
-    let loaded = between(&began, &ended);
-    while offers.join_next().await.is_some() {}
-    hollow_rows(rows, (&rig, &ended), &loaded, &idle, span);
-    let seen: Vec<_> = clients.iter().map(|clients| clients.seen()).collect();
-    real_rows(rows, &seen, (&real_began, &real_ended), span);
+    let (after, real_after) = (
+        request(&mut deployment, "look")?,
+        resource_usage(&deployment.real)?,
+    );
+    let elapsed_s = clock.elapsed().as_secs_f64();
+    let loaded = snapshot_delta(&before, &after);
+    while load.join_next().await.is_some() {}
+    report_hollow_nodes(report, (&deployment, &after), &loaded, &idle, elapsed_s);
+    let stats: Vec<_> = clients.iter().map(|clients| clients.take_stats()).collect();
+    report_real_nodes(report, &stats, (&real_before, &real_after), elapsed_s);
 
-    // Changes: the last ones have had time enough by now.
+    // Delays of the changes. After the settle time the last ones should have been applied, too.
     if !changes.is_empty() && hollow > 0 {
-        tokio::time::sleep(point.settles()).await;
-        let word = format!("acted {}", serde_json::to_string(&changes)?);
+        tokio::time::sleep(point.settle_time()).await;
+        let command = format!("acted {}", serde_json::to_string(&changes)?);
         type Acted = (Vec<Option<u64>>, Vec<(u64, u64)>);
-        let acted: Vec<Acted> = tokio::task::block_in_place(|| rig.shards.ask(&word))?;
-        let (mut last, mut all, mut unacted) = (Spans::default(), Spans::default(), 0);
+        let acted: Vec<Acted> =
+            tokio::task::block_in_place(|| deployment.processes.request(&command))?;
+        let (mut last, mut all, mut incomplete) = (
+            DurationHistogram::default(),
+            DurationHistogram::default(),
+            0,
+        );
         for change in 0..changes.len() {
-            let of: Option<Vec<u64>> = acted
+            let delays: Option<Vec<u64>> = acted
                 .iter()
                 .map(|(last, _)| last.get(change).copied().flatten())
                 .collect();
-            match of {
-                Some(of) => last.add(of.into_iter().max().unwrap_or(0)),
-                None => unacted += 1,
+            match delays {
+                Some(delays) => last.record(delays.into_iter().max().unwrap_or(0)),
+                None => incomplete += 1,
             }
         }
-        acted.iter().for_each(|(_, pairs)| all.merge(pairs));
+        acted.iter().for_each(|(_, buckets)| all.merge(buckets));
         let note = format!(
-            "{} changes until the last of {hollow} nodes had acted; {unacted} not by all",
+            "{} changes until the last of {hollow} nodes had acted; {incomplete} not by all",
             changes.len()
         );
-        rows.add(
-            Kind::Hollow,
+        report.add(
+            Source::Hollow,
             ("change_last_p50", "ms"),
             ms(&last, 0.5),
             &note,
         );
-        rows.add(Kind::Hollow, ("change_last_p99", "ms"), ms(&last, 0.99), "");
-        rows.add(Kind::Hollow, ("change_last_max", "ms"), ms(&last, 1.0), "");
-        rows.add(
-            Kind::Hollow,
+        report.add(
+            Source::Hollow,
+            ("change_last_p99", "ms"),
+            ms(&last, 0.99),
+            "",
+        );
+        report.add(
+            Source::Hollow,
+            ("change_last_max", "ms"),
+            ms(&last, 1.0),
+            "",
+        );
+        report.add(
+            Source::Hollow,
             ("change_node_p50", "ms"),
             ms(&all, 0.5),
             "over all changes and nodes",
         );
-        rows.add(Kind::Hollow, ("change_node_p99", "ms"), ms(&all, 0.99), "");
+        report.add(
+            Source::Hollow,
+            ("change_node_p99", "ms"),
+            ms(&all, 0.99),
+            "",
+        );
     }
 
     if hollow > 0 {
-        zone(rows, &mut rig).await?;
+        measure_zone_loss(report, &mut deployment).await?;
     }
 
-    // Restarts, under load.
+    // Restarts under load.
     if point.restart > 0.0 && hollow > 0 {
-        let began = ask(&mut rig, "look")?;
+        let before = request(&mut deployment, "look")?;
         let clock = Instant::now();
-        let word = format!("restart {}", point.restart);
-        let again: Vec<Vec<u64>> = tokio::task::block_in_place(|| rig.shards.ask(&word))?;
+        let command = format!("restart {}", point.restart);
+        let restarted: Vec<Vec<u64>> =
+            tokio::task::block_in_place(|| deployment.processes.request(&command))?;
         tokio::time::sleep(Duration::from_secs(2).saturating_sub(clock.elapsed())).await;
-        let ended = ask(&mut rig, "look")?;
-        let after = between(&began, &ended);
-        let mut spans = Spans::default();
-        again.iter().flatten().for_each(|span| spans.add(*span));
-        let many = spans.many() as f64;
-        rows.add(
-            Kind::Hollow,
+        let after = request(&mut deployment, "look")?;
+        let change = snapshot_delta(&before, &after);
+        let mut list_times = DurationHistogram::default();
+        restarted
+            .iter()
+            .flatten()
+            .for_each(|time| list_times.record(*time));
+        let restarted_nodes = list_times.count() as f64;
+        report.add(
+            Source::Hollow,
             ("restarted", "nodes"),
-            many,
+            restarted_nodes,
             "at one stroke, one by one in each process",
         );
-        rows.add(
-            Kind::Hollow,
+        report.add(
+            Source::Hollow,
             ("restart_listed_p50", "ms"),
-            ms(&spans, 0.5),
+            ms(&list_times, 0.5),
             "from a node's new start until it acted on the list",
         );
-        rows.add(
-            Kind::Hollow,
+        report.add(
+            Source::Hollow,
             ("restart_listed_max", "ms"),
-            ms(&spans, 1.0),
+            ms(&list_times, 1.0),
             "",
         );
-        let per = 1.0 / clock.elapsed().as_secs_f64() / hollow as f64;
-        rows.add(
-            Kind::Hollow,
+        let per_node_second = 1.0 / clock.elapsed().as_secs_f64() / hollow as f64;
+        report.add(
+            Source::Hollow,
             ("restart_words_sent", "/s/node"),
-            after.sums.sent.0 as f64 * per,
+            change.totals.datagrams_sent.0 as f64 * per_node_second,
             "in the 2 s from the stroke on",
         );
-        rows.add(
-            Kind::Hollow,
+        report.add(
+            Source::Hollow,
             ("restart_cut", "tries/node"),
-            after.sums.cut as f64 / many.max(1.0),
+            change.totals.interrupted as f64 / restarted_nodes.max(1.0),
             "had no answer yet",
         );
     }
     Ok(())
 }
 
-/// A zone is lost: its servers drain in one version, and are back in the next.
-async fn zone(rows: &mut Rows<'_>, rig: &mut Rig) -> Result<()> {
-    let point = rows.point;
-    let lost = (0..point.servers).step_by(ZONES);
-    let began = tokio::task::block_in_place(|| rig.shards.ask::<Look>("look"))?;
+/// Drains all servers of a zone in one version of the list and makes them ready again in the next. Measures when the
+/// last node has applied the drain.
+async fn measure_zone_loss(
+    report: &mut PointReport<'_>,
+    deployment: &mut Deployment,
+) -> Result<()> {
+    let point = report.point;
+    let zone_servers = (0..point.servers).step_by(ZONES);
+    let before = tokio::task::block_in_place(|| deployment.processes.request::<Snapshot>("look"))?;
     let (clock, now) = (Instant::now(), unix_micros());
-    let seq = rig.service.change(lost.clone());
-    let word = format!("acted [[{seq},{now}]]");
+    let seq = deployment.list_service.toggle_health(zone_servers.clone());
+    let command = format!("acted [[{seq},{now}]]");
     type Acted = (Vec<Option<u64>>, Vec<(u64, u64)>);
     let last = loop {
-        let acted: Vec<Acted> = tokio::task::block_in_place(|| rig.shards.ask(&word))?;
+        let acted: Vec<Acted> =
+            tokio::task::block_in_place(|| deployment.processes.request(&command))?;
         let last: Option<Vec<u64>> = acted
             .iter()
             .map(|(last, _)| last.first().copied().flatten())
             .collect();
-        if last.is_some() || clock.elapsed() > ZONE.0 {
+        if last.is_some() || clock.elapsed() > ZONE_LOSS_WAIT.0 {
             break last.and_then(|last| last.into_iter().max());
         }
-        tokio::time::sleep(ZONE.1).await;
+        tokio::time::sleep(ZONE_LOSS_WAIT.1).await;
     };
-    let ended = tokio::task::block_in_place(|| rig.shards.ask::<Look>("look"))?;
-    rig.service.change(lost.clone());
-    let spent = between(&began, &ended).sums.on_lists;
+    let after = tokio::task::block_in_place(|| deployment.processes.request::<Snapshot>("look"))?;
+    deployment.list_service.toggle_health(zone_servers.clone());
+    let cost = snapshot_delta(&before, &after).totals.list_cost;
     let note = format!(
         "{} servers drain in one version, until the last node has acted",
-        lost.len()
+        zone_servers.len()
     );
-    rows.add(
-        Kind::Hollow,
+    report.add(
+        Source::Hollow,
         ("zone_last", "ms"),
         last.map(|us| us as f64 / 1e3),
         &note,
     );
-    let each = (spent.times > 0).then(|| spent.ns as f64 / 1e6 / spent.times as f64);
-    rows.add(
-        Kind::Hollow,
+    let cpu_ms = (cost.events > 0).then(|| cost.cpu_ns as f64 / 1e6 / cost.events as f64);
+    report.add(
+        Source::Hollow,
         ("zone_decision", "ms"),
-        each,
+        cpu_ms,
         "the decision's and exchange's CPU on that list",
     );
     Ok(())
 }
 
-/// Changes a server of the list at a time, evenly over the window: versions, and when each was told.
-async fn change(service: &Service, point: &Point, window: Duration) -> Vec<(u64, u64)> {
-    let mut told = Vec::new();
-    let many = (point.changes * window.as_secs_f64()) as usize;
-    let begun = Instant::now();
-    for number in 0..many {
-        let at = window.mul_f64(number as f64 / many as f64);
-        tokio::time::sleep(at.saturating_sub(begun.elapsed())).await;
+/// Changes one server of the list at a time, at regular intervals over the window. Returns the version of each change
+/// and its time of publication, Unix time in µs.
+async fn change_list(
+    list_service: &ListService,
+    point: &Point,
+    window: Duration,
+) -> Vec<(u64, u64)> {
+    let mut published = Vec::new();
+    let count = (point.changes * window.as_secs_f64()) as usize;
+    let started = Instant::now();
+    for number in 0..count {
+        let at = window.mul_f64(number as f64 / count as f64);
+        tokio::time::sleep(at.saturating_sub(started.elapsed())).await;
         let now = unix_micros();
-        // Each server drains, and is ready again with the next change.
-        told.push((
-            service.change([number / 2 % point.servers].into_iter()),
+        // Each server drains with one change and is ready again with the next one.
+        published.push((
+            list_service.toggle_health([number / 2 % point.servers].into_iter()),
             now,
         ));
     }
-    told
+    published
 }
 
-/// What happened between two looks at all processes.
-struct Between {
+/// Differences between two snapshots of all processes of hollow nodes.
+struct SnapshotDelta {
     cpu_ns: f64,
-    /// CPU of the process that took most, ns.
-    busiest: f64,
-    sums: Sums,
-    lag: Spans,
-    added: Spans,
+    /// CPU time of the process that used most, ns.
+    busiest_ns: f64,
+    totals: Totals,
+    loop_lag: DurationHistogram,
+    added_latency: DurationHistogram,
 }
 
-impl Between {
-    fn decision(&self) -> f64 {
-        let Sums {
-            on_requests,
-            on_wakes,
-            on_words,
-            on_lists,
+impl SnapshotDelta {
+    /// CPU time of the exchange and the policy engine, ns.
+    fn decision_ns(&self) -> f64 {
+        let Totals {
+            request_cost,
+            timer_cost,
+            peer_message_cost,
+            list_cost,
             ..
-        } = self.sums;
-        [on_requests, on_wakes, on_words, on_lists]
+        } = self.totals;
+        [request_cost, timer_cost, peer_message_cost, list_cost]
             .iter()
-            .map(|spent| spent.ns as f64)
+            .map(|cost| cost.cpu_ns as f64)
             .sum()
     }
 }
 
-fn between(began: &[Look], ended: &[Look]) -> Between {
-    let (mut lag, mut added, mut sums) = (Spans::default(), Spans::default(), Sums::default());
-    let (mut cpu_ns, mut busiest) = (0.0, 0.0_f64);
-    for (began, ended) in began.iter().zip(ended) {
-        lag.merge(&ended.lag);
-        added.merge(&ended.added);
-        let spent = (ended.cpu_ns - began.cpu_ns) as f64;
-        (cpu_ns, busiest) = (cpu_ns + spent, busiest.max(spent));
-        let (from, to) = (&began.sums, &ended.sums);
-        let two = |to: (u64, u64), from: (u64, u64)| (to.0 - from.0, to.1 - from.1);
-        let plus = |sum: (u64, u64), more: (u64, u64)| (sum.0 + more.0, sum.1 + more.1);
-        sums.offered += to.offered - from.offered;
-        sums.served += to.served - from.served;
-        sums.refused += to.refused - from.refused;
-        sums.failed += to.failed - from.failed;
-        sums.cut += to.cut - from.cut;
-        sums.connects += to.connects - from.connects;
-        sums.attempts += to.attempts - from.attempts;
-        sums.logged += to.logged - from.logged;
-        sums.sent = plus(sums.sent, two(to.sent, from.sent));
-        sums.taken = plus(sums.taken, two(to.taken, from.taken));
-        sums.list.0 += to.list.0 - from.list.0;
-        sums.list.1 += to.list.1 - from.list.1;
-        sums.list.2 += to.list.2 - from.list.2;
-        let spent = |sum: &mut Spent, to: Spent, from: Spent| {
-            sum.times += to.times - from.times;
-            sum.ns += to.ns - from.ns;
+fn snapshot_delta(before: &[Snapshot], after: &[Snapshot]) -> SnapshotDelta {
+    let (mut loop_lag, mut added_latency, mut totals) = (
+        DurationHistogram::default(),
+        DurationHistogram::default(),
+        Totals::default(),
+    );
+    let (mut cpu_ns, mut busiest_ns) = (0.0, 0.0_f64);
+    for (before, after) in before.iter().zip(after) {
+        loop_lag.merge(&after.loop_lag);
+        added_latency.merge(&after.added_latency);
+        let process_ns = (after.cpu_ns - before.cpu_ns) as f64;
+        (cpu_ns, busiest_ns) = (cpu_ns + process_ns, busiest_ns.max(process_ns));
+        let (from, to) = (&before.totals, &after.totals);
+        let difference = |to: (u64, u64), from: (u64, u64)| (to.0 - from.0, to.1 - from.1);
+        let sum = |one: (u64, u64), other: (u64, u64)| (one.0 + other.0, one.1 + other.1);
+        totals.offered += to.offered - from.offered;
+        totals.served += to.served - from.served;
+        totals.refused += to.refused - from.refused;
+        totals.failed += to.failed - from.failed;
+        totals.interrupted += to.interrupted - from.interrupted;
+        totals.connects += to.connects - from.connects;
+        totals.attempts += to.attempts - from.attempts;
+        totals.reports += to.reports - from.reports;
+        totals.datagrams_sent = sum(
+            totals.datagrams_sent,
+            difference(to.datagrams_sent, from.datagrams_sent),
+        );
+        totals.datagrams_received = sum(
+            totals.datagrams_received,
+            difference(to.datagrams_received, from.datagrams_received),
+        );
+        totals.list_traffic.0 += to.list_traffic.0 - from.list_traffic.0;
+        totals.list_traffic.1 += to.list_traffic.1 - from.list_traffic.1;
+        totals.list_traffic.2 += to.list_traffic.2 - from.list_traffic.2;
+        let add_cost = |total: &mut HandlingCost, to: HandlingCost, from: HandlingCost| {
+            total.events += to.events - from.events;
+            total.cpu_ns += to.cpu_ns - from.cpu_ns;
         };
-        spent(&mut sums.on_requests, to.on_requests, from.on_requests);
-        spent(&mut sums.on_wakes, to.on_wakes, from.on_wakes);
-        spent(&mut sums.on_words, to.on_words, from.on_words);
-        spent(&mut sums.on_lists, to.on_lists, from.on_lists);
+        add_cost(&mut totals.request_cost, to.request_cost, from.request_cost);
+        add_cost(&mut totals.timer_cost, to.timer_cost, from.timer_cost);
+        add_cost(
+            &mut totals.peer_message_cost,
+            to.peer_message_cost,
+            from.peer_message_cost,
+        );
+        add_cost(&mut totals.list_cost, to.list_cost, from.list_cost);
     }
-    Between {
+    SnapshotDelta {
         cpu_ns,
-        busiest,
-        sums,
-        lag,
-        added,
+        busiest_ns,
+        totals,
+        loop_lag,
+        added_latency,
     }
 }
 
-fn hollow_rows(
-    rows: &mut Rows,
-    (rig, ended): (&Rig, &[Look]),
-    loaded: &Between,
-    idle: &Between,
-    span: f64,
+/// Adds the measurements of the hollow nodes under load.
+fn report_hollow_nodes(
+    report: &mut PointReport,
+    (deployment, after): (&Deployment, &[Snapshot]),
+    loaded: &SnapshotDelta,
+    idle: &SnapshotDelta,
+    elapsed_s: f64,
 ) {
-    let point = rows.point;
-    let hollow = point.hollow();
+    let point = report.point;
+    let hollow = point.hollow_nodes();
     if hollow == 0 {
         return;
     }
-    let each = 1.0 / hollow as f64 / span;
-    let sums = &loaded.sums;
-    let bare: u64 = rig.shards.bare().iter().map(|look| look.memory).sum();
-    let memory: u64 = ended.iter().map(|look| look.memory).sum();
-    let hollow_row = |rows: &mut Rows, name, unit, value: f64, note: &str| {
-        rows.add(Kind::Hollow, (name, unit), value, note);
+    let per_node_second = 1.0 / hollow as f64 / elapsed_s;
+    let totals = &loaded.totals;
+    let baseline: u64 = deployment
+        .processes
+        .baselines()
+        .iter()
+        .map(|process| process.memory_bytes)
+        .sum();
+    let memory: u64 = after.iter().map(|process| process.memory_bytes).sum();
+    let hollow_row = |report: &mut PointReport, name, unit, value: f64, note: &str| {
+        report.add(Source::Hollow, (name, unit), value, note);
     };
-    let lag = |share: f64| loaded.lag.at(share).unwrap_or(0.0);
-    let shared = hollow > point.processes();
-    let undone = sums.offered.saturating_sub(sums.done()) as f64;
-    let busy = loaded.busiest / 1e9 / span;
-    let in_time = undone <= KEEPS_UP.1 * hollow as f64 * point.tries.max(1.0);
-    let kept_up = !shared || busy <= KEEPS_UP.0 && in_time && lag(0.99) <= LATE;
-    let late = if kept_up {
+    let loop_lag = |share: f64| loaded.loop_lag.quantile(share).unwrap_or(0.0);
+    let shared = hollow > point.hollow_processes();
+    let unanswered = totals.offered.saturating_sub(totals.completed()) as f64;
+    let busiest_share = loaded.busiest_ns / 1e9 / elapsed_s;
+    let answers_keep_up = unanswered <= KEEPS_UP_LIMITS.1 * hollow as f64 * point.tries.max(1.0);
+    let keeps_up = !shared
+        || busiest_share <= KEEPS_UP_LIMITS.0 && answers_keep_up && loop_lag(0.99) <= LATE_LOOP_US;
+    let note = if keeps_up {
         ""
     } else {
         "the machine does not keep up with this point: no figure of it is one of real time"
     };
     hollow_row(
-        rows,
+        report,
         "keeps_up",
         "1 or 0",
-        f64::from(u8::from(kept_up)),
-        late,
+        f64::from(u8::from(keeps_up)),
+        note,
     );
     let note = if shared {
         "of several nodes"
     } else {
         "each has a process of its own"
     };
-    hollow_row(rows, "busiest_process", "% of a core", busy * 100.0, note);
     hollow_row(
-        rows,
+        report,
+        "busiest_process",
+        "% of a core",
+        busiest_share * 100.0,
+        note,
+    );
+    hollow_row(
+        report,
         "loop_lag_p50",
         "ms",
-        lag(0.5) / 1e3,
+        loop_lag(0.5) / 1e3,
         "timers are of 1 ms",
     );
-    let note = match lag(0.99) > LATE {
+    let note = match loop_lag(0.99) > LATE_LOOP_US {
         true if shared => "nodes of one process wait for one another, as processes would not",
         true => "later than a sweep: the decision holds the loop, as it would a process's",
         false => "",
     };
-    hollow_row(rows, "loop_lag_p99", "ms", lag(0.99) / 1e3, note);
-    hollow_row(rows, "offered", "/s/node", sums.offered as f64 * each, "");
+    hollow_row(report, "loop_lag_p99", "ms", loop_lag(0.99) / 1e3, note);
     hollow_row(
-        rows,
+        report,
+        "offered",
+        "/s/node",
+        totals.offered as f64 * per_node_second,
+        "",
+    );
+    hollow_row(
+        report,
         "done",
         "/s/node",
-        sums.done() as f64 * each,
+        totals.completed() as f64 * per_node_second,
         "final answers",
     );
-    let share = |of: u64| of as f64 / (sums.done() as f64).max(1.0);
-    hollow_row(rows, "served_share", "of done", share(sums.served), "");
-    hollow_row(rows, "refused_share", "of done", share(sums.refused), "");
-    hollow_row(rows, "failed_share", "of done", share(sums.failed), "");
-    let each_mb = memory.saturating_sub(bare) as f64 / hollow as f64 / 1e6;
+    let share = |count: u64| count as f64 / (totals.completed() as f64).max(1.0);
+    hollow_row(report, "served_share", "of done", share(totals.served), "");
     hollow_row(
-        rows,
+        report,
+        "refused_share",
+        "of done",
+        share(totals.refused),
+        "",
+    );
+    hollow_row(report, "failed_share", "of done", share(totals.failed), "");
+    let memory_per_node = memory.saturating_sub(baseline) as f64 / hollow as f64 / 1e6;
+    hollow_row(
+        report,
         "memory_loaded",
         "MB/node",
-        each_mb,
+        memory_per_node,
         "resident, less the process without nodes",
     );
     hollow_row(
-        rows,
+        report,
         "cpu_loaded",
         "% of a core",
-        loaded.cpu_ns / 1e7 * each,
+        loaded.cpu_ns / 1e7 * per_node_second,
         "with the drawn clients and servers in it",
     );
     hollow_row(
-        rows,
+        report,
         "decision_loaded",
         "% of a core",
-        loaded.decision() / 1e7 * each,
+        loaded.decision_ns() / 1e7 * per_node_second,
         "the decision and exchange alone",
     );
-    let us = |spent: Spent| (spent.times > 0).then(|| spent.ns as f64 / 1e3 / spent.times as f64);
-    if sums.offered > 0 {
-        let all = (loaded.decision() - idle.decision()).max(0.0) / 1e3 / sums.offered as f64;
+    let mean_us = |cost: HandlingCost| {
+        (cost.events > 0).then(|| cost.cpu_ns as f64 / 1e3 / cost.events as f64)
+    };
+    if totals.offered > 0 {
+        let all =
+            (loaded.decision_ns() - idle.decision_ns()).max(0.0) / 1e3 / totals.offered as f64;
         hollow_row(
-            rows,
+            report,
             "decision_try",
             "µs",
             all,
             "of all its entries, less idle, a try offered",
         );
-        let own = sums.on_requests.ns as f64 / 1e3 / sums.offered as f64;
+        let own = totals.request_cost.cpu_ns as f64 / 1e3 / totals.offered as f64;
         hollow_row(
-            rows,
+            report,
             "decision_try_own",
             "µs",
             own,
             "entries for requests alone, a try offered",
         );
     }
-    rows.add(
-        Kind::Hollow,
+    report.add(
+        Source::Hollow,
         ("decision_wake", "µs"),
-        us(sums.on_wakes),
+        mean_us(totals.timer_cost),
         "one wake-up",
     );
-    rows.add(
-        Kind::Hollow,
+    report.add(
+        Source::Hollow,
         ("decision_word", "µs"),
-        us(sums.on_words),
+        mean_us(totals.peer_message_cost),
         "one datagram of a peer",
     );
-    rows.add(
-        Kind::Hollow,
+    report.add(
+        Source::Hollow,
         ("decision_list", "µs"),
-        us(sums.on_lists),
+        mean_us(totals.list_cost),
         "one list or change, read already",
     );
-    let hollow_row = |rows: &mut Rows, name, unit, value: f64, note: &str| {
-        rows.add(Kind::Hollow, (name, unit), value, note);
+    let hollow_row = |report: &mut PointReport, name, unit, value: f64, note: &str| {
+        report.add(Source::Hollow, (name, unit), value, note);
     };
     hollow_row(
-        rows,
+        report,
         "wakes",
         "/s/node",
-        sums.on_wakes.times as f64 * each,
+        totals.timer_cost.events as f64 * per_node_second,
         "",
     );
     hollow_row(
-        rows,
+        report,
         "words_sent",
         "/s/node",
-        sums.sent.0 as f64 * each,
+        totals.datagrams_sent.0 as f64 * per_node_second,
         "datagrams",
     );
-    let over = if sums.taken.0 as f64 * each > INTAKE {
+    let note = if totals.datagrams_received.0 as f64 * per_node_second > MAX_RECEIVED_PER_S {
         "more than the 60 that the platform lets a node take"
     } else {
         ""
     };
     hollow_row(
-        rows,
+        report,
         "words_taken",
         "/s/node",
-        sums.taken.0 as f64 * each,
-        over,
+        totals.datagrams_received.0 as f64 * per_node_second,
+        note,
     );
     hollow_row(
-        rows,
+        report,
         "word_bytes_sent",
         "B/s/node",
-        sums.sent.1 as f64 * each,
+        totals.datagrams_sent.1 as f64 * per_node_second,
         "payload",
     );
     hollow_row(
-        rows,
+        report,
         "word_bytes_taken",
         "B/s/node",
-        sums.taken.1 as f64 * each,
+        totals.datagrams_received.1 as f64 * per_node_second,
         "payload",
     );
     hollow_row(
-        rows,
+        report,
         "list_bytes",
         "B/s/node",
-        sums.list.1 as f64 * each,
+        totals.list_traffic.1 as f64 * per_node_second,
         "of the watch",
     );
-    let both = (sums.sent.0 + sums.taken.0) as f64 * HEADERS
-        + (sums.sent.1 + sums.taken.1 + sums.list.1) as f64;
+    let control_bytes = (totals.datagrams_sent.0 + totals.datagrams_received.0) as f64
+        * DATAGRAM_HEADER_BYTES
+        + (totals.datagrams_sent.1 + totals.datagrams_received.1 + totals.list_traffic.1) as f64;
     let note = "words both ways with 28 bytes of headers, and the list's bytes";
-    rows.add(
-        Kind::Reckoned,
+    report.add(
+        Source::Derived,
         ("control_bytes", "B/s/node"),
-        both * each,
+        control_bytes * per_node_second,
         note,
     );
-    if point.nodes > 1 && point.running() == point.nodes && sums.sent.0 > 0 {
+    if point.nodes > 1 && point.running_nodes() == point.nodes && totals.datagrams_sent.0 > 0 {
         let others = (point.nodes - 1) as f64;
-        let to_hollow = sums.sent.0 as f64 * (hollow as f64 - 1.0) / others;
-        let lost = 1.0 - sums.taken.0 as f64 / to_hollow.max(1.0);
+        let to_hollow = totals.datagrams_sent.0 as f64 * (hollow as f64 - 1.0) / others;
+        let lost = 1.0 - totals.datagrams_received.0 as f64 / to_hollow.max(1.0);
         let note = "of the words of hollow nodes to such, if real ones say and hear as much";
-        rows.add(Kind::Reckoned, ("words_lost", "share"), lost.max(0.0), note);
+        report.add(
+            Source::Derived,
+            ("words_lost", "share"),
+            lost.max(0.0),
+            note,
+        );
     }
-    let links: usize = ended.iter().map(|look| look.links).sum();
-    let a_server = point.nodes as f64 / hollow as f64 / point.servers as f64;
+    let open_connections: usize = after.iter().map(|process| process.open_connections).sum();
+    let per_server = point.nodes as f64 / hollow as f64 / point.servers as f64;
     let note =
         "connections that the exchange of hollow nodes keeps, for all nodes; nothing is sent over them";
-    rows.add(
-        Kind::Reckoned,
+    report.add(
+        Source::Derived,
         ("connections", "/server"),
-        links as f64 * a_server,
+        open_connections as f64 * per_server,
         note,
     );
-    rows.add(
-        Kind::Reckoned,
+    report.add(
+        Source::Derived,
         ("handshakes", "/s/server"),
-        sums.connects as f64 / span * a_server,
+        totals.connects as f64 / elapsed_s * per_server,
         "",
     );
-    if sums.attempts > 0 {
-        let share = sums.connects as f64 / sums.attempts as f64;
-        rows.add(
-            Kind::Reckoned,
+    if totals.attempts > 0 {
+        let share = totals.connects as f64 / totals.attempts as f64;
+        report.add(
+            Source::Derived,
             ("handshakes_try", "/attempt"),
             share,
             "connections made for each attempt that was written",
         );
     }
-    let kept: usize = ended.iter().map(|look| look.kept).sum();
+    let tracked_entries: usize = after.iter().map(|process| process.tracked_entries).sum();
     hollow_row(
-        rows,
+        report,
         "kept",
         "entries/node",
-        kept as f64 / hollow as f64,
+        tracked_entries as f64 / hollow as f64,
         "servers, their names, stores and homes in the decision",
     );
     let note = "from due time to served answer, less the server's own work: quotas' words, handshakes, waiting, loop lag";
-    rows.add(
-        Kind::Hollow,
+    report.add(
+        Source::Hollow,
         ("added_p50", "ms"),
-        loaded.added.at(0.5).map(|us| us / 1e3),
+        loaded.added_latency.quantile(0.5).map(|us| us / 1e3),
         note,
     );
-    rows.add(
-        Kind::Hollow,
+    report.add(
+        Source::Hollow,
         ("added_p99", "ms"),
-        loaded.added.at(0.99).map(|us| us / 1e3),
+        loaded.added_latency.quantile(0.99).map(|us| us / 1e3),
         "",
     );
 }
 
-type Costs = Vec<(f64, f64)>;
+/// CPU time (ns) and memory (bytes) of each process of the program.
+type Usage = Vec<(f64, f64)>;
 
-fn real_rows(rows: &mut Rows, seen: &[real::Seen], (began, ended): (&Costs, &Costs), span: f64) {
-    let Some((direct, through)) = seen.split_last() else {
+/// Adds the measurements of the processes of the program under load. The last entry of `stats` is that of the
+/// requests sent directly to a server.
+fn report_real_nodes(
+    report: &mut PointReport,
+    stats: &[real::ClientStats],
+    (before, after): (&Usage, &Usage),
+    elapsed_s: f64,
+) {
+    let Some((direct, through_nodes)) = stats.split_last() else {
         return;
     };
-    let ms = |spans: &Spans, share: f64| spans.at(share).map(|us| us / 1e3);
-    for ((seen, before), after) in through.iter().zip(began).zip(ended) {
-        rows.add(
-            Kind::Real,
+    let ms =
+        |histogram: &DurationHistogram, share: f64| histogram.quantile(share).map(|us| us / 1e3);
+    for ((node_stats, usage_before), usage_after) in through_nodes.iter().zip(before).zip(after) {
+        report.add(
+            Source::Real,
             ("memory_loaded", "MB/node"),
-            after.1 / 1e6,
+            usage_after.1 / 1e6,
             "resident, the whole process",
         );
-        rows.add(
-            Kind::Real,
+        report.add(
+            Source::Real,
             ("cpu_loaded", "% of a core"),
-            (after.0 - before.0) / 1e7 / span,
+            (usage_after.0 - usage_before.0) / 1e7 / elapsed_s,
             "HTTP on both sides in it",
         );
-        let done = seen.served + seen.refused + seen.failed;
-        if done > 0 {
-            rows.add(
-                Kind::Real,
+        let answered = node_stats.served + node_stats.refused + node_stats.failed;
+        if answered > 0 {
+            report.add(
+                Source::Real,
                 ("cpu_try", "µs"),
-                (after.0 - before.0) / 1e3 / done as f64,
+                (usage_after.0 - usage_before.0) / 1e3 / answered as f64,
                 "all CPU of the process, a try",
             );
-            let share = |of: u64| of as f64 / done as f64;
-            rows.add(
-                Kind::Real,
+            let share = |count: u64| count as f64 / answered as f64;
+            report.add(
+                Source::Real,
                 ("served_share", "of done"),
-                share(seen.served),
+                share(node_stats.served),
                 "",
             );
-            rows.add(
-                Kind::Real,
+            report.add(
+                Source::Real,
                 ("refused_share", "of done"),
-                share(seen.refused),
+                share(node_stats.refused),
                 "",
             );
-            let note = if seen.failed > 0 {
-                format!("statuses {:?}", seen.statuses)
+            let note = if node_stats.failed > 0 {
+                format!("statuses {:?}", node_stats.failed_statuses)
             } else {
                 String::new()
             };
-            rows.add(
-                Kind::Real,
+            report.add(
+                Source::Real,
                 ("failed_share", "of done"),
-                share(seen.failed),
+                share(node_stats.failed),
                 &note,
             );
         }
-        for (share, [took, straight, added]) in [
+        for (quantile, [through_node, without_node, added]) in [
             (0.5, ["took_p50", "direct_p50", "added_p50"]),
             (0.99, ["took_p99", "direct_p99", "added_p99"]),
         ] {
-            let (Some(took_ms), Some(direct_ms)) = (ms(&seen.took, share), ms(&direct.took, share))
-            else {
+            let (Some(node_ms), Some(direct_ms)) = (
+                ms(&node_stats.latency, quantile),
+                ms(&direct.latency, quantile),
+            ) else {
                 continue;
             };
-            let note = format!("{} served tries; servers answer at once", seen.took.many());
-            rows.add(Kind::Real, (took, "ms"), took_ms, &note);
-            rows.add(
-                Kind::Real,
-                (straight, "ms"),
+            let note = format!(
+                "{} served tries; servers answer at once",
+                node_stats.latency.count()
+            );
+            report.add(Source::Real, (through_node, "ms"), node_ms, &note);
+            report.add(
+                Source::Real,
+                (without_node, "ms"),
                 direct_ms,
                 "the same tries without a node between, at the same time",
             );
-            rows.add(
-                Kind::Reckoned,
+            report.add(
+                Source::Derived,
                 (added, "ms"),
-                took_ms - direct_ms,
+                node_ms - direct_ms,
                 "difference of the two quantiles, real processes",
             );
         }
--- a/crates/bench/src/scale/real.rs
+++ b/crates/bench/src/scale/real.rs
@@ -1,8 +1,9 @@
-//! Processes of the program in a scale run: their clients, which speak HTTP, and the same tries without a node between.
+//! Processes of the program in a scale run, and their HTTP clients. The same clients also send requests directly to a
+//! server, for comparison.
 
-use crate::process::{self, Measured};
+use crate::process::{self, MeasuredProcess};
 use anyhow::{ensure, Context, Result};
-use saffronpaddle_hollow::figures::Spans;
+use saffronpaddle_hollow::figures::DurationHistogram;
 use saffronpaddle_hollow::tenants::Tenants;
 use saffronpaddle_test_doubles::settings::{configuration, Fleet, NodeConfig};
 use saffronpaddle_test_doubles::wire::{HttpConnection, Message};
@@ -13,97 +14,100 @@
 use std::time::{Duration, Instant};
 use tokio::net::TcpStream;
 
-/// Descriptors that each may hold, and its memory as its configuration says, MB.
-const SOCKETS: usize = 4_096;
+/// Limit of sockets in the configuration of a process.
+const SOCKET_LIMIT: usize = 4_096;
+/// Memory in the configuration of a process, MB.
 const MEMORY_MB: usize = 256;
-/// How long one may take to be ready, and between two looks.
-const READY: (Duration, Duration) = (Duration::from_secs(30), Duration::from_millis(5));
-/// Idle connections that the clients of one keep.
-const IDLE: usize = 256;
+/// Longest time until a process is ready, and the interval between two checks.
+const READY_TIMEOUT: (Duration, Duration) = (Duration::from_secs(30), Duration::from_millis(5));
+/// Most idle connections that the clients of one address keep.
+const MAX_IDLE_CONNECTIONS: usize = 256;
 
-/// One process.
-pub struct Real {
-    pub process: Measured,
-    pub me: usize,
+/// A process of the program.
+pub struct RealNode {
+    pub process: MeasuredProcess,
+    /// Number of the node in the fleet.
+    pub node: usize,
     pub ready_ms: f64,
 }
 
-/// Starts one, and waits until it is ready.
+/// Starts a process and waits until it is ready.
 pub async fn start(
     world: &Arc<World>,
-    me: usize,
+    node: usize,
     settings: &Value,
     peers: &[SocketAddr],
     discovery: SocketAddr,
-) -> Result<Real> {
+) -> Result<RealNode> {
     let listen = saffronpaddle_test_doubles::ports::reserve_address()?;
-    let places = NodeConfig {
-        name: format!("n{me}"),
+    let config = NodeConfig {
+        name: format!("n{node}"),
         listen,
         discovery,
-        peer_listen: peers[me],
+        peer_listen: peers[node],
         peers: peers.to_vec(),
-        sockets: SOCKETS,
+        sockets: SOCKET_LIMIT,
         memory_mb: MEMORY_MB,
     };
     let begun = Instant::now();
-    let process = process::member(
+    let process = process::start_fleet_node(
         &crate::program()?,
         listen,
-        &configuration(&places, settings, None, me as u64 + 1),
+        &configuration(&config, settings, None, node as u64 + 1),
     )?;
     while !matches!(
-        tokio::time::timeout(READY.0, ready(world, listen)).await,
+        tokio::time::timeout(READY_TIMEOUT.0, is_ready(world, listen)).await,
         Ok(Ok(true))
     ) {
         ensure!(
-            begun.elapsed() < READY.0,
-            "a process of the program is not ready within {:?}",
-            READY.0
+            begun.elapsed() < READY_TIMEOUT.0,
+            "node {node} is not ready within {:?}",
+            READY_TIMEOUT.0
         );
-        tokio::time::sleep(READY.1).await;
+        tokio::time::sleep(READY_TIMEOUT.1).await;
     }
-    Ok(Real {
+    Ok(RealNode {
         process,
-        me,
+        node,
         ready_ms: begun.elapsed().as_secs_f64() * 1e3,
     })
 }
 
-async fn ready(world: &World, address: SocketAddr) -> Result<bool> {
-    let mut wire = HttpConnection::new(TcpStream::connect(address).await?);
-    wire.write(b"GET /-/ready HTTP/1.1\r\nHost: bench\r\n\r\n")
+async fn is_ready(world: &World, address: SocketAddr) -> Result<bool> {
+    let mut connection = HttpConnection::new(TcpStream::connect(address).await?);
+    connection
+        .write(b"GET /-/ready HTTP/1.1\r\nHost: bench\r\n\r\n")
         .await?;
-    Ok(wire
+    Ok(connection
         .read_message(world)
         .await?
-        .context("an answer")?
+        .context("the node closed the connection without an answer")?
         .status()
         == 200)
 }
 
-/// What clients saw.
+/// Outcomes of the requests of clients.
 #[derive(Default)]
-pub struct Seen {
+pub struct ClientStats {
     pub offered: u64,
     pub served: u64,
     pub refused: u64,
     pub failed: u64,
-    /// Statuses of those; 0 for none.
-    pub statuses: Vec<u16>,
-    /// From when a try was due to its served answer, µs.
-    pub took: Spans,
+    /// HTTP statuses of failed requests; 0 for no answer.
+    pub failed_statuses: Vec<u16>,
+    /// Time from the scheduled start of a served request to its answer, µs.
+    pub latency: DurationHistogram,
 }
 
-/// Clients of one address, whose tries wait for nothing.
+/// Open-loop clients of one address: they send requests at random times without waiting for earlier answers.
 pub struct Clients {
     world: Arc<World>,
     fleet: Fleet,
     tenants: Tenants,
     address: SocketAddr,
-    me: u32,
+    node: u32,
     idle: Mutex<Vec<HttpConnection>>,
-    seen: Mutex<Seen>,
+    stats: Mutex<ClientStats>,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -115,58 +119,58 @@
         world: Arc<World>,
         fleet: Fleet,
         tenants: Tenants,
-        (address, me): (SocketAddr, usize),
+        (address, node): (SocketAddr, usize),
     ) -> Arc<Clients> {
-        let (idle, seen) = (Mutex::default(), Mutex::default());
+        let (idle, stats) = (Mutex::default(), Mutex::default());
         Arc::new(Clients {
             world,
             fleet,
             tenants,
             address,
-            me: me as u32,
+            node: node as u32,
             idle,
-            seen,
+            stats,
         })
     }
 
-    /// Sends so many tries a second for a span; comes back when the last has its answer.
-    pub async fn offer(self: Arc<Self>, tries: f64, span: Duration) {
-        let mut random = fastrand::Rng::with_seed(u64::from(self.me) ^ 0x5eed);
-        let drawn = self.tenants.at(self.me);
+    /// Sends `rate` requests/s for `duration`. Returns when all are answered.
+    pub async fn send_requests(self: Arc<Self>, rate: f64, duration: Duration) {
+        let mut random = fastrand::Rng::with_seed(u64::from(self.node) ^ 0x5eed);
+        let sampler = self.tenants.sampler(self.node);
         let (begun, mut at, mut number) = (Instant::now(), Duration::ZERO, 0_u64);
-        let mut out = tokio::task::JoinSet::new();
-        if tries <= 0.0 {
+        let mut in_flight = tokio::task::JoinSet::new();
+        if rate <= 0.0 {
             return;
         }
         loop {
-            at += Duration::from_secs_f64(-(1.0 - random.f64()).ln() / tries);
-            if at >= span {
+            at += Duration::from_secs_f64(-(1.0 - random.f64()).ln() / rate);
+            if at >= duration {
                 break;
             }
             tokio::time::sleep(at.saturating_sub(begun.elapsed())).await;
             number += 1;
             let class = random.f64();
             let class = usize::from(class >= self.fleet.classes[0].share);
-            let head = self.head(number, class, drawn.draw(random.f64()));
-            let (clients, due) = (Arc::clone(&self), begun + at);
-            out.spawn(async move { clients.send(head, due).await });
-            while out.try_join_next().is_some() {}
+            let request = self.request_text(number, class, sampler.rank(random.f64()));
+            let (clients, due_at) = (Arc::clone(&self), begun + at);
+            in_flight.spawn(async move { clients.send(request, due_at).await });
+            while in_flight.try_join_next().is_some() {}
         }
-        while out.join_next().await.is_some() {}
+        while in_flight.join_next().await.is_some() {}
     }
 
-    fn head(&self, number: u64, class: usize, place: usize) -> String {
-        let tenant = self.tenants.tenant(place);
+    fn request_text(&self, number: u64, class: usize, tenant_rank: usize) -> String {
+        let tenant = self.tenants.tenant(tenant_rank);
         let (class, plan) = (
             &self.fleet.classes[class],
             self.fleet.plans[tenant.plan].name,
         );
-        let (method, more, body) = if class.keyed {
+        let (method, extra_headers, body) = if class.keyed {
             (
                 "POST",
                 format!(
                     "Idempotency-Key: {:x}-{number:032x}\r\nContent-Length: 8\r\n",
-                    self.me
+                    self.node
                 ),
                 "time=1:1",
             )
@@ -176,64 +180,69 @@
         let begun = self.world.now().as_nanos();
         format!(
             "{method} /{0}/{1:016x} HTTP/1.1\r\nHost: scale\r\nX-Request-Id: {2:x}-{number:x}-{begun:x}\r\nX-Class: {0}\r\n\
-             X-Tier: {plan}\r\nX-Deadline: {3}m\r\nX-Call-Terms: units=1,spread={4},first={5}\r\n{more}\r\n{body}",
+             X-Tier: {plan}\r\nX-Deadline: {3}m\r\nX-Call-Terms: units=1,spread={4},first={5}\r\n{extra_headers}\r\n{body}",
             class.name,
             tenant.id,
-            self.me,
+            self.node,
             class.deadline.as_millis(),
-            tenant.spread,
-            tenant.first
+            tenant.subset_size,
+            tenant.subset_first
         )
     }
 
-    async fn send(&self, head: String, due: Instant) {
-        lock(&self.seen).offered += 1;
-        let status = self.exchange(&head).await.unwrap_or(0);
-        let took = due.elapsed().as_micros() as u64;
-        let mut seen = lock(&self.seen);
+    async fn send(&self, request: String, due_at: Instant) {
+        lock(&self.stats).offered += 1;
+        let status = self.exchange(&request).await.unwrap_or(0);
+        let latency = due_at.elapsed().as_micros() as u64;
+        let mut stats = lock(&self.stats);
         match status {
             200 => {
-                seen.served += 1;
-                seen.took.add(took);
+                stats.served += 1;
+                stats.latency.record(latency);
             }
-            429 | 503 => seen.refused += 1,
+            429 | 503 => stats.refused += 1,
             other => {
-                seen.failed += 1;
-                seen.statuses.push(other);
+                stats.failed += 1;
+                stats.failed_statuses.push(other);
             }
         }
     }
 
-    /// On a kept connection, if there is one; where that has closed unread, on a new one, as clients do.
-    async fn exchange(&self, head: &str) -> Result<u16> {
-        let kept = lock(&self.idle).pop();
-        if let Some(mut wire) = kept {
-            let unread = wire.write(head.as_bytes()).await.is_err();
-            let answer = if unread {
+    /// Sends a request on an idle connection, if there is one. If the node has closed that one without an answer,
+    /// uses a new connection, as HTTP clients do.
+    async fn exchange(&self, request: &str) -> Result<u16> {
+        let idle = lock(&self.idle).pop();
+        if let Some(mut connection) = idle {
+            let write_failed = connection.write(request.as_bytes()).await.is_err();
+            let answer = if write_failed {
                 Ok(None)
             } else {
-                wire.read_message(&self.world).await
+                connection.read_message(&self.world).await
             };
             if let Ok(Some(answer)) = answer {
-                return Ok(self.keep(wire, &answer));
+                return Ok(self.keep(connection, &answer));
             }
         }
-        let mut wire = HttpConnection::new(TcpStream::connect(self.address).await?);
-        wire.write(head.as_bytes()).await?;
-        let answer = wire.read_message(&self.world).await?.context("an answer")?;
-        Ok(self.keep(wire, &answer))
+        let mut connection = HttpConnection::new(TcpStream::connect(self.address).await?);
+        connection.write(request.as_bytes()).await?;
+        let answer = connection
+            .read_message(&self.world)
+            .await?
+            .context("the node closed the connection without an answer")?;
+        Ok(self.keep(connection, &answer))
     }
 
-    fn keep(&self, wire: HttpConnection, answer: &Message) -> u16 {
+    /// Keeps a connection for further requests unless it is to be closed. Returns the status of the answer.
+    fn keep(&self, connection: HttpConnection, answer: &Message) -> u16 {
         let mut idle = lock(&self.idle);
-        if answer.header("connection") != "close" && idle.len() < IDLE {
-            idle.push(wire);
+        if answer.header("connection") != "close" && idle.len() < MAX_IDLE_CONNECTIONS {
+            idle.push(connection);
         }
         answer.status()
     }
 
-    /// What was seen since the last look.
-    pub fn seen(&self) -> Seen {
-        std::mem::take(&mut lock(&self.seen))
+    /// Takes the outcomes since the last call.
+    pub fn take_stats(&self) -> ClientStats {
+        std::mem::take(&mut lock(&self.stats))
     }
 }
--- a/crates/bench/src/scale/report.rs
+++ b/crates/bench/src/scale/report.rs
@@ -1,4 +1,4 @@
-//! Rows of a run: one figure each, with what it is worth.
+//! Measurements of a run, the slopes over each sweep, and their output as CSV and text.
 
 use super::bounds::Point;
 use super::fit;
@@ -6,53 +6,55 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// What a figure is of.
+/// Origin of a measurement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    /// Processes of the program.
+pub enum Source {
+    /// A process of the program.
     Real,
     /// Hollow nodes.
     Hollow,
-    /// Worked out from others.
-    Reckoned,
+    /// Calculated from other measurements.
+    Derived,
 }
 
-impl Kind {
+impl Source {
     pub fn name(self) -> &'static str {
         match self {
-            Kind::Real => "real",
-            Kind::Hollow => "hollow",
-            Kind::Reckoned => "reckoned",
+            Source::Real => "real",
+            Source::Hollow => "hollow",
+            Source::Derived => "reckoned",
         }
     }
 }
 
-/// One figure.
+/// One measured value at one point of a sweep.
 #[derive(Clone, Debug)]
-pub struct Row {
+pub struct Measurement {
     pub sweep: &'static str,
-    pub at: f64,
+    /// Value of the swept parameter.
+    pub x: f64,
     pub point: Point,
-    pub kind: Kind,
+    pub source: Source,
     pub measure: &'static str,
     pub unit: &'static str,
     pub value: f64,
     pub note: String,
 }
 
-/// The rows of one point.
-pub struct Rows<'a> {
+/// The measurements of one point.
+pub struct PointReport<'a> {
     pub sweep: &'static str,
-    pub at: f64,
+    /// Value of the swept parameter.
+    pub x: f64,
     pub point: &'a Point,
-    pub all: Vec<Row>,
+    pub all: Vec<Measurement>,
 }
 
-impl Rows<'_> {
-    /// Adds a figure; one that there is not is left out.
+impl PointReport<'_> {
+    /// Adds a measurement. `None` and values that are not finite are left out.
     pub fn add(
         &mut self,
-        kind: Kind,
+        source: Source,
         (measure, unit): (&'static str, &'static str),
         value: impl Into<Option<f64>>,
         note: &str,
@@ -60,12 +62,12 @@
         let Some(value) = value.into().filter(|value| value.is_finite()) else {
             return;
         };
-        let (sweep, at, point, note) = (self.sweep, self.at, self.point.clone(), note.to_owned());
-        self.all.push(Row {
+        let (sweep, x, point, note) = (self.sweep, self.x, self.point.clone(), note.to_owned());
+        self.all.push(Measurement {
             sweep,
-            at,
+            x,
             point,
-            kind,
+            source,
             measure,
             unit,
             value,
@@ -77,60 +79,62 @@
 /// A line through the points of a sweep.
 pub struct Slope {
     pub sweep: &'static str,
-    pub kind: Kind,
+    pub source: Source,
     pub measure: &'static str,
     pub unit: &'static str,
     pub points: usize,
     pub fit: fit::Fit,
 }
 
-/// Measures that say of a point what it is worth, and grow with nothing.
-const MARKS: [&str; 2] = ["keeps_up", "not_measured"];
+/// Measures that give the validity of a point. No slope is calculated for them.
+const VALIDITY_MEASURES: [&str; 2] = ["keeps_up", "not_measured"];
 
-/// Lines through all measures of all sweeps. Danger: a line through a point at which the machine did not keep up; of such a
-/// one only its memory counts.
-pub fn slopes(rows: &[Row]) -> Vec<Slope> {
-    let marked = |row: &&Row| row.measure == "keeps_up" && row.value == 0.0;
-    let late: Vec<(&str, f64)> = rows
+/// Fits a line to each measure of each sweep. Of a point at which the machine did not keep up, only memory is used:
+/// its other values are not those of a fleet in real time.
+pub fn slopes(rows: &[Measurement]) -> Vec<Slope> {
+    let is_overloaded = |row: &&Measurement| row.measure == "keeps_up" && row.value == 0.0;
+    let overloaded: Vec<(&str, f64)> = rows
         .iter()
-        .filter(marked)
-        .map(|row| (row.sweep, row.at))
+        .filter(is_overloaded)
+        .map(|row| (row.sweep, row.x))
         .collect();
-    let counts =
-        |row: &&Row| row.measure.starts_with("memory") || !late.contains(&(row.sweep, row.at));
+    let is_valid = |row: &&Measurement| {
+        row.measure.starts_with("memory") || !overloaded.contains(&(row.sweep, row.x))
+    };
     let rows = rows
         .iter()
-        .filter(|row| !MARKS.contains(&row.measure))
-        .filter(counts);
-    let mut by: BTreeMap<(&str, &str, &str), Vec<&Row>> = BTreeMap::new();
+        .filter(|row| !VALIDITY_MEASURES.contains(&row.measure))
+        .filter(is_valid);
+    let mut by_measure: BTreeMap<(&str, &str, &str), Vec<&Measurement>> = BTreeMap::new();
     for row in rows {
-        by.entry((row.sweep, row.measure, row.kind.name()))
+        by_measure
+            .entry((row.sweep, row.measure, row.source.name()))
             .or_default()
             .push(row);
     }
-    let slope = |rows: &Vec<&Row>| {
-        let points: Vec<(f64, f64)> = rows.iter().map(|row| (row.at, row.value)).collect();
-        let Row {
+    let slope = |rows: &Vec<&Measurement>| {
+        let points: Vec<(f64, f64)> = rows.iter().map(|row| (row.x, row.value)).collect();
+        let Measurement {
             sweep,
-            kind,
+            source,
             measure,
             unit,
             ..
         } = **rows.first()?;
         Some(Slope {
             sweep,
-            kind,
+            source,
             measure,
             unit,
             points: points.len(),
-            fit: fit::line(&points)?,
+            fit: fit::least_squares(&points)?,
         })
     };
-    by.values().filter_map(slope).collect()
+    by_measure.values().filter_map(slope).collect()
 }
 
 /// Four digits that count.
-pub fn figure(value: f64) -> String {
+pub fn format_value(value: f64) -> String {
     let digits = if value == 0.0 {
         0
     } else {
@@ -139,8 +143,8 @@
     format!("{value:.digits$}")
 }
 
-/// Writes all rows, and the lines after them, as CSV.
-pub fn write(path: &Path, rows: &[Row]) -> Result<()> {
+/// Writes the measurements and then the slopes as CSV.
+pub fn write(path: &Path, rows: &[Measurement]) -> Result<()> {
     let mut out = csv::Writer::from_path(path)?;
     out.write_record([
         "sweep",
@@ -163,36 +167,38 @@
     ])?;
     for row in rows {
         let point = &row.point;
-        let whole = [
+        let counts = [
             point.nodes,
-            point.running(),
+            point.running_nodes(),
             point.real,
             point.servers,
             point.tenants,
         ]
-        .map(|figure| figure.to_string());
-        let rates = [point.tries, point.changes, point.restart].map(|figure| figure.to_string());
-        let mut record = vec![row.sweep.to_owned(), row.at.to_string()];
-        record.extend(whole);
+        .map(|count| count.to_string());
+        let rates = [point.tries, point.changes, point.restart].map(|rate| rate.to_string());
+        let mut record = vec![row.sweep.to_owned(), row.x.to_string()];
+        record.extend(counts);
         record.extend(rates);
         record.extend([point.spread.to_string(), point.seconds.to_string()]);
-        record.extend([row.kind.name(), row.measure, row.unit].map(str::to_owned));
-        record.extend([figure(row.value), row.note.clone()]);
+        record.extend([row.source.name(), row.measure, row.unit].map(str::to_owned));
+        record.extend([format_value(row.value), row.note.clone()]);
         out.write_record(&record)?;
     }
     for slope in slopes(rows) {
         let fit = slope.fit;
-        let error = fit.error.map_or("none with two points".to_owned(), figure);
+        let error = fit
+            .standard_error
+            .map_or("none with two points".to_owned(), format_value);
         let mut record = vec![slope.sweep.to_owned(), "slope".to_owned()];
         record.extend(std::iter::repeat_n(String::new(), 10));
-        record.extend([slope.kind.name().to_owned(), slope.measure.to_owned()]);
+        record.extend([slope.source.name().to_owned(), slope.measure.to_owned()]);
         record.push(format!("{} per {}", slope.unit, slope.sweep));
         record.push(format!("{:.4e}", fit.slope));
         record.push(format!(
             "standard error {error}; at zero {}; first segment {:.3e}, last {:.3e}; {} points",
-            figure(fit.at_zero),
-            fit.ends.0,
-            fit.ends.1,
+            format_value(fit.intercept),
+            fit.end_slopes.0,
+            fit.end_slopes.1,
             slope.points
         ));
         out.write_record(&record)?;
@@ -200,27 +206,27 @@
     Ok(out.flush()?)
 }
 
-/// The lines as a table for eyes.
-pub fn print_slopes(rows: &[Row]) {
+/// Prints the slopes as a table.
+pub fn print_slopes(rows: &[Measurement]) {
     println!("slopes (least squares ± standard error; last segment's slope against the first's)");
     for slope in slopes(rows) {
         let fit = slope.fit;
-        let bend = if fit.ends.0 == 0.0 {
+        let curvature = if fit.end_slopes.0 == 0.0 {
             f64::NAN
         } else {
-            fit.ends.1 / fit.ends.0
+            fit.end_slopes.1 / fit.end_slopes.0
         };
         println!(
             "  {:<8} {:<8} {:<26} {:>11.3e} ± {:>9} {} each; at zero {}; bend {:.2}",
             slope.sweep,
-            slope.kind.name(),
+            slope.source.name(),
             slope.measure,
             fit.slope,
-            fit.error
+            fit.standard_error
                 .map_or("-".to_owned(), |error| format!("{error:.1e}")),
             slope.unit,
-            figure(fit.at_zero),
-            bend
+            format_value(fit.intercept),
+            curvature
         );
     }
 }
--- a/crates/bench/src/scale/service.rs
+++ b/crates/bench/src/scale/service.rs
@@ -1,8 +1,9 @@
-//! The list service of a scale run, in the platform's protocol. It writes each list once for all watches, so that its own work
-//! stays small beside that of thousands of nodes; what a stand-in notes of each node is left out.
+//! The list service of a scale run, in the platform's protocol. It formats the whole list once for all watches, so
+//! that its own CPU time is small compared with that of thousands of nodes. Unlike the test double, it records
+//! nothing on each node.
 
 use anyhow::Result;
-use saffronpaddle_hollow::LIST_MOST;
+use saffronpaddle_hollow::MAX_LIST_BYTES;
 use saffronpaddle_test_doubles::wire::HttpConnection;
 use saffronpaddle_test_doubles::World;
 use std::collections::BTreeSet;
@@ -14,11 +15,10 @@
 use tokio::sync::watch;
 use tokio::time::{interval_at, Instant};
 
-/// An empty line comes this often, for each watch from a time of its own on. Danger: signs for all nodes of a loop at one
-/// stroke, as the agents of thousands of machines do not give them.
-const SIGN_OF_LIFE: Duration = Duration::from_secs(2);
+/// Interval of the heartbeats, which are empty lines. Each watch has a random phase: the agents of thousands of
+/// machines do not send them all at the same time either.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 
-/// A server on the list.
 #[derive(Clone, Debug)]
 struct Server {
     dial: SocketAddr,
@@ -31,12 +31,12 @@
 struct List {
     seq: u64,
     servers: Vec<Server>,
-    /// Whether fields that may be left out are: with them it would be longer than what a node takes.
-    short: bool,
-    /// Which servers changed with each version from 2 on.
+    /// Whether the optional fields are left out, because the list would be longer than a node accepts.
+    omit_optional_fields: bool,
+    /// Servers that changed with each version, from version 2 on.
     changed: Vec<Vec<usize>>,
-    /// The whole list's text, and of which version it is.
-    whole: Option<(u64, Arc<str>)>,
+    /// Text of the whole list, and its version.
+    full_text: Option<(u64, Arc<str>)>,
 }
 
 impl List {
@@ -47,13 +47,13 @@
             block,
             health,
         } = &self.servers[at];
-        let more = if self.short {
+        let optional = if self.omit_optional_fields {
             ""
         } else {
             r#","class":"k","share":1.0,"born_ms":0"#
         };
         format!(
-            r#"{{"host":"s-{at}","dial":"{dial}","site":"{site}","block":{block},"health":"{health}"{more}}}"#
+            r#"{{"host":"s-{at}","dial":"{dial}","site":"{site}","block":{block},"health":"{health}"{optional}}}"#
         )
     }
 
@@ -66,13 +66,14 @@
         )
     }
 
-    fn since(&mut self, from: Option<u64>) -> (u64, Arc<str>) {
+    /// The version and the text for a watch that has version `from`: the changes since then, or the whole list.
+    fn text_since(&mut self, from: Option<u64>) -> (u64, Arc<str>) {
         let Some(from) = from.filter(|from| (1..=self.seq).contains(from)) else {
             let seq = self.seq;
-            let fresh = self.whole.take().filter(|(of, _)| *of == seq);
-            let kept =
-                fresh.unwrap_or_else(|| (seq, self.text(true, 0..self.servers.len()).into()));
-            return self.whole.insert(kept).clone();
+            let cached = self.full_text.take().filter(|(version, _)| *version == seq);
+            let current =
+                cached.unwrap_or_else(|| (seq, self.text(true, 0..self.servers.len()).into()));
+            return self.full_text.insert(current).clone();
         };
         let changed = self
             .changed
@@ -85,54 +86,56 @@
     }
 }
 
-pub struct Service {
+pub struct ListService {
     world: Arc<World>,
     list: Mutex<List>,
     seq: watch::Sender<u64>,
-    /// Bytes of the whole list with all of the platform's fields, and as it is written.
-    pub texts: (usize, usize),
+    /// Bytes of the whole list with all of the platform's fields, and as it is sent.
+    pub list_sizes: (usize, usize),
 }
 
-impl Service {
-    /// A service with so many servers on its list, in these zones, found at these addresses in turn.
+impl ListService {
+    /// Starts a service with `server_count` servers on its list, which have the zones and dial addresses in turn.
     pub async fn start(
         world: Arc<World>,
-        many: usize,
+        server_count: usize,
         zones: &[String],
         dials: &[SocketAddr],
-    ) -> Result<(Arc<Service>, SocketAddr)> {
+    ) -> Result<(Arc<ListService>, SocketAddr)> {
         let server = |at: usize| Server {
             dial: dials[at % dials.len()],
             site: zones[at % zones.len()].clone(),
             block: at / 3,
             health: "ready",
         };
-        let servers = (0..many).map(server).collect();
+        let servers = (0..server_count).map(server).collect();
         let mut list = List {
             seq: 1,
             servers,
             ..List::default()
         };
-        let full = list.since(None).1.len();
-        list.short = full > LIST_MOST;
-        list.whole = None;
-        let texts = (full, list.since(None).1.len());
+        let full_size = list.text_since(None).1.len();
+        list.omit_optional_fields = full_size > MAX_LIST_BYTES;
+        list.full_text = None;
+        let list_sizes = (full_size, list.text_since(None).1.len());
         let list = Mutex::new(list);
-        let service = Arc::new(Service {
+        let service = Arc::new(ListService {
             world,
             list,
             seq: watch::channel(1).0,
-            texts,
+            list_sizes,
         });
         let listener =
             TcpListener::bind(saffronpaddle_test_doubles::ports::reserve_address()?).await?;
         let address = listener.local_addr()?;
-        let serving = Arc::clone(&service);
+        let accepting = Arc::clone(&service);
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let serving = Arc::clone(&serving);
-                // How it ended is the node's concern.
-                tokio::spawn(async move { serving.serve(HttpConnection::new(stream)).await.ok() });
+                let accepting = Arc::clone(&accepting);
+                // The node handles the error of a watch.
+                tokio::spawn(
+                    async move { accepting.serve(HttpConnection::new(stream)).await.ok() },
+                );
             }
         });
         Ok((service, address))
@@ -142,8 +145,8 @@
         self.list.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes these servers in one version, which is returned: who was ready drains, and who drained is ready.
-    pub fn change(&self, servers: impl Iterator<Item = usize>) -> u64 {
+    /// Switches these servers between ready and draining in one new version. Returns the version.
+    pub fn toggle_health(&self, servers: impl Iterator<Item = usize>) -> u64 {
         let seq = {
             let mut list = self.list();
             list.seq += 1;
@@ -163,8 +166,8 @@
         seq
     }
 
-    async fn serve(&self, mut wire: HttpConnection) -> std::io::Result<()> {
-        let Some(request) = wire.read_message(&self.world).await? else {
+    async fn serve(&self, mut connection: HttpConnection) -> std::io::Result<()> {
+        let Some(request) = connection.read_message(&self.world).await? else {
             return Ok(());
         };
         let from = request
@@ -173,26 +176,26 @@
             .find_map(|part| part.strip_prefix("from="));
         let mut from: Option<u64> = from.and_then(|from| from.parse().ok());
         let mut seq = self.seq.subscribe();
-        let stream = &mut wire.stream;
+        let stream = &mut connection.stream;
         stream
             .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             .await?;
         let mut first = true;
-        let mut signs = interval_at(
-            Instant::now() + SIGN_OF_LIFE.mul_f64(fastrand::f64()),
-            SIGN_OF_LIFE,
+        let mut heartbeats = interval_at(
+            Instant::now() + HEARTBEAT_INTERVAL.mul_f64(fastrand::f64()),
+            HEARTBEAT_INTERVAL,
         );
         loop {
             let version = *seq.borrow_and_update();
             if std::mem::take(&mut first) || from != Some(version) {
-                let (version, text) = self.list().since(from);
+                let (version, text) = self.list().text_since(from);
                 stream
                     .write_all(format!("{:x}\r\n{text}\n\r\n", text.len() + 1).as_bytes())
                     .await?;
                 from = Some(version);
             }
             tokio::select! {
-                _ = signs.tick() => stream.write_all(b"1\r\n\n\r\n").await?,
+                _ = heartbeats.tick() => stream.write_all(b"1\r\n\n\r\n").await?,
                 changed = seq.changed() => if changed.is_err() { return Ok(()) },
             }
         }
--- a/crates/bench/src/scale/shards.rs
+++ b/crates/bench/src/scale/shards.rs
@@ -1,7 +1,7 @@
-//! The processes of hollow nodes, as jobs of this program.
+//! The processes of hollow nodes, which run the subcommand `hollow` of this program.
 
 use anyhow::{Context, Result};
-use saffronpaddle_hollow::figures::Look;
+use saffronpaddle_hollow::figures::Snapshot;
 use saffronpaddle_hollow::Spec;
 use serde::de::DeserializeOwned;
 use std::io::{BufRead, BufReader, Write};
@@ -10,53 +10,54 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-struct Shard {
+struct HollowProcess {
     stdin: ChildStdin,
     stdout: BufReader<ChildStdout>,
-    /// How it was before it had any node.
-    bare: Look,
+    /// Its state before it had started any node.
+    baseline: Snapshot,
 }
 
-/// All of them. They end with this value, or when their time is over.
-pub struct Shards {
-    all: Vec<Shard>,
+/// All processes of hollow nodes. They are killed when this value is dropped or their time is over.
+pub struct HollowProcesses {
+    processes: Vec<HollowProcess>,
     children: Arc<Mutex<Vec<Child>>>,
-    _over: Sender<()>,
+    /// Dropping it ends the thread that waits for the time limit.
+    _cancel_timeout: Sender<()>,
 }
 
-fn end(children: &Mutex<Vec<Child>>) {
+fn kill_all(children: &Mutex<Vec<Child>>) {
     for mut child in children
         .lock()
         .unwrap_or_else(PoisonError::into_inner)
         .drain(..)
     {
-        // It may have ended by itself.
+        // Fails if the process has already ended.
         let _ = child.kill();
         let _ = child.wait();
     }
 }
 
-impl Drop for Shards {
+impl Drop for HollowProcesses {
     fn drop(&mut self) {
-        end(&self.children);
+        kill_all(&self.children);
     }
 }
 
-impl Shards {
-    /// Starts them; after `within` they are ended, whatever they do.
-    pub fn start(specs: &[Spec], within: Duration) -> Result<Shards> {
+impl HollowProcesses {
+    /// Starts a process for each configuration. All are killed after `time_limit`.
+    pub fn start(specs: &[Spec], time_limit: Duration) -> Result<HollowProcesses> {
         let children = Arc::new(Mutex::new(Vec::new()));
-        let (over, ended) = channel::<()>();
-        let late = Arc::clone(&children);
+        let (cancel_timeout, canceled) = channel::<()>();
+        let timed_out = Arc::clone(&children);
         std::thread::spawn(move || {
-            if ended.recv_timeout(within) == Err(RecvTimeoutError::Timeout) {
-                end(&late);
+            if canceled.recv_timeout(time_limit) == Err(RecvTimeoutError::Timeout) {
+                kill_all(&timed_out);
             }
         });
-        let mut shards = Shards {
-            all: Vec::new(),
+        let mut all = HollowProcesses {
+            processes: Vec::new(),
             children,
-            _over: over,
+            _cancel_timeout: cancel_timeout,
         };
         for spec in specs {
             let mut command = Command::new(std::env::current_exe()?);
@@ -64,50 +65,57 @@
                 .arg("hollow")
                 .stdin(Stdio::piped())
                 .stdout(Stdio::piped());
-            let mut child = command.spawn().context("a process of hollow nodes")?;
+            let mut child = command
+                .spawn()
+                .context("starting a process of hollow nodes")?;
             let (stdin, stdout) = (child.stdin.take(), child.stdout.take());
-            shards
-                .children
+            all.children
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner)
                 .push(child);
-            let (mut stdin, stdout) = (stdin.context("its input")?, stdout.context("its output")?);
+            let (mut stdin, stdout) = (
+                stdin.context("a process of hollow nodes has no standard input")?,
+                stdout.context("a process of hollow nodes has no standard output")?,
+            );
             writeln!(stdin, "{}", serde_json::to_string(spec)?)?;
             let mut stdout = BufReader::new(stdout);
-            let bare = answer(&mut stdout)?;
-            shards.all.push(Shard {
+            let baseline = read_answer(&mut stdout)?;
+            all.processes.push(HollowProcess {
                 stdin,
                 stdout,
-                bare,
+                baseline,
             });
         }
-        Ok(shards)
+        Ok(all)
     }
 
-    /// Tells all of them a word, and waits for their answers.
-    pub fn ask<T: DeserializeOwned>(&mut self, word: &str) -> Result<Vec<T>> {
-        for shard in &mut self.all {
-            writeln!(shard.stdin, "{word}")
-                .context("a process of hollow nodes is over, or its time was")?;
+    /// Sends a command to all processes and waits for their answers.
+    pub fn request<T: DeserializeOwned>(&mut self, command: &str) -> Result<Vec<T>> {
+        for process in &mut self.processes {
+            writeln!(process.stdin, "{command}")
+                .context("a process of hollow nodes has ended or reached its time limit")?;
         }
-        self.all
+        self.processes
             .iter_mut()
-            .map(|shard| answer(&mut shard.stdout))
+            .map(|process| read_answer(&mut process.stdout))
             .collect()
     }
 
-    /// How they were before they had any node.
-    pub fn bare(&self) -> Vec<Look> {
-        self.all.iter().map(|shard| shard.bare.clone()).collect()
+    /// The states of the processes before they had started any node.
+    pub fn baselines(&self) -> Vec<Snapshot> {
+        self.processes
+            .iter()
+            .map(|process| process.baseline.clone())
+            .collect()
     }
 }
 
-fn answer<T: DeserializeOwned>(stdout: &mut BufReader<ChildStdout>) -> Result<T> {
+fn read_answer<T: DeserializeOwned>(stdout: &mut BufReader<ChildStdout>) -> Result<T> {
     let mut line = String::new();
     stdout.read_line(&mut line)?;
     anyhow::ensure!(
         !line.is_empty(),
-        "a process of hollow nodes is over, or its time was"
+        "a process of hollow nodes has ended or reached its time limit"
     );
-    serde_json::from_str(&line).context("what a process of hollow nodes said")
+    serde_json::from_str(&line).context("decoding the answer of a process of hollow nodes")
 }
--- a/crates/bench/src/size.rs
+++ b/crates/bench/src/size.rs
@@ -1,10 +1,12 @@
-//! How peer traffic and each instance's CPU grow with the fleet: the calm scenario at three sizes, as a table.
+//! Growth of the traffic between peers and of each instance's CPU with the fleet: runs the scenario `calm` at three
+//! sizes and prints a table.
 
 use anyhow::{Context, Result};
 use lexopt::prelude::*;
 use std::process::{Command, Stdio};
 
-const SIZES: [usize; 3] = [3, 10, 30];
+/// Instances of the measured fleets.
+const FLEET_SIZES: [usize; 3] = [3, 10, 30];
 
 pub fn measure(mut arguments: lexopt::Parser) -> Result<()> {
     let mut seconds = 30_u64;
@@ -16,7 +18,7 @@
     }
     println!("| instances | datagrams sent, a second each | received | most received | CPU, of a core each | CPU a try, all | idle memory | ready, median |");
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
-    for size in SIZES {
+    for size in FLEET_SIZES {
         let file = std::env::temp_dir().join(format!(
             "saffronpaddle-size-{}-{size}.json",
             std::process::id()
@@ -31,8 +33,9 @@
             &seconds.to_string(),
         ]);
         command.arg("--json").arg(&file).stdout(Stdio::null());
-        let status = command.status().context("the fleet")?;
-        let text = std::fs::read_to_string(&file).context("its report")?;
+        let status = command.status().context("starting the fleet harness")?;
+        let text =
+            std::fs::read_to_string(&file).context("reading the report of the fleet harness")?;
         let _ = std::fs::remove_file(&file);
         let report: serde_json::Value = serde_json::from_str(&text)?;
         let figure = |key: &str| report[key].as_f64().unwrap_or(f64::NAN);
--- a/crates/bench/tests/scale.rs
+++ b/crates/bench/tests/scale.rs
@@ -1,4 +1,4 @@
-//! The scale run as its users start it.
+//! The subcommand `scale`, run as a process.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -14,8 +14,9 @@
         .expect("the program starts")
 }
 
-/// It is refused with one line, and nothing was started or written.
-fn refused(arguments: &[&str], because: &str) {
+/// Asserts that the arguments are rejected with exit code 2 and one line on standard error, and nothing is written to
+/// standard output.
+fn assert_rejected(arguments: &[&str], expected_error: &str) {
     let output = scale(arguments);
     let (out, err) = (
         String::from_utf8_lossy(&output.stdout),
@@ -23,45 +24,45 @@
     );
     assert_eq!(output.status.code(), Some(2), "{arguments:?}: {err}");
     assert_eq!(err.lines().count(), 1, "{arguments:?}: {err}");
-    assert!(err.contains(because), "{arguments:?}: {err}");
+    assert!(err.contains(expected_error), "{arguments:?}: {err}");
     assert_eq!(out, "", "{arguments:?}");
 }
 
 #[test]
-fn what_is_wrong_is_refused_with_one_line_before_anything_starts() {
-    refused(&["--no-such"], "--no-such");
-    refused(&["--sweep", "moons"], "one of nodes, servers");
-    refused(&["--points", "3"], "--points needs --sweep");
-    refused(
+fn invalid_arguments_are_rejected_with_one_line_before_anything_starts() {
+    assert_rejected(&["--no-such"], "--no-such");
+    assert_rejected(&["--sweep", "moons"], "one of nodes, servers");
+    assert_rejected(&["--points", "3"], "--points needs --sweep");
+    assert_rejected(
         &["--sweep", "nodes", "--points", "3,many"],
         "--points 3,many",
     );
-    refused(&["--sweep", "nodes", "--points", "2.5"], "whole number");
-    refused(
+    assert_rejected(&["--sweep", "nodes", "--points", "2.5"], "whole number");
+    assert_rejected(
         &["--sweep", "nodes", "--points", "30,0"],
         "nodes 0 is not from 1 to 2700",
     );
-    refused(
+    assert_rejected(
         &["--sweep", "nodes", "--points", "2701"],
         "nodes 2701 is not from 1 to 2700",
     );
-    refused(
+    assert_rejected(
         &["--sweep", "nodes", "--points", "3", "--servers", "0"],
         "servers 0 is not from 1 to 100000",
     );
-    refused(
+    assert_rejected(
         &["--sweep", "nodes", "--points", "3", "--tries", "NaN"],
         "tries NaN is not from 0 to 1000",
     );
-    refused(
+    assert_rejected(
         &["--sweep", "nodes", "--points", "3", "--real", "4"],
         "real 4 is more than nodes 3",
     );
-    refused(
+    assert_rejected(
         &["--sweep", "nodes", "--points", "3", "--present", "4"],
         "present 4 is more than nodes 3",
     );
-    refused(
+    assert_rejected(
         &[
             "--sweep",
             "nodes",
@@ -74,68 +75,68 @@
         ],
         "real 3 is more than nodes 2",
     );
-    refused(
+    assert_rejected(
         &["--sweep", "nodes", "--points", "3", "--spread", "4"],
         "spread 4 is not from 0 to 3",
     );
-    refused(
+    assert_rejected(
         &["--sweep", "restart", "--points", "1.5"],
         "restart 1.5 is not from 0 to 1",
     );
-    refused(
+    assert_rejected(
         &["--sweep", "nodes", "--points", "3", "--seconds", "3600"],
         "seconds 3600 is not from 1 to 60",
     );
-    refused(
+    assert_rejected(
         &["--sweep", "nodes", "--points", "3", "--list", "wishes"],
         "agent or service",
     );
-    refused(&["nodes"], "nodes");
-    refused(&["--sweep"], "--sweep");
-    refused(&["--sweep", "nodes", "--points", ""], "--points");
-    refused(&["--sweep", "tenants", "--quick"], "give --points");
-    refused(
+    assert_rejected(&["nodes"], "nodes");
+    assert_rejected(&["--sweep"], "--sweep");
+    assert_rejected(&["--sweep", "nodes", "--points", ""], "--points");
+    assert_rejected(&["--sweep", "tenants", "--quick"], "give --points");
+    assert_rejected(
         &["--sweep", "tenants", "--points", "0"],
         "tenants 0 is not from 1 to 1000000",
     );
-    refused(
+    assert_rejected(
         &["--sweep", "tries", "--points", "-1"],
         "tries -1 is not from 0 to 1000",
     );
-    refused(
+    assert_rejected(
         &["--sweep", "changes", "--points", "1001"],
         "changes 1001 is not from 0 to 1000",
     );
-    refused(
+    assert_rejected(
         &["--sweep", "nodes", "--points", "3", "--skew", "3"],
         "skew 3 is not from 0 to 2",
     );
-    refused(
+    assert_rejected(
         &["--sweep", "nodes", "--points", "3", "--servers", "1e3"],
         "--servers 1e3",
     );
-    refused(
+    assert_rejected(
         &["--sweep", "nodes", "--points", "3", "--seconds", "0"],
         "seconds 0 is not from 1 to 60",
     );
-    refused(
+    assert_rejected(
         &["--sweep", "nodes", "--points", "3,30,3"],
         "point 3 is there twice",
     );
-    refused(
+    assert_rejected(
         &["--sweep", "nodes", "--nodes", "3"],
         "--nodes beside --sweep nodes",
     );
 }
 
 #[test]
-fn what_takes_longer_than_a_run_may_or_has_nowhere_to_be_written_is_refused() {
-    refused(
+fn runs_that_exceed_the_time_limits_or_name_an_unwritable_file_are_rejected() {
+    assert_rejected(
         &["--sweep", "nodes", "--points", "3", "--seconds", "50"],
         "a point may take 90s",
     );
-    refused(&["--seconds", "20"], "all may take 590s");
-    refused(
+    assert_rejected(&["--seconds", "20"], "all may take 590s");
+    assert_rejected(
         &[
             "--sweep",
             "nodes",
@@ -146,15 +147,15 @@
         ],
         "/no/such/rows.csv is not",
     );
-    refused(
+    assert_rejected(
         &["--sweep", "nodes", "--points", "3", "--plot", "/"],
         "/ is not a file in a folder",
     );
 }
 
 #[test]
-fn a_fleet_that_the_machine_does_not_bear_is_refused_with_what_it_needs() {
-    refused(
+fn a_fleet_that_needs_more_memory_than_the_machine_has_is_rejected() {
+    assert_rejected(
         &[
             "--sweep",
             "nodes",
@@ -167,26 +168,27 @@
     );
 }
 
-type Written = Vec<BTreeMap<String, String>>;
+/// Rows of the CSV file, by column.
+type Rows = Vec<BTreeMap<String, String>>;
 
-fn read(file: &Path) -> Written {
-    let mut reader = csv::Reader::from_path(file).expect("rows were written");
+fn read_csv(file: &Path) -> Rows {
+    let mut reader = csv::Reader::from_path(file).expect("the run wrote a CSV file");
     reader
         .deserialize()
-        .map(|row| row.expect("a row"))
+        .map(|row| row.expect("a row of the CSV file is valid"))
         .collect()
 }
 
-fn figure(rows: &Written, measure: &str) -> f64 {
+fn value_of(rows: &Rows, measure: &str) -> f64 {
     let row = rows
         .iter()
         .find(|row| row["measure"] == measure)
         .unwrap_or_else(|| panic!("{measure}: {rows:?}"));
-    row["value"].parse().expect("a figure")
+    row["value"].parse().expect("the value is a number")
 }
 
 #[test]
-fn a_few_nodes_of_a_large_fleet_serve_from_their_working_set() {
+fn a_few_running_nodes_of_a_large_fleet_serve_requests() {
     let file = std::env::temp_dir().join(format!(
         "saffronpaddle-scale-few-{}.csv",
         std::process::id()
@@ -216,29 +218,29 @@
         String::from_utf8_lossy(&output.stderr),
     );
     assert!(output.status.success(), "{out}{err}");
-    let rows = read(&file);
+    let rows = read_csv(&file);
     assert!(
         rows.iter()
             .all(|row| row["nodes"] == "300" && row["present"] == "3"),
         "{out}"
     );
     assert!(
-        figure(&rows, "done") > 0.0 && figure(&rows, "served_share") > 0.9,
+        value_of(&rows, "done") > 0.0 && value_of(&rows, "served_share") > 0.9,
         "{out}"
     );
     assert!(
-        figure(&rows, "words_taken") > 0.0,
-        "the three ask one another: {out}"
+        value_of(&rows, "words_taken") > 0.0,
+        "the three nodes exchange datagrams: {out}"
     );
     assert!(
         rows.iter().all(|row| row["measure"] != "words_lost"),
-        "what is said to absent ones is no loss: {out}"
+        "datagrams to nodes that do not run do not count as lost: {out}"
     );
     let _ = std::fs::remove_file(&file);
 }
 
 #[test]
-fn hollow_nodes_get_lists_answer_tries_ask_one_another_and_act_on_changes() {
+fn hollow_nodes_receive_lists_serve_requests_exchange_datagrams_and_apply_changes() {
     let file = std::env::temp_dir().join(format!("saffronpaddle-scale-{}.csv", std::process::id()));
     let plot = file.with_extension("svg");
     let (csv, svg) = (
@@ -279,9 +281,9 @@
         out.contains("services: not carried by the program"),
         "{out}"
     );
-    let rows = read(&file);
-    let figure = |measure: &str| figure(&rows, measure);
-    // No bound here hangs on how quick the machine is.
+    let rows = read_csv(&file);
+    let value = |measure: &str| value_of(&rows, measure);
+    // No assertion depends on the speed of the machine.
     assert!(rows
         .iter()
         .all(|row| ["real", "hollow", "reckoned"].contains(&row["kind"].as_str())));
@@ -289,12 +291,12 @@
         rows.iter().all(|row| row["kind"] != "real"),
         "no process of the program ran"
     );
-    assert!(figure("offered") > 0.0 && figure("done") > 0.0 && figure("served_share") > 0.0);
-    assert!(figure("words_sent") > 0.0 && figure("words_taken") > 0.0);
-    assert!(figure("first_list_max") > 0.0 && figure("change_node_p50") > 0.0);
-    assert!(figure("connections") > 0.0 && figure("list_bytes") > 0.0);
-    assert_eq!(figure("restarted"), 12.0);
-    assert!(figure("restart_listed_max") > 0.0);
+    assert!(value("offered") > 0.0 && value("done") > 0.0 && value("served_share") > 0.0);
+    assert!(value("words_sent") > 0.0 && value("words_taken") > 0.0);
+    assert!(value("first_list_max") > 0.0 && value("change_node_p50") > 0.0);
+    assert!(value("connections") > 0.0 && value("list_bytes") > 0.0);
+    assert_eq!(value("restarted"), 12.0);
+    assert!(value("restart_listed_max") > 0.0);
     assert!(std::fs::read_to_string(&plot).is_ok_and(|text| text.contains("<svg")));
     let _ = (std::fs::remove_file(&file), std::fs::remove_file(&plot));
 }
