--- a/crates/bench/tests/size/fixture.rs
+++ b/crates/bench/tests/size/fixture.rs
@@ -1,14 +1,15 @@
-//! A fleet of hundreds of nodes: a few processes of the program, each with clients and app servers that speak HTTP, and
-//! hundreds of hollow nodes beside them, all one another's peers. One ledger sees what all of them do.
+//! A fleet of hundreds of nodes: a few processes of the program, called real nodes here, with clients and app servers
+//! over HTTP, and hundreds of hollow nodes, all of them peers. One oracle checks what all of them do.
 //!
-//! Each server is one name with one dial address. Where a real node may send to it, an app server listens there; what hollow nodes send to
-//! the same server is drawn by them and told to the same ledger a moment later, so that ceilings and cold servers are judged by the sum.
+//! Each server has one name and one dial address. An app server listens there if real nodes may send to it. Attempts
+//! of hollow nodes to the same server are simulated and reported to the same oracle a moment later, so that the
+//! oracle checks ceilings and cold servers against the sum.
 
-use crate::list::{Server, Service};
+use crate::list::{ListService, Server};
 use nix::sys::resource::{getrlimit, setrlimit, Resource};
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
-use saffronpaddle_hollow::audit::{Audited, Faults, Note};
+use saffronpaddle_hollow::audit::{AuditEvent, AuditReport, Faults};
 use saffronpaddle_hollow::tenants::{plans, Tenants};
 use saffronpaddle_hollow::{server_id, Spec};
 use saffronpaddle_subsetting::{Subset, FULL_LIST_MAX, TARGET_SIZE};
@@ -37,114 +38,119 @@
 use tokio::task::{block_in_place, JoinSet};
 use tokio::time::sleep;
 
-/// Processes of the program, and hollow nodes beside them, in so many processes.
-pub const REAL: usize = 8;
-pub const HOLLOW: usize = 500;
-const PROCESSES: usize = 4;
-pub const NODES: usize = REAL + HOLLOW;
-/// Zones of the fleet: nodes are spread over them in turn.
+/// Processes of the program.
+pub const REAL_NODES: usize = 8;
+/// Hollow nodes, and the processes that they are spread over.
+pub const HOLLOW_NODES: usize = 500;
+const HOLLOW_PROCESSES: usize = 4;
+pub const NODES: usize = REAL_NODES + HOLLOW_NODES;
+/// Zones of the fleet. Nodes are assigned to them in turn.
 pub const SITES: [&str; 9] = ["z0", "z1", "z2", "z3", "z4", "z5", "z6", "z7", "z8"];
 const PLANS: [&str; 9] = ["p0", "p1", "p2", "p3", "p4", "p5", "p6", "p7", "p8"];
-/// Requests that an app server holds at once, for each core.
-const SLOTS: usize = 16;
-/// An answer of a real node later than so long after its client's time is late: with hundreds of nodes beside it on a
-/// busy machine a process may have to wait for a core.
+/// Concurrent requests of an app server for each core.
+const SLOTS_PER_CORE: usize = 16;
+/// An answer of a real node is late if it comes more than this time after its client's timeout. A process may have to
+/// wait for a core on a machine that also runs hundreds of hollow nodes.
 const ANSWER_SLACK: Duration = Duration::from_millis(500);
-/// The same for a hollow node, which shares one loop with more than a hundred others: that alone makes it late.
+/// The same for a hollow node, which is delayed by the more than a hundred other nodes of its event loop.
 const LOOP_SLACK: Duration = Duration::from_secs(5);
-/// Everything that is waited for comes about by then, or the test fails.
-const WITHIN: Duration = Duration::from_secs(40);
-const LOOK: Duration = Duration::from_millis(20);
-/// Between two readings of what hollow nodes did.
+/// A test fails if a condition that it waits for does not hold within this time.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval at which the events of hollow nodes are read.
 const AUDIT_EVERY: Duration = Duration::from_millis(50);
 
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// What a fleet is.
+/// Parameters of a fleet.
 #[derive(Clone, Debug)]
-pub struct Fixture {
+pub struct FleetParameters {
     /// Servers on the list.
     pub servers: usize,
-    /// How many of them, the last ones, are in zone `z0`; the others are in the other eight in turn.
-    pub zone: usize,
-    /// Lengths that the list has in the run: its first so many servers. Real servers stand wherever real nodes may send to.
-    pub lengths: Vec<usize>,
+    /// Number of servers in zone `z0`, the last ones of the list. The others are assigned to the other eight zones in
+    /// turn.
+    pub z0_servers: usize,
+    /// Lengths of the list during the run, which has its first servers only. An app server runs wherever real nodes
+    /// may send to at one of these lengths.
+    pub list_lengths: Vec<usize>,
     /// Cores of a server.
     pub cores: usize,
-    /// Tenants, and the exponent of their demands.
+    /// Number of tenants, and the exponent of Zipf's law for their demands.
     pub tenants: (usize, f64),
-    /// Tries a node and second.
-    pub tries: f64,
-    /// A tenant's hard ceiling, in times of its quota, and that of the largest tenant's plan.
+    /// Requests/s to each node.
+    pub node_rate: f64,
+    /// Hard ceiling as a multiple of the quota: of most plans, and of the largest tenant's plan.
     pub ceiling: (f64, f64),
-    /// `[quotas] fenced`.
+    /// The setting `[quotas] fenced` of the operator file.
     pub fenced: bool,
 }
 
-impl Fixture {
-    pub fn of(servers: usize) -> Fixture {
-        Fixture {
+impl FleetParameters {
+    pub fn with_servers(servers: usize) -> FleetParameters {
+        FleetParameters {
             servers,
-            zone: servers.div_ceil(SITES.len()),
-            lengths: vec![servers],
+            z0_servers: servers.div_ceil(SITES.len()),
+            list_lengths: vec![servers],
             cores: 4,
             tenants: (400, 0.7),
-            tries: 4.0,
+            node_rate: 4.0,
             ceiling: (1.25, 1.25),
             fenced: false,
         }
     }
 
-    /// Whether a real node may send to a server, at one of the lengths of the list that has it.
-    fn stands(&self, at: usize) -> bool {
-        let lengths = self.lengths.iter().filter(|length| at < **length);
-        let mut set = Subset::new(0, NODES as u32);
-        // Places do not hang on the length, only on that not all nodes send to all servers.
-        set.resize(FULL_LIST_MAX + 1);
-        let real = |cover: usize| {
+    /// Whether a real node may send to a server at one of the lengths of the list.
+    fn is_reachable(&self, at: usize) -> bool {
+        let lengths = self.list_lengths.iter().filter(|length| at < **length);
+        let mut subset = Subset::new(0, NODES as u32);
+        // The ranks do not depend on the length of the list, provided that it is too long for all nodes to use it all.
+        subset.resize(FULL_LIST_MAX + 1);
+        let has_real_node = |nodes_per_server: usize| {
             let number = server_id(&format!("s-{at}")).0;
-            (0..cover.min(NODES) as u32)
-                .any(|place| (set.node_at_rank(number, place) as usize) < REAL)
+            (0..nodes_per_server.min(NODES) as u32)
+                .any(|rank| (subset.node_at_rank(number, rank) as usize) < REAL_NODES)
         };
-        // A set may be half as large again as is sought.
+        // A subset may be up to 1.5 times its target size.
         lengths.into_iter().any(|length| {
-            *length <= FULL_LIST_MAX || real((TARGET_SIZE * NODES).div_ceil(*length) * 3 / 2)
+            *length <= FULL_LIST_MAX
+                || has_real_node((TARGET_SIZE * NODES).div_ceil(*length) * 3 / 2)
         })
     }
 
     /// The servers of zone `z0`.
-    pub fn of_zone(&self) -> std::ops::Range<usize> {
-        self.servers - self.zone..self.servers
+    pub fn servers_in_z0(&self) -> std::ops::Range<usize> {
+        self.servers - self.z0_servers..self.servers
     }
 }
 
-/// A process that ends with this value.
-struct Ends(Child);
+/// A process that is killed when this value is dropped.
+struct ChildGuard(Child);
 
-impl Drop for Ends {
+impl Drop for ChildGuard {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // Fails if the process has already ended.
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
 /// A process of hollow nodes.
-struct Shard {
+struct HollowProcess {
     stdin: ChildStdin,
     stdout: BufReader<ChildStdout>,
-    /// The run's clock less the process's, µs.
-    offset: i64,
-    /// Tries by their tenants, and how many of them were served; whose those are that have no answer yet.
+    /// Clock of the run minus clock of the process, µs.
+    clock_offset: i64,
+    /// Requests and served requests of each tenant.
     tenants: HashMap<u64, (u64, u64)>,
+    /// Tenant of each unanswered request.
     open: HashMap<String, u64>,
-    _process: Ends,
+    _process: ChildGuard,
 }
 
-impl Shard {
-    fn start(spec: &Spec, fenced: bool, world: &World) -> Shard {
+impl HollowProcess {
+    fn start(spec: &Spec, fenced: bool, world: &World) -> HollowProcess {
         let mut command = Command::new(env!("CARGO_BIN_EXE_saffronpaddle-bench"));
         command
             .arg("hollow")
@@ -153,111 +159,123 @@
             .stderr(Stdio::null());
         let mut child = command.spawn().expect("a process of hollow nodes starts");
         let (stdin, stdout) = (
-            child.stdin.take().expect("input"),
-            child.stdout.take().expect("output"),
+            child.stdin.take().expect("standard input is piped"),
+            child.stdout.take().expect("standard output is piped"),
         );
         let mut line = serde_json::to_value(spec).expect("a spec is JSON");
         (line["audit"], line["fenced"]) = (true.into(), fenced.into());
         let (tenants, open) = Default::default();
         let stdout = BufReader::new(stdout);
-        let mut shard = Shard {
+        let mut process = HollowProcess {
             stdin,
             stdout,
-            offset: 0,
+            clock_offset: 0,
             tenants,
             open,
-            _process: Ends(child),
+            _process: ChildGuard(child),
         };
-        let _: serde_json::Value = shard.ask(&line.to_string());
+        let _: serde_json::Value = process.request(&line.to_string());
         let before = world.now();
-        let first: Audited = shard.ask("audit");
-        shard.offset = ((before + world.now()) / 2).as_micros() as i64 - first.at as i64;
-        shard
+        let first: AuditReport = process.request("audit");
+        process.clock_offset = ((before + world.now()) / 2).as_micros() as i64 - first.at as i64;
+        process
     }
 
-    fn ask<T: DeserializeOwned>(&mut self, word: &str) -> T {
-        writeln!(self.stdin, "{word}").expect("a process of hollow nodes listens");
+    /// Sends a command and returns the answer.
+    fn request<T: DeserializeOwned>(&mut self, command: &str) -> T {
+        writeln!(self.stdin, "{command}").expect("the process of hollow nodes reads commands");
         let mut line = String::new();
-        self.stdout.read_line(&mut line).expect("it answers");
-        serde_json::from_str(&line).unwrap_or_else(|error| panic!("{word}: {error}: {line:?}"))
+        self.stdout
+            .read_line(&mut line)
+            .expect("the process of hollow nodes answers");
+        serde_json::from_str(&line).unwrap_or_else(|error| panic!("{command}: {error}: {line:?}"))
     }
 
-    fn at(&self, at: u64) -> Duration {
-        Duration::from_micros((at as i64 + self.offset).max(0) as u64)
+    /// Converts a time of the process's clock (µs) to the clock of the run.
+    fn to_run_time(&self, at: u64) -> Duration {
+        Duration::from_micros((at as i64 + self.clock_offset).max(0) as u64)
     }
 }
 
-/// What hollow nodes did with servers that were not ready.
+/// Totals over all hollow nodes.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Hollow {
+pub struct HollowTotals {
+    /// Attempts sent to a server after their node received that it is not ready.
     pub after_drain: u64,
-    pub after_drain_most_ms: f64,
+    /// Longest time from that news to such an attempt.
+    pub after_drain_max_ms: f64,
+    /// Such attempts sent more than 250 ms after the news.
     pub late: u64,
-    pub lost: u64,
-    pub unheard: u64,
-    /// Tries of the largest tenant and of all others, and how many of them were served.
+    /// Events of the audit that were dropped.
+    pub dropped_events: u64,
+    /// Datagrams dropped by injected faults.
+    pub dropped_datagrams: u64,
+    /// Requests and served requests of the largest tenant.
     pub largest: (u64, u64),
+    /// Requests and served requests of all other tenants.
     pub others: (u64, u64),
 }
 
-/// Takes into the ledger what a process of hollow nodes did since the last time.
-fn take_in(world: &World, fleet: &Fleet, shard: &mut Shard) -> Audited {
-    let audited: Audited = shard.ask("audit");
-    let mut ledger = world.oracle();
-    for (at, note) in &audited.notes {
-        let at = shard.at(*at);
-        match note {
-            Note::Asked(id, node, tenant, class) => {
-                shard.tenants.entry(*tenant).or_default().0 += 1;
-                shard.open.insert(id.clone(), *tenant);
+/// Passes the events of a process of hollow nodes since the last call to the oracle.
+fn report_events(world: &World, fleet: &Fleet, process: &mut HollowProcess) -> AuditReport {
+    let audit: AuditReport = process.request("audit");
+    let mut oracle = world.oracle();
+    for (at, event) in &audit.events {
+        let at = process.to_run_time(*at);
+        match event {
+            AuditEvent::RequestReceived(id, node, tenant, class) => {
+                process.tenants.entry(*tenant).or_default().0 += 1;
+                process.open.insert(id.clone(), *tenant);
                 let class = &fleet.classes[*class];
-                let repeats = if class.keyed {
+                let repeat_safety = if class.keyed {
                     RepeatSafety::Keyed
                 } else {
                     RepeatSafety::Safe
                 };
-                let asked = SentRequest {
+                let request = SentRequest {
                     id: id.clone(),
                     key: class.keyed.then(|| id.clone()),
-                    repeat_safety: repeats,
+                    repeat_safety,
                     node: *node as usize,
                     customer: *tenant,
                     units: 1.0,
                     timeout: class.deadline + LOOP_SLACK,
                 };
-                ledger.request_sent(at, asked);
+                oracle.request_sent(at, request);
             }
-            Note::Arrived(id, server, work) => ledger.attempt_received(at, at, server, id, *work),
-            Note::Ran(id, group, came) => {
-                _ = ledger.attempt_executed(at, shard.at(*came), *group, id);
+            AuditEvent::AttemptReceived(id, server, work) => {
+                oracle.attempt_received(at, at, server, id, *work);
             }
-            Note::Over(id) => ledger.attempt_finished(id),
-            Note::Closed(id) => ledger.attempt_canceled(at, id),
-            Note::Answered(id, kind) => {
+            AuditEvent::AttemptExecuted(id, group, arrived_at) => {
+                _ = oracle.attempt_executed(at, process.to_run_time(*arrived_at), *group, id);
+            }
+            AuditEvent::AttemptFinished(id) => oracle.attempt_finished(id),
+            AuditEvent::AttemptCanceled(id) => oracle.attempt_canceled(at, id),
+            AuditEvent::ResponseSent(id, kind) => {
                 let answer = [Answer::Served, Answer::Refused, Answer::Failed][usize::from(*kind)];
-                ledger.response_received(at, id, answer);
-                if let Some(tenant) = shard.open.remove(id).filter(|_| answer == Answer::Served) {
-                    shard.tenants.entry(tenant).or_default().1 += 1;
+                oracle.response_received(at, id, answer);
+                if let Some(tenant) = process.open.remove(id).filter(|_| answer == Answer::Served) {
+                    process.tenants.entry(tenant).or_default().1 += 1;
                 }
             }
-            Note::Cut(id) => ledger.request_unanswered(id, Unanswered::Killed),
+            AuditEvent::RequestInterrupted(id) => oracle.request_unanswered(id, Unanswered::Killed),
         }
     }
-    audited
+    audit
 }
 
 /// A process of the program.
-struct Node {
+struct RealNode {
     address: SocketAddr,
     folder: PathBuf,
-    me: usize,
-    process: Mutex<Option<Ends>>,
+    number: usize,
+    process: Mutex<Option<ChildGuard>>,
 }
 
-impl Node {
+impl RealNode {
     fn start(&self) {
         let mut command = Command::new(program());
-        let file = |kind: &str| self.folder.join(format!("{}.{kind}", self.me));
+        let file = |kind: &str| self.folder.join(format!("{}.{kind}", self.number));
         command
             .arg("run")
             .arg("--operator")
@@ -269,7 +287,7 @@
             .create(true)
             .append(true)
             .open(file("log"))
-            .expect("a log");
+            .expect("the log can be opened");
         command
             .env("LB_CONFIG", file("json"))
             .stdin(Stdio::null())
@@ -277,8 +295,8 @@
             .stderr(log);
         let child = command
             .spawn()
-            .expect("the program is built beside this test");
-        *lock(&self.process) = Some(Ends(child));
+            .expect("the program is built into the folder of this test");
+        *lock(&self.process) = Some(ChildGuard(child));
     }
 
     fn signal(&self, signal: Signal) {
@@ -286,113 +304,119 @@
         let pid = process
             .as_ref()
             .map(|process| Pid::from_raw(process.0.id() as i32))
-            .expect("it runs");
-        kill(pid, signal).expect("it takes signals");
+            .expect("the node runs");
+        kill(pid, signal).expect("the node can be signaled");
     }
 
-    /// Whether it has ended by itself.
-    fn ended(&self) -> bool {
+    /// Whether the process has ended by itself.
+    fn has_ended(&self) -> bool {
         lock(&self.process)
             .as_mut()
             .is_some_and(|process| !matches!(process.0.try_wait(), Ok(None)))
     }
 }
 
-/// A fleet that runs. What it started ends with it.
-pub struct Rig {
+/// A running fleet. Its processes are killed when this value is dropped.
+pub struct TestFleet {
     pub world: Arc<World>,
-    pub list: Arc<Service>,
-    pub fixture: Fixture,
+    pub list: Arc<ListService>,
+    pub parameters: FleetParameters,
     pub fleet: Fleet,
     pub tenants: Tenants,
     pub links: Arc<Links>,
-    pub stands: BTreeMap<usize, AppServer>,
-    pub front: Arc<LoadGenerator>,
-    nodes: Vec<Node>,
-    shards: Arc<Vec<Mutex<Shard>>>,
+    /// Running app servers, by their index in the list.
+    pub app_servers: BTreeMap<usize, AppServer>,
+    pub load: Arc<LoadGenerator>,
+    nodes: Vec<RealNode>,
+    hollow_processes: Arc<Vec<Mutex<HollowProcess>>>,
     faults: Mutex<Faults>,
-    over: Arc<AtomicBool>,
-    pump: Option<std::thread::JoinHandle<()>>,
-    offers: JoinSet<()>,
-    /// Whether clients of real nodes have ended.
-    rests: watch::Sender<bool>,
+    /// Stops the thread that reads the events of hollow nodes.
+    stop_audit: Arc<AtomicBool>,
+    audit_thread: Option<std::thread::JoinHandle<()>>,
+    clients: JoinSet<()>,
+    /// Whether the clients of real nodes are to stop.
+    stop_clients: watch::Sender<bool>,
     folder: PathBuf,
 }
 
-impl Drop for Rig {
+impl Drop for TestFleet {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.stop_audit.store(true, Ordering::Relaxed);
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-/// One tenant's clients at real nodes, until they are told to rest and the last has its answer.
-async fn clients(
-    front: Arc<LoadGenerator>,
+/// Sends one tenant's requests to real nodes until `stop` is set. Returns when all are answered.
+async fn run_clients(
+    load: Arc<LoadGenerator>,
     fleet: Fleet,
     customer: Customer,
-    mut rests: watch::Receiver<bool>,
+    mut stop: watch::Receiver<bool>,
 ) {
     let mut random = fastrand::Rng::with_seed(customer.id);
-    let mut all = JoinSet::new();
+    let mut requests = JoinSet::new();
     loop {
         tokio::select! {
             () = sleep(customer.arrival_gap(random.f64())) => {}
-            _ = rests.wait_for(|rests| *rests) => break,
+            _ = stop.wait_for(|stop| *stop) => break,
         }
-        let (front, customer, class) = (
-            Arc::clone(&front),
+        let (load, customer, class) = (
+            Arc::clone(&load),
             customer.clone(),
             class_of(&fleet, random.f64()),
         );
-        all.spawn(async move { front.run_client(customer, class).await });
-        while all.try_join_next().is_some() {}
+        requests.spawn(async move { load.run_client(customer, class).await });
+        while requests.try_join_next().is_some() {}
     }
-    while all.join_next().await.is_some() {}
+    while requests.join_next().await.is_some() {}
 }
 
-/// Waits until something has come about.
-pub async fn until(what: &str, mut such: impl FnMut() -> bool) {
-    let begun = Instant::now();
-    while !such() {
-        assert!(begun.elapsed() < WITHIN, "not within {WITHIN:?}: {what}");
-        sleep(LOOK).await;
+/// Waits until a condition holds. Fails after [`WAIT_TIMEOUT`].
+pub async fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
+    let started = Instant::now();
+    while !condition() {
+        assert!(
+            started.elapsed() < WAIT_TIMEOUT,
+            "not within {WAIT_TIMEOUT:?}: {description}"
+        );
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Nodes of the fleet, real ones among them, whose zone is one of these.
+/// Nodes of the fleet, real and hollow, in these zones.
 pub fn nodes_in(zones: &[&str]) -> HashSet<u32> {
     (0..NODES as u32)
         .filter(|node| zones.contains(&SITES[*node as usize % SITES.len()]))
         .collect()
 }
 
-impl Rig {
-    /// Starts a fleet, and waits until each node has the list.
-    pub async fn begin(tag: &str, fixture: Fixture) -> Rig {
-        let (soft, hard) = getrlimit(Resource::RLIMIT_NOFILE).expect("the limit of descriptors");
+impl TestFleet {
+    /// Starts a fleet and waits until each node has the list.
+    pub async fn start(tag: &str, parameters: FleetParameters) -> TestFleet {
+        let (soft, hard) =
+            getrlimit(Resource::RLIMIT_NOFILE).expect("the limit of descriptors can be read");
         if soft < hard {
             setrlimit(Resource::RLIMIT_NOFILE, hard, hard)
-                .expect("as many as this process may have");
+                .expect("the limit of descriptors can be raised to the hard limit");
         }
         let tenants = Tenants::new(
-            fixture.tenants.0,
-            fixture.tenants.1,
-            (NODES as u32, fixture.tries),
+            parameters.tenants.0,
+            parameters.tenants.1,
+            (NODES as u32, parameters.node_rate),
             0,
         );
         let largest = tenants.tenant(0).plan;
-        let plan = |(place, (rate, burst)): (usize, (f64, f64))| {
-            let times = if place == largest {
-                fixture.ceiling.1
+        let plan = |(index, (rate, burst)): (usize, (f64, f64))| {
+            let multiple = if index == largest {
+                parameters.ceiling.1
             } else {
-                fixture.ceiling.0
+                parameters.ceiling.0
             };
             Plan {
-                name: PLANS[place],
+                name: PLANS[index],
                 rate,
                 burst,
-                ceiling: Some((rate * times, burst * times)),
+                ceiling: Some((rate * multiple, burst * multiple)),
             }
         };
         let plans = plans().into_iter().enumerate().map(plan).collect();
@@ -404,24 +428,24 @@
         fleet.bounds.answer_slack = ANSWER_SLACK;
         let world = World::start(fleet.bounds.clone());
 
-        let mut stands = BTreeMap::new();
+        let mut app_servers = BTreeMap::new();
         let mut listed = Vec::new();
-        for at in 0..fixture.servers {
+        for at in 0..parameters.servers {
             let block = (at / 3) as u64;
-            let site = if fixture.of_zone().contains(&at) {
+            let site = if parameters.servers_in_z0().contains(&at) {
                 0
             } else {
                 1 + at % (SITES.len() - 1)
             };
             let mut dial = None;
-            if fixture.stands(at) {
+            if parameters.is_reachable(at) {
                 let work = fleet
                     .classes
                     .iter()
                     .map(|class| (class.name.to_owned(), class.work))
                     .collect();
-                let cores = fixture.cores;
-                let slots = cores * SLOTS;
+                let cores = parameters.cores;
+                let slots = cores * SLOTS_PER_CORE;
                 let spec = servers::Spec {
                     name: format!("s-{at}"),
                     block,
@@ -429,22 +453,23 @@
                     slots,
                     work,
                 };
-                let server = AppServer::start(Arc::clone(&world), spec).expect("an app server");
+                let server =
+                    AppServer::start(Arc::clone(&world), spec).expect("the app server starts");
                 dial = Some(server.address());
-                stands.insert(at, server);
+                app_servers.insert(at, server);
             }
             let dial = dial.unwrap_or_else(|| reserve_address().expect("an address"));
-            let stands = stands.contains_key(&at);
+            let is_running = app_servers.contains_key(&at);
             listed.push(Server {
                 dial,
                 site: SITES[site],
                 block,
                 health: "ready",
                 born_ms: 0,
-                stands,
+                is_running,
             });
         }
-        let list = Service::new(Arc::clone(&world), listed, REAL);
+        let list = ListService::new(Arc::clone(&world), listed, REAL_NODES);
 
         let peers: Vec<SocketAddr> = (0..NODES)
             .map(|_| reserve_address().expect("an address"))
@@ -452,304 +477,318 @@
         let links = Arc::new(Links::default());
         let network = Network::start(peers.clone(), Arc::clone(&links))
             .await
-            .expect("the network between nodes");
-        // Real nodes talk to all through relays, and all to them; hollow ones hear one another straight.
+            .expect("the network between nodes starts");
+        // Datagrams from and to real nodes pass through relays; hollow nodes send to one another directly.
         let relays = network.peers_of(NODES - 1).expect("addresses");
         let hollow_peers: Vec<SocketAddr> = (0..NODES)
             .map(|node| {
-                if node < REAL {
+                if node < REAL_NODES {
                     relays[node]
                 } else {
                     peers[node]
                 }
             })
             .collect();
-        let shared = list.open(None).await;
-        let of = |number: usize| HOLLOW * number / PROCESSES;
+        let hollow_list_address = list.open(None).await;
+        let first_hollow = |number: usize| HOLLOW_NODES * number / HOLLOW_PROCESSES;
         let micros = |span: Duration| span.as_micros() as u64;
         let spec = |number: usize| Spec {
-            gateways: NODES as u32,
-            present: NODES as u32,
+            fleet_size: NODES as u32,
+            running_nodes: NODES as u32,
             nodes: (
-                (REAL + of(number)) as u32,
-                (of(number + 1) - of(number)) as u32,
+                (REAL_NODES + first_hollow(number)) as u32,
+                (first_hollow(number + 1) - first_hollow(number)) as u32,
             ),
             settings: fleet.settings(0).to_string(),
             zones: SITES.iter().map(|site| (*site).to_owned()).collect(),
             peers: hollow_peers.clone(),
-            list: shared,
-            links: 2_000,
-            tenants: fixture.tenants,
-            spread: 0,
-            tries: fixture.tries,
-            work: fleet
+            list_address: hollow_list_address,
+            max_connections: 2_000,
+            tenants: parameters.tenants,
+            min_subset_size: 0,
+            node_rate: parameters.node_rate,
+            mean_work: fleet
                 .classes
                 .iter()
                 .map(|class| micros(class.work))
                 .collect(),
-            classes: fleet.classes.iter().map(|class| class.share).collect(),
-            patience: fleet
+            class_shares: fleet.classes.iter().map(|class| class.share).collect(),
+            client_timeouts: fleet
                 .classes
                 .iter()
                 .map(|class| micros(class.deadline))
                 .collect(),
             seed: number as u64 + 1,
         };
-        let shards: Vec<Mutex<Shard>> = block_in_place(|| {
+        let hollow_processes: Vec<Mutex<HollowProcess>> = block_in_place(|| {
             std::thread::scope(|scope| {
-                let starts: Vec<_> = (0..PROCESSES)
+                let starts: Vec<_> = (0..HOLLOW_PROCESSES)
                     .map(|number| {
-                        let (spec, world, fenced) = (spec(number), &world, fixture.fenced);
-                        scope.spawn(move || Mutex::new(Shard::start(&spec, fenced, world)))
+                        let (spec, world, fenced) = (spec(number), &world, parameters.fenced);
+                        scope.spawn(move || Mutex::new(HollowProcess::start(&spec, fenced, world)))
                     })
                     .collect();
                 starts
                     .into_iter()
-                    .map(|start| start.join().expect("it starts"))
+                    .map(|start| start.join().expect("a process of hollow nodes starts"))
                     .collect()
             })
         });
 
         let folder =
             std::env::temp_dir().join(format!("saffronpaddle-size-{}-{tag}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder");
+        std::fs::create_dir_all(&folder).expect("the folder can be created");
         let operator = format!(
             "[ready]\nlist_within_ms = 0\npeers_within_ms = 0\n[servers]\nworking_set = true\n[quotas]\nfenced = {}\n",
-            fixture.fenced
+            parameters.fenced
         );
-        std::fs::write(folder.join("operator.toml"), operator).expect("an operator file");
+        std::fs::write(folder.join("operator.toml"), operator)
+            .expect("the operator file can be written");
         let mut nodes = Vec::new();
-        for (me, peer_listen) in peers.iter().copied().enumerate().take(REAL) {
+        for (number, peer_listen) in peers.iter().copied().enumerate().take(REAL_NODES) {
             let address = reserve_address().expect("an address");
-            let places = NodeConfig {
-                name: format!("n{me}"),
+            let config = NodeConfig {
+                name: format!("n{number}"),
                 listen: address,
-                discovery: list.open(Some(me)).await,
+                discovery: list.open(Some(number)).await,
                 peer_listen,
-                peers: network.peers_of(me).expect("addresses"),
+                peers: network.peers_of(number).expect("addresses"),
                 sockets: 2_048,
                 memory_mb: 256,
             };
-            let text = configuration(&places, &fleet.settings(me), None, me as u64 + 1);
-            std::fs::write(folder.join(format!("{me}.json")), text).expect("a configuration");
-            let node = Node {
+            let text = configuration(&config, &fleet.settings(number), None, number as u64 + 1);
+            std::fs::write(folder.join(format!("{number}.json")), text)
+                .expect("the configuration can be written");
+            let node = RealNode {
                 address,
                 folder: folder.clone(),
-                me,
+                number,
                 process: Mutex::default(),
             };
             node.start();
             nodes.push(node);
         }
-        let doors: Vec<SocketAddr> = nodes.iter().map(|node| node.address).collect();
-        let front = LoadGenerator::new(
+        let addresses: Vec<SocketAddr> = nodes.iter().map(|node| node.address).collect();
+        let load = LoadGenerator::new(
             Arc::clone(&world),
             fleet.clone(),
-            &doors,
+            &addresses,
             1,
             Cancellations::default(),
         );
-        Arc::clone(&front).watch_readiness();
-        let rig = Rig {
+        Arc::clone(&load).watch_readiness();
+        let running = TestFleet {
             world,
             list,
-            fixture,
+            parameters,
             fleet,
             tenants,
             links,
-            stands,
-            front,
+            app_servers,
+            load,
             nodes,
-            shards: Arc::new(shards),
+            hollow_processes: Arc::new(hollow_processes),
             faults: Mutex::default(),
-            over: Arc::default(),
-            pump: None,
-            offers: JoinSet::new(),
-            rests: watch::channel(false).0,
+            stop_audit: Arc::default(),
+            audit_thread: None,
+            clients: JoinSet::new(),
+            stop_clients: watch::channel(false).0,
             folder,
         };
-        rig.all_listed(1).await;
-        rig
+        running.wait_all_listed(1).await;
+        running
     }
 
-    /// Tells all processes of hollow nodes a word at once.
-    fn ask<T: DeserializeOwned + Send>(&self, word: &str) -> Vec<T> {
+    /// Sends a command to all processes of hollow nodes concurrently and returns their answers.
+    fn request<T: DeserializeOwned + Send>(&self, command: &str) -> Vec<T> {
         block_in_place(|| {
             std::thread::scope(|scope| {
-                let asks: Vec<_> = self
-                    .shards
+                let requests: Vec<_> = self
+                    .hollow_processes
                     .iter()
-                    .map(|shard| scope.spawn(move || lock(shard).ask(word)))
+                    .map(|process| scope.spawn(move || lock(process).request(command)))
                     .collect();
-                asks.into_iter()
-                    .map(|ask| ask.join().expect("it answers"))
+                requests
+                    .into_iter()
+                    .map(|request| request.join().expect("a process of hollow nodes answers"))
                     .collect()
             })
         })
     }
 
-    /// Waits until each node has a list, and each real one has been written this version.
-    pub async fn all_listed(&self, seq: u64) {
-        until("each hollow node has a list", || {
-            self.ask::<usize>("unlisted").iter().sum::<usize>() == 0
+    /// Waits until each node has a list and this version was sent to each real node.
+    pub async fn wait_all_listed(&self, seq: u64) {
+        wait_until("each hollow node has a list", || {
+            self.request::<usize>("unlisted").iter().sum::<usize>() == 0
         })
         .await;
-        until("each real node is open and has the list", || {
-            self.front.ready_nodes() == REAL && self.list.reached(seq, 0..REAL)
+        wait_until("each real node is ready and was sent the list", || {
+            self.load.ready_nodes() == REAL_NODES && self.list.was_sent(seq, 0..REAL_NODES)
         })
         .await;
     }
 
-    /// Waits until each node has acted on a version of the list, real ones at least been written it.
-    pub async fn acted(&self, seq: u64) {
+    /// Waits until each hollow node has applied a version of the list and it was sent to each real node.
+    pub async fn wait_applied(&self, seq: u64) {
         type Acted = (Vec<Option<u64>>, Vec<(u64, u64)>);
-        let word = format!("acted [[{seq},0]]");
-        until("each node has acted on the list", || {
-            let acted: Vec<Acted> = self.ask(&word);
-            acted
-                .iter()
-                .all(|(last, _)| last.iter().all(Option::is_some))
-                && self.list.reached(seq, 0..REAL)
-        })
+        let command = format!("acted [[{seq},0]]");
+        wait_until(
+            "each hollow node has applied the list, and each real node was sent it",
+            || {
+                let acted: Vec<Acted> = self.request(&command);
+                acted
+                    .iter()
+                    .all(|(last, _)| last.iter().all(Option::is_some))
+                    && self.list.was_sent(seq, 0..REAL_NODES)
+            },
+        )
         .await;
     }
 
-    /// Clients of all nodes begin.
-    pub fn load(&mut self) {
-        for place in 0..self.tenants.many() {
-            let tenant = self.tenants.tenant(place);
-            let rate = self.tenants.demand(place) * REAL as f64 / NODES as f64;
+    /// Starts the clients of all nodes.
+    pub fn start_clients(&mut self) {
+        for rank in 0..self.tenants.count() {
+            let tenant = self.tenants.tenant(rank);
+            let rate = self.tenants.demand(rank) * REAL_NODES as f64 / NODES as f64;
             let customer = Customer {
                 id: tenant.id,
                 plan: tenant.plan,
-                first_node: tenant.first as usize,
-                node_count: tenant.spread as usize,
+                first_node: tenant.subset_first as usize,
+                node_count: tenant.subset_size as usize,
                 rate,
             };
             self.fleet
                 .register_limits(&mut self.world.oracle(), &customer);
-            let rests = self.rests.subscribe();
-            self.offers.spawn(clients(
-                Arc::clone(&self.front),
+            let stop = self.stop_clients.subscribe();
+            self.clients.spawn(run_clients(
+                Arc::clone(&self.load),
                 self.fleet.clone(),
                 customer,
-                rests,
+                stop,
             ));
         }
-        let (world, fleet, shards, over) = (
+        let (world, fleet, processes, stop) = (
             Arc::clone(&self.world),
             self.fleet.clone(),
-            Arc::clone(&self.shards),
-            Arc::clone(&self.over),
+            Arc::clone(&self.hollow_processes),
+            Arc::clone(&self.stop_audit),
         );
-        self.pump = Some(std::thread::spawn(move || {
-            while !over.load(Ordering::Relaxed) {
+        self.audit_thread = Some(std::thread::spawn(move || {
+            while !stop.load(Ordering::Relaxed) {
                 std::thread::sleep(AUDIT_EVERY);
-                shards
+                processes
                     .iter()
-                    .for_each(|shard| _ = take_in(&world, &fleet, &mut lock(shard)));
+                    .for_each(|process| _ = report_events(&world, &fleet, &mut lock(process)));
             }
         }));
-        let _: Vec<()> = self.ask("load");
+        let _: Vec<()> = self.request("load");
     }
 
-    /// Changes what befalls hollow nodes.
-    pub fn befall(&self, change: impl FnOnce(&mut Faults)) {
-        let word = {
+    /// Changes the faults injected into hollow nodes.
+    pub fn change_hollow_faults(&self, change: impl FnOnce(&mut Faults)) {
+        let command = {
             let mut faults = lock(&self.faults);
             change(&mut faults);
             format!("faults {}", json!(*faults))
         };
-        let _: Vec<()> = self.ask(&word);
+        let _: Vec<()> = self.request(&command);
     }
 
-    /// Lays a fault on the links between real nodes and all others.
-    pub fn lay(&self, which: LinkSet, fault: Fault) {
+    /// Injects a fault into the links between real nodes and all others.
+    pub fn add_link_fault(&self, which: LinkSet, fault: Fault) {
         self.links.add_fault(which, fault);
     }
 
-    /// Ends of all nodes.
-    pub fn ends(nodes: impl Iterator<Item = u32>) -> BTreeSet<End> {
+    /// The link ends of these nodes.
+    pub fn link_ends(nodes: impl Iterator<Item = u32>) -> BTreeSet<End> {
         nodes.map(|node| End::Node(node as usize)).collect()
     }
 
-    /// A share of the hollow nodes ends and starts anew.
-    pub fn renew(&self, share: f64) {
-        let _: Vec<()> = self.ask(&format!("renew {share}"));
+    /// Restarts a share of the hollow nodes.
+    pub fn restart_hollow(&self, share: f64) {
+        let _: Vec<()> = self.request(&format!("renew {share}"));
     }
 
-    /// A real node is killed, and its successor started.
-    pub fn kill(&self, node: usize) {
-        self.front.node_killed_or_restarted(node);
+    /// Kills a real node and starts it again.
+    pub fn kill_and_restart(&self, node: usize) {
+        self.load.node_killed_or_restarted(node);
         lock(&self.nodes[node].process).take();
         self.list.forget(node);
         self.world.oracle().node_restarted(node);
         self.nodes[node].start();
-        self.front.node_killed_or_restarted(node);
+        self.load.node_killed_or_restarted(node);
     }
 
-    /// A real node stands still for as long as something takes.
-    pub async fn still(&self, node: usize, meanwhile: impl std::future::Future<Output = ()>) {
-        let stopped = self.world.now();
-        self.front.node_paused_or_resumed(node);
+    /// Suspends a real node while `meanwhile` runs.
+    pub async fn while_paused(
+        &self,
+        node: usize,
+        meanwhile: impl std::future::Future<Output = ()>,
+    ) {
+        let paused_at = self.world.now();
+        self.load.node_paused_or_resumed(node);
         self.nodes[node].signal(Signal::SIGSTOP);
         meanwhile.await;
         self.world
             .oracle()
-            .node_resumed(self.world.now(), node, stopped);
+            .node_resumed(self.world.now(), node, paused_at);
         self.nodes[node].signal(Signal::SIGCONT);
-        self.front.node_paused_or_resumed(node);
+        self.load.node_paused_or_resumed(node);
     }
 
-    /// Tries that began since then at some nodes, and how many of them were served by now.
-    pub fn since(&self, since: Duration, at: impl Fn(usize) -> bool) -> (u64, u64) {
-        let ledger = self.world.oracle();
-        ledger
+    /// Number of requests sent since a time to the selected nodes, and how many of them were served.
+    pub fn requests_since(&self, since: Duration, selected: impl Fn(usize) -> bool) -> (u64, u64) {
+        let oracle = self.world.oracle();
+        oracle
             .requests()
-            .filter(|seen| seen.sent_at >= since && at(seen.node))
-            .fold((0, 0), |(tries, served), seen| {
+            .filter(|request| request.sent_at >= since && selected(request.node))
+            .fold((0, 0), |(requests, served), request| {
                 (
-                    tries + 1,
-                    served + u64::from(seen.answer == Some(Answer::Served)),
+                    requests + 1,
+                    served + u64::from(request.answer == Some(Answer::Served)),
                 )
             })
     }
 
-    /// Waits until so many tries have begun in all.
-    pub async fn offered(&self, many: u64) {
-        until("tries go on", || {
-            self.since(Duration::ZERO, |_| true).0 >= many
+    /// Waits until `count` requests have been sent since the start.
+    pub async fn wait_requests(&self, count: u64) {
+        wait_until(&format!("{count} requests are sent"), || {
+            self.requests_since(Duration::ZERO, |_| true).0 >= count
         })
         .await;
     }
 
-    /// Waits until so many tries that began since then were served, by real nodes and by hollow ones.
-    pub async fn serves(&self, since: Duration, many: u64) {
+    /// Waits until `count` requests sent since a time are served by real nodes, and as many by hollow ones.
+    pub async fn wait_served(&self, since: Duration, count: u64) {
         for real in [true, false] {
-            let what = format!("{many} tries since {since:?} are served (real: {real})");
-            until(&what, || {
-                self.since(since, |node| (node < REAL) == real).1 >= many
+            let description =
+                format!("{count} requests since {since:?} are served (real nodes: {real})");
+            wait_until(&description, || {
+                self.requests_since(since, |node| (node < REAL_NODES) == real)
+                    .1
+                    >= count
             })
             .await;
         }
     }
 
-    /// Processes of these servers end at once, and connections to them with them; what hollow nodes have written there is never
-    /// answered.
-    pub fn die(&self, servers: &[usize]) {
+    /// Kills these app servers with their connections. Attempts of hollow nodes to them stay unanswered.
+    pub fn kill_servers(&self, servers: &[usize]) {
         servers
             .iter()
-            .filter_map(|at| self.stands.get(at))
+            .filter_map(|at| self.app_servers.get(at))
             .for_each(AppServer::kill);
     }
 
-    /// They start anew, cold, and are listed in one version.
+    /// Starts these servers cold and lists them in one new version. Returns the version.
     pub fn start_cold(&self, servers: &[usize]) -> u64 {
         for at in servers {
-            if let Some(server) = self.stands.get(at) {
-                server.start_cold().expect("its address is kept");
+            if let Some(server) = self.app_servers.get(at) {
+                server
+                    .start_cold()
+                    .expect("the server's address is still reserved");
             } else {
-                let (now, capacity) = (self.world.now(), self.fixture.cores as f64);
+                let (now, capacity) = (self.world.now(), self.parameters.cores as f64);
                 self.world
                     .oracle()
                     .server_started_cold(now, &format!("s-{at}"), capacity);
@@ -761,80 +800,87 @@
         })
     }
 
-    /// Names of servers.
-    pub fn names(servers: &[usize]) -> HashSet<String> {
+    /// Names of these servers.
+    pub fn server_names(servers: &[usize]) -> HashSet<String> {
         servers.iter().map(|at| format!("s-{at}")).collect()
     }
 
-    /// Ends the load, waits until each try has its end or its time is over, and judges.
-    pub async fn judge(&mut self) -> (Verdict, Hollow) {
-        let _: Vec<()> = self.ask("rest");
-        self.rests.send_replace(true);
-        while self.offers.join_next().await.is_some() {}
-        let longest = self
+    /// Stops the clients, waits until all requests are answered or timed out, and returns the oracle's verdict.
+    pub async fn finish(&mut self) -> (Verdict, HollowTotals) {
+        let _: Vec<()> = self.request("rest");
+        self.stop_clients.send_replace(true);
+        while self.clients.join_next().await.is_some() {}
+        let longest_timeout = self
             .fleet
             .classes
             .iter()
             .map(|class| class.deadline)
             .max()
             .unwrap_or_default();
-        let begun = Instant::now();
-        while self.world.oracle().open_requests() > 0 && begun.elapsed() < longest + LOOP_SLACK {
-            sleep(LOOK).await;
+        let started = Instant::now();
+        while self.world.oracle().open_requests() > 0
+            && started.elapsed() < longest_timeout + LOOP_SLACK
+        {
+            sleep(POLL_INTERVAL).await;
         }
-        self.over.store(true, Ordering::Relaxed);
-        if let Some(pump) = self.pump.take() {
-            block_in_place(|| pump.join()).expect("all was taken into the ledger");
+        self.stop_audit.store(true, Ordering::Relaxed);
+        if let Some(thread) = self.audit_thread.take() {
+            block_in_place(|| thread.join()).expect("the thread that reads the audit succeeds");
         }
-        let mut hollow = Hollow::default();
+        let mut totals = HollowTotals::default();
         let largest = self.tenants.tenant(0).id;
-        for shard in self.shards.iter() {
-            let mut shard = lock(shard);
-            let audited = take_in(&self.world, &self.fleet, &mut shard);
-            for (tenant, (tries, served)) in &shard.tenants {
+        for process in self.hollow_processes.iter() {
+            let mut process = lock(process);
+            let audit = report_events(&self.world, &self.fleet, &mut process);
+            for (tenant, (requests, served)) in &process.tenants {
                 let sums = if *tenant == largest {
-                    &mut hollow.largest
+                    &mut totals.largest
                 } else {
-                    &mut hollow.others
+                    &mut totals.others
                 };
-                (sums.0, sums.1) = (sums.0 + tries, sums.1 + served);
+                (sums.0, sums.1) = (sums.0 + requests, sums.1 + served);
             }
-            hollow.after_drain += audited.after_drain;
-            hollow.after_drain_most_ms = hollow
-                .after_drain_most_ms
-                .max(audited.after_drain_most as f64 / 1e3);
-            hollow.late += audited.late;
-            hollow.lost += audited.lost;
-            hollow.unheard += audited.unheard;
+            totals.after_drain += audit.after_drain;
+            totals.after_drain_max_ms = totals
+                .after_drain_max_ms
+                .max(audit.after_drain_max as f64 / 1e3);
+            totals.late += audit.late;
+            totals.dropped_events += audit.dropped_events;
+            totals.dropped_datagrams += audit.dropped_datagrams;
         }
         for node in &self.nodes {
-            let log = std::fs::read_to_string(self.folder.join(format!("{}.log", node.me)));
-            assert!(!node.ended(), "node {} ended by itself: {log:?}", node.me);
+            let log = std::fs::read_to_string(self.folder.join(format!("{}.log", node.number)));
+            assert!(
+                !node.has_ended(),
+                "node {} ended by itself: {log:?}",
+                node.number
+            );
         }
         let verdict = self.world.oracle().verdict();
-        println!("{verdict:?}\n{hollow:?}");
-        (verdict, hollow)
+        println!("{verdict:?}\n{totals:?}");
+        (verdict, totals)
     }
 }
 
-/// The five rules, over all nodes: each try taken has one final answer in time, nothing takes effect twice, nothing new reaches a server
-/// 250 ms after its node was told that it is not ready, no cold server falls, and no ceiling is passed.
-pub fn kept((verdict, hollow): &(Verdict, Hollow)) {
+/// Asserts the five rules over all nodes: each accepted request has one final answer in time, nothing takes effect
+/// twice, no new attempt reaches a server more than 250 ms after its node received that the server is not ready, no
+/// cold server is overloaded, and no ceiling is exceeded.
+pub fn assert_rules_kept((verdict, totals): &(Verdict, HollowTotals)) {
     let breaches: Vec<&Breach> = verdict.breaches.iter().take(20).collect();
     assert!(
         verdict.breaches.is_empty(),
         "{} breaches: {breaches:?}",
         verdict.breaches.len()
     );
-    assert_eq!((hollow.late, hollow.lost), (0, 0), "{hollow:?}");
+    assert_eq!((totals.late, totals.dropped_events), (0, 0), "{totals:?}");
     assert_eq!(verdict.lost, 0, "{verdict:?}");
     assert_eq!(
         verdict.unsolicited_attempts, 0,
-        "no attempt that nobody asked for: {verdict:?}"
+        "no attempt without a request: {verdict:?}"
     );
     assert!(verdict.cold_load_max < 1.0, "{verdict:?}");
     assert!(
         verdict.requests > 500 && verdict.served > 0,
-        "it was used: {verdict:?}"
+        "the fleet had load: {verdict:?}"
     );
 }
--- a/crates/bench/tests/size/list.rs
+++ b/crates/bench/tests/size/list.rs
@@ -1,5 +1,5 @@
-//! The list service of a fleet of hundreds, in the platform's protocol: each text is written once for all who ask for the same, and what is
-//! written to a real node is told to the ledger.
+//! The list service of a fleet of hundreds of nodes, in the platform's protocol. It formats each text once for all
+//! watches with the same version, and reports to the oracle what it has sent to each process of the program.
 
 use saffronpaddle_test_doubles::wire::HttpConnection;
 use saffronpaddle_test_doubles::World;
@@ -11,10 +11,10 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// While nothing changes, an empty line comes this often.
-const SIGN_OF_LIFE: Duration = Duration::from_secs(2);
+/// Interval of the empty lines that are sent as heartbeats while nothing changes.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 
-/// A server on the list, or one that was there.
+/// A server that is or was on the list.
 #[derive(Clone, Debug)]
 pub struct Server {
     pub dial: SocketAddr,
@@ -23,31 +23,32 @@
     /// `ready`, `draining` or `gone`.
     pub health: &'static str,
     pub born_ms: u64,
-    /// Whether real nodes may send to it, so that the ledger is told of it.
-    pub stands: bool,
+    /// Whether an app server listens there to which processes of the program may send. Only these are reported to the
+    /// oracle.
+    pub is_running: bool,
 }
 
-/// What is written to all who have the same version.
+/// The text for all watches that have the same version.
 #[derive(Clone)]
 struct Text {
     from: Option<u64>,
     body: Arc<str>,
-    /// The servers in it.
-    named: Arc<Vec<usize>>,
+    /// The servers whose health it determines.
+    servers: Arc<Vec<usize>>,
 }
 
 #[derive(Default)]
 struct List {
     seq: u64,
     servers: Vec<Server>,
-    /// Which servers changed with each version from 2 on.
+    /// Servers that changed with each version, from version 2 on.
     changed: Vec<Vec<usize>>,
-    /// Texts of the present version.
+    /// Texts of the current version.
     texts: Vec<Text>,
-    /// The whole list lacks all servers from this one on, by mistake.
-    cut: Option<usize>,
-    /// Versions before this one are answered with the whole list.
-    whole_since: u64,
+    /// The whole list wrongly lacks all servers from this index on.
+    truncated_at: Option<usize>,
+    /// Watches with an earlier version get the whole list.
+    full_list_before: u64,
 }
 
 impl List {
@@ -70,20 +71,21 @@
         )
     }
 
-    /// Whether it is on the list and ready.
-    fn ready(&self, at: usize) -> bool {
-        self.servers[at].health == "ready" && self.cut.is_none_or(|cut| at < cut)
+    /// Whether the server is on the list and ready.
+    fn is_ready(&self, at: usize) -> bool {
+        self.servers[at].health == "ready" && self.truncated_at.is_none_or(|length| at < length)
     }
 
-    fn since(&mut self, from: Option<u64>) -> (u64, Text) {
-        let from = from.filter(|from| (self.whole_since.max(1)..=self.seq).contains(from));
+    /// The version and the text for a watch that has version `from`.
+    fn text_since(&mut self, from: Option<u64>) -> (u64, Text) {
+        let from = from.filter(|from| (self.full_list_before.max(1)..=self.seq).contains(from));
         if let Some(text) = self.texts.iter().find(|text| text.from == from) {
             return (self.seq, text.clone());
         }
-        let on: Vec<usize> = match from {
+        let listed: Vec<usize> = match from {
             None => {
-                let most = self.cut.unwrap_or(self.servers.len());
-                (0..most)
+                let length = self.truncated_at.unwrap_or(self.servers.len());
+                (0..length)
                     .filter(|at| self.servers[*at].health != "gone")
                     .collect()
             }
@@ -97,68 +99,70 @@
                 changed.collect::<BTreeSet<usize>>().into_iter().collect()
             }
         };
-        let hosts: Vec<String> = on.iter().map(|at| self.host(*at)).collect();
+        let hosts: Vec<String> = listed.iter().map(|at| self.host(*at)).collect();
         let text = format!(
             r#"{{"seq":{},"whole":{},"hosts":[{}]}}"#,
             self.seq,
             from.is_none(),
             hosts.join(",")
         );
-        // Of a whole list the ledger is told of all, those that are left out as well.
-        let named = if from.is_none() {
+        // A whole list determines the health of all servers, also of those that it lacks.
+        let servers = if from.is_none() {
             (0..self.servers.len()).collect()
         } else {
-            on
+            listed
         };
         let text = Text {
             from,
             body: text.into(),
-            named: Arc::new(named),
+            servers: Arc::new(servers),
         };
         self.texts.push(text.clone());
         (self.seq, text)
     }
 }
 
-pub struct Service {
+pub struct ListService {
     world: Arc<World>,
     list: Mutex<List>,
     seq: watch::Sender<u64>,
-    /// Version that was written last to each real node.
-    written: Mutex<Vec<u64>>,
+    /// Version that was sent last to each process of the program.
+    sent_versions: Mutex<Vec<u64>>,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Service {
-    pub fn new(world: Arc<World>, servers: Vec<Server>, real: usize) -> Arc<Service> {
+impl ListService {
+    pub fn new(world: Arc<World>, servers: Vec<Server>, real: usize) -> Arc<ListService> {
         let list = Mutex::new(List {
             seq: 1,
             servers,
             ..List::default()
         });
-        Arc::new(Service {
+        Arc::new(ListService {
             world,
             list,
             seq: watch::channel(1).0,
-            written: Mutex::new(vec![0; real]),
+            sent_versions: Mutex::new(vec![0; real]),
         })
     }
 
-    /// An address of it: for one real node, or for all hollow ones.
+    /// Opens an address of the service: for one process of the program, or for all hollow nodes.
     pub async fn open(self: &Arc<Self>, node: Option<usize>) -> SocketAddr {
         let listener = TcpListener::bind(
-            saffronpaddle_test_doubles::ports::reserve_address().expect("an address"),
+            saffronpaddle_test_doubles::ports::reserve_address().expect("an address is free"),
         );
-        let listener = listener.await.expect("it can be had");
-        let address = listener.local_addr().expect("it has one");
+        let listener = listener.await.expect("the address can be bound");
+        let address = listener
+            .local_addr()
+            .expect("a bound listener has an address");
         let service = Arc::clone(self);
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let service = Arc::clone(&service);
-                // How it ended is the node's concern.
+                // The node handles the error of a watch.
                 tokio::spawn(
                     async move { service.serve(node, HttpConnection::new(stream)).await.ok() },
                 );
@@ -167,24 +171,25 @@
         address
     }
 
-    /// Changes these servers in one version, which is returned.
+    /// Changes these servers in one new version. Returns the version.
     pub fn change(&self, servers: &[usize], change: impl Fn(&mut Server)) -> u64 {
-        self.anew(|list| {
+        self.publish(|list| {
             servers.iter().for_each(|at| change(&mut list.servers[*at]));
             list.changed.push(servers.to_vec());
         })
     }
 
-    /// From now on all are written a whole list, which lacks all servers from this one on; or the right one again.
-    pub fn cut(&self, from: Option<usize>) -> u64 {
-        self.anew(|list| {
-            list.cut = from;
+    /// Sends the whole list to all watches, without the servers from index `length` on, or complete again for `None`.
+    /// Returns the version.
+    pub fn truncate(&self, length: Option<usize>) -> u64 {
+        self.publish(|list| {
+            list.truncated_at = length;
             list.changed.push(Vec::new());
-            list.whole_since = list.seq;
+            list.full_list_before = list.seq;
         })
     }
 
-    fn anew(&self, change: impl FnOnce(&mut List)) -> u64 {
+    fn publish(&self, change: impl FnOnce(&mut List)) -> u64 {
         let seq = {
             let mut list = lock(&self.list);
             list.seq += 1;
@@ -196,19 +201,23 @@
         seq
     }
 
-    /// Whether all of these real nodes were written this version or a later one.
-    pub fn reached(&self, seq: u64, nodes: impl Iterator<Item = usize>) -> bool {
-        let written = lock(&self.written);
-        nodes.into_iter().all(|node| written[node] >= seq)
+    /// Whether this version or a later one was sent to all of these processes of the program.
+    pub fn was_sent(&self, seq: u64, nodes: impl Iterator<Item = usize>) -> bool {
+        let versions = lock(&self.sent_versions);
+        nodes.into_iter().all(|node| versions[node] >= seq)
     }
 
-    /// A real node's process has ended: what was written to it counts for nothing.
+    /// Forgets what was sent to a process of the program that has ended.
     pub fn forget(&self, node: usize) {
-        lock(&self.written)[node] = 0;
+        lock(&self.sent_versions)[node] = 0;
     }
 
-    async fn serve(&self, node: Option<usize>, mut wire: HttpConnection) -> std::io::Result<()> {
-        let Some(request) = wire.read_message(&self.world).await? else {
+    async fn serve(
+        &self,
+        node: Option<usize>,
+        mut connection: HttpConnection,
+    ) -> std::io::Result<()> {
+        let Some(request) = connection.read_message(&self.world).await? else {
             return Ok(());
         };
         let from = request
@@ -217,7 +226,7 @@
             .find_map(|part| part.strip_prefix("from="));
         let mut from: Option<u64> = from.and_then(|from| from.parse().ok());
         let mut seq = self.seq.subscribe();
-        let stream = &mut wire.stream;
+        let stream = &mut connection.stream;
         stream
             .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             .await?;
@@ -225,16 +234,16 @@
         loop {
             let version = *seq.borrow_and_update();
             if std::mem::take(&mut first) || from != Some(version) {
-                let (version, Text { body, named, .. }) = lock(&self.list).since(from);
+                let (version, Text { body, servers, .. }) = lock(&self.list).text_since(from);
                 stream
                     .write_all(format!("{:x}\r\n{body}\n\r\n", body.len() + 1).as_bytes())
                     .await?;
                 if let Some(node) = node {
-                    self.tell(node, version, &named);
+                    self.report_sent(node, version, &servers);
                 }
                 from = Some(version);
             }
-            if tokio::time::timeout(SIGN_OF_LIFE, seq.changed())
+            if tokio::time::timeout(HEARTBEAT_INTERVAL, seq.changed())
                 .await
                 .is_err()
             {
@@ -243,19 +252,19 @@
         }
     }
 
-    /// Tells the ledger what a real node was written.
-    fn tell(&self, node: usize, version: u64, named: &[usize]) {
-        let told: Vec<(usize, bool)> = {
+    /// Reports to the oracle what was sent to a process of the program.
+    fn report_sent(&self, node: usize, version: u64, servers: &[usize]) {
+        let sent: Vec<(usize, bool)> = {
             let list = lock(&self.list);
-            named
+            servers
                 .iter()
-                .filter(|at| list.servers[**at].stands)
-                .map(|at| (*at, list.ready(*at)))
+                .filter(|at| list.servers[**at].is_running)
+                .map(|at| (*at, list.is_ready(*at)))
                 .collect()
         };
-        let (now, mut ledger) = (self.world.now(), self.world.oracle());
-        told.into_iter()
-            .for_each(|(at, ready)| ledger.health_delivered(now, node, &format!("s-{at}"), ready));
-        lock(&self.written)[node] = version;
+        let (now, mut oracle) = (self.world.now(), self.world.oracle());
+        sent.into_iter()
+            .for_each(|(at, ready)| oracle.health_delivered(now, node, &format!("s-{at}"), ready));
+        lock(&self.sent_versions)[node] = version;
     }
 }
