--- a/crates/bench/src/cost.rs
+++ b/crates/bench/src/cost.rs
@@ -65,7 +65,11 @@
             drop(node);
             if let Some(other) = &against {
                 let node = process::start_node(other, &fleet, agent, &discovery.full_list())?;
-                others.push(measure_round(&world, &node, connections, requests).await.context("measuring the other build")?);
+                others.push(
+                    measure_round(&world, &node, connections, requests)
+                        .await
+                        .context("measuring the other build")?,
+                );
             }
             let relay = process::start_relay("relay", &addresses)?;
             relays.push(measure_round(&world, &relay, connections, requests).await.context("measuring the relay")?);
@@ -160,7 +164,10 @@
                     world.now().as_nanos() as u64
                 );
                 connection.write(request.as_bytes()).await?;
-                let answer = connection.read_message(&world).await?.context("the process closed the connection without an answer")?;
+                let answer = connection
+                    .read_message(&world)
+                    .await?
+                    .context("the process closed the connection without an answer")?;
                 ensure!(answer.status() == 200, "a request was answered with {}", answer.start_line);
             }
             Ok::<(), anyhow::Error>(())
--- a/crates/bench/src/roster.rs
+++ b/crates/bench/src/roster.rs
@@ -72,12 +72,19 @@
         let busy = usage_rates(&before, &node.thread_usage()?, started.elapsed());
         let total = |rates: &Rates| rates.values().map(|(cpu, _)| cpu).sum::<f64>();
         let (idle_total, busy_total) = (total(&idle), total(&busy));
-        println!("idle {:.3}% of a core; at {changes_s} changes a second {:.3}%", idle_total * 100.0, busy_total * 100.0);
+        println!(
+            "idle {:.3}% of a core; at {changes_s} changes a second {:.3}%",
+            idle_total * 100.0,
+            busy_total * 100.0
+        );
         let seconds_per_change = 1.0 / f64::from(changes_s);
         println!("a change costs {:.1} µs of CPU", (busy_total - idle_total) * 1e6 * seconds_per_change);
         for (name, (cpu, slices)) in &busy {
             let (idle_cpu, idle_slices) = idle.get(name).copied().unwrap_or_default();
-            let (cpu, slices) = ((cpu - idle_cpu) * 1e6 * seconds_per_change, (slices - idle_slices) * seconds_per_change);
+            let (cpu, slices) = (
+                (cpu - idle_cpu) * 1e6 * seconds_per_change,
+                (slices - idle_slices) * seconds_per_change,
+            );
             println!("  thread {name}: {cpu:.1} µs and {slices:.2} runs a change, {:.3}% idle", idle_cpu * 100.0);
         }
         println!("memory after {} changes {:.1} MB", changes_s * seconds, node.memory()? as f64 / 1e6);
--- a/crates/bench/src/scale/mod.rs
+++ b/crates/bench/src/scale/mod.rs
@@ -61,7 +61,7 @@
     Nodes,
     Servers,
     Tenants,
-    Tries,
+    RequestRate,
     Changes,
     Restart,
 }
@@ -87,7 +87,7 @@
         &[],
     ),
     (
-        Sweep::Tries,
+        Sweep::RequestRate,
         "tries",
         &[1.0, 10.0, 40.0, 81.5, 160.0],
         &[1.0, 10.0, 40.0],
@@ -132,7 +132,7 @@
                 tries: 400.0,
                 ..base
             },
-            Sweep::Tries => base,
+            Sweep::RequestRate => base,
             Sweep::Changes => Point {
                 servers: 2000,
                 ..base
@@ -154,7 +154,7 @@
             Sweep::Nodes => point.nodes = whole()?,
             Sweep::Servers => point.servers = whole()?,
             Sweep::Tenants => point.tenants = whole()?,
-            Sweep::Tries => point.tries = x,
+            Sweep::RequestRate => point.tries = x,
             Sweep::Changes => point.changes = x,
             Sweep::Restart => point.restart = x,
         }
@@ -691,8 +691,10 @@
     if !changes.is_empty() && hollow > 0 {
         tokio::time::sleep(point.settle_time()).await;
         let command = format!("acted {}", serde_json::to_string(&changes)?);
-        type Acted = (Vec<Option<u64>>, Vec<(u64, u64)>);
-        let acted: Vec<Acted> =
+        /// Of each process: for each change the delay until its last node had applied it, and the histogram of all
+        /// delays, µs.
+        type ListDelays = (Vec<Option<u64>>, Vec<(u64, u64)>);
+        let process_delays: Vec<ListDelays> =
             tokio::task::block_in_place(|| deployment.processes.request(&command))?;
         let (mut last, mut all, mut incomplete) = (
             DurationHistogram::default(),
@@ -700,7 +702,7 @@
             0,
         );
         for change in 0..changes.len() {
-            let delays: Option<Vec<u64>> = acted
+            let delays: Option<Vec<u64>> = process_delays
                 .iter()
                 .map(|(last, _)| last.get(change).copied().flatten())
                 .collect();
@@ -709,7 +711,9 @@
                 None => incomplete += 1,
             }
         }
-        acted.iter().for_each(|(_, buckets)| all.merge(buckets));
+        process_delays
+            .iter()
+            .for_each(|(_, buckets)| all.merge(buckets));
         let note = format!(
             "{} changes until the last of {hollow} nodes had acted; {incomplete} not by all",
             changes.len()
@@ -813,11 +817,11 @@
     let (clock, now) = (Instant::now(), unix_micros());
     let seq = deployment.list_service.toggle_health(zone_servers.clone());
     let command = format!("acted [[{seq},{now}]]");
-    type Acted = (Vec<Option<u64>>, Vec<(u64, u64)>);
+    type ListDelays = (Vec<Option<u64>>, Vec<(u64, u64)>);
     let last = loop {
-        let acted: Vec<Acted> =
+        let process_delays: Vec<ListDelays> =
             tokio::task::block_in_place(|| deployment.processes.request(&command))?;
-        let last: Option<Vec<u64>> = acted
+        let last: Option<Vec<u64>> = process_delays
             .iter()
             .map(|(last, _)| last.first().copied().flatten())
             .collect();
--- a/crates/bench/src/scale/real.rs
+++ b/crates/bench/src/scale/real.rs
@@ -49,7 +49,7 @@
         sockets: SOCKET_LIMIT,
         memory_mb: MEMORY_MB,
     };
-    let begun = Instant::now();
+    let started = Instant::now();
     let process = process::start_fleet_node(
         &crate::program()?,
         listen,
@@ -60,7 +60,7 @@
         Ok(Ok(true))
     ) {
         ensure!(
-            begun.elapsed() < READY_TIMEOUT.0,
+            started.elapsed() < READY_TIMEOUT.0,
             "node {node} is not ready within {:?}",
             READY_TIMEOUT.0
         );
@@ -69,7 +69,7 @@
     Ok(RealNode {
         process,
         node,
-        ready_ms: begun.elapsed().as_secs_f64() * 1e3,
+        ready_ms: started.elapsed().as_secs_f64() * 1e3,
     })
 }
 
@@ -137,7 +137,7 @@
     pub async fn send_requests(self: Arc<Self>, rate: f64, duration: Duration) {
         let mut random = fastrand::Rng::with_seed(u64::from(self.node) ^ 0x5eed);
         let sampler = self.tenants.sampler(self.node);
-        let (begun, mut at, mut number) = (Instant::now(), Duration::ZERO, 0_u64);
+        let (started, mut at, mut number) = (Instant::now(), Duration::ZERO, 0_u64);
         let mut in_flight = tokio::task::JoinSet::new();
         if rate <= 0.0 {
             return;
@@ -147,12 +147,12 @@
             if at >= duration {
                 break;
             }
-            tokio::time::sleep(at.saturating_sub(begun.elapsed())).await;
+            tokio::time::sleep(at.saturating_sub(started.elapsed())).await;
             number += 1;
             let class = random.f64();
             let class = usize::from(class >= self.fleet.classes[0].share);
             let request = self.request_text(number, class, sampler.rank(random.f64()));
-            let (clients, due_at) = (Arc::clone(&self), begun + at);
+            let (clients, due_at) = (Arc::clone(&self), started + at);
             in_flight.spawn(async move { clients.send(request, due_at).await });
             while in_flight.try_join_next().is_some() {}
         }
@@ -177,9 +177,9 @@
         } else {
             ("GET", String::new(), "")
         };
-        let begun = self.world.now().as_nanos();
+        let now_ns = self.world.now().as_nanos();
         format!(
-            "{method} /{0}/{1:016x} HTTP/1.1\r\nHost: scale\r\nX-Request-Id: {2:x}-{number:x}-{begun:x}\r\nX-Class: {0}\r\n\
+            "{method} /{0}/{1:016x} HTTP/1.1\r\nHost: scale\r\nX-Request-Id: {2:x}-{number:x}-{now_ns:x}\r\nX-Class: {0}\r\n\
              X-Tier: {plan}\r\nX-Deadline: {3}m\r\nX-Call-Terms: units=1,spread={4},first={5}\r\n{extra_headers}\r\n{body}",
             class.name,
             tenant.id,
--- a/crates/bench/src/scale/report.rs
+++ b/crates/bench/src/scale/report.rs
@@ -133,7 +133,7 @@
     by_measure.values().filter_map(slope).collect()
 }
 
-/// Four digits that count.
+/// Formats a value with four significant digits.
 pub fn format_value(value: f64) -> String {
     let digits = if value == 0.0 {
         0
--- a/crates/bench/src/sockets.rs
+++ b/crates/bench/src/sockets.rs
@@ -1,5 +1,5 @@
-//! WebSocket connections: memory and CPU of idle ones, the time until all sockets of a draining server are closed, and the cost
-//! of an echo compared with a bare relay of bytes and a bare relay of frames with the node's codec.
+//! WebSocket connections: memory and CPU of idle ones, the time until all sockets of a draining server are closed,
+//! and the cost of an echo compared with a bare relay of bytes and a bare relay of frames with the node's codec.
 
 use crate::cost;
 use crate::process::{self, MeasuredProcess};
@@ -70,7 +70,10 @@
         let world = World::start(Bounds::default());
         let discovery = Discovery::new(Arc::clone(&world));
         let timeline = Arc::new(Timeline::new());
-        let (echo_server, http_server) = (TcpListener::bind("127.0.0.1:0").await?, TcpListener::bind("127.0.0.1:0").await?);
+        let (echo_server, http_server) = (
+            TcpListener::bind("127.0.0.1:0").await?,
+            TcpListener::bind("127.0.0.1:0").await?,
+        );
         let (echo_address, http_address) = (echo_server.local_addr()?, http_server.local_addr()?);
         tokio::spawn(serve_echoes(echo_server, Arc::clone(&timeline)));
         tokio::spawn(cost::serve_immediately(Arc::clone(&world), http_server));
@@ -96,7 +99,13 @@
         )?;
         let program = crate::program()?;
         let node =
-            process::start_node_with_descriptors(&program, &process::unlimited_fleet(), agent, Some(&file), 2 * count + 2 * talkers + 1_000)?;
+            process::start_node_with_descriptors(
+                &program,
+                &process::unlimited_fleet(),
+                agent,
+                Some(&file),
+                2 * count + 2 * talkers + 1_000,
+            )?;
         cost::wait_until_listening(&node).await?;
         measure_echoes(&node, echo_address, talkers, echoes).await?;
         let sockets = measure_idle(&node, count).await?;
@@ -348,7 +357,7 @@
         let timeline = Arc::clone(timeline);
         closing.spawn(async move {
             let (mut reader, mut writer) = stream.split();
-            // Some sockets keep sending, so that a frame which passes too late would be timeline.
+            // Some sockets keep sending, so that a frame that passes too late is detected.
             let send = async {
                 let message = [&[0x82, 0x80 | 0x64, 0, 0, 0, 0][..], &[7; 100]].concat();
                 let mut open = number < talkers;
--- a/crates/bench/tests/size/fixture.rs
+++ b/crates/bench/tests/size/fixture.rs
@@ -630,13 +630,13 @@
 
     /// Waits until each hollow node has applied a version of the list and it was sent to each real node.
     pub async fn wait_applied(&self, seq: u64) {
-        type Acted = (Vec<Option<u64>>, Vec<(u64, u64)>);
+        type ListDelays = (Vec<Option<u64>>, Vec<(u64, u64)>);
         let command = format!("acted [[{seq},0]]");
         wait_until(
             "each hollow node has applied the list, and each real node was sent it",
             || {
-                let acted: Vec<Acted> = self.request(&command);
-                acted
+                let delays: Vec<ListDelays> = self.request(&command);
+                delays
                     .iter()
                     .all(|(last, _)| last.iter().all(Option::is_some))
                     && self.list.was_sent(seq, 0..REAL_NODES)
--- a/crates/bench/tests/size/main.rs
+++ b/crates/bench/tests/size/main.rs
@@ -316,9 +316,9 @@
     });
 }
 
-/// From one moment on, forty neighboring servers accept requests but never answer or close a connection, and the list
-/// does not change. No answer may be late or lost because of that, and an attempt that may have been executed must
-/// not be repeated on another server.
+/// From one moment on, forty neighboring servers accept requests but never answer or close a connection, while the
+/// list still shows them as ready. No answer may be late or lost because of that, and an attempt that may have been
+/// executed must not be repeated on another server.
 #[test]
 fn each_request_gets_one_answer_in_time_when_a_rack_of_40_servers_stops_answering() {
     run_test(async {
--- a/crates/hollow/src/shard.rs
+++ b/crates/hollow/src/shard.rs
@@ -281,7 +281,7 @@
     Ok(line
         .split_whitespace()
         .next()
-        .context("VmRSS")?
+        .context("VmRSS in /proc/self/status has no value")?
         .parse::<u64>()?
         * 1024)
 }
