--- a/crates/lifecycle/src/action.rs
+++ b/crates/lifecycle/src/action.rs
@@ -62,7 +62,7 @@
     ReloadRejected,
     /// A reload failed; the previous configuration remains in force.
     ReloadFailed,
-    /// A reload did not complete within [`Limits::reload_timeout`](crate::Limits::reload_within).
+    /// A reload did not complete within [`Limits::reload_timeout`](crate::Limits::reload_timeout).
     ReloadTimedOut,
     /// Connections were still open at the shutdown deadline and are dropped.
     CloseTimedOut,
--- a/crates/websocket/src/lib.rs
+++ b/crates/websocket/src/lib.rs
@@ -9,7 +9,7 @@
 //!
 //! ```
 //! use saffronpaddle_websocket::frames::{Rules, Scanner, Side};
-//! let rules = Rules { frame_most: 1000, message_most: 2000, deflate: false, utf8: true };
+//! let rules = Rules { max_frame_bytes: 1000, max_message_bytes: 2000, deflate: false, utf8: true };
 //! let mut scanner = Scanner::new(Side::Server, rules);
 //! let hello = [0x81, 2, b'h', b'i'];
 //! let (mut out, mut seen) = (Vec::new(), Vec::new());
