--- a/crates/admin/src/callers.rs
+++ b/crates/admin/src/callers.rs
@@ -30,9 +30,9 @@
 
 impl CallerTable {
     /// Maximum number of callers of a node. Each takes a file descriptor.
-    pub const MOST: usize = 16;
+    pub const MAX_CALLERS: usize = 16;
     /// How long a node waits for a caller's command.
-    pub const STAY: Duration = Duration::from_secs(5);
+    pub const COMMAND_TIMEOUT: Duration = Duration::from_secs(5);
 
     /// Creates a table of at most `limit` callers, each of which is closed after `timeout`. A `limit` of 0 counts as 1.
     pub fn new(limit: usize, timeout: Duration) -> CallerTable {
@@ -45,7 +45,7 @@
     }
 
     /// Adds a caller that has connected. If the table was full, also returns the caller that must be closed for it.
-    pub fn arrived(&mut self, now: Duration) -> (Caller, Option<Caller>) {
+    pub fn add(&mut self, now: Duration) -> (Caller, Option<Caller>) {
         let caller = Caller(self.next_id);
         self.next_id += 1;
         let closed = if self.waiting.len() >= self.limit {
@@ -61,12 +61,12 @@
     }
 
     /// Removes a caller that has been answered or has disconnected.
-    pub fn left(&mut self, caller: Caller) {
+    pub fn remove(&mut self, caller: Caller) {
         self.waiting.retain(|other| other.caller != caller);
     }
 
     /// Removes and returns the oldest caller if it has timed out.
-    pub fn stale(&mut self, now: Duration) -> Option<Caller> {
+    pub fn remove_timed_out(&mut self, now: Duration) -> Option<Caller> {
         let oldest = self.waiting.front()?;
         if now.saturating_sub(oldest.connected_at) < self.timeout {
             return None;
--- a/crates/admin/src/counters.rs
+++ b/crates/admin/src/counters.rs
@@ -62,12 +62,12 @@
     }
 
     /// Counts a received request.
-    pub fn taken(&mut self, class: usize) {
+    pub fn record_received(&mut self, class: usize) {
         self.class(class).taken += 1;
     }
 
     /// Counts the end of a received request.
-    pub fn ended(&mut self, class: usize, end: RequestEnd) {
+    pub fn record_end(&mut self, class: usize, end: RequestEnd) {
         let counts = self.class(class);
         let count = match end {
             RequestEnd::Fulfilled => &mut counts.fulfilled,
--- a/crates/admin/src/metrics.rs
+++ b/crates/admin/src/metrics.rs
@@ -20,9 +20,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct Metrics<'a> {
     /// The names of the classes, in the order of the settings.
-    pub names: &'a [String],
+    pub class_names: &'a [String],
     /// The request counters.
-    pub tally: RequestCounters,
+    pub request_counters: RequestCounters,
     /// Number of app servers on the list.
     pub registry_entries: usize,
     /// Number of app servers on the list that currently get no new requests.
@@ -61,8 +61,12 @@
         let mut text = String::new();
         // Writing to a string cannot fail.
         for metric in CLASS_METRICS {
-            for (class, class_name) in self.names.iter().enumerate() {
-                let count = self.tally.classes.get(class).map_or(0, metric.count);
+            for (class, class_name) in self.class_names.iter().enumerate() {
+                let count = self
+                    .request_counters
+                    .classes
+                    .get(class)
+                    .map_or(0, metric.count);
                 let label = escape_label(class_name);
                 let _ = writeln!(text, "lb_{}{{priority=\"{label}\"}} {count}", metric.name);
             }
@@ -78,10 +82,19 @@
     /// `at_ms` is the time since the process started, in milliseconds.
     pub fn log_line(&self, node: u32, at_ms: u64) -> String {
         let sums = [
-            ("taken", self.tally.sum(|counts| counts.taken)),
-            ("fulfilled", self.tally.sum(|counts| counts.fulfilled)),
-            ("throttled", self.tally.sum(|counts| counts.throttled)),
-            ("faulted", self.tally.sum(|counts| counts.faulted)),
+            ("taken", self.request_counters.sum(|counts| counts.taken)),
+            (
+                "fulfilled",
+                self.request_counters.sum(|counts| counts.fulfilled),
+            ),
+            (
+                "throttled",
+                self.request_counters.sum(|counts| counts.throttled),
+            ),
+            (
+                "faulted",
+                self.request_counters.sum(|counts| counts.faulted),
+            ),
         ];
         Fields::line(node, at_ms, sums.into_iter().chain(self.unlabelled()))
     }
@@ -89,11 +102,14 @@
     /// The metrics without a label.
     fn unlabelled(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
         let own = [
-            ("relayed", self.tally.relayed),
-            ("connects", self.tally.connects),
-            ("connects_failed", self.tally.connects_failed),
-            ("connections_kept_used", self.tally.connections_reused),
-            ("open_requests", self.tally.open()),
+            ("relayed", self.request_counters.relayed),
+            ("connects", self.request_counters.connects),
+            ("connects_failed", self.request_counters.connects_failed),
+            (
+                "connections_kept_used",
+                self.request_counters.connections_reused,
+            ),
+            ("open_requests", self.request_counters.open()),
             ("registry_entries", self.registry_entries as u64),
             ("out_of_rotation", self.out_of_rotation as u64),
             ("words_told", self.peer_messages.sent),
--- a/crates/admin/tests/callers.rs
+++ b/crates/admin/tests/callers.rs
@@ -10,16 +10,16 @@
 #[test]
 fn the_oldest_caller_is_closed_when_the_table_is_full_and_each_caller_times_out() {
     let mut table = CallerTable::new(2, ms(100));
-    let (first, closed) = table.arrived(ms(0));
+    let (first, closed) = table.add(ms(0));
     assert_eq!(closed, None);
-    let (second, closed) = table.arrived(ms(10));
+    let (second, closed) = table.add(ms(10));
     assert_eq!(closed, None);
-    let (third, closed) = table.arrived(ms(20));
+    let (third, closed) = table.add(ms(20));
     assert_eq!(closed, Some(first));
-    table.left(second);
+    table.remove(second);
     assert_eq!(table.len(), 1);
     assert_eq!(table.deadline(), Some(ms(120)));
-    assert_eq!(table.stale(ms(119)), None);
-    assert_eq!(table.stale(ms(120)), Some(third));
+    assert_eq!(table.remove_timed_out(ms(119)), None);
+    assert_eq!(table.remove_timed_out(ms(120)), Some(third));
     assert!(table.is_empty() && table.deadline().is_none());
 }
--- a/crates/admin/tests/counters.rs
+++ b/crates/admin/tests/counters.rs
@@ -56,18 +56,18 @@
             match step {
                 Step::Received => {
                     open[class] += 1;
-                    counters.taken(class);
+                    counters.record_received(class);
                 }
                 Step::Ended(end) if open[class] > 0 => {
                     open[class] -= 1;
-                    counters.ended(class, end);
+                    counters.record_end(class, end);
                 }
                 Step::Ended(_) => {}
             }
             for (class, counts) in counters.classes.iter().enumerate() {
                 prop_assert_eq!(counts.open(), open[class]);
             }
-            let metrics = Metrics { names: &names, tally: counters.clone(), ..Metrics::default() };
+            let metrics = Metrics { class_names: &names, request_counters: counters.clone(), ..Metrics::default() };
             let text = metrics.exposition();
             let all_open: u64 = open.iter().sum();
             prop_assert_eq!(sample(&text, "lb_open_requests"), all_open);
--- a/crates/connection-eviction/src/limits.rs
+++ b/crates/connection-eviction/src/limits.rs
@@ -32,7 +32,7 @@
     };
 
     /// Whether a connection has timed out. A busy connection never has.
-    pub fn over(&self, now: Time, connection: &ConnectionState) -> bool {
+    pub fn has_timed_out(&self, now: Time, connection: &ConnectionState) -> bool {
         let (since, timeout) = match connection.head_started_at {
             Some(head_started_at) => (head_started_at, self.head_timeout),
             None => (connection.last_active_at, self.idle_timeout),
--- a/crates/connection-eviction/src/pressure.rs
+++ b/crates/connection-eviction/src/pressure.rs
@@ -18,7 +18,7 @@
 
 impl EvictionPressure {
     /// Records an accepted connection.
-    pub fn accepted(&mut self, now: Time) {
+    pub fn record_accepted(&mut self, now: Time) {
         self.advance_window(now);
         self.in_current_window = self.in_current_window.saturating_add(1);
     }
--- a/crates/connection-eviction/src/receive_time_bound.rs
+++ b/crates/connection-eviction/src/receive_time_bound.rs
@@ -48,7 +48,7 @@
     }
 
     /// Records that the loop has completed an iteration that started at `iteration_start`.
-    pub fn on_round_completed(&mut self, iteration_start: Time) {
+    pub fn on_iteration_completed(&mut self, iteration_start: Time) {
         self.earliest = self.earliest.max(iteration_start);
     }
 
--- a/crates/connection-eviction/tests/choice.rs
+++ b/crates/connection-eviction/tests/choice.rs
@@ -22,7 +22,7 @@
 
 #[test]
 fn a_head_times_out_from_its_first_byte_and_an_idle_connection_from_its_last() {
-    assert!(!LIMITS.over(2199 * MS, &SILENT) && LIMITS.over(2200 * MS, &SILENT));
+    assert!(!LIMITS.has_timed_out(2199 * MS, &SILENT) && LIMITS.has_timed_out(2200 * MS, &SILENT));
     // The connection was idle for long and then started a head: the head's timeout runs from its first byte.
     let sending = ConnectionState {
         last_active_at: 2100 * MS,
@@ -30,18 +30,20 @@
         has_requested: true,
         ..SILENT
     };
-    assert!(!LIMITS.over(5099 * MS, &sending) && LIMITS.over(5100 * MS, &sending));
+    assert!(
+        !LIMITS.has_timed_out(5099 * MS, &sending) && LIMITS.has_timed_out(5100 * MS, &sending)
+    );
     // Further bytes do not extend the timeout of a head.
     let trickling = ConnectionState {
         last_active_at: 5099 * MS,
         ..sending
     };
-    assert!(LIMITS.over(5100 * MS, &trickling));
+    assert!(LIMITS.has_timed_out(5100 * MS, &trickling));
     let busy = ConnectionState {
         busy: true,
         ..trickling
     };
-    assert!(!LIMITS.over(60_000 * MS, &busy));
+    assert!(!LIMITS.has_timed_out(60_000 * MS, &busy));
 }
 
 /// A client of the node.
@@ -106,7 +108,7 @@
         let now = ARRIVAL_INTERVAL * step;
         send_pieces(&mut clients, now, &mut slow_clients);
         clients.retain(|client| {
-            let over = LIMITS.over(now, &client.connection);
+            let over = LIMITS.has_timed_out(now, &client.connection);
             slow_clients.closed += usize::from(client.slow && over);
             !over
         });
@@ -143,7 +145,7 @@
             },
         });
         for client in silent.chain([arrival(step, now)]) {
-            pressure.accepted(now);
+            pressure.record_accepted(now);
             let count = pressure.evictions(now, CONNECTION_LIMIT, clients.len(), 0);
             let evictions = LIMITS.choose_evictions(now, connections(&clients), count);
             batches += usize::from(evictions.len() > 1);
@@ -220,7 +222,7 @@
     ) {
         let now = 5000 * MS;
         let mut pressure = EvictionPressure::default();
-        (0..accepted).for_each(|_| pressure.accepted(now));
+        (0..accepted).for_each(|_| pressure.record_accepted(now));
         let closing = closing.min(connections.iter().filter(|connection| connection.busy).count());
         let count = pressure.evictions(now, limit, connections.len(), closing);
         let excess = (connections.len() + 1).saturating_sub(limit);
--- a/crates/connection-eviction/tests/pressure.rs
+++ b/crates/connection-eviction/tests/pressure.rs
@@ -12,7 +12,7 @@
 #[test]
 fn a_single_connection_evicts_one_other_and_a_flood_as_many_as_were_accepted_recently() {
     let mut pressure = EvictionPressure::default();
-    pressure.accepted(1000 * MS);
+    pressure.record_accepted(1000 * MS);
     let one = EvictionCount {
         required: 1,
         ..NONE
@@ -26,13 +26,13 @@
         ..NONE
     };
     assert_eq!(pressure.evictions(1000 * MS, 40, 80, 0), half);
-    (0..9).for_each(|_| pressure.accepted(1050 * MS));
+    (0..9).for_each(|_| pressure.record_accepted(1050 * MS));
     let recent = EvictionCount {
         required: 1,
         allowed: 9,
     };
     assert_eq!(pressure.evictions(1050 * MS, 80, 80, 0), recent);
-    (0..1000).for_each(|_| pressure.accepted(1090 * MS));
+    (0..1000).for_each(|_| pressure.record_accepted(1090 * MS));
     let quarter = EvictionCount {
         required: 0,
         allowed: 15,
--- a/crates/connection-eviction/tests/receive_time_bound.rs
+++ b/crates/connection-eviction/tests/receive_time_bound.rs
@@ -23,7 +23,7 @@
     bound.on_wake(90 * MS, LONGEST_SLEEP);
     assert_eq!(bound.earliest(), 60 * MS);
     // The loop has completed an iteration that started later.
-    bound.on_round_completed(91 * MS);
+    bound.on_iteration_completed(91 * MS);
     assert_eq!(bound.earliest(), 91 * MS);
     // The sleep was longer than requested: the process was suspended, and bytes may have been received at its start.
     bound.on_sleep(95 * MS);
@@ -51,7 +51,7 @@
             match step {
                 0 => bound.on_sleep(now),
                 1 => bound.on_wake(now, LONGEST_SLEEP),
-                _ => bound.on_round_completed(now.saturating_sub(MS)),
+                _ => bound.on_iteration_completed(now.saturating_sub(MS)),
             }
             prop_assert!(bound.earliest() >= before && bound.earliest() <= now);
             before = bound.earliest();
--- a/crates/endpoints/src/follower.rs
+++ b/crates/endpoints/src/follower.rs
@@ -139,7 +139,7 @@
         now_ms: u64,
     ) -> EndpointUpdate {
         let mut listing = self.listing();
-        listing.page(kvs.iter().cloned());
+        listing.add_page(kvs.iter().cloned());
         self.apply_listing(header, listing, received_at, now_ms)
     }
 
@@ -270,7 +270,7 @@
     }
 
     /// Records that the watch was cancelled because its start revision has been compacted.
-    pub fn compacted(&mut self, compact_revision: i64) -> WatchStep {
+    pub fn on_compacted(&mut self, compact_revision: i64) -> WatchStep {
         self.events.push(FollowerEvent::Compacted {
             compact_revision,
             known_revision: self.revision.unwrap_or(0),
--- a/crates/endpoints/src/follower/listing.rs
+++ b/crates/endpoints/src/follower/listing.rs
@@ -64,7 +64,7 @@
 
 impl Listing {
     /// Parses and adds a page of the range. Keys that contain no host name are skipped.
-    pub fn page(&mut self, kvs: impl IntoIterator<Item = KeyValue>) {
+    pub fn add_page(&mut self, kvs: impl IntoIterator<Item = KeyValue>) {
         for kv in kvs {
             if let Some(host) = host_of_key(&self.prefix, &kv.key) {
                 let (host, read) = read_key(host, &kv, &mut self.zones);
--- a/crates/endpoints/src/follower/table.rs
+++ b/crates/endpoints/src/follower/table.rs
@@ -120,7 +120,7 @@
             Err(unreadable) => return self.keep_outdated(&host, *unreadable),
         };
         if known.endpoint.started_at_ms() == 0 {
-            let started_at_ms = unnamed_start(before.map(Box::as_ref), &known, now_ms);
+            let started_at_ms = assumed_start_ms(before.map(Box::as_ref), &known, now_ms);
             known.endpoint.set_started_at_ms(started_at_ms);
         }
         if self.endpoints.len() >= MAX_HOSTS && before.is_none() {
@@ -166,7 +166,7 @@
 
 /// Returns the start time, in Unix milliseconds, of a server whose value gives none. A key with a new create revision
 /// belongs to a process that has just started; otherwise the known start time is kept.
-fn unnamed_start(before: Option<&KnownEndpoint>, known: &KnownEndpoint, now_ms: u64) -> u64 {
+fn assumed_start_ms(before: Option<&KnownEndpoint>, known: &KnownEndpoint, now_ms: u64) -> u64 {
     match before {
         Some(before) if before.create_revision == known.create_revision => {
             before.endpoint.started_at_ms()
--- a/crates/endpoints/src/json_objects.rs
+++ b/crates/endpoints/src/json_objects.rs
@@ -20,9 +20,13 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             JsonStreamError::ExpectedObject(byte) => {
-                write!(f, "{:?} where an object begins", char::from(*byte))
+                write!(
+                    f,
+                    "found {:?} where an object must begin",
+                    char::from(*byte)
+                )
             }
-            JsonStreamError::TooLong => f.write_str("an object has no end"),
+            JsonStreamError::TooLong => f.write_str("an object exceeds the maximum length"),
         }
     }
 }
--- a/crates/endpoints/src/merge.rs
+++ b/crates/endpoints/src/merge.rs
@@ -38,7 +38,7 @@
     }
 
     /// Applies an update of one source. Returns the resulting update of the merged list.
-    pub fn take(&mut self, source: Source, update: EndpointUpdate) -> EndpointUpdate {
+    pub fn apply(&mut self, source: Source, update: EndpointUpdate) -> EndpointUpdate {
         let mut changed: BTreeMap<Arc<str>, Option<EndpointRecord>> = BTreeMap::new();
         if update.snapshot {
             // Hosts that are missing from a complete list are removed.
--- a/crates/endpoints/tests/follower.rs
+++ b/crates/endpoints/tests/follower.rs
@@ -68,7 +68,7 @@
 fn after_compaction_a_range_yields_the_changes_that_were_missed() {
     let mut follower = three_servers();
     assert_eq!(
-        follower.compacted(500),
+        follower.on_compacted(500),
         WatchStep::Reread(RereadReason::Compacted)
     );
     let kvs = [
--- a/crates/endpoints/tests/merge.rs
+++ b/crates/endpoints/tests/merge.rs
@@ -31,12 +31,12 @@
         for second in [Ready, Draining, Removed] {
             let mut merge = MergedList::new();
             // Both sources list the host before they contradict each other.
-            merge.take(Discovery, update_of("a", Ready, 80, 0));
-            merge.take(Etcd, update_of("a", Ready, 90, 0));
+            merge.apply(Discovery, update_of("a", Ready, 80, 0));
+            merge.apply(Etcd, update_of("a", Ready, 90, 0));
             let mut last = Ready;
             for update in [
-                merge.take(Discovery, update_of("a", first, 80, 0)),
-                merge.take(Etcd, update_of("a", second, 90, 0)),
+                merge.apply(Discovery, update_of("a", first, 80, 0)),
+                merge.apply(Etcd, update_of("a", second, 90, 0)),
             ] {
                 last = update.endpoints.first().map_or(last, |entry| entry.status);
             }
@@ -49,7 +49,7 @@
 fn a_source_is_considered_only_for_hosts_that_it_has_listed() {
     use Source::{Discovery, Etcd};
     let mut merge = MergedList::new();
-    let update = merge.take(Etcd, update_of("a", EndpointStatus::Ready, 90, 5));
+    let update = merge.apply(Etcd, update_of("a", EndpointStatus::Ready, 90, 5));
     assert_eq!(
         (
             update.endpoints[0].status,
@@ -63,12 +63,12 @@
         ..update_of("b", EndpointStatus::Ready, 80, 0)
     };
     assert_eq!(
-        statuses(&merge.take(Discovery, complete)),
+        statuses(&merge.apply(Discovery, complete)),
         [("b", EndpointStatus::Ready)].into()
     );
     // Once discovery has listed `a`, a complete list without it removes it. The address is discovery's; the later start
     // wins.
-    let update = merge.take(Discovery, update_of("a", EndpointStatus::Ready, 80, 3));
+    let update = merge.apply(Discovery, update_of("a", EndpointStatus::Ready, 80, 3));
     assert_eq!(
         (
             update.endpoints[0].address.port(),
@@ -81,19 +81,19 @@
         ..update_of("b", EndpointStatus::Ready, 80, 0)
     };
     assert_eq!(
-        statuses(&merge.take(Discovery, complete)),
+        statuses(&merge.apply(Discovery, complete)),
         [("a", EndpointStatus::Removed)].into()
     );
     assert!(merge
-        .take(Etcd, update_of("a", EndpointStatus::Ready, 91, 9))
+        .apply(Etcd, update_of("a", EndpointStatus::Ready, 91, 9))
         .endpoints
         .iter()
         .all(|entry| entry.status == EndpointStatus::Removed));
     // When both sources have removed it, its state is dropped and it may be listed again.
-    merge.take(Etcd, update_of("a", EndpointStatus::Removed, 91, 9));
+    merge.apply(Etcd, update_of("a", EndpointStatus::Removed, 91, 9));
     assert_eq!(merge.host_count(), 1);
     assert_eq!(
-        statuses(&merge.take(Etcd, update_of("a", EndpointStatus::Ready, 91, 9))),
+        statuses(&merge.apply(Etcd, update_of("a", EndpointStatus::Ready, 91, 9))),
         [("a", EndpointStatus::Ready)].into()
     );
 }
@@ -103,17 +103,17 @@
     let mut merge = MergedList::new();
     assert_eq!(
         merge
-            .take(Source::Etcd, update_of("a", EndpointStatus::Ready, 80, 0))
+            .apply(Source::Etcd, update_of("a", EndpointStatus::Ready, 80, 0))
             .endpoints
             .len(),
         1
     );
     assert!(merge
-        .take(Source::Etcd, update_of("a", EndpointStatus::Ready, 80, 0))
+        .apply(Source::Etcd, update_of("a", EndpointStatus::Ready, 80, 0))
         .endpoints
         .is_empty());
     assert!(merge
-        .take(
+        .apply(
             Source::Discovery,
             update_of("a", EndpointStatus::Ready, 80, 0)
         )
--- a/crates/etcd/src/client.rs
+++ b/crates/etcd/src/client.rs
@@ -230,7 +230,7 @@
             .map(header)
             .ok_or(MemberError::WatchWithoutHeader)?;
         let step = if response.canceled && response.compact_revision > 0 {
-            self.follower.compacted(response.compact_revision)
+            self.follower.on_compacted(response.compact_revision)
         } else if response.canceled {
             return Err(MemberError::WatchCancelled(response.cancel_reason));
         } else if response.created {
--- a/crates/etcd/src/member.rs
+++ b/crates/etcd/src/member.rs
@@ -147,7 +147,7 @@
             let Some(last_key) = response.kvs.last().map(|kv| kv.key.clone()) else {
                 return Ok((header, listing));
             };
-            listing.page(response.kvs.into_iter().map(key_value));
+            listing.add_page(response.kvs.into_iter().map(key_value));
             if !response.more {
                 return Ok((header, listing));
             }
--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -1,7 +1,7 @@
 //! The state machine: its tables, and the dispatch of each event to its handler.
 //!
-//! Conditions on `self.bugs.planted(...)` exist for the model checker, which plants one fault at a time to prove that it
-//! detects it. In production no fault is planted ([`NoBugs`]), and all of these conditions are false.
+//! Conditions on `self.bugs.planted(...)` exist for the model checker, which plants one fault at a time to prove that
+//! it detects it. In production no fault is planted ([`NoBugs`]), and all of these conditions are false.
 
 mod attempt_end;
 mod bodies;
@@ -31,11 +31,11 @@
 
 /// The requests, attempts and connections of one node. See the [crate documentation](crate) for an overview.
 ///
-/// `A` is the type of a server address, `M` the policy and `B` the planted faults.
+/// `A` is the type of a server address, `P` the policy and `B` the planted faults.
 #[derive(Clone)]
-pub struct Exchange<A, M, B = NoBugs> {
+pub struct Exchange<A, P, B = NoBugs> {
     limits: Limits,
-    policy: M,
+    policy: P,
     bugs: B,
     requests: HashMap<RequestId, RequestState>,
     connections: NumberMap<ConnectionId, Connection<A>>,
@@ -62,16 +62,16 @@
 /// Commands in the order in which the I/O layer has to carry them out.
 type Commands<A> = Vec<Command<A>>;
 
-impl<A: Copy + Eq + Hash, M: Policy> Exchange<A, M> {
+impl<A: Copy + Eq + Hash, P: Policy> Exchange<A, P> {
     /// Creates an exchange without requests, connections or servers.
-    pub fn new(limits: Limits, policy: M) -> Self {
+    pub fn new(limits: Limits, policy: P) -> Self {
         Exchange::with_bugs(limits, policy, NoBugs)
     }
 }
 
-impl<A: Copy + Eq + Hash, M: Policy, B: Bugs> Exchange<A, M, B> {
+impl<A: Copy + Eq + Hash, P: Policy, B: Bugs> Exchange<A, P, B> {
     /// Creates an empty exchange with planted faults, for the model checker.
-    pub fn with_bugs(limits: Limits, policy: M, bugs: B) -> Self {
+    pub fn with_bugs(limits: Limits, policy: P, bugs: B) -> Self {
         Exchange {
             limits,
             policy,
@@ -94,12 +94,12 @@
     }
 
     /// Returns the policy.
-    pub fn policy(&self) -> &M {
+    pub fn policy(&self) -> &P {
         &self.policy
     }
 
     /// Returns mutable access to the policy, for the model checker.
-    pub fn policy_mut(&mut self) -> &mut M {
+    pub fn policy_mut(&mut self) -> &mut P {
         &mut self.policy
     }
 
@@ -148,48 +148,50 @@
     fn handle_event(&mut self, now: Micros, event: Event<A>, commands: &mut Commands<A>) {
         match event {
             Event::RequestReceived {
-                idempotency: effect,
+                idempotency,
                 deadline,
                 policy_event,
-            } => self.request_received(now, effect, deadline, policy_event, commands),
+            } => self.on_request_received(now, idempotency, deadline, policy_event, commands),
             Event::ClientGone { id, ticket } => self.on_client_disconnected(&id, ticket),
-            Event::Connected { connection } => self.connected(now, connection, commands),
+            Event::Connected { connection } => self.on_connected(now, connection, commands),
             Event::ConnectFailed {
                 connection,
                 local_shortage,
-            } => self.connect_failed(connection, local_shortage),
+            } => self.on_connect_failed(connection, local_shortage),
             Event::FirstByteReady {
                 connection,
                 no_unread_bytes,
             } => {
-                self.first_byte_ready(now, connection, no_unread_bytes, commands);
+                self.on_first_byte_ready(now, connection, no_unread_bytes, commands);
             }
             Event::ResponseComplete {
                 connection,
                 outcome,
-            } => self.response_complete(now, connection, outcome, commands),
+            } => self.on_response_complete(now, connection, outcome, commands),
             Event::ResponseStreaming { connection } => {
-                self.response_streaming(now, connection, commands);
+                self.on_response_streaming(now, connection, commands);
             }
             Event::ResponseAbandoned { connection } => {
-                self.response_abandoned(connection, commands);
+                self.on_response_abandoned(connection, commands);
             }
             Event::BodyComplete {
                 id,
                 ticket,
                 deadline,
-            } => self.body_complete(now, &id, ticket, deadline),
-            Event::Upgraded { connection } => self.upgraded(now, connection, commands),
-            Event::ConnectionLost { connection } => self.connection_lost(now, connection, commands),
-            Event::ClosedByPeer { connection } => self.closed_by_peer(connection, commands),
-            Event::Closed { connection } => self.closed(now, connection, commands),
+            } => self.on_body_complete(now, &id, ticket, deadline),
+            Event::Upgraded { connection } => self.on_upgraded(now, connection, commands),
+            Event::ConnectionLost { connection } => {
+                self.on_connection_lost(now, connection, commands);
+            }
+            Event::ClosedByPeer { connection } => self.on_closed_by_peer(connection, commands),
+            Event::Closed { connection } => self.on_closed(now, connection, commands),
             Event::EndpointsChanged {
                 snapshot,
                 endpoints,
-            } => self.endpoints_changed(snapshot, endpoints, commands),
-            Event::ShutdownAnnounced { answer_by } => self.shutdown_announced(answer_by),
-            Event::Drain => self.drain(commands),
-            Event::TimerFired => self.timer_fired(now, commands),
+            } => self.on_endpoints_changed(snapshot, endpoints, commands),
+            Event::ShutdownAnnounced { answer_by } => self.on_shutdown_announced(answer_by),
+            Event::Drain => self.on_drain(commands),
+            Event::TimerFired => self.on_timer_fired(now, commands),
             Event::PolicyEvent(event) => self.pending_events.push_back(event),
         }
     }
--- a/crates/exchange/src/exchange/attempt_end.rs
+++ b/crates/exchange/src/exchange/attempt_end.rs
@@ -6,7 +6,7 @@
 use saffronpaddle_policy::interface::{AttemptNumber, Event as PolicyEvent, Outcome, RequestId};
 use std::hash::Hash;
 
-impl<A: Copy + Eq + Hash, M: Policy, B: Bugs> Exchange<A, M, B> {
+impl<A: Copy + Eq + Hash, P: Policy, B: Bugs> Exchange<A, P, B> {
     /// Aborts the outstanding attempt of a request. `reason` becomes its outcome if it may have run. The attempt ends
     /// only when its connection is closed; otherwise a retry could run while the server is still running this attempt.
     pub(super) fn abort_attempt(
--- a/crates/exchange/src/exchange/dispatch.rs
+++ b/crates/exchange/src/exchange/dispatch.rs
@@ -11,7 +11,7 @@
 /// Placeholder for the connection of an attempt that has none yet. Connection ids count up from 1 and never reach it.
 const NO_CONNECTION: ConnectionId = ConnectionId(u64::MAX);
 
-impl<A: Copy + Eq + Hash, M: Policy, B: Bugs> Exchange<A, M, B> {
+impl<A: Copy + Eq + Hash, P: Policy, B: Bugs> Exchange<A, P, B> {
     /// Starts an attempt that the policy asks for. If the guard denies it, the attempt ends immediately as `NotSent`.
     pub(super) fn dispatch(
         &mut self,
@@ -21,7 +21,8 @@
         timeout: Option<Micros>,
         commands: &mut Commands<A>,
     ) {
-        // The policy is notified of each request that is answered or abandoned, and expects no end of attempts of these.
+        // The policy has been notified that the request is answered or abandoned, and expects no `AttemptEnded` for
+        // this attempt.
         let Some(request) = self.requests.get_mut(id).filter(|request| request.open) else {
             return;
         };
--- a/crates/exchange/src/exchange/eligibility.rs
+++ b/crates/exchange/src/exchange/eligibility.rs
@@ -19,7 +19,7 @@
     Dispatch,
 }
 
-impl<A: Copy + Eq + Hash, M: Policy, B: Bugs> Exchange<A, M, B> {
+impl<A: Copy + Eq + Hash, P: Policy, B: Bugs> Exchange<A, P, B> {
     /// Returns the facts about an attempt at a server. The caller adds whether another attempt is outstanding, whether
     /// the body is consumed and whether the connection reaches the server.
     pub(super) fn step_facts(
--- a/crates/exchange/src/exchange/endpoints.rs
+++ b/crates/exchange/src/exchange/endpoints.rs
@@ -10,10 +10,10 @@
 use std::collections::BTreeSet;
 use std::hash::Hash;
 
-impl<A: Copy + Eq + Hash, M: Policy, B: Bugs> Exchange<A, M, B> {
+impl<A: Copy + Eq + Hash, P: Policy, B: Bugs> Exchange<A, P, B> {
     /// Applies a change of the endpoint list. Closes the idle and unestablished connections to each server that drains,
     /// that is missing from a snapshot or that has another address now.
-    pub(super) fn endpoints_changed(
+    pub(super) fn on_endpoints_changed(
         &mut self,
         snapshot: bool,
         entries: Vec<(Endpoint, A)>,
--- a/crates/exchange/src/exchange/first_byte.rs
+++ b/crates/exchange/src/exchange/first_byte.rs
@@ -9,8 +9,8 @@
 };
 use std::hash::Hash;
 
-impl<A: Copy + Eq + Hash, M: Policy, B: Bugs> Exchange<A, M, B> {
-    pub(super) fn connected(
+impl<A: Copy + Eq + Hash, P: Policy, B: Bugs> Exchange<A, P, B> {
+    pub(super) fn on_connected(
         &mut self,
         now: Micros,
         connection: ConnectionId,
@@ -56,7 +56,7 @@
         }
     }
 
-    pub(super) fn connect_failed(&mut self, connection: ConnectionId, local_shortage: bool) {
+    pub(super) fn on_connect_failed(&mut self, connection: ConnectionId, local_shortage: bool) {
         if !self.is_in_state(connection, ConnectionState::Connecting) {
             return;
         }
@@ -80,7 +80,7 @@
     /// Performs the last check before the first byte is written. Since the policy asked for the attempt, the server may
     /// have started to drain, the request may have been answered, the deadline may have passed, and the connection may
     /// have received bytes that would be taken for the response to this request.
-    pub(super) fn first_byte_ready(
+    pub(super) fn on_first_byte_ready(
         &mut self,
         now: Micros,
         connection: ConnectionId,
--- a/crates/exchange/src/exchange/inspection.rs
+++ b/crates/exchange/src/exchange/inspection.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
 
-impl<A: Copy + Eq + Hash, M: Policy, B: Bugs> Exchange<A, M, B> {
+impl<A: Copy + Eq + Hash, P: Policy, B: Bugs> Exchange<A, P, B> {
     /// Hashes all state that future behaviour depends on. Connections are hashed by rank instead of id, so that states
     /// that differ only in their history have the same hash.
     pub fn digest(&self, hasher: &mut impl Hasher) {
--- a/crates/exchange/src/exchange/pool.rs
+++ b/crates/exchange/src/exchange/pool.rs
@@ -6,7 +6,7 @@
 use saffronpaddle_policy::interface::{Micros, Outcome, RequestId, ServerId};
 use std::hash::Hash;
 
-impl<A: Copy + Eq + Hash, M: Policy, B: Bugs> Exchange<A, M, B> {
+impl<A: Copy + Eq + Hash, P: Policy, B: Bugs> Exchange<A, P, B> {
     /// Takes the most recently used idle connection to a server whose reuse delay has passed, so that the others reach
     /// their idle timeout. Closes connections whose idle timeout has passed.
     pub(super) fn take_idle(
@@ -110,7 +110,11 @@
         }
     }
 
-    pub(super) fn closed_by_peer(&mut self, connection: ConnectionId, commands: &mut Commands<A>) {
+    pub(super) fn on_closed_by_peer(
+        &mut self,
+        connection: ConnectionId,
+        commands: &mut Commands<A>,
+    ) {
         match self.connections.get_mut(&connection) {
             Some(found) if matches!(found.state, ConnectionState::Idle(_)) => {
                 self.close(connection, commands);
@@ -121,7 +125,7 @@
         }
     }
 
-    pub(super) fn closed(
+    pub(super) fn on_closed(
         &mut self,
         now: Micros,
         connection: ConnectionId,
--- a/crates/exchange/src/exchange/requests.rs
+++ b/crates/exchange/src/exchange/requests.rs
@@ -11,8 +11,8 @@
 /// while.
 const ANSWER_TOLERANCE: Micros = 150_000;
 
-impl<A: Copy + Eq + Hash, M: Policy, B: Bugs> Exchange<A, M, B> {
-    pub(super) fn request_received(
+impl<A: Copy + Eq + Hash, P: Policy, B: Bugs> Exchange<A, P, B> {
+    pub(super) fn on_request_received(
         &mut self,
         now: Micros,
         idempotency: Idempotency,
@@ -39,7 +39,7 @@
         let body_complete = *complete;
         let ticket = self.next_ticket();
         self.next_ticket += 1;
-        self.counters.taken(class);
+        self.counters.record_received(class);
         if now >= self.shutdown_deadline {
             return self.reject_at_shutdown(id, class, commands);
         }
@@ -67,7 +67,7 @@
 
     /// Rejects a request that arrives after the shutdown deadline. Nothing of it was sent, so a retry is safe.
     fn reject_at_shutdown(&mut self, id: RequestId, class: usize, commands: &mut Commands<A>) {
-        self.counters.ended(class, RequestEnd::Throttled);
+        self.counters.record_end(class, RequestEnd::Throttled);
         commands.push(Command::Answer {
             id,
             answer: FinalAnswer::Rejected(None),
@@ -91,7 +91,7 @@
         };
         request.open = false;
         if let Some(end) = end {
-            self.counters.ended(request.class, end);
+            self.counters.record_end(request.class, end);
         }
         if self.bugs.planted(Bug::EndNeverTold) {
             self.requests.remove(id);
@@ -149,7 +149,7 @@
             .saturating_add(ANSWER_TOLERANCE);
         self.violations
             .check(now <= latest, Invariant::AnsweredInTime, id);
-        self.counters.ended(request.class, request_end(answer));
+        self.counters.record_end(request.class, request_end(answer));
         true
     }
 
--- a/crates/exchange/src/exchange/responses.rs
+++ b/crates/exchange/src/exchange/responses.rs
@@ -6,8 +6,8 @@
 use saffronpaddle_policy::interface::{Event as PolicyEvent, Micros, Outcome, RequestId};
 use std::hash::Hash;
 
-impl<A: Copy + Eq + Hash, M: Policy, B: Bugs> Exchange<A, M, B> {
-    pub(super) fn response_complete(
+impl<A: Copy + Eq + Hash, P: Policy, B: Bugs> Exchange<A, P, B> {
+    pub(super) fn on_response_complete(
         &mut self,
         now: Micros,
         connection: ConnectionId,
@@ -77,7 +77,7 @@
     }
 
     /// Answers the request when the head of a streaming response is received. The attempt has no timeout from then on.
-    pub(super) fn response_streaming(
+    pub(super) fn on_response_streaming(
         &mut self,
         now: Micros,
         connection: ConnectionId,
@@ -106,7 +106,7 @@
     }
 
     /// Aborts the attempt when the client has stopped reading its streaming response.
-    pub(super) fn response_abandoned(
+    pub(super) fn on_response_abandoned(
         &mut self,
         connection: ConnectionId,
         commands: &mut Commands<A>,
@@ -122,7 +122,7 @@
     }
 
     /// Removes the upgraded connection from the tables. Its new owner closes it when the client disconnects.
-    pub(super) fn upgraded(
+    pub(super) fn on_upgraded(
         &mut self,
         now: Micros,
         connection: ConnectionId,
@@ -139,7 +139,7 @@
         self.end_attempt(&id, Outcome::Ok);
     }
 
-    pub(super) fn connection_lost(
+    pub(super) fn on_connection_lost(
         &mut self,
         now: Micros,
         connection: ConnectionId,
--- a/crates/exchange/src/exchange/statistics.rs
+++ b/crates/exchange/src/exchange/statistics.rs
@@ -7,7 +7,7 @@
 use saffronpaddle_admin::{RequestCounters, RequestEnd};
 use std::hash::Hash;
 
-impl<A: Copy + Eq + Hash, M: Policy, B: Bugs> Exchange<A, M, B> {
+impl<A: Copy + Eq + Hash, P: Policy, B: Bugs> Exchange<A, P, B> {
     /// Returns the number of ready servers.
     pub fn ready_servers(&self) -> usize {
         self.servers.len()
@@ -69,7 +69,7 @@
 
     /// Counts a request that the I/O layer answered itself because it was malformed or its id is in use.
     pub fn count_answered_locally(&mut self, class: usize, end: RequestEnd) {
-        self.counters.taken(class);
-        self.counters.ended(class, end);
+        self.counters.record_received(class);
+        self.counters.record_end(class, end);
     }
 }
--- a/crates/exchange/src/exchange/timers.rs
+++ b/crates/exchange/src/exchange/timers.rs
@@ -6,9 +6,9 @@
 use saffronpaddle_policy::interface::{Micros, Outcome, RequestId};
 use std::hash::Hash;
 
-impl<A: Copy + Eq + Hash, M: Policy, B: Bugs> Exchange<A, M, B> {
+impl<A: Copy + Eq + Hash, P: Policy, B: Bugs> Exchange<A, P, B> {
     /// Limits the deadlines of all open and future requests to the shutdown deadline.
-    pub(super) fn shutdown_announced(&mut self, answer_by: Micros) {
+    pub(super) fn on_shutdown_announced(&mut self, answer_by: Micros) {
         self.shutdown_deadline = self.shutdown_deadline.min(answer_by);
         if self.bugs.planted(Bug::EndForgotten) {
             return;
@@ -28,7 +28,7 @@
     }
 
     /// Starts to drain the node: closes the idle connections and keeps none from then on.
-    pub(super) fn drain(&mut self, commands: &mut Commands<A>) {
+    pub(super) fn on_drain(&mut self, commands: &mut Commands<A>) {
         self.draining = true;
         if self.bugs.planted(Bug::KeptAfterStop) {
             return;
@@ -64,7 +64,7 @@
     }
 
     /// Aborts the attempts that have timed out, and closes the connections whose idle timeout has passed.
-    pub(super) fn timer_fired(&mut self, now: Micros, commands: &mut Commands<A>) {
+    pub(super) fn on_timer_fired(&mut self, now: Micros, commands: &mut Commands<A>) {
         let due: Vec<RequestId> = self
             .timers
             .iter()
--- a/crates/hot-restart/src/process_group.rs
+++ b/crates/hot-restart/src/process_group.rs
@@ -102,7 +102,7 @@
     }
 
     /// Whether this process has no child, so that the next process of the node connects to it.
-    pub fn is_last(&self) -> bool {
+    pub fn has_no_child(&self) -> bool {
         self.links.values().all(Link::is_to_parent)
     }
 }
--- a/crates/hot-restart/tests/links.rs
+++ b/crates/hot-restart/tests/links.rs
@@ -73,7 +73,7 @@
         attempt: AttemptNumber(0),
     });
     assert!(middle.recipients(&attempt_ended, None).is_empty());
-    assert!(!middle.is_shared() && !middle.is_last());
+    assert!(!middle.is_shared() && !middle.has_no_child());
     middle.with(parent, |link, out| {
         link.on_message(Some(state(NODE, VERSION)), out);
     });
@@ -89,7 +89,7 @@
     };
     assert_eq!(middle.recipients(&peer, Some(child)), [parent]);
     middle.with(child, Link::on_disconnect);
-    assert!(middle.is_shared() && middle.is_last());
+    assert!(middle.is_shared() && middle.has_no_child());
     // The number of links is limited.
     while middle.open(Duration::ZERO, Role::Parent).is_some() {}
     assert!(middle.open(Duration::ZERO, Role::Parent).is_none());
--- a/crates/lifecycle/src/action.rs
+++ b/crates/lifecycle/src/action.rs
@@ -26,11 +26,11 @@
     /// Reload the configuration, then send [`Event::Reloaded`](crate::Event::Reloaded).
     ReadConfiguration,
     /// Send `Connection: close` with every response from now on.
-    CloseAfterAnswers,
+    CloseAfterResponses,
     /// Close connections that are idle now or become idle later. New connections are still accepted; each serves one
     /// request.
     CloseIdle,
-    /// Keep connections open between requests again: revokes [`Action::CloseAfterAnswers`] and [`Action::CloseIdle`].
+    /// Keep connections open between requests again: revokes [`Action::CloseAfterResponses`] and [`Action::CloseIdle`].
     KeepOpen,
     /// Pause accepting connections, because another process of this node accepts them. Open connections are still
     /// served.
--- a/crates/lifecycle/src/limits.rs
+++ b/crates/lifecycle/src/limits.rs
@@ -6,7 +6,7 @@
 
 /// How long requests are still accepted after the signal to stop. A front end polls readiness every 0.1 s and opens new
 /// connections for up to 0.4 s after a poll.
-const DEFAULT_LEAVE_FOR: Duration = Duration::from_millis(600);
+const DEFAULT_DRAIN_DURATION: Duration = Duration::from_millis(600);
 const DEFAULT_RELOAD_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The timeouts and readiness conditions of a node. The operator file can set all of them.
@@ -30,8 +30,8 @@
         let total = kill_after(longest_deadline).saturating_sub(EXIT_BEFORE_KILL);
         Limits {
             readiness: Conditions::none(),
-            drain_duration: DEFAULT_LEAVE_FOR.min(total),
-            close_timeout: total.saturating_sub(DEFAULT_LEAVE_FOR),
+            drain_duration: DEFAULT_DRAIN_DURATION.min(total),
+            close_timeout: total.saturating_sub(DEFAULT_DRAIN_DURATION),
             reload_timeout: DEFAULT_RELOAD_TIMEOUT,
         }
     }
--- a/crates/lifecycle/src/machine.rs
+++ b/crates/lifecycle/src/machine.rs
@@ -163,7 +163,7 @@
     fn apply(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Listening => self.listening = true,
-            Event::Observed(facts) => self.readiness.observe(now, &facts),
+            Event::Observed(sample) => self.readiness.observe(now, &sample),
             Event::Stop { since } => self.stop(now, since, out),
             Event::Reload => self.reload(now, out),
             Event::Reloaded { applied } => self.reload_ended(now, applied, out),
@@ -283,7 +283,7 @@
         }
         let linger_end = now.saturating_add(LAME_DUCK_LINGER);
         self.lame_duck = Some(LameDuck::LingersUntil(linger_end));
-        out.push(Action::CloseAfterAnswers);
+        out.push(Action::CloseAfterResponses);
         out.push(Action::Report(LifecycleEvent::LameDuckStarted));
     }
 
@@ -331,7 +331,7 @@
         out.push(Action::NotifyManager(ManagerMessage::ExtendTimeout(
             manager_timeout,
         )));
-        out.push(Action::CloseAfterAnswers);
+        out.push(Action::CloseAfterResponses);
         if self.successor_present {
             out.push(Action::PauseAccepting);
         }
--- a/crates/lifecycle/src/readiness.rs
+++ b/crates/lifecycle/src/readiness.rs
@@ -29,7 +29,7 @@
     conditions: Conditions,
     started_at: Time,
     /// The latest measurements; `None` before the first.
-    facts: Option<HealthSample>,
+    sample: Option<HealthSample>,
     /// The node still waits for a list from a discovery source.
     list_awaited: bool,
     /// The node still waits for messages from peers.
@@ -45,7 +45,7 @@
         let mut readiness = Readiness {
             conditions,
             started_at: now,
-            facts: None,
+            sample: None,
             list_awaited: true,
             peers_awaited: true,
             runtime: Default::default(),
@@ -61,11 +61,11 @@
     }
 
     /// Records measurements. The caller must call [`Readiness::advance`] afterwards.
-    pub fn observe(&mut self, now: Time, facts: &HealthSample) {
-        let first = self.facts.is_none();
+    pub fn observe(&mut self, now: Time, sample: &HealthSample) {
+        let first = self.sample.is_none();
         let conditions = &self.conditions;
         for (reason, condition) in RUNTIME_CONDITIONS.into_iter().zip(&mut self.runtime) {
-            let failing = fails(reason, conditions, facts);
+            let failing = fails(reason, conditions, sample);
             // There is no earlier measurement to debounce against, and no condition is assumed to hold at start-up.
             if first {
                 condition.reset(failing);
@@ -75,7 +75,7 @@
                 condition.observe(now, failing, failure_delay, recovery_delay);
             }
         }
-        self.facts = Some(facts.clone());
+        self.sample = Some(sample.clone());
     }
 
     /// Updates the reasons from the latest measurements and the time.
@@ -95,9 +95,9 @@
         let Some(timeout) = self.conditions.list_timeout else {
             return false;
         };
-        let facts = self.facts.as_ref();
-        let received = facts.is_some_and(|facts| facts.endpoint_list_age.is_some());
-        let configured = facts.is_some_and(|facts| facts.servers > 0);
+        let sample = self.sample.as_ref();
+        let received = sample.is_some_and(|sample| sample.endpoint_list_age.is_some());
+        let configured = sample.is_some_and(|sample| sample.servers > 0);
         let timed_out = now.saturating_sub(self.started_at) >= timeout;
         self.list_awaited &= !received && !timed_out;
         self.list_awaited || !(received || configured)
@@ -108,8 +108,8 @@
         let Some(timeout) = self.conditions.peers_timeout else {
             return false;
         };
-        let facts = self.facts.as_ref();
-        let all_reachable = facts.is_some_and(|facts| facts.reachable_peers >= facts.peers);
+        let sample = self.sample.as_ref();
+        let all_reachable = sample.is_some_and(|sample| sample.reachable_peers >= sample.peers);
         let timed_out = now.saturating_sub(self.started_at) >= timeout;
         self.peers_awaited &= !all_reachable && !timed_out;
         self.peers_awaited
@@ -117,7 +117,7 @@
 
     /// Whether all conditions hold. Before the first measurements, only a node without conditions is ready.
     pub fn is_ready(&self) -> bool {
-        self.reasons.is_empty() && (self.facts.is_some() || self.conditions.is_none())
+        self.reasons.is_empty() && (self.sample.is_some() || self.conditions.is_none())
     }
 
     /// The failing conditions.
@@ -127,23 +127,23 @@
 }
 
 /// Whether the measurements violate a runtime condition. A disabled condition never fails.
-fn fails(reason: Reason, conditions: &Conditions, facts: &HealthSample) -> bool {
+fn fails(reason: Reason, conditions: &Conditions, sample: &HealthSample) -> bool {
     match reason {
         Reason::ListStale => conditions
             .max_list_age
-            .is_some_and(|maximum| facts.endpoint_list_age.is_some_and(|age| age > maximum)),
+            .is_some_and(|maximum| sample.endpoint_list_age.is_some_and(|age| age > maximum)),
         Reason::Descriptors => conditions
             .min_free_descriptors
-            .is_some_and(|minimum| facts.free_descriptors < minimum),
+            .is_some_and(|minimum| sample.free_descriptors < minimum),
         Reason::Memory => conditions
             .max_memory_fraction
-            .is_some_and(|share| facts.memory as f64 > facts.memory_limit as f64 * share),
+            .is_some_and(|share| sample.memory as f64 > sample.memory_limit as f64 * share),
         Reason::Clock => conditions
             .max_clock_step
-            .is_some_and(|maximum| facts.clock_implausible || facts.clock_moved > maximum),
+            .is_some_and(|maximum| sample.clock_implausible || sample.clock_moved > maximum),
         Reason::Lagging => conditions
             .max_event_loop_lag
-            .is_some_and(|maximum| facts.event_loop_lag > maximum),
+            .is_some_and(|maximum| sample.event_loop_lag > maximum),
         // Start-up conditions, see `list_missing` and `peers_missing`.
         Reason::NoList | Reason::PeersUnreachable => false,
     }
--- a/crates/lifecycle/tests/lifecycle/lame_duck.rs
+++ b/crates/lifecycle/tests/lifecycle/lame_duck.rs
@@ -9,7 +9,7 @@
     let out = node.send(Event::Lameduck);
     assert!(
         !node.lifecycle.ready()
-            && contains(&out, &Action::CloseAfterAnswers)
+            && contains(&out, &Action::CloseAfterResponses)
             && !contains(&out, &Action::CloseIdle)
     );
     // Requests that arrive before the front end has noticed find their connection open.
--- a/crates/lifecycle/tests/lifecycle/shutdown.rs
+++ b/crates/lifecycle/tests/lifecycle/shutdown.rs
@@ -9,7 +9,7 @@
     let out = node.stop();
     assert!(
         count_messages(&out, &ManagerMessage::Stopping) == 1
-            && contains(&out, &Action::CloseAfterAnswers),
+            && contains(&out, &Action::CloseAfterResponses),
         "{out:?}"
     );
     assert_eq!(
--- a/crates/model-checker/src/fleet.rs
+++ b/crates/model-checker/src/fleet.rs
@@ -106,5 +106,5 @@
 pub fn run(setup: &FleetSetup) -> Result<FleetRun, FleetError> {
     let mut simulation = Simulation::new(setup.clone())?;
     simulation.run()?;
-    Ok(simulation.judge())
+    Ok(simulation.into_result())
 }
--- a/crates/model-checker/src/fleet/simulation.rs
+++ b/crates/model-checker/src/fleet/simulation.rs
@@ -201,7 +201,7 @@
     }
 
     /// Returns the result of the run.
-    pub fn judge(self) -> FleetRun {
+    pub fn into_result(self) -> FleetRun {
         let remaining = self
             .nodes
             .iter()
--- a/crates/model-checker/src/world.rs
+++ b/crates/model-checker/src/world.rs
@@ -1,4 +1,5 @@
-//! A model of an exchange and its environment: clients, servers, connections and a clock, which act nondeterministically.
+//! A model of an exchange and its environment: clients, servers, connections and a clock, which act
+//! nondeterministically.
 //!
 //! [`World::possible_steps`] lists the steps that are possible in a state. [`World::take`] takes one [`Step`], carries
 //! out the commands of the exchange as the I/O layer would, and verifies each [`Property`].
--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -19,7 +19,7 @@
 use tokio::time::{sleep, timeout, Instant};
 
 /// Most calls queued for the life cycle. Each caller makes one.
-pub const MAX_QUEUED_CALLS: usize = CallerTable::MOST;
+pub const MAX_QUEUED_CALLS: usize = CallerTable::MAX_CALLERS;
 /// Pause after a failure to accept a connection.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 /// Time limit for writing the reply and for the caller to close the connection. It bounds how long a caller that never
@@ -48,7 +48,7 @@
 impl Admin {
     /// Descriptors reserved for the admin listener: the listener itself, waiting callers, a caller being accepted, and
     /// callers that have their reply but have not closed.
-    pub const DESCRIPTORS: usize = CallerTable::MOST + 4;
+    pub const DESCRIPTORS: usize = CallerTable::MAX_CALLERS + 4;
 
     /// Binds the admin listener.
     ///
@@ -73,7 +73,7 @@
 
 impl CallerTasks {
     fn remove(&mut self, caller: Caller) {
-        self.table.left(caller);
+        self.table.remove(caller);
         self.tasks.remove(&caller);
     }
 
@@ -91,7 +91,7 @@
     };
     let started_at = Instant::now();
     let callers = Rc::new(RefCell::new(CallerTasks {
-        table: CallerTable::new(CallerTable::MOST, CallerTable::STAY),
+        table: CallerTable::new(CallerTable::MAX_CALLERS, CallerTable::COMMAND_TIMEOUT),
         tasks: HashMap::new(),
     }));
     loop {
@@ -100,7 +100,7 @@
         tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => {
-                    let (caller, evicted) = callers.borrow_mut().table.arrived(started_at.elapsed());
+                    let (caller, evicted) = callers.borrow_mut().table.add(started_at.elapsed());
                     evicted.into_iter().for_each(|caller| callers.borrow_mut().abort(caller));
                     let (callers_of_task, node, calls) = (Rc::clone(&callers), Rc::clone(&node), calls.clone());
                     let task = tokio::task::spawn_local(async move {
@@ -115,7 +115,7 @@
             },
             () = reached(deadline) => {
                 let mut callers = callers.borrow_mut();
-                while let Some(caller) = callers.table.stale(started_at.elapsed()) {
+                while let Some(caller) = callers.table.remove_timed_out(started_at.elapsed()) {
                     callers.abort(caller);
                 }
             }
--- a/crates/node/src/clients.rs
+++ b/crates/node/src/clients.rs
@@ -195,7 +195,7 @@
 
     /// Admits the waiting connection if there is capacity; otherwise evicts others.
     fn admit_waiting(&mut self) {
-        let max_clients = self.node.links.part(self.max_clients);
+        let max_clients = self.node.links.share_of(self.max_clients);
         if self.waiting.is_none() {
             return;
         }
@@ -210,7 +210,7 @@
         let error = match accepted {
             Ok(accepted) => {
                 let now = self.connections.started_at.elapsed();
-                self.connections.pressure.accepted(now);
+                self.connections.pressure.record_accepted(now);
                 self.waiting = Some(accepted);
                 return;
             }
--- a/crates/node/src/clients/connections.rs
+++ b/crates/node/src/clients/connections.rs
@@ -85,7 +85,7 @@
         self.check_disconnects();
         let now = self.started_at.elapsed();
         for Entry { downstream, .. } in &self.entries {
-            if Limits::USUAL.over(now, &downstream.state()) {
+            if Limits::USUAL.has_timed_out(now, &downstream.state()) {
                 downstream.evict();
             }
         }
--- a/crates/node/src/clients/request.rs
+++ b/crates/node/src/clients/request.rs
@@ -25,8 +25,8 @@
     pub terms: Terms,
     /// How long the client waits for the response.
     pub timeout: Duration,
-    /// Whether the request may be executed twice.
-    pub effect: Idempotency,
+    /// The effect of a second execution, as the settings of the class give it.
+    pub idempotency: Idempotency,
 }
 
 /// The status and reason for rejecting an invalid request.
@@ -95,8 +95,8 @@
     let terms = header_text(headers, "x-call-terms")
         .and_then(|text| Terms::parse(text, &platform.settings));
     let terms = terms.ok_or(bad("X-Call-Terms: missing or bad\n"))?;
-    let effect = platform.settings.classes[class_index].idempotency;
-    check_method(effect, head).map_err(bad)?;
+    let idempotency = platform.settings.classes[class_index].idempotency;
+    check_method(idempotency, head).map_err(bad)?;
     Ok(RequestHead {
         id,
         class: ClassId(class_index),
@@ -104,7 +104,7 @@
         customer,
         terms,
         timeout,
-        effect,
+        idempotency,
     })
 }
 
@@ -167,7 +167,7 @@
             event,
             Forward {
                 id: self.id,
-                effect: self.effect,
+                idempotency: self.idempotency,
                 method: head.method,
                 target,
                 key,
--- a/crates/node/src/clients/respond.rs
+++ b/crates/node/src/clients/respond.rs
@@ -121,7 +121,7 @@
         return Err(reject(status, "the body did not come whole\n"));
     };
     let is_empty = body.as_ref().is_ok_and(Bytes::is_empty);
-    if request_head.effect == Idempotency::Idempotent && !is_empty {
+    if request_head.idempotency == Idempotency::Idempotent && !is_empty {
         let status = StatusCode::BAD_REQUEST;
         return Err(reject(status, "this class takes no body\n"));
     }
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -209,9 +209,9 @@
     /// The policy's settings are inconsistent or out of range.
     #[error("settings are invalid")]
     Settings(#[source] SettingsError),
-    /// The limit on descriptors is less than the node needs.
-    #[error("limits.sockets: at least {MIN_SOCKETS} are required")]
-    TooFewDescriptors,
+    /// The limit on descriptors, which is given, is less than the node needs.
+    #[error("limits.sockets: {0} is too few; at least {MIN_SOCKETS} are required")]
+    TooFewDescriptors(usize),
 }
 
 fn parse_address(key: &'static str, text: &str) -> Result<SocketAddr, ConfigError> {
@@ -274,7 +274,7 @@
         let platform = setup::read(file.settings.get()).map_err(ConfigError::PlatformSettings)?;
         platform.settings.check().map_err(ConfigError::Settings)?;
         if file.limits.sockets < MIN_SOCKETS {
-            return Err(ConfigError::TooFewDescriptors);
+            return Err(ConfigError::TooFewDescriptors(file.limits.sockets));
         }
         let peers = file.peer_listen.map(|listen| PeerAddresses {
             listen,
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -70,7 +70,7 @@
         let Some(poll_limits) = self.poll_limits.as_ref().filter(|_| list.whole) else {
             return true;
         };
-        let known = self.node.ready();
+        let known = self.node.ready_servers();
         let accepted = self.empty_list.accepts(
             self.started_at.elapsed(),
             list.hosts.len(),
@@ -204,7 +204,7 @@
         }
         if let Err(error) = ended {
             if !std::mem::replace(&mut logged, true) {
-                warn!("discovery: {}", chain(&error));
+                warn!("discovery: list service at {address}: {}", chain(&error));
             }
         }
         let pause = match follower.retry_after.take() {
--- a/crates/node/src/discovery/call.rs
+++ b/crates/node/src/discovery/call.rs
@@ -172,7 +172,7 @@
                 "discovery: call to the list service failed"
             );
             if !std::mem::replace(&mut logged, true) {
-                warn!("discovery: {}", chain(&error));
+                warn!("discovery: list service at {address}: {}", chain(&error));
             }
         }
         hedge_delay = backoff.hedge_delay(fastrand::f64()).unwrap_or(hedge_delay);
--- a/crates/node/src/discovery/error.rs
+++ b/crates/node/src/discovery/error.rs
@@ -14,13 +14,13 @@
     #[error("connecting to the list service timed out")]
     ConnectTimeout(#[source] Elapsed),
     /// The connection failed, at the service or for a local reason.
-    #[error(transparent)]
+    #[error("cannot connect to the list service")]
     Connect(#[from] io::Error),
     /// The connection broke, or the service violated HTTP.
-    #[error(transparent)]
+    #[error("the HTTP connection to the list service failed")]
     Http(#[from] hyper::Error),
     /// The request could not be built.
-    #[error(transparent)]
+    #[error("cannot build the request to the list service")]
     Request(#[from] hyper::http::Error),
     /// The call was not answered in time.
     #[error("waiting for the answer of the list service timed out")]
@@ -36,7 +36,7 @@
     Silent,
     /// The data is not a sequence of JSON objects, or an object is too long.
     #[error("cannot split the watch's data into lists")]
-    JsonStreamError(#[from] JsonStreamError),
+    JsonStream(#[from] JsonStreamError),
     /// An object is not an endpoint list.
     #[error("cannot parse a list of the watch")]
     List(#[from] serde_json::Error),
--- a/crates/node/src/discovery/tests.rs
+++ b/crates/node/src/discovery/tests.rs
@@ -67,7 +67,7 @@
         (line.lines().count(), &*line),
         (
             1,
-            "discovery: cannot split the watch's data into lists: an object has no end"
+            "discovery: cannot split the watch's data into lists: an object exceeds the maximum length"
         )
     );
 }
--- a/crates/node/src/edge.rs
+++ b/crates/node/src/edge.rs
@@ -294,7 +294,7 @@
             spawn_local(admin::serve(self.admin, node(), calls)),
             spawn_local(run_websocket_timer(node())),
             spawn_local(node().log_counts(counts_interval)),
-            spawn_local(event_loop::measure_rounds()),
+            spawn_local(event_loop::measure_iterations()),
             spawn_local(lifecycle_runner::send_heartbeats(node(), manager)),
             spawn_local(shutdown::log_open_requests(node(), status.clone())),
         ];
--- a/crates/node/src/error.rs
+++ b/crates/node/src/error.rs
@@ -22,7 +22,7 @@
     #[error(transparent)]
     InheritedListener(#[from] InheritedListenerError),
     /// The policy's settings are invalid.
-    #[error(transparent)]
+    #[error("settings are invalid")]
     Settings(#[from] SettingsError),
     /// An address cannot be bound.
     #[error("{setting}: cannot bind {address}")]
@@ -41,8 +41,8 @@
     #[error("cannot install a signal handler")]
     Signals(#[source] io::Error),
     /// The async runtime cannot be built.
-    #[error(transparent)]
-    Runtime(io::Error),
+    #[error("cannot build the async runtime")]
+    Runtime(#[source] io::Error),
     /// The operator file names a class of WebSocket connections that the settings do not contain.
     #[error("sockets.class: the settings contain no class {0:?}")]
     UnknownWebsocketClass(String),
@@ -59,7 +59,7 @@
         min: usize,
     },
     /// The task that reads the files panicked or was cancelled.
-    #[error(transparent)]
+    #[error("the task that reads the configuration files failed")]
     Task(#[from] tokio::task::JoinError),
 }
 
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -1,5 +1,5 @@
 //! Bounds how late this thread's event loop reads data that the kernel has received, from the loop's sleeps and
-//! completed rounds.
+//! completed iterations.
 
 use saffronpaddle_connection_eviction::{time_unread, ReceiveTimeBound};
 use std::cell::Cell;
@@ -18,10 +18,10 @@
 thread_local! {
     /// When the observation of the loop's sleeps began; `None` for a loop that is not observed.
     static OBSERVED_SINCE: Cell<Option<Instant>> = const { Cell::new(None) };
-    /// The bound that follows from the sleeps and rounds observed so far.
+    /// The bound that follows from the sleeps and iterations observed so far.
     static RECEIVE_TIME_BOUND: Cell<ReceiveTimeBound> = const { Cell::new(ReceiveTimeBound::NEW) };
-    /// Notified when the loop may be late and a round is to be measured.
-    static ROUND_REQUESTED: Rc<Notify> = Rc::default();
+    /// Notified when the loop may be late and an iteration is to be measured.
+    static MEASUREMENT_REQUESTED: Rc<Notify> = Rc::default();
 }
 
 fn update_bound(update: impl FnOnce(&mut ReceiveTimeBound, Duration)) {
@@ -42,7 +42,7 @@
 }
 
 /// Returns a time after which the kernel received everything that this loop reads now; `None` for a loop that is not
-/// observed. Requests the measurement of a round if the loop may be late.
+/// observed. Requests the measurement of an iteration if the loop may be late.
 pub fn arrived_after() -> Option<Instant> {
     let observed_since = OBSERVED_SINCE.get()?;
     let earliest = observed_since + RECEIVE_TIME_BOUND.get().earliest();
@@ -52,21 +52,21 @@
     )
     .is_zero()
     {
-        ROUND_REQUESTED.with(|requested| requested.notify_one());
+        MEASUREMENT_REQUESTED.with(|requested| requested.notify_one());
     }
     Some(earliest)
 }
 
-/// Measures a round of the loop whenever one is requested. Runs until it is dropped. Without it, a busy loop, which
-/// seldom sleeps, would treat everything that it reads as old. Tasks run in the order in which they are woken, and a
+/// Measures an iteration of the loop whenever one is requested. Runs until it is dropped. Without it, a busy loop,
+/// which seldom sleeps, would treat everything that it reads as old. Tasks run in the order in which they are woken, and a
 /// task that yields is woken after every task for which the kernel had reported an event by then.
-pub async fn measure_rounds() {
-    let requested = ROUND_REQUESTED.with(Rc::clone);
+pub async fn measure_iterations() {
+    let requested = MEASUREMENT_REQUESTED.with(Rc::clone);
     loop {
         requested.notified().await;
-        let mut round_start = Duration::ZERO;
-        update_bound(|_, now| round_start = now);
+        let mut iteration_start = Duration::ZERO;
+        update_bound(|_, now| iteration_start = now);
         tokio::task::yield_now().await;
-        update_bound(|bound, _| bound.on_round_completed(round_start));
+        update_bound(|bound, _| bound.on_iteration_completed(iteration_start));
     }
 }
--- a/crates/node/src/forward.rs
+++ b/crates/node/src/forward.rs
@@ -15,8 +15,8 @@
 pub struct Forward {
     /// The client's `X-Request-Id`.
     pub id: RequestId,
-    /// Whether the request may be executed twice.
-    pub effect: Idempotency,
+    /// The effect of a second execution, as the settings of the class give it.
+    pub idempotency: Idempotency,
     /// The client's method, forwarded unchanged.
     pub method: Method,
     /// Path and query, as the client sent them.
--- a/crates/node/src/hot_restart.rs
+++ b/crates/node/src/hot_restart.rs
@@ -216,7 +216,7 @@
                 // A process that disconnected before the link was live has not bound the rendezvous, so it still
                 // belongs to this process.
                 if was_live {
-                    node.links.rebind_if_last();
+                    node.links.rebind_if_no_child();
                 }
                 writer_task.abort();
                 return;
--- a/crates/node/src/lifecycle_runner.rs
+++ b/crates/node/src/lifecycle_runner.rs
@@ -211,8 +211,8 @@
             match action {
                 Action::NotifyManager(message) => self.manager.notify(&message),
                 Action::ReadConfiguration => start_reload(),
-                Action::CloseAfterAnswers => {
-                    status.phase = status.phase.max(Phase::CloseAfterResponse)
+                Action::CloseAfterResponses => {
+                    status.phase = status.phase.max(Phase::CloseAfterResponse);
                 }
                 Action::CloseIdle => status.phase = status.phase.max(Phase::CloseIdle),
                 Action::KeepOpen => status.phase = Phase::Serving,
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -260,7 +260,7 @@
     }
 
     /// Number of ready app servers.
-    pub fn ready(&self) -> usize {
+    pub fn ready_servers(&self) -> usize {
         self.exchange.borrow().ready_servers()
     }
 
@@ -330,7 +330,7 @@
     pub fn apply_connection_share(&self) {
         self.exchange
             .borrow_mut()
-            .set_max_connections(self.links.part(self.max_upstream_connections));
+            .set_max_connections(self.links.share_of(self.max_upstream_connections));
     }
 }
 
--- a/crates/node/src/node/commands.rs
+++ b/crates/node/src/node/commands.rs
@@ -44,8 +44,8 @@
                         .send(self.events(), connection, server, forward);
                 }
             }
-            Command::Write { connection } => self.upstream.open(connection),
-            Command::ReleaseBody { connection } => self.upstream.release(connection),
+            Command::Write { connection } => self.upstream.allow_writes(connection),
+            Command::ReleaseBody { connection } => self.upstream.release_body(connection),
             Command::Close { connection } => self.upstream.close(self.events(), connection),
             Command::Answer { id, answer } => {
                 let answer = match answer {
--- a/crates/node/src/node/endpoint_list.rs
+++ b/crates/node/src/node/endpoint_list.rs
@@ -66,7 +66,7 @@
     /// Applies an update from a source. Updates from several sources are merged.
     pub fn on_endpoint_update(self: &Rc<Self>, source: Source, update: EndpointUpdate) {
         let update = match &mut *self.merge.borrow_mut() {
-            Some(merge) => merge.take(source, update),
+            Some(merge) => merge.apply(source, update),
             None => update,
         };
         if !update.endpoints.is_empty() || update.snapshot {
--- a/crates/node/src/node/metrics.rs
+++ b/crates/node/src/node/metrics.rs
@@ -35,7 +35,7 @@
     fn with_metrics(&self, write: impl FnOnce(&Metrics) -> String) -> String {
         let exchange = self.exchange.borrow();
         let (registry_entries, out_of_rotation) = exchange.policy().endpoint_counts();
-        let (class_names, tally) = (&self.platform.classes, exchange.counters().clone());
+        let (class_names, request_counters) = (&self.platform.classes, exchange.counters().clone());
         let mut policy_counters: Vec<(&'static str, u64)> =
             exchange.policy().counters().by_name().collect();
         policy_counters.extend(
@@ -49,8 +49,8 @@
         );
         let (sent, received) = self.peers.as_ref().map_or((0, 0), Peers::message_counts);
         write(&Metrics {
-            names: class_names,
-            tally,
+            class_names,
+            request_counters,
             registry_entries,
             out_of_rotation,
             peer_messages: PeerMessageCounts { sent, received },
--- a/crates/node/src/node/requests.rs
+++ b/crates/node/src/node/requests.rs
@@ -33,7 +33,7 @@
             }
             exchange.next_ticket()
         };
-        let effect = forward.effect;
+        let idempotency = forward.idempotency;
         let remaining = forward.deadline.saturating_duration_since(Instant::now());
         let deadline = self.clock.now() + remaining.as_micros() as Micros;
         let (answer, answer_receiver) = oneshot::channel();
@@ -49,7 +49,7 @@
         self.requests.borrow_mut().insert(id, pending);
         self.handle(
             Event::RequestReceived {
-                idempotency: effect,
+                idempotency,
                 deadline,
                 policy_event: arrival,
             },
--- a/crates/node/src/process_links.rs
+++ b/crates/node/src/process_links.rs
@@ -68,7 +68,7 @@
 
     /// This process's share of a limit of the node: half of it while another process serves the node too, else all of
     /// it.
-    pub fn part(&self, limit: usize) -> usize {
+    pub fn share_of(&self, limit: usize) -> usize {
         if self.group.borrow().is_shared() {
             limit / 2
         } else {
@@ -172,8 +172,8 @@
     }
 
     /// Requests that the rendezvous be bound again, if this process has no other child.
-    pub fn rebind_if_last(&self) {
-        if self.group.borrow().is_last() {
+    pub fn rebind_if_no_child(&self) {
+        if self.group.borrow().has_no_child() {
             self.rebind.notify_one();
         }
     }
--- a/crates/node/src/readiness.rs
+++ b/crates/node/src/readiness.rs
@@ -56,7 +56,7 @@
         let expected = self.started_at.0 + self.started_at.1.elapsed();
         let (reachable_peers, peers) = self.node.reachable_peers();
         HealthSample {
-            servers: self.node.ready(),
+            servers: self.node.ready_servers(),
             endpoint_list_age: self.node.list_age(),
             reachable_peers,
             peers,
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -118,7 +118,7 @@
         }
         Err(error) => {
             warn!(
-                "the old configuration stays in force, reload failed: {}",
+                "reload failed, the previous configuration remains in force: {}",
                 chain(&error)
             );
             None
--- a/crates/node/src/upstream.rs
+++ b/crates/node/src/upstream.rs
@@ -82,7 +82,7 @@
     }
 
     /// Releases the last chunk of the streamed request body on a connection.
-    pub fn release(&self, connection: ConnectionId) {
+    pub fn release_body(&self, connection: ConnectionId) {
         let body = self
             .connections
             .borrow()
@@ -231,7 +231,7 @@
     }
 
     /// Allows bytes to be written on a connection.
-    pub fn open(&self, connection: ConnectionId) {
+    pub fn allow_writes(&self, connection: ConnectionId) {
         if let Some(upstream) = self.connections.borrow().get(&connection) {
             upstream.writes_allowed.store(true, Ordering::Relaxed);
         }
--- a/crates/node/src/websocket.rs
+++ b/crates/node/src/websocket.rs
@@ -82,7 +82,7 @@
 impl Drop for WebsocketPermit {
     fn drop(&mut self) {
         self.proxy.relays.borrow_mut().remove(&self.id);
-        self.proxy.table.borrow_mut().ended(self.id);
+        self.proxy.table.borrow_mut().on_ended(self.id);
         self.proxy.permit_released.notify_one();
     }
 }
@@ -216,7 +216,7 @@
 
     /// Records that the closing handshake of a socket has started.
     fn on_close_started(&self, id: SocketId) {
-        self.table.borrow_mut().closes(self.now(), id);
+        self.table.borrow_mut().on_close_started(self.now(), id);
         self.arm_timer();
     }
 
--- a/crates/node/src/websocket/relay.rs
+++ b/crates/node/src/websocket/relay.rs
@@ -67,7 +67,7 @@
     let commands = websockets
         .table
         .borrow_mut()
-        .opened(websockets.now(), permit.id, server);
+        .on_opened(websockets.now(), permit.id, server);
     websockets.execute(commands);
     let direction = |side| Direction {
         scanner: Scanner::new(side, rules),
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -16,7 +16,7 @@
 use crate::shard_owners::NodeSubset;
 use crate::state::{ANSWER_MARGIN, MAX_RETRY_AFTER, RESTART_WINDOW};
 use crate::statistics::poisson_below;
-use crate::token_bucket::{silent_peers, TokenBucket, MIN_BUCKET_RETENTION, USAGE_WINDOW};
+use crate::token_bucket::{count_silent_peers, TokenBucket, MIN_BUCKET_RETENTION, USAGE_WINDOW};
 
 /// Minimum `retry_after` of a rejection.
 const MIN_RETRY_AFTER: Micros = 20 * MILLISECOND;
@@ -92,9 +92,9 @@
             let plan = &plans[request.plan.0];
             let max_units = self.settings.max_request_units;
             let replacement = TokenBucket::new(now, 0, request.plan, plan, subset, max_units);
-            bucket.follow(replacement, hard_limit_tokens);
+            bucket.change_plan_and_subset(replacement, hard_limit_tokens);
         }
-        let silent_peer_count = silent_peers(&self.peers.last_report_at, bucket, now);
+        let silent_peer_count = count_silent_peers(&self.peers.last_report_at, bucket, now);
         bucket.refill(now, &plans[bucket.plan.0], silent_peer_count);
         // A bucket that was just created has 0 as its time of last use.
         let since_last_use = if bucket.last_used_at == 0 {
@@ -246,7 +246,7 @@
             return true;
         };
         let plan = &self.settings.plans[bucket.plan.0];
-        let silent_peer_count = silent_peers(&self.peers.last_report_at, bucket, now);
+        let silent_peer_count = count_silent_peers(&self.peers.last_report_at, bucket, now);
         bucket.refill(now, plan, silent_peer_count);
         if plan.hard_limit.is_some() && bucket.hard_limit_tokens < units {
             return false;
--- a/crates/policy/src/attempt_results.rs
+++ b/crates/policy/src/attempt_results.rs
@@ -125,7 +125,7 @@
         };
         let class = &self.settings.classes[request.class.0];
         let max_attempts = self.settings.permissions.max_attempts;
-        // An attempt that ended before its first byte was written does not count, at most `max_attempts` times.
+        // Of the attempts that ended before their first byte was written, up to `max_attempts` are not counted.
         let exempt_from_budget =
             outcome == Outcome::NotSent && request.unsent_attempts <= max_attempts;
         let may_have_run = request.dispatched.is_some();
--- a/crates/policy/src/controller_period.rs
+++ b/crates/policy/src/controller_period.rs
@@ -9,7 +9,7 @@
 use crate::request::Request;
 use crate::shard_owners::ShardOwners;
 use crate::state::{OwnedShard, CONTROLLER_PERIOD, CONTROLLER_PERIOD_S};
-use crate::token_bucket::{silent_peers, MIN_BUCKET_RETENTION};
+use crate::token_bucket::{count_silent_peers, MIN_BUCKET_RETENTION};
 use crate::utilization::SERVICE_RATE_WEIGHT;
 
 /// Weight of a period in the mean number of attempts in flight, in a large fleet, where a node has none most of the
@@ -150,7 +150,7 @@
         self.grants.forget_unreachable(now);
         let last_reports = &self.peers.last_report_at;
         self.quotas.buckets.retain(|_, bucket| {
-            let silent_peer_count = silent_peers(last_reports, bucket, now);
+            let silent_peer_count = count_silent_peers(last_reports, bucket, now);
             !bucket.is_idle(now, &plans[bucket.plan.0], silent_peer_count)
         });
         let max_units = self.settings.max_request_units;
--- a/crates/policy/src/endpoint_table.rs
+++ b/crates/policy/src/endpoint_table.rs
@@ -3,8 +3,8 @@
 //! With 40,000 servers no outcome, message or controller period may iterate over all of them, nor may an update of a
 //! few endpoints. So the aggregates that the policies read ([`Aggregates`]) are updated incrementally: a server is
 //! changed through [`ServerEdit`], which removes it from the aggregates and adds it again afterwards. Of a list of more
-//! than `FULL_LIST_MAX_SERVERS` servers each node uses a subset (see `saffronpaddle-subsetting`). Only servers in the subset
-//! count in the aggregates of members and keep their statistics.
+//! than `FULL_LIST_MAX_SERVERS` servers each node uses a subset (see `saffronpaddle-subsetting`). The servers in the
+//! subset are called members; only they count in the aggregates of members and keep their statistics.
 
 mod aggregates;
 mod edit;
@@ -22,8 +22,9 @@
 use short_ids::ShortIds;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Number of members below which waits are no longer kept in order. It is lower than `FULL_LIST_MAX_SERVERS`, above which
-/// ordering starts, so that a number of members that varies around that limit does not rebuild the subset each time.
+/// Number of members below which waits are no longer kept in order. It is lower than `FULL_LIST_MAX_SERVERS`, above
+/// which ordering starts, so that a number of members that varies around that limit does not rebuild the subset each
+/// time.
 const ORDERED_WAITS_MIN: usize = FULL_LIST_MAX_SERVERS * 3 / 4;
 
 /// Numbers of ready servers: on the whole list, and in this node's subset.
@@ -110,7 +111,7 @@
         if member_added {
             self.members.sort_unstable();
         }
-        self.follow_list_length(now, recent);
+        self.resize_subset_if_needed(now, recent);
     }
 
     /// Marks the servers that a snapshot does not name as removed.
@@ -174,8 +175,8 @@
         self.short_ids.insert(id);
     }
 
-    /// Rebuilds the subset where the length of the list has changed enough to require it.
-    fn follow_list_length(&mut self, now: Micros, recent: Micros) {
+    /// Rebuilds the subset if the length of the list has changed enough to require it.
+    fn resize_subset_if_needed(&mut self, now: Micros, recent: Micros) {
         let ready = self.aggregates.ready;
         let subset_changed = self.subsetting && self.subset.resize(ready);
         let subsetted = self.subsetting && ready > FULL_LIST_MAX_SERVERS;
@@ -199,7 +200,7 @@
         let waits_were_ordered = std::mem::take(&mut self.aggregates.waits_ordered);
         self.short_ids = ShortIds::for_list(self.subsetted);
         self.members = Vec::new();
-        self.aggregates.examine(self.servers.len());
+        self.aggregates.count_examined(self.servers.len());
         for (id, server) in &mut self.servers {
             let in_subset = !self.subsetted || self.subset.contains(id.0);
             if in_subset != server.in_subset {
@@ -285,12 +286,12 @@
         self.short_ids.get(short_id)
     }
 
-    /// Ready servers to select from, in order of id: all ready members, or, where members are so many that their waits
-    /// are kept in order, those among `TARGET_SUBSET_SIZE` consecutive members. `draw` selects the first of these, given the
-    /// number of members.
+    /// Ready servers to select from. These are all ready members, in order of id. If there are so many members that
+    /// their waits are kept in order, they are the ready ones among `TARGET_SUBSET_SIZE` consecutive members, wrapping
+    /// around; `draw` selects the first of these, given the number of members.
     pub fn candidates(&self, draw: impl FnOnce(usize) -> usize) -> Vec<&Server> {
         if !self.subsetted {
-            self.aggregates.examine(self.servers.len());
+            self.aggregates.count_examined(self.servers.len());
             return self
                 .servers
                 .values()
@@ -302,7 +303,7 @@
         } else {
             (0, self.members.len())
         };
-        self.aggregates.examine(count);
+        self.aggregates.count_examined(count);
         self.members[first..]
             .iter()
             .chain(&self.members[..first])
@@ -325,7 +326,7 @@
     fn examined_ids<'a>(&'a self, ids: &'a BTreeSet<ServerId>) -> impl Iterator<Item = &'a Server> {
         ids.iter()
             .filter_map(|id| self.servers.get(id))
-            .inspect(|_| self.aggregates.examine(1))
+            .inspect(|_| self.aggregates.count_examined(1))
     }
 
     /// Visits each server whose ejection is evaluated in a controller period: all members, or, where members are so
@@ -353,23 +354,24 @@
         }
     }
 
-    /// Decays the evidence on these servers by a number of time constants.
+    /// Decays the evidence on the servers that [`Self::for_each_evaluated`] visits, by a number of time constants.
     pub fn decay_evidence(&mut self, time_constants: f64) {
         self.for_each_evaluated(|aggregates, server| {
-            aggregates.examine(1);
+            aggregates.count_examined(1);
             for statistics in &mut server.statistics {
                 statistics.fleet_faults.decay(time_constants);
             }
         });
     }
 
-    /// Applies `evaluate_ejections` to each of these servers, which may change it, and updates the aggregates.
-    pub fn evaluate_ejections(&mut self, mut evaluate_ejections: impl FnMut(&mut Server)) {
+    /// Applies `evaluate`, which may change the server, to each server that [`Self::for_each_evaluated`] visits, and
+    /// updates the aggregates.
+    pub fn evaluate_ejections(&mut self, mut evaluate: impl FnMut(&mut Server)) {
         self.for_each_evaluated(|aggregates, server| {
             let classes = aggregates.classes;
             aggregates.change(server, |server| {
                 server.ensure_statistics(classes);
-                evaluate_ejections(server);
+                evaluate(server);
             });
         });
     }
@@ -380,7 +382,7 @@
         let servers = &mut self.servers;
         let (subset, aggregates) = (&self.subset, &self.aggregates);
         let mut visit_ready = |server: &mut Server| {
-            aggregates.examine(1);
+            aggregates.count_examined(1);
             if server.is_ready() && server.endpoint.started_at.is_some() {
                 visit(subset, server);
             }
@@ -399,7 +401,7 @@
     /// depend on.
     pub fn for_each_recently_started(&mut self, mut visit: impl FnMut(&mut Server)) {
         self.aggregates
-            .examine(self.aggregates.recently_started.len());
+            .count_examined(self.aggregates.recently_started.len());
         for id in &self.aggregates.recently_started {
             if let Some(server) = self.servers.get_mut(id) {
                 visit(server);
@@ -434,15 +436,20 @@
         (!waits.is_empty()).then(|| *waits.select_nth_unstable_by(middle, f64::total_cmp).1)
     }
 
-    /// Drops servers that were removed from the list and have no attempts in flight. Removes from the indexes those
-    /// whose start is no longer recent, and those whose evidence has expired, for which `counts` returns false.
-    pub fn remove_unused(&mut self, now: Micros, recent: Micros, counts: impl Fn(&Server) -> bool) {
+    /// Drops servers that were removed from the list and have no attempts in flight. Removes servers from the indexes
+    /// whose start is no longer recent, or for which `has_evidence` returns false.
+    pub fn remove_unused(
+        &mut self,
+        now: Micros,
+        recent: Micros,
+        has_evidence: impl Fn(&Server) -> bool,
+    ) {
         self.drop_removed();
-        let (warm, without_evidence) =
+        let (no_longer_recent, without_evidence) =
             self.aggregates
-                .drop_outdated(&self.servers, now, recent, counts);
+                .drop_outdated(&self.servers, now, recent, has_evidence);
         if self.subsetted {
-            for id in warm {
+            for id in no_longer_recent {
                 self.servers
                     .entry(id)
                     .and_modify(|server| server.slow_start_budget = None);
--- a/crates/policy/src/endpoint_table/aggregates.rs
+++ b/crates/policy/src/endpoint_table/aggregates.rs
@@ -80,7 +80,7 @@
     }
 
     /// Adds to the number of examined servers.
-    pub fn examine(&self, servers: usize) {
+    pub fn count_examined(&self, servers: usize) {
         self.examined.add(servers as u64);
     }
 
@@ -95,7 +95,7 @@
 
     /// Adds a server to the counts and sums.
     pub fn add(&mut self, server: &Server) {
-        self.examine(1);
+        self.count_examined(1);
         if server.is_listed() {
             self.listed += 1;
             self.avoided += usize::from(is_avoided(server));
@@ -189,22 +189,22 @@
         self.with_evidence.retain(is_member);
     }
 
-    /// Removes members from the indexes whose start is no longer recent, or whose evidence has expired, for which
-    /// `counts` returns false. Returns the ids removed from each.
+    /// Removes members from the indexes whose start is no longer recent, or for which `has_evidence` returns false.
+    /// Returns the ids removed from each index, in this order.
     pub fn drop_outdated(
         &mut self,
         servers: &BTreeMap<ServerId, Server>,
         now: Micros,
         recent: Micros,
-        counts: impl Fn(&Server) -> bool,
+        has_evidence: impl Fn(&Server) -> bool,
     ) -> (Vec<ServerId>, Vec<ServerId>) {
         let started_recently = |server: &Server| server.started_within(now, recent);
-        let warm = drop_unless(&mut self.recently_started, servers, started_recently);
-        let without_evidence = drop_unless(&mut self.with_evidence, servers, counts);
-        self.examine(
+        let no_longer_recent = drop_unless(&mut self.recently_started, servers, started_recently);
+        let without_evidence = drop_unless(&mut self.with_evidence, servers, has_evidence);
+        self.count_examined(
             self.recently_started.len() + self.with_evidence.len() + without_evidence.len(),
         );
-        (warm, without_evidence)
+        (no_longer_recent, without_evidence)
     }
 }
 
--- a/crates/policy/src/grants/mod.rs
+++ b/crates/policy/src/grants/mod.rs
@@ -21,9 +21,9 @@
 /// Interval at which an isolated node sends a grant request to detect that its peers are reachable again.
 const ISOLATION_PROBE_INTERVAL: Micros = 200 * MILLISECOND;
 
-/// An owner's answer to a grant request, with the lease that it issued, if any.
+/// An owner's response to a grant request, with the lease that it issued, if any.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct GrantAnswer {
+pub(crate) struct GrantResponseWithLease {
     pub response: GrantResponse,
     pub lease: Option<Lease>,
 }
--- a/crates/policy/src/grants/owner.rs
+++ b/crates/policy/src/grants/owner.rs
@@ -7,7 +7,7 @@
 //! requester's uptime and initializes the shard with the fill that the requester was last told. A standby starts with
 //! the units of one request; with a full shard, one lost response would be enough to grant the quota from two buckets.
 
-use super::GrantAnswer;
+use super::GrantResponseWithLease;
 use crate::counters::Counter;
 use crate::engine::{Actions, PolicyEngine};
 use crate::interface::{Action, CustomerId, Micros, NodeId, SECOND};
@@ -25,7 +25,7 @@
 
 impl PolicyEngine {
     /// Decides on a peer's grant request and sends the response.
-    pub(crate) fn answer_grant_request(
+    pub(crate) fn respond_to_grant_request(
         &mut self,
         now: Micros,
         from: NodeId,
@@ -70,7 +70,7 @@
         from: NodeId,
         request: &GrantRequestMessage,
         actions: &mut Actions,
-    ) -> Option<GrantAnswer> {
+    ) -> Option<GrantResponseWithLease> {
         let plan = self.settings.plans.get(request.plan.0)?;
         let node_count = self.settings.node_count;
         let subset = NodeSubset {
@@ -144,7 +144,7 @@
         from: NodeId,
         request: &GrantRequestMessage,
         limits: &ShardLimits,
-    ) -> Option<GrantAnswer> {
+    ) -> Option<GrantResponseWithLease> {
         let shard = &mut self.quotas.shards.get_mut(&request.customer)?.shard;
         let grant_request = GrantRequest {
             requester: from.0,
@@ -168,7 +168,7 @@
         if lease.is_some() {
             self.counters.add(Counter::LeasesIssued);
         }
-        Some(GrantAnswer { response, lease })
+        Some(GrantResponseWithLease { response, lease })
     }
 
     fn count_decision(&mut self, decision: GrantDecision) {
--- a/crates/policy/src/grants/requester.rs
+++ b/crates/policy/src/grants/requester.rs
@@ -6,7 +6,7 @@
 //! Inputs: the customer's subset and plan, which owners are reachable, the retransmission timeout in µs. Result: the
 //! request is queued, or rejected.
 
-use super::{GrantAnswer, ISOLATION_PROBE_INTERVAL, UNREACHABLE_FOR};
+use super::{GrantResponseWithLease, ISOLATION_PROBE_INTERVAL, UNREACHABLE_FOR};
 use crate::counters::Counter;
 use crate::engine::{Actions, PolicyEngine};
 use crate::interface::{Action, Micros, RequestId, MILLISECOND};
@@ -117,7 +117,7 @@
             retry_after: 0,
             fill_ratio: 0.0,
         };
-        let answer = GrantAnswer {
+        let answer = GrantResponseWithLease {
             response: answer.map_or(denied, |answer| answer.response),
             lease: None,
         };
@@ -154,7 +154,7 @@
         &mut self,
         now: Micros,
         serial: u16,
-        answer: GrantAnswer,
+        answer: GrantResponseWithLease,
         actions: &mut Actions,
     ) {
         if self.on_lease_response(now, serial, answer.lease) {
--- a/crates/policy/src/interface/action.rs
+++ b/crates/policy/src/interface/action.rs
@@ -15,7 +15,8 @@
     ConcurrencyLimitStarted {
         /// Latency of the worst class, as a multiple of its objective.
         normalized_latency: f64,
-        /// Initial value of the limit: mean attempts in flight of that class at this node.
+        /// Mean attempts in flight of that class at this node. The limit starts at this value, or at its minimum if
+        /// that is higher.
         in_flight: f64,
     },
 }
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -157,12 +157,12 @@
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NoClasses => f.write_str("settings name no class"),
-            Self::NoPlans => f.write_str("settings name no plan"),
-            Self::UnknownNode => f.write_str("this gateway's number is not among the gateways"),
-            Self::InvalidNumber => {
-                f.write_str("settings hold a figure that is negative or no number")
+            Self::NoClasses => f.write_str("the list of classes is empty"),
+            Self::NoPlans => f.write_str("the list of plans is empty"),
+            Self::UnknownNode => {
+                f.write_str("the number of this node is not below the number of nodes")
             }
+            Self::InvalidNumber => f.write_str("a number is negative, infinite or not a number"),
         }
     }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -4,12 +4,12 @@
 //! [`PolicyEngine::handle`] processes an [`Event`](interface::Event) and appends [`Action`](interface::Action)s. A
 //! request passes through these modules:
 //!
-//! 1. `admission` decides whether the request is admitted: by its customer's token bucket (`token_bucket`) or by an owner
-//!    of the quota (`grants`, `shard_owners`), unless it is shed (`load_shedding`).
+//! 1. `admission` decides whether the request is admitted: by its customer's token bucket (`token_bucket`) or by an
+//!    owner of the quota (`grants`, `shard_owners`), unless it is shed (`load_shedding`).
 //! 2. `dispatch` sends queued requests in descending order of value while there is capacity (`concurrency_limit`,
 //!    `server_selection`, `slow_start`).
-//! 3. `attempt_results` handles the end of each attempt: it updates the statistics (`outlier_ejection`) and decides on a
-//!    retry (`idempotency`, `retry_budget`).
+//! 3. `attempt_results` handles the end of each attempt: it updates the statistics (`outlier_ejection`) and decides on
+//!    a retry (`idempotency`, `retry_budget`).
 //! 4. `timer` ends overdue requests, cancels stalled attempts (`stalled_attempts`) and runs the periodic work
 //!    (`controller_period`).
 //!
--- a/crates/policy/src/outlier_ejection.rs
+++ b/crates/policy/src/outlier_ejection.rs
@@ -36,6 +36,7 @@
 const WAIT_WEIGHT: f64 = 0.15;
 /// Weight of a peer's observation in a server's wait.
 const OBSERVATION_WEIGHT: f64 = 0.4;
+
 /// Returns the time until the next health probe of an ejected server, µs. `nodes_per_server` is given in a large fleet:
 /// the interval is then multiplied by it and jittered, so that the probes of that many nodes add up to a steady rate.
 fn next_probe_interval(random: &mut fastrand::Rng, nodes_per_server: Option<f64>) -> Micros {
@@ -82,7 +83,7 @@
 
 impl Server {
     /// Updates the fault rates of all classes with the outcome of an attempt of one class.
-    fn record_fault(&mut self, class: usize, fault: bool) {
+    fn update_fault_rates(&mut self, class: usize, fault: bool) {
         for (other, statistics) in self.statistics.iter_mut().enumerate() {
             let share = if other == class {
                 1.0
@@ -158,7 +159,7 @@
             Outcome::NotSent => return,
             _ => true,
         };
-        server.record_fault(class, fault);
+        server.update_fault_rates(class, fault);
         // A failed probe of an ejected server is no evidence against its zone: a machine that hangs accepts no
         // connections either.
         let unreachable = outcome == Outcome::Unreachable;
--- a/crates/policy/src/peers.rs
+++ b/crates/policy/src/peers.rs
@@ -7,13 +7,13 @@
 //! from buckets; a broadcast at most every 200 ms.
 
 use crate::engine::{Actions, PolicyEngine};
-use crate::grants::GrantAnswer;
+use crate::grants::GrantResponseWithLease;
 use crate::interface::{Action, CustomerId, Micros, NodeId, MILLISECOND, SECOND};
 use crate::peer_message::{
     decode, encode, CustomerUsage, LeaseOffer, PeerMessage, UsageReport, MAX_USAGES,
 };
 use crate::state::{usage_report_interval, RESTART_WINDOW};
-use crate::token_bucket::{silent_peers, USAGE_WINDOW};
+use crate::token_bucket::{count_silent_peers, USAGE_WINDOW};
 
 /// Shortest time between two usage reports.
 const MIN_REPORT_INTERVAL: Micros = 200 * MILLISECOND;
@@ -48,7 +48,7 @@
             PeerMessage::UsageReport(report) => self.on_usage_report(now, from, &report),
             PeerMessage::GrantRequest { request, payload } => {
                 self.on_optional_payload(now, from, payload);
-                self.answer_grant_request(now, from, &request, actions);
+                self.respond_to_grant_request(now, from, &request, actions);
             }
             PeerMessage::GrantResponse {
                 serial,
@@ -57,7 +57,7 @@
                 payload,
             } => {
                 self.on_optional_payload(now, from, payload);
-                let answer = GrantAnswer {
+                let answer = GrantResponseWithLease {
                     response,
                     lease: lease.lease(),
                 };
@@ -69,7 +69,7 @@
                 payload,
             } => {
                 self.on_payload(now, from, payload);
-                let answer = GrantAnswer {
+                let answer = GrantResponseWithLease {
                     response,
                     lease: None,
                 };
@@ -94,7 +94,7 @@
                 continue;
             };
             let plan = &self.settings.plans[bucket.plan.0];
-            let silent = silent_peers(&self.peers.last_report_at, bucket, now);
+            let silent = count_silent_peers(&self.peers.last_report_at, bucket, now);
             bucket.refill(now, plan, silent);
             let even_rate = plan.rate / bucket.subset_size;
             let usage = bucket.peer_usage.entry(from).or_default();
--- a/crates/policy/src/server.rs
+++ b/crates/policy/src/server.rs
@@ -30,8 +30,8 @@
     /// servers.
     #[serde(rename = "cold_credit")]
     pub slow_start_credit: f64,
-    /// Permits for attempts to the server in slow start while no warm server shows the throughput of a server; `None`
-    /// while the budget is in its initial state.
+    /// Permits for attempts to the server in slow start, used while this node lacks a throughput baseline; `None` while
+    /// the budget is in its initial state.
     #[serde(rename = "budget", with = "crate::serde_optional_budget")]
     pub slow_start_budget: Option<Box<SlowStartBudget>>,
     /// Whether the server is in this node's subset.
--- a/crates/policy/src/shard_owners.rs
+++ b/crates/policy/src/shard_owners.rs
@@ -20,7 +20,7 @@
 /// Share of a shard's hard limit (and, in partition-safe mode, of its quota) that its primary owner holds; standbys
 /// hold the rest.
 const PRIMARY_SHARE: f64 = 0.75;
-/// Owners of each shard, if the subset has enough nodes. Each owner that is asked grants at the full rate, so that more
+/// Owners of each shard, if the subset has enough nodes. Each owner that is asked grants at the full rate, so more
 /// owners would grant more than the quota.
 const OWNERS_PER_SHARD: u32 = 2;
 
--- a/crates/policy/src/siblings.rs
+++ b/crates/policy/src/siblings.rs
@@ -9,7 +9,7 @@
 use crate::interface::{CustomerId, Micros, QuotaCharge, SiblingAttempt, SiblingMessage};
 use crate::request::{Attempt, RemoteAttempt};
 use crate::shard_owners::NodeSubset;
-use crate::token_bucket::{silent_peers, TokenBucket};
+use crate::token_bucket::{count_silent_peers, TokenBucket};
 
 impl PolicyEngine {
     /// Handles a message from a sibling process.
@@ -61,7 +61,7 @@
             self.quotas.buckets.entry(customer).or_insert_with(|| {
                 TokenBucket::new(now, uptime, charge.plan, plan, subset, max_units)
             });
-        let silent = silent_peers(&self.peers.last_report_at, bucket, now);
+        let silent = count_silent_peers(&self.peers.last_report_at, bucket, now);
         bucket.refill(now, &self.settings.plans[bucket.plan.0], silent);
         let largest = if max_units > 0.0 { max_units } else { f64::MAX };
         let units = charge.units.clamp(0.0, largest);
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -4,7 +4,7 @@
 //! All nodes together send a server that warms up only a part of the load at which it fails. While warm servers show
 //! the throughput of one server, or showed it before all of them were replaced, each node earns credit for attempts in
 //! proportion to that throughput (`earn_slow_start_credit`). A node that has seen hardly any warm server, as when the
-//! whole back end starts, is *uninformed* and uses permits instead (`saffronpaddle_slow_start`).
+//! whole back end starts, lacks a throughput baseline and uses permits instead (`saffronpaddle_slow_start`).
 //!
 //! Inputs: start times of servers in µs, responses per second, results of attempts. Results: whether a server may be
 //! sent one more attempt; requests that are rejected because they could not be sent in time.
@@ -26,12 +26,13 @@
 
 /// Attempts per second that all nodes together send to one server at full capacity, unless warm servers have shown that
 /// it can take more.
-const UNINFORMED_ATTEMPTS_PER_S: f64 = 1.5;
+const ATTEMPTS_PER_S_WITHOUT_BASELINE: f64 = 1.5;
 /// Credit, in attempts, that a node may save for one server.
 const MAX_SAVED_CREDIT: f64 = 1.5;
 /// Number of nodes per server up to which each node may keep all of its saved credit.
 const NODES_KEEPING_ALL_CREDIT: f64 = 6.0;
-/// Share of saved credit that each of many nodes keeps for the next period, as each receives few requests.
+/// Minimum share of its saved credit that a node keeps for the next period. It applies where many nodes use the server,
+/// as each of them then receives few requests.
 const MIN_KEPT_SHARE: f64 = 0.5;
 /// Share of the overload multiple up to which a server in slow start is loaded.
 const SAFE_SHARE: f64 = 0.4;
@@ -74,8 +75,8 @@
 }
 
 impl Server {
-    /// Charges an attempt to the server while it warms up: uses a permit if this node is uninformed and has one,
-    /// otherwise credit.
+    /// Charges an attempt to the server while it warms up: uses a permit if this node lacks a throughput baseline and
+    /// has a permit, otherwise credit.
     pub(crate) fn charge_slow_start(
         &mut self,
         limits: &SlowStartLimits,
@@ -101,9 +102,9 @@
         period.saturating_mul(RECENT_START_PERIODS)
     }
 
-    /// Whether a server is limited by slow start: it warms up, or it started recently and this node is still
-    /// uninformed. Without the second condition, servers that all become warm at the same time would be sent the whole
-    /// queue at once.
+    /// Whether a server is limited by slow start: it warms up, or it started recently and this node still lacks a
+    /// throughput baseline. Without the second condition, servers that all become warm at the same time would be sent
+    /// the whole queue at once.
     pub(crate) fn is_limited_by_slow_start(&self, server: &Server, now: Micros) -> bool {
         let rules = &self.settings.slow_start;
         let window = RECENT_START_PERIODS * rules.warm_up_period;
@@ -156,7 +157,8 @@
         self.slow_start.mean_warm_servers.add(warm, weight);
     }
 
-    /// Determines whether this node is uninformed: too few servers are warm, and none has shown its throughput before.
+    /// Determines whether this node lacks a throughput baseline: too few servers are warm, and none has shown its
+    /// throughput before.
     pub(crate) fn update_slow_start_mode(&mut self, now: Micros) {
         let warm = self.warm_servers(now);
         let any_warming = self
@@ -168,13 +170,14 @@
             self.slow_start.responses_per_server = self.responses_per_warm_server(warm);
         }
         // A node that has been serving still knows the throughput of such servers after all of them are replaced.
-        let uninformed_rate = UNINFORMED_ATTEMPTS_PER_S / self.endpoints.nodes_per_server();
-        let informed = self.slow_start.responses_per_server > uninformed_rate;
+        let rate_without_baseline =
+            ATTEMPTS_PER_S_WITHOUT_BASELINE / self.endpoints.nodes_per_server();
+        let has_baseline = self.slow_start.responses_per_server > rate_without_baseline;
         // After the servers have become warm, the mode ends at the first check that finds an empty queue.
         let has_backlog = self.slow_start.lacks_throughput_baseline
             && any_warming
             && !self.requests.queue.is_empty();
-        self.slow_start.lacks_throughput_baseline = few_warm && !informed || has_backlog;
+        self.slow_start.lacks_throughput_baseline = few_warm && !has_baseline || has_backlog;
     }
 
     /// Records the result of an attempt at a server in slow start, from which the server's budget earns permits.
@@ -308,7 +311,7 @@
     }
 
     /// When a rejected client should retry, µs from now: after the time in which the queue is sent. `None` unless this
-    /// node is uninformed.
+    /// node lacks a throughput baseline.
     pub(crate) fn slow_start_retry_after(&self) -> Option<Micros> {
         if !self.slow_start.lacks_throughput_baseline {
             return None;
@@ -361,6 +364,6 @@
         };
         let overload_multiple = self.settings.slow_start.overload_multiple;
         let safe_rate = responses.min(before * MAX_RATE_RATIO) * SAFE_SHARE * overload_multiple;
-        safe_rate.max(UNINFORMED_ATTEMPTS_PER_S / nodes) * CONTROLLER_PERIOD_S
+        safe_rate.max(ATTEMPTS_PER_S_WITHOUT_BASELINE / nodes) * CONTROLLER_PERIOD_S
     }
 }
--- a/crates/policy/src/state/grant_state.rs
+++ b/crates/policy/src/state/grant_state.rs
@@ -8,6 +8,7 @@
 /// Number of unanswered transmissions of grant requests, without any message from a peer in between, from which this
 /// node counts as isolated.
 const ISOLATED_AFTER: u32 = 5;
+
 /// A primary owner's request for a lease from its standby.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LeaseRequest {
--- a/crates/policy/src/state/peer_table.rs
+++ b/crates/policy/src/state/peer_table.rs
@@ -3,12 +3,13 @@
 use crate::interface::{Micros, NodeId, Settings, SECOND};
 use crate::token_bucket::share_withheld_s;
 
-/// Difference of uptimes from which an older peer shows that this node was restarted, and the time after its start in
-/// which a restarted node creates customers' buckets with only its even share. Within it, reports of peers show what
-/// was used.
+/// How much longer than this node a peer must have been up to show that this node was restarted. Also the time after
+/// its start during which a restarted node creates customers' buckets with only its even share: by its end, the peers'
+/// reports have shown what was used before.
 pub(crate) const RESTART_WINDOW: Micros = 4 * SECOND;
 /// Share of the message rate that a peer can receive that all nodes together may use.
 const INTAKE_SHARE: f64 = 0.7;
+
 /// A period in which a peer sent no reports.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Silence {
--- a/crates/policy/src/token_bucket.rs
+++ b/crates/policy/src/token_bucket.rs
@@ -21,9 +21,9 @@
 /// Age at which usage that peers reported no longer counts towards their rate.
 pub(crate) const USAGE_WINDOW: Micros = 2 * SECOND;
 /// Time without a report after which a peer counts as silent and its even share is withheld.
-const SILENT_FROM: Micros = 800 * MILLISECOND;
+const SILENT_AFTER: Micros = 800 * MILLISECOND;
 /// Time without a report after which a peer counts as failed and the others use its share.
-const DEAD_FROM: Micros = 25 * SECOND;
+const FAILED_AFTER: Micros = 25 * SECOND;
 /// Minimum time for which a customer's bucket is kept after its last request.
 pub(crate) const MIN_BUCKET_RETENTION: Micros = 60 * SECOND;
 /// Usage that peers have forwarded but not reported yet, estimated as seconds at their reported rate.
@@ -166,7 +166,7 @@
 
     /// Changes to the plan and subset of `fresh`. The tokens do not increase, and the attempts in flight, the units
     /// forwarded and the usage of peers are kept.
-    pub(crate) fn follow(&mut self, fresh: TokenBucket, hard_limit_tokens: f64) {
+    pub(crate) fn change_plan_and_subset(&mut self, fresh: TokenBucket, hard_limit_tokens: f64) {
         let old = std::mem::take(self);
         *self = TokenBucket {
             tokens: old.tokens.min(fresh.tokens),
@@ -248,7 +248,8 @@
         }
     }
 
-    /// Whether dropping the bucket would change no decision: it has been unused for [`MIN_BUCKET_RETENTION`] and is full.
+    /// Whether dropping the bucket would change no decision: it has been unused for [`MIN_BUCKET_RETENTION`] and is
+    /// full.
     pub(crate) fn is_idle(&mut self, now: Micros, plan: &Plan, silent_peers: f64) -> bool {
         if self.in_flight > 0 || now.saturating_sub(self.last_used_at) < MIN_BUCKET_RETENTION {
             return false;
@@ -265,11 +266,15 @@
 
 /// Counts the silent nodes of a customer's subset, given when each node last reported. The even share of each is
 /// withheld.
-pub(crate) fn silent_peers(last_reports: &[Micros], bucket: &TokenBucket, now: Micros) -> f64 {
+pub(crate) fn count_silent_peers(
+    last_reports: &[Micros],
+    bucket: &TokenBucket,
+    now: Micros,
+) -> f64 {
     let first = bucket.first_node.0 as usize;
     let members = (0..bucket.subset_size as usize).map(|step| (first + step) % last_reports.len());
     let is_silent = |member: &usize| {
-        (SILENT_FROM..DEAD_FROM).contains(&now.saturating_sub(last_reports[*member]))
+        (SILENT_AFTER..FAILED_AFTER).contains(&now.saturating_sub(last_reports[*member]))
     };
     members.filter(is_silent).count() as f64
 }
@@ -277,7 +282,7 @@
 /// Seconds for which a node's share was withheld, where it last reported at `last_report`.
 pub(crate) fn share_withheld_s(now: Micros, last_report: Micros) -> f64 {
     now.saturating_sub(last_report)
-        .min(DEAD_FROM)
-        .saturating_sub(SILENT_FROM) as f64
+        .min(FAILED_AFTER)
+        .saturating_sub(SILENT_AFTER) as f64
         / 1e6
 }
--- a/crates/quota/src/grant.rs
+++ b/crates/quota/src/grant.rs
@@ -1,12 +1,12 @@
 //! Messages between a node and an owner about one customer request.
 //!
-//! A node sends a [`GrantRequest`] and may retry it with the same serial number for [`GRANT_LIFETIME`]. The owner
-//! answers every copy with a [`GrantResponse`].
+//! A node sends a [`GrantRequest`] and may retransmit it with the same serial number for [`GRANT_LIFETIME`]. The owner
+//! responds to every copy with a [`GrantResponse`].
 
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 
-/// Time for which a grant request may be retried, and for which its grant is valid under a hard limit, µs.
+/// Time for which a grant request may be retransmitted, and for which its grant is valid under a hard limit, µs.
 pub const GRANT_LIFETIME: Micros = 240_000;
 
 /// A request to an owner for quota units.
@@ -14,7 +14,7 @@
 pub struct GrantRequest {
     /// The number of the requesting node.
     pub requester: u32,
-    /// The requester's serial number of this request; a retry has the same number.
+    /// The requester's serial number of this request; a retransmission has the same number.
     pub serial: u16,
     /// Quota units that the customer's request costs; 0 if an owner requests only a lease from its standby.
     pub units: f64,
@@ -36,7 +36,7 @@
     OverHardLimit,
 }
 
-/// An owner's answer to a grant request.
+/// An owner's response to a grant request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GrantResponse {
     /// Whether the request is admitted, and if not, which limit rejected it.
--- a/crates/quota/src/lease.rs
+++ b/crates/quota/src/lease.rs
@@ -10,10 +10,10 @@
 //!
 //! **Expiry.** The lease expires at the holder before the issuer reclaims it. The holder measures the lease's duration,
 //! shortened by one part in [`CLOCK_DRIFT_DIVISOR`], from the time at which it *sent the request*; the issuer measures
-//! the full duration from the time at which it *answered*. The request was sent before it was answered, so the holder's
-//! expiry is the earlier one. The clocks need not be synchronized, and their rates may differ by one part in
-//! [`CLOCK_DRIFT_DIVISOR`]. A late answer only shortens the holder's lease. A retried request gets the same answer and
-//! no additional lease. A lost answer reduces what the issuer can use for one lease duration.
+//! the full duration from the time at which it *sent the response*. The request was sent before the response, so the
+//! holder's expiry is the earlier one. The clocks need not be synchronized, and their rates may differ by one part in
+//! [`CLOCK_DRIFT_DIVISOR`]. A late response only shortens the holder's lease. A retransmitted request gets
+//! the same response and no additional lease. A lost response reduces what the issuer can use for one lease duration.
 //!
 //! Units that a holder has not used when its lease expires are lost to the customer and not returned to the quota.
 
--- a/crates/quota/src/lease/active.rs
+++ b/crates/quota/src/lease/active.rs
@@ -39,8 +39,8 @@
             issuer,
             lease,
             tokens: (lease.initial_tokens + remaining_tokens).min(lease.capacity),
-            // The issuer stopped refilling at this rate before it sent its answer, so the holder may refill from now
-            // on.
+            // The issuer stopped refilling at this rate before it sent its response, so the holder may refill from
+            // now on.
             filled_at: now,
             expires_at: requested_at.saturating_add(duration),
         }
--- a/crates/quota/src/lease/issuer.rs
+++ b/crates/quota/src/lease/issuer.rs
@@ -70,7 +70,7 @@
 pub(crate) struct IssueRequest {
     /// The number of the requesting node.
     pub(crate) requester: u32,
-    /// The requester's serial number of this request; a retry has the same number.
+    /// The requester's serial number of this request; a retransmission has the same number.
     pub(crate) serial: u16,
     /// Rate that the requester would use, units per second.
     pub(crate) demand_rate: f64,
@@ -87,7 +87,7 @@
 pub(crate) enum IssueOutcome {
     /// A new lease. The caller must deduct its initial tokens from the shard.
     Issued(Lease),
-    /// A lease issued before: repeated in response to a retry, or renewed.
+    /// A lease issued before: repeated in response to a retransmission, or renewed.
     Existing(Lease),
 }
 
--- a/crates/quota/src/shard.rs
+++ b/crates/quota/src/shard.rs
@@ -1,12 +1,12 @@
 //! An owner's shard of a customer's quota: a part of the token bucket, of the hard limit and of the limit on attempts
 //! in flight.
 //!
-//! A shard never grants more than its token bucket holds. Each grant takes its units before the answer is sent, a retry
-//! with the same serial number takes none, and a lost or late answer returns none: a granted unit that is never used is
-//! lost to the customer and not returned to the quota. The shards of a quota together therefore grant at most `burst +
-//! rate * t` units in `t` seconds, whichever messages are lost, late or duplicated. There are two exceptions: grants of
-//! an owner that has lost its state (see [`InitialTokens`]), and grants of a standby while a running owner is
-//! unreachable.
+//! A shard never grants more than its token bucket holds. Each grant takes its units before the response is sent, a
+//! retransmission with the same serial number takes none, and a lost or late response returns none: a granted unit that
+//! is never used is lost to the customer and not returned to the quota. The shards of a quota together therefore grant
+//! at most `burst + rate * t` units in `t` seconds, whichever messages are lost, late or duplicated. There are two
+//! exceptions: grants of an owner that has lost its state (see [`InitialTokens`]), and grants of a standby while a
+//! running owner is unreachable.
 //!
 //! Amounts are in quota units, rates in units per second and times in µs.
 //!
@@ -37,7 +37,7 @@
     filled_at: Micros,
     #[serde(rename = "used")]
     last_used_at: Micros,
-    /// Granted requests that can still be retried.
+    /// Granted requests that can still be retransmitted.
     #[serde(rename = "granted")]
     recent_grants: Vec<RequestRecord>,
     /// Requests that hold a permit for an attempt in flight, each with the time at which its permit expires.
--- a/crates/quota/src/shard/grants.rs
+++ b/crates/quota/src/shard/grants.rs
@@ -74,8 +74,8 @@
 }
 
 impl QuotaShard {
-    /// Decides on a request and takes its units if it is granted. A retry of a granted request within
-    /// [`GRANT_LIFETIME`] is granted again and takes no units.
+    /// Decides on a request and takes its units if it is granted. A retransmission of a granted request
+    /// within [`GRANT_LIFETIME`] is granted again and takes no units.
     ///
     /// `usual_latency` is the usual duration of an attempt, µs. A permit that is not released expires after a multiple
     /// of it.
@@ -89,7 +89,7 @@
         let elapsed_s = seconds_between(self.filled_at, now);
         self.fill(now, limits);
         self.last_used_at = now;
-        if self.is_retry(now, &request) {
+        if self.is_retransmission(now, &request) {
             return self.respond(GrantDecision::Granted, 0.0, limits);
         }
         self.requested_units = self.requested_units * (-elapsed_s).exp() + request.units;
@@ -109,9 +109,9 @@
         self.respond(GrantDecision::Granted, 0.0, limits)
     }
 
-    /// Returns whether the request is a retry of a granted one, whose answer was lost or is late. Without this check a
-    /// retry would take its units a second time.
-    fn is_retry(&mut self, now: Micros, request: &GrantRequest) -> bool {
+    /// Returns whether the request is a retransmission of a granted one, whose response was lost or is late. Without
+    /// this check a retransmission would take its units a second time.
+    fn is_retransmission(&mut self, now: Micros, request: &GrantRequest) -> bool {
         self.recent_grants.retain(|grant| grant.expires_at > now);
         self.recent_grants
             .iter()
--- a/crates/quota/src/shard/leasing.rs
+++ b/crates/quota/src/shard/leasing.rs
@@ -16,7 +16,7 @@
 /// Time without a rejection because of too few tokens after which a shard issues leases, µs. Otherwise a customer that
 /// uses its whole quota would lose the rate that is leased to nodes its requests no longer reach.
 const UNCONTENDED_AFTER: Micros = 10_000_000;
-/// Minimum interval between two lease requests to the standby, µs. A lost request is not retried earlier.
+/// Minimum interval between two lease requests to the standby, µs. A lost request is not repeated earlier.
 const LEASE_REQUEST_INTERVAL: Micros = 400_000;
 /// Demand of an owner to its standby, units per second: more than can be leased, so that the standby leases all it can.
 const OWNER_DEMAND_RATE: f64 = u8::MAX as f64;
--- a/crates/slow-start/src/attempt.rs
+++ b/crates/slow-start/src/attempt.rs
@@ -2,7 +2,7 @@
 
 use crate::Micros;
 
-/// The result of an attempt that was answered or that failed without an answer.
+/// The result of an attempt that got a response or failed without one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptResult {
     /// Whether the server processed the request successfully.
--- a/crates/slow-start/src/baseline_latency.rs
+++ b/crates/slow-start/src/baseline_latency.rs
@@ -1,7 +1,7 @@
 //! This node's estimates of the latency of each request class on a warm server without queueing.
 //!
-//! Each sample is the latency of an answer in µs, scaled by the server's capacity fraction. The estimate follows faster
-//! samples quickly and slower ones slowly, so that queueing hardly affects it.
+//! Each sample is the latency of a response in µs, scaled by the server's capacity fraction. The estimate follows
+//! faster samples quickly and slower ones slowly, so that queueing hardly affects it.
 
 use crate::attempt::AttemptResult;
 use serde::{Deserialize, Serialize};
--- a/crates/slow-start/src/budget.rs
+++ b/crates/slow-start/src/budget.rs
@@ -1,7 +1,7 @@
 //! One node's permits to send to one server that is warming up.
 //!
 //! A request takes a permit, first one received from another node, then one earned here, in each case the one that
-//! expires first. Without permits it takes the node's current time slot. An answer within the latency objective earns
+//! expires first. Without permits it takes the node's current time slot. A response within the latency objective earns
 //! new permits. Times are in µs. The crate documentation explains why the permits of all nodes together do not overload
 //! the server.
 //!
@@ -19,14 +19,14 @@
 use std::collections::VecDeque;
 use transfer::TransferRecord;
 
-/// Permits earned by a slow answer that is within the latency objective.
-const SLOW_ANSWER_PERMITS: f64 = 0.75;
-/// An answer is fast if its latency is at most this fraction of the latency objective.
-const FAST_ANSWER_OBJECTIVE_FRACTION: f64 = 0.5;
-/// An answer is also fast if its latency is at most this multiple of the baseline latency ...
-const FAST_ANSWER_BASELINE_MULTIPLE: f64 = 1.6;
+/// Permits earned by a slow response that is within the latency objective.
+const SLOW_RESPONSE_PERMITS: f64 = 0.75;
+/// A response is fast if its latency is at most this fraction of the latency objective.
+const FAST_RESPONSE_OBJECTIVE_FRACTION: f64 = 0.5;
+/// A response is also fast if its latency is at most this multiple of the baseline latency ...
+const FAST_RESPONSE_BASELINE_MULTIPLE: f64 = 1.6;
 /// ... and at most this fraction of the latency objective.
-const MAX_FAST_ANSWER_OBJECTIVE_FRACTION: f64 = 0.9;
+const MAX_FAST_RESPONSE_OBJECTIVE_FRACTION: f64 = 0.9;
 /// A restart counts as early within this number of warm-up periods after the previous start.
 const EARLY_RESTART_WARM_UPS: u64 = 2;
 /// Maximum number of permits that one node holds for one server; bounds memory.
@@ -63,10 +63,10 @@
     /// The last time slot that this node used, counted from 1; 0 for none.
     #[serde(rename = "used_turn")]
     last_used_slot: u64,
-    /// Whether there was a slow or failed attempt since the server's start. From then on, fast answers earn fewer
+    /// Whether there was a slow or failed attempt since the server's start. From then on, fast responses earn fewer
     /// permits.
     #[serde(rename = "late")]
-    had_slow_answer: bool,
+    had_slow_response: bool,
 }
 
 impl SlowStartBudget {
@@ -133,10 +133,10 @@
         slot.is_some()
     }
 
-    /// Records the result of an attempt at a request of this class. An answer within its latency objective earns
+    /// Records the result of an attempt at a request of this class. A response within its latency objective earns
     /// permits.
     ///
-    /// A node that was suspended reads all pending answers at once, long after they arrived. They don't reflect the
+    /// A node that was suspended reads all pending responses at once, long after they arrived. They don't reflect the
     /// server's current state. They earn no permits, because their measured latency exceeds the objective.
     pub fn record_result(
         &mut self,
@@ -164,16 +164,16 @@
         limits: &SlowStartLimits,
     ) -> f64 {
         if !result.served || result.latency > result.latency_objective {
-            self.had_slow_answer = true;
+            self.had_slow_response = true;
             return 0.0;
         }
         let expected_latency = baseline.update(class, result);
         if result.latency as f64
-            > max_fast_answer_latency(expected_latency, result.latency_objective)
+            > max_fast_response_latency(expected_latency, result.latency_objective)
         {
-            self.had_slow_answer = true;
-            SLOW_ANSWER_PERMITS
-        } else if self.had_slow_answer || self.restarted_early {
+            self.had_slow_response = true;
+            SLOW_RESPONSE_PERMITS
+        } else if self.had_slow_response || self.restarted_early {
             limits.cautious_growth()
         } else {
             limits.growth()
@@ -197,10 +197,10 @@
     }
 }
 
-/// Returns the maximum latency of a fast answer, µs.
-fn max_fast_answer_latency(expected_latency: f64, latency_objective: Micros) -> f64 {
+/// Returns the maximum latency of a fast response, µs.
+fn max_fast_response_latency(expected_latency: f64, latency_objective: Micros) -> f64 {
     let objective = latency_objective as f64;
-    let by_baseline = (expected_latency * FAST_ANSWER_BASELINE_MULTIPLE)
-        .min(objective * MAX_FAST_ANSWER_OBJECTIVE_FRACTION);
-    by_baseline.max(objective * FAST_ANSWER_OBJECTIVE_FRACTION)
+    let by_baseline = (expected_latency * FAST_RESPONSE_BASELINE_MULTIPLE)
+        .min(objective * MAX_FAST_RESPONSE_OBJECTIVE_FRACTION);
+    by_baseline.max(objective * FAST_RESPONSE_OBJECTIVE_FRACTION)
 }
--- a/crates/slow-start/src/lib.rs
+++ b/crates/slow-start/src/lib.rs
@@ -7,7 +7,7 @@
 //! - **Time slots.** From the server's start on, time is divided into slots, and each slot belongs to one node by its
 //!   number. The node may send one request in its slot. The fleet therefore sends at most one such request per slot,
 //!   regardless of the number of nodes.
-//! - **Earned permits.** A fast answer shows that the server has capacity. It earns its node up to
+//! - **Earned permits.** A fast response shows that the server has capacity. It earns its node up to
 //!   [`SlowStartLimits::growth`] permits, which expire after [`SlowStartLimits::permit_lifetime`].
 //! - **Transferred permits.** A permit that is unused for [`IDLE_BEFORE_TRANSFER`] is sent to a node drawn at random:
 //!   while servers warm up, nearly every node has queued requests. The sender removes the permit before it sends the
@@ -16,7 +16,7 @@
 //!
 //! **The bound.** Let C be the server's capacity in requests per second, which does not decrease while the server runs.
 //! In any time span W the fleet sends at most growth x C x (W + lifetime) requests, earned in W and in the permit
-//! lifetime before it, plus one request for each slot that overlaps W. Lost answers and failed nodes only remove
+//! lifetime before it, plus one request for each slot that overlaps W. Lost responses and failed nodes only remove
 //! permits, and no message can duplicate them. Growth and lifetime are set so that the first part is at most
 //! [`MAX_OVERLOAD_FRACTION`] of the load that overloads the server (see `docs/design/cold-start.md`).
 //!
--- a/crates/slow-start/src/limits.rs
+++ b/crates/slow-start/src/limits.rs
@@ -1,7 +1,7 @@
 //! The parameters of a fleet's slow start at one server.
 //!
-//! From the load that overloads a server, they determine the number of permits that an answer earns and the lifetime of
-//! permits. The crate documentation states the bound that results.
+//! From the load that overloads a server, they determine the number of permits that a response earns and the lifetime
+//! of permits. The crate documentation states the bound that results.
 
 use crate::Micros;
 
@@ -12,11 +12,11 @@
 const SLOTS_PER_SECOND: f64 = 0.75;
 /// Time slots per second at a server that restarted soon after its previous start: it was probably overloaded.
 const SLOTS_PER_SECOND_AFTER_EARLY_RESTART: f64 = SLOTS_PER_SECOND / 2.0;
-/// Minimum number of permits that a fast answer earns. With one permit per answer, the fleet keeps its rate.
+/// Minimum number of permits that a fast response earns. With one permit per response, the fleet keeps its rate.
 const MIN_GROWTH: f64 = 1.0;
-/// Maximum number of permits that a fast answer earns.
+/// Maximum number of permits that a fast response earns.
 const MAX_GROWTH: f64 = 1.35;
-/// Maximum number of permits that a fast answer earns after a slow answer or an early restart of the server.
+/// Maximum number of permits that a fast response earns after a slow response or an early restart of the server.
 const MAX_CAUTIOUS_GROWTH: f64 = 1.2;
 /// Minimum lifetime of a permit, in overload windows.
 const MIN_LIFETIME_WINDOWS: f64 = 0.02;
@@ -41,13 +41,13 @@
 }
 
 impl SlowStartLimits {
-    /// Returns the maximum number of permits that an answer earns. If little load overloads a server, it is 1, so that
+    /// Returns the maximum number of permits that a response earns. If little load overloads a server, it is 1, so that
     /// the fleet only keeps its rate.
     pub fn growth(&self) -> f64 {
         (self.overload_multiple / 2.0).clamp(MIN_GROWTH, MAX_GROWTH)
     }
 
-    /// Returns the maximum number of permits that an answer earns after a slow answer or an early restart of the
+    /// Returns the maximum number of permits that a response earns after a slow response or an early restart of the
     /// server.
     pub(crate) fn cautious_growth(&self) -> f64 {
         MAX_CAUTIOUS_GROWTH.min(self.growth())
--- a/crates/websocket/src/table.rs
+++ b/crates/websocket/src/table.rs
@@ -128,7 +128,7 @@
     ///
     /// The returned commands must be executed immediately. They close the socket if its server has started to drain in
     /// the meantime, if the node stops, or if the server's limit is exceeded.
-    pub fn opened(&mut self, now: Micros, id: SocketId, server: ServerId) -> Vec<Command> {
+    pub fn on_opened(&mut self, now: Micros, id: SocketId, server: ServerId) -> Vec<Command> {
         let Some(socket) = self.by_id.get_mut(&id) else {
             return vec![Command::Cut(id)];
         };
@@ -166,7 +166,7 @@
     }
 
     /// Records that either side has started the closing handshake. The socket is cut if the handshake takes too long.
-    pub fn closes(&mut self, now: Micros, id: SocketId) {
+    pub fn on_close_started(&mut self, now: Micros, id: SocketId) {
         let socket = self.by_id.get(&id);
         if socket.is_some_and(|socket| socket.cut_at.is_none()) {
             self.cut_by(id, now.saturating_add(self.limits.close_within));
@@ -174,7 +174,7 @@
     }
 
     /// Removes a socket whose connections are closed, or an upgrade that has failed.
-    pub fn ended(&mut self, id: SocketId) {
+    pub fn on_ended(&mut self, id: SocketId) {
         let Some(socket) = self.by_id.remove(&id) else {
             return;
         };
--- a/crates/websocket/src/table/admission.rs
+++ b/crates/websocket/src/table/admission.rs
@@ -56,7 +56,7 @@
 }
 
 impl Sockets {
-    /// Admits an upgrade, which counts as a socket from then on. `spread` is the number of nodes that serve the
+    /// Admits an upgrade, which counts as a socket from then on. `subset_size` is the number of nodes that serve the
     /// customer.
     ///
     /// # Errors
@@ -65,9 +65,9 @@
         &mut self,
         now: Micros,
         customer: CustomerId,
-        spread: u32,
+        subset_size: u32,
     ) -> Result<SocketId, AdmissionError> {
-        self.check_limits(customer, spread)?;
+        self.check_limits(customer, subset_size)?;
         self.upgrade_tokens
             .take(now)
             .map_err(|retry_in| AdmissionError {
@@ -82,7 +82,7 @@
         Ok(id)
     }
 
-    fn check_limits(&self, customer: CustomerId, spread: u32) -> Result<(), AdmissionError> {
+    fn check_limits(&self, customer: CustomerId, subset_size: u32) -> Result<(), AdmissionError> {
         if self.stopped {
             return Err(AdmissionError {
                 why: "the node leaves",
@@ -96,7 +96,7 @@
             });
         }
         // The nodes' shares add up to at most the customer's limit, unless that is less than one socket per node.
-        let limit_here = (self.limits.per_customer / spread.max(1)).max(1);
+        let limit_here = (self.limits.per_customer / subset_size.max(1)).max(1);
         let open = self.by_customer.get(&customer).copied().unwrap_or(0);
         if open >= limit_here {
             return Err(AdmissionError {
--- a/crates/websocket/src/table/tests.rs
+++ b/crates/websocket/src/table/tests.rs
@@ -34,20 +34,20 @@
             2 | 3 => {
                 _ = random
                     .choice(&open)
-                    .map(|id| sockets.opened(now, *id, ServerId(random.u64(..3))));
+                    .map(|id| sockets.on_opened(now, *id, ServerId(random.u64(..3))));
             }
             4 => {
                 _ = random
                     .choice(&open)
                     .map(|id| sockets.on_received(now, *id, Side::Client, random.bool()));
             }
-            5 if !open.is_empty() => sockets.ended(open.swap_remove(random.usize(..open.len()))),
+            5 if !open.is_empty() => sockets.on_ended(open.swap_remove(random.usize(..open.len()))),
             6 => _ = sockets.on_server_status(now, ServerId(random.u64(..3)), random.bool()),
             _ => _ = sockets.tick(now),
         }
         assert_eq!(sockets.count(), open.len());
     }
-    open.into_iter().for_each(|id| sockets.ended(id));
+    open.into_iter().for_each(|id| sockets.on_ended(id));
     sockets.tick(now + 10_000 * MS);
     assert_eq!((sockets.count(), sockets.next_alarm()), (0, None));
     assert!(
--- a/crates/websocket/tests/sockets.rs
+++ b/crates/websocket/tests/sockets.rs
@@ -31,7 +31,7 @@
     let mut sockets = Sockets::new(limits, 0);
     for customer in 0..count {
         let id = sockets.admit(0, CustomerId(customer), 1).expect("admitted");
-        assert!(sockets.opened(0, id, SERVER).is_empty());
+        assert!(sockets.on_opened(0, id, SERVER).is_empty());
     }
     sockets
 }
@@ -57,7 +57,7 @@
 fn a_drain_of_thousands_closes_in_batches_within_its_time_limit_and_spreads_reconnects() {
     let mut sockets = open_sockets(limits(), 10_000);
     let other = sockets.admit(0, CustomerId(99_999), 1).expect("admitted");
-    assert!(sockets.opened(0, other, OTHER_SERVER).is_empty());
+    assert!(sockets.on_opened(0, other, OTHER_SERVER).is_empty());
     let now = 500 * MS;
     let first = sockets.on_server_status(now, SERVER, false);
     assert!(
@@ -108,16 +108,16 @@
     let mut sockets = open_sockets(limits(), 0);
     let id = sockets.admit(0, CustomerId(1), 1).expect("admitted");
     assert!(sockets.on_server_status(10, SERVER, false).is_empty());
-    let closes = sockets.opened(20, id, SERVER);
+    let closes = sockets.on_opened(20, id, SERVER);
     assert!(
         matches!(closes[..], [Command::Drain(_, 1001, _, at)] if at == 20 + 200 * MS),
         "{closes:?}"
     );
-    sockets.ended(id);
+    sockets.on_ended(id);
     // The server is ready again, and no state of the drain is left.
     assert!(sockets.on_server_status(30, SERVER, true).is_empty());
     let id = sockets.admit(40, CustomerId(1), 1).expect("admitted");
-    assert!(sockets.opened(50, id, SERVER).is_empty());
+    assert!(sockets.on_opened(50, id, SERVER).is_empty());
 }
 
 #[test]
@@ -134,7 +134,7 @@
         sockets.admit(0, CustomerId(2), 2).is_ok(),
         "another customer"
     );
-    sockets.ended(three[0]);
+    sockets.on_ended(three[0]);
     assert!(sockets.admit(0, CustomerId(1), 2).is_ok());
     // With more nodes than sockets, each node may open one.
     assert!(sockets.admit(0, CustomerId(3), 9).is_ok());
@@ -154,13 +154,13 @@
     let one = sockets.admit(0, CustomerId(1), 1).expect("admitted");
     let two = sockets.admit(0, CustomerId(2), 1).expect("admitted");
     assert!(sockets.admit(0, CustomerId(3), 1).is_err());
-    assert!(sockets.opened(1, one, SERVER).is_empty());
+    assert!(sockets.on_opened(1, one, SERVER).is_empty());
     assert!(matches!(
-        sockets.opened(2, two, SERVER)[..],
+        sockets.on_opened(2, two, SERVER)[..],
         [Command::Close(_, 1013, _)]
     ));
-    sockets.ended(one);
-    sockets.ended(two);
+    sockets.on_ended(one);
+    sockets.on_ended(two);
     assert_eq!(
         (sockets.count(), sockets.next_alarm()),
         (0, None),
@@ -247,7 +247,7 @@
     assert!(sockets.admit(20, CustomerId(1_000), 1).is_err());
     assert!(
         matches!(
-            sockets.opened(30, pending, SERVER)[..],
+            sockets.on_opened(30, pending, SERVER)[..],
             [Command::Drain(..)]
         ),
         "a pending upgrade"
