--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -118,7 +118,7 @@
         }
         Err(error) => {
             warn!(
-                "reload failed, the previous configuration remains in force: {}",
+                "the old configuration stays in force, reload failed: {}",
                 chain(&error)
             );
             None
