--- a/crates/node/src/lifecycle_runner.rs
+++ b/crates/node/src/lifecycle_runner.rs
@@ -211,7 +211,7 @@
             match action {
                 Action::NotifyManager(message) => self.manager.notify(&message),
                 Action::ReadConfiguration => start_reload(),
-                Action::CloseAfterAnswers => {
+                Action::CloseAfterResponses => {
                     status.phase = status.phase.max(Phase::CloseAfterResponse);
                 }
                 Action::CloseIdle => status.phase = status.phase.max(Phase::CloseIdle),
