--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -22,7 +22,7 @@
 pub use callers::{Caller, CallerTable};
 pub use counters::{ClassCounts, RequestCounters, RequestEnd};
 pub use line::{AdminCommand, CommandError, Line, MAX_LINE_BYTES};
-pub use log_fields::Fields;
+pub use log_fields::CounterLine;
 pub use metrics::{Metrics, PeerMessageCounts};
 
 /// Returns the answer to a command that succeeded, or to a query whose result is positive.
--- a/crates/admin/src/log_fields.rs
+++ b/crates/admin/src/log_fields.rs
@@ -12,16 +12,16 @@
 
 /// A line of counters.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Fields {
+pub struct CounterLine {
     /// The number of the node.
     pub node: u32,
     /// Milliseconds since the node's process started.
     pub at_ms: u64,
     /// The counters by name, all counted since the process started.
-    pub of: BTreeMap<String, u64>,
+    pub counts: BTreeMap<String, u64>,
 }
 
-impl Fields {
+impl CounterLine {
     /// Formats a line, without the line feed.
     pub fn line<'a>(node: u32, at_ms: u64, counts: impl Iterator<Item = (&'a str, u64)>) -> String {
         let mut line = format!("{MARKER} node={node} at_ms={at_ms}");
@@ -34,7 +34,7 @@
 
     /// Parses a log line, in which other text may precede the marker. Returns `None` if it is not a complete line of
     /// counters.
-    pub fn read(line: &str) -> Option<Fields> {
+    pub fn read(line: &str) -> Option<CounterLine> {
         let mut parts = line.split_whitespace();
         parts.find(|part| *part == MARKER)?;
         let mut node = None;
@@ -51,10 +51,10 @@
                 }
             }
         }
-        Some(Fields {
+        Some(CounterLine {
             node: node?,
             at_ms: at_ms?,
-            of: counts,
+            counts,
         })
     }
 }
--- a/crates/admin/src/metrics.rs
+++ b/crates/admin/src/metrics.rs
@@ -1,7 +1,7 @@
 //! The metrics of a node, formatted as the answer to `INFO` and as a log line.
 
 use crate::counters::{ClassCounts, RequestCounters};
-use crate::log_fields::Fields;
+use crate::log_fields::CounterLine;
 use std::fmt::Write;
 
 /// Marks the end of the metrics, so that a caller can tell that it has received all of them.
@@ -83,7 +83,7 @@
             ("throttled", self.tally.sum(|counts| counts.throttled)),
             ("faulted", self.tally.sum(|counts| counts.faulted)),
         ];
-        Fields::line(node, at_ms, sums.into_iter().chain(self.unlabelled()))
+        CounterLine::line(node, at_ms, sums.into_iter().chain(self.unlabelled()))
     }
 
     /// The metrics without a label.
--- a/crates/admin/tests/log_fields.rs
+++ b/crates/admin/tests/log_fields.rs
@@ -1,15 +1,15 @@
 //! The log lines with counters.
 
-use saffronpaddle_admin::Fields;
+use saffronpaddle_admin::CounterLine;
 
 #[test]
 fn a_formatted_line_is_parsed_and_other_lines_are_rejected() {
-    let line = Fields::line(7, 5_000, [("asked", 12), ("granted", 9)].into_iter());
+    let line = CounterLine::line(7, 5_000, [("asked", 12), ("granted", 9)].into_iter());
     assert_eq!(line, "counts node=7 at_ms=5000 asked=12 granted=9");
     let read =
-        Fields::read(&format!("2026-12-01T08:00:00Z n7: {line}")).expect("a line of counters");
+        CounterLine::read(&format!("2026-12-01T08:00:00Z n7: {line}")).expect("a line of counters");
     assert_eq!((read.node, read.at_ms), (7, 5_000));
-    assert_eq!((read.of["asked"], read.of.len()), (12, 2));
+    assert_eq!((read.counts["asked"], read.counts.len()), (12, 2));
     for other in [
         "",
         "n7: listening on 127.0.0.1:1",
@@ -17,8 +17,8 @@
         "counts node=1",
         "counts node=x at_ms=1",
     ] {
-        assert_eq!(Fields::read(other), None, "{other}");
+        assert_eq!(CounterLine::read(other), None, "{other}");
     }
     let truncated = "counts node=1 at_ms=5 asked=1 gran";
-    assert_eq!(Fields::read(truncated), None);
+    assert_eq!(CounterLine::read(truncated), None);
 }
--- a/crates/etcd/src/api.rs
+++ b/crates/etcd/src/api.rs
@@ -387,7 +387,7 @@
             return end;
         }
     }
-    // All bytes are 0xff. etcd takes a zero byte as the end of the whole key space.
+    // All bytes are 0xff. etcd interprets an end of one zero byte as the end of the key space.
     vec![0]
 }
 
--- a/crates/etcd/src/client.rs
+++ b/crates/etcd/src/client.rs
@@ -66,14 +66,14 @@
     }
 }
 
-/// The error of sending news whose receiver was dropped.
+/// An event could not be sent because the receiver was dropped.
 struct Closed;
 
 /// Why a watch ended without an error of the member.
 enum WatchEnd {
-    /// The receiver of the news was dropped.
+    /// The receiver of the events was dropped.
     Closed,
-    /// The whole prefix must be read again.
+    /// All keys of the prefix must be read again.
     Reread,
 }
 
--- a/crates/etcd/tests/client.rs
+++ b/crates/etcd/tests/client.rs
@@ -31,9 +31,9 @@
     format!("/board/{host}")
 }
 
-/// A running client, with the list and the log lines that result from its news.
+/// A running client, with the list and the log lines that result from its events.
 struct ListClient {
-    news: mpsc::Receiver<ClientEvent>,
+    events: mpsc::Receiver<ClientEvent>,
     hosts: BTreeMap<String, (EndpointStatus, u64)>,
     logs: Vec<String>,
     /// The longest time from the read of a change to its arrival at the test.
@@ -47,7 +47,7 @@
     }
 
     fn with(etcd: &Etcd, empty_after: Duration, user: Option<(String, String)>) -> ListClient {
-        let (sender, news) = mpsc::channel(1024);
+        let (sender, events) = mpsc::channel(1024);
         let settings = Settings {
             endpoints: etcd.endpoints(),
             prefix: "/board/".to_owned(),
@@ -59,7 +59,7 @@
         };
         tokio::spawn(follow(settings, sender));
         ListClient {
-            news,
+            events,
             hosts: BTreeMap::new(),
             logs: Vec::new(),
             max_delay: Duration::ZERO,
@@ -68,9 +68,9 @@
     }
 
     async fn next(&mut self) {
-        match timeout(TEST_TIMEOUT, self.news.recv())
+        match timeout(TEST_TIMEOUT, self.events.recv())
             .await
-            .expect("news arrive in time")
+            .expect("an event arrives within the timeout")
             .expect("the client is running")
         {
             ClientEvent::Changed { change, read } => {
--- a/crates/fleet-harness/src/counts.rs
+++ b/crates/fleet-harness/src/counts.rs
@@ -4,7 +4,7 @@
 //! than in the line before comes from a new process; the counters of the old process are kept.
 
 use anyhow::{Context, Result};
-use saffronpaddle_admin::Fields;
+use saffronpaddle_admin::CounterLine;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::io::{BufRead, BufReader};
@@ -21,18 +21,18 @@
     /// Sums over the processes that have ended.
     ended_processes: BTreeMap<String, u64>,
     /// The latest line of the running process.
-    latest: Fields,
+    latest: CounterLine,
     /// Time covered by the lines of all processes, ms.
     observed_ms: u64,
 }
 
 impl Node {
-    fn add_line(&mut self, line: Fields) {
+    fn add_line(&mut self, line: CounterLine) {
         let decreased = |(name, value): (&String, &u64)| {
-            !GAUGES.contains(&&name[..]) && line.of.get(name).is_none_or(|now| now < value)
+            !GAUGES.contains(&&name[..]) && line.counts.get(name).is_none_or(|now| now < value)
         };
-        if line.at_ms < self.latest.at_ms || self.latest.of.iter().any(decreased) {
-            for (name, value) in std::mem::take(&mut self.latest.of) {
+        if line.at_ms < self.latest.at_ms || self.latest.counts.iter().any(decreased) {
+            for (name, value) in std::mem::take(&mut self.latest.counts) {
                 *self.ended_processes.entry(name).or_default() += value;
             }
             self.latest.at_ms = 0;
@@ -43,7 +43,7 @@
 
     fn total(&self, name: &str) -> u64 {
         let count_in = |counts: &BTreeMap<String, u64>| counts.get(name).copied().unwrap_or(0);
-        count_in(&self.ended_processes) + count_in(&self.latest.of)
+        count_in(&self.ended_processes) + count_in(&self.latest.counts)
     }
 }
 
@@ -56,10 +56,13 @@
 impl Counts {
     /// Adds a line of a log. Returns whether it is a counter line.
     pub fn add_line(&mut self, line: &str) -> bool {
-        let Some(fields) = Fields::read(line) else {
+        let Some(counter_line) = CounterLine::read(line) else {
             return false;
         };
-        self.nodes.entry(fields.node).or_default().add_line(fields);
+        self.nodes
+            .entry(counter_line.node)
+            .or_default()
+            .add_line(counter_line);
         true
     }
 
@@ -92,7 +95,7 @@
         let lines = self
             .nodes
             .values()
-            .flat_map(|node| node.ended_processes.keys().chain(node.latest.of.keys()));
+            .flat_map(|node| node.ended_processes.keys().chain(node.latest.counts.keys()));
         let mut names: Vec<&str> = lines
             .map(|name| &name[..])
             .filter(|name| !GAUGES.contains(name))
--- a/crates/fleet-harness/src/harness.rs
+++ b/crates/fleet-harness/src/harness.rs
@@ -35,17 +35,17 @@
 pub struct Options {
     /// The program that instances run.
     pub program: PathBuf,
-    /// Draws everything that the scenario leaves open, the customers' behaviour and the nodes' seeds.
+    /// Draws everything that the scenario leaves open, the customers' behavior and the nodes' seeds.
     pub seed: u64,
     /// Folder for configurations and logs.
     pub folder: PathBuf,
     /// More lines for the operator file of all instances.
     pub operator: String,
     /// Whether each step is printed to standard error when it starts.
-    pub say: bool,
+    pub print_steps: bool,
     /// Log level of the instances (`LB_LOG`).
     pub log_level: &'static str,
-    /// A library that makes system calls of the instances fail, as `failing_calls` of the scenario says.
+    /// A library that makes system calls of the instances fail, as `failing_calls` in the scenario specifies.
     pub preload: Option<PathBuf>,
 }
 
@@ -116,7 +116,7 @@
     }
 }
 
-/// Plays a scenario on a runtime of its own. Creates the folder of `options`, and removes it at the end unless `keep`
+/// Plays a scenario on a new runtime. Creates the folder of `options`, and removes it at the end unless `keep`
 /// is set.
 ///
 /// # Errors
@@ -148,7 +148,7 @@
     let (before, load_start) = (harness.datagrams(), harness.world.now());
     let duration = harness.scenario.duration;
     let offered = harness.offer();
-    let steps_done = harness.run_steps(options.say);
+    let steps_done = harness.run_steps(options.print_steps);
     let (offered, ()) = tokio::join!(timeout(duration + CLIENT_TIMEOUT, offered), steps_done);
     let mut faults = Vec::new();
     if offered.is_err() {
@@ -206,12 +206,12 @@
         .iter()
         .map(|server| (server.name().to_owned(), server.capacity()))
         .collect();
-    let (verdict, could_s, windows) = {
+    let (verdict, available_work_s, windows) = {
         let oracle = harness.world.oracle();
-        let could = oracle.available_work(&capacities, load_start, load_start + duration);
+        let available_work = oracle.available_work(&capacities, load_start, load_start + duration);
         (
             oracle.verdict(),
-            could,
+            available_work,
             windows::tally_seconds(&oracle, &harness.scenario.sides, load_start),
         )
     };
@@ -221,17 +221,17 @@
         seconds,
         verdict,
         counts: harness.load_generator.counts(),
-        rows: harness.instances.iter().map(instance_report).collect(),
-        could_s,
+        instances: harness.instances.iter().map(instance_report).collect(),
+        available_work_s,
         offered_s: duration.as_secs() as usize,
         windows,
         list: harness.discovery.call_stats(),
-        met: harness
+        handshakes_and_requests: harness
             .servers
             .iter()
             .map(AppServer::handshakes_and_requests)
             .collect(),
-        oversized_datagrams: harness.network.too_long(),
+        oversized_datagrams: harness.network.oversized_datagrams(),
         peer_bytes: harness.network.bytes(),
         processes: harness
             .instances
--- a/crates/fleet-harness/src/instance.rs
+++ b/crates/fleet-harness/src/instance.rs
@@ -17,7 +17,7 @@
 use tokio::process::Child;
 use tokio::time::timeout;
 
-/// Time within which an instance that was told to stop must have ended; the program's own limit is 3.6 s.
+/// Time within which an instance must have ended after SIGTERM; the program's own limit is 3.6 s.
 const STOP_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Lines of an instance's log that a fault message quotes.
@@ -71,7 +71,7 @@
 struct Process {
     pid: Pid,
     child: tokio::sync::Mutex<Child>,
-    /// Whether the harness has told it to end.
+    /// Whether the harness has sent SIGTERM or SIGKILL.
     stop_ordered: Mutex<bool>,
     /// Length of the instance's log when the process started.
     log_start: u64,
@@ -160,7 +160,7 @@
         self.folder.join(format!("node-{}.log", self.number))
     }
 
-    /// The last lines of the log joined into one line; they say why a process ended.
+    /// The last lines of the log joined into one line; they usually contain the reason why a process ended.
     fn log_tail(&self) -> String {
         let text =
             std::fs::read(self.log()).map(|bytes| String::from_utf8_lossy(&bytes).into_owned());
@@ -169,7 +169,7 @@
         lines.into_iter().rev().collect::<Vec<_>>().join(" | ")
     }
 
-    /// Starts a process and waits until it is ready; records a fault if it is not ready in time.
+    /// Starts a process and waits until it is ready; records a fault if it is not ready within `ready_timeout`.
     ///
     /// # Errors
     /// The process could not be started.
@@ -371,7 +371,8 @@
         kill(process.pid, signal).is_ok()
     }
 
-    /// Tells the running process to stop and waits until it has ended; records a fault if that takes too long.
+    /// Sends SIGTERM to the running process and waits until it has ended. After [`STOP_TIMEOUT`], records a fault and
+    /// sends SIGKILL.
     pub async fn stop(&self) {
         let Some(process) = self.process() else {
             return;
@@ -386,7 +387,7 @@
         }
     }
 
-    /// Tells the running process to stop and kills it when `killed_after` is over. It may be stalled once in between.
+    /// Sends SIGTERM to the running process, and SIGKILL after `killed_after`. It may be stalled once in between.
     pub async fn terminate(
         &self,
         killed_after: Duration,
--- a/crates/fleet-harness/src/link_ends.rs
+++ b/crates/fleet-harness/src/link_ends.rs
@@ -9,9 +9,9 @@
 /// A named group of instances and servers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Side {
-    /// Name that steps and reports use.
+    /// Name by which steps and reports refer to the group.
     pub name: String,
-    /// The group's members.
+    /// The instances and servers of the group.
     pub ends: BTreeSet<End>,
 }
 
--- a/crates/fleet-harness/src/report.rs
+++ b/crates/fleet-harness/src/report.rs
@@ -42,9 +42,9 @@
     /// Counts of the load generator.
     pub counts: LoadCounts,
     /// Figures of each instance.
-    pub rows: Vec<InstanceReport>,
-    /// Seconds of work that the servers could do while load was offered.
-    pub could_s: f64,
+    pub instances: Vec<InstanceReport>,
+    /// Work that the servers could have done while load was offered, in seconds.
+    pub available_work_s: f64,
     /// How long load was offered, in whole seconds.
     pub offered_s: usize,
     /// Counts of each second, by side.
@@ -52,7 +52,7 @@
     /// Calls on the list service.
     pub list: CallStats,
     /// For each app server, the times of its new connections and its number of requests.
-    pub met: Vec<(Vec<Duration>, usize)>,
+    pub handshakes_and_requests: Vec<(Vec<Duration>, usize)>,
     /// Peer datagrams above the allowed length.
     pub oversized_datagrams: u64,
     /// Bytes of all peer datagrams.
@@ -68,25 +68,26 @@
 }
 
 impl Report {
-    /// Whether all rules were kept and all instances did what they were told.
+    /// Whether no rule was broken, no instance failed to start or stop, and no peer datagram was too long.
     pub fn good(&self) -> bool {
         self.verdict.breaches.is_empty() && self.faults.is_empty() && self.oversized_datagrams == 0
     }
 
     /// Restarted processes that were ready within [`RESTART_READY_LIMIT_MS`], and all restarted processes.
     pub fn restarted(&self) -> (usize, usize) {
-        let restarts = |row: &InstanceReport| row.processes.saturating_sub(1) as usize;
-        let quick = |row: &InstanceReport| {
-            row.ready_ms
+        let restarts = |instance: &InstanceReport| instance.processes.saturating_sub(1) as usize;
+        let quick = |instance: &InstanceReport| {
+            instance
+                .ready_ms
                 .iter()
                 .rev()
-                .take(restarts(row))
+                .take(restarts(instance))
                 .filter(|ms| **ms <= RESTART_READY_LIMIT_MS)
                 .count()
         };
         (
-            self.rows.iter().map(quick).sum(),
-            self.rows.iter().map(restarts).sum(),
+            self.instances.iter().map(quick).sum(),
+            self.instances.iter().map(restarts).sum(),
         )
     }
 
@@ -103,7 +104,7 @@
     }
 
     /// Seconds of work of the requests that were sent while load was offered and were served.
-    pub fn served_s(&self) -> f64 {
+    pub fn served_work_s(&self) -> f64 {
         self.within("all", 0, self.offered_s).served_work
     }
 
@@ -114,7 +115,7 @@
 
     /// Most new connections to one app server within one second.
     pub fn max_handshakes_per_second(&self) -> usize {
-        self.met
+        self.handshakes_and_requests
             .iter()
             .map(|(at, _)| most_in_a_second(at))
             .max()
@@ -134,7 +135,7 @@
         all
     }
 
-    /// Sums the counts from second `from_s` to second `to_s` of the load on one side; "all" is the whole fleet.
+    /// Sums the counts from second `from_s` to second `to_s` of the load on one side; "all" is the entire fleet.
     pub fn within(&self, side: &str, from_s: usize, to_s: usize) -> WindowCounts {
         let windows = self.windows.iter().find(|windows| windows.side == side);
         let seconds = windows.map_or(&[][..], |windows| &windows.seconds);
@@ -152,25 +153,29 @@
 
     fn sorted_ready_ms(&self) -> Vec<f64> {
         let mut all: Vec<f64> = self
-            .rows
+            .instances
             .iter()
-            .flat_map(|row| row.ready_ms.iter().copied())
+            .flat_map(|instance| instance.ready_ms.iter().copied())
             .collect();
         all.sort_by(f64::total_cmp);
         all
     }
 
     fn mean(&self, of: impl Fn(&InstanceReport) -> f64) -> f64 {
-        self.rows.iter().map(of).sum::<f64>() / self.rows.len().max(1) as f64
+        self.instances.iter().map(of).sum::<f64>() / self.instances.len().max(1) as f64
     }
 
     /// CPU time of all instances per request, µs.
     pub fn cpu_us_per_try(&self) -> f64 {
-        self.rows.iter().map(|row| row.cpu_s).sum::<f64>() * 1e6
+        self.instances
+            .iter()
+            .map(|instance| instance.cpu_s)
+            .sum::<f64>()
+            * 1e6
             / (self.verdict.requests.max(1) as f64)
     }
 
-    /// The whole report as JSON.
+    /// The complete report as JSON.
     pub fn json(&self) -> Value {
         let verdict = &self.verdict;
         let breaches: Vec<String> = verdict
@@ -181,7 +186,7 @@
         let ready = self.sorted_ready_ms();
         json!({
             "scenario": self.scenario, "seed": self.seed, "seconds": self.seconds, "good": self.good(),
-            "instances": self.rows.len(), "processes": self.processes, "reloads": self.reloads,
+            "instances": self.instances.len(), "processes": self.processes, "reloads": self.reloads,
             "tries": verdict.requests, "served": verdict.served, "refused": verdict.refused, "failed": verdict.failed,
             "killed": verdict.killed, "paused": verdict.paused, "not_taken": verdict.not_accepted, "lost": verdict.lost,
             "attempts": verdict.attempts, "after_drain": verdict.attempts_after_drain,
@@ -199,23 +204,23 @@
             "retries": self.counts.retries, "nobody": self.counts.no_ready_node,
             "p50_ms": self.counts.p50_ms, "p99_ms": self.counts.p99_ms,
             "ready_ms": {"first": ready.first(), "last": ready.last(), "median": ready.get(ready.len() / 2)},
-            "memory_idle_mb": self.mean(|row| row.memory_idle_mb),
-            "memory_most_mb": self.rows.iter().map(|row| row.memory_peak_mb).fold(0.0, f64::max),
-            "cpu_us_per_try": self.cpu_us_per_try(), "cpu_s_per_instance": self.mean(|row| row.cpu_s),
-            "cpu_share_per_instance": self.mean(|row| row.cpu_s) / self.seconds.max(0.001),
-            "peer_sent_s": self.mean(|row| row.sent_s), "peer_received_s": self.mean(|row| row.received_s),
-            "peer_received_s_most": self.rows.iter().map(|row| row.received_s).fold(0.0, f64::max),
+            "memory_idle_mb": self.mean(|instance| instance.memory_idle_mb),
+            "memory_most_mb": self.instances.iter().map(|instance| instance.memory_peak_mb).fold(0.0, f64::max),
+            "cpu_us_per_try": self.cpu_us_per_try(), "cpu_s_per_instance": self.mean(|instance| instance.cpu_s),
+            "cpu_share_per_instance": self.mean(|instance| instance.cpu_s) / self.seconds.max(0.001),
+            "peer_sent_s": self.mean(|instance| instance.sent_s), "peer_received_s": self.mean(|instance| instance.received_s),
+            "peer_received_s_most": self.instances.iter().map(|instance| instance.received_s).fold(0.0, f64::max),
             "peer_bytes": self.peer_bytes, "peer_too_long": self.oversized_datagrams,
-            "could_s": self.could_s, "served_s": self.served_s(),
+            "could_s": self.available_work_s, "served_s": self.served_work_s(),
             "list": {
                 "calls": self.list.times.len(), "calls_most_s": self.list_calls_most(), "bytes": self.list.list_bytes,
                 "open_most": self.list.max_open_watches, "turned_away": self.list.rejected,
                 "first_ms": percentiles(&self.first_list_times_ms(), &[0.5, 0.99]),
             },
             "servers": {
-                "handshakes": self.met.iter().map(|(at, _)| at.len()).sum::<usize>(),
+                "handshakes": self.handshakes_and_requests.iter().map(|(at, _)| at.len()).sum::<usize>(),
                 "handshakes_most_s": self.max_handshakes_per_second(),
-                "requests": self.met.iter().map(|(_, requests)| requests).collect::<Vec<_>>(),
+                "requests": self.handshakes_and_requests.iter().map(|(_, requests)| requests).collect::<Vec<_>>(),
             },
             "decided": self.decision_counters.iter().map(|(name, count)| json!([name, count])).collect::<Vec<_>>(),
             "windows": self.windows.iter().map(SideWindows::json).collect::<Vec<_>>(),
@@ -263,7 +268,7 @@
             "{} (seed {}): {} instances, {} processes, {} reloads, {:.0} s",
             self.scenario,
             self.seed,
-            self.rows.len(),
+            self.instances.len(),
             self.processes,
             self.reloads,
             self.seconds
@@ -305,15 +310,15 @@
         writeln!(
             f,
             "instances: ready in {:.0} to {:.0} ms, median {:.0}; memory {:.1} MB idle; CPU {:.0} µs a try, {:.4} of a core each",
-            ready_at[0], ready.last().copied().unwrap_or(0.0), ready_at[1], self.mean(|row| row.memory_idle_mb),
-            self.cpu_us_per_try(), self.mean(|row| row.cpu_s) / self.seconds.max(0.001)
+            ready_at[0], ready.last().copied().unwrap_or(0.0), ready_at[1], self.mean(|instance| instance.memory_idle_mb),
+            self.cpu_us_per_try(), self.mean(|instance| instance.cpu_s) / self.seconds.max(0.001)
         )?;
         writeln!(
             f,
             "peers: each sends {:.1} and is sent {:.1} datagrams a second (at most {:.1}; intake 60)",
-            self.mean(|row| row.sent_s),
-            self.mean(|row| row.received_s),
-            self.rows.iter().map(|row| row.received_s).fold(0.0, f64::max)
+            self.mean(|instance| instance.sent_s),
+            self.mean(|instance| instance.received_s),
+            self.instances.iter().map(|instance| instance.received_s).fold(0.0, f64::max)
         )?;
         let first = percentiles(&self.first_list_times_ms(), &[0.5, 0.99]);
         writeln!(
@@ -325,8 +330,8 @@
         writeln!(
             f,
             "servers: {:.1} s of work served, of {:.1} s that they could do: {:.2}; {} handshakes, at most {} in a second at one",
-            self.served_s(), self.could_s, self.served_s() / self.could_s.max(1e-9),
-            self.met.iter().map(|(at, _)| at.len()).sum::<usize>(), self.max_handshakes_per_second()
+            self.served_work_s(), self.available_work_s, self.served_work_s() / self.available_work_s.max(1e-9),
+            self.handshakes_and_requests.iter().map(|(at, _)| at.len()).sum::<usize>(), self.max_handshakes_per_second()
         )?;
         let all = self.within("all", 0, usize::MAX);
         writeln!(
--- a/crates/fleet-harness/src/room.rs
+++ b/crates/fleet-harness/src/room.rs
@@ -41,7 +41,7 @@
 /// limit.
 ///
 /// # Errors
-/// The machine cannot hold the run; the message says what is missing.
+/// The machine lacks the resources for the run; the message names what is missing.
 pub fn reserve(scenario: &Scenario) -> Result<()> {
     ensure!(
         scenario.instances <= MAX_PROCESSES,
@@ -73,7 +73,7 @@
 /// Checks that there is enough memory for a run in virtual time.
 ///
 /// # Errors
-/// The machine cannot hold the run; the message says what is missing.
+/// The machine lacks the resources for the run; the message names what is missing.
 pub fn look(scenario: &Scenario) -> Result<()> {
     ensure_memory(scenario, crate::virtually::required_bytes(scenario))
 }
--- a/crates/fleet-harness/src/scenario.rs
+++ b/crates/fleet-harness/src/scenario.rs
@@ -64,7 +64,7 @@
     CutEtcdConnections(usize),
     /// A member of the etcd cluster stops responding for the given time.
     FreezeEtcdMember(usize, Duration),
-    /// The etcd cluster compacts its whole history.
+    /// The etcd cluster compacts its complete history.
     CompactEtcd,
 }
 
@@ -103,7 +103,7 @@
 /// An action and when it happens.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
-    /// Time since the whole fleet was ready.
+    /// Time since all instances were ready.
     pub at: Duration,
     /// What happens.
     pub action: StepAction,
@@ -181,7 +181,7 @@
     pub start_together: bool,
     /// Requests that an app server processes concurrently; 0 for twice what the offered load needs.
     pub cores: usize,
-    /// Whether app servers are cold when the fleet starts.
+    /// Whether app servers start cold together with the fleet; otherwise they have their full capacity.
     pub cold: bool,
     /// Delay with which discovery reports changes.
     pub discovery_delay: Duration,
@@ -400,7 +400,7 @@
     /// How long load is offered, in seconds. Steps after that are left out.
     pub seconds: Option<u32>,
     /// `discovery`, `etcd` or `both`.
-    pub roster: Option<String>,
+    pub endpoint_source: Option<String>,
 }
 
 impl Overrides {
@@ -417,7 +417,7 @@
             ),
             ("rate", self.rate.map(Value::from)),
             ("duration_ms", milliseconds.map(Value::from)),
-            ("roster", self.roster.clone().map(Value::from)),
+            ("roster", self.endpoint_source.clone().map(Value::from)),
         ];
         table.extend(
             all.into_iter()
--- a/crates/fleet-harness/src/virtually/lists.rs
+++ b/crates/fleet-harness/src/virtually/lists.rs
@@ -344,8 +344,8 @@
 
     fn poll_list(&mut self, node_index: usize) {
         let call = self.nodes[node_index].list_client.call;
-        // A node hedges its calls to an agent, and the first answer counts. One call with the hedging interval as its
-        // timeout stands for them.
+        // A node hedges its calls to an agent, and the first answer counts. The simulation replaces them
+        // by one call whose timeout is the hedging interval.
         let hedge_interval = self.nodes[node_index]
             .list_client
             .backoff
--- a/crates/fleet-harness/src/virtually/mod.rs
+++ b/crates/fleet-harness/src/virtually/mod.rs
@@ -1,4 +1,4 @@
-//! Runs a scenario in virtual time: the policy engines of a whole fleet in one process, with the same customers,
+//! Runs a scenario in virtual time: the policy engines of all nodes in one process, with the same customers,
 //! servers, links and faults as the harness, checked by the same oracle. It covers fleets that are too large for one
 //! machine, and runs that must be reproducible: everything follows from the seed. Nothing of the node's I/O code runs
 //! here; what a process does with sockets, descriptors and signals is covered by runs with real processes.
@@ -69,7 +69,7 @@
     TimerFired(usize, u32, u64),
     /// A message reaches a node: the node, the sender and the message.
     PeerMessage(usize, NodeId, Vec<u8>),
-    /// A server has received the whole request of an attempt.
+    /// A server has received the complete request of an attempt.
     AttemptReceived(InFlightAttempt),
     /// A server's process, given by its number, has done the work of an attempt.
     WorkDone(InFlightAttempt, u32),
@@ -122,7 +122,7 @@
 struct OpenRequest {
     client: Client,
     attempts_sent: u32,
-    /// The oracle was told that the request has no answer, so a later answer is not counted.
+    /// The request is recorded in the oracle as unanswered, so a later answer is not counted.
     abandoned: bool,
 }
 
@@ -929,14 +929,16 @@
             seconds,
             verdict: self.oracle.verdict(),
             counts,
-            rows: self.nodes.iter().map(instance_report).collect(),
-            could_s: self
-                .oracle
-                .available_work(&capacities, load_start, load_start + duration),
+            instances: self.nodes.iter().map(instance_report).collect(),
+            available_work_s: self.oracle.available_work(
+                &capacities,
+                load_start,
+                load_start + duration,
+            ),
             offered_s: duration.as_secs() as usize,
             windows: windows::tally_seconds(&self.oracle, &self.scenario.sides, load_start),
             list: self.list_service.call_stats.clone(),
-            met: self
+            handshakes_and_requests: self
                 .servers
                 .iter()
                 .map(Server::handshakes_and_requests)
@@ -950,7 +952,7 @@
         }
     }
 
-    /// Tells a node's policy engine about servers.
+    /// Passes an update of the endpoint list to a node's policy engine.
     fn update_endpoints(
         &mut self,
         node_index: usize,
--- a/crates/fleet-harness/src/virtually/servers.rs
+++ b/crates/fleet-harness/src/virtually/servers.rs
@@ -65,8 +65,8 @@
         }
     }
 
-    /// Sends an attempt. The whole request reaches its server after one network delay, or after three if it needs a new
-    /// connection.
+    /// Sends an attempt. The complete request reaches its server after one network delay, or after three if it needs a
+    /// new connection.
     pub(super) fn transmit(&mut self, in_flight: InFlightAttempt, network_delay: Micros) {
         let (near, far) = (End::Node(in_flight.node), End::Server(in_flight.server));
         let fault_to_server = self.links.fault_between(near, far);
--- a/crates/fleet-harness/src/windows.rs
+++ b/crates/fleet-harness/src/windows.rs
@@ -47,7 +47,7 @@
 /// The counts of one side, second by second from the start of the load.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SideWindows {
-    /// Name of the side; `all` is the whole fleet.
+    /// Name of the side; `all` is the entire fleet.
     pub side: String,
     /// Counts by the second since the start of the load.
     pub seconds: Vec<WindowCounts>,
@@ -84,7 +84,7 @@
     }
 }
 
-/// Counts the requests of a run by second, for the whole fleet and for each side.
+/// Counts the requests of a run by second, for the entire fleet and for each side.
 pub fn tally_seconds(oracle: &Oracle, sides: &[Side], load_start: Duration) -> Vec<SideWindows> {
     let named = std::iter::once("all").chain(sides.iter().map(|side| &*side.name));
     let mut all: Vec<SideWindows> = named
--- a/crates/fleet-harness/tests/virtual_at_size.rs
+++ b/crates/fleet-harness/tests/virtual_at_size.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn two_regions_that_never_hear_each_other_grant_no_more_than_the_quotas() {
+fn two_regions_without_any_connection_grant_no_more_than_the_quotas() {
     let split = "[[step]]\ndo = \"split\"\nsides = \"west,east\"\n";
     let report = play(&(fleet(300, 1.5, 15, "") + split), 1, PARTITION_SAFE);
     assert_within_quotas(&report, 300);
@@ -55,9 +55,9 @@
     let report = play(&(fleet(300, 1.5, 15, "") + lossy), 1, PARTITION_SAFE);
     assert_within_quotas(&report, 300);
     let most = report
-        .rows
+        .instances
         .iter()
-        .map(|row| row.received_s)
+        .map(|instance| instance.received_s)
         .fold(0.0, f64::max);
     assert!(
         most <= 60.0,
@@ -65,7 +65,7 @@
     );
 }
 
-/// Half of the fleet restarts at once while one server after the other drains, ends and comes back cold.
+/// Half of the fleet restarts at once while one server after the other drains, ends and restarts cold.
 #[test]
 fn three_hundred_nodes_restart_at_once_while_servers_change() {
     let steps = "[[step]]\ndo = \"restart\"\ncount = 300\nat_ms = 4000\n\
@@ -81,7 +81,7 @@
     assert_eq!(report.verdict.unanswered(), 0, "{report}");
 }
 
-/// One customer asks for a hundredth of what the whole fleet gets, through all nodes and far beyond its quota.
+/// One customer asks for a hundredth of the requests of the entire fleet, through all nodes and far beyond its quota.
 #[test]
 fn a_hot_customer_is_held_to_its_quota_and_takes_nothing_from_others() {
     let totals = |hot: f64| {
@@ -140,8 +140,8 @@
     );
 }
 
-/// `[servers] working_set` of the operator file applies in virtual time as in a node: decisions do not examine the
-/// whole of a long list.
+/// `[servers] working_set` of the operator file applies in virtual time as in a node: decisions examine only a
+/// part of a long list.
 #[test]
 fn a_working_set_is_read_from_the_operator_file() {
     let text =
@@ -156,9 +156,12 @@
             .find(|(name, _)| *name == "servers_looked_at");
         found.map(|(_, count)| *count).expect("the counter exists")
     };
-    let (whole, part) = (examined(""), examined("[servers]\nworking_set = true\n"));
-    // About 22 of the 60 nodes send to each server, and each node reads the whole list when it starts.
-    assert!(part * 2 < whole, "{part} with, {whole} without");
+    let (full_list, working_set) = (examined(""), examined("[servers]\nworking_set = true\n"));
+    // About 22 of the 60 nodes send to each server, and each node reads the full list when it starts.
+    assert!(
+        working_set * 2 < full_list,
+        "{working_set} with, {full_list} without"
+    );
 }
 
 /// 2,700 nodes, with a load in proportion for 1 s: a node sends as many peer messages as in a fleet of 30.
--- a/crates/fleet-harness/tests/virtual_replies.rs
+++ b/crates/fleet-harness/tests/virtual_replies.rs
@@ -1,4 +1,4 @@
-//! Runs of whole fleets in virtual time with fixed seeds, whose reports are kept as fixtures. A change that is not
+//! Runs of fleets in virtual time with fixed seeds, whose reports are kept as fixtures. A change that is not
 //! meant to change the nodes' decisions must leave every figure as it is, to the last digit.
 
 use saffronpaddle_fleet_harness::{virtually, Scenario};
@@ -15,7 +15,7 @@
     format!("{:#}\n", report.json())
 }
 
-/// Compares the whole text and prints only the line of the first difference.
+/// Compares the complete text and prints only the line of the first difference.
 fn assert_same(name: &str, actual: &str, fixture: &str) {
     if actual == fixture {
         return;
--- a/crates/fleet-harness/tests/virtual_time.rs
+++ b/crates/fleet-harness/tests/virtual_time.rs
@@ -1,4 +1,4 @@
-//! Whole fleets in virtual time. The same seed gives the same run, so that figures can be asserted which vary in real
+//! Fleets in virtual time. The same seed gives the same run, so that figures can be asserted which vary in real
 //! time.
 
 use saffronpaddle_fleet_harness::{virtually, Report, Scenario};
@@ -38,8 +38,8 @@
 }
 
 /// In partition-safe mode (`fenced`) owners and standbys together grant no more than the quotas: in two halves, with
-/// each node isolated, and when only one half hears the other. Without it, two owners that do not hear each other each
-/// grant the full quotas.
+/// each node isolated, and when messages pass in one direction only. Without it, two owners that cannot reach each
+/// other each grant the full quotas.
 #[test]
 fn fenced_owners_in_a_partition_grant_no_more_than_the_quotas() {
     let one_way =
@@ -62,8 +62,8 @@
     assert!(without.within("all", 15, 30).beyond > 300.0, "{without}");
 }
 
-/// When all sides hear each other, before and after a partition, an owner in partition-safe mode leases what its
-/// standby holds, so that the whole quota is usable.
+/// While all sides are connected, before and after a partition, an owner in partition-safe mode leases what its
+/// standby holds, so that the full quota is usable.
 #[test]
 fn units_that_standbys_hold_are_leased_and_quotas_are_fully_used() {
     let calm = play(&overloaded(24, ""), 1, PARTITION_SAFE);
@@ -81,9 +81,9 @@
     );
 }
 
-/// While a side of a small fleet does not hear its peers, it reserves their shares. What the peers sent from these
-/// shares must not be deducted a second time when they are heard again. (With the deduction, 0.87 and 0.79 of the rate
-/// were used in the 15 s after two halves and after twelve isolated nodes.)
+/// While a side of a small fleet receives no messages from its peers, it reserves their shares. What the peers sent
+/// from these shares must not be deducted a second time when their messages arrive again. (With the deduction, 0.87 and
+/// 0.79 of the rate were used in the 15 s after two halves and after twelve isolated nodes.)
 #[test]
 fn a_small_fleet_uses_its_quotas_again_after_a_partition() {
     for step in [HALVES, ISOLATED] {
@@ -104,7 +104,12 @@
     let sent_per_node = |operator: &str| {
         let report = play(&overloaded(24, lossy), 1, operator);
         assert!(report.good(), "{report}");
-        report.rows.iter().map(|row| row.sent_s).sum::<f64>() / 24.0
+        report
+            .instances
+            .iter()
+            .map(|instance| instance.sent_s)
+            .sum::<f64>()
+            / 24.0
     };
     let (without, within) = (
         sent_per_node(""),
@@ -129,7 +134,12 @@
         );
         let report = play(&text, 1, "");
         assert!(report.good(), "{report}");
-        report.rows.iter().map(|row| row.sent_s).sum::<f64>() / nodes as f64
+        report
+            .instances
+            .iter()
+            .map(|instance| instance.sent_s)
+            .sum::<f64>()
+            / nodes as f64
     };
     let (few, many) = (sent_per_node(30), sent_per_node(300));
     assert!(
@@ -138,7 +148,7 @@
     );
 }
 
-/// A whole fleet starts at once and shares one list service, whose capacity must not be exceeded at any size.
+/// All nodes of a fleet start at once and share one list service, whose capacity must not be exceeded at any size.
 #[test]
 fn calls_on_the_list_service_keep_to_what_it_bears_from_three_nodes_to_a_thousand() {
     let limits = "[list]\ncalls_per_s = 25\nfirst_within_ms = 60000\n";
@@ -183,7 +193,7 @@
                 "{report}"
             );
             assert!(
-                report.served_s() > 0.5 * report.could_s.min(rate * 0.085 * 20.0),
+                report.served_work_s() > 0.5 * report.available_work_s.min(rate * 0.085 * 20.0),
                 "{report}"
             );
         }
--- a/crates/netio/src/lib.rs
+++ b/crates/netio/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! - A call that a signal has interrupted (`EINTR`) had no effect and is retried immediately: by [`Socket`] for TCP, by
 //!   [`Uninterrupted`] for other streams, by [`retry_interrupted`] for single calls.
-//! - [`AcceptFailure`] tells whether `accept` failed because of the connection that it would have returned, or because
+//! - [`AcceptFailure`] says whether `accept` failed because of the connection that it would have returned, or because
 //!   this process or the machine has run out of a resource.
 //! - [`retry_shortage`] retries a call during the start of the process while the machine lacks a resource.
 #![forbid(unsafe_code)]
--- a/crates/netio/src/socket.rs
+++ b/crates/netio/src/socket.rs
@@ -16,7 +16,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Whether the peer has closed the connection, as far as the kernel knows. Unread bytes may still be buffered.
+/// Whether the kernel has received the peer's close of the connection. Unread bytes may still be buffered.
 pub fn is_read_closed(stream: &TcpStream) -> bool {
     let ready = std::pin::pin!(stream.ready(Interest::READABLE));
     match ready.poll(&mut Context::from_waker(Waker::noop())) {
@@ -26,7 +26,7 @@
 }
 
 /// Whether a connection has nothing to read: no bytes, no end of stream and no error. Asks the kernel directly, because
-/// the runtime learns of an event only at its next poll.
+/// the runtime receives events only at its next poll.
 pub fn has_no_unread_bytes(stream: &TcpStream) -> bool {
     let peeked = retry_interrupted(|| SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]));
     peeked.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
--- a/crates/netio/tests/failures.rs
+++ b/crates/netio/tests/failures.rs
@@ -163,7 +163,7 @@
     calls.set(0);
     let error = retry_shortage(succeeds_after(u32::MAX))
         .await
-        .expect_err("the shortage lasts");
+        .expect_err("the resource is still short");
     assert!(is_shortage(&error));
     // Any other error is returned immediately.
     let refused = || std::future::ready(Err::<(), _>(io::Error::from(ErrorKind::AddrInUse)));
--- a/crates/saffronpaddle/src/fleet.rs
+++ b/crates/saffronpaddle/src/fleet.rs
@@ -72,7 +72,7 @@
             Long("servers") => overrides.servers = Some(arguments.value()?.parse()?),
             Long("instances") => overrides.instances = Some(arguments.value()?.parse()?),
             Long("rate") => overrides.rate = Some(arguments.value()?.parse()?),
-            Long("roster") => overrides.roster = Some(arguments.value()?.parse()?),
+            Long("roster") => overrides.endpoint_source = Some(arguments.value()?.parse()?),
             Long("seconds") => overrides.seconds = Some(arguments.value()?.parse()?),
             other => return Err(other.unexpected().into()),
         }
@@ -138,7 +138,7 @@
         seed: arguments.seed,
         folder: arguments.output_folder.unwrap_or_else(temporary_folder),
         operator,
-        say: true,
+        print_steps: true,
         log_level: "info",
         preload: None,
     };
--- a/crates/saffronpaddle/src/soak.rs
+++ b/crates/saffronpaddle/src/soak.rs
@@ -74,7 +74,7 @@
             seed,
             folder: folder.to_owned(),
             operator: String::new(),
-            say: false,
+            print_steps: false,
             log_level: "debug",
             preload: self.preload.clone(),
         }
--- a/crates/saffronpaddle/tests/admin.rs
+++ b/crates/saffronpaddle/tests/admin.rs
@@ -180,7 +180,7 @@
     servers.next_request();
     let mut in_progress = node.connect();
     in_progress.write(&request("b", "pay", "20000m"));
-    let mut got = servers.next_request();
+    let mut upstream_request = servers.next_request();
     let mut new_connection = node.connect();
     assert!(admin_request(admin, "LAMEDUCK\n").starts_with("SUCCESS"));
     assert!(
@@ -201,7 +201,8 @@
     late.expect_close();
     // A connection without a request is closed.
     node.connect().expect_close();
-    got.stream
+    upstream_request
+        .stream
         .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nranks")
         .expect("written");
     let answer = in_progress.read_response().expect("a response");
--- a/crates/saffronpaddle/tests/bodies.rs
+++ b/crates/saffronpaddle/tests/bodies.rs
@@ -42,9 +42,12 @@
         client.write(&"a".repeat(1000));
     }
     assert_eq!(client.read_response().expect("an answer").status(), 200);
-    let got = servers.next_request();
+    let upstream_request = servers.next_request();
     assert_eq!(
-        (got.message.body.len(), got.message.header("x-request-id")),
+        (
+            upstream_request.message.body.len(),
+            upstream_request.message.header("x-request-id")
+        ),
         (LARGE_BODY_BYTES, "a")
     );
     // On the same connection, chunks that are split at any byte, with an extension and a trailer.
@@ -93,10 +96,10 @@
     let (servers, discovery, node) = start_with_one_server("long", &[Reply::NoResponse]);
     let mut client = node.connect();
     client.write(&request("a", "read", "20000m"));
-    let mut got = servers.next_request();
+    let mut upstream_request = servers.next_request();
     let part = "r".repeat(LARGE_BODY_BYTES / 2);
     write!(
-        got.stream,
+        upstream_request.stream,
         "HTTP/1.1 200 OK\r\nContent-Length: {LARGE_BODY_BYTES}\r\n\r\n{}",
         &part[..70_000]
     )
@@ -115,7 +118,7 @@
             false,
             &[host_json(
                 "s-1",
-                got.stream.local_addr().expect("an address"),
+                upstream_request.stream.local_addr().expect("an address"),
                 1,
                 "draining",
             )],
@@ -123,11 +126,15 @@
     );
     let mut rest = vec![0; LARGE_BODY_BYTES - 70_000];
     let writer = std::thread::spawn(move || {
-        got.stream
+        upstream_request
+            .stream
             .write_all(&part.as_bytes()[70_000..])
             .expect("written");
-        got.stream.write_all(part.as_bytes()).expect("written");
-        got
+        upstream_request
+            .stream
+            .write_all(part.as_bytes())
+            .expect("written");
+        upstream_request
     });
     reader
         .read_exact(&mut rest)
@@ -144,16 +151,21 @@
         let (servers, _discovery, node) = start_with_one_server(tag, &[Reply::NoResponse]);
         let mut client = node.connect();
         client.write(&request("a", "read", "20000m"));
-        let mut got = servers.next_request();
+        let mut upstream_request = servers.next_request();
         let piece = if tag == "sized" {
             "r".repeat(100_000)
         } else {
             chunk(100_000)
         };
-        write!(got.stream, "HTTP/1.1 200 OK\r\n{framing}\r\n\r\n{piece}").expect("written");
+        write!(
+            upstream_request.stream,
+            "HTTP/1.1 200 OK\r\n{framing}\r\n\r\n{piece}"
+        )
+        .expect("written");
         let mut reader = BufReader::new(client.stream.try_clone().expect("a clone"));
         read_head(&mut reader);
-        got.stream
+        upstream_request
+            .stream
             .shutdown(std::net::Shutdown::Both)
             .expect("the connection is open");
         let mut rest = Vec::new();
@@ -174,7 +186,7 @@
 }
 
 /// A server that closes the connection during the request's body has not run the request: the client gets the status
-/// that allows a safe retry, once it has written the whole body.
+/// that allows a safe retry, once it has written the complete body.
 #[test]
 fn a_request_whose_server_disconnects_during_the_body_is_refused_and_not_retried() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -200,7 +212,7 @@
         &format!("Content-Length: {LARGE_BODY_BYTES}"),
     ));
     client.write(&"a".repeat(200_000));
-    let listener = server.join().expect("the server got a part");
+    let listener = server.join().expect("the server received a part");
     client.write(&"a".repeat(LARGE_BODY_BYTES - 200_000));
     assert_eq!(client.read_response().expect("an answer").status(), 503);
     assert!(
@@ -234,7 +246,7 @@
     let mut client = node.connect();
     client.write(&request_head("a", "Transfer-Encoding: chunked"));
     client.write(&chunk(100_000));
-    let _stream = server.join().expect("the server got a part");
+    let _stream = server.join().expect("the server received a part");
     client.write(&format!("{}0\r\n\r\n", chunk(1000)));
     let started = std::time::Instant::now();
     assert_eq!(client.read_response().expect("an answer").status(), 503);
@@ -250,17 +262,17 @@
     let (servers, _discovery, node) = start_with_one_server("slow", &[Reply::NoResponse]);
     let mut client = node.connect();
     client.write(&request("a", "read", "20000m"));
-    let mut got = servers.next_request();
+    let mut upstream_request = servers.next_request();
     let size = 30 << 20;
     write!(
-        got.stream,
+        upstream_request.stream,
         "HTTP/1.1 200 OK\r\nContent-Length: {size}\r\n\r\n"
     )
     .expect("written");
     let writer = std::thread::spawn(move || {
         let piece = vec![b'r'; 1 << 20];
-        (0..30).for_each(|_| got.stream.write_all(&piece).expect("written"));
-        got
+        (0..30).for_each(|_| upstream_request.stream.write_all(&piece).expect("written"));
+        upstream_request
     });
     let mut reader = BufReader::new(client.stream.try_clone().expect("a clone"));
     read_head(&mut reader);
--- a/crates/saffronpaddle/tests/cold_start.rs
+++ b/crates/saffronpaddle/tests/cold_start.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::fleet_with_operator;
+use common::run_scenario_with_operator;
 use saffronpaddle_fleet_harness::Report;
 
 /// Asserts that no rule is violated, and that no cold server is sent as much work as would crash it.
@@ -22,24 +22,27 @@
 }
 
 /// The fleet uses the capacity that a server of four cores has while it is cold. A limit of 1.5 sends per second for
-/// the whole fleet, which an earlier version had, serves only about nine requests in six seconds.
+/// the entire fleet, which an earlier version had, serves only about nine requests in six seconds.
 #[test]
 fn a_cold_fleet_uses_the_capacity_that_its_cold_server_has() {
-    let report = fleet_with_operator("cold-all", &cold_scenario("all", ""), "");
+    let report = run_scenario_with_operator("cold-all", &cold_scenario("all", ""), "");
     assert_cold_servers_not_overloaded(&report);
     assert!(report.verdict.served > 30, "{report}");
 }
 
-/// Nodes send to cold servers in turns that need no messages, and learn from responses: with all peer datagrams lost,
+/// Nodes send to cold servers in turns that need no messages, and adapt to the responses: with all peer datagrams lost,
 /// the sum of what they send still keeps to the limit. (Owners of customers' quotas can't be reached either; what a
 /// node sends alone is bounded by that.)
 #[test]
 fn a_cold_start_without_peer_messages_does_not_overload_the_server() {
     let lost = "[[step]]\ndo = \"peers\"\nloss = 1.0\n";
-    let report = fleet_with_operator("cold-deaf", &cold_scenario("deaf", lost), "");
+    let report = run_scenario_with_operator("cold-deaf", &cold_scenario("deaf", lost), "");
     assert_cold_servers_not_overloaded(&report);
     assert!(
-        report.rows.iter().all(|row| row.received_s < 1.0),
+        report
+            .instances
+            .iter()
+            .all(|instance| instance.received_s < 1.0),
         "{report}"
     );
 }
@@ -47,7 +50,7 @@
 #[test]
 fn nodes_that_join_during_a_cold_start_do_not_overload_the_server() {
     let late = "absent = \"n6-n11\"\n[[step]]\ndo = \"start\"\nside = \"n6-n11\"\nat_ms = 2500\n";
-    let report = fleet_with_operator("cold-late", &cold_scenario("late", late), "");
+    let report = run_scenario_with_operator("cold-late", &cold_scenario("late", late), "");
     assert_cold_servers_not_overloaded(&report);
     assert_eq!(report.processes, 12, "{report}");
 }
@@ -58,25 +61,26 @@
 fn restarts_and_kills_during_a_cold_start_do_not_overload_the_server() {
     let steps = "[[step]]\ndo = \"restart\"\nat_ms = 1000\ncount = 6\ngap_ms = 500\n\
                  [[step]]\ndo = \"kill\"\nat_ms = 2000\nevery_ms = 1200\nfor_ms = 400\n";
-    let report = fleet_with_operator("cold-roll", &cold_scenario("roll", steps), "");
+    let report = run_scenario_with_operator("cold-roll", &cold_scenario("roll", steps), "");
     assert_cold_servers_not_overloaded(&report);
     assert!(report.processes > 16, "{report}");
 }
 
-/// A node that resumes after a pause still holds old rights to send and reads old responses; neither counts any more.
+/// A node that resumes after a pause still holds old rights to send and reads old responses. Neither has any effect on
+/// what it sends.
 #[test]
 fn nodes_that_resume_after_a_pause_do_not_overload_a_cold_server() {
     let steps = "[[step]]\ndo = \"pause\"\nat_ms = 1500\ncount = 4\nfor_ms = 2500\n";
-    let report = fleet_with_operator("cold-pause", &cold_scenario("pause", steps), "");
+    let report = run_scenario_with_operator("cold-pause", &cold_scenario("pause", steps), "");
     assert_cold_servers_not_overloaded(&report);
 }
 
-/// What an earlier instance of the server earned does not count for the next one, which is sent less because its
-/// predecessor crashed.
+/// The send rate that an earlier process of the server had reached does not apply to its next process, which is sent
+/// less because its predecessor crashed.
 #[test]
 fn a_cold_server_that_crashes_and_restarts_is_not_overloaded_again() {
     let steps = "[[step]]\ndo = \"crash\"\nat_ms = 2500\nfor_ms = 700\n[[step]]\ndo = \"crash\"\nat_ms = 4500\nfor_ms = 300\n";
-    let report = fleet_with_operator("cold-again", &cold_scenario("again", steps), "");
+    let report = run_scenario_with_operator("cold-again", &cold_scenario("again", steps), "");
     assert_cold_servers_not_overloaded(&report);
 }
 
@@ -86,7 +90,7 @@
     let steps = "[[side]]\nname = \"a\"\nhas = \"n0-n5\"\n[[side]]\nname = \"b\"\nhas = \"n6-n11\"\n\
                  [[step]]\ndo = \"split\"\nsides = \"a,b\"\nfor_ms = 3500\nheal_gap_ms = 50\n\
                  [[step]]\ndo = \"link\"\nfrom = \"a\"\nto = \"servers\"\nstalled = true\nat_ms = 3000\nfor_ms = 1000\n";
-    let report = fleet_with_operator("cold-sides", &cold_scenario("sides", steps), "");
+    let report = run_scenario_with_operator("cold-sides", &cold_scenario("sides", steps), "");
     assert_cold_servers_not_overloaded(&report);
     let (a, b) = (report.within("a", 0, 6), report.within("b", 0, 6));
     assert!(
@@ -99,7 +103,7 @@
 #[test]
 fn requests_are_answered_while_connections_to_two_servers_never_open() {
     let step = "[[step]]\ndo = \"link\"\nfrom = \"nodes\"\nto = \"s0-s1\"\nunheard = true\nat_ms = 1000\nfor_ms = 3000\n";
-    let report = fleet_with_operator("cold-unheard", &warm_scenario("unheard", step), "");
+    let report = run_scenario_with_operator("cold-unheard", &warm_scenario("unheard", step), "");
     assert!(report.good(), "{report}");
     assert!(
         report.verdict.served * 2 > report.verdict.requests,
@@ -124,7 +128,7 @@
 /// rate limit all 24 nodes call within the first second.
 #[test]
 fn a_fleet_that_starts_at_once_keeps_to_the_call_rate_of_its_list_service() {
-    let report = fleet_with_operator(
+    let report = run_scenario_with_operator(
         "list-spared",
         &warm_scenario("spared", "list_calls_per_s = 8\n"),
         LIST_CALL_LIMIT,
@@ -134,7 +138,7 @@
     assert_eq!(
         report.list.first_answers.len(),
         24,
-        "a node got no list: {report}"
+        "a node received no list: {report}"
     );
     assert!(
         report.verdict.served * 2 > report.verdict.requests,
@@ -151,7 +155,7 @@
         "known = \"stale\"\n[[step]]\ndo = \"list-down\"\nfor_ms = 2000\n",
     )
     .replace("6000", "11000");
-    let report = fleet_with_operator("list-stale", &text, LIST_CALL_LIMIT);
+    let report = run_scenario_with_operator("list-stale", &text, LIST_CALL_LIMIT);
     assert!(report.good(), "{report}");
     assert!(
         report.verdict.served > 0 && report.list.first_answers.len() == 24,
@@ -159,13 +163,13 @@
     );
 }
 
-/// The list service comes back without entries, or restarts its sequence numbers. A fleet that trusted it would have no
-/// server left to send to.
+/// After an outage the list service has no entries, or restarts its sequence numbers. A fleet that accepted its list
+/// would have no server left to send to.
 #[test]
 fn nodes_keep_their_servers_when_the_list_service_returns_empty_or_renumbered() {
     let steps =
         "[[step]]\ndo = \"list-renumbered\"\nat_ms = 1000\n[[step]]\ndo = \"list-empty\"\nat_ms = 3800\n";
-    let report = fleet_with_operator(
+    let report = run_scenario_with_operator(
         "list-empty",
         &warm_scenario("empty", steps),
         LIST_CALL_LIMIT,
@@ -180,7 +184,7 @@
 fn nodes_serve_while_the_list_service_accepts_connections_but_never_answers() {
     let steps =
         "[[step]]\ndo = \"link\"\nfrom = \"nodes\"\nto = \"list\"\nstalled = true\nfor_ms = 4000\n";
-    let report = fleet_with_operator(
+    let report = run_scenario_with_operator(
         "list-silent",
         &warm_scenario("silent", steps),
         LIST_CALL_LIMIT,
@@ -199,7 +203,7 @@
         .map(|run| {
             std::thread::spawn(move || {
                 let text = "name = \"beside\"\ninstances = 6\nservers = 3\ncustomers = 24\nrate = 40\nduration_ms = 3000\n";
-                fleet_with_operator(&format!("beside-{run}"), text, "")
+                run_scenario_with_operator(&format!("beside-{run}"), text, "")
             })
         })
         .collect();
@@ -207,7 +211,10 @@
         let report = run.join().expect("the fleet runs");
         assert!(report.good(), "{report}");
         assert!(
-            report.rows.iter().all(|row| row.received_s > 0.0),
+            report
+                .instances
+                .iter()
+                .all(|instance| instance.received_s > 0.0),
             "a node received no messages: {report}"
         );
     }
--- a/crates/saffronpaddle/tests/common/mod.rs
+++ b/crates/saffronpaddle/tests/common/mod.rs
@@ -14,7 +14,7 @@
 /// A permit to run a fleet; it is released when dropped.
 ///
 /// The limit guards against false violations: with eight fleets of 30 processes side by side on a small machine, the
-/// ledger sees the end of a connection so late that it counts two consecutive attempts as concurrent.
+/// test oracle sees the end of a connection so late that it counts two consecutive attempts as concurrent.
 pub struct FleetPermit;
 
 impl FleetPermit {
@@ -57,7 +57,7 @@
         seed,
         folder,
         operator,
-        say: false,
+        print_steps: false,
         log_level,
         preload,
     }
@@ -87,13 +87,13 @@
 
 /// Runs a scenario with instances of the program that was built with this test.
 #[allow(dead_code)]
-pub fn fleet(tag: &str, text: &str) -> Report {
-    fleet_with_operator(tag, text, "")
+pub fn run_scenario(tag: &str, text: &str) -> Report {
+    run_scenario_with_operator(tag, text, "")
 }
 
 /// Runs a scenario whose instances have an operator file with the text `operator`.
 #[allow(dead_code)]
-pub fn fleet_with_operator(tag: &str, text: &str, operator: &str) -> Report {
+pub fn run_scenario_with_operator(tag: &str, text: &str, operator: &str) -> Report {
     let scenario = Scenario::parse(text, 1).expect("a valid scenario");
     let folder =
         std::env::temp_dir().join(format!("saffronpaddle-{}-fleet-{tag}", std::process::id()));
@@ -104,7 +104,7 @@
         seed: 1,
         folder,
         operator,
-        say: false,
+        print_steps: false,
         log_level,
         preload,
     };
--- a/crates/saffronpaddle/tests/crossings.rs
+++ b/crates/saffronpaddle/tests/crossings.rs
@@ -1,7 +1,7 @@
 //! Races between two events, forced over loopback against the program: a watch ends, a client disconnects or the
 //! process stops while a request or an update is still pending. `docs/properties.md` has the table.
 //!
-//! The tests order events by waiting for each one. Where only the kernel knows when bytes have arrived, the node is
+//! The tests order events by waiting for each one. Where only the kernel can tell when bytes have arrived, the node is
 //! suspended, so that it finds all of them at once when it resumes.
 
 use saffronpaddle_test_doubles::scripted::*;
@@ -36,7 +36,7 @@
     }
 }
 
-/// Starts two servers, and a node that knows only the first.
+/// Starts two servers, and a node whose list holds only the first.
 fn start_with_two_servers(tag: &str) -> (Servers, Discovery, Node, [SocketAddr; 2]) {
     let (servers, discovery) = (Servers::new(), Discovery::start());
     let dials = ["s-1", "s-2"].map(|name| servers.start(name, &[REPLY_OK]));
@@ -273,8 +273,8 @@
     });
 }
 
-/// Guards against a node that has no open watch yet and finds the answer to its call, followed by the list, beside
-/// requests.
+/// Guards against a node that has no open watch yet and reads the answer to its call, followed by the list, at the
+/// same time as requests.
 #[test]
 fn a_suspended_node_applies_a_drain_that_arrived_with_the_response_to_its_call() {
     let (servers, listener) = (
@@ -340,7 +340,7 @@
 
 // ---- Clients ----
 
-/// Starts a node with an admin address, which knows one server with the given health.
+/// Starts a node with an admin address, whose list holds one server with the given health.
 fn start_with_admin(
     tag: &str,
     servers: &Servers,
@@ -474,12 +474,13 @@
     let (_, mut watch) = discovery.next_watch();
     let mut client = node.connect();
     client.write(&request("left", "read", "30000m"));
-    let got = servers.next_request();
+    let upstream_request = servers.next_request();
     write_list(
         &mut watch,
         &list_json(2, true, &[host_json("s-1", dial, 1, "draining")]),
     );
-    got.stream
+    upstream_request
+        .stream
         .shutdown(Shutdown::Both)
         .expect("the attempt is open, or was cancelled because the server is silent");
     wait_for_open_requests(admin, 1);
@@ -564,14 +565,17 @@
         "the same customer and plan in another class"
     );
     for (id, class) in [("a", "read"), ("c", "read"), ("d", "read-all")] {
-        let got = servers.next_request().message;
-        assert_eq!(got.header("x-request-id"), id);
+        let upstream_request = servers.next_request().message;
+        assert_eq!(upstream_request.header("x-request-id"), id);
         assert!(
-            got.start_line.contains(&format!("/{class}/")),
+            upstream_request.start_line.contains(&format!("/{class}/")),
             "{}",
-            got.start_line
+            upstream_request.start_line
+        );
+        assert_eq!(
+            upstream_request.start_line.starts_with("GET"),
+            class == "read"
         );
-        assert_eq!(got.start_line.starts_with("GET"), class == "read");
     }
     // A class accepts only the method that belongs to its effect.
     let wrong = of("f", "read-all", "p", rich).replacen("POST", "GET", 1);
@@ -581,7 +585,8 @@
 
 // ---- Answers ----
 
-/// `X-Not-Run` is proof only beside a refusal, and a head that never ends is a failed attempt that may have run.
+/// `X-Not-Run` is a proof only in a response that refuses the request. A response head that never ends is a failed
+/// attempt that may have run.
 #[test]
 fn an_unsafe_request_is_not_retried_without_a_valid_proof_that_it_did_not_run() {
     let head = "HTTP/1.1 200 OK\r\nX-Junk: ".to_owned() + &"j".repeat(40_000);
@@ -710,13 +715,14 @@
         let (servers, _discovery, mut node) = start_with_one_server(tag, &[Reply::NoResponse]);
         let mut client = node.connect();
         client.write(&request("a", "pay", "20000m"));
-        let mut got = servers.next_request();
+        let mut upstream_request = servers.next_request();
         // The node is stopped, so that it finds all signals at once.
         node.signal("-STOP");
         signals.iter().for_each(|signal| node.signal(signal));
         node.signal("-CONT");
         wait_for_log_line(&node, "life cycle: closing");
-        got.stream
+        upstream_request
+            .stream
             .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nranks")
             .expect("the attempt is open");
         assert_eq!(
--- a/crates/saffronpaddle/tests/delayed_requests.rs
+++ b/crates/saffronpaddle/tests/delayed_requests.rs
@@ -41,8 +41,8 @@
 }
 
 /// The deadline in ms that a server received.
-fn received_deadline_ms(got: &ReceivedRequest) -> u128 {
-    let deadline = got.message.header("x-deadline");
+fn received_deadline_ms(upstream_request: &ReceivedRequest) -> u128 {
+    let deadline = upstream_request.message.header("x-deadline");
     deadline
         .trim_end_matches('m')
         .parse()
@@ -149,9 +149,15 @@
         short.write(&request(&format!("short{round}"), "read", SHORT_DEADLINE));
         let waited = resume_after_suspension(&node, Instant::now());
         assert_eq!(long.read_response().expect("an answer").status(), 200);
-        let got = servers.next_request();
-        let (forwarded, elapsed) = (received_deadline_ms(&got), before.elapsed().as_millis());
-        assert_eq!(got.message.header("x-request-id"), format!("long{round}"));
+        let upstream_request = servers.next_request();
+        let (forwarded, elapsed) = (
+            received_deadline_ms(&upstream_request),
+            before.elapsed().as_millis(),
+        );
+        assert_eq!(
+            upstream_request.message.header("x-request-id"),
+            format!("long{round}")
+        );
         assert!(
             forwarded <= LONG_DEADLINE.1 - waited,
             "{forwarded} ms forwarded after {waited} ms"
@@ -242,8 +248,8 @@
     }
 }
 
-/// Guards against pipelined bytes that hide a client's disconnect, so that a retry begins although nobody waits for it.
-/// The kernel has the disconnect before it has the failure of the first attempt.
+/// Guards against pipelined bytes that hide a client's disconnect, so that a retry begins although no client waits for
+/// it. The kernel has the disconnect before it has the failure of the first attempt.
 #[test]
 fn no_retry_begins_for_a_client_that_disconnected_after_pipelined_bytes() {
     let (servers, discovery) = (Servers::new(), Discovery::start());
@@ -257,14 +263,20 @@
     for round in 0..20 {
         let mut client = node.connect();
         client.write(&request(&format!("left{round}"), "read", LONG_DEADLINE.0));
-        let got = servers.next_request();
-        assert_eq!(got.message.header("x-request-id"), format!("left{round}"));
+        let upstream_request = servers.next_request();
+        assert_eq!(
+            upstream_request.message.header("x-request-id"),
+            format!("left{round}")
+        );
         client.write(&request("behind", "read", LONG_DEADLINE.0));
         client
             .stream
             .shutdown(Shutdown::Both)
             .expect("the connection is open");
-        got.stream.shutdown(Shutdown::Both).unwrap_or(());
+        upstream_request
+            .stream
+            .shutdown(Shutdown::Both)
+            .unwrap_or(());
         let answer =
             node.connect()
                 .exchange(&request(&format!("other{round}"), "read", LONG_DEADLINE.0));
--- a/crates/saffronpaddle/tests/discovery_recovery.rs
+++ b/crates/saffronpaddle/tests/discovery_recovery.rs
@@ -132,8 +132,9 @@
     unreachable!("the loop ends only with an answer or a panic")
 }
 
-/// Nodes know two servers and cannot fetch a list, since the service answers as `outage` says (`None`: it does not
-/// listen). Then the service recovers, with one of the two as draining. Asserts that each node learns it in time.
+/// Nodes know two servers and cannot fetch a list, since the service answers as `outage` specifies (`None`: it does not
+/// listen). Then the service recovers, with one of the two as draining. Asserts that each node receives the drain in
+/// time.
 fn assert_drain_is_learned_after(tag: &str, outage: Option<Mode>) {
     let address = reserve_address().expect("an address");
     let service = outage.map(|mode| Service::start(address, mode));
--- a/crates/saffronpaddle/tests/edge.rs
+++ b/crates/saffronpaddle/tests/edge.rs
@@ -5,7 +5,8 @@
 use std::io::Write;
 use std::time::Instant;
 
-/// Starts an edge node that knows two servers. The first attempt gets the reply `first`, all others get `then`.
+/// Starts an edge node with two servers in its configuration. The first attempt gets the reply `first`, all others get
+/// `then`.
 fn start_with_two_servers(
     tag: &str,
     blocks: [u32; 2],
@@ -40,21 +41,21 @@
     for (number, class) in ["read", "submit", "pay"].into_iter().enumerate() {
         let answer = client.exchange(&request(class, class, "20000m"));
         assert_eq!((answer.status(), &answer.body[..]), (200, &b"ranks"[..]));
-        let got = servers.next_request();
+        let upstream_request = servers.next_request();
         let method = if class == "read" { "GET" } else { "POST" };
         let start_line = format!("{method} /{class}/00000000b4d65521?game=7 HTTP/1.1");
-        assert_eq!(got.message.start_line, start_line);
-        assert_eq!(got.message.header("x-request-id"), class);
-        assert!(got.message.header("x-deadline").ends_with('m'));
+        assert_eq!(upstream_request.message.start_line, start_line);
+        assert_eq!(upstream_request.message.header("x-request-id"), class);
+        assert!(upstream_request.message.header("x-deadline").ends_with('m'));
         assert_eq!(
-            got.message.body,
+            upstream_request.message.body,
             if class == "read" { &b""[..] } else { b"time" }
         );
         let key = if class == "submit" { "5c0f6e1a" } else { "" };
-        assert_eq!(got.message.header("idempotency-key"), key);
+        assert_eq!(upstream_request.message.header("idempotency-key"), key);
         assert_eq!(
-            got.connection, 0,
-            "request {number} opened a connection of its own"
+            upstream_request.connection, 0,
+            "request {number} opened a new connection"
         );
         // A connection is not reused immediately after an answer.
         std::thread::sleep(std::time::Duration::from_millis(100));
@@ -126,7 +127,7 @@
         request("c", "pay", "20000m").replace("Length: 4\r\n\r\ntime", "Length: 60000000\r\n\r\n");
     let mut client = node.connect();
     client.write(&large);
-    // The node may answer and close before it has read the whole body, so that the write may fail.
+    // The node may answer and close before it has read the complete body, so that the write may fail.
     let _ = client.stream.write_all(&vec![b'x'; 65537]);
     assert_eq!(client.read_response().expect("an answer").status(), 413);
     assert!(node.is_running());
@@ -153,7 +154,7 @@
     let (servers, _discovery, node) = start_with_one_server("twice", &[Reply::NoResponse]);
     let mut first = node.connect();
     first.write(&request("same", "pay", "20000m"));
-    let got = servers.next_request();
+    let upstream_request = servers.next_request();
     assert_eq!(
         node.connect()
             .exchange(&request("same", "pay", "20000m"))
@@ -161,7 +162,7 @@
         400
     );
     drop(first);
-    assert!(wait_until_closed(&got));
+    assert!(wait_until_closed(&upstream_request));
     servers.assert_no_more_requests();
 }
 
@@ -302,8 +303,9 @@
         client.exchange(&request("b", "pay", "20000m")).body,
         b"ranks"
     );
-    let mut got = servers.next_request();
-    got.stream
+    let mut upstream_request = servers.next_request();
+    upstream_request
+        .stream
         .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale")
         .expect("the connection is kept open");
     assert_eq!(
@@ -311,7 +313,7 @@
         b"ranks"
     );
     assert_eq!(servers.next_request().connection, 2);
-    assert!(wait_until_closed(&got));
+    assert!(wait_until_closed(&upstream_request));
 }
 
 #[test]
@@ -393,9 +395,9 @@
     let (servers, _discovery, node) = start_with_one_server("gone", &[Reply::NoResponse, REPLY_OK]);
     let mut client = node.connect();
     client.write(&request("a", "pay", "20000m"));
-    let got = servers.next_request();
+    let upstream_request = servers.next_request();
     drop(client);
-    assert!(wait_until_closed(&got));
+    assert!(wait_until_closed(&upstream_request));
     assert_eq!(
         node.connect()
             .exchange(&request("b", "pay", "20000m"))
@@ -413,12 +415,13 @@
         client.exchange(&request("a", "pay", "20000m")).status(),
         200
     );
-    let got = servers.next_request();
-    got.stream
+    let upstream_request = servers.next_request();
+    upstream_request
+        .stream
         .shutdown(std::net::Shutdown::Both)
         .expect("the connection is open");
     // The edge node closes its side as soon as it has seen the close.
-    assert!(wait_until_closed(&got));
+    assert!(wait_until_closed(&upstream_request));
     let answer = client.exchange(&request("b", "pay", "20000m"));
     assert_eq!(
         (answer.status(), servers.next_request().connection),
@@ -519,8 +522,8 @@
 }
 
 /// A list that the agent has counts as announced whether or not a watch is open. While the agent is silent the node
-/// makes further calls beside those that are open, so that a call is open at the moment at which the agent has a list
-/// again.
+/// makes further calls in addition to those that are open, so that a call is open at the moment at which the agent has
+/// a list again.
 #[test]
 fn a_silent_agent_is_called_again_while_earlier_calls_are_open() {
     let agent = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -693,7 +696,7 @@
         200
     );
     waiting.write(&request("a", "read", "20000m"));
-    let got = servers.next_request();
+    let upstream_request = servers.next_request();
     node.terminate();
     // For a while the node still accepts connections, and answers with `Connection: close`.
     let late = loop {
@@ -711,7 +714,7 @@
         (200, "close")
     );
     idle.expect_close();
-    let mut stream = got.stream;
+    let mut stream = upstream_request.stream;
     stream
         .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nranks")
         .expect("the attempt is still open");
--- a/crates/saffronpaddle/tests/etcd.rs
+++ b/crates/saffronpaddle/tests/etcd.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::fleet;
+use common::run_scenario;
 use saffronpaddle_test_doubles::etcd::Etcd;
 use saffronpaddle_test_doubles::scripted::*;
 use std::net::SocketAddr;
@@ -226,7 +226,7 @@
                 roster = \"etcd\"\nmembers = 3\n\
                 [[step]]\ndo = \"flip\"\nat_ms = 500\nevery_ms = 300\nfor_ms = 900\n\
                 [[step]]\ndo = \"etcd-cut\"\nat_ms = 490\nevery_ms = 600\ncount = 3\n";
-    let report = fleet("drained", text);
+    let report = run_scenario("drained", text);
     assert!(report.good(), "{report}");
     assert!(
         report.verdict.drains > 20 && report.verdict.served * 2 > report.verdict.requests,
--- a/crates/saffronpaddle/tests/external_names.rs
+++ b/crates/saffronpaddle/tests/external_names.rs
@@ -244,7 +244,7 @@
     }
 }
 
-/// Collects string and byte string literals, each as a whole (with line feeds as `\n`) and in parts. Skips
+/// Collects string and byte string literals, each in full (with line feeds as `\n`) and in parts. Skips
 /// documentation and test modules.
 fn collect_texts(tokens: TokenStream, names: &mut BTreeSet<String>) {
     let tokens: Vec<TokenTree> = tokens.into_iter().collect();
--- a/crates/saffronpaddle/tests/fleet_guarantees.rs
+++ b/crates/saffronpaddle/tests/fleet_guarantees.rs
@@ -1,15 +1,15 @@
-//! Guarantees that hold for a fleet as a whole, checked by the ledger over all of its processes, with faults injected
-//! between them and the servers, peers and services that they talk to. The tests assert rules and counts, never speed.
+//! Guarantees that hold for all processes of a fleet together, checked by the test oracle, with faults injected between
+//! them and the servers, peers and services that they connect to. The tests assert rules and counts, never speed.
 
 mod common;
 
-use common::fleet;
+use common::run_scenario;
 use saffronpaddle_fleet_harness::Report;
 
 /// Runs a scenario. A request counts as lost if its answer comes more than 500 ms after the client's deadline, or
 /// never.
-fn run_scenario(tag: &str, text: &str) -> Report {
-    fleet(tag, &format!("answer_slack_ms = 500\n{text}"))
+fn run_with_answer_slack(tag: &str, text: &str) -> Report {
+    run_scenario(tag, &format!("answer_slack_ms = 500\n{text}"))
 }
 
 /// Asserts that no rule is broken, and that every request was answered unless its process was killed or suspended. (In
@@ -36,12 +36,12 @@
 /// Asserts that at most one node in ten refuses all of its requests for four seconds.
 fn assert_few_nodes_refuse_all(report: &Report) {
     assert!(
-        report.verdict.nodes_rejecting_all as usize * 10 <= report.rows.len(),
+        report.verdict.nodes_rejecting_all as usize * 10 <= report.instances.len(),
         "{report}"
     );
 }
 
-/// Warm servers crash and come back cold, and others join, while customers send three times as much, peer messages get
+/// Warm servers crash and restart cold, and others join, while customers send three times as much, peer messages get
 /// lost, links to servers stall, and nodes restart. The limit holds for the sum of what thirty processes send.
 #[test]
 fn thirty_processes_together_keep_the_limit_of_cold_servers_under_a_burst() {
@@ -54,18 +54,21 @@
                 [[step]]\ndo = \"link\"\nfrom = \"n0-n5\"\nto = \"s0-s2\"\nstalled = true\nat_ms = 4000\nfor_ms = 1200\n\
                 [[step]]\ndo = \"restart\"\nat_ms = 4500\ncount = 6\ngap_ms = 150\n\
                 [[step]]\ndo = \"kill\"\nat_ms = 5000\ncount = 4\nfor_ms = 300\n";
-    let report = run_scenario("throng", text);
+    let report = run_with_answer_slack("throng", text);
     assert_no_request_lost(&report);
     assert!(
         report.verdict.cold_crowding_max > 0.0 && report.verdict.cold_crowding_max <= 1.0,
         "{report}"
     );
     assert!(
-        report.met[6].1 > 0 && report.met[7].1 > 0,
+        report.handshakes_and_requests[6].1 > 0 && report.handshakes_and_requests[7].1 > 0,
         "both servers that joined receive requests: {report}"
     );
     // The burst exceeds the remaining capacity, of which at least a quarter must be used.
-    assert!(report.served_s() * 4.0 > report.could_s, "{report}");
+    assert!(
+        report.served_work_s() * 4.0 > report.available_work_s,
+        "{report}"
+    );
     let burst = report.within("all", 3, 8);
     assert!(
         burst.served > 100,
@@ -75,7 +78,7 @@
     );
 }
 
-/// All servers come back cold at once, and each is too small for one request of each node.
+/// All servers restart cold at once, and each is too small for one request of each node.
 #[test]
 fn twenty_four_processes_together_keep_the_limit_of_small_servers_that_are_all_cold() {
     let text = "name = \"small\"\ninstances = 24\nservers = 6\ncores = 2\ncustomers = 90\nrate = 120\nduration_ms = 9000\n\
@@ -84,7 +87,7 @@
                 [[step]]\ndo = \"burst\"\nat_ms = 2000\ntimes = 2.0\nfor_ms = 5000\n\
                 [[step]]\ndo = \"link\"\nfrom = \"nodes\"\nto = \"nodes\"\nloss = 1.0\nat_ms = 4000\nfor_ms = 2000\n\
                 [[step]]\ndo = \"pause\"\nat_ms = 3500\ncount = 4\nfor_ms = 1200\n";
-    let report = run_scenario("small", text);
+    let report = run_with_answer_slack("small", text);
     assert_no_request_lost(&report);
     assert!(
         report.verdict.cold_crowding_max > 0.0 && report.verdict.cold_crowding_max <= 1.0,
@@ -106,7 +109,7 @@
                 [[step]]\ndo = \"crash\"\nwho = 0\nat_ms = 6000\nfor_ms = 400\n\
                 [[step]]\ndo = \"restart\"\nat_ms = 3000\ncount = 4\ngap_ms = 300\n\
                 [[step]]\ndo = \"pause\"\nat_ms = 5500\ncount = 2\nfor_ms = 700\n";
-    let report = run_scenario("leaves", text);
+    let report = run_with_answer_slack("leaves", text);
     assert_no_request_lost(&report);
     assert!(report.verdict.attempts_after_disconnect <= 2, "{report}");
     assert!(
@@ -120,7 +123,7 @@
 fn in_a_fleet_without_faults_at_most_one_node_in_ten_refuses_all_for_four_seconds() {
     let text =
         "name = \"quiet\"\ninstances = 20\nservers = 8\ncustomers = 60\nrate = 200\nduration_ms = 9000\n";
-    let report = run_scenario("quiet", text);
+    let report = run_with_answer_slack("quiet", text);
     assert_every_process_served(&report);
     assert_few_nodes_refuse_all(&report);
     assert!(
@@ -138,7 +141,7 @@
                 [[step]]\ndo = \"drain\"\nat_ms = 2000\ncount = 4\ngap_ms = 900\nfor_ms = 500\n\
                 [[step]]\ndo = \"silent\"\nat_ms = 4000\nfor_ms = 2500\n\
                 [[step]]\ndo = \"peers\"\nloss = 0.05\n";
-    let report = run_scenario("rolled", text);
+    let report = run_with_answer_slack("rolled", text);
     assert_every_process_served(&report);
     assert_few_nodes_refuse_all(&report);
     assert_restarted_are_ready(&report, 20);
@@ -156,7 +159,7 @@
                 [[step]]\ndo = \"undiscovered\"\nat_ms = 1000\nfor_ms = 4000\n\
                 [[step]]\ndo = \"kill\"\nat_ms = 2500\ncount = 17\nfor_ms = 700\n\
                 [[step]]\ndo = \"peers\"\nloss = 0.1\n";
-    let report = run_scenario("herd", text);
+    let report = run_with_answer_slack("herd", text);
     assert_every_process_served(&report);
     assert_restarted_are_ready(&report, 17);
     assert!(
@@ -176,7 +179,7 @@
                 [[step]]\ndo = \"drain\"\nat_ms = 2000\nevery_ms = 2000\ncount = 2\nfor_ms = 300\n\
                 [[step]]\ndo = \"peers\"\nloss = 0.1\n\
                 [[step]]\ndo = \"link\"\nfrom = \"nodes\"\nto = \"s7\"\nstalled = true\nat_ms = 4500\nfor_ms = 900\n";
-    let report = run_scenario("early", text);
+    let report = run_with_answer_slack("early", text);
     assert_every_process_served(&report);
     assert!(
         report.processes >= 40 && report.reloads > 16 && report.verdict.drains > 16,
@@ -194,7 +197,7 @@
     );
 }
 
-/// Idle clients use up the descriptors when the list service comes back and announces a drain.
+/// Idle clients use up the descriptors when the list service is available again and announces a drain.
 #[test]
 fn a_drain_is_applied_while_idle_clients_use_up_the_descriptors() {
     let text = "name = \"crowd\"\ninstances = 4\nservers = 4\ncustomers = 24\nrate = 60\nduration_ms = 9000\nlateness_ms = 0\n\
@@ -202,11 +205,11 @@
                 [[step]]\ndo = \"undiscovered\"\nat_ms = 1000\nfor_ms = 3500\n\
                 [[step]]\ndo = \"crowd\"\nside = \"nodes\"\nat_ms = 1500\nfor_ms = 6000\n\
                 [[step]]\ndo = \"flip\"\nwho = 1\nat_ms = 3000\nfor_ms = 5000\n";
-    let report = run_scenario("crowd", text);
+    let report = run_with_answer_slack("crowd", text);
     assert_every_process_served(&report);
     assert!(
         report.verdict.drains >= 4,
-        "every node learned of the drain: {report}"
+        "every node received the drain: {report}"
     );
     let after = report.within("all", 5, 9);
     assert!(
@@ -217,6 +220,6 @@
     );
     assert!(
         report.counts.no_ready_node * 20 < report.verdict.requests,
-        "new clients are accepted beside the idle ones: {report}"
+        "new clients are accepted in addition to the idle ones: {report}"
     );
 }
--- a/crates/saffronpaddle/tests/interleavings.rs
+++ b/crates/saffronpaddle/tests/interleavings.rs
@@ -67,8 +67,8 @@
         let id = format!("gives-up{round}");
         let mut client = node.connect();
         client.write(&request(&id, "pay", "20000m"));
-        let mut got = servers.next_request();
-        assert_eq!(got.message.header("x-request-id"), id);
+        let mut upstream_request = servers.next_request();
+        assert_eq!(upstream_request.message.header("x-request-id"), id);
         let answer = response_with_id(&id);
         if round.is_multiple_of(3) {
             // In every third round the response is certainly late: the attempt has ended and its connection is closed.
@@ -76,33 +76,39 @@
                 .stream
                 .shutdown(Shutdown::Both)
                 .expect("the connection is open");
-            assert!(wait_until_closed(&got));
-            let _ = got.stream.write_all(answer.as_bytes());
+            assert!(wait_until_closed(&upstream_request));
+            let _ = upstream_request.stream.write_all(answer.as_bytes());
         } else {
             race(
                 round,
-                || got.stream.write_all(answer.as_bytes()).unwrap_or(()),
+                || {
+                    upstream_request
+                        .stream
+                        .write_all(answer.as_bytes())
+                        .unwrap_or(());
+                },
                 || client.stream.shutdown(Shutdown::Both).unwrap_or(()),
             );
         }
-        streams.push(got.stream);
+        streams.push(upstream_request.stream);
         thread::sleep(REUSE_DELAY);
         // The next client gets its own response, over whichever connection.
         let next = format!("next{round}");
         let mut next_client = node.connect();
         next_client.write(&request(&next, "pay", "20000m"));
-        let mut got = servers.next_request();
+        let mut upstream_request = servers.next_request();
         assert_eq!(
-            got.message.header("x-request-id"),
+            upstream_request.message.header("x-request-id"),
             next,
             "the abandoned request was retried"
         );
-        got.stream
+        upstream_request
+            .stream
             .write_all(response_with_id(&next).as_bytes())
             .expect("the attempt is pending");
         let answer = next_client.read_response().expect("an answer");
         assert_eq!((answer.status(), answer.body), (200, next.into_bytes()));
-        streams.push(got.stream);
+        streams.push(upstream_request.stream);
     }
     servers.assert_no_more_requests();
     let open = count_open_connections(&streams);
@@ -123,17 +129,19 @@
         let id = format!("late{round}");
         let mut client = node.connect();
         client.write(&request(&id, "pay", "300m"));
-        let mut got = servers.next_request();
+        let mut upstream_request = servers.next_request();
         // The node times out about 295 ms after the request. Responses come between 270 and 320 ms, before and after
         // that.
         let delay_ms = 270 + 50 * round as u64 / ROUNDS as u64;
         if round.is_multiple_of(3) {
             // In every third round the response is certainly late: the attempt has ended and its connection is closed.
-            assert!(wait_until_closed(&got));
+            assert!(wait_until_closed(&upstream_request));
         } else {
             thread::sleep(Duration::from_millis(delay_ms));
         }
-        let _ = got.stream.write_all(response_with_id(&id).as_bytes());
+        let _ = upstream_request
+            .stream
+            .write_all(response_with_id(&id).as_bytes());
         let answer = client.read_response().expect("an answer");
         match answer.status() {
             200 => {
@@ -149,21 +157,22 @@
             .read(&mut [0; 1])
             .map_err(|error| error.kind());
         assert_ne!(extra_byte.ok(), Some(1), "a second response");
-        streams.push(got.stream);
+        streams.push(upstream_request.stream);
         thread::sleep(REUSE_DELAY);
         let next = format!("after{round}");
         let mut next_client = node.connect();
         next_client.write(&request(&next, "pay", "20000m"));
-        let mut got = servers.next_request();
-        assert_eq!(got.message.header("x-request-id"), next);
-        got.stream
+        let mut upstream_request = servers.next_request();
+        assert_eq!(upstream_request.message.header("x-request-id"), next);
+        upstream_request
+            .stream
             .write_all(response_with_id(&next).as_bytes())
             .expect("the attempt is pending");
         assert_eq!(
             next_client.read_response().expect("an answer").body,
             next.into_bytes()
         );
-        streams.push(got.stream);
+        streams.push(upstream_request.stream);
     }
     let open = count_open_connections(&streams);
     assert!(
@@ -272,7 +281,7 @@
     let (_, mut watch) = discovery.next_watch();
     let mut client = node.connect();
     client.write(&request("a", "read", "20000m"));
-    let got = servers.next_request();
+    let upstream_request = servers.next_request();
     let full = FullListener::new();
     let both = [
         host_json("s-1", first, 1, "draining"),
@@ -280,7 +289,8 @@
     ];
     write_list(&mut watch, &list_json(2, true, &both));
     thread::sleep(CONNECT_START);
-    got.stream
+    upstream_request
+        .stream
         .shutdown(Shutdown::Both)
         .expect("the attempt is pending");
     thread::sleep(CONNECT_START);
@@ -340,34 +350,36 @@
         let id = format!("reset{round}");
         let mut client = node.connect();
         client.write(&request(&id, "pay", "20000m"));
-        let mut got = servers.next_request();
+        let mut upstream_request = servers.next_request();
         assert_eq!(
-            got.message.header("x-request-id"),
+            upstream_request.message.header("x-request-id"),
             id,
             "the request was retried"
         );
         assert_ne!(
-            last_connection.replace(got.connection),
-            Some(got.connection),
+            last_connection.replace(upstream_request.connection),
+            Some(upstream_request.connection),
             "a reset connection was reused"
         );
         let response = response_with_id(&id);
         let (start, last_byte) = response.split_at(response.len() - 1);
-        got.stream
+        upstream_request
+            .stream
             .write_all(start.as_bytes())
             .expect("the attempt is pending");
         // Even rounds send the last byte before the reset, odd ones don't.
         if round % 2 == 0 {
-            got.stream
+            upstream_request
+                .stream
                 .write_all(last_byte.as_bytes())
                 .expect("the attempt is pending");
         }
-        SockRef::from(&got.stream)
+        SockRef::from(&upstream_request.stream)
             .set_linger(Some(Duration::ZERO))
             .expect("set");
         // The scripted server holds a clone of the socket; the shutdown ends its read.
-        let _ = got.stream.shutdown(Shutdown::Both);
-        drop(got);
+        let _ = upstream_request.stream.shutdown(Shutdown::Both);
+        drop(upstream_request);
         let answer = client.read_response().expect("an answer");
         match answer.status() {
             200 => {
@@ -400,11 +412,12 @@
         200
     );
     client.write(&request("a", "read", "20000m"));
-    let got = servers.next_request();
+    let upstream_request = servers.next_request();
     node.terminate();
     // Once the idle connection is closed, the node has handled the signal.
     idle.expect_close();
-    got.stream
+    upstream_request
+        .stream
         .shutdown(Shutdown::Both)
         .expect("the attempt is still pending");
     assert_eq!(servers.next_request().message.header("x-request-id"), "a");
@@ -433,17 +446,19 @@
     let (servers, _discovery, node) = start_with_one_server("copy", &[Reply::NoResponse]);
     let mut client = node.connect();
     client.write(&request("a", "pay", "20000m"));
-    let mut got = servers.next_request();
-    got.stream
+    let mut upstream_request = servers.next_request();
+    upstream_request
+        .stream
         .write_all(response_with_echoed_id("a").as_bytes())
         .expect("the attempt is pending");
     assert_eq!(client.read_response().expect("an answer").body, b"a");
     // The connection to the server becomes reusable in this time.
     thread::sleep(Duration::from_millis(100));
     client.write(&request("b", "pay", "20000m"));
-    let mut got = servers.next_request();
-    assert_eq!(got.connection, 0, "the connection was kept");
-    got.stream
+    let mut upstream_request = servers.next_request();
+    assert_eq!(upstream_request.connection, 0, "the connection was kept");
+    upstream_request
+        .stream
         .write_all(response_with_echoed_id("a").as_bytes())
         .expect("the attempt is pending");
     assert_eq!(
@@ -451,14 +466,18 @@
         502,
         "a response to another request was passed on"
     );
-    assert!(wait_until_closed(&got));
+    assert!(wait_until_closed(&upstream_request));
     client.write(&request("c", "pay", "20000m"));
-    let mut got = servers.next_request();
+    let mut upstream_request = servers.next_request();
     assert_eq!(
-        (got.message.header("x-request-id"), got.connection),
+        (
+            upstream_request.message.header("x-request-id"),
+            upstream_request.connection
+        ),
         ("c", 1)
     );
-    got.stream
+    upstream_request
+        .stream
         .write_all(response_with_echoed_id("c").as_bytes())
         .expect("the attempt is pending");
     assert_eq!(client.read_response().expect("an answer").body, b"c");
--- a/crates/saffronpaddle/tests/lifecycle.rs
+++ b/crates/saffronpaddle/tests/lifecycle.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use command_fds::{CommandFdExt, FdMapping};
-use common::fleet;
+use common::run_scenario;
 use saffronpaddle_test_doubles::scripted::*;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -100,7 +100,8 @@
     let node = Node::start_with_command("silent", discovery, &hosts, 1024, |command| {
         set_operator_file(command, &operator.0);
     });
-    // A node that is not ready already serves; a load balancer in front of it learns the reason from its readiness.
+    // A node that is not ready already serves; a load balancer in front of it receives the reason from the readiness
+    // endpoint.
     let (not_ready, reason) = wait_until_ready(&node);
     assert!(
         not_ready > 0 && reason == "peers-unheard",
@@ -121,7 +122,7 @@
 }
 
 #[test]
-fn a_node_is_ready_once_it_has_heard_from_discovery_and_a_peer() {
+fn a_node_is_ready_once_it_has_received_a_list_and_a_peer_message() {
     let operator = TempFile::new(
         "word-operator",
         "[ready]\nlist_within_ms = 600000\npeers_within_ms = 600000\n",
@@ -210,7 +211,7 @@
     );
 }
 
-/// The notification socket is missing at the start, is full because nobody reads it, or is removed while the node runs:
+/// The notification socket is missing at the start, is full because it is not read, or is removed while the node runs:
 /// the node serves in each case.
 #[test]
 fn a_node_serves_while_its_notify_socket_is_missing_full_or_removed() {
@@ -244,7 +245,7 @@
         &mut launch("missing", Path::new("/nonexistent/notify")),
         "missing",
     );
-    // Nobody reads this socket: its queue is full after a few messages, which are sent every 10 ms here.
+    // This socket is not read: its queue is full after a few messages, which are sent every 10 ms here.
     let full = NotifySocket::new("full");
     let mut node = launch("full", full.path());
     std::thread::sleep(Duration::from_millis(500));
@@ -310,7 +311,7 @@
         "the node listens on the passed listener"
     );
     early.into_iter().for_each(assert_ok_response);
-    // One connection is open while the node is told to stop, and many are opened afterwards.
+    // One connection is open when the node receives SIGTERM, and many are opened afterwards.
     let mut idle = first.connect();
     assert_eq!(
         idle.exchange(&request("kept", "read", "20000m")).status(),
@@ -324,7 +325,7 @@
         .collect();
     let mut second = first.successor(pass);
     between.into_iter().for_each(assert_ok_response);
-    // The third node starts before the second is told to stop.
+    // The third node starts before the second receives SIGTERM.
     let third = second.successor(pass);
     let clients: Vec<_> = (0..40)
         .map(|n| connect_and_send(address, &request(&format!("over{n}"), "read", "20000m")))
@@ -338,10 +339,10 @@
     wait_until_ready(&third);
 }
 
-/// A node that is told to stop answers requests that arrive on connections which the kernel established before that,
+/// A node that receives SIGTERM answers requests that arrive on connections which the kernel established before that,
 /// also after it has closed the idle connections.
 #[test]
-fn a_request_in_flight_when_the_node_is_told_to_stop_is_answered() {
+fn a_request_in_flight_when_the_node_receives_sigterm_is_answered() {
     let (servers, discovery) = (Servers::new(), Discovery::start());
     let dial = servers.start("s-1", &[REPLY_OK]);
     let hosts = [host_json("s-1", dial, 1, "ready")];
@@ -408,14 +409,14 @@
         });
     let mut held = node.connect();
     held.write(&request("a", "read", "20000m"));
-    let got = servers.next_request();
+    let upstream_request = servers.next_request();
     node.terminate();
     while node.connect().exchange(READY_REQUEST).header("connection") != "close" {}
-    // The node would accept new work for ten minutes; the second SIGTERM ends that. SIGHUP has no effect any more.
+    // The node would accept new work for ten minutes; the second SIGTERM ends that. SIGHUP no longer has an effect.
     node.signal("-HUP");
     node.terminate();
     while TcpStream::connect(node.address).is_ok() {}
-    let mut stream = got.stream;
+    let mut stream = upstream_request.stream;
     stream
         .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nranks")
         .expect("the attempt is still pending");
@@ -547,7 +548,7 @@
 /// In the scenario, instances are reloaded, restarted one after another and killed, while app servers drain and crash.
 #[test]
 fn a_fleet_keeps_all_rules_in_the_scenario_short() {
-    let report = fleet("short", built_in_scenario("short"));
+    let report = run_scenario("short", built_in_scenario("short"));
     assert!(report.good(), "{report}");
     assert!(report.processes > 10 && report.reloads > 4, "{report}");
     assert!(
@@ -564,11 +565,11 @@
 /// capacity.
 #[test]
 fn forty_instances_started_at_once_do_not_overload_one_cold_server() {
-    let report = fleet(
+    let report = run_scenario(
         "forty",
         &built_in_scenario("forty-cold").replace("20000", "6000"),
     );
-    assert!(report.good() && report.rows.len() == 40, "{report}");
+    assert!(report.good() && report.instances.len() == 40, "{report}");
     assert!(
         report.verdict.cold_load_max < 1.0 && report.verdict.requests > 400,
         "{report}"
@@ -582,7 +583,7 @@
     let text =
         "name = \"kill\"\ninstances = 3\nservers = 3\ncustomers = 12\nrate = 120\nduration_ms = 7000\n\
                 [[step]]\ndo = \"kill\"\nat_ms = 1500\nevery_ms = 1500\nfor_ms = 700\n";
-    let report = fleet("kill", text);
+    let report = run_scenario("kill", text);
     assert!(report.good(), "{report}");
     assert!(
         report.verdict.killed > 0,
--- a/crates/saffronpaddle/tests/network_partitions.rs
+++ b/crates/saffronpaddle/tests/network_partitions.rs
@@ -2,12 +2,12 @@
 //! assert rules and units, never speed.
 //!
 //! With `[quotas] fenced` all owners of a quota together never grant more than the quota, whichever nodes can reach
-//! each other. Without it, two owners on different sides of a partition each grant the whole quota, which a test shows
-//! too.
+//! each other. Without it, two owners on different sides of a partition each grant the full quota, which a
+//! test also shows.
 
 mod common;
 
-use common::fleet_with_operator;
+use common::run_scenario_with_operator;
 use saffronpaddle_fleet_harness::Report;
 
 const FENCED: &str = "[quotas]\nfenced = true\n";
@@ -15,7 +15,7 @@
 const STANDBY_UNITS: f64 = 24.0;
 
 /// Returns a scenario of 24 nodes in which each customer sends 1.5 times its quota, spread over all nodes. The steps in
-/// `more` add a fault, from 3 s on where they say when.
+/// `more` add a fault; steps with a time start it at 3 s.
 fn over_quota_scenario(name: &str, more: &str) -> String {
     format!(
         "name = \"{name}\"\ninstances = 24\nservers = 6\ncustomers = 24\nrate = 180\ntimes_quota = 1.5\n\
@@ -37,24 +37,24 @@
     assert!(all.served > 200, "quotas are not used\n{report}");
 }
 
-fn split(sides: &str) -> String {
+fn partition_step(sides: &str) -> String {
     format!("[[step]]\ndo = \"split\"\nsides = \"{sides}\"\nat_ms = 3000\nfor_ms = 6000\n")
 }
 
 #[test]
 fn fenced_owners_on_two_sides_of_a_partition_grant_no_more_than_the_quota() {
-    assert_quotas_hold(&fleet_with_operator(
+    assert_quotas_hold(&run_scenario_with_operator(
         "apart-halves",
-        &over_quota_scenario("halves", &split("west,east")),
+        &over_quota_scenario("halves", &partition_step("west,east")),
         FENCED,
     ));
 }
 
 #[test]
 fn unfenced_owners_on_two_sides_of_a_partition_each_grant_the_quota() {
-    let report = fleet_with_operator(
+    let report = run_scenario_with_operator(
         "apart-unfenced",
-        &over_quota_scenario("unfenced", &split("west,east")),
+        &over_quota_scenario("unfenced", &partition_step("west,east")),
         "",
     );
     assert!(report.good(), "{report}");
@@ -67,9 +67,9 @@
 
 #[test]
 fn isolated_nodes_use_lent_units_and_grant_no_more_than_the_quota() {
-    assert_quotas_hold(&fleet_with_operator(
+    assert_quotas_hold(&run_scenario_with_operator(
         "apart-each",
-        &over_quota_scenario("each", &split("each")),
+        &over_quota_scenario("each", &partition_step("each")),
         FENCED,
     ));
 }
@@ -79,14 +79,14 @@
 fn partitions_that_overlap_grant_no_more_than_the_quota() {
     let sides =
         "[[side]]\nname = \"a\"\nhas = \"n0-n14\"\n[[side]]\nname = \"b\"\nhas = \"n9-n23\"\n";
-    let text = over_quota_scenario("overlap", &format!("{sides}{}", split("a,b")));
-    assert_quotas_hold(&fleet_with_operator("apart-overlap", &text, FENCED));
+    let text = over_quota_scenario("overlap", &format!("{sides}{}", partition_step("a,b")));
+    assert_quotas_hold(&run_scenario_with_operator("apart-overlap", &text, FENCED));
 }
 
 #[test]
 fn a_one_way_partition_grants_no_more_than_the_quota() {
     let step = "[[step]]\ndo = \"link\"\nfrom = \"west\"\nto = \"east\"\none_way = true\nloss = 1.0\nat_ms = 3000\nfor_ms = 6000\n";
-    assert_quotas_hold(&fleet_with_operator(
+    assert_quotas_hold(&run_scenario_with_operator(
         "apart-oneway",
         &over_quota_scenario("oneway", step),
         FENCED,
@@ -98,7 +98,8 @@
 #[test]
 fn lossy_duplicating_and_slow_links_grant_no_more_than_the_quota() {
     let step = "[[step]]\ndo = \"peers\"\nloss = 0.3\ndoubled = 0.3\ndelay_ms = 120\n";
-    let report = fleet_with_operator("apart-lossy", &over_quota_scenario("lossy", step), FENCED);
+    let report =
+        run_scenario_with_operator("apart-lossy", &over_quota_scenario("lossy", step), FENCED);
     assert!(report.good(), "{report}");
     assert!(
         report.within("all", 0, 12).beyond <= STANDBY_UNITS,
@@ -110,7 +111,8 @@
 #[test]
 fn nodes_that_resume_after_a_pause_grant_no_more_than_the_quota() {
     let step = "[[step]]\ndo = \"pause\"\nat_ms = 3000\ncount = 8\nfor_ms = 4000\n";
-    let report = fleet_with_operator("apart-still", &over_quota_scenario("still", step), FENCED);
+    let report =
+        run_scenario_with_operator("apart-still", &over_quota_scenario("still", step), FENCED);
     assert_quotas_hold(&report);
     assert!(
         report.verdict.paused > 0,
--- a/crates/saffronpaddle/tests/upgrade.rs
+++ b/crates/saffronpaddle/tests/upgrade.rs
@@ -1,5 +1,5 @@
-//! Hot restarts: a second process of a node (the child) is started beside the first (the parent) and takes over from
-//! it.
+//! Hot restarts: a second process of a node (the child) is started while the first (the parent) still runs and takes
+//! over from it.
 
 use command_fds::{CommandFdExt, FdMapping};
 use saffronpaddle_test_doubles::scripted::*;
--- a/crates/saffronpaddle/tests/websocket.rs
+++ b/crates/saffronpaddle/tests/websocket.rs
@@ -47,8 +47,8 @@
     }
 }
 
-/// Starts a server that answers each upgrade with `head`, in which `{accept}` stands for the value that belongs to the
-/// request's key, and with the bytes `after_head`. Returns its address and the connections that it has answered.
+/// Starts a server that answers each upgrade with `head`, in which `{accept}` is replaced by the value that belongs to
+/// the request's key, and with the bytes `after_head`. Returns its address and the connections that it has answered.
 fn raw_server(head: &'static str, after_head: &'static [u8]) -> (SocketAddr, Receiver<TcpStream>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -259,11 +259,11 @@
     let (servers, _discovery, node) = start_with_one_server("ws-off", &[REPLY_OK]);
     let answer = node.connect().exchange(&raw_upgrade("a", &[]));
     assert_eq!((answer.status(), &answer.body[..]), (200, &b"ranks"[..]));
-    let got = servers.next_request();
+    let upstream_request = servers.next_request();
     assert_eq!(
         (
-            got.message.header("upgrade"),
-            got.message.header("sec-websocket-key")
+            upstream_request.message.header("upgrade"),
+            upstream_request.message.header("sec-websocket-key")
         ),
         ("", "")
     );
--- a/crates/subsetting/src/subset.rs
+++ b/crates/subsetting/src/subset.rs
@@ -15,7 +15,7 @@
 /// Maximum ratio of the nodes per server to the number needed before it is reduced. Without this tolerance, a list
 /// whose length alternates by one server would change part of all subsets each time.
 const MAX_RATIO_BEFORE_SHRINK: f64 = 1.5;
-/// Ratio of the nodes per server to the number needed, when the number of nodes per server is set anew.
+/// Ratio of the nodes per server to the number needed, after the number of nodes per server was recomputed.
 const RESIZE_RATIO: f64 = 1.2;
 
 /// The group of nodes that share a server's slow start, and one node's rank in it.
--- a/crates/test-doubles/src/discovery.rs
+++ b/crates/test-doubles/src/discovery.rs
@@ -31,7 +31,7 @@
     pub down: bool,
 }
 
-/// State of a list service that comes back after it lost data.
+/// State of a list service that has lost data and is available again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RestoreMode {
     /// The list of its first version, regardless of later changes.
@@ -246,12 +246,12 @@
             .map(|(_, entry)| entry.clone())
     }
 
-    /// The whole list in discovery's format, as a configuration's `known` holds it.
+    /// The complete list in discovery's format, as a configuration's `known` holds it.
     pub fn full_list(&self) -> String {
         self.full_list_for(usize::MAX)
     }
 
-    /// The same as one node gets it, with the addresses of [`Discovery::redirect`].
+    /// The same as one node receives it, with the addresses of [`Discovery::redirect`].
     pub fn full_list_for(&self, node: usize) -> String {
         lock(&self.list)
             .changes_since(None, node, &lock(&self.dials))
@@ -315,7 +315,7 @@
             .map_err(std::io::Error::other)?;
         let bytes = {
             let list = lock(&self.list);
-            // A version that is unknown here is answered with the whole list.
+            // A version that is unknown here is answered with the complete list.
             from = from.filter(|from| *from <= list.seq);
             list.changes_since(from, node, &lock(&self.dials)).0.len()
         };
@@ -331,7 +331,7 @@
         stream
             .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             .await?;
-        // The first line is always written: it tells the node that nothing has changed.
+        // The first line is always written: if the list is unchanged, it confirms that to the node.
         let mut first = true;
         loop {
             seq.borrow_and_update();
--- a/crates/test-doubles/src/etcd.rs
+++ b/crates/test-doubles/src/etcd.rs
@@ -73,7 +73,7 @@
         }
     }
 
-    fn live(&self, key: &[u8], revision: i64) -> Option<&KeyValue> {
+    fn value_at(&self, key: &[u8], revision: i64) -> Option<&KeyValue> {
         let versions = self.keys.get(key)?;
         let at = versions
             .iter()
@@ -94,7 +94,7 @@
         if put.lease != 0 && !self.leases.contains_key(&put.lease) {
             return Err(Status::not_found("etcdserver: requested lease not found"));
         }
-        let before = self.live(&put.key, revision).cloned();
+        let before = self.value_at(&put.key, revision).cloned();
         let (create_revision, version) = before
             .as_ref()
             .map_or((revision, 1), |kv| (kv.create_revision, kv.version + 1));
@@ -140,7 +140,7 @@
         let keys: Vec<Vec<u8>> = self.within(key, end).cloned().collect();
         let mut deleted = Vec::new();
         for key in keys {
-            let Some(before) = self.live(&key, revision).cloned() else {
+            let Some(before) = self.value_at(&key, revision).cloned() else {
                 continue;
             };
             if let Some(lease) = self.leases.get_mut(&before.lease) {
@@ -186,10 +186,10 @@
                 "etcdserver: mvcc: required revision has been compacted",
             ));
         }
-        let live = self
+        let entries = self
             .within(&request.key, &request.range_end)
-            .filter_map(|key| self.live(key, revision));
-        let mut kvs: Vec<KeyValue> = live.cloned().collect();
+            .filter_map(|key| self.value_at(key, revision));
+        let mut kvs: Vec<KeyValue> = entries.cloned().collect();
         let count = kvs.len() as i64;
         // Sorted by key in ascending order, as without a sort order; 2 is descending.
         if request.sort_order == 2 {
@@ -233,8 +233,8 @@
     }
 }
 
-/// Whether a key is in a range. An empty end means the key alone, and an end of one zero byte everything from the key
-/// on.
+/// Whether a key is in a range. An empty `end` selects only the key itself, and an `end` of one zero byte selects all
+/// keys that are not less than it.
 fn in_range(key: &[u8], end: &[u8], other: &[u8]) -> bool {
     match end {
         [] => other == key,
--- a/crates/test-doubles/src/links.rs
+++ b/crates/test-doubles/src/links.rs
@@ -1,7 +1,7 @@
 //! Faults on the links of a run: one table of faults for datagrams and connections, and the relays through which
 //! connections pass.
 //!
-//! A link leads from one [`End`] to another; each direction is a link of its own. The fault of a link combines all
+//! A link leads from one [`End`] to another; each direction is a separate link. The fault of a link combines all
 //! rules that name it. Datagrams pass through [`crate::peers`]. A connection passes through a [`Relay`] where a rule
 //! of the run may affect it, and is made directly elsewhere.
 
@@ -133,7 +133,7 @@
         }
     }
 
-    /// All ends that the set names.
+    /// The ends of all links in the set.
     pub fn ends(&self) -> BTreeSet<End> {
         match self {
             LinkSet::OneWay(first, second) | LinkSet::BothWays(first, second) => {
@@ -188,7 +188,7 @@
     }
 }
 
-/// Relays connections from one end, or several that no rule tells apart, to another.
+/// Relays connections from one end, or several that all rules treat alike, to another.
 #[derive(Clone, Debug)]
 pub struct Relay {
     links: Arc<Links>,
@@ -205,7 +205,7 @@
 }
 
 impl Relay {
-    /// Starts to relay connections to an address for the rest of the run. `near` stands for all ends that connect
+    /// Starts to relay connections to an address for the rest of the run. `near` represents all ends that connect
     /// there.
     ///
     /// # Errors
@@ -239,7 +239,7 @@
                     accepted = listener.accept() => if let Ok((stream, _)) = accepted {
                         tokio::spawn(relay.clone().relay_connection(stream));
                     },
-                    // The sender lives as long as the links do.
+                    // The sender is not dropped before the links are.
                     _ = changed.changed() => {}
                 }
             }
@@ -324,7 +324,7 @@
             if condition(&fault) {
                 return fault;
             }
-            // The sender lives as long as the links do.
+            // The sender is not dropped before the links are.
             let _ = changed.changed().await;
         }
     }
--- a/crates/test-doubles/src/links/tests.rs
+++ b/crates/test-doubles/src/links/tests.rs
@@ -120,7 +120,7 @@
         stalled: true,
         ..Fault::default()
     };
-    // In one direction only: the data arrives, and the echo does not come back.
+    // In one direction only: the data arrives, and the echo does not return.
     let number = links.add_fault(LinkSet::OneWay(back.clone(), there.clone()), stalled);
     stream.write_all(b"b").await.expect("written");
     let silent =
--- a/crates/test-doubles/src/load.rs
+++ b/crates/test-doubles/src/load.rs
@@ -131,10 +131,10 @@
 #[derive(Debug)]
 struct NodeTarget {
     address: SocketAddr,
-    /// Whether the node gets new requests.
+    /// Whether new requests are sent to the node.
     ready: AtomicBool,
     idle_connections: Mutex<Vec<HttpConnection>>,
-    /// Number of times that the node was killed or its process was restarted; odd while it is dead.
+    /// Number of times that the node was killed or its process was restarted; odd while it is not running.
     kills: AtomicU64,
     /// Number of times that the node was suspended or resumed; odd while it is suspended.
     pauses: AtomicU64,
@@ -506,8 +506,8 @@
             units: 1.0,
             timeout: class.deadline,
         };
-        // Recorded before the last byte is written; otherwise the node could respond before the oracle knows the
-        // request.
+        // Recorded before the last byte is written; otherwise the node could respond before the request is in the
+        // oracle.
         world.oracle().request_sent(world.now(), sent_request);
         let sent = world.now();
         let wait_limit = class.deadline + self.fleet.bounds.answer_slack * 2;
@@ -528,7 +528,7 @@
             target.kills.load(Ordering::SeqCst),
             target.pauses.load(Ordering::SeqCst),
         ) {
-            // An odd count means that the node is dead or suspended.
+            // An odd count means that the node is not running or is suspended.
             (now, _) if now != kills || kills % 2 == 1 => Some(Unanswered::Killed),
             (_, now) if now != pauses || pauses % 2 == 1 => Some(Unanswered::Paused),
             _ => None,
--- a/crates/test-doubles/src/oracle.rs
+++ b/crates/test-doubles/src/oracle.rs
@@ -97,7 +97,7 @@
     Failed,
 }
 
-/// Why a request got no response.
+/// Why a request received no response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unanswered {
     /// The test killed the node while it held the request.
@@ -115,7 +115,7 @@
 /// A violated rule, with a line that describes the case. Reports print the names of the variants.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Breach {
-    /// A request that a node accepted got no response.
+    /// A request that a node accepted received no response.
     NoAnswer(String),
     /// A second response, or bytes after the first one.
     AnsweredTwice(String),
@@ -175,7 +175,7 @@
     pub node: usize,
     /// When its last byte was written.
     pub sent_at: Duration,
-    /// Kind of its final response; `None` where it got none.
+    /// Kind of its final response; `None` if there was none.
     pub answer: Option<Answer>,
     /// When its first attempt was received in full, and its units beyond the quota.
     pub first_attempt: Option<(Duration, f64)>,
@@ -279,7 +279,7 @@
 
 /// A node that rejects at least this many requests, and all that it gets, for this long counts as rejecting all.
 const REJECTING_ALL: (u64, Duration) = (15, Duration::from_secs(4));
-/// A process that got this many requests and served none counts as never serving.
+/// A process that received this many requests and served none counts as never serving.
 const MIN_REQUESTS_TO_JUDGE: u64 = 5;
 /// Attempts after their clients disconnected that break no rule.
 const MAX_ATTEMPTS_AFTER_DISCONNECT: usize = 2;
@@ -306,7 +306,7 @@
     ceilings: BTreeMap<u64, TokenBucket>,
     quotas: BTreeMap<u64, TokenBucket>,
     cold_servers: BTreeMap<String, ColdServer>,
-    /// Highest crowding in earlier lives of servers.
+    /// Highest crowding of server processes that have ended.
     max_crowding: f64,
     node_records: BTreeMap<usize, NodeRecord>,
     attempts_after_disconnect: Vec<Breach>,
@@ -354,7 +354,7 @@
     pub duplicated_keys: u64,
     /// Highest load of a cold server: work sent within the window, as a share of what overloads it.
     pub cold_load_max: f64,
-    /// Most requests of average work that a cold server got from all nodes within the window, as a share of N + 2
+    /// Most requests of average work that a cold server received from all nodes within the window, as a share of N + 2
     /// sqrt(N) + 2, where N is the number that overloads it on average.
     pub cold_crowding_max: f64,
     /// Requests whose clients disconnected before the first attempt.
@@ -363,7 +363,7 @@
     pub attempts_after_disconnect: u64,
     /// Nodes that rejected all requests for 4 s, at least 15 of them, with no attempt in between.
     pub nodes_rejecting_all: u64,
-    /// Processes that got at least five requests and served none.
+    /// Processes that received at least five requests and served none.
     pub processes_never_serving: u64,
     /// Units sent beyond quotas, as a share of all units sent.
     pub share_beyond_quota: f64,
@@ -376,7 +376,7 @@
 }
 
 impl Verdict {
-    /// Requests that got no response although their clients waited, for whatever reason.
+    /// Requests that received no response although their clients waited, for any reason.
     pub fn unanswered(&self) -> u64 {
         self.killed + self.paused + self.not_accepted + self.lost
     }
@@ -531,7 +531,7 @@
         }
     }
 
-    /// Records that a node's process was restarted: it knows nothing of what its predecessor was informed of.
+    /// Records that a node's process was restarted. The new process has not received the notifications of the old one.
     pub fn node_restarted(&mut self, node: usize) {
         self.unhealthy_since.retain(|(other, _), _| *other != node);
         let record = self.node_records.entry(node).or_default();
--- a/crates/test-doubles/src/oracle/tests.rs
+++ b/crates/test-doubles/src/oracle/tests.rs
@@ -6,7 +6,7 @@
 
 fn request(id: &str, repeats: RepeatSafety) -> SentRequest {
     let key = (repeats == RepeatSafety::Keyed).then(|| "k".to_owned());
-    let (id, patience) = (id.to_owned(), ms(1000));
+    let (id, timeout) = (id.to_owned(), ms(1000));
     SentRequest {
         id,
         key,
@@ -14,7 +14,7 @@
         node: 0,
         customer: 7,
         units: 1.0,
-        timeout: patience,
+        timeout,
     }
 }
 
@@ -279,7 +279,7 @@
         ),
         (0, 1)
     );
-    // A suspended node learns of the close when it is resumed.
+    // A suspended node receives the close when it is resumed.
     let mut oracle = oracle_with_request(RepeatSafety::Safe);
     oracle.client_disconnected(ms(100), "a");
     oracle.node_resumed(ms(900), 0, ms(50));
--- a/crates/test-doubles/src/peers.rs
+++ b/crates/test-doubles/src/peers.rs
@@ -26,7 +26,7 @@
     sent: Vec<AtomicU64>,
     received: Vec<AtomicU64>,
     bytes: AtomicU64,
-    too_long: AtomicU64,
+    oversized_datagrams: AtomicU64,
     unknown_sender_count: AtomicU64,
 }
 
@@ -49,7 +49,7 @@
             .enumerate()
             .map(|(number, address)| (*address, number))
             .collect();
-        let (bytes, too_long, strangers) = Default::default();
+        let (bytes, oversized_datagrams, unknown_sender_count) = Default::default();
         let network = Network {
             nodes,
             numbers,
@@ -58,8 +58,8 @@
             sent,
             received,
             bytes,
-            too_long,
-            unknown_sender_count: strangers,
+            oversized_datagrams,
+            unknown_sender_count,
         };
         let network = Arc::new(network);
         for to in 0..network.nodes.len() {
@@ -94,8 +94,8 @@
     }
 
     /// Datagrams that were longer than the platform allows.
-    pub fn too_long(&self) -> u64 {
-        self.too_long.load(Ordering::Relaxed)
+    pub fn oversized_datagrams(&self) -> u64 {
+        self.oversized_datagrams.load(Ordering::Relaxed)
     }
 
     /// Datagrams whose sender is no node of this run.
@@ -116,7 +116,7 @@
             self.sent[from].fetch_add(1, Ordering::Relaxed);
             self.bytes.fetch_add(length as u64, Ordering::Relaxed);
             if length > MAX_DATAGRAM_BYTES {
-                self.too_long.fetch_add(1, Ordering::Relaxed);
+                self.oversized_datagrams.fetch_add(1, Ordering::Relaxed);
                 continue;
             }
             let fault = self.links.fault_between(End::Node(from), End::Node(to));
--- a/crates/test-doubles/src/ports.rs
+++ b/crates/test-doubles/src/ports.rs
@@ -1,8 +1,8 @@
-//! Addresses of this process alone: a block of loopback addresses, claimed for the lifetime of the process.
+//! Addresses that only this process uses: a block of loopback addresses, claimed for the lifetime of the process.
 //!
-//! It guards against two runs on one machine that receive each other's messages, and against a port that the kernel
-//! picked, got back, and gives to another process while the process that it was meant for starts or is dead for a
-//! moment. All of 127.0.0.0/8 is loopback, so each process claims a 127.x.0.0/16 that no other process has.
+//! It guards against two runs on one machine that receive each other's messages, and against an ephemeral port that was
+//! chosen for a process and then released: the kernel may assign it to another process while the first one starts or
+//! restarts. All of 127.0.0.0/8 is loopback, so each process claims a 127.x.0.0/16 that no other process has.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::os::linux::net::SocketAddrExt;
--- a/crates/test-doubles/src/scripted.rs
+++ b/crates/test-doubles/src/scripted.rs
@@ -112,7 +112,7 @@
 pub const REPLY_OK: Reply = Reply::Respond("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nranks");
 /// Status 500.
 pub const REPLY_ERROR: Reply = Reply::Respond("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n");
-/// Status 503, with the header that tells that the request was not run.
+/// Status 503, with the header that marks the request as not run.
 pub const REPLY_OVERLOADED: Reply =
     Reply::Respond("HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
 
@@ -423,7 +423,7 @@
         );
         let _ = sender.send(line.trim_end().to_owned());
     };
-    // Keeps reading if nobody receives the lines: a full pipe would block the node.
+    // Keeps reading after the receiver is dropped: a full pipe would block the node.
     thread::spawn(move || {
         log.lines()
             .map_while(Result::ok)
@@ -469,7 +469,7 @@
     (command.spawn().expect("the node's program starts"), path)
 }
 
-/// The configuration of a node that knows these app servers.
+/// The configuration of a node whose initial list holds these app servers.
 fn configuration(
     discovery: SocketAddr,
     hosts: &[String],
@@ -514,7 +514,7 @@
 }
 
 impl Node {
-    /// Starts a node that knows these app servers.
+    /// Starts a node whose initial list holds these app servers.
     pub fn start(tag: &str, discovery: SocketAddr, hosts: &[String]) -> Node {
         Node::with_sockets(tag, discovery, hosts, 1024)
     }
@@ -696,7 +696,7 @@
     listener.local_addr().expect("the socket has an address")
 }
 
-/// Sends a command to a node's admin address and returns the whole answer.
+/// Sends a command to a node's admin address and returns the complete answer.
 pub fn admin_request(address: SocketAddr, line: &str) -> String {
     let mut stream = TcpStream::connect(address).expect("the admin address accepts");
     stream
@@ -720,7 +720,7 @@
     value.unwrap_or_else(|| panic!("no metric {name} in {answer}"))
 }
 
-/// Starts an edge node that knows one app server with these replies.
+/// Starts an edge node and one app server with these replies.
 pub fn start_with_one_server(tag: &str, replies: &[Reply]) -> (Servers, Discovery, Node) {
     let (servers, discovery) = (Servers::new(), Discovery::start());
     let dial = servers.start("s-1", replies);
--- a/crates/test-doubles/src/servers.rs
+++ b/crates/test-doubles/src/servers.rs
@@ -83,12 +83,12 @@
 }
 
 impl AppServer {
-    /// Starts a warm server on a port of its own.
+    /// Starts a warm server on an unused port.
     ///
     /// # Errors
     /// No address is available.
     pub fn start(world: Arc<World>, spec: Spec) -> std::io::Result<AppServer> {
-        // Bound but never listening: while no process runs, nobody else gets the port and connections are refused.
+        // Bound but never listening: while no process runs, the port stays reserved and connections are refused.
         let address = crate::ports::reserve_address()?;
         let reserved_socket = bound(address)?;
         let listener = bound(address)?.listen(BACKLOG)?;
@@ -257,8 +257,8 @@
                 }
             }
         }
-        // A process that dies resets its connections: an orderly end in the middle would look like the end of a
-        // response.
+        // A killed process resets its connections: an orderly close in the middle of a response would look like its
+        // end.
         let _ = connection.stream.set_zero_linger();
     }
 }
