--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -5,10 +5,10 @@
 //! except for the metrics, which end with the line `EOT`. The crate does no I/O and reads no clock.
 //!
 //! ```
-//! use saffronpaddle_admin::{Call, Line};
+//! use saffronpaddle_admin::{AdminCommand, Line};
 //! let mut line = Line::default();
 //! assert_eq!(line.take(b"PI"), None);
-//! assert_eq!(line.take(b"NG\r\n"), Some(Ok(Call::Ping)));
+//! assert_eq!(line.take(b"NG\r\n"), Some(Ok(AdminCommand::Ping)));
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/fleet-harness/src/counts.rs
+++ b/crates/fleet-harness/src/counts.rs
@@ -10,7 +10,7 @@
 use std::io::{BufRead, BufReader};
 use std::path::{Path, PathBuf};
 
-/// The busiest nodes, one in this many, have columns of their own in the table.
+/// The busiest nodes, one in this many, have their own columns in the table.
 const NODES_PER_BUSY_NODE: usize = 10;
 /// Names that are gauges rather than counters and are not summed.
 const GAUGES: [&str; 3] = ["open_requests", "registry_entries", "out_of_rotation"];
--- a/crates/fleet-harness/src/harness.rs
+++ b/crates/fleet-harness/src/harness.rs
@@ -497,7 +497,7 @@
         while tasks.join_next().await.is_some() {}
     }
 
-    /// Runs one step on its own.
+    /// Returns a future that runs one step and does not borrow the harness.
     fn run_step(&self, step: &Step) -> impl std::future::Future<Output = ()> + Send + 'static {
         let (world, discovery) = (Arc::clone(&self.world), Arc::clone(&self.discovery));
         let (links, load_generator, server_list) = (
--- a/crates/fleet-harness/src/instance.rs
+++ b/crates/fleet-harness/src/instance.rs
@@ -84,8 +84,8 @@
 }
 
 impl Instance {
-    /// Creates an instance that is not running yet. With a `listener`, that one is kept here and passed to each
-    /// process; without one, the process binds `address`.
+    /// Creates an instance that is not running yet. A `listener` is kept here and passed to each process;
+    /// without one, the process binds `address`.
     pub fn new(
         number: usize,
         address: SocketAddr,
@@ -345,7 +345,7 @@
         match status {
             _ if !stop_ordered => {
                 self.fault(format!(
-                    "ended without being told to: {status:?}; end of its log: {}",
+                    "ended unexpectedly: {status:?}; end of its log: {}",
                     self.log_tail()
                 ));
             }
--- a/crates/fleet-harness/src/relays.rs
+++ b/crates/fleet-harness/src/relays.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 /// How a step affects a node's link to a server: the direction to the server, the direction back, and the node's number
-/// if it heals on its own.
+/// if the nodes heal one by one.
 type LinkEffect = (bool, bool, Option<usize>);
 
 /// The links that a scenario's steps affect.
--- a/crates/fleet-harness/src/report.rs
+++ b/crates/fleet-harness/src/report.rs
@@ -231,14 +231,14 @@
 /// Time within which a restarted process must be ready.
 pub const RESTART_READY_LIMIT_MS: f64 = 10_000.0;
 
-/// Most times within any one second.
-fn most_in_a_second(at: &[Duration]) -> usize {
-    let mut at = at.to_vec();
-    at.sort();
+/// Highest number of the given times that lie within one second.
+fn most_in_a_second(times: &[Duration]) -> usize {
+    let mut times = times.to_vec();
+    times.sort();
     let mut first = 0;
     let mut most = 0;
-    for (index, moment) in at.iter().enumerate() {
-        while at[first] + Duration::from_secs(1) <= *moment {
+    for (index, moment) in times.iter().enumerate() {
+        while times[first] + Duration::from_secs(1) <= *moment {
             first += 1;
         }
         most = most.max(index + 1 - first);
@@ -255,7 +255,7 @@
         .collect()
 }
 
-/// Breaches that the text lists one by one.
+/// Maximum number of breaches that the text shows individually.
 const MAX_BREACHES_SHOWN: usize = 10;
 
 impl fmt::Display for Report {
--- a/crates/fleet-harness/src/room.rs
+++ b/crates/fleet-harness/src/room.rs
@@ -74,7 +74,7 @@
 ///
 /// # Errors
 /// The machine lacks the resources for the run; the message names what is missing.
-pub fn look(scenario: &Scenario) -> Result<()> {
+pub fn check_memory(scenario: &Scenario) -> Result<()> {
     ensure_memory(scenario, crate::virtually::required_bytes(scenario))
 }
 
--- a/crates/fleet-harness/src/scenario.rs
+++ b/crates/fleet-harness/src/scenario.rs
@@ -105,7 +105,7 @@
 pub struct Step {
     /// Time since all instances were ready.
     pub at: Duration,
-    /// What happens.
+    /// The action, with its target and arguments.
     pub action: StepAction,
 }
 
--- a/crates/fleet-harness/src/soak.rs
+++ b/crates/fleet-harness/src/soak.rs
@@ -1,4 +1,4 @@
-//! Randomized fault tests: a seed draws a fleet, its load and faults that overlap in time. Real processes play it, and
+//! Randomized fault tests: a seed draws a fleet, its load and faults that overlap in time. Real processes run it, and
 //! the oracle checks it.
 //!
 //! A plan is written as a scenario, so that a failing one can be kept and replayed. It is shrunk by leaving out faults
@@ -16,7 +16,7 @@
 pub struct Size {
     /// Fewest and most instances.
     pub instances: (usize, usize),
-    /// How long load is offered.
+    /// Duration of the load, in seconds.
     pub seconds: u64,
     /// Number of faults that are drawn.
     pub faults: usize,
@@ -46,8 +46,8 @@
     steps: Vec<String>,
 }
 
-/// Time at the start and at the end of a run in which no fault begins, so that the fleet is up first and settles
-/// afterwards.
+/// Time at the start and at the end of a run in which no fault begins, so that all instances are ready before
+/// the first fault and the fleet can recover after the last.
 const FAULT_FREE_MS: (u64, u64) = (1_000, 4_000);
 /// How late an answer may be: the default slack of 50 ms and the 150 ms for which the platform may stall a stopping
 /// process.
@@ -69,19 +69,19 @@
         let instances = random.usize(size.instances.0..=size.instances.1);
         let servers = random.usize(instances..=2 * instances);
         let rate = (instances * random.usize(6..=10)).min(300);
-        let times = [0.3, 1.0, 3.0][random.usize(0..3)];
+        let deadline_factor = [0.3, 1.0, 3.0][random.usize(0..3)];
         let sockets = [256, 1024][random.usize(0..2)];
         let lateness = random.u64(0..=500);
         let leave_share = [0.0, 0.1][random.usize(0..2)];
-        let calls = FAILING_CALLS[random.usize(0..FAILING_CALLS.len())];
+        let failing_calls = FAILING_CALLS[random.usize(0..FAILING_CALLS.len())];
         let mut header =
             format!("name = \"soak-{seed}\"\ninstances = {instances}\nservers = {servers}\n");
         // Writing to a string does not fail.
         let _ = write!(
             header,
             "customers = {}\nrate = {rate}\nduration_ms = {}\noperated = false\nhanded_over = false\n\
-             deadline_times = {times}\nsockets = {sockets}\nlateness_ms = {lateness}\nleave_share = {leave_share}\n\
-             failing_calls = \"{calls}\"\nanswer_slack_ms = {ANSWER_SLACK_MS}\n",
+             deadline_times = {deadline_factor}\nsockets = {sockets}\nlateness_ms = {lateness}\nleave_share = {leave_share}\n\
+             failing_calls = \"{failing_calls}\"\nanswer_slack_ms = {ANSWER_SLACK_MS}\n",
             instances * 5,
             size.seconds * 1000,
         );
--- a/crates/saffronpaddle/src/fleet.rs
+++ b/crates/saffronpaddle/src/fleet.rs
@@ -127,7 +127,7 @@
     };
     let program = crate::instance_program(arguments.program)?;
     if arguments.in_virtual_time {
-        room::look(&scenario)?;
+        room::check_memory(&scenario)?;
         return virtually::play(scenario, arguments.seed, &operator);
     }
     let temporary_folder =
--- a/crates/saffronpaddle/tests/discovery_recovery.rs
+++ b/crates/saffronpaddle/tests/discovery_recovery.rs
@@ -135,7 +135,7 @@
 /// Nodes know two servers and cannot fetch a list, since the service answers as `outage` specifies (`None`: it does not
 /// listen). Then the service recovers, with one of the two as draining. Asserts that each node receives the drain in
 /// time.
-fn assert_drain_is_learned_after(tag: &str, outage: Option<Mode>) {
+fn assert_drain_is_received_after(tag: &str, outage: Option<Mode>) {
     let address = reserve_address().expect("an address");
     let service = outage.map(|mode| Service::start(address, mode));
     let servers = Servers::new();
@@ -218,16 +218,16 @@
 
 #[test]
 fn a_drain_is_applied_in_time_after_refused_connections() {
-    assert_drain_is_learned_after("refused", None);
+    assert_drain_is_received_after("refused", None);
 }
 
 #[test]
 fn a_drain_is_applied_in_time_after_unanswered_calls() {
-    assert_drain_is_learned_after("silent", Some(Mode::NoResponse));
+    assert_drain_is_received_after("silent", Some(Mode::NoResponse));
 }
 
 #[test]
 fn a_drain_is_applied_in_time_after_calls_refused_with_retry_after_one_minute() {
     let response = "HTTP/1.1 503 Later\r\nRetry-After: 60\r\nContent-Length: 0\r\n\r\n";
-    assert_drain_is_learned_after("later", Some(Mode::Refuse(response)));
+    assert_drain_is_received_after("later", Some(Mode::Refuse(response)));
 }
--- a/crates/test-doubles/src/scripted.rs
+++ b/crates/test-doubles/src/scripted.rs
@@ -23,7 +23,7 @@
     pub start_line: String,
     /// Headers, with names in lower case.
     pub headers: HashMap<String, String>,
-    /// The body.
+    /// The body, without the framing of chunks.
     pub body: Vec<u8>,
 }
 
@@ -120,13 +120,13 @@
 pub struct ReceivedRequest {
     /// Name of the server.
     pub server: String,
-    /// The request.
+    /// The request as the server read it.
     pub message: Message,
     /// Number of the connection at that server, from 0.
     pub connection: usize,
     /// Whether no earlier attempt of the request was still in flight.
     pub only_attempt: bool,
-    /// The connection.
+    /// The connection on which the request arrived; the test writes the response to it.
     pub stream: TcpStream,
 }
 
@@ -652,7 +652,7 @@
         assert!(kill.expect("the kill program runs").success());
     }
 
-    /// Process id.
+    /// Process id of the node.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
@@ -734,7 +734,7 @@
 
 /// A client's connection to the edge node.
 pub struct Client {
-    /// The connection.
+    /// The connection; responses are read through a buffer.
     pub stream: TcpStream,
     reader: BufReader<TcpStream>,
 }
@@ -755,7 +755,7 @@
 }
 
 impl Client {
-    /// Writes bytes.
+    /// Sends text. Panics if the connection is closed.
     pub fn write(&mut self, text: &str) {
         self.stream
             .write_all(text.as_bytes())
--- a/crates/test-doubles/src/wire.rs
+++ b/crates/test-doubles/src/wire.rs
@@ -19,7 +19,7 @@
     pub start_line: String,
     /// Headers, with names in lower case.
     pub headers: Vec<(String, String)>,
-    /// The body.
+    /// The body, without the framing of chunks.
     pub body: Vec<u8>,
     /// When the first byte was read, since the start of the run.
     pub first_byte_at: Duration,
@@ -49,7 +49,7 @@
     }
 }
 
-/// A connection that carries one message after the other.
+/// A connection that reads HTTP/1.1 messages one at a time.
 #[derive(Debug)]
 pub struct HttpConnection {
     /// The underlying connection.
