--- a/crates/test-doubles/src/wire.rs
+++ b/crates/test-doubles/src/wire.rs
@@ -19,7 +19,7 @@
     pub start_line: String,
     /// Headers, with names in lower case.
     pub headers: Vec<(String, String)>,
-    /// The body, without the framing of chunks.
+    /// The body, as many bytes as its `Content-Length` header states.
     pub body: Vec<u8>,
     /// When the first byte was read, since the start of the run.
     pub first_byte_at: Duration,
