--- a/crates/fleet-harness/src/instance.rs
+++ b/crates/fleet-harness/src/instance.rs
@@ -371,7 +371,7 @@
         kill(process.pid, signal).is_ok()
     }
 
-    /// Sends SIGTERM to the running process and waits until it has ended. After [`STOP_TIMEOUT`], records a fault and
+    /// Sends SIGTERM to the running process and waits until it has ended. After `STOP_TIMEOUT`, records a fault and
     /// sends SIGKILL.
     pub async fn stop(&self) {
         let Some(process) = self.process() else {
