--- a/crates/bench/src/process.rs
+++ b/crates/bench/src/process.rs
@@ -191,7 +191,7 @@
     })
 }
 
-/// Starts one of several nodes with the given configuration, which says that it listens at `address`.
+/// Starts one of several nodes with the given configuration, whose listen address is `address`.
 pub fn start_fleet_node(
     program: &Path,
     address: SocketAddr,
--- a/crates/bench/src/roster.rs
+++ b/crates/bench/src/roster.rs
@@ -1,4 +1,4 @@
-//! The list of servers in etcd: time to the first whole list, memory and CPU. By default there are 10,000 hosts and
+//! The list of servers in etcd: time to the first full list, memory and CPU. By default there are 10,000 hosts and
 //! 100 changes per second.
 
 use crate::process;
--- a/crates/bench/src/scale/mod.rs
+++ b/crates/bench/src/scale/mod.rs
@@ -43,7 +43,7 @@
 const MAX_CONNECTIONS: usize = 2_000;
 /// Largest CPU share of a core of a process of several hollow nodes, and largest backlog of unanswered requests, in
 /// seconds of their rate, at which the machine keeps up; the event loop must not be late either. The limits do not
-/// apply to a node with a process of its own, which is as late as a process of the program would be.
+/// apply to a node in a separate process, which is as late as a process of the program would be.
 const KEEPS_UP_LIMITS: (f64, f64) = (0.85, 0.3);
 /// An event loop with a larger 99th percentile of its delay is late, µs. A sweep of the policy engine can block it
 /// for less.
--- a/crates/bench/src/scale/service.rs
+++ b/crates/bench/src/scale/service.rs
@@ -1,4 +1,4 @@
-//! The list service of a scale run, in the platform's protocol. It formats the whole list once for all watches, so
+//! The list service of a scale run, in the platform's protocol. It formats the full list once for all watches, so
 //! that its own CPU time is small compared with that of thousands of nodes. Unlike the test double, it records
 //! nothing on each node.
 
@@ -35,7 +35,7 @@
     omit_optional_fields: bool,
     /// Servers that changed with each version, from version 2 on.
     changed: Vec<Vec<usize>>,
-    /// Text of the whole list, and its version.
+    /// Text of the full list, and its version.
     full_text: Option<(u64, Arc<str>)>,
 }
 
@@ -66,7 +66,7 @@
         )
     }
 
-    /// The version and the text for a watch that has version `from`: the changes since then, or the whole list.
+    /// The version and the text for a watch that has version `from`: the changes since then, or the full list.
     fn text_since(&mut self, from: Option<u64>) -> (u64, Arc<str>) {
         let Some(from) = from.filter(|from| (1..=self.seq).contains(from)) else {
             let seq = self.seq;
@@ -90,7 +90,7 @@
     world: Arc<World>,
     list: Mutex<List>,
     seq: watch::Sender<u64>,
-    /// Bytes of the whole list with all of the platform's fields, and as it is sent.
+    /// Bytes of the full list with all of the platform's fields, and as it is sent.
     pub list_sizes: (usize, usize),
 }
 
--- a/crates/bench/src/sockets.rs
+++ b/crates/bench/src/sockets.rs
@@ -109,7 +109,7 @@
         cost::wait_until_listening(&node).await?;
         measure_echoes(&node, echo_address, talkers, echoes).await?;
         let sockets = measure_idle(&node, count).await?;
-        // HTTP requests need another server, as the echo server speaks only WebSocket.
+        // HTTP requests need another server, as the echo server supports only WebSocket.
         discovery.change(vec![entry("s-1", http_address, "ready")]);
         tokio::time::sleep(Duration::from_millis(500)).await;
         measure_drain(sockets, &discovery, entry("s-0", echo_address, "draining"), &timeline).await?;
--- a/crates/bench/tests/size/fixture.rs
+++ b/crates/bench/tests/size/fixture.rs
@@ -202,9 +202,9 @@
 pub struct HollowTotals {
     /// Attempts sent to a server after their node received that it is not ready.
     pub after_drain: u64,
-    /// Longest time from that news to such an attempt.
+    /// Longest time from the receipt of that state to such an attempt.
     pub after_drain_max_ms: f64,
-    /// Such attempts sent more than 250 ms after the news.
+    /// Such attempts sent more than 250 ms after the receipt.
     pub late: u64,
     /// Events of the audit that were dropped.
     pub dropped_events: u64,
--- a/crates/bench/tests/size/list.rs
+++ b/crates/bench/tests/size/list.rs
@@ -45,9 +45,9 @@
     changed: Vec<Vec<usize>>,
     /// Texts of the current version.
     texts: Vec<Text>,
-    /// The whole list wrongly lacks all servers from this index on.
+    /// The full list wrongly lacks all servers from this index on.
     truncated_at: Option<usize>,
-    /// Watches with an earlier version get the whole list.
+    /// Watches with an earlier version get the full list.
     full_list_before: u64,
 }
 
@@ -106,7 +106,7 @@
             from.is_none(),
             hosts.join(",")
         );
-        // A whole list determines the health of all servers, also of those that it lacks.
+        // A full list determines the health of all servers, also of those that it lacks.
         let servers = if from.is_none() {
             (0..self.servers.len()).collect()
         } else {
@@ -179,7 +179,7 @@
         })
     }
 
-    /// Sends the whole list to all watches, without the servers from index `length` on, or complete again for `None`.
+    /// Sends the full list to all watches, without the servers from index `length` on, or complete again for `None`.
     /// Returns the version.
     pub fn truncate(&self, length: Option<usize>) -> u64 {
         self.publish(|list| {
--- a/crates/bench/tests/size/main.rs
+++ b/crates/bench/tests/size/main.rs
@@ -79,10 +79,10 @@
     });
 }
 
-/// The 4,400 servers of a zone are killed within 200 ms while the list is updated. They come back cold, first a
+/// The 4,400 servers of a zone are killed within 200 ms while the list is updated. They restart cold, first a
 /// hundred and then the rest. Each has one core, so about eight requests within its first second overload it.
 #[test]
-fn the_rules_hold_when_a_zone_of_4400_servers_is_lost_within_200_ms_and_comes_back_cold() {
+fn the_rules_hold_when_a_zone_of_4400_servers_is_lost_within_200_ms_and_restarts_cold() {
     run_test(async {
         let sizes = FleetParameters {
             z0_servers: 4_400,
@@ -121,7 +121,7 @@
     });
 }
 
-/// A fifth of the datagrams between nodes is lost during the whole test. A lost request for quota is repeated under
+/// A fifth of the datagrams between nodes is lost during the entire test. A lost request for quota is repeated under
 /// its number, so that it is not granted twice; cold servers are not overloaded; and drains do not depend on
 /// datagrams.
 #[test]
@@ -178,8 +178,8 @@
     });
 }
 
-/// A region of two zones, one of four regions, is partitioned from the others during the whole test. Each node that
-/// enforces a ceiling has a share of its own, so both sides together do not exceed it, and both serve requests.
+/// A region of two zones, one of four regions, is partitioned from the others during the entire test. Each node that
+/// enforces a ceiling has its own share, so both sides together do not exceed it, and both serve requests.
 #[test]
 fn a_partitioned_region_and_the_rest_together_exceed_no_ceiling() {
     run_test(async {
@@ -341,7 +341,7 @@
     });
 }
 
-/// A whole list wrongly lacks nine of ten servers. Nodes distrust an empty list but not a short one: they must send
+/// A full list wrongly lacks nine of ten servers. Nodes distrust an empty list but not a short one: they must send
 /// no new attempts to the missing servers 250 ms later, go on using the remaining ones, and use all again after the
 /// correct list.
 #[test]
--- a/crates/connection-eviction/src/pressure.rs
+++ b/crates/connection-eviction/src/pressure.rs
@@ -35,7 +35,7 @@
     }
 
     /// Returns how many more connections to evict when one connection waits to be accepted. `limit` is the maximum
-    /// number of connections, `open` the number of open ones, and `closing` how many of these have been told to close.
+    /// number of connections, `open` the number of open ones, and `closing` how many of these are already closing.
     ///
     /// The required evictions make room for the waiting connection. During a flood, further evictions are allowed
     /// proactively, as many as connections were accepted recently: if the flood's connections were evicted one by one,
--- a/crates/connection-eviction/tests/choice.rs
+++ b/crates/connection-eviction/tests/choice.rs
@@ -216,7 +216,7 @@
     /// to a quarter of the limit and never affect a possible slow client. Once all evicted connections have closed, the
     /// number of open connections is within the limit.
     #[test]
-    fn required_evictions_are_made_and_proactive_ones_spare_slow_clients(
+    fn required_evictions_are_made_and_proactive_ones_never_affect_slow_clients(
         connections in prop::collection::vec(any_connection(), 0..60),
         limit in 1usize..60, accepted in 0usize..200, closing in 0usize..60,
     ) {
--- a/crates/endpoints/src/compact.rs
+++ b/crates/endpoints/src/compact.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Number of zone names at which those that no server uses any more are dropped.
+/// Number of zone names at which those that are no longer used by any server are dropped.
 const MAX_ZONE_NAMES: usize = 256;
 
 /// An [`EndpointRecord`] without its host name.
--- a/crates/endpoints/src/follower.rs
+++ b/crates/endpoints/src/follower.rs
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Returns the revision to watch from; `None` if the whole prefix must be read first.
+    /// Returns the revision to watch from; `None` if the entire prefix must be read first.
     pub fn resume_revision(&self) -> Option<i64> {
         self.revision.map(|revision| revision + 1)
     }
@@ -97,10 +97,10 @@
         self.progress_revision = None;
     }
 
-    /// Checks the header of any response but that of a range, and says whether the watch can continue.
+    /// Checks the header of any response but that of a range, and returns whether the watch can continue.
     ///
     /// The caller must leave a member that lags. No events are accepted from a different cluster or from one that was
-    /// reset to an earlier revision: the whole prefix must be read again.
+    /// reset to an earlier revision: the entire prefix must be read again.
     pub fn check_header(&mut self, header: Header) -> WatchStep {
         let Some(known) = self.header else {
             self.header = Some(header);
@@ -110,7 +110,7 @@
             return WatchStep::Reread(RereadReason::OtherCluster);
         }
         if let Some(known_revision) = self.revision.filter(|known| header.revision < *known) {
-            // Either this member lags or the whole cluster was reset to an earlier revision. The range at the next
+            // Either this member lags or the entire cluster was reset to an earlier revision. The range at the next
             // member shows which, because a member answers a linearizable range only once it has caught up with its
             // leader.
             self.events.push(FollowerEvent::MemberBehind {
@@ -253,8 +253,8 @@
         (update, WatchStep::Continue)
     }
 
-    /// Applies a response without events (`progress_notify`, or the reply to a progress request), which says that all
-    /// events up to its revision have been sent.
+    /// Applies a response without events (`progress_notify`, or the reply to a progress request), which confirms that
+    /// all events up to its revision have been sent.
     pub fn apply_progress(&mut self, header: Header) -> WatchStep {
         let step = self.check_header(header);
         if step == WatchStep::Continue && self.fragments.is_empty() {
--- a/crates/endpoints/src/follower/event.rs
+++ b/crates/endpoints/src/follower/event.rs
@@ -9,7 +9,7 @@
 pub enum FollowerEvent {
     /// A member's revision is lower than the one already applied.
     MemberBehind {
-        /// The ID of the member.
+        /// The ID of the etcd member that sent the response.
         member_id: u64,
         /// The revision that the member reports.
         revision: i64,
@@ -50,7 +50,7 @@
     },
     /// The value of a key cannot be parsed.
     UnreadableValue {
-        /// The whole key, with its prefix.
+        /// The full key, with its prefix.
         key: String,
         /// Why the value was rejected.
         error: ValueError,
--- a/crates/endpoints/src/follower/listing.rs
+++ b/crates/endpoints/src/follower/listing.rs
@@ -1,4 +1,4 @@
-//! Collects the pages of a range over the whole prefix.
+//! Collects the pages of a range over the entire prefix.
 
 use crate::compact::{CompactEndpoint, ZoneNames};
 use crate::follower::response::KeyValue;
--- a/crates/endpoints/src/follower/response.rs
+++ b/crates/endpoints/src/follower/response.rs
@@ -5,7 +5,7 @@
 /// The header of each response (`etcdserverpb.ResponseHeader`).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Header {
-    /// The ID of the cluster.
+    /// The ID of the etcd cluster. A different ID means that the cluster was replaced, so its revisions are unrelated.
     pub cluster_id: u64,
     /// The ID of the member that sent the response.
     pub member_id: u64,
@@ -18,7 +18,7 @@
 /// A key and its value (`mvccpb.KeyValue`).
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct KeyValue {
-    /// The whole key, with its prefix.
+    /// The full key, with its prefix.
     pub key: Vec<u8>,
     /// The value; empty in a delete event.
     pub value: Vec<u8>,
@@ -42,13 +42,13 @@
 pub enum WatchStep {
     /// Continue the watch.
     Continue,
-    /// Read the whole prefix, then watch from the revision of that range.
+    /// Read the entire prefix, then watch from the revision of that range.
     Reread(RereadReason),
     /// Connect to another member and watch from the same revision.
     Leave(LeaveReason),
 }
 
-/// Why the whole prefix has to be read.
+/// Why the entire prefix has to be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RereadReason {
     /// The response comes from another cluster.
--- a/crates/endpoints/src/poll.rs
+++ b/crates/endpoints/src/poll.rs
@@ -1,4 +1,4 @@
-//! Schedules a node's calls to the platform's discovery so that a whole fleet does not overload it.
+//! Schedules a node's calls to the platform's discovery so that an entire fleet does not overload it.
 
 mod backoff;
 mod empty_list;
--- a/crates/endpoints/src/poll/backoff.rs
+++ b/crates/endpoints/src/poll/backoff.rs
@@ -15,9 +15,9 @@
 use crate::poll::limits::PollLimits;
 use std::time::Duration;
 
-/// Calls per second of the whole fleet after a first failure.
+/// Calls per second of all nodes together after a first failure.
 const FIRST_CALLS_PER_S: f64 = 25.0;
-/// Calls per second of the whole fleet after repeated failures.
+/// Calls per second of all nodes together after repeated failures.
 const LATER_CALLS_PER_S: f64 = 8.0;
 /// Minimum mean of the first pause. A service that is sized for a small fleet takes some seconds to answer one call
 /// from each node; more frequent calls only lengthen its queue. The platform takes a change as received 4 s after a
--- a/crates/endpoints/tests/poll.rs
+++ b/crates/endpoints/tests/poll.rs
@@ -1,4 +1,4 @@
-//! Backoff of the calls to the platform's discovery, for one node and for a whole fleet.
+//! Backoff of the calls to the platform's discovery, for one node and for an entire fleet.
 
 use proptest::prelude::*;
 use proptest::test_runner::FileFailurePersistence;
@@ -242,7 +242,7 @@
     );
 }
 
-/// A small fleet must not overload a service of its own size.
+/// A small fleet must not overload a service that is sized for it.
 #[test]
 fn a_small_fleet_calls_again_within_seconds_but_at_most_once_a_second() {
     let mut backoff = PollBackoff::for_fleet(3);
@@ -310,7 +310,7 @@
     }
 }
 
-/// All watches end at the same time and all later calls fail. The call rate of the whole fleet must stay bounded.
+/// All watches end at the same time and all later calls fail. The call rate of the entire fleet must stay bounded.
 #[test]
 fn a_fleet_whose_calls_all_fail_makes_a_quarter_of_a_call_per_second_and_node() {
     let mut random = fastrand::Rng::with_seed(11);
--- a/crates/exchange/src/event.rs
+++ b/crates/exchange/src/event.rs
@@ -89,7 +89,7 @@
         /// The entries, each with the address of the server.
         endpoints: Vec<(Endpoint, A)>,
     },
-    /// The process was told to stop, and the life cycle has set a shutdown deadline: all open and future requests are
+    /// A stop was requested, and the life cycle has set a shutdown deadline: all open and future requests are
     /// answered by then, even if their clients would wait longer.
     ShutdownAnnounced {
         /// The shutdown deadline. An earlier one that was announced before stays in force.
--- a/crates/exchange/src/exchange.rs
+++ b/crates/exchange/src/exchange.rs
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Returns the policy.
+    /// Returns the policy that decides on requests, for its metrics and snapshots.
     pub fn policy(&self) -> &P {
         &self.policy
     }
--- a/crates/exchange/src/exchange/attempt_end.rs
+++ b/crates/exchange/src/exchange/attempt_end.rs
@@ -86,7 +86,7 @@
     }
 }
 
-/// Returns the outcome of an aborted attempt. If the attempt can't have run, the outcome says so, and the policy may
+/// Returns the outcome of an aborted attempt. If the attempt can't have run, the outcome shows it, and the policy may
 /// retry the request.
 fn aborted_outcome(reason: Outcome, may_have_run: bool) -> Outcome {
     match reason {
--- a/crates/exchange/src/exchange/bodies.rs
+++ b/crates/exchange/src/exchange/bodies.rs
@@ -7,7 +7,7 @@
 use std::hash::Hash;
 
 impl<A: Copy + Eq + Hash, P: Policy, B: Bugs> Exchange<A, P, B> {
-    /// Handles the end of a streaming body. The request's deadline is set anew, and the last part is held back until
+    /// Handles the end of a streaming body. The request's deadline is reset, and the last part is held back until
     /// the policy has handled this event: before that part the server can't have run the request, so it can still be
     /// rejected.
     pub(super) fn on_body_complete(
--- a/crates/exchange/src/limits.rs
+++ b/crates/exchange/src/limits.rs
@@ -18,7 +18,7 @@
     /// the next request was written would be taken for the response to that request; during this delay it is detected
     /// as unsolicited bytes.
     pub reuse_delay: Micros,
-    /// Connect timeout, µs.
+    /// Time from the start of a connect to an app server after which it has failed, µs.
     pub connect_timeout: Micros,
     /// How long after its deadline the exchange fails a request that the policy has not answered, µs.
     pub answer_grace: Micros,
--- a/crates/exchange/src/tables.rs
+++ b/crates/exchange/src/tables.rs
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Returns whether the request may be rejected: a rejection tells the client that a retry is safe.
+    /// Returns whether the request may be rejected: a rejection signals to the client that a retry is safe.
     pub fn rejection_allowed(&self) -> bool {
         let outstanding = self
             .outstanding
--- a/crates/hollow/src/audit.rs
+++ b/crates/hollow/src/audit.rs
@@ -1,7 +1,7 @@
 //! Events of hollow nodes for a test's oracle, and faults that a test injects.
 //!
 //! Totals identify no request and no server, so they would not show that hundreds of hollow nodes break a rule which
-//! a few processes keep. The audit is off unless [`AuditOptions`] turns it on, so that measurements do not pay for
+//! a few processes keep. The audit is off unless [`AuditOptions`] enables it, so that measurements do not pay for
 //! it.
 
 use saffronpaddle_exchange::{ConnectionId, FinalAnswer};
@@ -80,10 +80,10 @@
     pub dropped_events: u64,
     /// Attempts sent to a server after their node received that it is not ready.
     pub after_drain: u64,
-    /// Longest time from that news to such an attempt, µs.
+    /// Longest time from the receipt of that state to such an attempt, µs.
     #[serde(rename = "after_drain_most")]
     pub after_drain_max: Micros,
-    /// Such attempts sent more than 250 ms after the news.
+    /// Such attempts sent more than 250 ms after the receipt.
     pub late: u64,
     /// Datagrams dropped by injected faults.
     #[serde(rename = "unheard")]
--- a/crates/hollow/src/figures.rs
+++ b/crates/hollow/src/figures.rs
@@ -155,7 +155,7 @@
 pub struct Snapshot {
     /// Unix time, µs.
     pub at: u64,
-    /// CPU time of the whole process since its start, ns.
+    /// CPU time of the process since its start, ns.
     pub cpu_ns: u64,
     /// Resident memory of the process, bytes.
     #[serde(rename = "memory")]
--- a/crates/hollow/src/lib.rs
+++ b/crates/hollow/src/lib.rs
@@ -7,7 +7,7 @@
 //! each node; and the parser of the lists. It uses the machine's clock. The rest is simulated: there is no HTTP on
 //! either side, connections to app servers open after a fixed delay and carry no data, app servers answer after a
 //! random delay, and clients' requests are random. CPU and memory of a hollow node are not those of a process;
-//! `docs/scale.md` says what each figure stands for.
+//! `docs/scale.md` defines each figure.
 //!
 //! - [`tenants`]: the customers that send requests, and their quotas.
 //! - [`figures`]: counters and histograms.
--- a/crates/hollow/src/shard.rs
+++ b/crates/hollow/src/shard.rs
@@ -7,11 +7,9 @@
 //! - `look`: answers a [`Snapshot`].
 //! - `load` and `rest`: start or stop the clients' requests.
 //! - `restart SHARE`: ends that share of the nodes without notice and starts them again; waits until all of these
-//!   have a list;
-//!   answers how long each took, µs.
+//!   have a list; answers how long each took, µs.
 //! - `audit`: answers the [`AuditReport`](crate::audit::AuditReport) since the last such command, if the first line
-//!   turns the
-//!   audit on.
+//!   enables the audit.
 //! - `faults {...}`: replaces the injected [`Faults`](crate::audit::Faults).
 //! - `renew SHARE`: like `restart`, without waiting for lists.
 //! - `unlisted`: answers the number of nodes without a list.
@@ -61,7 +59,7 @@
 /// Configuration of a process of hollow nodes.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Spec {
-    /// Nodes of the whole fleet.
+    /// Nodes of the entire fleet.
     #[serde(rename = "gateways")]
     pub fleet_size: u32,
     /// Number of nodes that run, the first ones of the fleet. Clients send requests only to these.
@@ -206,7 +204,7 @@
     let shard = Rc::new(Shard::new(spec, options)?);
     write_answer(&shard.snapshot()?)?;
     shard.start_nodes().await?;
-    // The event loop runs in the main task and not in one of its own: the main task is polled after few other tasks,
+    // The event loop runs in the main task and not in a separate one: the main task is polled after few other tasks,
     // so that due events do not wait while hundreds of tasks read a change of the list.
     tokio::select! {
         () = Rc::clone(&shard).run_event_loop() => Ok(()),
@@ -595,7 +593,7 @@
             }
             Command::Answer { id, answer } => self.count_answer(node, now, &id, answer),
             Command::PolicyAction(action) => self.execute_policy_action(node, now, action),
-            // Requests arrive with their whole body.
+            // Requests arrive with their complete body.
             Command::ReleaseBody { .. } => {}
         }
     }
--- a/crates/hot-restart/tests/sibling_attempts.rs
+++ b/crates/hot-restart/tests/sibling_attempts.rs
@@ -25,7 +25,7 @@
     allowed: f64,
 }
 
-/// Sends requests alternately to a parent and its child. `linked` says whether the two processes share state and
+/// Sends requests alternately to a parent and its child. `linked` determines whether the two processes share state and
 /// attempts.
 fn overlap(linked: bool, requests: u32) -> Overlap {
     let mut parent = Process::new(START);
--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -1,7 +1,7 @@
 //! The life cycle of an edge node: its state, whether it is ready for requests, and when the process exits.
 //!
 //! The crate does no I/O and reads no clock. [`Lifecycle::handle`] takes an [`Event`] and the current time, and returns
-//! [`Action`]s, which the I/O layer (`saffronpaddle-node`) carries out without decisions of its own.
+//! [`Action`]s, which the I/O layer (`saffronpaddle-node`) carries out without further decisions.
 //!
 //! ```
 //! use saffronpaddle_lifecycle::{Action, Event, Lifecycle, Limits, ManagerMessage, State};
--- a/crates/lifecycle/src/machine.rs
+++ b/crates/lifecycle/src/machine.rs
@@ -13,9 +13,9 @@
 const MANAGER_TIMEOUT_MARGIN: Duration = Duration::from_secs(1);
 
 /// How long a lame-duck node keeps idle connections open. A front end polls readiness every 0.1 s and, after a lame
-/// duck has reported that it is not ready, opens new connections for up to 0.2 s more (0.4 s if a process was told to
-/// stop, see `Limits`). Without the delay, its requests could arrive while the node closes their connection, and be
-/// lost.
+/// duck has reported that it is not ready, opens new connections for up to 0.2 s more (0.4 s if a stop was
+/// requested, see `Limits`). Without the delay, its requests could arrive while the node closes their connection, and
+/// be lost.
 const LAME_DUCK_LINGER: Duration = Duration::from_millis(500);
 
 /// The life cycle of an edge node.
@@ -31,7 +31,7 @@
     conditions_hold: bool,
     /// When the current state times out; `None` if it has no timeout.
     state_deadline: Option<Time>,
-    /// Set once the process was told to stop.
+    /// Set once a stop was requested.
     shutdown_plan: Option<ShutdownPlan>,
     /// At least one more reload was requested during a reload; one reload serves them all.
     reload_queued: bool,
@@ -114,7 +114,7 @@
         }
     }
 
-    /// The deadlines of the shutdown; `None` until the process is told to stop. No action announces a change: the
+    /// The deadlines of the shutdown; `None` until a stop is requested. No action announces a change: the
     /// caller checks the plan after each event and passes a new one to the exchange (`ShutdownAnnounced`), which caps
     /// the deadlines of all requests with it.
     pub fn shutdown_plan(&self) -> Option<ShutdownPlan> {
--- a/crates/lifecycle/src/shutdown.rs
+++ b/crates/lifecycle/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! The deadlines of a process that was told to stop.
+//! The deadlines of a process for which a stop was requested.
 //!
 //! Admission caps the deadline of each request at [`ShutdownPlan::answer_by`], so that no request outlives the process.
 
@@ -24,7 +24,7 @@
     longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_GRACE
 }
 
-/// When a process that was told to stop finishes its responses and exits.
+/// When a process for which a stop was requested finishes its responses and exits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownPlan {
     /// Every request gets its final response by this time, even if its own deadline is later.
--- a/crates/lifecycle/src/state.rs
+++ b/crates/lifecycle/src/state.rs
@@ -10,8 +10,8 @@
     Ready,
     /// Reloads its configuration and accepts requests as before.
     Reloading,
-    /// Told to stop. The node is not ready but still accepts and serves requests, because clients and front ends notice
-    /// the change with a delay.
+    /// A stop was requested. The node is not ready but still accepts and serves requests, because clients and front
+    /// ends notice the change with a delay.
     Draining,
     /// Accepts no connections; requests in flight are completed.
     Closing,
--- a/crates/model-checker/src/chart.rs
+++ b/crates/model-checker/src/chart.rs
@@ -50,7 +50,7 @@
             .unwrap_or_else(|| node_arrow(step))
     }
 
-    /// Returns the arrow between the lanes; `*` stands for a step within one lane.
+    /// Returns the arrow between the lanes; `*` marks a step within one lane.
     fn line(&self) -> String {
         let left = self.from.min(self.to).column();
         let right = self.from.max(self.to).column();
--- a/crates/model-checker/src/fleet/event.rs
+++ b/crates/model-checker/src/fleet/event.rs
@@ -17,7 +17,7 @@
     pub id: ConnectionId,
 }
 
-/// An attempt on a connection, which tells its responses from those to earlier attempts.
+/// An attempt on a connection, which distinguishes its responses from those to earlier attempts.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttemptRef {
     pub connection: ConnectionRef,
@@ -59,7 +59,7 @@
     PeerCloses(ConnectionRef),
     /// The closing of a connection by the node is complete.
     ConnectionCloses(ConnectionRef),
-    /// The timer of a node's exchange fires; `due` tells whether it was rescheduled since.
+    /// The timer of a node's exchange fires; `due` shows whether it was rescheduled since.
     ExchangeTimer {
         node: NodeRef,
         due: Micros,
--- a/crates/model-checker/src/fleet/network.rs
+++ b/crates/model-checker/src/fleet/network.rs
@@ -26,7 +26,7 @@
         self.deliver(connection.node.index, event, None);
     }
 
-    /// Fails a connect.
+    /// Reports to the node that a connect failed, in some cases because of a local shortage.
     pub fn connect_fails(&mut self, connection: ConnectionRef) {
         if self.open_connection(connection).is_none() {
             return;
--- a/crates/model-checker/src/fleet/nodes.rs
+++ b/crates/model-checker/src/fleet/nodes.rs
@@ -17,7 +17,7 @@
 /// The exchange of a node, with the real policy engine.
 pub(super) type NodeExchange = Exchange<u32, PolicyEngine, Option<Bug>>;
 
-/// A node.
+/// The current process of a node: its exchange, with the simulated connections and timer.
 pub(super) struct Node {
     pub exchange: NodeExchange,
     /// Number of restarts.
--- a/crates/model-checker/src/fleet/servers.rs
+++ b/crates/model-checker/src/fleet/servers.rs
@@ -22,7 +22,7 @@
 const RESET_DELAY: Micros = 500;
 /// Lowest speed of a server that has just started, as a share of its full speed.
 const MIN_WARMTH: f64 = 0.05;
-/// Duration of a fault, µs.
+/// Bounds of the time after which a fault of a server ends, µs.
 const FAULT_DURATION: Range<Micros> = 500_000..2_000_000;
 /// How long a server stays drained, µs.
 const DRAIN_DURATION: Range<Micros> = 800_000..2_500_000;
--- a/crates/model-checker/src/setups/real_policy.rs
+++ b/crates/model-checker/src/setups/real_policy.rs
@@ -9,7 +9,7 @@
 };
 use saffronpaddle_policy::PolicyEngine;
 
-/// A millisecond, µs.
+/// Unit of the settings below, in µs.
 const MILLISECOND: Micros = 1_000;
 /// How long servers deduplicate keys, µs.
 const DEDUPLICATION_WINDOW: Micros = 2_000 * MILLISECOND;
--- a/crates/model-checker/src/world/apply_step.rs
+++ b/crates/model-checker/src/world/apply_step.rs
@@ -345,7 +345,7 @@
         if !while_closing && !streaming {
             source.carried = None;
             source.responded = false;
-            // A response before the last byte means that the request has run, unless it says that the server is full.
+            // A response before the last byte means that the request has run, unless it is `ServerResponse::Full`.
             let may_have_run = response.kind != ServerResponse::Full;
             self.end_attempt(request, connection, may_have_run);
         }
--- a/crates/model-checker/src/world/setup.rs
+++ b/crates/model-checker/src/world/setup.rs
@@ -61,7 +61,7 @@
     pub faults: bool,
     /// Clients may disconnect before they are answered.
     pub clients_leave: bool,
-    /// The node may be told to drain.
+    /// A drain of the node may be requested.
     pub node_drains: bool,
     /// A shutdown may be announced at any time, with a deadline this many ticks later; `None` if there is no shutdown.
     pub shutdown_ticks: Option<u64>,
@@ -90,7 +90,7 @@
         self.requests[usize::from(request)]
     }
 
-    /// Returns the id of a request.
+    /// Returns the id that the client sends with a request; all requests have the same one if `shared_id` is set.
     pub(super) fn request_id(&self, request: u8) -> RequestId {
         RequestId(if self.shared_id {
             "r".into()
--- a/crates/model-checker/src/world/step.rs
+++ b/crates/model-checker/src/world/step.rs
@@ -59,7 +59,7 @@
     ConnectionCloses(u8),
     /// The node receives the next change of the endpoint list.
     EndpointsChange,
-    /// The node is told to drain.
+    /// A drain of the node is requested.
     NodeStops,
     /// The shutdown deadline of the process is announced.
     ShutdownAnnounced,
--- a/crates/node/src/clients.rs
+++ b/crates/node/src/clients.rs
@@ -50,7 +50,7 @@
     pub ready: bool,
     /// The reasons why the node is not ready.
     pub reasons: Reasons,
-    /// Deadline for answering all open requests; `None` until the process is told to stop.
+    /// Deadline for answering all open requests; `None` until a stop is requested.
     pub answer_by: Option<Instant>,
 }
 
--- a/crates/node/src/clients/connection.rs
+++ b/crates/node/src/clients/connection.rs
@@ -24,10 +24,10 @@
 /// Most bytes buffered for one client. Keeps the sum over all clients far below the memory limit.
 const MAX_BUFFER_BYTES: usize = 32 * 1024;
 /// How long a connection that has not sent a request may still send one after the node starts to close connections. The
-/// request may already be in transit when the node is told to stop.
+/// request may already be in transit when the stop is requested.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 /// Scheduler yields until bytes held by the kernel reach the reader of a request: one each for tokio's I/O driver and
-/// the connection's task, and one spare.
+/// the connection's task, and one as a margin.
 const FINAL_READ_YIELDS: usize = 3;
 
 /// Serves a client connection until it ends or is evicted.
--- a/crates/node/src/clients/respond.rs
+++ b/crates/node/src/clients/respond.rs
@@ -269,7 +269,7 @@
     response
 }
 
-/// Tells the node to abandon the request when the client disconnects, which drops the future of the response.
+/// Has the request abandoned when the client disconnects, which drops the future of the response.
 struct AbandonGuard<'a> {
     node: &'a Rc<Node>,
     id: RequestId,
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -22,8 +22,8 @@
 use tokio::time::{timeout, Instant};
 use tracing::{debug, warn};
 
-/// A watch without data for this time is considered dead; the service sends something every 2 s. A drain counts as
-/// announced 6 s after discovery has it, even if the watch is dead, so a new watch must be open by then.
+/// A watch without data for this time is considered failed; the service sends something every 2 s. A drain counts as
+/// announced 6 s after discovery has it, even if the watch has failed, so a new watch must be open by then.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(3);
 /// Number of servers in the longest list that can be read.
 const MAX_SERVERS: usize = 40_000;
@@ -65,7 +65,7 @@
         self.empty_list.poll_again_after(limits.empty_after)
     }
 
-    /// Whether a list is applied. After a rejected list the whole list is read again.
+    /// Whether a list is applied. After a rejected list the full list is read again.
     fn accepts_list(&mut self, list: &List) -> bool {
         let Some(poll_limits) = self.poll_limits.as_ref().filter(|_| list.whole) else {
             return true;
@@ -248,7 +248,7 @@
     address: SocketAddr,
     backoff: &mut PollBackoff,
 ) -> Result<Watch, DiscoveryError> {
-    // While an empty list is not accepted, the whole list is requested.
+    // While an empty list is not accepted, the full list is requested.
     let from = follower
         .seq
         .filter(|_| follower.empty_list_recheck_at().is_none());
--- a/crates/node/src/discovery/error.rs
+++ b/crates/node/src/discovery/error.rs
@@ -28,7 +28,7 @@
     /// The service answered with a status other than 200.
     #[error("list service answered the watch request with status {0}")]
     Status(StatusCode),
-    /// An empty list has lasted long enough to be applied, so the watch is reopened to read the whole list again.
+    /// The list has been empty for long enough to be applied, so the watch is reopened to read the full list again.
     #[error("reopening the watch to confirm an empty list")]
     EmptyListSettled,
     /// The watch sent no data for [`WATCH_TIMEOUT`].
--- a/crates/node/src/downstream.rs
+++ b/crates/node/src/downstream.rs
@@ -241,7 +241,7 @@
     }
 
     /// Returns the connection without its wrapper; `None` while another holder of the socket is inspecting it, which
-    /// lasts only for one call.
+    /// takes only one call.
     pub fn into_inner(self) -> Option<TcpStream> {
         self.stream.into_inner()
     }
--- a/crates/node/src/edge.rs
+++ b/crates/node/src/edge.rs
@@ -35,7 +35,7 @@
 /// Descriptors that are neither clients' nor app servers': the listener, discovery, peers, the runtime, and the admin
 /// listener with its callers.
 const RESERVED_DESCRIPTORS: usize = 32 + Admin::DESCRIPTORS;
-/// Least number of connections per side (clients, app servers) that WebSocket connections must leave to requests.
+/// Least number of connections per side (clients, app servers) that WebSocket connections must leave for requests.
 const MIN_CONNECTIONS_PER_SIDE: usize = 32;
 /// Length of the queue of connections that wait to be accepted.
 const LISTEN_BACKLOG: i32 = 1024;
@@ -44,7 +44,7 @@
 pub struct Options {
     /// The platform's configuration.
     pub config: Config,
-    /// The operator file; `None` turns off everything that it configures.
+    /// The operator file; `None` disables everything that it configures.
     pub operator: Option<OperatorFile>,
     /// An inherited listener for clients; `None` binds `Config::listen`.
     pub inherited_listener: Option<std::net::TcpListener>,
--- a/crates/node/src/manager.rs
+++ b/crates/node/src/manager.rs
@@ -132,8 +132,8 @@
         match &sent {
             Ok(_) => self.unreachable_logged.set(false),
             Err(error) if is_full(error) => {}
-            // The socket does not exist or nobody listens. Logged once, as a manager may start again at the same
-            // address.
+            // The socket does not exist or no process listens on it. Logged once, as a manager may start again at
+            // the same address.
             Err(error) if !self.unreachable_logged.replace(true) => {
                 warn!(
                     "cannot send to the service manager's notify socket; not logged again until a message is sent: {error}"
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -50,7 +50,7 @@
     pub links: ProcessLinks,
     /// Message socket to the other nodes; `None` on a node without peers.
     pub peers: Option<Peers>,
-    /// Settings of WebSocket connections; `None` turns them off.
+    /// Settings of WebSocket connections; `None` disables them.
     pub sockets: Option<Sockets>,
     /// State received from a parent process, and the number of the link that it was received on.
     pub restored: Option<(StateSnapshot, u32)>,
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -62,7 +62,7 @@
     })
 }
 
-/// The service manager at `NOTIFY_SOCKET`, if the operator file turns notifications on.
+/// The service manager at `NOTIFY_SOCKET`, if the operator file enables notifications.
 fn manager(OperatorFile { settings, .. }: &OperatorFile) -> Manager {
     let socket = std::env::var_os("NOTIFY_SOCKET").filter(|_| settings.manager.notify);
     let Some(address) = socket.filter(|address| !address.is_empty()) else {
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -30,7 +30,7 @@
     pub address: SocketAddr,
 }
 
-/// The outcome of an attempt.
+/// How an attempt on a connection ended, with what was received of the response.
 pub(super) enum AttemptOutcome {
     /// A complete response.
     Complete(Outcome, Option<Payload>),
@@ -101,7 +101,7 @@
     {
         return false;
     }
-    // A response without a length, an encoding or an announced close cannot be told from a truncated one.
+    // A response without a length, an encoding or an announced close cannot be distinguished from a truncated one.
     let framed = [CONTENT_LENGTH, TRANSFER_ENCODING]
         .iter()
         .any(|name| headers.contains_key(name));
@@ -207,7 +207,7 @@
     Some(Box::new(upgraded))
 }
 
-/// Classifies a response by its status. `X-Not-Run: 1` says that the server did not execute the request.
+/// Classifies a response by its status. `X-Not-Run: 1` means that the server did not execute the request.
 fn outcome_of<B>(response: &Response<B>) -> Outcome {
     let not_run = response
         .headers()
--- a/crates/node/src/upstream/gate.rs
+++ b/crates/node/src/upstream/gate.rs
@@ -77,11 +77,13 @@
             }
             self.yields = 0;
             // A client may have disconnected while the event loop was delayed, or after bytes that are not read. A
-            // server would execute its request in vain, so this is checked immediately before the first byte.
+            // server would execute its request although no client reads the response, so this is checked immediately
+            // before the first byte.
             if let Some(forward) = forward.filter(|forward| forward.client.client_is_gone()) {
                 Rc::clone(&owner).on_client_disconnected(&forward);
             }
-            // Bytes left over from an earlier response would be read as the next one, so the exchange is told of them.
+            // Bytes left over from an earlier response would be read as the next one, so they are reported to the
+            // exchange.
             let no_unread_bytes = has_no_unread_bytes(self.stream.inner().stream());
             owner.on_event(
                 Event::FirstByteReady {
--- a/crates/node/src/websocket/relay.rs
+++ b/crates/node/src/websocket/relay.rs
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Whether a side has sent its close or its connection has ended, so that it is not read any more.
+    /// Whether a side has sent its close or its connection has ended, so that it is no longer read.
     fn is_input_ended(&self, side: Side) -> bool {
         self.directions[side as usize].scanner.closed() || self.ended[side as usize]
     }
@@ -249,7 +249,7 @@
 
     /// Ends a side that has violated the protocol.
     fn fail_side(&mut self, websockets: &WebsocketProxy, side: Side) {
-        // The side is still sent the close frame with the reason, and is not read any more.
+        // The side is still sent the close frame with the reason, and is no longer read.
         self.insert_control_frames(side);
         self.write(websockets, side);
         self.end_side(websockets, side);
--- a/crates/operator-config/src/fault.rs
+++ b/crates/operator-config/src/fault.rs
@@ -2,10 +2,10 @@
 
 use std::fmt;
 
-/// An error in the value of one key, or in the whole file.
+/// An error in the value of one key, or in the entire file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// The dotted path of the key, such as `ready.lag_ms`; empty for a fault of the whole file.
+    /// The dotted path of the key, such as `ready.lag_ms`; empty for a fault of the entire file.
     pub key: String,
     /// A description of the fault.
     pub reason: String,
--- a/crates/operator-config/src/operator.rs
+++ b/crates/operator-config/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operator file as a whole.
+//! The operator file with all of its sections.
 
 use crate::etcd::Etcd;
 use crate::fault::{Fault, Faults};
@@ -14,27 +14,27 @@
 /// The contents of the operator file, with defaults for missing keys.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Operator {
-    /// `[listen]`
+    /// `[listen]`: how the node gets its listener for clients.
     pub listen: Listen,
-    /// `[ready]`
+    /// `[ready]`: the conditions under which the node reports that it is ready.
     pub ready: Conditions,
-    /// `[stop]`
+    /// `[stop]`: how long a stopping node still accepts and serves requests.
     pub stop: Stop,
-    /// `[reload]`
+    /// `[reload]`: the timeout of a reload.
     pub reload: Reload,
-    /// `[manager]`
+    /// `[manager]`: which notifications are sent to the service manager.
     pub manager: Manager,
-    /// `[log]`
+    /// `[log]`: what is logged in addition to events.
     pub log: Log,
-    /// `[list]`; `None` unless it sets a rate of calls.
+    /// `[list]`: limits on calls to the platform's discovery; `None` unless it sets a rate of calls.
     pub list: Option<PollLimits>,
-    /// `[quotas]`
+    /// `[quotas]`: how nodes share customers' quotas.
     pub quotas: Quotas,
-    /// `[servers]`
+    /// `[servers]`: which app servers a node uses.
     pub servers: Servers,
-    /// `[etcd]`; `None` unless it names endpoints.
+    /// `[etcd]`: how app servers are discovered through etcd; `None` unless it names endpoints.
     pub etcd: Option<Etcd>,
-    /// `[sockets]`; `None` unless it names a class.
+    /// `[sockets]`: how WebSocket connections are served; `None` unless it names a class.
     pub sockets: Option<Sockets>,
 }
 
--- a/crates/operator-config/src/section.rs
+++ b/crates/operator-config/src/section.rs
@@ -7,7 +7,7 @@
 
 /// A section (TOML table) that is being read. A missing key has its default value; a key that is never read is a fault.
 pub struct Section {
-    /// The dotted path of the section; empty for the whole file.
+    /// The dotted path of the section; empty for the entire file.
     path: String,
     /// The keys that have not been read yet, with their values.
     table: Table,
@@ -15,7 +15,7 @@
 }
 
 impl Section {
-    /// Creates the root section from the table of a whole file.
+    /// Creates the root section from the table of an entire file.
     pub fn root(table: Table) -> Section {
         Section {
             path: String::new(),
@@ -68,7 +68,7 @@
         value
     }
 
-    /// Reads a key. If `read` rejects the value, records a fault that says what was `expected` and returns the default.
+    /// Reads a key. If `read` rejects the value, records a fault with what was `expected` and returns the default.
     fn read_value<T>(
         &mut self,
         key: &str,
--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -140,10 +140,10 @@
         self.isolated_bucket(request, bucket)
     }
 
-    /// Adapts a bucket to nodes that may not send each other messages: each node would admit the whole quota, so each
-    /// gets a share of it. If the share is less than one request, randomly chosen nodes of the subset get one whole
-    /// request instead: so many on average that together they admit no more than the quota over the time for which a
-    /// bucket is kept.
+    /// Adapts a bucket to nodes that may not send each other messages: each node would admit the entire quota, so each
+    /// gets a share of it. If the share is less than one request, randomly chosen nodes of the subset get one full
+    /// request instead. Their number is such that together, on average, they admit no more than the quota over the
+    /// time for which a bucket is kept.
     fn isolated_bucket(&mut self, request: &Request, bucket: TokenBucket) -> TokenBucket {
         let plan = &self.settings.plans[request.plan.0];
         let share = (UNEVEN_SHARE / bucket.subset_size).min(1.0);
--- a/crates/policy/src/attempt_results.rs
+++ b/crates/policy/src/attempt_results.rs
@@ -57,8 +57,8 @@
             return self.discard_request(&id, actions);
         }
         if !at_server {
-            // The client may have been slow to send the body or to read the response, so the attempt says nothing about
-            // the server.
+            // The client may have been slow to send the body or to read the response, so the attempt is no evidence
+            // about the server.
             return self.finish(&id, Counter::EndedAfterAttempts, actions);
         }
         self.record_outcome(&id, &attempt, outcome);
--- a/crates/policy/src/counters.rs
+++ b/crates/policy/src/counters.rs
@@ -116,7 +116,7 @@
         self.0[counter as usize] += 1;
     }
 
-    /// Counts the end of an attempt. An attempt that was cancelled or never sent is not counted, as it says nothing
+    /// Counts the end of an attempt. An attempt that was cancelled or never sent is not counted, as it shows nothing
     /// about the server, unless it was cancelled because the server stalled.
     pub(crate) fn attempt_ended(&mut self, outcome: Outcome, stalled: bool) {
         match outcome {
--- a/crates/policy/src/decaying_mean.rs
+++ b/crates/policy/src/decaying_mean.rs
@@ -1,6 +1,6 @@
 //! An exponentially weighted mean without a bias towards its initial value.
 //!
-//! A mean that starts at zero and is updated with a small weight stays too low for its whole memory. At the start of a
+//! A mean that starts at zero and is updated with a small weight stays too low for all of its memory. At the start of a
 //! fleet the throughput of servers would be underestimated: requests that they could serve would be shed, and servers
 //! in slow start would be sent too few. Here the first samples have equal weights, until the weight of a sample reaches
 //! its final value.
--- a/crates/policy/src/endpoint_table.rs
+++ b/crates/policy/src/endpoint_table.rs
@@ -27,7 +27,7 @@
 /// time.
 const ORDERED_WAITS_MIN: usize = FULL_LIST_MAX_SERVERS * 3 / 4;
 
-/// Numbers of ready servers: on the whole list, and in this node's subset.
+/// Numbers of ready servers: on the full list, and in this node's subset.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct ReadyServers {
     pub listed: f64,
--- a/crates/policy/src/gossip.rs
+++ b/crates/policy/src/gossip.rs
@@ -1,7 +1,7 @@
 //! Gossip: statistics on load and servers that nodes exchange in grant requests and responses.
 //!
 //! Inputs: this node's statistics, and payloads of peers. Result: gossip averages of latency, attempts in flight and
-//! faults over the whole fleet. At most two payloads of a peer per second are applied, and their effect decays, so that
+//! faults across the fleet. At most two payloads of a peer per second are applied, and their effect decays, so that
 //! the messages of one node, however many, neither eject servers nor shed requests.
 
 use crate::endpoint_table::short_server_id;
--- a/crates/policy/src/gossip_average.rs
+++ b/crates/policy/src/gossip_average.rs
@@ -1,4 +1,4 @@
-//! A mean over the whole fleet for quantities of which each node has few samples. Each node keeps a sum and a count
+//! A mean across the fleet for quantities of which each node has few samples. Each node keeps a sum and a count
 //! that decay with time and are averaged with those of each peer that sends a message.
 //!
 //! In expectation averaging preserves the ratio of the sums over all nodes (push-sum: Kempe, Dobra and Gehrke,
@@ -15,7 +15,7 @@
 pub const IN_FLIGHT_DECAY_S: f64 = 1.0;
 /// Time constant of a server's fault rate, seconds.
 pub const FAULT_DECAY_S: f64 = 4.0;
-/// Weight of the prior in an estimate, in attempts of the whole fleet.
+/// Weight of the prior in an estimate, in attempts of the entire fleet.
 const PRIOR_WEIGHT: f64 = 3.0;
 /// Weight of a received average when it is mixed into the node's own.
 const MIX_SHARE: f64 = 0.2;
--- a/crates/policy/src/grants/owner.rs
+++ b/crates/policy/src/grants/owner.rs
@@ -4,7 +4,7 @@
 //! not need are issued as leases (`saffronpaddle_quota`).
 //!
 //! A restarted node must not grant again what its previous incarnation granted. It detects the restart by the
-//! requester's uptime and initializes the shard with the fill that the requester was last told. A standby starts with
+//! requester's uptime and initializes the shard with the fill that the requester last received. A standby starts with
 //! the units of one request; with a full shard, one lost response would be enough to grant the quota from two buckets.
 
 use super::GrantResponseWithLease;
--- a/crates/policy/src/idempotency.rs
+++ b/crates/policy/src/idempotency.rs
@@ -1,5 +1,5 @@
-//! Idempotency: decides whether a request may be dispatched again, and whether it may be rejected, which tells the
-//! client that repeating it is safe.
+//! Idempotency: decides whether a request may be dispatched again, and whether it may be rejected, which signals to
+//! the client that repeating it is safe.
 //!
 //! Rule: once an attempt may have been executed, the request is dispatched again only if a second execution has no
 //! effect. The policy engine calls this module when it chooses a server, and the exchange calls it again right before
@@ -58,7 +58,7 @@
     }
 }
 
-/// Returns whether a request may be rejected, which tells the client that repeating the request is safe.
+/// Returns whether a request may be rejected, which signals to the client that repeating the request is safe.
 pub fn rejection_allowed(idempotency: Idempotency, dispatched: Option<DispatchedAttempt>) -> bool {
     if dispatched.is_none() {
         return true;
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -133,7 +133,7 @@
     /// Idle time after which a server closes a connection, µs.
     pub server_idle_timeout: Micros,
     /// Whether each owner of a customer's quota holds its own share, so that owners that cannot reach each other never
-    /// grant more than the whole quota. Must be the same at all nodes.
+    /// grant more than the entire quota. Must be the same at all nodes.
     pub partition_safe: bool,
     /// Whether a message budget limits the retransmissions of grant requests.
     pub retransmission_budget: bool,
--- a/crates/policy/src/load_shedding.rs
+++ b/crates/policy/src/load_shedding.rs
@@ -58,7 +58,7 @@
         by_latency.max(self.utilization() - 1.0).clamp(0.0, 1.0)
     }
 
-    /// Returns the utilization of the back end by the whole fleet; 0 in a small fleet, which has no gossip averages.
+    /// Returns the utilization of the back end by the entire fleet; 0 in a small fleet, which has no gossip averages.
     fn utilization(&self) -> f64 {
         if !self.large_fleet {
             return 0.0;
--- a/crates/policy/src/load_statistics.rs
+++ b/crates/policy/src/load_statistics.rs
@@ -7,7 +7,7 @@
 
 /// Expected wait before the first sample, as a share of the shortest latency objective.
 pub(crate) const INITIAL_WAIT_SHARE: f64 = 0.12;
-/// Stands for the normalized latency of a class without samples.
+/// Value in place of the normalized latency of a class without samples.
 pub(crate) const UNKNOWN_LATENCY: f64 = -1.0;
 /// Weight of a new sample in the mean latency of all servers.
 const LATENCY_WEIGHT: f64 = 0.02;
@@ -24,7 +24,7 @@
     pub in_flight: f64,
     /// Latency of each class as a multiple of its objective; [`UNKNOWN_LATENCY`] while unknown.
     pub normalized_latencies: Vec<f64>,
-    /// Normalized latencies by class over the whole fleet, as gossip averages.
+    /// Normalized latencies by class across the fleet, as gossip averages.
     pub fleet_latencies: Vec<GossipAverage>,
     pub utilization: Utilization,
     /// Responses per second at one node.
--- a/crates/policy/src/peer_message/mod.rs
+++ b/crates/policy/src/peer_message/mod.rs
@@ -28,7 +28,7 @@
 const CUSTOMER_BYTES: usize = 5;
 /// Bytes of a customer's usage: its id and its counter.
 const USAGE_BYTES: usize = CUSTOMER_BYTES + 2;
-/// Bytes of an observation.
+/// Bytes of an observation of a server in a payload; one that would exceed [`MAX_BYTES`] is left out.
 const OBSERVATION_BYTES: usize = 6;
 
 /// Fixed-point steps per quota unit, per latency objective and per event per second.
@@ -45,7 +45,7 @@
 const REPORT_AGE_STEP: Micros = 64 * MILLISECOND;
 /// Step of the time until a request can be granted again.
 const RETRY_AFTER_STEP: Micros = 8 * MILLISECOND;
-/// Steps of a share between 0 and 1 that is encoded in a byte of its own.
+/// Steps of a share between 0 and 1 that is encoded in a separate byte.
 const SHARE_STEPS: f64 = 255.0;
 /// Steps of a fault rate between 0 and 1, which shares its byte with the class.
 const FAULT_RATE_STEPS: u8 = 31;
@@ -89,7 +89,7 @@
     pub short_server_id: u16,
     pub class: ClassId,
     pub fault_rate: f64,
-    /// Gossip average of recent faults over the whole fleet.
+    /// Gossip average of recent faults across the fleet.
     pub fleet_faults: GossipAverage,
     /// Wait per attempt in flight at the server, µs.
     pub wait_per_attempt: f64,
--- a/crates/policy/src/peers.rs
+++ b/crates/policy/src/peers.rs
@@ -17,7 +17,7 @@
 
 /// Shortest time between two usage reports.
 const MIN_REPORT_INTERVAL: Micros = 200 * MILLISECOND;
-/// Interval between checks for a due report where there is nobody to report to, so that an idle node does not wake up
+/// Interval between checks for a due report where there is no peer to report to, so that an idle node does not wake up
 /// at every timer.
 const NO_REPORT_INTERVAL: Micros = 500 * MILLISECOND;
 /// How long a customer stays in the reports after its last request, as some reports may be lost.
--- a/crates/policy/src/server.rs
+++ b/crates/policy/src/server.rs
@@ -50,7 +50,7 @@
     /// When the next health probe may be sent; `Some` while the server is ejected.
     #[serde(rename = "trial")]
     pub next_probe_at: Option<Micros>,
-    /// Recent fault rate over the whole fleet, as a gossip average.
+    /// Recent fault rate across the fleet, as a gossip average.
     #[serde(rename = "pool")]
     pub fleet_faults: GossipAverage,
     /// Time of the latest observation by this node or a peer.
--- a/crates/policy/src/server_selection.rs
+++ b/crates/policy/src/server_selection.rs
@@ -17,7 +17,7 @@
 const MAX_WAIT_SHARE: f64 = 0.3;
 /// The same bound over all servers together.
 const MAX_TOTAL_WAIT_SHARE: f64 = 0.25;
-/// Attempts that all nodes together may always have in flight per server. The allowance is for the whole fleet because
+/// Attempts that all nodes together may always have in flight per server. The allowance is for the entire fleet because
 /// hundreds of nodes with one attempt each would overload a server.
 const MIN_IN_FLIGHT_PER_SERVER: f64 = 4.0;
 /// Time in which a server's last known wait moves halfway to the typical wait.
--- a/crates/policy/src/shard_owners.rs
+++ b/crates/policy/src/shard_owners.rs
@@ -2,7 +2,7 @@
 //! asked.
 //!
 //! There are as few shards as the rate of messages that one node can receive allows, because one shard of a small quota
-//! may be exhausted while half of the whole quota is left. Each shard has a primary owner and, where the subset has
+//! may be exhausted while half of the quota is left. Each shard has a primary owner and, where the subset has
 //! enough nodes, a standby that is asked while the primary owner is unreachable. Owners are determined by a hash of the
 //! customer within its subset of nodes, so every node finds the same ones without messages.
 //!
@@ -83,7 +83,7 @@
         }
     }
 
-    /// The fraction of the whole hard limit that an owner holds.
+    /// The fraction of the entire hard limit that an owner holds.
     fn part_of_hard_limit(self, owner: u32) -> f64 {
         let shards = f64::from(self.shards);
         let standbys_per_shard = f64::from(self.owners - self.shards) / shards;
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -4,7 +4,7 @@
 //! All nodes together send a server that warms up only a part of the load at which it fails. While warm servers show
 //! the throughput of one server, or showed it before all of them were replaced, each node earns credit for attempts in
 //! proportion to that throughput (`earn_slow_start_credit`). A node that has seen hardly any warm server, as when the
-//! whole back end starts, lacks a throughput baseline and uses permits instead (`saffronpaddle_slow_start`).
+//! entire back end starts, lacks a throughput baseline and uses permits instead (`saffronpaddle_slow_start`).
 //!
 //! Inputs: start times of servers in µs, responses per second, results of attempts. Results: whether a server may be
 //! sent one more attempt; requests that are rejected because they could not be sent in time.
@@ -49,7 +49,7 @@
 const MAX_USEFUL_WAIT_S: f64 = 1.5;
 /// Requests that may always wait.
 const MIN_QUEUED: f64 = 2.0;
-/// Longest time after which a client is told to retry while servers are in slow start, µs.
+/// Longest time after which a client is asked to retry while servers are in slow start, µs.
 const MAX_SLOW_START_RETRY_AFTER: f64 = 2e6;
 /// Weight of the latest period in the mean rate of attempts to servers in slow start.
 const RATE_WEIGHT: f64 = 0.5;
@@ -104,7 +104,7 @@
 
     /// Whether a server is limited by slow start: it warms up, or it started recently and this node still lacks a
     /// throughput baseline. Without the second condition, servers that all become warm at the same time would be sent
-    /// the whole queue at once.
+    /// the entire queue at once.
     pub(crate) fn is_limited_by_slow_start(&self, server: &Server, now: Micros) -> bool {
         let rules = &self.settings.slow_start;
         let window = RECENT_START_PERIODS * rules.warm_up_period;
@@ -196,7 +196,7 @@
         };
         let rules = &self.settings.slow_start;
         let capacity_fraction = server.capacity_fraction(rules, attempt.sent_at);
-        // An attempt at an earlier incarnation of the server says nothing about this one.
+        // An attempt at an earlier incarnation of the server is no evidence about this one.
         let started_at = server.endpoint.started_at;
         if started_at.is_none_or(|started| attempt.sent_at < started) {
             return;
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -23,7 +23,7 @@
     #[serde(rename = "stores")]
     buckets: Vec<(CustomerId, TokenBucket)>,
     servers: Vec<Server>,
-    /// Earlier builds had a field `homes` in another format. Reusing its name would make the whole state fail to parse.
+    /// Earlier builds had a field `homes` in another format. Reusing its name would make the full state fail to parse.
     #[serde(rename = "parts")]
     shards: Vec<(CustomerId, OwnedShard)>,
     #[serde(rename = "fuzzy")]
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Attempts in flight of this process and of its siblings, in the form in which a new process is told of them.
+    /// Attempts in flight of this process and of its siblings, in the form in which a new process receives them.
     fn attempts_for_siblings(&self) -> Vec<SiblingAttempt> {
         let own = self
             .requests
--- a/crates/policy/src/state/timers.rs
+++ b/crates/policy/src/state/timers.rs
@@ -12,7 +12,7 @@
 pub(crate) const CONTROLLER_PERIOD: Micros = 500 * MILLISECOND;
 /// Length of a controller period, seconds.
 pub(crate) const CONTROLLER_PERIOD_S: f64 = CONTROLLER_PERIOD as f64 / 1e6;
-/// Longest time after which a rejected client is told to retry, while no server warms up. Even where an owner rejects
+/// Longest time after which a rejected client is asked to retry, while no server warms up. Even where an owner rejects
 /// for longer, other requests of the customer may be granted in the meantime.
 pub(crate) const MAX_RETRY_AFTER: Micros = 100 * MILLISECOND;
 
--- a/crates/policy/src/state/zones.rs
+++ b/crates/policy/src/state/zones.rs
@@ -7,9 +7,9 @@
 /// Weight of the latest attempt in the share of a zone's attempts that cannot connect.
 const ZONE_WEIGHT: f64 = 0.2;
 
-/// The share of attempts into each zone that could not connect. If the links to a whole zone fail, this detects it much
-/// earlier than the statistics of each server. Peers elsewhere may still reach the zone, so only attempts of this node
-/// count.
+/// The share of attempts into each zone that could not connect. If the links to an entire zone fail, this detects it
+/// much earlier than the statistics of each server. Peers elsewhere may still reach the zone, so only attempts of this
+/// node count.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ZoneReachability(BTreeMap<ZoneId, f64>);
 
--- a/crates/policy/src/streaming.rs
+++ b/crates/policy/src/streaming.rs
@@ -7,7 +7,7 @@
 
 impl PolicyEngine {
     /// Handles the last byte of a request's body. From then on the attempt counts at the server and for the customer,
-    /// which is charged the request's units; the deadline is set anew.
+    /// which is charged the request's units; the deadline is reset.
     pub(crate) fn on_body_complete(
         &mut self,
         now: Micros,
--- a/crates/policy/src/token_bucket.rs
+++ b/crates/policy/src/token_bucket.rs
@@ -3,7 +3,7 @@
 //! In a small fleet every node broadcasts the units that it forwarded for each customer, and every receiver deducts
 //! them from its own bucket, so that the nodes together enforce one quota while they receive each other's reports. The
 //! even share of a silent peer is withheld until the peer counts as failed, so that the two sides of a partition do not
-//! both grant the whole quota. In a large fleet the owners of the customer's shards decide (`grants`), and this bucket
+//! both grant the entire quota. In a large fleet the owners of the customer's shards decide (`grants`), and this bucket
 //! only determines when a rejected client should retry.
 //!
 //! The names in JSON are those that earlier builds read.
@@ -120,7 +120,7 @@
 
 impl TokenBucket {
     /// Creates the bucket of a customer that this node has not served since it started, `uptime` ago. It holds the
-    /// whole burst: usage of peers is reported soon enough, while a customer that uses nearly all of its quota would
+    /// full burst: usage of peers is reported soon enough, while a customer that uses nearly all of its quota would
     /// never recover tokens that are missing at first. Its share of the hard limit holds only the units that have
     /// accrued since the start of the node, because an earlier incarnation may have used up the rest.
     pub(crate) fn new(
--- a/crates/policy/src/utilization.rs
+++ b/crates/policy/src/utilization.rs
@@ -1,7 +1,7 @@
-//! Utilization of the back end: the attempts that the whole fleet has in flight, relative to the capacity of the
+//! Utilization of the back end: the attempts that the entire fleet has in flight, relative to the capacity of the
 //! servers.
 //!
-//! When many servers become unavailable at once, drained or with a failed zone, the remaining ones take the whole load,
+//! When many servers become unavailable at once, drained or with a failed zone, the remaining ones take the full load,
 //! and latency shows the overload only after it has occurred. The attempts in flight and the available servers are
 //! known earlier: the first is a gossip average over the fleet, the second is on the endpoint list. By Little's law the
 //! number in flight is throughput times latency. A server with a known throughput can therefore sustain the number of
--- a/crates/policy/src/utilization/tests.rs
+++ b/crates/policy/src/utilization/tests.rs
@@ -8,7 +8,7 @@
     utilization
 }
 
-/// When servers are removed, the remaining ones take the whole load. Latency shows the overload too late, so
+/// When servers are removed, the remaining ones take the entire load. Latency shows the overload too late, so
 /// utilization has to rise at once.
 #[test]
 fn removed_servers_raise_utilization_at_once_in_fleets_of_any_size() {
--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -6,7 +6,7 @@
 use common::test_node::{count_sends, TestNode};
 use saffronpaddle_policy::interface::*;
 
-/// Nodes that may not send each other messages do not know what the others admit. If each admitted the whole quota, a
+/// Nodes that may not send each other messages do not know what the others admit. If each admitted the entire quota, a
 /// customer would get it many times. Each node admits twice the even share, as requests are distributed unevenly, and
 /// at least one request.
 #[test]
--- a/crates/policy/tests/common/test_node.rs
+++ b/crates/policy/tests/common/test_node.rs
@@ -84,7 +84,7 @@
         self.handle(Event::EndpointsChanged { update, endpoints });
     }
 
-    /// Sends a request of a customer whose subset is the whole fleet.
+    /// Sends a request of a customer whose subset is the entire fleet.
     pub fn request(
         &mut self,
         class: ClassId,
@@ -100,7 +100,7 @@
         self.request_of(class, plan, customer, timeout)
     }
 
-    /// Sends a request of a customer whose subset is this node alone.
+    /// Sends a request of a customer whose subset is only this node.
     pub fn request_of_own_customer(
         &mut self,
         class: ClassId,
--- a/crates/policy/tests/concurrency_limit.rs
+++ b/crates/policy/tests/concurrency_limit.rs
@@ -16,7 +16,7 @@
     infer_step(error, change).gain
 }
 
-/// Input values over the whole range from -1 to 1.
+/// Input values over the full range from -1 to 1.
 fn steps() -> impl Iterator<Item = f64> {
     (-12..=12).map(|step| f64::from(step) / 12.0)
 }
--- a/crates/policy/tests/grants.rs
+++ b/crates/policy/tests/grants.rs
@@ -117,7 +117,7 @@
     );
 }
 
-/// One node receives all requests of a customer that is far over its quota. An owner's response says how long no more
+/// One node receives all requests of a customer that is far over its quota. An owner's response states how long no more
 /// can be granted, and until then no grant request may be sent. So there is one grant request and one response for each
 /// unit of the quota, not for each request.
 #[test]
@@ -138,7 +138,7 @@
     );
 }
 
-/// The owners of a customer's quota restart and have lost the state of their shards. Requesters tell them how full the
+/// The owners of a customer's quota restart and have lost the state of their shards. Requesters send them how full the
 /// shards were; otherwise each restart would grant the burst again.
 #[test]
 fn restarted_owners_do_not_grant_the_burst_again() {
--- a/crates/policy/tests/long_endpoint_lists.rs
+++ b/crates/policy/tests/long_endpoint_lists.rs
@@ -58,7 +58,7 @@
     node.handle(Event::TimerFired { token: 0 });
 }
 
-/// Sends requests of customers without a quota whose subset is this node alone, so that no grant requests are sent.
+/// Sends requests of customers without a quota whose subset is only this node, so that no grant requests are sent.
 fn send_requests(node: &mut TestNode, count: u64) -> Vec<RequestId> {
     (0..count)
         .map(|number| node.request_of_own_customer(IDEMPOTENT, UNLIMITED, number % 50, 3 * SECOND))
--- a/crates/policy/tests/server_selection.rs
+++ b/crates/policy/tests/server_selection.rs
@@ -58,7 +58,7 @@
     );
 }
 
-/// Sends one request of a customer whose subset is this node alone, and ends its attempts with `outcome`. Returns the
+/// Sends one request of a customer whose subset is only this node, and ends its attempts with `outcome`. Returns the
 /// server of the first attempt.
 fn first_server(
     node: &mut TestNode,
--- a/crates/policy/tests/token_bucket.rs
+++ b/crates/policy/tests/token_bucket.rs
@@ -44,7 +44,7 @@
 }
 
 /// A peer sends no reports: it has failed, or the network is partitioned and it goes on admitting requests. If this
-/// node used the peer's share, both sides of a partition would admit the whole quota. Only half of the refill may be
+/// node used the peer's share, both sides of a partition would admit the entire quota. Only half of the refill may be
 /// used here.
 #[test]
 fn share_of_a_silent_peer_is_withheld_from_the_refill() {
@@ -79,7 +79,7 @@
         let first = node.request(IDEMPOTENT, METERED, 7, 2 * SECOND);
         node.end_attempt(&first, Outcome::Ok);
         node.handle(usage_report(5, 7, 10));
-        // The whole burst is available again after ten seconds in which reports arrive.
+        // The full burst is available again after ten seconds in which reports arrive.
         for _ in 0..20 {
             node.now += 500 * MILLISECOND;
             node.handle(usage_report(5, 7, 10));
@@ -111,7 +111,7 @@
         let mut nodes: Vec<_> = (0..3)
             .map(|index| TestNode::with_servers(seed, settings(index, 3), SECOND, 6))
             .collect();
-        // The hard limit of the whole fleet, full at the start.
+        // The hard limit of the entire fleet, full at the start.
         let mut tokens = 12.0f64;
         let mut sent = 0;
         for tick in 0..4000u64 {
--- a/crates/quota/src/lease.rs
+++ b/crates/quota/src/lease.rs
@@ -6,7 +6,7 @@
 //! **Quota.** Each token belongs either to the issuer or to one holder. While a lease is active, the issuer refills at
 //! its rate minus the leased rates, up to its capacity minus the leased capacities; the holder refills at the leased
 //! rate, up to the leased capacity. The sum of all tokens therefore never exceeds what a single token bucket of the
-//! whole quota would hold, whichever nodes can reach each other.
+//! entire quota would hold, whichever nodes can reach each other.
 //!
 //! **Expiry.** The lease expires at the holder before the issuer reclaims it. The holder measures the lease's duration,
 //! shortened by one part in [`CLOCK_DRIFT_DIVISOR`], from the time at which it *sent the request*; the issuer measures
--- a/crates/quota/src/lease/issuer.rs
+++ b/crates/quota/src/lease/issuer.rs
@@ -12,7 +12,7 @@
 
 /// Maximum fraction of a shard's quota that is leased. The rest is for nodes without a lease.
 pub(crate) const QUOTA_LEASE_FRACTION: f64 = 0.75;
-/// Maximum fraction of a shard's hard limit that is leased. A newly opened shard must count this whole fraction as
+/// Maximum fraction of a shard's hard limit that is leased. A newly opened shard must count all of this fraction as
 /// leased for one lease duration, so a larger one would leave little for grants.
 pub(crate) const HARD_LIMIT_LEASE_FRACTION: f64 = 0.35;
 /// Capacity of a lease in seconds of its rate. The capacity is at least the units of one request.
@@ -195,7 +195,7 @@
         });
     }
 
-    /// Counts the whole leasable fraction of a hard limit as leased until `until`, because the previous process may
+    /// Counts all of the leasable fraction of a hard limit as leased until `until`, because the previous process may
     /// have leased it.
     pub(crate) fn reserve_predecessor_leases(&mut self, hard_limit: HardLimit, until: Micros) {
         self.leases.push(IssuedLease {
@@ -277,7 +277,7 @@
                 .min(free_capacity)
         };
         // The holder may become partitioned at any time, so it gets the units of one request immediately if the shard
-        // can spare them.
+        // has enough tokens left.
         let can_spare = budget.tokens >= INITIAL_TOKENS_RESERVE * request.request_units;
         let initial_tokens = if request.scope == LeaseScope::Quota && can_spare {
             request.request_units
--- a/crates/quota/src/shard/leasing.rs
+++ b/crates/quota/src/shard/leasing.rs
@@ -14,7 +14,7 @@
 use crate::Micros;
 
 /// Time without a rejection because of too few tokens after which a shard issues leases, µs. Otherwise a customer that
-/// uses its whole quota would lose the rate that is leased to nodes its requests no longer reach.
+/// uses its entire quota would lose the rate that is leased to nodes its requests no longer reach.
 const UNCONTENDED_AFTER: Micros = 10_000_000;
 /// Minimum interval between two lease requests to the standby, µs. A lost request is not repeated earlier.
 const LEASE_REQUEST_INTERVAL: Micros = 400_000;
--- a/crates/quota/tests/lease.rs
+++ b/crates/quota/tests/lease.rs
@@ -1,5 +1,5 @@
-//! Tests of leases: the admitted requests stay within a single token bucket of the whole quota while messages are lost,
-//! late, duplicated or reordered, owners restart and clocks drift.
+//! Tests of leases: the admitted requests stay within a single token bucket of the entire quota while messages are
+//! lost, late, duplicated or reordered, owners restart and clocks drift.
 
 use proptest::prelude::*;
 use proptest::test_runner::FileFailurePersistence;
@@ -23,7 +23,7 @@
     capacity: 1e9,
 };
 
-/// A token bucket of the whole quota. Its tokens become negative if more is admitted than it holds.
+/// A token bucket of the entire quota. Its tokens become negative if more is admitted than it holds.
 struct ReferenceBucket {
     limit: HardLimit,
     tokens: f64,
@@ -99,9 +99,9 @@
 
 /// The measurements of a run.
 struct Outcome {
-    /// Minimum tokens of the reference bucket of the whole quota.
+    /// Minimum tokens of the reference bucket of the entire quota.
     min_quota_tokens: f64,
-    /// Minimum tokens of the reference bucket of the whole hard limit.
+    /// Minimum tokens of the reference bucket of the entire hard limit.
     min_hard_limit_tokens: f64,
     /// Number of requests admitted by a lease.
     admitted_by_lease: u32,
@@ -338,9 +338,9 @@
     (0..900).map(&mut step).collect()
 }
 
-/// An issuer that refills at its full rate, a lease that expires late and an owner that forgets leases on its hard limit
-/// each let a customer exceed its limits. The same schedules must detect each of these faults, and must not exceed the
-/// limits without a fault.
+/// An issuer that refills at its full rate, a lease that expires late and an owner that loses its record of
+/// leases on its hard limit each let a customer exceed its limits. The same schedules must detect each of these faults,
+/// and must not exceed the limits without a fault.
 #[test]
 fn injected_faults_exceed_the_quota_or_the_hard_limit() {
     const SEEDS: std::ops::Range<u64> = 0..40;
--- a/crates/slow-start/src/lib.rs
+++ b/crates/slow-start/src/lib.rs
@@ -1,5 +1,5 @@
-//! Slow start for a whole fleet: limits the requests that all nodes together send to a server that has just started and
-//! whose capacity is not yet known.
+//! Slow start for an entire fleet: limits the requests that all nodes together send to a server that has just started
+//! and whose capacity is not yet known.
 //!
 //! A request to such a server needs a permit. Permits have two sources, neither of which needs messages between nodes,
 //! and can be transferred:
--- a/crates/slow-start/src/limits.rs
+++ b/crates/slow-start/src/limits.rs
@@ -7,7 +7,7 @@
 
 /// Maximum load from earned permits, as a fraction of the load that overloads a server.
 pub const MAX_OVERLOAD_FRACTION: f64 = 0.6;
-/// Time slots per second, each for one request of the whole fleet. More than about seven requests in its first second
+/// Time slots per second, each for one request of the entire fleet. More than about seven requests in its first second
 /// overload a server with one core, so slots must leave capacity for the requests of earned permits.
 const SLOTS_PER_SECOND: f64 = 0.75;
 /// Time slots per second at a server that restarted soon after its previous start: it was probably overloaded.
--- a/crates/slow-start/tests/exhaustive.rs
+++ b/crates/slow-start/tests/exhaustive.rs
@@ -91,7 +91,7 @@
     process_started_at: [Micros; 3],
     server_started_at: [Micros; 2],
     in_flight: Vec<Attempt>,
-    /// Transfers in transit.
+    /// Permits that one node has sent to another and that have not arrived.
     transfers: BTreeSet<Transfer>,
     /// Permits earned since the start of each server.
     earned: [u8; 2],
--- a/crates/slow-start/tests/fleet.rs
+++ b/crates/slow-start/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Simulations in virtual time of whole fleets at servers of different sizes. With lost and late messages and
+//! Simulations in virtual time of entire fleets at servers of different sizes. With lost and late messages and
 //! restarting nodes, the fleet's load stays below the load that overloads the server, and a server that is warming up
 //! is well utilized.
 
@@ -109,7 +109,7 @@
     sent_at: Micros,
 }
 
-/// A transfer in transit.
+/// A message in transit that transfers a permit between nodes.
 struct Transfer {
     arrives_at: Micros,
     to: usize,
--- a/crates/websocket/src/frames/scanner.rs
+++ b/crates/websocket/src/frames/scanner.rs
@@ -7,7 +7,7 @@
 
 /// Maximum length of a frame header (section 5.2).
 const MAX_HEADER_BYTES: usize = 14;
-/// Length of the first part of a frame header, which determines the length of the whole header.
+/// Length of the first part of a frame header, which determines the length of the full header.
 const MIN_HEADER_BYTES: usize = 2;
 /// Length of a masking key.
 const MASK_BYTES: usize = 4;
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Whether the forwarded bytes end at a frame boundary, so that the node may insert a frame of its own.
+    /// Whether the forwarded bytes end at a frame boundary, so that the node may insert its own frame.
     pub fn at_boundary(&self) -> bool {
         self.frame.is_none_or(|frame| frame.control.is_some())
     }
--- a/crates/websocket/src/table.rs
+++ b/crates/websocket/src/table.rs
@@ -154,7 +154,7 @@
         Vec::new()
     }
 
-    /// Records that bytes were received from a side. `data` says whether they included parts of data frames.
+    /// Records that bytes were received from a side. `data` indicates whether they included parts of data frames.
     pub fn on_received(&mut self, now: Micros, id: SocketId, side: Side, data: bool) {
         if let Some(socket) = self.by_id.get_mut(&id) {
             socket.last_received_at[side as usize] = now;
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Counts down the pending upgrades. When none is left, no socket can open at an unavailable server any more, so
+    /// Counts down the pending upgrades. When none is left, sockets can no longer open at an unavailable server, so
     /// the set of these is cleared.
     fn end_pending_upgrade(&mut self) {
         self.pending_upgrades -= 1;
--- a/crates/websocket/src/table/admission.rs
+++ b/crates/websocket/src/table/admission.rs
@@ -43,7 +43,7 @@
     /// The bucket is empty; the error is the time until the next token, in microseconds.
     pub fn take(&mut self, now: Micros) -> Result<(), Micros> {
         let elapsed_s = now.saturating_sub(self.refilled_at) as f64 / MICROS_PER_S;
-        // With a capacity below 1, a bucket with a rate below one per second would never hold a whole token.
+        // With a capacity below 1, a bucket with a rate below one per second would never hold a full token.
         let capacity = self.rate_per_s.max(1.0);
         self.tokens = (self.tokens + elapsed_s * self.rate_per_s).min(capacity);
         self.refilled_at = now;
--- a/crates/websocket/src/table/drain.rs
+++ b/crates/websocket/src/table/drain.rs
@@ -2,7 +2,7 @@
 //!
 //! Thousands of sockets may have to close. Closing all of them at once would block the event loop, and all their
 //! clients would reconnect at the same time. So the close frames are sent in batches within a part of the drain's time
-//! limit, and each one tells its client when to reconnect.
+//! limit, and each one informs its client when to reconnect.
 
 use super::{Command, SocketId, Sockets};
 use saffronpaddle_policy::interface::{Micros, ServerId};
@@ -15,7 +15,7 @@
 const NOTIFY_FRACTION: f64 = 0.5;
 /// Delay after which the first client may reconnect, in seconds.
 const FIRST_RETRY_S: f64 = 0.1;
-/// Minimum rate at which clients are told to reconnect, per second.
+/// Minimum rate at which clients are asked to reconnect, per second.
 const MIN_RECONNECT_RATE_PER_S: f64 = 0.001;
 
 /// Close code "going away" (RFC 6455, section 7.4.1).
--- a/crates/websocket/src/table/limits.rs
+++ b/crates/websocket/src/table/limits.rs
@@ -27,7 +27,7 @@
     pub drain_within: Micros,
     /// Time limit of a closing handshake for other reasons.
     pub close_within: Micros,
-    /// The rate per second at which clients of sockets that are drained together are told to reconnect.
+    /// The rate per second at which clients of sockets that are drained together are asked to reconnect.
     pub reconnects_per_s: f64,
     /// Whether drained sockets are closed with 1012 (service restart) instead of 1001 (going away).
     pub restart: bool,
--- a/crates/websocket/tests/sockets.rs
+++ b/crates/websocket/tests/sockets.rs
@@ -89,7 +89,7 @@
     assert!(cuts
         .iter()
         .all(|(at, command)| *at == now + 200 * MS && matches!(command, Command::Cut(_))));
-    // Clients are told to reconnect one after the other.
+    // Clients are asked to reconnect one after the other.
     let Some((_, Command::Drain(_, 1001, advice, _))) = closes.last() else {
         panic!("a close")
     };
