--- a/crates/admin/src/metrics.rs
+++ b/crates/admin/src/metrics.rs
@@ -21,7 +21,7 @@
 pub struct Metrics<'a> {
     /// The names of the classes, in the order of the settings.
     pub class_names: &'a [String],
-    /// The request counters.
+    /// Counts of requests by class, and of attempts and connections, since the process started.
     pub request_counters: RequestCounters,
     /// Number of app servers on the list.
     pub registry_entries: usize,
--- a/crates/etcd/src/client.rs
+++ b/crates/etcd/src/client.rs
@@ -1,12 +1,12 @@
 //! Follows the endpoint list under a prefix of a cluster, and switches to the next member when one fails.
 
-pub use crate::news::MAX_QUEUED_EVENTS;
+pub use crate::client_event::MAX_QUEUED_EVENTS;
 
 use crate::api;
+use crate::client_event::ClientEvent;
 use crate::convert::{header, watch_event};
 use crate::error::{MemberError, Result};
 use crate::member::Member;
-use crate::news::ClientEvent;
 use crate::settings::Settings;
 use saffronpaddle_endpoints::{EndpointUpdate, Follower, WatchStep};
 use std::net::SocketAddr;
--- a/crates/etcd/src/lib.rs
+++ b/crates/etcd/src/lib.rs
@@ -8,13 +8,13 @@
 
 pub mod api;
 pub mod client;
+mod client_event;
 mod convert;
 mod error;
 mod member;
-mod news;
 mod read_time;
 mod settings;
 
 pub use client::follow;
-pub use news::ClientEvent;
+pub use client_event::ClientEvent;
 pub use settings::{Settings, Timing};
--- a/crates/fleet-harness/src/report.rs
+++ b/crates/fleet-harness/src/report.rs
@@ -193,7 +193,7 @@
             "after_drain_most_ms": verdict.attempts_after_drain_max_ms, "drains": verdict.drains,
             "drain_median_ms": verdict.drain_median_ms, "effects": verdict.effects,
             "keys_repeated": verdict.duplicated_keys, "cold_worst": verdict.cold_load_max,
-            "cold_crowded": verdict.cold_crowding_max, "left": verdict.disconnected,
+            "cold_crowded": verdict.cold_mean_load_max, "left": verdict.disconnected,
             "left_unsent": verdict.disconnected_before_attempt,
             "after_leave": verdict.attempts_after_disconnect, "shut": verdict.nodes_rejecting_all,
             "unserving": verdict.processes_never_serving,
@@ -292,7 +292,7 @@
         writeln!(
             f,
             "cold servers got at most {:.2} of N + 2 sqrt(N) + 2; clients that left {}, before a first attempt {}, sent on after that {}",
-            verdict.cold_crowding_max, verdict.disconnected, verdict.disconnected_before_attempt,
+            verdict.cold_mean_load_max, verdict.disconnected, verdict.disconnected_before_attempt,
             verdict.attempts_after_disconnect
         )?;
         let (quick, restarts) = self.restarted();
--- a/crates/fleet-harness/tests/virtual_replies.rs
+++ b/crates/fleet-harness/tests/virtual_replies.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_fenced_fleet_in_two_halves_reports_what_it_did_before() {
+fn a_partition_safe_fleet_in_two_halves_reports_what_it_did_before() {
     assert_same(
         "halves-fenced",
         &report(HALVES, 7, PARTITION_SAFE),
--- a/crates/policy/src/stalled_attempts.rs
+++ b/crates/policy/src/stalled_attempts.rs
@@ -5,7 +5,7 @@
 //!
 //! Inputs: for each attempt its age in µs, the mean latency, the class's latency objective, and the time of its
 //! server's last response. A rare expensive request may be the only one at its server, which then sends no other
-//! response that would show that it works; the time limit of such an attempt is [`ALONE_FACTOR`] times as long.
+//! response that would show that it works; the time limit of such an attempt is [`ONLY_ATTEMPT_FACTOR`] times as long.
 
 use crate::counters::Counter;
 use crate::engine::{Actions, PolicyEngine};
@@ -20,7 +20,7 @@
 /// Lower bound on the capacity fraction by which the time limit of a server in slow start is divided.
 const MIN_CAPACITY_FRACTION: f64 = 0.25;
 /// Factor on the time limit of the only attempt at a server.
-const ALONE_FACTOR: f64 = 1.5;
+const ONLY_ATTEMPT_FACTOR: f64 = 1.5;
 
 struct StalledAttempt {
     key: AttemptKey,
@@ -69,7 +69,7 @@
         let fraction = server.capacity_fraction(rules, attempt.sent_at);
         let limit = limit / fraction.max(MIN_CAPACITY_FRACTION);
         let alone_factor = if server.in_flight < 2 {
-            ALONE_FACTOR
+            ONLY_ATTEMPT_FACTOR
         } else {
             1.0
         };
--- a/crates/saffronpaddle/tests/fleet_guarantees.rs
+++ b/crates/saffronpaddle/tests/fleet_guarantees.rs
@@ -57,7 +57,7 @@
     let report = run_with_answer_slack("throng", text);
     assert_no_request_lost(&report);
     assert!(
-        report.verdict.cold_crowding_max > 0.0 && report.verdict.cold_crowding_max <= 1.0,
+        report.verdict.cold_mean_load_max > 0.0 && report.verdict.cold_mean_load_max <= 1.0,
         "{report}"
     );
     assert!(
@@ -90,7 +90,7 @@
     let report = run_with_answer_slack("small", text);
     assert_no_request_lost(&report);
     assert!(
-        report.verdict.cold_crowding_max > 0.0 && report.verdict.cold_crowding_max <= 1.0,
+        report.verdict.cold_mean_load_max > 0.0 && report.verdict.cold_mean_load_max <= 1.0,
         "{report}"
     );
     assert!(report.within("all", 3, 9).served > 60, "{report}");
--- a/crates/saffronpaddle/tests/network_partitions.rs
+++ b/crates/saffronpaddle/tests/network_partitions.rs
@@ -10,7 +10,7 @@
 use common::run_scenario_with_operator;
 use saffronpaddle_fleet_harness::Report;
 
-const FENCED: &str = "[quotas]\nfenced = true\n";
+const PARTITION_SAFE: &str = "[quotas]\nfenced = true\n";
 /// Units that standby owners may grant at first: those of one attempt for each of the 24 customers.
 const STANDBY_UNITS: f64 = 24.0;
 
@@ -46,7 +46,7 @@
     assert_quotas_hold(&run_scenario_with_operator(
         "apart-halves",
         &over_quota_scenario("halves", &partition_step("west,east")),
-        FENCED,
+        PARTITION_SAFE,
     ));
 }
 
@@ -70,7 +70,7 @@
     assert_quotas_hold(&run_scenario_with_operator(
         "apart-each",
         &over_quota_scenario("each", &partition_step("each")),
-        FENCED,
+        PARTITION_SAFE,
     ));
 }
 
@@ -80,7 +80,11 @@
     let sides =
         "[[side]]\nname = \"a\"\nhas = \"n0-n14\"\n[[side]]\nname = \"b\"\nhas = \"n9-n23\"\n";
     let text = over_quota_scenario("overlap", &format!("{sides}{}", partition_step("a,b")));
-    assert_quotas_hold(&run_scenario_with_operator("apart-overlap", &text, FENCED));
+    assert_quotas_hold(&run_scenario_with_operator(
+        "apart-overlap",
+        &text,
+        PARTITION_SAFE,
+    ));
 }
 
 #[test]
@@ -89,7 +93,7 @@
     assert_quotas_hold(&run_scenario_with_operator(
         "apart-oneway",
         &over_quota_scenario("oneway", step),
-        FENCED,
+        PARTITION_SAFE,
     ));
 }
 
@@ -98,8 +102,11 @@
 #[test]
 fn lossy_duplicating_and_slow_links_grant_no_more_than_the_quota() {
     let step = "[[step]]\ndo = \"peers\"\nloss = 0.3\ndoubled = 0.3\ndelay_ms = 120\n";
-    let report =
-        run_scenario_with_operator("apart-lossy", &over_quota_scenario("lossy", step), FENCED);
+    let report = run_scenario_with_operator(
+        "apart-lossy",
+        &over_quota_scenario("lossy", step),
+        PARTITION_SAFE,
+    );
     assert!(report.good(), "{report}");
     assert!(
         report.within("all", 0, 12).beyond <= STANDBY_UNITS,
@@ -111,8 +118,11 @@
 #[test]
 fn nodes_that_resume_after_a_pause_grant_no_more_than_the_quota() {
     let step = "[[step]]\ndo = \"pause\"\nat_ms = 3000\ncount = 8\nfor_ms = 4000\n";
-    let report =
-        run_scenario_with_operator("apart-still", &over_quota_scenario("still", step), FENCED);
+    let report = run_scenario_with_operator(
+        "apart-still",
+        &over_quota_scenario("still", step),
+        PARTITION_SAFE,
+    );
     assert_quotas_hold(&report);
     assert!(
         report.verdict.paused > 0,
--- a/crates/simulator-adapter/src/protocol.rs
+++ b/crates/simulator-adapter/src/protocol.rs
@@ -87,7 +87,7 @@
     pub const OUTCOME: &str = "ending";
     /// Whether the request ended together with the attempt.
     pub const REQUEST_CLOSED: &str = "doneFlag";
-    /// Token of a timer.
+    /// Number that an instance gives to a timer and that comes back when the timer fires.
     pub const TIMER_TOKEN: &str = "nonce";
     /// The node that has sent a message.
     pub const SENDER: &str = "originPeer";
--- a/crates/test-doubles/src/oracle.rs
+++ b/crates/test-doubles/src/oracle.rs
@@ -251,7 +251,7 @@
     max_load: f64,
     /// Most requests of average work in the window, as a share of the upper bound of a Poisson stream with the
     /// allowed mean.
-    max_crowding: f64,
+    max_mean_load: f64,
     overloaded: bool,
 }
 
@@ -307,7 +307,7 @@
     quotas: BTreeMap<u64, TokenBucket>,
     cold_servers: BTreeMap<String, ColdServer>,
     /// Highest crowding of server processes that have ended.
-    max_crowding: f64,
+    max_mean_load: f64,
     node_records: BTreeMap<usize, NodeRecord>,
     attempts_after_disconnect: Vec<Breach>,
     delays_after_drain: Vec<Duration>,
@@ -356,7 +356,7 @@
     pub cold_load_max: f64,
     /// Most requests of average work that a cold server received from all nodes within the window, as a share of N + 2
     /// sqrt(N) + 2, where N is the number that overloads it on average.
-    pub cold_crowding_max: f64,
+    pub cold_mean_load_max: f64,
     /// Requests whose clients disconnected before the first attempt.
     pub disconnected_before_attempt: u64,
     /// Attempts that began too long after their clients disconnected.
@@ -396,7 +396,7 @@
             ceilings: BTreeMap::new(),
             quotas: BTreeMap::new(),
             cold_servers: BTreeMap::new(),
-            max_crowding: 0.0,
+            max_mean_load: 0.0,
             node_records: BTreeMap::new(),
             attempts_after_disconnect: Vec::new(),
             delays_after_drain: Vec::new(),
@@ -549,12 +549,12 @@
             capacity,
             work: VecDeque::new(),
             max_load: 0.0,
-            max_crowding: 0.0,
+            max_mean_load: 0.0,
             overloaded: false,
         };
         let before = self.cold_servers.insert(server.to_owned(), cold);
-        self.max_crowding = before.map_or(self.max_crowding, |before| {
-            before.max_crowding.max(self.max_crowding)
+        self.max_mean_load = before.map_or(self.max_mean_load, |before| {
+            before.max_mean_load.max(self.max_mean_load)
         });
     }
 
@@ -668,7 +668,7 @@
                 cold.max_load = cold.max_load.max(load);
                 let allowed = possible_work * bounds.overload_multiple / bounds.mean_work;
                 let crowding = sent / bounds.mean_work / (allowed + 2.0 * allowed.sqrt() + 2.0);
-                cold.max_crowding = cold.max_crowding.max(crowding);
+                cold.max_mean_load = cold.max_mean_load.max(crowding);
                 if load > 1.0 && !std::mem::replace(&mut cold.overloaded, true) {
                     let line = format!(
                         "{server}, {} ms old, at {load:.2} of its bound",
@@ -878,11 +878,11 @@
                 .values()
                 .map(|cold| cold.max_load)
                 .fold(0.0, f64::max),
-            cold_crowding_max: self
+            cold_mean_load_max: self
                 .cold_servers
                 .values()
-                .map(|cold| cold.max_crowding)
-                .fold(self.max_crowding, f64::max),
+                .map(|cold| cold.max_mean_load)
+                .fold(self.max_mean_load, f64::max),
             disconnected_before_attempt: self
                 .requests
                 .values()
--- a/crates/test-doubles/src/oracle/tests.rs
+++ b/crates/test-doubles/src/oracle/tests.rs
@@ -313,7 +313,7 @@
     let allowed: f64 = 1.26 / 0.05;
     let share = 16.0 / (allowed + 2.0 * allowed.sqrt() + 2.0);
     assert!(
-        (oracle.verdict().cold_crowding_max - share).abs() < 1e-9,
+        (oracle.verdict().cold_mean_load_max - share).abs() < 1e-9,
         "{:?}",
         oracle.verdict()
     );
