--- a/crates/etcd/src/read_time.rs
+++ b/crates/etcd/src/read_time.rs
@@ -46,7 +46,7 @@
 pub struct TimedSocket {
     /// The TCP connection to the member.
     pub stream: Socket,
-    /// The record of its reads, shared with the [`Member`](crate::member::Member).
+    /// The record of its reads, shared with the `Member`.
     pub read_times: ReadTimes,
 }
 
--- a/crates/policy/src/endpoint_table.rs
+++ b/crates/policy/src/endpoint_table.rs
@@ -23,8 +23,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Number of members below which waits are no longer kept in order. It is lower than `FULL_LIST_MAX_SERVERS`, above
-/// which ordering starts, so that a number of members that varies around that limit does not rebuild the subset each
-/// time.
+/// which ordering starts, so that a member count that varies around that limit does not always rebuild the subset.
 const ORDERED_WAITS_MIN: usize = FULL_LIST_MAX_SERVERS * 3 / 4;
 
 /// Numbers of ready servers: on the full list, and in this node's subset.
