--- a/crates/hollow/src/audit.rs
+++ b/crates/hollow/src/audit.rs
@@ -256,9 +256,10 @@
         (node, connection): (u32, ConnectionId),
         work: Micros,
     ) -> Option<Micros> {
-        let attempt = self.in_flight.get(&(node, connection));
-        let attempt =
-            attempt.and_then(|attempt| Some((attempt, self.servers.get(&attempt.server)?)));
+        let attempt = self
+            .in_flight
+            .get(&(node, connection))
+            .and_then(|attempt| Some((attempt, self.servers.get(&attempt.server)?)));
         let Some((attempt, listed)) = attempt else {
             return Some(work);
         };
