--- a/crates/policy/src/endpoint_table.rs
+++ b/crates/policy/src/endpoint_table.rs
@@ -235,6 +235,7 @@
         (self.aggregates.listed, self.aggregates.avoided)
     }
 
+    /// Numbers of ready servers. They are updated with each change, so that reading them takes no iteration.
     pub fn ready(&self) -> ReadyServers {
         ReadyServers {
             listed: self.aggregates.ready as f64,
@@ -262,6 +263,7 @@
         self.aggregates.examined()
     }
 
+    /// The server with an id, whether it is in the subset or not; `None` if it is not in the table.
     pub fn get(&self, id: ServerId) -> Option<&Server> {
         self.servers.get(&id)
     }
@@ -279,8 +281,7 @@
             .map(|server| &mut server.in_flight)
     }
 
-    /// The server with a short id in a peer's message. `None` if it is unknown, or if several servers of a long list
-    /// share it.
+    /// The server with a short id; `None` if it is unknown, or if several servers of a long list share it.
     pub fn by_short_id(&self, short_id: u16) -> Option<ServerId> {
         self.short_ids.get(short_id)
     }
@@ -328,8 +329,7 @@
             .inspect(|_| self.aggregates.count_examined(1))
     }
 
-    /// Visits each server whose ejection is evaluated in a controller period: all members, or, where members are so
-    /// many that their waits are kept in order, those with evidence.
+    /// Visits each server whose ejection is evaluated: all members, or those with evidence if waits are kept in order.
     fn for_each_evaluated(&mut self, mut visit: impl FnMut(&mut Aggregates, &mut Server)) {
         let servers = &mut self.servers;
         let aggregates = &mut self.aggregates;
@@ -396,8 +396,7 @@
         }
     }
 
-    /// Visits each member that started recently, in order of id. `visit` must not change anything that the aggregates
-    /// depend on.
+    /// Visits the recently started members in order of id. `visit` must not change what the aggregates depend on.
     pub fn for_each_recently_started(&mut self, mut visit: impl FnMut(&mut Server)) {
         self.aggregates
             .count_examined(self.aggregates.recently_started.len());
@@ -408,6 +407,7 @@
         }
     }
 
+    /// Numbers of ready members and of those not ejected for a class, also without an iteration.
     pub fn healthy(&self, class: ClassId) -> HealthyServers {
         let members = self.aggregates.ready_members;
         HealthyServers {
--- a/crates/policy/src/endpoint_table/aggregates.rs
+++ b/crates/policy/src/endpoint_table/aggregates.rs
@@ -61,6 +61,7 @@
 }
 
 impl Aggregates {
+    /// Creates the aggregates of an empty table.
     pub fn new(classes: usize) -> Aggregates {
         Aggregates {
             classes,
@@ -84,6 +85,7 @@
         self.examined.add(servers as u64);
     }
 
+    /// Number of servers examined since the table was created, counted with repetition.
     pub fn examined(&self) -> u64 {
         self.examined.get()
     }
--- a/crates/policy/src/endpoint_table/edit.rs
+++ b/crates/policy/src/endpoint_table/edit.rs
@@ -12,6 +12,7 @@
 }
 
 impl<'a> ServerEdit<'a> {
+    /// Removes the server from the aggregates and allocates its statistics, so that it can be changed.
     pub(super) fn begin(aggregates: &'a mut Aggregates, server: &'a mut Server) -> ServerEdit<'a> {
         let wait_before = known_wait(server);
         aggregates.remove(server);
--- a/crates/policy/src/endpoint_table/short_ids.rs
+++ b/crates/policy/src/endpoint_table/short_ids.rs
@@ -35,6 +35,7 @@
         }
     }
 
+    /// Indexes a member. It replaces another member with the same short id.
     pub fn insert(&mut self, id: ServerId) {
         self.members.insert(short_server_id(id), id);
     }
@@ -44,6 +45,7 @@
         self.counts[usize::from(short_server_id(id))] += 1;
     }
 
+    /// Removes a server that is dropped from the table, both from the index and from the counts.
     pub fn remove(&mut self, id: ServerId) {
         let short_id = short_server_id(id);
         if self.members.get(&short_id) == Some(&id) {
--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -28,6 +28,7 @@
 pub struct PolicyEngine {
     pub(crate) settings: Settings,
     pub(crate) random: fastrand::Rng,
+    /// When this node started. A process that takes over from another one keeps the start time of the other.
     pub(crate) started_at: Micros,
     /// Whether the endpoint list has been subscribed to.
     pub(crate) subscribed: bool,
@@ -38,6 +39,7 @@
     pub(crate) large_fleet: bool,
     /// The shortest latency objective of all classes, µs.
     pub(crate) shortest_objective: f64,
+    /// The class with the lowest priority weight, to which the concurrency limit applies.
     pub(crate) lowest_class: ClassId,
     pub(crate) requests: RequestTable,
     pub(crate) endpoints: EndpointTable,
@@ -154,7 +156,7 @@
                 request_closed,
             } => self.on_attempt_ended(now, (id, attempt), outcome, request_closed, actions),
             Event::RequestAbandoned { id } => self.discard_request(&id, actions),
-            // Superseded by a timer that was set for an earlier time.
+            // A timer that was superseded by one set for an earlier time, which has already fired.
             Event::TimerFired { .. } if now < self.timers.fires_at => {}
             Event::TimerFired { .. } => self.on_timer(now, actions),
             Event::PeerMessage { from, bytes } => self.on_peer_message(now, from, &bytes, actions),
@@ -230,10 +232,12 @@
         self.endpoints.len() + self.quotas.buckets.len() + self.quotas.shards.len()
     }
 
+    /// Time since this node started, µs.
     pub(crate) fn uptime(&self, now: Micros) -> Micros {
         now.saturating_sub(self.started_at)
     }
 
+    /// The plan recorded in the customer's token bucket; `None` if the customer has no bucket at this node.
     pub(crate) fn plan_of(&self, customer: CustomerId) -> Option<&Plan> {
         let bucket = self.quotas.buckets.get(&customer)?;
         Some(&self.settings.plans[bucket.plan.0])
--- a/crates/policy/src/gossip.rs
+++ b/crates/policy/src/gossip.rs
@@ -65,6 +65,7 @@
             .collect()
     }
 
+    /// Applies the payload of a peer's message if it carries one.
     pub(crate) fn on_optional_payload(
         &mut self,
         now: Micros,
--- a/crates/policy/src/interface/settings.rs
+++ b/crates/policy/src/interface/settings.rs
@@ -68,16 +68,16 @@
     pub over_quota_value: f64,
     /// Cost of forwarding a request over the quota, as a share of its value.
     pub over_quota_cost: f64,
-    /// `None` if the plan has no hard limit.
+    /// Limit that must never be exceeded; `None` for no such limit.
     pub hard_limit: Option<HardLimit>,
 }
 
 /// How changes of the endpoint list reach the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// Without a subscription.
+    /// The node receives the changes without a subscription.
     Pushed,
-    /// After [`Action::Subscribe`](super::Action::Subscribe).
+    /// The node receives the changes after it has requested [`Action::Subscribe`](super::Action::Subscribe).
     Subscribed,
 }
 
@@ -184,8 +184,8 @@
         if self.node.0 >= self.node_count {
             return Err(SettingsError::UnknownNode);
         }
-        let sound = |number: &f64| number.is_finite() && *number >= 0.0;
-        if !self.numbers().iter().all(sound) {
+        let is_valid = |number: &f64| number.is_finite() && *number >= 0.0;
+        if !self.numbers().iter().all(is_valid) {
             return Err(SettingsError::InvalidNumber);
         }
         Ok(())
--- a/crates/policy/src/load_statistics.rs
+++ b/crates/policy/src/load_statistics.rs
@@ -12,6 +12,7 @@
 /// Weight of a new sample in the mean latency of all servers.
 const LATENCY_WEIGHT: f64 = 0.02;
 
+/// Load of the back end as observed by this node and, in a large fleet, by its peers.
 #[derive(Clone, Debug)]
 pub(crate) struct LoadStatistics {
     /// Mean latency of attempts at all servers, µs.
--- a/crates/policy/src/peer_message/mod.rs
+++ b/crates/policy/src/peer_message/mod.rs
@@ -31,7 +31,7 @@
 /// Bytes of an observation of a server in a payload; one that would exceed [`MAX_BYTES`] is left out.
 const OBSERVATION_BYTES: usize = 6;
 
-/// Fixed-point steps per quota unit, per latency objective and per event per second.
+/// Fixed-point steps per quota unit, per latency objective, per attempt in flight and per response per second.
 const STEPS_PER_UNIT: f64 = 16.0;
 /// Step of a server's wait per attempt, µs.
 const WAIT_STEP: f64 = 8_000.0;
@@ -154,11 +154,14 @@
 pub(crate) enum LeaseOffer {
     /// The field is absent, as the requester did not ask for a lease.
     NotAsked,
+    /// The requester asked for a lease, and the owner issued none.
     Denied,
+    /// The owner issued a lease.
     Issued(Lease),
 }
 
 impl LeaseOffer {
+    /// Returns the lease if one was issued.
     pub fn lease(self) -> Option<Lease> {
         match self {
             LeaseOffer::Issued(lease) => Some(lease),
--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -35,7 +35,7 @@
     pub deadline: Micros,
     /// Number of attempts started.
     pub attempts: u32,
-    /// Number of these of which no byte was written.
+    /// Number of attempts of which no byte was written to a connection.
     pub unsent_attempts: u32,
     /// The attempt in flight; `None` if there is none.
     pub in_flight: Option<AttemptNumber>,
@@ -251,6 +251,7 @@
 }
 
 impl RequestTable {
+    /// Removes a request from the queue; does nothing if it is not queued.
     pub fn dequeue(&mut self, id: &RequestId) {
         self.queue.retain(|queued| queued != id);
     }
--- a/crates/policy/src/server.rs
+++ b/crates/policy/src/server.rs
@@ -43,6 +43,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub(crate) struct OutlierStatistics {
+    /// Share of the class's attempts that fail, 0 to 1. In a large fleet it is derived from `fleet_faults`.
     #[serde(rename = "failing")]
     pub fault_rate: f64,
     #[serde(rename = "answered")]
--- a/crates/policy/src/server_selection.rs
+++ b/crates/policy/src/server_selection.rs
@@ -15,7 +15,7 @@
 
 /// Maximum expected wait at a server, as a share of the shortest latency objective.
 const MAX_WAIT_SHARE: f64 = 0.3;
-/// The same bound over all servers together.
+/// Maximum expected wait averaged over all servers, as a share of the shortest latency objective.
 const MAX_TOTAL_WAIT_SHARE: f64 = 0.25;
 /// Attempts that all nodes together may always have in flight per server. The allowance is for the entire fleet because
 /// hundreds of nodes with one attempt each would overload a server.
--- a/crates/policy/src/setup.rs
+++ b/crates/policy/src/setup.rs
@@ -145,7 +145,8 @@
     Subscribe,
 }
 
-/// Settings, with the names of classes, plans and zones in requests, and the limits of connections.
+/// The engine's settings, the names by which requests and endpoints refer to classes, plans and zones, and the time
+/// limits of clients and connections.
 #[derive(Clone, Debug)]
 pub struct PlatformSettings {
     /// The engine's settings.
@@ -253,7 +254,7 @@
             peer_messages_per_s: self.extra.peer_messages_per_s,
             max_request_units: self.extra.max_request_units,
             server_idle_timeout: self.limits.server_idle_timeout_us,
-            // The platform does not set these; the operator does.
+            // These are not in the platform's settings; the operator sets them.
             partition_safe: false,
             retransmission_budget: false,
             subsetting: false,
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -42,12 +42,12 @@
 /// Limit on the estimated throughput of a warm server, as a multiple of its throughput before the servers were
 /// replaced.
 const MAX_RATE_RATIO: f64 = 2.5;
-/// Multiple of the warm-up period after a server's start in which it is sent only what permits allow while requests
-/// keep queueing.
+/// Time for which a server counts as recently started, as a multiple of the warm-up period. For that time it is sent
+/// only what permits allow while requests keep queueing.
 const RECENT_START_PERIODS: u64 = 4;
 /// Seconds that requests may wait for servers in slow start: half of the time that clients wait.
 const MAX_USEFUL_WAIT_S: f64 = 1.5;
-/// Requests that may always wait.
+/// Number of queued requests up to which none is rejected, even if no attempts are sent to servers in slow start.
 const MIN_QUEUED: f64 = 2.0;
 /// Longest time after which a client is asked to retry while servers are in slow start, µs.
 const MAX_SLOW_START_RETRY_AFTER: f64 = 2e6;
@@ -91,6 +91,7 @@
 }
 
 impl PolicyEngine {
+    /// Returns the limits of slow start that apply to this node at a server.
     pub(crate) fn slow_start_limits(&self, server: ServerId) -> SlowStartLimits {
         let group = self.endpoints.slow_start_group(server);
         limits(&self.settings, self.started_at, group)
--- a/crates/policy/src/state/grant_state.rs
+++ b/crates/policy/src/state/grant_state.rs
@@ -34,6 +34,7 @@
 }
 
 impl GrantState {
+    /// Creates the state without open requests. No owner is unreachable.
     pub fn new(now: Micros) -> Self {
         GrantState {
             open: BTreeMap::new(),
--- a/crates/policy/src/state/peer_table.rs
+++ b/crates/policy/src/state/peer_table.rs
@@ -7,7 +7,7 @@
 /// its start during which a restarted node creates customers' buckets with only its even share: by its end, the peers'
 /// reports have shown what was used before.
 pub(crate) const RESTART_WINDOW: Micros = 4 * SECOND;
-/// Share of the message rate that a peer can receive that all nodes together may use.
+/// Share of the rate at which a node can receive messages that all its peers together may use.
 const INTAKE_SHARE: f64 = 0.7;
 
 /// A period in which a peer sent no reports.
@@ -24,7 +24,7 @@
 pub(crate) struct PeerTable {
     /// When the last usage report was received; [`Micros::MAX`] for this node, which is never silent.
     pub last_report_at: Vec<Micros>,
-    /// The most recent silence.
+    /// The most recent silence of each node.
     silences: Vec<Silence>,
     /// When the last message of any kind was received.
     pub last_received_at: Vec<Micros>,
@@ -69,8 +69,8 @@
     }
 }
 
-/// Messages per second that one node may send, so that all nodes together stay within [`INTAKE_SHARE`] of what each
-/// receives.
+/// Messages per second that one node may send, so that all nodes together stay within [`INTAKE_SHARE`] of the rate that
+/// each can receive.
 pub(crate) fn messages_per_s(settings: &Settings) -> f64 {
     settings.peer_messages_per_s * INTAKE_SHARE
 }
--- a/crates/policy/src/state/slow_start.rs
+++ b/crates/policy/src/state/slow_start.rs
@@ -26,6 +26,7 @@
 }
 
 impl SlowStartState {
+    /// Creates the state of a node that has not observed any server yet.
     pub fn new(now: Micros) -> Self {
         SlowStartState {
             lacks_throughput_baseline: false,
--- a/crates/policy/src/token_bucket.rs
+++ b/crates/policy/src/token_bucket.rs
@@ -86,6 +86,7 @@
     /// This node's even share of the burst, at least the units of the largest request.
     #[serde(rename = "depth")]
     pub even_capacity: f64,
+    /// Units left of the quota; below 0 after deductions that it did not cover.
     #[serde(rename = "level")]
     pub tokens: f64,
     #[serde(rename = "filled")]
@@ -106,6 +107,7 @@
     pub in_flight: u32,
     #[serde(rename = "heard", with = "crate::serde_map_as_pairs")]
     pub peer_usage: BTreeMap<NodeId, PeerUsage>,
+    /// Units left of this node's share of the hard limit; not used if the plan has no hard limit.
     #[serde(rename = "ceiling")]
     pub hard_limit_tokens: f64,
     /// Share of the quota that this node grants, 0 to 1.
@@ -148,6 +150,7 @@
         bucket
     }
 
+    /// Returns the customer's subset of nodes.
     pub(crate) fn subset(&self) -> NodeSubset {
         NodeSubset {
             first: self.first_node,
