--- a/crates/policy/src/endpoint_table/tests.rs
+++ b/crates/policy/src/endpoint_table/tests.rs
@@ -1,9 +1,10 @@
-//! The aggregates always equal those computed by iterating over all servers.
+//! After any changes the aggregates equal those computed by iterating over all servers.
 
 use super::*;
 use crate::interface::{DeduplicationDomainId, ZoneId};
 use crate::server::OutlierStatistics;
 
+/// Number of request classes.
 const CLASSES: usize = 3;
 /// Slow-start rules of the servers.
 const RULES: SlowStartRules = SlowStartRules {
@@ -182,10 +183,13 @@
         let short_id = short_server_id(*server);
         let has_same = |other: &&&Server| short_server_id(id_of(other)) == short_id;
         let shared = scan.0.iter().filter(has_same).count() > 1;
-        assert!(shared || table.by_short_id(short_id) == Some(*server));
+        assert!(
+            shared || table.by_short_id(short_id) == Some(*server),
+            "{server:?}: not found by its short id {short_id}"
+        );
         assert!(
             !table.subsetted || !shared || table.by_short_id(short_id).is_none(),
-            "a short id of several servers identifies none"
+            "{short_id}: a short id that several servers share must not identify one of them"
         );
     }
 }
@@ -343,7 +347,10 @@
         &RULES,
         RECENTLY_STARTED_FOR,
     );
-    table.edit(ServerId(3)).expect("listed").in_flight = 1;
+    table
+        .edit(ServerId(3))
+        .expect("server 3 is listed")
+        .in_flight = 1;
     let removed = vec![removed_endpoint(3), removed_endpoint(4)];
     table.apply(
         2,
@@ -356,7 +363,7 @@
     assert!(table.get(ServerId(3)).is_some() && table.get(ServerId(4)).is_none());
     table
         .edit(ServerId(3))
-        .expect("an attempt is in flight")
+        .expect("a removed server is kept while an attempt is in flight")
         .in_flight = 0;
     table.remove_unused(3, RECENTLY_STARTED_FOR, |_| false);
     assert!(table.get(ServerId(3)).is_none());
@@ -374,7 +381,12 @@
         &RULES,
         RECENTLY_STARTED_FOR,
     );
-    (0..500).for_each(|id| table.edit(ServerId(id)).expect("listed").wait_per_attempt = 5.0);
+    (0..500).for_each(|id| {
+        table
+            .edit(ServerId(id))
+            .expect("the server is listed")
+            .wait_per_attempt = 5.0;
+    });
     table.apply(
         2,
         EndpointUpdate::Snapshot,
@@ -398,5 +410,5 @@
 #[test]
 fn unused_server_takes_few_bytes() {
     let bytes = std::mem::size_of::<(ServerId, Server)>();
-    assert!(bytes <= 144, "{bytes}");
+    assert!(bytes <= 144, "an entry takes {bytes} bytes");
 }
--- a/crates/policy/src/gossip_average/tests.rs
+++ b/crates/policy/src/gossip_average/tests.rs
@@ -48,7 +48,10 @@
 fn average_of_a_fleet_with_few_samples_follows_a_change_within_seconds() {
     for nodes in [3, 30, 100, 1000] {
         let error = largest_error(nodes, 2.0, 16, 8);
-        assert!(error < 0.25, "{nodes} nodes: {error}");
+        assert!(
+            error < 0.25,
+            "{nodes} nodes: the average of a node differs by {error} from 1"
+        );
     }
 }
 
@@ -65,7 +68,7 @@
         let received = GossipAverage::decoded(1.5, GossipAverage::of(1.5, count).encoded_count());
         assert!(
             (received.count / count - 1.0).abs() < 0.1,
-            "{count}: {received:?}"
+            "a count of {count} was decoded as {received:?}"
         );
     }
 }
--- a/crates/policy/src/message_budget/tests.rs
+++ b/crates/policy/src/message_budget/tests.rs
@@ -20,11 +20,11 @@
     }
     assert!(
         f64::from(required + retransmitted) <= 42.0 * 10.5,
-        "{required} and {retransmitted} in 10 s"
+        "{required} required messages and {retransmitted} retransmissions in 10 s exceed 42 per second"
     );
     assert!(
         retransmitted >= 100,
-        "retransmissions use the rest of the budget: {retransmitted}"
+        "retransmissions leave some of the budget unused: {retransmitted} in 10 s"
     );
 }
 
--- a/crates/policy/src/peer_message/tests.rs
+++ b/crates/policy/src/peer_message/tests.rs
@@ -118,10 +118,10 @@
 fn usage_reports() -> Vec<Sample> {
     vec![
         (
-            "counts",
+            "usage_report",
             usage_report(1_234_567, &[(CUSTOMER, 0xFFFE), (CustomerId(1), 8)]),
         ),
-        ("counts_of_nobody", usage_report(1, &[])),
+        ("usage_report_without_customers", usage_report(1, &[])),
     ]
 }
 
@@ -137,18 +137,21 @@
     });
     let demand = |rate, current| Some(LeaseDemand { rate, current });
     vec![
-        ("ask_old", request(None, None, Some(payload()))),
-        ("ask", request(Some(requester(17, fill)), None, None)),
+        ("legacy_grant_request", request(None, None, Some(payload()))),
         (
-            "ask_never_told",
+            "grant_request",
+            request(Some(requester(17, fill)), None, None),
+        ),
+        (
+            "grant_request_without_reported_fill",
             request(Some(requester(255, None)), None, Some(payload())),
         ),
         (
-            "ask_with_wish",
+            "grant_request_with_lease_demand",
             request(Some(requester(17, fill)), demand(2.0, current), None),
         ),
         (
-            "ask_with_wish_and_nothing_held",
+            "grant_request_with_first_lease_demand",
             request(Some(requester(0, None)), demand(0.5, None), Some(payload())),
         ),
     ]
@@ -163,28 +166,34 @@
     });
     vec![
         (
-            "answer_granted",
+            "grant_response_granted",
             response(9, Granted, LeaseOffer::NotAsked, None),
         ),
         (
-            "answer_short",
+            "grant_response_over_quota",
             response(9, OverQuota, LeaseOffer::NotAsked, Some(payload())),
         ),
         (
-            "answer_full",
+            "grant_response_too_many_in_flight",
             response(65_535, TooManyInFlight, LeaseOffer::NotAsked, None),
         ),
         (
-            "answer_over",
+            "grant_response_over_hard_limit",
             response(9, OverHardLimit, LeaseOffer::NotAsked, None),
         ),
-        ("answer_that_lends", response(9, Granted, lease, None)),
         (
-            "answer_that_lends_nothing",
+            "grant_response_with_lease",
+            response(9, Granted, lease, None),
+        ),
+        (
+            "grant_response_with_denied_lease",
             response(9, OverQuota, LeaseOffer::Denied, Some(payload())),
         ),
-        ("old_answer_granted", legacy_response(Granted)),
-        ("old_answer_short", legacy_response(OverQuota)),
+        ("legacy_grant_response_granted", legacy_response(Granted)),
+        (
+            "legacy_grant_response_over_quota",
+            legacy_response(OverQuota),
+        ),
     ]
 }
 
@@ -196,14 +205,14 @@
     };
     vec![
         (
-            "done",
+            "permit_release",
             PeerMessage::PermitRelease {
                 serial: 0x0304,
                 customer: CUSTOMER,
             },
         ),
         (
-            "gift",
+            "permit_transfer",
             PeerMessage::PermitTransfer {
                 short_server_id: short_server_id(ServerId(7)),
                 permit,
@@ -219,10 +228,13 @@
 /// The names and bytes of the messages in the fixture.
 fn fixture() -> Vec<(&'static str, Vec<u8>)> {
     let byte = |pair: &[u8]| {
-        u8::from_str_radix(std::str::from_utf8(pair).expect("ASCII"), 16).expect("hex")
+        u8::from_str_radix(std::str::from_utf8(pair).expect("the fixture is ASCII"), 16)
+            .expect("the bytes are hexadecimal digits")
     };
     let line = |line: &'static str| {
-        let (name, digits) = line.split_once(' ').expect("a name and its bytes");
+        let (name, digits) = line
+            .split_once(' ')
+            .expect("each line has a name and bytes");
         (name, digits.as_bytes().chunks(2).map(byte).collect())
     };
     FIXTURE.lines().map(line).collect()
@@ -234,34 +246,42 @@
         .iter()
         .map(|(name, message)| format!("{name} {}\n", hex(&encode(message))))
         .collect();
-    assert_eq!(written, FIXTURE, "\n{written}");
+    assert_eq!(
+        written, FIXTURE,
+        "the encoded messages differ from the fixture:\n{written}"
+    );
 }
 
 #[test]
 fn every_message_of_the_fixture_is_decoded_and_encoded_to_the_same_bytes() {
     for (name, bytes) in fixture() {
-        let message = decode(&bytes).unwrap_or_else(|| panic!("{name} is not decoded"));
+        let message =
+            decode(&bytes).unwrap_or_else(|| panic!("{name}: the fixture cannot be decoded"));
         let mut expected = bytes.clone();
-        if name == "ask_with_wish" {
+        if name == "grant_request_with_lease_demand" {
             // The remaining time of a lease is rounded up each time it is encoded.
-            *expected.last_mut().expect("not empty") += 1;
+            *expected.last_mut().expect("the message is not empty") += 1;
         }
-        assert_eq!(hex(&encode(&message)), hex(&expected), "{name}");
+        assert_eq!(
+            hex(&encode(&message)),
+            hex(&expected),
+            "{name}: encoded to other bytes than it was decoded from"
+        );
     }
 }
 
-/// A datagram is truncated. It must not be decoded, except where the rest is a complete message: usage reports are
+/// A truncated datagram must not be decoded, except where the remaining bytes are a complete message: usage reports are
 /// lists, and may end after any entry.
 #[test]
 fn message_truncated_in_its_first_fields_is_not_decoded() {
     for (name, bytes) in fixture()
         .into_iter()
-        .filter(|(name, _)| !name.starts_with("counts"))
+        .filter(|(name, _)| !name.starts_with("usage_report"))
     {
         for length in 0..7.min(bytes.len()) {
             assert!(
                 decode(&bytes[..length]).is_none(),
-                "{name} of {length} bytes"
+                "{name}: decoded although truncated to {length} bytes"
             );
         }
     }
--- a/crates/policy/src/retransmission_timeout/tests.rs
+++ b/crates/policy/src/retransmission_timeout/tests.rs
@@ -17,11 +17,11 @@
         }
         assert!(
             unneeded <= 5,
-            "{round_trip}: {unneeded} unneeded retransmissions"
+            "round-trip time of {round_trip} µs: {unneeded} unneeded retransmissions"
         );
         assert!(
             timeout.value() as f64 <= (round_trip as f64 * 2.2).max(MIN_TIMEOUT),
-            "{round_trip}: {}",
+            "round-trip time of {round_trip} µs: timeout of {} µs",
             timeout.value()
         );
     }
--- a/crates/policy/src/shard_owners/tests.rs
+++ b/crates/policy/src/shard_owners/tests.rs
@@ -20,10 +20,13 @@
         (5.0, 1, 1),
     ] {
         let owners = ShardOwners::of(&plan(rate), subset_size);
-        assert_eq!(owners.shards, shards, "{rate}");
+        assert_eq!(
+            owners.shards, shards,
+            "{rate} units per second, {subset_size} nodes"
+        );
         for start in 0..shards {
             let mut order: Vec<u32> = owners.in_order(start).collect();
-            assert_eq!(order[0], start);
+            assert_eq!(order[0], start, "the primary owner is asked first");
             order.sort_unstable();
             assert_eq!(order, (0..owners.owners).collect::<Vec<_>>());
         }
--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -26,12 +26,16 @@
             }
             count_sends(&node.actions[before..]) as f64
         };
-        assert_eq!(sent(&mut node), burst.floor(), "{node_count} nodes");
+        assert_eq!(
+            sent(&mut node),
+            burst.floor(),
+            "{node_count} nodes: requests admitted at once"
+        );
         node.advance(SECOND);
         let again = sent(&mut node);
         assert!(
             again <= (16.0 * share + 1.0).min(burst),
-            "{node_count} nodes: {again} a second later"
+            "{node_count} nodes: {again} requests admitted a second later"
         );
     }
 }
@@ -52,7 +56,10 @@
         }
     }
     // 4 units plus 1 unit per second for 60 s, over 400 nodes: a share of 0.16 of each of the 400 requests.
-    assert!((40..=95).contains(&admitted), "{admitted}");
+    assert!(
+        (40..=95).contains(&admitted),
+        "{admitted} of 400 requests admitted"
+    );
 }
 
 /// A request that its token bucket does not cover is rejected at once, with the time after which a retry is covered. If
@@ -70,19 +77,23 @@
         })
     };
     for _ in 0..4 {
-        assert_eq!(retry_after(0), None, "the burst is forwarded");
+        assert_eq!(
+            retry_after(0),
+            None,
+            "a request within the burst is rejected"
+        );
     }
     assert_eq!(
         retry_after(0),
         Some(100 * MILLISECOND),
         "a whole unit is missing: the upper bound of retry_after applies"
     );
-    let soon = retry_after(950 * MILLISECOND).expect("not yet covered");
+    let soon = retry_after(950 * MILLISECOND).expect("0.95 units do not cover a request");
     assert!(
         (49 * MILLISECOND..51 * MILLISECOND).contains(&soon),
-        "{soon}"
+        "50 ms are missing, and retry_after is {soon} µs"
     );
-    assert_eq!(retry_after(50 * MILLISECOND), None, "the retry is covered");
+    assert_eq!(retry_after(50 * MILLISECOND), None, "the retry is rejected");
 }
 
 #[test]
@@ -91,10 +102,18 @@
     for _ in 0..5 {
         node.request(IDEMPOTENT, TWO_IN_FLIGHT, 7, 2 * SECOND);
     }
-    assert_eq!(node.in_flight.len(), 1, "a limit of two over two nodes");
+    assert_eq!(
+        node.in_flight.len(),
+        1,
+        "the even share of a limit of two over two nodes"
+    );
     let id = node.in_flight[0].id.clone();
     node.end_attempt(&id, Outcome::Ok);
-    assert_eq!(node.in_flight.len(), 1, "the next attempt starts");
+    assert_eq!(
+        node.in_flight.len(),
+        1,
+        "the next attempt starts after the first has ended"
+    );
 }
 
 #[test]
@@ -104,6 +123,9 @@
         let id = node.request(NON_IDEMPOTENT, UNLIMITED, 7, timeout);
         let rejected =
             |action: &Action| matches!(action, Action::Reject { id: other, .. } if *other == id);
-        assert!(node.actions.iter().any(rejected));
+        assert!(
+            node.actions.iter().any(rejected),
+            "a request with a timeout of {timeout} µs is not rejected"
+        );
     }
 }
--- a/crates/policy/tests/attempt_results.rs
+++ b/crates/policy/tests/attempt_results.rs
@@ -39,7 +39,11 @@
                 Outcome::Rejected | Outcome::Unreachable | Outcome::NotSent
             );
             if class == NON_IDEMPOTENT && !not_executed {
-                assert_eq!(actions, [Action::Fail { id }], "{outcome:?}");
+                assert_eq!(
+                    actions,
+                    [Action::Fail { id }],
+                    "{outcome:?}: a non-idempotent request must fail"
+                );
                 continue;
             }
             assert_eq!(
@@ -69,7 +73,7 @@
             assert_eq!(
                 count_sends(&node.end_attempt(&id, Outcome::NotSent)),
                 1,
-                "{class:?}"
+                "{class:?}: an unsent attempt must be followed by another"
             );
         }
         for _ in 1..node.settings.permissions.max_attempts {
@@ -82,7 +86,7 @@
         assert_eq!(
             count_sends(&node.end_attempt(&id, Outcome::Unreachable)),
             0,
-            "{class:?}"
+            "{class:?}: the limit on attempts is reached"
         );
     }
     let mut node = TestNode::with_servers(3, settings(0, 1), SECOND, 4);
@@ -92,7 +96,7 @@
         .count();
     assert!(
         retries < 2 * node.settings.permissions.max_attempts as usize,
-        "{retries}"
+        "{retries} retries of an attempt that is never sent"
     );
 }
 
@@ -104,7 +108,14 @@
     let id = node.request(KEYED_IN_DOMAIN, UNLIMITED, 7, 2 * SECOND);
     node.now += 600 * MILLISECOND;
     let actions = node.end_attempt(&id, Outcome::Error);
-    assert_eq!(count_sends(&actions), 0);
+    assert_eq!(
+        count_sends(&actions),
+        0,
+        "must not be retried after the window"
+    );
     let later = node.advance(2 * SECOND);
-    assert!(later.contains(&Action::Fail { id }));
+    assert!(
+        later.contains(&Action::Fail { id }),
+        "must fail by its deadline"
+    );
 }
--- a/crates/policy/tests/common/observed_request.rs
+++ b/crates/policy/tests/common/observed_request.rs
@@ -18,7 +18,7 @@
     /// Whether the request is neither answered nor abandoned.
     pub open: bool,
     attempts: u32,
-    /// Number of these of which no byte was written.
+    /// Number of attempts of which no byte was written.
     unsent_attempts: u32,
     attempt_in_flight: bool,
     /// Deduplication domain of the first attempt that may have been executed.
@@ -42,12 +42,21 @@
 
     /// Asserts that an attempt may be sent to `server`, records it and returns its number.
     pub fn check_send(&mut self, server: ServerId) -> AttemptNumber {
-        assert!(self.open, "rule 1: sent after its final answer");
-        assert!(!self.attempt_in_flight, "rule 2: two attempts in flight");
+        assert!(
+            self.open,
+            "rule 1: an attempt was sent after the final answer"
+        );
+        assert!(
+            !self.attempt_in_flight,
+            "rule 2: a second attempt was sent while one is in flight"
+        );
         assert!(
             self.attempts - self.unsent_attempts < self.max_attempts
                 && self.attempts < 2 * self.max_attempts,
-            "too many attempts"
+            "attempt {} exceeds the limit of {}, with {} unsent attempts",
+            self.attempts + 1,
+            self.max_attempts,
+            self.unsent_attempts
         );
         self.check_repeated_execution(server);
         let attempt = AttemptNumber(self.attempts);
@@ -65,7 +74,7 @@
             (Some(domain), Idempotency::WithKey { scope, .. }) => {
                 assert!(
                     scope == DeduplicationScope::All || domain == domain_of(server),
-                    "rule 2: sent again outside its deduplication domain"
+                    "rule 2: a keyed request was sent again outside its deduplication domain"
                 );
             }
         }
@@ -73,7 +82,7 @@
 
     /// Asserts that the request may get a final answer without a response of a server, and records it.
     pub fn check_answer(&mut self, rejected: bool) {
-        assert!(self.open, "rule 1: a second final answer");
+        assert!(self.open, "rule 1: a second final answer was given");
         self.open = false;
         let maybe_executed = self.executed_in.is_some() || self.attempt_in_flight;
         let may_be_repeated_anywhere = matches!(
@@ -86,7 +95,7 @@
         );
         assert!(
             !rejected || !maybe_executed || may_be_repeated_anywhere,
-            "rule 2: rejected although a repetition by its client may execute it twice"
+            "rule 2: the request was rejected although a repetition by its client may execute it twice"
         );
     }
 
--- a/crates/policy/tests/common/test_node.rs
+++ b/crates/policy/tests/common/test_node.rs
@@ -148,7 +148,10 @@
 
     /// Abandons a request, as when its client disconnects.
     pub fn abandon(&mut self, id: &RequestId) {
-        self.requests.get_mut(id).expect("a known request").open = false;
+        self.requests
+            .get_mut(id)
+            .expect("the request was sent by this node")
+            .open = false;
         self.handle(Event::RequestAbandoned { id: id.clone() });
     }
 
@@ -158,9 +161,12 @@
             .in_flight
             .iter()
             .position(|in_flight| in_flight.id == *id)
-            .expect("an attempt is in flight");
+            .expect("the request has an attempt in flight");
         let ended = self.in_flight.remove(index);
-        let request = self.requests.get_mut(&ended.id).expect("a known request");
+        let request = self
+            .requests
+            .get_mut(&ended.id)
+            .expect("the request was sent by this node");
         let request_closed = request.attempt_ended(ended.server, outcome);
         self.handle(Event::AttemptEnded {
             id: ended.id,
@@ -254,7 +260,8 @@
             Action::Broadcast { bytes } | Action::SendToPeer { bytes, .. } => {
                 assert!(
                     bytes.len() <= MAX_MESSAGE_BYTES,
-                    "message longer than {MAX_MESSAGE_BYTES} bytes"
+                    "a message of {} bytes, longer than {MAX_MESSAGE_BYTES}",
+                    bytes.len()
                 );
             }
             Action::Cancel { .. }
@@ -268,7 +275,7 @@
         assert_eq!(
             self.endpoints[&server].status,
             EndpointStatus::Ready,
-            "rule 3: sent to a server that is not ready"
+            "rule 3: an attempt was sent to {server:?}, which is not ready"
         );
         let attempt = self.observed(id).check_send(server);
         self.in_flight.push(InFlightAttempt {
@@ -279,7 +286,9 @@
     }
 
     fn observed(&mut self, id: &RequestId) -> &mut ObservedRequest {
-        self.requests.get_mut(id).expect("a known request")
+        self.requests
+            .get_mut(id)
+            .expect("the request was sent by this node")
     }
 }
 
--- a/crates/policy/tests/concurrency_limit.rs
+++ b/crates/policy/tests/concurrency_limit.rs
@@ -8,10 +8,12 @@
 use saffronpaddle_policy::concurrency_limit::infer_step;
 use saffronpaddle_policy::interface::*;
 
+/// Returns the output of the change rule.
 fn change_of(error: f64, change: f64) -> f64 {
     infer_step(error, change).change
 }
 
+/// Returns the output of the gain rule.
 fn gain_of(error: f64, change: f64) -> f64 {
     infer_step(error, change).gain
 }
@@ -22,10 +24,10 @@
 }
 
 #[test]
-fn change_rule_has_the_printed_entry_and_is_odd_and_monotonic() {
+fn change_rule_has_the_entry_printed_in_the_paper_and_is_odd_and_monotonic() {
     assert!(
         (change_of(1.0 / 3.0, 2.0 / 3.0) + 1.0).abs() < 1e-9,
-        "(PS, PM) must be NL"
+        "(positive small, positive medium) must give negative large"
     );
     assert!(change_of(0.0, 0.0).abs() < 1e-9);
     for error in steps() {
@@ -33,7 +35,7 @@
             let expected = change_of(error, change);
             assert!(
                 (expected + change_of(-error, -change)).abs() < 1e-9,
-                "not odd at {error} {change}"
+                "not an odd function at error {error} and change {change}"
             );
             assert!(change_of((error + 1.0 / 3.0).min(1.0), change) <= expected + 1e-9);
             assert!(change_of(error, (change + 1.0 / 3.0).min(1.0)) <= expected + 1e-9);
@@ -46,10 +48,13 @@
 fn gain_is_large_when_leaving_the_set_point_small_when_returning_and_zero_at_rest() {
     assert!(gain_of(0.0, 0.0).abs() < 1e-9);
     assert!(gain_of(-1.0, -1.0) > 0.9 && gain_of(-1.0, 1.0) < 0.3);
-    assert!(gain_of(0.0, -1.0) > 0.9, "a disturbance begins");
+    assert!(
+        gain_of(0.0, -1.0) > 0.9,
+        "the gain must be large when a disturbance begins"
+    );
     assert!(
         gain_of(1.0 / 3.0, -1.0 / 3.0) < 0.2,
-        "positive small, negative small"
+        "the gain must be small when a small error decreases"
     );
     for error in steps() {
         for change in steps() {
@@ -85,6 +90,9 @@
         };
         node.actions.iter().any(reports_start)
     };
-    assert!(limit_starts(UNLIMITED));
-    assert!(!limit_starts(TWO_IN_FLIGHT));
+    assert!(limit_starts(UNLIMITED), "hanging requests create no limit");
+    assert!(
+        !limit_starts(TWO_IN_FLIGHT),
+        "a customer at its own limit creates a limit"
+    );
 }
--- a/crates/policy/tests/engine.rs
+++ b/crates/policy/tests/engine.rs
@@ -25,7 +25,7 @@
     node.advance(90 * SECOND);
     assert!(
         node.engine.tracked_entries() <= 8,
-        "{}",
+        "{} entries are kept in memory",
         node.engine.tracked_entries()
     );
 }
--- a/crates/policy/tests/grants.rs
+++ b/crates/policy/tests/grants.rs
@@ -12,15 +12,15 @@
     let mut fleet = Fleet::new(200, 40, |settings| settings.plans[METERED].rate = 4.0);
     let sent = fleet.send_at_rate(METERED, 20, 10);
     // The burst of 4 and 4 per second over 10 s, of 200 requests.
-    assert!((30..=54).contains(&sent), "{sent}");
-    let busiest = fleet.messages_received.values().max().copied().unwrap_or(0);
     assert!(
-        busiest <= 600,
-        "too many messages to one node: {busiest} in 10 s"
+        (30..=54).contains(&sent),
+        "{sent} of 200 requests forwarded"
     );
+    let busiest = fleet.messages_received.values().max().copied().unwrap_or(0);
+    assert!(busiest <= 600, "{busiest} messages to one node in 10 s");
     assert!(
         fleet.messages_sent <= 1400,
-        "too many messages: {}",
+        "{} messages between nodes in 10 s",
         fleet.messages_sent
     );
 }
@@ -29,7 +29,10 @@
 fn requests_within_the_quota_of_a_large_subset_are_admitted() {
     let mut fleet = Fleet::new(200, 40, |settings| settings.plans[METERED].rate = 10.0);
     let sent = fleet.send_at_rate(METERED, 5, 10);
-    assert!(sent >= 45, "of 50: {sent}");
+    assert!(
+        sent >= 45,
+        "{sent} of 50 requests within the quota forwarded"
+    );
 }
 
 /// If a quota of a few units were split evenly over a large subset, each share would be less than a request, and nodes
@@ -42,7 +45,10 @@
     let sent = (0..12)
         .map(|_| fleet.send_burst(METERED, 3, 4))
         .sum::<usize>();
-    assert!(sent >= 33, "of 36, each burst within the quota: {sent}");
+    assert!(
+        sent >= 33,
+        "{sent} of 36 requests forwarded, each burst within the quota"
+    );
 }
 
 /// The hard limit is empty at the start of a node. If it were empty at the first request of each customer instead,
@@ -52,7 +58,7 @@
     let mut fleet = Fleet::new(100, 40, |_| {});
     fleet.advance(2 * SECOND);
     let sent = fleet.send_burst(HARD_LIMITED, 3, 1);
-    assert_eq!(sent, 3, "of 3, far below the hard limit");
+    assert_eq!(sent, 3, "of 3 requests, which are far below the hard limit");
 }
 
 /// All nodes restart repeatedly. An owner that started with a full hard limit would grant it again after each restart.
@@ -71,7 +77,10 @@
         }
     }
     // A capacity of 12 and 8 per second over 8 s. An owner starts empty, so a restart grants nothing twice.
-    assert!((20..=76).contains(&sent), "{sent}");
+    assert!(
+        (20..=76).contains(&sent),
+        "{sent} of 400 requests forwarded"
+    );
 }
 
 /// A customer sends more than a hundred times its quota. If an owner were asked for each of the 2000 requests, that
@@ -82,9 +91,13 @@
     let sent = fleet.send_at_rate(METERED, 250, 8);
     assert!(
         (12..=28).contains(&sent),
-        "the customer still gets its quota: {sent}"
+        "{sent} requests forwarded in 8 s at 2 per second and a burst of 4"
+    );
+    assert!(
+        fleet.messages_sent < 2400,
+        "{} messages for 2000 requests",
+        fleet.messages_sent
     );
-    assert!(fleet.messages_sent < 2400, "{}", fleet.messages_sent);
 }
 
 /// A node cannot reach any other. Requests that waited for an owner's grant would all be late, so most must be decided
@@ -110,10 +123,13 @@
         node.answer_all();
     }
     let grant_requests = count_peer_messages(&node.actions);
-    assert!(at_once >= 80, "{at_once} of 100 were decided at once");
+    assert!(
+        at_once >= 80,
+        "only {at_once} of 100 requests decided at once"
+    );
     assert!(
         (5..=60).contains(&grant_requests),
-        "{grant_requests} in 2 s"
+        "{grant_requests} grant requests of an isolated node in 2 s"
     );
 }
 
@@ -178,5 +194,8 @@
     }
     node.advance(230 * MILLISECOND);
     let grant_requests = count_peer_messages(&node.actions);
-    assert!((4..=16).contains(&grant_requests), "{grant_requests}");
+    assert!(
+        (4..=16).contains(&grant_requests),
+        "{grant_requests} grant requests for 50 requests"
+    );
 }
--- a/crates/policy/tests/long_endpoint_lists.rs
+++ b/crates/policy/tests/long_endpoint_lists.rs
@@ -89,7 +89,7 @@
         });
         assert!(
             examined <= 2 * 4_400,
-            "{node_count} nodes: the removal of 4,400 examined {examined}"
+            "{node_count} nodes: the removal of 4,400 servers examined {examined}"
         );
     }
 }
@@ -144,7 +144,11 @@
         }
         node.engine.servers_examined() - before
     };
-    assert!(examined_with(40_000) <= 2 * examined_with(2_000));
+    let (long, short) = (examined_with(40_000), examined_with(2_000));
+    assert!(
+        long <= 2 * short,
+        "{long} servers examined with a list of 40,000, {short} with one of 2,000"
+    );
 }
 
 #[test]
@@ -175,7 +179,7 @@
         }
         assert!(
             reached.len() > 60,
-            "{node_count} nodes: only {} servers reached",
+            "{node_count} nodes: attempts were sent to {} servers only",
             reached.len()
         );
     }
@@ -195,7 +199,7 @@
         let ids = send_requests(&mut node, 4);
         assert!(
             ids.iter().all(|id| node.is_in_flight(id)),
-            "a request had to wait"
+            "a request was not sent at once"
         );
         node.now += 20 * MILLISECOND;
         node.answer_all();
@@ -204,7 +208,7 @@
     let members = node.engine.snapshot().size().servers;
     assert!(
         members >= 256 * 3 / 4,
-        "only {members} servers in the subset"
+        "only {members} servers are in the subset"
     );
 }
 
@@ -224,12 +228,16 @@
     }
     // 10 attempts per server on average. By chance alone the most loaded server would have 23; servers that looked fast
     // at first have some more.
-    assert!(load.len() > 1_950, "{} of 2,000 were sent to", load.len());
+    assert!(
+        load.len() > 1_950,
+        "only {} of 2,000 servers were sent an attempt",
+        load.len()
+    );
     let busy = load.values().filter(|load| **load > 23).count();
-    assert!(busy <= 20, "{busy} servers were sent to more than 23 times");
+    assert!(busy <= 20, "{busy} servers were sent more than 23 attempts");
     assert!(
         load.values().all(|load| *load <= 50),
-        "the most is {:?}",
+        "the most loaded server was sent {:?} attempts",
         load.values().max()
     );
 }
@@ -268,7 +276,7 @@
     }
     assert!(
         (1..200).contains(&sent),
-        "{sent} of 600 went to the returning one of eleven"
+        "{sent} of 600 requests went to the returning server, one of eleven"
     );
 }
 
@@ -283,7 +291,11 @@
         );
         node.update_endpoints(EndpointUpdate::Snapshot, vec![hashed_endpoint(17)]);
         send_requests(&mut node, 1);
-        assert_eq!(node.in_flight.len(), 1);
+        assert_eq!(
+            node.in_flight.len(),
+            1,
+            "node {index} does not send to the remaining server"
+        );
     }
 }
 
@@ -293,13 +305,13 @@
     let id = node.request_of_own_customer(KEYED_EVERYWHERE, UNLIMITED, 1, 3 * SECOND);
     node.now += 20 * MILLISECOND;
     node.end_attempt(&id, Outcome::Error);
-    assert!(node.is_in_flight(&id), "must be retried");
+    assert!(node.is_in_flight(&id), "the request must be retried");
 }
 
 /// Returns the fields of a state by name, so that a failed comparison names the field.
 fn fields(state: &StateSnapshot) -> BTreeMap<String, serde_json::Value> {
-    serde_json::from_value(serde_json::to_value(state).expect("plain data"))
-        .expect("fields with names")
+    serde_json::from_value(serde_json::to_value(state).expect("the state can be serialized"))
+        .expect("the state is a JSON object")
 }
 
 #[test]
@@ -311,13 +323,14 @@
     let state = node.engine.snapshot();
     assert!(
         state.size().servers <= 512,
-        "{} of 6,000 servers are handed over",
+        "{} of 6,000 servers are in the snapshot",
         state.size().servers
     );
-    let json = serde_json::to_string(&state).expect("plain data");
-    let read: StateSnapshot = serde_json::from_str(&json).expect("its own JSON");
-    assert_eq!(fields(&state), fields(&read), "JSON holds all of it");
-    assert_eq!(state, read, "JSON holds all of it");
+    let json = serde_json::to_string(&state).expect("the state can be serialized");
+    let read: StateSnapshot =
+        serde_json::from_str(&json).expect("the state can be read from its own JSON");
+    assert_eq!(fields(&state), fields(&read), "a field is lost in the JSON");
+    assert_eq!(state, read, "a part of the state is lost in the JSON");
     let mut child = PolicyEngine::new(9, settings(3, 300), node.now).expect("valid settings");
     child.restore(read, 1);
     let endpoints = (0..6_000).map(hashed_endpoint).collect();
@@ -335,10 +348,14 @@
     let seen = expected
         .get_mut("fuzzy")
         .and_then(|fuzzy| fuzzy.get_mut("seen"))
-        .expect("the samples are part of the state");
+        .expect("the state contains the latency samples");
     *seen = serde_json::json!(vec![(0.0, 0.0); node.settings.classes.len()]);
     assert!(expected.keys().eq(restored.keys()));
     for (name, value) in &expected {
-        assert_eq!(Some(value), restored.get(name), "{name}");
+        assert_eq!(
+            Some(value),
+            restored.get(name),
+            "field {name} is not restored"
+        );
     }
 }
--- a/crates/policy/tests/outlier_ejection.rs
+++ b/crates/policy/tests/outlier_ejection.rs
@@ -14,14 +14,18 @@
     let id = node.request(IDEMPOTENT, UNLIMITED, 7, 3 * SECOND);
     let server = node.in_flight[0].server;
     let actions = node.advance(700 * MILLISECOND);
-    assert!(actions.contains(&Action::Cancel {
-        id: id.clone(),
-        attempt: AttemptNumber(0)
-    }));
-    assert!(node
-        .actions
-        .iter()
-        .any(|action| matches!(action, Action::Report(_))));
+    assert!(
+        actions.contains(&Action::Cancel {
+            id: id.clone(),
+            attempt: AttemptNumber(0)
+        }),
+        "the attempt must be cancelled"
+    );
+    let is_report = |action: &Action| matches!(action, Action::Report(_));
+    assert!(
+        node.actions.iter().any(is_report),
+        "the silent server must be reported"
+    );
     node.end_attempt(&id, Outcome::Cancelled);
     assert_ne!(
         node.in_flight[0].server, server,
@@ -57,6 +61,6 @@
     }
     assert!(
         at_healthy_server > 60,
-        "{at_healthy_server} of 300 went to the healthy server of that zone"
+        "only {at_healthy_server} of 300 requests went to the healthy server of that zone"
     );
 }
--- a/crates/policy/tests/peer_messages.rs
+++ b/crates/policy/tests/peer_messages.rs
@@ -38,7 +38,7 @@
         used.extend(node.in_flight.iter().map(|attempt| attempt.server));
         node.answer_all();
     }
-    assert!(!used.is_empty(), "requests are forwarded");
+    assert!(!used.is_empty(), "no request is forwarded any more");
 }
 
 /// A forged gossip payload contains observations of listed servers for a class that does not exist. They must not eject
@@ -54,5 +54,9 @@
         node.advance(SECOND);
         node.receive(NodeId(5), bytes);
     }
-    assert_eq!(node.engine.endpoint_counts(), (4, 0));
+    assert_eq!(
+        node.engine.endpoint_counts(),
+        (4, 0),
+        "listed servers, and those that receive no attempts"
+    );
 }
--- a/crates/policy/tests/server_selection.rs
+++ b/crates/policy/tests/server_selection.rs
@@ -50,11 +50,11 @@
     let (few, many) = (in_flight(2), in_flight(12));
     assert!(
         (8..=12).contains(&few),
-        "two nodes, about one attempt per server: {few}"
+        "{few} attempts in flight, with two nodes and twelve servers"
     );
     assert!(
         (1..=6).contains(&many),
-        "twelve nodes, a share of that: {many}"
+        "{many} attempts in flight, with twelve nodes and twelve servers"
     );
 }
 
@@ -90,7 +90,7 @@
             .is_some_and(|at| node.now - at < 9 * SECOND);
         handshakes += u32::from(!connected);
     }
-    assert!(handshakes <= 80, "{handshakes} of 240");
+    assert!(handshakes <= 80, "{handshakes} handshakes in 240 requests");
 }
 
 /// The servers that a node has connections to begin to fail. The preference for open connections must not keep requests
@@ -101,7 +101,11 @@
     let connected: BTreeSet<_> = (0..100)
         .filter_map(|customer| first_server(&mut node, customer, |_| Outcome::Ok))
         .collect();
-    assert!(connected.len() < 60, "{}", connected.len());
+    assert!(
+        connected.len() < 60,
+        "100 requests used {} servers",
+        connected.len()
+    );
     let outcome = |server| {
         if connected.contains(&server) {
             Outcome::Error
@@ -119,7 +123,7 @@
         .count();
     assert!(
         late.len() > 50 && failing * 4 < late.len(),
-        "{failing} of {}",
+        "{failing} of {} late requests were sent to failing servers",
         late.len()
     );
 }
@@ -141,6 +145,7 @@
     let (most, least) = (load.values().max().copied(), load.values().min().copied());
     assert!(
         load.len() == 40 && most < Some(270) && least > Some(70),
-        "150 each on average: {least:?} to {most:?}"
+        "{} servers were sent {least:?} to {most:?} requests each, 150 on average",
+        load.len()
     );
 }
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -42,7 +42,7 @@
     }
     // A warm server answered some 45 per second. This one can answer a fifth of that, and fails at three times its
     // capacity.
-    assert!((1..=27).contains(&sent), "{sent}");
+    assert!((1..=27).contains(&sent), "{sent} attempts in 1 s");
 }
 
 /// A server has just started, and each of 300 nodes has requests for it. One attempt from each node would overload it.
@@ -85,10 +85,13 @@
     }
     // No warm server shows its throughput, and the server has a fifth to half of its capacity. So all nodes together
     // send that share of 1.5 per second, and some more by chance.
-    assert!(by_second.iter().all(|sent| *sent <= 5), "{by_second:?}");
+    assert!(
+        by_second.iter().all(|sent| *sent <= 5),
+        "attempts in each second: {by_second:?}"
+    );
     assert!(
         by_second.iter().sum::<usize>() >= 1,
-        "the starting server is still sent attempts"
+        "the starting server is sent no attempt"
     );
 }
 
@@ -141,10 +144,13 @@
     // full capacity. The fleet sends the starting one 1.2 times its capacity.
     let warm_answers = warm as f64 / 36.0 * 24.0 / 12.0;
     let capacity = warm_answers * 0.3;
-    assert!(warm_answers > 40.0, "{warm_answers}");
+    assert!(
+        warm_answers > 40.0,
+        "too few for a meaningful test: {warm_answers} responses"
+    );
     assert!(
         (0.8 * capacity..2.0 * capacity).contains(&(starting as f64)),
-        "{starting} of {capacity}"
+        "{starting} attempts at the starting server, which has a capacity of {capacity}"
     );
 }
 
@@ -180,7 +186,7 @@
     let capacity = warm as f64 / 30.0 * 10.0 / 12.0 * 0.2;
     assert!(
         capacity > 3.0 && starting as f64 <= 2.0 * capacity,
-        "{starting} of {capacity}"
+        "{starting} attempts at the starting server, which has a capacity of {capacity}"
     );
 }
 
@@ -210,8 +216,11 @@
         count_sends(&node.actions)
     };
     let (quick, slow) = (sent(10), sent(60));
-    assert!(quick > 20, "{quick} in 3 s");
-    assert!(slow < quick / 2, "{slow} and {quick}");
+    assert!(quick > 20, "{quick} attempts in 3 s with quick responses");
+    assert!(
+        slow < quick / 2,
+        "{slow} attempts with late responses, {quick} with quick ones"
+    );
 }
 
 /// All servers of a fleet in service are replaced at once. A node that lost the known throughput of such servers would
@@ -240,7 +249,7 @@
     let remembered = forwarded(&mut node, 100);
     assert!(
         (12..=40).contains(&remembered),
-        "{remembered} in the first second"
+        "{remembered} attempts at the new servers in the first second"
     );
     // One of seven servers is not new. All responses must not be attributed to it.
     let mut node = TestNode::with_servers(3, settings(0, 1), 100 * SECOND, 6);
@@ -255,6 +264,6 @@
     let starting = node.actions[before..].iter().filter(to_starting).count();
     assert!(
         starting <= 85,
-        "{starting} to starting servers in the first second: at most 2.5 times what one answered"
+        "{starting} attempts at the starting servers in the first second, more than 2.5 times what one server answered"
     );
 }
--- a/crates/policy/tests/stored_state.rs
+++ b/crates/policy/tests/stored_state.rs
@@ -26,7 +26,7 @@
 /// A slow-start budget with permits, and a baseline latency.
 const SLOW_START: &str = include_str!("fixtures/slow_start.json");
 /// Messages between sibling processes, one per line.
-const SIBLING_MESSAGES: &str = include_str!("fixtures/twins.jsonl");
+const SIBLING_MESSAGES: &str = include_str!("fixtures/sibling_messages.jsonl");
 
 /// A node after some seconds of service, with attempts in flight, failures, a server in slow start and customers with
 /// hard limits.
@@ -45,7 +45,7 @@
         } else {
             IDEMPOTENT
         };
-        let plan = usize::try_from(round % 4).expect("small");
+        let plan = usize::try_from(round % 4).expect("a plan number is below 4");
         let customer = TestCustomer {
             id: round % 7,
             first: this_node,
@@ -72,18 +72,19 @@
 
 /// The state of a busy node as JSON.
 fn state(settings: &Settings) -> Value {
-    serde_json::to_value(busy_node(settings.clone()).engine.snapshot()).expect("it is JSON")
+    serde_json::to_value(busy_node(settings.clone()).engine.snapshot())
+        .expect("plain data can be serialized")
 }
 
 /// The name, settings and fixture of each state.
 fn cases() -> [(&'static str, Settings, &'static str); 2] {
-    let wide = Settings {
+    let large_fleet = Settings {
         partition_safe: true,
         ..settings(1, 300)
     };
     [
-        ("narrow", settings(0, 3), SMALL_FLEET_STATE),
-        ("wide", wide, LARGE_FLEET_STATE),
+        ("small fleet", settings(0, 3), SMALL_FLEET_STATE),
+        ("large fleet", large_fleet, LARGE_FLEET_STATE),
     ]
 }
 
@@ -91,20 +92,24 @@
 fn state_has_the_names_and_values_of_the_fixture() {
     for (name, settings, fixture) in cases() {
         let written = state(&settings);
-        let expected: Value = serde_json::from_str(fixture).expect("a fixture of JSON");
-        assert!(written == expected, "{name}:\n{written:#}");
+        let expected: Value = serde_json::from_str(fixture).expect("the fixture is JSON");
+        assert!(
+            written == expected,
+            "{name}: the written state differs from the fixture:\n{written:#}"
+        );
     }
 }
 
 #[test]
 fn state_of_the_previous_build_is_read_completely_and_written_again() {
     for (name, settings, fixture) in cases() {
-        let fixture_json: Value = serde_json::from_str(fixture).expect("a fixture of JSON");
-        let state: StateSnapshot = serde_json::from_str(fixture).expect("the state is read");
+        let fixture_json: Value = serde_json::from_str(fixture).expect("the fixture is JSON");
+        let state: StateSnapshot =
+            serde_json::from_str(fixture).expect("the fixture is a stored state");
         assert_eq!(
-            serde_json::to_value(&state).expect("it is JSON"),
+            serde_json::to_value(&state).expect("plain data can be serialized"),
             fixture_json,
-            "{name}: no field is ignored"
+            "{name}: a field of the fixture is ignored or written differently"
         );
         let sizes = (
             fixture_json["stores"].as_array().map(Vec::len),
@@ -113,16 +118,20 @@
         assert_eq!(
             (Some(state.size().customers), Some(state.size().servers)),
             sizes,
-            "{name}"
+            "{name}: customers and servers"
         );
         let mut engine =
             PolicyEngine::new(11, settings.clone(), 20 * SECOND).expect("valid settings");
         engine.restore(state, 1);
-        let written = serde_json::to_value(engine.snapshot()).expect("it is JSON");
+        let written =
+            serde_json::to_value(engine.snapshot()).expect("plain data can be serialized");
         for field in [
             "born", "newcomer", "stores", "parts", "latency", "typical", "aims", "retries", "out",
         ] {
-            assert_eq!(written[field], fixture_json[field], "{name}: {field}");
+            assert_eq!(
+                written[field], fixture_json[field],
+                "{name}: field {field} is not restored"
+            );
         }
     }
 }
@@ -154,22 +163,25 @@
     let messages = [started(None), started(Some(charge)), ended];
     let written: String = messages
         .iter()
-        .map(|message| serde_json::to_string(message).expect("it is JSON") + "\n")
+        .map(|message| serde_json::to_string(message).expect("plain data can be serialized") + "\n")
         .collect();
-    assert_eq!(written, SIBLING_MESSAGES, "\n{written}");
+    assert_eq!(
+        written, SIBLING_MESSAGES,
+        "the messages differ from the fixture:\n{written}"
+    );
     let read: Vec<SiblingMessage> = SIBLING_MESSAGES
         .lines()
-        .map(|line| serde_json::from_str(line).expect("it is read"))
+        .map(|line| serde_json::from_str(line).expect("the fixture can be read"))
         .collect();
     assert_eq!(read, messages);
     // An earlier build does not send the charge of a first attempt.
     let older = SIBLING_MESSAGES
         .lines()
         .next()
-        .expect("a line")
+        .expect("the fixture has a line")
         .replace(",\"first\":null", "");
     assert_eq!(
-        serde_json::from_str::<SiblingMessage>(&older).expect("it is read"),
+        serde_json::from_str::<SiblingMessage>(&older).expect("the fixture can be read"),
         messages[0]
     );
 }
@@ -258,14 +270,19 @@
     rejection_cache.record_grant(5 * SECOND, 1.0);
     rejection_cache.admit_without_owner(6 * SECOND, 1.0);
     let written = serde_json::json!({"shard": shard, "memory": rejection_cache});
-    let fixture: Value = serde_json::from_str(SHARD).expect("a fixture of JSON");
-    assert!(written == fixture, "\n{written:#}");
+    let fixture: Value = serde_json::from_str(SHARD).expect("the fixture is JSON");
+    assert!(
+        written == fixture,
+        "the written state differs from the fixture:\n{written:#}"
+    );
     assert_eq!(
-        serde_json::from_value::<QuotaShard>(fixture["shard"].clone()).expect("it is read"),
+        serde_json::from_value::<QuotaShard>(fixture["shard"].clone())
+            .expect("the fixture can be read"),
         shard
     );
     assert_eq!(
-        serde_json::from_value::<RejectionCache>(fixture["memory"].clone()).expect("it is read"),
+        serde_json::from_value::<RejectionCache>(fixture["memory"].clone())
+            .expect("the fixture can be read"),
         rejection_cache
     );
 }
@@ -301,10 +318,14 @@
     budget.receive_transfer(8 * SECOND + MILLISECOND, 2, permit, &limits);
     budget.transfer_unused(8 * SECOND + 2 * MILLISECOND, 4, &limits);
     let written = serde_json::json!({"budget": budget, "natural": baseline});
-    let fixture: Value = serde_json::from_str(SLOW_START).expect("a fixture of JSON");
-    assert!(written == fixture, "\n{written:#}");
+    let fixture: Value = serde_json::from_str(SLOW_START).expect("the fixture is JSON");
+    assert!(
+        written == fixture,
+        "the written state differs from the fixture:\n{written:#}"
+    );
     assert_eq!(
-        serde_json::from_value::<SlowStartBudget>(fixture["budget"].clone()).expect("it is read"),
+        serde_json::from_value::<SlowStartBudget>(fixture["budget"].clone())
+            .expect("the fixture can be read"),
         budget
     );
 }
--- a/crates/policy/tests/timer.rs
+++ b/crates/policy/tests/timer.rs
@@ -25,7 +25,10 @@
             } => *other == id && retry_after.is_some(),
             _ => false,
         };
-        assert!(node.actions.iter().any(rejected), "{class:?}");
+        assert!(
+            node.actions.iter().any(rejected),
+            "{class:?}: not rejected within half of {timeout} µs"
+        );
     }
 }
 
@@ -43,10 +46,10 @@
     };
     node.now += 1500 * MILLISECOND;
     let late = node.handle(Event::TimerFired { token: 0 });
-    assert!(!cancels(&late));
+    assert!(!cancels(&late), "the late timer must not cancel an attempt");
     assert!(
         cancels(&node.advance(50 * MILLISECOND)),
-        "no response was read in the meantime"
+        "without a response by the next timer the attempt must be cancelled"
     );
 }
 
@@ -63,6 +66,9 @@
             .iter()
             .filter(|action| matches!(action, Action::SetTimer { .. }))
             .count();
-        assert!(timers <= 4 * 8, "{node_count} nodes: {timers} in 4 s");
+        assert!(
+            timers <= 4 * 8,
+            "{node_count} nodes: {timers} timers in 4 s"
+        );
     }
 }
--- a/crates/policy/tests/token_bucket.rs
+++ b/crates/policy/tests/token_bucket.rs
@@ -28,7 +28,7 @@
     assert_eq!(
         (count_sends(&node.actions), rejected),
         (4, 1),
-        "a burst of 4"
+        "requests forwarded and rejected, with a burst of 4"
     );
     let before = count_sends(&node.actions);
     node.receive(PEER, EMPTY_USAGE_REPORT.to_vec());
@@ -57,7 +57,7 @@
     }
     assert!(
         (6..=9).contains(&admitted),
-        "2 of the burst and half of 1 per second: {admitted}"
+        "{admitted} requests admitted, with 2 of the burst and half of 1 per second"
     );
 }
 
@@ -94,12 +94,27 @@
         }
         count_sends(&node.actions) - before
     };
-    assert_eq!(admitted_after(&[]), 4, "no new usage: the whole burst");
+    assert_eq!(
+        admitted_after(&[]),
+        4,
+        "the entire burst without new usage of the peer"
+    );
     let in_order = admitted_after(&[11, 12]);
-    assert!(in_order < 3, "the peer has used two units");
-    assert_eq!(admitted_after(&[12]), in_order, "lost");
-    assert_eq!(admitted_after(&[11, 11, 12, 12]), in_order, "repeated");
-    assert_eq!(admitted_after(&[12, 11, 10]), in_order, "late");
+    assert!(
+        in_order < 3,
+        "{in_order} requests admitted, although the peer has used two units"
+    );
+    assert_eq!(admitted_after(&[12]), in_order, "the first report is lost");
+    assert_eq!(
+        admitted_after(&[11, 11, 12, 12]),
+        in_order,
+        "each report arrives twice"
+    );
+    assert_eq!(
+        admitted_after(&[12, 11, 10]),
+        in_order,
+        "earlier reports arrive after later ones"
+    );
 }
 
 /// No usage report arrives, and nodes restart at random and lose their state. All nodes together must not exceed the
@@ -134,9 +149,15 @@
                 tokens -= forwarded as f64;
                 sent += forwarded;
             }
-            assert!(tokens > -1e-6, "hard limit exceeded: {tokens}");
+            assert!(
+                tokens > -1e-6,
+                "the nodes together exceed the hard limit: {tokens} units are left"
+            );
         }
-        assert!(sent > 50, "the hard limit admits its rate: {sent}");
+        assert!(
+            sent > 50,
+            "only {sent} requests forwarded in 20 s at a hard limit of 8 per second"
+        );
     }
 }
 
@@ -158,9 +179,9 @@
         node.advance(400 * MILLISECOND);
         sent
     };
-    assert_eq!(burst_after(0), 0);
-    assert_eq!(burst_after(10 * SECOND), 6);
-    assert_eq!(burst_after(90 * SECOND), 6);
+    assert_eq!(burst_after(0), 0, "the share is empty at the start");
+    assert_eq!(burst_after(10 * SECOND), 6, "the share has filled");
+    assert_eq!(burst_after(90 * SECOND), 6, "the bucket was dropped");
     // A customer without a bucket has used nothing since the start.
     let mut fresh = TestNode::with_servers(1, settings(0, 2), SECOND, 4);
     fresh.now += 500 * MILLISECOND;
@@ -168,7 +189,11 @@
         fresh.request(IDEMPOTENT, HARD_LIMITED, 8, SECOND);
         fresh.answer_all();
     }
-    assert_eq!(count_sends(&fresh.actions), 2, "4 per second for 0.5 s");
+    assert_eq!(
+        count_sends(&fresh.actions),
+        2,
+        "an even share of 4 per second for 0.5 s"
+    );
 }
 
 /// A node restarts and has lost the state of its buckets. If they were full, each restart would admit the burst again.
@@ -187,7 +212,7 @@
     assert_eq!(
         (sent(99_000), sent(50_000)),
         (4, 2),
-        "a burst of 4, and its even share"
+        "requests forwarded: the burst of 4, and its even share after a restart"
     );
 }
 
@@ -205,9 +230,17 @@
         count_sends(&node.actions) - before
     };
     assert_eq!(forwarded(METERED, 1), 1);
-    assert_eq!(forwarded(UNLIMITED, 20), 20, "not the burst of 4");
+    assert_eq!(
+        forwarded(UNLIMITED, 20),
+        20,
+        "the first request must not determine the plan"
+    );
     forwarded(METERED, 2);
-    assert_eq!(forwarded(UNLIMITED, 20), 20);
+    assert_eq!(
+        forwarded(UNLIMITED, 20),
+        20,
+        "two requests must not change the plan"
+    );
 }
 
 /// A peer drops an idle customer and counts its usage from zero when it returns. The lower counter must count as new
@@ -230,6 +263,6 @@
     }
     assert!(
         count_sends(&node.actions) - before < 2,
-        "the peer has used three units"
+        "the three units that the peer has used must be deducted from the burst of 4"
     );
 }
