--- a/crates/policy/src/gossip_average.rs
+++ b/crates/policy/src/gossip_average.rs
@@ -44,9 +44,9 @@
 
     /// Decays the samples by a number of time constants.
     pub fn decay(&mut self, time_constants: f64) {
-        let left = (-time_constants).exp();
-        self.sum *= left;
-        self.count *= left;
+        let remaining = (-time_constants).exp();
+        self.sum *= remaining;
+        self.count *= remaining;
     }
 
     /// Adds `count` samples of this node with the given sum.
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -13,8 +13,9 @@
 //! 4. `timer` ends overdue requests, cancels stalled attempts (`stalled_attempts`) and runs the periodic work
 //!    (`controller_period`).
 //!
-//! Messages between nodes are in `peer_message` (layout), `peers` (usage reports) and `gossip` (observations). Messages
-//! between the processes of one node are in `siblings` and [`snapshot`].
+//! Requests and responses that are relayed as they arrive are in `streaming`. Messages between nodes are in
+//! `peer_message` (layout), `peers` (usage reports) and `gossip` (observations). Messages between the processes of one
+//! node are in `siblings` and [`snapshot`]. [`setup`] parses the settings, and [`counters`] counts the decisions.
 #![forbid(unsafe_code)]
 
 mod admission;
--- a/crates/policy/src/peer_message/decode.rs
+++ b/crates/policy/src/peer_message/decode.rs
@@ -14,7 +14,7 @@
 };
 use saffronpaddle_slow_start::TransferredPermit;
 
-/// Encodes the absence of a duration that takes one byte.
+/// Value of a one-byte duration that stands for an absent one.
 const NO_DURATION: u8 = u8::MAX;
 
 /// Decodes a datagram. Returns `None` if it is empty, truncated, too long, or of an unknown version or kind.
--- a/crates/policy/src/peer_message/encode.rs
+++ b/crates/policy/src/peer_message/encode.rs
@@ -11,7 +11,7 @@
 use saffronpaddle_quota::{GrantDecision, GrantResponse, Lease, LeaseDemand, LeaseReport};
 use saffronpaddle_slow_start::TransferredPermit;
 
-/// Encodes the absence of a duration that takes one byte.
+/// Value of a one-byte duration that stands for an absent one.
 const NO_DURATION: u8 = u8::MAX;
 
 /// Encodes a message. Leaves out customers' usages, classes and observations beyond those that fit.
--- a/crates/policy/src/peers.rs
+++ b/crates/policy/src/peers.rs
@@ -94,8 +94,8 @@
                 continue;
             };
             let plan = &self.settings.plans[bucket.plan.0];
-            let silent = count_silent_peers(&self.peers.last_report_at, bucket, now);
-            bucket.refill(now, plan, silent);
+            let silent_peer_count = count_silent_peers(&self.peers.last_report_at, bucket, now);
+            bucket.refill(now, plan, silent_peer_count);
             let even_rate = plan.rate / bucket.subset_size;
             let usage = bucket.peer_usage.entry(from).or_default();
             let first_since_silence = usage.received_at <= silence.since;
@@ -140,12 +140,12 @@
             return;
         }
         let interval = usage_report_interval(&self.settings);
-        let paced = if interval < f64::INFINITY {
+        let allowed_interval = if interval < f64::INFINITY {
             interval as Micros
         } else {
             NO_REPORT_INTERVAL
         };
-        self.peers.next_report_at = now + MIN_REPORT_INTERVAL.max(paced);
+        self.peers.next_report_at = now + MIN_REPORT_INTERVAL.max(allowed_interval);
         let has_peers = interval > 0.0 && interval < f64::INFINITY;
         // Only one process of a node reports. Two would send peers twice the messages that one node may send.
         if self.large_fleet || self.requests.peer_messages_delegated || !has_peers {
--- a/crates/policy/src/setup.rs
+++ b/crates/policy/src/setup.rs
@@ -8,6 +8,7 @@
 use serde::Deserialize;
 use std::fmt;
 
+/// The settings as the platform writes them. Fields that this crate does not use are ignored.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct WireSettings {
--- a/crates/policy/src/siblings.rs
+++ b/crates/policy/src/siblings.rs
@@ -61,10 +61,10 @@
             self.quotas.buckets.entry(customer).or_insert_with(|| {
                 TokenBucket::new(now, uptime, charge.plan, plan, subset, max_units)
             });
-        let silent = count_silent_peers(&self.peers.last_report_at, bucket, now);
-        bucket.refill(now, &self.settings.plans[bucket.plan.0], silent);
-        let largest = if max_units > 0.0 { max_units } else { f64::MAX };
-        let units = charge.units.clamp(0.0, largest);
+        let silent_peer_count = count_silent_peers(&self.peers.last_report_at, bucket, now);
+        bucket.refill(now, &self.settings.plans[bucket.plan.0], silent_peer_count);
+        let max_charge = if max_units > 0.0 { max_units } else { f64::MAX };
+        let units = charge.units.clamp(0.0, max_charge);
         bucket.tokens -= units;
         bucket.last_used_at = now;
         Some(units)
@@ -82,8 +82,8 @@
         let Some(ended_link) = ended_link else {
             return;
         };
-        let all = std::mem::take(&mut self.requests.sibling_attempts);
-        for (key, remote) in all {
+        let sibling_attempts = std::mem::take(&mut self.requests.sibling_attempts);
+        for (key, remote) in sibling_attempts {
             if remote.link == ended_link {
                 self.release_attempt(&remote.attempt);
             } else {
--- a/crates/policy/src/stalled_attempts.rs
+++ b/crates/policy/src/stalled_attempts.rs
@@ -68,14 +68,14 @@
         let rules = &self.settings.slow_start;
         let fraction = server.capacity_fraction(rules, attempt.sent_at);
         let limit = limit / fraction.max(MIN_CAPACITY_FRACTION);
-        let alone_factor = if server.in_flight < 2 {
+        let only_attempt_factor = if server.in_flight < 2 {
             ONLY_ATTEMPT_FACTOR
         } else {
             1.0
         };
         let responded_since = server.last_response_for_class(attempt.class.0) >= attempt.sent_at;
         let age = now.saturating_sub(attempt.sent_at) as f64;
-        !responded_since && age > limit * alone_factor
+        !responded_since && age > limit * only_attempt_factor
     }
 
     /// Ejects a server for the class of a stalled attempt, or for all classes if it has sent no response at all since
--- a/crates/policy/src/state/grant_state.rs
+++ b/crates/policy/src/state/grant_state.rs
@@ -7,7 +7,7 @@
 
 /// Number of unanswered transmissions of grant requests, without any message from a peer in between, from which this
 /// node counts as isolated.
-const ISOLATED_AFTER: u32 = 5;
+const ISOLATED_AFTER_UNANSWERED: u32 = 5;
 
 /// A primary owner's request for a lease from its standby.
 #[derive(Clone, Copy, Debug)]
@@ -74,6 +74,6 @@
 
     /// Whether no peer may be asked: this node is isolated, and the next probe is not due yet.
     pub fn skips_peers(&self, now: Micros) -> bool {
-        self.unanswered >= ISOLATED_AFTER && now < self.next_isolation_probe_at
+        self.unanswered >= ISOLATED_AFTER_UNANSWERED && now < self.next_isolation_probe_at
     }
 }
