--- a/crates/policy/tests/common/test_node.rs
+++ b/crates/policy/tests/common/test_node.rs
@@ -51,7 +51,8 @@
 impl TestNode {
     /// Creates a node that starts at `now` with an empty endpoint list.
     pub fn new(seed: u64, settings: Settings, now: Micros) -> Self {
-        let engine = PolicyEngine::new(seed, settings.clone(), now).expect("valid settings");
+        let engine =
+            PolicyEngine::new(seed, settings.clone(), now).expect("the settings are valid");
         TestNode {
             now,
             engine,
--- a/crates/policy/tests/long_endpoint_lists.rs
+++ b/crates/policy/tests/long_endpoint_lists.rs
@@ -331,7 +331,8 @@
         serde_json::from_str(&json).expect("the state can be read from its own JSON");
     assert_eq!(fields(&state), fields(&read), "a field is lost in the JSON");
     assert_eq!(state, read, "a part of the state is lost in the JSON");
-    let mut child = PolicyEngine::new(9, settings(3, 300), node.now).expect("valid settings");
+    let mut child =
+        PolicyEngine::new(9, settings(3, 300), node.now).expect("the settings are valid");
     child.restore(read, 1);
     let endpoints = (0..6_000).map(hashed_endpoint).collect();
     child.handle(
--- a/crates/policy/tests/server_selection.rs
+++ b/crates/policy/tests/server_selection.rs
@@ -84,7 +84,8 @@
     let mut last_used_at = BTreeMap::new();
     let mut handshakes = 0;
     for customer in 0..240 {
-        let server = first_server(&mut node, customer, |_| Outcome::Ok).expect("it is forwarded");
+        let server =
+            first_server(&mut node, customer, |_| Outcome::Ok).expect("the request is forwarded");
         let connected = last_used_at
             .insert(server, node.now)
             .is_some_and(|at| node.now - at < 9 * SECOND);
@@ -137,8 +138,8 @@
         let mut node =
             TestNode::with_servers(u64::from(index) + 1, settings(index, 300), SECOND, 40);
         for customer in 0..100 {
-            let server =
-                first_server(&mut node, customer, |_| Outcome::Ok).expect("it is forwarded");
+            let server = first_server(&mut node, customer, |_| Outcome::Ok)
+                .expect("the request is forwarded");
             *load.entry(server).or_default() += 1;
         }
     }
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -51,7 +51,7 @@
     let mut by_second = [0; 5];
     for index in 0..300 {
         let mut engine = PolicyEngine::new(u64::from(index), settings(index, 300), SECOND)
-            .expect("valid settings");
+            .expect("the settings are valid");
         let mut actions = Vec::new();
         engine.handle(
             SECOND,
--- a/crates/policy/tests/snapshot.rs
+++ b/crates/policy/tests/snapshot.rs
@@ -12,9 +12,10 @@
 fn state_of_an_earlier_build_is_restored_without_its_owned_shards() {
     let bucket = r#"{"plan":0,"first":0,"spread":60.0,"depth":4.0,"level":2.0,"home":true,"granted":[],"chance":1.0}"#;
     let json = format!(r#"{{"born":1000000,"stores":[[7,{bucket}]],"homes":[[7,{bucket}]]}}"#);
-    let state: StateSnapshot = serde_json::from_str(&json).expect("a valid snapshot");
+    let state: StateSnapshot = serde_json::from_str(&json).expect("the JSON is a snapshot");
     assert_eq!((state.size().customers, state.size().servers), (1, 0));
-    let mut engine = PolicyEngine::new(1, settings(0, 300), 2 * SECOND).expect("valid settings");
+    let mut engine =
+        PolicyEngine::new(1, settings(0, 300), 2 * SECOND).expect("the settings are valid");
     engine.restore(state, 0);
     assert_eq!(
         engine.tracked_entries(),
--- a/crates/policy/tests/stored_state.rs
+++ b/crates/policy/tests/stored_state.rs
@@ -121,7 +121,7 @@
             "{name}: customers and servers"
         );
         let mut engine =
-            PolicyEngine::new(11, settings.clone(), 20 * SECOND).expect("valid settings");
+            PolicyEngine::new(11, settings.clone(), 20 * SECOND).expect("the settings are valid");
         engine.restore(state, 1);
         let written =
             serde_json::to_value(engine.snapshot()).expect("plain data can be serialized");
