--- a/crates/endpoints/src/follower/event.rs
+++ b/crates/endpoints/src/follower/event.rs
@@ -68,7 +68,7 @@
                 known_revision,
             } => write!(
                 f,
-                "member {member_id:x} is at revision {revision}, behind {known_revision}"
+                "member {member_id:x} is at revision {revision}, behind the applied revision {known_revision}"
             ),
             FollowerEvent::ClusterReplaced {
                 cluster_id,
@@ -77,36 +77,36 @@
                 known_revision,
             } => write!(
                 f,
-                "the cluster was replaced or restored: {cluster_id:x} at revision {revision}, before {known_cluster_id:x} at {known_revision}"
+                "the cluster was replaced or restored: now cluster {cluster_id:x} at revision {revision}, previously cluster {known_cluster_id:x} at revision {known_revision}"
             ),
             FollowerEvent::Compacted {
                 compact_revision,
                 known_revision,
             } => write!(
                 f,
-                "revisions up to {compact_revision} are compacted, this node was at {known_revision}: the list is read whole"
+                "revisions up to {compact_revision} were compacted and this node has applied revisions up to {known_revision}: reading the complete list"
             ),
             FollowerEvent::EmptyListSuspected {
                 servers,
                 empty_after,
             } => write!(
                 f,
-                "the prefix is empty: {servers} servers, or those known at the start, are kept until that has lasted {} s",
+                "the prefix is empty: keeping {servers} servers (the configured ones if no list was read before) until it has stayed empty for {} s",
                 empty_after.as_secs()
             ),
             FollowerEvent::EmptyFromStart => {
-                f.write_str("the prefix is empty, and was so from the start")
+                f.write_str("the prefix was empty when it was first read: accepting its current list")
             }
             FollowerEvent::WipeConfirmed { servers } => {
-                write!(f, "the wiped prefix stays so: {servers} servers are gone")
+                write!(f, "the keys of the emptied prefix have not been restored: removing {servers} servers")
             }
             FollowerEvent::UnreadableValue { key, error, kept } => {
                 let consequence = if *kept {
-                    "its last good entry stays"
+                    "keeping the server's last valid entry"
                 } else {
-                    "it is not listed"
+                    "the server is not listed"
                 };
-                write!(f, "{key} can't be read ({error}): {consequence}")
+                write!(f, "cannot parse the value of {key} ({error}): {consequence}")
             }
         }
     }
--- a/crates/endpoints/src/follower/response.rs
+++ b/crates/endpoints/src/follower/response.rs
@@ -73,8 +73,8 @@
 impl fmt::Display for LeaveReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            LeaveReason::Lagging => "the member lags",
-            LeaveReason::OldTerm => "the member is in an older term",
+            LeaveReason::Lagging => "the member lags behind the applied revision",
+            LeaveReason::OldTerm => "the member is in an older raft term",
         })
     }
 }
--- a/crates/endpoints/src/merge.rs
+++ b/crates/endpoints/src/merge.rs
@@ -21,6 +21,7 @@
     Etcd = 1,
 }
 
+/// Number of variants of [`Source`].
 const SOURCE_COUNT: usize = 2;
 
 /// The merged list of all sources.
--- a/crates/endpoints/src/value.rs
+++ b/crates/endpoints/src/value.rs
@@ -12,7 +12,7 @@
 pub const MAX_HOST_BYTES: usize = 253;
 /// Maximum length of a value in bytes. It bounds memory if other applications write to the prefix.
 pub const MAX_VALUE_BYTES: usize = 4096;
-/// The weight of a server whose value gives none.
+/// The weight of a server whose value contains none, relative to other servers.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
 /// Why the value of a server's key was rejected.
@@ -30,7 +30,7 @@
     },
     /// The host name in the value differs from that in the key.
     OtherHost,
-    /// The weight (`share`) is not above 0.
+    /// The weight (`share`) is not a finite number above 0.
     InvalidWeight,
 }
 
@@ -38,11 +38,18 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ValueError::TooLong { bytes } => {
-                write!(f, "{bytes} bytes, more than {MAX_VALUE_BYTES}")
+                write!(
+                    f,
+                    "the value has {bytes} bytes; the maximum is {MAX_VALUE_BYTES}"
+                )
             }
             ValueError::Malformed { message } => f.write_str(message),
-            ValueError::OtherHost => f.write_str("its host is not the one of its key"),
-            ValueError::InvalidWeight => f.write_str("its share is not above 0"),
+            ValueError::OtherHost => {
+                f.write_str("the `host` field differs from the host name in the key")
+            }
+            ValueError::InvalidWeight => {
+                f.write_str("the `share` field is not a finite number above 0")
+            }
         }
     }
 }
--- a/crates/endpoints/tests/follower.rs
+++ b/crates/endpoints/tests/follower.rs
@@ -59,7 +59,7 @@
     assert_eq!(statuses(&update), [("b", EndpointStatus::Removed)].into());
     assert_eq!(follower.stats().stale_events, 2);
     let update = respond(&mut follower, 12, vec![delete("b", 12)]);
-    assert!(update.endpoints.is_empty(), "already applied");
+    assert!(update.endpoints.is_empty(), "the event was already applied");
 }
 
 /// While the watch was broken, one server began to drain, another was removed and a third one was added. Then these
@@ -129,7 +129,7 @@
     assert_eq!(
         (statuses(&update), update.received_at),
         (expected.into(), ms(200)),
-        "the time of the first fragment"
+        "the update carries the time of its first fragment"
     );
     assert_eq!(follower.resume_revision(), Some(12));
 }
@@ -210,7 +210,7 @@
     assert_eq!(
         (entry.status, entry.address.port(), entry.started_at_ms),
         (EndpointStatus::Ready, 90, NOW),
-        "a new process"
+        "the last event is that of a new process"
     );
     let update = respond(
         &mut follower,
@@ -366,7 +366,7 @@
     assert_eq!(
         follower.resume_revision(),
         Some(11),
-        "only after a second response"
+        "the revision advances only after a second progress response"
     );
     assert_eq!(follower.apply_progress(header(95)), WatchStep::Continue);
     assert_eq!(follower.resume_revision(), Some(91));
--- a/crates/endpoints/tests/log_lines.rs
+++ b/crates/endpoints/tests/log_lines.rs
@@ -13,7 +13,7 @@
                 revision: 4,
                 known_revision: 9,
             },
-            "member ab is at revision 4, behind 9",
+            "member ab is at revision 4, behind the applied revision 9",
         ),
         (
             FollowerEvent::ClusterReplaced {
@@ -22,29 +22,29 @@
                 known_cluster_id: 0xc1,
                 known_revision: 9,
             },
-            "the cluster was replaced or restored: ee at revision 4, before c1 at 9",
+            "the cluster was replaced or restored: now cluster ee at revision 4, previously cluster c1 at revision 9",
         ),
         (
             FollowerEvent::Compacted {
                 compact_revision: 20,
                 known_revision: 9,
             },
-            "revisions up to 20 are compacted, this node was at 9: the list is read whole",
+            "revisions up to 20 were compacted and this node has applied revisions up to 9: reading the complete list",
         ),
         (
             FollowerEvent::EmptyListSuspected {
                 servers: 3,
                 empty_after: Duration::from_secs(30),
             },
-            "the prefix is empty: 3 servers, or those known at the start, are kept until that has lasted 30 s",
+            "the prefix is empty: keeping 3 servers (the configured ones if no list was read before) until it has stayed empty for 30 s",
         ),
         (
             FollowerEvent::EmptyFromStart,
-            "the prefix is empty, and was so from the start",
+            "the prefix was empty when it was first read: accepting its current list",
         ),
         (
             FollowerEvent::WipeConfirmed { servers: 3 },
-            "the wiped prefix stays so: 3 servers are gone",
+            "the keys of the emptied prefix have not been restored: removing 3 servers",
         ),
         (
             FollowerEvent::UnreadableValue {
@@ -52,7 +52,7 @@
                 error: ValueError::OtherHost,
                 kept: true,
             },
-            "/board/a can't be read (its host is not the one of its key): its last good entry stays",
+            "cannot parse the value of /board/a (the `host` field differs from the host name in the key): keeping the server's last valid entry",
         ),
         (
             FollowerEvent::UnreadableValue {
@@ -60,7 +60,7 @@
                 error: ValueError::TooLong { bytes: 5000 },
                 kept: false,
             },
-            "/board/a can't be read (5000 bytes, more than 4096): it is not listed",
+            "cannot parse the value of /board/a (the value has 5000 bytes; the maximum is 4096): the server is not listed",
         ),
     ];
     for (event, line) in lines {
@@ -68,11 +68,14 @@
     }
     assert_eq!(
         ValueError::InvalidWeight.to_string(),
-        "its share is not above 0"
+        "the `share` field is not a finite number above 0"
+    );
+    assert_eq!(
+        LeaveReason::Lagging.to_string(),
+        "the member lags behind the applied revision"
     );
-    assert_eq!(LeaveReason::Lagging.to_string(), "the member lags");
     assert_eq!(
         LeaveReason::OldTerm.to_string(),
-        "the member is in an older term"
+        "the member is in an older raft term"
     );
 }
--- a/crates/endpoints/tests/poll.rs
+++ b/crates/endpoints/tests/poll.rs
@@ -43,7 +43,7 @@
         let next = now
             + backoffs[node]
                 .hedge_delay(random.f64())
-                .expect("calls go on")
+                .expect("calls run concurrently")
                 .as_secs_f64();
         if next < answers[node] {
             due.push((next, node));
@@ -65,7 +65,7 @@
         );
         assert!(
             after.is_some_and(|after| after < 30.0),
-            "{nodes} nodes: {after:?} s"
+            "{nodes} nodes recover after {after:?} s"
         );
     }
     // With the pauses of a small fleet, the calls of a hundred nodes keep the queue full.
@@ -88,10 +88,10 @@
 fn busiest_second(mut at: Vec<f64>) -> usize {
     at.sort_by(f64::total_cmp);
     (0..at.len())
-        .map(|place| {
-            at[place..]
+        .map(|first| {
+            at[first..]
                 .iter()
-                .take_while(|later| **later < at[place] + 1.0)
+                .take_while(|later| **later < at[first] + 1.0)
                 .count()
         })
         .max()
@@ -109,9 +109,12 @@
         });
         let calls: Vec<f64> = calls.collect();
         let last = calls.iter().copied().fold(0.0, f64::max);
-        assert!(last <= f64::from(nodes) / 25.0, "{nodes} nodes: {last} s");
+        assert!(
+            last <= f64::from(nodes) / 25.0,
+            "{nodes} nodes: the last call is after {last} s"
+        );
         let most = busiest_second(calls);
-        assert!(most <= 27, "{nodes} nodes: {most} in a second");
+        assert!(most <= 27, "{nodes} nodes: {most} calls in one second");
     }
     // If both limits cannot be kept, `first_within` takes precedence.
     let soon = PollLimits {
@@ -135,7 +138,7 @@
         }
         // Random fluctuation: four standard deviations above the mean of 25.
         let most = busiest_second(at);
-        assert!(most <= 50, "{nodes} nodes: {most} in a second");
+        assert!(most <= 50, "{nodes} nodes: {most} calls in one second");
     }
 }
 
@@ -165,7 +168,7 @@
     );
     assert!(
         !protection.accepts(s(40), 0, 3, s(30)),
-        "the time starts again"
+        "the empty time is counted from the start"
     );
     assert!(
         protection.accepts(s(41), 0, 1, s(30)),
@@ -182,7 +185,7 @@
     let pause = (0..50)
         .map(|draw| backoff.after_failure(f64::from(draw) / 50.0))
         .max()
-        .expect("some");
+        .expect("50 pauses");
     assert!(
         pause + hedged.every <= Duration::from_millis(200),
         "{pause:?} and {hedged:?}"
@@ -210,7 +213,7 @@
                 .max();
             assert!(
                 longest <= Some(Duration::from_secs(1)),
-                "{nodes} nodes: {longest:?}"
+                "{nodes} nodes: the longest pause is {longest:?}"
             );
         }
     }
@@ -228,7 +231,7 @@
     assert_eq!(
         (least, most),
         (Duration::ZERO, MAX_CALL_INTERVAL),
-        "the whole call interval"
+        "the pause may take any part of the call interval"
     );
     assert!(
         backoff.after_failure(0.5) >= MAX_CALL_INTERVAL / 2
@@ -238,7 +241,7 @@
     assert_eq!(
         PollBackoff::with_limits(300, &limits()).after_watch_end(0.5),
         Duration::from_secs(12),
-        "limits are kept"
+        "the limits of the installation apply"
     );
 }
 
@@ -290,10 +293,10 @@
     /// the answer.
     #[test]
     fn calls_of_any_fleet_start_in_time_to_receive_a_change(
-        nodes in 1..=100_000_u32, row in prop::collection::vec((any_result(), 0.0..=1.0_f64), 1..40),
+        nodes in 1..=100_000_u32, calls in prop::collection::vec((any_result(), 0.0..=1.0_f64), 1..40),
     ) {
         let (mut backoff, ms) = (PollBackoff::for_fleet(nodes), Duration::from_millis);
-        for (result, draw) in row {
+        for (result, draw) in calls {
             let delay = backoff.hedge_delay(draw).expect("calls run concurrently");
             prop_assert!(delay <= ms(4500), "{delay:?}");
             match result {
@@ -323,7 +326,7 @@
                 at.push(now);
                 now += backoff
                     .hedge_delay(random.f64())
-                    .expect("calls go on")
+                    .expect("calls run concurrently")
                     .as_secs_f64();
             }
         }
@@ -331,11 +334,16 @@
         at.retain(|at| *at >= 2.0);
         let (mean, bound) = (at.len() as f64 / 58.0, f64::from(nodes) / 4.0);
         let most = busiest_second(at);
-        println!("{nodes} nodes: {mean:.1} calls a second, {most} at the most");
-        assert!(mean <= 1.1 * bound, "{nodes} nodes: {mean} a second");
+        println!(
+            "{nodes} nodes: {mean:.1} calls per second on average, at most {most} in one second"
+        );
+        assert!(
+            mean <= 1.1 * bound,
+            "{nodes} nodes: {mean} calls per second"
+        );
         assert!(
             most as f64 <= 1.5 * bound + 4.0 * bound.sqrt(),
-            "{nodes} nodes: {most} in a second"
+            "{nodes} nodes: {most} calls in one second"
         );
     }
 }
@@ -371,7 +379,7 @@
         due.push((
             now + backoffs[node]
                 .hedge_delay(random.f64())
-                .expect("calls go on")
+                .expect("calls run concurrently")
                 .as_secs_f64(),
             node,
         ));
@@ -403,7 +411,7 @@
         let share = late(nodes, round);
         assert!(
             share <= most,
-            "{nodes} nodes, each answered once in {round} s: {share} late"
+            "{nodes} nodes, each answered once in {round} s: a fraction of {share} is late"
         );
     }
 }
@@ -415,10 +423,13 @@
         let mut backoff = PollBackoff::for_fleet(nodes);
         let first = backoff.after_failure(1.0);
         let second = first + backoff.after_failure(1.0);
-        assert!(first <= MAX_CALL_INTERVAL, "{nodes}: {first:?}");
+        assert!(
+            first <= MAX_CALL_INTERVAL,
+            "{nodes} nodes: the first pause is {first:?}"
+        );
         assert!(
             nodes > 12 || second <= MAX_CALL_INTERVAL,
-            "{nodes}: {second:?}"
+            "{nodes} nodes: the second call starts after {second:?}"
         );
     }
 }
--- a/crates/endpoints/tests/support/mod.rs
+++ b/crates/endpoints/tests/support/mod.rs
@@ -5,6 +5,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+/// The ID of the cluster in [`header`].
 pub const CLUSTER: u64 = 0xc1;
 /// Unix time, in milliseconds.
 pub const NOW: u64 = 1_800_000_000_000;
--- a/crates/endpoints/tests/wiped_prefix.rs
+++ b/crates/endpoints/tests/wiped_prefix.rs
@@ -57,7 +57,11 @@
             ]
             .into()
         );
-        assert_eq!(follower.confirm_empty(late + late), None, "only once");
+        assert_eq!(
+            follower.confirm_empty(late + late),
+            None,
+            "the wipe is confirmed only once"
+        );
     }
     // Servers whose keys are deleted one by one are removed immediately, as operators delete them that way.
     let mut follower = three_servers();
--- a/crates/etcd/src/client.rs
+++ b/crates/etcd/src/client.rs
@@ -51,7 +51,7 @@
         reread |= behind > members;
         let reason = error.to_string();
         if last_logged != reason {
-            let line = format!("etcd: left {member}: {reason}");
+            let line = format!("etcd: left member {member}: {reason}");
             last_logged = reason;
             if client.send(ClientEvent::Log(line)).await.is_err() {
                 return;
@@ -99,8 +99,8 @@
         )
     }
 
-    async fn send(&self, news: ClientEvent) -> std::result::Result<(), Closed> {
-        self.sender.send(news).await.map_err(|_| Closed)
+    async fn send(&self, event: ClientEvent) -> std::result::Result<(), Closed> {
+        self.sender.send(event).await.map_err(|_| Closed)
     }
 
     /// Sends a change unless it is empty, and the log lines of the follower.
@@ -220,6 +220,7 @@
         }
     }
 
+    /// Passes a response to the follower. Returns the resulting change of the list and how the watch continues.
     fn apply(
         &mut self,
         response: api::WatchResponse,
--- a/crates/etcd/src/error.rs
+++ b/crates/etcd/src/error.rs
@@ -34,7 +34,7 @@
     WatchCancelled(String),
     /// The watch had to be reopened too often.
     WatchUnstable,
-    /// The member has sent nothing for too long.
+    /// The member has sent nothing for [`Timing::silent_after`](crate::Timing::silent_after).
     Silent,
     /// The member's state is older than the one already known.
     Behind(LeaveReason),
@@ -63,7 +63,7 @@
         match self {
             MemberError::Status(status) => write!(f, "{:?}: {}", status.code(), status.message()),
             MemberError::Endpoint(error) => write!(f, "{error}"),
-            MemberError::Unreachable => f.write_str("it can't be reached"),
+            MemberError::Unreachable => f.write_str("the connection to it failed"),
             MemberError::ConnectTimeout => f.write_str("connecting to it timed out"),
             MemberError::InvalidToken => f.write_str("its token cannot be sent as gRPC metadata"),
             MemberError::CallTimeout => f.write_str("a call to it timed out"),
@@ -73,7 +73,7 @@
             MemberError::WatchEnded => f.write_str("its watch has ended"),
             MemberError::WatchCancelled(reason) => write!(f, "its watch was cancelled: {reason}"),
             MemberError::WatchUnstable => f.write_str("its watch had to be reopened too often"),
-            MemberError::Silent => f.write_str("it is silent"),
+            MemberError::Silent => f.write_str("it was silent for longer than the configured time"),
             MemberError::Behind(reason) => write!(f, "{reason}"),
         }
     }
--- a/crates/etcd/tests/client.rs
+++ b/crates/etcd/tests/client.rs
@@ -43,10 +43,10 @@
 
 impl ListClient {
     fn follow(etcd: &Etcd, empty_after: Duration) -> ListClient {
-        ListClient::with(etcd, empty_after, None)
+        ListClient::with_user(etcd, empty_after, None)
     }
 
-    fn with(etcd: &Etcd, empty_after: Duration, user: Option<(String, String)>) -> ListClient {
+    fn with_user(etcd: &Etcd, empty_after: Duration, user: Option<(String, String)>) -> ListClient {
         let (sender, events) = mpsc::channel(1024);
         let settings = Settings {
             endpoints: etcd.endpoints(),
@@ -98,7 +98,7 @@
         while !seen(self) {
             assert!(
                 started.elapsed() < TEST_TIMEOUT,
-                "{what}: {:?} {:?}",
+                "timed out waiting for {what}; list: {:?}; log lines: {:?}",
                 self.hosts,
                 self.logs
             );
@@ -107,7 +107,7 @@
     }
 
     async fn wait_for_status(&mut self, host: &str, status: Option<EndpointStatus>) {
-        let what = format!("{host} is {status:?}");
+        let what = format!("{host} to have the status {status:?}");
         self.wait_until(&what, |client| {
             client.hosts.get(host).map(|server| server.0) == status
         })
@@ -123,6 +123,7 @@
     etcd
 }
 
+/// A value of [`Rules::empty_after`] that no test reaches.
 const HOUR: Duration = Duration::from_hours(1);
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -420,7 +421,8 @@
 async fn a_cluster_with_authentication_requires_the_right_password() {
     let etcd = cluster(1).await;
     etcd.require_auth("edge", "secret");
-    let mut wrong = ListClient::with(&etcd, HOUR, Some(("edge".to_owned(), "guess".to_owned())));
+    let mut wrong =
+        ListClient::with_user(&etcd, HOUR, Some(("edge".to_owned(), "guess".to_owned())));
     wrong
         .wait_until("the rejection", |client| {
             client
@@ -439,7 +441,8 @@
                 .any(|line| line.contains("invalid auth token"))
         })
         .await;
-    let mut right = ListClient::with(&etcd, HOUR, Some(("edge".to_owned(), "secret".to_owned())));
+    let mut right =
+        ListClient::with_user(&etcd, HOUR, Some(("edge".to_owned(), "secret".to_owned())));
     right
         .wait_until("the list", |client| client.hosts.len() == 3)
         .await;
