--- a/crates/connection-eviction/tests/choice.rs
+++ b/crates/connection-eviction/tests/choice.rs
@@ -5,7 +5,9 @@
 use saffronpaddle_connection_eviction::{ConnectionState, EvictionCount, EvictionPressure, Limits};
 use std::time::Duration;
 
+/// One millisecond.
 const MS: Duration = Duration::from_millis(1);
+/// The limits of all tests.
 const LIMITS: Limits = Limits::USUAL;
 /// A connection that was accepted at time zero and has sent nothing.
 const SILENT: ConnectionState = ConnectionState {
@@ -108,9 +110,9 @@
         let now = ARRIVAL_INTERVAL * step;
         send_pieces(&mut clients, now, &mut slow_clients);
         clients.retain(|client| {
-            let over = LIMITS.has_timed_out(now, &client.connection);
-            slow_clients.closed += usize::from(client.slow && over);
-            !over
+            let timed_out = LIMITS.has_timed_out(now, &client.connection);
+            slow_clients.closed += usize::from(client.slow && timed_out);
+            !timed_out
         });
         if clients.len() >= CONNECTION_LIMIT {
             let index = first_eviction(now, connections(&clients)).expect("no client is busy");
@@ -121,7 +123,7 @@
     let SlowClients { completed, closed } = slow_clients;
     assert!(
         closed == 0 && completed > 400,
-        "{closed} closed, {completed} completed"
+        "slow clients: {closed} closed, {completed} completed"
     );
 }
 
@@ -164,7 +166,7 @@
     let SlowClients { completed, closed } = slow_clients;
     assert!(
         closed == 0 && completed == 80 && batches > 50,
-        "{closed} closed, {completed} completed, {batches} batches"
+        "slow clients: {closed} closed, {completed} completed; {batches} evictions of several connections at once"
     );
 }
 
--- a/crates/connection-eviction/tests/pressure.rs
+++ b/crates/connection-eviction/tests/pressure.rs
@@ -3,7 +3,9 @@
 use saffronpaddle_connection_eviction::{EvictionCount, EvictionPressure};
 use std::time::Duration;
 
+/// One millisecond.
 const MS: Duration = Duration::from_millis(1);
+/// No eviction.
 const NONE: EvictionCount = EvictionCount {
     required: 0,
     allowed: 0,
--- a/crates/connection-eviction/tests/receive_time_bound.rs
+++ b/crates/connection-eviction/tests/receive_time_bound.rs
@@ -5,6 +5,7 @@
 use saffronpaddle_connection_eviction::{time_unread, ReceiveTimeBound};
 use std::time::Duration;
 
+/// One millisecond.
 const MS: Duration = Duration::from_millis(1);
 /// The longest sleep that the loop requests.
 const LONGEST_SLEEP: Duration = Duration::from_millis(110);
--- a/crates/exchange/src/invariants.rs
+++ b/crates/exchange/src/invariants.rs
@@ -24,7 +24,8 @@
 
 /// Number of invariants.
 const COUNT: usize = 6;
-/// Most violations that are stored until they are reported, which bounds the memory. Further ones are only counted.
+/// Maximum number of violations that are stored until they are reported, which bounds the memory. Further ones are only
+/// counted.
 const MAX_UNREPORTED: usize = 16;
 
 impl Invariant {
--- a/crates/exchange/src/limits.rs
+++ b/crates/exchange/src/limits.rs
@@ -5,10 +5,10 @@
 /// Connection, timeout and attempt limits of an exchange.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Most connections to app servers at the same time, including those being opened or closed. Without this limit
-    /// the process would run out of file descriptors.
+    /// Maximum number of connections to app servers at the same time, including those being opened or closed. Without
+    /// this limit the process would run out of file descriptors.
     pub max_connections: usize,
-    /// Most idle connections that are kept per server.
+    /// Maximum number of idle connections that are kept per server.
     pub max_idle_per_server: usize,
     /// How long a connection may stay idle, µs. If a request is written to a connection that the server is closing, the
     /// attempt ends with a reset, after which the request may have run. The exchange therefore closes idle connections
@@ -22,12 +22,12 @@
     pub connect_timeout: Micros,
     /// How long after its deadline the exchange fails a request that the policy has not answered, µs.
     pub answer_grace: Micros,
-    /// Most attempts per request. Without this limit a policy could endlessly ask for an attempt that the guard denies
-    /// each time.
+    /// Maximum number of attempts per request. Without this limit a policy could endlessly ask for an attempt that the
+    /// guard denies each time.
     pub max_attempts: u32,
 }
 
-/// Most idle connections per server of a node.
+/// Maximum number of idle connections per server of a node.
 const MAX_IDLE_PER_SERVER: usize = 64;
 /// Idle timeout of a node as a share of the server's: the node has to close the connection before the server does.
 const IDLE_TIMEOUT_SHARE: f64 = 0.6;
@@ -35,7 +35,7 @@
 const REUSE_DELAY: Micros = 10_000;
 /// How long after its deadline a node fails a request that the policy has not answered, µs.
 const ANSWER_GRACE: Micros = 2_000;
-/// Most attempts per request of a node.
+/// Maximum number of attempts per request of a node.
 const MAX_ATTEMPTS: u32 = 256;
 
 impl Limits {
--- a/crates/lifecycle/src/limits.rs
+++ b/crates/lifecycle/src/limits.rs
@@ -7,6 +7,7 @@
 /// How long requests are still accepted after the signal to stop. A front end polls readiness every 0.1 s and opens new
 /// connections for up to 0.4 s after a poll.
 const DEFAULT_DRAIN_DURATION: Duration = Duration::from_millis(600);
+/// Default of [`Limits::reload_timeout`].
 const DEFAULT_RELOAD_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The timeouts and readiness conditions of a node. The operator file can set all of them.
--- a/crates/lifecycle/tests/lifecycle/event_orders.rs
+++ b/crates/lifecycle/tests/lifecycle/event_orders.rs
@@ -153,5 +153,5 @@
 fn no_short_sequence_of_events_violates_the_protocol_with_manager_and_clients() {
     let lifecycle = Lifecycle::new(limits(), ms(0));
     let count = explore(&lifecycle, ms(0), History::default(), SEQUENCE_LENGTH);
-    assert!(count > 30_000, "{count} sequences");
+    assert!(count > 30_000, "only {count} sequences were explored");
 }
--- a/crates/lifecycle/tests/lifecycle/shutdown.rs
+++ b/crates/lifecycle/tests/lifecycle/shutdown.rs
@@ -93,16 +93,22 @@
         node.send(Event::Listening);
         node.now = ms(10_000);
         node.stop();
-        let plan = node.lifecycle.shutdown_plan().expect("it was told to stop");
+        let plan = node
+            .lifecycle
+            .shutdown_plan()
+            .expect("a stop was requested");
         let killed = ms(10_000 + killed_after);
-        assert!(plan.exit_by < killed, "{longest}: {plan:?}");
+        assert!(
+            plan.exit_by < killed,
+            "longest deadline {longest} ms: {plan:?}"
+        );
         assert!(
             plan.answer_by + MAX_SCHEDULING_DELAY < killed,
-            "{longest}: {plan:?}"
+            "longest deadline {longest} ms: {plan:?}"
         );
         assert!(
             plan.answer_by > ms(10_000 + killed_after - 400),
-            "{longest}: the process uses the available time: {plan:?}"
+            "longest deadline {longest} ms: the process uses the available time: {plan:?}"
         );
         while node.lifecycle.state() != State::Gone {
             assert!(node.now < plan.exit_by, "the process exits by exit_by");
@@ -118,13 +124,19 @@
     let mut node = TestNode::ready();
     node.now = ms(20_000);
     node.send(Event::Stop { since: ms(19_850) });
-    let plan = node.lifecycle.shutdown_plan().expect("it was told to stop");
+    let plan = node
+        .lifecycle
+        .shutdown_plan()
+        .expect("a stop was requested");
     assert_eq!(plan.exit_by, ms(19_850 + 3_600));
     // A process that was suspended for longer than the kill timeout still sends its responses.
     let mut node = TestNode::ready();
     node.now = ms(60_000);
     node.send(Event::Stop { since: ms(0) });
-    let plan = node.lifecycle.shutdown_plan().expect("it was told to stop");
+    let plan = node
+        .lifecycle
+        .shutdown_plan()
+        .expect("a stop was requested");
     assert!(
         plan.answer_by > node.now && plan.exit_by < node.now + ms(300),
         "{plan:?}"
@@ -154,10 +166,16 @@
 fn a_second_sigterm_never_delays_the_exit() {
     let mut node = TestNode::ready();
     node.stop();
-    let first = node.lifecycle.shutdown_plan().expect("it was told to stop");
+    let first = node
+        .lifecycle
+        .shutdown_plan()
+        .expect("a stop was requested");
     node.advance(599);
     node.stop();
-    let second = node.lifecycle.shutdown_plan().expect("it was told to stop");
+    let second = node
+        .lifecycle
+        .shutdown_plan()
+        .expect("a stop was requested");
     assert!(
         second.exit_by <= first.exit_by && second.answer_by <= first.answer_by,
         "{first:?} {second:?}"
--- a/crates/lifecycle/tests/lifecycle/support.rs
+++ b/crates/lifecycle/tests/lifecycle/support.rs
@@ -82,11 +82,11 @@
     }
 
     /// Sends the same measurements every 100 ms for `duration_ms`.
-    pub fn observe_for(&mut self, facts: &HealthSample, duration_ms: u64) -> Vec<Action> {
+    pub fn observe_for(&mut self, sample: &HealthSample, duration_ms: u64) -> Vec<Action> {
         let mut out = Vec::new();
         for _ in 0..duration_ms / 100 {
             self.now += ms(100);
-            out.extend(self.send(Event::Observed(facts.clone())));
+            out.extend(self.send(Event::Observed(sample.clone())));
         }
         out
     }
--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -18,7 +18,7 @@
 use tokio::task::AbortHandle;
 use tokio::time::{sleep, timeout, Instant};
 
-/// Most calls queued for the life cycle. Each caller makes one.
+/// Maximum number of calls queued for the life cycle. Each caller makes one.
 pub const MAX_QUEUED_CALLS: usize = CallerTable::MAX_CALLERS;
 /// Pause after a failure to accept a connection.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
@@ -35,13 +35,17 @@
 
 /// A call that the life cycle answers, and the channel for its reply.
 pub struct AdminCall {
-    pub call: AdminCommand,
+    /// The command, other than `INFO`.
+    pub command: AdminCommand,
+    /// Sends the reply to the task that serves the caller.
     pub answer: oneshot::Sender<AdminReply>,
 }
 
 /// The reply to a call: whether it succeeded, and the text for the caller.
 pub struct AdminReply {
+    /// Whether the reply is a success.
     pub ok: bool,
+    /// The text of the reply.
     pub text: String,
 }
 
@@ -131,21 +135,21 @@
 ) -> std::io::Result<()> {
     let mut stream = Socket::new(stream);
     let (mut line, mut buffer) = (Line::default(), [0; READ_BYTES]);
-    let call = loop {
+    let command = loop {
         let length = stream.read(&mut buffer).await?;
         if length == 0 {
             break Err(CommandError::Incomplete);
         }
-        if let Some(call) = line.take(&buffer[..length]) {
-            break call;
+        if let Some(command) = line.take(&buffer[..length]) {
+            break command;
         }
     };
-    let text = match call {
+    let text = match command {
         Ok(AdminCommand::Info) => node.metrics_text(),
-        Ok(call) => {
+        Ok(command) => {
             let (answer, reply) = oneshot::channel();
             // Sending fails only if the life cycle has ended; waiting for the reply fails then, too.
-            let _ = calls.send(AdminCall { call, answer }).await;
+            let _ = calls.send(AdminCall { command, answer }).await;
             match reply.await {
                 Ok(AdminReply { ok: true, text }) => success(&text),
                 Ok(AdminReply { ok: false, text }) => failure(&text),
--- a/crates/node/src/bodies.rs
+++ b/crates/node/src/bodies.rs
@@ -18,10 +18,10 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// Most bytes of a request or response body that is buffered completely. Up to this size a request can be retried, and
-/// a response is forwarded only once it is complete.
+/// Maximum number of bytes of a request or response body that is buffered completely. Up to this size a request can be
+/// retried, and a response is forwarded only once it is complete.
 pub const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
-/// Most bytes of a streamed body. Stops bodies without an end.
+/// Maximum number of bytes of a streamed body. Stops bodies without an end.
 pub const MAX_BODY_BYTES: u64 = 40 << 20;
 /// How long a streamed body may make no progress. A peer that vanished without closing would otherwise hold a
 /// connection on either side forever.
--- a/crates/node/src/clients/backlog.rs
+++ b/crates/node/src/clients/backlog.rs
@@ -13,7 +13,7 @@
 /// Pause after a connection could not be accepted, mostly for lack of descriptors. It ends earlier if a connection is
 /// closed.
 pub(super) const ACCEPT_RETRY: Duration = Duration::from_millis(20);
-/// Most pauses of [`ACCEPT_RETRY`] while the remaining backlog is accepted during shutdown.
+/// Maximum number of pauses of [`ACCEPT_RETRY`] while the remaining backlog is accepted during shutdown.
 const MAX_FINAL_RETRIES: u32 = 10;
 
 /// An accepted connection.
--- a/crates/node/src/clients/connection.rs
+++ b/crates/node/src/clients/connection.rs
@@ -21,7 +21,7 @@
 use tokio::time::Instant;
 use tracing::debug;
 
-/// Most bytes buffered for one client. Keeps the sum over all clients far below the memory limit.
+/// Maximum number of bytes buffered for one client. Keeps the sum over all clients far below the memory limit.
 const MAX_BUFFER_BYTES: usize = 32 * 1024;
 /// How long a connection that has not sent a request may still send one after the node starts to close connections. The
 /// request may already be in transit when the stop is requested.
--- a/crates/node/src/clients/connections.rs
+++ b/crates/node/src/clients/connections.rs
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 use tracing::debug;
 
-/// Most entries of ended connections that are kept before they are removed in one pass.
+/// Maximum number of entries of ended connections that are kept before they are removed in one pass.
 const MAX_ENDED_ENTRIES: usize = 32;
 
 /// The connections of all clients.
--- a/crates/node/src/clients/respond.rs
+++ b/crates/node/src/clients/respond.rs
@@ -35,7 +35,7 @@
 /// How long the buffered part of a body may take after its head, in addition to the time that its size allows. Stops
 /// waiting for bodies that stall.
 const BODY_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Lowest rate at which a client must send a buffered body: half the rate of a slow client.
+/// Minimum rate at which a client must send a buffered body: half the rate of a slow client.
 const MIN_BODY_BYTES_PER_SECOND: u32 = 32_000;
 /// How long a streamed body may take while its client makes progress: enough for the largest body at the lowest rate.
 /// It consumes no quota meanwhile.
--- a/crates/node/src/clients/tests.rs
+++ b/crates/node/src/clients/tests.rs
@@ -12,7 +12,7 @@
 fn node() -> Rc<Node> {
     let [unreachable, any_port] =
         ["127.0.0.1:9", "127.0.0.1:0"].map(|text| text.parse().expect("a valid address"));
-    let places = NodeConfig {
+    let node_config = NodeConfig {
         name: "n0".to_owned(),
         listen: any_port,
         discovery: unreachable,
@@ -21,7 +21,7 @@
         sockets: 256,
         memory_mb: 64,
     };
-    let text = configuration(&places, &Fleet::typical(1).settings(0), None, 1);
+    let text = configuration(&node_config, &Fleet::typical(1).settings(0), None, 1);
     let platform = Config::parse(std::path::Path::new("none"), &text)
         .expect("the configuration is valid")
         .platform;
@@ -92,7 +92,7 @@
             let _ = client.read_to_string(&mut response).await;
             assert!(
                 response.starts_with(status) && response.is_empty() == status.is_empty(),
-                "{sent_before:?}: {response:?}"
+                "after {sent_before:?} was sent, the response is {response:?}"
             );
         }
     });
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -141,7 +141,7 @@
     32
 }
 
-/// Least number of descriptors that leaves enough for clients beside app servers.
+/// Minimum limit on descriptors: fewer would leave too few for clients beside those for app servers.
 const MIN_SOCKETS: usize = 64;
 
 impl From<Health> for EndpointStatus {
--- a/crates/node/src/deadline.rs
+++ b/crates/node/src/deadline.rs
@@ -2,7 +2,7 @@
 
 use tokio::time::{sleep_until, Instant};
 
-/// Waits until a deadline. Is pending for ever if there is none.
+/// Waits until a deadline. Never completes if there is none.
 pub async fn reached(deadline: Option<Instant>) {
     match deadline {
         Some(deadline) => sleep_until(deadline).await,
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -29,8 +29,8 @@
 const MAX_SERVERS: usize = 40_000;
 /// Bytes per server in the longest list that can be read. A full entry with a name of ten letters takes 124 bytes.
 const MAX_BYTES_PER_SERVER: usize = 256;
-/// Most bytes of one list. Bounds memory: the text is kept until its last byte has been read, and is then in memory
-/// together with the parsed entries.
+/// Maximum number of bytes of one list. Bounds memory: the text is kept until its last byte has been read, and is then
+/// in memory together with the parsed entries.
 const MAX_LIST_BYTES: usize = MAX_SERVERS * MAX_BYTES_PER_SERVER;
 
 /// Applies the list versions of one address in order. The initial list may be outdated, and a watch may repeat
@@ -176,7 +176,7 @@
 /// The status of an address, and the task that follows it.
 type WatchTask = (Rc<WatchStatus>, Pin<Box<dyn Future<Output = ()>>>);
 
-/// Drives the task of an abandoned address until its watch ends. Pends forever if there is none.
+/// Drives the task of an abandoned address until its watch ends. Never completes if there is none.
 async fn follow_previous(previous: &mut Option<WatchTask>) {
     match previous {
         Some((_, task)) => task.await,
--- a/crates/node/src/edge.rs
+++ b/crates/node/src/edge.rs
@@ -35,7 +35,7 @@
 /// Descriptors that are neither clients' nor app servers': the listener, discovery, peers, the runtime, and the admin
 /// listener with its callers.
 const RESERVED_DESCRIPTORS: usize = 32 + Admin::DESCRIPTORS;
-/// Least number of connections per side (clients, app servers) that WebSocket connections must leave for requests.
+/// Minimum number of connections per side (clients, app servers) that WebSocket connections must leave for requests.
 const MIN_CONNECTIONS_PER_SIDE: usize = 32;
 /// Length of the queue of connections that wait to be accepted.
 const LISTEN_BACKLOG: i32 = 1024;
--- a/crates/node/src/error.rs
+++ b/crates/node/src/error.rs
@@ -55,7 +55,7 @@
         connections: usize,
         /// Limit on the process's open descriptors.
         descriptors: usize,
-        /// Least number of connections that requests need.
+        /// Minimum number of connections that requests need.
         min: usize,
     },
     /// The task that reads the files panicked or was cancelled.
--- a/crates/node/src/head_scanner.rs
+++ b/crates/node/src/head_scanner.rs
@@ -3,7 +3,7 @@
 
 use memchr::memchr;
 
-/// Most bytes kept of a line that is received in parts. The header names that matter are shorter.
+/// Maximum number of bytes kept of a line that is received in parts. The header names that matter are shorter.
 const MAX_LINE_PREFIX_BYTES: usize = 64;
 
 /// Position of the scanner in the stream of requests.
--- a/crates/node/src/lifecycle_runner.rs
+++ b/crates/node/src/lifecycle_runner.rs
@@ -33,6 +33,7 @@
 /// The event loop counts as stuck if no policy timer has fired for this long, or for half of the watchdog's period if
 /// that is longer, even if other tasks still run. The policy always has a timer due within half a second.
 const MAX_TIMER_GAP: Duration = Duration::from_secs(1);
+/// Heartbeats sent within one period of the watchdog.
 const HEARTBEATS_PER_WATCHDOG_PERIOD: u32 = 4;
 
 /// Drives the life cycle's state machine.
@@ -90,9 +91,9 @@
         self.started_at.elapsed()
     }
 
-    /// The reply to a call whose event the state machine has handled.
-    fn answer(&self, call: AdminCommand) -> AdminReply {
-        match call {
+    /// The reply to a command whose event the state machine has handled.
+    fn answer(&self, command: AdminCommand) -> AdminReply {
+        match command {
             AdminCommand::Ping => AdminReply {
                 ok: self.machine.ready(),
                 text: self.machine.status(),
@@ -256,7 +257,7 @@
     fn answer_pending_call(&mut self) {
         if let Some(pending) = self.pending_call.take() {
             // Sending fails if the caller has disconnected.
-            let _ = pending.answer.send(self.answer(pending.call));
+            let _ = pending.answer.send(self.answer(pending.command));
         }
     }
 
@@ -288,7 +289,7 @@
             }
             call = received_call(&mut inputs.calls) => {
                 let Some(call) = call else { return Event::Tick };
-                let event = match call.call {
+                let event = match call.command {
                     AdminCommand::Lameduck => Event::Lameduck,
                     AdminCommand::Rejoin => Event::Rejoin,
                     AdminCommand::Ping | AdminCommand::Info => Event::Tick,
@@ -341,7 +342,7 @@
     call
 }
 
-/// Waits for a future to complete. Is pending for ever if it has completed before.
+/// Waits for a future to complete. Never completes if the future has completed before.
 async fn ended<F: Future>(future: &mut Option<Pin<Box<F>>>) {
     match future {
         Some(future) => _ = future.await,
--- a/crates/node/src/manager.rs
+++ b/crates/node/src/manager.rs
@@ -15,8 +15,8 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// Most messages queued while the manager's socket is full. It bounds the memory that a manager which never reads can
-/// take. The oldest message is dropped for a further one.
+/// Maximum number of messages queued while the manager's socket is full. It bounds the memory that a manager which
+/// never reads can take. The oldest message is dropped for a further one.
 const MAX_QUEUED_MESSAGES: usize = 16;
 
 /// The service manager. Without a notify socket all messages are dropped.
--- a/crates/node/src/manager/tests.rs
+++ b/crates/node/src/manager/tests.rs
@@ -4,7 +4,7 @@
 fn received_messages(socket: &UnixDatagram) -> Vec<String> {
     socket
         .set_nonblocking(true)
-        .expect("sets non-blocking mode");
+        .expect("the socket becomes non-blocking");
     let mut buffer = [0; 4096];
     let mut messages = Vec::new();
     while let Ok(length) = socket.recv(&mut buffer) {
@@ -15,9 +15,9 @@
 
 fn bind_abstract_socket(tag: &str) -> (UnixDatagram, String) {
     let name = format!("saffronpaddle-{}-{tag}", std::process::id());
-    let address = SocketAddr::from_abstract_name(&name).expect("valid name");
+    let address = SocketAddr::from_abstract_name(&name).expect("a valid abstract name");
     (
-        UnixDatagram::bind_addr(&address).expect("binds"),
+        UnixDatagram::bind_addr(&address).expect("the socket binds"),
         format!("@{name}"),
     )
 }
@@ -25,7 +25,7 @@
 #[test]
 fn messages_to_an_abstract_socket_have_the_sd_notify_format() {
     let (socket, name) = bind_abstract_socket("messages");
-    let manager = Manager::at(OsStr::new(&name), None).expect("valid address");
+    let manager = Manager::at(OsStr::new(&name), None).expect("a valid notify address");
     let messages = [
         ManagerMessage::Ready,
         ManagerMessage::Reloading,
@@ -49,7 +49,7 @@
         .and_then(|usec| usec.parse::<u64>().ok());
     assert!(
         lines[0] == "RELOADING=1" && usec.is_some_and(|usec| usec > 0),
-        "{received:?}"
+        "a reload message with a monotonic time: {received:?}"
     );
 }
 
@@ -58,7 +58,7 @@
 #[test]
 fn a_full_notify_socket_does_not_block_and_messages_are_sent_later() {
     let (socket, name) = bind_abstract_socket("full");
-    let manager = Manager::at(OsStr::new(&name), None).expect("valid address");
+    let manager = Manager::at(OsStr::new(&name), None).expect("a valid notify address");
     let started_at = Instant::now();
     let mut sent = 0;
     while !manager.has_queued() {
@@ -70,7 +70,7 @@
     manager.notify(&ManagerMessage::Stopping);
     assert!(
         started_at.elapsed() < Duration::from_secs(30),
-        "sending blocked"
+        "sending to a full socket blocked"
     );
     assert!(manager.queued.borrow().len() <= MAX_QUEUED_MESSAGES);
     assert!(!received_messages(&socket)
@@ -81,7 +81,7 @@
     assert_eq!(
         retried.last().map(String::as_str),
         Some("STOPPING=1"),
-        "{retried:?}"
+        "the last queued message is sent: {retried:?}"
     );
     assert!(
         !retried.iter().any(|text| text.starts_with("WATCHDOG")),
@@ -93,13 +93,13 @@
 fn messages_to_a_missing_notify_socket_are_dropped_until_it_exists() {
     let path = std::env::temp_dir().join(format!("saffronpaddle-{}-notify", std::process::id()));
     let _ = std::fs::remove_file(&path);
-    let manager = Manager::at(path.as_os_str(), None).expect("valid address");
+    let manager = Manager::at(path.as_os_str(), None).expect("a valid notify address");
     manager.notify(&ManagerMessage::Ready);
     assert!(
         !manager.has_queued() && manager.unreachable_logged.get(),
         "the socket does not exist yet"
     );
-    let socket = UnixDatagram::bind(&path).expect("binds");
+    let socket = UnixDatagram::bind(&path).expect("the socket binds");
     manager.notify(&ManagerMessage::Stopping);
     assert_eq!(received_messages(&socket), ["STOPPING=1"]);
     drop(socket);
--- a/crates/node/src/process_links.rs
+++ b/crates/node/src/process_links.rs
@@ -12,8 +12,8 @@
 use tokio::sync::{mpsc, watch, Notify};
 use tokio::time::Instant;
 
-/// Most messages queued for one process. The link to a process that is further behind is closed, because the units that
-/// it charges to the quotas can no longer be counted.
+/// Maximum number of messages queued for one process. The link to a process that is further behind is closed, because
+/// the units that it charges to the quotas can no longer be counted.
 const MAX_QUEUED_MESSAGES: usize = 4096;
 
 /// The links to the other processes of this node.
--- a/crates/node/src/shutdown.rs
+++ b/crates/node/src/shutdown.rs
@@ -11,7 +11,8 @@
 
 /// Interval at which open requests are logged while the node closes.
 const LOG_INTERVAL: Duration = Duration::from_millis(500);
-/// Most requests that are logged individually at a time; the others are only counted. It bounds the size of the log.
+/// Maximum number of requests that are logged individually at a time; the others are only counted. It bounds the size
+/// of the log.
 const MAX_LOGGED_REQUESTS: usize = 16;
 
 /// Waits until the node closes, then logs the unanswered requests at an interval until it is dropped.
--- a/crates/node/src/upstream.rs
+++ b/crates/node/src/upstream.rs
@@ -26,7 +26,7 @@
 use tokio::sync::mpsc;
 use tokio::task::{AbortHandle, JoinHandle};
 
-/// Most bytes buffered of the head of one app server's response. Bounds memory if a head never ends.
+/// Maximum number of bytes buffered of the head of one app server's response. Bounds memory if a head never ends.
 const MAX_HEAD_BYTES: usize = 32 * 1024;
 
 /// A connection to an app server, from the command to connect until it is closed.
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -193,13 +193,13 @@
     server: ServerId,
     response: Response<Incoming>,
 ) -> Option<Box<UpgradedConnection>> {
-    let switch = verify(offer, response.headers()).ok()?;
+    let agreed = verify(offer, response.headers()).ok()?;
     let stream = hyper::upgrade::on(response).await.ok()?;
     let parts = stream.downcast::<GatedStream>().ok()?;
     let (stream, buffered) = (parts.io.into_stream()?, parts.read_buf);
     let upgraded = UpgradedConnection {
         key: offer.key.clone(),
-        switch,
+        agreed,
         server,
         stream,
         buffered,
--- a/crates/node/src/upstream/gate.rs
+++ b/crates/node/src/upstream/gate.rs
@@ -15,8 +15,8 @@
 use tokio::net::TcpStream;
 use tokio::task::yield_now;
 
-/// Most scheduler yields that a first byte waits for unread changes of the endpoint list: one each for tokio's I/O
-/// driver, the connection's task and the watch, plus a margin. Ends the wait if a watch is never read.
+/// Maximum number of scheduler yields that a first byte waits for unread changes of the endpoint list: one each for
+/// tokio's I/O driver, the connection's task and the watch, plus a margin. Ends the wait if a watch is never read.
 const MAX_DISCOVERY_YIELDS: u32 = 16;
 
 /// Whether bytes may be written on a connection, and the owner that decides it.
--- a/crates/node/src/websocket.rs
+++ b/crates/node/src/websocket.rs
@@ -26,7 +26,7 @@
     /// The value of `Sec-WebSocket-Key` in the client's request.
     pub key: HeaderValue,
     /// The subprotocol and extensions that the server accepted.
-    pub switch: AgreedUpgrade,
+    pub agreed: AgreedUpgrade,
     /// The server that accepted the upgrade.
     pub server: ServerId,
     /// The connection to that server.
@@ -38,7 +38,7 @@
 impl UpgradedConnection {
     /// Headers of the 101 response to the client, other than `Connection` and `Upgrade`.
     pub fn accepted(&self) -> HeaderMap {
-        upgrade::accepted(&self.key, &self.switch)
+        upgrade::accepted(&self.key, &self.agreed)
     }
 }
 
@@ -231,12 +231,12 @@
         }
     }
 
-    /// The frame rules of a socket with the extensions in `switch`.
-    fn rules(&self, switch: &AgreedUpgrade) -> Rules {
+    /// The frame rules of a socket with the extensions in `agreed`.
+    fn rules(&self, agreed: &AgreedUpgrade) -> Rules {
         Rules {
             max_frame_bytes: self.settings.max_frame_bytes,
             max_message_bytes: self.settings.max_message_bytes,
-            deflate: switch.deflate,
+            deflate: agreed.deflate,
             utf8: self.settings.utf8,
         }
     }
--- a/crates/node/src/websocket/relay.rs
+++ b/crates/node/src/websocket/relay.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// Most bytes read from one side at a time. Bounds memory if the other side reads slowly: the next read waits until all
-/// of these bytes are written.
+/// Maximum number of bytes read from one side at a time. Bounds memory if the other side reads slowly: the next read
+/// waits until all of these bytes are written.
 const MAX_BUFFER_BYTES: usize = 16 * 1024;
 
 thread_local! {
@@ -52,13 +52,13 @@
 ) {
     let websockets = Rc::clone(&permit.proxy);
     let UpgradedConnection {
-        switch,
+        agreed,
         server,
         stream,
         buffered: server_bytes,
         ..
     } = upgraded;
-    let rules = websockets.rules(&switch);
+    let rules = websockets.rules(&agreed);
     let control = Rc::new(RelayControl::default());
     websockets
         .relays
@@ -85,7 +85,7 @@
     relay.on_bytes(&websockets, Side::Client, &client_bytes);
     relay.on_bytes(&websockets, Side::Server, &server_bytes);
     // These slices keep the buffers of the request and response heads alive, and an idle socket should hold no buffer.
-    drop((client_bytes, server_bytes, switch));
+    drop((client_bytes, server_bytes, agreed));
     relay.run(&websockets).await;
 }
 
--- a/crates/node/tests/watchdog.rs
+++ b/crates/node/tests/watchdog.rs
@@ -11,10 +11,10 @@
 
 fn options(notify_socket: &Path) -> Options {
     // No process listens at this address. The event loop runs without discovery and peers.
-    let unused_address = "127.0.0.1:9".parse().expect("valid address");
-    let any_port = "127.0.0.1:0".parse().expect("valid address");
+    let unused_address = "127.0.0.1:9".parse().expect("a valid address");
+    let any_port = "127.0.0.1:0".parse().expect("a valid address");
     let (name, peers) = ("n0".to_owned(), vec![unused_address]);
-    let places = NodeConfig {
+    let node_config = NodeConfig {
         name,
         listen: any_port,
         discovery: unused_address,
@@ -23,15 +23,15 @@
         sockets: 256,
         memory_mb: 64,
     };
-    let text = configuration(&places, &Fleet::typical(1).settings(0), None, 1);
-    let config = Config::parse(Path::new("none"), &text).expect("valid configuration");
+    let text = configuration(&node_config, &Fleet::typical(1).settings(0), None, 1);
+    let config = Config::parse(Path::new("none"), &text).expect("the configuration is valid");
     let settings = saffronpaddle_operator_config::Operator::default();
     let operator = Some(OperatorFile {
         path: "none".into(),
         settings,
     });
     let manager =
-        Manager::at(notify_socket.as_os_str(), Some(WATCHDOG_PERIOD)).expect("valid address");
+        Manager::at(notify_socket.as_os_str(), Some(WATCHDOG_PERIOD)).expect("a valid address");
     Options {
         config,
         operator,
@@ -48,19 +48,19 @@
     watch: impl FnOnce(&UnixDatagram),
 ) {
     let path = std::env::temp_dir().join(format!("saffronpaddle-{}-{tag}", std::process::id()));
-    let socket = UnixDatagram::bind(&path).expect("binds");
+    let socket = UnixDatagram::bind(&path).expect("the socket binds");
     socket
         .set_read_timeout(Some(Duration::from_mins(1)))
-        .expect("sets a timeout");
+        .expect("the socket accepts a read timeout");
     let (signal_sender, signals) = tokio::sync::mpsc::unbounded_channel();
     let options = options(&path);
     let node = std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()
-            .expect("builds a runtime");
+            .expect("the runtime is built");
         tokio::task::LocalSet::new().block_on(&runtime, async {
-            let edge = Edge::bind(options).await.expect("binds");
+            let edge = Edge::bind(options).await.expect("the node binds");
             edge.spawn(additional_task());
             edge.run(signals).await;
         });
@@ -78,7 +78,9 @@
     let mut buffer = [0; 4096];
     let (mut last, mut longest, mut first) = (None::<Instant>, Duration::ZERO, None::<Instant>);
     while first.is_none_or(|first| first.elapsed() < duration) {
-        let length = socket.recv(&mut buffer).expect("receives a message");
+        let length = socket
+            .recv(&mut buffer)
+            .expect("the manager receives a message");
         if buffer[..length].starts_with(b"WATCHDOG=1") {
             let now = Instant::now();
             first.get_or_insert(now);
--- a/crates/operator-config/src/etcd.rs
+++ b/crates/operator-config/src/etcd.rs
@@ -5,7 +5,9 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
+/// The prefix of the app servers' keys if the file sets none.
 const DEFAULT_PREFIX: &str = "/saffronpaddle/servers/";
+/// Maximum length of the prefix, in bytes.
 const MAX_PREFIX_BYTES: usize = 1000;
 
 /// How app servers are discovered through etcd.
@@ -117,12 +119,15 @@
     (second_key, second): (&str, Option<B>),
 ) -> Option<(A, B)> {
     let missing = match (&first, &second) {
-        (Some(_), None) => Some(second_key),
-        (None, Some(_)) => Some(first_key),
+        (Some(_), None) => Some((second_key, first_key)),
+        (None, Some(_)) => Some((first_key, second_key)),
         (Some(_), Some(_)) | (None, None) => None,
     };
-    if let Some(key) = missing {
-        section.fault(key, "missing, but the other key of the pair is set");
+    if let Some((missing_key, set_key)) = missing {
+        section.fault(
+            missing_key,
+            format!("must be set, because {set_key} is set"),
+        );
     }
     first.zip(second)
 }
--- a/crates/operator-config/src/section.rs
+++ b/crates/operator-config/src/section.rs
@@ -169,7 +169,7 @@
         Value::Array(_) => "a list",
         Value::String(_) => "a string",
         Value::Integer(_) | Value::Float(_) => "a number",
-        Value::Boolean(_) => "true or false",
+        Value::Boolean(_) => "a boolean",
         Value::Datetime(_) => "a date",
     }
 }
--- a/crates/operator-config/tests/file.rs
+++ b/crates/operator-config/tests/file.rs
@@ -2,11 +2,16 @@
 
 use saffronpaddle_operator_config::Operator;
 
+/// The operator file as it is shipped.
 const SHIPPED: &str = include_str!("../../../deploy/operator.toml");
 
 fn faults(text: &str) -> Vec<String> {
-    let faults = Operator::parse(text).expect_err("faults");
-    assert_eq!(faults.to_string().lines().count(), 1, "one line");
+    let faults = Operator::parse(text).expect_err("the file has faults");
+    assert_eq!(
+        faults.to_string().lines().count(),
+        1,
+        "the faults are written on one line"
+    );
     faults.0.iter().map(ToString::to_string).collect()
 }
 
@@ -32,7 +37,7 @@
     });
     let uncommented: String = uncommented.collect();
     assert_eq!(Operator::parse(&uncommented), Ok(Operator::default()));
-    assert!(keys >= 25, "{keys} keys");
+    assert!(keys >= 25, "only {keys} keys were found");
 }
 
 #[test]
--- a/crates/quota/tests/exhaustive.rs
+++ b/crates/quota/tests/exhaustive.rs
@@ -20,6 +20,7 @@
 /// Maximum number of visited states; bounds memory.
 const MAX_STATES: usize = 2_000_000;
 
+/// A fault that the exploration must detect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     /// An owner that restarts starts with full capacity.
@@ -292,8 +293,11 @@
     u16::from(request) * 10 + step
 }
 
+/// The result of an exploration.
 struct Exploration {
+    /// Number of visited states.
     states: usize,
+    /// The first violated invariant, if any.
     violation: Option<String>,
 }
 
@@ -315,7 +319,7 @@
         }));
         assert!(
             visited_hashes.len() < MAX_STATES,
-            "more than {MAX_STATES} states"
+            "more than {MAX_STATES} states are reachable"
         );
     }
     Exploration {
@@ -331,7 +335,11 @@
 fn no_interleaving_of_two_nodes_and_two_owners_exceeds_the_quota() {
     let exploration = explore(None);
     assert_eq!(exploration.violation, None);
-    assert!(exploration.states > 10_000, "{} states", exploration.states);
+    assert!(
+        exploration.states > 10_000,
+        "only {} states were visited",
+        exploration.states
+    );
 }
 
 /// A restarted owner that starts full, a retry with a new serial number and a timeout that counts as a grant each let a
--- a/crates/quota/tests/lease.rs
+++ b/crates/quota/tests/lease.rs
@@ -9,11 +9,15 @@
 };
 use std::collections::BTreeMap;
 
+/// Microseconds in a millisecond.
 const MS: Micros = 1_000;
+/// Microseconds in a second.
 const S: Micros = 1_000_000;
+/// Usual duration of an attempt, µs.
 const USUAL_LATENCY: Micros = 150_000;
 /// Start time of each run, and the uptime of the owner's node at that time.
 const START: Micros = 60 * S;
+/// Number of nodes that request leases.
 const NODES: usize = 3;
 /// The node that is partitioned in the middle of a busy schedule.
 const PARTITIONED_NODE: u32 = 0;
@@ -300,7 +304,7 @@
         rate in 0.5..10.0f64, capacity in 3.0..30.0f64, schedule in prop::collection::vec(step(), 50..300),
     ) {
         let min_tokens = run(&limits(rate, capacity, None), &schedule, false, None).min_quota_tokens;
-        prop_assert!(min_tokens > -1e-6, "{min_tokens}");
+        prop_assert!(min_tokens > -1e-6, "the reference bucket fell to {min_tokens} tokens");
     }
 
     /// The owner restarts repeatedly while nodes hold leases that it no longer knows. The quota may be exceeded by the
@@ -311,7 +315,7 @@
     ) {
         let limits = limits(1000.0, 1000.0, Some(HardLimit { rate, capacity }));
         let min_tokens = run(&limits, &schedule, true, None).min_hard_limit_tokens;
-        prop_assert!(min_tokens > -1e-6, "{min_tokens}");
+        prop_assert!(min_tokens > -1e-6, "the reference bucket fell to {min_tokens} tokens");
     }
 }
 
@@ -354,10 +358,16 @@
     for seed in SEEDS {
         let outcome = run(&quota_limits, &busy_schedule(seed), false, None);
         let min_tokens = outcome.min_quota_tokens;
-        assert!(min_tokens > -1e-6, "{min_tokens}");
+        assert!(
+            min_tokens > -1e-6,
+            "the reference bucket fell to {min_tokens} tokens"
+        );
         admitted_by_lease += outcome.admitted_by_lease;
         let outcome = run(&hard_limits, &busy_schedule(seed), true, None);
-        assert!(outcome.min_hard_limit_tokens > -1e-6);
+        assert!(
+            outcome.min_hard_limit_tokens > -1e-6,
+            "the hard limit is exceeded"
+        );
     }
     assert!(
         admitted_by_lease > 500,
@@ -369,8 +379,11 @@
                 run(&quota_limits, &busy_schedule(seed), false, Some(fault)).min_quota_tokens
             })
             .fold(f64::MAX, f64::min);
-        println!("{fault:?}: {min_tokens:.1} units");
-        assert!(min_tokens < -0.5, "{fault:?} is not detected: {min_tokens}");
+        println!("{fault:?}: the reference bucket fell to {min_tokens:.1} tokens");
+        assert!(
+            min_tokens < -0.5,
+            "{fault:?} is not detected: the reference bucket fell to {min_tokens} tokens"
+        );
     }
     let fault = Some(Fault::ForgetsHardLimitLeases);
     assert!(SEEDS
@@ -382,6 +395,7 @@
 /// other, the owner leases the standby's part; during the partition, both together stay within the quota.
 #[test]
 fn an_owner_uses_the_whole_quota_unless_it_is_partitioned_from_its_standby() {
+    /// Time between two requests, µs.
     const TICK: Micros = 50 * MS;
     const TICKS_PER_PHASE: u64 = 300;
     /// Index of the phase in which the two are partitioned, between one phase before and one after it.
@@ -428,7 +442,7 @@
     // Each phase lasts 15 s, with 3 units per second of the owner's own rate and up to 0.75 leased.
     assert!(
         (50..=64).contains(&granted_by_owner[0]),
-        "{granted_by_owner:?}"
+        "requests granted by the owner in each phase: {granted_by_owner:?}"
     );
     assert!(
         granted_by_owner[1] + granted_by_standby <= 62,
--- a/crates/quota/tests/shard.rs
+++ b/crates/quota/tests/shard.rs
@@ -8,7 +8,9 @@
 };
 use std::collections::BTreeSet;
 
+/// Microseconds in a second.
 const S: Micros = 1_000_000;
+/// Usual duration of an attempt, µs.
 const USUAL_LATENCY: Micros = 150_000;
 
 fn limits(rate: f64, capacity: f64) -> ShardLimits {
@@ -63,7 +65,7 @@
             let elapsed_s = now as f64 / 1e6;
             let most = (capacity + rate * elapsed_s)
                 .min(hard_limit_ratio * capacity + rate * hard_limit_ratio * elapsed_s);
-            prop_assert!(granted.len() as f64 <= most + 1e-6, "{} of {most}", granted.len());
+            prop_assert!(granted.len() as f64 <= most + 1e-6, "{} granted, at most {most} allowed", granted.len());
         }
     }
 
@@ -91,7 +93,7 @@
             let decision = decide(&mut shard, now, request(1, serial), &limits);
             granted += i32::from(decision == GrantDecision::Granted);
             let most = capacity + rate * now as f64 / 1e6 + f64::from(restarts);
-            prop_assert!(f64::from(granted) <= most + 1e-6, "{granted} of {most}");
+            prop_assert!(f64::from(granted) <= most + 1e-6, "{granted} granted, at most {most} allowed");
         }
     }
 
@@ -268,7 +270,7 @@
             admitted += u32::from(caches[node].admit_without_owner(now, 1.0));
             let elapsed_s = (now - partitioned_at) as f64 / 1e6;
             let most = 1.5 * (rate + capacity / 4.0) * (elapsed_s + 1.5) + nodes as f64;
-            prop_assert!(f64::from(admitted) <= most, "{admitted} of {most} after {elapsed_s} s");
+            prop_assert!(f64::from(admitted) <= most, "{admitted} admitted after {elapsed_s} s, at most {most} allowed");
         }
     }
 }
@@ -302,9 +304,12 @@
     };
     let within_quota = admitted_without_owner(1);
     let beyond_quota = admitted_without_owner(20);
-    assert!(within_quota >= 5, "{within_quota} of 6 admitted");
+    assert!(
+        within_quota >= 5,
+        "{within_quota} of 6 requests within the quota admitted"
+    );
     assert!(
         (9..=24).contains(&beyond_quota),
-        "{beyond_quota} of 120 admitted; 12 are within the quota"
+        "{beyond_quota} of 120 requests admitted; 12 are within the quota"
     );
 }
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -13,6 +13,7 @@
 pub struct ProtocolError {
     /// Number of the line, from 1.
     pub line: usize,
+    /// The cause of the error.
     pub kind: ErrorKind,
 }
 
--- a/crates/simulator-adapter/src/protocol.rs
+++ b/crates/simulator-adapter/src/protocol.rs
@@ -175,8 +175,9 @@
 
 /// Values of a flag field.
 pub mod flag {
+    /// The flag is set.
     pub const SET: &str = "1";
-    /// An absent field means the same.
+    /// The flag is clear. An absent field means the same.
     pub const CLEAR: &str = "0";
 }
 
--- a/crates/simulator-adapter/src/reader.rs
+++ b/crates/simulator-adapter/src/reader.rs
@@ -13,6 +13,7 @@
 }
 
 impl<R: BufRead> LineReader<R> {
+    /// Creates a reader at the first line of `input`.
     pub fn new(input: R) -> Self {
         LineReader {
             input,
--- a/crates/simulator-adapter/tests/fixed_seed.rs
+++ b/crates/simulator-adapter/tests/fixed_seed.rs
@@ -6,8 +6,11 @@
 use std::io::{BufRead, BufReader, Write};
 use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
 
+/// Length of a simulation step, µs.
 const STEP_US: u64 = 2_000;
+/// Number of app servers.
 const SERVERS: u64 = 6;
+/// Number of instances that run; a fleet may have more nodes.
 const INSTANCES: u64 = 3;
 
 /// A linear congruential generator, which gives the same numbers on every machine.
@@ -73,8 +76,8 @@
             .stdout(Stdio::piped())
             .spawn()
             .expect("the adapter starts");
-        let input = child.stdin.take().expect("piped");
-        let output = BufReader::new(child.stdout.take().expect("piped"));
+        let input = child.stdin.take().expect("standard input is piped");
+        let output = BufReader::new(child.stdout.take().expect("standard output is piped"));
         let mut simulation = Simulation {
             child,
             input,
@@ -150,14 +153,14 @@
         let text = format!("frame\tnowUs={now}\n{lines}eof_batch\n");
         self.input
             .write_all(text.as_bytes())
-            .expect("the adapter reads");
-        self.input.flush().expect("the adapter reads");
+            .expect("the adapter reads its input");
+        self.input.flush().expect("the adapter reads its input");
         loop {
             let mut line = String::new();
             assert!(
                 self.output
                     .read_line(&mut line)
-                    .expect("the adapter writes")
+                    .expect("the adapter writes its reply")
                     > 0,
                 "the adapter ended before the end of its reply"
             );
@@ -174,7 +177,7 @@
 
     fn on_action(&mut self, now: u64, line: &str) {
         let mut fields = line.split('\t');
-        let name = fields.next().expect("a name");
+        let name = fields.next().expect("an action has a name");
         let fields: BTreeMap<&str, &str> =
             fields.filter_map(|field| field.split_once('=')).collect();
         let instance = fields["i"];
@@ -198,7 +201,7 @@
                 }
             }
             "defer" => {
-                let delay: u64 = fields["delayUs"].parse().expect("a number");
+                let delay: u64 = fields["delayUs"].parse().expect("a delay is a number");
                 self.schedule.add(
                     now + delay.max(1),
                     format!("elapsed\ti={instance}\tnonce={}\n", fields["nonce"]),
@@ -212,7 +215,7 @@
 
     fn on_send(&mut self, now: u64, instance: &str, request: &str, server: &str) {
         self.sends += 1;
-        let server_id: u64 = server.parse().expect("a number");
+        let server_id: u64 = server.parse().expect("a server id is a number");
         let attempt = self
             .attempts
             .entry(format!("{request}:shots"))
@@ -284,7 +287,7 @@
             self.exchange_batch(now, &batch);
         }
         drop(self.input);
-        assert!(self.child.wait().expect("it ends").success());
+        assert!(self.child.wait().expect("the adapter exits").success());
         let Simulation {
             replies,
             hash,
@@ -292,7 +295,7 @@
             rejections,
             ..
         } = self;
-        format!("{request_count} tries, {replies} replies, {sends} sends, {rejections} refusals, hash {hash:016x}")
+        format!("{request_count} requests, {replies} reply lines, {sends} sends, {rejections} rejections, hash {hash:016x}")
     }
 }
 
--- a/crates/simulator-adapter/tests/link.rs
+++ b/crates/simulator-adapter/tests/link.rs
@@ -3,6 +3,7 @@
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
+/// Settings of a node in a fleet of two, with one class and one plan.
 const SETTINGS: &str = r#"{"balancers":2,"me":0,"zone":"a","zones":["a"],"unknown":[1],"periodUs":2000,"discovery":"automatic","ceilings":{"cancel":true,"probes":false,"mayTell":true,"secondCopies":false,"sendCap":3},"classes":[{"name":"read","aimUs":800000,"deadlineUs":3000000,"lateValue":0.0,"worth":3.0,"repeat":"read_like"}],"packages":[{"name":"p","rate":1.0,"storeSize":4.0,"price":1.0}],"rules":{"coldFrom":0.2,"coldUs":1000000,"fallMultiple":3.0,"overloadForUs":1000000},"extra":{"peerInPerS":60.0,"maxUnits":1}}"#;
 
 fn run(input: &str) -> Output {
@@ -12,11 +13,11 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    let mut stdin = child.stdin.take().expect("piped");
+    let mut stdin = child.stdin.take().expect("standard input is piped");
     // The adapter exits at the first invalid line, so the pipe may close before all input is written.
     let _ = stdin.write_all(input.as_bytes());
     drop(stdin);
-    child.wait_with_output().expect("the adapter ends")
+    child.wait_with_output().expect("the adapter exits")
 }
 
 fn first_batch() -> String {
@@ -27,6 +28,7 @@
     )
 }
 
+/// A request to the instance that [`first_batch`] starts.
 const REQUEST: &str =
     "knock\ti=3\tcall=rq_a\tpackage=p\tclientId=9\tquotaUnits=1\tbase=0\tsetSize=2\tttlUs=900000\tgrade=read\n";
 
@@ -39,7 +41,7 @@
         first_batch()
     );
     let output = run(&input);
-    let text = String::from_utf8(output.stdout).expect("text");
+    let text = String::from_utf8(output.stdout).expect("the replies are UTF-8");
     assert!(
         output.status.success(),
         "{}",
@@ -49,7 +51,7 @@
     assert_eq!(
         text.matches("send\ti=3\tcall=rq_a\tserver=51\n").count(),
         2,
-        "sent again after an error\n{text}"
+        "the request is sent again after an error\n{text}"
     );
     assert!(text.contains("tell\ti=3\taddressee=*\tblob=02"), "{text}");
 }
@@ -136,7 +138,7 @@
         assert_eq!(output.status.code(), Some(1), "{input}\n{error}");
         assert!(
             error.contains(line) && error.contains(field),
-            "{line} {field}: {error}"
+            "{line:?} or {field:?} is missing in the error: {error}"
         );
         assert_eq!(error.lines().count(), 1, "{error}");
     }
--- a/crates/slow-start/tests/exhaustive.rs
+++ b/crates/slow-start/tests/exhaustive.rs
@@ -11,25 +11,30 @@
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
+/// Microseconds in a second.
 const S: Micros = 1_000_000;
 /// Start time of the servers. The nodes have been up since time 0.
 const SERVERS_STARTED_AT: Micros = 10 * S;
 /// Time between the servers' start and the first tick, µs.
 const FIRST_TICK_AFTER: Micros = 1000;
+/// Time in which a started server reaches its full capacity, µs.
 const WARM_UP_PERIOD: Micros = 17 * S;
 /// Length of a tick, µs. The lifetime of a permit is 2.4 ticks; a time slot lasts 9.5 ticks.
 const TICK: Micros = 140_000;
 /// Maximum number of ticks of a run, which ends within the first time slot.
 const TICKS: u8 = 9;
+/// Number of nodes, all of which send to all servers.
 const NODES: u8 = 3;
 const SERVERS: u8 = 2;
 /// The largest random fraction: a fractional number of permits is rounded up.
 const LARGEST_FRACTION: f64 = 1.0 - 1e-9;
 /// Number of generated states, including repeated ones, after which the exploration ends; bounds its duration.
 const TARGET_STATES: usize = 3_000_000;
+/// Name of the checked property.
 const PROPERTY: &str =
     "a server is sent at most as many requests as answers earned and time slots allow";
 
+/// A fault that the exploration must detect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     /// A node that transfers a permit also keeps it.
@@ -400,7 +405,7 @@
     );
     exploration.assert_properties();
     println!(
-        "{} states, depth {}",
+        "explored {} states up to depth {}",
         exploration.unique_state_count(),
         exploration.max_depth()
     );
--- a/crates/slow-start/tests/fleet.rs
+++ b/crates/slow-start/tests/fleet.rs
@@ -11,16 +11,21 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
+/// Microseconds in a millisecond.
 const MS: Micros = 1000;
+/// Microseconds in a second.
 const S: Micros = 1_000_000;
 /// Length of a simulation step, µs.
 const STEP: Micros = 5 * MS;
 /// Capacity of a server when it starts, as a fraction of its full capacity.
 const INITIAL_CAPACITY: f64 = 0.21;
+/// Time in which a started server reaches its full capacity, µs.
 const WARM_UP_PERIOD: Micros = 17 * S;
 /// Load above which a server is overloaded, as a multiple of what it can process within `OVERLOAD_WINDOW`.
 const OVERLOAD_MULTIPLE: f64 = 3.0;
+/// Time span to which `OVERLOAD_MULTIPLE` applies, µs.
 const OVERLOAD_WINDOW: Micros = S;
+/// Latency objective of all requests, µs.
 const LATENCY_OBJECTIVE: Micros = 800 * MS;
 /// Maximum time for which a request is queued for a permit, µs: half of its client's timeout.
 const QUEUE_TIMEOUT: Micros = 1500 * MS;
@@ -342,12 +347,12 @@
 
 /// Runs a fleet at one server. `record_result` may inject a fault.
 fn run(scenario: &Scenario, record_result: impl RecordResult) -> Outcome {
-    run_with_up_since(scenario, |now| now, record_result)
+    run_with_process_start(scenario, |now| now, record_result)
 }
 
-/// Like [`run`], but `process_started_at` may inject a fault too: it returns the time since which a node that restarts at a given
-/// time claims to know what it has sent.
-fn run_with_up_since(
+/// Like [`run`], but `process_started_at` may inject a fault too: it returns the time since which a node that restarts
+/// at a given time claims to know what it has sent.
+fn run_with_process_start(
     scenario: &Scenario,
     process_started_at: impl Fn(Micros) -> Micros,
     record_result: impl RecordResult,
@@ -421,7 +426,10 @@
     });
     let peak_load = peak_loads.fold(0.0, f64::max);
     println!("highest peak load of small servers: {peak_load}");
-    assert!(peak_load < 1.0, "peak load {peak_load}");
+    assert!(
+        peak_load < 1.0,
+        "a server is overloaded: the highest peak load is {peak_load}"
+    );
 }
 
 /// Half of the fleet receives its first requests when the server is partly warm, and has earned no permits until then.
@@ -627,7 +635,7 @@
 /// The same node, but each new process claims to know what the previous one sent. The run must detect this fault.
 #[test]
 fn a_node_that_claims_to_know_what_its_previous_process_sent_overloads_the_server() {
-    let outcome = run_with_up_since(&repeatedly_restarting_node(), |_| 0, record_result);
+    let outcome = run_with_process_start(&repeatedly_restarting_node(), |_| 0, record_result);
     assert!(
         outcome.peak_load > 1.0,
         "time slots that each process uses again: {outcome:?}"
--- a/crates/websocket/src/frames/scanner.rs
+++ b/crates/websocket/src/frames/scanner.rs
@@ -84,7 +84,7 @@
         self.closed
     }
 
-    /// Scans received bytes. Appends those to forward to `out`, and what the relay needs to know to `seen`.
+    /// Scans received bytes. Appends those to forward to `out`, and what the relay needs to know to `events`.
     ///
     /// # Errors
     /// A frame is invalid or too large. The bytes before it have been appended to `out`.
@@ -92,14 +92,14 @@
         &mut self,
         mut bytes: &[u8],
         out: &mut Vec<u8>,
-        seen: &mut Vec<FrameEvent>,
+        events: &mut Vec<FrameEvent>,
     ) -> Result<(), FrameError> {
         while !bytes.is_empty() && !self.closed {
             if self.frame.is_none() {
-                self.take_header(&mut bytes, out, seen)?;
+                self.take_header(&mut bytes, out, events)?;
             }
             if let Some(frame) = self.frame {
-                self.take_payload(frame, &mut bytes, out, seen)?;
+                self.take_payload(frame, &mut bytes, out, events)?;
             }
         }
         Ok(())
@@ -110,7 +110,7 @@
         &mut self,
         bytes: &mut &[u8],
         out: &mut Vec<u8>,
-        seen: &mut Vec<FrameEvent>,
+        events: &mut Vec<FrameEvent>,
     ) -> Result<(), FrameError> {
         let missing = self.expected_header_bytes() - self.header_bytes;
         let (part, rest) = bytes.split_at(missing.min(bytes.len()));
@@ -119,7 +119,7 @@
         self.header_bytes = end;
         *bytes = rest;
         if self.header_bytes == self.expected_header_bytes() {
-            self.start_frame(out, seen)?;
+            self.start_frame(out, events)?;
         }
         Ok(())
     }
@@ -147,7 +147,7 @@
     fn start_frame(
         &mut self,
         out: &mut Vec<u8>,
-        seen: &mut Vec<FrameEvent>,
+        events: &mut Vec<FrameEvent>,
     ) -> Result<(), FrameError> {
         let raw_header = &self.header[..self.header_bytes];
         let parsed = FrameHeader::parse(&mut Cursor::new(raw_header));
@@ -163,7 +163,7 @@
             OpCode::Data(data) => {
                 let check_text = self.add_to_message(&header, data, length)?;
                 out.extend_from_slice(&self.header[..self.header_bytes]);
-                seen.push(FrameEvent::Data);
+                events.push(FrameEvent::Data);
                 (None, check_text)
             }
         };
@@ -240,7 +240,7 @@
         mut frame: OpenFrame,
         bytes: &mut &[u8],
         out: &mut Vec<u8>,
-        seen: &mut Vec<FrameEvent>,
+        events: &mut Vec<FrameEvent>,
     ) -> Result<(), FrameError> {
         let remaining = usize::try_from(frame.remaining).unwrap_or(usize::MAX);
         let (payload, rest) = bytes.split_at(remaining.min(bytes.len()));
@@ -253,7 +253,7 @@
             }
             out.extend_from_slice(payload);
             if !payload.is_empty() {
-                seen.push(FrameEvent::Data);
+                events.push(FrameEvent::Data);
             }
         }
         frame.received += payload.len();
@@ -265,7 +265,7 @@
         self.frame = None;
         let header_bytes = std::mem::take(&mut self.header_bytes);
         match frame.control {
-            Some(control) => self.end_control(&frame, control, header_bytes, out, seen),
+            Some(control) => self.end_control(&frame, control, header_bytes, out, events),
             None => self.end_data(&frame),
         }
     }
@@ -290,18 +290,18 @@
         control: Control,
         header_bytes: usize,
         out: &mut Vec<u8>,
-        seen: &mut Vec<FrameEvent>,
+        events: &mut Vec<FrameEvent>,
     ) -> Result<(), FrameError> {
         let masked = std::mem::take(&mut self.control);
         let payload: Vec<u8> = unmask(frame.mask, 0, &masked).collect();
         if control == Control::Pong && payload == OWN_PING_PAYLOAD {
-            seen.push(FrameEvent::OwnPong);
+            events.push(FrameEvent::OwnPong);
             return Ok(());
         }
         if control == Control::Close {
             let code = close_code(&payload)?;
             self.closed = true;
-            seen.push(FrameEvent::Close(code));
+            events.push(FrameEvent::Close(code));
         }
         out.extend_from_slice(&self.header[..header_bytes]);
         out.extend_from_slice(&masked);
--- a/crates/websocket/src/lib.rs
+++ b/crates/websocket/src/lib.rs
@@ -12,8 +12,8 @@
 //! let rules = Rules { max_frame_bytes: 1000, max_message_bytes: 2000, deflate: false, utf8: true };
 //! let mut scanner = Scanner::new(Side::Server, rules);
 //! let hello = [0x81, 2, b'h', b'i'];
-//! let (mut out, mut seen) = (Vec::new(), Vec::new());
-//! assert_eq!(scanner.scan(&hello, &mut out, &mut seen), Ok(()));
+//! let (mut out, mut events) = (Vec::new(), Vec::new());
+//! assert_eq!(scanner.scan(&hello, &mut out, &mut events), Ok(()));
 //! assert_eq!(out, hello);
 //! ```
 #![forbid(unsafe_code)]
--- a/crates/websocket/src/upgrade/response.rs
+++ b/crates/websocket/src/upgrade/response.rs
@@ -71,16 +71,16 @@
 }
 
 /// Returns the handshake headers of the response to the client, after the server has agreed to the upgrade.
-pub fn accepted(offer_key: &HeaderValue, switch: &AgreedUpgrade) -> HeaderMap {
+pub fn accepted(offer_key: &HeaderValue, agreed: &AgreedUpgrade) -> HeaderMap {
     let mut headers = HeaderMap::new();
     // A base64 string is always a valid header value.
     if let Ok(accept) = HeaderValue::try_from(derive_accept_key(offer_key.as_bytes())) {
         headers.insert(SEC_WEBSOCKET_ACCEPT, accept);
     }
-    if let Some(protocol) = &switch.protocol {
+    if let Some(protocol) = &agreed.protocol {
         headers.insert(SEC_WEBSOCKET_PROTOCOL, protocol.clone());
     }
-    if let Some(extensions) = &switch.extensions {
+    if let Some(extensions) = &agreed.extensions {
         headers.insert(SEC_WEBSOCKET_EXTENSIONS, extensions.clone());
     }
     headers
--- a/crates/websocket/tests/sockets.rs
+++ b/crates/websocket/tests/sockets.rs
@@ -6,6 +6,7 @@
 
 /// Microseconds in a millisecond.
 const MS: Micros = 1_000;
+/// The server of most sockets.
 const SERVER: ServerId = ServerId(1);
 const OTHER_SERVER: ServerId = ServerId(2);
 
@@ -62,7 +63,7 @@
     let first = sockets.on_server_status(now, SERVER, false);
     assert!(
         drain_commands(&first) > 0 && drain_commands(&first) < 1_000,
-        "some immediately, not all: {}",
+        "some sockets close immediately, but not all: {}",
         drain_commands(&first)
     );
     let later = run_until(&mut sockets, now, now + 150 * MS);
@@ -74,7 +75,7 @@
     let last = closes.iter().map(|(at, _)| *at).max().expect("not empty");
     assert!(
         last <= now + 110 * MS,
-        "the last one after {} ms",
+        "the last close frame is sent after {} ms",
         (last - now) / MS
     );
     let most = closes
@@ -82,7 +83,7 @@
         .map(<[_]>::len)
         .max()
         .expect("not empty");
-    assert!(most < 400, "{most} in one batch");
+    assert!(most < 400, "a batch of {most} sockets");
     // All sockets that have not ended are cut at the end of the drain's time limit and not before.
     let cuts = run_until(&mut sockets, now + 150 * MS, now + 300 * MS);
     assert_eq!(cuts.len(), 10_000);
@@ -91,15 +92,15 @@
         .all(|(at, command)| *at == now + 200 * MS && matches!(command, Command::Cut(_))));
     // Clients are asked to reconnect one after the other.
     let Some((_, Command::Drain(_, 1001, advice, _))) = closes.last() else {
-        panic!("a close")
+        panic!("the last command is a drain with the code 1001")
     };
     let wait: f64 = advice
         .strip_prefix("retry-after=")
         .and_then(|text| text.parse().ok())
-        .expect("a number");
+        .expect("the delay is a number");
     assert!(
         (wait - 100.0).abs() < 2.0,
-        "10,000 at 100 a second: {advice}"
+        "the last of 10,000 clients, at 100 reconnects per second: {advice}"
     );
 }
 
@@ -132,7 +133,7 @@
     );
     assert!(
         sockets.admit(0, CustomerId(2), 2).is_ok(),
-        "another customer"
+        "the limit of another customer is not used up"
     );
     sockets.on_ended(three[0]);
     assert!(sockets.admit(0, CustomerId(1), 2).is_ok());
@@ -181,7 +182,9 @@
         .filter(|customer| sockets.admit(0, CustomerId(*customer), 1).is_ok())
         .count();
     assert_eq!(admitted, 10);
-    let rejected = sockets.admit(0, CustomerId(200), 1).expect_err("too many");
+    let rejected = sockets
+        .admit(0, CustomerId(200), 1)
+        .expect_err("the rate is exceeded");
     assert_eq!(rejected.retry_in, 100 * MS);
     assert!(sockets.admit(100 * MS + 1, CustomerId(200), 1).is_ok());
 }
