--- a/crates/endpoints/src/follower/table.rs
+++ b/crates/endpoints/src/follower/table.rs
@@ -42,6 +42,7 @@
         self.withdraw_announced(update);
     }
 
+    /// Removes a host, even if it is kept because of a suspected wipe, and adds its removal to `update`.
     pub(super) fn remove(&mut self, host: &str, update: &mut EndpointUpdate) {
         self.suspected_wipe.release(host);
         if let Some((host, known)) = self.endpoints.remove_entry(host) {
--- a/crates/endpoints/tests/follower.rs
+++ b/crates/endpoints/tests/follower.rs
@@ -239,7 +239,7 @@
     let logs = follower.take_events();
     assert!(
         logs.len() == 1 && logs[0].to_string().contains("/board/a"),
-        "{logs:?}"
+        "one log line names the key: {logs:?}"
     );
     assert_eq!((follower.stats().unreadable, follower.host_count()), (3, 3));
     // A readable value and then another unreadable one: it is logged again.
@@ -348,13 +348,17 @@
             ("c", EndpointStatus::Removed),
             ("z", EndpointStatus::Ready),
         ];
-        assert_eq!(statuses(&update), expected.into(), "{what}");
+        assert_eq!(statuses(&update), expected.into(), "after {what}");
         assert_eq!(
             (follower.stats().replaced, follower.resume_revision()),
             (1, Some(header.revision + 1)),
-            "{what}"
+            "after {what}"
+        );
+        assert_eq!(
+            follower.check_header(header),
+            WatchStep::Continue,
+            "after {what}"
         );
-        assert_eq!(follower.check_header(header), WatchStep::Continue, "{what}");
     }
 }
 
--- a/crates/endpoints/tests/poll.rs
+++ b/crates/endpoints/tests/poll.rs
@@ -188,7 +188,7 @@
         .expect("50 pauses");
     assert!(
         pause + hedged.every <= Duration::from_millis(200),
-        "{pause:?} and {hedged:?}"
+        "the pause is {pause:?} and the schedule {hedged:?}"
     );
     assert!(
         hedged.answer_within >= hedged.every * 4,
@@ -236,7 +236,7 @@
     assert!(
         backoff.after_failure(0.5) >= MAX_CALL_INTERVAL / 2
             && backoff.after_failure(0.5) >= MAX_MEAN_PAUSE,
-        "{backoff:?}"
+        "the mean pauses after the first one are too short: {backoff:?}"
     );
     assert_eq!(
         PollBackoff::with_limits(300, &limits()).after_watch_end(0.5),
@@ -253,7 +253,7 @@
         let pause = backoff.after_failure(0.5);
         assert!(
             (Duration::from_secs(1)..=Duration::from_millis(1500)).contains(&pause),
-            "{pause:?}"
+            "the pause of a small fleet is {pause:?}"
         );
     }
     assert!(
@@ -298,14 +298,14 @@
         let (mut backoff, ms) = (PollBackoff::for_fleet(nodes), Duration::from_millis);
         for (result, draw) in calls {
             let delay = backoff.hedge_delay(draw).expect("calls run concurrently");
-            prop_assert!(delay <= ms(4500), "{delay:?}");
+            prop_assert!(delay <= ms(4500), "the next call starts after {delay:?}");
             match result {
                 CallResult::Failed => {}
                 CallResult::RetryAfter { ago, after } => {
                     let after = Duration::from_secs(after);
                     let pause = backoff.after_hedged_response(after, ms(ago), draw).expect("calls run concurrently");
-                    prop_assert!(ms(ago) + pause <= ms(4500), "{result:?}: {pause:?}");
-                    prop_assert!(pause >= after.min(ms(4500).checked_sub(ms(ago)).unwrap() / 2), "{result:?}: {pause:?}");
+                    prop_assert!(ms(ago) + pause <= ms(4500), "after {result:?} the pause is {pause:?}");
+                    prop_assert!(pause >= after.min(ms(4500).checked_sub(ms(ago)).unwrap() / 2), "after {result:?} the pause is {pause:?}");
                 }
                 CallResult::WatchEnded => prop_assert!(backoff.after_watch_end(draw) <= Duration::from_secs(1)),
             }
--- a/crates/endpoints/tests/wiped_prefix.rs
+++ b/crates/endpoints/tests/wiped_prefix.rs
@@ -90,6 +90,6 @@
         .expect("30 s have passed");
     assert!(
         update.snapshot && statuses(&update) == [("a", EndpointStatus::Ready)].into(),
-        "{update:?}"
+        "the confirmed list contains only the server put since: {update:?}"
     );
 }
--- a/crates/etcd/src/convert.rs
+++ b/crates/etcd/src/convert.rs
@@ -3,6 +3,7 @@
 use crate::api;
 use saffronpaddle_endpoints::{Header, KeyValue, WatchEvent};
 
+/// Converts the header of a response.
 pub fn header(header: api::ResponseHeader) -> Header {
     let api::ResponseHeader {
         cluster_id,
@@ -18,6 +19,7 @@
     }
 }
 
+/// Converts a key with its value; drops the version and the lease, which the follower does not use.
 pub fn key_value(kv: api::KeyValue) -> KeyValue {
     let api::KeyValue {
         key,
--- a/crates/etcd/tests/client.rs
+++ b/crates/etcd/tests/client.rs
@@ -220,7 +220,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_reconnect_after_a_fragment_with_a_drain_reports_the_drain_first_and_the_rest_later() {
+async fn a_drain_in_a_fragment_before_a_reconnect_is_reported_before_the_rest() {
     let etcd = cluster(1).await;
     let member = &etcd.members[0];
     let mut client = ListClient::follow(&etcd, HOUR);
@@ -293,7 +293,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn of_put_delete_and_put_of_one_key_in_a_response_the_last_one_is_applied() {
+async fn only_the_last_of_several_events_of_a_key_in_a_response_is_applied() {
     let etcd = cluster(1).await;
     let mut client = ListClient::follow(&etcd, HOUR);
     client
@@ -321,7 +321,7 @@
 /// The member in use freezes, and the next one lags behind the known revision, so the client must switch to the third
 /// one.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_frozen_member_and_a_lagging_one_are_left() {
+async fn the_client_leaves_a_frozen_member_and_a_lagging_one() {
     let etcd = cluster(3).await;
     let mut client = ListClient::follow(&etcd, HOUR);
     client
--- a/crates/exchange/src/exchange/pool.rs
+++ b/crates/exchange/src/exchange/pool.rs
@@ -83,6 +83,7 @@
         }
     }
 
+    /// Closes a connection unless it is closing already, and detaches it from its request.
     pub(super) fn close(&mut self, connection: ConnectionId, commands: &mut Commands<A>) {
         self.remove_from_idle(connection);
         let Some(closing) = self
@@ -125,6 +126,7 @@
         }
     }
 
+    /// Removes a closed connection. If an attempt waited for its end, the attempt ends or takes the free slot.
     pub(super) fn on_closed(
         &mut self,
         now: Micros,
--- a/crates/lifecycle/tests/lifecycle/readiness.rs
+++ b/crates/lifecycle/tests/lifecycle/readiness.rs
@@ -122,12 +122,12 @@
         let out = node.observe_for(&bad, 300);
         assert!(
             !node.lifecycle.ready() && node.lifecycle.state() == State::Ready,
-            "{name}"
+            "{name}: not ready after the failure delay, in the same state"
         );
         assert_eq!(
             count_messages(&out, &ManagerMessage::Status(format!("not ready: {name}"))),
             1,
-            "{out:?}"
+            "the status is sent once: {out:?}"
         );
         node.observe_for(&healthy(), 900);
         assert!(
@@ -135,7 +135,10 @@
             "{name}: not ready before the recovery delay"
         );
         let out = node.observe_for(&healthy(), 300);
-        assert!(node.lifecycle.ready(), "{name}");
+        assert!(
+            node.lifecycle.ready(),
+            "{name}: ready again after the recovery delay"
+        );
         assert_eq!(
             count_messages(&out, &ManagerMessage::Ready),
             0,
@@ -157,7 +160,10 @@
             node.observe_for(&healthy(), 200),
         ]
         .concat();
-        assert!(node.lifecycle.ready() && out.is_empty(), "{out:?}");
+        assert!(
+            node.lifecycle.ready() && out.is_empty(),
+            "no action is expected: {out:?}"
+        );
     }
 }
 
--- a/crates/lifecycle/tests/lifecycle/reload.rs
+++ b/crates/lifecycle/tests/lifecycle/reload.rs
@@ -36,7 +36,10 @@
         ));
     }
     let out = node.send(Event::Reloaded { applied: true });
-    assert!(contains(&out, &Action::ReadConfiguration), "{out:?}");
+    assert!(
+        contains(&out, &Action::ReadConfiguration),
+        "the queued reload starts: {out:?}"
+    );
     let out = node.send(Event::Reloaded { applied: true });
     assert!(!contains(&out, &Action::ReadConfiguration) && node.lifecycle.state() == State::Ready);
 }
@@ -75,7 +78,7 @@
         assert!(
             !contains(&out, &Action::ReadConfiguration)
                 && count_messages(&out, &ManagerMessage::Reloading) == 0,
-            "{out:?}"
+            "a stopping node starts no reload: {out:?}"
         );
     }
 }
@@ -90,7 +93,7 @@
     assert!(
         count_messages(&out, &ManagerMessage::Ready) == 0
             && !contains(&out, &Action::ReadConfiguration),
-        "{out:?}"
+        "a stopping node sends no READY and starts no reload: {out:?}"
     );
     assert_eq!(node.lifecycle.state(), State::Draining);
 }
--- a/crates/lifecycle/tests/lifecycle/shutdown.rs
+++ b/crates/lifecycle/tests/lifecycle/shutdown.rs
@@ -10,7 +10,7 @@
     assert!(
         count_messages(&out, &ManagerMessage::Stopping) == 1
             && contains(&out, &Action::CloseAfterResponses),
-        "{out:?}"
+        "STOPPING is sent once and responses close their connections: {out:?}"
     );
     assert_eq!(
         count_messages(&out, &ManagerMessage::ExtendTimeout(ms(4_600))),
@@ -46,7 +46,7 @@
     let out = node.stop();
     assert!(
         contains(&out, &Action::StopAccepting) && !contains(&out, &Action::Exit),
-        "{out:?}"
+        "the listener closes and the process does not exit: {out:?}"
     );
     let out = node.stop();
     assert!(
@@ -120,7 +120,7 @@
 
 /// A suspended process reads the signal late, but the platform's kill timeout runs from the time of sending.
 #[test]
-fn a_signal_that_is_read_late_leaves_less_time() {
+fn a_stop_signal_that_is_read_late_leaves_less_time_to_stop() {
     let mut node = TestNode::ready();
     node.now = ms(20_000);
     node.send(Event::Stop { since: ms(19_850) });
@@ -139,7 +139,7 @@
         .expect("a stop was requested");
     assert!(
         plan.answer_by > node.now && plan.exit_by < node.now + ms(300),
-        "{plan:?}"
+        "the process has some time left, but less than 300 ms: {plan:?}"
     );
 }
 
@@ -178,6 +178,6 @@
         .expect("a stop was requested");
     assert!(
         second.exit_by <= first.exit_by && second.answer_by <= first.answer_by,
-        "{first:?} {second:?}"
+        "the second plan is later: {first:?}, then {second:?}"
     );
 }
--- a/crates/node/src/bodies/request.rs
+++ b/crates/node/src/bodies/request.rs
@@ -119,6 +119,7 @@
         state.ended && state.held_back.is_none() && !state.failed
     }
 
+    /// Polls for the next frame. Is pending before the last chunk until that is released.
     pub(super) fn poll(&self, context: &mut Context<'_>) -> PolledFrame {
         loop {
             let mut state = self.state.borrow_mut();
--- a/crates/node/src/bodies/response.rs
+++ b/crates/node/src/bodies/response.rs
@@ -65,6 +65,7 @@
         }
     }
 
+    /// Polls for the next frame. Fails if the server makes no progress for [`STALL_TIMEOUT`].
     pub(super) fn poll(&mut self, context: &mut Context<'_>) -> PolledFrame {
         if let Some(chunk) = self.received.pop_front() {
             if self.received.is_empty() && self.rest.is_end_stream() {
--- a/crates/node/src/clients/tests.rs
+++ b/crates/node/src/clients/tests.rs
@@ -105,7 +105,7 @@
     for bad in [
         "", "m", "480", "-1m", "+1m", "1e2m", "0m", "NaNm", "infm", "1s", "4µ",
     ] {
-        assert_eq!(parse_duration(bad), None, "{bad:?}");
+        assert_eq!(parse_duration(bad), None, "{bad:?} is rejected");
     }
 }
 
@@ -123,6 +123,6 @@
         "0000000200000000",
         "00000000b4d6552g",
     ] {
-        assert_eq!(parse_customer(bad), None, "{bad:?}");
+        assert_eq!(parse_customer(bad), None, "{bad:?} is rejected");
     }
 }
--- a/crates/node/src/process_links.rs
+++ b/crates/node/src/process_links.rs
@@ -52,6 +52,7 @@
         }
     }
 
+    /// Name of the node, the same for all its processes.
     pub fn node_name(&self) -> &str {
         &self.node_name
     }
--- a/crates/operator-config/tests/file.rs
+++ b/crates/operator-config/tests/file.rs
@@ -62,7 +62,7 @@
     for key in all {
         assert!(keys.contains(&key), "{key} in {faults:?}");
     }
-    assert_eq!(keys.len(), all.len(), "{faults:?}");
+    assert_eq!(keys.len(), all.len(), "one fault per key: {faults:?}");
 }
 
 #[test]
@@ -72,7 +72,10 @@
         ["ready: must be a section, not a number"]
     );
     let faults = faults("[ready]\nlag_ms = = 5\n");
-    assert!(faults[0].starts_with("line 2: "), "{faults:?}");
+    assert!(
+        faults[0].starts_with("line 2: "),
+        "the fault names its line: {faults:?}"
+    );
 }
 
 #[test]
@@ -107,5 +110,5 @@
             "{key} in {faults:?}"
         );
     }
-    assert_eq!(faults.len(), 5, "{faults:?}");
+    assert_eq!(faults.len(), 5, "one fault per key: {faults:?}");
 }
--- a/crates/simulator-adapter/tests/link.rs
+++ b/crates/simulator-adapter/tests/link.rs
@@ -53,7 +53,10 @@
         2,
         "the request is sent again after an error\n{text}"
     );
-    assert!(text.contains("tell\ti=3\taddressee=*\tblob=02"), "{text}");
+    assert!(
+        text.contains("tell\ti=3\taddressee=*\tblob=02"),
+        "no message to all peers in the replies:\n{text}"
+    );
 }
 
 #[test]
@@ -140,6 +143,6 @@
             error.contains(line) && error.contains(field),
             "{line:?} or {field:?} is missing in the error: {error}"
         );
-        assert_eq!(error.lines().count(), 1, "{error}");
+        assert_eq!(error.lines().count(), 1, "the error is one line: {error}");
     }
 }
--- a/crates/slow-start/tests/fleet.rs
+++ b/crates/slow-start/tests/fleet.rs
@@ -407,7 +407,7 @@
         println!("{nodes} nodes, {cores} cores: {outcome:?}");
         assert!(
             outcome.utilization > 0.6 && outcome.peak_load < MAX_OVERLOAD_FRACTION,
-            "{nodes} nodes, {cores} cores: {outcome:?}"
+            "{nodes} nodes overload or badly utilize a server with {cores} cores: {outcome:?}"
         );
     }
 }
@@ -445,7 +445,7 @@
     let outcome = run(&scenario, record_result);
     assert!(
         outcome.peak_load < MAX_OVERLOAD_FRACTION && outcome.utilization > 0.6,
-        "{outcome:?}"
+        "the server is overloaded or badly utilized: {outcome:?}"
     );
 }
 
@@ -595,7 +595,7 @@
     let outcome = run(&busy, record_result);
     assert!(
         outcome.peak_load < MAX_OVERLOAD_FRACTION && outcome.late_ratio < 0.3,
-        "{outcome:?}"
+        "without a fault the server is overloaded: {outcome:?}"
     );
 }
 
@@ -626,7 +626,7 @@
             let outcome = run(&scenario, record_result);
             assert!(
                 outcome.peak_load < MAX_OVERLOAD_FRACTION + 0.3,
-                "{scenario:?}: {outcome:?}"
+                "the load of {scenario:?} exceeds its bound: {outcome:?}"
             );
         }
     }
@@ -671,6 +671,6 @@
         let outcome = run(&scenario, record_result);
         // With few cores, a few requests that coincide by chance have a large effect.
         let tolerance = if cores < 4 { 0.3 } else { 0.1 };
-        prop_assert!(outcome.peak_load < MAX_OVERLOAD_FRACTION + tolerance, "{outcome:?}");
+        prop_assert!(outcome.peak_load < MAX_OVERLOAD_FRACTION + tolerance, "the load exceeds its bound: {outcome:?}");
     }
 }
--- a/crates/websocket/tests/frames.rs
+++ b/crates/websocket/tests/frames.rs
@@ -149,11 +149,11 @@
                 seen: vec![FrameEvent::Close(Some(code))],
                 ..passed(&close(code))
             },
-            "{code}"
+            "close code {code}"
         );
     }
     for code in [0, 999, 1004, 1005, 1006, 1015, 1016, 2999, 5000, 65535] {
-        assert_eq!(server(&close(code)).error, Some(1002), "{code}");
+        assert_eq!(server(&close(code)).error, Some(1002), "close code {code}");
     }
     assert_eq!(server(&[0x88, 0]).seen, [FrameEvent::Close(None)]);
     assert_eq!(server(&[0x88, 1, 3]).error, Some(1002));
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn section_8_1_text_is_checked_if_that_is_set() {
+fn section_8_1_text_is_checked_if_enabled() {
     let split = [0x01, 1, 0xc3, 0x80, 1, 0xa9];
     assert_eq!(server(&split), passed(&split));
     assert_eq!(server(&[0x81, 1, 0xff]).error, Some(1007));
--- a/crates/websocket/tests/sockets.rs
+++ b/crates/websocket/tests/sockets.rs
@@ -112,7 +112,7 @@
     let closes = sockets.on_opened(20, id, SERVER);
     assert!(
         matches!(closes[..], [Command::Drain(_, 1001, _, at)] if at == 20 + 200 * MS),
-        "{closes:?}"
+        "the socket is drained within 200 ms: {closes:?}"
     );
     sockets.on_ended(id);
     // The server is ready again, and no state of the drain is left.
@@ -199,12 +199,12 @@
     sockets.on_received(1_010 * MS, id, Side::Server, false);
     // Both sides have sent bytes. Each is pinged a second later, and only the server answers.
     let again = run_until(&mut sockets, 1_010 * MS, 2_010 * MS);
-    assert_eq!(again.len(), 2, "{again:?}");
+    assert_eq!(again.len(), 2, "each side is pinged once: {again:?}");
     sockets.on_received(2_020 * MS, id, Side::Server, false);
     let end = run_until(&mut sockets, 2_020 * MS, 3_900 * MS);
     assert!(
         matches!(end.last(), Some((at, Command::Close(..))) if *at == 3_900 * MS),
-        "{end:?}"
+        "the socket is closed 3 s after the client's last bytes: {end:?}"
     );
     let cut = run_until(&mut sockets, 3_900 * MS, 10_000 * MS);
     assert_eq!(cut, [(4_900 * MS, Command::Cut(id))]);
@@ -224,7 +224,7 @@
     let idle = run_until(&mut sockets, 0, 600 * MS);
     assert!(
         matches!(idle[..], [(at, Command::Close(..))] if at == 500 * MS),
-        "{idle:?}"
+        "the socket is closed after its idle timeout only: {idle:?}"
     );
     let mut sockets = open_sockets(
         Limits {
