--- a/crates/endpoints/tests/wiped_prefix.rs
+++ b/crates/endpoints/tests/wiped_prefix.rs
@@ -57,7 +57,11 @@
             ]
             .into()
         );
-        assert_eq!(follower.confirm_empty(late + late), None, "only once");
+        assert_eq!(
+            follower.confirm_empty(late + late),
+            None,
+            "the wipe is confirmed only once"
+        );
     }
     // Servers whose keys are deleted one by one are removed immediately, as operators delete them that way.
     let mut follower = three_servers();
@@ -86,6 +90,6 @@
         .expect("30 s have passed");
     assert!(
         update.snapshot && statuses(&update) == [("a", EndpointStatus::Ready)].into(),
-        "{update:?}"
+        "the confirmed list contains only the server put since: {update:?}"
     );
 }
--- a/crates/etcd/tests/client.rs
+++ b/crates/etcd/tests/client.rs
@@ -43,10 +43,10 @@
 
 impl ListClient {
     fn follow(etcd: &Etcd, empty_after: Duration) -> ListClient {
-        ListClient::with(etcd, empty_after, None)
+        ListClient::with_user(etcd, empty_after, None)
     }
 
-    fn with(etcd: &Etcd, empty_after: Duration, user: Option<(String, String)>) -> ListClient {
+    fn with_user(etcd: &Etcd, empty_after: Duration, user: Option<(String, String)>) -> ListClient {
         let (sender, events) = mpsc::channel(1024);
         let settings = Settings {
             endpoints: etcd.endpoints(),
@@ -98,7 +98,7 @@
         while !seen(self) {
             assert!(
                 started.elapsed() < TEST_TIMEOUT,
-                "{what}: {:?} {:?}",
+                "timed out waiting for {what}; list: {:?}; log lines: {:?}",
                 self.hosts,
                 self.logs
             );
@@ -107,7 +107,7 @@
     }
 
     async fn wait_for_status(&mut self, host: &str, status: Option<EndpointStatus>) {
-        let what = format!("{host} is {status:?}");
+        let what = format!("{host} to have the status {status:?}");
         self.wait_until(&what, |client| {
             client.hosts.get(host).map(|server| server.0) == status
         })
@@ -123,6 +123,7 @@
     etcd
 }
 
+/// A value of [`Rules::empty_after`] that no test reaches.
 const HOUR: Duration = Duration::from_hours(1);
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -219,7 +220,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_reconnect_after_a_fragment_with_a_drain_reports_the_drain_first_and_the_rest_later() {
+async fn a_drain_in_a_fragment_before_a_reconnect_is_reported_before_the_rest() {
     let etcd = cluster(1).await;
     let member = &etcd.members[0];
     let mut client = ListClient::follow(&etcd, HOUR);
@@ -292,7 +293,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn of_put_delete_and_put_of_one_key_in_a_response_the_last_one_is_applied() {
+async fn only_the_last_of_several_events_of_a_key_in_a_response_is_applied() {
     let etcd = cluster(1).await;
     let mut client = ListClient::follow(&etcd, HOUR);
     client
@@ -320,7 +321,7 @@
 /// The member in use freezes, and the next one lags behind the known revision, so the client must switch to the third
 /// one.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_frozen_member_and_a_lagging_one_are_left() {
+async fn the_client_leaves_a_frozen_member_and_a_lagging_one() {
     let etcd = cluster(3).await;
     let mut client = ListClient::follow(&etcd, HOUR);
     client
@@ -420,7 +421,8 @@
 async fn a_cluster_with_authentication_requires_the_right_password() {
     let etcd = cluster(1).await;
     etcd.require_auth("edge", "secret");
-    let mut wrong = ListClient::with(&etcd, HOUR, Some(("edge".to_owned(), "guess".to_owned())));
+    let mut wrong =
+        ListClient::with_user(&etcd, HOUR, Some(("edge".to_owned(), "guess".to_owned())));
     wrong
         .wait_until("the rejection", |client| {
             client
@@ -439,7 +441,8 @@
                 .any(|line| line.contains("invalid auth token"))
         })
         .await;
-    let mut right = ListClient::with(&etcd, HOUR, Some(("edge".to_owned(), "secret".to_owned())));
+    let mut right =
+        ListClient::with_user(&etcd, HOUR, Some(("edge".to_owned(), "secret".to_owned())));
     right
         .wait_until("the list", |client| client.hosts.len() == 3)
         .await;
--- a/crates/lifecycle/tests/lifecycle/shutdown.rs
+++ b/crates/lifecycle/tests/lifecycle/shutdown.rs
@@ -10,7 +10,7 @@
     assert!(
         count_messages(&out, &ManagerMessage::Stopping) == 1
             && contains(&out, &Action::CloseAfterResponses),
-        "{out:?}"
+        "STOPPING is sent once and responses close their connections: {out:?}"
     );
     assert_eq!(
         count_messages(&out, &ManagerMessage::ExtendTimeout(ms(4_600))),
@@ -46,7 +46,7 @@
     let out = node.stop();
     assert!(
         contains(&out, &Action::StopAccepting) && !contains(&out, &Action::Exit),
-        "{out:?}"
+        "the listener closes and the process does not exit: {out:?}"
     );
     let out = node.stop();
     assert!(
@@ -93,16 +93,22 @@
         node.send(Event::Listening);
         node.now = ms(10_000);
         node.stop();
-        let plan = node.lifecycle.shutdown_plan().expect("it was told to stop");
+        let plan = node
+            .lifecycle
+            .shutdown_plan()
+            .expect("a stop was requested");
         let killed = ms(10_000 + killed_after);
-        assert!(plan.exit_by < killed, "{longest}: {plan:?}");
+        assert!(
+            plan.exit_by < killed,
+            "longest deadline {longest} ms: {plan:?}"
+        );
         assert!(
             plan.answer_by + MAX_SCHEDULING_DELAY < killed,
-            "{longest}: {plan:?}"
+            "longest deadline {longest} ms: {plan:?}"
         );
         assert!(
             plan.answer_by > ms(10_000 + killed_after - 400),
-            "{longest}: the process uses the available time: {plan:?}"
+            "longest deadline {longest} ms: the process uses the available time: {plan:?}"
         );
         while node.lifecycle.state() != State::Gone {
             assert!(node.now < plan.exit_by, "the process exits by exit_by");
@@ -114,20 +120,26 @@
 
 /// A suspended process reads the signal late, but the platform's kill timeout runs from the time of sending.
 #[test]
-fn a_signal_that_is_read_late_leaves_less_time() {
+fn a_stop_signal_that_is_read_late_leaves_less_time_to_stop() {
     let mut node = TestNode::ready();
     node.now = ms(20_000);
     node.send(Event::Stop { since: ms(19_850) });
-    let plan = node.lifecycle.shutdown_plan().expect("it was told to stop");
+    let plan = node
+        .lifecycle
+        .shutdown_plan()
+        .expect("a stop was requested");
     assert_eq!(plan.exit_by, ms(19_850 + 3_600));
     // A process that was suspended for longer than the kill timeout still sends its responses.
     let mut node = TestNode::ready();
     node.now = ms(60_000);
     node.send(Event::Stop { since: ms(0) });
-    let plan = node.lifecycle.shutdown_plan().expect("it was told to stop");
+    let plan = node
+        .lifecycle
+        .shutdown_plan()
+        .expect("a stop was requested");
     assert!(
         plan.answer_by > node.now && plan.exit_by < node.now + ms(300),
-        "{plan:?}"
+        "the process has some time left, but less than 300 ms: {plan:?}"
     );
 }
 
@@ -154,12 +166,18 @@
 fn a_second_sigterm_never_delays_the_exit() {
     let mut node = TestNode::ready();
     node.stop();
-    let first = node.lifecycle.shutdown_plan().expect("it was told to stop");
+    let first = node
+        .lifecycle
+        .shutdown_plan()
+        .expect("a stop was requested");
     node.advance(599);
     node.stop();
-    let second = node.lifecycle.shutdown_plan().expect("it was told to stop");
+    let second = node
+        .lifecycle
+        .shutdown_plan()
+        .expect("a stop was requested");
     assert!(
         second.exit_by <= first.exit_by && second.answer_by <= first.answer_by,
-        "{first:?} {second:?}"
+        "the second plan is later: {first:?}, then {second:?}"
     );
 }
--- a/crates/operator-config/tests/file.rs
+++ b/crates/operator-config/tests/file.rs
@@ -2,11 +2,16 @@
 
 use saffronpaddle_operator_config::Operator;
 
+/// The operator file as it is shipped.
 const SHIPPED: &str = include_str!("../../../deploy/operator.toml");
 
 fn faults(text: &str) -> Vec<String> {
-    let faults = Operator::parse(text).expect_err("faults");
-    assert_eq!(faults.to_string().lines().count(), 1, "one line");
+    let faults = Operator::parse(text).expect_err("the file has faults");
+    assert_eq!(
+        faults.to_string().lines().count(),
+        1,
+        "the faults are written on one line"
+    );
     faults.0.iter().map(ToString::to_string).collect()
 }
 
@@ -32,7 +37,7 @@
     });
     let uncommented: String = uncommented.collect();
     assert_eq!(Operator::parse(&uncommented), Ok(Operator::default()));
-    assert!(keys >= 25, "{keys} keys");
+    assert!(keys >= 25, "only {keys} keys were found");
 }
 
 #[test]
@@ -57,7 +62,7 @@
     for key in all {
         assert!(keys.contains(&key), "{key} in {faults:?}");
     }
-    assert_eq!(keys.len(), all.len(), "{faults:?}");
+    assert_eq!(keys.len(), all.len(), "one fault per key: {faults:?}");
 }
 
 #[test]
@@ -67,7 +72,10 @@
         ["ready: must be a section, not a number"]
     );
     let faults = faults("[ready]\nlag_ms = = 5\n");
-    assert!(faults[0].starts_with("line 2: "), "{faults:?}");
+    assert!(
+        faults[0].starts_with("line 2: "),
+        "the fault names its line: {faults:?}"
+    );
 }
 
 #[test]
@@ -102,5 +110,5 @@
             "{key} in {faults:?}"
         );
     }
-    assert_eq!(faults.len(), 5, "{faults:?}");
+    assert_eq!(faults.len(), 5, "one fault per key: {faults:?}");
 }
