--- a/crates/fleet-harness/src/counts/tests.rs
+++ b/crates/fleet-harness/src/counts/tests.rs
@@ -17,7 +17,7 @@
     assert_eq!(
         (&name[..], row[0]),
         ("asked", 41.0),
-        "30 before the restart, 7 after it, 4 from the other node"
+        "node 1 counted 30 before its restart and 7 after it, node 2 counted 4"
     );
     assert_eq!(row[4], 37.0 / 4.0, "rate of the busiest node over 4 s");
     assert_eq!(
--- a/crates/fleet-harness/src/link_ends/tests.rs
+++ b/crates/fleet-harness/src/link_ends/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn link_ends_are_parsed_singly_as_ranges_and_by_side() {
+fn single_ends_ranges_and_sides_are_parsed() {
     let sides = [Side {
         name: "west".to_owned(),
         ends: BTreeSet::from([End::Node(7)]),
@@ -20,6 +20,6 @@
         Some(BTreeSet::from([End::Server(3), End::List]))
     );
     for bad in ["n10", "s4", "n1-s2", "east", "", "n"] {
-        assert_eq!(parse(bad), None, "{bad}");
+        assert_eq!(parse(bad), None, "\"{bad}\" must be rejected");
     }
 }
--- a/crates/fleet-harness/src/scenario/tests.rs
+++ b/crates/fleet-harness/src/scenario/tests.rs
@@ -11,14 +11,17 @@
             "{name}: steps are sorted by time"
         );
         let last = one.steps.last().map_or(Duration::ZERO, |step| step.at);
-        assert!(last <= one.duration, "{name}: a step after the end");
+        assert!(
+            last <= one.duration,
+            "{name}: the last step is after the end of the load"
+        );
     }
     let (_, thirty) = SHIPPED[0];
     assert_ne!(Scenario::parse(thirty, 7), Scenario::parse(thirty, 8));
 }
 
 #[test]
-fn faults_of_steps_name_the_index_of_the_step() {
+fn faults_of_a_step_name_its_index() {
     let text =
         "instances = 0\n[[step]]\ndo = \"kil\"\n[[step]]\ndo = \"kill\"\nwho = 9\nwhen = 3\n[[step]]\n";
     let faults = Scenario::parse(text, 1)
@@ -31,6 +34,9 @@
         "step[1].when: unknown",
         "step[2].do",
     ] {
-        assert!(faults.contains(part), "{part} is not in {faults}");
+        assert!(
+            faults.contains(part),
+            "the fault \"{part}\" is missing: {faults}"
+        );
     }
 }
--- a/crates/fleet-harness/tests/virtual_at_size.rs
+++ b/crates/fleet-harness/tests/virtual_at_size.rs
@@ -26,14 +26,14 @@
     )
 }
 
-/// In partition-safe mode (`fenced`) units beyond the quotas come only from standbys, which start with the units of one
-/// request, once per customer.
+/// Asserts that the units beyond the quotas are at most one per customer: in partition-safe mode (`fenced`), such units
+/// come only from standbys, which start with the units of one request, once per customer.
 fn assert_within_quotas(report: &Report, customers: usize) {
     assert!(report.good(), "{report}");
     let beyond = report.within("all", 0, report.offered_s).beyond;
     assert!(
         beyond <= customers as f64,
-        "{beyond} units beyond, {customers} customers\n{report}"
+        "{beyond} units beyond the quotas of {customers} customers\n{report}"
     );
 }
 
@@ -61,13 +61,13 @@
         .fold(0.0, f64::max);
     assert!(
         most <= 60.0,
-        "{most} messages per second at one node\n{report}"
+        "{most} messages per second received by one node\n{report}"
     );
 }
 
 /// Half of the fleet restarts at once while one server after the other drains, ends and restarts cold.
 #[test]
-fn three_hundred_nodes_restart_at_once_while_servers_change() {
+fn no_request_is_lost_when_300_nodes_restart_at_once_while_servers_drain() {
     let steps = "[[step]]\ndo = \"restart\"\ncount = 300\nat_ms = 4000\n\
                  [[step]]\ndo = \"drain\"\ncount = 30\nat_ms = 3000\ngap_ms = 100\n\
                  [[step]]\ndo = \"flip\"\ncount = 10\nat_ms = 4500\ngap_ms = 100\n";
@@ -81,7 +81,7 @@
     assert_eq!(report.verdict.unanswered(), 0, "{report}");
 }
 
-/// One customer asks for a hundredth of the requests of the entire fleet, through all nodes and far beyond its quota.
+/// One customer sends a hundredth of the requests of the entire fleet, through all nodes and far beyond its quota.
 #[test]
 fn a_hot_customer_is_held_to_its_quota_and_takes_nothing_from_others() {
     let totals = |hot: f64| {
@@ -98,20 +98,20 @@
     let quota = 24.0 + 12.0 * 15.0;
     assert!(
         with.units <= without.units * 1.03 + quota,
-        "{with:?} with, {without:?} without"
+        "with the hot customer: {with:?}; without it: {without:?}"
     );
     assert!(
         with.served as f64 >= 0.97 * without.served as f64,
-        "{with:?} with, {without:?} without"
+        "with the hot customer: {with:?}; without it: {without:?}"
     );
 }
 
 /// Nine tenths of the servers are listed as draining by mistake for 5 s: no new requests go to them. How soon the fleet
 /// serves as before is a figure of `docs/measurements.md`, not a rule.
 #[test]
-fn a_list_that_shrinks_to_a_tenth_by_mistake_is_honoured() {
-    let flips = "[[step]]\ndo = \"flip\"\ncount = 68\nat_ms = 4000\nfor_ms = 5000\n";
-    let report = play(&(fleet(300, 0.7, 15, "") + flips), 1, "");
+fn servers_listed_as_draining_by_mistake_receive_no_new_attempts() {
+    let mistake = "[[step]]\ndo = \"flip\"\ncount = 68\nat_ms = 4000\nfor_ms = 5000\n";
+    let report = play(&(fleet(300, 0.7, 15, "") + mistake), 1, "");
     assert!(report.good(), "{report}");
     assert_eq!(
         report.verdict.drains,
@@ -143,7 +143,7 @@
 /// `[servers] working_set` of the operator file applies in virtual time as in a node: decisions examine only a
 /// part of a long list.
 #[test]
-fn a_working_set_is_read_from_the_operator_file() {
+fn subsetting_from_the_operator_file_applies_in_virtual_time() {
     let text =
         "name = \"long\"\ninstances = 60\nservers = 1200\ncustomers = 60\nrate = 120\ncores = 1\n\
                 duration_ms = 4000\n";
@@ -160,13 +160,14 @@
     // About 22 of the 60 nodes send to each server, and each node reads the full list when it starts.
     assert!(
         working_set * 2 < full_list,
-        "{working_set} with, {full_list} without"
+        "servers examined: {working_set} with a working set, {full_list} without"
     );
 }
 
-/// 2,700 nodes, with a load in proportion for 1 s: a node sends as many peer messages as in a fleet of 30.
+/// 2,700 nodes run for 1 s with a load in proportion to their number. A node sends as many peer messages as in a fleet
+/// of 30.
 #[test]
-fn twenty_seven_hundred_nodes_are_played() {
+fn a_fleet_of_2700_nodes_runs_and_one_above_the_limit_is_rejected() {
     let report = play(&fleet(2_700, 0.2, 1, ""), 1, "");
     assert!(report.good(), "{report}");
     assert_eq!(report.processes, 2_700);
--- a/crates/fleet-harness/tests/virtual_replies.rs
+++ b/crates/fleet-harness/tests/virtual_replies.rs
@@ -15,7 +15,8 @@
     format!("{:#}\n", report.json())
 }
 
-/// Compares the complete text and prints only the line of the first difference.
+/// Asserts that a report equals its fixture. On a difference, writes the report to a file and names the first line that
+/// differs, as both texts are long.
 fn assert_same(name: &str, actual: &str, fixture: &str) {
     if actual == fixture {
         return;
@@ -27,13 +28,13 @@
         .zip(fixture.lines())
         .position(|(actual, expected)| actual != expected);
     panic!(
-        "{name} differs from its fixture at line {line:?}; the actual report is in {}",
+        "the report {name} differs from its fixture first at line {line:?}, counted from 0; the actual report is in {}",
         path.display()
     );
 }
 
 #[test]
-fn a_calm_fleet_reports_what_it_did_before() {
+fn the_report_of_a_fleet_without_faults_equals_its_fixture() {
     assert_same(
         "calm",
         &report(CALM, 5, ""),
@@ -42,7 +43,7 @@
 }
 
 #[test]
-fn a_fleet_in_two_halves_reports_what_it_did_before() {
+fn the_report_of_a_partitioned_fleet_equals_its_fixture() {
     assert_same(
         "halves",
         &report(HALVES, 6, ""),
@@ -51,7 +52,7 @@
 }
 
 #[test]
-fn a_partition_safe_fleet_in_two_halves_reports_what_it_did_before() {
+fn the_report_of_a_partitioned_fleet_in_partition_safe_mode_equals_its_fixture() {
     assert_same(
         "halves-fenced",
         &report(HALVES, 7, PARTITION_SAFE),
@@ -60,7 +61,7 @@
 }
 
 #[test]
-fn a_cold_start_reports_what_it_did_before() {
+fn the_report_of_a_cold_start_equals_its_fixture() {
     assert_same(
         "cold-thirty",
         &report(COLD, 8, ""),
--- a/crates/fleet-harness/tests/virtual_time.rs
+++ b/crates/fleet-harness/tests/virtual_time.rs
@@ -1,5 +1,5 @@
-//! Fleets in virtual time. The same seed gives the same run, so that figures can be asserted which vary in real
-//! time.
+//! Fleets in virtual time. A seed always gives the same run, so that tests can assert figures that vary between runs
+//! with real processes.
 
 use saffronpaddle_fleet_harness::{virtually, Report, Scenario};
 
@@ -8,11 +8,12 @@
     virtually::play(scenario, seed, operator).expect("the scenario can be played")
 }
 
-/// Customers that ask for one and a half times their quotas through all nodes, with a step from 15 s to 30 s.
+/// A scenario of 45 s in which customers ask for one and a half times their quotas through all nodes. `step` is its
+/// only step, if it has one.
 fn overloaded(nodes: usize, step: &str) -> String {
     let half = nodes / 2;
     format!(
-        "name = \"pressed\"\ninstances = {nodes}\nservers = 8\ncustomers = 24\nrate = 180\ntimes_quota = 1.5\n\
+        "name = \"overloaded\"\ninstances = {nodes}\nservers = 8\ncustomers = 24\nrate = 180\ntimes_quota = 1.5\n\
          spread_least = {nodes}\nspread_most = {nodes}\nduration_ms = 45000\n\
          [[side]]\nname = \"west\"\nhas = \"n0-n{}\"\n[[side]]\nname = \"east\"\nhas = \"n{half}-n{}\"\n{step}",
         half - 1,
@@ -25,11 +26,11 @@
 const ISOLATED: &str =
     "[[step]]\ndo = \"split\"\nsides = \"each\"\nat_ms = 15000\nfor_ms = 15000\n";
 const PARTITION_SAFE: &str = "[quotas]\nfenced = true\n";
-/// Units that all quotas grant in 15 s.
+/// Units that the quotas of all 24 customers grant in 15 s.
 const QUOTA_UNITS: f64 = 6.0 * (0.8 + 1.6 + 5.0 + 12.0) * 15.0;
 
 #[test]
-fn the_same_seed_is_the_same_run() {
+fn the_same_seed_gives_the_same_run() {
     let text = overloaded(12, HALVES);
     let (one, two) = (play(&text, 3, ""), play(&text, 3, ""));
     assert_eq!(one.verdict, two.verdict);
@@ -38,10 +39,10 @@
 }
 
 /// In partition-safe mode (`fenced`) owners and standbys together grant no more than the quotas: in two halves, with
-/// each node isolated, and when messages pass in one direction only. Without it, two owners that cannot reach each
-/// other each grant the full quotas.
+/// each node isolated, and when messages pass in one direction only. Without that mode, two owners that cannot reach
+/// each other both grant the full quotas.
 #[test]
-fn fenced_owners_in_a_partition_grant_no_more_than_the_quotas() {
+fn partition_safe_owners_grant_no_more_than_the_quotas_in_a_partition() {
     let one_way =
         "[[step]]\ndo = \"link\"\nfrom = \"west\"\nto = \"east\"\none_way = true\nloss = 1.0\n\
                    at_ms = 15000\nfor_ms = 15000\n";
@@ -53,7 +54,7 @@
             // Standbys start with the units of one request.
             assert!(
                 all.beyond <= 24.0,
-                "{step}: {} units beyond\n{report}",
+                "{step}: {} units beyond the quotas\n{report}",
                 all.beyond
             );
         }
@@ -71,7 +72,7 @@
         let used = calm.within("all", from, to).units;
         assert!(
             used > 0.95 * QUOTA_UNITS,
-            "{used} of {QUOTA_UNITS} in {from} to {to} s\n{calm}"
+            "{used} of {QUOTA_UNITS} units used from {from} s to {to} s\n{calm}"
         );
     }
     let healed = play(&overloaded(24, HALVES), 1, PARTITION_SAFE).within("all", 33, 45);
@@ -91,13 +92,13 @@
         let after = report.within("all", 30, 45);
         assert!(
             after.units - after.beyond > 0.92 * QUOTA_UNITS,
-            "{step}: {after:?} of {QUOTA_UNITS}\n{report}"
+            "{step}: {after:?}; the quotas grant {QUOTA_UNITS} units\n{report}"
         );
     }
 }
 
 /// Retransmissions use what is left of the message budget: with a third of the messages lost and the rest delayed,
-/// nodes send no more than peers accept (72 per node and second without the budget).
+/// nodes send no more messages than their peers accept (72 per node and second without the budget).
 #[test]
 fn peer_messages_stay_within_their_budget_while_many_are_lost() {
     let lossy = "[[step]]\ndo = \"peers\"\nloss = 0.3\ndelay_ms = 300\ndelay_least_ms = 250\n";
@@ -117,16 +118,17 @@
     );
     assert!(
         within < 50.0 && without > 60.0,
-        "{within} with the budget, {without} without"
+        "peer messages per node and second: {within} with the budget, {without} without it"
     );
 }
 
-/// Peer messages per node and second from 24 nodes to 1,000, with a load in proportion.
+/// Guards against peer messages per node and second that increase from 30 nodes to 300, with a load in proportion to
+/// the number of nodes.
 #[test]
 fn peer_messages_per_node_do_not_grow_with_the_fleet() {
     let sent_per_node = |nodes: usize| {
         let text = format!(
-            "name = \"flat\"\ninstances = {nodes}\nservers = {}\ncustomers = {}\nrate = {}\nspread_least = 12\n\
+            "name = \"peer-messages\"\ninstances = {nodes}\nservers = {}\ncustomers = {}\nrate = {}\nspread_least = 12\n\
              spread_most = 24\nduration_ms = 8000\n",
             nodes / 4,
             nodes * 3,
@@ -144,16 +146,17 @@
     let (few, many) = (sent_per_node(30), sent_per_node(300));
     assert!(
         many < few * 1.25 && many < 30.0,
-        "{few} at 30 nodes, {many} at 300"
+        "peer messages per node and second: {few} at 30 nodes, {many} at 300 nodes"
     );
 }
 
-/// All nodes of a fleet start at once and share one list service, whose capacity must not be exceeded at any size.
+/// All nodes of a fleet start at once and call one list service, whose capacity they must not exceed at any size.
 #[test]
-fn calls_on_the_list_service_keep_to_what_it_bears_from_three_nodes_to_a_thousand() {
+fn list_service_calls_stay_within_its_capacity_from_three_nodes_to_a_thousand() {
     let limits = "[list]\ncalls_per_s = 25\nfirst_within_ms = 60000\n";
     for nodes in [3, 30, 300, 1000] {
-        // A node that hits the outage may be without a list for twice the span; a thousand nodes would need minutes.
+        // A node that calls during the outage may get its list only after twice the time over which first calls are
+        // spread, which would be minutes with a thousand nodes.
         let down = if nodes < 1000 {
             "[[step]]\ndo = \"list-down\"\nat_ms = 5000\nfor_ms = 4000\n"
         } else {
@@ -178,7 +181,8 @@
     }
 }
 
-/// Cold servers are warmed up without being overloaded, and are used.
+/// Cold servers are not overloaded while they warm up, and do more than half of the work that they could do or that
+/// clients ask for.
 #[test]
 fn cold_servers_are_not_overloaded_and_are_used_by_thirty_nodes_and_by_three_hundred() {
     for (nodes, servers, rate, cores) in [(30, 6, 240.0, 4), (300, 60, 600.0, 1)] {
