--- a/crates/fleet-harness/src/counts.rs
+++ b/crates/fleet-harness/src/counts.rs
@@ -27,6 +27,7 @@
 }
 
 impl Node {
+    /// Adds the next counter line of the node.
     fn add_line(&mut self, line: CounterLine) {
         let decreased = |(name, value): (&String, &u64)| {
             !GAUGES.contains(&&name[..]) && line.counts.get(name).is_none_or(|now| now < value)
@@ -41,6 +42,7 @@
         self.latest = line;
     }
 
+    /// Sum of a counter over all processes of the node.
     fn total(&self, name: &str) -> u64 {
         let count_in = |counts: &BTreeMap<String, u64>| counts.get(name).copied().unwrap_or(0);
         count_in(&self.ended_processes) + count_in(&self.latest.counts)
@@ -86,11 +88,12 @@
         }
         anyhow::ensure!(
             !counts.nodes.is_empty(),
-            "no line of counts (log.counts_every_ms is 0 by default)"
+            "no counter lines found; nodes log them only if log.counts_every_ms is set (0, the default, turns them off)"
         );
         Ok(counts)
     }
 
+    /// Names of all counters without the gauges, sorted.
     fn names(&self) -> Vec<&str> {
         let lines = self
             .nodes
@@ -149,14 +152,17 @@
             .map(|node| node.observed_ms)
             .sum::<u64>() as f64
             / 1e3;
-        let mut text = format!("{} nodes, {seconds:.0} s of nodes\n", self.nodes.len());
+        let mut text = format!(
+            "{} nodes, {seconds:.0} s of run time summed over them\n",
+            self.nodes.len()
+        );
         let headings = [
             "sum",
-            "a node and s",
+            "per node and s",
             "median",
             "busiest tenth",
             "busiest",
-            "share of these",
+            "tenth's share",
         ];
         // Writing to a string does not fail.
         let _ = write!(text, "{:26}", "figure");
@@ -194,6 +200,7 @@
     }
 }
 
+/// The files directly in a folder, sorted; the path itself if it is not a folder.
 fn files(path: &Path) -> Result<Vec<PathBuf>> {
     let shown = || path.display().to_string();
     if !path.is_dir() {
--- a/crates/fleet-harness/src/customers.rs
+++ b/crates/fleet-harness/src/customers.rs
@@ -5,11 +5,12 @@
 use saffronpaddle_test_doubles::load::Customer;
 use saffronpaddle_test_doubles::settings::Fleet;
 
-/// Share of its quota that a usual customer uses, and that of every fifth customer, which exceeds its quota.
+/// Demand of a usual customer as a share of its quota.
 const USUAL_QUOTA_SHARE: f64 = 0.7;
+/// Demand of every fifth customer as a share of its quota, which it exceeds.
 const GREEDY_QUOTA_SHARE: f64 = 1.6;
 
-/// All customers; the hot one is last.
+/// Draws the customers of a scenario. The hot customer, if there is one, is the last.
 pub fn customers(scenario: &Scenario, fleet: &Fleet, seed: u64) -> Vec<Customer> {
     let mut random = fastrand::Rng::with_seed(seed);
     let quota_share = |index: usize| {
--- a/crates/fleet-harness/src/harness.rs
+++ b/crates/fleet-harness/src/harness.rs
@@ -39,7 +39,7 @@
     pub seed: u64,
     /// Folder for configurations and logs.
     pub folder: PathBuf,
-    /// More lines for the operator file of all instances.
+    /// Text of the operator file of all instances. The harness adds an `[etcd]` section if the scenario uses etcd.
     pub operator: String,
     /// Whether each step is printed to standard error when it starts.
     pub print_steps: bool,
@@ -49,23 +49,25 @@
     pub preload: Option<PathBuf>,
 }
 
-/// How long a drained server's process runs after its list entry has changed.
+/// How long a drained server's process runs on after discovery has reported the drain.
 pub(crate) const DRAIN_TIME: Duration = Duration::from_millis(1500);
-/// All clients have ended within this time after the load: it covers the longest deadline and its retries.
+/// Time after the load within which all clients must end. It covers the longest deadline and its retries.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(20);
-/// Memory limit of an instance, as on the platform's scored days.
+/// Memory limit of an instance, MB, as on the platform's scored days.
 const MEMORY_MB: usize = 192;
 /// The platform kills a terminated process this long after the longest deadline, which counts at most as
-/// `MAX_DEADLINE_BEFORE_KILL`.
+/// [`MAX_DEADLINE_BEFORE_KILL`].
 const KILL_GRACE: Duration = Duration::from_millis(700);
+/// Upper limit on the longest deadline when the time of the kill is computed.
 const MAX_DEADLINE_BEFORE_KILL: Duration = Duration::from_secs(3);
 /// How long the platform may stall a process.
 const STALL_TIME: Duration = Duration::from_millis(150);
-/// Clients that connect before an instance is terminated and send their request after that, and the time within which
-/// they do.
+/// Number of clients that connect before an instance is terminated and send their request after that.
 const DELAYED_CLIENTS: usize = 6;
+/// Time within which the delayed clients send their requests.
 const DELAYED_CLIENT_SPAN: Duration = Duration::from_millis(1300);
 
+/// Number of runs that this process has started; keeps the names of their notify sockets apart.
 static RUN_COUNT: AtomicU64 = AtomicU64::new(0);
 
 /// A running fleet and the test doubles around it.
@@ -95,6 +97,7 @@
 const KEY_PREFIX: &str = "/saffronpaddle/servers/";
 
 impl ServerList {
+    /// Writes a changed entry to discovery and, if the scenario uses it, to etcd.
     fn change(&self, entry: Entry) {
         if let Some(etcd) = &self.etcd {
             let key = format!("{KEY_PREFIX}{}", entry.host);
@@ -145,7 +148,7 @@
 pub async fn play(scenario: Scenario, options: &Options) -> Result<Report> {
     let harness = Harness::set_up(scenario, options).await?;
     harness.start().await?;
-    let (before, load_start) = (harness.datagrams(), harness.world.now());
+    let (datagrams_before, load_start) = (harness.datagrams(), harness.world.now());
     let duration = harness.scenario.duration;
     let offered = harness.offer();
     let steps_done = harness.run_steps(options.print_steps);
@@ -153,7 +156,7 @@
     let mut faults = Vec::new();
     if offered.is_err() {
         faults.push(format!(
-            "{} requests were still open at the client timeout",
+            "{} requests were still open {CLIENT_TIMEOUT:?} after the end of the load",
             harness.world.oracle().open_requests()
         ));
     }
@@ -163,7 +166,7 @@
         .checked_sub(load_start)
         .unwrap()
         .as_secs_f64();
-    let after = harness.datagrams();
+    let datagrams_after = harness.datagrams();
     let mut stops = tokio::task::JoinSet::new();
     for instance in harness.instances.clone() {
         stops.spawn(async move { instance.stop().await });
@@ -173,7 +176,10 @@
     sleep(Duration::from_millis(700)).await;
     let instance_report = |instance: &Arc<Instance>| {
         let costs = instance.costs().clone();
-        let (at_start, at_end) = (before[instance.number], after[instance.number]);
+        let (at_start, at_end) = (
+            datagrams_before[instance.number],
+            datagrams_after[instance.number],
+        );
         InstanceReport {
             processes: costs.processes,
             ready_ms: costs
@@ -249,17 +255,18 @@
 }
 
 impl Harness {
+    /// Starts the test doubles and writes the configurations of the instances, without starting them.
     async fn set_up(scenario: Scenario, options: &Options) -> Result<Harness> {
         let fleet = scenario.fleet();
         let world = World::start(fleet.bounds.clone());
         let discovery = Discovery::new(Arc::clone(&world));
         let servers = start_servers(&scenario, &fleet, &world, &discovery)?;
-        let datagrams = (0..scenario.instances).map(|_| reserve_address());
-        let datagrams = datagrams
+        let peer_addresses = (0..scenario.instances).map(|_| reserve_address());
+        let peer_addresses = peer_addresses
             .collect::<std::io::Result<Vec<_>>>()
             .context("reserving ports for peer datagrams")?;
         let links = Arc::new(Links::default());
-        let network = Network::start(datagrams.clone(), Arc::clone(&links)).await;
+        let network = Network::start(peer_addresses.clone(), Arc::clone(&links)).await;
         let network = network.context("starting the peer network")?;
         discovery.set_limits(|limits| {
             (limits.calls_per_s, limits.bytes_per_s) = scenario.list_service_limits;
@@ -296,9 +303,9 @@
                 .iter()
                 .map(|address| format!("\"{address}\""))
                 .collect();
-            let instead = scenario.endpoint_source == EndpointSource::Etcd;
+            let replaces_discovery = scenario.endpoint_source == EndpointSource::Etcd;
             operator.push_str(&format!(
-                "\n[etcd]\nendpoints = [{}]\ninstead = {instead}\nprobe_every_ms = 200\nsilent_after_ms = 800\n",
+                "\n[etcd]\nendpoints = [{}]\ninstead = {replaces_discovery}\nprobe_every_ms = 200\nsilent_after_ms = 800\n",
                 endpoints.join(", ")
             ));
             servers
@@ -312,7 +319,7 @@
         // Several runs in one process need different notify-socket names.
         let run = RUN_COUNT.fetch_add(1, Ordering::Relaxed);
         let (mut instances, mut client_addresses) = (Vec::new(), Vec::new());
-        for (number, peer_listen) in datagrams.into_iter().enumerate() {
+        for (number, peer_listen) in peer_addresses.into_iter().enumerate() {
             let listener =
                 TcpListener::bind(reserve_address()?).context("binding a client listener")?;
             let address = listener.local_addr()?;
@@ -440,7 +447,7 @@
             all.iter().map(|(sent, _)| sent).sum(),
             all.iter().map(|(_, received)| received).sum(),
         );
-        let cut = self
+        let affects_links = self
             .scenario
             .steps
             .iter()
@@ -450,11 +457,12 @@
                 "{stray_datagrams} datagrams came from unknown senders: another run interferes with this one"
             ));
         }
-        (sent > 0 && received == 0 && !cut).then(|| {
+        (sent > 0 && received == 0 && !affects_links).then(|| {
             format!("{sent} peer datagrams sent and none received, although no step affects links")
         })
     }
 
+    /// Peer datagrams sent and received by each instance.
     fn datagrams(&self) -> Vec<(u64, u64)> {
         (0..self.instances.len())
             .map(|node| self.network.counts(node))
@@ -475,6 +483,7 @@
         while clients.join_next().await.is_some() {}
     }
 
+    /// Starts each step at its time and returns when all have ended.
     async fn run_steps(&self, print_steps: bool) {
         let load_start = self.world.now();
         let mut tasks = tokio::task::JoinSet::new();
@@ -553,7 +562,7 @@
                 }
                 StepAction::Restart(_) => {}
                 StepAction::Terminate(target, termination) if instances[target].is_running() => {
-                    let delayed = load_generator
+                    let delayed_clients = load_generator
                         .open_delayed_clients(
                             target,
                             &customers,
@@ -565,7 +574,7 @@
                         .terminate(killed_after, termination.stall_at, STALL_TIME)
                         .await;
                     world.oracle().node_restarted(target);
-                    delayed.join_all().await;
+                    delayed_clients.join_all().await;
                     sleep(termination.restart_delay).await;
                     start_instance(&instances[target], ready_timeout).await;
                 }
@@ -721,7 +730,8 @@
     }
 }
 
-/// Makes a list outdated: every second server gets another name, and every third one another server's address.
+/// Returns the list as an outdated one: every second server gets the name of one that does not exist, and every third
+/// gets another server's address.
 fn stale_list(current: &str) -> Result<String> {
     let mut list: serde_json::Value = serde_json::from_str(current)?;
     let hosts = list["hosts"]
@@ -741,6 +751,7 @@
     Ok(list.to_string())
 }
 
+/// Starts an instance. A failure to start its process is recorded as a fault of the instance.
 async fn start_instance(instance: &Arc<Instance>, ready_timeout: Duration) {
     if let Err(error) = instance.start(ready_timeout).await {
         instance
@@ -750,6 +761,7 @@
     }
 }
 
+/// Changes the health of a server's list entry, and its start time if `born_ms` is given.
 fn update_entry(
     server_list: &ServerList,
     server: &AppServer,
@@ -766,6 +778,7 @@
     }
 }
 
+/// Kills a server's process and lists it as gone; starts it again, cold, after `duration`.
 async fn crash_server(
     world: &World,
     server_list: &ServerList,
@@ -778,7 +791,7 @@
     start_server(world, server_list, server);
 }
 
-/// Starts a server's process, cold, and lists it as ready.
+/// Starts a server's process cold and lists it as ready.
 fn start_server(world: &World, server_list: &ServerList, server: &AppServer) {
     match server.start_cold() {
         Ok(()) => update_entry(server_list, server, "ready", Some(world.unix_ms())),
@@ -786,6 +799,7 @@
     }
 }
 
+/// Starts the app servers of a scenario and lists them in discovery.
 fn start_servers(
     scenario: &Scenario,
     fleet: &Fleet,
--- a/crates/fleet-harness/src/instance.rs
+++ b/crates/fleet-harness/src/instance.rs
@@ -23,7 +23,7 @@
 /// Lines of an instance's log that a fault message quotes.
 const LOG_TAIL_LINES: usize = 4;
 
-/// What an instance's processes have used, and their faults.
+/// Resources that an instance's processes have used, and their faults.
 #[derive(Clone, Debug, Default)]
 pub struct ProcessCosts {
     /// Time from exec to ready of each process.
@@ -78,7 +78,8 @@
 }
 
 impl Process {
-    fn number(&self) -> u32 {
+    /// The process id as [`cpu_seconds`] and [`memory_bytes`] take it.
+    fn id(&self) -> u32 {
         self.pid.as_raw().unsigned_abs()
     }
 }
@@ -150,6 +151,7 @@
         self.folder.join(format!("node-{}.json", self.number))
     }
 
+    /// Records a fault of the instance.
     fn fault(&self, line: impl Into<String>) {
         self.costs()
             .faults
@@ -186,11 +188,11 @@
                 .arg("--operator")
                 .arg(self.folder.join("operator.toml"));
         }
-        if let Some((library, plan)) = &self.preload {
+        if let Some((library, failing_calls)) = &self.preload {
             let seed = (self.number as u64 + 1) * (self.costs().processes + 1);
             command
                 .env("LD_PRELOAD", library)
-                .env("FAILING_CALLS", plan);
+                .env("FAILING_CALLS", failing_calls);
             command.env("FAILING_SEED", seed.to_string());
         }
         for key in [
@@ -248,7 +250,7 @@
         tokio::spawn(Arc::clone(self).watch(Arc::clone(&process)));
         match timeout(ready_timeout, self.wait_until_ready()).await {
             Ok(at) => {
-                let memory = memory_bytes(process.number()).unwrap_or(0);
+                let memory = memory_bytes(process.id()).unwrap_or(0);
                 let mut costs = self.costs();
                 costs.ready.push(at.saturating_duration_since(started));
                 if costs.memory_idle == 0 {
@@ -263,7 +265,7 @@
             Err(_) => {
                 let status = self.manager.notifications().status;
                 self.fault(format!(
-                    "not ready within {ready_timeout:?}, status: {status}; end of its log: {}",
+                    "not ready within {ready_timeout:?}; last reported status: {status}; end of its log: {}",
                     self.log_tail()
                 ));
             }
@@ -283,6 +285,7 @@
         Instant::now()
     }
 
+    /// Whether the instance answers `/-/ready` with status 200.
     async fn readiness_probe_succeeds(&self) -> bool {
         let Ok(mut stream) = tokio::net::TcpStream::connect(self.address).await else {
             return false;
@@ -316,12 +319,12 @@
         let status = loop {
             {
                 let mut costs = self.costs();
-                if let Some(spent) = cpu_seconds(process.number()) {
+                if let Some(spent) = cpu_seconds(process.id()) {
                     costs.cpu_running = costs.cpu_running.max(spent);
                 }
                 costs.memory_peak = costs
                     .memory_peak
-                    .max(memory_bytes(process.number()).unwrap_or(0));
+                    .max(memory_bytes(process.id()).unwrap_or(0));
             }
             let mut child = process.child.lock().await;
             match timeout(Duration::from_millis(500), child.wait()).await {
@@ -382,12 +385,15 @@
             .await
             .is_err()
         {
-            self.fault("did not end after SIGTERM; killing it");
+            self.fault(format!(
+                "did not end within {STOP_TIMEOUT:?} after SIGTERM; sending SIGKILL"
+            ));
             self.signal(Signal::SIGKILL);
         }
     }
 
-    /// Sends SIGTERM to the running process, and SIGKILL after `killed_after`. It may be stalled once in between.
+    /// Sends SIGTERM to the running process, and SIGKILL after `killed_after`. With `stall_at`, stops the process for
+    /// `stall` that long after SIGTERM.
     pub async fn terminate(
         &self,
         killed_after: Duration,
--- a/crates/fleet-harness/src/link_ends.rs
+++ b/crates/fleet-harness/src/link_ends.rs
@@ -49,8 +49,9 @@
     Some(all)
 }
 
+/// Parses a single node or app server, such as `n3` or `s2`; `None` if it does not exist.
 fn parse_end(text: &str, (nodes, servers): (usize, usize)) -> Option<End> {
-    let number = |text: &str, most: usize| text.parse().ok().filter(|number| *number < most);
+    let number = |text: &str, count: usize| text.parse().ok().filter(|number| *number < count);
     match text.split_at_checked(1)? {
         ("n", rest) => number(rest, nodes).map(End::Node),
         ("s", rest) => number(rest, servers).map(End::Server),
@@ -69,7 +70,7 @@
         None => return all,
         Some(Value::Array(sections)) => sections,
         Some(_) => {
-            file.fault("side", "must be a list of sections");
+            file.fault("side", "must be a list of [[side]] sections");
             return all;
         }
     };
@@ -86,7 +87,7 @@
             }
             _ => file.fault(
                 "side",
-                "must have a name without commas, and what it has: instances and servers",
+                "must consist of `name`, without commas, and `has`, a list of instances and servers that exist",
             ),
         }
     }
--- a/crates/fleet-harness/src/manager.rs
+++ b/crates/fleet-harness/src/manager.rs
@@ -9,7 +9,7 @@
 use tokio::net::UnixDatagram;
 use tokio::sync::watch;
 
-/// What an instance has reported.
+/// The messages that the processes of an instance have sent.
 #[derive(Clone, Debug, Default)]
 pub struct Notifications {
     /// Number of `READY=1` messages.
@@ -22,7 +22,7 @@
     pub watchdog_pings: u64,
     /// Text of the last `STATUS=` message.
     pub status: String,
-    /// When it first reported ready since [`ServiceManager::reset_readiness`].
+    /// When the instance first reported that it is ready since [`ServiceManager::reset_readiness`].
     pub ready: Option<Instant>,
 }
 
@@ -32,6 +32,7 @@
     /// Value for `NOTIFY_SOCKET`.
     pub address: String,
     notifications: Mutex<Notifications>,
+    /// Number of received datagrams; wakes [`ServiceManager::wait_until_ready`].
     changed: watch::Sender<u64>,
 }
 
@@ -60,6 +61,7 @@
         Ok(manager)
     }
 
+    /// Records the lines of a datagram.
     fn record(&self, text: &str) {
         {
             let mut notifications = self
--- a/crates/fleet-harness/src/relays.rs
+++ b/crates/fleet-harness/src/relays.rs
@@ -16,6 +16,7 @@
 pub struct RelayPlan {
     /// The links of each step, and whether its ends heal one by one.
     link_faults: Vec<(LinkSet, bool)>,
+    /// Numbers of instances and app servers.
     counts: (usize, usize),
 }
 
@@ -54,11 +55,11 @@
             let mut nodes_by_effects: BTreeMap<Vec<LinkEffect>, Vec<usize>> = BTreeMap::new();
             for node in (0..self.counts.0).filter(|node| self.affects(End::Node(*node), far)) {
                 let near = End::Node(node);
-                let effect = |(link_set, heals_alone): &(LinkSet, bool)| -> LinkEffect {
+                let effect = |(link_set, heals_one_by_one): &(LinkSet, bool)| -> LinkEffect {
                     (
                         link_set.contains(near, far),
                         link_set.contains(far, near),
-                        heals_alone.then_some(node),
+                        heals_one_by_one.then_some(node),
                     )
                 };
                 nodes_by_effects
--- a/crates/fleet-harness/src/report.rs
+++ b/crates/fleet-harness/src/report.rs
@@ -14,11 +14,11 @@
 pub struct InstanceReport {
     /// Number of processes that were started.
     pub processes: u64,
-    /// Time from exec to ready of each process.
+    /// Time from exec to ready of each process, ms.
     pub ready_ms: Vec<f64>,
-    /// Memory when the first process became ready.
+    /// Resident memory when the first process became ready, MB.
     pub memory_idle_mb: f64,
-    /// Highest memory seen.
+    /// Highest resident memory seen, MB.
     pub memory_peak_mb: f64,
     /// CPU seconds of all its processes.
     pub cpu_s: f64,
@@ -76,7 +76,7 @@
     /// Restarted processes that were ready within [`RESTART_READY_LIMIT_MS`], and all restarted processes.
     pub fn restarted(&self) -> (usize, usize) {
         let restarts = |instance: &InstanceReport| instance.processes.saturating_sub(1) as usize;
-        let quick = |instance: &InstanceReport| {
+        let ready_in_time = |instance: &InstanceReport| {
             instance
                 .ready_ms
                 .iter()
@@ -86,7 +86,7 @@
                 .count()
         };
         (
-            self.instances.iter().map(quick).sum(),
+            self.instances.iter().map(ready_in_time).sum(),
             self.instances.iter().map(restarts).sum(),
         )
     }
@@ -166,7 +166,7 @@
     }
 
     /// CPU time of all instances per request, µs.
-    pub fn cpu_us_per_try(&self) -> f64 {
+    pub fn cpu_us_per_request(&self) -> f64 {
         self.instances
             .iter()
             .map(|instance| instance.cpu_s)
@@ -206,7 +206,7 @@
             "ready_ms": {"first": ready.first(), "last": ready.last(), "median": ready.get(ready.len() / 2)},
             "memory_idle_mb": self.mean(|instance| instance.memory_idle_mb),
             "memory_most_mb": self.instances.iter().map(|instance| instance.memory_peak_mb).fold(0.0, f64::max),
-            "cpu_us_per_try": self.cpu_us_per_try(), "cpu_s_per_instance": self.mean(|instance| instance.cpu_s),
+            "cpu_us_per_try": self.cpu_us_per_request(), "cpu_s_per_instance": self.mean(|instance| instance.cpu_s),
             "cpu_share_per_instance": self.mean(|instance| instance.cpu_s) / self.seconds.max(0.001),
             "peer_sent_s": self.mean(|instance| instance.sent_s), "peer_received_s": self.mean(|instance| instance.received_s),
             "peer_received_s_most": self.instances.iter().map(|instance| instance.received_s).fold(0.0, f64::max),
@@ -228,7 +228,7 @@
     }
 }
 
-/// Time within which a restarted process must be ready.
+/// Longest time from exec to ready, ms, for which [`Report::restarted`] counts a restarted process as ready in time.
 pub const RESTART_READY_LIMIT_MS: f64 = 10_000.0;
 
 /// Highest number of the given times that lie within one second.
@@ -246,7 +246,7 @@
     most
 }
 
-/// The values at the given shares of sorted figures; 0 if there are none.
+/// The percentiles of sorted values, given as shares from 0 to 1; 0 if there are none.
 pub(crate) fn percentiles(sorted: &[f64], shares: &[f64]) -> Vec<f64> {
     let index = |share: f64| (sorted.len() as f64 * share) as usize;
     shares
@@ -262,7 +262,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let verdict = &self.verdict;
         let ready = self.sorted_ready_ms();
-        let ready_at = percentiles(&ready, &[0.0, 0.5]);
+        let ready_percentiles = percentiles(&ready, &[0.0, 0.5]);
         writeln!(
             f,
             "{} (seed {}): {} instances, {} processes, {} reloads, {:.0} s",
@@ -275,47 +275,47 @@
         )?;
         writeln!(
             f,
-            "tries {}: served {}, refused {}, failed {}; held by a killed instance {}, by a stopped one {}; lost {}",
+            "requests {}: served {}, refused {}, failed {}; unanswered by a killed instance {}, by a paused one {}; lost {}",
             verdict.requests, verdict.served, verdict.refused, verdict.failed, verdict.killed, verdict.paused, verdict.lost
         )?;
         writeln!(
             f,
-            "attempts {}; keyed effects {}, keys with more than one {}; drains told {}: {} attempts after that, latest {:.1} ms, median of drains {:.1} ms",
+            "attempts {}; effects of keyed requests {}, keys with more than one {}; drain notifications {}: {} attempts after them, latest after {:.1} ms, median over drains {:.1} ms",
             verdict.attempts, verdict.effects, verdict.duplicated_keys, verdict.drains, verdict.attempts_after_drain,
             verdict.attempts_after_drain_max_ms, verdict.drain_median_ms
         )?;
         writeln!(
             f,
-            "cold servers at most {:.2} of what makes them fall; beyond quotas {:.3} of the units; ceilings by {:.1} units",
+            "highest load of a cold server {:.2} of what overloads it; {:.3} of the units beyond quotas; ceilings exceeded by at most {:.1} units",
             verdict.cold_load_max, verdict.share_beyond_quota, verdict.ceiling_excess_max
         )?;
         writeln!(
             f,
-            "cold servers got at most {:.2} of N + 2 sqrt(N) + 2; clients that left {}, before a first attempt {}, sent on after that {}",
+            "most requests at a cold server {:.2} of N + 2 sqrt(N) + 2; clients that disconnected {}, before the first attempt {}; attempts after a disconnection {}",
             verdict.cold_mean_load_max, verdict.disconnected, verdict.disconnected_before_attempt,
             verdict.attempts_after_disconnect
         )?;
-        let (quick, restarts) = self.restarted();
+        let (ready_in_time, restarts) = self.restarted();
         writeln!(
             f,
-            "unanswered {}; processes that served nobody {}; nodes that turned all away for 4 s {}; started again {restarts}, ready within 10 s {quick}",
+            "unanswered {}; processes that served no request {}; nodes that rejected all requests for 4 s {}; restarted processes {restarts}, ready within 10 s {ready_in_time}",
             verdict.unanswered(), verdict.processes_never_serving, verdict.nodes_rejecting_all
         )?;
         writeln!(
             f,
-            "front: {} connections refused, {} tries with nobody, {} resent, {} retries; served in {:.0} ms, p99 {:.0} ms",
+            "load generator: {} connections refused, {} requests without a ready node, {} resent, {} retries; time to a served response: median {:.0} ms, p99 {:.0} ms",
             self.counts.refused_connections, self.counts.no_ready_node, self.counts.resent, self.counts.retries,
             self.counts.p50_ms, self.counts.p99_ms
         )?;
         writeln!(
             f,
-            "instances: ready in {:.0} to {:.0} ms, median {:.0}; memory {:.1} MB idle; CPU {:.0} µs a try, {:.4} of a core each",
-            ready_at[0], ready.last().copied().unwrap_or(0.0), ready_at[1], self.mean(|instance| instance.memory_idle_mb),
-            self.cpu_us_per_try(), self.mean(|instance| instance.cpu_s) / self.seconds.max(0.001)
+            "instances: ready in {:.0} to {:.0} ms, median {:.0} ms; memory {:.1} MB idle; CPU {:.0} µs per request, {:.4} of a core per instance",
+            ready_percentiles[0], ready.last().copied().unwrap_or(0.0), ready_percentiles[1], self.mean(|instance| instance.memory_idle_mb),
+            self.cpu_us_per_request(), self.mean(|instance| instance.cpu_s) / self.seconds.max(0.001)
         )?;
         writeln!(
             f,
-            "peers: each sends {:.1} and is sent {:.1} datagrams a second (at most {:.1}; intake 60)",
+            "peers: each instance sends {:.1} and receives {:.1} datagrams per second (at most {:.1}; the limit is 60)",
             self.mean(|instance| instance.sent_s),
             self.mean(|instance| instance.received_s),
             self.instances.iter().map(|instance| instance.received_s).fold(0.0, f64::max)
@@ -323,20 +323,20 @@
         let first = percentiles(&self.first_list_times_ms(), &[0.5, 0.99]);
         writeln!(
             f,
-            "list service: {} calls, at most {} in a second, {} bytes, {} watches at most, {} turned away; first list after {:.0} ms, p99 {:.0} ms",
+            "list service: {} calls, at most {} in a second, {} bytes, at most {} open watches, {} calls rejected; first list after a median of {:.0} ms, p99 {:.0} ms",
             self.list.times.len(), self.list_calls_most(), self.list.list_bytes, self.list.max_open_watches,
             self.list.rejected, first[0], first[1]
         )?;
         writeln!(
             f,
-            "servers: {:.1} s of work served, of {:.1} s that they could do: {:.2}; {} handshakes, at most {} in a second at one",
+            "servers: {:.1} s of work served of {:.1} s available: {:.2}; {} handshakes, at most {} in a second at one server",
             self.served_work_s(), self.available_work_s, self.served_work_s() / self.available_work_s.max(1e-9),
             self.handshakes_and_requests.iter().map(|(at, _)| at.len()).sum::<usize>(), self.max_handshakes_per_second()
         )?;
         let all = self.within("all", 0, usize::MAX);
         writeln!(
             f,
-            "refused with room: {} of {} tries: {:.3}",
+            "refused within the customer's limits: {} of {} requests: {:.3}",
             all.refused_within_limits,
             all.tries,
             all.refused_within_limits as f64 / all.tries.max(1) as f64
@@ -347,7 +347,7 @@
             .map(|(name, count)| format!("{name}={count}"))
             .collect();
         if !decision_counters.is_empty() {
-            writeln!(f, "decided: {}", decision_counters.join(" "))?;
+            writeln!(f, "decision counters: {}", decision_counters.join(" "))?;
         }
         for (kind, count) in self.breaches_by_kind() {
             writeln!(f, "BROKEN {kind}: {count}")?;
--- a/crates/fleet-harness/src/room.rs
+++ b/crates/fleet-harness/src/room.rs
@@ -5,6 +5,8 @@
 use anyhow::{ensure, Context, Result};
 use nix::sys::resource::{getrlimit, setrlimit, Resource};
 
+/// Descriptors of the harness that do not depend on the size of the run.
+const BASE_DESCRIPTORS: usize = 200;
 /// Descriptors of the harness per instance: its listener, relay, service manager, list agent with a watch, log and
 /// process.
 const DESCRIPTORS_PER_INSTANCE: usize = 10;
@@ -16,18 +18,20 @@
 const DESCRIPTORS_PER_RELAY: usize = 40;
 /// Memory of an instance, bytes: 8 MB idle, and as much again for its connections.
 const BYTES_PER_INSTANCE: u64 = 16_000_000;
-/// Limits for runs with real processes: instances, app servers, and requests per second.
+/// Most instances in a run with real processes.
 const MAX_PROCESSES: usize = 400;
+/// Most app servers in a run with real processes.
 const MAX_SERVERS: usize = 1_000;
+/// Highest load of a run with real processes, requests per second.
 const MAX_RATE: f64 = 5_000.0;
 /// Memory of the harness itself, bytes.
 const HARNESS_BYTES: u64 = 500_000_000;
 
-/// Descriptors and bytes of memory that a run needs.
+/// Returns the descriptors and the bytes of memory that a run with real processes needs.
 pub fn required_resources(scenario: &Scenario) -> (u64, u64) {
     let relay_plan = RelayPlan::for_scenario(scenario);
     let relays = relay_plan.server_relays().len();
-    let descriptors = 200
+    let descriptors = BASE_DESCRIPTORS
         + scenario.instances * (DESCRIPTORS_PER_INSTANCE + CLIENT_CONNECTIONS_PER_INSTANCE)
         + scenario.servers * (2 + CONNECTIONS_PER_SERVER.min(2 * scenario.instances))
         + relays * (1 + DESCRIPTORS_PER_RELAY);
@@ -70,10 +74,10 @@
     ensure_memory(scenario, bytes)
 }
 
-/// Checks that there is enough memory for a run in virtual time.
+/// Checks that the machine has enough memory for a run in virtual time.
 ///
 /// # Errors
-/// The machine lacks the resources for the run; the message names what is missing.
+/// The machine has too little memory; the message names the required and the available amount.
 pub fn check_memory(scenario: &Scenario) -> Result<()> {
     ensure_memory(scenario, crate::virtually::required_bytes(scenario))
 }
--- a/crates/fleet-harness/src/scenario.rs
+++ b/crates/fleet-harness/src/scenario.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use toml::{Table, Value};
 
-/// An action of a step: a fault, or a change to the fleet, its load or the services around it.
+/// The action of a step: a fault, or a change to the fleet, its load or the services that it uses.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StepAction {
     /// Starts an instance that is not running.
@@ -31,8 +31,8 @@
     KillDuringStart(usize, Duration),
     /// Sends SIGSTOP to an instance, and SIGCONT after the given time.
     Pause(usize, Duration),
-    /// Puts a fault on links, for the given time or until the end of the run. The links then heal all at once, or one
-    /// end after the other if the last value, the time between two ends, is not zero.
+    /// Puts a fault on links, for the given time or until the end of the run. Then all links recover at once, or end
+    /// after end if the last value, the time between two ends, is not zero.
     LinkFault(LinkSet, links::Fault, Option<Duration>, Duration),
     /// Takes the list service down for the given time: it resets connections.
     ListServiceDown(Duration),
@@ -226,8 +226,10 @@
 
 /// The arguments of a step's section, except for when it happens.
 struct StepArguments {
+    /// Number of the instance, app server or etcd member that the step applies to.
     target: usize,
     duration: Duration,
+    /// Factor on the load or on the servers' work time.
     factor: f64,
     /// The share of requests or connections that the action affects.
     share: f64,
@@ -236,22 +238,25 @@
     fault: links::Fault,
     /// Whether the fault lasts until the end of the run.
     until_end: bool,
+    /// Time between the recovery of two ends; 0 if all links recover at once.
     heal_gap: Duration,
+    /// Time from SIGTERM to a stall of the process.
     stall_at: Option<Duration>,
 }
 
 impl StepArguments {
-    /// The links for datagrams from and to the target instance.
-    fn cut(&self) -> LinkSet {
-        let (one, others) = self
+    /// The links between the target instance and the other ends of `link_set`.
+    fn links_of_target(&self) -> LinkSet {
+        let (target_end, others) = self
             .link_set
             .ends()
             .into_iter()
             .partition(|end| *end == End::Node(self.target));
-        LinkSet::Partition(vec![one, others])
+        LinkSet::Partition(vec![target_end, others])
     }
 
-    fn link(
+    /// The action that puts a fault on links, with the arguments' time between the recovery of two ends.
+    fn link_fault(
         &self,
         link_set: LinkSet,
         fault: links::Fault,
@@ -313,20 +318,24 @@
         StepAction::Pause(arguments.target, arguments.duration)
     }),
     ("peers", TargetKind::WholeRun, |arguments| {
-        arguments.link(arguments.link_set.clone(), arguments.fault, None)
+        arguments.link_fault(arguments.link_set.clone(), arguments.fault, None)
     }),
     ("cut", TargetKind::Instance, |arguments| {
-        arguments.link(arguments.cut(), TOTAL_LOSS, Some(arguments.duration))
+        arguments.link_fault(
+            arguments.links_of_target(),
+            TOTAL_LOSS,
+            Some(arguments.duration),
+        )
     }),
     ("link", TargetKind::WholeRun, |arguments| {
-        arguments.link(
+        arguments.link_fault(
             arguments.link_set.clone(),
             arguments.fault,
             (!arguments.until_end).then_some(arguments.duration),
         )
     }),
     ("split", TargetKind::WholeRun, |arguments| {
-        arguments.link(
+        arguments.link_fault(
             arguments.link_set.clone(),
             TOTAL_LOSS,
             (!arguments.until_end).then_some(arguments.duration),
@@ -379,6 +388,7 @@
     }),
 ];
 
+/// What a kind of step applies to.
 #[derive(Clone, Copy, PartialEq)]
 enum TargetKind {
     Instance,
@@ -452,7 +462,7 @@
         let mut file = Section::root(table);
         let mut scenario = Scenario {
             name: file
-                .parsed("name", "a text", |name| Some(name.to_owned()))
+                .parsed("name", "a string", |name| Some(name.to_owned()))
                 .unwrap_or_default(),
             instances: file.number("instances", 3, 1..=MAX_INSTANCES) as usize,
             servers: file.number("servers", 12, 1..=MAX_SERVERS) as usize,
@@ -477,7 +487,7 @@
             has_operator_file: file.flag("operated", true),
             deadline_factor: file.figure("deadline_times", 1.0, 0.01..=100.0),
             failing_calls: file
-                .parsed("failing_calls", "a text", |text| Some(text.to_owned()))
+                .parsed("failing_calls", "a string", |text| Some(text.to_owned()))
                 .unwrap_or_default(),
             sockets: file.number("sockets", DEFAULT_DESCRIPTORS, 64..=65_536) as usize,
             ready_timeout: file.span_ms("ready_within_ms", 30_000, 1000..=600_000),
@@ -498,7 +508,7 @@
             ),
             list_service_sheds_load: file.flag("list_turns_away", false),
             operator: file
-                .parsed("operator", "a text", |text| Some(text.to_owned()))
+                .parsed("operator", "a string", |text| Some(text.to_owned()))
                 .unwrap_or_default(),
             initial_list: file
                 .parsed("known", "fresh, nothing or stale", InitialList::parse)
@@ -506,7 +516,7 @@
             steps: Vec::new(),
         };
         if scenario.listeners_passed && !scenario.has_operator_file {
-            file.fault("handed_over", "needs an operator file");
+            file.fault("handed_over", "must be false if operated is false");
         }
         if scenario.nodes_per_customer.0 > scenario.nodes_per_customer.1 {
             file.fault("spread_least", "must be at most spread_most");
@@ -516,7 +526,11 @@
         scenario.sides = parse_sides(side_sections, counts, &mut file);
         let parse_ends = |text: &str| parse_link_ends(text, counts, &scenario.sides);
         let absent = file
-            .parsed("absent", "instances and servers", parse_ends)
+            .parsed(
+                "absent",
+                "a list of instances and servers, such as n0-n3,s1",
+                parse_ends,
+            )
             .unwrap_or_default();
         scenario.absent_servers = absent.iter().filter_map(server_number).collect();
         scenario.absent = absent.into_iter().filter_map(node_number).collect();
@@ -525,13 +539,13 @@
             None => Vec::new(),
             Some(Value::Array(steps)) => steps,
             Some(_) => {
-                file.fault("step", "must be a list of sections");
+                file.fault("step", "must be a list of [[step]] sections");
                 Vec::new()
             }
         };
         for (index, step) in step_sections.into_iter().enumerate() {
             let Value::Table(table) = step else {
-                file.fault("step", "must be a list of sections");
+                file.fault("step", "must be a list of [[step]] sections");
                 break;
             };
             let mut section = Section::root(table);
@@ -582,20 +596,28 @@
     /// Reads the links that a step affects: those between different `sides`, or those from the ends `from` to the ends
     /// `to`.
     fn read_link_set(&self, section: &mut Section) -> LinkSet {
-        let partition = section.parsed("sides", "names of sides, or each", |text| match text {
-            "each" => Some(
-                (0..self.instances)
-                    .map(|node| BTreeSet::from([End::Node(node)]))
-                    .collect(),
-            ),
-            names => names
-                .split(',')
-                .map(|name| self.parse_ends(name.trim()))
-                .collect::<Option<Vec<_>>>(),
-        });
+        let partition = section.parsed(
+            "sides",
+            "names of sides separated by commas, or each",
+            |text| match text {
+                "each" => Some(
+                    (0..self.instances)
+                        .map(|node| BTreeSet::from([End::Node(node)]))
+                        .collect(),
+                ),
+                names => names
+                    .split(',')
+                    .map(|name| self.parse_ends(name.trim()))
+                    .collect::<Option<Vec<_>>>(),
+            },
+        );
         let nodes: BTreeSet<End> = (0..self.instances).map(End::Node).collect();
-        let from = section.parsed("from", "ends of links", |text| self.parse_ends(text));
-        let to = section.parsed("to", "ends of links", |text| self.parse_ends(text));
+        let from = section.parsed("from", "a list of link ends, such as n0-n3,list", |text| {
+            self.parse_ends(text)
+        });
+        let to = section.parsed("to", "a list of link ends, such as n0-n3,list", |text| {
+            self.parse_ends(text)
+        });
         let one_way = section.flag("one_way", false);
         let (from, to) = (from.unwrap_or_else(|| nodes.clone()), to.unwrap_or(nodes));
         match partition {
@@ -647,8 +669,11 @@
             .has("who")
             .then(|| section.number("who", 0, 0..=MAX_SERVERS) as usize);
         let link_set = self.read_link_set(section);
-        let side_nodes =
-            section.parsed("side", "instances or a side", |text| self.parse_ends(text));
+        let side_nodes = section.parsed(
+            "side",
+            "a list of instances or the name of a side",
+            |text| self.parse_ends(text),
+        );
         let side_nodes: Option<Vec<usize>> =
             side_nodes.map(|ends| ends.into_iter().filter_map(node_number).collect());
         let Some((_, target_kind, build_action)) = kind else {
@@ -730,10 +755,11 @@
 pub const SERVERS_PER_DEDUPLICATION_DOMAIN: usize = 3;
 /// Limit on an instance's file descriptors, as on the platform's scored days.
 const DEFAULT_DESCRIPTORS: u64 = 1024;
-/// Limits that virtual time supports: instances, app servers and requests per second. Lower ones hold for real
-/// processes (see `room`).
+/// Most instances that virtual time supports. Lower limits apply to runs with real processes (see [`crate::room`]).
 const MAX_INSTANCES: u64 = 10_000;
+/// Most app servers that virtual time supports.
 const MAX_SERVERS: u64 = 100_000;
+/// Highest load that virtual time supports, requests per second.
 const MAX_RATE: f64 = 100_000.0;
 
 /// The scenarios that are built into the program, by name.
--- a/crates/fleet-harness/src/soak.rs
+++ b/crates/fleet-harness/src/soak.rs
@@ -23,13 +23,13 @@
 }
 
 impl Size {
-    /// Short enough for a test.
+    /// Size of the soaks that tests run.
     pub const SHORT: Size = Size {
         instances: (10, 12),
         seconds: 14,
         faults: 14,
     };
-    /// The default of `fleet soak`.
+    /// Size that `fleet soak` uses by default.
     pub const LONG: Size = Size {
         instances: (10, 40),
         seconds: 40,
@@ -46,11 +46,11 @@
     steps: Vec<String>,
 }
 
-/// Time at the start and at the end of a run in which no fault begins, so that all instances are ready before
+/// Times at the start and at the end of a run, ms, in which no fault begins, so that all instances are ready before
 /// the first fault and the fleet can recover after the last.
 const FAULT_FREE_MS: (u64, u64) = (1_000, 4_000);
-/// How late an answer may be: the default slack of 50 ms and the 150 ms for which the platform may stall a stopping
-/// process.
+/// How much later than the deadline an answer may arrive, ms: the default slack of 50 ms and the 150 ms for which the
+/// platform may stall a stopping process.
 const ANSWER_SLACK_MS: u64 = 50 + 150;
 /// System calls that fail throughout a run if a library that makes them fail is preloaded.
 const FAILING_CALLS: [&str; 4] = [
@@ -59,7 +59,7 @@
     "recv=3,send=3,short=20",
     "accept=3,connect=3,socket=3,recv=3,send=3,short=10",
 ];
-/// Most runs that shrinking a plan may take.
+/// Most runs that [`shrink`] makes.
 const MAX_SHRINK_RUNS: usize = 24;
 
 impl Plan {
@@ -71,8 +71,8 @@
         let rate = (instances * random.usize(6..=10)).min(300);
         let deadline_factor = [0.3, 1.0, 3.0][random.usize(0..3)];
         let sockets = [256, 1024][random.usize(0..2)];
-        let lateness = random.u64(0..=500);
-        let leave_share = [0.0, 0.1][random.usize(0..2)];
+        let discovery_delay_ms = random.u64(0..=500);
+        let cancellation_share = [0.0, 0.1][random.usize(0..2)];
         let failing_calls = FAILING_CALLS[random.usize(0..FAILING_CALLS.len())];
         let mut header =
             format!("name = \"soak-{seed}\"\ninstances = {instances}\nservers = {servers}\n");
@@ -80,7 +80,7 @@
         let _ = write!(
             header,
             "customers = {}\nrate = {rate}\nduration_ms = {}\noperated = false\nhanded_over = false\n\
-             deadline_times = {deadline_factor}\nsockets = {sockets}\nlateness_ms = {lateness}\nleave_share = {leave_share}\n\
+             deadline_times = {deadline_factor}\nsockets = {sockets}\nlateness_ms = {discovery_delay_ms}\nleave_share = {cancellation_share}\n\
              failing_calls = \"{failing_calls}\"\nanswer_slack_ms = {ANSWER_SLACK_MS}\n",
             instances * 5,
             size.seconds * 1000,
@@ -88,8 +88,8 @@
         let (from, to) = (FAULT_FREE_MS.0, size.seconds * 1000 - FAULT_FREE_MS.1);
         let mut steps = Vec::new();
         for _ in 0..size.faults {
-            let at = random.u64(from..to);
-            draw_fault(&mut random, at, (instances, servers), &mut steps);
+            let at_ms = random.u64(from..to);
+            draw_fault(&mut random, at_ms, (instances, servers), &mut steps);
         }
         Plan { header, steps }
     }
@@ -121,14 +121,14 @@
 /// Draws one fault. Some kinds add further faults that overlap with the first.
 fn draw_fault(
     random: &mut fastrand::Rng,
-    at: u64,
+    at_ms: u64,
     counts: (usize, usize),
     steps: &mut Vec<String>,
 ) {
     let (instances, servers) = counts;
     let (instance, server) = (random.usize(..instances), random.usize(..servers));
     let duration_ms = random.u64(300..4_000);
-    let step = |kind: &str, extra: &str| format!("do = \"{kind}\"\nat_ms = {at}\n{extra}");
+    let step = |kind: &str, extra: &str| format!("do = \"{kind}\"\nat_ms = {at_ms}\n{extra}");
     let on_instance = |extra: &str| format!("who = {instance}\n{extra}");
     let on_server = |extra: &str| format!("who = {server}\nfor_ms = {duration_ms}\n{extra}");
     match random.u32(0..21) {
@@ -160,9 +160,11 @@
             &on_instance(&format!("for_ms = {}\n", random.u64(150..5_000))),
         )),
         8 => {
-            for later in [0, 30, 90] {
-                let at = at + later;
-                steps.push(format!("do = \"reload\"\nat_ms = {at}\nwho = {instance}\n"));
+            for later_ms in [0, 30, 90] {
+                let at_ms = at_ms + later_ms;
+                steps.push(format!(
+                    "do = \"reload\"\nat_ms = {at_ms}\nwho = {instance}\n"
+                ));
             }
         }
         9 => steps.push(step("silent", &on_server(""))),
@@ -195,16 +197,16 @@
             ));
         }
         _ => {
-            let times = 1.5 + 2.0 * random.f64();
+            let factor = 1.5 + 2.0 * random.f64();
             steps.push(step(
                 "slow",
-                &format!("for_ms = {duration_ms}\ntimes = {times:.2}\n"),
+                &format!("for_ms = {duration_ms}\ntimes = {factor:.2}\n"),
             ));
         }
     }
 }
 
-/// Plays a plan. Keeps its folder for the logs.
+/// Plays a plan and keeps the folder of `options` with the logs.
 ///
 /// # Errors
 /// The harness could not be set up.
@@ -213,7 +215,7 @@
     harness::run(scenario, options, true)
 }
 
-/// Shrinks a failing plan: leaves out faults while it still breaks one of the same rules.
+/// Shrinks a failing plan: leaves out faults as long as the run still fails in the same way as `report`.
 ///
 /// # Errors
 /// The harness could not be set up.
@@ -238,7 +240,7 @@
     }
 }
 
-/// Whether two runs break a rule of the same kind, or both have faults of their processes.
+/// Whether two runs break a rule of the same kind, or instances failed in both.
 fn fails_the_same_way(one: &Report, other: &Report) -> bool {
     let kinds = other.breaches_by_kind();
     let same_rule = one
@@ -248,9 +250,9 @@
     same_rule || (!one.faults.is_empty() && !other.faults.is_empty())
 }
 
-/// Breaches for which the log lines are shown.
+/// Most breaches that [`timeline`] shows.
 const MAX_BREACHES_SHOWN: usize = 3;
-/// Log lines shown per breach.
+/// Most log lines that [`timeline`] shows per breach.
 const MAX_LINES_PER_REQUEST: usize = 60;
 
 /// The first breaches of a run, each followed by the log lines of all instances about its request.
@@ -265,7 +267,7 @@
             .nth(1)
             .and_then(|line| line.split([' ', ':']).next())
             .unwrap_or_default();
-        let mut lines = log_lines_naming(folder, id);
+        let mut lines = log_lines_with(folder, id);
         lines.sort();
         lines
             .iter()
@@ -276,7 +278,7 @@
 }
 
 /// The lines of a folder's logs that contain a request's id, each followed by the name of its log.
-fn log_lines_naming(folder: &Path, id: &str) -> Vec<String> {
+fn log_lines_with(folder: &Path, id: &str) -> Vec<String> {
     let mut found = Vec::new();
     let Ok(files) = std::fs::read_dir(folder) else {
         return found;
--- a/crates/fleet-harness/src/virtually/lists.rs
+++ b/crates/fleet-harness/src/virtually/lists.rs
@@ -20,9 +20,9 @@
 const WATCH_TIMEOUT_US: Micros = 3_000_000;
 /// Interval of heartbeats on a watch while nothing changes, µs.
 const HEARTBEAT_INTERVAL_US: Micros = 2_000_000;
-/// Bytes of a list entry and of the rest of a response. They count against the service's capacity.
+/// Bytes of a list entry, and of the rest of a response. Both count against the service's capacity.
 const ENTRY_AND_HEADER_BYTES: (usize, usize) = (150, 40);
-/// First number of servers that no longer exist, which outdated lists contain.
+/// Outdated lists contain servers that no longer exist; their numbers start here.
 const REMOVED_SERVER_BASE: u64 = 1 << 40;
 
 /// An event between a node and the list service. The first number is that of the call; events of an earlier call are
@@ -48,6 +48,7 @@
 #[derive(Clone, Default)]
 struct List {
     version: u64,
+    /// By server: the version of its last change, its health and its start time.
     entries: Vec<(u64, &'static str, Option<Micros>)>,
     /// The entries by the version of their last change, so that an update does not scan a long list for each node.
     by_version: BTreeSet<(u64, usize)>,
@@ -94,11 +95,15 @@
     }
 }
 
+/// The list service that all nodes call.
 pub(super) struct ListService {
     list: List,
+    /// The first version of the list.
     initial: List,
     pub limits: ServiceLimits,
+    /// Whether the service sends nothing: calls stay unanswered, and watches receive no updates.
     pub silent: bool,
+    /// When all accepted calls are processed.
     busy_until: Micros,
     pub call_stats: CallStats,
 }
@@ -125,6 +130,7 @@
         }
     }
 
+    /// Replaces the list by what a list service with lost data serves.
     pub fn restore(&mut self, mode: RestoreMode) {
         match mode {
             RestoreMode::FirstVersion => self.list = self.initial.clone(),
@@ -167,6 +173,7 @@
 
 /// A node's client of the list service.
 pub(super) struct ListClient {
+    /// Version of the list that the node has received; `None` for none.
     version: Option<u64>,
     /// Number of the current call. `watching` is set once it is answered.
     call: u64,
@@ -192,7 +199,7 @@
 }
 
 impl Simulation {
-    /// Loads the list of a node's configuration: the current list, or an outdated one.
+    /// Loads the list from a node's configuration: the current list, or an outdated one.
     pub(super) fn load_initial_list(&mut self, node_index: usize, stale: bool) {
         let (_, entries) = self.list_service.changes_since(None);
         let initial_entry = |(index, (server, health, started_at)): (usize, ChangedEntry)| {
@@ -269,6 +276,7 @@
         !self.list_service.silent && !fault.stalled && !fault.reset
     }
 
+    /// Handles an event between a node and the list service; ignores events of earlier calls.
     pub(super) fn handle_list_event(&mut self, node_index: usize, event: ListEvent) {
         let call = self.nodes[node_index].list_client.call;
         match event {
@@ -298,7 +306,7 @@
             ListEvent::Heartbeat(call_id)
                 if call_id == call && self.nodes[node_index].list_client.watching =>
             {
-                // A list that is suspiciously empty is polled again when the protection's time is over.
+                // If the protection held back an empty list, the node polls again once its time is over.
                 let list_limits = self.list_limits.as_ref();
                 let repoll_at = list_limits.and_then(|list_limits| {
                     self.nodes[node_index]
@@ -306,9 +314,9 @@
                         .empty_list_protection
                         .poll_again_after(list_limits.empty_after)
                 });
-                let doubt_over = repoll_at.is_some_and(|at| at <= self.elapsed());
-                if !self.list_reachable(node_index) || doubt_over {
-                    let after = if doubt_over {
+                let protection_over = repoll_at.is_some_and(|at| at <= self.elapsed());
+                if !self.list_reachable(node_index) || protection_over {
+                    let after = if protection_over {
                         0
                     } else {
                         WATCH_TIMEOUT_US - HEARTBEAT_INTERVAL_US
@@ -342,6 +350,7 @@
         }
     }
 
+    /// Makes a node's call to the list service and schedules its response or its end.
     fn poll_list(&mut self, node_index: usize) {
         let call = self.nodes[node_index].list_client.call;
         // A node hedges its calls to an agent, and the first answer counts. The simulation replaces them
@@ -386,14 +395,14 @@
             .list_service
             .changes_since(self.nodes[node_index].list_client.version);
         let bytes = entries.len() * ENTRY_AND_HEADER_BYTES.0 + ENTRY_AND_HEADER_BYTES.1;
-        let seconds_of = |amount: f64, per_second: f64| {
+        let seconds_for = |amount: f64, per_second: f64| {
             if per_second > 0.0 {
                 amount / per_second
             } else {
                 0.0
             }
         };
-        let service_time = seconds_of(1.0, calls_per_s) + seconds_of(bytes as f64, bytes_per_s);
+        let service_time = seconds_for(1.0, calls_per_s) + seconds_for(bytes as f64, bytes_per_s);
         let queue_us = self.list_service.busy_until.saturating_sub(self.now);
         if sheds_load && u128::from(queue_us) > MAX_QUEUE_DELAY.as_micros() {
             self.list_service.call_stats.rejected += 1;
@@ -419,7 +428,7 @@
         }
     }
 
-    /// Delivers what has changed since the last update of the watch.
+    /// Passes what has changed since the last update of the watch to the node.
     fn receive_update(&mut self, node_index: usize) {
         let from = self.nodes[node_index].list_client.version;
         let (is_full, entries) = self.list_service.changes_since(from);
@@ -471,6 +480,7 @@
     }
 }
 
+/// The policy engine's form of a list entry.
 fn entry(server: usize, health: &str, started_at: Option<Micros>) -> Endpoint {
     Endpoint {
         server: ServerId(server as u64),
--- a/crates/fleet-harness/src/virtually/mod.rs
+++ b/crates/fleet-harness/src/virtually/mod.rs
@@ -35,27 +35,33 @@
 const DELIVERY_MARGIN_US: Micros = 5_000;
 /// One-way delay between two processes without a fault, µs.
 const NETWORK_DELAY_US: std::ops::Range<Micros> = 100..1_000;
-/// Time from exec to ready, µs; and time until the load generator sees that a process is ready or no longer ready.
+/// Time from exec to ready, µs.
 const PROCESS_START_US: Micros = 20_000;
+/// Time until the load generator sees that a process is ready or no longer ready, µs.
 const READINESS_DETECTION_US: Micros = 250_000;
-/// Time after SIGTERM during which a node accepts new requests, and the time that accepted requests may then take, µs.
+/// Time after SIGTERM during which a node accepts new requests, µs.
 const DRAIN_ACCEPT_US: Micros = 600_000;
+/// Time that accepted requests may take after [`DRAIN_ACCEPT_US`], µs.
 const DRAIN_FINISH_US: Micros = 3_100_000;
-/// Time during which a paused process still gets clients, µs.
+/// Interval at which a draining node is checked for open requests, µs.
+const DRAIN_CHECK_INTERVAL_US: Micros = 20_000;
+/// Time for which the load generator still sends clients to a paused process, µs.
 const PAUSE_DETECTION_US: Micros = 1_250_000;
-/// Messages that the socket buffer of a paused process holds.
+/// Peer messages that the socket buffer of a paused process holds; further ones are lost.
 const SOCKET_BUFFER_MESSAGES: usize = 270;
-/// Time from the start of the first process to the start of the load.
+/// Time from the start of the first process to the start of the load, µs.
 const WARMUP_US: Micros = 500_000;
-/// Memory estimate, bytes: a node, what it holds for each server and each peer, and a request, which the oracle keeps
-/// until the end.
+/// Estimated memory of a node without servers and peers, bytes.
 const BYTES_PER_NODE: f64 = 50_000.0;
+/// Estimated memory that a node needs for each server, bytes.
 const BYTES_PER_KNOWN_SERVER: f64 = 180.0;
+/// Estimated memory that a node needs for each peer, bytes.
 const BYTES_PER_PEER: f64 = 50.0;
+/// Estimated memory of a request, which the oracle keeps until the end, bytes.
 const BYTES_PER_REQUEST: f64 = 1_000.0;
-/// Requests that clients send per request that they start with: they retry.
+/// Estimated number of requests that a client sends per original request, with its retries.
 const RETRY_FACTOR: f64 = 1.5;
-/// Time by which a run may exceed the load's duration, µs. All requests end long before.
+/// Longest time from the end of the load to the end of a run, µs. All requests end long before.
 const MAX_OVERRUN_US: Micros = 20_000_000;
 
 /// An event of the simulation's queue.
@@ -87,9 +93,10 @@
     CheckDrained(usize, u32, Micros),
     /// A paused process continues.
     Resume(usize),
+    /// The fault with this id ends on all its links.
     RemoveFault(u64),
-    /// The next of the remaining ends heals: the links, their fault, the ends left, the id of the current fault and the
-    /// time between two ends.
+    /// The links of the next end recover: all links of the fault, the fault, the ends that are left, the id of the
+    /// current fault and the time between two ends.
     HealNextEnd(
         LinkSet,
         saffronpaddle_test_doubles::links::Fault,
@@ -97,13 +104,17 @@
         u64,
         Duration,
     ),
+    /// The list service accepts connections again.
     ListServiceUp,
+    /// Discovery sends updates again.
     DiscoveryResumed,
     /// A drained server's process ends, and starts again after the given time.
     ServerDrained(usize, Duration),
     /// A server that was only listed as draining is listed as ready.
     ServerReadyAgain(usize),
+    /// A server's process starts again, cold.
     ServerRestarted(usize),
+    /// A server answers requests again.
     ServerResponsive(usize),
     /// The work time of all servers is back to normal.
     WorkTimeNormal,
@@ -126,6 +137,7 @@
     abandoned: bool,
 }
 
+/// A node: its policy engine, its process and what is in progress there.
 struct Node {
     engine: PolicyEngine,
     platform_settings: PlatformSettings,
@@ -137,7 +149,7 @@
     /// When the process was paused, and the events that wait for it.
     paused: Option<(Micros, Vec<ScheduledEvent>)>,
     open_requests: BTreeMap<RequestId, OpenRequest>,
-    /// Attempts that have not ended.
+    /// Attempts that have not ended, with the number of their server.
     attempts: BTreeMap<RequestId, (AttemptNumber, usize)>,
     /// When the idle connection to a server was last used.
     idle_connections: HashMap<usize, Micros>,
@@ -148,6 +160,7 @@
     inbound_budget: (Micros, f64),
 }
 
+/// A run in virtual time: the queue of events, and the state of nodes, servers, links and services.
 struct Simulation {
     scenario: Scenario,
     fleet: Fleet,
@@ -157,22 +170,29 @@
     random: fastrand::Rng,
     now: Micros,
     load_start: Micros,
+    /// Events by time, and by id for events at the same time.
     queue: BTreeMap<(Micros, u64), ScheduledEvent>,
     last_event_id: u64,
     nodes: Vec<Node>,
     servers: Vec<Server>,
+    /// Factor on the work time of all servers.
     work_time_factor: f64,
     list_service: ListService,
     links: Links,
     oracle: Oracle,
     /// Counters of policy engines whose processes have ended.
     decision_counters: BTreeMap<&'static str, u64>,
+    /// Number of processes that became ready.
     processes: u64,
+    /// Bytes of all peer messages that were sent.
     peer_bytes: u64,
+    /// Retries by clients.
     retries: u64,
+    /// Requests for which no node of the customer was in rotation.
     no_ready_node: u64,
     /// Latencies of served requests, ms.
     latencies_ms: Vec<f64>,
+    /// Requests that were sent; gives each its id.
     requests: u64,
 }
 
@@ -188,16 +208,16 @@
                 .steps
                 .iter()
                 .any(|step| step.action.needs_processes()),
-        "virtual time supports neither etcd nor steps that need processes"
+        "virtual time supports neither etcd nor steps that need real processes"
     );
     ensure!(
         scenario.cancellations.share == 0.0 && scenario.absent_servers.is_empty(),
         "virtual time supports neither clients that disconnect nor servers that join later"
     );
     let operator_settings = Operator::parse(operator)?;
-    let mut run = Simulation::new(scenario, seed, operator_settings)?;
-    run.run();
-    Ok(run.report())
+    let mut simulation = Simulation::new(scenario, seed, operator_settings)?;
+    simulation.run();
+    Ok(simulation.report())
 }
 
 /// Upper estimate of the bytes of memory that a run needs.
@@ -223,7 +243,7 @@
         customers
             .iter()
             .for_each(|customer| fleet.register_limits(&mut oracle, customer));
-        let mut run = Simulation {
+        let mut simulation = Simulation {
             random: fastrand::Rng::with_seed(seed),
             now: START_US,
             load_start: START_US + WARMUP_US,
@@ -248,10 +268,11 @@
             list_limits: operator_settings.list,
             seed,
         };
-        run.start_servers();
-        for node_index in 0..run.scenario.instances {
-            let mut platform_settings = setup::read(&run.fleet.settings(node_index).to_string())
-                .map_err(anyhow::Error::new)?;
+        simulation.start_servers();
+        for node_index in 0..simulation.scenario.instances {
+            let mut platform_settings =
+                setup::read(&simulation.fleet.settings(node_index).to_string())
+                    .map_err(anyhow::Error::new)?;
             (
                 platform_settings.settings.partition_safe,
                 platform_settings.settings.retransmission_budget,
@@ -263,11 +284,13 @@
             let engine = PolicyEngine::new(
                 seed ^ node_index as u64,
                 platform_settings.settings.clone(),
-                run.now,
+                simulation.now,
             )?;
-            let list_client =
-                ListClient::new(run.scenario.instances as u32, run.list_limits.as_ref());
-            run.nodes.push(Node {
+            let list_client = ListClient::new(
+                simulation.scenario.instances as u32,
+                simulation.list_limits.as_ref(),
+            );
+            simulation.nodes.push(Node {
                 engine,
                 platform_settings,
                 incarnation: 0,
@@ -282,13 +305,15 @@
                 inbound_budget: (0, 0.0),
             });
         }
-        Ok(run)
+        Ok(simulation)
     }
 
+    /// Time since the start of the run.
     fn elapsed(&self) -> Duration {
         Duration::from_micros(self.now - START_US)
     }
 
+    /// Puts an event into the queue, `after` from now.
     fn schedule(&mut self, after: Micros, event: ScheduledEvent) {
         self.last_event_id += 1;
         self.queue
@@ -299,6 +324,7 @@
         self.random.u64(NETWORK_DELAY_US)
     }
 
+    /// Handles events until all requests have ended or the run takes too long.
     fn run(&mut self) {
         for node_index in (0..self.nodes.len())
             .filter(|node_index| !self.scenario.absent.contains(node_index))
@@ -388,7 +414,7 @@
                         self.start_process(node_index);
                     } else {
                         self.schedule(
-                            20_000,
+                            DRAIN_CHECK_INTERVAL_US,
                             ScheduledEvent::CheckDrained(node_index, incarnation, until),
                         );
                     }
@@ -428,12 +454,14 @@
         }
     }
 
+    /// Whether the node's process with this number is running.
     fn is_current(&self, node_index: usize, incarnation: u32) -> bool {
         self.nodes[node_index].running && self.nodes[node_index].incarnation == incarnation
     }
 
     // ---- Processes ----
 
+    /// Starts a process for a node; it is ready after [`PROCESS_START_US`].
     fn start_process(&mut self, node_index: usize) {
         let incarnation = self.nodes[node_index].incarnation;
         self.schedule(
@@ -484,7 +512,7 @@
         );
     }
 
-    /// Adds up the counters of a node's policy engine.
+    /// Adds the counters of a node's policy engine to those of the fleet.
     fn collect_counters(&mut self, node_index: usize) {
         for (name, count) in self.nodes[node_index].engine.counters().by_name() {
             *self.decision_counters.entry(name).or_default() += count;
@@ -514,6 +542,7 @@
         self.oracle.node_restarted(node_index);
     }
 
+    /// Resumes a paused process, which then receives the events that arrived meanwhile.
     fn resume(&mut self, node_index: usize) {
         let Some((stopped, unread)) = self.nodes[node_index].paused.take() else {
             return;
@@ -530,6 +559,7 @@
 
     // ---- Clients ----
 
+    /// Sends a new request of a customer and schedules the next one, until the load ends.
     fn customer_arrival(&mut self, customer: usize) {
         let end = self.load_start + self.scenario.duration.as_micros() as Micros;
         if self.now >= end {
@@ -552,6 +582,7 @@
         );
     }
 
+    /// Sends a client's request to the first of the customer's nodes that is in rotation.
     fn send_request(&mut self, client: Client) {
         let customer = &self.customers[client.customer];
         let elapsed = self.elapsed();
@@ -603,6 +634,7 @@
         self.deliver(node_index, event);
     }
 
+    /// Records the final answer to a request. If it was not served, schedules the client's retry, if there is one.
     fn finish_request(
         &mut self,
         node_index: usize,
@@ -636,6 +668,7 @@
 
     // ---- Policy engine ----
 
+    /// Passes an event to a node's policy engine and performs the actions that it returns.
     fn deliver(&mut self, node_index: usize, event: Event) {
         let mut out = Vec::new();
         self.nodes[node_index]
@@ -682,7 +715,7 @@
         }
     }
 
-    /// Handles the end of an outstanding attempt.
+    /// Reports the end of an outstanding attempt to the policy engine, and answers the request if it was served.
     fn attempt_ended(&mut self, node_index: usize, id: RequestId, outcome: Outcome) {
         let Some((attempt, server)) = self.nodes[node_index].attempts.remove(&id) else {
             return;
@@ -734,6 +767,7 @@
         self.transmit(in_flight, network_delay);
     }
 
+    /// Sends a message to a peer, subject to the link's fault and the limit of the receiver.
     fn send_peer_message(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
         self.nodes[from].peer_messages.0 += 1;
         self.peer_bytes += bytes.len() as u64;
--- a/crates/fleet-harness/src/virtually/servers.rs
+++ b/crates/fleet-harness/src/virtually/servers.rs
@@ -6,25 +6,33 @@
 use saffronpaddle_test_doubles::links::End;
 use std::time::Duration;
 
+/// An app server and its current process.
 pub(super) struct Server {
     pub name: String,
-    pub block: u64,
+    /// Servers of one domain share a record of idempotency keys.
+    pub deduplication_domain: u64,
     pub running: bool,
     /// Number of the server's process. Work of an earlier one is dropped.
     pub incarnation: u32,
+    /// Whether it accepts requests and answers none.
     pub silent: bool,
     /// When each core becomes idle.
     cores: Vec<Micros>,
+    /// Requests that were accepted and are not finished.
     requests_held: usize,
+    /// When each new connection was opened, since the start of the run.
     handshakes: Vec<Duration>,
+    /// Requests received over all processes.
     requests: usize,
 }
 
 impl Server {
+    /// Seconds of work per second that a warm server can do.
     pub fn capacity(&self) -> f64 {
         self.cores.len() as f64
     }
 
+    /// Times of the new connections, and the number of requests.
     pub fn handshakes_and_requests(&self) -> (Vec<Duration>, usize) {
         (self.handshakes.clone(), self.requests)
     }
@@ -34,15 +42,17 @@
 #[derive(Clone, Debug)]
 pub(super) struct InFlightAttempt {
     pub node: usize,
+    /// Number of the node's process.
     pub incarnation: u32,
     pub id: RequestId,
     pub attempt: AttemptNumber,
     pub server: usize,
-    /// When its first byte reaches the server.
+    /// When the first byte of the attempt reaches the server.
     pub first_byte_at: Micros,
 }
 
 impl Simulation {
+    /// Starts the app servers of the scenario.
     pub(super) fn start_servers(&mut self) {
         let cores = self.scenario.cores_per_server(&self.fleet);
         for number in 0..self.scenario.servers {
@@ -53,7 +63,7 @@
             }
             self.servers.push(Server {
                 name,
-                block: (number / SERVERS_PER_DEDUPLICATION_DOMAIN) as u64,
+                deduplication_domain: (number / SERVERS_PER_DEDUPLICATION_DOMAIN) as u64,
                 running: true,
                 incarnation: 0,
                 silent: false,
@@ -109,12 +119,15 @@
         }
     }
 
+    /// Whether the node still waits for this attempt: it has neither ended the attempt nor restarted.
     fn is_outstanding(&self, in_flight: &InFlightAttempt) -> bool {
         let outstanding = self.nodes[in_flight.node].attempts.get(&in_flight.id);
         self.is_current(in_flight.node, in_flight.incarnation)
             && outstanding.is_some_and(|(attempt, _)| *attempt == in_flight.attempt)
     }
 
+    /// Handles the arrival of a complete attempt: the server rejects it, holds it without an answer, or queues its
+    /// work.
     pub(super) fn attempt_received(&mut self, in_flight: InFlightAttempt) {
         if !self.is_outstanding(&in_flight) {
             return;
@@ -165,6 +178,7 @@
         self.schedule(after, ScheduledEvent::WorkDone(in_flight, incarnation));
     }
 
+    /// Records that a server has done the work of an attempt, and sends the response if the node still waits for it.
     pub(super) fn work_done(&mut self, in_flight: InFlightAttempt, incarnation: u32) {
         let (elapsed, network_delay) = (self.elapsed(), self.draw_network_delay());
         let server = &mut self.servers[in_flight.server];
@@ -172,9 +186,9 @@
             return;
         }
         server.requests_held = server.requests_held.saturating_sub(1);
-        let block = server.block;
+        let deduplication_domain = server.deduplication_domain;
         self.oracle
-            .attempt_executed(elapsed, elapsed, block, &in_flight.id.0);
+            .attempt_executed(elapsed, elapsed, deduplication_domain, &in_flight.id.0);
         if !self.is_outstanding(&in_flight) {
             return;
         }
@@ -196,6 +210,7 @@
         }
     }
 
+    /// Handles the outcome of an attempt at its node.
     pub(super) fn reply_received(&mut self, in_flight: &InFlightAttempt, outcome: Outcome) {
         if !self.is_outstanding(in_flight) {
             return;
@@ -251,6 +266,7 @@
         );
     }
 
+    /// Starts a server's process, cold, and lists the server as ready.
     pub(super) fn restart_server(&mut self, server_index: usize) {
         let (elapsed, now) = (self.elapsed(), self.now);
         let server = &mut self.servers[server_index];
--- a/crates/fleet-harness/src/windows.rs
+++ b/crates/fleet-harness/src/windows.rs
@@ -75,6 +75,7 @@
         })
     }
 
+    /// The counts of the second in which a time since the start of the load lies; `None` for a time before it.
     fn second_at(&mut self, since: Option<Duration>) -> Option<&mut WindowCounts> {
         let second = since?.as_secs() as usize;
         if self.seconds.len() <= second {
@@ -86,8 +87,8 @@
 
 /// Counts the requests of a run by second, for the entire fleet and for each side.
 pub fn tally_seconds(oracle: &Oracle, sides: &[Side], load_start: Duration) -> Vec<SideWindows> {
-    let named = std::iter::once("all").chain(sides.iter().map(|side| &*side.name));
-    let mut all: Vec<SideWindows> = named
+    let side_names = std::iter::once("all").chain(sides.iter().map(|side| &*side.name));
+    let mut all: Vec<SideWindows> = side_names
         .map(|side| SideWindows {
             side: side.to_owned(),
             seconds: Vec::new(),
@@ -132,7 +133,7 @@
     all
 }
 
-/// The counts as a text table.
+/// The counts as a text table. `with-room` is [`WindowCounts::refused_within_limits`].
 pub fn table(all: &[SideWindows]) -> String {
     let mut text =
         String::from("side      second  tries served refused failed with-room  units beyond\n");
