--- a/crates/saffronpaddle/src/fleet.rs
+++ b/crates/saffronpaddle/src/fleet.rs
@@ -27,7 +27,7 @@
     /// Whether to print a table with a row for each second.
     print_table: bool,
     in_virtual_time: bool,
-    /// The program that instances run. If `None`, this one.
+    /// The program that instances run. If `None`, this program.
     program: Option<PathBuf>,
     /// Text of the instances' operator file. If empty, that of the scenario is used.
     operator: String,
--- a/crates/saffronpaddle/src/usage.rs
+++ b/crates/saffronpaddle/src/usage.rs
@@ -14,9 +14,9 @@
         [--instances N] [--rate N]        thirty, short, forty-cold, cold-thirty, cold-hundreds, calm, drains, etcd, flips,
                                           halves, apart
         [--seconds N] [--keep FOLDER]   [--roster] discovery, etcd or both overrides the source of the server list;
-        [--servers N] [--table]           --table prints each second by side; --operator FILE is the instances' operator
-        [--operator FILE] [--program P]   file; --program runs another build of the program; --virtual runs only the decision
-        [--virtual]                       modules of the fleet, in virtual time, with up to 10,000
+        [--servers N] [--table]           --table prints the counts of each second by side; --operator FILE is the operator
+        [--operator FILE] [--program P]   file of the instances; --program runs another build of the program; --virtual
+        [--virtual]                       runs only the decision modules of the fleet, in virtual time, with up to 10,000
                                           nodes and 100,000 servers if memory allows: about 180 bytes
                                           per node for each server that it knows, 50 for each peer
   saffronpaddle fleet counts LOGS...      adds up the counters that nodes wrote to their logs (log.counts_every_ms): a table,
--- a/crates/saffronpaddle/tests/admin.rs
+++ b/crates/saffronpaddle/tests/admin.rs
@@ -8,7 +8,7 @@
 
 const READY_REQUEST: &str = "GET /-/ready HTTP/1.1\r\nHost: n0\r\n\r\n";
 
-/// Starts a node with one app server that gives these replies. Returns the node's admin address too.
+/// Starts a node with an admin address and one app server that gives `replies`.
 fn start_with_admin(tag: &str, replies: &[Reply]) -> (Servers, Discovery, Node, SocketAddr) {
     let (servers, discovery, admin) = (Servers::new(), Discovery::start(), free_address());
     let dial = servers.start("s-1", replies);
@@ -29,7 +29,7 @@
         }
         assert!(
             started.elapsed() < TEST_TIMEOUT,
-            "{name} is not {wanted}: {metrics}"
+            "{name} did not become {wanted} within {TEST_TIMEOUT:?}: {metrics}"
         );
     }
 }
@@ -61,15 +61,18 @@
         );
     }
     // A line without its end is no command, even if the text is one.
-    let mut unterminated = TcpStream::connect(admin).expect("connected");
-    unterminated.write_all(b"LAMEDUCK").expect("written");
+    let mut unterminated =
+        TcpStream::connect(admin).expect("the admin address accepts the connection");
+    unterminated
+        .write_all(b"LAMEDUCK")
+        .expect("the write succeeds");
     unterminated
         .shutdown(std::net::Shutdown::Write)
-        .expect("shut");
+        .expect("the connection is open");
     let mut answer = String::new();
     unterminated
         .read_to_string(&mut answer)
-        .expect("a response");
+        .expect("the node responds");
     assert!(answer.starts_with("FAILURE"), "{answer}");
     assert_eq!(node.connect().exchange(READY_REQUEST).status(), 200);
     assert!(node.is_running());
@@ -148,21 +151,22 @@
     let (_servers, _discovery, node, admin) = start_with_admin("silent-callers", &[REPLY_OK]);
     let mut silent = Vec::new();
     for number in 0..100 {
-        let mut stream = TcpStream::connect(admin).expect("connected");
+        let mut stream =
+            TcpStream::connect(admin).expect("the admin address accepts the connection");
         if number % 2 == 0 {
-            stream.write_all(b"INF").expect("written");
+            stream.write_all(b"INF").expect("the write succeeds");
         }
         silent.push(stream);
         assert!(
             admin_request(admin, "PING\n").starts_with("SUCCESS"),
-            "after {number}"
+            "PING failed after {number} silent connections"
         );
     }
     // The oldest connections were closed to make room, without a response.
     let mut oldest = silent.swap_remove(0);
     oldest
         .set_read_timeout(Some(TEST_TIMEOUT))
-        .expect("a time-out");
+        .expect("the read time-out is set");
     let mut rest = Vec::new();
     let read = oldest.read_to_end(&mut rest);
     assert!(rest.is_empty(), "{read:?} {rest:?}");
@@ -185,7 +189,7 @@
     assert!(admin_request(admin, "LAMEDUCK\n").starts_with("SUCCESS"));
     assert!(
         admin_request(admin, "LAMEDUCK\n").starts_with("SUCCESS"),
-        "a second LAMEDUCK has no effect"
+        "a second LAMEDUCK was not accepted"
     );
     let answer = new_connection.exchange(READY_REQUEST);
     assert_eq!(
@@ -204,8 +208,8 @@
     upstream_request
         .stream
         .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nranks")
-        .expect("written");
-    let answer = in_progress.read_response().expect("a response");
+        .expect("the write succeeds");
+    let answer = in_progress.read_response().expect("the node responds");
     assert_eq!(
         (answer.status(), answer.header("connection")),
         (200, "close")
@@ -220,7 +224,7 @@
     assert_eq!(
         back.exchange(&request("d", "read", "20000m")).status(),
         200,
-        "a connection is kept after REJOIN"
+        "the connection was not kept after REJOIN"
     );
     // REJOIN does not cancel a stop.
     node.terminate();
@@ -233,7 +237,10 @@
                 .write_all(b"REJOIN\n")
                 .and_then(|()| stream.read_to_string(&mut answer));
         }
-        assert!(started.elapsed() < TEST_TIMEOUT);
+        assert!(
+            started.elapsed() < TEST_TIMEOUT,
+            "the node did not exit within {TEST_TIMEOUT:?}"
+        );
         std::thread::sleep(Duration::from_millis(20));
     }
 }
--- a/crates/saffronpaddle/tests/bodies.rs
+++ b/crates/saffronpaddle/tests/bodies.rs
@@ -25,7 +25,13 @@
 fn read_head(reader: &mut impl BufRead) -> String {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
-        assert!(reader.read_line(&mut head).expect("a line") > 0, "{head}");
+        assert!(
+            reader
+                .read_line(&mut head)
+                .expect("a line of the head arrives")
+                > 0,
+            "{head}"
+        );
     }
     head
 }
@@ -41,7 +47,10 @@
     for _ in 0..LARGE_BODY_BYTES / 1000 {
         client.write(&"a".repeat(1000));
     }
-    assert_eq!(client.read_response().expect("an answer").status(), 200);
+    assert_eq!(
+        client.read_response().expect("the node answers").status(),
+        200
+    );
     let upstream_request = servers.next_request();
     assert_eq!(
         (
@@ -60,7 +69,10 @@
             .write_all(piece)
             .expect("the node reads the body");
     }
-    assert_eq!(client.read_response().expect("an answer").status(), 200);
+    assert_eq!(
+        client.read_response().expect("the node answers").status(),
+        200
+    );
     assert_eq!(
         servers.next_request().message.body.len(),
         (1..500).sum::<usize>()
@@ -103,8 +115,8 @@
         "HTTP/1.1 200 OK\r\nContent-Length: {LARGE_BODY_BYTES}\r\n\r\n{}",
         &part[..70_000]
     )
-    .expect("written");
-    let mut reader = BufReader::new(client.stream.try_clone().expect("a clone"));
+    .expect("the write succeeds");
+    let mut reader = BufReader::new(client.stream.try_clone().expect("the socket can be cloned"));
     assert!(read_head(&mut reader).starts_with("HTTP/1.1 200"));
     let mut first = vec![0; 70_000];
     reader
@@ -118,7 +130,10 @@
             false,
             &[host_json(
                 "s-1",
-                upstream_request.stream.local_addr().expect("an address"),
+                upstream_request
+                    .stream
+                    .local_addr()
+                    .expect("the socket has an address"),
                 1,
                 "draining",
             )],
@@ -129,17 +144,17 @@
         upstream_request
             .stream
             .write_all(&part.as_bytes()[70_000..])
-            .expect("written");
+            .expect("the write succeeds");
         upstream_request
             .stream
             .write_all(part.as_bytes())
-            .expect("written");
+            .expect("the write succeeds");
         upstream_request
     });
     reader
         .read_exact(&mut rest)
-        .expect("the rest of the response");
-    drop(writer.join().expect("written"));
+        .expect("the rest of the response arrives");
+    drop(writer.join().expect("the server has written the response"));
 }
 
 #[test]
@@ -161,8 +176,9 @@
             upstream_request.stream,
             "HTTP/1.1 200 OK\r\n{framing}\r\n\r\n{piece}"
         )
-        .expect("written");
-        let mut reader = BufReader::new(client.stream.try_clone().expect("a clone"));
+        .expect("the write succeeds");
+        let mut reader =
+            BufReader::new(client.stream.try_clone().expect("the socket can be cloned"));
         read_head(&mut reader);
         upstream_request
             .stream
@@ -173,7 +189,7 @@
         let _ = reader.read_to_end(&mut rest);
         assert!(
             rest.len() < LARGE_BODY_BYTES && !rest.ends_with(b"0\r\n\r\n"),
-            "{tag}: {} bytes",
+            "{tag}: the client received a complete response of {} bytes",
             rest.len()
         );
         assert_eq!(
@@ -189,9 +205,9 @@
 /// that allows a safe retry, once it has written the complete body.
 #[test]
 fn a_request_whose_server_disconnects_during_the_body_is_refused_and_not_retried() {
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a loopback port is free");
     let (servers, discovery) = (Servers::new(), Discovery::start());
-    let dial = listener.local_addr().expect("an address");
+    let dial = listener.local_addr().expect("the socket has an address");
     let node = Node::start(
         "breaks",
         discovery.address,
@@ -200,10 +216,14 @@
     let server = std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("the node connects");
         let mut part = vec![0; 100_000];
-        stream.read_exact(&mut part).expect("a part of the body");
+        stream
+            .read_exact(&mut part)
+            .expect("a part of the body arrives");
         drop(stream);
         // The node must not connect again.
-        listener.set_nonblocking(true).expect("set");
+        listener
+            .set_nonblocking(true)
+            .expect("non-blocking mode is set");
         listener
     });
     let mut client = node.connect();
@@ -214,10 +234,13 @@
     client.write(&"a".repeat(200_000));
     let listener = server.join().expect("the server received a part");
     client.write(&"a".repeat(LARGE_BODY_BYTES - 200_000));
-    assert_eq!(client.read_response().expect("an answer").status(), 503);
+    assert_eq!(
+        client.read_response().expect("the node answers").status(),
+        503
+    );
     assert!(
         listener.accept().is_err(),
-        "retried, though the start of the body is no longer buffered"
+        "the node retried the request, though the start of the body is no longer buffered"
     );
     servers.assert_no_more_requests();
 }
@@ -226,9 +249,9 @@
 /// body, not at its deadline.
 #[test]
 fn a_response_that_comes_before_the_end_of_the_body_ends_the_request() {
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a loopback port is free");
     let discovery = Discovery::start();
-    let dial = listener.local_addr().expect("an address");
+    let dial = listener.local_addr().expect("the socket has an address");
     let node = Node::start(
         "early",
         discovery.address,
@@ -237,10 +260,12 @@
     let server = std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("the node connects");
         let mut part = [0; 100];
-        stream.read_exact(&mut part).expect("a part of the body");
+        stream
+            .read_exact(&mut part)
+            .expect("a part of the body arrives");
         stream
             .write_all(b"HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
-            .expect("written");
+            .expect("the write succeeds");
         stream
     });
     let mut client = node.connect();
@@ -249,7 +274,10 @@
     let _stream = server.join().expect("the server received a part");
     client.write(&format!("{}0\r\n\r\n", chunk(1000)));
     let started = std::time::Instant::now();
-    assert_eq!(client.read_response().expect("an answer").status(), 503);
+    assert_eq!(
+        client.read_response().expect("the node answers").status(),
+        503
+    );
     assert!(
         started.elapsed().as_secs() < 15,
         "the response came at the deadline"
@@ -268,33 +296,38 @@
         upstream_request.stream,
         "HTTP/1.1 200 OK\r\nContent-Length: {size}\r\n\r\n"
     )
-    .expect("written");
+    .expect("the write succeeds");
     let writer = std::thread::spawn(move || {
         let piece = vec![b'r'; 1 << 20];
-        (0..30).for_each(|_| upstream_request.stream.write_all(&piece).expect("written"));
+        (0..30).for_each(|_| {
+            upstream_request
+                .stream
+                .write_all(&piece)
+                .expect("the write succeeds");
+        });
         upstream_request
     });
-    let mut reader = BufReader::new(client.stream.try_clone().expect("a clone"));
+    let mut reader = BufReader::new(client.stream.try_clone().expect("the socket can be cloned"));
     read_head(&mut reader);
     std::thread::sleep(std::time::Duration::from_millis(300));
-    let status =
-        std::fs::read_to_string(format!("/proc/{}/status", node.id())).expect("the node runs");
+    let status = std::fs::read_to_string(format!("/proc/{}/status", node.id()))
+        .expect("the node is running");
     let peak_memory = status
         .lines()
         .find_map(|line| line.strip_prefix("VmHWM:"))
-        .expect("a line");
+        .expect("the status has the peak memory");
     let kilobytes: u64 = peak_memory
         .trim()
         .trim_end_matches("kB")
         .trim()
         .parse()
-        .expect("a number");
-    assert!(kilobytes < 24_000, "{kilobytes} kB");
+        .expect("the peak memory is a number of kB");
+    assert!(kilobytes < 24_000, "peak memory of {kilobytes} kB");
     let mut rest = vec![0; size];
     reader
         .read_exact(&mut rest)
-        .expect("the rest of the response");
-    drop(writer.join().expect("written"));
+        .expect("the rest of the response arrives");
+    drop(writer.join().expect("the server has written the response"));
 }
 
 /// Connections to the client and to the server are reused after a large body was streamed on them.
--- a/crates/saffronpaddle/tests/cold_start.rs
+++ b/crates/saffronpaddle/tests/cold_start.rs
@@ -21,8 +21,8 @@
     )
 }
 
-/// The fleet uses the capacity that a server of four cores has while it is cold. A limit of 1.5 sends per second for
-/// the entire fleet, which an earlier version had, serves only about nine requests in six seconds.
+/// The fleet uses the capacity that a server of four cores has while it is cold. With a fixed limit of 1.5 sends per
+/// second for the entire fleet, it would serve only about nine requests in six seconds.
 #[test]
 fn a_cold_fleet_uses_the_capacity_that_its_cold_server_has() {
     let report = run_scenario_with_operator("cold-all", &cold_scenario("all", ""), "");
@@ -31,8 +31,8 @@
 }
 
 /// Nodes send to cold servers in turns that need no messages, and adapt to the responses: with all peer datagrams lost,
-/// the sum of what they send still keeps to the limit. (Owners of customers' quotas can't be reached either; what a
-/// node sends alone is bounded by that.)
+/// the sum of what they send still keeps to the limit. (The owners of customers' quotas can't be reached either, which
+/// also bounds what a node sends.)
 #[test]
 fn a_cold_start_without_peer_messages_does_not_overload_the_server() {
     let lost = "[[step]]\ndo = \"peers\"\nloss = 1.0\n";
@@ -176,7 +176,10 @@
     );
     assert!(report.good(), "{report}");
     let after = report.within("all", 4, 6);
-    assert!(after.served * 2 > after.tries, "servers are lost: {report}");
+    assert!(
+        after.served * 2 > after.tries,
+        "the nodes no longer send to their servers: {report}"
+    );
 }
 
 /// The list service accepts connections but never answers: all nodes serve from their configured list.
--- a/crates/saffronpaddle/tests/command_line.rs
+++ b/crates/saffronpaddle/tests/command_line.rs
@@ -32,14 +32,14 @@
 fn error_output(arguments: &[&str]) -> String {
     let output = run(arguments);
     assert_eq!(output.status.code(), Some(1), "{arguments:?}");
-    String::from_utf8(output.stderr).expect("text")
+    String::from_utf8(output.stderr).expect("standard error is UTF-8")
 }
 
 #[test]
 fn help_prints_every_subcommand_and_option_to_standard_output() {
     let output = run(&["--help"]);
     assert_eq!(output.status.code(), Some(0));
-    let text = String::from_utf8(output.stdout).expect("text");
+    let text = String::from_utf8(output.stdout).expect("standard output is UTF-8");
     let subcommands = [
         "[run]",
         "check FILE",
@@ -73,7 +73,10 @@
     ];
     let commands = ["PING", "INFO", "LAMEDUCK", "REJOIN"];
     for expected in subcommands.iter().chain(&options).chain(&commands) {
-        assert!(text.contains(expected), "{expected}:\n{text}");
+        assert!(
+            text.contains(expected),
+            "the help text lacks {expected:?}:\n{text}"
+        );
     }
 }
 
@@ -133,22 +136,22 @@
     );
     assert_eq!(exit_code(&["check", "/nowhere/operator.toml"]), Some(1));
     assert_eq!(exit_code(&["check"]), Some(1));
-    assert_eq!(exit_code(&["run"]), Some(1), "there is no configuration");
-    assert_eq!(exit_code(&[]), Some(1), "there is no configuration");
+    assert_eq!(exit_code(&["run"]), Some(1), "no configuration is set");
+    assert_eq!(exit_code(&[]), Some(1), "no configuration is set");
     assert_eq!(
         exit_code(&["call", "127.0.0.1:1", "PING"]),
         Some(1),
-        "no node listens there"
+        "no node listens at the address"
     );
-    assert_eq!(exit_code(&["fleet"]), Some(1), "there is no scenario");
+    assert_eq!(exit_code(&["fleet"]), Some(1), "no scenario is named");
 }
 
 #[test]
 fn check_reports_the_key_of_an_error_in_an_operator_file() {
     let path = std::env::temp_dir().join(format!("saffronpaddle-{}-bad.toml", std::process::id()));
-    std::fs::write(&path, "[ready]\nlag = 5\n").expect("written");
-    let stderr = error_output(&["check", path.to_str().expect("text")]);
-    std::fs::remove_file(&path).expect("removed");
+    std::fs::write(&path, "[ready]\nlag = 5\n").expect("the operator file can be written");
+    let stderr = error_output(&["check", path.to_str().expect("the path is UTF-8")]);
+    std::fs::remove_file(&path).expect("the operator file can be removed");
     assert!(stderr.contains("ready.lag: unknown key"), "{stderr}");
 }
 
@@ -168,5 +171,5 @@
             + "\n"
     };
     let keys: String = metrics.lines().map(key).collect();
-    assert_eq!(keys, METRIC_KEYS, "\n{keys}");
+    assert_eq!(keys, METRIC_KEYS, "the keys of the response are:\n{keys}");
 }
--- a/crates/saffronpaddle/tests/common/mod.rs
+++ b/crates/saffronpaddle/tests/common/mod.rs
@@ -78,7 +78,7 @@
             .arg(source)
             .arg("-ldl");
         assert!(
-            compiler.status().expect("a C compiler runs").success(),
+            compiler.status().expect("`cc` can be run").success(),
             "the library that makes system calls fail compiles"
         );
         library
@@ -94,7 +94,7 @@
 /// Runs a scenario whose instances have an operator file with the text `operator`.
 #[allow(dead_code)]
 pub fn run_scenario_with_operator(tag: &str, text: &str, operator: &str) -> Report {
-    let scenario = Scenario::parse(text, 1).expect("a valid scenario");
+    let scenario = Scenario::parse(text, 1).expect("the scenario is valid");
     let folder =
         std::env::temp_dir().join(format!("saffronpaddle-{}-fleet-{tag}", std::process::id()));
     let operator = operator.to_owned();
--- a/crates/saffronpaddle/tests/crossings.rs
+++ b/crates/saffronpaddle/tests/crossings.rs
@@ -1,5 +1,5 @@
 //! Races between two events, forced over loopback against the program: a watch ends, a client disconnects or the
-//! process stops while a request or an update is still pending. `docs/properties.md` has the table.
+//! process stops while a request or an update is still pending. `docs/properties.md` lists these tests in a table.
 //!
 //! The tests order events by waiting for each one. Where only the kernel can tell when bytes have arrived, the node is
 //! suspended, so that it finds all of them at once when it resumes.
@@ -20,7 +20,10 @@
     let (mut consecutive, mut number) = (0, 0);
     while consecutive < CONSECUTIVE_ANSWERS {
         number += 1;
-        assert!(number < MAX_REQUESTS, "{name} has answered no request");
+        assert!(
+            number < MAX_REQUESTS,
+            "{name} has answered none of {MAX_REQUESTS} requests"
+        );
         assert_eq!(
             client
                 .exchange(&request(&format!("{name}-{number}"), "read", "20000m"))
@@ -145,10 +148,14 @@
         &list_json(7, true, &[host_json("s-1", dials[0], 1, "ready")]),
     );
     // Both accept connections and send nothing; the node is moved to one, then to the other.
-    let silent = [(); 2].map(|()| TcpListener::bind("127.0.0.1:0").expect("a port"));
-    let silent_at = silent
-        .each_ref()
-        .map(|listener| listener.local_addr().expect("an address").to_string());
+    let silent =
+        [(); 2].map(|()| TcpListener::bind("127.0.0.1:0").expect("a loopback port is free"));
+    let silent_at = silent.each_ref().map(|listener| {
+        listener
+            .local_addr()
+            .expect("the socket has an address")
+            .to_string()
+    });
     let from = old.address.to_string();
     node.reload(|text| text.replace(&from, &silent_at[0]));
     node.reload(|text| text.replace(&silent_at[0], &silent_at[1]));
@@ -158,8 +165,8 @@
     // The new one's sequence numbers start again. Its first list is applied, and the old watch ends.
     let new = Discovery::start();
     node.reload(|text| text.replace(&silent_at[1], &new.address.to_string()));
-    let (asked, mut first) = new.next_watch();
-    assert!(!asked.contains("from"), "{asked}");
+    let (request_line, mut first) = new.next_watch();
+    assert!(!request_line.contains("from"), "{request_line}");
     write_list(
         &mut first,
         &list_json(1, true, &[host_json("s-1", dials[0], 1, "ready")]),
@@ -167,7 +174,7 @@
     wait_until_only_server(&mut client, &servers, "s-1");
     watch
         .set_read_timeout(Some(TEST_TIMEOUT))
-        .expect("a time-out");
+        .expect("the read time-out is set");
     watch
         .read_to_end(&mut Vec::new())
         .expect("the old watch ends");
@@ -242,7 +249,10 @@
         );
         node.signal("-CONT");
         for client in &mut clients {
-            assert_eq!(client.read_response().expect("an answer").status(), 200);
+            assert_eq!(
+                client.read_response().expect("the node answers").status(),
+                200
+            );
             assert_eq!(servers.next_request().server, name, "round {round}");
         }
         first_drains = !first_drains;
@@ -279,11 +289,15 @@
 fn a_suspended_node_applies_a_drain_that_arrived_with_the_response_to_its_call() {
     let (servers, listener) = (
         Servers::new(),
-        TcpListener::bind("127.0.0.1:0").expect("a port"),
+        TcpListener::bind("127.0.0.1:0").expect("a loopback port is free"),
     );
     let dials = ["s-1", "s-2"].map(|name| servers.start(name, &[REPLY_OK]));
-    let at = listener.local_addr().expect("an address");
-    let node = Node::start("still-call", at, &[host_json("s-1", dials[0], 1, "ready")]);
+    let address = listener.local_addr().expect("the socket has an address");
+    let node = Node::start(
+        "still-call",
+        address,
+        &[host_json("s-1", dials[0], 1, "ready")],
+    );
     listener
         .set_nonblocking(true)
         .expect("the listener becomes non-blocking");
@@ -305,13 +319,17 @@
             .or(newest);
         // A call whose request has not arrived, or that the node has cancelled, is not answered.
         let call = newest.take_if(|(stream, _)| {
-            stream.set_nonblocking(true).expect("a mode");
+            stream
+                .set_nonblocking(true)
+                .expect("non-blocking mode is set");
             let has_arrived = stream.peek(&mut [0]).is_ok();
-            stream.set_nonblocking(false).expect("a mode");
+            stream.set_nonblocking(false).expect("blocking mode is set");
             has_arrived
         });
         if let Some((stream, _)) = call {
-            Message::read(&mut BufReader::new(stream.try_clone().expect("a clone")));
+            Message::read(&mut BufReader::new(
+                stream.try_clone().expect("the socket can be cloned"),
+            ));
             if !is_closed(&stream) {
                 break stream;
             }
@@ -333,7 +351,10 @@
     wait_for_unread(&open_call, answer.len());
     node.signal("-CONT");
     for client in &mut clients {
-        assert_eq!(client.read_response().expect("an answer").status(), 200);
+        assert_eq!(
+            client.read_response().expect("the node answers").status(),
+            200
+        );
         assert_eq!(servers.next_request().server, "s-2");
     }
 }
@@ -547,22 +568,22 @@
     assert_eq!(
         client.exchange(&of("b", "read", "p-1", poor)).status(),
         503,
-        "its quota of one unit is used up"
+        "the quota of one unit is used up"
     );
     assert_eq!(
         client.exchange(&of("c", "read", "p", rich)).status(),
         200,
-        "another customer and plan"
+        "the quota of another customer and plan is separate"
     );
     assert_eq!(
         client.exchange(&of("d", "read-all", "p-1", other)).status(),
         200,
-        "another customer of the same plan"
+        "the quota of another customer of the same plan is separate"
     );
     assert_eq!(
         client.exchange(&of("e", "submit", "p-1", poor)).status(),
         503,
-        "the same customer and plan in another class"
+        "classes share the quota of a customer and plan"
     );
     for (id, class) in [("a", "read"), ("c", "read"), ("d", "read-all")] {
         let upstream_request = servers.next_request().message;
@@ -585,8 +606,8 @@
 
 // ---- Answers ----
 
-/// `X-Not-Run` is a proof only in a response that refuses the request. A response head that never ends is a failed
-/// attempt that may have run.
+/// Only in a response that refuses the request does `X-Not-Run` prove that the request did not run. A response head that
+/// never ends is a failed attempt that may have run.
 #[test]
 fn an_unsafe_request_is_not_retried_without_a_valid_proof_that_it_did_not_run() {
     let head = "HTTP/1.1 200 OK\r\nX-Junk: ".to_owned() + &"j".repeat(40_000);
@@ -608,10 +629,10 @@
         ),
         ("endless", head, 502),
     ];
-    for (tag, words, status) in cases {
-        let words: &'static str = Box::leak(words.into_boxed_str());
+    for (tag, response, status) in cases {
+        let response: &'static str = Box::leak(response.into_boxed_str());
         let (servers, _discovery, node) =
-            start_with_one_server(&format!("ran-{tag}"), &[Reply::Respond(words), REPLY_OK]);
+            start_with_one_server(&format!("ran-{tag}"), &[Reply::Respond(response), REPLY_OK]);
         let mut client = node.connect();
         assert_eq!(
             client.exchange(&request("a", "pay", "20000m")).status(),
@@ -632,7 +653,7 @@
     }
 }
 
-// ---- The process ends ----
+// ---- Shutdown ----
 
 /// Reads a node's log up to and including a line.
 fn wait_for_log_line(node: &Node, line: &str) {
@@ -672,7 +693,8 @@
     assert!(node.wait().success());
 }
 
-/// Guards against a request that is accepted during shutdown and whose deadline lies after the exit of the process.
+/// Guards against a request that is never answered because the node accepts it during shutdown and its deadline lies
+/// after the exit of the process.
 #[test]
 fn requests_accepted_during_shutdown_are_answered_before_the_process_exits() {
     let (servers, discovery) = (Servers::new(), Discovery::start());
@@ -740,13 +762,13 @@
 /// The answer exceeds the kernel's send buffer, so that the node still holds a part of it at SIGTERM.
 #[test]
 fn an_unflushed_answer_is_written_completely_before_the_process_exits() {
-    let words = format!(
+    let response = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: 20000000\r\n\r\n{}",
         "r".repeat(20_000_000)
     );
     let (servers, _discovery, mut node) = start_with_one_server(
         "flush",
-        &[Reply::Respond(Box::leak(words.into_boxed_str()))],
+        &[Reply::Respond(Box::leak(response.into_boxed_str()))],
     );
     let (mut client, mut idle) = (node.connect(), node.connect());
     assert_eq!(
@@ -761,7 +783,7 @@
     assert_eq!(
         client
             .read_response()
-            .expect("a complete answer")
+            .expect("the node writes a complete answer")
             .body
             .len(),
         20_000_000
@@ -769,7 +791,7 @@
     assert!(node.wait().success());
 }
 
-// ---- Bad input ----
+// ---- Malformed lists ----
 
 /// A malformed list changes nothing, and the next valid list is applied.
 #[test]
--- a/crates/saffronpaddle/tests/delayed_requests.rs
+++ b/crates/saffronpaddle/tests/delayed_requests.rs
@@ -98,9 +98,9 @@
     let mut clients = send_one_request_each(&node, 20, "1500m");
     for client in &mut clients {
         assert_eq!(
-            client.read_response().expect("an answer").status(),
+            client.read_response().expect("the node answers").status(),
             200,
-            "after {:?}",
+            "the answer came after {:?}",
             began.elapsed()
         );
         servers.next_request();
@@ -108,9 +108,9 @@
     drop(idle);
 }
 
-/// The node is suspended meanwhile: its backlog holds idle connections, and requests behind them.
+/// While the node is suspended, its backlog fills with idle connections, and requests arrive behind them.
 #[test]
-fn requests_behind_idle_connections_forward_no_more_time_than_is_left() {
+fn requests_behind_idle_connections_are_forwarded_with_at_most_the_time_left() {
     let (servers, _discovery, node) = start_with_few_sockets("told");
     // The idle connections use up all sockets, and none is left in the backlog, whose length the kernel limits.
     let mut idle = open_idle_connections(&node, SOCKET_LIMIT_AND_IDLE_CONNECTIONS.1);
@@ -126,7 +126,10 @@
     let mut clients = send_one_request_each(&node, 20, LONG_DEADLINE.0);
     let waited = resume_after_suspension(&node, Instant::now());
     for client in &mut clients {
-        assert_eq!(client.read_response().expect("an answer").status(), 200);
+        assert_eq!(
+            client.read_response().expect("the node answers").status(),
+            200
+        );
         let forwarded = received_deadline_ms(&servers.next_request());
         assert!(
             forwarded <= LONG_DEADLINE.1 - waited,
@@ -139,7 +142,7 @@
 /// Requests arrive on new connections while the node is suspended. One is sent on with the time that is left; the
 /// other, whose deadline has passed, is not sent on.
 #[test]
-fn a_request_that_waited_in_the_backlog_forwards_no_more_time_than_is_left() {
+fn a_request_that_waited_in_the_backlog_is_forwarded_with_at_most_the_time_left() {
     let (servers, _discovery, node) = start_with_one_server("backlog", &[REPLY_OK]);
     for round in 0..3 {
         let before = Instant::now();
@@ -148,7 +151,10 @@
         long.write(&request(&format!("long{round}"), "read", LONG_DEADLINE.0));
         short.write(&request(&format!("short{round}"), "read", SHORT_DEADLINE));
         let waited = resume_after_suspension(&node, Instant::now());
-        assert_eq!(long.read_response().expect("an answer").status(), 200);
+        assert_eq!(
+            long.read_response().expect("the node answers").status(),
+            200
+        );
         let upstream_request = servers.next_request();
         let (forwarded, elapsed) = (
             received_deadline_ms(&upstream_request),
@@ -168,15 +174,18 @@
             forwarded + elapsed + 2000 >= LONG_DEADLINE.1,
             "{forwarded} ms forwarded after {elapsed} ms"
         );
-        assert_eq!(short.read_response().expect("an answer").status(), 503);
+        assert_eq!(
+            short.read_response().expect("the node answers").status(),
+            503
+        );
     }
     servers.assert_no_more_requests();
 }
 
-/// Requests arrive on a hundred kept connections while the node is suspended: the last one that the loop handles has
-/// waited as long as the first.
+/// Requests arrive on a hundred kept connections while the node is suspended: the last one that the event loop
+/// handles has waited as long as the first.
 #[test]
-fn requests_that_waited_on_kept_connections_forward_no_more_time_than_is_left() {
+fn requests_that_waited_on_kept_connections_are_forwarded_with_at_most_the_time_left() {
     let (servers, _discovery, node) = start_with_one_server("kept", &[REPLY_OK]);
     let mut clients: Vec<_> = (0..100).map(|_| node.connect()).collect();
     for (number, client) in clients.iter_mut().enumerate() {
@@ -204,9 +213,9 @@
     for (number, client) in clients.iter_mut().enumerate() {
         let is_long = number % 2 == 0;
         assert_eq!(
-            client.read_response().expect("an answer").status(),
+            client.read_response().expect("the node answers").status(),
             if is_long { 200 } else { 503 },
-            "{number}"
+            "request {number}"
         );
         if is_long {
             let forwarded = received_deadline_ms(&servers.next_request());
@@ -219,8 +228,8 @@
     servers.assert_no_more_requests();
 }
 
-/// A node whose loop is on time deducts nothing: the forwarded deadline is the client's, less the time for the answer's
-/// way back and the delays of a busy machine.
+/// A node whose event loop is not delayed deducts nothing: the forwarded deadline is the client's, less the time for
+/// the answer's way back and the delays of a busy machine.
 #[test]
 fn a_request_that_did_not_wait_is_forwarded_with_all_its_time() {
     let (servers, _discovery, node) = start_with_one_server("on-time", &[REPLY_OK]);
@@ -342,12 +351,18 @@
     // More clients than connection slots: a client whose request is open keeps its slot.
     let mut clients = send_one_request_each(&node, 40, LONG_DEADLINE.0);
     let mut first = servers.next_request();
-    let words = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nranks";
-    first.stream.write_all(words).expect("the attempt is open");
+    let response = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nranks";
+    first
+        .stream
+        .write_all(response)
+        .expect("the attempt is open");
     let id = first.message.header("x-request-id").to_owned();
-    let number: usize = id[1..].parse().expect("a number");
+    let number: usize = id[1..].parse().expect("the id is a letter and a number");
     assert_eq!(
-        clients[number].read_response().expect("an answer").status(),
+        clients[number]
+            .read_response()
+            .expect("the node answers")
+            .status(),
         200
     );
 }
--- a/crates/saffronpaddle/tests/discovery_recovery.rs
+++ b/crates/saffronpaddle/tests/discovery_recovery.rs
@@ -1,5 +1,5 @@
-//! Guards against a node that does not call a list service again soon after it is back, and sends new requests to a
-//! server that the list has as draining. A change counts as announced 6 s after the service had it and was reachable,
+//! Guards against a node that, after an outage of the list service, calls it again too late, and meanwhile sends new
+//! requests to a server that the list has as draining. A change counts as announced 6 s after the service had it and was reachable,
 //! however the earlier calls ended. Several processes run, each configured as one of a fleet of 300 nodes in
 //! `subscribe` mode. The longest delay that the machine itself caused is added to the bound.
 
@@ -45,7 +45,10 @@
             // Unanswered calls stay open and are never answered.
             let mut open = Vec::new();
             for mut stream in listener.incoming().flatten() {
-                let mode = shared.lock().expect("no panic").clone();
+                let mode = shared
+                    .lock()
+                    .expect("no thread panicked with the lock")
+                    .clone();
                 match mode {
                     Mode::NoResponse => {}
                     Mode::Refuse(response) => {
@@ -71,7 +74,7 @@
     }
 
     fn set_mode(&self, mode: Mode) {
-        *self.mode.lock().expect("no panic") = mode;
+        *self.mode.lock().expect("no thread panicked with the lock") = mode;
     }
 }
 
@@ -136,7 +139,7 @@
 /// listen). Then the service recovers, with one of the two as draining. Asserts that each node receives the drain in
 /// time.
 fn assert_drain_is_received_after(tag: &str, outage: Option<Mode>) {
-    let address = reserve_address().expect("an address");
+    let address = reserve_address().expect("an address is free");
     let service = outage.map(|mode| Service::start(address, mode));
     let servers = Servers::new();
     let dials = ["s-1", "s-2"].map(|name| servers.start(name, &[REPLY_OK]));
--- a/crates/saffronpaddle/tests/edge.rs
+++ b/crates/saffronpaddle/tests/edge.rs
@@ -129,7 +129,10 @@
     client.write(&large);
     // The node may answer and close before it has read the complete body, so that the write may fail.
     let _ = client.stream.write_all(&vec![b'x'; 65537]);
-    assert_eq!(client.read_response().expect("an answer").status(), 413);
+    assert_eq!(
+        client.read_response().expect("the node answers").status(),
+        413
+    );
     assert!(node.is_running());
     servers.assert_no_more_requests();
     assert_eq!(node.connect().exchange(&good).status(), 200);
@@ -331,7 +334,7 @@
     let (servers, discovery) = (Servers::new(), Discovery::start());
     let closed =
         std::net::TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr());
-    let refusing = closed.expect("an address");
+    let refusing = closed.expect("a loopback port is free");
     let dial = servers.start("s-2", &[REPLY_OK]);
     let hosts = [
         host_json("s-1", refusing, 1, "ready"),
@@ -357,15 +360,15 @@
     assert_eq!(
         answer.status(),
         502,
-        "an unsafe request that may have run must not be answered as a refusal"
+        "an unsafe request that may have run was answered as a refusal"
     );
     assert!(
         started.elapsed().as_millis() < 20_000,
-        "the deadline is enforced"
+        "the answer came long after the deadline of 700 ms"
     );
     assert!(
         wait_until_closed(&servers.next_request()),
-        "the attempt is cancelled"
+        "the attempt was not cancelled at the deadline"
     );
     servers.assert_no_more_requests();
 }
@@ -462,12 +465,12 @@
         }
     };
     wait_until_only_server("s-1");
-    let (asked, mut watch) = discovery.next_watch();
+    let (request_line, mut watch) = discovery.next_watch();
     assert!(
-        asked.contains("watch=1") && asked.contains("from=1"),
-        "{asked}"
+        request_line.contains("watch=1") && request_line.contains("from=1"),
+        "{request_line}"
     );
-    // An update: one server drains, another is added.
+    // An incremental list: one server drains, another is added.
     write_list(
         &mut watch,
         &list_json(
@@ -481,10 +484,14 @@
     );
     wait_until_only_server("s-2");
     // The watch breaks off within a line: the old list stays in use, and the next watch asks from its sequence number.
-    watch.write_all(b"14\r\n{\"seq\":3,").expect("open");
-    watch.shutdown(std::net::Shutdown::Both).expect("open");
-    let (asked, mut watch) = discovery.next_watch();
-    assert!(asked.contains("from=2"), "{asked}");
+    watch
+        .write_all(b"14\r\n{\"seq\":3,")
+        .expect("the watch is open");
+    watch
+        .shutdown(std::net::Shutdown::Both)
+        .expect("the watch is open");
+    let (request_line, mut watch) = discovery.next_watch();
+    assert!(request_line.contains("from=2"), "{request_line}");
     wait_until_only_server("s-2");
     // A list with an older sequence number changes nothing; a server that is not on a complete list is removed.
     write_list(
@@ -503,7 +510,7 @@
         &list_json(4, true, &[host_json("s-3", three, 3, "ready")]),
     );
     wait_until_only_server("s-3");
-    // The same server at another address.
+    // The server moves to another address.
     let moved = servers.start("s-3 moved", &[REPLY_OK]);
     write_list(
         &mut watch,
@@ -516,8 +523,8 @@
 fn a_silent_watch_is_reopened() {
     let (_servers, discovery, _node) = start_with_one_server("watch", &[REPLY_OK]);
     let (_, silent) = discovery.next_watch();
-    let (asked, _) = discovery.next_watch();
-    assert!(asked.contains("from=1"));
+    let (request_line, _) = discovery.next_watch();
+    assert!(request_line.contains("from=1"));
     drop(silent);
 }
 
@@ -526,29 +533,29 @@
 /// a list again.
 #[test]
 fn a_silent_agent_is_called_again_while_earlier_calls_are_open() {
-    let agent = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
+    let agent = std::net::TcpListener::bind("127.0.0.1:0").expect("a loopback port is free");
     let servers = Servers::new();
     let known = host_json("s-1", servers.start("s-1", &[REPLY_OK]), 1, "ready");
     let node = Node::start(
         "silent-agent",
-        agent.local_addr().expect("an address"),
+        agent.local_addr().expect("the socket has an address"),
         &[known],
     );
     let mut calls: Vec<std::net::TcpStream> = Vec::new();
-    // No call is answered. A node with the fault cancels each call before it makes the next.
+    // No call is answered. A node that cancels each call before it makes the next never has three open.
     while calls.iter().filter(|call| !is_closed(call)).count() < 3 {
         let (call, _) = agent.accept().expect("the node makes another call");
-        Message::read(&mut std::io::BufReader::new(&call)).expect("a call");
+        Message::read(&mut std::io::BufReader::new(&call)).expect("the node sends a call");
         calls.push(call);
         assert!(
             calls.len() < 30,
-            "30 calls, of which three were never open at once"
+            "the node made 30 calls, of which three were never open at once"
         );
     }
     let mut last = calls.pop().expect("three calls are open");
     drop(calls);
     last.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        .expect("written");
+        .expect("the call is open");
     write_list(
         &mut last,
         &list_json(
@@ -582,8 +589,8 @@
 #[test]
 fn sighup_switches_to_the_discovery_service_in_the_configuration() {
     let (servers, old, mut node) = start_with_one_server("reload", &[REPLY_OK]);
-    let (asked, mut old_watch) = old.next_watch();
-    assert!(asked.contains("from=1"), "{asked}");
+    let (request_line, mut old_watch) = old.next_watch();
+    assert!(request_line.contains("from=1"), "{request_line}");
     let serving_server = |client: &mut Client, id: &str| {
         assert_eq!(
             client.exchange(&request(id, "read", "20000m")).status(),
@@ -599,10 +606,10 @@
     let new = Discovery::start();
     let (from, to) = (old.address.to_string(), new.address.to_string());
     node.reload(|text| text.replace(&from, &to));
-    let (asked, mut watch) = new.next_watch();
+    let (request_line, mut watch) = new.next_watch();
     assert!(
-        asked.contains("watch=1") && !asked.contains("from"),
-        "{asked}"
+        request_line.contains("watch=1") && !request_line.contains("from"),
+        "{request_line}"
     );
     assert_eq!(serving_server(&mut client, "b"), "s-1");
     let two = servers.start("s-2", &[REPLY_OK]);
@@ -619,7 +626,7 @@
     let mut rest = Vec::new();
     old_watch
         .set_read_timeout(Some(TEST_TIMEOUT))
-        .expect("a time-out");
+        .expect("the read time-out is set");
     std::io::Read::read_to_end(&mut old_watch, &mut rest).expect("the old watch ends");
     node.terminate();
     // SIGHUP must not end the process during shutdown either.
@@ -628,10 +635,10 @@
 }
 
 #[test]
-fn peers_are_informed_and_malformed_datagrams_are_ignored() {
+fn peers_receive_datagrams_and_malformed_ones_are_ignored() {
     let (_servers, _discovery, mut node) = start_with_one_server("peers", &[REPLY_OK]);
     let mut client = node.connect();
-    let stranger = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port");
+    let stranger = std::net::UdpSocket::bind("127.0.0.1:0").expect("a loopback port is free");
     for noise in [
         &[0xff; 1400][..],
         &[],
@@ -642,10 +649,10 @@
     ] {
         node.peer_socket
             .send_to(noise, node.datagram_address)
-            .expect("sent");
+            .expect("the datagram is sent");
         stranger
             .send_to(noise, node.datagram_address)
-            .expect("sent");
+            .expect("the datagram is sent");
     }
     for number in 0..3 {
         assert_eq!(
@@ -677,11 +684,17 @@
         refused = client.exchange(&tiny(&format!("c{number}")));
     }
     assert_eq!(refused.status(), 503);
-    let advice: f64 = refused.header("retry-after").parse().expect("seconds");
-    assert!(advice > 0.0 && advice < 60.0, "{advice}");
+    let retry_after_s: f64 = refused
+        .header("retry-after")
+        .parse()
+        .expect("Retry-After is a number of seconds");
+    assert!(
+        retry_after_s > 0.0 && retry_after_s < 60.0,
+        "{retry_after_s}"
+    );
     assert!(
         started.elapsed().as_secs() < 20,
-        "the refusal must not wait for the deadline"
+        "the refusals came only at the deadline"
     );
 }
 
@@ -739,7 +752,7 @@
         client
             .stream
             .set_read_timeout(Some(TEST_TIMEOUT / 3))
-            .expect("a time-out");
+            .expect("the read time-out is set");
         client.write(bytes);
         if let Some(answer) = client.read_response() {
             assert_eq!(answer.status(), 400);
@@ -767,7 +780,7 @@
         client
             .stream
             .set_read_timeout(Some(TEST_TIMEOUT / 3))
-            .expect("a time-out");
+            .expect("the read time-out is set");
         if number % 2 == 0 {
             assert_eq!(
                 client
@@ -782,7 +795,7 @@
 
 /// More clients than descriptors: the surplus waits, and is served once descriptors are free.
 #[test]
-fn a_client_beyond_the_descriptor_limit_is_served_once_there_is_room() {
+fn a_client_beyond_the_descriptor_limit_is_served_once_descriptors_are_free() {
     let (servers, discovery) = (Servers::new(), Discovery::start());
     let dial = servers.start("s-1", &[REPLY_OK]);
     let node = Node::with_sockets(
@@ -795,5 +808,8 @@
     let mut last = node.connect();
     last.write(&request("a", "read", "20000m"));
     drop(idle);
-    assert_eq!(last.read_response().expect("an answer").status(), 200);
+    assert_eq!(
+        last.read_response().expect("the node answers").status(),
+        200
+    );
 }
--- a/crates/saffronpaddle/tests/etcd.rs
+++ b/crates/saffronpaddle/tests/etcd.rs
@@ -46,8 +46,10 @@
         .worker_threads(2)
         .enable_all()
         .build();
-    let runtime = runtime.expect("a runtime");
-    let etcd = runtime.block_on(Etcd::start(members)).expect("a cluster");
+    let runtime = runtime.expect("the runtime starts");
+    let etcd = runtime
+        .block_on(Etcd::start(members))
+        .expect("the cluster starts");
     (runtime, etcd)
 }
 
@@ -65,7 +67,10 @@
         .status()
         != 200
     {
-        assert!(started.elapsed() < TEST_TIMEOUT, "never ready");
+        assert!(
+            started.elapsed() < TEST_TIMEOUT,
+            "the node did not become ready within {TEST_TIMEOUT:?}"
+        );
         std::thread::sleep(Duration::from_millis(5));
     }
 }
@@ -79,7 +84,7 @@
         if answer.status() != 200 {
             assert!(
                 started.elapsed() < TEST_TIMEOUT,
-                "never served by {name} alone: {}",
+                "{name} did not answer 12 consecutive requests within {TEST_TIMEOUT:?}; the last answer: {}",
                 answer.start_line
             );
             std::thread::sleep(Duration::from_millis(5));
@@ -92,7 +97,7 @@
         };
         assert!(
             started.elapsed() < TEST_TIMEOUT,
-            "never served by {name} alone"
+            "{name} did not answer 12 consecutive requests within {TEST_TIMEOUT:?}"
         );
     }
 }
@@ -209,7 +214,7 @@
     while !writes.is_finished() {
         let number = answered.load(Ordering::Relaxed);
         let answer = client.exchange(&request(&format!("r{number}"), "read", "20000m"));
-        assert_eq!(answer.status(), 200, "{number}");
+        assert_eq!(answer.status(), 200, "request {number}");
         servers.next_request();
         answered.store(number + 1, Ordering::Relaxed);
     }
--- a/crates/saffronpaddle/tests/external_names.rs
+++ b/crates/saffronpaddle/tests/external_names.rs
@@ -75,7 +75,7 @@
         .unwrap_or_else(|error| panic!("{} can be read: {error}", path.display()));
     let mut files = Vec::new();
     for entry in entries {
-        let path = entry.expect("a folder's entry").path();
+        let path = entry.expect("a folder's entry can be read").path();
         let name = path.file_name().unwrap_or_default().to_string_lossy();
         let is_test = name == "tests.rs" || name == "tests";
         if path.is_dir() && !is_test {
@@ -199,7 +199,7 @@
                 found |= matches!(name.as_deref(), Some("Serialize" | "Deserialize"));
                 Ok(())
             })
-            .expect("a derive lists paths");
+            .expect("a derive attribute is a list of paths");
     }
     found
 }
@@ -334,7 +334,7 @@
         for name in section.names.iter().filter(|name| !found.contains(*name)) {
             let kind = section.kind;
             writeln!(missing, "{}: {name:?} ({kind:?}) is missing", section.path)
-                .expect("a string");
+                .expect("writing to a string does not fail");
         }
     }
     assert!(
--- a/crates/saffronpaddle/tests/failing_calls.rs
+++ b/crates/saffronpaddle/tests/failing_calls.rs
@@ -39,8 +39,8 @@
         };
         stream
             .set_read_timeout(Some(TEST_TIMEOUT))
-            .expect("a time-out");
-        let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
+            .expect("the read time-out is set");
+        let mut reader = BufReader::new(stream.try_clone().expect("the socket can be cloned"));
         while Instant::now() < until {
             number += 1;
             let class = ["read", "submit"][number % 2];
@@ -97,7 +97,7 @@
     }
     clients
         .into_iter()
-        .for_each(|client| client.join().expect("no panic"));
+        .for_each(|client| client.join().expect("the client does not panic"));
     node.is_running()
 }
 
--- a/crates/saffronpaddle/tests/fleet_guarantees.rs
+++ b/crates/saffronpaddle/tests/fleet_guarantees.rs
@@ -12,19 +12,19 @@
     run_scenario(tag, &format!("answer_slack_ms = 500\n{text}"))
 }
 
-/// Asserts that no rule is broken, and that every request was answered unless its process was killed or suspended. (In
-/// front of cold servers a process may serve no request: it may end before it may send one.)
+/// Asserts that no rule is broken, and that every request was answered unless its process was killed or suspended. A
+/// process may have served no request: in front of cold servers it may end before it has the right to send one.
 fn assert_no_request_lost(report: &Report) {
     assert!(report.good() && report.verdict.lost == 0, "{report}");
 }
 
-/// As `assert_no_request_lost`, and no process received requests and served none.
+/// Asserts what `assert_no_request_lost` does, and that every process that received requests served at least one.
 fn assert_every_process_served(report: &Report) {
     assert_no_request_lost(report);
     assert_eq!(report.verdict.processes_never_serving, 0, "{report}");
 }
 
-/// Asserts that at least so many processes were restarted, and that nine in ten of them were ready in time.
+/// Asserts that at least `at_least` processes were restarted, and that nine in ten of them were ready in time.
 fn assert_restarted_are_ready(report: &Report, at_least: usize) {
     let (ready_in_time, restarted) = report.restarted();
     assert!(
@@ -34,7 +34,7 @@
 }
 
 /// Asserts that at most one node in ten refuses all of its requests for four seconds.
-fn assert_few_nodes_refuse_all(report: &Report) {
+fn assert_few_nodes_refuse_all_requests(report: &Report) {
     assert!(
         report.verdict.nodes_rejecting_all as usize * 10 <= report.instances.len(),
         "{report}"
@@ -62,7 +62,7 @@
     );
     assert!(
         report.handshakes_and_requests[6].1 > 0 && report.handshakes_and_requests[7].1 > 0,
-        "both servers that joined receive requests: {report}"
+        "a server that joined received no requests: {report}"
     );
     // The burst exceeds the remaining capacity, of which at least a quarter must be used.
     assert!(
@@ -72,7 +72,7 @@
     let burst = report.within("all", 3, 8);
     assert!(
         burst.served > 100,
-        "{} of {}\n{report}",
+        "{} of {} attempts were served during the burst\n{report}",
         burst.served,
         burst.tries
     );
@@ -114,18 +114,18 @@
     assert!(report.verdict.attempts_after_disconnect <= 2, "{report}");
     assert!(
         report.verdict.disconnected_before_attempt >= 50,
-        "some requests were still waiting when their clients disconnected: {report}"
+        "fewer than 50 requests were still waiting when their clients disconnected: {report}"
     );
     assert!(report.verdict.served > 100, "{report}");
 }
 
 #[test]
-fn in_a_fleet_without_faults_at_most_one_node_in_ten_refuses_all_for_four_seconds() {
+fn in_a_fleet_without_faults_at_most_one_node_in_ten_refuses_all_requests_for_four_seconds() {
     let text =
         "name = \"quiet\"\ninstances = 20\nservers = 8\ncustomers = 60\nrate = 200\nduration_ms = 9000\n";
     let report = run_with_answer_slack("quiet", text);
     assert_every_process_served(&report);
-    assert_few_nodes_refuse_all(&report);
+    assert_few_nodes_refuse_all_requests(&report);
     assert!(
         report.verdict.served * 2 > report.verdict.requests,
         "{report}"
@@ -134,7 +134,7 @@
 
 /// A tenth of the nodes restart at a time, while half of the servers are replaced and one hangs.
 #[test]
-fn in_a_rolling_restart_at_most_one_node_in_ten_refuses_all_for_four_seconds() {
+fn in_a_rolling_restart_at_most_one_node_in_ten_refuses_all_requests_for_four_seconds() {
     let text =
         "name = \"rolled\"\nhanded_over = false\ninstances = 20\nservers = 8\ncustomers = 60\nrate = 200\nduration_ms = 12000\n\
                 [[step]]\ndo = \"restart\"\nside = \"nodes\"\nat_ms = 1500\ngap_ms = 400\n\
@@ -143,7 +143,7 @@
                 [[step]]\ndo = \"peers\"\nloss = 0.05\n";
     let report = run_with_answer_slack("rolled", text);
     assert_every_process_served(&report);
-    assert_few_nodes_refuse_all(&report);
+    assert_few_nodes_refuse_all_requests(&report);
     assert_restarted_are_ready(&report, 20);
     assert!(
         report.verdict.served * 2 > report.verdict.requests,
@@ -189,7 +189,7 @@
     assert_eq!(
         unanswered,
         report.verdict.killed + report.verdict.not_accepted,
-        "only requests of killed processes are unanswered: {report}"
+        "requests of processes that were not killed are unanswered: {report}"
     );
     assert!(
         report.verdict.served * 2 > report.verdict.requests,
@@ -209,17 +209,17 @@
     assert_every_process_served(&report);
     assert!(
         report.verdict.drains >= 4,
-        "every node received the drain: {report}"
+        "a node did not receive the drain: {report}"
     );
     let after = report.within("all", 5, 9);
     assert!(
         after.served * 2 > after.tries && after.served > 100,
-        "{} of {}\n{report}",
+        "{} of {} attempts were served after the drain\n{report}",
         after.served,
         after.tries
     );
     assert!(
         report.counts.no_ready_node * 20 < report.verdict.requests,
-        "new clients are accepted in addition to the idle ones: {report}"
+        "new clients were not accepted in addition to the idle ones: {report}"
     );
 }
--- a/crates/saffronpaddle/tests/interleavings.rs
+++ b/crates/saffronpaddle/tests/interleavings.rs
@@ -106,7 +106,7 @@
             .stream
             .write_all(response_with_id(&next).as_bytes())
             .expect("the attempt is pending");
-        let answer = next_client.read_response().expect("an answer");
+        let answer = next_client.read_response().expect("the node answers");
         assert_eq!((answer.status(), answer.body), (200, next.into_bytes()));
         streams.push(upstream_request.stream);
     }
@@ -142,7 +142,7 @@
         let _ = upstream_request
             .stream
             .write_all(response_with_id(&id).as_bytes());
-        let answer = client.read_response().expect("an answer");
+        let answer = client.read_response().expect("the node answers");
         match answer.status() {
             200 => {
                 assert_eq!(answer.body, id.as_bytes());
@@ -151,12 +151,19 @@
             502 => failed += 1,
             other => panic!("an unsafe request that may have run ends with {other}"),
         }
-        client.stream.set_nonblocking(true).expect("set");
+        client
+            .stream
+            .set_nonblocking(true)
+            .expect("non-blocking mode is set");
         let extra_byte = client
             .stream
             .read(&mut [0; 1])
             .map_err(|error| error.kind());
-        assert_ne!(extra_byte.ok(), Some(1), "a second response");
+        assert_ne!(
+            extra_byte.ok(),
+            Some(1),
+            "the client received a byte after its response"
+        );
         streams.push(upstream_request.stream);
         thread::sleep(REUSE_DELAY);
         let next = format!("after{round}");
@@ -169,7 +176,7 @@
             .write_all(response_with_id(&next).as_bytes())
             .expect("the attempt is pending");
         assert_eq!(
-            next_client.read_response().expect("an answer").body,
+            next_client.read_response().expect("the node answers").body,
             next.into_bytes()
         );
         streams.push(upstream_request.stream);
@@ -194,13 +201,14 @@
 
 impl FullListener {
     fn new() -> FullListener {
-        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
+        let socket =
+            Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket can be created");
         socket
             .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
-            .expect("a port");
-        socket.listen(0).expect("listening");
+            .expect("a loopback port is free");
+        socket.listen(0).expect("the socket can listen");
         let listener: TcpListener = socket.into();
-        let address = listener.local_addr().expect("an address");
+        let address = listener.local_addr().expect("the socket has an address");
         let mut fillers = Vec::new();
         while let Ok(stream) = TcpStream::connect_timeout(&address, Duration::from_millis(300)) {
             fillers.push(stream);
@@ -218,9 +226,11 @@
         let filler_addresses: Vec<SocketAddr> = self
             .fillers
             .iter()
-            .map(|stream| stream.local_addr().expect("an address"))
+            .map(|stream| stream.local_addr().expect("the socket has an address"))
             .collect();
-        self.listener.set_nonblocking(true).expect("set");
+        self.listener
+            .set_nonblocking(true)
+            .expect("non-blocking mode is set");
         let until = Instant::now() + Duration::from_secs(3);
         let mut accepted = Vec::new();
         while Instant::now() < until {
@@ -231,7 +241,9 @@
                     .filter(|(_, from)| !filler_addresses.contains(from)),
             );
             for (stream, _) in &mut accepted {
-                stream.set_nonblocking(true).expect("set");
+                stream
+                    .set_nonblocking(true)
+                    .expect("non-blocking mode is set");
                 let received = stream.read(&mut [0; 1]);
                 assert!(
                     !matches!(received, Ok(1)),
@@ -301,7 +313,10 @@
     ];
     write_list(&mut watch, &list_json(3, false, &drained));
     let receiver = thread::spawn(|| full.assert_receives_nothing());
-    assert_eq!(client.read_response().expect("an answer").status(), 200);
+    assert_eq!(
+        client.read_response().expect("the node answers").status(),
+        200
+    );
     assert_eq!(servers.next_request().server, "s-3");
     receiver
         .join()
@@ -331,7 +346,7 @@
     ];
     write_list(&mut watch, &list_json(2, true, &moved));
     let receiver = thread::spawn(|| full.assert_receives_nothing());
-    let answer = client.read_response().expect("an answer");
+    let answer = client.read_response().expect("the node answers");
     assert_eq!((answer.status(), answer.body), (200, b"ranks".to_vec()));
     assert_eq!(servers.next_request().message.header("x-request-id"), "a");
     receiver
@@ -376,11 +391,11 @@
         }
         SockRef::from(&upstream_request.stream)
             .set_linger(Some(Duration::ZERO))
-            .expect("set");
+            .expect("SO_LINGER is set");
         // The scripted server holds a clone of the socket; the shutdown ends its read.
         let _ = upstream_request.stream.shutdown(Shutdown::Both);
         drop(upstream_request);
-        let answer = client.read_response().expect("an answer");
+        let answer = client.read_response().expect("the node answers");
         match answer.status() {
             200 => {
                 assert_eq!(
@@ -451,7 +466,7 @@
         .stream
         .write_all(response_with_echoed_id("a").as_bytes())
         .expect("the attempt is pending");
-    assert_eq!(client.read_response().expect("an answer").body, b"a");
+    assert_eq!(client.read_response().expect("the node answers").body, b"a");
     // The connection to the server becomes reusable in this time.
     thread::sleep(Duration::from_millis(100));
     client.write(&request("b", "pay", "20000m"));
@@ -462,7 +477,7 @@
         .write_all(response_with_echoed_id("a").as_bytes())
         .expect("the attempt is pending");
     assert_eq!(
-        client.read_response().expect("an answer").status(),
+        client.read_response().expect("the node answers").status(),
         502,
         "a response to another request was passed on"
     );
@@ -480,6 +495,6 @@
         .stream
         .write_all(response_with_echoed_id("c").as_bytes())
         .expect("the attempt is pending");
-    assert_eq!(client.read_response().expect("an answer").body, b"c");
+    assert_eq!(client.read_response().expect("the node answers").body, b"c");
     servers.assert_no_more_requests();
 }
--- a/crates/saffronpaddle/tests/lifecycle.rs
+++ b/crates/saffronpaddle/tests/lifecycle.rs
@@ -21,7 +21,7 @@
     command.arg("run").arg("--operator").arg(file);
 }
 
-/// Polls until the node is ready. Returns how often it was not, and the last reason that it gave.
+/// Polls until the node is ready. Returns the number of polls that found it not ready, and the last reason it gave.
 fn wait_until_ready(node: &Node) -> (u32, String) {
     let (mut not_ready, mut reason) = (0, String::new());
     let started = Instant::now();
@@ -34,7 +34,10 @@
             not_ready + 1,
             String::from_utf8_lossy(&answer.body).into_owned(),
         );
-        assert!(started.elapsed() < TEST_TIMEOUT, "never ready: {reason}");
+        assert!(
+            started.elapsed() < TEST_TIMEOUT,
+            "the node did not become ready within {TEST_TIMEOUT:?}: {reason}"
+        );
         std::thread::sleep(Duration::from_millis(5));
     }
 }
@@ -51,10 +54,10 @@
     fn new(tag: &str) -> NotifySocket {
         let file = TempFile::new(tag, "");
         std::fs::remove_file(&file.0).expect("the file is removed, so that its name is free");
-        let socket = UnixDatagram::bind(&file.0).expect("a socket");
+        let socket = UnixDatagram::bind(&file.0).expect("the socket can be bound");
         socket
             .set_read_timeout(Some(TEST_TIMEOUT))
-            .expect("a time-out");
+            .expect("the read time-out is set");
         NotifySocket {
             socket,
             file,
@@ -92,8 +95,8 @@
         "[ready]\nlist_within_ms = 400\npeers_within_ms = 700\n",
     );
     // The discovery service accepts connections and never answers.
-    let silent = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let discovery = silent.local_addr().expect("an address");
+    let silent = TcpListener::bind("127.0.0.1:0").expect("a loopback port is free");
+    let discovery = silent.local_addr().expect("the socket has an address");
     let servers = Servers::new();
     let dial = servers.start("s-1", &[REPLY_OK]);
     let hosts = [host_json("s-1", dial, 1, "ready")];
@@ -105,7 +108,7 @@
     let (not_ready, reason) = wait_until_ready(&node);
     assert!(
         not_ready > 0 && reason == "peers-unheard",
-        "{not_ready} times, {reason}"
+        "not ready in {not_ready} polls, the last reason: {reason}"
     );
     assert_eq!(
         node.connect()
@@ -142,10 +145,10 @@
     while &node.connect().exchange(READY_REQUEST).body[..] != b"peers-unheard" {
         assert!(node.is_running());
     }
-    // An empty count, as a peer sends it that has just started.
+    // A message with empty counts, as a peer that has just started sends it.
     node.peer_socket
         .send_to(&[2, 0, 1, 0, 0, 0], node.datagram_address)
-        .expect("sent");
+        .expect("the datagram is sent");
     wait_until_ready(&node);
 }
 
@@ -173,7 +176,8 @@
     assert!(reloading.contains("\nMONOTONIC_USEC="), "{reloading}");
     manager.wait_for("READY=1");
     // An invalid operator file is rejected: the node keeps the old one and continues to serve.
-    std::fs::write(&operator.0, "[ready]\nlag_ms = -1\n").expect("written");
+    std::fs::write(&operator.0, "[ready]\nlag_ms = -1\n")
+        .expect("the operator file can be written");
     node.signal("-HUP");
     manager.wait_for("RELOADING=1");
     manager.wait_for("READY=1");
@@ -182,7 +186,7 @@
         &operator.0,
         "[ready]\nfree_descriptors = 100000\nlose_after_ms = 0\n",
     )
-    .expect("written");
+    .expect("the operator file can be written");
     node.signal("-HUP");
     manager.wait_for("STATUS=not ready: descriptors");
     assert_eq!(node.connect().exchange(READY_REQUEST).status(), 503);
@@ -259,13 +263,13 @@
 /// Passes `listener` to `command` as a service manager does (`LISTEN_FDS`).
 fn pass_listener(command: &mut Command, listener: &TcpListener, operator: &Path) {
     set_operator_file(command, operator);
-    let parent_fd = OwnedFd::from(listener.try_clone().expect("a clone"));
+    let parent_fd = OwnedFd::from(listener.try_clone().expect("the socket can be cloned"));
     command
         .fd_mappings(vec![FdMapping {
             parent_fd,
             child_fd: 3,
         }])
-        .expect("one mapping");
+        .expect("a single mapping has no collision");
     command
         .env("LISTEN_FDS", "1")
         .env("LISTEN_FDNAMES", "clients");
@@ -276,15 +280,17 @@
     let mut stream = TcpStream::connect(address).expect("the backlog has room");
     stream
         .set_read_timeout(Some(TEST_TIMEOUT))
-        .expect("a time-out");
-    stream.write_all(text.as_bytes()).expect("written");
+        .expect("the read time-out is set");
+    stream
+        .write_all(text.as_bytes())
+        .expect("the write succeeds");
     stream
 }
 
 /// Asserts that the response is a 200.
 fn assert_ok_response(mut stream: TcpStream) {
     let mut text = [0; 12];
-    stream.read_exact(&mut text).expect("an answer");
+    stream.read_exact(&mut text).expect("the node answers");
     assert_eq!(&text, b"HTTP/1.1 200");
 }
 
@@ -299,8 +305,8 @@
     let (servers, discovery) = (Servers::new(), Discovery::start());
     let dial = servers.start("s-1", &[REPLY_OK]);
     let hosts = [host_json("s-1", dial, 1, "ready")];
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port is free");
+    let address = listener.local_addr().expect("the socket has an address");
     let early: Vec<_> = (0..20)
         .map(|n| connect_and_send(address, &request(&format!("early{n}"), "read", "20000m")))
         .collect();
@@ -349,7 +355,7 @@
     let mut node = Node::start_with_command("on-its-way", discovery.address, &hosts, 1024, |_| {});
     wait_until_ready(&node);
     let mut early: Vec<_> = (0..20)
-        .map(|_| TcpStream::connect(node.address).expect("a connection"))
+        .map(|_| TcpStream::connect(node.address).expect("the node accepts the connection"))
         .collect();
     let mut idle = node.connect();
     assert_eq!(
@@ -362,13 +368,13 @@
     for (number, stream) in early.iter_mut().enumerate() {
         stream
             .write_all(request(&format!("late{number}"), "read", "20000m").as_bytes())
-            .expect("written");
+            .expect("the write succeeds");
     }
     early.into_iter().for_each(assert_ok_response);
     assert!(node.wait().success());
 }
 
-/// With `reuse_port`, both listen on the address until the old node stops.
+/// With `reuse_port`, both processes listen on the address until the old one stops.
 #[test]
 fn a_successor_binds_the_same_address_while_the_old_node_serves() {
     let text = "[listen]\nreuse_port = true\n[ready]\nlist_within_ms = 1\npeers_within_ms = 1\n";
@@ -430,7 +436,7 @@
 }
 
 #[test]
-fn sigterm_during_the_start_stops_the_node_without_ready() {
+fn sigterm_during_the_start_stops_the_node_before_it_reports_ready() {
     let operator = TempFile::new(
         "early-operator",
         "[ready]\nlist_within_ms = 600000\n[stop]\nleave_for_ms = 50\n",
@@ -462,7 +468,7 @@
             .arg("check")
             .arg(&file.0)
             .output()
-            .expect("it runs");
+            .expect("the program runs");
         (
             output.status.success(),
             String::from_utf8_lossy(&output.stderr).into_owned(),
@@ -477,7 +483,7 @@
         "stop.leaves: ",
         "ready.memory_share: ",
     ] {
-        assert!(reported.contains(key), "{key} in {reported}");
+        assert!(reported.contains(key), "no error of {key:?} in {reported}");
     }
     // A node that starts with an invalid file exits with one line on standard error.
     let file = TempFile::new("start-operator", "[ready]\nlag = 1\n");
@@ -485,7 +491,7 @@
         .args(["run", "--operator"])
         .arg(&file.0)
         .output()
-        .expect("it runs");
+        .expect("the program runs");
     let reported = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(
         !output.status.success() && reported.lines().count() == 1,
@@ -501,9 +507,10 @@
         .args(["demo", "--listen", "127.0.0.1:0"])
         .stdout(Stdio::piped())
         .stderr(Stdio::null());
-    let mut child = command.spawn().expect("it starts");
+    let mut child = command.spawn().expect("the program starts");
     let mut text = String::new();
-    let mut output = std::io::BufReader::new(child.stdout.take().expect("piped"));
+    let mut output =
+        std::io::BufReader::new(child.stdout.take().expect("standard output is piped"));
     while !text.contains("Ctrl-C") {
         assert!(
             std::io::BufRead::read_line(&mut output, &mut text).expect("output can be read") > 0,
@@ -514,26 +521,27 @@
         .split("http://")
         .nth(1)
         .and_then(|rest| rest.split(' ').next())
-        .expect("a URL");
-    let (address, path) = url.split_once('/').expect("a path");
-    let headers = text
-        .split("-H '")
-        .skip(1)
-        .map(|rest| rest.split('\'').next().expect("a header"));
+        .expect("the demo prints a URL");
+    let (address, path) = url.split_once('/').expect("the URL has a path");
+    let headers = text.split("-H '").skip(1).map(|rest| {
+        rest.split('\'')
+            .next()
+            .expect("each -H is followed by a quoted header")
+    });
     let headers: Vec<&str> = headers.collect();
     let http_request = format!(
         "GET /{path} HTTP/1.1\r\nHost: x\r\n{}\r\n\r\n",
         headers.join("\r\n")
     );
     assert_ok_response(connect_and_send(
-        address.parse().expect("an address"),
+        address.parse().expect("the URL has an address and a port"),
         &http_request,
     ));
     let kill = Command::new("kill")
         .arg(child.id().to_string())
         .status()
         .expect("kill runs");
-    assert!(kill.success() && child.wait().expect("it ends").success());
+    assert!(kill.success() && child.wait().expect("the program exits").success());
 }
 
 /// Returns the text of a built-in scenario.
@@ -547,7 +555,7 @@
 
 /// In the scenario, instances are reloaded, restarted one after another and killed, while app servers drain and crash.
 #[test]
-fn a_fleet_keeps_all_rules_in_the_scenario_short() {
+fn a_fleet_keeps_all_rules_in_the_built_in_scenario_short() {
     let report = run_scenario("short", built_in_scenario("short"));
     assert!(report.good(), "{report}");
     assert!(report.processes > 10 && report.reloads > 4, "{report}");
--- a/crates/saffronpaddle/tests/network_partitions.rs
+++ b/crates/saffronpaddle/tests/network_partitions.rs
@@ -10,7 +10,8 @@
 use common::run_scenario_with_operator;
 use saffronpaddle_fleet_harness::Report;
 
-const PARTITION_SAFE: &str = "[quotas]\nfenced = true\n";
+/// Operator file that enables fencing of quota owners.
+const FENCED_QUOTAS: &str = "[quotas]\nfenced = true\n";
 /// Units that standby owners may grant at first: those of one attempt for each of the 24 customers.
 const STANDBY_UNITS: f64 = 24.0;
 
@@ -30,11 +31,15 @@
     let all = report.within("all", 0, 12);
     assert!(
         all.beyond <= STANDBY_UNITS,
-        "{} units beyond the quotas\n{}\n{report}",
+        "{} units were granted beyond the quotas, the bound is {STANDBY_UNITS}\n{}\n{report}",
         all.beyond,
         report.table()
     );
-    assert!(all.served > 200, "quotas are not used\n{report}");
+    assert!(
+        all.served > 200,
+        "only {} requests were served\n{report}",
+        all.served
+    );
 }
 
 fn partition_step(sides: &str) -> String {
@@ -46,7 +51,7 @@
     assert_quotas_hold(&run_scenario_with_operator(
         "apart-halves",
         &over_quota_scenario("halves", &partition_step("west,east")),
-        PARTITION_SAFE,
+        FENCED_QUOTAS,
     ));
 }
 
@@ -61,7 +66,7 @@
     let partitioned = report.within("all", 3, 9);
     assert!(
         partitioned.beyond > 2.0 * STANDBY_UNITS,
-        "without fencing the quotas are not exceeded either: {partitioned:?}"
+        "the quotas were not exceeded without fencing: {partitioned:?}"
     );
 }
 
@@ -70,7 +75,7 @@
     assert_quotas_hold(&run_scenario_with_operator(
         "apart-each",
         &over_quota_scenario("each", &partition_step("each")),
-        PARTITION_SAFE,
+        FENCED_QUOTAS,
     ));
 }
 
@@ -83,7 +88,7 @@
     assert_quotas_hold(&run_scenario_with_operator(
         "apart-overlap",
         &text,
-        PARTITION_SAFE,
+        FENCED_QUOTAS,
     ));
 }
 
@@ -93,7 +98,7 @@
     assert_quotas_hold(&run_scenario_with_operator(
         "apart-oneway",
         &over_quota_scenario("oneway", step),
-        PARTITION_SAFE,
+        FENCED_QUOTAS,
     ));
 }
 
@@ -105,7 +110,7 @@
     let report = run_scenario_with_operator(
         "apart-lossy",
         &over_quota_scenario("lossy", step),
-        PARTITION_SAFE,
+        FENCED_QUOTAS,
     );
     assert!(report.good(), "{report}");
     assert!(
@@ -121,7 +126,7 @@
     let report = run_scenario_with_operator(
         "apart-still",
         &over_quota_scenario("still", step),
-        PARTITION_SAFE,
+        FENCED_QUOTAS,
     );
     assert_quotas_hold(&report);
     assert!(
--- a/crates/saffronpaddle/tests/shutdown.rs
+++ b/crates/saffronpaddle/tests/shutdown.rs
@@ -14,14 +14,14 @@
 type Requests = [(&'static str, &'static str); 4];
 
 /// Deadlines that lie after the kill.
-const LONG: Requests = [
+const LONG_DEADLINES: Requests = [
     ("read", "9113m"),
     ("submit", "4591m"),
     ("pay", "9113m"),
     ("read", "30000m"),
 ];
 /// Deadlines of a deployment whose longest deadline is 3 s.
-const SHORT: Requests = [
+const SHORT_DEADLINES: Requests = [
     ("read", "3000m"),
     ("submit", "2400m"),
     ("pay", "3000m"),
@@ -46,17 +46,17 @@
 
 /// Runs one process whose server never answers, stops and kills it. Requests are sent before SIGTERM, while the process
 /// drains, and as the first ones of their connections while it closes.
-fn stop_and_kill(number: usize, longest_us: &str, requests: Requests) -> Vec<Outcome> {
+fn stop_and_kill(number: usize, longest_deadline_us: &str, requests: Requests) -> Vec<Outcome> {
     let (servers, discovery) = (Servers::new(), Discovery::start());
     let dial = servers.start("s-1", &[Reply::NoResponse]);
     let hosts = [host_json("s-1", dial, 1, "ready")];
     let deadlines = |config: String| {
         config.replace(
             "\"deadlineUs\":30000000",
-            &format!("\"deadlineUs\":{longest_us}"),
+            &format!("\"deadlineUs\":{longest_deadline_us}"),
         )
     };
-    let tag = format!("killed-{longest_us}-{number}");
+    let tag = format!("killed-{longest_deadline_us}-{number}");
     let mut node =
         Node::start_with_config(&tag, discovery.address, &hosts, 1024, deadlines, |_| {});
     let mut pending = Vec::new();
@@ -97,7 +97,7 @@
     }
     let outcomes: Vec<Outcome> = pending
         .into_iter()
-        .map(|request| request.join().expect("no panic"))
+        .map(|request| request.join().expect("the client does not panic"))
         .collect();
     if outcomes.iter().any(|(_, status)| status.is_none()) {
         node.drain_log()
@@ -108,13 +108,17 @@
 }
 
 /// The ids of the requests that had no answer when their process was killed, and the number of all requests.
-fn lost_requests(longest_us: &'static str, requests: Requests) -> (Vec<String>, usize) {
+fn lost_requests(longest_deadline_us: &'static str, requests: Requests) -> (Vec<String>, usize) {
     let run_process =
-        move |number| thread::spawn(move || stop_and_kill(number, longest_us, requests));
+        move |number| thread::spawn(move || stop_and_kill(number, longest_deadline_us, requests));
     let processes: Vec<_> = (0..PROCESSES).map(run_process).collect();
     let outcomes: Vec<Outcome> = processes
         .into_iter()
-        .flat_map(|process| process.join().expect("no panic"))
+        .flat_map(|process| {
+            process
+                .join()
+                .expect("the thread of the process does not panic")
+        })
         .collect();
     let sent = outcomes.len();
     (
@@ -129,7 +133,7 @@
 
 #[test]
 fn each_request_is_answered_before_the_kill_where_deadlines_lie_after_it() {
-    let (lost, sent) = lost_requests("30000000", LONG);
+    let (lost, sent) = lost_requests("30000000", LONG_DEADLINES);
     assert!(
         lost.is_empty(),
         "{} of {sent} requests had no answer: {lost:?}",
@@ -139,7 +143,7 @@
 
 #[test]
 fn each_request_is_answered_before_the_kill_where_the_longest_deadline_is_three_seconds() {
-    let (lost, sent) = lost_requests("3000000", SHORT);
+    let (lost, sent) = lost_requests("3000000", SHORT_DEADLINES);
     assert!(
         lost.is_empty(),
         "{} of {sent} requests had no answer: {lost:?}",
--- a/crates/saffronpaddle/tests/upgrade.rs
+++ b/crates/saffronpaddle/tests/upgrade.rs
@@ -20,30 +20,30 @@
 impl Platform {
     fn new(tag: &str) -> Platform {
         let folder = std::env::temp_dir().join(format!("sp-{}-{tag}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder");
+        std::fs::create_dir_all(&folder).expect("the folder can be created");
         Platform {
-            listener: TcpListener::bind("127.0.0.1:0").expect("a port"),
+            listener: TcpListener::bind("127.0.0.1:0").expect("a loopback port is free"),
             folder,
         }
     }
 
     /// Passes the listener, the folder and the admin address on to a process.
     fn configure(&self, command: &mut Command, admin: SocketAddr) {
-        let parent_fd = OwnedFd::from(self.listener.try_clone().expect("a clone"));
+        let parent_fd = OwnedFd::from(self.listener.try_clone().expect("the socket can be cloned"));
         command
             .fd_mappings(vec![FdMapping {
                 parent_fd,
                 child_fd: 3,
             }])
-            .expect("free numbers");
+            .expect("a single mapping has no collision");
         command
             .env("LB_LISTEN_FD", "3")
             .env("TMPDIR", &self.folder)
             .env("LB_ADMIN_ADDR", admin.to_string());
     }
 
-    /// Waits for the path of the socket over which a node's processes talk.
-    fn hand_over_socket(&self) -> PathBuf {
+    /// Waits until the node has opened the socket over which its processes communicate, and returns its path.
+    fn wait_for_hand_over_socket(&self) -> PathBuf {
         let started = Instant::now();
         loop {
             let files = std::fs::read_dir(&self.folder)
@@ -58,7 +58,7 @@
             }
             assert!(
                 started.elapsed() < TEST_TIMEOUT,
-                "no hand-over socket within {TEST_TIMEOUT:?}"
+                "the node opened no hand-over socket within {TEST_TIMEOUT:?}"
             );
             std::thread::sleep(Duration::from_millis(5));
         }
@@ -112,7 +112,10 @@
 fn wait_until_ready(admin: SocketAddr) {
     let started = Instant::now();
     while !admin_request(admin, "PING\n").starts_with("SUCCESS") {
-        assert!(started.elapsed() < TEST_TIMEOUT);
+        assert!(
+            started.elapsed() < TEST_TIMEOUT,
+            "the process did not become ready within {TEST_TIMEOUT:?}"
+        );
     }
 }
 
@@ -140,9 +143,10 @@
                             .expect("the listener accepts connections");
                         stream
                             .set_read_timeout(Some(TEST_TIMEOUT))
-                            .expect("a time-out");
-                        let mut reader =
-                            std::io::BufReader::new(stream.try_clone().expect("a clone"));
+                            .expect("the read time-out is set");
+                        let mut reader = std::io::BufReader::new(
+                            stream.try_clone().expect("the socket can be cloned"),
+                        );
                         // Five requests on each connection, as clients keep them, or fewer after `Connection: close`.
                         for _ in 0..5 {
                             sent += 1;
@@ -163,16 +167,16 @@
             })
             .collect();
         for _ in 0..3 {
-            let fresh = free_address();
-            let child = environment.start_child(&node, fresh);
-            wait_until_ready(fresh);
+            let child_admin = free_address();
+            let child = environment.start_child(&node, child_admin);
+            wait_until_ready(child_admin);
             assert!(
                 admin_request(admin, "PING\n").starts_with("SUCCESS"),
-                "both processes serve"
+                "the parent no longer serves"
             );
             node.terminate();
             assert!(node.wait().success());
-            (node, admin) = (child, fresh);
+            (node, admin) = (child, child_admin);
         }
         stop.store(true, std::sync::atomic::Ordering::Relaxed);
         let sent: i32 = clients
@@ -199,7 +203,10 @@
     );
     let started = Instant::now();
     while metric_value(&admin_request(first, "INFO\n"), "lb_registry_entries") != 2 {
-        assert!(started.elapsed() < TEST_TIMEOUT);
+        assert!(
+            started.elapsed() < TEST_TIMEOUT,
+            "the parent did not apply the list within {TEST_TIMEOUT:?}"
+        );
     }
     let child = environment.start_child(&parent, second);
     wait_until_ready(second);
@@ -231,7 +238,7 @@
     parent
         .peer_socket
         .recv(&mut datagram)
-        .expect("a datagram with counts");
+        .expect("the peer receives a datagram");
     let admin = free_address();
     let second_child = environment.start_child(&parent, admin);
     wait_until_ready(admin);
@@ -267,13 +274,13 @@
     assert!(admin_request(third, "PING\n").starts_with("SUCCESS"));
 }
 
-/// Guards against a malformed or silent parent, which may delay a start only up to the time-out and must not change it,
-/// and against a malformed or silent child, which the parent must ignore.
+/// Guards against a parent whose silence or malformed messages change the start of its child or delay it beyond the
+/// time-out, and against a parent that answers a malformed or silent child.
 #[test]
-fn a_process_with_a_malformed_or_silent_parent_starts_as_the_first() {
+fn a_process_whose_parent_is_silent_or_sends_garbage_starts_as_the_first_process() {
     let environment = Environment::new("rubbish", &[REPLY_OK]);
     let parent = environment.start_first("rubbish", free_address());
-    let path = environment.platform.hand_over_socket();
+    let path = environment.platform.wait_for_hand_over_socket();
     for bytes in [
         "rubbish\n",
         "{\"hello\":{\"version\":1,\"name\":\"other\"}}\n",
@@ -282,8 +289,10 @@
         let mut stream = UnixStream::connect(&path).expect("the parent listens");
         stream
             .set_read_timeout(Some(TEST_TIMEOUT))
-            .expect("a time-out");
-        stream.write_all(bytes.as_bytes()).expect("written");
+            .expect("the read time-out is set");
+        stream
+            .write_all(bytes.as_bytes())
+            .expect("the write succeeds");
         let mut answer = Vec::new();
         let _ = stream.read_to_end(&mut answer);
         assert!(answer.is_empty(), "{bytes:?} was answered");
@@ -291,10 +300,12 @@
     drop(parent);
     for bytes in ["rubbish\n", ""] {
         std::fs::remove_file(&path).expect("the socket exists");
-        let listener = UnixListener::bind(&path).expect("a socket");
+        let listener = UnixListener::bind(&path).expect("the socket can be bound");
         let false_parent = std::thread::spawn(move || {
             let (mut stream, _) = listener.accept().expect("the child connects");
-            stream.write_all(bytes.as_bytes()).expect("written");
+            stream
+                .write_all(bytes.as_bytes())
+                .expect("the write succeeds");
             let mut rest = Vec::new();
             let _ = stream.read_to_end(&mut rest);
         });
--- a/crates/saffronpaddle/tests/websocket.rs
+++ b/crates/saffronpaddle/tests/websocket.rs
@@ -23,14 +23,14 @@
 
 impl SocketServer {
     fn start() -> SocketServer {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port is free");
+        let address = listener.local_addr().expect("the socket has an address");
         let (sender, accepted) = mpsc::channel();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 stream
                     .set_read_timeout(Some(TEST_TIMEOUT))
-                    .expect("a time-out");
+                    .expect("the read time-out is set");
                 if let Ok(socket) = tungstenite::accept(stream) {
                     let _ = sender.send(socket);
                 }
@@ -50,12 +50,14 @@
 /// Starts a server that answers each upgrade with `head`, in which `{accept}` is replaced by the value that belongs to
 /// the request's key, and with the bytes `after_head`. Returns its address and the connections that it has answered.
 fn raw_server(head: &'static str, after_head: &'static [u8]) -> (SocketAddr, Receiver<TcpStream>) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port is free");
+    let address = listener.local_addr().expect("the socket has an address");
     let (sender, streams) = mpsc::channel();
     thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
-            let upgrade = Message::read(&mut BufReader::new(stream.try_clone().expect("a clone")));
+            let upgrade = Message::read(&mut BufReader::new(
+                stream.try_clone().expect("the socket can be cloned"),
+            ));
             let Some(upgrade) = upgrade else { continue };
             let accept = derive_accept_key(upgrade.header("sec-websocket-key").as_bytes());
             let mut bytes = head.replace("{accept}", &accept).into_bytes();
@@ -104,7 +106,7 @@
     let stream = TcpStream::connect(node.address).expect("the node accepts");
     stream
         .set_read_timeout(Some(TEST_TIMEOUT))
-        .expect("a time-out");
+        .expect("the read time-out is set");
     stream
 }
 
@@ -122,7 +124,7 @@
     for (name, value) in lines {
         request
             .headers_mut()
-            .insert(name, value.parse().expect("a value"));
+            .insert(name, value.parse().expect("the header value is valid"));
     }
     match tungstenite::client(request, connect(node)) {
         Ok((socket, _)) => Ok(socket),
@@ -133,7 +135,7 @@
 
 /// Opens a socket through the node: the client's end and the server's.
 fn open(node: &Node, server_double: &SocketServer, id: &str) -> (Socket, Socket) {
-    let client = open_client(node, id, 0xb4d6_5521, 1).expect("a socket");
+    let client = open_client(node, id, 0xb4d6_5521, 1).expect("the upgrade succeeds");
     (client, server_double.next_socket())
 }
 
@@ -172,7 +174,7 @@
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         let mut byte = [0];
-        stream.read_exact(&mut byte).expect("an answer");
+        stream.read_exact(&mut byte).expect("the node answers");
         head.push(byte[0]);
     }
     assert!(
@@ -296,12 +298,12 @@
     );
     let mut delays = Vec::new();
     for (client, server) in &mut sockets {
-        let (code, reason) = read_until_close(client).expect("a close");
+        let (code, reason) = read_until_close(client).expect("a close frame arrives");
         assert_eq!(code, 1001);
         let delay = reason
             .strip_prefix("retry-after=")
             .and_then(|text| text.parse::<f64>().ok());
-        delays.push(delay.expect("a reconnect delay in the reason"));
+        delays.push(delay.expect("the reason has a reconnect delay"));
         // tungstenite answers the close; what is written after that must not be forwarded.
         let _ = client.flush();
         let _ = client.get_mut().write_all(&masked(0x81, b"late"));
@@ -315,7 +317,10 @@
         };
         assert_eq!((code, received.len()), (Some(1001), 0));
         let _ = server.flush();
-        assert!(server.read().is_err(), "nothing follows a close");
+        assert!(
+            server.read().is_err(),
+            "the server received a message after the close"
+        );
     }
     delays.sort_by(f64::total_cmp);
     let (first, last) = (delays[0], delays[COUNT - 1]);
@@ -355,13 +360,13 @@
         ),
     );
     let mut client_socket = as_socket(
-        client.try_clone().expect("a clone"),
+        client.try_clone().expect("the socket can be cloned"),
         tungstenite::protocol::Role::Client,
     );
     assert_eq!(
         read_until_close(&mut client_socket).map(|(code, _)| code),
         Some(1001),
-        "the stream to the client is at a frame boundary"
+        "the close to the client must come at a frame boundary"
     );
     client.write_all(&rest[8..]).expect("the write succeeds");
     client.write_all(&masked(0x80, b"third")).unwrap_or(());
@@ -382,7 +387,7 @@
     let (server_double, discovery, configured) = start_with_socket_server("ws-slow", "");
     let (_, mut watch) = discovery.next_watch();
     let (mut client, server) = open(&configured.node, &server_double, "a");
-    let (mut other, mut beside) = open(&configured.node, &server_double, "b");
+    let (mut other_client, mut other_server) = open(&configured.node, &server_double, "b");
     client
         .get_mut()
         .set_nonblocking(true)
@@ -408,11 +413,11 @@
         "back-pressure must stop the writer: {sent} bytes were accepted, the limit is {BUFFERED_BYTES_MAX}"
     );
     // Other sockets are not blocked.
-    other
+    other_client
         .send(SocketMessage::Text("on".into()))
         .expect("the write succeeds");
     assert_eq!(
-        beside.read().expect("a message arrives"),
+        other_server.read().expect("a message arrives"),
         SocketMessage::Text("on".into())
     );
     write_list(
@@ -424,7 +429,7 @@
         ),
     );
     assert_eq!(
-        read_until_close(&mut beside).map(|(code, _)| code),
+        read_until_close(&mut other_server).map(|(code, _)| code),
         Some(1001)
     );
     // The connection is reset, and the bytes that were in flight to the server are lost.
@@ -432,7 +437,7 @@
         .get_mut()
         .set_nonblocking(false)
         .expect("blocking mode is set");
-    let (code, _) = read_until_close(&mut client).expect("a close");
+    let (code, _) = read_until_close(&mut client).expect("a close frame arrives");
     assert_eq!(code, 1001);
     assert!(client.read().is_err());
     let mut stream = server.get_ref();
@@ -455,7 +460,7 @@
     let hosts = [host_json("s-1", server_double.address, 1, "ready")];
     let one = start_node("ws-ghost-1", "per_customer = 2", &discovery, &hosts);
     let two = start_node("ws-ghost-2", "per_customer = 2", &discovery, &hosts);
-    let stale = open_client(&one.node, "a", 5, 2).expect("a socket");
+    let stale = open_client(&one.node, "a", 5, 2).expect("the upgrade succeeds");
     assert!(
         open_client(&one.node, "b", 5, 2).is_err(),
         "the limit of two sockets is one at each of two nodes"
@@ -505,8 +510,10 @@
         &discovery,
         &[host_json("s-1", address, 1, "ready")],
     );
-    let mut client = open_client(&configured.node, "a", 5, 1).expect("a socket");
-    let mut server = streams.recv_timeout(TEST_TIMEOUT).expect("an upgrade");
+    let mut client = open_client(&configured.node, "a", 5, 1).expect("the upgrade succeeds");
+    let mut server = streams
+        .recv_timeout(TEST_TIMEOUT)
+        .expect("the server receives an upgrade");
     assert_eq!(
         read_until_close(&mut client).map(|(code, _)| code),
         Some(1001)
@@ -529,7 +536,7 @@
         socket
             .get_mut()
             .set_read_timeout(Some(Duration::from_millis(50)))
-            .expect("a time-out");
+            .expect("the read time-out is set");
     }
     let mut pings = 0;
     while pings < 8 {
@@ -549,7 +556,7 @@
     client
         .get_mut()
         .set_read_timeout(Some(TEST_TIMEOUT))
-        .expect("a time-out");
+        .expect("the read time-out is set");
     let message = loop {
         match client.read().expect("a message arrives") {
             SocketMessage::Ping(_) => {}
@@ -569,7 +576,7 @@
         &discovery,
         &[host_json("s-1", address, 1, "ready")],
     );
-    let mut client = open_client(&configured.node, "a", 5, 1).expect("a socket");
+    let mut client = open_client(&configured.node, "a", 5, 1).expect("the upgrade succeeds");
     assert_eq!(
         client.read().expect("a message arrives"),
         SocketMessage::Text("first".into())
@@ -627,7 +634,7 @@
     for (number, (what, lines, status)) in cases.into_iter().enumerate() {
         let mut client = configured.node.connect();
         client.write(&raw_upgrade(&format!("bad{number}"), lines));
-        let answer = client.read_response().expect("an answer");
+        let answer = client.read_response().expect("the node answers");
         assert_eq!(answer.status(), status, "{what}");
         assert_eq!(answer.header("sec-websocket-version"), "13", "{what}");
         assert!(
@@ -637,12 +644,18 @@
     }
     let mut client = configured.node.connect();
     client.write(&raw_upgrade("post", &[]).replace("GET /read", "POST /read"));
-    assert_eq!(client.read_response().expect("an answer").status(), 400);
+    assert_eq!(
+        client.read_response().expect("the node answers").status(),
+        400
+    );
     // The class `pay` is not the class of sockets.
     let mut client = configured.node.connect();
     let pay = raw_upgrade("pay", &[("X-Class", "pay")]).replace("/read/", "/pay/");
     client.write(&pay);
-    assert_eq!(client.read_response().expect("an answer").status(), 400);
+    assert_eq!(
+        client.read_response().expect("the node answers").status(),
+        400
+    );
     assert!(
         server_double.accepted.try_recv().is_err(),
         "an invalid upgrade reached a server"
@@ -685,7 +698,7 @@
         let mut client = configured.node.connect();
         // The deadline bounds the number of retries.
         client.write(&raw_upgrade("a", &[("X-Deadline", "1500m")]));
-        let answer = client.read_response().expect("an answer");
+        let answer = client.read_response().expect("the node answers");
         let expected = if status == 502 {
             [502, 503]
         } else {
@@ -703,7 +716,7 @@
 }
 
 #[test]
-fn frames_that_the_rfc_forbids_close_the_socket_and_are_not_forwarded() {
+fn frames_that_rfc_6455_forbids_close_the_socket_and_are_not_forwarded() {
     let (server_double, _discovery, configured) =
         start_with_socket_server("ws-forbidden", "frame_most = 1000\nmessage_most = 1500");
     let mut too_long = vec![0x82, 0xff];
@@ -755,7 +768,9 @@
     let mut frame = Frame::message("x", OpCode::Data(Data::Text), true);
     frame.header_mut().mask = Some([1, 2, 3, 4]);
     let mut bytes = Vec::new();
-    frame.format(&mut bytes).expect("a buffer");
+    frame
+        .format(&mut bytes)
+        .expect("writing to a buffer does not fail");
     server
         .get_mut()
         .write_all(&bytes)
@@ -782,7 +797,7 @@
     assert_eq!(answer.status(), 503);
     assert!(answer.headers().contains_key("retry-after"));
     // Another customer at the same address has its own limit.
-    let _other = open_client(&configured.node, "d", 9, 1).expect("a socket");
+    let _other = open_client(&configured.node, "d", 9, 1).expect("the upgrade succeeds");
     drop(first);
     let back = loop {
         if let Ok(socket) = open_client(&configured.node, "e", 0xb4d6_5521, 1) {
@@ -804,7 +819,7 @@
                 &format!("q{number}"),
                 &[("X-Tier", "tiny"), ("X-Deadline", "1000m")],
             ));
-            client.read_response().expect("an answer").status()
+            client.read_response().expect("the node answers").status()
         })
         .collect();
     assert_eq!(statuses[0], 101, "{statuses:?}");
@@ -826,7 +841,8 @@
     for number in 0..30 {
         for customer in [5, 6] {
             let id = format!("{customer}-{number}");
-            let client = open_client(&configured.node, &id, customer, 1).expect("a socket");
+            let client =
+                open_client(&configured.node, &id, customer, 1).expect("the upgrade succeeds");
             sockets.push((id, client, server_double.next_socket()));
         }
     }
@@ -862,7 +878,7 @@
         .collect();
     configured.node.terminate();
     for (client, server) in &mut sockets {
-        let (code, reason) = read_until_close(client).expect("a close");
+        let (code, reason) = read_until_close(client).expect("a close frame arrives");
         assert!(
             code == 1001 && reason.starts_with("retry-after="),
             "{code} {reason}"
