--- a/crates/saffronpaddle/tests/websocket.rs
+++ b/crates/saffronpaddle/tests/websocket.rs
@@ -240,11 +240,11 @@
         client.read().expect("a message arrives"),
         SocketMessage::Pong("p".into())
     );
-    let bye = tungstenite::protocol::CloseFrame {
+    let close_frame = tungstenite::protocol::CloseFrame {
         code: CloseCode::Library(4000),
         reason: "done".into(),
     };
-    client.close(Some(bye)).expect("the write succeeds");
+    client.close(Some(close_frame)).expect("the write succeeds");
     assert_eq!(
         read_until_close(&mut server),
         Some((4000, "done".to_owned()))
@@ -276,7 +276,7 @@
 #[test]
 fn a_drain_closes_all_idle_sockets_with_spread_reconnect_delays() {
     // As many as a test's descriptors allow on any machine; `saffronpaddle-bench sockets` opens thousands.
-    const COUNT: usize = 200;
+    const SOCKET_COUNT: usize = 200;
     let (server_double, discovery) = (SocketServer::start(), Discovery::start());
     let configured = start_node(
         "ws-drain",
@@ -285,7 +285,7 @@
         &[host_json("s-1", server_double.address, 1, "ready")],
     );
     let (_, mut watch) = discovery.next_watch();
-    let mut sockets: Vec<(Socket, Socket)> = (0..COUNT)
+    let mut sockets: Vec<(Socket, Socket)> = (0..SOCKET_COUNT)
         .map(|number| open(&configured.node, &server_double, &format!("d{number}")))
         .collect();
     write_list(
@@ -323,7 +323,7 @@
         );
     }
     delays.sort_by(f64::total_cmp);
-    let (first, last) = (delays[0], delays[COUNT - 1]);
+    let (first, last) = (delays[0], delays[SOCKET_COUNT - 1]);
     assert!(
         first < 0.5 && last > 3.0,
         "200 reconnects at 50/s must be spread over about 4 s: {first} s to {last} s"
@@ -393,18 +393,18 @@
         .set_nonblocking(true)
         .expect("non-blocking mode is set");
     let mut sent = 0;
-    let since = Instant::now();
+    let started = Instant::now();
     // Writes until nothing has been accepted for 300 ms: all buffers between client and server are full.
-    let mut last = Instant::now();
-    while last.elapsed() < Duration::from_millis(300)
+    let mut last_write = Instant::now();
+    while last_write.elapsed() < Duration::from_millis(300)
         && sent < BUFFERED_BYTES_MAX
-        && since.elapsed() < TEST_TIMEOUT
+        && started.elapsed() < TEST_TIMEOUT
     {
         match client
             .write(SocketMessage::Binary(vec![1; 8192].into()))
             .and_then(|()| client.flush())
         {
-            Ok(()) => (sent, last) = (sent + 8192, Instant::now()),
+            Ok(()) => (sent, last_write) = (sent + 8192, Instant::now()),
             Err(_) => thread::sleep(Duration::from_millis(5)),
         }
     }
@@ -458,25 +458,25 @@
 fn a_client_reconnects_through_another_node_before_the_first_sees_the_disconnect() {
     let (server_double, discovery) = (SocketServer::start(), Discovery::start());
     let hosts = [host_json("s-1", server_double.address, 1, "ready")];
-    let one = start_node("ws-ghost-1", "per_customer = 2", &discovery, &hosts);
-    let two = start_node("ws-ghost-2", "per_customer = 2", &discovery, &hosts);
-    let stale = open_client(&one.node, "a", 5, 2).expect("the upgrade succeeds");
+    let first_node = start_node("ws-ghost-1", "per_customer = 2", &discovery, &hosts);
+    let second_node = start_node("ws-ghost-2", "per_customer = 2", &discovery, &hosts);
+    let stale = open_client(&first_node.node, "a", 5, 2).expect("the upgrade succeeds");
     assert!(
-        open_client(&one.node, "b", 5, 2).is_err(),
+        open_client(&first_node.node, "b", 5, 2).is_err(),
         "the limit of two sockets is one at each of two nodes"
     );
-    let _back =
-        open_client(&two.node, "c", 5, 2).expect("the stale socket counts at its own node only");
-    assert!(open_client(&two.node, "d", 5, 2).is_err());
+    let _reconnected = open_client(&second_node.node, "c", 5, 2)
+        .expect("the stale socket counts at its own node only");
+    assert!(open_client(&second_node.node, "d", 5, 2).is_err());
     // Once the first node has seen the disconnect, its slot is free again.
     drop(stale);
-    let again = loop {
-        if let Ok(socket) = open_client(&one.node, "e", 5, 2) {
+    let reopened = loop {
+        if let Ok(socket) = open_client(&first_node.node, "e", 5, 2) {
             break socket;
         }
         thread::sleep(Duration::from_millis(20));
     };
-    drop(again);
+    drop(reopened);
 }
 
 #[test]
@@ -799,13 +799,13 @@
     // Another customer at the same address has its own limit.
     let _other = open_client(&configured.node, "d", 9, 1).expect("the upgrade succeeds");
     drop(first);
-    let back = loop {
+    let reopened = loop {
         if let Ok(socket) = open_client(&configured.node, "e", 0xb4d6_5521, 1) {
             break socket;
         }
         thread::sleep(Duration::from_millis(20));
     };
-    drop(back);
+    drop(reopened);
 }
 
 /// An upgrade is charged to the quota of the customer's plan like any other request.
