--- a/crates/hot-restart/tests/lines.rs
+++ b/crates/hot-restart/tests/lines.rs
@@ -6,7 +6,7 @@
 use serde_json::Value;
 
 const LINES: &str = include_str!("fixtures/lines.jsonl");
-const STATE: &str = include_str!("../../policy/tests/fixtures/state_wide.json");
+const STATE: &str = include_str!("../../policy/tests/fixtures/state_large_fleet.json");
 
 fn messages() -> Vec<Message> {
     let state = TransferredState {
--- a/crates/policy/tests/stored_state.rs
+++ b/crates/policy/tests/stored_state.rs
@@ -18,9 +18,9 @@
 use serde_json::Value;
 
 /// State of a node of a small fleet.
-const SMALL_FLEET_STATE: &str = include_str!("fixtures/state_narrow.json");
+const SMALL_FLEET_STATE: &str = include_str!("fixtures/state_small_fleet.json");
 /// State of a node of a large fleet.
-const LARGE_FLEET_STATE: &str = include_str!("fixtures/state_wide.json");
+const LARGE_FLEET_STATE: &str = include_str!("fixtures/state_large_fleet.json");
 /// A shard, and the rejection cache of a requester.
 const SHARD: &str = include_str!("fixtures/shard.json");
 /// A slow-start budget with permits, and a baseline latency.
