--- a/crates/admin/src/line.rs
+++ b/crates/admin/src/line.rs
@@ -42,7 +42,7 @@
     pub fn parse(name: &str) -> Option<AdminCommand> {
         AdminCommand::ALL
             .into_iter()
-            .find(|call| call.name() == name)
+            .find(|command| command.name() == name)
     }
 }
 
--- a/crates/admin/src/log_fields.rs
+++ b/crates/admin/src/log_fields.rs
@@ -35,12 +35,12 @@
     /// Parses a log line, in which other text may precede the marker. Returns `None` if it is not a complete line of
     /// counters.
     pub fn read(line: &str) -> Option<CounterLine> {
-        let mut parts = line.split_whitespace();
-        parts.find(|part| *part == MARKER)?;
+        let mut words = line.split_whitespace();
+        words.find(|word| *word == MARKER)?;
         let mut node = None;
         let mut at_ms = None;
         let mut counts = BTreeMap::new();
-        for field in parts.take(MAX_FIELDS) {
+        for field in words.take(MAX_FIELDS) {
             let (name, value) = field.split_once('=')?;
             let value: u64 = value.parse().ok()?;
             match name {
--- a/crates/admin/src/metrics.rs
+++ b/crates/admin/src/metrics.rs
@@ -33,7 +33,7 @@
     pub policy_counters: Vec<(&'static str, u64)>,
 }
 
-/// A per-class counter, exposed with the class's name as a label.
+/// A counter of a class's requests, exposed with the class's name as a label.
 struct ClassMetric {
     name: &'static str,
     count: fn(&ClassCounts) -> u64,
@@ -99,9 +99,9 @@
         CounterLine::line(node, at_ms, sums.into_iter().chain(self.unlabelled()))
     }
 
-    /// The metrics without a label.
+    /// Returns the metrics that are exposed without a label, each with its name.
     fn unlabelled(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
-        let own = [
+        let request_and_peer_counters = [
             ("relayed", self.request_counters.relayed),
             ("connects", self.request_counters.connects),
             ("connects_failed", self.request_counters.connects_failed),
@@ -115,7 +115,9 @@
             ("words_told", self.peer_messages.sent),
             ("words_heard", self.peer_messages.received),
         ];
-        own.into_iter().chain(self.policy_counters.iter().copied())
+        request_and_peer_counters
+            .into_iter()
+            .chain(self.policy_counters.iter().copied())
     }
 }
 
--- a/crates/admin/tests/callers.rs
+++ b/crates/admin/tests/callers.rs
@@ -1,4 +1,4 @@
-//! Which callers stay connected.
+//! Which callers the table closes: the oldest when it is full, and each after its timeout.
 
 use saffronpaddle_admin::CallerTable;
 use std::time::Duration;
@@ -15,7 +15,7 @@
     let (second, closed) = table.add(ms(10));
     assert_eq!(closed, None);
     let (third, closed) = table.add(ms(20));
-    assert_eq!(closed, Some(first));
+    assert_eq!(closed, Some(first), "the oldest caller is closed");
     table.remove(second);
     assert_eq!(table.len(), 1);
     assert_eq!(table.deadline(), Some(ms(120)));
--- a/crates/admin/tests/commands.rs
+++ b/crates/admin/tests/commands.rs
@@ -1,4 +1,4 @@
-//! Which lines are commands.
+//! Which lines are parsed as commands, and that the result does not depend on how a line is split.
 
 use proptest::prelude::*;
 use proptest::test_runner::FileFailurePersistence;
@@ -10,11 +10,11 @@
 
 #[test]
 fn commands_match_exactly_with_any_line_end() {
-    for call in AdminCommand::ALL {
-        let name = call.name();
-        assert_eq!(parse(format!("{name}\n")), Some(Ok(call)));
-        assert_eq!(parse(format!("{name} \r\n")), Some(Ok(call)));
-        assert_eq!(parse(format!("{name}\nINFO\n")), Some(Ok(call)));
+    for command in AdminCommand::ALL {
+        let name = command.name();
+        assert_eq!(parse(format!("{name}\n")), Some(Ok(command)));
+        assert_eq!(parse(format!("{name} \r\n")), Some(Ok(command)));
+        assert_eq!(parse(format!("{name}\nINFO\n")), Some(Ok(command)));
     }
     let names = AdminCommand::ALL.map(AdminCommand::name);
     assert_eq!(names, ["PING", "INFO", "LAMEDUCK", "REJOIN"]);
@@ -55,6 +55,7 @@
             rest = unsent;
         }
         prop_assert_eq!(result, expected);
+        // The longest generated lines exceed the limit.
         prop_assert!(text.len() <= 80 && MAX_LINE_BYTES < 80);
     }
 }
--- a/crates/admin/tests/counters.rs
+++ b/crates/admin/tests/counters.rs
@@ -9,11 +9,13 @@
     let line = text
         .lines()
         .find_map(|line| line.strip_prefix(name))
-        .unwrap_or_else(|| panic!("{name}: {text}"));
-    line.trim().parse().expect("a number")
+        .unwrap_or_else(|| panic!("the metrics have no sample {name}:\n{text}"));
+    line.trim()
+        .parse()
+        .expect("the value of a sample is an integer")
 }
 
-/// Sums the samples of all requests that ended with a response.
+/// Sums the samples that count requests that ended with a response.
 fn answered(text: &str, class_names: &[String]) -> u64 {
     let mut sum = 0;
     for end in ["fulfilled", "throttled", "faulted"] {
