--- a/crates/netio/src/shortage.rs
+++ b/crates/netio/src/shortage.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// Pause between two attempts of a call.
+/// Pause between two attempts of a call that fails for lack of a resource.
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 /// How long a failing call is retried. Service managers allow more time than this for a start.
 const RETRY_TIMEOUT: Duration = Duration::from_secs(5);
--- a/crates/netio/tests/failures.rs
+++ b/crates/netio/tests/failures.rs
@@ -9,33 +9,34 @@
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, ReadBuf};
 
-/// A stream on which each read or write is interrupted `times` times and then transfers one byte.
-struct Interrupted {
-    times: u32,
+/// A stream on which each read or write is interrupted `interruptions_per_byte` times and then transfers one byte.
+struct InterruptedStream {
+    interruptions_per_byte: u32,
+    /// Interruptions before the next byte.
     remaining: u32,
     written: Vec<u8>,
 }
 
-impl Interrupted {
-    /// Returns whether the current call is to be interrupted, and counts it.
-    fn interrupts(&mut self) -> bool {
-        let interrupts = self.remaining > 0;
-        self.remaining = if interrupts {
+impl InterruptedStream {
+    /// Counts a call and returns whether it is interrupted.
+    fn is_call_interrupted(&mut self) -> bool {
+        let interrupted = self.remaining > 0;
+        self.remaining = if interrupted {
             self.remaining - 1
         } else {
-            self.times
+            self.interruptions_per_byte
         };
-        interrupts
+        interrupted
     }
 }
 
-impl AsyncRead for Interrupted {
+impl AsyncRead for InterruptedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         _: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        if self.interrupts() {
+        if self.is_call_interrupted() {
             return Poll::Ready(Err(ErrorKind::Interrupted.into()));
         }
         buffer.put_slice(b"x");
@@ -43,13 +44,13 @@
     }
 }
 
-impl AsyncWrite for Interrupted {
+impl AsyncWrite for InterruptedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         _: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        if self.interrupts() {
+        if self.is_call_interrupted() {
             return Poll::Ready(Err(ErrorKind::Interrupted.into()));
         }
         self.written.extend_from_slice(&bytes[..1]);
@@ -67,8 +68,8 @@
 
 #[tokio::test(flavor = "current_thread")]
 async fn interrupted_calls_are_retried_without_losing_or_duplicating_bytes() {
-    let mut stream = Uninterrupted::new(Interrupted {
-        times: 3,
+    let mut stream = Uninterrupted::new(InterruptedStream {
+        interruptions_per_byte: 3,
         remaining: 3,
         written: Vec::new(),
     });
@@ -90,9 +91,9 @@
 #[test]
 fn accept_errors_of_one_connection_are_distinguished_from_shortages() {
     use nix::errno::Errno::*;
-    let failure =
+    let classify =
         |errno: nix::errno::Errno| AcceptFailure::of(&io::Error::from_raw_os_error(errno as i32));
-    let of_one = [
+    let errors_of_one_connection = [
         EINTR,
         ECONNABORTED,
         ECONNRESET,
@@ -107,19 +108,19 @@
         ENETUNREACH,
         ETIMEDOUT,
     ];
-    for errno in of_one {
-        assert_eq!(failure(errno), AcceptFailure::ConnectionFailed, "{errno}");
+    for errno in errors_of_one_connection {
+        assert_eq!(classify(errno), AcceptFailure::ConnectionFailed, "{errno}");
     }
-    assert_eq!(failure(EMFILE), AcceptFailure::OutOfDescriptors);
+    assert_eq!(classify(EMFILE), AcceptFailure::OutOfDescriptors);
     for errno in [ENFILE, ENOBUFS, ENOMEM, EINVAL] {
-        assert_eq!(failure(errno), AcceptFailure::Transient, "{errno}");
+        assert_eq!(classify(errno), AcceptFailure::Transient, "{errno}");
     }
 }
 
 #[test]
 fn local_shortages_are_distinguished_from_failures_of_the_server() {
     use nix::errno::Errno::*;
-    let local =
+    let is_local =
         |errno: nix::errno::Errno| is_local_failure(&io::Error::from_raw_os_error(errno as i32));
     for errno in [
         EMFILE,
@@ -130,7 +131,7 @@
         EAGAIN,
         EINTR,
     ] {
-        assert!(local(errno), "{errno}");
+        assert!(is_local(errno), "{errno} is a local shortage");
     }
     for errno in [
         ECONNREFUSED,
@@ -139,7 +140,7 @@
         ENETUNREACH,
         ECONNRESET,
     ] {
-        assert!(!local(errno), "{errno}");
+        assert!(!is_local(errno), "{errno} is a failure of the server");
     }
 }
 
@@ -163,9 +164,9 @@
     calls.set(0);
     let error = retry_shortage(succeeds_after(u32::MAX))
         .await
-        .expect_err("the resource is still short");
+        .expect_err("the call fails until the retries time out");
     assert!(is_shortage(&error));
     // Any other error is returned immediately.
-    let refused = || std::future::ready(Err::<(), _>(io::Error::from(ErrorKind::AddrInUse)));
-    assert!(retry_shortage(refused).await.is_err());
+    let address_in_use = || std::future::ready(Err::<(), _>(io::Error::from(ErrorKind::AddrInUse)));
+    assert!(retry_shortage(address_in_use).await.is_err());
 }
