--- a/crates/hot-restart/src/link.rs
+++ b/crates/hot-restart/src/link.rs
@@ -20,7 +20,7 @@
     /// The other process has exited or closed the connection.
     Disconnected,
     /// The first message did not arrive before its timeout.
-    Silent,
+    TimedOut,
     /// The other process belongs to another node.
     OtherNode,
     /// The parent sent a newer version than this build understands.
@@ -33,7 +33,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             CloseReason::Disconnected => "the connection was closed",
-            CloseReason::Silent => "the first message did not arrive in time",
+            CloseReason::TimedOut => "the first message did not arrive in time",
             CloseReason::OtherNode => "the process belongs to another node",
             CloseReason::NewerVersion => "the process uses a newer protocol version",
             CloseReason::Malformed => "a message was malformed or unexpected",
@@ -60,14 +60,14 @@
     End(CloseReason),
 }
 
+/// The stage that a link has reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
     /// Waits for the first message of the other process.
-    Greeting {
-        deadline: Duration,
-    },
+    Handshake { deadline: Duration },
     /// The handshake is complete: both processes count as one node.
     Live,
+    /// The link has ended and ignores all messages.
     Closed,
 }
 
@@ -77,7 +77,7 @@
     role: Role,
     node_name: String,
     stage: Stage,
-    /// The other process is a child that accepts connections.
+    /// Whether the other process is a child that accepts connections.
     child_serving: bool,
 }
 
@@ -88,7 +88,8 @@
     /// How long a parent waits for the child's greeting. Frees the link of a process that connects and sends nothing.
     pub const HELLO_TIMEOUT: Duration = Duration::from_secs(1);
 
-    /// Creates a link that a process of the node `name` has just opened, in which it has the given role.
+    /// Creates the link of a connection that has just been opened. This process belongs to the node `name` and has the
+    /// given role. A child sends its greeting immediately.
     pub fn new(now: Duration, role: Role, name: &str, out: &mut Vec<LinkAction>) -> Link {
         let timeout = match role {
             Role::Parent => Self::HELLO_TIMEOUT,
@@ -103,7 +104,7 @@
         Link {
             role,
             node_name: name.to_owned(),
-            stage: Stage::Greeting {
+            stage: Stage::Handshake {
                 deadline: now + timeout,
             },
             child_serving: false,
@@ -128,7 +129,7 @@
     /// When [`Link::tick`] is due; `None` if the link does not wait for a first message.
     pub fn deadline(&self) -> Option<Duration> {
         match self.stage {
-            Stage::Greeting { deadline } => Some(deadline),
+            Stage::Handshake { deadline } => Some(deadline),
             Stage::Live | Stage::Closed => None,
         }
     }
@@ -136,7 +137,7 @@
     /// Closes the link if its deadline has passed.
     pub fn tick(&mut self, now: Duration, out: &mut Vec<LinkAction>) {
         if self.deadline().is_some_and(|deadline| now >= deadline) {
-            self.close(CloseReason::Silent, out);
+            self.close(CloseReason::TimedOut, out);
         }
     }
 
@@ -149,16 +150,17 @@
     pub fn on_message(&mut self, message: Option<Message>, out: &mut Vec<LinkAction>) {
         let handled = match (self.stage, message) {
             (Stage::Closed, _) => Ok(()),
-            (Stage::Greeting { .. }, Some(message)) => self.on_greeting(message, out),
+            (Stage::Handshake { .. }, Some(message)) => self.on_first_message(message, out),
             (Stage::Live, Some(message)) => self.on_live_message(message, out),
-            (Stage::Greeting { .. } | Stage::Live, None) => Err(CloseReason::Malformed),
+            (Stage::Handshake { .. } | Stage::Live, None) => Err(CloseReason::Malformed),
         };
         if let Err(reason) = handled {
             self.close(reason, out);
         }
     }
 
-    fn on_greeting(
+    /// Handles the first message of the other process, which completes the handshake if it is valid.
+    fn on_first_message(
         &mut self,
         message: Message,
         out: &mut Vec<LinkAction>,
--- a/crates/hot-restart/src/process_group.rs
+++ b/crates/hot-restart/src/process_group.rs
@@ -1,4 +1,4 @@
-//! The links of one process.
+//! The links of one process to its parent and its children, and the recipients of a message.
 
 use crate::link::{Link, LinkAction, Role};
 use crate::message::Message;
@@ -83,8 +83,8 @@
         let mut recipients = Vec::new();
         for (id, link) in &self.links {
             let is_sender = Some(*id) == from;
-            let wanted = link.is_to_parent() || !parents_only;
-            if link.is_live() && wanted && !is_sender {
+            let role_matches = link.is_to_parent() || !parents_only;
+            if link.is_live() && role_matches && !is_sender {
                 recipients.push(*id);
             }
         }
--- a/crates/hot-restart/tests/lines.rs
+++ b/crates/hot-restart/tests/lines.rs
@@ -1,13 +1,16 @@
-//! Compatibility of the encoded messages. The two processes of a hot restart may run different builds, so the lines of
-//! the build before this test must still be decoded, and messages must be encoded to exactly the same lines.
+//! Compatibility of the encoded messages. The two processes of a hot restart may run different builds, so lines from
+//! builds older than this test must still be decoded, and messages must be encoded to exactly the same lines.
 
 use saffronpaddle_hot_restart::*;
 use saffronpaddle_policy::interface::*;
 use serde_json::Value;
 
+/// The encoded [`messages`], one per line.
 const LINES: &str = include_str!("fixtures/lines.jsonl");
+/// State of the policy engine of a node of a large fleet, encoded by a build older than this test.
 const STATE: &str = include_str!("../../policy/tests/fixtures/state_large_fleet.json");
 
+/// A message of each kind.
 fn messages() -> Vec<Message> {
     let state = TransferredState {
         version: VERSION,
@@ -52,7 +55,10 @@
 #[test]
 fn every_message_is_encoded_as_in_the_fixture() {
     let encoded: String = messages().iter().map(write).collect();
-    assert_eq!(encoded, LINES, "\n{encoded}");
+    assert_eq!(
+        encoded, LINES,
+        "the encoded messages differ from the fixture:\n{encoded}"
+    );
 }
 
 #[test]
@@ -64,22 +70,22 @@
     );
 }
 
-/// A line with a complete state of the build before is decoded without loss.
+/// A line with a complete state from an older build must be decoded without loss.
 #[test]
 fn a_line_with_a_complete_state_is_decoded() {
-    let module: Value = serde_json::from_str(STATE).expect("the fixture is JSON");
-    let line = serde_json::json!({"state": {"version": 1, "name": "n0", "module": module}});
+    let policy_state: Value = serde_json::from_str(STATE).expect("the fixture is JSON");
+    let line = serde_json::json!({"state": {"version": 1, "name": "n0", "module": policy_state}});
     let Some(Message::State(state)) = read(line.to_string().as_bytes()) else {
         panic!("the line is not decoded as a state")
     };
     assert_eq!(
         serde_json::to_value(&state.policy).expect("a state can be encoded"),
-        module
+        policy_state
     );
     assert_eq!((state.version, state.list), (1, None));
 }
 
-/// A newer build may send additional fields and messages of unknown kinds.
+/// A newer build may send fields and messages that this build does not know.
 #[test]
 fn unknown_fields_are_ignored_and_unknown_messages_are_not_decoded() {
     let hello = br#"{"hello":{"version":1,"name":"n0","colour":"red"}}"#;
--- a/crates/hot-restart/tests/links.rs
+++ b/crates/hot-restart/tests/links.rs
@@ -11,7 +11,7 @@
 
 const NODE: &str = "n0";
 
-fn open(role: Role) -> Link {
+fn open_link(role: Role) -> Link {
     Link::new(Duration::ZERO, role, NODE, &mut Vec::new())
 }
 
@@ -22,7 +22,7 @@
 }
 
 /// If the response to its greeting is not the state of its node, a child must end the link, so that it starts without
-/// one.
+/// a state.
 #[test]
 fn a_child_ends_its_link_on_any_response_but_a_state_of_its_node() {
     let cases = [
@@ -33,7 +33,7 @@
         (Some(hello(NODE, VERSION)), CloseReason::Malformed),
     ];
     for (message, reason) in cases {
-        let mut link = open(Role::Child);
+        let mut link = open_link(Role::Child);
         assert_eq!(receive(&mut link, message), [LinkAction::End(reason)]);
         assert!(
             receive(&mut link, Some(state(NODE, VERSION))).is_empty(),
@@ -41,16 +41,19 @@
         );
     }
     // The link to a parent that stalls times out.
-    let (mut link, mut out) = (open(Role::Child), Vec::new());
+    let (mut link, mut out) = (open_link(Role::Child), Vec::new());
     let before_timeout = Link::STATE_TIMEOUT
         .checked_sub(Duration::from_millis(1))
-        .unwrap();
+        .expect("the timeout is longer than 1 ms");
     link.tick(before_timeout, &mut out);
-    assert!(out.is_empty());
+    assert!(
+        out.is_empty(),
+        "the link waits for the state until its timeout"
+    );
     link.tick(Link::STATE_TIMEOUT, &mut out);
-    assert_eq!(out, [LinkAction::End(CloseReason::Silent)]);
+    assert_eq!(out, [LinkAction::End(CloseReason::TimedOut)]);
     // An older parent accepts the greeting of a newer child.
-    let mut link = open(Role::Parent);
+    let mut link = open_link(Role::Parent);
     assert_eq!(
         receive(&mut link, Some(hello(NODE, VERSION + 1))),
         [LinkAction::SendState]
@@ -65,14 +68,22 @@
 
 #[test]
 fn attempts_go_to_all_other_processes_and_peer_datagrams_to_parents_only() {
+    // A process that has a parent and a child.
     let mut middle = ProcessGroup::new(NODE);
-    let (parent, _) = middle.open(Duration::ZERO, Role::Child).expect("a link");
-    let (child, _) = middle.open(Duration::ZERO, Role::Parent).expect("a link");
+    let (parent, _) = middle
+        .open(Duration::ZERO, Role::Child)
+        .expect("the group has room for a link");
+    let (child, _) = middle
+        .open(Duration::ZERO, Role::Parent)
+        .expect("the group has room for a link");
     let attempt_ended = Message::Sibling(SiblingMessage::AttemptEnded {
         request: RequestId("a".into()),
         attempt: AttemptNumber(0),
     });
-    assert!(middle.recipients(&attempt_ended, None).is_empty());
+    assert!(
+        middle.recipients(&attempt_ended, None).is_empty(),
+        "links get no messages before their handshakes"
+    );
     assert!(!middle.is_shared() && !middle.has_no_child());
     middle.with(parent, |link, out| {
         link.on_message(Some(state(NODE, VERSION)), out);
@@ -83,16 +94,22 @@
     assert_eq!(middle.recipients(&attempt_ended, None), [parent, child]);
     assert_eq!(middle.recipients(&attempt_ended, Some(parent)), [child]);
     assert_eq!(middle.recipients(&attempt_ended, Some(child)), [parent]);
-    let peer = Message::Peer {
+    let peer_datagram = Message::Peer {
         from: NodeId(1),
         bytes: vec![1],
     };
-    assert_eq!(middle.recipients(&peer, Some(child)), [parent]);
+    assert_eq!(middle.recipients(&peer_datagram, Some(child)), [parent]);
     middle.with(child, Link::on_disconnect);
-    assert!(middle.is_shared() && middle.has_no_child());
-    // The number of links is limited.
+    assert!(
+        middle.is_shared() && middle.has_no_child(),
+        "only the link to the parent is left"
+    );
+    // The number of links is limited, so the loop ends.
     while middle.open(Duration::ZERO, Role::Parent).is_some() {}
-    assert!(middle.open(Duration::ZERO, Role::Parent).is_none());
+    assert!(
+        middle.open(Duration::ZERO, Role::Parent).is_none(),
+        "a group that is full stays full"
+    );
 }
 
 proptest! {
@@ -102,9 +119,9 @@
 
     /// Arbitrary bytes in place of a message end the link and have no other effect.
     #[test]
-    fn malformed_lines_end_the_link(bytes in prop::collection::vec(any::<u8>(), 0..300), live: bool) {
-        let mut link = open(Role::Parent);
-        if live {
+    fn malformed_lines_end_the_link(bytes in prop::collection::vec(any::<u8>(), 0..300), handshake_complete: bool) {
+        let mut link = open_link(Role::Parent);
+        if handshake_complete {
             receive(&mut link, Some(hello(NODE, VERSION)));
         }
         if read(&bytes).is_none() {
@@ -116,11 +133,11 @@
     /// A state that is truncated or has one changed byte is either restored or rejected as a whole, and the policy
     /// engine still handles requests afterwards.
     #[test]
-    fn a_corrupted_state_is_rejected_or_restored(at in 0usize..10_000, byte: u8, truncate: bool) {
+    fn a_corrupted_state_is_rejected_or_restored(offset in 0usize..10_000, byte: u8, truncate: bool) {
         let mut line = write(&state(NODE, VERSION)).into_bytes();
-        let at = at % line.len();
-        if truncate { line.truncate(at) } else { line[at] = byte }
-        let mut link = open(Role::Child);
+        let offset = offset % line.len();
+        if truncate { line.truncate(offset) } else { line[offset] = byte }
+        let mut link = open_link(Role::Child);
         for action in receive(&mut link, read(&line)) {
             if let LinkAction::Restore(state) = action {
                 let mut process = Process::new(START);
--- a/crates/hot-restart/tests/sibling_attempts.rs
+++ b/crates/hot-restart/tests/sibling_attempts.rs
@@ -21,7 +21,9 @@
 
 /// The units that two processes have sent together, and the units that the hard limit allows.
 struct Overlap {
+    /// Units that the parent and the child have sent, each since its start.
     sent: u32,
+    /// The capacity of the hard limit, plus the units that it refills while both processes run.
     allowed: f64,
 }
 
@@ -38,13 +40,13 @@
     if linked {
         let snapshot = serde_json::from_str(&snapshot).expect("a snapshot can be decoded");
         child.engine.restore(snapshot, 0);
-        let live = Event::SiblingsChanged {
+        let siblings_changed = Event::SiblingsChanged {
             ended_link: None,
             share_attempts: true,
             peer_messages_delegated: false,
         };
-        parent.handle(now, live.clone());
-        child.handle(now, live);
+        parent.handle(now, siblings_changed.clone());
+        child.handle(now, siblings_changed);
     }
     let overlap_start = now;
     for number in 1..=requests {
@@ -68,15 +70,18 @@
 #[test]
 fn two_linked_processes_keep_one_hard_limit() {
     let Overlap { sent, allowed } = overlap(true, 400);
-    assert!(f64::from(sent) <= allowed + 1.0, "{sent} of {allowed}");
+    assert!(
+        f64::from(sent) <= allowed + 1.0,
+        "the processes sent {sent} units, but the limit allows {allowed}"
+    );
     assert!(
         f64::from(sent) > allowed * 0.8,
-        "the limit is used: {sent} of {allowed}"
+        "the processes sent only {sent} of {allowed} units that the limit allows"
     );
     let Overlap { sent, allowed } = overlap(false, 400);
     assert!(
         f64::from(sent) > allowed * 1.3,
-        "without the link they exceed it: {sent} of {allowed}"
+        "without the link, the processes sent only {sent} units, and the limit allows {allowed}"
     );
 }
 
@@ -105,7 +110,7 @@
             },
         );
     }
-    let with_attempts = snapshot_bytes(&process);
+    let bytes_with_attempts = snapshot_bytes(&process);
     for (ended_link, share_attempts) in [(0, true), (1, false)] {
         process.handle(
             START,
@@ -116,10 +121,10 @@
             },
         );
     }
-    let after_exit = snapshot_bytes(&process);
+    let bytes_after_exit = snapshot_bytes(&process);
     assert!(
-        after_exit * 100 < with_attempts,
-        "{after_exit} of {with_attempts}"
+        bytes_after_exit * 100 < bytes_with_attempts,
+        "a snapshot still has {bytes_after_exit} bytes, and had {bytes_with_attempts} with the attempts"
     );
 }
 
@@ -142,7 +147,10 @@
         }
         process.broadcasts - before
     };
-    assert!(broadcasts_in_two_seconds(&mut process) > 5);
+    assert!(
+        broadcasts_in_two_seconds(&mut process) > 5,
+        "a process without siblings sends messages to its peers"
+    );
     process.handle(
         START + 2_000_000,
         Event::SiblingsChanged {
@@ -151,7 +159,11 @@
             peer_messages_delegated: true,
         },
     );
-    assert_eq!(broadcasts_in_two_seconds(&mut process), 0);
+    assert_eq!(
+        broadcasts_in_two_seconds(&mut process),
+        0,
+        "the sibling process sends the messages to peers"
+    );
     process.handle(
         START + 4_000_000,
         Event::SiblingsChanged {
@@ -160,5 +172,8 @@
             peer_messages_delegated: false,
         },
     );
-    assert!(broadcasts_in_two_seconds(&mut process) > 5);
+    assert!(
+        broadcasts_in_two_seconds(&mut process) > 5,
+        "the process sends messages to its peers again after its sibling has exited"
+    );
 }
--- a/crates/hot-restart/tests/support/mod.rs
+++ b/crates/hot-restart/tests/support/mod.rs
@@ -60,7 +60,7 @@
     }
 }
 
-/// A process with one app server, and the actions of its policy engine.
+/// A process with one app server, and the actions that its policy engine has returned.
 pub struct Process {
     pub engine: PolicyEngine,
     pub attempts_sent: u32,
@@ -108,17 +108,17 @@
         }
         self.attempts_sent += sent.len() as u32;
         for id in sent {
-            let answer = Event::AttemptEnded {
+            let attempt_ended = Event::AttemptEnded {
                 id,
                 attempt: AttemptNumber(0),
                 outcome: Outcome::Ok,
                 request_closed: true,
             };
-            self.handle(now, answer);
+            self.handle(now, attempt_ended);
         }
     }
 
-    /// Handles the arrival of a request of one unit.
+    /// Handles the arrival of a request of one unit, whose identifier contains `number`.
     pub fn request(&mut self, now: Micros, number: u32) {
         self.handle(now, Event::TimerFired { token: 0 });
         self.handle(
