--- a/crates/subsetting/src/lib.rs
+++ b/crates/subsetting/src/lib.rs
@@ -5,9 +5,10 @@
 //! stale. A node must also store, iterate over and connect to all servers. Limiting each node to a subset prevents
 //! this.
 //!
-//! - [`Subset`]: with up to [`FULL_LIST_MAX_SERVERS`] servers, each node sends to all of them. In a longer list, each server is
-//!   assigned [`Subset::nodes_per_server`] nodes. The assignment depends only on the server's number, so adding or
-//!   removing a server does not reassign the others, and each node can compute the nodes of a server without messages.
+//! - [`Subset`]: with up to [`FULL_LIST_MAX_SERVERS`] servers, each node sends to all of them. In a longer list, each
+//!   server is assigned [`Subset::nodes_per_server`] nodes. The assignment depends only on the server's number, so
+//!   adding or removing a server does not reassign the others, and each node can compute the nodes of a server without
+//!   messages.
 //! - [`Median`]: the median of a changing set of values, without sorting them.
 //!
 //! The crate performs no I/O and uses no clock.
--- a/crates/subsetting/src/subset.rs
+++ b/crates/subsetting/src/subset.rs
@@ -12,10 +12,12 @@
 /// Minimum number of nodes per server, if the fleet has as many. These first nodes of a server's order don't depend on
 /// the length of the list. They share the server's slow start.
 pub const SLOW_START_GROUP_SIZE: u32 = 8;
-/// Maximum ratio of the nodes per server to the number needed before it is reduced. Without this tolerance, a list
-/// whose length alternates by one server would change part of all subsets each time.
+/// Maximum ratio of the number of nodes per server to the number needed. Above it, the number of nodes per server is
+/// reduced. Without this tolerance, a list whose length alternates by one server would change part of all subsets each
+/// time.
 const MAX_RATIO_BEFORE_SHRINK: f64 = 1.5;
-/// Ratio of the nodes per server to the number needed, after the number of nodes per server was recomputed.
+/// Ratio of the number of nodes per server to the number needed, right after the number of nodes per server was
+/// recomputed.
 const RESIZE_RATIO: f64 = 1.2;
 
 /// The group of nodes that share a server's slow start, and one node's rank in it.
@@ -56,6 +58,8 @@
         self.nodes_per_server != before
     }
 
+    /// Returns the number of nodes per server for a list of `server_count` servers, which is the current number while
+    /// that is within the tolerance.
     fn nodes_per_server_for(&self, server_count: usize) -> u32 {
         if server_count <= FULL_LIST_MAX_SERVERS {
             return self.node_count;
@@ -133,6 +137,7 @@
         (distance * modular_inverse(order.step, node_count) % node_count) as u32
     }
 
+    /// Computes a server's order of nodes from a hash of its number.
     fn order(&self, server: u64) -> NodeOrder {
         let node_count = u64::from(self.node_count);
         let hash = hash_number(server);
--- a/crates/subsetting/tests/subset.rs
+++ b/crates/subsetting/tests/subset.rs
@@ -1,4 +1,5 @@
-//! Tests of the distribution of subsets over a long list, and that each node computes the same nodes for a server.
+//! Distribution of subsets over a long list, changes of the list, and that each node computes the same nodes for a
+//! server.
 
 use proptest::prelude::*;
 use proptest::test_runner::FileFailurePersistence;
@@ -123,14 +124,14 @@
         );
         assert!(
             distribution.smallest_subset >= TARGET_SUBSET_SIZE * 3 / 4,
-            "{node_count} nodes: a subset of {} servers",
+            "{node_count} nodes: the smallest subset has {} servers",
             distribution.smallest_subset
         );
         let nodes_per_server = subset(0, node_count, server_count).nodes_per_server();
         let mean = server_count * nodes_per_server as usize / node_count as usize;
         assert!(
             distribution.largest_subset < mean * 13 / 10,
-            "{node_count} nodes: a subset of {} servers, mean {mean}",
+            "{node_count} nodes: the largest subset has {} servers, the mean is {mean}",
             distribution.largest_subset
         );
     }
@@ -199,7 +200,7 @@
         let after = members(&subset, &remaining);
         assert!(
             after.len() >= TARGET_SUBSET_SIZE * 3 / 4,
-            "a subset of {} servers",
+            "the refilled subset has {} servers",
             after.len()
         );
         assert!(
@@ -218,11 +219,15 @@
             let changes = (0..100)
                 .filter(|round| subset.resize(server_count + round % 2))
                 .count();
-            assert_eq!(changes, 0, "{node_count} nodes, {server_count} servers");
+            assert_eq!(
+                changes, 0,
+                "the subset of {node_count} nodes and {server_count} servers has changed"
+            );
         }
     }
 }
 
+/// A fleet with at most [`SLOW_START_GROUP_SIZE`] nodes needs all of them for each server.
 #[test]
 fn three_nodes_send_to_all_servers_of_a_long_list() {
     let subset = subset(1, 3, 40_000);
@@ -234,6 +239,7 @@
         FileFailurePersistence::WithSource("proptest-regressions")
     ))]
 
+    /// The rank of a node in a server's order, and the node at a rank, are computed by inverse functions.
     #[test]
     fn the_node_at_a_nodes_rank_is_that_node(
         server: u64, node_count in 9_u32..5_000, node in 0_u32..5_000,
