--- a/crates/bench/src/cost.rs
+++ b/crates/bench/src/cost.rs
@@ -14,9 +14,11 @@
 use std::time::{Duration, Instant};
 use tokio::net::{TcpListener, TcpStream};
 
-/// The core to which the node and the relay are pinned in turn.
+/// Number of the core to which the node and the relay are pinned in turn.
 const MEASURED_CORE: usize = 0;
 
+/// Runs the subcommand `cost`: measures the node, the other build if one is given, and the bare relay in turn, and prints
+/// the medians over all rounds.
 pub fn measure(mut arguments: lexopt::Parser) -> Result<()> {
     let (mut servers, mut connections, mut requests, mut rounds) =
         (10_usize, 16_usize, 40_000_u64, 3_usize);
--- a/crates/bench/src/idle.rs
+++ b/crates/bench/src/idle.rs
@@ -11,6 +11,7 @@
 use std::time::{Duration, Instant};
 use tokio::net::TcpStream;
 
+/// Runs the subcommand `idle`: starts a node repeatedly, and prints its time to readiness and what it uses while idle.
 pub fn measure(mut arguments: lexopt::Parser) -> Result<()> {
     let mut starts = 20;
     while let Some(argument) = arguments.next()? {
--- a/crates/bench/src/process.rs
+++ b/crates/bench/src/process.rs
@@ -18,7 +18,7 @@
     child: Child,
     /// Address at which the process accepts connections.
     pub address: SocketAddr,
-    /// Configuration file, which is removed with the process, as is the operator file beside it, if there is one.
+    /// Configuration file. It is removed when this value is dropped, as is the operator file beside it, if there is one.
     config: Option<PathBuf>,
 }
 
--- a/crates/bench/src/relay.rs
+++ b/crates/bench/src/relay.rs
@@ -23,6 +23,7 @@
     next: Cell<usize>,
 }
 
+/// Runs the subcommand `relay`: listens on the first address and forwards to the others until the process is killed.
 pub fn serve(mut arguments: lexopt::Parser) -> Result<()> {
     let mut addresses = Vec::new();
     while let Some(argument) = arguments.next()? {
--- a/crates/bench/src/roster.rs
+++ b/crates/bench/src/roster.rs
@@ -14,6 +14,8 @@
 use std::time::{Duration, Instant};
 use tokio::net::TcpStream;
 
+/// Runs the subcommand `roster`: starts a node that follows a list in etcd, and prints its time to the whole list, its
+/// memory, and the CPU time that a change of the list costs.
 pub fn measure(mut arguments: lexopt::Parser) -> Result<()> {
     let (mut hosts, mut changes_s, mut seconds) = (10_000_usize, 100_u32, 10_u32);
     while let Some(argument) = arguments.next()? {
--- a/crates/bench/src/scale/bounds.rs
+++ b/crates/bench/src/scale/bounds.rs
@@ -14,7 +14,9 @@
     pub present: usize,
     /// Running nodes that are processes of the program.
     pub real: usize,
+    /// App servers on the list.
     pub servers: usize,
+    /// Customers that send requests.
     pub tenants: usize,
     /// Requests/s to each node.
     pub tries: f64,
@@ -30,15 +32,23 @@
     pub seconds: u64,
 }
 
-/// Minimum and maximum of each parameter.
+/// Minimum and maximum of [`Point::nodes`].
 const NODES_RANGE: (usize, usize) = (1, 2_700);
+/// Minimum and maximum of [`Point::real`].
 const REAL_RANGE: (usize, usize) = (0, 8);
+/// Minimum and maximum of [`Point::servers`].
 const SERVERS_RANGE: (usize, usize) = (1, 100_000);
+/// Minimum and maximum of [`Point::tenants`].
 const TENANTS_RANGE: (usize, usize) = (1, 1_000_000);
+/// Minimum and maximum of [`Point::tries`], requests/s.
 const TRIES_RANGE: (f64, f64) = (0.0, 1_000.0);
+/// Minimum and maximum of [`Point::changes`], 1/s.
 const CHANGES_RANGE: (f64, f64) = (0.0, 1_000.0);
+/// Minimum and maximum of [`Point::restart`].
 const SHARE_RANGE: (f64, f64) = (0.0, 1.0);
+/// Minimum and maximum of [`Point::skew`].
 const SKEW_RANGE: (f64, f64) = (0.0, 2.0);
+/// Minimum and maximum of [`Point::seconds`], s.
 const SECONDS_RANGE: (u64, u64) = (1, 60);
 /// Longest duration of one point.
 pub const MAX_POINT_TIME: Duration = Duration::from_secs(90);
@@ -46,22 +56,25 @@
 pub const MAX_RUN_TIME: Duration = Duration::from_secs(590);
 /// Most processes of hollow nodes.
 const MAX_PROCESSES: usize = 6;
-/// Product of nodes and servers that one process of hollow nodes carries, and the minimum number of servers in this
-/// product. With more of them, nodes in one event loop would delay one another, which nodes in separate processes do
+/// Largest product of nodes and servers for one process of hollow nodes, and the minimum number of servers that counts in
+/// this product. Beyond it, nodes in one event loop would delay one another, which nodes in separate processes do
 /// not.
 const NODE_SERVERS_PER_PROCESS: (usize, usize) = (15_000, 200);
-/// Requests/s that one process of hollow nodes carries: about half of a core.
+/// Most requests/s for one process of hollow nodes, which take about half of a core.
 const REQUEST_RATE_PER_PROCESS: f64 = 1_500.0;
 /// Time between a change of load and the next window: for short windows, and for others.
 const SETTLE_TIMES: (Duration, Duration) =
     (Duration::from_millis(500), Duration::from_millis(1_500));
 /// Longest window that counts as short, s.
 const SHORT_WINDOW_S: u64 = 2;
-/// Estimated memory of one node in bytes: a base, and for each server, each peer and each tenant that sends it
-/// requests. Each estimate includes a reserve of half as much again.
+/// Estimated memory of one node without servers, peers and tenants, bytes. This estimate and the following three include
+/// a reserve of half as much again.
 const NODE_BYTES: f64 = 500e3;
+/// Estimated memory of one node for each server, bytes.
 const BYTES_PER_SERVER: f64 = 3_500.0;
+/// Estimated memory of one node for each peer, bytes.
 const BYTES_PER_PEER: f64 = 120.0;
+/// Estimated memory of one node for each tenant that sends it requests, bytes.
 const BYTES_PER_TENANT: f64 = 600.0;
 /// Estimated memory of the run itself, bytes.
 const RUN_BYTES: f64 = 400e6;
@@ -102,8 +115,9 @@
         let hollow = self.hollow_nodes();
         let by_size = (hollow * self.servers.max(NODE_SERVERS_PER_PROCESS.1))
             .div_ceil(NODE_SERVERS_PER_PROCESS.0);
-        let by_tries = (hollow as f64 * self.tries / REQUEST_RATE_PER_PROCESS).ceil() as usize;
-        by_size.max(by_tries).min(MAX_PROCESSES).min(hollow)
+        let by_request_rate =
+            (hollow as f64 * self.tries / REQUEST_RATE_PER_PROCESS).ceil() as usize;
+        by_size.max(by_request_rate).min(MAX_PROCESSES).min(hollow)
     }
 
     /// Time between a change of load and the next window, so that start-up effects are not measured.
--- a/crates/bench/src/scale/mod.rs
+++ b/crates/bench/src/scale/mod.rs
@@ -30,23 +30,25 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::net::TcpListener;
 
-/// Exit code for invalid arguments, with which a run ends before it starts anything.
-const INVALID_ARGUMENTS: i32 = 2;
+/// Exit code for invalid arguments, which are rejected before the run starts anything.
+const EXIT_INVALID_ARGUMENTS: i32 = 2;
 /// Number of addresses that the app servers of the list share.
 const DIAL_ADDRESSES: usize = 8;
 /// Number of zones of the fleet. Nodes and servers are assigned to them in turn.
 const ZONES: usize = 9;
 /// Names of the plans.
 const PLANS: [&str; 9] = ["p0", "p1", "p2", "p3", "p4", "p5", "p6", "p7", "p8"];
+/// Names of the zones.
 const SITES: [&str; ZONES] = ["z0", "z1", "z2", "z3", "z4", "z5", "z6", "z7", "z8"];
 /// Most connections of a hollow node to app servers: as many as a process with 4,096 descriptors has.
 const MAX_CONNECTIONS: usize = 2_000;
-/// Largest CPU share of a core of a process of several hollow nodes, and largest backlog of unanswered requests, in
-/// seconds of their rate, at which the machine keeps up; the event loop must not be late either. The limits do not
-/// apply to a node in a separate process, which is as late as a process of the program would be.
+/// Limits up to which the machine keeps up with a point: the share of a core that a process of several hollow nodes uses,
+/// and the unanswered requests, in seconds of the request rate. The event loop must not be late either (see
+/// [`LATE_LOOP_US`]). The limits do not apply to a node in a separate process, which is as late as a process of the
+/// program would be.
 const KEEPS_UP_LIMITS: (f64, f64) = (0.85, 0.3);
-/// An event loop with a larger 99th percentile of its delay is late, µs. A sweep of the policy engine can block it
-/// for less.
+/// The event loop is late if the 99th percentile of its delay exceeds this, µs. A sweep of the policy engine can block the
+/// loop for a shorter time.
 const LATE_LOOP_US: f64 = 10_000.0;
 /// Longest wait until the last node has applied the loss of a zone, and the interval between two checks.
 const ZONE_LOSS_WAIT: (Duration, Duration) = (Duration::from_secs(5), Duration::from_millis(100));
@@ -196,7 +198,7 @@
             Long("list") => match &*arguments.value()?.string()? {
                 "agent" => subscribe = false,
                 "service" => subscribe = true,
-                other => bail!("--list {other}: agent or service"),
+                other => bail!("--list {other}: must be agent or service"),
             },
             Long(
                 name @ ("nodes" | "present" | "servers" | "tenants" | "tries" | "changes"
@@ -214,14 +216,14 @@
         .find(|(_, name, ..)| Some(*name) == sweep.as_deref());
     if let Some(sweep) = sweep.as_ref().filter(|_| named.is_none()) {
         let names: Vec<&str> = SWEEPS.iter().map(|(_, name, ..)| *name).collect();
-        bail!("--sweep {sweep}: one of {}", names.join(", "));
+        bail!("--sweep {sweep}: must be one of {}", names.join(", "));
     }
     let swept = others
         .iter()
         .find(|(other, _)| Some(other.as_str()) == sweep.as_deref());
     ensure!(
         swept.is_none(),
-        "--{0} beside --sweep {0}: give --points",
+        "--{0} cannot be combined with --sweep {0}: give --points",
         sweep.unwrap_or_default()
     );
     let seconds = seconds.unwrap_or(if quick { 2 } else { 5 });
@@ -232,7 +234,7 @@
         let xs = xs.clone().unwrap_or_else(|| default_points.to_vec());
         ensure!(
             named.is_none() || !xs.is_empty(),
-            "--sweep {name} has no points here: give --points"
+            "--sweep {name} has no default points with --quick: give --points"
         );
         for x in xs {
             let mut point = swept.base_point(seconds);
@@ -248,7 +250,7 @@
                 !points
                     .iter()
                     .any(|(other_name, other, _)| other_name == name && *other == x),
-                "point {x} is there twice"
+                "point {x} is given twice"
             );
             points.push((*name, x, point));
         }
@@ -256,7 +258,7 @@
     let duration: Duration = points.iter().map(|(.., point)| point.min_duration()).sum();
     ensure!(
         duration < MAX_RUN_TIME,
-        "{} points take {duration:?} at the least; all may take {MAX_RUN_TIME:?}",
+        "{} points take {duration:?} at least; all may take {MAX_RUN_TIME:?}",
         points.len()
     );
     for path in [&csv, &plot].into_iter().flatten() {
@@ -266,7 +268,7 @@
             .unwrap_or(Path::new("."));
         ensure!(
             folder.is_dir() && !path.is_dir(),
-            "{} is not a file in a folder that is there",
+            "{} is not a file in an existing folder",
             path.display()
         );
     }
@@ -305,11 +307,11 @@
         Err(error) => {
             // One line without a backtrace, also with RUST_BACKTRACE set.
             eprintln!("saffronpaddle-bench scale: {error:#}");
-            std::process::exit(INVALID_ARGUMENTS);
+            std::process::exit(EXIT_INVALID_ARGUMENTS);
         }
     };
     println!(
-        "services: not carried by the program (there is one list of servers, and no services or routes)"
+        "services: not measured (the program has one list of servers, and no services or routes)"
     );
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(3)
@@ -322,7 +324,7 @@
             .saturating_sub(started.elapsed())
             .min(MAX_POINT_TIME);
         if left < MAX_POINT_TIME / 3 {
-            println!("{sweep} {x}: not run, as the time for all points is over");
+            println!("{sweep} {x}: not run: too little of the time limit of the run remains");
             unmeasured += 1;
             continue;
         }
@@ -341,7 +343,7 @@
         match ran {
             Ok(()) => print(&report, point_started.elapsed()),
             Err(error) => {
-                println!("{sweep} {x}: not measured to its end: {error:#}");
+                println!("{sweep} {x}: measurement incomplete: {error:#}");
                 report.add(
                     Source::Derived,
                     ("not_measured", "point"),
@@ -438,6 +440,7 @@
     tenants: Tenants,
 }
 
+/// Starts everything that a point needs.
 async fn start(point: &Point, subscribe: bool, time_limit: Duration) -> Result<Deployment> {
     let world = World::start(Bounds::default());
     let fleet = fleet(point);
@@ -551,7 +554,7 @@
         Source::Hollow,
         ("first_list_p50", "ms"),
         ms(&list_times, 0.5),
-        "from a node's start until it acted on the list",
+        "from a node's start until it applied the list",
     );
     report.add(
         Source::Hollow,
@@ -560,12 +563,13 @@
         "",
     );
     for real in &deployment.real {
-        let note = "from exec to /-/ready, which waits for no list unless an operator says so";
+        let note =
+            "from exec to /-/ready, which waits for a list only if the operator file says so";
         report.add(Source::Real, ("ready", "ms"), real.ready_ms, note);
     }
     let (full_size, sent_size) = deployment.list_service.list_sizes;
     let note = if sent_size < full_size {
-        "with all of the platform's fields it is longer than what a node takes"
+        "longer than a node accepts, so that it is sent without optional fields"
     } else {
         ""
     };
@@ -611,20 +615,20 @@
             Source::Hollow,
             ("memory_idle", "MB/node"),
             memory_per_node,
-            "resident, less the process without nodes",
+            "resident memory, less that of the process without nodes",
         );
         let per_node_second = 1.0 / hollow as f64 / elapsed_s;
         report.add(
             Source::Hollow,
             ("cpu_idle", "% of a core"),
             idle.cpu_ns / 1e7 * per_node_second,
-            "decision, list, datagrams, timers",
+            "policy engine, exchange, list, datagrams, timers",
         );
         report.add(
             Source::Hollow,
             ("decision_idle", "% of a core"),
             idle.decision_ns() / 1e7 * per_node_second,
-            "the decision and exchange alone",
+            "policy engine and exchange only",
         );
     }
     for (before, after) in real_before.iter().zip(&real_after) {
@@ -632,7 +636,7 @@
             Source::Real,
             ("memory_idle", "MB/node"),
             after.1 / 1e6,
-            "resident, the whole process",
+            "resident memory of the whole process",
         );
         report.add(
             Source::Real,
@@ -691,8 +695,8 @@
     if !changes.is_empty() && hollow > 0 {
         tokio::time::sleep(point.settle_time()).await;
         let command = format!("acted {}", serde_json::to_string(&changes)?);
-        /// Of each process: for each change the delay until its last node had applied it, and the histogram of all
-        /// delays, µs.
+        /// Answer of a process: for each change, the delay until the process's last node had applied it, µs, and the
+        /// histogram of the delays of all its nodes, µs.
         type ListDelays = (Vec<Option<u64>>, Vec<(u64, u64)>);
         let process_delays: Vec<ListDelays> =
             tokio::task::block_in_place(|| deployment.processes.request(&command))?;
@@ -715,7 +719,7 @@
             .iter()
             .for_each(|(_, buckets)| all.merge(buckets));
         let note = format!(
-            "{} changes until the last of {hollow} nodes had acted; {incomplete} not by all",
+            "{} changes, each until the last of {hollow} nodes applied it; {incomplete} not applied by all",
             changes.len()
         );
         report.add(
@@ -774,13 +778,13 @@
             Source::Hollow,
             ("restarted", "nodes"),
             restarted_nodes,
-            "at one stroke, one by one in each process",
+            "all processes at once, the nodes of a process one after another",
         );
         report.add(
             Source::Hollow,
             ("restart_listed_p50", "ms"),
             ms(&list_times, 0.5),
-            "from a node's new start until it acted on the list",
+            "from a node's restart until it applied the list",
         );
         report.add(
             Source::Hollow,
@@ -793,13 +797,13 @@
             Source::Hollow,
             ("restart_words_sent", "/s/node"),
             change.totals.datagrams_sent.0 as f64 * per_node_second,
-            "in the 2 s from the stroke on",
+            "in the 2 s after the restarts began",
         );
         report.add(
             Source::Hollow,
             ("restart_cut", "tries/node"),
             change.totals.interrupted as f64 / restarted_nodes.max(1.0),
-            "had no answer yet",
+            "requests without an answer when their node was restarted",
         );
     }
     Ok(())
@@ -817,6 +821,7 @@
     let (clock, now) = (Instant::now(), unix_micros());
     let seq = deployment.list_service.toggle_health(zone_servers.clone());
     let command = format!("acted [[{seq},{now}]]");
+    /// Answer of a process: the delay until its last node had applied the drain, µs, and the histogram of all delays, µs.
     type ListDelays = (Vec<Option<u64>>, Vec<(u64, u64)>);
     let last = loop {
         let process_delays: Vec<ListDelays> =
@@ -834,7 +839,7 @@
     deployment.list_service.toggle_health(zone_servers.clone());
     let cost = snapshot_delta(&before, &after).totals.list_cost;
     let note = format!(
-        "{} servers drain in one version, until the last node has acted",
+        "{} servers drain in one version of the list, until the last node has applied it",
         zone_servers.len()
     );
     report.add(
@@ -848,7 +853,7 @@
         Source::Hollow,
         ("zone_decision", "ms"),
         cpu_ms,
-        "the decision's and exchange's CPU on that list",
+        "CPU of the policy engine and exchange for that list",
     );
     Ok(())
 }
@@ -878,6 +883,7 @@
 
 /// Differences between two snapshots of all processes of hollow nodes.
 struct SnapshotDelta {
+    /// CPU time of all processes, ns.
     cpu_ns: f64,
     /// CPU time of the process that used most, ns.
     busiest_ns: f64,
@@ -903,6 +909,7 @@
     }
 }
 
+/// Differences between two snapshots of each process, summed over the processes.
 fn snapshot_delta(before: &[Snapshot], after: &[Snapshot]) -> SnapshotDelta {
     let (mut loop_lag, mut added_latency, mut totals) = (
         DurationHistogram::default(),
@@ -994,7 +1001,7 @@
     let note = if keeps_up {
         ""
     } else {
-        "the machine does not keep up with this point: no figure of it is one of real time"
+        "the machine does not keep up with this point: its values are not those of a fleet in real time"
     };
     hollow_row(
         report,
@@ -1004,9 +1011,9 @@
         note,
     );
     let note = if shared {
-        "of several nodes"
+        "a process of several nodes"
     } else {
-        "each has a process of its own"
+        "each node has its own process"
     };
     hollow_row(
         report,
@@ -1020,11 +1027,15 @@
         "loop_lag_p50",
         "ms",
         loop_lag(0.5) / 1e3,
-        "timers are of 1 ms",
+        "timers have a resolution of 1 ms",
     );
     let note = match loop_lag(0.99) > LATE_LOOP_US {
-        true if shared => "nodes of one process wait for one another, as processes would not",
-        true => "later than a sweep: the decision holds the loop, as it would a process's",
+        true if shared => {
+            "nodes in one process delay one another, which separate processes would not"
+        }
+        true => {
+            "longer than a sweep: the policy engine blocks the loop, as in a process of the program"
+        }
         false => "",
     };
     hollow_row(report, "loop_lag_p99", "ms", loop_lag(0.99) / 1e3, note);
@@ -1058,21 +1069,21 @@
         "memory_loaded",
         "MB/node",
         memory_per_node,
-        "resident, less the process without nodes",
+        "resident memory, less that of the process without nodes",
     );
     hollow_row(
         report,
         "cpu_loaded",
         "% of a core",
         loaded.cpu_ns / 1e7 * per_node_second,
-        "with the drawn clients and servers in it",
+        "includes the simulated clients and servers",
     );
     hollow_row(
         report,
         "decision_loaded",
         "% of a core",
         loaded.decision_ns() / 1e7 * per_node_second,
-        "the decision and exchange alone",
+        "policy engine and exchange only",
     );
     let mean_us = |cost: HandlingCost| {
         (cost.events > 0).then(|| cost.cpu_ns as f64 / 1e3 / cost.events as f64)
@@ -1085,7 +1096,7 @@
             "decision_try",
             "µs",
             all,
-            "of all its entries, less idle, a try offered",
+            "CPU of the policy engine and exchange, less that while idle, per request offered",
         );
         let own = totals.request_cost.cpu_ns as f64 / 1e3 / totals.offered as f64;
         hollow_row(
@@ -1093,26 +1104,26 @@
             "decision_try_own",
             "µs",
             own,
-            "entries for requests alone, a try offered",
+            "CPU of the policy engine and exchange for events of requests only, per request offered",
         );
     }
     report.add(
         Source::Hollow,
         ("decision_wake", "µs"),
         mean_us(totals.timer_cost),
-        "one wake-up",
+        "per timer of the policy engine",
     );
     report.add(
         Source::Hollow,
         ("decision_word", "µs"),
         mean_us(totals.peer_message_cost),
-        "one datagram of a peer",
+        "per datagram from a peer",
     );
     report.add(
         Source::Hollow,
         ("decision_list", "µs"),
         mean_us(totals.list_cost),
-        "one list or change, read already",
+        "per list or change, without parsing it",
     );
     let hollow_row = |report: &mut PointReport, name, unit, value: f64, note: &str| {
         report.add(Source::Hollow, (name, unit), value, note);
@@ -1132,7 +1143,7 @@
         "datagrams",
     );
     let note = if totals.datagrams_received.0 as f64 * per_node_second > MAX_RECEIVED_PER_S {
-        "more than the 60 that the platform lets a node take"
+        "more than the 60 that the platform lets a node receive"
     } else {
         ""
     };
@@ -1162,12 +1173,13 @@
         "list_bytes",
         "B/s/node",
         totals.list_traffic.1 as f64 * per_node_second,
-        "of the watch",
+        "received on the watch",
     );
     let control_bytes = (totals.datagrams_sent.0 + totals.datagrams_received.0) as f64
         * DATAGRAM_HEADER_BYTES
         + (totals.datagrams_sent.1 + totals.datagrams_received.1 + totals.list_traffic.1) as f64;
-    let note = "words both ways with 28 bytes of headers, and the list's bytes";
+    let note =
+        "datagrams sent and received, with 28 bytes of headers each, and the bytes of the list";
     report.add(
         Source::Derived,
         ("control_bytes", "B/s/node"),
@@ -1178,7 +1190,7 @@
         let others = (point.nodes - 1) as f64;
         let to_hollow = totals.datagrams_sent.0 as f64 * (hollow as f64 - 1.0) / others;
         let lost = 1.0 - totals.datagrams_received.0 as f64 / to_hollow.max(1.0);
-        let note = "of the words of hollow nodes to such, if real ones say and hear as much";
+        let note = "of the datagrams between hollow nodes, if real nodes send and receive as many";
         report.add(
             Source::Derived,
             ("words_lost", "share"),
@@ -1189,7 +1201,7 @@
     let open_connections: usize = after.iter().map(|process| process.open_connections).sum();
     let per_server = point.nodes as f64 / hollow as f64 / point.servers as f64;
     let note =
-        "connections that the exchange of hollow nodes keeps, for all nodes; nothing is sent over them";
+        "connections that the exchanges of hollow nodes keep, scaled to all nodes; they carry no data";
     report.add(
         Source::Derived,
         ("connections", "/server"),
@@ -1208,7 +1220,7 @@
             Source::Derived,
             ("handshakes_try", "/attempt"),
             share,
-            "connections made for each attempt that was written",
+            "connections opened per attempt that was written",
         );
     }
     let tracked_entries: usize = after.iter().map(|process| process.tracked_entries).sum();
@@ -1217,9 +1229,9 @@
         "kept",
         "entries/node",
         tracked_entries as f64 / hollow as f64,
-        "servers, their names, stores and homes in the decision",
+        "servers, token buckets and quota shards in the policy engine",
     );
-    let note = "from due time to served answer, less the server's own work: quotas' words, handshakes, waiting, loop lag";
+    let note = "from due time to served answer, less the server's own work: quota messages, handshakes, queueing, loop lag";
     report.add(
         Source::Hollow,
         ("added_p50", "ms"),
@@ -1255,13 +1267,13 @@
             Source::Real,
             ("memory_loaded", "MB/node"),
             usage_after.1 / 1e6,
-            "resident, the whole process",
+            "resident memory of the whole process",
         );
         report.add(
             Source::Real,
             ("cpu_loaded", "% of a core"),
             (usage_after.0 - usage_before.0) / 1e7 / elapsed_s,
-            "HTTP on both sides in it",
+            "includes HTTP on both sides",
         );
         let answered = node_stats.served + node_stats.refused + node_stats.failed;
         if answered > 0 {
@@ -1269,7 +1281,7 @@
                 Source::Real,
                 ("cpu_try", "µs"),
                 (usage_after.0 - usage_before.0) / 1e3 / answered as f64,
-                "all CPU of the process, a try",
+                "all CPU of the process, per request",
             );
             let share = |count: u64| count as f64 / answered as f64;
             report.add(
@@ -1307,7 +1319,7 @@
                 continue;
             };
             let note = format!(
-                "{} served tries; servers answer at once",
+                "{} served requests; servers answer immediately",
                 node_stats.latency.count()
             );
             report.add(Source::Real, (through_node, "ms"), node_ms, &note);
@@ -1315,7 +1327,7 @@
                 Source::Real,
                 (without_node, "ms"),
                 direct_ms,
-                "the same tries without a node between, at the same time",
+                "requests at the same rate and time, sent directly to a server",
             );
             report.add(
                 Source::Derived,
--- a/crates/bench/src/scale/real.rs
+++ b/crates/bench/src/scale/real.rs
@@ -28,6 +28,7 @@
     pub process: MeasuredProcess,
     /// Number of the node in the fleet.
     pub node: usize,
+    /// Time from exec to readiness, ms.
     pub ready_ms: f64,
 }
 
@@ -89,9 +90,13 @@
 /// Outcomes of the requests of clients.
 #[derive(Default)]
 pub struct ClientStats {
+    /// Requests sent.
     pub offered: u64,
+    /// Requests answered with status 200.
     pub served: u64,
+    /// Requests answered with status 429 or 503.
     pub refused: u64,
+    /// Requests with another status or without an answer.
     pub failed: u64,
     /// HTTP statuses of failed requests; 0 for no answer.
     pub failed_statuses: Vec<u16>,
@@ -115,6 +120,7 @@
 }
 
 impl Clients {
+    /// Clients of the node at an address. `node` selects the tenants that send requests to it.
     pub fn new(
         world: Arc<World>,
         fleet: Fleet,
--- a/crates/bench/src/scale/report.rs
+++ b/crates/bench/src/scale/report.rs
@@ -18,6 +18,7 @@
 }
 
 impl Source {
+    /// Value of the column `kind` in the output.
     pub fn name(self) -> &'static str {
         match self {
             Source::Real => "real",
@@ -86,7 +87,7 @@
     pub fit: fit::Fit,
 }
 
-/// Measures that give the validity of a point. No slope is calculated for them.
+/// Measures that show whether the other values of a point are valid. No slope is calculated for them.
 const VALIDITY_MEASURES: [&str; 2] = ["keeps_up", "not_measured"];
 
 /// Fits a line to each measure of each sweep. Of a point at which the machine did not keep up, only memory is used:
--- a/crates/bench/src/scale/service.rs
+++ b/crates/bench/src/scale/service.rs
@@ -19,6 +19,7 @@
 /// machines do not send them all at the same time either.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 
+/// A server's entry on the list.
 #[derive(Clone, Debug)]
 struct Server {
     dial: SocketAddr,
@@ -40,6 +41,7 @@
 }
 
 impl List {
+    /// The JSON entry of a server.
     fn host(&self, at: usize) -> String {
         let Server {
             dial,
@@ -86,6 +88,7 @@
     }
 }
 
+/// A list service that serves watches until the process ends.
 pub struct ListService {
     world: Arc<World>,
     list: Mutex<List>,
@@ -166,6 +169,7 @@
         seq
     }
 
+    /// Serves one watch until its connection ends.
     async fn serve(&self, mut connection: HttpConnection) -> std::io::Result<()> {
         let Some(request) = connection.read_message(&self.world).await? else {
             return Ok(());
--- a/crates/bench/src/scale/shards.rs
+++ b/crates/bench/src/scale/shards.rs
@@ -17,7 +17,7 @@
     baseline: Snapshot,
 }
 
-/// All processes of hollow nodes. They are killed when this value is dropped or their time is over.
+/// All processes of hollow nodes. They are killed when this value is dropped or their time limit is reached.
 pub struct HollowProcesses {
     processes: Vec<HollowProcess>,
     children: Arc<Mutex<Vec<Child>>>,
--- a/crates/bench/src/size.rs
+++ b/crates/bench/src/size.rs
@@ -8,6 +8,7 @@
 /// Instances of the measured fleets.
 const FLEET_SIZES: [usize; 3] = [3, 10, 30];
 
+/// Runs the subcommand `size`.
 pub fn measure(mut arguments: lexopt::Parser) -> Result<()> {
     let mut seconds = 30_u64;
     while let Some(argument) = arguments.next()? {
@@ -51,7 +52,7 @@
             if status.success() {
                 ""
             } else {
-                " rules broken"
+                " rules violated"
             }
         );
     }
--- a/crates/bench/src/sockets.rs
+++ b/crates/bench/src/sockets.rs
@@ -25,8 +25,11 @@
 /// Times of frames and closes, µs since the start of the run.
 struct Timeline {
     started: Instant,
+    /// When the echo server received each data frame.
     server_frames: Mutex<Vec<u64>>,
+    /// When each client received a Close frame.
     client_closes: Mutex<Vec<u64>>,
+    /// When the echo server received each Close frame.
     server_closes: Mutex<Vec<u64>>,
 }
 
@@ -46,6 +49,7 @@
     }
 }
 
+/// Runs the subcommand `sockets`: measures echoes, idle sockets, the drain of their server and HTTP requests afterwards.
 pub fn measure(mut arguments: lexopt::Parser) -> Result<()> {
     let (mut count, mut echoes, mut talkers, mut requests) =
         (9_800_usize, 40_000_u64, 16_usize, 20_000_u64);
@@ -114,7 +118,7 @@
         tokio::time::sleep(Duration::from_millis(500)).await;
         measure_drain(sockets, &discovery, entry("s-0", echo_address, "draining"), &timeline).await?;
         let cpu_us = cost::measure_round(&world, &node, 16, requests).await?;
-        println!("a request after that: {cpu_us:.1} µs of CPU");
+        println!("HTTP request after the drain: {cpu_us:.1} µs of CPU");
         let _ = std::fs::remove_file(file);
         Ok(())
     })
@@ -129,7 +133,7 @@
     )
 }
 
-/// Reads the head of an HTTP message byte by byte, so that no byte after it is consumed.
+/// Reads the head of an HTTP message byte by byte, so that no byte of the frames that follow is consumed.
 async fn read_head(stream: &mut TcpStream) -> Result<String> {
     let mut text = Vec::new();
     while !text.ends_with(b"\r\n\r\n") {
@@ -243,7 +247,7 @@
     }
     for (name, other) in [("bytes", medians[1]), ("frames", medians[2])] {
         println!(
-            "  beside the relay of {name}: rate {:.2}, p99 {:.2}, CPU {:.2}",
+            "  compared with the relay of {name}: rate {:.2}, p99 {:.2}, CPU {:.2}",
             medians[0].0 / other.0,
             medians[0].1 / other.1,
             medians[0].2 / other.2
@@ -328,7 +332,7 @@
     tokio::time::sleep(Duration::from_secs(2)).await;
     let bytes_per_socket = (node.memory()?.saturating_sub(before)) as f64 / count as f64;
     println!(
-        "  memory of the process: {bytes_per_socket:.0} bytes a relayed pair ({:.1} MB in all)",
+        "  memory of the process: {bytes_per_socket:.0} bytes per relayed pair of connections ({:.1} MB in all)",
         node.memory()? as f64 / 1e6
     );
     let cpu_before = node.cpu_seconds()?;
@@ -445,6 +449,7 @@
     Ok(())
 }
 
+/// Rules of the codec: frames and messages of up to 1 MiB, without compression and UTF-8 validation.
 fn rules() -> Rules {
     Rules {
         max_frame_bytes: 1 << 20,
--- a/crates/bench/tests/scale.rs
+++ b/crates/bench/tests/scale.rs
@@ -121,11 +121,11 @@
     );
     assert_rejected(
         &["--sweep", "nodes", "--points", "3,30,3"],
-        "point 3 is there twice",
+        "point 3 is given twice",
     );
     assert_rejected(
         &["--sweep", "nodes", "--nodes", "3"],
-        "--nodes beside --sweep nodes",
+        "--nodes cannot be combined with --sweep nodes",
     );
 }
 
@@ -149,7 +149,7 @@
     );
     assert_rejected(
         &["--sweep", "nodes", "--points", "3", "--plot", "/"],
-        "/ is not a file in a folder",
+        "/ is not a file in an existing folder",
     );
 }
 
@@ -193,7 +193,9 @@
         "saffronpaddle-scale-few-{}.csv",
         std::process::id()
     ));
-    let csv = file.to_str().expect("a path");
+    let csv = file
+        .to_str()
+        .expect("the path of the temporary file is UTF-8");
     let arguments = [
         "--sweep",
         "servers",
@@ -244,8 +246,10 @@
     let file = std::env::temp_dir().join(format!("saffronpaddle-scale-{}.csv", std::process::id()));
     let plot = file.with_extension("svg");
     let (csv, svg) = (
-        file.to_str().expect("a path"),
-        plot.to_str().expect("a path"),
+        file.to_str()
+            .expect("the path of the temporary file is UTF-8"),
+        plot.to_str()
+            .expect("the path of the temporary file is UTF-8"),
     );
     let arguments = [
         "--sweep",
@@ -278,7 +282,7 @@
     );
     assert!(output.status.success(), "{out}{err}");
     assert!(
-        out.contains("services: not carried by the program"),
+        out.contains("services: not measured (the program has one list of servers"),
         "{out}"
     );
     let rows = read_csv(&file);
