--- a/crates/hollow/src/audit.rs
+++ b/crates/hollow/src/audit.rs
@@ -1,8 +1,8 @@
 //! Events of hollow nodes for a test's oracle, and faults that a test injects.
 //!
-//! Totals identify no request and no server, so they would not show that hundreds of hollow nodes break a rule which
-//! a few processes keep. The audit is off unless [`AuditOptions`] enables it, so that measurements do not pay for
-//! it.
+//! Totals identify no request and no server, so they would not show that hundreds of hollow nodes violate a rule that
+//! a few processes keep. The audit is off unless [`AuditOptions`] enables it, so that measurements do not include its
+//! cost.
 
 use saffronpaddle_exchange::{ConnectionId, FinalAnswer};
 use saffronpaddle_node::config::{Health, List};
@@ -149,6 +149,7 @@
         }
     }
 
+    /// Records an event if the audit is on, or counts it if too many are unread.
     fn record(&mut self, now: Micros, event: AuditEvent) {
         if !self.options.audit {
         } else if self.report.events.len() < MAX_UNREAD_EVENTS {
@@ -328,6 +329,7 @@
     }
 }
 
+/// Sets whether a server is ready, and records the list version in which that changed.
 fn set_ready(server: &mut ListedServer, ready: bool, seq: u64) {
     match (server.ready, ready) {
         (true, false) => server.drained_in = seq,
--- a/crates/hollow/src/figures.rs
+++ b/crates/hollow/src/figures.rs
@@ -1,4 +1,4 @@
-//! Counters and duration histograms of the nodes of one process. Totals are never reset; each snapshot resets the
+//! Counters and duration histograms of the nodes of one process. The counters are never reset; each snapshot resets the
 //! histograms.
 
 use hdrhistogram::Histogram;
--- a/crates/hollow/src/list.rs
+++ b/crates/hollow/src/list.rs
@@ -26,6 +26,7 @@
 /// Largest list that a node accepts, bytes, as in `saffronpaddle-node`.
 pub const MAX_LIST_BYTES: usize = 40_000 * 256;
 
+/// The task that drives a connection to the list service. Dropping this value ends it.
 struct ConnectionDriver(JoinHandle<()>);
 
 impl Drop for ConnectionDriver {
@@ -34,6 +35,7 @@
     }
 }
 
+/// An open watch.
 struct Watch {
     _driver: ConnectionDriver,
     body: Incoming,
@@ -60,6 +62,7 @@
     }
 }
 
+/// Opens a watch. Fails if the list service does not answer with status 200 in time.
 async fn call(address: SocketAddr, path: String, answer_timeout: Duration) -> Result<Watch> {
     let stream = timeout(
         WATCH_TIMEOUT.min(answer_timeout),
@@ -117,6 +120,8 @@
     }
 }
 
+/// Opens a watch and applies its lists until it fails. Sets `opened` once it is open, and `seq` to the last version
+/// applied.
 async fn watch(
     shard: &Rc<Shard>,
     node: &Rc<Node>,
--- a/crates/hollow/src/node.rs
+++ b/crates/hollow/src/node.rs
@@ -14,6 +14,7 @@
 pub struct PendingRequest {
     /// Scheduled arrival time.
     pub due_at: Micros,
+    /// Index of its class in the settings.
     pub class: usize,
     /// Time that app servers have worked on it so far, µs.
     pub work: Micros,
@@ -33,15 +34,21 @@
     pub peers: RefCell<Option<Rc<Peers>>>,
     /// Earliest time for which a timer of the exchange is scheduled.
     pub next_alarm: Cell<Micros>,
+    /// Requests without a final answer.
     pub pending: RefCell<HashMap<RequestId, PendingRequest>>,
     /// The request on each connection.
     pub in_flight: RefCell<HashMap<ConnectionId, RequestId>>,
     /// Time at which the first list was applied.
     pub first_list_at: Cell<Option<Micros>>,
+    /// The tasks that receive datagrams and follow the list.
     pub tasks: RefCell<Vec<JoinHandle<()>>>,
 }
 
 impl Node {
+    /// A node that starts now, without a list.
+    ///
+    /// # Errors
+    /// The policy engine rejects the settings.
     pub fn new(
         (index, incarnation): (usize, u32),
         settings: Settings,
--- a/crates/hollow/src/shard.rs
+++ b/crates/hollow/src/shard.rs
@@ -14,8 +14,7 @@
 //! - `renew SHARE`: like `restart`, without waiting for lists.
 //! - `unlisted`: answers the number of nodes without a list.
 //! - `acted [[SEQ, AT], ...]`: answers, for each change of the list, when the last node had applied it, µs after AT
-//!   (null if a
-//!   node has not yet), and the histogram of these delays over all nodes and changes.
+//!   (null if a node has not yet), and the histogram of these delays over all nodes and changes.
 //!
 //! The process ends when its standard input is closed.
 
@@ -145,11 +144,14 @@
 pub struct Shard {
     pub(crate) spec: Spec,
     settings: Settings,
+    /// Start of the process, by the monotonic clock and as Unix time in µs.
     started: (Instant, Micros),
     nodes: RefCell<Vec<Rc<Node>>>,
     tenants: Tenants,
+    /// The tenants that send requests to each node.
     samplers: Vec<TenantSampler>,
     schedule: RefCell<BinaryHeap<Reverse<ScheduledEvent>>>,
+    /// Serial number of the next scheduled event.
     serial: Cell<u64>,
     /// Time until which the event loop sleeps.
     sleeping_until: Cell<Micros>,
@@ -329,6 +331,7 @@
         })
     }
 
+    /// Unix time, µs; it does not jump when the machine's clock is set.
     fn now(&self) -> Micros {
         self.started.1 + self.started.0.elapsed().as_micros() as Micros
     }
@@ -352,6 +355,7 @@
         Ok(())
     }
 
+    /// Creates a node with empty state and binds its address for datagrams.
     async fn create_node(&self, index: usize, incarnation: u32) -> Result<Rc<Node>> {
         let number = self.spec.nodes.0 + index as u32;
         let zone = ZoneId(number % self.spec.zones.len().max(1) as u32);
@@ -385,6 +389,7 @@
         )
     }
 
+    /// Starts a node's tasks and, if clients are active, its requests.
     fn start_node(self: &Rc<Self>, node: &Rc<Node>) {
         self.handle(
             node,
@@ -444,6 +449,7 @@
 
     // ---- Event loop ----
 
+    /// Schedules an event, and wakes the event loop if it would sleep beyond it.
     fn schedule(&self, node: &Node, at: Micros, event: TimedEvent) {
         let serial = self.serial.get();
         self.serial.set(serial + 1);
@@ -459,6 +465,7 @@
         }
     }
 
+    /// Handles events when they are due, in batches between which sockets are read; never returns.
     async fn run_event_loop(self: Rc<Self>) {
         loop {
             let mut handled = 0;
@@ -497,6 +504,7 @@
         }
     }
 
+    /// Handles a due event, unless its node was restarted since.
     fn dispatch(self: &Rc<Self>, due: ScheduledEvent) {
         let node = self.nodes.borrow().get(due.node_index).cloned();
         let Some(node) = node.filter(|node| node.incarnation == due.incarnation) else {
@@ -553,6 +561,7 @@
         }
     }
 
+    /// Executes a command of a node's exchange. Events that it causes immediately are added to `events`.
     fn execute(
         &self,
         node: &Rc<Node>,
@@ -689,6 +698,7 @@
         }
     }
 
+    /// Passes a random request that is due to a node, and schedules the next one.
     fn send_request(&self, node: &Rc<Node>, due_at: Micros) {
         if !self.clients_active.get() {
             return;
@@ -787,6 +797,7 @@
         );
     }
 
+    /// Counts a final answer and, if the request was served, records the latency that the node added.
     fn count_answer(&self, node: &Rc<Node>, now: Micros, id: &RequestId, answer: FinalAnswer) {
         self.audit.borrow_mut().response_sent(now, id, answer);
         let Some(request) = node.pending.borrow_mut().remove(id) else {
@@ -808,6 +819,7 @@
 
     // ---- Answers to commands ----
 
+    /// The state of the process. Resets the histograms.
     fn snapshot(&self) -> Result<Snapshot> {
         let nodes = self.nodes.borrow();
         let sizes = |node: &Rc<Node>| {
--- a/crates/hollow/src/tenants.rs
+++ b/crates/hollow/src/tenants.rs
@@ -8,10 +8,10 @@
 const BURST: (f64, f64) = (4.0, 4.0);
 /// Number of plans: the largest has 0.8 x 4^8 = 52,429 units/s.
 const PLAN_COUNT: usize = 9;
-/// Largest share of its quota that a tenant uses. Every fifth tenant gets the next smaller plan instead.
+/// Largest share of its quota that a tenant uses. Every fifth tenant gets the next smaller plan and may exceed it.
 const MAX_USE_OF_QUOTA: f64 = 0.7;
-/// A tenant's set is larger than the minimum if each of its nodes would get more than this share of a node's requests
-/// from it.
+/// A tenant's subset of nodes is larger than the minimum if otherwise more than this share of a node's requests would come
+/// from the tenant.
 const MAX_SHARE_OF_NODE: f64 = 0.25;
 
 /// All tenants of a fleet, in descending order of their demand. A tenant's rank is its index in this order.
@@ -20,7 +20,7 @@
     nodes: u32,
     /// Requests/s of one node.
     node_rate: f64,
-    /// Minimum nodes in a set; 0 for all nodes.
+    /// Minimum number of nodes in a tenant's subset; 0 for all nodes.
     min_subset_size: u32,
     /// Share of all requests that the tenants up to each rank send together.
     cumulative: Arc<Vec<f64>>,
@@ -33,9 +33,9 @@
     pub id: u64,
     /// Index of its plan in [`plans`].
     pub plan: usize,
-    /// First node of its set.
+    /// First node of its subset.
     pub subset_first: u32,
-    /// Nodes in its set.
+    /// Number of nodes in its subset.
     pub subset_size: u32,
 }
 
@@ -86,6 +86,7 @@
         self.cumulative.len()
     }
 
+    /// Share of all requests that the tenant of this rank sends.
     fn share(&self, rank: usize) -> f64 {
         let before = rank
             .checked_sub(1)
@@ -171,6 +172,7 @@
 pub struct TenantSampler {
     /// Ranks of its tenants; `None` if all tenants send requests to it.
     ranks: Option<Vec<u32>>,
+    /// Share of the node's requests that its tenants up to each index send together.
     cumulative: Arc<Vec<f64>>,
 }
 
--- a/crates/hollow/tests/tenants.rs
+++ b/crates/hollow/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants of a fleet of hollow nodes: their demands, plans and sets of nodes.
+//! Tenants of a fleet of hollow nodes: their demands, plans and subsets of nodes.
 
 use saffronpaddle_hollow::tenants::{plans, Tenants};
 
