--- a/crates/test-doubles/src/discovery.rs
+++ b/crates/test-doubles/src/discovery.rs
@@ -12,9 +12,9 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Interval of empty lines while nothing changes.
-const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
-/// A service that sheds load rejects callers that would have to wait for longer than this.
+/// Interval of the empty lines that are sent as heartbeats while nothing changes.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
+/// A service that sheds load rejects calls that would have to wait for longer than this.
 pub const MAX_QUEUE_DELAY: Duration = Duration::from_secs(10);
 
 /// Capacity and availability of the list service.
@@ -93,11 +93,13 @@
 #[derive(Clone, Debug, Default)]
 struct List {
     seq: u64,
-    /// With the version in which the entry last changed.
+    /// Entries by host, each with the version in which it last changed.
     entries: BTreeMap<String, (u64, Entry)>,
 }
 
 impl List {
+    /// The text for a watch of a node that has version `from`, and the entries in it: those that changed since, or all of
+    /// the list for `None`.
     fn changes_since(&self, from: Option<u64>, node: usize, dials: &Dials) -> (String, Vec<Entry>) {
         let whole = from.is_none();
         let changed = |at: u64, entry: &Entry| match from {
@@ -132,18 +134,21 @@
     world: Arc<World>,
     list: Mutex<List>,
     seq: watch::Sender<u64>,
+    /// Whether nothing is written to watches.
     silent: watch::Sender<bool>,
+    /// Delay with which agents write a change.
     delay: Mutex<Duration>,
     limits: Mutex<ServiceLimits>,
     /// Time until which the service is busy with calls that it accepted.
     busy_until: Mutex<Duration>,
     call_stats: Mutex<CallStats>,
+    /// The list in its first version.
     first_list: Mutex<Option<List>>,
     /// Addresses at which a node reaches a host, if they differ from the entry's.
     dials: Mutex<Dials>,
 }
 
-/// By node and host.
+/// Addresses by node and host.
 type Dials = BTreeMap<(usize, String), SocketAddr>;
 
 impl Discovery {
@@ -174,10 +179,10 @@
     }
 
     /// Brings the service back after a loss of data. All open watches get the new list.
-    pub fn restore(&self, back: RestoreMode) {
+    pub fn restore(&self, mode: RestoreMode) {
         let seq = {
             let (mut list, first) = (lock(&self.list), lock(&self.first_list).clone());
-            match back {
+            match mode {
                 RestoreMode::FirstVersion => *list = first.unwrap_or_default(),
                 RestoreMode::Empty => *list = List::default(),
                 RestoreMode::Renumbered => {
@@ -199,15 +204,16 @@
             sheds_load,
             ..
         } = lock(&self.limits).clone();
-        let share = |of: f64, per_second: f64| {
+        let seconds_for = |amount: f64, per_second: f64| {
             if per_second > 0.0 {
-                of / per_second
+                amount / per_second
             } else {
                 0.0
             }
         };
-        let service_time =
-            Duration::from_secs_f64(share(1.0, calls_per_s) + share(bytes as f64, bytes_per_s));
+        let service_time = Duration::from_secs_f64(
+            seconds_for(1.0, calls_per_s) + seconds_for(bytes as f64, bytes_per_s),
+        );
         let (now, until) = {
             let (now, mut busy) = (self.world.now(), lock(&self.busy_until));
             let queue_delay = busy.saturating_sub(now);
@@ -269,8 +275,8 @@
     }
 
     /// Sets the delay with which each agent writes a change.
-    pub fn set_delay(&self, lateness: Duration) {
-        *lock(&self.delay) = lateness;
+    pub fn set_delay(&self, delay: Duration) {
+        *lock(&self.delay) = delay;
     }
 
     /// Starts the agent of one node and returns the address at which that node reaches discovery.
@@ -293,6 +299,7 @@
         Ok(address)
     }
 
+    /// Serves one watch until its connection ends.
     async fn serve(&self, node: usize, stream: TcpStream) -> std::io::Result<()> {
         let mut connection = HttpConnection::new(stream);
         if lock(&self.limits).down {
@@ -359,7 +366,7 @@
                 });
                 from = Some(version);
             }
-            let changed = tokio::time::timeout(KEEPALIVE_INTERVAL, seq.changed())
+            let changed = tokio::time::timeout(HEARTBEAT_INTERVAL, seq.changed())
                 .await
                 .is_ok();
             silent
@@ -367,8 +374,8 @@
                 .await
                 .map_err(std::io::Error::other)?;
             if changed {
-                let lateness = *lock(&self.delay);
-                tokio::time::sleep(lateness).await;
+                let delay = *lock(&self.delay);
+                tokio::time::sleep(delay).await;
             } else {
                 stream.write_all(b"1\r\n\n\r\n").await?;
             }
--- a/crates/test-doubles/src/etcd.rs
+++ b/crates/test-doubles/src/etcd.rs
@@ -33,21 +33,26 @@
 /// Responses queued for a slow reader of a watch.
 const MAX_QUEUED_RESPONSES: usize = 16;
 
+/// A lease with the keys that are put under it.
 #[derive(Clone, Debug)]
 struct Lease {
+    /// Time to live, s.
     ttl: i64,
-    until: Instant,
+    /// When the lease expires.
+    expires_at: Instant,
     keys: BTreeSet<Vec<u8>>,
 }
 
 /// History of one key: its value from each revision on, `None` from a revision that deleted it.
 type Versions = Vec<(i64, Option<KeyValue>)>;
 
+/// The store of a cluster.
 #[derive(Debug)]
 struct Store {
     cluster_id: u64,
     raft_term: u64,
     revision: i64,
+    /// Revision up to which the history was compacted.
     compacted: i64,
     keys: BTreeMap<Vec<u8>, Versions>,
     /// Events by revision; those up to `compacted` are dropped.
@@ -73,6 +78,7 @@
         }
     }
 
+    /// The value of a key at a revision; `None` if it did not exist.
     fn value_at(&self, key: &[u8], revision: i64) -> Option<&KeyValue> {
         let versions = self.keys.get(key)?;
         let at = versions
@@ -82,7 +88,12 @@
         at.1.as_ref()
     }
 
-    fn within<'a>(&'a self, key: &[u8], end: &[u8]) -> impl Iterator<Item = &'a Vec<u8>> + 'a {
+    /// The keys in a range, also those that are deleted.
+    fn keys_in_range<'a>(
+        &'a self,
+        key: &[u8],
+        end: &[u8],
+    ) -> impl Iterator<Item = &'a Vec<u8>> + 'a {
         let (key, end) = (key.to_vec(), end.to_vec());
         self.keys
             .keys()
@@ -136,8 +147,9 @@
         Ok(before)
     }
 
+    /// Deletes a range of keys as part of the change of a revision, and returns their last values.
     fn delete(&mut self, revision: i64, key: &[u8], end: &[u8]) -> Vec<KeyValue> {
-        let keys: Vec<Vec<u8>> = self.within(key, end).cloned().collect();
+        let keys: Vec<Vec<u8>> = self.keys_in_range(key, end).cloned().collect();
         let mut deleted = Vec::new();
         for key in keys {
             let Some(before) = self.value_at(&key, revision).cloned() else {
@@ -166,15 +178,17 @@
         deleted
     }
 
+    /// The values in a range, whether further ones are left out, and their number without the limit. `visible` is the
+    /// revision for a request without one.
     fn range(
         &self,
         request: &api::RangeRequest,
-        seen: i64,
+        visible: i64,
     ) -> Result<(Vec<KeyValue>, bool, i64), Status> {
         let revision = if request.revision > 0 {
             request.revision
         } else {
-            seen
+            visible
         };
         if revision > self.revision {
             return Err(Status::out_of_range(
@@ -187,7 +201,7 @@
             ));
         }
         let entries = self
-            .within(&request.key, &request.range_end)
+            .keys_in_range(&request.key, &request.range_end)
             .filter_map(|key| self.value_at(key, revision));
         let mut kvs: Vec<KeyValue> = entries.cloned().collect();
         let count = kvs.len() as i64;
@@ -208,6 +222,7 @@
         Ok((kvs, more, count))
     }
 
+    /// Drops the history up to a revision, except the values that are current at it.
     fn compact(&mut self, revision: i64) -> Result<(), Status> {
         if revision <= self.compacted {
             return Err(Status::out_of_range(
@@ -262,6 +277,7 @@
     pub cut_after_bytes: Option<u64>,
 }
 
+/// State of a member, shared by its connections.
 #[derive(Debug)]
 struct MemberState {
     store: Arc<Mutex<Store>>,
@@ -272,8 +288,11 @@
     faults_changed: watch::Sender<u64>,
     /// Incremented to cut all connections.
     cuts: watch::Sender<u64>,
+    /// Connections accepted so far.
     connections: AtomicU64,
+    /// Watches created so far.
     watches: AtomicU64,
+    /// Range requests answered so far.
     ranges: AtomicU64,
 }
 
@@ -326,7 +345,7 @@
             changed,
             members: all,
         };
-        tokio::spawn(etcd.clone().expire());
+        tokio::spawn(etcd.clone().expire_leases());
         Ok(etcd)
     }
 
@@ -379,12 +398,12 @@
         let mut store = lock(&self.store);
         let id = store.next_lease;
         store.next_lease += 1;
-        let until = Instant::now() + ttl;
+        let expires_at = Instant::now() + ttl;
         store.leases.insert(
             id,
             Lease {
                 ttl: ttl.as_secs() as i64,
-                until,
+                expires_at,
                 keys: BTreeSet::new(),
             },
         );
@@ -449,25 +468,28 @@
         lock(&self.store).user = Some((name.to_owned(), password.to_owned()));
     }
 
-    async fn expire(self) {
+    /// Revokes leases when they expire; never returns.
+    async fn expire_leases(self) {
         loop {
             tokio::time::sleep(LEASE_CHECK_INTERVAL).await;
             let now = Instant::now();
-            let over: Vec<i64> = {
+            let expired: Vec<i64> = {
                 let store = lock(&self.store);
                 store
                     .leases
                     .iter()
-                    .filter(|(_, lease)| lease.until <= now)
+                    .filter(|(_, lease)| lease.expires_at <= now)
                     .map(|(id, _)| *id)
                     .collect()
             };
-            over.into_iter()
+            expired
+                .into_iter()
                 .for_each(|id| _ = revoke(&self.store, &self.changed, id));
         }
     }
 }
 
+/// Applies a change under the next revision, which becomes current if any key changed, and wakes the watches.
 fn change_store<T>(
     store: &Mutex<Store>,
     changed: &watch::Sender<i64>,
@@ -486,6 +508,7 @@
     result
 }
 
+/// Removes a lease and deletes its keys. Returns whether the lease existed.
 fn revoke(store: &Mutex<Store>, changed: &watch::Sender<i64>, id: i64) -> bool {
     let Some(lease) = lock(store).leases.remove(&id) else {
         return false;
@@ -527,6 +550,7 @@
         self.state.ranges.load(Ordering::Relaxed)
     }
 
+    /// Accepts connections for the rest of the run.
     async fn accept(self, listener: TcpListener) {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
@@ -643,6 +667,7 @@
         stuck.map_or(revision, |stuck| stuck.min(revision))
     }
 
+    /// The header of a response.
     fn header(&self) -> ResponseHeader {
         let revision = self.visible_revision();
         let store = self.store();
@@ -658,6 +683,7 @@
         change_store(&self.store, &self.changed, change)
     }
 
+    /// Fails unless the call carries the token of the required user.
     fn check_auth(&self, metadata: &tonic::metadata::MetadataMap) -> Result<(), Status> {
         let store = self.store();
         let Some((name, _)) = &store.user else {
@@ -694,6 +720,7 @@
         })
     }
 
+    /// Answers a unary call.
     async fn unary(&self, call: Call) -> Result<CallResponse, Status> {
         Ok(match call {
             Call::Range(request) => CallResponse::Range(self.range(request).await?),
@@ -738,12 +765,12 @@
                     request.id
                 };
                 store.next_lease = store.next_lease.max(id) + 1;
-                let until = Instant::now() + Duration::from_secs(request.ttl.max(1) as u64);
+                let expires_at = Instant::now() + Duration::from_secs(request.ttl.max(1) as u64);
                 store.leases.insert(
                     id,
                     Lease {
                         ttl: request.ttl,
-                        until,
+                        expires_at,
                         keys: BTreeSet::new(),
                     },
                 );
@@ -770,7 +797,7 @@
                 let lease = store.leases.get(&request.id);
                 let left = lease.map(|lease| {
                     lease
-                        .until
+                        .expires_at
                         .saturating_duration_since(Instant::now())
                         .as_secs()
                 });
@@ -810,6 +837,7 @@
         })
     }
 
+    /// Executes the operations of a transaction in one revision.
     fn txn(&self, request: api::TxnRequest) -> Result<api::TxnResponse, Status> {
         if !request.compare.is_empty() {
             return Err(Status::unimplemented(
@@ -878,6 +906,7 @@
 }
 
 impl WatchStream {
+    /// Serves the stream until either side closes it.
     async fn run(mut self, mut requests: Streaming<api::WatchRequest>) {
         let mut changed = self.state.changed.subscribe();
         loop {
@@ -893,12 +922,13 @@
                 _ = changed.changed() => continue,
                 () = self.responses.closed() => return,
             };
-            if self.take(request).await.is_none() {
+            if self.handle_request(request).await.is_none() {
                 return;
             }
         }
     }
 
+    /// Sends a response with the current header; `None` if the stream is closed.
     async fn send(&self, response: api::WatchResponse) -> Option<()> {
         let response = api::WatchResponse {
             header: Some(self.state.header()),
@@ -907,12 +937,18 @@
         self.responses.send(Ok(response)).await.ok()
     }
 
-    async fn take(&mut self, request: api::WatchRequest) -> Option<()> {
+    /// Handles a request of the client; `None` if the stream is closed.
+    async fn handle_request(&mut self, request: api::WatchRequest) -> Option<()> {
         match request.request {
             Some(api::watch_request::Request::Create(request)) => {
                 self.state.watches.fetch_add(1, Ordering::Relaxed);
-                let free = request.watch_id == 0 || self.watchers.contains_key(&request.watch_id);
-                let watch_id = if free { self.next_id } else { request.watch_id };
+                let assign_id =
+                    request.watch_id == 0 || self.watchers.contains_key(&request.watch_id);
+                let watch_id = if assign_id {
+                    self.next_id
+                } else {
+                    request.watch_id
+                };
                 self.next_id = self.next_id.max(watch_id) + 1;
                 let next = if request.start_revision > 0 {
                     request.start_revision
@@ -962,7 +998,7 @@
         }
     }
 
-    /// Sends each watcher the events that it has not been sent yet.
+    /// Sends each watcher the events that it has not been sent yet; `None` if the stream is closed.
     async fn catch_up(&mut self) -> Option<()> {
         let ids: Vec<i64> = self.watchers.keys().copied().collect();
         for watch_id in ids {
@@ -1017,6 +1053,7 @@
         Some(())
     }
 
+    /// Sends events to a watcher, in fragments if it asked for them; `None` if the stream is closed or cut.
     async fn send_events(
         &self,
         watch_id: i64,
@@ -1028,12 +1065,16 @@
         if !prev_kv {
             events.iter_mut().for_each(|event| event.prev_kv = None);
         }
-        let (at, between) = {
+        let (fragment_at, fragment_delay) = {
             let faults = lock(&self.state.faults);
             (faults.fragment_at, faults.fragment_delay)
         };
-        let at = if fragment && at > 0 { at } else { events.len() };
-        let mut parts = events.chunks(at).peekable();
+        let fragment_at = if fragment && fragment_at > 0 {
+            fragment_at
+        } else {
+            events.len()
+        };
+        let mut parts = events.chunks(fragment_at).peekable();
         while let Some(part) = parts.next() {
             let (events, fragment) = (part.to_vec(), parts.peek().is_some());
             self.send(api::WatchResponse {
@@ -1045,7 +1086,7 @@
             .await?;
             if fragment {
                 // Leaves time for the fragment to be written before whatever follows.
-                tokio::time::sleep(between).await;
+                tokio::time::sleep(fragment_delay).await;
                 let mut faults = lock(&self.state.faults);
                 if let Some(left) = &mut faults.cut_after_fragments {
                     *left = left.saturating_sub(1);
@@ -1061,6 +1102,7 @@
     }
 }
 
+/// The request of a unary call.
 enum Call {
     Range(api::RangeRequest),
     Put(api::PutRequest),
@@ -1074,6 +1116,7 @@
     Status,
 }
 
+/// The response to a unary call.
 enum CallResponse {
     Range(api::RangeResponse),
     Put(api::PutResponse),
@@ -1111,11 +1154,12 @@
             let call_response = answer(state.unary(call).await?);
             call_response
                 .map(tonic::Response::new)
-                .ok_or_else(|| Status::internal("response to another call"))
+                .ok_or_else(|| Status::internal("the response belongs to another kind of call"))
         })
     }
 }
 
+/// The watch call.
 struct Watches(Arc<MemberState>);
 
 impl StreamingService<api::WatchRequest> for Watches {
@@ -1140,6 +1184,7 @@
     }
 }
 
+/// The call that renews leases.
 struct KeepAlives(Arc<MemberState>);
 
 impl StreamingService<api::LeaseKeepAliveRequest> for KeepAlives {
@@ -1161,7 +1206,7 @@
                     let ttl = {
                         let mut store = state.store();
                         store.leases.get_mut(&message.id).map_or(0, |lease| {
-                            lease.until =
+                            lease.expires_at =
                                 Instant::now() + Duration::from_secs(lease.ttl.max(1) as u64);
                             lease.ttl
                         })
@@ -1186,6 +1231,7 @@
 #[derive(Clone)]
 struct Api(Arc<MemberState>);
 
+/// Serves a unary call of one kind.
 macro_rules! unary {
     ($state:expr, $request:expr, $variant:ident, $call:expr) => {{
         let service = Unary($state, $call, |call_response| match call_response {
--- a/crates/test-doubles/src/links.rs
+++ b/crates/test-doubles/src/links.rs
@@ -16,7 +16,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// How long a lost segment takes to be retransmitted: the minimum retransmission time-out of Linux.
+/// Delay of a read whose segment counts as lost: the minimum retransmission time-out of Linux.
 const RETRANSMIT_DELAY: Duration = Duration::from_millis(200);
 /// How long a relay waits for its connection to the target.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
@@ -26,7 +26,7 @@
 const MAX_FILLER_CONNECTIONS: usize = 64;
 /// A filler connection that takes longer than this to be established means that the queue is full.
 const FILLER_CONNECT_TIMEOUT: Duration = Duration::from_millis(50);
-/// Bytes that are copied at once.
+/// Most bytes that are copied at a time.
 const COPY_BUFFER_BYTES: usize = 16 * 1024;
 
 /// One end of a link.
@@ -62,6 +62,7 @@
 }
 
 impl Fault {
+    /// The fault of a link to which both faults apply.
     fn combine(self, other: Fault) -> Fault {
         let combined_share = |a: f64, b: f64| 1.0 - (1.0 - a) * (1.0 - b);
         Fault {
@@ -148,7 +149,9 @@
 #[derive(Debug)]
 pub struct Links {
     rules: Mutex<BTreeMap<u64, (LinkSet, Fault)>>,
+    /// Number of the next fault.
     next: AtomicU64,
+    /// Counts the changes, so that relays check the faults again.
     changed: watch::Sender<u64>,
 }
 
@@ -197,6 +200,7 @@
     target: SocketAddr,
 }
 
+/// How a relayed connection ended.
 enum RelayEnd {
     /// One side was closed in order.
     Closed,
@@ -341,6 +345,7 @@
         }
     }
 
+    /// Copies data in one direction, with the faults of that link, until the connection ends.
     async fn copy_one_way(
         &self,
         (from, to): (End, End),
--- a/crates/test-doubles/src/links/tests.rs
+++ b/crates/test-doubles/src/links/tests.rs
@@ -41,11 +41,14 @@
     assert_eq!((loss(0, 1), loss(0, 2), loss(1, 0)), (0.5, 0.75, 0.0));
 }
 
-async fn echo() -> SocketAddr {
-    let listener = TcpListener::bind(crate::ports::reserve_address().expect("an address"))
+/// Starts a server that echoes all bytes, and returns its address.
+async fn start_echo_server() -> SocketAddr {
+    let listener = TcpListener::bind(crate::ports::reserve_address().expect("an address is free"))
         .await
-        .expect("bound");
-    let address = listener.local_addr().expect("an address");
+        .expect("the address can be bound");
+    let address = listener
+        .local_addr()
+        .expect("a bound listener has an address");
     tokio::spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
             tokio::spawn(async move {
@@ -60,14 +63,27 @@
 #[tokio::test]
 async fn blocked_connects_do_not_affect_open_connections_and_later_ones_succeed() {
     let links = Arc::new(Links::default());
-    let listen = crate::ports::reserve_address().expect("an address");
-    Relay::start(&links, (End::Node(0), End::Server(0)), listen, echo().await)
-        .await
-        .expect("it listens");
+    let listen = crate::ports::reserve_address().expect("an address is free");
+    Relay::start(
+        &links,
+        (End::Node(0), End::Server(0)),
+        listen,
+        start_echo_server().await,
+    )
+    .await
+    .expect("the relay listens");
     let mut byte = [0; 1];
-    let mut before = TcpStream::connect(listen).await.expect("taken");
-    before.write_all(b"a").await.expect("written");
-    before.read_exact(&mut byte).await.expect("echoed");
+    let mut before = TcpStream::connect(listen)
+        .await
+        .expect("the relay accepts the connection");
+    before
+        .write_all(b"a")
+        .await
+        .expect("the connection is open");
+    before
+        .read_exact(&mut byte)
+        .await
+        .expect("the byte is echoed");
     let (near, far) = (nodes(&[0]), BTreeSet::from([End::Server(0)]));
     let number = links.add_fault(
         LinkSet::OneWay(near, far),
@@ -89,7 +105,10 @@
         !established,
         "a connection was established despite the fault"
     );
-    before.write_all(b"b").await.expect("written");
+    before
+        .write_all(b"b")
+        .await
+        .expect("the connection is open");
     before
         .read_exact(&mut byte)
         .await
@@ -98,34 +117,48 @@
     let mut after = TcpStream::connect(listen)
         .await
         .expect("connections are established again");
-    after.write_all(b"c").await.expect("written");
-    after.read_exact(&mut byte).await.expect("echoed");
+    after.write_all(b"c").await.expect("the connection is open");
+    after
+        .read_exact(&mut byte)
+        .await
+        .expect("the byte is echoed");
     assert_eq!(byte, *b"c");
 }
 
 #[tokio::test]
 async fn a_stalled_connection_moves_no_data_until_it_resumes_and_a_reset_one_ends() {
     let links = Arc::new(Links::default());
-    let listen = crate::ports::reserve_address().expect("an address");
+    let listen = crate::ports::reserve_address().expect("an address is free");
     let ends = (End::Node(0), End::Server(0));
-    Relay::start(&links, ends, listen, echo().await)
+    Relay::start(&links, ends, listen, start_echo_server().await)
+        .await
+        .expect("the relay listens");
+    let mut stream = TcpStream::connect(listen)
         .await
-        .expect("it listens");
-    let mut stream = TcpStream::connect(listen).await.expect("taken");
+        .expect("the relay accepts the connection");
     let mut byte = [0; 1];
-    stream.write_all(b"a").await.expect("written");
-    stream.read_exact(&mut byte).await.expect("echoed");
-    let (there, back) = (BTreeSet::from([ends.0]), BTreeSet::from([ends.1]));
+    stream
+        .write_all(b"a")
+        .await
+        .expect("the connection is open");
+    stream
+        .read_exact(&mut byte)
+        .await
+        .expect("the byte is echoed");
+    let (forward, backward) = (BTreeSet::from([ends.0]), BTreeSet::from([ends.1]));
     let stalled = Fault {
         stalled: true,
         ..Fault::default()
     };
     // In one direction only: the data arrives, and the echo does not return.
-    let number = links.add_fault(LinkSet::OneWay(back.clone(), there.clone()), stalled);
-    stream.write_all(b"b").await.expect("written");
+    let number = links.add_fault(LinkSet::OneWay(backward.clone(), forward.clone()), stalled);
+    stream
+        .write_all(b"b")
+        .await
+        .expect("the connection is open");
     let silent =
         tokio::time::timeout(Duration::from_millis(100), stream.read_exact(&mut byte)).await;
-    assert!(silent.is_err(), "no data moves");
+    assert!(silent.is_err(), "no data moves on a stalled connection");
     links.remove_fault(number);
     stream
         .read_exact(&mut byte)
@@ -133,7 +166,7 @@
         .expect("the connection resumes");
     assert_eq!(byte, *b"b");
     links.add_fault(
-        LinkSet::OneWay(there, back),
+        LinkSet::OneWay(forward, backward),
         Fault {
             reset: true,
             ..Fault::default()
@@ -145,7 +178,7 @@
     );
     let mut next = TcpStream::connect(listen)
         .await
-        .expect("the kernel accepts it");
+        .expect("the kernel accepts the connection");
     assert!(
         !matches!(next.read(&mut byte).await, Ok(1..)),
         "a new connection is reset, too"
--- a/crates/test-doubles/src/load.rs
+++ b/crates/test-doubles/src/load.rs
@@ -31,7 +31,7 @@
 const KEYED_RETRY_WINDOW: Duration = Duration::from_millis(300);
 /// Share of clients that honor `Retry-After`, and the cap on the delay that they honor.
 const RETRY_AFTER_COMPLIANCE: (f64, Duration) = (0.5, Duration::from_secs(2));
-/// Retries of one client request.
+/// Most retries of one client request.
 const MAX_RETRIES: u32 = 2;
 /// Connections without a request that idle clients hold open to one node: more than the node may hold.
 const MAX_IDLE_CLIENTS: usize = 1100;
@@ -40,7 +40,7 @@
 /// A request and the close of its connection may cross: the close is then seen within this time after the request was
 /// written.
 const CROSSING_CLOSE_WINDOW: Duration = Duration::from_millis(250);
-/// Idle connections kept to one node.
+/// Most idle connections that clients keep to one node.
 const MAX_IDLE_CONNECTIONS: usize = 64;
 
 /// A customer with its subset of nodes and its offered load.
@@ -105,11 +105,11 @@
             return None;
         }
         self.retries += 1;
-        let least = after
+        let advised = after
             .filter(|_| self.honors_retry_after)
             .unwrap_or_default()
             .min(RETRY_AFTER_COMPLIANCE.1);
-        let pause = least + Duration::from_millis(100 + fastrand::u64(0..400));
+        let pause = advised + Duration::from_millis(100 + fastrand::u64(0..400));
         // A retry after the servers have forgotten the idempotency key would let the effect take place twice.
         (!self.keyed || now + pause <= self.started_at + KEYED_RETRY_WINDOW).then_some(pause)
     }
@@ -150,10 +150,11 @@
 }
 
 impl Cancellations {
+    /// Draws after what time the client closes its connection; `None` if it waits for the response.
     fn draw(&self) -> Option<Duration> {
-        let (least, most) = self.delay;
+        let (shortest, longest) = self.delay;
         (fastrand::f64() < self.share)
-            .then(|| least + most.saturating_sub(least).mul_f64(fastrand::f64()))
+            .then(|| shortest + longest.saturating_sub(shortest).mul_f64(fastrand::f64()))
     }
 }
 
@@ -203,10 +204,12 @@
     customer: Customer,
 }
 
+/// A random idempotency key.
 fn new_key() -> String {
     format!("{:032x}", fastrand::u128(..))
 }
 
+/// How a request ended for its client.
 enum RequestEnd {
     /// The response, with the advised `Retry-After` if there was one.
     Answered(Answer, Option<Duration>),
@@ -229,16 +232,15 @@
             kills: AtomicU64::new(0),
             pauses: AtomicU64::new(0),
         };
-        let doors = nodes.iter().map(target).collect();
-        let (next, figures) = (AtomicU64::new(1), Counters::default());
+        let targets = nodes.iter().map(target).collect();
         Arc::new(LoadGenerator {
             world,
             fleet,
-            targets: doors,
-            next_id: next,
+            targets,
+            next_id: AtomicU64::new(1),
             seed,
             cancellations,
-            counters: figures,
+            counters: Counters::default(),
         })
     }
 
@@ -267,17 +269,20 @@
             let generator = Arc::clone(self);
             tokio::spawn(async move {
                 loop {
-                    let open = matches!(
+                    let is_ready = matches!(
                         tokio::time::timeout(CONNECT_TIMEOUT, generator.probe_ready(node)).await,
                         Ok(Some(200))
                     );
-                    generator.targets[node].ready.store(open, Ordering::Relaxed);
+                    generator.targets[node]
+                        .ready
+                        .store(is_ready, Ordering::Relaxed);
                     tokio::time::sleep(READINESS_POLL_INTERVAL).await;
                 }
             });
         }
     }
 
+    /// The status of the node's readiness endpoint; `None` if it does not answer.
     async fn probe_ready(&self, node: usize) -> Option<u16> {
         let mut connection =
             HttpConnection::new(TcpStream::connect(self.targets[node].address).await.ok()?);
@@ -461,6 +466,7 @@
         }
     }
 
+    /// Opens a connection to a node; `None` if that fails.
     async fn connect(&self, node: usize) -> Option<HttpConnection> {
         let connect = TcpStream::connect(self.targets[node].address);
         if let Ok(Ok(stream)) = tokio::time::timeout(CONNECT_TIMEOUT, connect).await {
@@ -481,6 +487,8 @@
         })
     }
 
+    /// Sends a request on a connection and waits until it ends. Unless `is_new`, the request counts as not accepted if the
+    /// connection closes before the node has read it.
     async fn exchange(
         &self,
         request: &Request,
@@ -516,7 +524,7 @@
             .draw()
             .filter(|after| *after < wait_limit);
         let pending_response = match connection
-            .write(self.request_head(request, class).as_bytes())
+            .write(self.request_text(request, class).as_bytes())
             .await
         {
             // The node may have responded and closed the connection before it had read everything.
@@ -595,7 +603,8 @@
         }
     }
 
-    fn request_head(&self, request: &Request, class: &Class) -> String {
+    /// The complete text of a request.
+    fn request_text(&self, request: &Request, class: &Class) -> String {
         let Customer {
             id,
             plan,
@@ -604,7 +613,7 @@
             ..
         } = &request.customer;
         let plan = self.fleet.plans[*plan].name;
-        let (method, more, body) = match &request.key {
+        let (method, extra_headers, body) = match &request.key {
             Some(key) => (
                 "POST",
                 format!("Idempotency-Key: {key}\r\nContent-Length: 8\r\n"),
@@ -615,7 +624,7 @@
         let deadline = class.deadline.as_millis();
         format!(
             "{method} /{0}/{id:016x} HTTP/1.1\r\nHost: fleet\r\nX-Request-Id: {1}\r\nX-Class: {0}\r\nX-Tier: {plan}\r\n\
-             X-Deadline: {deadline}m\r\nX-Call-Terms: units=1,spread={spread},first={first}\r\n{more}\r\n{body}",
+             X-Deadline: {deadline}m\r\nX-Call-Terms: units=1,spread={spread},first={first}\r\n{extra_headers}\r\n{body}",
             class.name, request.id
         )
     }
--- a/crates/test-doubles/src/oracle.rs
+++ b/crates/test-doubles/src/oracle.rs
@@ -139,6 +139,7 @@
     ForeignAnswer(String),
 }
 
+/// A request with all that was observed of it.
 #[derive(Debug)]
 struct TrackedRequest {
     request: SentRequest,
@@ -188,10 +189,14 @@
     pub refused_within_limits: bool,
 }
 
+/// A customer's quota or ceiling.
 #[derive(Debug)]
 struct TokenBucket {
+    /// Units per second.
     rate: f64,
+    /// Largest level, units.
     depth: f64,
+    /// Units available at `refilled_at`.
     level: f64,
     refilled_at: Duration,
     /// Largest deficit so far, in units.
@@ -242,12 +247,15 @@
     }
 }
 
+/// A server process that started cold.
 #[derive(Debug)]
 struct ColdServer {
     started_at: Duration,
     /// Seconds of work per second at full capacity.
     capacity: f64,
+    /// Attempts within the window: when each was received, and its seconds of work.
     work: VecDeque<(Duration, f64)>,
+    /// Highest load: work sent within the window, as a share of what overloads the server.
     max_load: f64,
     /// Most requests of average work in the window, as a share of the upper bound of a Poisson stream with the
     /// allowed mean.
@@ -281,7 +289,7 @@
 const REJECTING_ALL: (u64, Duration) = (15, Duration::from_secs(4));
 /// A process that received this many requests and served none counts as never serving.
 const MIN_REQUESTS_TO_JUDGE: u64 = 5;
-/// Attempts after their clients disconnected that break no rule.
+/// Most attempts after their clients disconnected that a run may have without breaking a rule.
 const MAX_ATTEMPTS_AFTER_DISCONNECT: usize = 2;
 
 /// Idempotency keys that each group has executed, with the time of the first execution.
@@ -306,7 +314,7 @@
     ceilings: BTreeMap<u64, TokenBucket>,
     quotas: BTreeMap<u64, TokenBucket>,
     cold_servers: BTreeMap<String, ColdServer>,
-    /// Highest crowding of server processes that have ended.
+    /// Highest [`ColdServer::max_mean_load`] of server processes that have ended.
     max_mean_load: f64,
     node_records: BTreeMap<usize, NodeRecord>,
     attempts_after_disconnect: Vec<Breach>,
@@ -629,8 +637,8 @@
             let (customer, units) = (entry.request.customer, entry.request.units);
             if let Some(ceiling) = self.ceilings.get_mut(&customer) {
                 ceiling.take(now, units);
-                let (share, least) = bounds.ceiling_slack;
-                let slack = (ceiling.depth * share).max(least)
+                let (share, min_units) = bounds.ceiling_slack;
+                let slack = (ceiling.depth * share).max(min_units)
                     + ceiling.rate * bounds.ceiling_delay.as_secs_f64();
                 if ceiling.level < -slack {
                     let over = -ceiling.level - slack;
@@ -667,8 +675,8 @@
                 };
                 cold.max_load = cold.max_load.max(load);
                 let allowed = possible_work * bounds.overload_multiple / bounds.mean_work;
-                let crowding = sent / bounds.mean_work / (allowed + 2.0 * allowed.sqrt() + 2.0);
-                cold.max_mean_load = cold.max_mean_load.max(crowding);
+                let mean_load = sent / bounds.mean_work / (allowed + 2.0 * allowed.sqrt() + 2.0);
+                cold.max_mean_load = cold.max_mean_load.max(mean_load);
                 if load > 1.0 && !std::mem::replace(&mut cold.overloaded, true) {
                     let line = format!(
                         "{server}, {} ms old, at {load:.2} of its bound",
@@ -737,11 +745,11 @@
     }
 
     /// Records that a suspended node was resumed: what was written to it meanwhile counts as received now.
-    pub fn node_resumed(&mut self, now: Duration, node: usize, stopped: Duration) {
+    pub fn node_resumed(&mut self, now: Duration, node: usize, paused_at: Duration) {
         let informed = self
             .unhealthy_since
             .iter_mut()
-            .filter(|((other, _), (at, _))| *other == node && *at >= stopped);
+            .filter(|((other, _), (at, _))| *other == node && *at >= paused_at);
         informed.for_each(|(_, (at, _))| *at = now);
         // The same holds for a client's close.
         let node_requests = self
@@ -750,7 +758,7 @@
             .filter(|entry| entry.request.node == node);
         node_requests
             .filter_map(|entry| entry.disconnected.as_mut())
-            .filter(|(at, _)| *at >= stopped)
+            .filter(|(at, _)| *at >= paused_at)
             .for_each(|(at, _)| *at = now);
     }
 
@@ -797,13 +805,13 @@
     /// Judges the finished run: requests that have not ended by now are lost.
     pub fn verdict(&self) -> Verdict {
         let mut breaches = self.breaches.clone();
-        let mut count = [0_u64; 3];
+        let mut answered = [0_u64; 3];
         let mut unanswered = [0_u64; 5];
         for (id, entry) in &self.requests {
             breaches.extend(entry.overlapped_at.map(|_| Breach::TwoAttempts(id.clone())));
             match (entry.answer, entry.unanswered) {
                 (Some((answer, _)), _) => {
-                    count[answer as usize] += 1;
+                    answered[answer as usize] += 1;
                     if answer == Answer::Refused && entry.effects > 0 {
                         breaches.push(Breach::RefusedAfterEffect(id.clone()));
                     }
@@ -840,9 +848,9 @@
         let beyond: f64 = self.quotas.values().map(|quota| quota.units_beyond).sum();
         Verdict {
             requests: self.requests.len() as u64,
-            served: count[Answer::Served as usize],
-            refused: count[Answer::Refused as usize],
-            failed: count[Answer::Failed as usize],
+            served: answered[Answer::Served as usize],
+            refused: answered[Answer::Refused as usize],
+            failed: answered[Answer::Failed as usize],
             killed: unanswered[Unanswered::Killed as usize],
             paused: unanswered[Unanswered::Paused as usize],
             not_accepted: unanswered[Unanswered::NotAccepted as usize],
@@ -911,6 +919,7 @@
     }
 }
 
+/// Share of its capacity that a server has at an age after a cold start.
 fn warm_share(bounds: &Bounds, age: Duration) -> f64 {
     let elapsed_share = age.as_secs_f64() / bounds.slow_start_duration.as_secs_f64().max(1e-9);
     (bounds.cold_start_share + (1.0 - bounds.cold_start_share) * elapsed_share).min(1.0)
--- a/crates/test-doubles/src/oracle/tests.rs
+++ b/crates/test-doubles/src/oracle/tests.rs
@@ -114,7 +114,7 @@
         oracle.response_received(ms(11), id, Answer::Served);
         oracle.request_unanswered(id, Unanswered::Lost);
     }
-    oracle.response_received(ms(12), "nobody's", Answer::Served);
+    oracle.response_received(ms(12), "unknown", Answer::Served);
     assert_eq!(oracle.open_requests(), 60);
     assert!(oracle.requests().map(|record| record.node).eq(0..100));
 }
@@ -179,13 +179,14 @@
     assert_eq!(
         oracle.verdict().attempts_after_drain,
         0,
-        "it is ready again"
+        "an attempt to a server that is ready again does not count"
     );
 }
 
 #[test]
 fn the_load_of_a_cold_server_is_summed_over_all_nodes() {
-    let fill = |count: u64| {
+    // Whether this many attempts overload the server, and its highest load.
+    let load_after = |count: u64| {
         let mut oracle = Oracle::new(Bounds::default());
         oracle.server_started_cold(ms(0), "s", 2.0);
         for number in 0..count {
@@ -197,8 +198,13 @@
         (oracle.is_overloaded("s"), oracle.verdict().cold_load_max)
     };
     // 2 s of work per second, of which a share of 0.21 is available, times 3: 1.26 s of work in the first second.
-    assert!(!fill(12).0 && fill(13).0, "{:?} {:?}", fill(12), fill(13));
-    assert!((fill(12).1 - 1.2 / 1.26).abs() < 0.01);
+    assert!(
+        !load_after(12).0 && load_after(13).0,
+        "{:?} {:?}",
+        load_after(12),
+        load_after(13)
+    );
+    assert!((load_after(12).1 - 1.2 / 1.26).abs() < 0.01);
 }
 
 #[test]
@@ -288,7 +294,7 @@
 }
 
 #[test]
-fn crowding_of_a_cold_server_counts_average_requests_of_all_nodes_over_its_restarts() {
+fn the_mean_load_of_a_cold_server_counts_requests_of_all_nodes_and_is_kept_over_its_restarts() {
     let bounds = Bounds {
         mean_work: 0.05,
         ..Bounds::default()
@@ -296,18 +302,18 @@
     let mut oracle = Oracle::new(bounds);
     // 2 s of work per second, of which a share of 0.21 is available, times 3: 25.2 average requests, and 37.2 with
     // chance.
-    for life in [0_u64, 5000] {
-        oracle.server_started_cold(ms(life), "s", 2.0);
-        for number in 0..(if life == 0 { 8 } else { 4 }) {
-            let id = format!("{life}-{number}");
+    for started_ms in [0_u64, 5000] {
+        oracle.server_started_cold(ms(started_ms), "s", 2.0);
+        for number in 0..(if started_ms == 0 { 8 } else { 4 }) {
+            let id = format!("{started_ms}-{number}");
             oracle.request_sent(
-                ms(life),
+                ms(started_ms),
                 SentRequest {
                     node: number,
                     ..request(&id, RepeatSafety::Safe)
                 },
             );
-            oracle.attempt_received(ms(life), ms(life), "s", &id, 0.1);
+            oracle.attempt_received(ms(started_ms), ms(started_ms), "s", &id, 0.1);
         }
     }
     let allowed: f64 = 1.26 / 0.05;
@@ -321,7 +327,7 @@
 
 #[test]
 fn a_node_that_rejects_all_for_four_seconds_differs_from_one_that_sends_an_attempt() {
-    for (interval_ms, attempt, shut) in [
+    for (interval_ms, attempt, rejecting_all) in [
         (290, None, 1),
         (285, None, 0),
         (290, Some(7), 0),
@@ -339,7 +345,7 @@
         let verdict = oracle.verdict();
         assert_eq!(
             (verdict.nodes_rejecting_all, verdict.processes_never_serving),
-            (shut, 1),
+            (rejecting_all, 1),
             "{interval_ms} ms apart: {verdict:?}"
         );
     }
@@ -360,7 +366,7 @@
     assert_eq!(
         oracle.verdict().processes_never_serving,
         1,
-        "too few to tell"
+        "four requests are too few to judge a process"
     );
     ask(&mut oracle, Answer::Failed);
     assert_eq!(oracle.verdict().processes_never_serving, 2);
--- a/crates/test-doubles/src/peers.rs
+++ b/crates/test-doubles/src/peers.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use tokio::net::UdpSocket;
 
-/// Longest datagram that the platform allows.
+/// Longest datagram that the platform allows, bytes.
 const MAX_DATAGRAM_BYTES: usize = 256;
 
 /// The relays between all nodes.
@@ -23,8 +23,11 @@
     /// Address of each node as the other nodes see it.
     relays: Vec<Arc<UdpSocket>>,
     links: Arc<Links>,
+    /// Datagrams that each node sent.
     sent: Vec<AtomicU64>,
+    /// Datagrams that were delivered to each node.
     received: Vec<AtomicU64>,
+    /// Bytes of all datagrams sent.
     bytes: AtomicU64,
     oversized_datagrams: AtomicU64,
     unknown_sender_count: AtomicU64,
@@ -103,6 +106,7 @@
         self.unknown_sender_count.load(Ordering::Relaxed)
     }
 
+    /// Receives the datagrams for a node and delivers them with the faults of their links; never returns.
     async fn relay(self: Arc<Self>, to: usize) {
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
@@ -125,7 +129,7 @@
                 if fault.drops_datagram() {
                     continue;
                 }
-                let (network, bytes, way) = (
+                let (network, bytes, delay) = (
                     Arc::clone(&self),
                     buffer[..length].to_vec(),
                     fault.draw_delay(),
@@ -140,11 +144,11 @@
                         network.received[to].fetch_add(1, Ordering::Relaxed);
                     }
                 };
-                if way.is_zero() {
+                if delay.is_zero() {
                     deliver.await;
                 } else {
                     tokio::spawn(async move {
-                        tokio::time::sleep(way).await;
+                        tokio::time::sleep(delay).await;
                         deliver.await;
                     });
                 }
--- a/crates/test-doubles/src/ports.rs
+++ b/crates/test-doubles/src/ports.rs
@@ -10,9 +10,9 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::OnceLock;
 
-/// The second byte of a block's addresses. 127.0.x.y is left to all other programs.
+/// The second bytes of the addresses that processes may claim. 127.0.x.y is left to all other programs.
 const BLOCKS: std::ops::RangeInclusive<u8> = 16..=250;
-/// Addresses of a block, without the first and the last of each 256.
+/// Number of addresses in a block: of each 256 the first and the last are not used.
 const ADDRESSES_PER_BLOCK: u32 = 254 * 250;
 /// Port of all addresses, below the range of ephemeral ports (`ip_local_port_range`).
 const PORT: u16 = 7420;
@@ -24,6 +24,7 @@
     _claim: UnixListener,
 }
 
+/// Claims a block. Fails if another process has claimed it.
 fn claim(number: u8) -> std::io::Result<Block> {
     let name = format!("saffronpaddle-loopback-{number}");
     let name = std::os::unix::net::SocketAddr::from_abstract_name(name)?;
@@ -38,8 +39,8 @@
 /// # Errors
 /// All blocks are claimed: more than two hundred such processes run.
 pub fn block() -> std::io::Result<u8> {
-    static MINE: OnceLock<Option<Block>> = OnceLock::new();
-    let claimed = MINE.get_or_init(|| {
+    static OWN_BLOCK: OnceLock<Option<Block>> = OnceLock::new();
+    let claimed = OWN_BLOCK.get_or_init(|| {
         let count = BLOCKS.len() as u32;
         let from = std::process::id() % count;
         let mut numbers = (0..count).map(|step| BLOCKS.start() + ((from + step) % count) as u8);
--- a/crates/test-doubles/src/scripted.rs
+++ b/crates/test-doubles/src/scripted.rs
@@ -70,9 +70,9 @@
                 line(stream)?;
             }
         }
-        let length = headers
-            .get("content-length")
-            .map_or(0, |length| length.parse().expect("a valid content length"));
+        let length = headers.get("content-length").map_or(0, |length| {
+            length.parse().expect("the content length is a number")
+        });
         let mut body = vec![0; length];
         stream.read_exact(&mut body).ok()?;
         Some(Message {
@@ -93,7 +93,7 @@
             .split(' ')
             .nth(1)
             .and_then(|status| status.parse().ok())
-            .expect("a status")
+            .expect("the start line has a status")
     }
 }
 
@@ -108,11 +108,11 @@
     NoResponse,
 }
 
-/// Status 200.
+/// Responds with status 200 and a body, and keeps the connection open.
 pub const REPLY_OK: Reply = Reply::Respond("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nranks");
-/// Status 500.
+/// Responds with status 500 and keeps the connection open.
 pub const REPLY_ERROR: Reply = Reply::Respond("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n");
-/// Status 503, with the header that marks the request as not run.
+/// Responds with status 503 and the header that marks the request as not run, and keeps the connection open.
 pub const REPLY_OVERLOADED: Reply =
     Reply::Respond("HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
 
@@ -158,14 +158,14 @@
         }
     }
 
-    /// Starts a server with its own replies.
+    /// Starts a server with its own replies and returns its address.
     pub fn start(&self, name: &str, replies: &[Reply]) -> SocketAddr {
         self.start_with_queue(name, &Arc::new(Mutex::new(replies.to_vec())))
     }
 
-    /// Starts a server that takes its replies from a queue shared with others.
+    /// Starts a server that takes its replies from a queue shared with others, and returns its address.
     pub fn start_with_queue(&self, name: &str, reply_queue: &ReplyQueue) -> SocketAddr {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
         let address = listener.local_addr().expect("the socket has an address");
         let server = Server {
             name: name.to_owned(),
@@ -219,6 +219,7 @@
 }
 
 impl Server {
+    /// Reports each request on a connection to the test, and replies to it.
     fn serve(&self, connection: usize, mut stream: TcpStream) {
         let mut reader = BufReader::new(stream.try_clone().expect("the socket can be cloned"));
         while let Some(message) = Message::read(&mut reader) {
@@ -272,7 +273,7 @@
 impl Discovery {
     /// Starts an agent.
     pub fn start() -> Discovery {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
         let address = listener.local_addr().expect("the socket has an address");
         let (sender, watches) = mpsc::channel();
         thread::spawn(move || {
@@ -300,8 +301,8 @@
 
 /// Writes a chunk of a watch in a single write. With several writes the kernel would hold back all but the first
 /// until the other side has acknowledged it.
-pub fn write_chunk(watch: &mut TcpStream, piece: &str) {
-    let chunk = format!("{:x}\r\n{piece}\r\n", piece.len());
+pub fn write_chunk(watch: &mut TcpStream, text: &str) {
+    let chunk = format!("{:x}\r\n{text}\r\n", text.len());
     watch
         .write_all(chunk.as_bytes())
         .expect("the watch is open");
@@ -335,8 +336,10 @@
         (row_addresses == addresses).then(|| fields.nth(1).map(str::to_owned))?
     });
     let queues = row.expect("the other side is on this machine");
-    let (_, unread) = queues.split_once(':').expect("two queue lengths");
-    usize::from_str_radix(unread, 16).expect("a number")
+    let (_, unread) = queues
+        .split_once(':')
+        .expect("the row has two queue lengths");
+    usize::from_str_radix(unread, 16).expect("the queue length is a hexadecimal number")
 }
 
 /// Waits until the other side of the connection has at least this many unread bytes.
@@ -345,7 +348,7 @@
     while unread_bytes(stream) < bytes {
         assert!(
             started.elapsed() < TEST_TIMEOUT,
-            "the other side has {bytes} unread bytes"
+            "the other side has fewer than {bytes} unread bytes after {TEST_TIMEOUT:?}"
         );
         thread::sleep(Duration::from_millis(1));
     }
@@ -366,9 +369,10 @@
     )
 }
 
+/// Settings of node 0 of a fleet of two nodes, in the platform's JSON.
 const SETTINGS: &str = r#"{"balancers":2,"me":0,"zone":"a","zones":["a"],"periodUs":2000,"discovery":"automatic","ceilings":{"cancel":true,"probes":false,"mayTell":true,"secondCopies":false,"sendCap":4,"connIdleUs":15000000,"connectTimeoutUs":250000},"classes":[{"name":"read","aimUs":400000,"deadlineUs":30000000,"lateValue":0.2,"worth":3.0,"repeat":"read_like"},{"name":"submit","aimUs":400000,"deadlineUs":30000000,"lateValue":0.2,"worth":2.0,"repeat":"idempotency_key","group":"cell","windowUs":60000000},{"name":"pay","aimUs":400000,"deadlineUs":30000000,"lateValue":0.2,"worth":9.0,"repeat":"non_idempotent"}],"packages":[{"name":"p","rate":1000.0,"storeSize":1000.0,"price":1.0},{"name":"tiny","rate":0.5,"storeSize":1.0,"price":1.0}],"rules":{"coldFrom":0.2,"coldUs":1000000,"fallMultiple":3.0,"overloadForUs":1000000},"extra":{"peerInPerS":60.0,"maxUnits":1}}"#;
 
-/// A temporary file, removed on drop.
+/// A temporary file, which is removed when this value is dropped.
 pub struct TempFile(pub PathBuf);
 
 impl TempFile {
@@ -406,7 +410,8 @@
     let (sender, lines) = mpsc::channel();
     let address = loop {
         let mut line = String::new();
-        log.read_line(&mut line).expect("a log line");
+        log.read_line(&mut line)
+            .expect("the node writes a log line");
         let listens = line.contains(": listening on ");
         let address = line
             .trim_end()
@@ -443,7 +448,7 @@
 
 /// Path of the edge node's program, which is built next to the tests of its package.
 pub fn program() -> std::path::PathBuf {
-    let test = std::env::current_exe().expect("this test's program");
+    let test = std::env::current_exe().expect("the path of the test's program is known");
     let folder = test
         .ancestors()
         .nth(2)
@@ -451,7 +456,8 @@
     folder.join("saffronpaddle")
 }
 
-/// Starts the program with a configuration; it may fail.
+/// Starts the program with a configuration, with which it may exit at once. Returns the process and the path of its
+/// configuration file.
 pub fn start(tag: &str, config: &str) -> (Child, PathBuf) {
     start_with(tag, config, |_| {})
 }
@@ -493,14 +499,14 @@
     sockets: usize,
     change: impl FnOnce(&mut Command),
 ) -> (ExitStatus, String) {
-    let unused = reserve_address().expect("a free port");
+    let unused = reserve_address().expect("an address is free");
     let (child, config) = start_with(
         tag,
         &configuration(
             unused,
             &[],
             sockets,
-            reserve_address().expect("a free port"),
+            reserve_address().expect("an address is free"),
             unused,
         ),
         change,
@@ -546,16 +552,16 @@
         discovery: SocketAddr,
         hosts: &[String],
         sockets: usize,
-        alter: impl FnOnce(String) -> String,
-        change: impl FnOnce(&mut Command),
+        change_config: impl FnOnce(String) -> String,
+        change_command: impl FnOnce(&mut Command),
     ) -> Node {
-        let peer = UdpSocket::bind("127.0.0.1:0").expect("a free port");
+        let peer = UdpSocket::bind("127.0.0.1:0").expect("a port is free");
         peer.set_read_timeout(Some(TEST_TIMEOUT))
             .expect("the time-out can be set");
-        let datagrams = reserve_address().expect("a free port");
+        let datagrams = reserve_address().expect("an address is free");
         let peer_address = peer.local_addr().expect("the socket has an address");
         let config = configuration(discovery, hosts, sockets, datagrams, peer_address);
-        let (child, config) = start_with(tag, &alter(config), change);
+        let (child, config) = start_with(tag, &change_config(config), change_command);
         let (child, address, log) = wait_until_listening(child);
         Node {
             child,
@@ -606,9 +612,9 @@
     /// Replaces the configuration file and has the node reload it. Returns once the reload has ended.
     pub fn reload(&self, change: impl FnOnce(String) -> String) {
         let text = std::fs::read_to_string(&self.config).expect("the configuration is there");
-        let new = self.config.with_extension("new");
-        std::fs::write(&new, change(text)).expect("the configuration is written");
-        std::fs::rename(new, &self.config).expect("the configuration is replaced");
+        let new_path = self.config.with_extension("new");
+        std::fs::write(&new_path, change(text)).expect("the configuration is written");
+        std::fs::rename(new_path, &self.config).expect("the configuration is replaced");
         self.signal("-HUP");
         // Two overlapping reload signals cause one more reload than a test expects.
         let outcomes = ["reloaded", "the old configuration stays", "no reload"];
@@ -638,7 +644,7 @@
         {
             assert!(
                 started.elapsed() < TEST_TIMEOUT,
-                "all threads of the node stop"
+                "not all threads of the node are stopped after {TEST_TIMEOUT:?}"
             );
             thread::sleep(Duration::from_millis(1));
         }
@@ -649,7 +655,10 @@
         let kill = Command::new("kill")
             .args([name, &self.child.id().to_string()])
             .status();
-        assert!(kill.expect("the kill program runs").success());
+        assert!(
+            kill.expect("the kill program runs").success(),
+            "sending the signal {name} failed"
+        );
     }
 
     /// Process id of the node.
@@ -660,7 +669,7 @@
     /// The next line of the log, without its level.
     pub fn log_line(&self) -> String {
         let line = self.log.recv_timeout(TEST_TIMEOUT);
-        log_message(&line.expect("a line of the log")).to_owned()
+        log_message(&line.expect("the node writes a log line")).to_owned()
     }
 
     /// The log lines written and not read yet.
@@ -692,7 +701,7 @@
 
 /// A free address for a node that gets its address from the configuration.
 pub fn free_address() -> SocketAddr {
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port is free");
     listener.local_addr().expect("the socket has an address")
 }
 
@@ -770,7 +779,8 @@
     /// Writes a request and reads its response.
     pub fn exchange(&mut self, text: &str) -> Message {
         self.write(text);
-        self.read_response().expect("a complete response")
+        self.read_response()
+            .expect("the node sends a complete response")
     }
 
     /// Waits until the edge node has closed the connection, and panics if anything more arrives on it.
--- a/crates/test-doubles/src/servers.rs
+++ b/crates/test-doubles/src/servers.rs
@@ -9,11 +9,11 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::{watch, Semaphore};
 
-/// Length of the accept queue.
+/// Length of the accept queue, connections.
 const BACKLOG: u32 = 1024;
 
-/// A socket whose address other sockets may bind, too.
-fn bound(address: SocketAddr) -> std::io::Result<TcpSocket> {
+/// Binds a socket to an address that further sockets may bind, too.
+fn bind_reusable(address: SocketAddr) -> std::io::Result<TcpSocket> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseport(true)?;
     socket.bind(address)?;
@@ -59,12 +59,14 @@
     pub work: Vec<(String, Duration)>,
 }
 
+/// State of a server that its connections share.
 #[derive(Debug)]
 struct Shared {
     world: Arc<World>,
     spec: Spec,
     behavior: Mutex<Behavior>,
     cores: Semaphore,
+    /// Requests that the server holds now.
     held_requests: AtomicUsize,
     /// When each connection was accepted.
     handshakes: Mutex<Vec<Duration>>,
@@ -72,6 +74,7 @@
     requests: AtomicUsize,
     /// Number of the current process; 0 while none runs.
     process_number: watch::Sender<u64>,
+    /// Keeps the address reserved while no process runs.
     _reserved_socket: TcpSocket,
 }
 
@@ -90,17 +93,17 @@
     pub fn start(world: Arc<World>, spec: Spec) -> std::io::Result<AppServer> {
         // Bound but never listening: while no process runs, the port stays reserved and connections are refused.
         let address = crate::ports::reserve_address()?;
-        let reserved_socket = bound(address)?;
-        let listener = bound(address)?.listen(BACKLOG)?;
+        let reserved_socket = bind_reusable(address)?;
+        let listener = bind_reusable(address)?.listen(BACKLOG)?;
         let (process, _) = watch::channel(1);
         let cores = Semaphore::new(spec.cores);
-        let (behavior, held, handshakes, requests) = Default::default();
+        let (behavior, held_requests, handshakes, requests) = Default::default();
         let shared = Shared {
             world,
             spec,
             behavior,
             cores,
-            held_requests: held,
+            held_requests,
             handshakes,
             requests,
             process_number: process,
@@ -155,7 +158,7 @@
     /// # Errors
     /// The port can't be bound again.
     pub fn start_cold(&self) -> std::io::Result<()> {
-        let listener = bound(self.address)?.listen(BACKLOG)?;
+        let listener = bind_reusable(self.address)?.listen(BACKLOG)?;
         let world = &self.shared.world;
         world
             .oracle()
@@ -166,6 +169,7 @@
         Ok(())
     }
 
+    /// Accepts connections until the process ends.
     async fn accept(self, listener: TcpListener) {
         let mut process = self.shared.process_number.subscribe();
         let own_process = *process.borrow_and_update();
@@ -182,6 +186,7 @@
         }
     }
 
+    /// Serves the requests on a connection until it is closed or the process ends.
     async fn serve(self, stream: TcpStream, own_process: u64) {
         let mut process = self.shared.process_number.subscribe();
         let mut connection = HttpConnection::new(stream);
@@ -244,10 +249,10 @@
                 () = &mut process_ended => None,
             };
             match outcome {
-                Some(Outcome::Answer(words)) => {
+                Some(Outcome::Answer(bytes)) => {
                     // Finished as soon as the response is written: the node may send elsewhere from then on.
                     world.oracle().attempt_finished(&id);
-                    if connection.write(&words).await.is_err() {
+                    if connection.write(&bytes).await.is_err() {
                         break;
                     }
                 }
@@ -263,11 +268,15 @@
     }
 }
 
+/// How the server ends an attempt.
 enum Outcome {
+    /// Writes this response.
     Answer(Vec<u8>),
+    /// Resets the connection.
     Reset,
 }
 
+/// Runs a request: waits for a free core, works on it, and reports its effect to the oracle.
 async fn execute(
     shared: Arc<Shared>,
     id: String,
--- a/crates/test-doubles/src/settings.rs
+++ b/crates/test-doubles/src/settings.rs
@@ -19,7 +19,7 @@
     pub work: Duration,
     /// A response within this time has its full value.
     pub latency_target: Duration,
-    /// How long clients wait.
+    /// Time for which clients wait for the response.
     pub deadline: Duration,
 }
 
@@ -45,7 +45,7 @@
     pub classes: Vec<Class>,
     /// Plans of customers.
     pub plans: Vec<Plan>,
-    /// Values of the rules.
+    /// Values of the platform's rules, by which the oracle judges a run.
     pub bounds: Bounds,
     /// Names of the zones.
     pub sites: Vec<&'static str>,
@@ -55,12 +55,12 @@
     /// Reads and keyed writes, and four plans of which one has a hard ceiling: similar to the platform's workload.
     pub fn typical(nodes: usize) -> Fleet {
         let ms = Duration::from_millis;
-        let class = |name, keyed, share, work, aim, deadline| Class {
+        let class = |name, keyed, share, work, latency_target, deadline| Class {
             name,
             keyed,
             share,
             work,
-            latency_target: aim,
+            latency_target,
             deadline,
         };
         let plan = |name, rate, burst, ceiling| Plan {
@@ -103,7 +103,7 @@
     }
 
     /// The settings of one node.
-    pub fn settings(&self, me: usize) -> Value {
+    pub fn settings(&self, node: usize) -> Value {
         let micros = |span: Duration| span.as_micros() as u64;
         let class = |class: &Class| {
             let repeat = if class.keyed {
@@ -125,7 +125,7 @@
             })
         };
         json!({
-            "balancers": self.nodes, "me": me, "zone": self.sites[me % self.sites.len()], "zones": self.sites,
+            "balancers": self.nodes, "me": node, "zone": self.sites[node % self.sites.len()], "zones": self.sites,
             "periodUs": 2000, "discovery": "automatic",
             "ceilings": {
                 "cancel": true, "probes": false, "mayTell": true, "secondCopies": false, "sendCap": 6,
@@ -161,9 +161,9 @@
     pub discovery: SocketAddr,
     /// Address for datagrams.
     pub peer_listen: SocketAddr,
-    /// Addresses of the datagrams of all nodes, by number, its own among them.
+    /// Addresses of all nodes for datagrams, by number, its own among them.
     pub peers: Vec<SocketAddr>,
-    /// Limit of descriptors.
+    /// Most descriptors that the node may open.
     pub sockets: usize,
     /// Memory limit, in MB.
     pub memory_mb: usize,
@@ -171,18 +171,18 @@
 
 /// The configuration file of one node in the platform's format. `known` is a list in discovery's format.
 pub fn configuration(
-    places: &NodeConfig,
+    node: &NodeConfig,
     settings: &Value,
     known: Option<&str>,
     seed: u64,
 ) -> String {
     let known: Option<Value> = known.and_then(|known| serde_json::from_str(known).ok());
-    let peers: Vec<String> = places.peers.iter().map(SocketAddr::to_string).collect();
+    let peers: Vec<String> = node.peers.iter().map(SocketAddr::to_string).collect();
     let mut config = json!({
-        "name": places.name, "listen": places.listen.to_string(), "discovery": places.discovery.to_string(),
+        "name": node.name, "listen": node.listen.to_string(), "discovery": node.discovery.to_string(),
         "seed": format!("{seed:016x}"),
-        "limits": {"cores": 1.0, "memory_mb": places.memory_mb, "sockets": places.sockets},
-        "peer_listen": places.peer_listen.to_string(), "peers": peers, "settings": settings,
+        "limits": {"cores": 1.0, "memory_mb": node.memory_mb, "sockets": node.sockets},
+        "peer_listen": node.peer_listen.to_string(), "peers": peers, "settings": settings,
     });
     if let Some(known) = known {
         config["known"] = known;
--- a/crates/test-doubles/src/wire.rs
+++ b/crates/test-doubles/src/wire.rs
@@ -7,9 +7,9 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Limit of a message head, which guards the test double's memory.
+/// Longest message head that is read, bytes. Bounds the test double's memory.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
-/// Limit of a body.
+/// Longest body that is read, bytes.
 const MAX_BODY_BYTES: usize = 4 << 20;
 
 /// A complete message.
@@ -80,7 +80,11 @@
     pub async fn read_message(&mut self, world: &World) -> io::Result<Option<Message>> {
         let mut first = (!self.buffer.is_empty()).then(|| world.now());
         let head = loop {
-            if let Some(end) = self.buffer.windows(4).position(|four| four == b"\r\n\r\n") {
+            if let Some(end) = self
+                .buffer
+                .windows(4)
+                .position(|bytes| bytes == b"\r\n\r\n")
+            {
                 break end + 4;
             }
             if self.buffer.len() > MAX_HEAD_BYTES {
@@ -143,10 +147,10 @@
     }
 }
 
-/// Formats a response with a body of known length.
-pub fn response(status: &str, more: &str, body: &str) -> Vec<u8> {
+/// Formats a response with a body of known length. `extra_headers` are complete lines.
+pub fn response(status: &str, extra_headers: &str, body: &str) -> Vec<u8> {
     format!(
-        "HTTP/1.1 {status}\r\n{more}Content-Length: {}\r\n\r\n{body}",
+        "HTTP/1.1 {status}\r\n{extra_headers}Content-Length: {}\r\n\r\n{body}",
         body.len()
     )
     .into_bytes()
