--- a/crates/model-checker/src/fleet/clients.rs
+++ b/crates/model-checker/src/fleet/clients.rs
@@ -53,9 +53,10 @@
         self.deliver(node, event, None);
     }
 
+    /// Reports a request to the oracle.
     fn record_request(&mut self, id: &RequestId, class: usize, node: usize, customer: u64) {
         let keyed = self.fleet.classes[class].keyed;
-        let asked = SentRequest {
+        let sent_request = SentRequest {
             id: id.0.to_string(),
             key: keyed.then(|| id.0.to_string()),
             repeat_safety: if keyed {
@@ -68,9 +69,10 @@
             units: 1.0,
             timeout: self.fleet.classes[class].deadline,
         };
-        self.oracle.request_sent(self.elapsed(), asked);
+        self.oracle.request_sent(self.elapsed(), sent_request);
     }
 
+    /// Schedules the disconnect of a client at a random time before its timeout.
     fn schedule_leaving(&mut self, node: usize, id: RequestId, ticket: Ticket, timeout: Micros) {
         let delay = self.random.u64(..timeout);
         let node = self.node_ref(node);
@@ -79,8 +81,8 @@
 
     /// Disconnects the client of a request, unless it is already answered.
     pub fn client_leaves(&mut self, node: NodeRef, id: RequestId, ticket: Ticket) {
-        let waits = self.nodes[node.index].waiting.get(&id) == Some(&ticket);
-        if !self.is_alive(node) || !waits {
+        let is_waiting = self.nodes[node.index].waiting.get(&id) == Some(&ticket);
+        if !self.is_alive(node) || !is_waiting {
             return;
         }
         self.oracle
--- a/crates/model-checker/src/fleet/commands.rs
+++ b/crates/model-checker/src/fleet/commands.rs
@@ -44,6 +44,7 @@
         self.set_exchange_timer(node);
     }
 
+    /// Schedules the timer of a node's exchange if it is due earlier than the one that is set.
     fn set_exchange_timer(&mut self, index: usize) {
         let node = &mut self.nodes[index];
         let due = node.exchange.next_alarm().unwrap_or(Micros::MAX);
@@ -51,8 +52,8 @@
             return;
         }
         node.timer_at = due;
-        let lateness = self.random.u64(..MAX_TIMER_DELAY);
-        let delay = due.saturating_sub(self.now) + lateness;
+        let timer_delay = self.random.u64(..MAX_TIMER_DELAY);
+        let delay = due.saturating_sub(self.now) + timer_delay;
         let node = self.node_ref(index);
         self.schedule(delay, SimulationEvent::ExchangeTimer { node, due });
     }
--- a/crates/model-checker/src/fleet/nodes.rs
+++ b/crates/model-checker/src/fleet/nodes.rs
@@ -77,13 +77,13 @@
 impl Simulation {
     /// Creates an empty exchange for a node.
     pub fn new_exchange(&self, node: usize) -> Result<NodeExchange, FleetError> {
-        let named = &self.settings[node];
+        let platform_settings = &self.settings[node];
         let seed = self.setup.seed ^ node as u64;
-        let policy = PolicyEngine::new(seed, named.settings.clone(), self.now)?;
+        let policy = PolicyEngine::new(seed, platform_settings.settings.clone(), self.now)?;
         let limits = Limits::for_node(
             MAX_CONNECTIONS,
-            named.server_idle_timeout,
-            named.connect_timeout,
+            platform_settings.server_idle_timeout,
+            platform_settings.connect_timeout,
         );
         Ok(Exchange::with_bugs(limits, policy, self.setup.bug))
     }
@@ -196,6 +196,7 @@
         Ok(())
     }
 
+    /// Reports the unanswered requests of a node as lost to its kill.
     fn lose_requests(&mut self, node: usize) {
         let lost: Vec<RequestId> = self
             .open
@@ -209,6 +210,7 @@
         }
     }
 
+    /// Removes the connections of a node, and reports the attempts on them as canceled.
     fn close_all_connections(&mut self, node: usize) {
         let connections = std::mem::take(&mut self.nodes[node].connections);
         let mut at_servers: Vec<RequestId> = connections
--- a/crates/model-checker/src/fleet/servers.rs
+++ b/crates/model-checker/src/fleet/servers.rs
@@ -38,6 +38,7 @@
 /// The current fault of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ServerFault {
+    /// The server works without a fault.
     None,
     /// The server never responds.
     Silent,
@@ -150,6 +151,7 @@
         }
     }
 
+    /// Starts a new process of a server at an unused address.
     fn restart_server(&mut self, index: usize) {
         let elapsed = self.elapsed();
         let server = &mut self.servers[index];
@@ -199,7 +201,7 @@
         mean * (0.5 + self.random.f64())
     }
 
-    /// Returns whether a server runs a request that has reached it.
+    /// Returns whether a server runs a request that has reached it; random for a silent or resetting server.
     fn runs(&mut self, server: usize) -> bool {
         match self.servers[server].fault {
             ServerFault::Full => false,
@@ -208,6 +210,7 @@
         }
     }
 
+    /// Schedules the server's reaction to a request, depending on the fault of the server.
     fn serve(&mut self, attempt: AttemptRef, server: usize, work: f64, warmth: f64) {
         let outcome = match self.servers[server].fault {
             ServerFault::Silent => return,
--- a/crates/model-checker/src/walk.rs
+++ b/crates/model-checker/src/walk.rs
@@ -6,7 +6,8 @@
 use std::mem::discriminant;
 use std::time::Instant;
 
-/// Most default steps until a world has to be terminated.
+/// Most default steps until a world has to be terminated. Without this limit, a walk would hang on a world that never
+/// terminates.
 const MAX_DEFAULT_STEPS: usize = 20_000;
 /// One in this many steps aborts something or advances the clock. If these steps were more frequent, walks would
 /// terminate early.
--- a/crates/model-checker/src/world/commands.rs
+++ b/crates/model-checker/src/world/commands.rs
@@ -296,7 +296,7 @@
     match read {
         Some(read) if read.request == request && read.while_closing => violated(
             Property::MatchingResponse,
-            format!("request {request} is served by the response to a cancelled attempt"),
+            format!("request {request} is served by the response to a canceled attempt"),
         ),
         Some(read) if read.request == request => Ok(()),
         _ => violated(
--- a/crates/model-checker/src/world/first_byte.rs
+++ b/crates/model-checker/src/world/first_byte.rs
@@ -38,7 +38,7 @@
         let client = self.client_mut(request);
         client.body_consumed = setup.streaming_bodies;
         client.written = Some(WrittenAttempt {
-            // All other attempts have ended.
+            // The attempt with the lowest unended number: all other attempts have ended.
             number: client.unended_attempts().trailing_zeros(),
             connection,
             dispatched,
--- a/crates/model-checker/tests/explored.rs
+++ b/crates/model-checker/tests/explored.rs
@@ -27,7 +27,11 @@
                 chart::draw(&setup, AnyPolicy, None, trace, violation)
             );
         }
-        assert!(result.complete, "{}", setup.name);
+        assert!(
+            result.complete,
+            "{}: not all states were visited",
+            setup.name
+        );
         assert!(
             result.states > MIN_STATES,
             "{}: {} states",
@@ -43,7 +47,7 @@
 fn every_planted_fault_is_found_and_its_trace_needs_the_fault() {
     for bug in Bug::ALL {
         let (setup, result) =
-            planted::find_bug(bug, THREADS).expect("a world for each planted fault");
+            planted::find_bug(bug, THREADS).expect("each planted fault has a world");
         let Some((trace, violation)) = result.violation else {
             panic!("{bug:?} is not found in {}", setup.name)
         };
@@ -90,7 +94,7 @@
     };
     for idempotency in [Idempotency::Idempotent, keyed, Idempotency::NonIdempotent] {
         let setup = setups::real(idempotency);
-        let policy = setups::real_policy(&setup).expect("valid settings");
+        let policy = setups::real_policy(&setup).expect("the settings are valid");
         let result = search(
             &setup,
             policy.clone(),
@@ -146,31 +150,31 @@
                 .violation
                 .is_some()
         });
-        assert!(found, "{bug:?}");
+        assert!(found, "{bug:?} is not found within 40 seeds");
     }
 }
 
 /// Simulates three nodes with the real policy, six servers that fail, drain and move, datagram loss and a killed node:
-/// the ledger finds no violated rule, and no request or connection is kept.
+/// the oracle finds no violated rule, and no request or connection is kept.
 #[test]
 fn simulated_fleets_violate_no_rule() {
     for seed in 1..=4 {
-        let fleet_run = fleet::run(&FleetSetup::with_seed(seed)).expect("valid settings");
-        let again = format!("saffronpaddle-model-checker nodes --seed {seed} --runs 1");
-        assert_eq!(fleet_run.verdict.breaches, [], "{again}");
+        let fleet_run = fleet::run(&FleetSetup::with_seed(seed)).expect("the settings are valid");
+        let replay_command = format!("saffronpaddle-model-checker nodes --seed {seed} --runs 1");
+        assert_eq!(fleet_run.verdict.breaches, [], "{replay_command}");
         assert_eq!(
             (fleet_run.inconsistencies, fleet_run.remaining),
             (Vec::new(), 0),
-            "{again}"
+            "{replay_command}"
         );
         assert!(
             fleet_run.verdict.served > fleet_run.verdict.requests / 4,
-            "{again}: {:?}",
+            "{replay_command}: {:?}",
             fleet_run.verdict
         );
         assert!(
             fleet_run.verdict.attempts > fleet_run.verdict.served,
-            "{again}: no request was retried"
+            "{replay_command}: no request was retried"
         );
     }
 }
@@ -182,9 +186,10 @@
         requests: 500,
         ..FleetSetup::with_seed(11)
     };
-    let runs = [fleet::run(&short), fleet::run(&short)].map(|run| run.expect("valid settings"));
+    let runs =
+        [fleet::run(&short), fleet::run(&short)].map(|run| run.expect("the settings are valid"));
     assert_eq!(runs[0], runs[1]);
-    let other = fleet::run(&FleetSetup { seed: 12, ..short }).expect("valid settings");
+    let other = fleet::run(&FleetSetup { seed: 12, ..short }).expect("the settings are valid");
     assert_ne!(runs[0].commands_hash, other.commands_hash);
 }
 
@@ -197,12 +202,12 @@
                 bug: Some(bug),
                 ..FleetSetup::with_seed(seed)
             })
-            .expect("valid settings");
+            .expect("the settings are valid");
             !fleet_run.verdict.breaches.is_empty()
                 || !fleet_run.inconsistencies.is_empty()
                 || fleet_run.remaining > 0
         });
-        assert!(found, "{bug:?}");
+        assert!(found, "{bug:?} is not found within 6 seeds");
     }
 }
 
@@ -226,9 +231,9 @@
             let Some(step) = steps.get(usize::from(choice) % steps.len().max(1)).copied() else { break };
             proptest::prop_assert_eq!(world.take(&setup, step), Ok(()), "{:?}", step);
         }
-        let mut left = 20_000;
-        while let Some(step) = world.default_step(&setup).filter(|_| left > 0) {
-            left -= 1;
+        let mut remaining_steps = 20_000;
+        while let Some(step) = world.default_step(&setup).filter(|_| remaining_steps > 0) {
+            remaining_steps -= 1;
             proptest::prop_assert_eq!(world.take(&setup, step), Ok(()), "{:?}", step);
         }
         proptest::prop_assert_eq!(world.verify_terminated(), Ok(()));
