--- a/crates/bench/tests/size/fixture.rs
+++ b/crates/bench/tests/size/fixture.rs
@@ -40,25 +40,30 @@
 
 /// Processes of the program.
 pub const REAL_NODES: usize = 8;
-/// Hollow nodes, and the processes that they are spread over.
+/// Hollow nodes.
 pub const HOLLOW_NODES: usize = 500;
+/// Processes that the hollow nodes are spread over.
 const HOLLOW_PROCESSES: usize = 4;
+/// Nodes of the fleet, real and hollow.
 pub const NODES: usize = REAL_NODES + HOLLOW_NODES;
 /// Zones of the fleet. Nodes are assigned to them in turn.
 pub const SITES: [&str; 9] = ["z0", "z1", "z2", "z3", "z4", "z5", "z6", "z7", "z8"];
+/// Names of the plans, in the order of [`plans`].
 const PLANS: [&str; 9] = ["p0", "p1", "p2", "p3", "p4", "p5", "p6", "p7", "p8"];
 /// Concurrent requests of an app server for each core.
 const SLOTS_PER_CORE: usize = 16;
 /// An answer of a real node is late if it comes more than this time after its client's timeout. A process may have to
 /// wait for a core on a machine that also runs hundreds of hollow nodes.
 const ANSWER_SLACK: Duration = Duration::from_millis(500);
-/// The same for a hollow node, which is delayed by the more than a hundred other nodes of its event loop.
+/// An answer of a hollow node is late if it comes more than this time after its client's timeout. The node is delayed by
+/// the more than a hundred other nodes of its event loop.
 const LOOP_SLACK: Duration = Duration::from_secs(5);
 /// A test fails if a condition that it waits for does not hold within this time.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
+/// Interval between checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Interval at which the events of hollow nodes are read.
-const AUDIT_EVERY: Duration = Duration::from_millis(50);
+const AUDIT_INTERVAL: Duration = Duration::from_millis(50);
 
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
@@ -88,6 +93,7 @@
 }
 
 impl FleetParameters {
+    /// Parameters of a fleet with this many servers of four cores, 400 tenants and 4 requests/s to each node.
     pub fn with_servers(servers: usize) -> FleetParameters {
         FleetParameters {
             servers,
@@ -458,7 +464,7 @@
                 dial = Some(server.address());
                 app_servers.insert(at, server);
             }
-            let dial = dial.unwrap_or_else(|| reserve_address().expect("an address"));
+            let dial = dial.unwrap_or_else(|| reserve_address().expect("an address is free"));
             let is_running = app_servers.contains_key(&at);
             listed.push(Server {
                 dial,
@@ -472,14 +478,16 @@
         let list = ListService::new(Arc::clone(&world), listed, REAL_NODES);
 
         let peers: Vec<SocketAddr> = (0..NODES)
-            .map(|_| reserve_address().expect("an address"))
+            .map(|_| reserve_address().expect("an address is free"))
             .collect();
         let links = Arc::new(Links::default());
         let network = Network::start(peers.clone(), Arc::clone(&links))
             .await
             .expect("the network between nodes starts");
         // Datagrams from and to real nodes pass through relays; hollow nodes send to one another directly.
-        let relays = network.peers_of(NODES - 1).expect("addresses");
+        let relays = network
+            .peers_of(NODES - 1)
+            .expect("each relay has an address");
         let hollow_peers: Vec<SocketAddr> = (0..NODES)
             .map(|node| {
                 if node < REAL_NODES {
@@ -546,13 +554,13 @@
             .expect("the operator file can be written");
         let mut nodes = Vec::new();
         for (number, peer_listen) in peers.iter().copied().enumerate().take(REAL_NODES) {
-            let address = reserve_address().expect("an address");
+            let address = reserve_address().expect("an address is free");
             let config = NodeConfig {
                 name: format!("n{number}"),
                 listen: address,
                 discovery: list.open(Some(number)).await,
                 peer_listen,
-                peers: network.peers_of(number).expect("addresses"),
+                peers: network.peers_of(number).expect("each relay has an address"),
                 sockets: 2_048,
                 memory_mb: 256,
             };
@@ -675,7 +683,7 @@
         );
         self.audit_thread = Some(std::thread::spawn(move || {
             while !stop.load(Ordering::Relaxed) {
-                std::thread::sleep(AUDIT_EVERY);
+                std::thread::sleep(AUDIT_INTERVAL);
                 processes
                     .iter()
                     .for_each(|process| _ = report_events(&world, &fleet, &mut lock(process)));
--- a/crates/bench/tests/size/list.rs
+++ b/crates/bench/tests/size/list.rs
@@ -17,11 +17,15 @@
 /// A server that is or was on the list.
 #[derive(Clone, Debug)]
 pub struct Server {
+    /// Address on which the server listens.
     pub dial: SocketAddr,
+    /// Zone of the server.
     pub site: &'static str,
+    /// Group of servers that drops repeats of an idempotency key together.
     pub block: u64,
     /// `ready`, `draining` or `gone`.
     pub health: &'static str,
+    /// Unix time at which the server started, ms; 0 to leave it out.
     pub born_ms: u64,
     /// Whether an app server listens there to which processes of the program may send. Only these are reported to the
     /// oracle.
@@ -52,6 +56,7 @@
 }
 
 impl List {
+    /// The JSON entry of a server.
     fn host(&self, at: usize) -> String {
         let Server {
             dial,
@@ -122,6 +127,7 @@
     }
 }
 
+/// A list service that serves watches until the test ends.
 pub struct ListService {
     world: Arc<World>,
     list: Mutex<List>,
@@ -135,6 +141,7 @@
 }
 
 impl ListService {
+    /// A service with these servers on its list, for `real` processes of the program.
     pub fn new(world: Arc<World>, servers: Vec<Server>, real: usize) -> Arc<ListService> {
         let list = Mutex::new(List {
             seq: 1,
@@ -189,6 +196,7 @@
         })
     }
 
+    /// Applies a change to the list as a new version, which it returns, and wakes the watches.
     fn publish(&self, change: impl FnOnce(&mut List)) -> u64 {
         let seq = {
             let mut list = lock(&self.list);
@@ -212,6 +220,7 @@
         lock(&self.sent_versions)[node] = 0;
     }
 
+    /// Serves one watch until its connection ends.
     async fn serve(
         &self,
         node: Option<usize>,
