--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -14,6 +14,7 @@
 use lexopt::prelude::*;
 use std::path::PathBuf;
 
+/// The usage text.
 const USAGE: &str = "\
 saffronpaddle-bench: measurements of the edge node (build with --release first)
 
--- a/crates/bench/src/scale/fit.rs
+++ b/crates/bench/src/scale/fit.rs
@@ -3,6 +3,7 @@
 /// A least-squares line.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fit {
+    /// Change of the value per unit of x.
     pub slope: f64,
     /// Standard error of the slope; `None` for two points, which a line always fits exactly.
     pub standard_error: Option<f64>,
--- a/crates/bench/src/scale/report.rs
+++ b/crates/bench/src/scale/report.rs
@@ -31,23 +31,29 @@
 /// One measured value at one point of a sweep.
 #[derive(Clone, Debug)]
 pub struct Measurement {
+    /// Name of the sweep.
     pub sweep: &'static str,
     /// Value of the swept parameter.
     pub x: f64,
     pub point: Point,
     pub source: Source,
+    /// Name of the measured quantity.
     pub measure: &'static str,
     pub unit: &'static str,
+    /// The value, in `unit`.
     pub value: f64,
+    /// What the value includes, or a remark on it; may be empty.
     pub note: String,
 }
 
 /// The measurements of one point.
 pub struct PointReport<'a> {
+    /// Name of the sweep.
     pub sweep: &'static str,
     /// Value of the swept parameter.
     pub x: f64,
     pub point: &'a Point,
+    /// The measurements so far.
     pub all: Vec<Measurement>,
 }
 
@@ -79,10 +85,14 @@
 
 /// A line through the points of a sweep.
 pub struct Slope {
+    /// Name of the sweep.
     pub sweep: &'static str,
     pub source: Source,
+    /// Name of the measured quantity.
     pub measure: &'static str,
+    /// Unit of the measured quantity.
     pub unit: &'static str,
+    /// Number of points that the line is fitted to.
     pub points: usize,
     pub fit: fit::Fit,
 }
--- a/crates/bench/src/scale/service.rs
+++ b/crates/bench/src/scale/service.rs
@@ -28,6 +28,7 @@
     health: &'static str,
 }
 
+/// The list with its history.
 #[derive(Default)]
 struct List {
     seq: u64,
--- a/crates/bench/src/scale/shards.rs
+++ b/crates/bench/src/scale/shards.rs
@@ -10,10 +10,11 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
+/// A process of hollow nodes, with the pipes over which it is controlled.
 struct HollowProcess {
     stdin: ChildStdin,
     stdout: BufReader<ChildStdout>,
-    /// Its state before it had started any node.
+    /// State of the process before it had started any node.
     baseline: Snapshot,
 }
 
--- a/crates/bench/src/sockets.rs
+++ b/crates/bench/src/sockets.rs
@@ -16,8 +16,9 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// `Sec-WebSocket-Key` of RFC 6455, section 1.3, and the `Sec-WebSocket-Accept` that answers it.
+/// `Sec-WebSocket-Key` of RFC 6455, section 1.3.
 const KEY: &str = "dGhlIHNhbXBsZSBub25jZQ==";
+/// `Sec-WebSocket-Accept` in the answer to [`KEY`].
 const ACCEPT: &str = "s3pPLMBiTxaQ9kYGzzhZRbK+xOo=";
 /// Sockets that are opened concurrently.
 const CONCURRENT_OPENS: usize = 64;
--- a/crates/hollow/src/node.rs
+++ b/crates/hollow/src/node.rs
@@ -12,7 +12,7 @@
 
 /// A request without a final answer.
 pub struct PendingRequest {
-    /// Scheduled arrival time.
+    /// Scheduled arrival time, Unix time in µs.
     pub due_at: Micros,
     /// Index of its class in the settings.
     pub class: usize,
@@ -27,18 +27,20 @@
     pub id: NodeId,
     /// Number of restarts of this index so far. Events of earlier incarnations are dropped.
     pub incarnation: u32,
+    /// Whether an agent pushes the list to the node, or the node subscribes to it.
     pub discovery: DiscoveryMode,
+    /// Unix time at which this incarnation started, µs.
     pub started_at: Micros,
     pub exchange: RefCell<Exchange<SocketAddr, PolicyEngine>>,
     /// `None` once the node has ended: the next incarnation binds the same address.
     pub peers: RefCell<Option<Rc<Peers>>>,
-    /// Earliest time for which a timer of the exchange is scheduled.
+    /// Earliest Unix time for which a timer of the exchange is scheduled, µs; the maximum if none is.
     pub next_alarm: Cell<Micros>,
     /// Requests without a final answer.
     pub pending: RefCell<HashMap<RequestId, PendingRequest>>,
     /// The request on each connection.
     pub in_flight: RefCell<HashMap<ConnectionId, RequestId>>,
-    /// Time at which the first list was applied.
+    /// Unix time at which the first list was applied, µs.
     pub first_list_at: Cell<Option<Micros>>,
     /// The tasks that receive datagrams and follow the list.
     pub tasks: RefCell<Vec<JoinHandle<()>>>,
--- a/crates/model-checker/src/bin/saffronpaddle-model-checker/worlds.rs
+++ b/crates/model-checker/src/bin/saffronpaddle-model-checker/worlds.rs
@@ -104,7 +104,7 @@
         );
     }
     if !missed.is_empty() {
-        bail!("not found: {}", missed.join(", "));
+        bail!("planted faults that were not found: {}", missed.join(", "));
     }
     Ok(())
 }
--- a/crates/model-checker/src/chart.rs
+++ b/crates/model-checker/src/chart.rs
@@ -144,7 +144,7 @@
     match step {
         Step::EndpointsChange => Arrow::new(Lane::Servers, Lane::Node, "the endpoint list changes"),
         Step::ShutdownAnnounced => Arrow::new(Lane::Node, Lane::Node, "a shutdown is announced"),
-        Step::NodeStops => Arrow::new(Lane::Node, Lane::Node, "the node starts to drain"),
+        Step::NodeDrains => Arrow::new(Lane::Node, Lane::Node, "the node starts to drain"),
         Step::ClockTicks => Arrow::new(Lane::Node, Lane::Node, "the clock ticks"),
         _ => Arrow::new(Lane::Node, Lane::Node, "the timer fires"),
     }
--- a/crates/model-checker/src/fleet/nodes.rs
+++ b/crates/model-checker/src/fleet/nodes.rs
@@ -33,13 +33,17 @@
 pub(super) struct Connection {
     /// The index of the server.
     pub server: usize,
+    /// The server's address to which the connection was opened.
     pub address: u32,
+    /// The connection is established.
     pub up: bool,
+    /// The request that was prepared on the connection and has not ended on it.
     pub carried: Option<RequestId>,
     /// The server has the request and has not finished it.
     pub at_server: bool,
     /// The node has received unsolicited bytes or the end of the connection.
     pub unexpected_bytes: bool,
+    /// The node is closing the connection.
     pub closing: bool,
     /// Number of attempts on the connection so far.
     pub attempts: u32,
--- a/crates/model-checker/src/fleet/simulation.rs
+++ b/crates/model-checker/src/fleet/simulation.rs
@@ -38,6 +38,7 @@
     /// The settings of each node.
     pub settings: Vec<PlatformSettings>,
     pub random: fastrand::Rng,
+    /// Virtual time on the nodes' clocks, µs.
     pub now: Micros,
     queue: BinaryHeap<Reverse<Scheduled>>,
     /// Scheduled events by serial number.
@@ -45,9 +46,12 @@
     last_serial: u64,
     pub nodes: Vec<Node>,
     pub servers: Vec<Server>,
+    /// Address of the next server that moves.
     pub next_address: u32,
     pub oracle: Oracle,
+    /// Inconsistencies of the tables of an exchange, and invalid commands.
     pub inconsistencies: Vec<String>,
+    /// Hash of all commands so far, in order.
     pub commands_hash: DefaultHasher,
     events: usize,
     /// Unanswered requests, each with the index of its node.
--- a/crates/model-checker/src/world/apply_step.rs
+++ b/crates/model-checker/src/world/apply_step.rs
@@ -136,7 +136,7 @@
             Step::BodyArrives(request) => Some(self.body_arrives(setup, request).into()),
             Step::EndpointsChange => Some(self.endpoints_change(setup).into()),
             Step::ShutdownAnnounced => Some(self.shutdown_announced(setup).into()),
-            Step::NodeStops => {
+            Step::NodeDrains => {
                 self.draining = true;
                 Some(Event::Drain.into())
             }
--- a/crates/model-checker/src/world/client.rs
+++ b/crates/model-checker/src/world/client.rs
@@ -10,7 +10,9 @@
 pub(super) struct Client {
     /// When the request arrived or its streaming body was complete, µs; `None` before the request has arrived.
     pub arrived_at: Option<Micros>,
+    /// The client has closed its connection.
     pub disconnected: bool,
+    /// The ticket that the exchange gave to the request.
     pub ticket: u64,
     /// Number of final answers received.
     pub answers: u8,
@@ -41,6 +43,7 @@
 /// An attempt of which bytes were written.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct WrittenAttempt {
+    /// The number of the attempt.
     pub number: u32,
     pub connection: ConnectionId,
     pub dispatched: Dispatched,
--- a/crates/model-checker/src/world/connection.rs
+++ b/crates/model-checker/src/world/connection.rs
@@ -6,20 +6,27 @@
 /// A connection between the node and a server.
 #[derive(Clone, Debug, Hash)]
 pub(super) struct Connection {
+    /// The index of the server.
     pub server: u8,
+    /// The server's address to which the connection was opened.
     pub address: u8,
+    /// The connection is established.
     pub up: bool,
+    /// The request that was prepared on the connection and has not ended on it.
     pub carried: Option<CarriedRequest>,
     /// The server has responded to the carried request.
     pub responded: bool,
     /// Responses that the node has not read yet.
     pub inbound: Vec<Response>,
+    /// The last response that the server sent.
     pub last_response: Option<SentResponse>,
     /// The last response was sent twice.
     pub repeated: bool,
+    /// The server has reset the connection.
     pub reset: bool,
     /// The node has noticed the end of the connection.
     pub end_seen: bool,
+    /// The node is closing the connection.
     pub closing: bool,
     /// The connection carries a streaming response.
     pub streaming: bool,
--- a/crates/model-checker/src/world/policy.rs
+++ b/crates/model-checker/src/world/policy.rs
@@ -47,7 +47,9 @@
 #[derive(Clone)]
 pub(super) struct RecordingPolicy<M> {
     pub model: M,
+    /// Events that the policy received since the last verification.
     pub events: Vec<PolicyEvent>,
+    /// Actions that the policy took since the last verification.
     pub actions: Vec<Action>,
 }
 
--- a/crates/model-checker/src/world/possible_steps.rs
+++ b/crates/model-checker/src/world/possible_steps.rs
@@ -181,7 +181,7 @@
             steps.push(Step::EndpointsChange);
         }
         if setup.node_drains && !self.draining {
-            steps.push(Step::NodeStops);
+            steps.push(Step::NodeDrains);
         }
         let shutdown_possible = setup.shutdown_ticks.is_some() && self.shutdown_deadline.is_none();
         if shutdown_possible && self.within_horizon(setup) {
--- a/crates/model-checker/src/world/step.rs
+++ b/crates/model-checker/src/world/step.rs
@@ -60,7 +60,7 @@
     /// The node receives the next change of the endpoint list.
     EndpointsChange,
     /// A drain of the node is requested.
-    NodeStops,
+    NodeDrains,
     /// The shutdown deadline of the process is announced.
     ShutdownAnnounced,
     /// The clock advances by one tick.
--- a/crates/test-doubles/src/discovery.rs
+++ b/crates/test-doubles/src/discovery.rs
@@ -90,6 +90,7 @@
     }
 }
 
+/// The list of app servers in one version.
 #[derive(Clone, Debug, Default)]
 struct List {
     seq: u64,
--- a/crates/test-doubles/src/etcd.rs
+++ b/crates/test-doubles/src/etcd.rs
@@ -895,6 +895,7 @@
     next: i64,
 }
 
+/// Sender of the responses of a watch stream.
 type Responses = mpsc::Sender<Result<api::WatchResponse, Status>>;
 
 /// A watch stream, which may hold several watchers.
@@ -1137,11 +1138,12 @@
     fn(CallResponse) -> Option<B>,
 );
 
-type Boxed<T> = Pin<Box<dyn Future<Output = Result<T, Status>> + Send>>;
+/// Future of a call.
+type CallFuture<T> = Pin<Box<dyn Future<Output = Result<T, Status>> + Send>>;
 
 impl<A: Send + 'static, B: Send + 'static> UnaryService<A> for Unary<A, B> {
     type Response = B;
-    type Future = Boxed<tonic::Response<B>>;
+    type Future = CallFuture<tonic::Response<B>>;
 
     fn call(&mut self, request: tonic::Request<A>) -> Self::Future {
         let (state, call, answer) = (Arc::clone(&self.0), self.1, self.2);
@@ -1165,7 +1167,7 @@
 impl StreamingService<api::WatchRequest> for Watches {
     type Response = api::WatchResponse;
     type ResponseStream = ReceiverStream<Result<api::WatchResponse, Status>>;
-    type Future = Boxed<tonic::Response<Self::ResponseStream>>;
+    type Future = CallFuture<tonic::Response<Self::ResponseStream>>;
 
     fn call(&mut self, request: tonic::Request<Streaming<api::WatchRequest>>) -> Self::Future {
         let state = Arc::clone(&self.0);
@@ -1190,7 +1192,7 @@
 impl StreamingService<api::LeaseKeepAliveRequest> for KeepAlives {
     type Response = api::LeaseKeepAliveResponse;
     type ResponseStream = ReceiverStream<Result<api::LeaseKeepAliveResponse, Status>>;
-    type Future = Boxed<tonic::Response<Self::ResponseStream>>;
+    type Future = CallFuture<tonic::Response<Self::ResponseStream>>;
 
     fn call(
         &mut self,
--- a/crates/test-doubles/src/load.rs
+++ b/crates/test-doubles/src/load.rs
@@ -170,6 +170,7 @@
     counters: Counters,
 }
 
+/// Counters behind [`LoadCounts`].
 #[derive(Debug, Default)]
 struct Counters {
     refused_connections: AtomicU64,
--- a/crates/test-doubles/src/scripted.rs
+++ b/crates/test-doubles/src/scripted.rs
@@ -210,6 +210,7 @@
     }
 }
 
+/// A scripted app server.
 #[derive(Clone)]
 struct Server {
     name: String,
