--- a/crates/model-checker/src/fleet/nodes.rs
+++ b/crates/model-checker/src/fleet/nodes.rs
@@ -33,13 +33,17 @@
 pub(super) struct Connection {
     /// The index of the server.
     pub server: usize,
+    /// The server's address to which the connection was opened.
     pub address: u32,
+    /// The connection is established.
     pub up: bool,
+    /// The request that was prepared on the connection and has not ended on it.
     pub carried: Option<RequestId>,
     /// The server has the request and has not finished it.
     pub at_server: bool,
     /// The node has received unsolicited bytes or the end of the connection.
     pub unexpected_bytes: bool,
+    /// The node is closing the connection.
     pub closing: bool,
     /// Number of attempts on the connection so far.
     pub attempts: u32,
@@ -77,13 +81,13 @@
 impl Simulation {
     /// Creates an empty exchange for a node.
     pub fn new_exchange(&self, node: usize) -> Result<NodeExchange, FleetError> {
-        let named = &self.settings[node];
+        let platform_settings = &self.settings[node];
         let seed = self.setup.seed ^ node as u64;
-        let policy = PolicyEngine::new(seed, named.settings.clone(), self.now)?;
+        let policy = PolicyEngine::new(seed, platform_settings.settings.clone(), self.now)?;
         let limits = Limits::for_node(
             MAX_CONNECTIONS,
-            named.server_idle_timeout,
-            named.connect_timeout,
+            platform_settings.server_idle_timeout,
+            platform_settings.connect_timeout,
         );
         Ok(Exchange::with_bugs(limits, policy, self.setup.bug))
     }
@@ -196,6 +200,7 @@
         Ok(())
     }
 
+    /// Reports the unanswered requests of a node as lost to its kill.
     fn lose_requests(&mut self, node: usize) {
         let lost: Vec<RequestId> = self
             .open
@@ -209,6 +214,7 @@
         }
     }
 
+    /// Removes the connections of a node, and reports the attempts on them as canceled.
     fn close_all_connections(&mut self, node: usize) {
         let connections = std::mem::take(&mut self.nodes[node].connections);
         let mut at_servers: Vec<RequestId> = connections
