--- a/crates/bench/tests/size/fixture.rs
+++ b/crates/bench/tests/size/fixture.rs
@@ -38,9 +38,9 @@
 use tokio::task::{block_in_place, JoinSet};
 use tokio::time::sleep;
 
-/// Processes of the program.
+/// Number of real nodes, each a process of the program.
 pub const REAL_NODES: usize = 8;
-/// Hollow nodes.
+/// Number of hollow nodes, which [`HOLLOW_PROCESSES`] processes simulate.
 pub const HOLLOW_NODES: usize = 500;
 /// Processes that the hollow nodes are spread over.
 const HOLLOW_PROCESSES: usize = 4;
@@ -55,8 +55,8 @@
 /// An answer of a real node is late if it comes more than this time after its client's timeout. A process may have to
 /// wait for a core on a machine that also runs hundreds of hollow nodes.
 const ANSWER_SLACK: Duration = Duration::from_millis(500);
-/// An answer of a hollow node is late if it comes more than this time after its client's timeout. The node is delayed by
-/// the more than a hundred other nodes of its event loop.
+/// An answer of a hollow node is late if it comes more than this time after its client's timeout. The node shares its
+/// event loop with more than a hundred others and waits for them.
 const LOOP_SLACK: Duration = Duration::from_secs(5);
 /// A test fails if a condition that it waits for does not hold within this time.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
@@ -77,8 +77,8 @@
     /// Number of servers in zone `z0`, the last ones of the list. The others are assigned to the other eight zones in
     /// turn.
     pub z0_servers: usize,
-    /// Lengths of the list during the run, which has its first servers only. An app server runs wherever real nodes
-    /// may send to at one of these lengths.
+    /// Lengths that the list has during the run; at each of them it contains the first servers only. An app server runs
+    /// at every address to which a real node may send at one of these lengths.
     pub list_lengths: Vec<usize>,
     /// Cores of a server.
     pub cores: usize,
@@ -206,11 +206,11 @@
 /// Totals over all hollow nodes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HollowTotals {
-    /// Attempts sent to a server after their node received that it is not ready.
+    /// Attempts sent to a server after their node was informed that it is not ready.
     pub after_drain: u64,
-    /// Longest time from the receipt of that state to such an attempt.
+    /// Longest time from that information to such an attempt, ms.
     pub after_drain_max_ms: f64,
-    /// Such attempts sent more than 250 ms after the receipt.
+    /// Attempts sent to a server more than 250 ms after their node was informed that it is not ready.
     pub late: u64,
     /// Events of the audit that were dropped.
     pub dropped_events: u64,
@@ -222,7 +222,7 @@
     pub others: (u64, u64),
 }
 
-/// Passes the events of a process of hollow nodes since the last call to the oracle.
+/// Passes to the oracle the events that a process of hollow nodes has recorded since the last call.
 fn report_events(world: &World, fleet: &Fleet, process: &mut HollowProcess) -> AuditReport {
     let audit: AuditReport = process.request("audit");
     let mut oracle = world.oracle();
@@ -712,7 +712,7 @@
         nodes.map(|node| End::Node(node as usize)).collect()
     }
 
-    /// Restarts a share of the hollow nodes.
+    /// Restarts a share, 0 to 1, of the hollow nodes.
     pub fn restart_hollow(&self, share: f64) {
         let _: Vec<()> = self.request(&format!("renew {share}"));
     }
@@ -766,7 +766,7 @@
         .await;
     }
 
-    /// Waits until `count` requests sent since a time are served by real nodes, and as many by hollow ones.
+    /// Waits until real nodes have served `count` requests sent since a time, and hollow nodes as many.
     pub async fn wait_served(&self, since: Duration, count: u64) {
         for real in [true, false] {
             let description =
@@ -871,7 +871,7 @@
 }
 
 /// Asserts the five rules over all nodes: each accepted request has one final answer in time, nothing takes effect
-/// twice, no new attempt reaches a server more than 250 ms after its node received that the server is not ready, no
+/// twice, no new attempt reaches a server more than 250 ms after its node was informed that the server is not ready, no
 /// cold server is overloaded, and no ceiling is exceeded.
 pub fn assert_rules_kept((verdict, totals): &(Verdict, HollowTotals)) {
     let breaches: Vec<&Breach> = verdict.breaches.iter().take(20).collect();
--- a/crates/endpoints/src/compact.rs
+++ b/crates/endpoints/src/compact.rs
@@ -50,6 +50,7 @@
         self.status
     }
 
+    /// Whether the list has marked the server as removed.
     pub fn is_removed(&self) -> bool {
         self.status == EndpointStatus::Removed
     }
@@ -59,6 +60,7 @@
         self.started_at_ms
     }
 
+    /// Returns the endpoint with its status replaced.
     pub fn with_status(self, status: EndpointStatus) -> CompactEndpoint {
         CompactEndpoint { status, ..self }
     }
--- a/crates/fleet-harness/src/virtually/lists.rs
+++ b/crates/fleet-harness/src/virtually/lists.rs
@@ -109,6 +109,7 @@
 }
 
 impl ListService {
+    /// Creates a service that lists all servers of the scenario as ready; in a cold one they start as the run begins.
     pub fn for_scenario(scenario: &Scenario) -> ListService {
         let (calls_per_s, bytes_per_s) = scenario.list_service_limits;
         let started_at = scenario.cold.then_some(START_US);
@@ -183,6 +184,7 @@
 }
 
 impl ListClient {
+    /// Creates the client of one of `nodes` nodes, without a list. `list_limits` is `None` if none are configured.
     pub fn new(nodes: u32, list_limits: Option<&PollLimits>) -> ListClient {
         // Without configured limits, the address is that of the agent on the node's machine.
         let backoff = list_limits.map_or_else(PollBackoff::for_agent, |list_limits| {
--- a/crates/lifecycle/src/limits.rs
+++ b/crates/lifecycle/src/limits.rs
@@ -13,12 +13,13 @@
 /// The timeouts and readiness conditions of a node. The operator file can set all of them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// The readiness conditions.
+    /// Conditions that must hold for the node to be ready.
     pub readiness: Conditions,
     /// How long requests are still accepted after the signal to stop. Without this delay, clients whose front end has
     /// not noticed the stop yet would be rejected.
     pub drain_duration: Duration,
-    /// How long requests in flight may take after that. Bounds the shutdown if a client never reads its response.
+    /// How long requests in flight may take after `drain_duration`. Bounds the shutdown if a client never reads its
+    /// response.
     pub close_timeout: Duration,
     /// Timeout of a reload. Bounds a reload from a file system that hangs.
     pub reload_timeout: Duration,
--- a/crates/lifecycle/src/readiness/conditions.rs
+++ b/crates/lifecycle/src/readiness/conditions.rs
@@ -23,7 +23,8 @@
     /// How long a condition must fail before the node stops being ready. Applies to the conditions that are checked
     /// after start-up.
     pub failure_delay: Duration,
-    /// How long such a condition must hold before the node is ready again. Prevents flapping as seen by front ends.
+    /// How long a condition that is checked after start-up must hold before the node is ready again. Prevents flapping
+    /// as seen by front ends.
     pub recovery_delay: Duration,
 }
 
--- a/crates/lifecycle/src/shutdown.rs
+++ b/crates/lifecycle/src/shutdown.rs
@@ -5,7 +5,7 @@
 use crate::time::Time;
 use std::time::Duration;
 
-/// The platform waits for the longest deadline in the settings, but no longer than this, plus [`KILL_GRACE`].
+/// Upper bound of the deadline that the platform waits for before it kills a process. It waits [`KILL_GRACE`] longer.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
 /// How long after that deadline the platform kills the process.
 const KILL_GRACE: Duration = Duration::from_millis(700);
--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -1,13 +1,11 @@
-//! The concurrency limit of the lowest class: a self-tuning fuzzy controller.
+//! Limits the attempts in flight of the lowest class at this node by a self-tuning fuzzy controller. There is no limit
+//! until an objective is missed for the first time. A limit below one is enforced on average.
 //!
-//! Rule: once per controller period the limit is changed in the direction that reduces the error, the difference
-//! between the set point and the worst normalized latency of the other classes. The step grows with the error and its
-//! change. The two rule bases (`change_rule`, `gain_rule`) are those of "`eQoS`: Provisioning of Client-Perceived
-//! End-to-End `QoS` Guarantees in Web Servers": the first gives the direction, the second the gain (self-tuning).
-//!
-//! Inputs: normalized latency (multiple of the objective), attempts in flight. Result: a limit on attempts in flight of
-//! the lowest class at this node. A limit below one is enforced on average. There is no limit until an objective is
-//! missed for the first time.
+//! Once per controller period the limit is changed in the direction that reduces the error, the difference between the
+//! set point and the worst normalized latency (multiple of the objective) of the other classes. The step grows with the
+//! error and its change. The two rule bases (`change_rule`, `gain_rule`) are those of "`eQoS`: Provisioning of
+//! Client-Perceived End-to-End `QoS` Guarantees in Web Servers": the first gives the direction, the second the gain
+//! (self-tuning).
 
 mod inference;
 
@@ -25,7 +23,7 @@
 const OUTPUT_GAIN: f64 = 3.0 * 0.15;
 /// Minimum limit over all nodes, attempts: enough to keep measuring the latency of the class.
 const MIN_LIMIT: f64 = 6.0;
-/// Minimum headroom of the limit's upper bound over twice the peak number in flight, over all nodes, attempts.
+/// The limit's upper bound exceeds twice the peak number in flight by at least this many attempts, over all nodes.
 const MIN_HEADROOM: f64 = 12.0;
 /// Maximum output of [`change_rule`].
 const LARGEST_CHANGE: f64 = 3.0;
@@ -123,7 +121,7 @@
     last_error: Option<f64>,
     #[serde(rename = "peak")]
     peak_in_flight: f64,
-    /// Credit for attempts under a limit below one, at most one attempt. It accrues at the limit per mean latency.
+    /// Credit for attempts under a limit below one, at most one attempt. Within one mean latency it grows by the limit.
     #[serde(rename = "paced")]
     attempt_credit: f64,
     #[serde(rename = "paced_at")]
--- a/crates/policy/src/counters.rs
+++ b/crates/policy/src/counters.rs
@@ -98,6 +98,7 @@
     NoCapacity => "no_room",
 }
 
+/// Number of counters.
 const COUNT: usize = NAMES.len();
 
 /// All counters, from 0 at the engine's start.
--- a/crates/policy/src/request.rs
+++ b/crates/policy/src/request.rs
@@ -242,7 +242,7 @@
     /// Admitted requests waiting for a server.
     pub queue: Vec<RequestId>,
     pub attempts: BTreeMap<AttemptKey, Attempt>,
-    /// Attempts of sibling processes.
+    /// Attempts that sibling processes have announced.
     pub sibling_attempts: BTreeMap<AttemptKey, RemoteAttempt>,
     /// Whether attempts are announced to sibling processes.
     pub share_attempts: bool,
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -1,13 +1,10 @@
-//! Slow start: limits on the attempts to servers that have started recently, and rejection of requests that cannot be
-//! sent within them.
+//! Slow start: limits the attempts to servers that have started recently, and rejects requests that cannot be sent
+//! within these limits.
 //!
 //! All nodes together send a server that warms up only a part of the load at which it fails. While warm servers show
 //! the throughput of one server, or showed it before all of them were replaced, each node earns credit for attempts in
 //! proportion to that throughput (`earn_slow_start_credit`). A node that has seen hardly any warm server, as when the
 //! entire back end starts, lacks a throughput baseline and uses permits instead (`saffronpaddle_slow_start`).
-//!
-//! Inputs: start times of servers in µs, responses per second, results of attempts. Results: whether a server may be
-//! sent one more attempt; requests that are rejected because they could not be sent in time.
 
 use crate::counters::Counter;
 use crate::endpoint_table::short_server_id;
@@ -353,8 +350,8 @@
     }
 
     /// Credit that a server at full capacity earns in a period. Where no server is warm, the last known throughput is
-    /// used. It also bounds the estimate, because a few servers that have just become warm would otherwise be credited
-    /// with the responses of all servers.
+    /// used. That throughput also bounds the estimate, because a few servers that have just become warm would otherwise
+    /// be credited with the responses of all servers.
     fn credit_per_period(&self, now: Micros, nodes: f64) -> f64 {
         let warm = self.warm_servers(now);
         let before = self.slow_start.responses_per_server;
--- a/crates/policy/src/timer.rs
+++ b/crates/policy/src/timer.rs
@@ -1,12 +1,9 @@
 //! The timer: ends overdue requests, and runs the periodic work of other rules.
 //!
-//! Rule: a request of which no attempt has reached a server gets its final answer within half of its time, so that its
-//! client can still try another node; any other request by its deadline. In classes whose late responses have no value,
-//! a request without an attempt in flight is ended before its latency objective if it can no longer meet it, and an
-//! attempt in flight is cancelled after the objective.
-//!
-//! Inputs: the time, and each request's arrival, deadline and latency objective, µs. Result: final answers and
-//! cancellations.
+//! A request of which no attempt has reached a server gets its final answer within half of its time, so that its client
+//! can still try another node; any other request gets it by its deadline. In classes whose late responses have no
+//! value, a request without an attempt in flight is ended before its latency objective if it can no longer meet it, and
+//! an attempt in flight is cancelled after the objective.
 
 use crate::counters::Counter;
 use crate::engine::{Actions, PolicyEngine};
@@ -73,7 +70,7 @@
 }
 
 impl PolicyEngine {
-    /// Handles the firing of the timer.
+    /// Runs the checks and the periodic work that depend on the time.
     pub(crate) fn on_timer(&mut self, now: Micros, actions: &mut Actions) {
         if now <= self.timers.fires_at.saturating_add(OVERLOADED_DELAY) {
             self.handle_stalled_attempts(now, actions);
--- a/crates/saffronpaddle/src/demo.rs
+++ b/crates/saffronpaddle/src/demo.rs
@@ -16,6 +16,7 @@
 
 /// Address that the node listens on unless the command line gives another.
 const DEFAULT_LISTEN: &str = "127.0.0.1:8480";
+/// Simulated app servers behind the node.
 const SERVER_COUNT: usize = 3;
 /// Requests that an app server processes at the same time.
 const SERVER_CORES: usize = 4;
--- a/crates/saffronpaddle/tests/delayed_requests.rs
+++ b/crates/saffronpaddle/tests/delayed_requests.rs
@@ -258,7 +258,7 @@
 }
 
 /// Guards against pipelined bytes that hide a client's disconnect, so that a retry begins although no client waits for
-/// it. The kernel has the disconnect before it has the failure of the first attempt.
+/// it. The disconnect reaches the node's kernel before the failure of the first attempt does.
 #[test]
 fn no_retry_begins_for_a_client_that_disconnected_after_pipelined_bytes() {
     let (servers, discovery) = (Servers::new(), Discovery::start());
@@ -336,8 +336,8 @@
     servers.assert_no_more_requests();
 }
 
-/// Guards against a node that, after other processes have used up the descriptors or its own connection slots were full
-/// of requests, accepts no new client once there is room again, or cannot exit.
+/// Guards against a node that accepts no new client once there is room again, or cannot exit, after other processes
+/// have used up the descriptors or open requests have filled its connection slots.
 #[test]
 fn a_waiting_client_gets_a_slot_as_soon_as_a_request_has_ended() {
     let (servers, discovery) = (Servers::new(), Discovery::start());
--- a/crates/test-doubles/src/etcd.rs
+++ b/crates/test-doubles/src/etcd.rs
@@ -38,7 +38,6 @@
 struct Lease {
     /// Time to live, s.
     ttl: i64,
-    /// When the lease expires.
     expires_at: Instant,
     keys: BTreeSet<Vec<u8>>,
 }
@@ -258,7 +257,7 @@
     }
 }
 
-/// Faults of a member.
+/// Faults injected into a member; none by default.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
     /// Shows no revision after this one, and answers no linearizable range until the fault is removed.
@@ -296,7 +295,7 @@
     ranges: AtomicU64,
 }
 
-/// A member of the cluster.
+/// A handle to a member of the cluster, by which a test injects faults and reads its counts.
 #[derive(Clone, Debug)]
 pub struct Member {
     state: Arc<MemberState>,
@@ -523,14 +522,14 @@
 }
 
 impl Member {
-    /// Changes the faults of the member.
+    /// Changes the injected faults, also for connections that are already open.
     pub fn set_faults(&self, change: impl FnOnce(&mut Faults)) {
         change(&mut lock(&self.state.faults));
         self.state.faults_changed.send_modify(|count| *count += 1);
         self.state.changed.send_modify(|_| {});
     }
 
-    /// Cuts all connections of the member at any point of their traffic.
+    /// Cuts all connections of the member at once, even in the middle of a message.
     pub fn cut_connections(&self) {
         self.state.cuts.send_modify(|count| *count += 1);
     }
@@ -667,7 +666,7 @@
         stuck.map_or(revision, |stuck| stuck.min(revision))
     }
 
-    /// The header of a response.
+    /// The header of a response, with the latest revision that this member shows.
     fn header(&self) -> ResponseHeader {
         let revision = self.visible_revision();
         let store = self.store();
@@ -1138,7 +1137,6 @@
     fn(CallResponse) -> Option<B>,
 );
 
-/// Future of a call.
 type CallFuture<T> = Pin<Box<dyn Future<Output = Result<T, Status>> + Send>>;
 
 impl<A: Send + 'static, B: Send + 'static> UnaryService<A> for Unary<A, B> {
--- a/crates/test-doubles/src/oracle.rs
+++ b/crates/test-doubles/src/oracle.rs
@@ -201,7 +201,7 @@
     refilled_at: Duration,
     /// Largest deficit so far, in units.
     max_deficit: f64,
-    /// Units that `take_if_available` did not find so far.
+    /// Units that were beyond the quota so far, see `take_if_available`.
     units_beyond: f64,
 }
 
@@ -289,7 +289,7 @@
 const REJECTING_ALL: (u64, Duration) = (15, Duration::from_secs(4));
 /// A process that received this many requests and served none counts as never serving.
 const MIN_REQUESTS_TO_JUDGE: u64 = 5;
-/// Most attempts after their clients disconnected that a run may have without breaking a rule.
+/// Number of attempts after their clients disconnected up to which a run breaks no rule.
 const MAX_ATTEMPTS_AFTER_DISCONNECT: usize = 2;
 
 /// Idempotency keys that each group has executed, with the time of the first execution.
@@ -343,7 +343,7 @@
     pub not_accepted: u64,
     /// Requests without a response because the client disconnected.
     pub disconnected: u64,
-    /// Requests without a response for none of these reasons.
+    /// Requests without a response for any other reason.
     pub lost: u64,
     /// Attempts that reached a server in full.
     pub attempts: u64,
