--- a/crates/policy/src/admission.rs
+++ b/crates/policy/src/admission.rs
@@ -1,8 +1,12 @@
-//! Admission control: decides whether a new request is queued, sent to an owner for a grant, or rejected.
+//! Admission control: decides whether a new request may be forwarded, and rejects it otherwise.
 //!
-//! In a small fleet a request is admitted if its customer's token bucket covers it. In a large fleet it is admitted if
-//! a lease covers it or an owner of the quota grants it; a request that an owner would very likely deny, or that is
-//! shed (`load_shedding`), is rejected without a grant request.
+//! Rule: in a small fleet a request is admitted if its customer's token bucket covers it. In a large fleet it is
+//! admitted if a lease covers it or an owner of the quota grants it; a request that an owner would very likely deny is
+//! rejected without a grant request.
+//!
+//! Inputs: the request (units, deadline in µs), its customer's token bucket and cached grant responses of owners, the
+//! load shedding probability. Result: the request is queued, sent to an owner for a grant, or rejected with
+//! `retry_after` in µs.
 
 use crate::counters::Counter;
 use crate::engine::{Actions, PolicyEngine};
--- a/crates/policy/src/attempt_results.rs
+++ b/crates/policy/src/attempt_results.rs
@@ -1,7 +1,10 @@
 //! Attempt results: updates statistics when an attempt ends, and decides whether the request is retried.
 //!
-//! A request is retried while it has time, attempts and retry budget left, its response still has a value, and a second
-//! execution is harmless.
+//! Rule: a request is retried while it has time, attempts and retry budget left, its response still has a value, and a
+//! second execution is harmless.
+//!
+//! Inputs: the outcome, the request's attempts so far, the retry budget, the class's idempotency and latency objective.
+//! Result: the request is queued again, or gets its final answer.
 
 use crate::counters::Counter;
 use crate::engine::{Actions, PolicyEngine};
--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -1,11 +1,13 @@
-//! Limits the attempts in flight of the lowest class at this node by a self-tuning fuzzy controller. There is no limit
-//! until an objective is missed for the first time. A limit below one is enforced on average.
+//! The concurrency limit of the lowest class: a self-tuning fuzzy controller.
 //!
-//! Once per controller period the limit is changed in the direction that reduces the error, the difference between the
-//! set point and the worst normalized latency (multiple of the objective) of the other classes. The step grows with the
-//! error and its change. The two rule bases (`change_rule`, `gain_rule`) are those of "`eQoS`: Provisioning of
-//! Client-Perceived End-to-End `QoS` Guarantees in Web Servers": the first gives the direction, the second the gain
-//! (self-tuning).
+//! Rule: once per controller period the limit is changed in the direction that reduces the error, the difference
+//! between the set point and the worst normalized latency of the other classes. The step grows with the error and its
+//! change. The two rule bases (`change_rule`, `gain_rule`) are those of "`eQoS`: Provisioning of Client-Perceived
+//! End-to-End `QoS` Guarantees in Web Servers": the first gives the direction, the second the gain (self-tuning).
+//!
+//! Inputs: normalized latency (multiple of the objective), attempts in flight. Result: a limit on attempts in flight of
+//! the lowest class at this node. A limit below one is enforced on average. There is no limit until an objective is
+//! missed for the first time.
 
 mod inference;
 
--- a/crates/policy/src/endpoint_table.rs
+++ b/crates/policy/src/endpoint_table.rs
@@ -1,9 +1,10 @@
 //! Table of the servers that a node knows, and which of them are in its subset. It stores state and makes no decisions.
 //!
-//! With 40,000 servers no outcome, message, controller period or update of a few endpoints may iterate over all. So the
-//! aggregates that the policies read ([`Aggregates`]) are updated with each change of a server ([`ServerEdit`]). Of a
-//! list of more than `FULL_LIST_MAX_SERVERS` servers each node uses a subset (`saffronpaddle-subsetting`). The servers
-//! in it are called members; only they count in the aggregates of members and keep their statistics.
+//! With 40,000 servers no outcome, message or controller period may iterate over all of them, nor may an update of a
+//! few endpoints. So the aggregates that the policies read ([`Aggregates`]) are updated incrementally: a server is
+//! changed through [`ServerEdit`], which removes it from the aggregates and adds it again afterwards. Of a list of more
+//! than `FULL_LIST_MAX_SERVERS` servers each node uses a subset (see `saffronpaddle-subsetting`). The servers in the
+//! subset are called members; only they count in the aggregates of members and keep their statistics.
 
 mod aggregates;
 mod edit;
--- a/crates/policy/src/grants/owner.rs
+++ b/crates/policy/src/grants/owner.rs
@@ -1,6 +1,7 @@
-//! Decisions of an owner of a shard of a customer's quota on grant requests. A request is granted if the shard's
-//! tokens, hard limit and in-flight permits cover it. Tokens that the shard does not need are issued as leases
-//! (`saffronpaddle_quota`).
+//! Decisions of an owner of a shard of a customer's quota on grant requests.
+//!
+//! A request is granted if the shard's tokens, hard limit and in-flight permits cover it. Tokens that the shard does
+//! not need are issued as leases (`saffronpaddle_quota`).
 //!
 //! A restarted node must not grant again what its previous incarnation granted. It detects the restart by the
 //! requester's uptime and initializes the shard with the fill that the requester last received. A standby starts with
--- a/crates/policy/src/grants/requester.rs
+++ b/crates/policy/src/grants/requester.rs
@@ -1,8 +1,10 @@
 //! Grant requests that this node sends to owners.
 //!
 //! The owner of a random shard is asked first. If it denies the request or does not answer, another reachable owner is
-//! asked. An unanswered datagram is retransmitted after a timeout that follows the round-trip time. In the end the
-//! request is queued or rejected.
+//! asked. An unanswered datagram is retransmitted after a timeout that follows the round-trip time.
+//!
+//! Inputs: the customer's subset and plan, which owners are reachable, the retransmission timeout in µs. Result: the
+//! request is queued, or rejected.
 
 use super::{GrantResponseWithLease, ISOLATION_PROBE_INTERVAL, UNREACHABLE_FOR};
 use crate::counters::Counter;
--- a/crates/policy/src/idempotency.rs
+++ b/crates/policy/src/idempotency.rs
@@ -1,13 +1,16 @@
-//! Idempotency: decides whether a request may be dispatched again, and whether it may be rejected, which signals to the
-//! client that repeating it is safe.
+//! Idempotency: decides whether a request may be dispatched again, and whether it may be rejected, which signals to
+//! the client that repeating it is safe.
 //!
-//! Once an attempt may have been executed, the request is dispatched again only if a second execution has no effect.
-//! Attempts that were certainly not executed (rejected, unreachable, not sent) do not count. The policy engine calls
-//! this module when it chooses a server, and the exchange calls it again right before it writes the first byte.
+//! Rule: once an attempt may have been executed, the request is dispatched again only if a second execution has no
+//! effect. The policy engine calls this module when it chooses a server, and the exchange calls it again right before
+//! it writes the first byte. Other modules only apply the class's [`Idempotency`]: a request that must never be
+//! executed twice is ended at once (`attempt_results`) and is not cancelled for a retry (`stalled_attempts`), and only
+//! idempotent requests are used as health probes (`server_selection`).
 //!
-//! Other modules only apply the class's [`Idempotency`]: a request that must never be executed twice is ended at once
-//! (`attempt_results`) and is not cancelled for a retry (`stalled_attempts`), and only idempotent requests are used as
-//! health probes (`server_selection`).
+//! Inputs: the effect of a second execution of a request of the class ([`Idempotency`]), and the location and time of
+//! the first dispatched attempt that may have been executed ([`DispatchedAttempt`]). Attempts that were certainly not
+//! executed (rejected, unreachable, not sent) do not count. The deduplication window, in µs, starts at the dispatch;
+//! its length is a setting of the class.
 
 use crate::interface::{DeduplicationDomainId, DeduplicationScope, Idempotency, Micros, ZoneId};
 
--- a/crates/policy/src/load_shedding.rs
+++ b/crates/policy/src/load_shedding.rs
@@ -1,11 +1,14 @@
 //! Load shedding: rejects requests at random as the back end approaches overload, beginning with the lowest priority.
-//! Used in large fleets only; a small fleet limits the load by its token buckets and its concurrency limit. A
-//! concurrency limit alone does not suffice where hundreds of nodes have one attempt in flight each: no node has enough
-//! attempts in flight to reach its limit.
 //!
-//! The probability is twice the pressure on the back end minus the request's rank by priority, up to
-//! [`MAX_SHED_PROBABILITY`], which is below one so that no class is ever rejected entirely. The pressure follows from
-//! the worst normalized latency and the utilization of the back end.
+//! Used in large fleets only; a small fleet limits the load by its token buckets and its concurrency limit.
+//!
+//! Rule: the probability is twice the pressure on the back end minus the request's rank by priority, up to a maximum
+//! below one, so that no class is ever rejected entirely. A concurrency limit alone does not suffice where hundreds of
+//! nodes have one attempt in flight each: no node has enough attempts in flight to reach its limit.
+//!
+//! Inputs: the worst normalized latency (multiple of the objective), the utilization of the back end (multiple of its
+//! capacity, large fleets only), the priority weights of classes and plans. Result: a probability, 0 to
+//! [`MAX_SHED_PROBABILITY`].
 
 use crate::engine::PolicyEngine;
 use crate::interface::{Class, Plan};
--- a/crates/policy/src/outlier_ejection.rs
+++ b/crates/policy/src/outlier_ejection.rs
@@ -1,13 +1,17 @@
 //! Outlier ejection: a server that fails more often than the others is ejected per class; it then receives health
 //! probes only.
 //!
-//! A server is ejected for a class once its fault rate exceeds both [`EJECTION_FAULT_RATE`] and twice the mean of all
-//! servers. The ejection ends once the fault rate is below half of [`EJECTION_FAULT_RATE`]. A server that stalls is
-//! ejected by `stalled_attempts`. If less than half of the servers are healthy, `server_selection` ignores ejections.
+//! Rule: a server is ejected for a class once its fault rate exceeds both [`EJECTION_FAULT_RATE`] and twice the mean of
+//! all servers. The ejection ends once the fault rate is below half of [`EJECTION_FAULT_RATE`].
 //!
 //! In a small fleet each node uses the fault rate that it measures itself; each successful health probe halves it,
 //! which ends the ejection. In a large fleet the fault rate is estimated from the gossip average, which decays without
-//! new faults, and the probes of all nodes that use a server add up to a steady rate.
+//! new faults. A server that stalls is ejected by `stalled_attempts`. If less than half of the servers are healthy,
+//! `server_selection` ignores ejections.
+//!
+//! Inputs: the outcomes of this node's attempts and, in a large fleet, the observations of peers as a gossip average;
+//! the mean fault rate of all servers. Result: for each server and class, whether it is ejected and when the next
+//! health probe may be sent, µs. In a large fleet the probes of all nodes that use a server add up to a steady rate.
 
 use crate::counters::Counter;
 use crate::engine::PolicyEngine;
--- a/crates/policy/src/peers.rs
+++ b/crates/policy/src/peers.rs
@@ -1,8 +1,10 @@
 //! Dispatch of messages from peers, and the usage reports by which the nodes of a small fleet enforce quotas together.
 //!
-//! Each node broadcasts running counters of the units that it recently forwarded for each customer, at most every 200
-//! ms and within the rate of messages that peers can receive. It deducts the units that its peers report from its own
-//! token buckets.
+//! Each node broadcasts running counters of the units that it recently forwarded for each customer, and deducts the
+//! units that its peers report from its own token buckets.
+//!
+//! Inputs: datagrams of peers, the time in µs, the messages per second that peers can receive. Results: tokens deducted
+//! from buckets; a broadcast at most every 200 ms.
 
 use crate::engine::{Actions, PolicyEngine};
 use crate::grants::GrantResponseWithLease;
--- a/crates/policy/src/server_selection.rs
+++ b/crates/policy/src/server_selection.rs
@@ -1,8 +1,11 @@
-//! Server selection: among the servers that are ready, have capacity and may take the request, chooses the one with the
-//! lowest expected cost of an attempt: its expected wait, weighted by zone, faults, handshakes and a random factor.
+//! Server selection: chooses the server for an attempt.
 //!
-//! The bounds on attempts in flight are derived from the shortest latency objective: beyond them the wait in a server's
-//! queue alone would exceed it.
+//! Rule: among the servers that are ready, have capacity and may take the request, choose the one with the lowest
+//! expected cost: its expected wait, weighted by zone, faults, handshakes and a random factor.
+//!
+//! Inputs: for each server, attempts in flight, expected wait per attempt in µs, fault rate; the request's class,
+//! idempotency and last server. Result: a server, or none. The bounds on attempts in flight are derived from the
+//! shortest latency objective: beyond them the wait in a server's queue alone would exceed it.
 
 use crate::engine::PolicyEngine;
 use crate::idempotency::retry_allowed;
--- a/crates/policy/src/shard_owners.rs
+++ b/crates/policy/src/shard_owners.rs
@@ -1,10 +1,13 @@
 //! Assigns the shards of a customer's quota to nodes of a large fleet, and determines the order in which they are
-//! asked. Owner `n` holds shard `n % shards`, and the owners below `shards` are the primary owners.
+//! asked.
 //!
 //! There are as few shards as the rate of messages that one node can receive allows, because one shard of a small quota
-//! may be exhausted while half of the quota is left. Each shard has a primary owner and, where the subset has enough
-//! nodes, a standby that is asked while the primary owner is unreachable. Owners are determined by a hash of the
+//! may be exhausted while half of the quota is left. Each shard has a primary owner and, where the subset has
+//! enough nodes, a standby that is asked while the primary owner is unreachable. Owners are determined by a hash of the
 //! customer within its subset of nodes, so every node finds the same ones without messages.
+//!
+//! Inputs: the plan (units per second, burst, hard limit), the customer's subset of nodes. Results: a number of owners;
+//! owner `n` holds shard `n % shards`, and those below `shards` are the primary owners.
 
 use crate::interface::{CustomerId, HardLimit, NodeId, Plan};
 use crate::statistics::hash_number;
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -1,10 +1,13 @@
-//! Slow start: limits the attempts to servers that have started recently, and rejects requests that cannot be sent
-//! within these limits.
+//! Slow start: limits on the attempts to servers that have started recently, and rejection of requests that cannot be
+//! sent within them.
 //!
 //! All nodes together send a server that warms up only a part of the load at which it fails. While warm servers show
 //! the throughput of one server, or showed it before all of them were replaced, each node earns credit for attempts in
 //! proportion to that throughput (`earn_slow_start_credit`). A node that has seen hardly any warm server, as when the
 //! entire back end starts, lacks a throughput baseline and uses permits instead (`saffronpaddle_slow_start`).
+//!
+//! Inputs: start times of servers in µs, responses per second, results of attempts. Results: whether a server may be
+//! sent one more attempt; requests that are rejected because they could not be sent in time.
 
 use crate::counters::Counter;
 use crate::endpoint_table::short_server_id;
--- a/crates/policy/src/stalled_attempts.rs
+++ b/crates/policy/src/stalled_attempts.rs
@@ -1,9 +1,11 @@
 //! Stalled attempts: detects servers that accept requests without responding, and broken network links.
 //!
-//! A server is ejected once one of its attempts is far older than the mean latency and the server has sent no response
-//! since that attempt started. The attempt is cancelled if its request may be retried. A rare expensive request may be
-//! the only one at its server, which then sends no other response that would show that it works; the time limit of such
-//! an attempt is [`ONLY_ATTEMPT_FACTOR`] times as long.
+//! Rule: a server is ejected once one of its attempts is far older than the mean latency and the server has sent no
+//! response since that attempt started. The attempt is cancelled if its request may be retried.
+//!
+//! Inputs: for each attempt its age in µs, the mean latency, the class's latency objective, and the time of its
+//! server's last response. A rare expensive request may be the only one at its server, which then sends no other
+//! response that would show that it works; the time limit of such an attempt is [`ONLY_ATTEMPT_FACTOR`] times as long.
 
 use crate::counters::Counter;
 use crate::engine::{Actions, PolicyEngine};
--- a/crates/policy/src/timer.rs
+++ b/crates/policy/src/timer.rs
@@ -1,9 +1,12 @@
 //! The timer: ends overdue requests, and runs the periodic work of other rules.
 //!
-//! A request of which no attempt has reached a server gets its final answer within half of its time, so that its client
-//! can still try another node; any other request gets it by its deadline. In classes whose late responses have no
-//! value, a request without an attempt in flight is ended before its latency objective if it can no longer meet it, and
-//! an attempt in flight is cancelled after the objective.
+//! Rule: a request of which no attempt has reached a server gets its final answer within half of its time, so that its
+//! client can still try another node; any other request by its deadline. In classes whose late responses have no value,
+//! a request without an attempt in flight is ended before its latency objective if it can no longer meet it, and an
+//! attempt in flight is cancelled after the objective.
+//!
+//! Inputs: the time, and each request's arrival, deadline and latency objective, µs. Result: final answers and
+//! cancellations.
 
 use crate::counters::Counter;
 use crate::engine::{Actions, PolicyEngine};
--- a/crates/policy/src/token_bucket.rs
+++ b/crates/policy/src/token_bucket.rs
@@ -1,5 +1,4 @@
-//! The token bucket of a customer at this node, in units, and the usage that peers report for the customer. The names
-//! in JSON are those that earlier builds read.
+//! The token bucket of a customer at this node, and the usage that peers report for the customer.
 //!
 //! In a small fleet every node broadcasts the units that it forwarded for each customer, and every receiver deducts
 //! them from its own bucket, so that the nodes together enforce one quota while they receive each other's reports. The
@@ -7,8 +6,11 @@
 //! both grant the entire quota. In a large fleet the owners of the customer's shards decide (`grants`), and this bucket
 //! only determines when a rejected client should retry.
 //!
-//! The hard limit is enforced by a fixed share per node that is empty at the start of a node: it needs no messages, and
-//! holds when messages are lost and when nodes restart.
+//! The names in JSON are those that earlier builds read.
+//!
+//! Inputs: the plan (units per second, burst), the time in µs, the number of silent peers of the customer's subset.
+//! Results: tokens, in units. The hard limit is enforced by a fixed share per node that is empty at the start of a
+//! node: it needs no messages, and holds when messages are lost and when nodes restart.
 
 use crate::interface::{HardLimit, Micros, NodeId, Plan, PlanId, QuotaCharge, MILLISECOND, SECOND};
 use crate::shard_owners::NodeSubset;
--- a/crates/policy/src/utilization.rs
+++ b/crates/policy/src/utilization.rs
@@ -1,11 +1,15 @@
-//! Utilization of the back end: the attempts that the entire fleet has in flight, divided by those that the healthy
-//! servers sustain. A server in slow start counts in part.
+//! Utilization of the back end: the attempts that the entire fleet has in flight, relative to the capacity of the
+//! servers.
 //!
 //! When many servers become unavailable at once, drained or with a failed zone, the remaining ones take the full load,
 //! and latency shows the overload only after it has occurred. The attempts in flight and the available servers are
 //! known earlier: the first is a gossip average over the fleet, the second is on the endpoint list. By Little's law the
 //! number in flight is throughput times latency. A server with a known throughput can therefore sustain the number of
 //! attempts that it completes within a share of the shortest latency objective, whatever its size.
+//!
+//! Inputs: attempts in flight at this node, the capacity of the healthy servers (a server in slow start counts in
+//! part), responses per second per node, the shortest latency objective in seconds. Result: a ratio, 1 if the fleet has
+//! as many attempts in flight as the servers sustain.
 
 use crate::decaying_mean::DecayingMean;
 use crate::gossip_average::{GossipAverage, IN_FLIGHT_DECAY_S};
