--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -314,7 +314,8 @@
     /// is 0 where the policy does not broadcast or the node has no peers.
     pub fn reachable_peers(&self) -> (usize, usize) {
         let all = self.platform.settings.node_count.saturating_sub(1) as usize;
-        let broadcasts = self.peers.is_some() && self.exchange.borrow().policy().broadcasts();
+        let broadcasts =
+            self.peers.is_some() && self.exchange.borrow().policy().broadcasts_usage_reports();
         (
             self.reachable_peers.borrow().len(),
             if broadcasts { all } else { 0 },
--- a/crates/policy/src/engine.rs
+++ b/crates/policy/src/engine.rs
@@ -206,7 +206,7 @@
 
     /// Whether this node broadcasts usage reports to all peers, in which case a peer that sends none is likely to be
     /// unreachable. In large fleets nodes request grants from the owners of the quotas instead.
-    pub fn broadcasts(&self) -> bool {
+    pub fn broadcasts_usage_reports(&self) -> bool {
         !self.large_fleet && self.settings.permissions.peer_messages
     }
 
