--- a/crates/fleet-harness/src/scenario.rs
+++ b/crates/fleet-harness/src/scenario.rs
@@ -467,25 +467,25 @@
             instances: file.number("instances", 3, 1..=MAX_INSTANCES) as usize,
             servers: file.number("servers", 12, 1..=MAX_SERVERS) as usize,
             customers: file.number("customers", 60, 1..=10_000) as usize,
-            rate: file.figure("rate", 160.0, 0.0..=MAX_RATE),
-            quota_factor: file.figure("times_quota", 0.0, 0.0..=100.0),
-            hot_share: file.figure("hot_share", 0.0, 0.0..=0.9),
+            rate: file.float("rate", 160.0, 0.0..=MAX_RATE),
+            quota_factor: file.float("times_quota", 0.0, 0.0..=100.0),
+            hot_share: file.float("hot_share", 0.0, 0.0..=0.9),
             nodes_per_customer: (
                 file.number("spread_least", 2, 1..=MAX_INSTANCES) as usize,
                 file.number("spread_most", 4, 1..=MAX_INSTANCES) as usize,
             ),
             duration: file.span_ms("duration_ms", 30_000, 1000..=3_600_000),
-            start_together: file.flag("together", true),
+            start_together: file.boolean("together", true),
             cores: file.number("cores", 0, 0..=1000) as usize,
-            cold: file.flag("cold", false),
+            cold: file.boolean("cold", false),
             discovery_delay: file.span_ms("lateness_ms", 500, 0..=10_000),
             endpoint_source: file
                 .parsed("roster", "discovery, etcd or both", EndpointSource::parse)
                 .unwrap_or_default(),
             etcd_members: file.number("members", 3, 1..=9) as usize,
-            listeners_passed: file.flag("handed_over", true),
-            has_operator_file: file.flag("operated", true),
-            deadline_factor: file.figure("deadline_times", 1.0, 0.01..=100.0),
+            listeners_passed: file.boolean("handed_over", true),
+            has_operator_file: file.boolean("operated", true),
+            deadline_factor: file.float("deadline_times", 1.0, 0.01..=100.0),
             failing_calls: file
                 .parsed("failing_calls", "a string", |text| Some(text.to_owned()))
                 .unwrap_or_default(),
@@ -496,17 +496,17 @@
             absent_servers: BTreeSet::new(),
             answer_slack: file.span_ms("answer_slack_ms", 50, 0..=10_000),
             cancellations: Cancellations {
-                share: file.figure("leave_share", 0.0, 0.0..=1.0),
+                share: file.float("leave_share", 0.0, 0.0..=1.0),
                 delay: (
                     file.span_ms("leave_least_ms", 20, 0..=60_000),
                     file.span_ms("leave_most_ms", 1_000, 0..=60_000),
                 ),
             },
             list_service_limits: (
-                file.figure("list_calls_per_s", 0.0, 0.0..=100_000.0),
-                file.figure("list_bytes_per_s", 0.0, 0.0..=1e9),
+                file.float("list_calls_per_s", 0.0, 0.0..=100_000.0),
+                file.float("list_bytes_per_s", 0.0, 0.0..=1e9),
             ),
-            list_service_sheds_load: file.flag("list_turns_away", false),
+            list_service_sheds_load: file.boolean("list_turns_away", false),
             operator: file
                 .parsed("operator", "a string", |text| Some(text.to_owned()))
                 .unwrap_or_default(),
@@ -554,9 +554,9 @@
                 key: format!("step[{index}].{}", fault.key),
                 ..fault
             };
-            faults.extend(section.rest().into_iter().map(key));
+            faults.extend(section.finish().into_iter().map(key));
         }
-        let mut all = file.rest();
+        let mut all = file.finish();
         all.extend(faults);
         if !all.is_empty() {
             return Err(Faults(all));
@@ -618,7 +618,7 @@
         let to = section.parsed("to", "a list of link ends, such as n0-n3,list", |text| {
             self.parse_ends(text)
         });
-        let one_way = section.flag("one_way", false);
+        let one_way = section.boolean("one_way", false);
         let (from, to) = (from.unwrap_or_else(|| nodes.clone()), to.unwrap_or(nodes));
         match partition {
             Some(sides) => LinkSet::Partition(sides),
@@ -645,22 +645,22 @@
         let gap = section.span_ms("gap_ms", 0, 0..=600_000);
         let until_end = !section.has("for_ms");
         let duration = section.span_ms("for_ms", 2_000, 0..=600_000);
-        let factor = section.figure("times", 2.0, 0.1..=100.0);
-        let share = section.figure("share", 0.5, 0.0..=1.0);
+        let factor = section.float("times", 2.0, 0.1..=100.0);
+        let share = section.float("share", 0.5, 0.0..=1.0);
         let stall_at = section.span_ms_or_none("held_up_at_ms", 0, 60_000);
         let delay = section.span_ms("delay_ms", 0, 0..=10_000);
         let fault = links::Fault {
-            loss: section.figure("loss", 0.0, 0.0..=1.0),
-            duplicated: section.figure("doubled", 0.0, 0.0..=1.0),
+            loss: section.float("loss", 0.0, 0.0..=1.0),
+            duplicated: section.float("doubled", 0.0, 0.0..=1.0),
             delay: (
                 section
                     .span_ms_or_none("delay_least_ms", 0, 10_000)
                     .unwrap_or(delay / 4),
                 delay,
             ),
-            stalled: section.flag("stalled", false),
-            reset: section.flag("reset", false),
-            drops_connects: section.flag("unheard", false),
+            stalled: section.boolean("stalled", false),
+            reset: section.boolean("reset", false),
+            drops_connects: section.boolean("unheard", false),
         };
         let heal_gap = section.span_ms("heal_gap_ms", 0, 0..=60_000);
         let has_count = section.has("count");
--- a/crates/operator-config/src/etcd.rs
+++ b/crates/operator-config/src/etcd.rs
@@ -70,7 +70,7 @@
                     valid_prefix,
                 )
                 .unwrap_or_else(|| DEFAULT_PREFIX.to_owned()),
-            instead: section.flag("instead", false),
+            instead: section.boolean("instead", false),
             user,
             tls,
             answer_within: section.span_ms("answer_within_ms", 2_000, 10..=60_000),
--- a/crates/operator-config/src/operator.rs
+++ b/crates/operator-config/src/operator.rs
@@ -49,7 +49,7 @@
             .map_err(|error| syntax_fault(text, &error))?;
         let mut file = Section::root(table);
         let operator = Operator::read(&mut file);
-        let faults = file.rest();
+        let faults = file.finish();
         if faults.is_empty() {
             Ok(operator)
         } else {
--- a/crates/operator-config/src/process.rs
+++ b/crates/operator-config/src/process.rs
@@ -23,11 +23,11 @@
         let valid_name =
             |text: &str| (!text.is_empty() && !text.contains(':')).then(|| text.to_owned());
         Listen {
-            handed_over: section.flag("handed_over", true),
+            handed_over: section.boolean("handed_over", true),
             name: section
                 .parsed("name", "a name without a colon", valid_name)
                 .unwrap_or_else(|| DEFAULT_LISTENER_NAME.to_owned()),
-            reuse_port: section.flag("reuse_port", false),
+            reuse_port: section.boolean("reuse_port", false),
         }
     }
 }
@@ -77,8 +77,8 @@
 impl Manager {
     pub(crate) fn read(section: &mut Section) -> Manager {
         Manager {
-            notify: section.flag("notify", true),
-            watchdog: section.flag("watchdog", true),
+            notify: section.boolean("notify", true),
+            watchdog: section.boolean("watchdog", true),
         }
     }
 }
--- a/crates/operator-config/src/readiness.rs
+++ b/crates/operator-config/src/readiness.rs
@@ -13,7 +13,7 @@
         max_list_age: section.span_ms_or_none("list_stale_after_ms", 0, 86_400_000),
         peers_timeout: section.span_ms_or_none("peers_within_ms", 2_000, 600_000),
         min_free_descriptors: (free_descriptors > 0).then_some(free_descriptors),
-        max_memory_fraction: Some(section.figure("memory_share", 0.95, 0.1..=1.0))
+        max_memory_fraction: Some(section.float("memory_share", 0.95, 0.1..=1.0))
             .filter(|share| *share < NO_MEMORY_CONDITION),
         max_clock_step: section.span_ms_or_none("clock_step_ms", 2_000, 3_600_000),
         max_event_loop_lag: section.span_ms_or_none("lag_ms", 1_000, 60_000),
--- a/crates/operator-config/src/section.rs
+++ b/crates/operator-config/src/section.rs
@@ -64,7 +64,7 @@
             faults: Vec::new(),
         };
         let value = read(&mut section);
-        self.faults.extend(section.rest());
+        self.faults.extend(section.finish());
         value
     }
 
@@ -90,7 +90,7 @@
     }
 
     /// Reads a boolean.
-    pub fn flag(&mut self, key: &str, default: bool) -> bool {
+    pub fn boolean(&mut self, key: &str, default: bool) -> bool {
         self.read_value(key, default, "true or false", Value::as_bool)
     }
 
@@ -115,7 +115,7 @@
     }
 
     /// Reads a float or integer within bounds.
-    pub fn figure(&mut self, key: &str, default: f64, bounds: RangeInclusive<f64>) -> f64 {
+    pub fn float(&mut self, key: &str, default: f64, bounds: RangeInclusive<f64>) -> f64 {
         let expected = format!("a number from {} to {}", bounds.start(), bounds.end());
         self.read_value(key, default, &expected, |value| {
             let integer = value.as_integer().map(|number| number as f64);
@@ -153,7 +153,7 @@
     }
 
     /// Finishes reading and returns all faults, including one for each key that was not read.
-    pub fn rest(mut self) -> Vec<Fault> {
+    pub fn finish(mut self) -> Vec<Fault> {
         let unread: Vec<String> = self.table.keys().cloned().collect();
         for key in unread {
             self.fault(&key, "unknown key");
--- a/crates/operator-config/src/traffic.rs
+++ b/crates/operator-config/src/traffic.rs
@@ -15,8 +15,8 @@
 impl Quotas {
     pub(crate) fn read(section: &mut Section) -> Quotas {
         Quotas {
-            partition_safe: section.flag("fenced", false),
-            retransmission_budget: section.flag("spare_words", false),
+            partition_safe: section.boolean("fenced", false),
+            retransmission_budget: section.boolean("spare_words", false),
         }
     }
 }
@@ -31,7 +31,7 @@
 impl Servers {
     pub(crate) fn read(section: &mut Section) -> Servers {
         Servers {
-            subsetting: section.flag("working_set", false),
+            subsetting: section.boolean("working_set", false),
         }
     }
 }
--- a/crates/operator-config/src/websocket.rs
+++ b/crates/operator-config/src/websocket.rs
@@ -26,7 +26,7 @@
         let limits = read_limits(section);
         let max_frame_bytes = section.number("frame_most", 1 << 20, 125..=1 << 30);
         let max_message_bytes = section.number("message_most", 4 << 20, 125..=1 << 32);
-        let utf8 = section.flag("utf8", false);
+        let utf8 = section.boolean("utf8", false);
         if limits.silent_after <= limits.ping_after {
             section.fault("silent_after_ms", "must be more than ping_after_ms");
         }
@@ -50,14 +50,14 @@
         per_node: section.number("per_node", 1_000, 1..=1_000_000) as usize,
         per_customer: section.number("per_customer", 20, 1..=1_000_000) as u32,
         per_server: section.number("per_server", 1_000, 1..=1_000_000) as usize,
-        opens_per_s: section.figure("opens_per_s", 200.0, 0.1..=100_000.0),
+        opens_per_s: section.float("opens_per_s", 200.0, 0.1..=100_000.0),
         ping_after: micros(section.span_ms("ping_after_ms", 20_000, 100..=3_600_000)),
         silent_after: micros(section.span_ms("silent_after_ms", 45_000, 200..=7_200_000)),
         idle_timeout: micros(section.span_ms("idle_for_ms", 0, 0..=86_400_000)),
         max_age: micros(section.span_ms("life_for_ms", 0, 0..=604_800_000)),
         drain_within: micros(section.span_ms("drain_within_ms", 200, 50..=240)),
         close_within: micros(section.span_ms("close_within_ms", 2_000, 50..=60_000)),
-        reconnects_per_s: section.figure("back_per_s", 100.0, 0.1..=100_000.0),
-        restart: section.flag("service_restart", false),
+        reconnects_per_s: section.float("back_per_s", 100.0, 0.1..=100_000.0),
+        restart: section.boolean("service_restart", false),
     }
 }
