--- a/crates/admin/src/callers.rs
+++ b/crates/admin/src/callers.rs
@@ -5,7 +5,7 @@
 
 /// Identifies a caller's connection. Identifiers are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Caller(pub u64);
+pub struct CallerId(pub u64);
 
 /// The callers that have not been answered yet, in the order in which they connected.
 ///
@@ -24,7 +24,7 @@
 
 #[derive(Debug)]
 struct WaitingCaller {
-    caller: Caller,
+    caller: CallerId,
     connected_at: Duration,
 }
 
@@ -45,8 +45,8 @@
     }
 
     /// Adds a caller that has connected. If the table was full, also returns the caller that must be closed for it.
-    pub fn add(&mut self, now: Duration) -> (Caller, Option<Caller>) {
-        let caller = Caller(self.next_id);
+    pub fn add(&mut self, now: Duration) -> (CallerId, Option<CallerId>) {
+        let caller = CallerId(self.next_id);
         self.next_id += 1;
         let closed = if self.waiting.len() >= self.limit {
             self.waiting.pop_front().map(|oldest| oldest.caller)
@@ -61,12 +61,12 @@
     }
 
     /// Removes a caller that has been answered or has disconnected.
-    pub fn remove(&mut self, caller: Caller) {
+    pub fn remove(&mut self, caller: CallerId) {
         self.waiting.retain(|other| other.caller != caller);
     }
 
     /// Removes and returns the oldest caller if it has timed out.
-    pub fn remove_timed_out(&mut self, now: Duration) -> Option<Caller> {
+    pub fn remove_timed_out(&mut self, now: Duration) -> Option<CallerId> {
         let oldest = self.waiting.front()?;
         if now.saturating_sub(oldest.connected_at) < self.timeout {
             return None;
--- a/crates/admin/src/counters.rs
+++ b/crates/admin/src/counters.rs
@@ -10,28 +10,28 @@
     /// Answered with any other status.
     Faulted,
     /// The client disconnected before the response.
-    Gone,
+    Disconnected,
 }
 
 /// The requests of one class, counted since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassCounts {
     /// Received requests.
-    pub taken: u64,
+    pub received: u64,
     /// Requests that ended as [`RequestEnd::Fulfilled`].
     pub fulfilled: u64,
     /// Requests that ended as [`RequestEnd::Throttled`].
     pub throttled: u64,
     /// Requests that ended as [`RequestEnd::Faulted`].
     pub faulted: u64,
-    /// Requests that ended as [`RequestEnd::Gone`].
+    /// Requests that ended as [`RequestEnd::Disconnected`].
     pub disconnected: u64,
 }
 
 impl ClassCounts {
     /// The number of requests that have not ended yet.
     pub fn open(&self) -> u64 {
-        self.taken - self.fulfilled - self.throttled - self.faulted - self.disconnected
+        self.received - self.fulfilled - self.throttled - self.faulted - self.disconnected
     }
 }
 
@@ -63,7 +63,7 @@
 
     /// Counts a received request.
     pub fn record_received(&mut self, class: usize) {
-        self.class(class).taken += 1;
+        self.class(class).received += 1;
     }
 
     /// Counts the end of a received request.
@@ -73,7 +73,7 @@
             RequestEnd::Fulfilled => &mut counts.fulfilled,
             RequestEnd::Throttled => &mut counts.throttled,
             RequestEnd::Faulted => &mut counts.faulted,
-            RequestEnd::Gone => &mut counts.disconnected,
+            RequestEnd::Disconnected => &mut counts.disconnected,
         };
         *count += 1;
     }
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -7,8 +7,8 @@
 //! ```
 //! use saffronpaddle_admin::{AdminCommand, Line};
 //! let mut line = Line::default();
-//! assert_eq!(line.take(b"PI"), None);
-//! assert_eq!(line.take(b"NG\r\n"), Some(Ok(AdminCommand::Ping)));
+//! assert_eq!(line.receive(b"PI"), None);
+//! assert_eq!(line.receive(b"NG\r\n"), Some(Ok(AdminCommand::Ping)));
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -19,7 +19,7 @@
 mod log_fields;
 mod metrics;
 
-pub use callers::{Caller, CallerTable};
+pub use callers::{CallerId, CallerTable};
 pub use counters::{ClassCounts, RequestCounters, RequestEnd};
 pub use line::{AdminCommand, CommandError, Line, MAX_LINE_BYTES};
 pub use log_fields::CounterLine;
--- a/crates/admin/src/line.rs
+++ b/crates/admin/src/line.rs
@@ -78,7 +78,7 @@
 impl Line {
     /// Appends received bytes. Returns the command or an error once the line is complete or too long, and `None` until
     /// then. Bytes after the line are ignored.
-    pub fn take(&mut self, bytes: &[u8]) -> Option<Result<AdminCommand, CommandError>> {
+    pub fn receive(&mut self, bytes: &[u8]) -> Option<Result<AdminCommand, CommandError>> {
         let end = bytes.iter().position(|byte| *byte == b'\n');
         let more = &bytes[..end.unwrap_or(bytes.len())];
         // One more byte is allowed, which may be a carriage return before the line feed.
--- a/crates/admin/src/log_fields.rs
+++ b/crates/admin/src/log_fields.rs
@@ -23,7 +23,11 @@
 
 impl CounterLine {
     /// Formats a line, without the line feed.
-    pub fn line<'a>(node: u32, at_ms: u64, counts: impl Iterator<Item = (&'a str, u64)>) -> String {
+    pub fn format<'a>(
+        node: u32,
+        at_ms: u64,
+        counts: impl Iterator<Item = (&'a str, u64)>,
+    ) -> String {
         let mut line = format!("{MARKER} node={node} at_ms={at_ms}");
         for (name, count) in counts {
             // Writing to a string cannot fail.
@@ -34,7 +38,7 @@
 
     /// Parses a log line, in which other text may precede the marker. Returns `None` if it is not a complete line of
     /// counters.
-    pub fn read(line: &str) -> Option<CounterLine> {
+    pub fn parse(line: &str) -> Option<CounterLine> {
         let mut words = line.split_whitespace();
         words.find(|word| *word == MARKER)?;
         let mut node = None;
--- a/crates/admin/src/metrics.rs
+++ b/crates/admin/src/metrics.rs
@@ -82,7 +82,7 @@
     /// `at_ms` is the time since the process started, in milliseconds.
     pub fn log_line(&self, node: u32, at_ms: u64) -> String {
         let sums = [
-            ("taken", self.request_counters.sum(|counts| counts.taken)),
+            ("taken", self.request_counters.sum(|counts| counts.received)),
             (
                 "fulfilled",
                 self.request_counters.sum(|counts| counts.fulfilled),
@@ -96,7 +96,7 @@
                 self.request_counters.sum(|counts| counts.faulted),
             ),
         ];
-        CounterLine::line(node, at_ms, sums.into_iter().chain(self.unlabelled()))
+        CounterLine::format(node, at_ms, sums.into_iter().chain(self.unlabelled()))
     }
 
     /// Returns the metrics that are exposed without a label, each with its name.
--- a/crates/admin/tests/commands.rs
+++ b/crates/admin/tests/commands.rs
@@ -5,7 +5,7 @@
 use saffronpaddle_admin::{AdminCommand, CommandError, Line, MAX_LINE_BYTES};
 
 fn parse(text: impl AsRef<[u8]>) -> Option<Result<AdminCommand, CommandError>> {
-    Line::default().take(text.as_ref())
+    Line::default().receive(text.as_ref())
 }
 
 #[test]
@@ -51,7 +51,7 @@
                 break;
             }
             let (piece, unsent) = rest.split_at((*size).min(rest.len()));
-            result = line.take(piece);
+            result = line.receive(piece);
             rest = unsent;
         }
         prop_assert_eq!(result, expected);
--- a/crates/admin/tests/counters.rs
+++ b/crates/admin/tests/counters.rs
@@ -38,7 +38,7 @@
         1 => Just(Step::Ended(RequestEnd::Fulfilled)),
         1 => Just(Step::Ended(RequestEnd::Throttled)),
         1 => Just(Step::Ended(RequestEnd::Faulted)),
-        1 => Just(Step::Ended(RequestEnd::Gone)),
+        1 => Just(Step::Ended(RequestEnd::Disconnected)),
     ]
 }
 
@@ -75,8 +75,8 @@
             prop_assert_eq!(sample(&text, "lb_open_requests"), all_open);
             let sum = |count: fn(&ClassCounts) -> u64| counters.classes.iter().map(count).sum::<u64>();
             let disconnected = sum(|counts| counts.disconnected);
-            let taken = sum(|counts| counts.taken);
-            prop_assert_eq!(taken, answered(&text, &names) + disconnected + all_open);
+            let received = sum(|counts| counts.received);
+            prop_assert_eq!(received, answered(&text, &names) + disconnected + all_open);
         }
     }
 }
--- a/crates/exchange/src/exchange/requests.rs
+++ b/crates/exchange/src/exchange/requests.rs
@@ -79,7 +79,7 @@
             return;
         };
         if request.ticket == ticket || self.bugs.planted(Bug::TicketIgnored) {
-            self.abandon(id, Some(RequestEnd::Gone));
+            self.abandon(id, Some(RequestEnd::Disconnected));
         }
     }
 
--- a/crates/fleet-harness/src/counts.rs
+++ b/crates/fleet-harness/src/counts.rs
@@ -58,7 +58,7 @@
 impl Counts {
     /// Adds a line of a log. Returns whether it is a counter line.
     pub fn add_line(&mut self, line: &str) -> bool {
-        let Some(counter_line) = CounterLine::read(line) else {
+        let Some(counter_line) = CounterLine::parse(line) else {
             return false;
         };
         self.nodes
--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -4,7 +4,7 @@
 use crate::error::NodeError;
 use crate::node::Node;
 use saffronpaddle_admin::{
-    failure, success, AdminCommand, Caller, CallerTable, CommandError, Line,
+    failure, success, AdminCommand, CallerId, CallerTable, CommandError, Line,
 };
 use saffronpaddle_netio::{retry_shortage, AcceptFailure, Socket};
 use std::cell::RefCell;
@@ -72,16 +72,16 @@
 /// Callers and the tasks that serve them.
 struct CallerTasks {
     table: CallerTable,
-    tasks: HashMap<Caller, AbortHandle>,
+    tasks: HashMap<CallerId, AbortHandle>,
 }
 
 impl CallerTasks {
-    fn remove(&mut self, caller: Caller) {
+    fn remove(&mut self, caller: CallerId) {
         self.table.remove(caller);
         self.tasks.remove(&caller);
     }
 
-    fn abort(&mut self, caller: Caller) {
+    fn abort(&mut self, caller: CallerId) {
         if let Some(task) = self.tasks.remove(&caller) {
             task.abort();
         }
@@ -140,7 +140,7 @@
         if length == 0 {
             break Err(CommandError::Incomplete);
         }
-        if let Some(command) = line.take(&buffer[..length]) {
+        if let Some(command) = line.receive(&buffer[..length]) {
             break command;
         }
     };
