--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -21,5 +21,5 @@
 mod process_group;
 
 pub use link::{CloseReason, Link, LinkAction, Role};
-pub use message::{read, write, Hello, Message, TransferredState, MAX_LINE_BYTES, VERSION};
+pub use message::{decode, encode, Hello, Message, TransferredState, MAX_LINE_BYTES, VERSION};
 pub use process_group::{LinkId, ProcessGroup};
--- a/crates/hot-restart/src/link.rs
+++ b/crates/hot-restart/src/link.rs
@@ -51,13 +51,13 @@
     /// Child only: restore the parent's state, and announce every attempt from then on.
     Restore(Box<TransferredState>),
     /// Record that an attempt of the other process has started or ended.
-    Sibling(SiblingMessage),
+    HandleSiblingMessage(SiblingMessage),
     /// Handle a peer's datagram that the other process received: the sending peer and the payload.
-    Peer(NodeId, Vec<u8>),
+    HandlePeerDatagram(NodeId, Vec<u8>),
     /// Record that the child accepts connections and exchanges peer messages from now on.
-    SuccessorServing,
+    ChildServing,
     /// Close the connection: the link has ended.
-    End(CloseReason),
+    Close(CloseReason),
 }
 
 /// The stage that a link has reached.
@@ -146,7 +146,7 @@
         self.close(CloseReason::Disconnected, out);
     }
 
-    /// Handles a received line. `message` is the result of [`read`](crate::read), `None` for a malformed line.
+    /// Handles a received line. `message` is the result of [`decode`](crate::decode), `None` for a malformed line.
     pub fn on_message(&mut self, message: Option<Message>, out: &mut Vec<LinkAction>) {
         let handled = match (self.stage, message) {
             (Stage::Closed, _) => Ok(()),
@@ -190,12 +190,12 @@
         out: &mut Vec<LinkAction>,
     ) -> Result<(), CloseReason> {
         match message {
-            Message::Sibling(message) => out.push(LinkAction::Sibling(message)),
-            Message::Peer { from, bytes } => out.push(LinkAction::Peer(from, bytes)),
+            Message::Sibling(message) => out.push(LinkAction::HandleSiblingMessage(message)),
+            Message::Peer { from, bytes } => out.push(LinkAction::HandlePeerDatagram(from, bytes)),
             Message::Serving if self.role == Role::Parent => {
                 if !self.child_serving {
                     self.child_serving = true;
-                    out.push(LinkAction::SuccessorServing);
+                    out.push(LinkAction::ChildServing);
                 }
             }
             Message::Serving | Message::Hello(_) | Message::State(_) => {
@@ -216,7 +216,7 @@
     fn close(&mut self, reason: CloseReason, out: &mut Vec<LinkAction>) {
         if self.stage != Stage::Closed {
             self.stage = Stage::Closed;
-            out.push(LinkAction::End(reason));
+            out.push(LinkAction::Close(reason));
         }
     }
 }
--- a/crates/hot-restart/src/message.rs
+++ b/crates/hot-restart/src/message.rs
@@ -58,13 +58,13 @@
 }
 
 /// Encodes a message as a line, including the line feed.
-pub fn write(message: &Message) -> String {
+pub fn encode(message: &Message) -> String {
     let mut line = serde_json::to_string(message).unwrap_or_default();
     line.push('\n');
     line
 }
 
 /// Decodes a line. Returns `None` if the line is malformed or its message is unknown to this build.
-pub fn read(line: &[u8]) -> Option<Message> {
+pub fn decode(line: &[u8]) -> Option<Message> {
     serde_json::from_slice(line).ok()
 }
--- a/crates/hot-restart/src/process_group.rs
+++ b/crates/hot-restart/src/process_group.rs
@@ -33,7 +33,7 @@
 
     /// Adds a link, in which this process has the given role. Returns `None` if there are [`ProcessGroup::MAX_LINKS`]
     /// already.
-    pub fn open(&mut self, now: Duration, role: Role) -> Option<(LinkId, Vec<LinkAction>)> {
+    pub fn add_link(&mut self, now: Duration, role: Role) -> Option<(LinkId, Vec<LinkAction>)> {
         if self.links.len() >= Self::MAX_LINKS {
             return None;
         }
@@ -46,7 +46,7 @@
     }
 
     /// Calls `handle` with a link, and removes the link if that closed it. Does nothing if the link does not exist.
-    pub fn with(
+    pub fn update_link(
         &mut self,
         id: LinkId,
         handle: impl FnOnce(&mut Link, &mut Vec<LinkAction>),
@@ -56,7 +56,7 @@
             handle(link, &mut out);
             if out
                 .iter()
-                .any(|action| matches!(action, LinkAction::End(_)))
+                .any(|action| matches!(action, LinkAction::Close(_)))
             {
                 self.links.remove(&id);
             }
@@ -92,12 +92,12 @@
     }
 
     /// Whether at least one link is live, so that attempts must be announced.
-    pub fn is_shared(&self) -> bool {
+    pub fn has_live_link(&self) -> bool {
         self.links.values().any(Link::is_live)
     }
 
     /// Whether a child accepts connections and exchanges peer messages in place of this process.
-    pub fn has_successor(&self) -> bool {
+    pub fn has_serving_child(&self) -> bool {
         self.links.values().any(Link::has_successor)
     }
 
--- a/crates/hot-restart/tests/lines.rs
+++ b/crates/hot-restart/tests/lines.rs
@@ -54,7 +54,7 @@
 
 #[test]
 fn every_message_is_encoded_as_in_the_fixture() {
-    let encoded: String = messages().iter().map(write).collect();
+    let encoded: String = messages().iter().map(encode).collect();
     assert_eq!(
         encoded, LINES,
         "the encoded messages differ from the fixture:\n{encoded}"
@@ -63,7 +63,7 @@
 
 #[test]
 fn every_line_of_the_fixture_is_decoded() {
-    let decoded: Vec<Option<Message>> = LINES.lines().map(|line| read(line.as_bytes())).collect();
+    let decoded: Vec<Option<Message>> = LINES.lines().map(|line| decode(line.as_bytes())).collect();
     assert_eq!(
         decoded,
         messages().into_iter().map(Some).collect::<Vec<_>>()
@@ -75,7 +75,7 @@
 fn a_line_with_a_complete_state_is_decoded() {
     let policy_state: Value = serde_json::from_str(STATE).expect("the fixture is JSON");
     let line = serde_json::json!({"state": {"version": 1, "name": "n0", "module": policy_state}});
-    let Some(Message::State(state)) = read(line.to_string().as_bytes()) else {
+    let Some(Message::State(state)) = decode(line.to_string().as_bytes()) else {
         panic!("the line is not decoded as a state")
     };
     assert_eq!(
@@ -89,6 +89,6 @@
 #[test]
 fn unknown_fields_are_ignored_and_unknown_messages_are_not_decoded() {
     let hello = br#"{"hello":{"version":1,"name":"n0","colour":"red"}}"#;
-    assert_eq!(read(hello), Some(messages().swap_remove(0)));
-    assert_eq!(read(br#"{"farewell":{}}"#), None);
+    assert_eq!(decode(hello), Some(messages().swap_remove(0)));
+    assert_eq!(decode(br#"{"farewell":{}}"#), None);
 }
--- a/crates/hot-restart/tests/links.rs
+++ b/crates/hot-restart/tests/links.rs
@@ -34,7 +34,7 @@
     ];
     for (message, reason) in cases {
         let mut link = open_link(Role::Child);
-        assert_eq!(receive(&mut link, message), [LinkAction::End(reason)]);
+        assert_eq!(receive(&mut link, message), [LinkAction::Close(reason)]);
         assert!(
             receive(&mut link, Some(state(NODE, VERSION))).is_empty(),
             "an ended link ignores messages"
@@ -51,7 +51,7 @@
         "the link waits for the state until its timeout"
     );
     link.tick(Link::STATE_TIMEOUT, &mut out);
-    assert_eq!(out, [LinkAction::End(CloseReason::TimedOut)]);
+    assert_eq!(out, [LinkAction::Close(CloseReason::TimedOut)]);
     // An older parent accepts the greeting of a newer child.
     let mut link = open_link(Role::Parent);
     assert_eq!(
@@ -61,7 +61,7 @@
     assert!(link.is_live() && !link.has_successor());
     assert_eq!(
         receive(&mut link, Some(Message::Serving)),
-        [LinkAction::SuccessorServing]
+        [LinkAction::ChildServing]
     );
     assert!(link.has_successor() && receive(&mut link, Some(Message::Serving)).is_empty());
 }
@@ -71,10 +71,10 @@
     // A process that has a parent and a child.
     let mut middle = ProcessGroup::new(NODE);
     let (parent, _) = middle
-        .open(Duration::ZERO, Role::Child)
+        .add_link(Duration::ZERO, Role::Child)
         .expect("the group has room for a link");
     let (child, _) = middle
-        .open(Duration::ZERO, Role::Parent)
+        .add_link(Duration::ZERO, Role::Parent)
         .expect("the group has room for a link");
     let attempt_ended = Message::Sibling(SiblingMessage::AttemptEnded {
         request: RequestId("a".into()),
@@ -84,11 +84,11 @@
         middle.recipients(&attempt_ended, None).is_empty(),
         "links get no messages before their handshakes"
     );
-    assert!(!middle.is_shared() && !middle.has_no_child());
-    middle.with(parent, |link, out| {
+    assert!(!middle.has_live_link() && !middle.has_no_child());
+    middle.update_link(parent, |link, out| {
         link.on_message(Some(state(NODE, VERSION)), out);
     });
-    middle.with(child, |link, out| {
+    middle.update_link(child, |link, out| {
         link.on_message(Some(hello(NODE, VERSION)), out);
     });
     assert_eq!(middle.recipients(&attempt_ended, None), [parent, child]);
@@ -99,15 +99,15 @@
         bytes: vec![1],
     };
     assert_eq!(middle.recipients(&peer_datagram, Some(child)), [parent]);
-    middle.with(child, Link::on_disconnect);
+    middle.update_link(child, Link::on_disconnect);
     assert!(
-        middle.is_shared() && middle.has_no_child(),
+        middle.has_live_link() && middle.has_no_child(),
         "only the link to the parent is left"
     );
     // The number of links is limited, so the loop ends.
-    while middle.open(Duration::ZERO, Role::Parent).is_some() {}
+    while middle.add_link(Duration::ZERO, Role::Parent).is_some() {}
     assert!(
-        middle.open(Duration::ZERO, Role::Parent).is_none(),
+        middle.add_link(Duration::ZERO, Role::Parent).is_none(),
         "a group that is full stays full"
     );
 }
@@ -124,9 +124,9 @@
         if handshake_complete {
             receive(&mut link, Some(hello(NODE, VERSION)));
         }
-        if read(&bytes).is_none() {
-            let expected = vec![LinkAction::End(CloseReason::Malformed)];
-            prop_assert_eq!(receive(&mut link, read(&bytes)), expected);
+        if decode(&bytes).is_none() {
+            let expected = vec![LinkAction::Close(CloseReason::Malformed)];
+            prop_assert_eq!(receive(&mut link, decode(&bytes)), expected);
         }
     }
 
@@ -134,11 +134,11 @@
     /// engine still handles requests afterwards.
     #[test]
     fn a_corrupted_state_is_rejected_or_restored(offset in 0usize..10_000, byte: u8, truncate: bool) {
-        let mut line = write(&state(NODE, VERSION)).into_bytes();
+        let mut line = encode(&state(NODE, VERSION)).into_bytes();
         let offset = offset % line.len();
         if truncate { line.truncate(offset) } else { line[offset] = byte }
         let mut link = open_link(Role::Child);
-        for action in receive(&mut link, read(&line)) {
+        for action in receive(&mut link, decode(&line)) {
             if let LinkAction::Restore(state) = action {
                 let mut process = Process::new(START);
                 process.engine.restore(state.policy, 0);
--- a/crates/node/src/hot_restart.rs
+++ b/crates/node/src/hot_restart.rs
@@ -7,7 +7,7 @@
 use crate::node::Node;
 use crate::process_links::ProcessLinks;
 use saffronpaddle_hot_restart::{
-    write, LinkAction, LinkId, Message, Role, TransferredState, MAX_LINE_BYTES, VERSION,
+    encode, LinkAction, LinkId, Message, Role, TransferredState, MAX_LINE_BYTES, VERSION,
 };
 use saffronpaddle_netio::Uninterrupted;
 use saffronpaddle_policy::interface::Event as PolicyEvent;
@@ -75,7 +75,7 @@
         let (mut reader, mut writer) = split(stream);
         for action in actions {
             if let LinkAction::Send(message) = action {
-                writer.write_all(write(&message).as_bytes()).await.ok()?;
+                writer.write_all(encode(&message).as_bytes()).await.ok()?;
             }
         }
         let deadline = links.deadline(id)?;
@@ -96,7 +96,7 @@
                     };
                     return Some((link, *state));
                 }
-                LinkAction::End(reason) => {
+                LinkAction::Close(reason) => {
                     warn!("hand-over: received no state from the parent process: {reason}");
                 }
                 _ => {}
@@ -209,7 +209,7 @@
             () = reached(deadline) => node.links.on_deadline(id, Instant::now()),
         };
         for action in actions {
-            if let LinkAction::End(reason) = action {
+            if let LinkAction::Close(reason) = action {
                 info!("hand-over: link to another process of this node has ended: {reason}");
                 node.links.stop_sending(id);
                 publish_siblings(&node, Some(id));
@@ -237,13 +237,13 @@
             node.links.send(id, &Message::State(Box::new(state)));
             publish_siblings(node, None);
         }
-        LinkAction::Sibling(message) => {
+        LinkAction::HandleSiblingMessage(message) => {
             let forwarded = Message::Sibling(message.clone());
             node.links.broadcast(&forwarded, Some(id));
             let link = id.0;
             node.handle_policy_event(PolicyEvent::SiblingMessage { link, message });
         }
-        LinkAction::Peer(from, bytes) => {
+        LinkAction::HandlePeerDatagram(from, bytes) => {
             let forwarded = Message::Peer {
                 from,
                 bytes: bytes.clone(),
@@ -251,9 +251,9 @@
             node.links.broadcast(&forwarded, Some(id));
             node.on_peer_message(from, bytes);
         }
-        LinkAction::SuccessorServing => publish_siblings(node, None),
+        LinkAction::ChildServing => publish_siblings(node, None),
         // The state was restored before `run_link` was called, which handles the end of the link itself.
-        LinkAction::Restore(_) | LinkAction::End(_) => {}
+        LinkAction::Restore(_) | LinkAction::Close(_) => {}
     }
 }
 
--- a/crates/node/src/process_links.rs
+++ b/crates/node/src/process_links.rs
@@ -2,7 +2,7 @@
 //! processes share the node.
 
 use saffronpaddle_hot_restart::{
-    read, write, Link, LinkAction, LinkId, Message, ProcessGroup, Role,
+    decode, encode, Link, LinkAction, LinkId, Message, ProcessGroup, Role,
 };
 use saffronpaddle_policy::interface::{NodeId, SiblingMessage};
 use std::cell::RefCell;
@@ -70,7 +70,7 @@
     /// This process's share of a limit of the node: half of it while another process serves the node too, else all of
     /// it.
     pub fn share_of(&self, limit: usize) -> usize {
-        if self.group.borrow().is_shared() {
+        if self.group.borrow().has_live_link() {
             limit / 2
         } else {
             limit
@@ -84,7 +84,7 @@
 
     /// Forwards a peer's datagram to the parent processes, which no longer receive datagrams themselves.
     pub fn forward_peer_message(&self, from: NodeId, bytes: &[u8]) {
-        if self.group.borrow().is_shared() {
+        if self.group.borrow().has_live_link() {
             let bytes = bytes.to_vec();
             self.broadcast(&Message::Peer { from, bytes }, None);
         }
@@ -96,7 +96,7 @@
         if recipients.is_empty() {
             return;
         }
-        let line: Rc<str> = write(message).into();
+        let line: Rc<str> = encode(message).into();
         recipients
             .into_iter()
             .for_each(|id| self.send_line(id, Rc::clone(&line)));
@@ -104,7 +104,7 @@
 
     /// Sends a message on one link.
     pub fn send(&self, id: LinkId, message: &Message) {
-        self.send_line(id, write(message).into());
+        self.send_line(id, encode(message).into());
     }
 
     fn send_line(&self, id: LinkId, line: Rc<str>) {
@@ -122,7 +122,7 @@
 
     /// Opens a link. Returns `None` if the process has the maximum number of links.
     pub fn open(&self, role: Role) -> Option<(LinkId, Vec<LinkAction>)> {
-        self.group.borrow_mut().open(self.now(), role)
+        self.group.borrow_mut().add_link(self.now(), role)
     }
 
     /// Creates the queue of lines to be written on a link, and returns its receiving end.
@@ -145,7 +145,7 @@
 
     /// Handles a line received on a link.
     pub fn on_line(&self, id: LinkId, line: &[u8]) -> Vec<LinkAction> {
-        self.update_link(id, |link, out| link.on_message(read(line), out))
+        self.update_link(id, |link, out| link.on_message(decode(line), out))
     }
 
     /// Handles the end of a link's connection.
@@ -164,7 +164,7 @@
         id: LinkId,
         update: impl FnOnce(&mut Link, &mut Vec<LinkAction>),
     ) -> Vec<LinkAction> {
-        self.group.borrow_mut().with(id, update)
+        self.group.borrow_mut().update_link(id, update)
     }
 
     /// Whether the process at the other end of a link counts as one node with this one.
@@ -188,8 +188,8 @@
     pub fn siblings(&self) -> Siblings {
         let group = self.group.borrow();
         Siblings {
-            shared: group.is_shared(),
-            has_successor: group.has_successor(),
+            shared: group.has_live_link(),
+            has_successor: group.has_serving_child(),
         }
     }
 
