--- a/crates/node/src/clients/respond.rs
+++ b/crates/node/src/clients/respond.rs
@@ -237,7 +237,7 @@
         Ok(permit) => permit,
         Err(rejection) => {
             let mut reply = unavailable(Some(Duration::from_micros(rejection.retry_in)));
-            *reply.body_mut() = rejection.why.into();
+            *reply.body_mut() = rejection.reason.into();
             return reply;
         }
     };
--- a/crates/node/src/websocket/relay.rs
+++ b/crates/node/src/websocket/relay.rs
@@ -242,7 +242,7 @@
             websockets.on_close_started(self.permit.id);
         }
         if let Err(fault) = scanned {
-            self.close[from as usize].get_or_insert((fault.code, fault.why.to_owned()));
+            self.close[from as usize].get_or_insert((fault.code, fault.reason.to_owned()));
             self.fail_side(websockets, from);
         }
     }
--- a/crates/websocket/src/frames.rs
+++ b/crates/websocket/src/frames.rs
@@ -63,19 +63,19 @@
     /// The close code (section 7.4.1): 1002 (protocol error), 1007 (invalid payload data) or 1009 (message too big).
     pub code: u16,
     /// The close reason.
-    pub why: &'static str,
+    pub reason: &'static str,
 }
 
 impl FrameError {
-    fn protocol_error(why: &'static str) -> FrameError {
-        FrameError { code: 1002, why }
+    fn protocol_error(reason: &'static str) -> FrameError {
+        FrameError { code: 1002, reason }
     }
 
-    fn invalid_data(why: &'static str) -> FrameError {
-        FrameError { code: 1007, why }
+    fn invalid_data(reason: &'static str) -> FrameError {
+        FrameError { code: 1007, reason }
     }
 
-    fn too_large(why: &'static str) -> FrameError {
-        FrameError { code: 1009, why }
+    fn too_large(reason: &'static str) -> FrameError {
+        FrameError { code: 1009, reason }
     }
 }
--- a/crates/websocket/src/table/admission.rs
+++ b/crates/websocket/src/table/admission.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmissionError {
     /// The reason, which is the body of the response to the client.
-    pub why: &'static str,
+    pub reason: &'static str,
     /// The delay after which the client may retry, in microseconds.
     pub retry_in: Micros,
 }
@@ -71,7 +71,7 @@
         self.upgrade_tokens
             .take(now)
             .map_err(|retry_in| AdmissionError {
-                why: "too many at once",
+                reason: "too many at once",
                 retry_in,
             })?;
         *self.by_customer.entry(customer).or_default() += 1;
@@ -85,13 +85,13 @@
     fn check_limits(&self, customer: CustomerId, subset_size: u32) -> Result<(), AdmissionError> {
         if self.stopped {
             return Err(AdmissionError {
-                why: "the node leaves",
+                reason: "the node leaves",
                 retry_in: RETRY_AFTER_STOP,
             });
         }
         if self.by_id.len() >= self.limits.per_node {
             return Err(AdmissionError {
-                why: "the node has all the sockets that it may have",
+                reason: "the node has all the sockets that it may have",
                 retry_in: RETRY_AFTER_LIMIT,
             });
         }
@@ -100,7 +100,7 @@
         let open = self.by_customer.get(&customer).copied().unwrap_or(0);
         if open >= limit_here {
             return Err(AdmissionError {
-                why: "the customer has all the sockets that it may have",
+                reason: "the customer has all the sockets that it may have",
                 retry_in: RETRY_AFTER_LIMIT,
             });
         }
