--- a/crates/etcd/src/client.rs
+++ b/crates/etcd/src/client.rs
@@ -107,10 +107,10 @@
     async fn send_change(
         &mut self,
         change: EndpointUpdate,
-        read: Instant,
+        read_at: Instant,
     ) -> std::result::Result<(), Closed> {
         if change.is_relevant() {
-            self.send(ClientEvent::Changed { change, read }).await?;
+            self.send(ClientEvent::Changed { change, read_at }).await?;
         }
         for line in self.follower.take_events() {
             self.send(ClientEvent::Log(format!("etcd: {line}"))).await?;
@@ -144,13 +144,13 @@
     /// Reads the complete list and sends the changes against the known one.
     async fn read_list(&mut self, member: &mut Member) -> Result<std::result::Result<(), Closed>> {
         let (header, listing) = member.range(|| self.follower.listing()).await?;
-        let read = member.take_read_time();
-        let received_at = self.elapsed(read);
+        let read_at = member.take_read_time();
+        let received_at = self.elapsed(read_at);
         let change = self
             .follower
             .apply_listing(header, listing, received_at, unix_ms());
         let removals = self.follower.confirm_empty(self.elapsed(Instant::now()));
-        if let Err(closed) = self.send_change(change, read).await {
+        if let Err(closed) = self.send_change(change, read_at).await {
             return Ok(Err(closed));
         }
         match removals {
@@ -193,8 +193,8 @@
                 () = &mut closed => return Ok(WatchEnd::Closed),
             };
             last_heard_at = Instant::now();
-            let read = member.take_read_time();
-            if let AfterResponse::End(end) = self.on_watch_response(response, read).await? {
+            let read_at = member.take_read_time();
+            if let AfterResponse::End(end) = self.on_watch_response(response, read_at).await? {
                 return Ok(end);
             }
         }
@@ -204,13 +204,13 @@
     async fn on_watch_response(
         &mut self,
         response: api::WatchResponse,
-        read: Instant,
+        read_at: Instant,
     ) -> Result<AfterResponse> {
-        let (change, step) = self.apply(response, read)?;
+        let (change, step) = self.apply(response, read_at)?;
         if !change.is_relevant() && self.send(ClientEvent::Alive).await.is_err() {
             return Ok(AfterResponse::End(WatchEnd::Closed));
         }
-        if self.send_change(change, read).await.is_err() {
+        if self.send_change(change, read_at).await.is_err() {
             return Ok(AfterResponse::End(WatchEnd::Closed));
         }
         match step {
@@ -224,7 +224,7 @@
     fn apply(
         &mut self,
         response: api::WatchResponse,
-        read: Instant,
+        read_at: Instant,
     ) -> Result<(EndpointUpdate, WatchStep)> {
         let header = response
             .header
@@ -244,7 +244,7 @@
                 .into_iter()
                 .filter_map(watch_event)
                 .collect();
-            let received_at = self.elapsed(read);
+            let received_at = self.elapsed(read_at);
             return Ok(self.follower.apply_events(
                 header,
                 events,
--- a/crates/etcd/src/client_event.rs
+++ b/crates/etcd/src/client_event.rs
@@ -15,7 +15,7 @@
         /// The endpoints that differ, or the complete list if it is a snapshot.
         change: EndpointUpdate,
         /// When the first byte of the change was read from the socket.
-        read: Instant,
+        read_at: Instant,
     },
     /// A member has sent a response without a change, so the list is up to date.
     Alive,
--- a/crates/etcd/tests/client.rs
+++ b/crates/etcd/tests/client.rs
@@ -73,8 +73,8 @@
             .expect("an event arrives within the timeout")
             .expect("the client is running")
         {
-            ClientEvent::Changed { change, read } => {
-                self.max_delay = self.max_delay.max(read.elapsed());
+            ClientEvent::Changed { change, read_at } => {
+                self.max_delay = self.max_delay.max(read_at.elapsed());
                 self.changes += 1;
                 if change.snapshot {
                     self.hosts.clear();
--- a/crates/node/src/endpoint_sources/by_etcd.rs
+++ b/crates/node/src/endpoint_sources/by_etcd.rs
@@ -107,7 +107,7 @@
         let mut changes = Changes::default();
         for update in batch.drain(..) {
             match update {
-                ClientEvent::Changed { change, read } => changes.add(&node, change, read),
+                ClientEvent::Changed { change, read_at } => changes.add(&node, change, read_at),
                 ClientEvent::Alive => node.record_list_contact(),
                 ClientEvent::Log(line) => info!("{line}"),
             }
