--- a/crates/endpoints/src/follower.rs
+++ b/crates/endpoints/src/follower.rs
@@ -16,7 +16,7 @@
 pub use event::{FollowerEvent, FollowerStats};
 pub use listing::Listing;
 pub use response::{Header, KeyValue, LeaveReason, RereadReason, WatchEvent, WatchStep};
-pub use wipe::Rules;
+pub use wipe::EmptyListRules;
 
 use crate::compact::ZoneNames;
 use crate::time::Time;
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug)]
 pub struct Follower {
     prefix: String,
-    rules: Rules,
+    rules: EmptyListRules,
     /// The values are boxed so that the map allocates no large blocks of memory.
     endpoints: BTreeMap<Arc<str>, Box<KnownEndpoint>>,
     zones: ZoneNames,
@@ -51,7 +51,7 @@
 
 impl Follower {
     /// Creates a follower that has not read its prefix yet.
-    pub fn new(prefix: impl Into<String>, rules: Rules) -> Follower {
+    pub fn new(prefix: impl Into<String>, rules: EmptyListRules) -> Follower {
         Follower {
             prefix: prefix.into(),
             rules,
--- a/crates/endpoints/src/follower/tests.rs
+++ b/crates/endpoints/src/follower/tests.rs
@@ -29,7 +29,7 @@
         create_revision: 2,
         mod_revision: revision,
     };
-    let mut follower = Follower::new("/board/", Rules::default());
+    let mut follower = Follower::new("/board/", EmptyListRules::default());
     let all: Vec<KeyValue> = (0..40_000).map(|number| kv(number, 2, "ready")).collect();
     assert_eq!(
         follower
--- a/crates/endpoints/src/follower/wipe.rs
+++ b/crates/endpoints/src/follower/wipe.rs
@@ -1,9 +1,9 @@
 //! Protection against a prefix that was emptied by mistake.
 //!
 //! If the keys of all servers are deleted in one revision, a fleet that applied this immediately would have no server
-//! to send requests to. So the servers are kept until the prefix has stayed empty for [`Rules::empty_after`]. Servers
-//! that are deleted one by one, each in its own revision, are removed immediately, because operators delete them that
-//! way.
+//! to send requests to. So the servers are kept until the prefix has stayed empty for
+//! [`EmptyListRules::empty_after`]. Servers that are deleted one by one, each in its own revision, are removed
+//! immediately, because operators delete them that way.
 
 use super::event::FollowerEvent;
 use super::response::WatchEvent;
@@ -15,14 +15,14 @@
 
 /// When an empty list is accepted.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Rules {
+pub struct EmptyListRules {
     /// How long a list must stay empty after two servers or more have disappeared at once. Default: 30 s.
     pub empty_after: Time,
 }
 
-impl Default for Rules {
-    fn default() -> Rules {
-        Rules {
+impl Default for EmptyListRules {
+    fn default() -> EmptyListRules {
+        EmptyListRules {
             empty_after: Time::from_secs(30),
         }
     }
--- a/crates/endpoints/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -32,8 +32,8 @@
 mod value;
 
 pub use follower::{
-    Follower, FollowerEvent, FollowerStats, Header, KeyValue, LeaveReason, Listing, RereadReason,
-    Rules, WatchEvent, WatchStep,
+    EmptyListRules, Follower, FollowerEvent, FollowerStats, Header, KeyValue, LeaveReason, Listing,
+    RereadReason, WatchEvent, WatchStep,
 };
 pub use json_objects::{JsonObjects, JsonStreamError};
 pub use merge::{MergedList, Source};
--- a/crates/endpoints/tests/random_histories.rs
+++ b/crates/endpoints/tests/random_histories.rs
@@ -132,7 +132,7 @@
     for _ in 0..300 {
         let mut store = Store::new();
         let mut client = Client {
-            follower: Follower::new("/board/", Rules::default()),
+            follower: Follower::new("/board/", EmptyListRules::default()),
             list: BTreeMap::new(),
         };
         client.read(&store);
@@ -153,6 +153,6 @@
         assert_eq!(client.list, store.statuses());
         assert_eq!(client.follower.host_count(), store.keys.len());
     }
-    let unused = Follower::new("/", Rules::default());
+    let unused = Follower::new("/", EmptyListRules::default());
     assert_eq!(unused.stats(), FollowerStats::default());
 }
--- a/crates/endpoints/tests/support/mod.rs
+++ b/crates/endpoints/tests/support/mod.rs
@@ -56,7 +56,7 @@
 
 /// Returns a follower that has read three servers at revision 10.
 pub fn three_servers() -> Follower {
-    let mut follower = Follower::new("/board/", Rules::default());
+    let mut follower = Follower::new("/board/", EmptyListRules::default());
     let kvs: Vec<_> = ["a", "b", "c"]
         .into_iter()
         .map(|host| kv(host, 2, 3, value(80, "ready", 7)))
--- a/crates/endpoints/tests/wiped_prefix.rs
+++ b/crates/endpoints/tests/wiped_prefix.rs
@@ -80,7 +80,7 @@
 /// A node that starts with an empty or misspelt prefix keeps the list of its configuration for a while.
 #[test]
 fn an_empty_first_list_is_not_accepted_immediately() {
-    let mut follower = Follower::new("/board/", Rules::default());
+    let mut follower = Follower::new("/board/", EmptyListRules::default());
     let update = follower.apply_range(header(10), &[], ms(1), NOW);
     assert!(!update.snapshot && update.endpoints.is_empty());
     let update = respond(&mut follower, 11, vec![put("a", 11, 11, "ready")]);
--- a/crates/etcd/src/settings.rs
+++ b/crates/etcd/src/settings.rs
@@ -1,6 +1,6 @@
 //! Settings of the client.
 
-use saffronpaddle_endpoints::Rules;
+use saffronpaddle_endpoints::EmptyListRules;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -40,7 +40,7 @@
     /// Timeouts and intervals.
     pub timing: Timing,
     /// When an empty list is accepted.
-    pub rules: Rules,
+    pub rules: EmptyListRules,
     /// The trusted CA certificates (PEM), and the name that the members' certificates must contain; `None` for no TLS.
     #[cfg(feature = "tls")]
     pub tls: Option<(Vec<u8>, String)>,
--- a/crates/etcd/tests/client.rs
+++ b/crates/etcd/tests/client.rs
@@ -1,7 +1,7 @@
 //! The client against the test double of an etcd cluster: broken connections, compaction, fragments, and members that
 //! lag, freeze or are replaced.
 
-use saffronpaddle_endpoints::{EndpointStatus, Rules};
+use saffronpaddle_endpoints::{EmptyListRules, EndpointStatus};
 use saffronpaddle_etcd::{follow, ClientEvent, Settings, Timing};
 use saffronpaddle_test_doubles::etcd::Etcd;
 use std::collections::BTreeMap;
@@ -53,7 +53,7 @@
             prefix: "/board/".to_owned(),
             user,
             timing: timing(),
-            rules: Rules { empty_after },
+            rules: EmptyListRules { empty_after },
             #[cfg(feature = "tls")]
             tls: None,
         };
@@ -123,7 +123,7 @@
     etcd
 }
 
-/// A value of [`Rules::empty_after`] that no test reaches.
+/// A value of [`EmptyListRules::empty_after`] that no test reaches.
 const HOUR: Duration = Duration::from_hours(1);
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
--- a/crates/node/src/endpoint_sources/by_etcd.rs
+++ b/crates/node/src/endpoint_sources/by_etcd.rs
@@ -2,7 +2,7 @@
 
 use crate::config::List;
 use crate::node::Node;
-use saffronpaddle_endpoints::{EndpointRecord, EndpointUpdate, Rules, Source};
+use saffronpaddle_endpoints::{EmptyListRules, EndpointRecord, EndpointUpdate, Source};
 use saffronpaddle_etcd::client::MAX_QUEUED_EVENTS;
 use saffronpaddle_etcd::{ClientEvent, Settings, Timing};
 use saffronpaddle_operator_config::Etcd;
@@ -63,7 +63,7 @@
             silent_after: etcd.silent_after,
             backoff: (Timing::default().backoff.0, etcd.max_backoff),
         },
-        rules: Rules {
+        rules: EmptyListRules {
             empty_after: etcd.empty_after,
         },
         #[cfg(feature = "tls")]
