--- a/crates/fleet-harness/src/report.rs
+++ b/crates/fleet-harness/src/report.rs
@@ -69,12 +69,12 @@
 
 impl Report {
     /// Whether no rule was broken, no instance failed to start or stop, and no peer datagram was too long.
-    pub fn good(&self) -> bool {
+    pub fn passed(&self) -> bool {
         self.verdict.breaches.is_empty() && self.faults.is_empty() && self.oversized_datagrams == 0
     }
 
     /// Restarted processes that were ready within [`RESTART_READY_LIMIT_MS`], and all restarted processes.
-    pub fn restarted(&self) -> (usize, usize) {
+    pub fn restarts_ready_in_time(&self) -> (usize, usize) {
         let restarts = |instance: &InstanceReport| instance.processes.saturating_sub(1) as usize;
         let ready_in_time = |instance: &InstanceReport| {
             instance
@@ -105,11 +105,11 @@
 
     /// Seconds of work of the requests that were sent while load was offered and were served.
     pub fn served_work_s(&self) -> f64 {
-        self.within("all", 0, self.offered_s).served_work
+        self.totals_between("all", 0, self.offered_s).served_work
     }
 
     /// Most calls on the list service within one second, from the start of the first instance on.
-    pub fn list_calls_most(&self) -> usize {
+    pub fn max_list_calls_per_second(&self) -> usize {
         most_in_a_second(&self.list.times)
     }
 
@@ -136,7 +136,7 @@
     }
 
     /// Sums the counts from second `from_s` to second `to_s` of the load on one side; "all" is the entire fleet.
-    pub fn within(&self, side: &str, from_s: usize, to_s: usize) -> WindowCounts {
+    pub fn totals_between(&self, side: &str, from_s: usize, to_s: usize) -> WindowCounts {
         let windows = self.windows.iter().find(|windows| windows.side == side);
         let seconds = windows.map_or(&[][..], |windows| &windows.seconds);
         seconds
@@ -185,7 +185,7 @@
             .collect();
         let ready = self.sorted_ready_ms();
         json!({
-            "scenario": self.scenario, "seed": self.seed, "seconds": self.seconds, "good": self.good(),
+            "scenario": self.scenario, "seed": self.seed, "seconds": self.seconds, "good": self.passed(),
             "instances": self.instances.len(), "processes": self.processes, "reloads": self.reloads,
             "tries": verdict.requests, "served": verdict.served, "refused": verdict.refused, "failed": verdict.failed,
             "killed": verdict.killed, "paused": verdict.paused, "not_taken": verdict.not_accepted, "lost": verdict.lost,
@@ -197,7 +197,7 @@
             "left_unsent": verdict.disconnected_before_attempt,
             "after_leave": verdict.attempts_after_disconnect, "shut": verdict.nodes_rejecting_all,
             "unserving": verdict.processes_never_serving,
-            "unanswered": verdict.unanswered(), "restarted": self.restarted(),
+            "unanswered": verdict.unanswered(), "restarted": self.restarts_ready_in_time(),
             "beyond_quota": verdict.share_beyond_quota, "ceiling_over_most": verdict.ceiling_excess_max,
             "unasked": verdict.unsolicited_attempts, "breaches": breaches, "faults": self.faults,
             "refused_connections": self.counts.refused_connections, "resent": self.counts.resent,
@@ -213,7 +213,8 @@
             "peer_bytes": self.peer_bytes, "peer_too_long": self.oversized_datagrams,
             "could_s": self.available_work_s, "served_s": self.served_work_s(),
             "list": {
-                "calls": self.list.times.len(), "calls_most_s": self.list_calls_most(), "bytes": self.list.list_bytes,
+                "calls": self.list.times.len(), "calls_most_s": self.max_list_calls_per_second(),
+                "bytes": self.list.list_bytes,
                 "open_most": self.list.max_open_watches, "turned_away": self.list.rejected,
                 "first_ms": percentiles(&self.first_list_times_ms(), &[0.5, 0.99]),
             },
@@ -228,7 +229,8 @@
     }
 }
 
-/// Longest time from exec to ready, ms, for which [`Report::restarted`] counts a restarted process as ready in time.
+/// Longest time from exec to ready, ms, for which [`Report::restarts_ready_in_time`] counts a restarted process as ready
+/// in time.
 pub const RESTART_READY_LIMIT_MS: f64 = 10_000.0;
 
 /// Highest number of the given times that lie within one second.
@@ -295,7 +297,7 @@
             verdict.cold_mean_load_max, verdict.disconnected, verdict.disconnected_before_attempt,
             verdict.attempts_after_disconnect
         )?;
-        let (ready_in_time, restarts) = self.restarted();
+        let (ready_in_time, restarts) = self.restarts_ready_in_time();
         writeln!(
             f,
             "unanswered {}; processes that served no request {}; nodes that rejected all requests for 4 s {}; restarted processes {restarts}, ready within 10 s {ready_in_time}",
@@ -324,7 +326,7 @@
         writeln!(
             f,
             "list service: {} calls, at most {} in a second, {} bytes, at most {} open watches, {} calls rejected; first list after a median of {:.0} ms, p99 {:.0} ms",
-            self.list.times.len(), self.list_calls_most(), self.list.list_bytes, self.list.max_open_watches,
+            self.list.times.len(), self.max_list_calls_per_second(), self.list.list_bytes, self.list.max_open_watches,
             self.list.rejected, first[0], first[1]
         )?;
         writeln!(
@@ -333,13 +335,13 @@
             self.served_work_s(), self.available_work_s, self.served_work_s() / self.available_work_s.max(1e-9),
             self.handshakes_and_requests.iter().map(|(at, _)| at.len()).sum::<usize>(), self.max_handshakes_per_second()
         )?;
-        let all = self.within("all", 0, usize::MAX);
+        let all = self.totals_between("all", 0, usize::MAX);
         writeln!(
             f,
             "refused within the customer's limits: {} of {} requests: {:.3}",
             all.refused_within_limits,
-            all.tries,
-            all.refused_within_limits as f64 / all.tries.max(1) as f64
+            all.requests,
+            all.refused_within_limits as f64 / all.requests.max(1) as f64
         )?;
         let decision_counters: Vec<String> = self
             .decision_counters
@@ -367,7 +369,7 @@
         write!(
             f,
             "{}",
-            if self.good() {
+            if self.passed() {
                 "rules kept"
             } else {
                 "RULES BROKEN"
--- a/crates/fleet-harness/src/windows.rs
+++ b/crates/fleet-harness/src/windows.rs
@@ -10,19 +10,19 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WindowCounts {
     /// Requests whose last byte was sent in this time.
-    pub tries: u64,
-    /// Of `tries`, those that were served.
+    pub requests: u64,
+    /// Of `requests`, those that were served.
     pub served: u64,
-    /// Of `tries`, those that were refused.
+    /// Of `requests`, those that were refused.
     pub refused: u64,
-    /// Of `tries`, those that failed.
+    /// Of `requests`, those that failed.
     pub failed: u64,
     /// Of `refused`, those for which at least half of what limits the customer (quota and ceiling) was unused.
     pub refused_within_limits: u64,
     /// Units of requests that reached a server for the first time in this time.
     pub units: f64,
     /// Of `units`, those beyond their customers' quotas.
-    pub beyond: f64,
+    pub units_beyond_quota: f64,
     /// Seconds of work, on a warm server, of the requests that were served.
     pub served_work: f64,
 }
@@ -32,13 +32,13 @@
     #[must_use]
     pub fn plus(self, other: &WindowCounts) -> WindowCounts {
         WindowCounts {
-            tries: self.tries + other.tries,
+            requests: self.requests + other.requests,
             served: self.served + other.served,
             refused: self.refused + other.refused,
             failed: self.failed + other.failed,
             refused_within_limits: self.refused_within_limits + other.refused_within_limits,
             units: self.units + other.units,
-            beyond: self.beyond + other.beyond,
+            units_beyond_quota: self.units_beyond_quota + other.units_beyond_quota,
             served_work: self.served_work + other.served_work,
         }
     }
@@ -58,13 +58,13 @@
     pub fn json(&self) -> Value {
         let second = |counts: &WindowCounts| {
             json!([
-                counts.tries,
+                counts.requests,
                 counts.served,
                 counts.refused,
                 counts.failed,
                 counts.refused_within_limits,
                 counts.units,
-                counts.beyond,
+                counts.units_beyond_quota,
                 counts.served_work
             ])
         };
@@ -103,7 +103,7 @@
             .filter(|(index, _)| belongs(*index))
         {
             if let Some(counts) = windows.second_at(request.sent_at.checked_sub(load_start)) {
-                counts.tries += 1;
+                counts.requests += 1;
                 match request.answer {
                     Some(Answer::Served) => {
                         (counts.served, counts.served_work) =
@@ -124,8 +124,10 @@
                 .and_then(|(at, beyond)| Some((at.checked_sub(load_start)?, beyond)));
             if let Some((at, beyond)) = sent {
                 if let Some(counts) = windows.second_at(Some(at)) {
-                    (counts.units, counts.beyond) =
-                        (counts.units + request.units, counts.beyond + beyond);
+                    (counts.units, counts.units_beyond_quota) = (
+                        counts.units + request.units,
+                        counts.units_beyond_quota + beyond,
+                    );
                 }
             }
         }
@@ -142,13 +144,13 @@
             text.push_str(&format!(
                 "{:<10}{second:>6}{:>7}{:>7}{:>8}{:>7}{:>10}{:>7.0}{:>7.0}\n",
                 windows.side,
-                counts.tries,
+                counts.requests,
                 counts.served,
                 counts.refused,
                 counts.failed,
                 counts.refused_within_limits,
                 counts.units,
-                counts.beyond
+                counts.units_beyond_quota
             ));
         }
     }
--- a/crates/fleet-harness/tests/virtual_at_size.rs
+++ b/crates/fleet-harness/tests/virtual_at_size.rs
@@ -29,8 +29,10 @@
 /// Asserts that the units beyond the quotas are at most one per customer: in partition-safe mode (`fenced`), such units
 /// come only from standbys, which start with the units of one request, once per customer.
 fn assert_within_quotas(report: &Report, customers: usize) {
-    assert!(report.good(), "{report}");
-    let beyond = report.within("all", 0, report.offered_s).beyond;
+    assert!(report.passed(), "{report}");
+    let beyond = report
+        .totals_between("all", 0, report.offered_s)
+        .units_beyond_quota;
     assert!(
         beyond <= customers as f64,
         "{beyond} units beyond the quotas of {customers} customers\n{report}"
@@ -42,9 +44,9 @@
     let split = "[[step]]\ndo = \"split\"\nsides = \"west,east\"\n";
     let report = play(&(fleet(300, 1.5, 15, "") + split), 1, PARTITION_SAFE);
     assert_within_quotas(&report, 300);
-    let all = report.within("all", 0, 15);
+    let all = report.totals_between("all", 0, 15);
     assert!(
-        all.served > 0 && all.served + all.refused + all.failed == all.tries,
+        all.served > 0 && all.served + all.refused + all.failed == all.requests,
         "{report}"
     );
 }
@@ -72,7 +74,7 @@
                  [[step]]\ndo = \"drain\"\ncount = 30\nat_ms = 3000\ngap_ms = 100\n\
                  [[step]]\ndo = \"flip\"\ncount = 10\nat_ms = 4500\ngap_ms = 100\n";
     let report = play(&(fleet(600, 0.5, 10, "") + steps), 1, "");
-    assert!(report.good(), "{report}");
+    assert!(report.passed(), "{report}");
     assert_eq!(report.processes, 900, "{report}");
     assert!(
         report.verdict.drains >= 600 * 30,
@@ -91,7 +93,7 @@
             PARTITION_SAFE,
         );
         assert_within_quotas(&report, 301);
-        report.within("all", 0, 15)
+        report.totals_between("all", 0, 15)
     };
     let (without, with) = (totals(0.0), totals(0.01));
     // The other customers stay within their quotas; the hot one's quota is 24 units at once and 12 per second.
@@ -112,7 +114,7 @@
 fn servers_listed_as_draining_by_mistake_receive_no_new_attempts() {
     let mistake = "[[step]]\ndo = \"flip\"\ncount = 68\nat_ms = 4000\nfor_ms = 5000\n";
     let report = play(&(fleet(300, 0.7, 15, "") + mistake), 1, "");
-    assert!(report.good(), "{report}");
+    assert!(report.passed(), "{report}");
     assert_eq!(
         report.verdict.drains,
         300 * 68,
@@ -131,7 +133,10 @@
     let flips = "[[step]]\ndo = \"flip\"\ncount = 68\nat_ms = 4000\nfor_ms = 5000\n";
     let report = play(&(fleet(300, 0.7, 15, "") + flips), 1, "");
     // Two seconds after the list is complete again the fleet serves as before.
-    let (before, after) = (report.within("all", 0, 4), report.within("all", 11, 15));
+    let (before, after) = (
+        report.totals_between("all", 0, 4),
+        report.totals_between("all", 11, 15),
+    );
     assert!(
         after.served as f64 >= 0.95 * before.served as f64,
         "{} before, {} after\n{report}",
@@ -149,7 +154,7 @@
                 duration_ms = 4000\n";
     let examined = |operator: &str| {
         let report = play(text, 1, operator);
-        assert!(report.good(), "{report}");
+        assert!(report.passed(), "{report}");
         let found = report
             .decision_counters
             .iter()
@@ -169,7 +174,7 @@
 #[test]
 fn a_fleet_of_2700_nodes_runs_and_one_above_the_limit_is_rejected() {
     let report = play(&fleet(2_700, 0.2, 1, ""), 1, "");
-    assert!(report.good(), "{report}");
+    assert!(report.passed(), "{report}");
     assert_eq!(report.processes, 2_700);
     let faults = Scenario::parse("name = \"x\"\ninstances = 10001\n", 1)
         .expect_err("the instances exceed the limit")
--- a/crates/fleet-harness/tests/virtual_time.rs
+++ b/crates/fleet-harness/tests/virtual_time.rs
@@ -49,18 +49,21 @@
     for step in [HALVES, ISOLATED, one_way] {
         for seed in [1, 2] {
             let report = play(&overloaded(24, step), seed, PARTITION_SAFE);
-            assert!(report.good(), "{report}");
-            let all = report.within("all", 0, 45);
+            assert!(report.passed(), "{report}");
+            let all = report.totals_between("all", 0, 45);
             // Standbys start with the units of one request.
             assert!(
-                all.beyond <= 24.0,
+                all.units_beyond_quota <= 24.0,
                 "{step}: {} units beyond the quotas\n{report}",
-                all.beyond
+                all.units_beyond_quota
             );
         }
     }
     let without = play(&overloaded(24, HALVES), 1, "");
-    assert!(without.within("all", 15, 30).beyond > 300.0, "{without}");
+    assert!(
+        without.totals_between("all", 15, 30).units_beyond_quota > 300.0,
+        "{without}"
+    );
 }
 
 /// While all sides are connected, before and after a partition, an owner in partition-safe mode leases what its
@@ -69,13 +72,13 @@
 fn units_that_standbys_hold_are_leased_and_quotas_are_fully_used() {
     let calm = play(&overloaded(24, ""), 1, PARTITION_SAFE);
     for (from, to) in [(15, 30), (30, 45)] {
-        let used = calm.within("all", from, to).units;
+        let used = calm.totals_between("all", from, to).units;
         assert!(
             used > 0.95 * QUOTA_UNITS,
             "{used} of {QUOTA_UNITS} units used from {from} s to {to} s\n{calm}"
         );
     }
-    let healed = play(&overloaded(24, HALVES), 1, PARTITION_SAFE).within("all", 33, 45);
+    let healed = play(&overloaded(24, HALVES), 1, PARTITION_SAFE).totals_between("all", 33, 45);
     assert!(
         healed.units > 0.93 * QUOTA_UNITS * 12.0 / 15.0,
         "{healed:?}"
@@ -89,9 +92,9 @@
 fn a_small_fleet_uses_its_quotas_again_after_a_partition() {
     for step in [HALVES, ISOLATED] {
         let report = play(&overloaded(12, step), 2, "");
-        let after = report.within("all", 30, 45);
+        let after = report.totals_between("all", 30, 45);
         assert!(
-            after.units - after.beyond > 0.92 * QUOTA_UNITS,
+            after.units - after.units_beyond_quota > 0.92 * QUOTA_UNITS,
             "{step}: {after:?}; the quotas grant {QUOTA_UNITS} units\n{report}"
         );
     }
@@ -104,7 +107,7 @@
     let lossy = "[[step]]\ndo = \"peers\"\nloss = 0.3\ndelay_ms = 300\ndelay_least_ms = 250\n";
     let sent_per_node = |operator: &str| {
         let report = play(&overloaded(24, lossy), 1, operator);
-        assert!(report.good(), "{report}");
+        assert!(report.passed(), "{report}");
         report
             .instances
             .iter()
@@ -135,7 +138,7 @@
             nodes * 5
         );
         let report = play(&text, 1, "");
-        assert!(report.good(), "{report}");
+        assert!(report.passed(), "{report}");
         report
             .instances
             .iter()
@@ -167,10 +170,13 @@
              list_calls_per_s = 30\n{down}"
         );
         let report = play(&text, 1, limits);
-        assert!(report.good(), "{report}");
+        assert!(report.passed(), "{report}");
         // The calls' slots are evenly spaced and the time within a slot is random, so that one second may have a few
         // more calls.
-        assert!(report.list_calls_most() <= 36, "{nodes} nodes: {report}");
+        assert!(
+            report.max_list_calls_per_second() <= 36,
+            "{nodes} nodes: {report}"
+        );
         assert_eq!(report.list.first_answers.len(), nodes, "{report}");
         let (first, span) = (report.first_list_times_ms(), nodes as f64 / 25.0);
         let last = first.last().copied().unwrap_or(0.0) / 1e3;
@@ -193,7 +199,7 @@
         for seed in [1, 2, 3] {
             let report = play(&text, seed, "");
             assert!(
-                report.good() && report.verdict.cold_load_max < 1.0,
+                report.passed() && report.verdict.cold_load_max < 1.0,
                 "{report}"
             );
             assert!(
--- a/crates/saffronpaddle/src/fleet.rs
+++ b/crates/saffronpaddle/src/fleet.rs
@@ -102,7 +102,7 @@
         print!("{}", report.table());
     }
     println!("{report}");
-    Ok(crate::exit_code(report.good()))
+    Ok(crate::exit_code(report.passed()))
 }
 
 fn read_scenario(arguments: &ScenarioArguments) -> Result<Scenario> {
--- a/crates/saffronpaddle/src/soak.rs
+++ b/crates/saffronpaddle/src/soak.rs
@@ -86,7 +86,7 @@
         let plan = Plan::draw(seed, self.size);
         let report = soak::play(&plan, &self.options(seed, &folder))?;
         println!("{report}");
-        if report.good() {
+        if report.passed() {
             std::fs::remove_dir_all(&folder)?;
             return Ok(true);
         }
--- a/crates/saffronpaddle/tests/cold_start.rs
+++ b/crates/saffronpaddle/tests/cold_start.rs
@@ -9,7 +9,7 @@
 
 /// Asserts that no rule is violated, and that no cold server is sent as much work as would crash it.
 fn assert_cold_servers_not_overloaded(report: &Report) {
-    assert!(report.good(), "{report}");
+    assert!(report.passed(), "{report}");
     assert!(report.verdict.cold_load_max < 1.0, "{report}");
 }
 
@@ -92,9 +92,14 @@
                  [[step]]\ndo = \"link\"\nfrom = \"a\"\nto = \"servers\"\nstalled = true\nat_ms = 3000\nfor_ms = 1000\n";
     let report = run_scenario_with_operator("cold-sides", &cold_scenario("sides", steps), "");
     assert_cold_servers_not_overloaded(&report);
-    let (a, b) = (report.within("a", 0, 6), report.within("b", 0, 6));
+    let (a, b) = (
+        report.totals_between("a", 0, 6),
+        report.totals_between("b", 0, 6),
+    );
     assert!(
-        a.tries > 0 && b.tries > 0 && a.tries + b.tries == report.within("all", 0, 6).tries,
+        a.requests > 0
+            && b.requests > 0
+            && a.requests + b.requests == report.totals_between("all", 0, 6).requests,
         "{report}"
     );
 }
@@ -104,7 +109,7 @@
 fn requests_are_answered_while_connections_to_two_servers_never_open() {
     let step = "[[step]]\ndo = \"link\"\nfrom = \"nodes\"\nto = \"s0-s1\"\nunheard = true\nat_ms = 1000\nfor_ms = 3000\n";
     let report = run_scenario_with_operator("cold-unheard", &warm_scenario("unheard", step), "");
-    assert!(report.good(), "{report}");
+    assert!(report.passed(), "{report}");
     assert!(
         report.verdict.served * 2 > report.verdict.requests,
         "{report}"
@@ -133,8 +138,8 @@
         &warm_scenario("spared", "list_calls_per_s = 8\n"),
         LIST_CALL_LIMIT,
     );
-    assert!(report.good(), "{report}");
-    assert!(report.list_calls_most() <= 12, "{report}");
+    assert!(report.passed(), "{report}");
+    assert!(report.max_list_calls_per_second() <= 12, "{report}");
     assert_eq!(
         report.list.first_answers.len(),
         24,
@@ -156,7 +161,7 @@
     )
     .replace("6000", "11000");
     let report = run_scenario_with_operator("list-stale", &text, LIST_CALL_LIMIT);
-    assert!(report.good(), "{report}");
+    assert!(report.passed(), "{report}");
     assert!(
         report.verdict.served > 0 && report.list.first_answers.len() == 24,
         "{report}"
@@ -174,10 +179,10 @@
         &warm_scenario("empty", steps),
         LIST_CALL_LIMIT,
     );
-    assert!(report.good(), "{report}");
-    let after = report.within("all", 4, 6);
+    assert!(report.passed(), "{report}");
+    let after = report.totals_between("all", 4, 6);
     assert!(
-        after.served * 2 > after.tries,
+        after.served * 2 > after.requests,
         "the nodes no longer send to their servers: {report}"
     );
 }
@@ -192,7 +197,7 @@
         &warm_scenario("silent", steps),
         LIST_CALL_LIMIT,
     );
-    assert!(report.good(), "{report}");
+    assert!(report.passed(), "{report}");
     assert!(
         report.verdict.served * 2 > report.verdict.requests,
         "{report}"
@@ -212,7 +217,7 @@
         .collect();
     for run in runs {
         let report = run.join().expect("the fleet runs");
-        assert!(report.good(), "{report}");
+        assert!(report.passed(), "{report}");
         assert!(
             report
                 .instances
--- a/crates/saffronpaddle/tests/etcd.rs
+++ b/crates/saffronpaddle/tests/etcd.rs
@@ -232,7 +232,7 @@
                 [[step]]\ndo = \"flip\"\nat_ms = 500\nevery_ms = 300\nfor_ms = 900\n\
                 [[step]]\ndo = \"etcd-cut\"\nat_ms = 490\nevery_ms = 600\ncount = 3\n";
     let report = run_scenario("drained", text);
-    assert!(report.good(), "{report}");
+    assert!(report.passed(), "{report}");
     assert!(
         report.verdict.drains > 20 && report.verdict.served * 2 > report.verdict.requests,
         "{report}"
--- a/crates/saffronpaddle/tests/fleet_guarantees.rs
+++ b/crates/saffronpaddle/tests/fleet_guarantees.rs
@@ -15,7 +15,7 @@
 /// Asserts that no rule is broken, and that every request was answered unless its process was killed or suspended. A
 /// process may have served no request: in front of cold servers it may end before it has the right to send one.
 fn assert_no_request_lost(report: &Report) {
-    assert!(report.good() && report.verdict.lost == 0, "{report}");
+    assert!(report.passed() && report.verdict.lost == 0, "{report}");
 }
 
 /// Asserts what `assert_no_request_lost` does, and that every process that received requests served at least one.
@@ -26,7 +26,7 @@
 
 /// Asserts that at least `at_least` processes were restarted, and that nine in ten of them were ready in time.
 fn assert_restarted_are_ready(report: &Report, at_least: usize) {
-    let (ready_in_time, restarted) = report.restarted();
+    let (ready_in_time, restarted) = report.restarts_ready_in_time();
     assert!(
         restarted >= at_least && ready_in_time * 10 >= restarted * 9,
         "{ready_in_time} of {restarted} restarted processes were ready in time\n{report}"
@@ -69,12 +69,12 @@
         report.served_work_s() * 4.0 > report.available_work_s,
         "{report}"
     );
-    let burst = report.within("all", 3, 8);
+    let burst = report.totals_between("all", 3, 8);
     assert!(
         burst.served > 100,
         "{} of {} attempts were served during the burst\n{report}",
         burst.served,
-        burst.tries
+        burst.requests
     );
 }
 
@@ -93,7 +93,7 @@
         report.verdict.cold_mean_load_max > 0.0 && report.verdict.cold_mean_load_max <= 1.0,
         "{report}"
     );
-    assert!(report.within("all", 3, 9).served > 60, "{report}");
+    assert!(report.totals_between("all", 3, 9).served > 60, "{report}");
 }
 
 /// Half of all clients disconnect while servers are cold, stalled or unreachable, and nodes restart or are suspended: a
@@ -211,12 +211,12 @@
         report.verdict.drains >= 4,
         "a node did not receive the drain: {report}"
     );
-    let after = report.within("all", 5, 9);
+    let after = report.totals_between("all", 5, 9);
     assert!(
-        after.served * 2 > after.tries && after.served > 100,
+        after.served * 2 > after.requests && after.served > 100,
         "{} of {} attempts were served after the drain\n{report}",
         after.served,
-        after.tries
+        after.requests
     );
     assert!(
         report.counts.no_ready_node * 20 < report.verdict.requests,
--- a/crates/saffronpaddle/tests/lifecycle.rs
+++ b/crates/saffronpaddle/tests/lifecycle.rs
@@ -557,7 +557,7 @@
 #[test]
 fn a_fleet_keeps_all_rules_in_the_built_in_scenario_short() {
     let report = run_scenario("short", built_in_scenario("short"));
-    assert!(report.good(), "{report}");
+    assert!(report.passed(), "{report}");
     assert!(report.processes > 10 && report.reloads > 4, "{report}");
     assert!(
         report.verdict.served * 2 > report.verdict.requests,
@@ -577,7 +577,7 @@
         "forty",
         &built_in_scenario("forty-cold").replace("20000", "6000"),
     );
-    assert!(report.good() && report.instances.len() == 40, "{report}");
+    assert!(report.passed() && report.instances.len() == 40, "{report}");
     assert!(
         report.verdict.cold_load_max < 1.0 && report.verdict.requests > 400,
         "{report}"
@@ -592,7 +592,7 @@
         "name = \"kill\"\ninstances = 3\nservers = 3\ncustomers = 12\nrate = 120\nduration_ms = 7000\n\
                 [[step]]\ndo = \"kill\"\nat_ms = 1500\nevery_ms = 1500\nfor_ms = 700\n";
     let report = run_scenario("kill", text);
-    assert!(report.good(), "{report}");
+    assert!(report.passed(), "{report}");
     assert!(
         report.verdict.killed > 0,
         "no request was held by a killed instance: {report}"
--- a/crates/saffronpaddle/tests/network_partitions.rs
+++ b/crates/saffronpaddle/tests/network_partitions.rs
@@ -27,12 +27,12 @@
 
 /// Asserts that no rule is violated, and that the units granted beyond quotas stay within the derived bound.
 fn assert_quotas_hold(report: &Report) {
-    assert!(report.good(), "{report}");
-    let all = report.within("all", 0, 12);
+    assert!(report.passed(), "{report}");
+    let all = report.totals_between("all", 0, 12);
     assert!(
-        all.beyond <= STANDBY_UNITS,
+        all.units_beyond_quota <= STANDBY_UNITS,
         "{} units were granted beyond the quotas, the bound is {STANDBY_UNITS}\n{}\n{report}",
-        all.beyond,
+        all.units_beyond_quota,
         report.table()
     );
     assert!(
@@ -62,10 +62,10 @@
         &over_quota_scenario("unfenced", &partition_step("west,east")),
         "",
     );
-    assert!(report.good(), "{report}");
-    let partitioned = report.within("all", 3, 9);
+    assert!(report.passed(), "{report}");
+    let partitioned = report.totals_between("all", 3, 9);
     assert!(
-        partitioned.beyond > 2.0 * STANDBY_UNITS,
+        partitioned.units_beyond_quota > 2.0 * STANDBY_UNITS,
         "the quotas were not exceeded without fencing: {partitioned:?}"
     );
 }
@@ -112,9 +112,9 @@
         &over_quota_scenario("lossy", step),
         FENCED_QUOTAS,
     );
-    assert!(report.good(), "{report}");
+    assert!(report.passed(), "{report}");
     assert!(
-        report.within("all", 0, 12).beyond <= STANDBY_UNITS,
+        report.totals_between("all", 0, 12).units_beyond_quota <= STANDBY_UNITS,
         "{report}"
     );
 }
--- a/crates/saffronpaddle/tests/soak.rs
+++ b/crates/saffronpaddle/tests/soak.rs
@@ -13,11 +13,11 @@
     let report = soak::play(&Plan::draw(seed, Size::SHORT), &options).expect("the fleet runs");
     let timeline = soak::timeline(&report, &options.folder);
     // A failed run keeps its logs for the search for the cause.
-    if report.good() {
+    if report.passed() {
         std::fs::remove_dir_all(&options.folder).expect("its folder is removed");
     }
     assert!(
-        report.good(),
+        report.passed(),
         "seed {seed}, logs in {}\n{report}\n{timeline}",
         options.folder.display()
     );
